--- a/choice/choice.go
+++ b/choice/choice.go
@@ -437,7 +437,7 @@
 	}
 }
 
-// Started: the answer streams; the client has it, and no time limit counts any more.
+// Started notes that the answer streams; the client has it, and no time limit counts any more.
 func (d *Dispatcher) Started(now Micros, id GenID, no LegNo) {
 	d.now = now
 	l := d.legOut(id, no)
@@ -511,7 +511,7 @@
 	d.arm()
 }
 
-// Left: nobody waits any more.
+// Left notes that the client is gone and nobody waits any more.
 func (d *Dispatcher) Left(now Micros, id GenID) {
 	d.now = now
 	if g := d.gens[id]; g != nil {
--- a/internal/batch/call.go
+++ b/internal/batch/call.go
@@ -170,5 +170,5 @@
 	return GoOn
 }
 
-// End: nothing more is sent.
+// End sees that nothing more is sent.
 func (c *Call) End() { c.over = true }
--- a/internal/chat/answer.go
+++ b/internal/chat/answer.go
@@ -36,10 +36,14 @@
 	} `json:"function"`
 }
 
-// RequestID, Streams and Waits are for the front.
+// RequestID is the id that the client is told.
 func (a *Answer) RequestID() string { return a.ID }
-func (a *Answer) Streams() bool     { return a.Ask.Stream }
-func (a *Answer) Waits() bool       { return !a.roled }
+
+// Streams tells whether the answer is streamed.
+func (a *Answer) Streams() bool { return a.Ask.Stream }
+
+// Waits tells whether nothing of the answer has been sent yet.
+func (a *Answer) Waits() bool { return !a.roled }
 
 // Usable tells whether a writer's event is a chunk of an answer at all.
 func Usable(data []byte) bool {
--- /dev/null
+++ b/internal/deployment/pb/doc.go
@@ -0,0 +1,2 @@
+// Package pb holds the generated messages of a deployment and of a scripted day (proto/deployment.proto, proto/day.proto).
+package pb
--- a/internal/dispatch/dispatch.go
+++ b/internal/dispatch/dispatch.go
@@ -845,7 +845,7 @@
 	}
 }
 
-// Subscribe: the list comes by itself here.
+// Subscribe asks for the list of hosts.
 func (x *Dispatcher) Subscribe() { x.list.Subscribe() }
 
 // Ring sets one of the module's two timers.
--- a/internal/front/front.go
+++ b/internal/front/front.go
@@ -556,8 +556,7 @@
 	c := r.client
 	r.begun = true
 	c.conn.Write(http1.AppendStreamHead(nil, 200, append(fields, "Content-Type", kind)...))
-	var on func()
-	on = func() {
+	on := func() {
 		for !r.done && c.conn.Unsent() < c.front.patience.Unsent {
 			piece, more := next()
 			b := http1.AppendChunk(nil, piece)
--- a/internal/lab/hosts/host.go
+++ b/internal/lab/hosts/host.go
@@ -64,21 +64,21 @@
 
 // job is one leg at a host.
 type job struct {
-	conn                              *hostConn
-	leg, client, dispatcher, product  string
-	reads, streams, away, ran, placed bool
-	prompt, kept, toRead, most        int
-	work                              float64 // tokens to be read, and half of those that may be written
-	shared                            uint64
-	sharedTokens                      int
-	sent                              int
-	length                            int
-	fetchFrom, fetchLeg               string
-	fetching                          bool
-	usage                             bool
-	whole                             func() []byte // the answer of a read that is all that was asked for
-	fails                             int           // the status that it is answered with, whatever host it comes to
-	out                               []byte
+	conn                             *hostConn
+	leg, client, dispatcher, product string
+	reads, away, ran                 bool
+	prompt, kept, toRead, most       int
+	work                             float64 // tokens to be read, and half of those that may be written
+	shared                           uint64
+	sharedTokens                     int
+	sent                             int
+	length                           int
+	fetchFrom, fetchLeg              string
+	fetching                         bool
+	usage                            bool
+	whole                            func() []byte // the answer of a read that is all that was asked for
+	fails                            int           // the status that it is answered with, whatever host it comes to
+	out                              []byte
 }
 
 // state is what a read left.
--- a/internal/lab/load/batch.go
+++ b/internal/lab/load/batch.go
@@ -44,7 +44,7 @@
 	}
 }
 
-// Stop: nothing more is asked.
+// Stop has nothing more asked.
 func (b *Batches) Stop() { b.stopped = true }
 
 func (b *Batches) next() {
--- a/internal/platform/watch/watch.go
+++ b/internal/platform/discovery/discovery.go
@@ -1,5 +1,5 @@
 // Package watch follows the platform's discovery: the list of model hosts as it was last known, and what changes in it.
-package watch
+package discovery
 
 import (
 	"fmt"
--- a/internal/platform/watch/watch_test.go
+++ b/internal/platform/discovery/discovery_test.go
@@ -1,4 +1,4 @@
-package watch
+package discovery
 
 import (
 	"testing"
--- a/internal/platform/platform.go
+++ b/internal/platform/platform.go
@@ -16,7 +16,7 @@
 	"plumspindle/internal/engine"
 	"plumspindle/internal/platform/door"
 	"plumspindle/internal/platform/legs"
-	"plumspindle/internal/platform/watch"
+	"plumspindle/internal/platform/discovery"
 	"plumspindle/internal/seam"
 	"plumspindle/internal/terms"
 )
@@ -65,12 +65,12 @@
 	module  *choice.Dispatcher
 	legs    *legs.Legs
 	door    *door.Door
-	watch   *watch.Watch
+	watch   *discovery.Watch
 	gens    map[choice.GenID]*gen
 	lastGen choice.GenID
 	ids     map[string]bool // open ones
 	lately  [2]map[string]bool
-	hosts   map[choice.HostID]watch.Entry
+	hosts   map[choice.HostID]discovery.Entry
 	ready   []choice.HostID
 	began   seam.Micros
 	leaving func()
@@ -102,14 +102,14 @@
 func Start(loop seam.Loop, post Post) *Dispatcher {
 	t := post.Terms
 	x := &Dispatcher{loop: loop, post: post, terms: t, gens: map[choice.GenID]*gen{}, ids: map[string]bool{},
-		lately: [2]map[string]bool{{}, {}}, hosts: map[choice.HostID]watch.Entry{}, began: loop.Now()}
+		lately: [2]map[string]bool{{}, {}}, hosts: map[choice.HostID]discovery.Entry{}, began: loop.Now()}
 	place := t.Place
 	place.Idle /= 2 // connections are closed well before hosts do: what is written to one that is closed counts as lost
 	e := engine.New(loop, post.Name, "", trunks(t, post.Sockets, place.Idle))
 	x.legs = legs.New(loop, e, t.LetGo, func() []choice.HostID { return x.ready })
 	x.legs.Log = func(line string) { post.Log.Warn().Msg(line) }
 	x.door = door.New(loop, doors(post.Sockets, post.Memory), x)
-	x.watch = watch.New(loop, post.Seed, post.Discovery, x.news, func(line string) { post.Log.Warn().Msg(line) })
+	x.watch = discovery.New(loop, post.Seed, post.Discovery, x.news, func(line string) { post.Log.Warn().Msg(line) })
 	x.module = choice.Start(loop.Now(), post.Seed, place, x)
 	if len(post.Known) > 0 {
 		if err := x.watch.Take(post.Known); err != nil {
@@ -174,7 +174,7 @@
 
 // --- The list ---
 
-func (x *Dispatcher) news(entries []watch.Entry, whole bool) {
+func (x *Dispatcher) news(entries []discovery.Entry, whole bool) {
 	now := x.loop.Now()
 	listed := map[choice.HostID]bool{}
 	for _, e := range entries {
@@ -552,7 +552,7 @@
 	}
 }
 
-// Subscribe: the list comes by itself here.
+// Subscribe does nothing, as the list comes by itself here.
 func (x *Dispatcher) Subscribe() {}
 
 // Ring sets one of the module's two timers.
--- a/internal/program/room_test.go
+++ b/internal/program/room_test.go
@@ -28,6 +28,12 @@
 		held.Go(func() { // clients that hold what they can get, while there is little
 			begun, tick := time.Now(), time.NewTicker(5*time.Millisecond)
 			defer tick.Stop()
+			var open []net.Conn
+			defer func() {
+				for _, c := range open {
+					c.Close()
+				}
+			}()
 			for range tick.C {
 				if at := time.Since(begun); at > 5500*time.Millisecond {
 					return
@@ -35,7 +41,7 @@
 					continue
 				}
 				if c, err := net.DialTimeout("tcp", addrs[0], time.Second); err == nil {
-					defer c.Close()
+					open = append(open, c)
 				}
 			}
 		})
--- a/internal/roster/roster.go
+++ b/internal/roster/roster.go
@@ -35,7 +35,7 @@
 
 var conditions = map[string]choice.Condition{"ready": choice.Ready, "draining": choice.Draining, "gone": choice.Gone}
 
-// Condition is what an entry says of its host, in the module's terms.
+// State is what an entry says of its host, in the module's terms.
 func (e Entry) State() choice.Condition { return conditions[e.Condition] }
 
 // Follower knows the list as it was last told.
--- /dev/null
+++ b/internal/store/pb/doc.go
@@ -0,0 +1,2 @@
+// Package pb holds the generated messages of the store's log (proto/store.proto).
+package pb
--- a/internal/store/store_test.go
+++ b/internal/store/store_test.go
@@ -26,7 +26,6 @@
 type operation struct {
 	what, name string
 	data       []byte
-	acked      func() // not called; marks the place
 }
 
 func newMemory() *memory { return &memory{files: map[string][]byte{}} }
