--- a/internal/drill/drill.go
+++ b/internal/drill/drill.go
@@ -12,7 +12,7 @@
 	"slices"
 
 	"plumspindle/choice"
-	"plumspindle/internal/terms"
+	"plumspindle/internal/settings"
 )
 
 const (
@@ -150,7 +150,7 @@
 	case 30:
 		in.Arrive(s.now, choice.GenID(u64(e[1:])), choice.SessionID(u64(e[13:])), choice.PrefixID(u64(e[26:])),
 			choice.ProductID(e[56]), choice.TenantID(binary.LittleEndian.Uint16(e[54:])), f32(e[50:]), f32(e[9:]),
-			f32(e[21:]), terms.Micros(u64(e[34:])), terms.Micros(u64(e[42:])))
+			f32(e[21:]), settings.Micros(u64(e[34:])), settings.Micros(u64(e[42:])))
 	case 40:
 		in.Started(s.now, choice.GenID(u64(e[1:])), choice.LegNo(binary.LittleEndian.Uint16(e[9:])))
 	case 50:
@@ -178,7 +178,7 @@
 }
 
 func (s *stage) attach(at uint32, seed uint64, info []byte) error {
-	t, err := terms.Read(info)
+	t, err := settings.Read(info)
 	if err != nil {
 		return err
 	}
@@ -198,7 +198,7 @@
 	}
 	for raw := s.lists[e[9]]; len(raw) > 0; raw = raw[entrySize:] {
 		in.Listed(s.now, choice.HostID(u32(raw)), choice.ZoneID(raw[4]), choice.KindID(raw[5]),
-			choice.CellID(binary.LittleEndian.Uint16(raw[6:])), conditions[raw[8]], terms.Micros(u64(raw[13:])))
+			choice.CellID(binary.LittleEndian.Uint16(raw[6:])), conditions[raw[8]], settings.Micros(u64(raw[13:])))
 	}
 	in.ListEnded(s.now, e[10] != 0)
 	return nil
--- a/internal/drill/drill_test.go
+++ b/internal/drill/drill_test.go
@@ -8,7 +8,7 @@
 	"testing"
 )
 
-const settings = `{"group_size": 2, "tick": 4000000, "an_unknown_setting": {"x": [1]},
+const benchSettings = `{"group_size": 2, "tick": 4000000, "an_unknown_setting": {"x": [1]},
 "domain": {"duty_by_kind": ["read", "write"], "kv_tokens": [200000, 140000], "token_aim": [50000000],
  "aim_us_per_1000_prompt_tokens": [40000.0], "let_go_by": 500000000},
 "limits": {"send_cap": 4, "may_cancel": true, "retry_after": true, "max_retry_after": 1000000000},
@@ -42,18 +42,18 @@
 		" 0065cd1d01000000 0000e144 0000 00"
 )
 
-func attach() string { return "0a 0100000000000000 00000000 " + u32hex(len(settings)) }
+func attach() string { return "0a 0100000000000000 00000000 " + u32hex(len(benchSettings)) }
 
 // lists holds one reader (0x11) and one writer (0x22).
 func lists() (inventory, sync, entries string) {
 	raw, _ := hex.DecodeString("11000000" + "00000000" + "03" + "0000803f" + "0000000000000000" +
 		"22000000" + "00010000" + "03" + "0000803f" + "0000000000000000")
-	return "78 00 " + u32hex(len(settings)) + u32hex(2), "14 0100000000000000 00 02", string(raw)
+	return "78 00 " + u32hex(len(benchSettings)) + u32hex(2), "14 0100000000000000 00 02", string(raw)
 }
 
 func TestAGenerationOnTheWire(t *testing.T) {
 	inventory, sync, entries := lists()
-	in := frame(settings+entries, instance3, attach(), inventory, sync, item)
+	in := frame(benchSettings+entries, instance3, attach(), inventory, sync, item)
 	in += frame("", instance3, "32 c4913a5d36710700 64000000 00 11000000 4d 40420f0000000000 0000")
 	var out bytes.Buffer
 	if err := Serve(strings.NewReader(in), &out); err != nil {
@@ -75,7 +75,7 @@
 }
 
 func TestBadFrames(t *testing.T) {
-	whole := frame(settings, instance3, attach())
+	whole := frame(benchSettings, instance3, attach())
 	broken := strings.Replace(whole, `{"group_size"`, ` "group_size"`, 1)
 	duty := strings.Replace(whole, `"read", "write"`, `"read", "wrote"`, 1)
 	inventory, sync, entries := lists()
@@ -94,7 +94,7 @@
 		"unknown duty":          {duty, `unknown duty "wrote"`},
 		"tail past the frame":   {frame("", instance3, attach()), "past the frame"},
 		"unknown outcome":       {whole + frame("", instance3, outcome), "unknown outcome 99"},
-		"unknown condition":     {frame(settings+ill, instance3, attach(), inventory, sync), "condition 9"},
+		"unknown condition":     {frame(benchSettings+ill, instance3, attach(), inventory, sync), "condition 9"},
 		"list number too large": {frame("", "78 10 00000000 00000000"), "out of range"},
 	} {
 		err := Serve(strings.NewReader(c.in), &bytes.Buffer{})
@@ -105,7 +105,7 @@
 }
 
 func TestOddButLegal(t *testing.T) {
-	in := frame(settings, instance3, attach(),
+	in := frame(benchSettings, instance3, attach(),
 		"32 0900000000000000 00000000 00 11000000 00", // an outcome for a generation never heard of
 		"3c 0900000000000000", "46 6300000000000000", "28 0900000000000000 0000 11000000",
 		"50 11000000 00", "6e", "5a", "14 0100000000000000 00 03", "64")
--- a/internal/platform/fleet_test.go
+++ b/internal/platform/fleet_test.go
@@ -284,7 +284,7 @@
 // waiting for a connection, or where legs may not be cancelled.
 func TestClientsThatGo(t *testing.T) {
 	for _, may := range []string{"true", "false"} {
-		at := strings.Replace(settings, `"may_cancel": true`, `"may_cancel": `+may, 1)
+		at := strings.Replace(usualSettings, `"may_cancel": true`, `"may_cancel": `+may, 1)
 		// More is behind it than is taken in.
 		r := newRigAt(t, at, 256, fleet...)
 		all(r.readers(), func(*line) {})
@@ -318,7 +318,7 @@
 // neither another leg nor a throttling may overtake that.
 func TestNeverTwoLegsOut(t *testing.T) {
 	for _, may := range []string{"true", "false"} {
-		r := newRigAt(t, strings.Replace(settings, `"may_cancel": true`, `"may_cancel": `+may, 1), 256, "prefill", "prefill", "prefill", "decode", "decode")
+		r := newRigAt(t, strings.Replace(usualSettings, `"may_cancel": true`, `"may_cancel": `+may, 1), 256, "prefill", "prefill", "prefill", "decode", "decode")
 		chance := rand.New(rand.NewSource(5))
 		out := map[string]*line{}
 		overtaken := 0
--- a/internal/platform/launch/launch.go
+++ b/internal/platform/launch/launch.go
@@ -20,7 +20,7 @@
 	"plumspindle/internal/platform"
 	"plumspindle/internal/seam"
 	"plumspindle/internal/sockets"
-	"plumspindle/internal/terms"
+	"plumspindle/internal/settings"
 )
 
 const (
@@ -97,12 +97,12 @@
 		return nil, errors.New("limits: below zero")
 	}
 	b.Memory, b.Sockets = orElse(b.Memory, 2048<<20), orElse(b.Sockets, 1024)
-	settings := get("settings")
-	if !settings.Exists() {
+	rawSettings := get("settings")
+	if !rawSettings.Exists() {
 		return nil, errors.New("settings: missing")
 	}
 	var err error
-	if b.Terms, err = terms.Read([]byte(settings.Raw)); err != nil {
+	if b.Terms, err = settings.Read([]byte(rawSettings.Raw)); err != nil {
 		return nil, fmt.Errorf("settings: %w", err)
 	}
 	if known := get("known"); known.IsObject() {
--- a/internal/platform/launch/launch_test.go
+++ b/internal/platform/launch/launch_test.go
@@ -16,7 +16,7 @@
 	"github.com/rs/zerolog"
 )
 
-const settings = `{"group_size": 1, "tick": 4000000, "zone": 0, "localities": ["west"], "host_types": ["prefill", "decode"],
+const usualSettings = `{"group_size": 1, "tick": 4000000, "zone": 0, "localities": ["west"], "host_types": ["prefill", "decode"],
 "domain": {"duty_by_kind": ["read", "write"], "kv_tokens": [200000, 140000], "let_go_by": 500000000},
 "limits": {"send_cap": 6, "may_cancel": true, "connect_timeout": 250000000, "conn_idle": 30000000000},
 "obligations": {"cold": 14000000000, "cold_from": 0.25, "fall": 2000000000, "fall_multiple": 2.5},
@@ -24,7 +24,7 @@
 
 func config(listen, discovery, known string) string {
 	return fmt.Sprintf(`{"name":"n3","listen":%q,"discovery":%q,"seed":"8c1f30d27a5be964","limits":{"cores":1.0,"memory_mb":64,"sockets":256},
-"known":{"version":41,"full":true,"servers":[%s]},"settings":%s}`, listen, discovery, known, settings)
+"known":{"version":41,"full":true,"servers":[%s]},"settings":%s}`, listen, discovery, known, usualSettings)
 }
 
 func none(string) string { return "" }
--- a/internal/platform/platform.go
+++ b/internal/platform/platform.go
@@ -18,7 +18,7 @@
 	"plumspindle/internal/platform/legs"
 	"plumspindle/internal/platform/discovery"
 	"plumspindle/internal/seam"
-	"plumspindle/internal/terms"
+	"plumspindle/internal/settings"
 )
 
 // Post is where a dispatcher stands, and what it may use.
@@ -26,7 +26,7 @@
 	Name      string
 	Discovery string // address
 	Seed      int64
-	Terms     *terms.Terms
+	Terms     *settings.Terms
 	Known     []byte // the list as it was last known, in discovery's form; empty: none
 	Sockets   int    // descriptors
 	Memory    int    // bytes
@@ -61,7 +61,7 @@
 type Dispatcher struct {
 	loop    seam.Loop
 	post    Post
-	terms   *terms.Terms
+	terms   *settings.Terms
 	module  *choice.Dispatcher
 	legs    *legs.Legs
 	door    *door.Door
@@ -123,7 +123,7 @@
 
 // trunks are the terms of connections to hosts. Clients may hold about half of the descriptors, and each request needs one on either
 // side; what is left is for releases, discovery and the poller.
-func trunks(t *terms.Terms, sockets int, idle seam.Micros) engine.Trunks {
+func trunks(t *settings.Terms, sockets int, idle seam.Micros) engine.Trunks {
 	most := max(sockets*2/5, 8)
 	return engine.Trunks{Connect: t.Connect, Idle: idle, Silence: silence, Most: most, Opening: max(most/4, 4), All: most}
 }
--- a/internal/platform/rig_test.go
+++ b/internal/platform/rig_test.go
@@ -10,11 +10,11 @@
 	"plumspindle/internal/http1"
 	"plumspindle/internal/seam"
 	"plumspindle/internal/sse"
-	"plumspindle/internal/terms"
+	"plumspindle/internal/settings"
 	"plumspindle/internal/virtual"
 )
 
-const settings = `{"group_size": 2, "tick": 4000000, "zone": 0, "localities": ["west", "east"], "host_types": ["prefill", "decode"],
+const usualSettings = `{"group_size": 2, "tick": 4000000, "zone": 0, "localities": ["west", "east"], "host_types": ["prefill", "decode"],
 "domain": {"duty_by_kind": ["read", "write"], "kv_tokens": [200000, 140000], "token_aim": [50000000, 60000000],
  "aim_us_per_1000_prompt_tokens": [60000.0, 40000.0], "let_go_by": 500000000},
 "limits": {"send_cap": 6, "may_cancel": true, "retry_after": true, "max_retry_after": 1000000000, "connect_timeout": 250000000, "conn_idle": 30000000000},
@@ -39,10 +39,10 @@
 
 func newRig(t *testing.T, sockets int, hosts ...string) *rig {
 	t.Helper()
-	return newRigAt(t, settings, sockets, hosts...)
+	return newRigAt(t, usualSettings, sockets, hosts...)
 }
 
-func newRigAt(t *testing.T, settings string, sockets int, hosts ...string) *rig {
+func newRigAt(t *testing.T, rawSettings string, sockets int, hosts ...string) *rig {
 	t.Helper()
 	w := virtual.New(1)
 	r := &rig{t: t, w: w, loop: w.Loop("d"), far: w.Loop("far")}
@@ -55,7 +55,7 @@
 	for _, h := range r.hosts {
 		known = append(known, h.entry("SERVING"))
 	}
-	told, err := terms.Read([]byte(settings))
+	told, err := settings.Read([]byte(rawSettings))
 	if err != nil {
 		t.Fatal(err)
 	}
