--- a/internal/admin/admin.go
+++ b/internal/admin/admin.go
@@ -16,8 +16,8 @@
 	"github.com/rs/zerolog"
 
 	"plumspindle/internal/dispatch"
+	"plumspindle/internal/eventloop"
 	"plumspindle/internal/http1"
-	"plumspindle/internal/seam"
 	"plumspindle/internal/store"
 	"plumspindle/internal/tenancy"
 )
@@ -76,7 +76,7 @@
 
 // Admin is the administration on one loop.
 type Admin struct {
-	loop      seam.Loop
+	loop      eventloop.Loop
 	secret    []byte
 	feedToken string
 	staff     []Staff
@@ -90,7 +90,7 @@
 }
 
 // Start brings it up from what was kept.
-func Start(loop seam.Loop, secret []byte, staff []Staff, records Records, random io.Reader, log zerolog.Logger) (*Admin, error) {
+func Start(loop eventloop.Loop, secret []byte, staff []Staff, records Records, random io.Reader, log zerolog.Logger) (*Admin, error) {
 	if len(secret) < 32 {
 		return nil, fmt.Errorf("the secret has %d bytes; it needs 32 at least", len(secret))
 	}
@@ -118,7 +118,7 @@
 	a.followers = slices.DeleteFunc(a.followers, func(o *conn) bool { return o == c })
 }
 
-func (a *Admin) now() int64 { return int64(a.loop.Now() / seam.Second) }
+func (a *Admin) now() int64 { return int64(a.loop.Now() / eventloop.Second) }
 
 func (a *Admin) isDispatcher(token string) bool {
 	return subtle.ConstantTimeCompare([]byte(token), []byte(a.feedToken)) == 1
--- a/internal/admin/admin_test.go
+++ b/internal/admin/admin_test.go
@@ -15,9 +15,9 @@
 
 	"plumspindle/internal/deployment"
 	"plumspindle/internal/dispatch"
+	"plumspindle/internal/eventloop"
 	"plumspindle/internal/http1"
 	"plumspindle/internal/lab/hosts"
-	"plumspindle/internal/seam"
 	"plumspindle/internal/sse"
 	"plumspindle/internal/tenancy"
 	"plumspindle/internal/virtual"
@@ -61,7 +61,7 @@
 		y.kept, y.at, y.x, y.api = append(y.kept, nil), append(y.at, nil), append(y.x, nil), append(y.api, "127.0.0.1:0")
 		y.startDispatcher(i, d, fmt.Sprintf("d%d", i))
 	}
-	w.Run(200 * seam.Millisecond)
+	w.Run(200 * eventloop.Millisecond)
 	return y
 }
 
@@ -107,15 +107,15 @@
 
 // call is one HTTP call of a client.
 type call struct {
-	conn    seam.Conn
+	conn    eventloop.Conn
 	request []byte
 	parser  http1.Parser
 	events  sse.Parser
 	head    *http1.Head
 	body    []byte
 	tokens  int
-	first   seam.Micros
-	began   seam.Micros
+	first   eventloop.Micros
+	began   eventloop.Micros
 	w       *virtual.World
 	finals  []string
 	closed  bool
@@ -156,7 +156,7 @@
 	c := &call{w: y.w, began: y.w.Now(), parser: http1.Parser{Response: true, Bounds: http1.Usual}, events: sse.Parser{Most: 1 << 20}}
 	c.request = http1.AppendRequest(nil, method, target, addr, []byte(body), append(fields, "Authorization", "Bearer "+key, "Content-Type",
 		"application/json", "Connection", "close")...)
-	y.far.Do(func() { c.conn = y.far.Dial(addr, seam.Second, c) })
+	y.far.Do(func() { c.conn = y.far.Dial(addr, eventloop.Second, c) })
 	return c
 }
 
@@ -164,10 +164,10 @@
 func (y *town) admin(key, method, path, body string, fields ...string) (int, gjson.Result, string) {
 	y.t.Helper()
 	c := y.send(y.addr, method, "/admin/v1/"+path, key, body, fields...)
-	if !y.w.Until(5*seam.Second, func() bool { return len(c.finals) > 0 }) {
+	if !y.w.Until(5*eventloop.Second, func() bool { return len(c.finals) > 0 }) {
 		y.t.Fatalf("%s %s: no answer", method, path)
 	}
-	y.w.Run(20 * seam.Millisecond)
+	y.w.Run(20 * eventloop.Millisecond)
 	return c.head.Status, gjson.ParseBytes(c.body), c.head.Get("ETag")
 }
 
@@ -195,7 +195,7 @@
 
 func (y *town) finals(c *call, want string) {
 	y.t.Helper()
-	y.w.Until(40*seam.Second, func() bool { return len(c.finals) > 0 })
+	y.w.Until(40*eventloop.Second, func() bool { return len(c.finals) > 0 })
 	if fmt.Sprint(c.finals) != "["+want+"]" {
 		y.t.Errorf("finals %v, want %s; %s", c.finals, want, c.body)
 	}
@@ -217,18 +217,18 @@
 	}
 	second, _ := y.must(201, "POST", "tenants/bahari/keys", `{"label":"next"}`)
 	running := y.ask(0, key, "explain")
-	y.w.Until(5*seam.Second, func() bool { return running.tokens > 0 })
+	y.w.Until(5*eventloop.Second, func() bool { return running.tokens > 0 })
 	y.must(200, "DELETE", "tenants/bahari/keys/"+got.Get("keys.0.id").String(), "")
 	y.finals(y.ask(0, key, "explain"), "401")
 	y.finals(y.ask(0, second.Get("key").String(), "explain"), "streamed")
 	y.finals(running, "streamed") // what ran when its key was revoked goes on
-	y.w.Run(3 * seam.Second)
+	y.w.Run(3 * eventloop.Second)
 	used, _ := y.must(200, "GET", "tenants/bahari/usage", "")
 	if n := used.Get("usage.#.streamed").String(); used.Get(`usage.#(product=="explain").streamed`).Int() != 3 {
 		t.Errorf("usage: %s (%s)", used.Raw, n)
 	}
 	y.must(200, "DELETE", "tenants/bahari?policy=finish", "")
-	y.w.Run(6 * seam.Second)
+	y.w.Run(6 * eventloop.Second)
 	if got, _ := y.must(200, "GET", "tenants/bahari", ""); got.Get("state").String() != "removed" || got.Get("keys").Exists() {
 		t.Errorf("after its removal: %s", got.Raw)
 	}
@@ -247,7 +247,7 @@
 		var calls []*call
 		for i := range 200 {
 			calls = append(calls, y.ask(i%2, key, []string{"explain", "build-note", "review-post"}[i%3]))
-			y.w.Run(4 * seam.Millisecond)
+			y.w.Run(4 * eventloop.Millisecond)
 		}
 		stays := y.ask(0, other, "explain")
 		begun := 0
@@ -261,16 +261,16 @@
 		}
 		at := y.w.Now()
 		y.must(200, "DELETE", "tenants/going?policy="+policy, "")
-		y.w.Run(300 * seam.Millisecond)
+		y.w.Run(300 * eventloop.Millisecond)
 		counts := map[string]int{}
 		for _, c := range calls {
 			counts[strings.Join(c.finals, "+")]++
 		}
 		if policy == "stop" && counts[""] > 0 {
-			t.Errorf("stop: %d without an answer after %d ms", counts[""], (y.w.Now()-at)/seam.Millisecond)
+			t.Errorf("stop: %d without an answer after %d ms", counts[""], (y.w.Now()-at)/eventloop.Millisecond)
 		}
 		y.finals(y.ask(0, key, "explain"), "401")
-		y.w.Run(40 * seam.Second)
+		y.w.Run(40 * eventloop.Second)
 		counts = map[string]int{}
 		for i, c := range calls {
 			if len(c.finals) != 1 {
@@ -361,25 +361,25 @@
 func TestMissedChanges(t *testing.T) {
 	y := newTown(t, 2)
 	key := y.tenant("a", `{}`)
-	y.w.Run(seam.Second)
+	y.w.Run(eventloop.Second)
 	y.at[1].Kill()
 	y.must(200, "POST", "tenants/a/suspend", "")
 	late := y.tenant("late", `{}`)
 	d := y.x[0].Deployment
 	y.startDispatcher(1, d, "d1.2")
-	y.w.Run(300 * seam.Millisecond)
+	y.w.Run(300 * eventloop.Millisecond)
 	y.finals(y.ask(1, key, "explain"), "403")
 	y.finals(y.ask(1, late, "explain"), "streamed")
 	y.adminAt.Kill()
 	y.at[0].Kill()
 	y.startDispatcher(0, d, "d0.2")
-	y.w.Run(2 * seam.Second)
+	y.w.Run(2 * eventloop.Second)
 	y.finals(y.ask(0, late, "explain"), "streamed")
 	y.finals(y.ask(0, key, "explain"), "403")
 	y.startAdmin()
-	y.w.Run(8 * seam.Second)
+	y.w.Run(8 * eventloop.Second)
 	y.must(200, "POST", "tenants/a/resume", "")
-	y.w.Run(100 * seam.Millisecond)
+	y.w.Run(100 * eventloop.Millisecond)
 	y.finals(y.ask(0, key, "explain"), "streamed")
 	y.finals(y.ask(1, key, "explain"), "streamed")
 }
@@ -600,7 +600,7 @@
 			calls = append(calls, out{y.send(y.api[i], "GET", "/v1/models", keys[who], ""), -1, []string{"200"}})
 		}
 		if len(calls) == 200 {
-			y.w.Until(10*seam.Second, func() bool {
+			y.w.Until(10*eventloop.Second, func() bool {
 				for _, o := range calls {
 					if len(o.c.finals) == 0 {
 						return false
@@ -621,14 +621,14 @@
 func TestKeptTextsTellNothing(t *testing.T) {
 	y := newTown(t, 1)
 	a, b := y.tenant("a", `{}`), y.tenant("b", `{}`)
-	took := func(key, text string) seam.Micros {
+	took := func(key, text string) eventloop.Micros {
 		c := y.send(y.api[0], "POST", "/v1/chat/completions", key, fmt.Sprintf(`{"model":"explain","stream":true,"max_tokens":1,"messages":[{"role":"system","content":%q},{"role":"user","content":"why?"}]}`, text))
 		y.finals(c, "streamed")
-		y.w.Run(seam.Second)
+		y.w.Run(eventloop.Second)
 		return c.first - c.began
 	}
 	text := func(i int) string { return strings.Repeat(fmt.Sprintf("the text %d is long and says much. ", i), 400) }
-	var fresh, again, others, public []seam.Micros
+	var fresh, again, others, public []eventloop.Micros
 	for i := range 12 {
 		fresh = append(fresh, took(a, text(i)))
 		again = append(again, took(a, text(i)))
@@ -636,16 +636,16 @@
 	}
 	sum := sha256.Sum256([]byte(text(99)))
 	y.must(200, "PUT", "public-texts", fmt.Sprintf(`{"sha256":["%x"]}`, sum))
-	y.w.Run(seam.Second)
+	y.w.Run(eventloop.Second)
 	for range 6 {
 		took(a, text(99))
 	}
 	for range 6 {
 		public = append(public, took(b, text(99)))
 	}
-	mean := func(all []seam.Micros) (m seam.Micros) {
+	mean := func(all []eventloop.Micros) (m eventloop.Micros) {
 		for _, v := range all {
-			m += v / seam.Micros(len(all))
+			m += v / eventloop.Micros(len(all))
 		}
 		return m
 	}
--- a/internal/admin/room_test.go
+++ b/internal/admin/room_test.go
@@ -11,8 +11,8 @@
 	"github.com/rs/zerolog"
 
 	"plumspindle/internal/dispatch"
+	"plumspindle/internal/eventloop"
 	"plumspindle/internal/http1"
-	"plumspindle/internal/seam"
 	"plumspindle/internal/sse"
 	"plumspindle/internal/store"
 	"plumspindle/internal/tenancy"
@@ -110,8 +110,8 @@
 	y := newTown(t, 1)
 	c := &call{w: y.w, parser: http1.Parser{Response: true, Bounds: http1.Usual}, events: sse.Parser{Most: 64 << 20}}
 	c.request = http1.AppendRequest(nil, "GET", "/internal/v1/tenants?epoch=&since=0", y.addr, nil, "Authorization", "Bearer "+dispatch.FeedToken(secret))
-	y.far.Do(func() { c.conn = y.far.Dial(y.addr, seam.Second, c) })
-	y.w.Run(100 * seam.Millisecond)
+	y.far.Do(func() { c.conn = y.far.Dial(y.addr, eventloop.Second, c) })
+	y.w.Run(100 * eventloop.Millisecond)
 	y.far.Do(func() { c.conn.Pause(true) })
 	most := 0
 	for i := range 400 {
@@ -122,7 +122,7 @@
 		for _, f := range y.a.followers {
 			most = max(most, f.conn.Unsent())
 		}
-		y.w.Run(10 * seam.Millisecond)
+		y.w.Run(10 * eventloop.Millisecond)
 	}
 	if most > 2*unsentMost || len(y.a.followers) != 1 {
 		t.Errorf("%d bytes are kept for one that does not read; %d followers", most, len(y.a.followers))
@@ -142,14 +142,14 @@
 	if got := add("one"); got != 201 {
 		t.Fatal(got)
 	}
-	folder.Sync = 60 * seam.Second // of the world's time, which the disk of this test lets pass by a second a call
+	folder.Sync = 60 * eventloop.Second // of the world's time, which the disk of this test lets pass by a second a call
 	for _, name := range []string{"two", "three"} {
 		if got := add(name); got != 500 {
 			t.Errorf("%s: %d with a disk that stalls", name, got)
 		}
 	}
-	folder.Sync = seam.Millisecond
-	w.Run(200 * seam.Second)
+	folder.Sync = eventloop.Millisecond
+	w.Run(200 * eventloop.Second)
 	if got := add("four"); got != 201 || k.Failed() != nil {
 		t.Errorf("once the disk answers: %d, %v", got, k.Failed())
 	}
--- a/internal/admin/server.go
+++ b/internal/admin/server.go
@@ -8,17 +8,17 @@
 	"strconv"
 	"strings"
 
+	"plumspindle/internal/eventloop"
 	"plumspindle/internal/http1"
-	"plumspindle/internal/seam"
 	"plumspindle/internal/sse"
 	"plumspindle/internal/store"
 )
 
 const (
 	bodyMost  = 1 << 20
-	idleFor   = 60 * seam.Second
-	slowFor   = 10 * seam.Second
-	heartbeat = 4 * seam.Second
+	idleFor   = 60 * eventloop.Second
+	slowFor   = 10 * eventloop.Second
+	heartbeat = 4 * eventloop.Second
 
 	unsentMost = 4 << 20 // bytes that are kept for a follower that lags; past it it is cut off, and asks for all again
 )
@@ -50,24 +50,24 @@
 // conn is one connection to the administration.
 type conn struct {
 	admin  *Admin
-	conn   seam.Conn
+	conn   eventloop.Conn
 	parser http1.Parser
 	head   *http1.Head
 	body   []byte
-	timer  seam.Timer
+	timer  eventloop.Timer
 	over   bool
 	follow bool // it is told of changes
 	name   string
 }
 
 // Accept is for the listener.
-func (a *Admin) Accept(c seam.Conn) seam.Handler {
+func (a *Admin) Accept(c eventloop.Conn) eventloop.Handler {
 	return &conn{admin: a, conn: c, parser: http1.Parser{Bounds: http1.Bounds{Head: 16 << 10, Fields: 64, Body: bodyMost}}}
 }
 
 func (c *conn) Opened()  { c.wait(idleFor) }
 func (c *conn) Drained() {}
-func (c *conn) wait(span seam.Micros) {
+func (c *conn) wait(span eventloop.Micros) {
 	if c.timer != nil {
 		c.timer.Stop()
 	}
--- a/internal/dispatch/batches.go
+++ b/internal/dispatch/batches.go
@@ -11,10 +11,10 @@
 	"plumspindle/internal/deployment/pb"
 	"plumspindle/internal/embed"
 	"plumspindle/internal/engine"
+	"plumspindle/internal/eventloop"
 	"plumspindle/internal/front"
 	"plumspindle/internal/http1"
 	"plumspindle/internal/path"
-	"plumspindle/internal/seam"
 	"plumspindle/internal/tenancy"
 	"plumspindle/internal/vectors"
 )
@@ -22,7 +22,7 @@
 const (
 	partAnswer  = 32 << 20 // bytes of a host's answer to a part
 	cachesMost  = 64       // tenants' caches at once; the one that was not used for longest makes way
-	batchMargin = 20 * seam.Millisecond
+	batchMargin = 20 * eventloop.Millisecond
 	answersMost = 256 << 20 // bytes that the answers of all calls that run may have
 )
 
@@ -59,9 +59,9 @@
 	product    choice.ProductID
 	form       pb.Product_Form
 	dimensions int
-	deadline   seam.Micros
-	limit      seam.Timer
-	wake       seam.Timer
+	deadline   eventloop.Micros
+	limit      eventloop.Timer
+	wake       eventloop.Timer
 	parts      *batch.Call
 	parted     int // inputs that are in parts
 	whole      bool
@@ -79,7 +79,7 @@
 	no     batch.PartNo
 	inputs []int
 	result embed.Result
-	sent   seam.Micros // to the module
+	sent   eventloop.Micros // to the module
 	queued bool
 	broken int  // hosts that failed on it
 	bad    bool // a host says that an input is no good
@@ -133,7 +133,7 @@
 		return front.Crowded()
 	}
 	now := x.loop.Now()
-	span := seam.Micros(p.TimeLimitMs) * seam.Millisecond
+	span := eventloop.Micros(p.TimeLimitMs) * eventloop.Millisecond
 	if c.deadline > 0 {
 		span = min(span, c.deadline)
 	}
@@ -252,7 +252,7 @@
 	}
 }
 
-func (t *batcher) next(now seam.Micros) *batchCall {
+func (t *batcher) next(now eventloop.Micros) *batchCall {
 	for range t.calls {
 		c := t.calls[0]
 		t.calls = append(t.calls[1:], c)
@@ -264,7 +264,7 @@
 }
 
 // send makes a generation of the call's next part.
-func (c *batchCall) send(now seam.Micros) {
+func (c *batchCall) send(now eventloop.Micros) {
 	x, s := c.x, c.home.seat
 	no, inputs := c.parts.Send()
 	tokens := c.ask.Tokens(inputs)
@@ -273,7 +273,7 @@
 		x.Refused++
 		after := v.After
 		if after == 0 {
-			after = 100 * seam.Millisecond
+			after = 100 * eventloop.Millisecond
 		}
 		// A limit delays a call that has begun; one of which nothing has gone out yet is refused as chat would be.
 		if v.Reason == tenancy.PromptTooLarge || v.Reason == tenancy.NotServed || !c.begun() {
@@ -307,7 +307,7 @@
 }
 
 // admitted: a part's turn at the gate has come.
-func (p *part) admitted(now seam.Micros) {
+func (p *part) admitted(now eventloop.Micros) {
 	if p.queued {
 		p.queued = false
 		p.call.home.queued--
@@ -333,7 +333,7 @@
 }
 
 // answered takes the final answer of a part's generation.
-func (p *part) answered(g *gen, a path.Action, comeBack seam.Micros) {
+func (p *part) answered(g *gen, a path.Action, comeBack eventloop.Micros) {
 	c := p.call
 	x := c.x
 	now := x.loop.Now()
@@ -389,7 +389,7 @@
 }
 
 // back takes a part that did not come back with its results.
-func (c *batchCall) back(no batch.PartNo, why batch.Failure, after seam.Micros) {
+func (c *batchCall) back(no batch.PartNo, why batch.Failure, after eventloop.Micros) {
 	x := c.x
 	if c.parts.Failed(x.loop.Now(), no, why, after) == batch.GaveUp {
 		x.loop.Later(c.gaveUp)
@@ -437,7 +437,7 @@
 		return
 	}
 	c.parts.End()
-	for _, t := range []seam.Timer{c.limit, c.wake} {
+	for _, t := range []eventloop.Timer{c.limit, c.wake} {
 		if t != nil {
 			t.Stop()
 		}
--- a/internal/dispatch/batches_test.go
+++ b/internal/dispatch/batches_test.go
@@ -17,10 +17,10 @@
 
 	"plumspindle/internal/deployment"
 	"plumspindle/internal/deployment/pb"
+	"plumspindle/internal/eventloop"
 	"plumspindle/internal/http1"
 	"plumspindle/internal/lab/hosts"
 	"plumspindle/internal/path"
-	"plumspindle/internal/seam"
 	"plumspindle/internal/sse"
 )
 
@@ -48,7 +48,7 @@
 	c := &call{r: r, parser: http1.Parser{Response: true, Bounds: http1.Usual}, events: sse.Parser{Most: 1 << 20}}
 	c.request = http1.AppendRequest(nil, "POST", path, r.addr, body, append([]string{
 		"Authorization", "Bearer " + key, "Content-Type", "application/json"}, fields...)...)
-	r.far.Do(func() { c.conn = r.far.Dial(r.addr, seam.Second, c) })
+	r.far.Do(func() { c.conn = r.far.Dial(r.addr, eventloop.Second, c) })
 	return c
 }
 
@@ -128,7 +128,7 @@
 		h.serve = func(l *line) {
 			copied := *l
 			asked += len(gjson.GetBytes(l.body, "input").Array())
-			r.far.After(seam.Micros(chance.Intn(40_000)), func() { embeds(&copied) })
+			r.far.After(eventloop.Micros(chance.Intn(40_000)), func() { embeds(&copied) })
 		}
 	}
 	inputs := append(texts(300), texts(40)...)
@@ -175,7 +175,7 @@
 	}
 	inputs := texts(400)
 	c := r.post("/v1/embeddings", body(inputs, ""))
-	r.w.Run(60 * seam.Millisecond)
+	r.w.Run(60 * eventloop.Millisecond)
 	r.far.Do(func() { // the first host dies
 		r.hosts[0].ln.Close()
 		for l := range r.hosts[0].conns {
@@ -227,18 +227,18 @@
 		}
 	}
 	c := r.post("/v1/embeddings", body(texts(2000), ""))
-	r.until(5*seam.Second, func() bool { return held > 10 })
+	r.until(5*eventloop.Second, func() bool { return held > 10 })
 	r.far.Do(c.conn.Abort)
-	r.w.Run(seam.Second)
+	r.w.Run(eventloop.Second)
 	r.idle()
 	if r.x.batches.calls != 0 || len(r.x.batches.turns) != 0 || r.x.batches.limiter.Out() != 0 {
 		t.Errorf("left: %d calls, %d tenants, %d parts out", r.x.batches.calls, len(r.x.batches.turns), r.x.batches.limiter.Out())
 	}
 	began := r.far.Now()
 	c = r.post("/v1/embeddings", body(texts(100), ""), "x-time-limit-ms", "700")
-	r.until(5*seam.Second, func() bool { return len(c.finals) > 0 })
-	if took := r.far.Now() - began; took > 700*seam.Millisecond || took < 600*seam.Millisecond {
-		t.Errorf("the answer came after %d ms", took/seam.Millisecond)
+	r.until(5*eventloop.Second, func() bool { return len(c.finals) > 0 })
+	if took := r.far.Now() - began; took > 700*eventloop.Millisecond || took < 600*eventloop.Millisecond {
+		t.Errorf("the answer came after %d ms", took/eventloop.Millisecond)
 	}
 	r.ends(c, "terminated")
 }
@@ -249,7 +249,7 @@
 	for _, h := range r.hosts {
 		h.serve = func(l *line) {
 			copied := *l
-			r.far.After(4*seam.Millisecond, func() { embeds(&copied) })
+			r.far.After(4*eventloop.Millisecond, func() { embeds(&copied) })
 		}
 	}
 	long := texts(2048)
@@ -257,13 +257,13 @@
 		long[i] += strings.Repeat(" long", 150)
 	}
 	huge := r.post("/v1/embeddings", body(long, ""))
-	r.w.Run(100 * seam.Millisecond)
+	r.w.Run(100 * eventloop.Millisecond)
 	var small []*call
-	began, last := r.far.Now(), seam.Micros(0)
+	began, last := r.far.Now(), eventloop.Micros(0)
 	for i := range 1000 {
 		small = append(small, r.post("/v1/embeddings", body([]string{fmt.Sprint("small ", i)}, "")))
 	}
-	r.until(60*seam.Second, func() bool {
+	r.until(60*eventloop.Second, func() bool {
 		for _, c := range small {
 			if len(c.finals) == 0 {
 				return false
@@ -275,14 +275,14 @@
 	if len(huge.finals) > 0 {
 		t.Error("the huge call was over before the small ones")
 	}
-	t.Logf("a thousand small calls took %d ms beside the huge one", (last-began)/seam.Millisecond)
-	r.until(60*seam.Second, func() bool { return len(huge.finals) > 0 })
+	t.Logf("a thousand small calls took %d ms beside the huge one", (last-began)/eventloop.Millisecond)
+	r.until(60*eventloop.Second, func() bool { return len(huge.finals) > 0 })
 	for _, c := range append(small, huge) {
 		if len(c.finals) != 1 || c.finals[0] != "streamed" {
 			t.Fatalf("finals %v: %.200q", c.finals, c.raw)
 		}
 	}
-	r.w.Run(seam.Second)
+	r.w.Run(eventloop.Second)
 	r.idle()
 }
 
@@ -414,14 +414,14 @@
 	for _, h := range r.hosts {
 		h.serve = func(l *line) {
 			copied := *l
-			r.far.After(100*seam.Millisecond, func() { embeds(&copied) })
+			r.far.After(100*eventloop.Millisecond, func() { embeds(&copied) })
 		}
 	}
 	r.ends(r.post("/v1/embeddings", body(texts(3), "")), "streamed")
 	c := r.post("/v1/embeddings", body(texts(3), ""))
-	r.w.Run(50 * seam.Millisecond)
+	r.w.Run(50 * eventloop.Millisecond)
 	r.far.Do(c.conn.Abort)
-	r.w.Run(seam.Second)
+	r.w.Run(eventloop.Second)
 	r.idle()
 	if n, m := r.x.Reached[path.Reading][path.LegWhole], r.x.Reached[path.Leaving][path.LegWhole]; n == 0 || m == 0 {
 		t.Errorf("reached %d times while it was read, %d after its client left", n, m)
--- a/internal/dispatch/boot.go
+++ b/internal/dispatch/boot.go
@@ -3,8 +3,8 @@
 import (
 	"plumspindle/choice"
 	"plumspindle/internal/boot"
+	"plumspindle/internal/eventloop"
 	"plumspindle/internal/roster"
-	"plumspindle/internal/seam"
 )
 
 // begin starts with the list that was kept, as far as its age lets it be believed.
@@ -23,10 +23,10 @@
 		var hosts []boot.Host
 		for _, e := range entries {
 			byID[uint32(e.ID)] = e
-			hosts = append(hosts, boot.Host{ID: uint32(e.ID), Group: e.Zone + "/" + e.Kind, Started: seam.Micros(e.Started)})
+			hosts = append(hosts, boot.Host{ID: uint32(e.ID), Group: e.Zone + "/" + e.Kind, Started: eventloop.Micros(e.Started)})
 		}
-		trust := boot.Weigh(now, seam.Micros(saved))
-		x.post.Log.Info().Int("hosts", len(hosts)).Str("trust", trust.String()).Int64("age_ms", int64((now-seam.Micros(saved))/seam.Millisecond)).
+		trust := boot.Weigh(now, eventloop.Micros(saved))
+		x.post.Log.Info().Int("hosts", len(hosts)).Str("trust", trust.String()).Int64("age_ms", int64((now-eventloop.Micros(saved))/eventloop.Millisecond)).
 			Msg("starting with a kept list")
 		for _, w := range boot.Plan(now, trust, hosts) {
 			var wave []roster.Entry
@@ -72,7 +72,7 @@
 			missing = append(missing, e)
 		}
 	}
-	doubt := boot.Doubt(ready, len(missing), seam.Micros(x.Rules.DrainGraceMs)*seam.Millisecond)
+	doubt := boot.Doubt(ready, len(missing), eventloop.Micros(x.Rules.DrainGraceMs)*eventloop.Millisecond)
 	if doubt == 0 {
 		x.tell(entries, true)
 		return
--- a/internal/dispatch/check.go
+++ b/internal/dispatch/check.go
@@ -4,9 +4,9 @@
 	"fmt"
 
 	"plumspindle/choice"
+	"plumspindle/internal/eventloop"
 	"plumspindle/internal/path"
 	"plumspindle/internal/roster"
-	"plumspindle/internal/seam"
 )
 
 // Plant is where a fault can be planted on purpose, to see that it is found out. There is none in service.
@@ -17,7 +17,7 @@
 }
 
 // overdue is how long after its time a generation may still be waiting: the loop's own work, and whole answers' grace.
-const overdue = 100 * seam.Millisecond
+const overdue = 100 * eventloop.Millisecond
 
 // Check tells whether the dispatcher's own state is what it should be, between any two things that happen: each generation's
 // fields fit where it stands, none has outlived its client's time unanswered, and what is counted is what there is.
@@ -38,7 +38,7 @@
 		case !g.Answered() && g.ticket == nil:
 			fault = "without a ticket of its tenant"
 		case g.State != path.Streaming && !g.Answered() && now > g.deadline+overdue && g.beginsBy(now):
-			fault = fmt.Sprintf("unanswered %d ms after its client's time", (now-g.deadline)/seam.Millisecond)
+			fault = fmt.Sprintf("unanswered %d ms after its client's time", (now-g.deadline)/eventloop.Millisecond)
 		case int(g.legs) > x.place.LegLimit:
 			fault = "more legs than there may be"
 		}
@@ -65,4 +65,6 @@
 }
 
 // beginsBy: a clock that was set on makes what came before look late; only what was taken in this clock's time is judged.
-func (g *gen) beginsBy(now seam.Micros) bool { return now-g.taken < 2*(g.deadline-g.taken)+seam.Second }
+func (g *gen) beginsBy(now eventloop.Micros) bool {
+	return now-g.taken < 2*(g.deadline-g.taken)+eventloop.Second
+}
--- a/internal/dispatch/dispatch.go
+++ b/internal/dispatch/dispatch.go
@@ -26,12 +26,12 @@
 	"plumspindle/internal/deployment/pb"
 	"plumspindle/internal/embed"
 	"plumspindle/internal/engine"
+	"plumspindle/internal/eventloop"
 	"plumspindle/internal/front"
 	"plumspindle/internal/http1"
 	"plumspindle/internal/path"
 	"plumspindle/internal/repeat"
 	"plumspindle/internal/roster"
-	"plumspindle/internal/seam"
 	"plumspindle/internal/store"
 	"plumspindle/internal/subscribe"
 	"plumspindle/internal/tenancy"
@@ -63,8 +63,8 @@
 	// bodies of the largest size that clients may have kept at once, in all. Each leg sends its generation's again, so that the
 	// memory that goes with them is a few times as much.
 	bodiesMost = 64
-	answerKept = 256 << 10   // bytes of one answer that are kept for repeats
-	keepEvery  = seam.Second // the list is kept at most this often
+	answerKept = 256 << 10        // bytes of one answer that are kept for repeats
+	keepEvery  = eventloop.Second // the list is kept at most this often
 	// descriptors that are for neither clients nor legs: the list's source, the administration, files, the poller. Of the rest
 	// clients may have half, as each generation needs one on either side.
 	descriptorsKept = 64
@@ -84,7 +84,7 @@
 type Dispatcher struct {
 	batches batches
 	deployment.Deployment
-	loop     seam.Loop
+	loop     eventloop.Loop
 	post     Post
 	module   *choice.Dispatcher
 	place    choice.Deployment
@@ -130,9 +130,9 @@
 	state    string  // where the read state lies, as its reader told
 	mayLie   []place // legs at readers that may have left a state
 	tokens   int     // events relayed
-	limit    seam.Timer
-	beat     seam.Timer
-	deadline seam.Micros
+	limit    eventloop.Timer
+	beat     eventloop.Timer
+	deadline eventloop.Micros
 	repeat   *repeat.Entry // where it came with a key that counts
 	ran      bool          // some write of it may have run
 	ranFirst bool          // one before the last
@@ -141,7 +141,7 @@
 	part     *part // of a call with many inputs; nil: it is chat
 	seat     *seat
 	ticket   *tenancy.Ticket
-	taken    seam.Micros
+	taken    eventloop.Micros
 	prompt   int         // tokens, as its writer counted them
 	final    path.Action // the answer that was given; 0 for none
 }
@@ -153,11 +153,11 @@
 }
 
 // Start makes a dispatcher on a loop; Front's Accept takes its clients.
-func Start(loop seam.Loop, d deployment.Deployment, post Post) (*Dispatcher, error) {
+func Start(loop eventloop.Loop, d deployment.Deployment, post Post) (*Dispatcher, error) {
 	if !slices.Contains(d.Zones, post.Zone) {
 		return nil, fmt.Errorf("the deployment has no zone %q", post.Zone)
 	}
-	ms := func(v uint32) seam.Micros { return seam.Micros(v) * seam.Millisecond }
+	ms := func(v uint32) eventloop.Micros { return eventloop.Micros(v) * eventloop.Millisecond }
 	x := &Dispatcher{Deployment: d, loop: loop, post: post, gens: map[choice.GenID]*gen{}, runs: map[*repeat.Entry]*gen{},
 		products: map[string]choice.ProductID{},
 		hosts:    map[choice.HostID]roster.Entry{}}
@@ -345,7 +345,7 @@
 )
 
 // number reads a field that holds a number of milliseconds; 0 where there is none.
-func number(head *http1.Head, field string, least uint64) (seam.Micros, *front.Problem) {
+func number(head *http1.Head, field string, least uint64) (eventloop.Micros, *front.Problem) {
 	text := head.Get(field)
 	if text == "" {
 		return 0, nil
@@ -355,7 +355,7 @@
 		return 0, &front.Problem{Status: 400, Type: "invalid_request_error", Param: field, Code: "invalid_value",
 			Message: fmt.Sprintf("The field %s must be a number of milliseconds, %d at least.", field, least)}
 	}
-	return seam.Micros(ms) * seam.Millisecond, nil
+	return eventloop.Micros(ms) * eventloop.Millisecond, nil
 }
 
 // Generate takes a generation.
@@ -377,7 +377,7 @@
 	if problem != nil {
 		return problem
 	}
-	deadline := now + seam.Micros(p.TimeLimitMs)*seam.Millisecond
+	deadline := now + eventloop.Micros(p.TimeLimitMs)*eventloop.Millisecond
 	if limit > 0 {
 		deadline = min(deadline, now+limit)
 	}
@@ -428,14 +428,14 @@
 
 // attach makes a reply one that the generation's answer goes to.
 func (x *Dispatcher) attach(g *gen, to *front.Reply) {
-	to.Shape(&chat.Answer{ID: g.answerID, Model: g.ask.Model, Created: int64(x.loop.Now() / seam.Second), Ask: g.ask})
+	to.Shape(&chat.Answer{ID: g.answerID, Model: g.ask.Model, Created: int64(x.loop.Now() / eventloop.Second), Ask: g.ask})
 	g.replies = append(g.replies, to)
 	to.OnLeft = func() { x.loop.Later(func() { x.clientLeft(g, to) }) } // never within the module's own call
 	to.OnDrained = func() { x.take(g, path.CaughtUp) }
 }
 
 // heartbeat keeps a stream that has nothing to say yet from being taken for dead by what stands between.
-func (x *Dispatcher) heartbeat(g *gen, to *front.Reply, every seam.Micros) {
+func (x *Dispatcher) heartbeat(g *gen, to *front.Reply, every eventloop.Micros) {
 	g.beat = x.loop.After(every, func() {
 		if to.Beat() {
 			x.heartbeat(g, to, every)
@@ -657,7 +657,7 @@
 
 // forget: nothing of the generation is left.
 func (x *Dispatcher) forget(g *gen) {
-	for _, t := range []seam.Timer{g.limit, g.beat} {
+	for _, t := range []eventloop.Timer{g.limit, g.beat} {
 		if t != nil {
 			t.Stop()
 		}
@@ -788,7 +788,7 @@
 }
 
 // wholeGrace is how long before a client's limit a whole answer that is still being written is given up.
-const wholeGrace = 20 * seam.Millisecond
+const wholeGrace = 20 * eventloop.Millisecond
 
 func (x *Dispatcher) note(g *gen, how, why string) {
 	x.post.Log.Debug().Uint64("gen", uint64(g.id)).Str("client", g.clientID).Str("product", g.ask.Model).
--- a/internal/dispatch/dispatch_test.go
+++ b/internal/dispatch/dispatch_test.go
@@ -8,9 +8,9 @@
 
 	"plumspindle/choice"
 	"plumspindle/internal/deployment"
+	"plumspindle/internal/eventloop"
 	"plumspindle/internal/http1"
 	"plumspindle/internal/roster"
-	"plumspindle/internal/seam"
 
 	"github.com/rs/zerolog"
 )
@@ -67,7 +67,7 @@
 		b := http1.AppendStreamHead(nil, 200, "Content-Type", "text/event-stream")
 		b = http1.AppendChunk(b, []byte(event("Lamu ", "")+event("é", "stop")+"data: [DONE]\n\n"))
 		for i, c := range http1.AppendLastChunk(b) {
-			l.s.rig.far.After(seam.Micros(i*100), func() { l.conn.Write([]byte{c}) })
+			l.s.rig.far.After(eventloop.Micros(i*100), func() { l.conn.Write([]byte{c}) })
 		}
 	}, "streamed", "streamed"},
 }
@@ -193,12 +193,12 @@
 				r.hosts[1].serve = func(l *line) { l.stream(event("Lamu ", "")) }
 			}
 			c := r.ask("explain")
-			r.w.Run(100 * seam.Millisecond)
+			r.w.Run(100 * eventloop.Millisecond)
 			if r.x.Running() != 1 {
 				t.Fatalf("it is not %s", when)
 			}
 			r.far.Do(c.conn.Abort)
-			r.w.Run(100 * seam.Millisecond)
+			r.w.Run(100 * eventloop.Millisecond)
 			r.idle()
 			if (when == "reading" || when == "waiting for the writer") && r.hosts[0].releases() == 0 {
 				t.Error("its state was not let go")
@@ -236,19 +236,19 @@
 		more()
 	}
 	c := r.ask("explain")
-	r.w.Run(20 * seam.Millisecond)
+	r.w.Run(20 * eventloop.Millisecond)
 	r.far.Do(func() { c.conn.Pause(true) })
-	r.w.Run(3 * seam.Second)
+	r.w.Run(3 * eventloop.Second)
 	if most := 3*r.w.Window + int(r.d.Doors.UnsentMost); sent > most {
 		t.Errorf("%d bytes were taken from the writer, more than %d", sent, most)
 	}
-	r.w.Run(200 * seam.Millisecond)
+	r.w.Run(200 * eventloop.Millisecond)
 	other := r.ask("explain")
-	r.w.Run(300 * seam.Millisecond)
+	r.w.Run(300 * eventloop.Millisecond)
 	if other.text != whole {
 		t.Errorf("the other client was sent %q", other.text)
 	}
-	r.w.Run(15 * seam.Second)
+	r.w.Run(15 * eventloop.Second)
 	r.idle()
 }
 
@@ -291,16 +291,16 @@
 		var l1 *line
 		r.hosts[1].serve = func(l *line) { l1 = l; l.stream(event("Lamu ", "")) }
 		c := r.ask("review-post")
-		r.w.Run(20 * seam.Millisecond)
+		r.w.Run(20 * eventloop.Millisecond)
 		if frozen {
-			r.virtual().Freeze(300 * seam.Millisecond) // all of it is found at once when the dispatcher wakes
+			r.virtual().Freeze(300 * eventloop.Millisecond) // all of it is found at once when the dispatcher wakes
 		}
 		r.far.Do(func() {
 			l1.conn.Write(http1.AppendChunk(nil, []byte(event("é", "stop")+"data: [DONE]\n\n")))
 			l1.conn.Close()
 			c.conn.Abort()
 		})
-		r.w.Run(seam.Second)
+		r.w.Run(eventloop.Second)
 		r.idle()
 		if len(c.finals) > 1 {
 			t.Errorf("finals %v", c.finals)
@@ -315,7 +315,7 @@
 		began := r.w.Now()
 		c := r.ask(product, "x-time-limit-ms", "700")
 		r.ends(c, "throttled")
-		if took := r.w.Now() - began; took > 700*seam.Millisecond+seam.Second || c.head.Get("Retry-After") == "" {
+		if took := r.w.Now() - began; took > 700*eventloop.Millisecond+eventloop.Second || c.head.Get("Retry-After") == "" {
 			t.Errorf("%v, Retry-After %q", took, c.head.Get("Retry-After"))
 		}
 	}
@@ -327,9 +327,9 @@
 	r.hosts[1].serve = func(l *line) { l.stream(event("Lamu ", "")) }
 	began := r.w.Now()
 	c := r.send(`{"model":"explain","messages":[{"role":"user","content":"why?"}]}`, "x-time-limit-ms", "900")
-	r.w.Until(5*seam.Second, func() bool { return len(c.finals) > 0 })
-	if took := r.w.Now() - began; took > 900*seam.Millisecond {
-		t.Errorf("answered after %d ms", took/seam.Millisecond)
+	r.w.Until(5*eventloop.Second, func() bool { return len(c.finals) > 0 })
+	if took := r.w.Now() - began; took > 900*eventloop.Millisecond {
+		t.Errorf("answered after %d ms", took/eventloop.Millisecond)
 	}
 	r.ends(c, "terminated")
 }
@@ -337,12 +337,12 @@
 // The dispatcher wakes from a freeze with a client's time gone: no second answer, no leg to a host that drains.
 func TestFrozenDispatcher(t *testing.T) {
 	r := newRig(t, nil, "prefill west", "decode west", "decode west")
-	r.hosts[0].serve = func(l *line) { r.far.After(50*seam.Millisecond, func() { read(l) }) }
+	r.hosts[0].serve = func(l *line) { r.far.After(50*eventloop.Millisecond, func() { read(l) }) }
 	c := r.ask("review-post")
-	r.w.Run(20 * seam.Millisecond)
-	r.virtual().Freeze(6 * seam.Second)
+	r.w.Run(20 * eventloop.Millisecond)
+	r.virtual().Freeze(6 * eventloop.Second)
 	r.told(r.hosts[1].entry("draining"))
-	r.w.Run(10 * seam.Second)
+	r.w.Run(10 * eventloop.Second)
 	r.idle()
 	if len(c.finals) != 1 {
 		t.Errorf("finals %v", c.finals)
@@ -362,7 +362,7 @@
 	for range 8 {
 		calls = append(calls, r.ask("review-post"))
 	}
-	r.w.Run(10 * seam.Second)
+	r.w.Run(10 * eventloop.Second)
 	r.virtual().Descriptors = 0
 	r.ends(r.ask("review-post"), "streamed")
 	for i, c := range calls {
@@ -414,7 +414,7 @@
 	}{
 		"trickle": {func(c *call) {
 			for i := range 100 {
-				r.far.After(seam.Micros(i)*seam.Second, func() { c.conn.Write([]byte("X-Very: slow\r\n")) })
+				r.far.After(eventloop.Micros(i)*eventloop.Second, func() { c.conn.Write([]byte("X-Very: slow\r\n")) })
 			}
 		}, "408"},
 		"endless": {func(c *call) { c.conn.Write([]byte("x-a: " + strings.Repeat("b", 100<<10))) }, "431"},
@@ -422,10 +422,10 @@
 		"both":    {func(c *call) { c.conn.Write([]byte("Content-Length: 3\r\nTransfer-Encoding: chunked\r\n\r\n")) }, "400"},
 	} {
 		call := &call{r: r, parser: http1.Parser{Response: true, Bounds: http1.Usual}, request: []byte("POST /v1/chat/completions HTTP/1.1\r\n")}
-		r.far.Do(func() { call.conn = r.far.Dial(r.addr, seam.Second, call) })
-		r.w.Run(10 * seam.Millisecond)
+		r.far.Do(func() { call.conn = r.far.Dial(r.addr, eventloop.Second, call) })
+		r.w.Run(10 * eventloop.Millisecond)
 		r.far.Do(func() { c.send(call) })
-		r.w.Run(40 * seam.Second)
+		r.w.Run(40 * eventloop.Second)
 		if fmt.Sprint(call.finals) != "["+c.want+"]" && !(c.want == "408" && len(call.finals) == 1) || !call.closed {
 			t.Errorf("%s: finals %v, closed %v", name, call.finals, call.closed)
 		}
@@ -441,7 +441,7 @@
 	var kept []byte
 	r.x.post.Keep = func(b []byte) { kept = b }
 	r.told(r.hosts[1].entry("ready"))
-	r.w.Run(2 * seam.Second)
+	r.w.Run(2 * eventloop.Second)
 	f := roster.Follower{}
 	entries, _, err := f.Restore(kept)
 	if err != nil || len(entries) == 0 || f.Version != 0 {
@@ -456,11 +456,11 @@
 // time, each carries one leg at a time, and all generations are streamed.
 func TestConnectionsOpenOneAfterAnother(t *testing.T) {
 	r := newRig(t, func(d deployment.Deployment) { d.Dispatching.Openings, d.Dispatching.ConnectMs = 4, 1000 }, "prefill west", "decode west")
-	r.w.Latency = 5 * seam.Millisecond
+	r.w.Latency = 5 * eventloop.Millisecond
 	for _, h := range r.hosts {
 		good := h.serve
 		h.serve = func(l *line) {
-			r.far.After(30*seam.Millisecond, func() { good(l) })
+			r.far.After(30*eventloop.Millisecond, func() { good(l) })
 		}
 	}
 	var calls []*call
@@ -469,12 +469,12 @@
 	}
 	most := 0
 	for range 1000 {
-		r.w.Run(seam.Millisecond)
+		r.w.Run(eventloop.Millisecond)
 		for _, h := range r.hosts {
 			most = max(most, r.x.engine.Opening(choice.HostID(h.id)))
 		}
 	}
-	r.w.Run(5 * seam.Second)
+	r.w.Run(5 * eventloop.Second)
 	for i, c := range calls {
 		if fmt.Sprint(c.finals) != "[streamed]" {
 			t.Fatalf("call %d: %v", i, c.finals)
@@ -493,11 +493,11 @@
 	var l1 *line
 	r.hosts[1].serve = func(l *line) { l1 = l; l.stream(event("Lamu ", "")) }
 	c := r.ask("review-post")
-	r.w.Run(50 * seam.Millisecond)
+	r.w.Run(50 * eventloop.Millisecond)
 	done := false
 	r.loop.Do(func() { r.x.Leave(func() { done = true }) })
 	late := r.ask("explain")
-	r.w.Run(50 * seam.Millisecond)
+	r.w.Run(50 * eventloop.Millisecond)
 	if done || len(late.finals) > 0 || !late.closed {
 		t.Errorf("done %v; the late one: finals %v, closed %v", done, late.finals, late.closed)
 	}
@@ -515,11 +515,11 @@
 func TestStartWithoutDiscovery(t *testing.T) {
 	for _, c := range []struct {
 		name   string
-		age    seam.Micros
+		age    eventloop.Micros
 		torn   bool
 		served int // of 60 generations in the first six seconds: so many at least,
 		most   int // and so many at most, legs to one host
-	}{{"fresh", seam.Second, false, 60, 60}, {"stale", 3600 * seam.Second, false, 5, 25}, {"old", 48 * 3600 * seam.Second, false, 3, 25}, {"torn", seam.Second, true, 60, 60}} {
+	}{{"fresh", eventloop.Second, false, 60, 60}, {"stale", 3600 * eventloop.Second, false, 5, 25}, {"old", 48 * 3600 * eventloop.Second, false, 3, 25}, {"torn", eventloop.Second, true, 60, 60}} {
 		r := newRig(t, nil, "prefill west", "prefill west", "prefill west", "prefill west", "decode west", "decode west", "decode west", "decode west")
 		list := r.list
 		list.Saved = int64(r.w.Now() - c.age)
@@ -544,7 +544,7 @@
 		var calls []*call
 		for range 60 {
 			calls = append(calls, r.ask("explain"))
-			r.w.Run(100 * seam.Millisecond)
+			r.w.Run(100 * eventloop.Millisecond)
 		}
 		streamed, most, hosts := 0, 0, 0
 		for _, c := range calls {
@@ -562,7 +562,7 @@
 		if streamed < c.served || most > c.most {
 			t.Errorf("%s: %d of 60 streamed in six seconds, %d legs at one host, %d hosts used", c.name, streamed, most, hosts)
 		}
-		r.w.Run(20 * seam.Second)
+		r.w.Run(20 * eventloop.Second)
 		for i, c := range calls {
 			if len(c.finals) != 1 {
 				t.Errorf("call %d: finals %v", i, c.finals)
@@ -579,7 +579,7 @@
 		h.up()
 	}
 	r.loop.Do(func() { r.x.news([]roster.Entry{r.hosts[0].entry("ready"), r.hosts[1].entry("ready")}, true) })
-	r.w.Run(8 * seam.Second)
+	r.w.Run(8 * eventloop.Second)
 	r.ends(r.ask("explain"), "streamed")
 }
 
@@ -591,9 +591,9 @@
 		r.ends(r.ask("explain"), "streamed")
 		r.loop.Do(func() { r.x.news([]roster.Entry{r.hosts[1].entry("draining")}, true) })
 		drained := r.hosts[1].legs()
-		r.w.Run(50 * seam.Millisecond)
+		r.w.Run(50 * eventloop.Millisecond)
 		c := r.ask("review-post")
-		r.w.Run(50 * seam.Millisecond)
+		r.w.Run(50 * eventloop.Millisecond)
 		if len(c.finals) != 1 || c.finals[0] != "streamed" || r.hosts[1].legs() != drained {
 			t.Errorf("within the doubt: %v; %d legs to the one that drains", c.finals, r.hosts[1].legs()-drained)
 		}
@@ -603,7 +603,7 @@
 				r.x.news([]roster.Entry{r.hosts[0].entry("ready"), r.hosts[2].entry("ready")}, true)
 			})
 		}
-		r.w.Run(100 * seam.Millisecond) // 200 ms after the list: still within the grace of 250
+		r.w.Run(100 * eventloop.Millisecond) // 200 ms after the list: still within the grace of 250
 		want := map[bool]string{true: "streamed", false: "throttled"}[back]
 		r.ends(r.ask("review-post", "x-time-limit-ms", "600"), want)
 	}
--- a/internal/dispatch/intent.go
+++ b/internal/dispatch/intent.go
@@ -7,9 +7,9 @@
 	"plumspindle/choice"
 	"plumspindle/internal/deployment/pb"
 	"plumspindle/internal/engine"
+	"plumspindle/internal/eventloop"
 	"plumspindle/internal/path"
 	"plumspindle/internal/repeat"
-	"plumspindle/internal/seam"
 	"plumspindle/internal/store"
 )
 
@@ -21,7 +21,7 @@
 	intentLen    = 24
 )
 
-func intentValue(request uint64, until, window seam.Micros) []byte {
+func intentValue(request uint64, until, window eventloop.Micros) []byte {
 	b := binary.LittleEndian.AppendUint64(nil, request)
 	b = binary.LittleEndian.AppendUint64(b, uint64(until))
 	return binary.LittleEndian.AppendUint64(b, uint64(window))
@@ -35,7 +35,7 @@
 	type past struct {
 		key           repeat.Key
 		request       uint64
-		until, window seam.Micros
+		until, window eventloop.Micros
 	}
 	var all []past
 	now := x.loop.Now()
@@ -43,7 +43,7 @@
 		if len(v) != intentLen || len(key) != len(intentPrefix)+len(repeat.Key{}) {
 			return true
 		}
-		i := past{request: binary.LittleEndian.Uint64(v), until: seam.Micros(binary.LittleEndian.Uint64(v[8:])), window: seam.Micros(binary.LittleEndian.Uint64(v[16:]))}
+		i := past{request: binary.LittleEndian.Uint64(v), until: eventloop.Micros(binary.LittleEndian.Uint64(v[8:])), window: eventloop.Micros(binary.LittleEndian.Uint64(v[16:]))}
 		copy(i.key[:], key[len(intentPrefix):])
 		if i.until == 0 || i.until > now+i.window { // running; or the clock was ahead then, and a window is enough
 			i.until = now + i.window
@@ -62,11 +62,11 @@
 }
 
 // window is how long a generation's key is remembered after its end.
-func (x *Dispatcher) window(g *gen) seam.Micros {
+func (x *Dispatcher) window(g *gen) eventloop.Micros {
 	if p := x.Products[g.product]; p.Effect == pb.Product_DEDUPLICATED {
-		return seam.Micros(p.WindowMs) * seam.Millisecond
+		return eventloop.Micros(p.WindowMs) * eventloop.Millisecond
 	}
-	return seam.Micros(x.Doors.RememberMs) * seam.Millisecond
+	return eventloop.Micros(x.Doors.RememberMs) * eventloop.Millisecond
 }
 
 // An intent of one generation. With a read it is written down as the read goes out, so that the disk works while the host
@@ -125,7 +125,7 @@
 }
 
 // healEvery is the pause between tries to write again to a disk that has failed. Each writes all that is kept.
-const healEvery = 500 * seam.Millisecond
+const healEvery = 500 * eventloop.Millisecond
 
 // heal has the record of intents taken into service again once the disk takes writes, without a restart.
 func (x *Dispatcher) heal() {
@@ -154,7 +154,7 @@
 	if g.intent.then == nil {
 		return
 	}
-	x.loop.After(seam.Micros(x.Rules.LetGoMs)*seam.Millisecond/2, func() {
+	x.loop.After(eventloop.Micros(x.Rules.LetGoMs)*eventloop.Millisecond/2, func() {
 		if g.intent.then != nil && no == g.legs-1 && g.State == path.Writing {
 			g.intent.then = nil
 			x.ended(g, engine.Outcome{How: choice.Full, Note: 1, Memory: choice.NoReport, Why: "not sent: its intent is not kept in time"})
@@ -163,7 +163,7 @@
 }
 
 // keepEnd keeps when a key is to be forgotten. It is written with the next group: lost, the key is remembered for longer.
-func (x *Dispatcher) keepEnd(e *repeat.Entry, window seam.Micros) {
+func (x *Dispatcher) keepEnd(e *repeat.Entry, window eventloop.Micros) {
 	if x.post.Intents == nil {
 		return
 	}
--- a/internal/dispatch/path_test.go
+++ b/internal/dispatch/path_test.go
@@ -9,9 +9,9 @@
 
 	"plumspindle/choice"
 	"plumspindle/internal/deployment"
+	"plumspindle/internal/eventloop"
 	"plumspindle/internal/http1"
 	"plumspindle/internal/path"
-	"plumspindle/internal/seam"
 	"plumspindle/internal/store"
 
 	"github.com/rs/zerolog"
@@ -40,9 +40,11 @@
 	r.w.Segment, r.w.Window = 900, 4<<10
 	fates := map[string]*fate{}
 	readBreaks := []func(*line){cut, reset, func(*line) {}, func(l *line) { l.answer(500, `{}`) }, func(l *line) { l.answer(429, `{"error":{"code":"full"}}`) },
-		func(l *line) { r.far.After(seam.Micros(chance.Intn(900))*seam.Millisecond, func() { read(l) }) },
 		func(l *line) {
-			r.far.After(seam.Micros(chance.Intn(900))*seam.Millisecond, func() { l.answer(429, `{"error":{"code":"full"}}`) })
+			r.far.After(eventloop.Micros(chance.Intn(900))*eventloop.Millisecond, func() { read(l) })
+		},
+		func(l *line) {
+			r.far.After(eventloop.Micros(chance.Intn(900))*eventloop.Millisecond, func() { l.answer(429, `{"error":{"code":"full"}}`) })
 		}}
 	var hung *script // takes all and answers nothing, for some seconds
 	proofs := map[string]bool{"full": true, "draining": true, "state lost": true}
@@ -58,7 +60,7 @@
 				if chance.Intn(6) == 0 {
 					readBreaks[chance.Intn(len(readBreaks))](l)
 				} else {
-					r.far.After(seam.Micros(chance.Intn(30_000)), func() { read(l) })
+					r.far.After(eventloop.Micros(chance.Intn(30_000)), func() { read(l) })
 				}
 				return
 			}
@@ -72,15 +74,15 @@
 				b.serve(l)
 			case 2: // late, perhaps too late
 				f.ran++
-				r.far.After(seam.Micros(chance.Intn(900))*seam.Millisecond, func() { write(l) })
+				r.far.After(eventloop.Micros(chance.Intn(900))*eventloop.Millisecond, func() { write(l) })
 			case 3: // long, so that a client can leave, lag, or run out of time in it
 				f.ran++
 				l.stream(event("Lamu ", ""))
 				parts := chance.Intn(40)
 				for i := range parts {
-					r.far.After(seam.Micros(i*20)*seam.Millisecond, func() { l.conn.Write(http1.AppendChunk(nil, []byte(event(strings.Repeat("\u2063", 400), "")))) })
+					r.far.After(eventloop.Micros(i*20)*eventloop.Millisecond, func() { l.conn.Write(http1.AppendChunk(nil, []byte(event(strings.Repeat("\u2063", 400), "")))) })
 				}
-				r.far.After(seam.Micros(parts*20)*seam.Millisecond, func() {
+				r.far.After(eventloop.Micros(parts*20)*eventloop.Millisecond, func() {
 					l.conn.Write(http1.AppendLastChunk(http1.AppendChunk(nil, []byte(event("é", "stop")+"data: [DONE]\n\n"))))
 				})
 			default:
@@ -106,15 +108,15 @@
 		f.call = r.send(body, fields...)
 		switch chance.Intn(12) {
 		case 0:
-			r.far.After(seam.Micros(chance.Intn(500_000)), func() {
+			r.far.After(eventloop.Micros(chance.Intn(500_000)), func() {
 				if len(f.call.finals) == 0 {
 					f.left = true
 					f.call.conn.Abort()
 				}
 			})
 		case 1:
-			r.far.After(seam.Micros(chance.Intn(60_000)), func() { f.call.conn.Pause(true) })
-			r.far.After(seam.Micros(60_000+chance.Intn(400_000)), func() { f.call.conn.Pause(false) })
+			r.far.After(eventloop.Micros(chance.Intn(60_000)), func() { f.call.conn.Pause(true) })
+			r.far.After(eventloop.Micros(60_000+chance.Intn(400_000)), func() { f.call.conn.Pause(false) })
 		}
 		if chance.Intn(100) == 0 { // as where a tenant is removed
 			if g := r.x.gens[choice.GenID(int(r.x.lastGen)-chance.Intn(12))]; g != nil {
@@ -123,16 +125,16 @@
 		}
 		if chance.Intn(700) == 0 {
 			hung = r.hosts[chance.Intn(len(r.hosts))]
-			r.far.After(3*seam.Second, func() { hung = nil })
+			r.far.After(3*eventloop.Second, func() { hung = nil })
 		}
 		if chance.Intn(500) == 0 {
 			h := r.hosts[chance.Intn(len(r.hosts))]
 			r.told(h.entry("draining"))
-			r.far.After(300*seam.Millisecond, func() { r.told(h.entry("ready")) })
+			r.far.After(300*eventloop.Millisecond, func() { r.told(h.entry("ready")) })
 		}
-		r.w.Run(seam.Micros(chance.Intn(9_000)))
+		r.w.Run(eventloop.Micros(chance.Intn(9_000)))
 	}
-	r.w.Run(30 * seam.Second)
+	r.w.Run(30 * eventloop.Second)
 	r.idle()
 	bad := 0
 	for id, f := range fates {
@@ -204,15 +206,15 @@
 		}
 		writes := func() int { return r.hosts[1].legs() + r.hosts[2].legs() }
 		first := r.ask(product, "Idempotency-Key", "k")
-		r.w.Run(50 * seam.Millisecond)
+		r.w.Run(50 * eventloop.Millisecond)
 		second := r.ask(product, "Idempotency-Key", "k")
-		r.w.Run(50 * seam.Millisecond)
+		r.w.Run(50 * eventloop.Millisecond)
 		r.far.Do(first.conn.Abort) // the generation goes on for the other
-		r.w.Run(50 * seam.Millisecond)
+		r.w.Run(50 * eventloop.Millisecond)
 		r.far.Do(second.conn.Abort) // and for one that may come
-		r.w.Run(50 * seam.Millisecond)
+		r.w.Run(50 * eventloop.Millisecond)
 		third := r.ask(product, "Idempotency-Key", "k")
-		r.w.Run(50 * seam.Millisecond)
+		r.w.Run(50 * eventloop.Millisecond)
 		r.far.Do(func() {
 			l1.conn.Write(http1.AppendLastChunk(http1.AppendChunk(nil, []byte(event("é", "stop")+"data: [DONE]\n\n"))))
 		})
@@ -223,10 +225,10 @@
 			t.Errorf("%s: texts %q, %q, %q; written %d times", product, second.text, third.text, fourth.text, writes())
 		}
 		r.ends(r.send(`{"model":"`+product+`","stream":true,"messages":[{"role":"user","content":"other"}]}`, "Idempotency-Key", "k"), "422")
-		r.hosts[0].serve = func(l *line) { r.far.After(100*seam.Millisecond, func() { read(l) }) }
+		r.hosts[0].serve = func(l *line) { r.far.After(100*eventloop.Millisecond, func() { read(l) }) }
 		r.hosts[1].serve, r.hosts[2].serve = write, write
 		early := r.ask(product, "Idempotency-Key", "m")
-		r.w.Run(10 * seam.Millisecond)
+		r.w.Run(10 * eventloop.Millisecond)
 		joined := r.ask(product, "Idempotency-Key", "m") // while the prompt is still read
 		r.ends(joined, "streamed")
 		r.ends(early, "streamed")
@@ -262,7 +264,7 @@
 	r := newRig(t, nil, "prefill west", "decode west")
 	r.told(r.hosts[1].entry("gone"))
 	c := r.ask("explain", "x-heartbeat-ms", "250")
-	r.w.Run(1100 * seam.Millisecond)
+	r.w.Run(1100 * eventloop.Millisecond)
 	if n := strings.Count(string(c.raw), ": waiting"); n != 4 {
 		t.Errorf("%d comments", n)
 	}
@@ -281,7 +283,7 @@
 
 // instant is a Disk in memory that answers after the call.
 type instant struct {
-	loop  seam.Loop
+	loop  eventloop.Loop
 	files map[string][]byte
 	fails bool
 }
@@ -313,7 +315,7 @@
 	if d.fails {
 		err = errors.New("no space left on device")
 	}
-	d.loop.After(2*seam.Millisecond, func() { done(err) })
+	d.loop.After(2*eventloop.Millisecond, func() { done(err) })
 }
 
 // A dispatcher is killed while a keyed, side-effecting generation is being written. Its next life does not run the client's
@@ -349,7 +351,7 @@
 		}
 		writes := func() int { return r.hosts[1].legs() + r.hosts[2].legs() }
 		r.ask("review-post", "Idempotency-Key", "k")
-		r.w.Run(200 * seam.Millisecond)
+		r.w.Run(200 * eventloop.Millisecond)
 		if writes() != 1 {
 			t.Fatalf("keeps %v: written %d times", keeps, writes())
 		}
@@ -385,12 +387,12 @@
 func TestRefusedAfterItsClientLeft(t *testing.T) {
 	r := newRig(t, nil, "prefill west", "decode west")
 	r.hosts[1].serve = func(l *line) {
-		r.far.After(100*seam.Millisecond, func() { l.answer(429, `{"error":{"code":"full"}}`) })
+		r.far.After(100*eventloop.Millisecond, func() { l.answer(429, `{"error":{"code":"full"}}`) })
 	}
 	c := r.ask("review-post", "Idempotency-Key", "k")
-	r.w.Run(50 * seam.Millisecond)
+	r.w.Run(50 * eventloop.Millisecond)
 	r.far.Do(c.conn.Abort)
-	r.w.Run(100 * seam.Millisecond)
+	r.w.Run(100 * eventloop.Millisecond)
 	if err := r.x.Check(); err != nil || r.x.Running() > 0 || r.hosts[0].releases() != 1 {
 		t.Errorf("%v; left %v; %d releases", err, r.x.Remains(), r.hosts[0].releases())
 	}
--- a/internal/dispatch/rig_test.go
+++ b/internal/dispatch/rig_test.go
@@ -15,9 +15,9 @@
 	"plumspindle/choice"
 	"plumspindle/internal/deployment"
 	"plumspindle/internal/deployment/pb"
+	"plumspindle/internal/eventloop"
 	"plumspindle/internal/http1"
 	"plumspindle/internal/roster"
-	"plumspindle/internal/seam"
 	"plumspindle/internal/sockets"
 	"plumspindle/internal/sse"
 	"plumspindle/internal/virtual"
@@ -41,7 +41,7 @@
 
 // either is a loop of either seam.
 type either interface {
-	seam.Loop
+	eventloop.Loop
 	Do(f func())
 }
 
@@ -51,7 +51,7 @@
 	id    uint32
 	kind  string
 	zone  string
-	ln    seam.Listener
+	ln    eventloop.Listener
 	serve func(c *line)
 	seen  []*line
 	conns map[*line]bool
@@ -60,7 +60,7 @@
 // line is one connection to a script, and the request that it is about.
 type line struct {
 	s      *script
-	conn   seam.Conn
+	conn   eventloop.Conn
 	parser http1.Parser
 	head   *http1.Head
 	body   []byte
@@ -199,7 +199,7 @@
 }
 
 // until lets time pass until something holds of the hosts and clients.
-func (r *rig) until(span seam.Micros, holds func() bool) bool {
+func (r *rig) until(span eventloop.Micros, holds func() bool) bool {
 	if r.w != nil {
 		return r.w.Until(span, holds)
 	}
@@ -214,7 +214,7 @@
 }
 
 func (s *script) up() {
-	s.ln, _ = s.rig.far.Listen("127.0.0.1:0", func(c seam.Conn) seam.Handler {
+	s.ln, _ = s.rig.far.Listen("127.0.0.1:0", func(c eventloop.Conn) eventloop.Handler {
 		return &line{s: s, conn: c, parser: http1.Parser{Bounds: http1.Usual}}
 	})
 }
@@ -231,7 +231,7 @@
 // call is one client's request and all that came back.
 type call struct {
 	r       *rig
-	conn    seam.Conn
+	conn    eventloop.Conn
 	request []byte
 	parser  http1.Parser
 	events  sse.Parser
@@ -297,7 +297,7 @@
 	c := &call{r: r, parser: http1.Parser{Response: true, Bounds: http1.Usual}, events: sse.Parser{Most: 1 << 20}}
 	c.request = http1.AppendRequest(nil, "POST", "/v1/chat/completions", r.addr, []byte(body), append([]string{
 		"Authorization", "Bearer " + key, "Content-Type", "application/json"}, fields...)...)
-	r.far.Do(func() { c.conn = r.far.Dial(r.addr, seam.Second, c) })
+	r.far.Do(func() { c.conn = r.far.Dial(r.addr, eventloop.Second, c) })
 	return c
 }
 
@@ -307,11 +307,11 @@
 // ends waits for the final answer, and checks that it is the one and that nothing remains.
 func (r *rig) ends(c *call, want string) {
 	r.t.Helper()
-	r.until(30*seam.Second, func() bool { return len(c.finals) > 0 })
+	r.until(30*eventloop.Second, func() bool { return len(c.finals) > 0 })
 	if r.w != nil {
-		r.w.Run(seam.Second)
+		r.w.Run(eventloop.Second)
 	} else {
-		r.until(2*seam.Second, func() bool {
+		r.until(2*eventloop.Second, func() bool {
 			running := 0
 			r.loop.Do(func() { running = r.x.Running() })
 			return running == 0
--- a/internal/dispatch/room_test.go
+++ b/internal/dispatch/room_test.go
@@ -10,8 +10,8 @@
 
 	"plumspindle/choice"
 	"plumspindle/internal/deployment"
+	"plumspindle/internal/eventloop"
 	"plumspindle/internal/http1"
-	"plumspindle/internal/seam"
 	"plumspindle/internal/sse"
 	"plumspindle/internal/store"
 	"plumspindle/internal/virtual"
@@ -71,7 +71,7 @@
 			t.Errorf("%s: %d writes without a record", name, writes()-n-2)
 		}
 		fail(f, false)
-		r.w.Run(3 * seam.Second)
+		r.w.Run(3 * eventloop.Second)
 		for _, key := range []string{"a", "c"} {
 			r.ends(r.ask("review-post", "Idempotency-Key", key), "streamed")
 		}
@@ -95,9 +95,9 @@
 		r := newRig(t, nil, "prefill west", "decode west", "decode west")
 		f := r.w.Folder()
 		r.keeper(f)
-		f.Sync = 20 * seam.Second
-		var since seam.Micros
-		most := seam.Micros(0)
+		f.Sync = 20 * eventloop.Second
+		var since eventloop.Micros
+		most := eventloop.Micros(0)
 		r.hosts[0].serve = func(l *line) {
 			since = r.far.Now()
 			read(l)
@@ -114,21 +114,21 @@
 		}
 		r.ends(c, "throttled")
 		r.w.Watch = nil
-		if since > 0 || most == 0 || most > seam.Micros(r.d.Rules.LetGoMs)*seam.Millisecond {
+		if since > 0 || most == 0 || most > eventloop.Micros(r.d.Rules.LetGoMs)*eventloop.Millisecond {
 			t.Errorf("%s: a state waited for %d ms (still held: %v)", product, most/1000, since > 0)
 		}
 		if n := r.hosts[1].legs() + r.hosts[2].legs(); n != 0 {
 			t.Errorf("%s: %d writes without a record", product, n)
 		}
-		f.Sync = seam.Millisecond
-		r.w.Run(90 * seam.Second) // what it was asked for takes its time
+		f.Sync = eventloop.Millisecond
+		r.w.Run(90 * eventloop.Second) // what it was asked for takes its time
 		r.ends(r.ask(product, "Idempotency-Key", "m"), "streamed")
 	}
 }
 
 // mute is a client that holds a connection and says nothing.
 type mute struct {
-	conn   seam.Conn
+	conn   eventloop.Conn
 	closed bool
 }
 
@@ -140,7 +140,7 @@
 // letGoWithin lets time pass until a reader has been told to let go of what it held, and fails where that takes too long.
 func (r *rig) letGoWithin(reader *script, before int, what string) {
 	r.t.Helper()
-	if !r.until(seam.Micros(r.d.Rules.LetGoMs)*seam.Millisecond, func() bool { return reader.releases() > before }) {
+	if !r.until(eventloop.Micros(r.d.Rules.LetGoMs)*eventloop.Millisecond, func() bool { return reader.releases() > before }) {
 		r.t.Errorf("%s: the reader was not told to let go in time", what)
 	}
 }
@@ -157,11 +157,11 @@
 		"no descriptor is left": func(r *rig) {
 			r.hosts[0].serve = func(*line) {}
 			r.ask("explain") // takes the idle connection
-			r.w.Run(20 * seam.Millisecond)
+			r.w.Run(20 * eventloop.Millisecond)
 			r.virtual().Descriptors = r.virtual().Open() + 2 // which are kept back; and what is given back is taken at once
 			for i := range 4000 {
 				r.far.Do(func() {
-					r.far.After(seam.Micros(i*250), func() { r.far.Dial(r.addr, seam.Second, &mute{}) })
+					r.far.After(eventloop.Micros(i*250), func() { r.far.Dial(r.addr, eventloop.Second, &mute{}) })
 				})
 			}
 		},
@@ -169,18 +169,18 @@
 		r := newRig(t, func(d deployment.Deployment) { d.Dispatching.Connections = 3 }, "prefill west", "decode west")
 		r.hosts[1].serve = func(*line) {}
 		c := r.ask("review-post", "x-time-limit-ms", "600")
-		r.w.Run(100 * seam.Millisecond) // read, and at the writer, which does not begin
+		r.w.Run(100 * eventloop.Millisecond) // read, and at the writer, which does not begin
 		if r.hosts[1].legs() != 1 {
 			t.Fatal("it is not being written")
 		}
 		fill(r)
-		r.w.Run(100 * seam.Millisecond)
+		r.w.Run(100 * eventloop.Millisecond)
 		before := r.hosts[0].releases()
-		r.until(seam.Second, func() bool { return len(c.finals) > 0 })
+		r.until(eventloop.Second, func() bool { return len(c.finals) > 0 })
 		r.letGoWithin(r.hosts[0], before, name)
 		r.virtual().Descriptors = 0
 		r.hosts[0].serve, r.hosts[1].serve = read, write
-		r.w.Run(10 * seam.Second)
+		r.w.Run(10 * eventloop.Second)
 		r.ends(r.ask("review-post"), "streamed")
 	}
 }
@@ -199,7 +199,7 @@
 	r.far.Do(next.up)
 	r.hosts = append(r.hosts, next)
 	r.told(next.entry("ready"))
-	r.w.Run(100 * seam.Millisecond)
+	r.w.Run(100 * eventloop.Millisecond)
 	r.virtual().Descriptors = r.virtual().Open() + 3 // its client's, and what is kept back
 	r.ends(r.ask("review-post"), "streamed")
 }
@@ -212,36 +212,36 @@
 	running := r.ask("explain")
 	r.hosts[1].serve = func(l *line) {
 		l.stream(event("Lamu ", ""))
-		r.far.After(3*seam.Second, func() {
+		r.far.After(3*eventloop.Second, func() {
 			l.conn.Write(http1.AppendLastChunk(http1.AppendChunk(nil, []byte(event("é", "stop")+"data: [DONE]\n\n"))))
 		})
 	}
-	r.w.Run(100 * seam.Millisecond)
+	r.w.Run(100 * eventloop.Millisecond)
 	var idle []*mute
 	for range 7 {
 		l := &mute{}
-		r.far.Do(func() { l.conn = r.far.Dial(r.addr, seam.Second, l) })
+		r.far.Do(func() { l.conn = r.far.Dial(r.addr, eventloop.Second, l) })
 		idle = append(idle, l)
 	}
-	r.w.Run(100 * seam.Millisecond)
+	r.w.Run(100 * eventloop.Millisecond)
 	c := r.ask("explain")
-	r.until(seam.Second, func() bool { return len(c.finals) > 0 })
+	r.until(eventloop.Second, func() bool { return len(c.finals) > 0 })
 	if len(c.finals) != 1 || c.finals[0] != "throttled" || c.head.KeepAlive() || r.hosts[0].legs() != 1 {
 		t.Errorf("past the clients' part: %v, keeps the connection: %v, %d legs", c.finals, c.head.KeepAlive(), r.hosts[0].legs())
 	}
 	for range 4 {
 		r.far.Do(func() {
-			r.far.Dial(r.addr, seam.Second, &mute{})
+			r.far.Dial(r.addr, eventloop.Second, &mute{})
 		})
 	}
 	c = r.ask("explain")
-	r.until(seam.Second, func() bool { return c.closed })
+	r.until(eventloop.Second, func() bool { return c.closed })
 	if len(c.finals) != 1 || c.finals[0] != "throttled" || r.virtual().Open() > 16 {
 		t.Errorf("past an eighth more: %v, %d connections", c.finals, r.virtual().Open())
 	}
-	r.w.Run(2 * seam.Second)
+	r.w.Run(2 * eventloop.Second)
 	r.ask("explain") // one of those that idle makes way
-	r.w.Run(100 * seam.Millisecond)
+	r.w.Run(100 * eventloop.Millisecond)
 	if !idle[0].closed {
 		t.Error("the connection that idled longest is still there")
 	}
@@ -250,7 +250,7 @@
 	}
 	r.ends(running, "streamed")
 	r.hosts[1].serve = write
-	r.w.Run(8 * seam.Second)
+	r.w.Run(8 * eventloop.Second)
 	r.x.front.Most = 40
 	r.ends(r.ask("explain"), "streamed")
 }
@@ -262,21 +262,21 @@
 		e := r.hosts[1].entry("ready")
 		e.ID, e.Addr = choice.HostID(1000+i), "127.0.0.1:9"
 		r.told(e)
-		r.w.Run(500 * seam.Millisecond)
+		r.w.Run(500 * eventloop.Millisecond)
 		e.Condition = "gone"
 		r.told(e)
 	}
-	r.w.Run(120 * seam.Second)
+	r.w.Run(120 * eventloop.Second)
 	if n := r.x.engine.Known(); n != 2 || len(r.x.hosts) != 2 {
 		t.Errorf("%d hosts are known to the legs, %d to the dispatcher", n, len(r.x.hosts))
 	}
 	r.ends(r.ask("explain"), "streamed")
 	r.hosts[1].serve = func(*line) {}
 	c := r.ask("review-post", "x-time-limit-ms", "900")
-	r.w.Run(100 * seam.Millisecond)
+	r.w.Run(100 * eventloop.Millisecond)
 	r.told(r.hosts[0].entry("gone"))
 	before := r.hosts[0].releases()
-	r.until(seam.Second, func() bool { return len(c.finals) > 0 })
+	r.until(eventloop.Second, func() bool { return len(c.finals) > 0 })
 	r.letGoWithin(r.hosts[0], before, "a reader that is listed as gone")
 }
 
@@ -296,13 +296,13 @@
 			} else {
 				c := &call{r: r, parser: http1.Parser{Response: true, Bounds: http1.Usual}, events: sse.Parser{Most: 1 << 20}}
 				c.request = []byte("POST /v1/chat/completions HTTP/1.1\r\nHost: x\r\nAuthorization: Bearer " + key + "\r\nContent-Type: application/json\r\nContent-Length: 20000\r\n\r\n" + text)
-				r.far.Do(func() { c.conn = r.far.Dial(r.addr, seam.Second, c) })
+				r.far.Do(func() { c.conn = r.far.Dial(r.addr, eventloop.Second, c) })
 				calls = append(calls, c)
 			}
-			r.w.Run(5 * seam.Millisecond)
+			r.w.Run(5 * eventloop.Millisecond)
 			most = max(most, r.x.front.Kept)
 		}
-		r.w.Run(100 * seam.Millisecond)
+		r.w.Run(100 * eventloop.Millisecond)
 		if most > bound || most < bound/2 {
 			t.Errorf("whole %v: %d bytes of bodies are kept, %d may be", whole, most, bound)
 		}
@@ -317,7 +317,7 @@
 				t.Errorf("%d of 120 are throttled, %d run", throttled, r.x.Running())
 			}
 		}
-		r.w.Run(15 * seam.Second)
+		r.w.Run(15 * eventloop.Second)
 		if r.x.front.Kept != 0 {
 			t.Errorf("whole %v: %d bytes are counted at the end", whole, r.x.front.Kept)
 		}
@@ -353,21 +353,21 @@
 	post := func(i int) *call {
 		c := &call{r: r, parser: http1.Parser{Response: true, Bounds: http1.Usual}, events: sse.Parser{Most: 1 << 20}}
 		c.request = http1.AppendRequest(nil, "POST", "/v1/embeddings", r.addr, []byte(numbered(i)), "Authorization", "Bearer "+key, "Content-Type", "application/json")
-		r.far.Do(func() { c.conn = r.far.Dial(r.addr, seam.Second, c) })
+		r.far.Do(func() { c.conn = r.far.Dial(r.addr, eventloop.Second, c) })
 		return c
 	}
 	var calls []*call
 	for i := range 4 {
 		calls = append(calls, post(i))
 	}
-	r.w.Run(500 * seam.Millisecond)
+	r.w.Run(500 * eventloop.Millisecond)
 	if n := r.x.batches.answers; n > answersMost || n < answersMost/3 {
 		t.Errorf("%d bytes of answers are going to be", n)
 	}
 	if f := calls[3].finals; len(f) != 1 || f[0] != "throttled" {
 		t.Errorf("the last call: %v", f)
 	}
-	r.w.Run(10 * seam.Second)
+	r.w.Run(10 * eventloop.Second)
 	if r.x.batches.answers != 0 || r.x.front.Kept != 0 || r.x.batches.calls != 0 {
 		t.Errorf("at the end %d bytes of answers, %d of bodies, %d calls", r.x.batches.answers, r.x.front.Kept, r.x.batches.calls)
 	}
@@ -386,13 +386,13 @@
 	for range 5 {
 		calls = append(calls, r.ask("review-post", "x-time-limit-ms", "800"))
 	}
-	r.w.Run(300 * seam.Millisecond)
+	r.w.Run(300 * eventloop.Millisecond)
 	if r.hosts[1].legs() != 5 {
 		t.Fatalf("%d are being written", r.hosts[1].legs())
 	}
 	d, far := r.virtual(), r.far.(*virtual.Loop)
-	r.w.Block(far, d, 3*seam.Second)
-	r.w.Run(3 * seam.Second)
+	r.w.Block(far, d, 3*eventloop.Second)
+	r.w.Run(3 * eventloop.Second)
 	for i, c := range calls {
 		if len(c.finals) != 1 {
 			t.Errorf("call %d: %v", i, c.finals)
@@ -408,14 +408,14 @@
 		}
 		return b.String()
 	}
-	r.w.Run(seam.Micros(r.d.Rules.LetGoMs) * seam.Millisecond)
+	r.w.Run(eventloop.Micros(r.d.Rules.LetGoMs) * eventloop.Millisecond)
 	for i := range 5 {
 		if name := fmt.Sprintf(`"d-%d-0"`, i+1); !strings.Contains(let(), name) {
 			t.Errorf("the reader was not told to let go of %s: %s", name, let())
 		}
 	}
 	n := len(r.hosts[0].seen)
-	r.w.Run(12 * seam.Second)
+	r.w.Run(12 * eventloop.Second)
 	if more := len(r.hosts[0].seen) - n; more > 0 {
 		t.Errorf("it was told %d times more", more)
 	}
@@ -425,15 +425,15 @@
 // A keyed generation that goes on without its client counts with its body until it has ended.
 func TestBodyOfOneThatGoesOnAlone(t *testing.T) {
 	r := newRig(t, nil, "prefill west", "decode west")
-	r.hosts[1].serve = func(l *line) { r.far.After(seam.Second, func() { write(l) }) }
+	r.hosts[1].serve = func(l *line) { r.far.After(eventloop.Second, func() { write(l) }) }
 	c := r.ask("review-post", "Idempotency-Key", "k")
-	r.w.Run(100 * seam.Millisecond)
+	r.w.Run(100 * eventloop.Millisecond)
 	r.far.Do(c.conn.Abort)
-	r.w.Run(100 * seam.Millisecond)
+	r.w.Run(100 * eventloop.Millisecond)
 	if r.x.front.Kept == 0 || r.x.Running() != 1 {
 		t.Errorf("%d bytes are counted, %d run", r.x.front.Kept, r.x.Running())
 	}
-	r.w.Run(2 * seam.Second)
+	r.w.Run(2 * eventloop.Second)
 	if r.x.front.Kept != 0 || r.x.Running() != 0 {
 		t.Errorf("at the end %d bytes are counted, %d run", r.x.front.Kept, r.x.Running())
 	}
--- a/internal/dispatch/stages_test.go
+++ b/internal/dispatch/stages_test.go
@@ -12,10 +12,10 @@
 
 	"plumspindle/internal/deployment"
 	"plumspindle/internal/deployment/pb"
+	"plumspindle/internal/eventloop"
 	"plumspindle/internal/lab/audit"
 	"plumspindle/internal/lab/hosts"
 	"plumspindle/internal/lab/record"
-	"plumspindle/internal/seam"
 	"plumspindle/internal/virtual"
 )
 
@@ -57,7 +57,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	w.Run(100 * seam.Millisecond)
+	w.Run(100 * eventloop.Millisecond)
 	return y
 }
 
@@ -65,37 +65,37 @@
 type stage struct {
 	name   string
 	tokens int // of its prompt
-	after  seam.Micros
+	after  eventloop.Micros
 	seen   string // where the hosts have it by then
 	whole  bool   // its answer is asked for in one piece, as only that has a time limit once it is being written
 	before func(y *yard)
 }
 
 var stages = []stage{
-	{"held, as no writer fits", 1800, 300 * seam.Millisecond, "", false, func(y *yard) {
+	{"held, as no writer fits", 1800, 300 * eventloop.Millisecond, "", false, func(y *yard) {
 		y.far.Do(func() {
 			for _, h := range y.fleet.Hosts {
 				if h.Kind() == "decode" {
-					h.Drain(60*seam.Second, 0)
+					h.Drain(60*eventloop.Second, 0)
 				}
 			}
 		})
-		y.w.Run(100 * seam.Millisecond)
+		y.w.Run(100 * eventloop.Millisecond)
 	}},
-	{"waiting for a reader", 1800, 50 * seam.Millisecond, "waiting", false, func(y *yard) {
+	{"waiting for a reader", 1800, 50 * eventloop.Millisecond, "waiting", false, func(y *yard) {
 		y.begin("blocker", "explain", 1800, false, 0)
-		y.w.Run(10 * seam.Millisecond)
+		y.w.Run(10 * eventloop.Millisecond)
 	}},
-	{"being read", 5000, 150 * seam.Millisecond, "reading", false, nil},
-	{"its state on its way", 5000, 530 * seam.Millisecond, "fetching", false, nil},
-	{"being written", 5000, 1100 * seam.Millisecond, "writing", true, nil},
+	{"being read", 5000, 150 * eventloop.Millisecond, "reading", false, nil},
+	{"its state on its way", 5000, 530 * eventloop.Millisecond, "fetching", false, nil},
+	{"being written", 5000, 1100 * eventloop.Millisecond, "writing", true, nil},
 }
 
 // begin asks for a generation and has what its client sees recorded.
-func (y *yard) begin(id, product string, tokens int, whole bool, limit seam.Micros) *call {
+func (y *yard) begin(id, product string, tokens int, whole bool, limit eventloop.Micros) *call {
 	fields := []string{"x-client-request-id", id}
 	if limit > 0 {
-		fields = append(fields, "x-time-limit-ms", fmt.Sprint(limit/seam.Millisecond))
+		fields = append(fields, "x-time-limit-ms", fmt.Sprint(limit/eventloop.Millisecond))
 	}
 	y.book.Add(record.Event{At: int64(y.w.Now()), What: "ask", Gen: id, Try: 1, Dispatcher: "d", Product: product, Value: float64(limit)})
 	return y.send(fmt.Sprintf(`{"model":%q,"stream":%v,"messages":[{"role":"user","content":%q}]}`, product, !whole, strings.Repeat("tell ", tokens*4/5)), fields...)
@@ -129,7 +129,7 @@
 		if at == nil { // held: the reader is
 			at = y.fleet.Hosts[0]
 		}
-		y.far.Do(func() { at.Crash(500 * seam.Millisecond) })
+		y.far.Do(func() { at.Crash(500 * eventloop.Millisecond) })
 	}, func(s stage, effect pb.Product_Effect) []string {
 		switch {
 		case s.whole, s.seen == "fetching" && effect == pb.Product_SIDE_EFFECTING:
@@ -144,7 +144,7 @@
 func (y *yard) judge(c *call, product string, want []string, left bool) {
 	y.t.Helper()
 	if !left {
-		y.until(8*seam.Second, func() bool { return len(c.finals) > 0 })
+		y.until(8*eventloop.Second, func() bool { return len(c.finals) > 0 })
 		how := "gave_up"
 		if len(c.finals) > 0 {
 			how = c.finals[0]
@@ -153,11 +153,11 @@
 	} else {
 		y.book.Add(record.Event{At: int64(y.w.Now()), What: "final", Gen: "g", Try: 1, Dispatcher: "d", Product: product, How: "terminated", N: 1})
 	}
-	y.w.Run(seam.Second)
+	y.w.Run(eventloop.Second)
 	if jobs, states, tokens := y.fleet.Held(); y.d.Fleet.CancelStops && (jobs > 0 || states > 0 || tokens > 0) {
 		y.t.Errorf("a second later the hosts have %d jobs, %d states, %d tokens\n%s", jobs, states, tokens, strings.Join(y.fleet.Summary(), "\n"))
 	}
-	y.w.Run(15 * seam.Second)
+	y.w.Run(15 * eventloop.Second)
 	n := len(c.finals)
 	switch {
 	case left && n > 0, !left && n != 1, c.after > 0:
@@ -209,18 +209,18 @@
 						if s.before != nil {
 							s.before(y)
 						}
-						limit := seam.Micros(0)
+						limit := eventloop.Micros(0)
 						if e.do == nil {
-							limit = s.after + 10*seam.Millisecond
+							limit = s.after + 10*eventloop.Millisecond
 							if s.whole {
-								limit += wholeGrace + 20*seam.Millisecond
+								limit += wholeGrace + 20*eventloop.Millisecond
 							}
 						}
 						c := y.begin("g", product, s.tokens, s.whole, limit)
 						y.w.Run(s.after)
 						seen, at := y.fleet.Stage("g")
 						if seen != s.seen {
-							t.Fatalf("after %d ms it is %q", s.after/seam.Millisecond, seen)
+							t.Fatalf("after %d ms it is %q", s.after/eventloop.Millisecond, seen)
 						}
 						if e.do != nil {
 							e.do(y, c, at)
@@ -238,7 +238,7 @@
 // An outcome and the end of its generation reach the dispatcher in the same turn, in either order: it stands still for a moment and
 // finds both when it goes on.
 func TestOutcomeAndEndInOneTurn(t *testing.T) {
-	const still = 60 * seam.Millisecond
+	const still = 60 * eventloop.Millisecond
 	cells := 0
 	for _, product := range []string{"explain", "build-note", "review-post"} {
 		for _, whole := range []bool{false, true} {
@@ -246,13 +246,13 @@
 			y := newYard(t, true, true)
 			began := y.w.Now()
 			c := y.begin("g", product, 5000, whole, 0)
-			y.until(20*seam.Second, func() bool { return len(c.finals) > 0 })
+			y.until(20*eventloop.Second, func() bool { return len(c.finals) > 0 })
 			ended := y.w.Now() - began
 			events, _ := y.book.Close()
-			at := map[string]seam.Micros{"streamed": ended - y.w.Latency}
+			at := map[string]eventloop.Micros{"streamed": ended - y.w.Latency}
 			for _, e := range events {
 				if e.Gen == "g" && (e.What == "ran" || e.What == "answered" && e.How == "read") {
-					at[e.What] = seam.Micros(e.At) - began
+					at[e.What] = eventloop.Micros(e.At) - began
 				}
 			}
 			for _, what := range []string{"answered", "ran", "streamed"} {
@@ -264,14 +264,14 @@
 						cells++
 						t.Run(fmt.Sprintf("%s, whole %v/%s/%s/the end first: %v", product, whole, what, e.name, first), func(t *testing.T) {
 							y := newYard(t, true, true)
-							stands := at[what] - 20*seam.Millisecond
-							ends := at[what] + 20*seam.Millisecond
+							stands := at[what] - 20*eventloop.Millisecond
+							ends := at[what] + 20*eventloop.Millisecond
 							if first {
-								ends = at[what] - 10*seam.Millisecond
+								ends = at[what] - 10*eventloop.Millisecond
 							}
-							limit := seam.Micros(0)
+							limit := eventloop.Micros(0)
 							if e.do == nil {
-								limit = ends + 9*seam.Millisecond // the module gives up so much earlier
+								limit = ends + 9*eventloop.Millisecond // the module gives up so much earlier
 								if what == "streamed" {
 									limit = ends + wholeGrace
 								}
@@ -299,24 +299,24 @@
 func TestListIsHeardAgainOnceThereIsRoom(t *testing.T) {
 	y := newYard(t, true, true)
 	c := y.begin("warm", "explain", 500, false, 0)
-	y.until(5*seam.Second, func() bool { return len(c.finals) > 0 })
+	y.until(5*eventloop.Second, func() bool { return len(c.finals) > 0 })
 	var mutes []*mute
 	y.virtual().Descriptors = y.virtual().Open() + 2
 	for i := range 6000 {
 		y.far.Do(func() {
-			y.far.After(seam.Micros(i)*500, func() {
+			y.far.After(eventloop.Micros(i)*500, func() {
 				m := &mute{}
-				m.conn = y.far.Dial(y.addr, seam.Second, m)
+				m.conn = y.far.Dial(y.addr, eventloop.Second, m)
 				mutes = append(mutes, m)
 			})
 		})
 	}
-	y.w.Run(10 * seam.Millisecond)
+	y.w.Run(10 * eventloop.Millisecond)
 	y.far.Do(y.fleet.Roster.Break)
-	y.w.Run(500 * seam.Millisecond)
+	y.w.Run(500 * eventloop.Millisecond)
 	heard := y.x.heard
-	y.far.Do(func() { y.fleet.Hosts[1].Drain(60*seam.Second, 0) })
-	y.w.Run(2 * seam.Second)
+	y.far.Do(func() { y.fleet.Hosts[1].Drain(60*eventloop.Second, 0) })
+	y.w.Run(2 * eventloop.Second)
 	if y.x.heard != heard {
 		t.Fatal("the source was heard without a descriptor")
 	}
@@ -324,12 +324,12 @@
 	for _, m := range mutes {
 		y.far.Do(m.conn.Abort)
 	}
-	y.w.Run(8 * seam.Second)
+	y.w.Run(8 * eventloop.Second)
 	if e := y.x.hosts[y.fleet.Hosts[1].Entry("").ID]; y.x.heard == heard || e.Condition != "draining" {
 		t.Errorf("heard %d times, then %d; the host is %q", heard, y.x.heard, e.Condition)
 	}
 	c = y.begin("after", "review-post", 500, false, 0)
-	y.until(5*seam.Second, func() bool { return len(c.finals) > 0 })
+	y.until(5*eventloop.Second, func() bool { return len(c.finals) > 0 })
 	if len(c.finals) != 1 || c.finals[0] != "streamed" {
 		t.Errorf("afterwards: %v", c.finals)
 	}
--- a/internal/dispatch/tenants.go
+++ b/internal/dispatch/tenants.go
@@ -10,9 +10,9 @@
 	"strconv"
 
 	"plumspindle/choice"
+	"plumspindle/internal/eventloop"
 	"plumspindle/internal/front"
 	"plumspindle/internal/path"
-	"plumspindle/internal/seam"
 	"plumspindle/internal/subscribe"
 	"plumspindle/internal/tenancy"
 )
@@ -23,8 +23,8 @@
 const unlimited = 1e9 // generations a second; what the module is told of a tenant without a share
 
 const (
-	reportEvery  = seam.Second
-	reportWithin = 3 * seam.Second
+	reportEvery  = eventloop.Second
+	reportWithin = 3 * eventloop.Second
 )
 
 // seat is a tenant's place in this dispatcher.
@@ -182,7 +182,7 @@
 	if s := x.static[sha256.Sum256([]byte(key))]; s != nil {
 		return front.Identity{Tenant: s.name, Space: s.space, Serves: true}, true
 	}
-	t, k, known := x.directory.Whose(int64(x.loop.Now()/seam.Second), key)
+	t, k, known := x.directory.Whose(int64(x.loop.Now()/eventloop.Second), key)
 	if !known || !slices.Contains(k.Scopes, tenancy.ScopeChat) {
 		return front.Identity{}, false
 	}
@@ -221,7 +221,7 @@
 }
 
 // queueGrace is how long before a client's limit one that still waits for its turn is given up.
-const queueGrace = 30 * seam.Millisecond
+const queueGrace = 30 * eventloop.Millisecond
 
 // wait has a generation stand before the module until its tenant's turn comes.
 func (x *Dispatcher) wait(g *gen) {
--- a/internal/engine/engine.go
+++ b/internal/engine/engine.go
@@ -11,43 +11,43 @@
 
 	"plumspindle/choice"
 	"plumspindle/internal/chat"
+	"plumspindle/internal/eventloop"
 	"plumspindle/internal/http1"
-	"plumspindle/internal/seam"
 	"plumspindle/internal/sse"
 )
 
 // Trunks are the terms on which connections to hosts are kept.
 type Trunks struct {
-	Connect seam.Micros // a connection not made by then counts as unreachable
-	Idle    seam.Micros // an unused connection is closed after it; hosts must keep them for longer
-	Silence seam.Micros // a stream that has begun and brings nothing for so long counts as broken
-	Most    int         // connections to one host
-	Opening int         // of these, those that may be opening at once; legs beyond them wait, Connect at most
-	All     int         // connections to all hosts, where it is above 0; before more are opened the one idle for longest is closed
+	Connect eventloop.Micros // a connection not made by then counts as unreachable
+	Idle    eventloop.Micros // an unused connection is closed after it; hosts must keep them for longer
+	Silence eventloop.Micros // a stream that has begun and brings nothing for so long counts as broken
+	Most    int              // connections to one host
+	Opening int              // of these, those that may be opening at once; legs beyond them wait, Connect at most
+	All     int              // connections to all hosts, where it is above 0; before more are opened the one idle for longest is closed
 }
 
 const (
-	answerMost  = 1 << 20                // bytes of a host's answer to a read, or of a refusal
-	eventMost   = 256 << 10              // bytes of one streamed event
-	letGoWithin = 200 * seam.Millisecond // for the answer to one release
-	letGoPause  = 60 * seam.Millisecond  // before it is tried again, doubled each time
-	letGoFor    = 10 * seam.Second
+	answerMost  = 1 << 20                     // bytes of a host's answer to a read, or of a refusal
+	eventMost   = 256 << 10                   // bytes of one streamed event
+	letGoWithin = 200 * eventloop.Millisecond // for the answer to one release
+	letGoPause  = 60 * eventloop.Millisecond  // before it is tried again, doubled each time
+	letGoFor    = 10 * eventloop.Second
 	letGoAtOnce = 256 // legs in one release
 
-	letGoPauseMost = 240 * seam.Millisecond
+	letGoPauseMost = 240 * eventloop.Millisecond
 	letGoSpare     = 4 // connections to one host beyond the most, for letting go
-	forgetAfter    = 60 * seam.Second
+	forgetAfter    = 60 * eventloop.Second
 	roomTries      = 3 // connections that are closed so that one leg may have one
-	roomPause      = seam.Millisecond
+	roomPause      = eventloop.Millisecond
 
 	// Before a connection that brought an answer is used again: a host may send a second one some milliseconds late, which on a
 	// connection in use would be taken for the next leg's.
-	restFor = 15 * seam.Millisecond
+	restFor = 15 * eventloop.Millisecond
 )
 
 // Engine holds the connections to all hosts.
 type Engine struct {
-	loop   seam.Loop
+	loop   eventloop.Loop
 	name   string // names this dispatcher on each leg
 	zone   string
 	trunks Trunks
@@ -57,7 +57,7 @@
 }
 
 // New makes an engine without any host yet.
-func New(loop seam.Loop, name, zone string, trunks Trunks) *Engine {
+func New(loop eventloop.Loop, name, zone string, trunks Trunks) *Engine {
 	return &Engine{loop: loop, name: name, zone: zone, trunks: trunks, hosts: map[choice.HostID]*host{}}
 }
 
@@ -70,15 +70,15 @@
 	waiting []*waiter // legs that wait for a connection, first come first
 	owed    []owed
 	owing   bool // they are told again soon
-	pause   seam.Micros
-	heard   seam.Micros // when it last said anything
+	pause   eventloop.Micros
+	heard   eventloop.Micros // when it last said anything
 }
 
 // waiter is a leg that waits for a connection. After a restart all that was held asks at once; a host whose backlog
 // overflows would refuse many that it could serve a moment later.
 type waiter struct {
 	leg   *Leg
-	timer seam.Timer
+	timer eventloop.Timer
 }
 
 // Place tells where a host is reached. Connections to where it was before are not used again.
@@ -139,11 +139,11 @@
 
 // Call is a leg in whatever protocol over HTTP/1.1: what goes out, and how what comes back is read.
 type Call struct {
-	Request func(addr string, left seam.Micros) []byte  // as it is when it leaves, with what is left of the time allowed
-	Answer  func(head *http1.Head, body []byte) Outcome // what an answer means that is not streamed
-	Stream  Stream                                      // nil: none is expected
-	Most    int                                         // bytes of an answer that is not streamed
-	Spare   bool                                        // it lets go of something, and must not wait for legs
+	Request func(addr string, left eventloop.Micros) []byte // as it is when it leaves, with what is left of the time allowed
+	Answer  func(head *http1.Head, body []byte) Outcome     // what an answer means that is not streamed
+	Stream  Stream                                          // nil: none is expected
+	Most    int                                             // bytes of an answer that is not streamed
+	Spare   bool                                            // it lets go of something, and must not wait for legs
 }
 
 // Stream reads the events of one streamed answer.
@@ -165,18 +165,18 @@
 	answer func(head *http1.Head, body []byte) Outcome
 	stream Stream
 	most   int // bytes of an answer that is not streamed
-	asks   func(addr string, left seam.Micros) []byte
-	due    seam.Micros // when the time allowed is over
-	leave  seam.Micros // when it has to have left
-	allow  seam.Timer
+	asks   func(addr string, left eventloop.Micros) []byte
+	due    eventloop.Micros // when the time allowed is over
+	leave  eventloop.Micros // when it has to have left
+	allow  eventloop.Timer
 	ended  bool
 	left   bool // its last byte had, when it ended
 
 	started bool
-	slow    bool        // its client lags, and it is not read
-	heard   seam.Micros // when its stream last brought something
-	letsGo  bool        // it tells the host to let go, and must not wait for legs
-	room    int         // connections that were closed for it
+	slow    bool             // its client lags, and it is not read
+	heard   eventloop.Micros // when its stream last brought something
+	letsGo  bool             // it tells the host to let go, and must not wait for legs
+	room    int              // connections that were closed for it
 
 	// What the answer has told so far.
 	head   *http1.Head
@@ -192,13 +192,13 @@
 
 // Read sends a read; Write a write, with the state that a read told of, or without one where the host reads the
 // prompt itself. Neither calls back before it has returned.
-func (e *Engine) Read(id choice.HostID, name, clientID string, ask *chat.Ask, allow seam.Micros, hear Hearer) *Leg {
+func (e *Engine) Read(id choice.HostID, name, clientID string, ask *chat.Ask, allow eventloop.Micros, hear Hearer) *Leg {
 	members := `"stream":false,"max_tokens":1,"kv_transfer_params":{"do_remote_decode":true,"do_remote_prefill":false}`
 	return e.leg(id, name, clientID, ask, members, nil, allow, hear)
 }
 
 func (e *Engine) Write(id choice.HostID, name, clientID string, ask *chat.Ask, state string, most int,
-	allow seam.Micros, hear Hearer) *Leg {
+	allow eventloop.Micros, hear Hearer) *Leg {
 	members := `"stream":true,"stream_options":{"include_usage":true},"max_tokens":` + strconv.Itoa(most)
 	if state != "" {
 		members += `,"kv_transfer_params":` + state
@@ -208,7 +208,7 @@
 
 // Whole sends what is complete with its read. Its answer is read by judge, which says Errored of one that is not what was
 // asked for. It does not call back before it has returned.
-func (e *Engine) Whole(id choice.HostID, name, clientID, path string, body []byte, most int, allow seam.Micros, judge func(body []byte) Outcome,
+func (e *Engine) Whole(id choice.HostID, name, clientID, path string, body []byte, most int, allow eventloop.Micros, judge func(body []byte) Outcome,
 	hear Hearer) *Leg {
 	return e.Call(id, Call{Most: most, Answer: func(head *http1.Head, answer []byte) Outcome {
 		if head.Status != 200 {
@@ -217,18 +217,18 @@
 		o := judge(answer)
 		o.Memory = 0 // as its head reports
 		return o
-	}, Request: func(addr string, _ seam.Micros) []byte {
+	}, Request: func(addr string, _ eventloop.Micros) []byte {
 		return http1.AppendRequest(nil, "POST", path, addr, body, "Content-Type", "application/json", "x-request-id", name,
 			"x-client-request-id", clientID, "x-dispatcher", e.name, "x-zone", e.zone)
 	}}, allow, hear)
 }
 
 // Call sends one. It does not call back before it has returned. A leg to a host without an address ends soon.
-func (e *Engine) Call(id choice.HostID, c Call, allow seam.Micros, hear Hearer) *Leg {
+func (e *Engine) Call(id choice.HostID, c Call, allow eventloop.Micros, hear Hearer) *Leg {
 	return e.call(e.hosts[id], c, allow, hear)
 }
 
-func (e *Engine) call(h *host, c Call, allow seam.Micros, hear Hearer) *Leg {
+func (e *Engine) call(h *host, c Call, allow eventloop.Micros, hear Hearer) *Leg {
 	l := &Leg{engine: e, host: h, hear: hear, memory: choice.NoReport, answer: c.Answer, stream: c.Stream, most: c.Most,
 		letsGo: c.Spare, events: sse.Parser{Most: eventMost}, asks: c.Request, due: e.loop.Now() + allow, leave: e.loop.Now() + e.trunks.Connect}
 	l.allow = e.loop.After(allow, l.late)
@@ -258,7 +258,7 @@
 }
 
 func (e *Engine) leg(id choice.HostID, name, clientID string, ask *chat.Ask, members string, stream Stream,
-	allow seam.Micros, hear Hearer) *Leg {
+	allow eventloop.Micros, hear Hearer) *Leg {
 	answer := func(head *http1.Head, body []byte) Outcome {
 		switch {
 		case head.Status != 200:
@@ -268,7 +268,7 @@
 		}
 		return readDone(body)
 	}
-	return e.Call(id, Call{Answer: answer, Stream: stream, Most: answerMost, Request: func(addr string, _ seam.Micros) []byte {
+	return e.Call(id, Call{Answer: answer, Stream: stream, Most: answerMost, Request: func(addr string, _ eventloop.Micros) []byte {
 		if ask.Salt != "" {
 			members += `,"cache_salt":` + strconv.Quote(ask.Salt)
 		}
@@ -428,18 +428,18 @@
 	engine    *Engine
 	host      *host
 	addr      string
-	conn      seam.Conn
+	conn      eventloop.Conn
 	parser    http1.Parser
 	leg       *Leg
 	sent      bool // the leg was handed to the network
 	up        bool
 	down      bool
 	last      bool // the host closes after this answer
-	idleTimer seam.Timer
+	idleTimer eventloop.Timer
 	idleNo    uint64 // in the order in which connections fell idle
 	carried   int    // legs before this one
-	idleAt    seam.Micros
-	idled     seam.Micros // for how long it was idle before this leg
+	idleAt    eventloop.Micros
+	idled     eventloop.Micros // for how long it was idle before this leg
 }
 
 func (t *trunk) take(l *Leg) {
@@ -510,7 +510,7 @@
 	}
 	if !t.sent || t.conn.Unsent() > 0 {
 		t.leg, l.trunk = nil, nil
-		if e := t.engine; errors.Is(cause, seam.ErrNoDescriptors) && l.room < roomTries && e.makeRoom() {
+		if e := t.engine; errors.Is(cause, eventloop.ErrNoDescriptors) && l.room < roomTries && e.makeRoom() {
 			l.room++
 			e.loop.After(roomPause, func() { // the descriptor is free by then
 				if !l.ended {
@@ -532,7 +532,7 @@
 	if err != nil && t.parser.Idle() {
 		why = "no answer came"
 	}
-	l.end(l.broke(choice.Dropped, fmt.Sprintf("%s: %v; leg %d on it, after %d ms idle", why, cause, t.carried+1, t.idled/seam.Millisecond)), false)
+	l.end(l.broke(choice.Dropped, fmt.Sprintf("%s: %v; leg %d on it, after %d ms idle", why, cause, t.carried+1, t.idled/eventloop.Millisecond)), false)
 }
 
 var errUnasked = errors.New("an answer that nobody asked for")
@@ -689,7 +689,7 @@
 // owed is a leg that a host has not been told to let go of.
 type owed struct {
 	name  string
-	until seam.Micros
+	until eventloop.Micros
 }
 
 // owe tells a host again after a pause, which grows while it can't be reached.
@@ -727,7 +727,7 @@
 		}
 		return Outcome{How: choice.Errored}
 	}
-	e.call(h, Call{Spare: true, Most: answerMost, Answer: answer, Request: func(addr string, _ seam.Micros) []byte {
+	e.call(h, Call{Spare: true, Most: answerMost, Answer: answer, Request: func(addr string, _ eventloop.Micros) []byte {
 		return http1.AppendRequest(nil, "POST", "/v1/kv/release", addr, []byte(`{"request_ids":["`+strings.Join(names, `","`)+`"]}`),
 			"Content-Type", "application/json", "x-dispatcher", e.name, "x-zone", e.zone)
 	}}, letGoWithin, Hearer{Ended: func(o Outcome) { done(o.How == choice.ReadDone) }})
@@ -766,7 +766,7 @@
 }
 
 // Heard is when a host last said anything.
-func (e *Engine) Heard(id choice.HostID) seam.Micros {
+func (e *Engine) Heard(id choice.HostID) eventloop.Micros {
 	if h := e.hosts[id]; h != nil {
 		return h.heard
 	}
--- a/internal/engine/engine_test.go
+++ b/internal/engine/engine_test.go
@@ -4,8 +4,8 @@
 	"testing"
 
 	"plumspindle/choice"
+	"plumspindle/internal/eventloop"
 	"plumspindle/internal/http1"
-	"plumspindle/internal/seam"
 	"plumspindle/internal/virtual"
 )
 
@@ -23,20 +23,20 @@
 		w := virtual.New(1)
 		w.Window = 16 << 10
 		far, own := w.Loop("far"), w.Loop("own")
-		ln, err := far.Listen("127.0.0.1:0", func(c seam.Conn) seam.Handler { c.Pause(true); return deaf{} })
+		ln, err := far.Listen("127.0.0.1:0", func(c eventloop.Conn) eventloop.Handler { c.Pause(true); return deaf{} })
 		if err != nil {
 			t.Fatal(err)
 		}
 		var got []Outcome
 		own.Do(func() {
-			e := New(own, "d", "", Trunks{Connect: seam.Second, Idle: seam.Second, Most: 4, Opening: 4})
+			e := New(own, "d", "", Trunks{Connect: eventloop.Second, Idle: eventloop.Second, Most: 4, Opening: 4})
 			e.Place(1, ln.Addr())
-			e.Call(1, Call{Request: func(addr string, _ seam.Micros) []byte {
+			e.Call(1, Call{Request: func(addr string, _ eventloop.Micros) []byte {
 				return http1.AppendRequest(nil, "POST", "/", addr, make([]byte, size))
 			}},
-				300*seam.Millisecond, Hearer{Ended: func(o Outcome) { got = append(got, o) }})
+				300*eventloop.Millisecond, Hearer{Ended: func(o Outcome) { got = append(got, o) }})
 		})
-		w.Run(2 * seam.Second)
+		w.Run(2 * eventloop.Second)
 		if len(got) != 1 || got[0].How != want {
 			t.Errorf("%d bytes: %+v, want one ending %d", size, got, want)
 		}
@@ -48,27 +48,27 @@
 func TestLeavesInTime(t *testing.T) {
 	w := virtual.New(1)
 	far, own := w.Loop("far"), w.Loop("own")
-	ln, err := far.Listen("127.0.0.1:0", func(c seam.Conn) seam.Handler { return deaf{} })
+	ln, err := far.Listen("127.0.0.1:0", func(c eventloop.Conn) eventloop.Handler { return deaf{} })
 	if err != nil {
 		t.Fatal(err)
 	}
-	w.Block(own, far, 10*seam.Second)
-	e := New(own, "d", "", Trunks{Connect: seam.Second, Idle: seam.Second, Most: 4, Opening: 1})
-	var took []seam.Micros
+	w.Block(own, far, 10*eventloop.Second)
+	e := New(own, "d", "", Trunks{Connect: eventloop.Second, Idle: eventloop.Second, Most: 4, Opening: 1})
+	var took []eventloop.Micros
 	call := func() {
 		began := w.Now()
-		e.Call(1, Call{Request: func(addr string, _ seam.Micros) []byte { return http1.AppendRequest(nil, "POST", "/", addr, nil) }},
-			5*seam.Second, Hearer{Ended: func(o Outcome) {
+		e.Call(1, Call{Request: func(addr string, _ eventloop.Micros) []byte { return http1.AppendRequest(nil, "POST", "/", addr, nil) }},
+			5*eventloop.Second, Hearer{Ended: func(o Outcome) {
 				if took = append(took, w.Now()-began); o.How != choice.Unreachable {
 					t.Errorf("it ended %d: %s", o.How, o.Why)
 				}
 			}})
 	}
 	own.Do(func() { e.Place(1, ln.Addr()); call() })
-	w.Run(500 * seam.Millisecond)
+	w.Run(500 * eventloop.Millisecond)
 	own.Do(call)
-	w.Run(4 * seam.Second)
-	if len(took) != 2 || took[1] > seam.Second+seam.Millisecond {
+	w.Run(4 * eventloop.Second)
+	if len(took) != 2 || took[1] > eventloop.Second+eventloop.Millisecond {
 		t.Errorf("the legs took %v", took)
 	}
 }
--- a/internal/seam/seam.go
+++ b/internal/eventloop/eventloop.go
@@ -1,7 +1,7 @@
 // Package seam is the one place where the program meets time and the network. What stands above it is written
 // for a single loop: it is called with events and asks for things, and never waits, starts a goroutine or
 // reads a clock. Package sockets is the seam over real sockets; a world in virtual time can be another.
-package seam
+package eventloop
 
 import (
 	"errors"
--- a/internal/seam/wait.go
+++ b/internal/eventloop/wait.go
@@ -1,4 +1,4 @@
-package seam
+package eventloop
 
 // Wait is the one thing that a connection waits for: each new one takes the place of the one before.
 type Wait struct{ timer Timer }
--- a/internal/explore/orders.go
+++ b/internal/explore/orders.go
@@ -9,8 +9,8 @@
 
 	"plumspindle/internal/deployment"
 	"plumspindle/internal/deployment/pb"
+	"plumspindle/internal/eventloop"
 	"plumspindle/internal/lab/days"
-	"plumspindle/internal/seam"
 )
 
 // Orders are what a bounded search over the orders of deliveries found.
@@ -39,7 +39,7 @@
 // Explore plays all orders in which the first pieces arrive early or late, depth choices deep, each of them by late µs, with
 // troubles on top. A choice whose state was met before at that depth is not followed further; what tells states apart is what the
 // dispatchers and hosts have under way, so that two that differ in anything else count as one.
-func Explore(depth int, late seam.Micros, troubles []*pb.Day_Trouble, told func(o *Orders)) (*Orders, error) {
+func Explore(depth int, late eventloop.Micros, troubles []*pb.Day_Trouble, told func(o *Orders)) (*Orders, error) {
 	o := &Orders{}
 	met := map[string]bool{}
 	d, script := smallWorld()
@@ -49,7 +49,7 @@
 		at, depthNow := 0, depth
 		p := &days.Play{Script: proto.Clone(script).(*pb.Day), Deployment: deployment.Deployment{Deployment: proto.Clone(d.Deployment).(*pb.Deployment)},
 			Dispatchers: 2, Seed: script.World.Seed}
-		p.Delay = func() seam.Micros {
+		p.Delay = func() eventloop.Micros {
 			if at >= depthNow {
 				return 0
 			}
@@ -65,7 +65,7 @@
 				met[state] = true
 			}
 			at++
-			return seam.Micros(choices[at-1]) * late
+			return eventloop.Micros(choices[at-1]) * late
 		}
 		v, left, _, err := p.Virtual(0)
 		if err != nil {
--- a/internal/explore/plants.go
+++ b/internal/explore/plants.go
@@ -5,9 +5,9 @@
 
 	"plumspindle/choice"
 	"plumspindle/internal/dispatch"
+	"plumspindle/internal/eventloop"
 	"plumspindle/internal/lab/days"
 	"plumspindle/internal/roster"
-	"plumspindle/internal/seam"
 	"plumspindle/internal/virtual"
 )
 
@@ -70,18 +70,18 @@
 	*virtual.Loop
 	timers int
 	lose   int // of so many timers one is never heard of
-	write  func(c seam.Conn, b []byte)
+	write  func(c eventloop.Conn, b []byte)
 }
 
-func (l *loop) After(span seam.Micros, f func()) seam.Timer {
+func (l *loop) After(span eventloop.Micros, f func()) eventloop.Timer {
 	if l.timers++; l.lose > 0 && l.timers%l.lose == 0 {
 		f = func() {}
 	}
 	return l.Loop.After(span, f)
 }
 
-func (l *loop) Listen(addr string, accept func(seam.Conn) seam.Handler) (seam.Listener, error) {
-	return l.Loop.Listen(addr, func(c seam.Conn) seam.Handler {
+func (l *loop) Listen(addr string, accept func(eventloop.Conn) eventloop.Handler) (eventloop.Listener, error) {
+	return l.Loop.Listen(addr, func(c eventloop.Conn) eventloop.Handler {
 		if l.write == nil {
 			return accept(c)
 		}
@@ -90,8 +90,8 @@
 }
 
 type conn struct {
-	seam.Conn
-	write func(c seam.Conn, b []byte)
+	eventloop.Conn
+	write func(c eventloop.Conn, b []byte)
 }
 
 func (c *conn) Write(b []byte) { c.write(c.Conn, b) }
@@ -115,7 +115,7 @@
 }
 
 func looped(name string, change func(*loop)) *days.Plant {
-	return &days.Plant{Name: name, Loop: func(v *virtual.Loop) seam.Loop {
+	return &days.Plant{Name: name, Loop: func(v *virtual.Loop) eventloop.Loop {
 		l := &loop{Loop: v}
 		change(l)
 		return l
@@ -138,7 +138,7 @@
 		ordered("a throttling is forgotten", func(o *orders) { o.throttle = func(choice.GenID, choice.Micros) {} }),
 		ordered("a termination is forgotten", func(o *orders) { o.terminate = func(choice.GenID) {} }),
 		ordered("throttled in place of terminated", func(o *orders) {
-			o.terminate = func(g choice.GenID) { o.Orders.Throttle(g, 200*seam.Millisecond) }
+			o.terminate = func(g choice.GenID) { o.Orders.Throttle(g, 200*eventloop.Millisecond) }
 		}),
 		ordered("a cancel is forgotten", func(o *orders) { o.cancel = func(choice.GenID, choice.LegNo) {} }),
 		ordered("the beat stops", func(o *orders) {
@@ -200,7 +200,7 @@
 		}),
 		looped("one timer in two hundred is lost", func(l *loop) { l.lose = 200 }),
 		looped("the end of a stream is sent twice", func(l *loop) {
-			l.write = func(c seam.Conn, b []byte) {
+			l.write = func(c eventloop.Conn, b []byte) {
 				c.Write(b)
 				if bytes.Contains(b, final) {
 					c.Write(b)
@@ -209,7 +209,7 @@
 		}),
 		looped("a stream loses what is in one write of fifty", func(l *loop) {
 			n := 0
-			l.write = func(c seam.Conn, b []byte) {
+			l.write = func(c eventloop.Conn, b []byte) {
 				if n++; n%50 != 0 {
 					c.Write(b)
 				}
@@ -217,7 +217,7 @@
 		}),
 		looped("what is sent is sent again now and then", func(l *loop) {
 			n := 0
-			l.write = func(c seam.Conn, b []byte) {
+			l.write = func(c eventloop.Conn, b []byte) {
 				c.Write(b)
 				if n++; n%40 == 0 {
 					c.Write(b)
--- a/internal/front/front.go
+++ b/internal/front/front.go
@@ -11,21 +11,21 @@
 	"strconv"
 	"strings"
 
+	"plumspindle/internal/eventloop"
 	"plumspindle/internal/http1"
-	"plumspindle/internal/seam"
 	"plumspindle/internal/sse"
 )
 
 // Patience is how long the front waits for a client, and what it buffers for it.
 type Patience struct {
-	Message seam.Micros // for a request, from its first byte to its last
-	Idle    seam.Micros // for the next request
-	Stall   seam.Micros // for a client that reads nothing of what is sent
-	Unsent  int         // bytes of an answer kept for a slow client; past it the writer is slowed
+	Message eventloop.Micros // for a request, from its first byte to its last
+	Idle    eventloop.Micros // for the next request
+	Stall   eventloop.Micros // for a client that reads nothing of what is sent
+	Unsent  int              // bytes of an answer kept for a slow client; past it the writer is slowed
 }
 
 // UsualPatience suits clients near by.
-var UsualPatience = Patience{Message: 10 * seam.Second, Idle: 75 * seam.Second, Stall: 10 * seam.Second, Unsent: 64 << 10}
+var UsualPatience = Patience{Message: 10 * eventloop.Second, Idle: 75 * eventloop.Second, Stall: 10 * eventloop.Second, Unsent: 64 << 10}
 
 // Service is what stands behind the front.
 type Service interface {
@@ -114,7 +114,7 @@
 
 // Front takes connections of clients.
 type Front struct {
-	loop     seam.Loop
+	loop     eventloop.Loop
 	service  Service
 	routes   map[string]Route
 	bounds   http1.Bounds
@@ -136,7 +136,7 @@
 }
 
 // New makes one; its Accept goes to Listen. Routes are by path; one that ends in a slash takes all paths below it.
-func New(loop seam.Loop, service Service, routes map[string]Route, bounds http1.Bounds, patience Patience) *Front {
+func New(loop eventloop.Loop, service Service, routes map[string]Route, bounds http1.Bounds, patience Patience) *Front {
 	f := &Front{loop: loop, service: service, routes: routes, bounds: bounds, patience: patience, clients: map[*client]bool{}}
 	f.bounds.BodyOf = func(target string) int {
 		if r, some := f.route(target); some && r.Body > 0 {
@@ -157,7 +157,7 @@
 }
 
 // Accept is for the listener.
-func (f *Front) Accept(c seam.Conn) seam.Handler {
+func (f *Front) Accept(c eventloop.Conn) eventloop.Handler {
 	return &client{front: f, conn: c, parser: http1.Parser{Bounds: f.bounds}}
 }
 
@@ -174,18 +174,18 @@
 // client is one connection of a client, with one request at a time.
 type client struct {
 	front  *Front
-	conn   seam.Conn
+	conn   eventloop.Conn
 	parser http1.Parser
 	head   *http1.Head
 	sink   Sink
 	refuse *Problem // what the request will be answered with, once it has come
 	came   int      // bytes of its body since its time was last drawn out
 	reply  *Reply
-	waits  seam.Wait
+	waits  eventloop.Wait
 	out    []byte
 	over   bool // nothing more is read
 	no     uint64
-	idle   seam.Micros // since when it has waited for a request
+	idle   eventloop.Micros // since when it has waited for a request
 }
 
 func (c *client) Opened() {
@@ -301,10 +301,10 @@
 }
 
 // idleLeast is how long a connection has waited for a request before it makes way for others.
-const idleLeast = seam.Second
+const idleLeast = eventloop.Second
 
 // busyFor is how long a connection that is not served may take to read why.
-const busyFor = 200 * seam.Millisecond
+const busyFor = 200 * eventloop.Millisecond
 
 // drawOut is how much of a long body buys a whole message's time again.
 const drawOut = 1 << 20
@@ -646,22 +646,22 @@
 }
 
 // Refused is the final answer of a generation that its tenant's limits don't let in; nothing has run.
-func (r *Reply) Refused(why string, comeBack seam.Micros) {
+func (r *Reply) Refused(why string, comeBack eventloop.Micros) {
 	p := &Problem{Status: 429, Type: "rate_limit_error", Code: "rate_limit_exceeded", Message: "Rate limit reached: " + why + "."}
 	r.end(p, backFields(comeBack)...)
 }
 
-func backFields(comeBack seam.Micros) []string {
+func backFields(comeBack eventloop.Micros) []string {
 	if comeBack <= 0 {
-		comeBack = 200 * seam.Millisecond
+		comeBack = 200 * eventloop.Millisecond
 	}
-	return []string{"Retry-After", strconv.FormatInt(int64((comeBack+seam.Second-1)/seam.Second), 10),
-		"retry-after-ms", strconv.FormatInt(int64((comeBack+seam.Millisecond-1)/seam.Millisecond), 10)}
+	return []string{"Retry-After", strconv.FormatInt(int64((comeBack+eventloop.Second-1)/eventloop.Second), 10),
+		"retry-after-ms", strconv.FormatInt(int64((comeBack+eventloop.Millisecond-1)/eventloop.Millisecond), 10)}
 }
 
 // Throttled is the final answer of a generation that did nothing and may come again, after a while if one is
 // given.
-func (r *Reply) Throttled(comeBack seam.Micros) {
+func (r *Reply) Throttled(comeBack eventloop.Micros) {
 	r.end(Crowded(), backFields(comeBack)...)
 }
 
--- a/internal/lab/days/days.go
+++ b/internal/lab/days/days.go
@@ -24,12 +24,12 @@
 
 	"plumspindle/internal/deployment"
 	"plumspindle/internal/deployment/pb"
+	"plumspindle/internal/eventloop"
 	"plumspindle/internal/lab/audit"
 	"plumspindle/internal/lab/hosts"
 	"plumspindle/internal/lab/load"
 	"plumspindle/internal/lab/record"
 	"plumspindle/internal/path"
-	"plumspindle/internal/seam"
 	"plumspindle/internal/sockets"
 	"plumspindle/internal/tenancy"
 	"plumspindle/internal/virtual"
@@ -73,12 +73,12 @@
 	Intents     bool           // dispatchers keep intents across their lives
 	Used        []tenancy.Used // what the dispatchers say was used, after a virtual day
 	Batches     []*load.Batches
-	Begun       func(addrs []string) // over sockets: told where the dispatchers are, once the load has begun
-	Plant       *Plant               // virtual days only, as what follows
-	Watch       func()               // called after each step
-	Delay       func() seam.Micros   // how much longer each piece is on its way, once the load has begun
-	Steps       int                  // of the world
-	Reached     []path.Reached       // by each dispatcher's last life
+	Begun       func(addrs []string)    // over sockets: told where the dispatchers are, once the load has begun
+	Plant       *Plant                  // virtual days only, as what follows
+	Watch       func()                  // called after each step
+	Delay       func() eventloop.Micros // how much longer each piece is on its way, once the load has begun
+	Steps       int                     // of the world
+	Reached     []path.Reached          // by each dispatcher's last life
 
 	world *virtual.World
 	all   []*lives
@@ -99,14 +99,14 @@
 
 // place is a loop as a day needs it, over sockets or in virtual time.
 type place interface {
-	seam.Loop
+	eventloop.Loop
 	Do(f func())
 	Post(f func())
 }
 
 // server is one dispatcher of a day.
 type server interface {
-	crash(ctx context.Context, back seam.Micros)
+	crash(ctx context.Context, back eventloop.Micros)
 	// squeeze leaves it so many descriptors beyond those that it has open, until the call that it gives.
 	squeeze(left int) (undo func())
 }
@@ -291,14 +291,14 @@
 				}
 			}
 			p.Batches = append(p.Batches, l)
-			p.crowdAt.After(seam.Micros(b.FromMs)*seam.Millisecond, l.Run)
+			p.crowdAt.After(eventloop.Micros(b.FromMs)*eventloop.Millisecond, l.Run)
 			if b.ForMs > 0 {
-				p.crowdAt.After(seam.Micros(b.FromMs+b.ForMs)*seam.Millisecond, l.Stop)
+				p.crowdAt.After(eventloop.Micros(b.FromMs+b.ForMs)*eventloop.Millisecond, l.Stop)
 			}
 		})
 	}
 	for _, t := range p.Script.Troubles {
-		after := seam.Micros(t.AtMs) * seam.Millisecond
+		after := eventloop.Micros(t.AtMs) * eventloop.Millisecond
 		p.fleetAt.Do(func() { p.fleetAt.After(after, func() { p.trouble(ctx, t) }) })
 	}
 }
@@ -397,7 +397,7 @@
 }
 
 // crash kills the process outright and brings it back after a while.
-func (pr *process) crash(ctx context.Context, back seam.Micros) {
+func (pr *process) crash(ctx context.Context, back eventloop.Micros) {
 	p := pr.play
 	at := int64(p.fleetAt.Now())
 	_ = pr.cmd.Process.Kill()
@@ -468,10 +468,10 @@
 
 // --- Troubles ---
 
-type effect func(p *Play, ctx context.Context, t *pb.Day_Trouble, span seam.Micros, picked []*hosts.Host)
+type effect func(p *Play, ctx context.Context, t *pb.Day_Trouble, span eventloop.Micros, picked []*hosts.Host)
 
-func each(f func(h *hosts.Host, t *pb.Day_Trouble, span seam.Micros)) effect {
-	return func(_ *Play, _ context.Context, t *pb.Day_Trouble, span seam.Micros, picked []*hosts.Host) {
+func each(f func(h *hosts.Host, t *pb.Day_Trouble, span eventloop.Micros)) effect {
+	return func(_ *Play, _ context.Context, t *pb.Day_Trouble, span eventloop.Micros, picked []*hosts.Host) {
 		for _, h := range picked {
 			f(h, t, span)
 		}
@@ -480,7 +480,7 @@
 
 // crowdChange alters what clients do, for a while.
 func crowdChange(change func(c *load.Crowd, t *pb.Day_Trouble) (undo func())) effect {
-	return func(p *Play, _ context.Context, t *pb.Day_Trouble, span seam.Micros, _ []*hosts.Host) {
+	return func(p *Play, _ context.Context, t *pb.Day_Trouble, span eventloop.Micros, _ []*hosts.Host) {
 		p.crowdAt.Post(func() {
 			undo := change(p.crowd, t)
 			p.crowdAt.After(span, undo)
@@ -489,23 +489,23 @@
 }
 
 var troubles = map[string]effect{
-	"crash":        each(func(h *hosts.Host, _ *pb.Day_Trouble, span seam.Micros) { h.Crash(span) }),
-	"vanish":       each(func(h *hosts.Host, _ *pb.Day_Trouble, span seam.Micros) { h.Vanish(span) }),
-	"hang":         each(func(h *hosts.Host, _ *pb.Day_Trouble, span seam.Micros) { h.Hang(span) }),
-	"pauses":       each(func(h *hosts.Host, _ *pb.Day_Trouble, span seam.Micros) { h.Pause(span) }),
-	"mass_restart": each(func(h *hosts.Host, _ *pb.Day_Trouble, span seam.Micros) { h.Crash(span) }),
-	"flush":        each(func(h *hosts.Host, _ *pb.Day_Trouble, _ seam.Micros) { h.Flush() }),
-	"drain":        each(func(h *hosts.Host, _ *pb.Day_Trouble, span seam.Micros) { h.Drain(span, span) }),
-	"slow":         each(func(h *hosts.Host, t *pb.Day_Trouble, span seam.Micros) { h.Slow(max(t.Factor, 1), span) }),
-	"neighbour":    each(func(h *hosts.Host, t *pb.Day_Trouble, span seam.Micros) { h.Slow(max(t.Factor, 1), span) }),
-	"fast_errors":  each(func(h *hosts.Host, t *pb.Day_Trouble, span seam.Micros) { h.Err(t.Factor, span) }),
-	"handshake_slow": each(func(h *hosts.Host, t *pb.Day_Trouble, span seam.Micros) {
-		h.Greet(seam.Micros(t.Factor*float64(seam.Millisecond)), span)
+	"crash":        each(func(h *hosts.Host, _ *pb.Day_Trouble, span eventloop.Micros) { h.Crash(span) }),
+	"vanish":       each(func(h *hosts.Host, _ *pb.Day_Trouble, span eventloop.Micros) { h.Vanish(span) }),
+	"hang":         each(func(h *hosts.Host, _ *pb.Day_Trouble, span eventloop.Micros) { h.Hang(span) }),
+	"pauses":       each(func(h *hosts.Host, _ *pb.Day_Trouble, span eventloop.Micros) { h.Pause(span) }),
+	"mass_restart": each(func(h *hosts.Host, _ *pb.Day_Trouble, span eventloop.Micros) { h.Crash(span) }),
+	"flush":        each(func(h *hosts.Host, _ *pb.Day_Trouble, _ eventloop.Micros) { h.Flush() }),
+	"drain":        each(func(h *hosts.Host, _ *pb.Day_Trouble, span eventloop.Micros) { h.Drain(span, span) }),
+	"slow":         each(func(h *hosts.Host, t *pb.Day_Trouble, span eventloop.Micros) { h.Slow(max(t.Factor, 1), span) }),
+	"neighbour":    each(func(h *hosts.Host, t *pb.Day_Trouble, span eventloop.Micros) { h.Slow(max(t.Factor, 1), span) }),
+	"fast_errors":  each(func(h *hosts.Host, t *pb.Day_Trouble, span eventloop.Micros) { h.Err(t.Factor, span) }),
+	"handshake_slow": each(func(h *hosts.Host, t *pb.Day_Trouble, span eventloop.Micros) {
+		h.Greet(eventloop.Micros(t.Factor*float64(eventloop.Millisecond)), span)
 	}),
-	"report_late": each(func(h *hosts.Host, t *pb.Day_Trouble, span seam.Micros) {
-		h.Report(seam.Micros(t.Factor*float64(seam.Second)), span)
+	"report_late": each(func(h *hosts.Host, t *pb.Day_Trouble, span eventloop.Micros) {
+		h.Report(eventloop.Micros(t.Factor*float64(eventloop.Second)), span)
 	}),
-	"throttle": func(p *Play, _ context.Context, t *pb.Day_Trouble, span seam.Micros, picked []*hosts.Host) {
+	"throttle": func(p *Play, _ context.Context, t *pb.Day_Trouble, span eventloop.Micros, picked []*hosts.Host) {
 		product := t.Product
 		if product == "" {
 			product = p.Deployment.Products[0].Name
@@ -514,21 +514,21 @@
 			h.Full(product, span)
 		}
 	},
-	"zone_cut": func(p *Play, _ context.Context, t *pb.Day_Trouble, span seam.Micros, _ []*hosts.Host) {
+	"zone_cut": func(p *Play, _ context.Context, t *pb.Day_Trouble, span eventloop.Micros, _ []*hosts.Host) {
 		zone := t.Zone
 		if zone == "" {
 			zone = p.Deployment.Zones[len(p.Deployment.Zones)-1]
 		}
 		p.fleet.Cut(zone, span)
 	},
-	"balancer_crash": func(p *Play, ctx context.Context, t *pb.Day_Trouble, span seam.Micros, _ []*hosts.Host) {
+	"balancer_crash": func(p *Play, ctx context.Context, t *pb.Day_Trouble, span eventloop.Micros, _ []*hosts.Host) {
 		n := max(int(t.Share*float64(len(p.servers))+0.5), 1)
 		for _, i := range p.rand.Perm(len(p.servers))[:min(n, len(p.servers))] {
 			p.servers[i].crash(ctx, span)
 		}
 	},
 	// Dispatchers have but a few descriptors beyond those that they have open.
-	"descriptors": func(p *Play, _ context.Context, t *pb.Day_Trouble, span seam.Micros, _ []*hosts.Host) {
+	"descriptors": func(p *Play, _ context.Context, t *pb.Day_Trouble, span eventloop.Micros, _ []*hosts.Host) {
 		n := max(int(t.Share*float64(len(p.servers))+0.5), 1)
 		for _, i := range p.rand.Perm(len(p.servers))[:min(n, len(p.servers))] {
 			p.fleetAt.After(span, p.servers[i].squeeze(int(t.Factor)))
@@ -575,10 +575,10 @@
 		share = 0.25
 	}
 	if only, some := inVirtualTime[t.Kind]; some && p.world != nil {
-		only(p, t, seam.Micros(t.ForMs)*seam.Millisecond)
+		only(p, t, eventloop.Micros(t.ForMs)*eventloop.Millisecond)
 		return
 	}
-	troubles[t.Kind](p, ctx, t, seam.Micros(t.ForMs)*seam.Millisecond, p.fleet.Pick(t.HostKind, share))
+	troubles[t.Kind](p, ctx, t, eventloop.Micros(t.ForMs)*eventloop.Millisecond, p.fleet.Pick(t.HostKind, share))
 }
 
 // builtin are the days that come with the program: one for each sort of trouble, a quiet and a bad one.
--- a/internal/lab/days/restart.go
+++ b/internal/lab/days/restart.go
@@ -4,18 +4,18 @@
 	"context"
 	"errors"
 
+	"plumspindle/internal/eventloop"
 	"plumspindle/internal/lab/audit"
 	"plumspindle/internal/lab/hosts"
 	"plumspindle/internal/lab/load"
 	"plumspindle/internal/lab/record"
-	"plumspindle/internal/seam"
 	"plumspindle/internal/virtual"
 )
 
 // Restart plays one restart of all dispatchers in virtual time: they keep their lists, die together, and come back after a
 // while in which a share of the hosts has been replaced by others elsewhere, with discovery answering or not. The script's
 // seconds and rate are those after the return.
-func (p *Play) Restart(away seam.Micros, replaced float64, discovery bool) (v *audit.Verdict, left int, err error) {
+func (p *Play) Restart(away eventloop.Micros, replaced float64, discovery bool) (v *audit.Verdict, left int, err error) {
 	text := p.prepare()
 	if p.book, err = openRecord(p.Record, text); err != nil {
 		return nil, 0, err
@@ -38,7 +38,7 @@
 		all = append(all, l)
 		targets = append(targets, l.target)
 	}
-	w.Run(3 * seam.Second) // for the list, and for its keeping
+	w.Run(3 * eventloop.Second) // for the list, and for its keeping
 	for _, l := range all {
 		if len(l.kept) == 0 {
 			return nil, 0, errors.New("a dispatcher kept no list")
@@ -63,10 +63,10 @@
 		}
 	}
 	p.begin(context.Background(), targets)
-	w.Run(seam.Micros(p.Script.Seconds) * seam.Second)
+	w.Run(eventloop.Micros(p.Script.Seconds) * eventloop.Second)
 	crowdAt.Do(p.crowd.Stop)
-	w.Until(seam.Micros(endWithin.Microseconds()), func() bool { return p.crowd.Open == 0 })
-	w.Run(seam.Second)
+	w.Until(eventloop.Micros(endWithin.Microseconds()), func() bool { return p.crowd.Open == 0 })
+	w.Run(eventloop.Second)
 	for _, l := range all {
 		left += l.x.Running()
 	}
--- a/internal/lab/days/virtual.go
+++ b/internal/lab/days/virtual.go
@@ -9,11 +9,11 @@
 
 	"plumspindle/internal/deployment/pb"
 	"plumspindle/internal/dispatch"
+	"plumspindle/internal/eventloop"
 	"plumspindle/internal/lab/audit"
 	"plumspindle/internal/lab/hosts"
 	"plumspindle/internal/lab/load"
 	"plumspindle/internal/lab/record"
-	"plumspindle/internal/seam"
 	"plumspindle/internal/store"
 	"plumspindle/internal/virtual"
 )
@@ -27,9 +27,9 @@
 	loop   *virtual.Loop
 	x      *dispatch.Dispatcher
 	kept   []byte
-	skew   seam.Micros
+	skew   eventloop.Micros
 	down   bool
-	back   seam.Micros // it can do nothing before this
+	back   eventloop.Micros // it can do nothing before this
 	folder *virtual.Folder
 }
 
@@ -40,7 +40,7 @@
 	name := fmt.Sprintf("d%d.%d", l.no, l.n)
 	l.loop = l.world.Loop(name)
 	l.loop.Step(l.skew)
-	var at seam.Loop = l.loop
+	var at eventloop.Loop = l.loop
 	if p.Plant != nil && p.Plant.Loop != nil {
 		at = p.Plant.Loop(l.loop)
 	}
@@ -68,7 +68,7 @@
 	return err
 }
 
-func (l *lives) crash(_ context.Context, back seam.Micros) {
+func (l *lives) crash(_ context.Context, back eventloop.Micros) {
 	p := l.play
 	if l.down {
 		return
@@ -102,7 +102,7 @@
 	w := virtual.New(p.Seed)
 	w.Segment = segment
 	if v := p.Script.World; v != nil {
-		w.Latency, w.Segment = max(seam.Micros(v.LatencyUs), 1), int(v.Segment)
+		w.Latency, w.Segment = max(eventloop.Micros(v.LatencyUs), 1), int(v.Segment)
 	}
 	p.world = w
 	p.book.Add(record.Event{At: int64(w.Now()), What: "world", N: int64(w.Latency)})
@@ -124,14 +124,14 @@
 		p.servers = append(p.servers, l)
 		targets = append(targets, l.target)
 	}
-	w.Run(100 * seam.Millisecond)
+	w.Run(100 * eventloop.Millisecond)
 	p.all = all
 	w.Watch, w.Delay = p.Watch, p.Delay
 	p.begin(context.Background(), targets)
-	w.Run(seam.Micros(p.Script.Seconds) * seam.Second)
+	w.Run(eventloop.Micros(p.Script.Seconds) * eventloop.Second)
 	crowdAt.Do(p.stop)
-	w.Until(seam.Micros(endWithin.Microseconds()), func() bool { return p.open() == 0 })
-	w.Run(seam.Second) // what was held is let go by then
+	w.Until(eventloop.Micros(endWithin.Microseconds()), func() bool { return p.open() == 0 })
+	w.Run(eventloop.Second) // what was held is let go by then
 	p.Steps = w.Steps
 	for _, l := range all {
 		p.Reached = append(p.Reached, l.x.Reached)
@@ -154,7 +154,7 @@
 // Check asks each dispatcher that lives whether its own state is what it should be.
 func (p *Play) Check() error {
 	for _, l := range p.all {
-		if l.down || l.world.Now() < l.back+100*seam.Millisecond {
+		if l.down || l.world.Now() < l.back+100*eventloop.Millisecond {
 			continue
 		}
 		if err := l.x.Check(); err != nil {
@@ -179,7 +179,7 @@
 type Plant struct {
 	Name       string
 	Dispatcher func() *dispatch.Plant
-	Loop       func(*virtual.Loop) seam.Loop
+	Loop       func(*virtual.Loop) eventloop.Loop
 	Folder     func(*virtual.Folder)
 	Play       func(*Play)
 }
@@ -192,7 +192,7 @@
 }
 
 // away notes that a dispatcher can't do what it owes for a while: it stands still, or is cut off from its hosts.
-func (l *lives) away(how string, span seam.Micros) {
+func (l *lives) away(how string, span eventloop.Micros) {
 	l.back = max(l.back, l.world.Now()+span)
 	l.play.book.Add(record.Event{At: int64(l.world.Now()), What: "away", Dispatcher: l.target.Name, How: how, N: int64(span)})
 }
@@ -207,20 +207,20 @@
 }
 
 // Troubles that need a world in virtual time.
-var inVirtualTime = map[string]func(p *Play, t *pb.Day_Trouble, span seam.Micros){
+var inVirtualTime = map[string]func(p *Play, t *pb.Day_Trouble, span eventloop.Micros){
 	// One dispatcher dies between two things that happen, wherever that is.
-	"kill_at": func(p *Play, t *pb.Day_Trouble, span seam.Micros) {
+	"kill_at": func(p *Play, t *pb.Day_Trouble, span eventloop.Micros) {
 		l := p.picked(0)[0]
-		p.world.AtStep(int(t.Step), func() { l.crash(context.Background(), max(span, seam.Millisecond)) })
+		p.world.AtStep(int(t.Step), func() { l.crash(context.Background(), max(span, eventloop.Millisecond)) })
 	},
-	"freeze": func(p *Play, t *pb.Day_Trouble, span seam.Micros) {
+	"freeze": func(p *Play, t *pb.Day_Trouble, span eventloop.Micros) {
 		for _, l := range p.picked(t.Share) {
 			l.away("stands", span)
 			l.loop.Freeze(span)
 		}
 	},
 	// One way between a dispatcher and all hosts is cut, the other is open.
-	"half_cut": func(p *Play, t *pb.Day_Trouble, span seam.Micros) {
+	"half_cut": func(p *Play, t *pb.Day_Trouble, span eventloop.Micros) {
 		hosts, _ := p.fleetAt.(*virtual.Loop)
 		for i, l := range p.picked(t.Share) {
 			l.away("cut", span)
@@ -232,33 +232,33 @@
 		}
 	},
 	// The machine's clock is set while a dispatcher is down: within its life its own time goes on evenly, whatever that clock does.
-	"clock_step": func(p *Play, t *pb.Day_Trouble, span seam.Micros) {
+	"clock_step": func(p *Play, t *pb.Day_Trouble, span eventloop.Micros) {
 		for _, l := range p.picked(t.Share) {
-			l.skew += seam.Micros(t.Factor * float64(seam.Second))
-			l.crash(context.Background(), max(span, seam.Millisecond))
+			l.skew += eventloop.Micros(t.Factor * float64(eventloop.Second))
+			l.crash(context.Background(), max(span, eventloop.Millisecond))
 		}
 	},
 	// Writes fail, and leave a part of themselves.
-	"disk_fault": func(p *Play, t *pb.Day_Trouble, span seam.Micros) {
+	"disk_fault": func(p *Play, t *pb.Day_Trouble, span eventloop.Micros) {
 		for _, l := range p.picked(t.Share) {
 			l.folder.Fault, l.folder.Torn = errors.New("input/output error"), true
 			p.fleetAt.After(span, func() { l.folder.Fault = nil })
 		}
 	},
 	// The disk has room for a few bytes more.
-	"disk_full": func(p *Play, t *pb.Day_Trouble, span seam.Micros) {
+	"disk_full": func(p *Play, t *pb.Day_Trouble, span eventloop.Micros) {
 		for _, l := range p.picked(t.Share) {
 			l.folder.Room = l.folder.Used() + int(t.Factor) + 1
 			p.fleetAt.After(span, func() { l.folder.Room = 0 })
 		}
 	},
 	// Each write takes so many seconds; 0.15 if none are given.
-	"slow_disk": func(p *Play, t *pb.Day_Trouble, span seam.Micros) {
+	"slow_disk": func(p *Play, t *pb.Day_Trouble, span eventloop.Micros) {
 		for _, l := range p.picked(t.Share) {
-			if l.folder.Sync = 150 * seam.Millisecond; t.Factor > 0 {
-				l.folder.Sync = seam.Micros(t.Factor * float64(seam.Second))
+			if l.folder.Sync = 150 * eventloop.Millisecond; t.Factor > 0 {
+				l.folder.Sync = eventloop.Micros(t.Factor * float64(eventloop.Second))
 			}
-			p.fleetAt.After(span, func() { l.folder.Sync = 2 * seam.Millisecond })
+			p.fleetAt.After(span, func() { l.folder.Sync = 2 * eventloop.Millisecond })
 		}
 	},
 }
--- a/internal/lab/hosts/fleet.go
+++ b/internal/lab/hosts/fleet.go
@@ -9,29 +9,29 @@
 
 	"plumspindle/internal/deployment"
 	"plumspindle/internal/deployment/pb"
+	"plumspindle/internal/eventloop"
 	"plumspindle/internal/lab/record"
 	"plumspindle/internal/roster"
-	"plumspindle/internal/seam"
 )
 
 // Fleet is a set of stand-in hosts on one loop, with their roster.
 type Fleet struct {
-	loop   seam.Loop
+	loop   eventloop.Loop
 	d      deployment.Deployment
 	rand   *rand.Rand
 	book   *record.Book
 	Hosts  []*Host
-	links  map[uint16]*seam.Micros // when the link out of a cell is next free
+	links  map[uint16]*eventloop.Micros // when the link out of a cell is next free
 	Roster *Roster
 }
 
 // Start brings up the whole fleet of a deployment, warm, with its roster if that has an address; it is called within the
 // loop.
-func Start(loop seam.Loop, d deployment.Deployment, seed int64, rosterAddr string, book *record.Book) (*Fleet, error) {
+func Start(loop eventloop.Loop, d deployment.Deployment, seed int64, rosterAddr string, book *record.Book) (*Fleet, error) {
 	if d.Fleet == nil {
 		return nil, deployment.ErrNoFleet
 	}
-	f := &Fleet{loop: loop, d: d, rand: rand.New(rand.NewSource(seed)), book: book, links: map[uint16]*seam.Micros{}}
+	f := &Fleet{loop: loop, d: d, rand: rand.New(rand.NewSource(seed)), book: book, links: map[uint16]*eventloop.Micros{}}
 	id := uint32(100)
 	for z, zone := range d.Zones {
 		cells := int(d.Fleet.CellsPerZone)
@@ -40,7 +40,7 @@
 				id += 1 + uint32(f.rand.Intn(7)) // ids carry no meaning
 				cell := uint16(z*cells + i%cells)
 				if f.links[cell] == nil {
-					f.links[cell] = new(seam.Micros)
+					f.links[cell] = new(eventloop.Micros)
 				}
 				h := &Host{fleet: f, ID: id, Zone: zone, Cell: cell, group: g, kind: kindOf(d, g.Kind), slow: 1}
 				f.Hosts = append(f.Hosts, h)
@@ -107,7 +107,7 @@
 }
 
 // Cut parts a zone from all others for a while: what crosses is neither answered nor read.
-func (f *Fleet) Cut(zone string, span seam.Micros) {
+func (f *Fleet) Cut(zone string, span eventloop.Micros) {
 	for _, h := range f.Hosts {
 		h.cut = zone
 	}
--- a/internal/lab/hosts/host.go
+++ b/internal/lab/hosts/host.go
@@ -11,9 +11,9 @@
 	"github.com/tidwall/gjson"
 
 	"plumspindle/internal/deployment/pb"
+	"plumspindle/internal/eventloop"
 	"plumspindle/internal/http1"
 	"plumspindle/internal/lab/record"
-	"plumspindle/internal/seam"
 	"plumspindle/internal/sse"
 )
 
@@ -30,8 +30,8 @@
 	alive    bool
 	draining bool
 	fallen   bool
-	started  seam.Micros // 0 = long ago
-	listener seam.Listener
+	started  eventloop.Micros // 0 = long ago
+	listener eventloop.Listener
 	conns    map[*hostConn]int // by the order of their opening
 	lastConn int
 	running  []*job
@@ -41,24 +41,24 @@
 	texts    map[uint64]int
 	used     int // tokens of memory
 	stepping bool
-	portFree seam.Micros
+	portFree eventloop.Micros
 	came     []arrival // work that reached it while it was cold
 
-	slow       float64     // times as long as usual
-	errs       float64     // share of legs that fail
-	hung       bool        // takes work and does none
-	frozen     bool        // does nothing at all
-	cut        string      // the zone that is parted from the rest
-	full       string      // a product that is turned away
-	greets     seam.Micros // how long a new connection waits before it is served
-	stale      seam.Micros // reports are refreshed only this often
+	slow       float64          // times as long as usual
+	errs       float64          // share of legs that fail
+	hung       bool             // takes work and does none
+	frozen     bool             // does nothing at all
+	cut        string           // the zone that is parted from the rest
+	full       string           // a product that is turned away
+	greets     eventloop.Micros // how long a new connection waits before it is served
+	stale      eventloop.Micros // reports are refreshed only this often
 	report     string
-	reportedAt seam.Micros
+	reportedAt eventloop.Micros
 	said       string // the last refusal, in words
 }
 
 type arrival struct {
-	at   seam.Micros
+	at   eventloop.Micros
 	work float64
 }
 
@@ -84,17 +84,17 @@
 // state is what a read left.
 type state struct {
 	tokens int
-	lease  seam.Timer
+	lease  eventloop.Timer
 	job    *job
 }
 
-func (h *Host) up(started seam.Micros) error {
+func (h *Host) up(started eventloop.Micros) error {
 	f := h.fleet
 	h.conns, h.states, h.gone, h.texts = map[*hostConn]int{}, map[string]*state{}, map[string]bool{}, map[uint64]int{}
 	h.running, h.waiting, h.used, h.came, h.portFree = nil, nil, 0, nil, 0
 	h.alive, h.draining, h.frozen, h.hung, h.errs, h.slow, h.started = true, false, false, false, 0, 1, started
 	h.stepping = false
-	listener, err := f.loop.Listen("127.0.0.1:0", func(c seam.Conn) seam.Handler {
+	listener, err := f.loop.Listen("127.0.0.1:0", func(c eventloop.Conn) eventloop.Handler {
 		hc := &hostConn{host: h, conn: c, parser: http1.Parser{Bounds: http1.Bounds{Head: 64 << 10, Fields: 100, Body: 64 << 20}}}
 		return hc
 	})
@@ -130,7 +130,7 @@
 // --- Troubles ---
 
 // Crash kills the host; it comes back cold, or never if the span is 0.
-func (h *Host) Crash(back seam.Micros) {
+func (h *Host) Crash(back eventloop.Micros) {
 	h.down()
 	h.fleet.changed(h, "gone")
 	if back > 0 {
@@ -143,19 +143,19 @@
 }
 
 // Vanish makes it silent, without a reset; then it comes back cold.
-func (h *Host) Vanish(span seam.Micros) {
+func (h *Host) Vanish(span eventloop.Micros) {
 	h.frozen = true
-	h.fleet.loop.After(span, func() { h.Crash(100 * seam.Millisecond) })
+	h.fleet.loop.After(span, func() { h.Crash(100 * eventloop.Millisecond) })
 }
 
 // Hang has it take work and do none, then start anew.
-func (h *Host) Hang(span seam.Micros) {
+func (h *Host) Hang(span eventloop.Micros) {
 	h.hung = true
-	h.fleet.loop.After(span, func() { h.Crash(100 * seam.Millisecond) })
+	h.fleet.loop.After(span, func() { h.Crash(100 * eventloop.Millisecond) })
 }
 
 // Pause freezes it; it goes on as if nothing had been.
-func (h *Host) Pause(span seam.Micros) {
+func (h *Host) Pause(span eventloop.Micros) {
 	h.frozen = true
 	h.fleet.loop.After(span, func() {
 		h.frozen = false
@@ -164,31 +164,31 @@
 }
 
 // Slow makes all that it does take so many times as long.
-func (h *Host) Slow(factor float64, span seam.Micros) {
+func (h *Host) Slow(factor float64, span eventloop.Micros) {
 	h.slow = factor
 	h.fleet.loop.After(span, func() { h.slow = 1 })
 }
 
 // Err has it fail a share of its legs at once.
-func (h *Host) Err(share float64, span seam.Micros) {
+func (h *Host) Err(share float64, span eventloop.Micros) {
 	h.errs = share
 	h.fleet.loop.After(span, func() { h.errs = 0 })
 }
 
 // Full has it turn away one product for a while.
-func (h *Host) Full(product string, span seam.Micros) {
+func (h *Host) Full(product string, span eventloop.Micros) {
 	h.full = product
 	h.fleet.loop.After(span, func() { h.full = "" })
 }
 
 // Greet has new connections wait before they are served.
-func (h *Host) Greet(wait, span seam.Micros) {
+func (h *Host) Greet(wait, span eventloop.Micros) {
 	h.greets = wait
 	h.fleet.loop.After(span, func() { h.greets = 0 })
 }
 
 // Report has its load reports be old ones.
-func (h *Host) Report(age, span seam.Micros) {
+func (h *Host) Report(age, span eventloop.Micros) {
 	h.stale = age
 	h.fleet.loop.After(span, func() { h.stale = 0 })
 }
@@ -197,7 +197,7 @@
 func (h *Host) Flush() { clear(h.texts) }
 
 // Drain has it announced as draining, then replaced.
-func (h *Host) Drain(span, back seam.Micros) {
+func (h *Host) Drain(span, back eventloop.Micros) {
 	h.draining = true
 	h.fleet.changed(h, "draining")
 	h.fleet.loop.After(span, func() { h.Crash(back) })
@@ -228,7 +228,7 @@
 	v := 1 / h.slow
 	if age := h.fleet.loop.Now() - h.started; h.started > 0 {
 		r := h.fleet.d.Rules
-		warm := seam.Micros(r.ColdMs) * seam.Millisecond * 9 / 10
+		warm := eventloop.Micros(r.ColdMs) * eventloop.Millisecond * 9 / 10
 		if age < warm {
 			v *= r.ColdFrom + (1-r.ColdFrom)*float64(age)/float64(warm)
 		}
@@ -240,10 +240,10 @@
 func (h *Host) bear(work float64) {
 	r := h.fleet.d.Rules
 	now := h.fleet.loop.Now()
-	if h.started == 0 || now-h.started >= seam.Micros(r.ColdMs)*seam.Millisecond {
+	if h.started == 0 || now-h.started >= eventloop.Micros(r.ColdMs)*eventloop.Millisecond {
 		return
 	}
-	span := seam.Micros(r.FallMs) * seam.Millisecond
+	span := eventloop.Micros(r.FallMs) * eventloop.Millisecond
 	h.came = slices.DeleteFunc(h.came, func(a arrival) bool { return a.at < now-span })
 	h.came = append(h.came, arrival{now, work})
 	sum := 0.0
@@ -274,10 +274,10 @@
 	}
 	h.stepping = true
 	step := float64(h.group.StepUs) + float64(h.group.StepUsPerStream)*float64(len(h.running))
-	span := seam.Micros(step)
+	span := eventloop.Micros(step)
 	writes := slices.ContainsFunc(h.running, func(j *job) bool { return !j.reads && j.toRead == 0 })
 	if f := h.factor(); writes {
-		span = seam.Micros(step / f) // a slow writer's steps are longer; a slow reader's do less
+		span = eventloop.Micros(step / f) // a slow writer's steps are longer; a slow reader's do less
 	}
 	generation := h.started
 	h.fleet.loop.After(span, func() {
@@ -290,7 +290,7 @@
 }
 
 // step is one round of the batch: waiting work takes free slots, prompts are read on, each answer gets a token.
-func (h *Host) step(span seam.Micros) {
+func (h *Host) step(span eventloop.Micros) {
 	if h.frozen || h.hung {
 		return
 	}
@@ -363,7 +363,7 @@
 	}
 	h.fleet.note(h, "hold", j)
 	s := &state{tokens: j.prompt, job: j}
-	s.lease = h.fleet.loop.After(seam.Micros(h.fleet.d.Fleet.LeaseMs)*seam.Millisecond, func() { h.release(j.leg, "lease") })
+	s.lease = h.fleet.loop.After(eventloop.Micros(h.fleet.d.Fleet.LeaseMs)*eventloop.Millisecond, func() { h.release(j.leg, "lease") })
 	h.states[j.leg] = s
 	params := fmt.Sprintf(`{"do_remote_decode":false,"do_remote_prefill":true,"remote_engine_id":"%d","remote_block_ids":[%d],`+
 		`"remote_request_id":%q,"remote_addr":%q,"tokens":%d}`, h.ID, j.prompt/16, j.leg, h.Addr, j.prompt)
@@ -391,13 +391,13 @@
 func (h *Host) fetch(j *job) {
 	j.fetching = true
 	mover := &mover{h: h, j: j, parser: http1.Parser{Response: true, Bounds: http1.Usual}}
-	mover.conn = h.fleet.loop.Dial(j.fetchFrom, 500*seam.Millisecond, mover)
+	mover.conn = h.fleet.loop.Dial(j.fetchFrom, 500*eventloop.Millisecond, mover)
 }
 
 type mover struct {
 	h      *Host
 	j      *job
-	conn   seam.Conn
+	conn   eventloop.Conn
 	parser http1.Parser
 	status int
 	done   bool
@@ -454,7 +454,7 @@
 		}
 	}
 	now := f.loop.Now()
-	*free = max(*free, now) + seam.Micros(float64(s.tokens)/rate*1e6)
+	*free = max(*free, now) + eventloop.Micros(float64(s.tokens)/rate*1e6)
 	f.loop.After(*free-now, func() {
 		if !h.alive || c.away() {
 			return
@@ -578,7 +578,7 @@
 
 type hostConn struct {
 	host   *Host
-	conn   seam.Conn
+	conn   eventloop.Conn
 	parser http1.Parser
 	head   *http1.Head
 	body   []byte
--- a/internal/lab/hosts/roster.go
+++ b/internal/lab/hosts/roster.go
@@ -7,18 +7,18 @@
 	"strconv"
 
 	"plumspindle/choice"
+	"plumspindle/internal/eventloop"
 	"plumspindle/internal/http1"
 	"plumspindle/internal/lab/record"
 	"plumspindle/internal/roster"
-	"plumspindle/internal/seam"
 	"plumspindle/internal/sse"
 )
 
 // Roster pushes the list of hosts.
 type Roster struct {
-	loop     seam.Loop
+	loop     eventloop.Loop
 	book     *record.Book
-	listener seam.Listener
+	listener eventloop.Listener
 	epoch    string
 	version  uint64
 	entries  map[choice.HostID]roster.Entry
@@ -26,16 +26,16 @@
 	Addr     string
 }
 
-const heartbeat = 4 * seam.Second
+const heartbeat = 4 * eventloop.Second
 
 // NewRoster serves a list on an address.
-func NewRoster(loop seam.Loop, addr string, entries []roster.Entry, book *record.Book) (*Roster, error) {
+func NewRoster(loop eventloop.Loop, addr string, entries []roster.Entry, book *record.Book) (*Roster, error) {
 	r := &Roster{loop: loop, book: book, epoch: strconv.FormatInt(int64(loop.Now()), 36), version: 1, entries: map[choice.HostID]roster.Entry{}}
 	for _, e := range entries {
 		r.entries[e.ID] = e
 	}
 	var err error
-	r.listener, err = loop.Listen(addr, func(c seam.Conn) seam.Handler {
+	r.listener, err = loop.Listen(addr, func(c eventloop.Conn) eventloop.Handler {
 		return &watcher{roster: r, conn: c, parser: http1.Parser{Bounds: http1.Usual}}
 	})
 	if err != nil {
@@ -98,7 +98,7 @@
 // changed tells of a host's new condition, after a while.
 func (f *Fleet) changed(h *Host, condition string) {
 	e := h.Entry(condition)
-	f.loop.After(seam.Micros(f.rand.Int63n(int64(f.d.Fleet.RosterLateMs)*1000+1)), func() {
+	f.loop.After(eventloop.Micros(f.rand.Int63n(int64(f.d.Fleet.RosterLateMs)*1000+1)), func() {
 		if condition == "draining" && !h.alive {
 			return
 		}
@@ -113,7 +113,7 @@
 
 type watcher struct {
 	roster *Roster
-	conn   seam.Conn
+	conn   eventloop.Conn
 	parser http1.Parser
 	name   string
 	head   *http1.Head
--- a/internal/lab/load/batch.go
+++ b/internal/lab/load/batch.go
@@ -9,10 +9,10 @@
 	"github.com/tidwall/gjson"
 
 	"plumspindle/internal/deployment/pb"
+	"plumspindle/internal/eventloop"
 	"plumspindle/internal/http1"
 	"plumspindle/internal/lab/hosts"
 	"plumspindle/internal/lab/record"
-	"plumspindle/internal/seam"
 )
 
 // Batches are clients that ask for embeddings or rerankings, so many calls at once; each asks again when it was answered.
@@ -65,21 +65,21 @@
 	load   *Batches
 	id     string
 	inputs []string
-	since  seam.Micros
+	since  eventloop.Micros
 	tries  int
 }
 
 func (c *batchCall) try() {
 	b := c.load
 	crowd := b.Crowd
-	left := c.since + seam.Micros(b.Product.TimeLimitMs)*seam.Millisecond - crowd.loop.Now()
+	left := c.since + eventloop.Micros(b.Product.TimeLimitMs)*eventloop.Millisecond - crowd.loop.Now()
 	var near []*Target
 	for _, t := range crowd.Targets {
 		if t.Alive {
 			near = append(near, t)
 		}
 	}
-	if left < 50*seam.Millisecond || len(near) == 0 || c.tries >= 2*triesMost {
+	if left < 50*eventloop.Millisecond || len(near) == 0 || c.tries >= 2*triesMost {
 		c.over("unserved")
 		return
 	}
@@ -92,8 +92,8 @@
 	t := &batchTry{call: c, no: c.tries, name: target.Name, allow: left, parser: http1.Parser{Response: true, Bounds: http1.Usual}}
 	t.request = http1.AppendRequest(nil, "POST", path, target.Addr, []byte(body), "Content-Type", "application/json",
 		"Authorization", "Bearer "+crowd.Keys[b.Tenant], "x-client-request-id", c.id,
-		"x-time-limit-ms", strconv.FormatInt(int64(left/seam.Millisecond), 10), "Connection", "close")
-	t.conn = crowd.loop.Dial(target.Addr, 300*seam.Millisecond, t)
+		"x-time-limit-ms", strconv.FormatInt(int64(left/eventloop.Millisecond), 10), "Connection", "close")
+	t.conn = crowd.loop.Dial(target.Addr, 300*eventloop.Millisecond, t)
 }
 
 func (c *batchCall) over(how string) {
@@ -115,10 +115,10 @@
 	call    *batchCall
 	no      int
 	name    string
-	conn    seam.Conn
+	conn    eventloop.Conn
 	request []byte
-	allow   seam.Micros
-	timer   seam.Timer
+	allow   eventloop.Micros
+	timer   eventloop.Timer
 	parser  http1.Parser
 	head    *http1.Head
 	body    []byte
@@ -250,10 +250,10 @@
 		t.call.over(how)
 		return
 	}
-	wait := 100 * seam.Millisecond
+	wait := 100 * eventloop.Millisecond
 	if t.head != nil {
 		if ms, err := strconv.Atoi(t.head.Get("retry-after-ms")); err == nil {
-			wait = seam.Micros(ms) * seam.Millisecond
+			wait = eventloop.Micros(ms) * eventloop.Millisecond
 		}
 	}
 	t.call.load.Crowd.loop.After(wait, t.call.try)
--- a/internal/lab/load/load.go
+++ b/internal/lab/load/load.go
@@ -16,10 +16,10 @@
 
 	"plumspindle/internal/deployment"
 	"plumspindle/internal/deployment/pb"
+	"plumspindle/internal/eventloop"
 	"plumspindle/internal/http1"
 	"plumspindle/internal/lab/hosts"
 	"plumspindle/internal/lab/record"
-	"plumspindle/internal/seam"
 	"plumspindle/internal/sse"
 )
 
@@ -31,7 +31,7 @@
 
 // Crowd is all clients.
 type Crowd struct {
-	loop    seam.Loop
+	loop    eventloop.Loop
 	d       deployment.Deployment
 	rand    *rand.Rand
 	book    *record.Book
@@ -53,7 +53,7 @@
 }
 
 // New makes a crowd that does nothing until Run.
-func New(loop seam.Loop, d deployment.Deployment, seed int64, keys []string, targets []*Target, book *record.Book) *Crowd {
+func New(loop eventloop.Loop, d deployment.Deployment, seed int64, keys []string, targets []*Target, book *record.Book) *Crowd {
 	c := &Crowd{loop: loop, d: d, rand: rand.New(rand.NewSource(seed)), book: book, Targets: targets, Keys: keys,
 		Part: 0.5, texts: map[string][]string{}, WholeShare: 0.15}
 	for range d.Tenants {
@@ -95,7 +95,7 @@
 	if c.stopped {
 		return
 	}
-	c.loop.After(seam.Micros(-math.Log(1-c.rand.Float64())/max(c.Rate, 0.01)*1e6), func() {
+	c.loop.After(eventloop.Micros(-math.Log(1-c.rand.Float64())/max(c.Rate, 0.01)*1e6), func() {
 		if !c.stopped {
 			c.ask()
 			c.Run()
@@ -140,7 +140,7 @@
 	c.nextID++
 	c.Asked++
 	g := &want{crowd: c, session: s, id: "g" + strconv.Itoa(c.nextID), since: c.loop.Now(), whole: c.rand.Float64() < c.WholeShare}
-	g.limit = seam.Micros(s.product.TimeLimitMs) * seam.Millisecond
+	g.limit = eventloop.Micros(s.product.TimeLimitMs) * eventloop.Millisecond
 	g.most = int(s.product.MostTokens)
 	if g.whole {
 		g.most = min(g.most, 60) // a whole answer must fit into the client's time altogether
@@ -154,8 +154,8 @@
 	crowd   *Crowd
 	session *session
 	id      string
-	since   seam.Micros
-	limit   seam.Micros
+	since   eventloop.Micros
+	limit   eventloop.Micros
 	most    int
 	whole   bool
 	tries   int
@@ -179,12 +179,12 @@
 			}
 		}
 	}
-	if left < 50*seam.Millisecond || len(near) == 0 {
+	if left < 50*eventloop.Millisecond || len(near) == 0 {
 		g.over("unserved", 0, 0)
 		return
 	}
 	g.tries++
-	allow := seam.Micros(float64(left) * (c.Part + (1-c.Part)*c.rand.Float64()))
+	allow := eventloop.Micros(float64(left) * (c.Part + (1-c.Part)*c.rand.Float64()))
 	target := near[c.rand.Intn(len(near))]
 	keyed := c.Keyed && g.session.product.Effect != pb.Product_IDEMPOTENT
 	if keyed {
@@ -204,12 +204,12 @@
 	}
 	t.request = http1.AppendRequest(nil, "POST", "/v1/chat/completions", target.Addr, text, "Content-Type", "application/json",
 		"Authorization", "Bearer "+c.Keys[g.session.tenant], "x-client-request-id", g.id,
-		"x-time-limit-ms", strconv.FormatInt(int64(allow/seam.Millisecond), 10), "Connection", "close", "Idempotency-Key", key)
-	t.conn = c.loop.Dial(target.Addr, 300*seam.Millisecond, t)
+		"x-time-limit-ms", strconv.FormatInt(int64(allow/eventloop.Millisecond), 10), "Connection", "close", "Idempotency-Key", key)
+	t.conn = c.loop.Dial(target.Addr, 300*eventloop.Millisecond, t)
 }
 
 // over ends a generation for its client.
-func (g *want) over(how string, first, pace seam.Micros) {
+func (g *want) over(how string, first, pace eventloop.Micros) {
 	c := g.crowd
 	c.Open--
 	p := g.session.product
@@ -217,10 +217,10 @@
 	for _, m := range g.session.messages {
 		prompt += len(m["content"]) / 4
 	}
-	slo := seam.Micros(p.SloMs)*seam.Millisecond + seam.Micros(float64(p.SloMsPer_1000Tokens)*float64(prompt))
+	slo := eventloop.Micros(p.SloMs)*eventloop.Millisecond + eventloop.Micros(float64(p.SloMsPer_1000Tokens)*float64(prompt))
 	e := record.Event{At: int64(c.loop.Now()), What: "over", Gen: g.id, How: how, Product: p.Name,
 		Tenant: c.d.Tenants[g.session.tenant].Name, N: int64(first), Try: g.tries}
-	e.Exact = how == "streamed" && first <= slo && pace <= seam.Micros(p.TokenSloMs)*seam.Millisecond
+	e.Exact = how == "streamed" && first <= slo && pace <= eventloop.Micros(p.TokenSloMs)*eventloop.Millisecond
 	c.book.Add(e)
 	if s := g.session; how == "streamed" && s.turns > 1 {
 		s.turns--
@@ -234,17 +234,17 @@
 	want    *want
 	no      int
 	name    string // of the dispatcher
-	conn    seam.Conn
+	conn    eventloop.Conn
 	request []byte
-	allow   seam.Micros
-	began   seam.Micros
-	timer   seam.Timer
+	allow   eventloop.Micros
+	began   eventloop.Micros
+	timer   eventloop.Timer
 	parser  http1.Parser
 	events  sse.Parser
 	head    *http1.Head
 	body    []byte
-	first   seam.Micros
-	last    seam.Micros
+	first   eventloop.Micros
+	last    eventloop.Micros
 	tokens  int
 	exact   bool
 	ended   bool // the final answer is here
@@ -383,14 +383,14 @@
 	}
 	g, c := t.want, t.want.crowd
 	if how == "streamed" {
-		pace := seam.Micros(0)
+		pace := eventloop.Micros(0)
 		if t.tokens > 1 && !g.whole {
-			pace = (t.last - t.first) / seam.Micros(t.tokens-1)
+			pace = (t.last - t.first) / eventloop.Micros(t.tokens-1)
 		}
 		first := t.first - g.since
 		if g.whole {
 			// What a whole answer took before its first token isn't seen; the time of the rest is taken off at the stated pace.
-			first = max(first-seam.Micros(t.tokens)*seam.Micros(g.session.product.TokenSloMs)*seam.Millisecond, 1)
+			first = max(first-eventloop.Micros(t.tokens)*eventloop.Micros(g.session.product.TokenSloMs)*eventloop.Millisecond, 1)
 		}
 		g.over("streamed", first, pace)
 		return
@@ -403,10 +403,10 @@
 		g.over(how, 0, 0)
 		return
 	}
-	wait := 100*seam.Millisecond + seam.Micros(c.rand.Int63n(200_000))
+	wait := 100*eventloop.Millisecond + eventloop.Micros(c.rand.Int63n(200_000))
 	if t.head != nil {
 		if ms, err := strconv.Atoi(t.head.Get("retry-after-ms")); err == nil {
-			wait = seam.Micros(ms) * seam.Millisecond
+			wait = eventloop.Micros(ms) * eventloop.Millisecond
 		}
 	}
 	c.loop.After(wait, g.try)
--- a/internal/platform/discovery/discovery.go
+++ b/internal/platform/discovery/discovery.go
@@ -10,20 +10,20 @@
 	"github.com/tidwall/gjson"
 
 	"plumspindle/choice"
-	"plumspindle/internal/seam"
+	"plumspindle/internal/eventloop"
 	"plumspindle/internal/subscribe"
 )
 
 // What a watch that fell silent misses counts as told 6 s later, and so does what could have been had after a call that failed. The
 // agent shows every two seconds that it is there: half as much again, and two tries that are lost, leave a second of the six.
 const (
-	silence = 3 * seam.Second
+	silence = 3 * eventloop.Second
 	// The agent stands on this very machine and answers at once and at no cost, or is away.
-	answer = 500 * seam.Millisecond
-	least  = 40 * seam.Millisecond
-	again  = 400 * seam.Millisecond
+	answer = 500 * eventloop.Millisecond
+	least  = 40 * eventloop.Millisecond
+	again  = 400 * eventloop.Millisecond
 	// A host's number is not given to another for so long after it is gone: longer than the module remembers hosts.
-	numberKept = 1800 * seam.Second
+	numberKept = 1800 * eventloop.Second
 )
 
 // Entry is one model host, as the list has it.
@@ -40,22 +40,22 @@
 // Watch keeps the list.
 type Watch struct {
 	client  *subscribe.Client
-	loop    seam.Loop
+	loop    eventloop.Loop
 	version uint64
 	numbers map[choice.HostID]*number
 	news    func(entries []Entry, whole bool)
 	log     func(line string)
-	forgot  seam.Micros
+	forgot  eventloop.Micros
 	Heard   uint64 // lists and changes
 }
 
 type number struct {
 	name string
-	gone seam.Micros // since when it is not listed; 0: it is
+	gone eventloop.Micros // since when it is not listed; 0: it is
 }
 
 // New makes one that has not asked yet; news are told as they come.
-func New(loop seam.Loop, seed int64, addr string, news func([]Entry, bool), log func(string)) *Watch {
+func New(loop eventloop.Loop, seed int64, addr string, news func([]Entry, bool), log func(string)) *Watch {
 	w := &Watch{loop: loop, numbers: map[choice.HostID]*number{}, news: news, log: log}
 	c := subscribe.NewClient(loop, seed, addr)
 	c.What, c.Lines, c.Standby, c.Log = "discovery", true, true, log
@@ -112,7 +112,7 @@
 	return nil
 }
 
-func (w *Watch) entry(s gjson.Result, now seam.Micros) (e Entry, err error) {
+func (w *Watch) entry(s gjson.Result, now eventloop.Micros) (e Entry, err error) {
 	e = Entry{Name: s.Get("id").String(), Addr: s.Get("addr").String(), Zone: s.Get("zone").String(), Kind: s.Get("kind").String()}
 	if e.Name == "" {
 		return e, fmt.Errorf("no id in %.80q", s.Raw)
@@ -129,7 +129,7 @@
 	}
 	e.Condition = condition
 	if ms := s.Get("started_ms").Int(); ms > 0 {
-		e.Started = choice.Micros(min(ms, math.MaxInt64/2000)) * seam.Millisecond
+		e.Started = choice.Micros(min(ms, math.MaxInt64/2000)) * eventloop.Millisecond
 	}
 	e.ID = w.Number(e.Name)
 	n := w.numbers[e.ID]
@@ -158,7 +158,7 @@
 }
 
 // unlisted marks what a whole list leaves out.
-func (w *Watch) unlisted(entries []Entry, now seam.Micros) {
+func (w *Watch) unlisted(entries []Entry, now eventloop.Micros) {
 	listed := map[choice.HostID]bool{}
 	for _, e := range entries {
 		listed[e.ID] = true
@@ -171,7 +171,7 @@
 }
 
 // forget drops the numbers of hosts that are long gone: they are replaced under new ids for months.
-func (w *Watch) forget(now seam.Micros) {
+func (w *Watch) forget(now eventloop.Micros) {
 	if now-w.forgot < numberKept/10 {
 		return
 	}
--- a/internal/platform/discovery/discovery_test.go
+++ b/internal/platform/discovery/discovery_test.go
@@ -4,7 +4,7 @@
 	"testing"
 
 	"plumspindle/choice"
-	"plumspindle/internal/seam"
+	"plumspindle/internal/eventloop"
 	"plumspindle/internal/virtual"
 )
 
@@ -43,7 +43,7 @@
 		t.Fatalf("%v, entries %+v", err, got)
 	}
 	a := got[0]
-	if a.Started != 1700000000123*seam.Millisecond || a.Cell != 3 || a.Condition != choice.Ready || a.Zone != "w" || a.Kind != "m2" || a.Addr != "10.1.0.18:7070" {
+	if a.Started != 1700000000123*eventloop.Millisecond || a.Cell != 3 || a.Condition != choice.Ready || a.Zone != "w" || a.Kind != "m2" || a.Addr != "10.1.0.18:7070" {
 		t.Errorf("%+v", a)
 	}
 	if got[1].Condition != choice.Gone || got[2].Condition != choice.Draining {
--- a/internal/platform/door/ask.go
+++ b/internal/platform/door/ask.go
@@ -9,8 +9,8 @@
 
 	"github.com/tidwall/gjson"
 
+	"plumspindle/internal/eventloop"
 	"plumspindle/internal/http1"
-	"plumspindle/internal/seam"
 )
 
 // Ask is a request that is sound.
@@ -25,8 +25,8 @@
 	Prompt  float64
 	Shared  float64 // of the prompt
 	Most    float64 // of the answer
-	Came    seam.Micros
-	Limit   seam.Micros // counted from when the client sent it
+	Came    eventloop.Micros
+	Limit   eventloop.Micros // counted from when the client sent it
 	Body    []byte
 }
 
@@ -37,7 +37,7 @@
 	chatPath  = "/v1/chat/completions"
 	readyPath = "/up"
 	idMost    = 64 // bytes
-	limitMost = 3600 * seam.Second
+	limitMost = 3600 * eventloop.Second
 )
 
 // read takes what a head says; with neither an ask nor a refusal it asks whether the dispatcher is ready.
@@ -93,7 +93,7 @@
 }
 
 // span reads a number with its unit, m for milliseconds or u for microseconds.
-func span(text string) (seam.Micros, error) {
+func span(text string) (eventloop.Micros, error) {
 	if text == "" {
 		return 0, fmt.Errorf("is missing")
 	}
@@ -102,9 +102,9 @@
 	if err != nil || unit != 'm' && unit != 'u' {
 		return 0, fmt.Errorf("is no number of m or u: %.20q", text)
 	}
-	t := seam.Micros(n)
+	t := eventloop.Micros(n)
 	if unit == 'm' {
-		t *= seam.Millisecond
+		t *= eventloop.Millisecond
 	}
 	return min(t, limitMost), nil
 }
@@ -150,6 +150,6 @@
 	return nil
 }
 
-func seconds(t seam.Micros) string {
-	return strconv.FormatFloat(float64(t)/float64(seam.Second), 'f', -1, 64)
+func seconds(t eventloop.Micros) string {
+	return strconv.FormatFloat(float64(t)/float64(eventloop.Second), 'f', -1, 64)
 }
--- a/internal/platform/door/door.go
+++ b/internal/platform/door/door.go
@@ -5,28 +5,28 @@
 import (
 	"strings"
 
+	"plumspindle/internal/eventloop"
 	"plumspindle/internal/http1"
-	"plumspindle/internal/seam"
 	"plumspindle/internal/sse"
 )
 
 // Bounds are what clients may take.
 type Bounds struct {
-	Head    int         // bytes of a request's head
-	Body    int         // bytes of a request's body
-	Most    int         // connections
-	Kept    int         // bytes of bodies, of all requests that come or wait
-	Unsent  int         // bytes of a stream that are kept for a slow client; past it its model host is slowed
-	Message seam.Micros // for a request, from the connection's beginning or the request's first byte to its last
-	Idle    seam.Micros // for the next request on a connection
-	Stall   seam.Micros // for a client that reads nothing of what it is sent
+	Head    int              // bytes of a request's head
+	Body    int              // bytes of a request's body
+	Most    int              // connections
+	Kept    int              // bytes of bodies, of all requests that come or wait
+	Unsent  int              // bytes of a stream that are kept for a slow client; past it its model host is slowed
+	Message eventloop.Micros // for a request, from the connection's beginning or the request's first byte to its last
+	Idle    eventloop.Micros // for the next request on a connection
+	Stall   eventloop.Micros // for a client that reads nothing of what it is sent
 }
 
 // Usual are the bounds that do not hang on the limits. A connection that brings nothing readable is owed an end within 3 s.
-var Usual = Bounds{Head: 16 << 10, Body: 256 << 10, Message: 2 * seam.Second, Idle: 10 * seam.Second, Stall: 20 * seam.Second}
+var Usual = Bounds{Head: 16 << 10, Body: 256 << 10, Message: 2 * eventloop.Second, Idle: 10 * eventloop.Second, Stall: 20 * eventloop.Second}
 
 // A client that sent what can't be used is not read again for so long: one that repeats it at once would take the time of all.
-const rest = 100 * seam.Millisecond
+const rest = 100 * eventloop.Millisecond
 
 // Clerk is what stands behind the door.
 type Clerk interface {
@@ -47,7 +47,7 @@
 
 // Door takes connections.
 type Door struct {
-	loop    seam.Loop
+	loop    eventloop.Loop
 	clerk   Clerk
 	bounds  Bounds
 	clients map[*client]bool
@@ -61,12 +61,12 @@
 }
 
 // New makes one; its Accept goes to Listen.
-func New(loop seam.Loop, bounds Bounds, clerk Clerk) *Door {
+func New(loop eventloop.Loop, bounds Bounds, clerk Clerk) *Door {
 	return &Door{loop: loop, bounds: bounds, clerk: clerk, clients: map[*client]bool{}}
 }
 
 // Accept is for the listener.
-func (d *Door) Accept(c seam.Conn) seam.Handler {
+func (d *Door) Accept(c eventloop.Conn) eventloop.Handler {
 	return &client{door: d, conn: c, parser: http1.Parser{Bounds: http1.Bounds{Head: d.bounds.Head, Fields: 100, Body: d.bounds.Body}}}
 }
 
@@ -87,16 +87,16 @@
 // client is one connection, with one request at a time.
 type client struct {
 	door   *Door
-	conn   seam.Conn
+	conn   eventloop.Conn
 	parser http1.Parser
 	head   *http1.Head
 	ask    *Ask
 	reply  *Reply
 	body   []byte
 	refuse *Refusal
-	waits  seam.Wait
-	over   bool        // nothing more is read
-	came   seam.Micros // the first byte of the request
+	waits  eventloop.Wait
+	over   bool             // nothing more is read
+	came   eventloop.Micros // the first byte of the request
 	out    []byte
 	event  []byte
 
@@ -446,7 +446,7 @@
 }
 
 // Throttled says that the request may come again without harm, after a while if one is given.
-func (r *Reply) Throttled(comeBack seam.Micros) {
+func (r *Reply) Throttled(comeBack eventloop.Micros) {
 	var fields []string
 	if comeBack > 0 {
 		fields = []string{"Retry-After", seconds(comeBack)}
--- a/internal/platform/door/door_test.go
+++ b/internal/platform/door/door_test.go
@@ -4,12 +4,12 @@
 	"strings"
 	"testing"
 
+	"plumspindle/internal/eventloop"
 	"plumspindle/internal/http1"
-	"plumspindle/internal/seam"
 )
 
 func TestSpan(t *testing.T) {
-	for text, want := range map[string]seam.Micros{"4800m": 4800 * seam.Millisecond, "17u": 17, "0m": 0, "999999999999u": limitMost} {
+	for text, want := range map[string]eventloop.Micros{"4800m": 4800 * eventloop.Millisecond, "17u": 17, "0m": 0, "999999999999u": limitMost} {
 		if got, err := span(text); err != nil || got != want {
 			t.Errorf("%q: %d, %v", text, got, err)
 		}
--- a/internal/platform/fleet_test.go
+++ b/internal/platform/fleet_test.go
@@ -7,37 +7,37 @@
 	"testing"
 
 	"plumspindle/choice"
-	"plumspindle/internal/seam"
+	"plumspindle/internal/eventloop"
 )
 
 // TestSilentWatch: a watch that falls silent is opened anew in time for all that it missed to be known 6 s after it fell silent, at
 // whatever moment between two empty lines; and where the first try is lost too.
 func TestSilentWatch(t *testing.T) {
 	for _, lost := range []bool{false, true} {
-		for at := seam.Micros(0); at < 2*seam.Second; at += 190 * seam.Millisecond {
+		for at := eventloop.Micros(0); at < 2*eventloop.Second; at += 190 * eventloop.Millisecond {
 			r := newRig(t, 256, fleet...)
 			r.w.Run(at)
 			r.agent.watches[0].mute = true
 			if lost {
 				r.agent.away = true
-				r.until(6*seam.Second, "another try", func() bool { return len(r.agent.watches) == 2 })
+				r.until(6*eventloop.Second, "another try", func() bool { return len(r.agent.watches) == 2 })
 				r.agent.away = false
 			}
 			began := r.w.Now()
-			r.w.Run(100 * seam.Millisecond)
+			r.w.Run(100 * eventloop.Millisecond)
 			if !lost { // what it missed; a try that was lost has taken its own part of the time
-				r.until(5900*seam.Millisecond, "another watch", func() bool { return len(r.agent.watches) == 2 })
+				r.until(5900*eventloop.Millisecond, "another watch", func() bool { return len(r.agent.watches) == 2 })
 			} else {
-				r.until(2*seam.Second, "a third watch", func() bool { return len(r.agent.watches) == 3 })
+				r.until(2*eventloop.Second, "a third watch", func() bool { return len(r.agent.watches) == 3 })
 			}
 			r.far.Do(func() {
 				r.agent.watches[len(r.agent.watches)-1].conn.Write(r.agent.list(r.hosts[0].entry("SERVING"), r.hosts[2].entry("SERVING")))
 			})
-			r.w.Run(10 * seam.Millisecond)
+			r.w.Run(10 * eventloop.Millisecond)
 			if len(r.x.ready) != 2 {
-				t.Errorf("silent from %d ms: %d hosts are ready %d ms later", at/seam.Millisecond, len(r.x.ready), (r.w.Now()-began)/seam.Millisecond)
+				t.Errorf("silent from %d ms: %d hosts are ready %d ms later", at/eventloop.Millisecond, len(r.x.ready), (r.w.Now()-began)/eventloop.Millisecond)
 			}
-			if r.w.Run(10 * seam.Second); !r.agent.watches[0].closed || r.far.Open() > 1 {
+			if r.w.Run(10 * eventloop.Second); !r.agent.watches[0].closed || r.far.Open() > 1 {
 				t.Errorf("%d watches are open", r.far.Open())
 			}
 		}
@@ -48,10 +48,10 @@
 // the one from before, or the last that was opened while it was away.
 func TestDiscoveryReturns(t *testing.T) {
 	for _, old := range []bool{false, true} {
-		for _, away := range []seam.Micros{3700, 5100, 8000, 12300} {
+		for _, away := range []eventloop.Micros{3700, 5100, 8000, 12300} {
 			r := newRig(t, 256, fleet...)
 			r.agent.away, r.agent.watches[0].mute = true, true
-			r.w.Run(away * seam.Millisecond)
+			r.w.Run(away * eventloop.Millisecond)
 			if n := r.far.Open(); n > 3 {
 				t.Errorf("%d watches are open", n)
 			}
@@ -71,7 +71,7 @@
 				}
 				l.conn.Write(r.agent.list(r.hosts[0].entry("SERVING"), r.hosts[2].entry("SERVING")))
 			})
-			r.w.Run(20 * seam.Millisecond)
+			r.w.Run(20 * eventloop.Millisecond)
 			if len(r.x.ready) != 2 {
 				t.Errorf("away for %d ms: %d hosts are ready", away, len(r.x.ready))
 			}
@@ -82,9 +82,9 @@
 // TestWatchReset: a watch that is reset is opened again within the drains' grace.
 func TestWatchReset(t *testing.T) {
 	r := newRig(t, 256, fleet...)
-	r.w.Run(seam.Second)
+	r.w.Run(eventloop.Second)
 	r.far.Do(func() { r.agent.watches[0].conn.Abort() })
-	r.until(100*seam.Millisecond, "another watch", func() bool { return len(r.agent.watches) == 2 })
+	r.until(100*eventloop.Millisecond, "another watch", func() bool { return len(r.agent.watches) == 2 })
 }
 
 // TestIndentedList: a list may come over several lines, cut anywhere; one that does not end costs the watch.
@@ -96,12 +96,12 @@
 			return "\r\n{\n  \"version\": 9,\n  \"full\": true,\n  \"note\": \"} \\\" ]\",\n  \"servers\": [\n    " + strings.Join(entries, ",\n    ") + "\n  ]\n}\n\n"
 		}
 		r.agent.text(indented(r.hosts[0].entry("SERVING"), r.hosts[2].entry("SERVING")))
-		r.w.Run(seam.Second)
+		r.w.Run(eventloop.Second)
 		if len(r.x.ready) != 2 {
 			t.Errorf("pieces of %d: %d hosts are ready", most, len(r.x.ready))
 		}
 		r.agent.text("{\n \"version\": 10,\n")
-		if r.until(7*seam.Second, "another watch", func() bool { return len(r.agent.watches) == 2 }); !strings.HasSuffix(r.agent.targets[1], "index=9") {
+		if r.until(7*eventloop.Second, "another watch", func() bool { return len(r.agent.watches) == 2 }); !strings.HasSuffix(r.agent.targets[1], "index=9") {
 			t.Errorf("asked %v", r.agent.targets)
 		}
 	}
@@ -113,15 +113,15 @@
 	r := newRig(t, 256, fleet...)
 	r.agent.away, r.agent.watches = true, nil
 	r.loop.Do(func() { r.x.watch.Close(); r.x = Start(r.loop, r.x.post) })
-	if r.w.Run(500 * seam.Millisecond); r.x.Ready() {
+	if r.w.Run(500 * eventloop.Millisecond); r.x.Ready() {
 		t.Error("ready before the agent has had a chance to speak")
 	}
-	if r.w.Run(600 * seam.Millisecond); !r.x.Ready() {
+	if r.w.Run(600 * eventloop.Millisecond); !r.x.Ready() {
 		t.Error("not ready though discovery is away")
 	}
 	r.agent.away, r.agent.watches = false, nil
 	r.loop.Do(func() { r.x.watch.Close(); r.x = Start(r.loop, r.x.post) })
-	if r.w.Run(20 * seam.Millisecond); !r.x.Ready() {
+	if r.w.Run(20 * eventloop.Millisecond); !r.x.Ready() {
 		t.Error("not ready though the agent has spoken")
 	}
 }
@@ -132,11 +132,11 @@
 	for _, product := range []string{"explain", "post"} {
 		r := newRig(t, 256, "prefill", "prefill", "decode", "decode", "decode", "decode", "decode")
 		for _, h := range r.writers() {
-			r.w.Block(r.loop, h.loop, 500*seam.Millisecond)
+			r.w.Block(r.loop, h.loop, 500*eventloop.Millisecond)
 		}
 		c := r.ask(product)
-		r.until(seam.Second, "the read", func() bool { return r.legs() == 1 })
-		r.until(500*seam.Millisecond, "a release", func() bool { return r.releases() == 1 })
+		r.until(eventloop.Second, "the read", func() bool { return r.legs() == 1 })
+		r.until(500*eventloop.Millisecond, "a release", func() bool { return r.releases() == 1 })
 		read := 0
 		for _, h := range r.writers() { // one that is asked for a state that is not there says so, and the leg is lost
 			h.serve = func(l *line) {
@@ -163,25 +163,25 @@
 	for _, h := range r.writers() {
 		h.serve = func(l *line) { // the first says only after 0.4 s that it is full, and by then no other can be reached
 			for _, o := range r.writers() {
-				r.w.Block(r.loop, o.loop, 3*seam.Second)
+				r.w.Block(r.loop, o.loop, 3*eventloop.Second)
 			}
-			h.loop.After(400*seam.Millisecond, func() { l.answer(503, "", "Srv-Declined", "1"); refused = true })
+			h.loop.After(400*eventloop.Millisecond, func() { l.answer(503, "", "Srv-Declined", "1"); refused = true })
 		}
 	}
 	c := r.ask("explain")
-	r.until(seam.Second, "a refusal", func() bool { return refused })
+	r.until(eventloop.Second, "a refusal", func() bool { return refused })
 	if r.releases() > 0 {
 		t.Error("let go of while a leg was out")
 	}
-	r.until(500*seam.Millisecond, "a release", func() bool { return r.releases() > 0 })
+	r.until(500*eventloop.Millisecond, "a release", func() bool { return r.releases() > 0 })
 	r.far.Do(c.conn.Abort)
-	r.w.Run(5 * seam.Second)
+	r.w.Run(5 * eventloop.Second)
 	r.quiet()
 }
 
 // TestASecondAnswerLate: it comes while the connection would be in use again, and is not taken for the next generation's.
 func TestASecondAnswerLate(t *testing.T) {
-	for span := seam.Micros(500); span <= 10*seam.Millisecond; span += 500 {
+	for span := eventloop.Micros(500); span <= 10*eventloop.Millisecond; span += 500 {
 		r := newRig(t, 256, "prefill", "decode")
 		n := 0
 		own := func() string { return strings.Replace(word, "Lamu", "Lamu "+strconv.Itoa(n), 1) }
@@ -196,7 +196,7 @@
 		var last *client
 		for i := range 6 {
 			last = r.ask("post")
-			r.until(seam.Second, "an answer", func() bool { return len(last.finals) > 0 || last.closed })
+			r.until(eventloop.Second, "an answer", func() bool { return len(last.finals) > 0 || last.closed })
 			if len(last.got) == 0 || last.got[0] != own() || n != i+1 {
 				t.Fatalf("after %d µs: generation %d was answered %q and written %d times in all", span, i+1, last.got, n)
 			}
@@ -217,11 +217,11 @@
 		write(l)
 	})
 	for _, h := range r.hosts {
-		h.slack = seam.Second
+		h.slack = eventloop.Second
 	}
 	c := r.ask("explain")
-	r.until(seam.Second, "a release", func() bool { return r.releases() > 0 })
-	r.w.Run(300 * seam.Millisecond)
+	r.until(eventloop.Second, "a release", func() bool { return r.releases() > 0 })
+	r.w.Run(300 * eventloop.Millisecond)
 	for _, h := range r.hosts {
 		h.slack = 0
 	}
@@ -237,7 +237,7 @@
 	for range 40 { // a connection to each
 		r.ask("explain")
 	}
-	r.w.Run(seam.Second)
+	r.w.Run(eventloop.Second)
 	all(r.writers(), func(*line) {})
 	c := r.ask("post")
 	writes := func() (n int) {
@@ -247,29 +247,29 @@
 		return n
 	}
 	before := writes()
-	r.until(seam.Second, "the write", func() bool { return writes() > before })
+	r.until(eventloop.Second, "the write", func() bool { return writes() > before })
 	for _, h := range r.hosts[1:] {
-		r.w.Block(r.loop, h.loop, 5*seam.Second)
-		r.w.Block(h.loop, r.loop, 5*seam.Second)
+		r.w.Block(r.loop, h.loop, 5*eventloop.Second)
+		r.w.Block(h.loop, r.loop, 5*eventloop.Second)
 	}
-	r.w.Run(300 * seam.Millisecond)
+	r.w.Run(300 * eventloop.Millisecond)
 	spoke := r.hosts[0].count("POST")
 	for i := 0; i < 20 && r.hosts[0].count("POST") == spoke; i++ { // until one host speaks, the home of a text
 		r.ask("explain", "Req-Extra", "prefix="+strconv.Itoa(i)+",prompt_len=512,prefix_len=256,max_out=80")
-		r.w.Run(5 * seam.Millisecond)
+		r.w.Run(5 * eventloop.Millisecond)
 	}
-	r.w.Run(200 * seam.Millisecond)
+	r.w.Run(200 * eventloop.Millisecond)
 	r.far.Do(c.conn.Abort)
-	r.until(200*seam.Millisecond, "a release", func() bool { return r.hosts[0].count("DELETE") > 0 })
+	r.until(200*eventloop.Millisecond, "a release", func() bool { return r.hosts[0].count("DELETE") > 0 })
 }
 
 // TestTimeTold: a host is told what the client has left when the leg leaves, not when its connection was asked for.
 func TestTimeTold(t *testing.T) {
 	r := newRig(t, 256, "prefill", "decode")
-	r.w.Latency = 80 * seam.Millisecond
+	r.w.Latency = 80 * eventloop.Millisecond
 	r.hosts[0].serve = func(l *line) {
 		told, err := strconv.ParseInt(strings.TrimSuffix(l.head.Get("Req-Deadline"), "u"), 10, 64)
-		if left := 900*seam.Millisecond - 2*r.w.Latency; err != nil || seam.Micros(told) > left { // its connection took two ways
+		if left := 900*eventloop.Millisecond - 2*r.w.Latency; err != nil || eventloop.Micros(told) > left { // its connection took two ways
 			t.Errorf("told %d µs, %d are left", told, left)
 		}
 		read(l)
@@ -290,25 +290,25 @@
 		all(r.readers(), func(*line) {})
 		first := r.request("explain")
 		c := r.raw(first + strings.Repeat(r.request("explain"), 2000))
-		r.until(seam.Second, "the read", func() bool { return r.legs() == 1 })
-		r.w.Run(100 * seam.Millisecond)
+		r.until(eventloop.Second, "the read", func() bool { return r.legs() == 1 })
+		r.w.Run(100 * eventloop.Millisecond)
 		r.far.Do(c.conn.Abort)
-		r.w.Run(100 * seam.Millisecond)
+		r.w.Run(100 * eventloop.Millisecond)
 		for _, g := range r.x.gens {
 			if !g.answered {
 				t.Error("its going was not seen")
 			}
 		}
-		if r.w.Run(10 * seam.Second); r.legs() != 1 {
+		if r.w.Run(10 * eventloop.Second); r.legs() != 1 {
 			t.Errorf("%d legs", r.legs())
 		}
 		// The leg waits for its connection, which takes twice as long as the news.
 		r = newRigAt(t, at, 256, fleet...)
-		r.w.Latency = 60 * seam.Millisecond
+		r.w.Latency = 60 * eventloop.Millisecond
 		c = r.ask("explain")
-		r.until(seam.Second, "the leg's order", func() bool { return r.x.Legs == 1 })
+		r.until(eventloop.Second, "the leg's order", func() bool { return r.x.Legs == 1 })
 		r.far.Do(c.conn.Abort)
-		if r.w.Run(5 * seam.Second); r.legs() > 0 || r.x.Left != 1 {
+		if r.w.Run(5 * eventloop.Second); r.legs() > 0 || r.x.Left != 1 {
 			t.Errorf("may cancel %s: %d legs, %d clients left", may, r.legs(), r.x.Left)
 		}
 	}
@@ -337,7 +337,7 @@
 				usual(l)
 			}
 		}
-		r.w.Delay = func() seam.Micros { return seam.Micros(chance.Intn(8000)) }
+		r.w.Delay = func() eventloop.Micros { return eventloop.Micros(chance.Intn(8000)) }
 		for i := range 60 {
 			product, limit := "post", "1500m"
 			if i%2 > 0 {
@@ -379,8 +379,8 @@
 			}
 			return nil
 		}
-		r.until(seam.Second, "the write", func() bool { return r.x.Legs == 2 })
-		r.w.Run(100 * seam.Millisecond)
+		r.until(eventloop.Second, "the write", func() bool { return r.x.Legs == 2 })
+		r.w.Run(100 * eventloop.Millisecond)
 		for _, g := range r.x.gens { // as its time runs out
 			r.loop.Do(func() { r.x.Cancel(g.id, g.legs-1) })
 		}
@@ -389,7 +389,7 @@
 			t.Fatal("no leg is being given up")
 		}
 		r.loop.Do(func() { meanwhile(r, g) })
-		if r.w.Run(closeSeen - 2*seam.Millisecond); !g.closing {
+		if r.w.Run(closeSeen - 2*eventloop.Millisecond); !g.closing {
 			t.Errorf("%s: it was taken for over at once", name)
 		}
 		r.w.Run(2 * closeSeen)
--- a/internal/platform/launch/launch.go
+++ b/internal/platform/launch/launch.go
@@ -16,15 +16,15 @@
 	"github.com/rs/zerolog"
 	"github.com/tidwall/gjson"
 
+	"plumspindle/internal/eventloop"
 	"plumspindle/internal/http1"
 	"plumspindle/internal/platform"
-	"plumspindle/internal/seam"
-	"plumspindle/internal/sockets"
 	"plumspindle/internal/settings"
+	"plumspindle/internal/sockets"
 )
 
 const (
-	standEvery = 5 * seam.Second
+	standEvery = 5 * eventloop.Second
 	configMost = 64 << 20
 )
 
@@ -146,7 +146,7 @@
 	loop.TakeIn = min(max(b.Memory/4/b.Sockets, 8<<10), 128<<10)
 	loop.Busy = http1.AppendResponse(nil, 503, []byte("no connection is left for it\n"), "Connection", "close", "Content-Type", "text/plain")
 	var x *platform.Dispatcher
-	var ln seam.Listener
+	var ln eventloop.Listener
 	loop.Do(func() {
 		x = platform.Start(loop, b.Post)
 		ln, err = loop.Listen(b.Listen, x.Door().Accept)
--- a/internal/platform/legs/legs.go
+++ b/internal/platform/legs/legs.go
@@ -12,8 +12,8 @@
 
 	"plumspindle/choice"
 	"plumspindle/internal/engine"
+	"plumspindle/internal/eventloop"
 	"plumspindle/internal/http1"
-	"plumspindle/internal/seam"
 )
 
 const (
@@ -33,8 +33,8 @@
 // Legs are those of one dispatcher.
 type Legs struct {
 	*engine.Engine
-	loop   seam.Loop
-	within seam.Micros
+	loop   eventloop.Loop
+	within eventloop.Micros
 	hosts  func() []choice.HostID
 	Log    func(line string)
 	Counts
@@ -44,20 +44,20 @@
 type Counts struct{ Releases, Tries, Late uint64 }
 
 // New makes them; within is the time that a state may wait, and hosts are those that a release may be sent to.
-func New(loop seam.Loop, e *engine.Engine, within seam.Micros, hosts func() []choice.HostID) *Legs {
+func New(loop eventloop.Loop, e *engine.Engine, within eventloop.Micros, hosts func() []choice.HostID) *Legs {
 	return &Legs{Engine: e, loop: loop, within: within, hosts: hosts, Log: func(string) {}}
 }
 
 // Read sends a read, Write what is answered with a stream. Neither calls back before it has returned.
-func (l *Legs) Read(id choice.HostID, r Request, allow seam.Micros, hear engine.Hearer) *engine.Leg {
+func (l *Legs) Read(id choice.HostID, r Request, allow eventloop.Micros, hear engine.Hearer) *engine.Leg {
 	return l.Call(id, engine.Call{Request: r.to, Answer: Read, Most: answerMost}, allow, hear)
 }
 
-func (l *Legs) Write(id choice.HostID, r Request, allow seam.Micros, hear engine.Hearer) *engine.Leg {
+func (l *Legs) Write(id choice.HostID, r Request, allow eventloop.Micros, hear engine.Hearer) *engine.Leg {
 	return l.Call(id, engine.Call{Request: r.to, Answer: Unstreamed, Stream: &events{}, Most: answerMost}, allow, hear)
 }
 
-func (r Request) to(addr string, left seam.Micros) []byte {
+func (r Request) to(addr string, left eventloop.Micros) []byte {
 	return http1.AppendRequest(nil, "POST", r.Target, addr, r.Body, "Content-Type", r.Type, "Req-Id", r.ID,
 		"Req-Deadline", strconv.FormatInt(int64(left), 10)+"u")
 }
@@ -147,7 +147,7 @@
 type release struct {
 	legs  *Legs
 	id    string
-	began seam.Micros
+	began eventloop.Micros
 	tried map[choice.HostID]bool
 	done  func(bool)
 }
@@ -155,7 +155,7 @@
 // other is a host not tried yet, one with a connection that waits before all others, and of those the one that spoke last: where many
 // have fallen silent together their connections wait all the same, and a state has no time for one after the other.
 func (l *Legs) other(r *release, usual choice.HostID) choice.HostID {
-	best, rank, spoke := usual, -1, seam.Micros(0)
+	best, rank, spoke := usual, -1, eventloop.Micros(0)
 	for _, h := range l.hosts() {
 		at := 0
 		if !r.tried[h] {
@@ -175,7 +175,7 @@
 	l := r.legs
 	l.Tries++
 	r.tried[at] = true
-	call := engine.Call{Spare: true, Most: answerMost, Request: func(addr string, _ seam.Micros) []byte {
+	call := engine.Call{Spare: true, Most: answerMost, Request: func(addr string, _ eventloop.Micros) []byte {
 		return http1.AppendRequest(nil, "DELETE", "/v1/holds/"+r.id, addr, nil)
 	}, Answer: func(h *http1.Head, _ []byte) engine.Outcome {
 		if h.Status == 204 || h.Status == 200 {
@@ -202,7 +202,7 @@
 				clear(r.tried)
 			}
 			// One that refuses at once must not be asked in a ring without a pause.
-			pause := seam.Micros(0)
+			pause := eventloop.Micros(0)
 			if len(r.tried) == 0 {
 				pause = max(span-(now-began), 0)
 			}
--- a/internal/platform/platform.go
+++ b/internal/platform/platform.go
@@ -14,10 +14,10 @@
 
 	"plumspindle/choice"
 	"plumspindle/internal/engine"
+	"plumspindle/internal/eventloop"
+	"plumspindle/internal/platform/discovery"
 	"plumspindle/internal/platform/door"
 	"plumspindle/internal/platform/legs"
-	"plumspindle/internal/platform/discovery"
-	"plumspindle/internal/seam"
 	"plumspindle/internal/settings"
 )
 
@@ -35,20 +35,20 @@
 
 const (
 	// A stream that has begun and brings nothing for so long is broken: a client may not be left waiting for 5 s.
-	silence = 4200 * seam.Millisecond
+	silence = 4200 * eventloop.Millisecond
 	// An id is not taken again for so long after its answer: a copy of an open request may come when that has just ended.
-	idKept      = 10 * seam.Second
+	idKept      = 10 * eventloop.Second
 	unknownKind = 255
 	// Part of the time in which a state has to be taken or let go of, after which a leg that has no connection yet does not get it any
 	// more: to the rule the state lies there, and letting go needs a part too.
 	leasePart = 0.6
 	// The agent on this machine tells what it has at once; without a word of it for so long, what was known before will do.
-	agentWithin = seam.Second
+	agentWithin = eventloop.Second
 	// A leg that is given up is out until its host sees its connection closed, which takes a way through the network, between zones at the
 	// most. Nothing else is done for its generation for so long.
-	closeSeen = 20 * seam.Millisecond
+	closeSeen = 20 * eventloop.Millisecond
 	// What runs on after SIGTERM may be on new connections for so long.
-	leaveAfter = 500 * seam.Millisecond
+	leaveAfter = 500 * eventloop.Millisecond
 )
 
 // Counts are what the dispatcher has done since its start.
@@ -59,7 +59,7 @@
 
 // Dispatcher is one.
 type Dispatcher struct {
-	loop    seam.Loop
+	loop    eventloop.Loop
 	post    Post
 	terms   *settings.Terms
 	module  *choice.Dispatcher
@@ -72,7 +72,7 @@
 	lately  [2]map[string]bool
 	hosts   map[choice.HostID]discovery.Entry
 	ready   []choice.HostID
-	began   seam.Micros
+	began   eventloop.Micros
 	leaving func()
 	Counts
 }
@@ -85,21 +85,21 @@
 	legs     choice.LegNo // sent so far
 	leg      *engine.Leg  // that is out
 	host     choice.HostID
-	sent     seam.Micros // when the leg was ordered
-	reads    bool        // the leg does
-	closing  bool        // it is given up, and its host may not have seen it yet
-	started  bool        // the leg's stream has, and the client has it
-	answered bool        // or nobody waits any more
+	sent     eventloop.Micros // when the leg was ordered
+	reads    bool             // the leg does
+	closing  bool             // it is given up, and its host may not have seen it yet
+	started  bool             // the leg's stream has, and the client has it
+	answered bool             // or nobody waits any more
 	// A host may hold something for it, likely this one.
 	lies      bool
 	lieAt     choice.HostID
-	lease     seam.Wait // for what lies
-	releasing bool      // that is being let go of
-	next      func()    // the leg that waits for it, as the release would take what that leg leaves
+	lease     eventloop.Wait // for what lies
+	releasing bool           // that is being let go of
+	next      func()         // the leg that waits for it, as the release would take what that leg leaves
 }
 
 // Start makes a dispatcher on a loop; Door's Accept takes its clients.
-func Start(loop seam.Loop, post Post) *Dispatcher {
+func Start(loop eventloop.Loop, post Post) *Dispatcher {
 	t := post.Terms
 	x := &Dispatcher{loop: loop, post: post, terms: t, gens: map[choice.GenID]*gen{}, ids: map[string]bool{},
 		lately: [2]map[string]bool{{}, {}}, hosts: map[choice.HostID]discovery.Entry{}, began: loop.Now()}
@@ -123,7 +123,7 @@
 
 // trunks are the terms of connections to hosts. Clients may hold about half of the descriptors, and each request needs one on either
 // side; what is left is for releases, discovery and the poller.
-func trunks(t *settings.Terms, sockets int, idle seam.Micros) engine.Trunks {
+func trunks(t *settings.Terms, sockets int, idle eventloop.Micros) engine.Trunks {
 	most := max(sockets*2/5, 8)
 	return engine.Trunks{Connect: t.Connect, Idle: idle, Silence: silence, Most: most, Opening: max(most/4, 4), All: most}
 }
@@ -346,7 +346,7 @@
 // hold: a host may hold something for the generation from now on, for as long as a state may wait.
 func (x *Dispatcher) hold(g *gen) {
 	g.lies = true
-	g.lease.For(x.loop, seam.Micros(leasePart*float64(x.terms.LetGo)), func() { x.expired(g) })
+	g.lease.For(x.loop, eventloop.Micros(leasePart*float64(x.terms.LetGo)), func() { x.expired(g) })
 }
 
 // expired: what is held has waited for too long, as the time runs on while connections fail to come up. A leg that has left by now takes
--- a/internal/platform/platform_test.go
+++ b/internal/platform/platform_test.go
@@ -7,8 +7,8 @@
 	"testing"
 
 	"plumspindle/choice"
+	"plumspindle/internal/eventloop"
 	"plumspindle/internal/http1"
-	"plumspindle/internal/seam"
 	"plumspindle/internal/sse"
 )
 
@@ -106,8 +106,8 @@
 				if got, want := r.final(client), []int{c.explain, c.post}[i]; got != want {
 					t.Errorf("answered %d, want %d", got, want)
 				}
-				if r.w.Now()-began > 5*seam.Second {
-					t.Errorf("the client waited %d ms", (r.w.Now()-began)/seam.Millisecond)
+				if r.w.Now()-began > 5*eventloop.Second {
+					t.Errorf("the client waited %d ms", (r.w.Now()-began)/eventloop.Millisecond)
 				}
 				if product == "post" && c.post != 200 && met > 1 {
 					t.Error("it was written twice")
@@ -117,7 +117,7 @@
 					return
 				}
 				// What is behind an answer must not be taken for the next one. A side-effecting one would show it, as it is not tried again.
-				r.w.Run(3 * seam.Second)
+				r.w.Run(3 * eventloop.Second)
 				for range 6 {
 					if got := r.final(r.ask("post")); got != 200 {
 						t.Errorf("the next one was answered %d", got)
@@ -162,7 +162,7 @@
 		if got := r.final(c); got != want {
 			t.Errorf("%s: answered %d, want %d", product, got, want)
 		}
-		if late := c.at - began - 1500*seam.Millisecond; late > 0 {
+		if late := c.at - began - 1500*eventloop.Millisecond; late > 0 {
 			t.Errorf("%s: answered %d µs late", product, late)
 		}
 		if want == 503 && c.head.Get("Retry-After") == "" {
@@ -181,14 +181,14 @@
 		r := newRig(t, 256, fleet...)
 		all(r.writers(), func(*line) {})
 		c := r.ask("explain")
-		r.until(seam.Second, "the write", func() bool { return r.writers()[0].count("POST")+r.writers()[1].count("POST") > 0 })
+		r.until(eventloop.Second, "the write", func() bool { return r.writers()[0].count("POST")+r.writers()[1].count("POST") > 0 })
 		if away {
 			for _, h := range r.readers() {
-				r.w.Block(r.loop, h.loop, 5*seam.Second)
+				r.w.Block(r.loop, h.loop, 5*eventloop.Second)
 			}
 		}
 		r.far.Do(c.conn.Abort)
-		r.until(500*seam.Millisecond, "a release", func() bool { return r.releases() > 0 })
+		r.until(500*eventloop.Millisecond, "a release", func() bool { return r.releases() > 0 })
 		r.quiet()
 	}
 }
@@ -198,9 +198,9 @@
 	r := newRig(t, 256, fleet...)
 	all(r.readers(), func(*line) {})
 	c := r.ask("explain")
-	r.until(seam.Second, "the read", func() bool { return r.legs() > 0 })
+	r.until(eventloop.Second, "the read", func() bool { return r.legs() > 0 })
 	r.far.Do(c.conn.Abort)
-	r.until(500*seam.Millisecond, "a release", func() bool { return r.releases() > 0 })
+	r.until(500*eventloop.Millisecond, "a release", func() bool { return r.releases() > 0 })
 	r.quiet()
 }
 
@@ -210,7 +210,7 @@
 	var order []string
 	all(r.readers(), func(l *line) { order = append(order, "read"); read(l) })
 	for _, h := range r.hosts {
-		h.slack = 30 * seam.Millisecond
+		h.slack = 30 * eventloop.Millisecond
 	}
 	met := 0
 	all(r.writers(), func(l *line) {
@@ -243,7 +243,7 @@
 		write(l)
 	})
 	for _, h := range r.hosts {
-		h.slack = 50 * seam.Millisecond
+		h.slack = 50 * eventloop.Millisecond
 	}
 	c := r.ask("post")
 	waits := func() *gen {
@@ -254,7 +254,7 @@
 		}
 		return nil
 	}
-	r.until(seam.Second, "a read that waits", func() bool { return waits() != nil })
+	r.until(eventloop.Second, "a read that waits", func() bool { return waits() != nil })
 	for _, h := range r.readers() {
 		if r.x.watch.Number(h.id) == waits().host {
 			before := h.count("POST")
@@ -318,7 +318,7 @@
 			t.Fatal("the request's length has changed")
 		}
 		client := r.raw(c.sends)
-		r.until(3*seam.Second, name+": an end", func() bool { return client.closed || len(client.finals) > 0 })
+		r.until(3*eventloop.Second, name+": an end", func() bool { return client.closed || len(client.finals) > 0 })
 		if c.want != 0 && (len(client.finals) != 1 || client.finals[0] != c.want) {
 			t.Errorf("%s: answered %v, want %d", name, client.finals, c.want)
 		}
@@ -334,7 +334,7 @@
 	r := newRig(t, 256, fleet...)
 	all(r.writers(), func(l *line) { l.stream(word) })
 	c := r.ask("explain", "Req-Id", "77")
-	r.until(seam.Second, "its stream", func() bool { return len(c.got) > 0 })
+	r.until(eventloop.Second, "its stream", func() bool { return len(c.got) > 0 })
 	if got := r.final(r.ask("explain", "Req-Id", "77")); got != 409 {
 		t.Errorf("the copy was answered %d", got)
 	}
@@ -363,7 +363,7 @@
 			t.Fatalf("%d descriptors", r.loop.Open())
 		}
 	}
-	r.w.Run(3 * seam.Second)
+	r.w.Run(3 * eventloop.Second)
 	for i, c := range silent {
 		if !c.closed {
 			t.Fatalf("silent connection %d is still there", i)
@@ -377,10 +377,10 @@
 	r := newRig(t, 256, "prefill", "decode")
 	all(r.hosts[1:], func(l *line) { l.stream(word) })
 	c := r.ask("explain")
-	r.until(seam.Second, "its stream", func() bool { return len(c.got) > 0 })
+	r.until(eventloop.Second, "its stream", func() bool { return len(c.got) > 0 })
 	other := r.host("s-9", "decode")
 	r.agent.tell(false, other.entry("SERVING"), r.hosts[1].entry("DRAINING"))
-	r.w.Run(10 * seam.Millisecond)
+	r.w.Run(10 * eventloop.Millisecond)
 	if got := r.final(r.ask("post")); got != 200 || r.hosts[1].count("POST") != 1 || other.count("POST") != 1 {
 		t.Errorf("answered %d; the draining host was sent %d", got, r.hosts[1].count("POST"))
 	}
@@ -388,7 +388,7 @@
 		t.Error("the stream was cut")
 	}
 	r.agent.tell(true, r.hosts[0].entry("SERVING"))
-	r.w.Run(10 * seam.Millisecond)
+	r.w.Run(10 * eventloop.Millisecond)
 	if r.x.Ready() || len(r.x.ready) != 1 {
 		t.Errorf("%d hosts are left by a whole list of one", len(r.x.ready))
 	}
@@ -402,12 +402,12 @@
 	slow := r.host("s-9", "decode")
 	other := r.host("s-10", "decode")
 	r.agent.tell(false, r.hosts[1].entry("DELETED"), slow.entry("SERVING"))
-	r.w.Run(10 * seam.Millisecond)
-	r.w.Latency = 40 * seam.Millisecond
+	r.w.Run(10 * eventloop.Millisecond)
+	r.w.Latency = 40 * eventloop.Millisecond
 	c := r.ask("post")
-	r.until(seam.Second, "the write's connection", func() bool { return slow.opened > 0 })
+	r.until(eventloop.Second, "the write's connection", func() bool { return slow.opened > 0 })
 	// The host has accepted; the dispatcher hears of it only one way later. The news is there before.
-	r.w.Latency = 10 * seam.Millisecond
+	r.w.Latency = 10 * eventloop.Millisecond
 	r.agent.tell(false, slow.entry("DRAINING"), other.entry("SERVING"))
 	if got := r.final(c); got != 200 || slow.count("POST") != 0 || other.count("POST") != 1 {
 		t.Errorf("answered %d; the draining host was sent %d, the other %d", got, slow.count("POST"), other.count("POST"))
@@ -422,12 +422,12 @@
 	deaf := true
 	for _, h := range r.writers() {
 		h.ln.Close()
-		ln, err := h.loop.Listen(h.addr, func(c seam.Conn) seam.Handler {
+		ln, err := h.loop.Listen(h.addr, func(c eventloop.Conn) eventloop.Handler {
 			l := &line{h: h, conn: c, parser: http1.Parser{Bounds: http1.Usual}}
 			if deaf { // it takes in what its window holds, reads nothing, and breaks
 				deaf = false
 				c.Pause(true)
-				h.loop.After(50*seam.Millisecond, c.Abort)
+				h.loop.After(50*eventloop.Millisecond, c.Abort)
 			}
 			return l
 		})
@@ -444,12 +444,12 @@
 	// Nor can it have run where its time is over, or it is given up, before that: there is nothing to let go of.
 	for _, h := range r.readers() {
 		h.ln.Close()
-		h.ln, _ = h.loop.Listen(h.addr, func(c seam.Conn) seam.Handler {
+		h.ln, _ = h.loop.Listen(h.addr, func(c eventloop.Conn) eventloop.Handler {
 			c.Pause(true)
 			return &line{h: h, conn: c, parser: http1.Parser{Bounds: http1.Usual}}
 		})
 	}
-	r.w.Run(20 * seam.Second)
+	r.w.Run(20 * eventloop.Second)
 	released := r.releases()
 	for _, product := range []string{"explain", "post"} {
 		if got := r.final(r.ask(product, "body", body)); got != 503 {
@@ -468,7 +468,7 @@
 		r := newRig(t, 256, fleet...)
 		r.w.Segment = most
 		r.agent.tell(true, r.hosts[0].entry("SERVING"), r.hosts[2].entry("SERVING"))
-		r.w.Run(seam.Second)
+		r.w.Run(eventloop.Second)
 		if len(r.x.ready) != 2 {
 			t.Errorf("pieces of %d: %d hosts are ready", most, len(r.x.ready))
 		}
@@ -487,20 +487,20 @@
 	}
 	// What can't be read costs a watch, and the whole list is asked for; the list stands meanwhile.
 	r.far.Do(func() { r.agent.watches[0].conn.Write(http1.AppendChunk(nil, []byte("{nonsense}\n"))) })
-	r.until(2*seam.Second, "another watch", func() bool { return len(r.agent.targets) == 2 })
+	r.until(2*eventloop.Second, "another watch", func() bool { return len(r.agent.targets) == 2 })
 	if !strings.HasSuffix(r.agent.targets[1], "index=0") || len(r.x.ready) != 4 {
 		t.Errorf("asked %v with %d hosts", r.agent.targets, len(r.x.ready))
 	}
 	// One entry that can't be read does not cost the others, and changes follow on whole lists.
 	r.agent.tell(true, r.hosts[0].entry("SERVING"), `{"id":""}`, r.hosts[2].entry("SERVING"), r.hosts[3].entry("ODD"))
 	r.agent.tell(false, r.hosts[1].entry("SERVING"))
-	r.w.Run(10 * seam.Millisecond)
+	r.w.Run(10 * eventloop.Millisecond)
 	if len(r.x.ready) != 3 {
 		t.Errorf("%d hosts are ready", len(r.x.ready))
 	}
 	// A broken agent is asked again soon, from what is known on.
 	r.far.Do(func() { r.agent.watches[1].conn.Abort() })
-	r.until(2*seam.Second, "a third watch", func() bool { return len(r.agent.targets) == 3 })
+	r.until(2*eventloop.Second, "a third watch", func() bool { return len(r.agent.targets) == 3 })
 	if !strings.HasSuffix(r.agent.targets[2], fmt.Sprintf("index=%d", r.agent.version)) {
 		t.Errorf("asked %v", r.agent.targets)
 	}
@@ -508,8 +508,8 @@
 	r.agent.up("127.0.0.9:8600")
 	asked := len(r.agent.targets)
 	r.loop.Do(func() { r.x.Move("127.0.0.9:8600") })
-	r.until(seam.Second, "the watch at the new address", func() bool { return len(r.agent.targets) > asked })
-	if r.w.Run(3 * seam.Second); len(r.agent.targets) != asked+1 {
+	r.until(eventloop.Second, "the watch at the new address", func() bool { return len(r.agent.targets) > asked })
+	if r.w.Run(3 * eventloop.Second); len(r.agent.targets) != asked+1 {
 		t.Errorf("asked %d times at the new address", len(r.agent.targets)-asked)
 	}
 	if got := r.final(r.ask("post")); got != 200 {
@@ -540,10 +540,10 @@
 	}
 	// A request is on its way up, and so is, behind it, the end of the connection that it would be sent on.
 	r.final(r.ask("post"))
-	r.w.Heard = 5 * seam.Millisecond
-	r.w.Run(20 * seam.Millisecond)
+	r.w.Heard = 5 * eventloop.Millisecond
+	r.w.Run(20 * eventloop.Millisecond)
 	c := r.ask("post")
-	r.w.Run(3 * seam.Millisecond)
+	r.w.Run(3 * eventloop.Millisecond)
 	for _, l := range kept {
 		l.h.loop.Do(l.conn.Close)
 	}
@@ -561,10 +561,10 @@
 	if r.hosts[0].opened != 1 || r.hosts[1].opened != 1 {
 		t.Errorf("%d and %d connections", r.hosts[0].opened, r.hosts[1].opened)
 	}
-	if r.w.Run(10 * seam.Second); r.x.legs.Connections() != 2 {
+	if r.w.Run(10 * eventloop.Second); r.x.legs.Connections() != 2 {
 		t.Errorf("%d connections after 10 s", r.x.legs.Connections())
 	}
-	if r.w.Run(7 * seam.Second); r.x.legs.Connections() != 0 { // hosts close them after 30 s
+	if r.w.Run(7 * eventloop.Second); r.x.legs.Connections() != 0 { // hosts close them after 30 s
 		t.Errorf("%d connections after 17 s", r.x.legs.Connections())
 	}
 }
@@ -593,7 +593,7 @@
 		text := r.request("explain", "body", `"`+strings.Repeat("x", 200<<10)+`"`)
 		r.raw(text[:len(text)-10])
 	}
-	r.w.Run(seam.Second)
+	r.w.Run(eventloop.Second)
 	if n := r.x.door.Kept(); n > 4<<20 || n < 3<<20 {
 		t.Errorf("%d bytes are kept of 32 MB", n)
 	}
@@ -601,7 +601,7 @@
 	if got := r.final(r.ask("post", "body", big)); got != 503 {
 		t.Errorf("without room: answered %d", got)
 	}
-	r.w.Run(3 * seam.Second)
+	r.w.Run(3 * eventloop.Second)
 	if got := r.final(r.ask("post", "body", big)); got != 200 || r.x.door.Kept() != 0 {
 		t.Errorf("with room again: answered %d, %d bytes are kept", got, r.x.door.Kept())
 	}
@@ -613,8 +613,8 @@
 	bad := r.request("nonsense")
 	began := r.w.Now()
 	c := r.raw(bad + bad + bad)
-	r.until(seam.Second, "three answers", func() bool { return len(c.finals) == 3 })
-	if !slices.Equal(c.finals, []int{400, 400, 400}) || c.at-began < 200*seam.Millisecond {
+	r.until(eventloop.Second, "three answers", func() bool { return len(c.finals) == 3 })
+	if !slices.Equal(c.finals, []int{400, 400, 400}) || c.at-began < 200*eventloop.Millisecond {
 		t.Errorf("answered %v in %d µs", c.finals, c.at-began)
 	}
 }
@@ -622,9 +622,9 @@
 // TestNeverLeft: a read that was given up before it left has left no state, so that nothing is let go of.
 func TestNeverLeft(t *testing.T) {
 	r := newRig(t, 256, fleet...)
-	r.w.Latency = 40 * seam.Millisecond
+	r.w.Latency = 40 * eventloop.Millisecond
 	c := r.ask("explain")
-	r.until(seam.Second, "the read", func() bool { return r.x.Legs > 0 })
+	r.until(eventloop.Second, "the read", func() bool { return r.x.Legs > 0 })
 	r.far.Do(c.conn.Abort)
 	r.quiet()
 	if r.legs() != 0 || r.releases() != 0 {
@@ -645,9 +645,9 @@
 		l.last()
 	}
 	c := r.ask("explain")
-	r.until(seam.Second, "its stream", func() bool { return len(c.got) > 0 })
+	r.until(eventloop.Second, "its stream", func() bool { return len(c.got) > 0 })
 	r.far.Do(func() { c.conn.Pause(true) })
-	r.w.Run(4 * seam.Second)
+	r.w.Run(4 * eventloop.Second)
 	if n := r.x.door.Unsent(); n > 96<<10 { // the bound, and what one turn may bring past it
 		t.Errorf("%d bytes are kept for it", n)
 	}
@@ -660,15 +660,15 @@
 // TestLeave: on SIGTERM what still comes for a short while is taken, all is answered, and then the dispatcher ends.
 func TestLeave(t *testing.T) {
 	r := newRig(t, 256, fleet...)
-	all(r.writers(), func(l *line) { l.h.loop.After(2*seam.Second, func() { write(l) }) })
+	all(r.writers(), func(l *line) { l.h.loop.After(2*eventloop.Second, func() { write(l) }) })
 	idle := r.raw("GET /up HTTP/1.1\r\n\r\n")
 	first := r.ask("post")
-	r.w.Run(100 * seam.Millisecond)
+	r.w.Run(100 * eventloop.Millisecond)
 	var shut, done bool
 	r.loop.Do(func() { r.x.Leave(func() { r.ln.Close(); shut = true }, func() { done = true }) })
-	r.w.Run(300 * seam.Millisecond)
+	r.w.Run(300 * eventloop.Millisecond)
 	second := r.ask("post") // the front has not noticed yet
-	r.w.Run(300 * seam.Millisecond)
+	r.w.Run(300 * eventloop.Millisecond)
 	if !shut || done || !idle.closed {
 		t.Errorf("after 0.6 s: shut %v, done %v, idle connection closed %v", shut, done, idle.closed)
 	}
@@ -677,7 +677,7 @@
 			t.Errorf("answered %d, closed %v", got, c.closed)
 		}
 	}
-	r.until(seam.Second, "the end", func() bool { return done })
+	r.until(eventloop.Second, "the end", func() bool { return done })
 }
 
 // TestNothingGrows: hosts replaced all day under new ids, and clients that ask once and stay, leave nothing behind.
@@ -687,12 +687,12 @@
 		old := r.hosts[i]
 		h := r.host(fmt.Sprintf("n-%d", i), old.kind)
 		r.agent.tell(false, old.entry("DELETED"), h.entry("SERVING"))
-		r.w.Run(seam.Second)
+		r.w.Run(eventloop.Second)
 		if got := r.final(r.ask("post")); got != 200 {
 			t.Fatalf("after %d replacements: answered %d", i, got)
 		}
 	}
-	r.w.Run(70 * seam.Second)
+	r.w.Run(70 * eventloop.Second)
 	if n := r.x.legs.Known(); n > 4 {
 		t.Errorf("%d hosts are still known to the legs", n)
 	}
--- a/internal/platform/rig_test.go
+++ b/internal/platform/rig_test.go
@@ -7,10 +7,10 @@
 
 	"github.com/rs/zerolog"
 
+	"plumspindle/internal/eventloop"
 	"plumspindle/internal/http1"
-	"plumspindle/internal/seam"
-	"plumspindle/internal/sse"
 	"plumspindle/internal/settings"
+	"plumspindle/internal/sse"
 	"plumspindle/internal/virtual"
 )
 
@@ -31,7 +31,7 @@
 	far   *virtual.Loop // clients and discovery
 	x     *Dispatcher
 	door  string
-	ln    seam.Listener
+	ln    eventloop.Listener
 	agent *agent
 	hosts []*host
 	asked int
@@ -68,7 +68,7 @@
 		}
 		r.door, r.ln = ln.Addr(), ln
 	})
-	r.w.Run(20 * seam.Millisecond)
+	r.w.Run(20 * eventloop.Millisecond)
 	return r
 }
 
@@ -80,17 +80,17 @@
 	id     string
 	kind   string
 	addr   string
-	ln     seam.Listener
+	ln     eventloop.Listener
 	serve  func(*line)
 	heads  []*http1.Head // of all requests, in their order
 	bodies []string
 	opened int
-	slack  seam.Micros // before it answers a release
+	slack  eventloop.Micros // before it answers a release
 }
 
 type line struct {
 	h      *host
-	conn   seam.Conn
+	conn   eventloop.Conn
 	parser http1.Parser
 	head   *http1.Head
 	body   []byte
@@ -109,7 +109,7 @@
 }
 
 func (h *host) up(addr string) {
-	h.ln, _ = h.loop.Listen(addr, func(c seam.Conn) seam.Handler {
+	h.ln, _ = h.loop.Listen(addr, func(c eventloop.Conn) eventloop.Handler {
 		h.opened++
 		return &line{h: h, conn: c, parser: http1.Parser{Bounds: http1.Usual}}
 	})
@@ -183,12 +183,12 @@
 	version int
 	watches []*line
 	targets []string
-	ln      seam.Listener
+	ln      eventloop.Listener
 	away    bool // it takes connections and answers none
 }
 
 func (a *agent) up(addr string) {
-	a.ln, _ = a.rig.far.Listen(addr, func(c seam.Conn) seam.Handler {
+	a.ln, _ = a.rig.far.Listen(addr, func(c eventloop.Conn) eventloop.Handler {
 		l := &line{conn: c, parser: http1.Parser{Bounds: http1.Usual}}
 		l.h = &host{rig: a.rig, serve: func(l *line) {
 			a.targets = append(a.targets, l.head.Target)
@@ -215,7 +215,7 @@
 func (a *agent) beat(l *line) {
 	if !l.closed && !l.mute {
 		l.conn.Write(http1.AppendChunk(nil, []byte("\n")))
-		a.rig.far.After(2*seam.Second, func() { a.beat(l) })
+		a.rig.far.After(2*eventloop.Second, func() { a.beat(l) })
 	}
 }
 
@@ -238,14 +238,14 @@
 // --- Clients ---
 
 type client struct {
-	conn   seam.Conn
+	conn   eventloop.Conn
 	sends  string
 	parser http1.Parser
 	head   *http1.Head
 	events sse.Parser
 	got    []string // data of events
 	finals []int    // statuses of whole answers
-	at     seam.Micros
+	at     eventloop.Micros
 	closed bool
 	rig    *rig
 }
@@ -271,7 +271,7 @@
 // raw opens a connection and sends some bytes.
 func (r *rig) raw(sends string) *client {
 	c := &client{rig: r, sends: sends, parser: http1.Parser{Response: true, Bounds: http1.Usual}, events: sse.Parser{Most: 1 << 20}}
-	r.far.Do(func() { c.conn = r.far.Dial(r.door, seam.Second, c) })
+	r.far.Do(func() { c.conn = r.far.Dial(r.door, eventloop.Second, c) })
 	return c
 }
 
@@ -306,18 +306,18 @@
 }
 
 // until lets time pass until something holds, and fails the test if it does not in time.
-func (r *rig) until(span seam.Micros, what string, holds func() bool) {
+func (r *rig) until(span eventloop.Micros, what string, holds func() bool) {
 	r.t.Helper()
 	if !r.w.Until(span, holds) {
-		r.t.Fatalf("not in %d ms: %s\n%s", span/seam.Millisecond, what, r.x.Standing())
+		r.t.Fatalf("not in %d ms: %s\n%s", span/eventloop.Millisecond, what, r.x.Standing())
 	}
 }
 
 // final waits for the answer's end and gives its status, 0 for a connection that was closed without.
 func (r *rig) final(c *client) int {
 	r.t.Helper()
-	r.until(20*seam.Second, "a final answer", func() bool { return c.closed || len(c.finals) > 0 })
-	r.w.Run(50 * seam.Millisecond)
+	r.until(20*eventloop.Second, "a final answer", func() bool { return c.closed || len(c.finals) > 0 })
+	r.w.Run(50 * eventloop.Millisecond)
 	if len(c.finals) > 1 {
 		r.t.Fatalf("%d answers", len(c.finals))
 	}
@@ -344,7 +344,7 @@
 // quiet checks that nothing is left of any generation.
 func (r *rig) quiet() {
 	r.t.Helper()
-	r.w.Run(seam.Second)
+	r.w.Run(eventloop.Second)
 	gens, legs, _, _ := r.x.module.Open()
 	if len(r.x.gens) != 0 || gens != 0 || legs != 0 || r.x.door.Open != 0 {
 		r.t.Errorf("something is left: %s", r.x.Standing())
--- a/internal/program/admin.go
+++ b/internal/program/admin.go
@@ -13,8 +13,8 @@
 	"time"
 
 	"plumspindle/internal/admin"
+	"plumspindle/internal/eventloop"
 	"plumspindle/internal/lab/days"
-	"plumspindle/internal/seam"
 	"plumspindle/internal/sockets"
 )
 
@@ -63,7 +63,7 @@
 	return nil
 }
 
-func startAdmin(s *surroundings, loop *sockets.Loop, listen string, secret []byte, staff []admin.Staff, records admin.Records) (ln seam.Listener, err error) {
+func startAdmin(s *surroundings, loop *sockets.Loop, listen string, secret []byte, staff []admin.Staff, records admin.Records) (ln eventloop.Listener, err error) {
 	loop.Do(func() {
 		var a *admin.Admin
 		if a, err = admin.Start(loop, secret, staff, records, crand.Reader, s.log); err == nil {
--- a/internal/program/bench.go
+++ b/internal/program/bench.go
@@ -24,10 +24,10 @@
 	"plumspindle/internal/deployment"
 	"plumspindle/internal/deployment/pb"
 	"plumspindle/internal/engine"
+	"plumspindle/internal/eventloop"
 	"plumspindle/internal/http1"
 	"plumspindle/internal/lab/days"
 	"plumspindle/internal/lab/hosts"
-	"plumspindle/internal/seam"
 	"plumspindle/internal/sockets"
 	"plumspindle/internal/sse"
 )
@@ -163,7 +163,7 @@
 
 // benchAsk is one generation through the dispatcher.
 type benchAsk struct {
-	conn    seam.Conn
+	conn    eventloop.Conn
 	request []byte
 	parser  http1.Parser
 	events  sse.Parser
@@ -216,7 +216,7 @@
 	a := &benchAsk{parser: http1.Parser{Response: true, Bounds: http1.Usual}, events: sse.Parser{Most: 1 << 20}, first: first, token: token, end: end}
 	a.request = http1.AppendRequest(nil, "POST", "/v1/chat/completions", m.api, m.body(model, most), append(fields, "Authorization", "Bearer "+m.key,
 		"Content-Type", "application/json", "x-client-request-id", id, "Connection", "close")...)
-	a.conn = m.asks.Dial(m.api, 5*seam.Second, a)
+	a.conn = m.asks.Dial(m.api, 5*eventloop.Second, a)
 	return a
 }
 
@@ -246,7 +246,7 @@
 	var asked, failed, open int
 	m.asks.Do(func() {
 		chance := rand.New(rand.NewSource(c.Seed))
-		e := engine.New(m.asks, "bench", m.d.Zones[0], engine.Trunks{Connect: seam.Second, Idle: 20 * seam.Second, Silence: 30 * seam.Second, Most: 8192, Opening: 1000})
+		e := engine.New(m.asks, "bench", m.d.Zones[0], engine.Trunks{Connect: eventloop.Second, Idle: 20 * eventloop.Second, Silence: 30 * eventloop.Second, Most: 8192, Opening: 1000})
 		var readers, writers []choice.HostID
 		for _, h := range m.fleet.Hosts {
 			id := choice.HostID(h.ID)
@@ -262,17 +262,17 @@
 			err = problem
 			return
 		}
-		until := m.asks.Now() + seam.Micros(c.For.Microseconds())
+		until := m.asks.Now() + eventloop.Micros(c.For.Microseconds())
 		var next func()
 		next = func() {
 			if m.asks.Now() >= until {
 				return
 			}
-			m.asks.After(seam.Micros(chance.ExpFloat64()/c.Rate*1e6), next)
+			m.asks.After(eventloop.Micros(chance.ExpFloat64()/c.Rate*1e6), next)
 			asked++
 			open++
 			began := m.asks.Now()
-			warm := began > until-seam.Micros(c.For.Microseconds())*9/10
+			warm := began > until-eventloop.Micros(c.For.Microseconds())*9/10
 			id := fmt.Sprintf("b%d", asked)
 			end := func(ok bool) {
 				open--
@@ -298,12 +298,12 @@
 					first(direct)()
 				}
 			}, Ended: func(o engine.Outcome) { end(o.How == choice.Streamed) }}
-			e.Read(readers[asked%len(readers)], e.LegName(choice.GenID(asked), 0), id, plain, 10*seam.Second, engine.Hearer{Ended: func(o engine.Outcome) {
+			e.Read(readers[asked%len(readers)], e.LegName(choice.GenID(asked), 0), id, plain, 10*eventloop.Second, engine.Hearer{Ended: func(o engine.Outcome) {
 				if o.How != choice.ReadDone {
 					end(false)
 					return
 				}
-				e.Write(writers[asked%len(writers)], e.LegName(choice.GenID(asked), 1), id, plain, o.State, 40, 10*seam.Second, hear)
+				e.Write(writers[asked%len(writers)], e.LegName(choice.GenID(asked), 1), id, plain, o.State, 40, 10*eventloop.Second, hear)
 			}})
 		}
 		next()
@@ -365,7 +365,7 @@
 					return
 				}
 				asked++
-				var last seam.Micros
+				var last eventloop.Micros
 				var a *benchAsk
 				mute := asked <= stalled
 				a = m.ask(fmt.Sprintf("s%d", asked), 200_000, func() { got.begun++ }, func() {
@@ -380,7 +380,7 @@
 					}
 				}, func(bool) { got.ended++ })
 			}
-			m.asks.After(10*seam.Millisecond, next)
+			m.asks.After(10*eventloop.Millisecond, next)
 		}
 		next()
 	})
@@ -486,14 +486,14 @@
 	var asked, failed, open int
 	m.asks.Do(func() {
 		chance := rand.New(rand.NewSource(c.Seed))
-		until := m.asks.Now() + seam.Micros(c.For.Microseconds())
+		until := m.asks.Now() + eventloop.Micros(c.For.Microseconds())
 		var next func()
 		next = func() {
 			began := m.asks.Now()
 			if began >= until {
 				return
 			}
-			m.asks.After(seam.Micros(chance.ExpFloat64()/c.Rate*1e6), next)
+			m.asks.After(eventloop.Micros(chance.ExpFloat64()/c.Rate*1e6), next)
 			asked++
 			open++
 			sort := &sorts[chance.Intn(len(sorts))]
--- a/internal/program/program.go
+++ b/internal/program/program.go
@@ -29,13 +29,13 @@
 	"plumspindle/internal/admin"
 	"plumspindle/internal/deployment"
 	"plumspindle/internal/dispatch"
+	"plumspindle/internal/eventloop"
 	"plumspindle/internal/front"
 	"plumspindle/internal/lab/audit"
 	"plumspindle/internal/lab/days"
 	"plumspindle/internal/lab/hosts"
 	"plumspindle/internal/platform/launch"
 	"plumspindle/internal/roster"
-	"plumspindle/internal/seam"
 	"plumspindle/internal/sockets"
 	"plumspindle/internal/store"
 )
@@ -209,7 +209,7 @@
 }
 
 // start puts a dispatcher onto a loop.
-func (c *serveCommand) start(s *surroundings, loop *sockets.Loop, d deployment.Deployment) (x *dispatch.Dispatcher, ln seam.Listener, err error) {
+func (c *serveCommand) start(s *surroundings, loop *sockets.Loop, d deployment.Deployment) (x *dispatch.Dispatcher, ln eventloop.Listener, err error) {
 	if c.Zone == "" {
 		c.Zone = d.Zones[0]
 	}
@@ -267,7 +267,7 @@
 }
 
 // leave lets what runs end.
-func leave(s *surroundings, loop *sockets.Loop, x *dispatch.Dispatcher, ln seam.Listener, within time.Duration) error {
+func leave(s *surroundings, loop *sockets.Loop, x *dispatch.Dispatcher, ln eventloop.Listener, within time.Duration) error {
 	done := make(chan struct{})
 	loop.Do(func() {
 		ln.Close()
