--- a/internal/program/restarts.go
+++ b/internal/program/restarts.go
@@ -12,8 +12,8 @@
 	"gonum.org/v1/plot/vg"
 
 	"plumspindle/internal/deployment"
+	"plumspindle/internal/eventloop"
 	"plumspindle/internal/lab/days"
-	"plumspindle/internal/seam"
 )
 
 type restartsCommand struct {
@@ -117,7 +117,7 @@
 		go func() {
 			defer func() { <-room; wg.Done() }()
 			play := &days.Play{Script: script, Deployment: d, Dispatchers: c.Dispatchers, Seed: int64(seed + 1)}
-			v, left, err := play.Restart(seam.Micros(age.Microseconds()), share, discovery)
+			v, left, err := play.Restart(eventloop.Micros(age.Microseconds()), share, discovery)
 			mu.Lock()
 			defer mu.Unlock()
 			if err != nil {
--- a/internal/program/sim.go
+++ b/internal/program/sim.go
@@ -17,11 +17,11 @@
 
 	"plumspindle/internal/deployment"
 	"plumspindle/internal/deployment/pb"
+	"plumspindle/internal/eventloop"
 	"plumspindle/internal/explore"
 	"plumspindle/internal/lab/days"
 	"plumspindle/internal/lab/record"
 	"plumspindle/internal/path"
-	"plumspindle/internal/seam"
 )
 
 type simCommand struct {
@@ -386,7 +386,7 @@
 		troubles = append(troubles, &pb.Day_Trouble{Kind: c.Trouble, AtMs: 300, ForMs: 200, Share: 0.4, Factor: 0.5, Step: 30})
 	}
 	began, told := time.Now(), time.Now()
-	o, err := explore.Explore(c.Depth, seam.Micros(c.Late), troubles, func(o *explore.Orders) {
+	o, err := explore.Explore(c.Depth, eventloop.Micros(c.Late), troubles, func(o *explore.Orders) {
 		if time.Since(told) > 5*time.Second {
 			told = time.Now()
 			fmt.Fprintf(s.err, "%d days, %d states, %d faults\n", o.Days, o.States, len(o.Faults))
--- a/internal/roster/client.go
+++ b/internal/roster/client.go
@@ -3,7 +3,7 @@
 import (
 	"strconv"
 
-	"plumspindle/internal/seam"
+	"plumspindle/internal/eventloop"
 	"plumspindle/internal/subscribe"
 )
 
@@ -16,7 +16,7 @@
 }
 
 // NewClient makes a client that has not subscribed yet.
-func NewClient(loop seam.Loop, seed int64, addr, name string) *Client {
+func NewClient(loop eventloop.Loop, seed int64, addr, name string) *Client {
 	c := &Client{Client: subscribe.NewClient(loop, seed, addr)}
 	c.What, c.Fields = "the list's source", []string{"x-dispatcher", name}
 	c.Target = func() string {
--- a/internal/sockets/sockets.go
+++ b/internal/sockets/sockets.go
@@ -17,7 +17,7 @@
 	"golang.org/x/sys/unix"
 
 	"plumspindle/choice/due"
-	"plumspindle/internal/seam"
+	"plumspindle/internal/eventloop"
 )
 
 const (
@@ -26,7 +26,7 @@
 	stopWithin  = 150 * time.Millisecond // for the poller to end its connections
 	acceptPause = 20 * time.Millisecond  // after an accept that failed for want of descriptors
 	busyFor     = 3 * time.Millisecond   // for what one that is turned away has sent
-	lingerFor   = seam.Second            // for the other side to see that a connection is shut
+	lingerFor   = eventloop.Second       // for the other side to see that a connection is shut
 )
 
 var errNoConnection = errors.New("no connection")
@@ -208,8 +208,8 @@
 }
 
 // Now is the time since the epoch of 1970 as it was at the loop's start, going forward evenly from there.
-func (l *Loop) Now() seam.Micros {
-	return seam.Micros(l.epoch.UnixMicro()) + seam.Micros(time.Since(l.epoch).Microseconds())
+func (l *Loop) Now() eventloop.Micros {
+	return eventloop.Micros(l.epoch.UnixMicro()) + eventloop.Micros(time.Since(l.epoch).Microseconds())
 }
 
 type timer struct {
@@ -219,7 +219,7 @@
 
 func (t timer) Stop() { t.l.times.Drop(t.it) }
 
-func (l *Loop) After(span seam.Micros, f func()) seam.Timer {
+func (l *Loop) After(span eventloop.Micros, f func()) eventloop.Timer {
 	return timer{l, l.times.Set(l.Now()+max(span, 0), f)}
 }
 
@@ -233,9 +233,9 @@
 
 type conn struct {
 	l            *Loop
-	h            seam.Handler
+	h            eventloop.Handler
 	nb           *nbio.Conn
-	dialing      seam.Timer
+	dialing      eventloop.Timer
 	unsent       atomic.Int64
 	wantsDrained atomic.Bool
 
@@ -250,7 +250,7 @@
 	paused   bool
 	holds    bool // the other side's end is heard though it is paused
 	closing  bool
-	lingers  seam.Timer
+	lingers  eventloop.Timer
 	ended    bool
 	cause    error
 	spare    []byte
@@ -521,16 +521,16 @@
 }
 
 // Dial opens a connection; its outcome is heard by the handler, never within this call.
-func (l *Loop) Dial(addr string, within seam.Micros, h seam.Handler) seam.Conn {
+func (l *Loop) Dial(addr string, within eventloop.Micros, h eventloop.Handler) eventloop.Conn {
 	return l.dial(addr, within, h, false)
 }
 
 // DialSpare is Dial that may use one of the descriptors that are kept back.
-func (l *Loop) DialSpare(addr string, within seam.Micros, h seam.Handler) seam.Conn {
+func (l *Loop) DialSpare(addr string, within eventloop.Micros, h eventloop.Handler) eventloop.Conn {
 	return l.dial(addr, within, h, true)
 }
 
-func (l *Loop) dial(addr string, within seam.Micros, h seam.Handler, spare bool) seam.Conn {
+func (l *Loop) dial(addr string, within eventloop.Micros, h eventloop.Handler, spare bool) eventloop.Conn {
 	l.spares.fill()
 	c := &conn{l: l, h: h}
 	fail := func(err error) {
@@ -550,7 +550,7 @@
 			case noDescriptors(err) && again && !c.ended && l.spares.take():
 				go dial(false)
 			case noDescriptors(err):
-				l.dialed(c, nil, fmt.Errorf("%w: %w", seam.ErrNoDescriptors, err), fail)
+				l.dialed(c, nil, fmt.Errorf("%w: %w", eventloop.ErrNoDescriptors, err), fail)
 			case err != nil:
 				l.dialed(c, nil, fmt.Errorf("%w: %w", errNoConnection, err), fail)
 			default:
@@ -588,7 +588,7 @@
 	nb, err := ownOnly(raw)
 	if err != nil {
 		_ = raw.Close()
-		fail(fmt.Errorf("%w: %w", seam.ErrNoDescriptors, err))
+		fail(fmt.Errorf("%w: %w", eventloop.ErrNoDescriptors, err))
 		return
 	}
 	l.born.Add(1)
@@ -621,7 +621,7 @@
 }
 
 // Listen takes connections on a loopback address.
-func (l *Loop) Listen(addr string, accept func(seam.Conn) seam.Handler) (seam.Listener, error) {
+func (l *Loop) Listen(addr string, accept func(eventloop.Conn) eventloop.Handler) (eventloop.Listener, error) {
 	host, _, err := net.SplitHostPort(addr)
 	if err != nil {
 		return nil, fmt.Errorf("listen on %q: %w", addr, err)
@@ -639,7 +639,7 @@
 	return own, nil
 }
 
-func (own *listener) acceptAll(accept func(seam.Conn) seam.Handler) {
+func (own *listener) acceptAll(accept func(eventloop.Conn) eventloop.Handler) {
 	for {
 		raw, err := own.ln.Accept()
 		if errors.Is(err, net.ErrClosed) {
--- a/internal/sockets/sockets_test.go
+++ b/internal/sockets/sockets_test.go
@@ -12,12 +12,12 @@
 	"testing"
 	"time"
 
-	"plumspindle/internal/seam"
+	"plumspindle/internal/eventloop"
 )
 
 // ear hears one side of a connection; what it hears is told on channels to the test.
 type ear struct {
-	conn   seam.Conn
+	conn   eventloop.Conn
 	data   []byte
 	onData func(e *ear)
 	opened func(e *ear)
@@ -65,7 +65,7 @@
 	t.Helper()
 	server.closed = make(chan error, 1)
 	l.Do(func() {
-		ln, err := l.Listen("127.0.0.1:0", func(c seam.Conn) seam.Handler { server.conn = c; return server })
+		ln, err := l.Listen("127.0.0.1:0", func(c eventloop.Conn) eventloop.Handler { server.conn = c; return server })
 		if err != nil {
 			t.Error(err)
 			return
@@ -81,7 +81,7 @@
 	a, b := start(t), start(t)
 	client.closed = make(chan error, 1)
 	addr := listen(t, a, server)
-	b.Do(func() { client.conn = b.Dial(addr, seam.Second, client) })
+	b.Do(func() { client.conn = b.Dial(addr, eventloop.Second, client) })
 	return a, b
 }
 
@@ -104,12 +104,12 @@
 	second := &ear{opened: opened, closed: make(chan error, 1)}
 	heard := &ear{opened: opened, closed: make(chan error, 1)}
 	a.Do(func() {
-		ln, err := a.Listen("127.0.0.1:0", func(c seam.Conn) seam.Handler { heard.conn = c; return heard })
+		ln, err := a.Listen("127.0.0.1:0", func(c eventloop.Conn) eventloop.Handler { heard.conn = c; return heard })
 		if err != nil {
 			t.Error(err)
 			return
 		}
-		b.Post(func() { second.conn = b.Dial(ln.Addr(), seam.Second, second) })
+		b.Post(func() { second.conn = b.Dial(ln.Addr(), eventloop.Second, second) })
 	})
 	waitFor(t, "one opening", both)
 	waitFor(t, "the other opening", both)
@@ -197,7 +197,7 @@
 		}
 		addr = ln.Addr()
 		ln.Close()
-		refused.conn = a.Dial(addr, seam.Second, refused)
+		refused.conn = a.Dial(addr, eventloop.Second, refused)
 		if _, err := a.Listen("0.0.0.0:0", nil); err == nil {
 			t.Error("an address that is not loopback was taken")
 		}
@@ -220,7 +220,7 @@
 	answered := 0
 	var addr string
 	a.Do(func() {
-		ln, err := a.Listen("127.0.0.1:0", func(c seam.Conn) seam.Handler {
+		ln, err := a.Listen("127.0.0.1:0", func(c eventloop.Conn) eventloop.Handler {
 			return &ear{conn: c, closed: make(chan error, 1), onData: func(e *ear) { e.conn.Write(e.data); e.conn.Close() }}
 		})
 		if err != nil {
@@ -241,7 +241,7 @@
 					}
 				}
 			}
-			e.conn = b.Dial(addr, 10*seam.Second, e)
+			e.conn = b.Dial(addr, 10*eventloop.Second, e)
 		}
 	})
 	waitFor(t, "the last answer", done)
@@ -254,11 +254,11 @@
 	done := make(chan error, 1)
 	l.Do(func() {
 		for _, i := range []int{3, 1, 2} {
-			l.After(seam.Micros(i)*seam.Millisecond, func() { order = append(order, i) })
+			l.After(eventloop.Micros(i)*eventloop.Millisecond, func() { order = append(order, i) })
 		}
 		l.After(2500, func() { order = append(order, 99) }).Stop()
 		l.Later(func() { order = append(order, 0) })
-		l.After(5*seam.Millisecond, func() { done <- nil })
+		l.After(5*eventloop.Millisecond, func() { done <- nil })
 	})
 	waitFor(t, "the last timer", done)
 	l.Do(func() {
@@ -273,7 +273,7 @@
 	a := start(t)
 	var addr string
 	a.Do(func() {
-		ln, err := a.Listen("127.0.0.1:0", func(c seam.Conn) seam.Handler { return &ear{conn: c, closed: make(chan error, 1)} })
+		ln, err := a.Listen("127.0.0.1:0", func(c eventloop.Conn) eventloop.Handler { return &ear{conn: c, closed: make(chan error, 1)} })
 		if err != nil {
 			t.Error(err)
 			return
@@ -287,7 +287,7 @@
 		}
 		b.Do(func() {
 			for range 5 {
-				b.Dial(addr, seam.Second, &ear{closed: make(chan error, 1)})
+				b.Dial(addr, eventloop.Second, &ear{closed: make(chan error, 1)})
 			}
 		})
 		stopped := make(chan error, 1)
@@ -297,7 +297,7 @@
 }
 
 // answers gives each connection one byte and closes, as its client does: descriptors are given back and taken anew all the time.
-type answers struct{ conn seam.Conn }
+type answers struct{ conn eventloop.Conn }
 
 func (a *answers) Opened()      {}
 func (a *answers) Drained()     {}
@@ -313,7 +313,7 @@
 	l := start(t)
 	var addr string
 	l.Do(func() {
-		ln, err := l.Listen("127.0.0.1:0", func(c seam.Conn) seam.Handler { return &answers{c} })
+		ln, err := l.Listen("127.0.0.1:0", func(c eventloop.Conn) eventloop.Handler { return &answers{c} })
 		if err != nil {
 			t.Error(err)
 			return
@@ -362,7 +362,7 @@
 	}
 	defer l.Stop()
 	h := &told{opened: make(chan bool, 2)}
-	l.Do(func() { l.Dial(ln.Addr().String(), 5*seam.Second, h) })
+	l.Do(func() { l.Dial(ln.Addr().String(), 5*eventloop.Second, h) })
 	if !<-h.opened {
 		t.Error("not connected")
 	}
@@ -390,8 +390,8 @@
 			t.Fatal(err)
 		}
 		h := &told{opened: make(chan bool, 2)}
-		var c seam.Conn
-		l.Do(func() { c = l.Dial(ln.Addr().String(), 5*seam.Second, h) })
+		var c eventloop.Conn
+		l.Do(func() { c = l.Dial(ln.Addr().String(), 5*eventloop.Second, h) })
 		far, err := ln.Accept()
 		if err != nil || !<-h.opened {
 			t.Fatal("not connected", err)
@@ -401,7 +401,7 @@
 				t.Errorf("%s: not quiet before", name)
 			}
 			act(far)
-			for end := l.Now() + 5*seam.Second; c.Quiet(); {
+			for end := l.Now() + 5*eventloop.Second; c.Quiet(); {
 				if l.Now() > end {
 					t.Errorf("%s: still quiet", name)
 					return
--- a/internal/sockets/spares_test.go
+++ b/internal/sockets/spares_test.go
@@ -11,7 +11,7 @@
 	"testing"
 	"time"
 
-	"plumspindle/internal/seam"
+	"plumspindle/internal/eventloop"
 )
 
 // TestMain is also the process of its own that runs out of descriptors.
@@ -33,7 +33,7 @@
 	}
 	l.Busy = []byte("busy")
 	l.Do(func() {
-		ln, err := l.Listen("127.0.0.1:0", func(c seam.Conn) seam.Handler {
+		ln, err := l.Listen("127.0.0.1:0", func(c eventloop.Conn) eventloop.Handler {
 			return &ear{conn: c, closed: make(chan error, 1), onData: func(e *ear) { e.conn.Write(e.data); e.conn.Close() }}
 		})
 		if err != nil {
--- a/internal/subscribe/subscribe.go
+++ b/internal/subscribe/subscribe.go
@@ -7,16 +7,16 @@
 	"math/rand"
 	"slices"
 
+	"plumspindle/internal/eventloop"
 	"plumspindle/internal/http1"
-	"plumspindle/internal/seam"
 	"plumspindle/internal/sse"
 )
 
 const (
-	connectWithin = seam.Second
-	silence       = 15 * seam.Second // the source sends a comment far more often
-	againLeast    = 200 * seam.Millisecond
-	againMost     = 5 * seam.Second
+	connectWithin = eventloop.Second
+	silence       = 15 * eventloop.Second // the source sends a comment far more often
+	againLeast    = 200 * eventloop.Millisecond
+	againMost     = 5 * eventloop.Second
 	listMost      = 8 << 20 // bytes of one list
 	lineKept      = 4 << 10 // of the room that one took
 	olderMost     = 2       // silent subscriptions that stay open
@@ -31,7 +31,7 @@
 
 // Client keeps one subscription.
 type Client struct {
-	loop seam.Loop
+	loop eventloop.Loop
 	rand *rand.Rand
 	addr string
 	// Target is what to ask for, from what is known on; Take is handed each event; Forget has the next target ask for all.
@@ -44,29 +44,29 @@
 	// Lines: events are JSON objects, and empty lines only show that the source is there; else they are streamed events.
 	Lines bool
 	// Silence is how long the source may say nothing; Least and Again bound the wait before it is asked again.
-	Silence, Least, Again seam.Micros
+	Silence, Least, Again eventloop.Micros
 	// Answer, where it is above 0, is how long the source has to begin its answer, its connection included.
-	Answer seam.Micros
+	Answer eventloop.Micros
 	// Standby has a silent subscription stay open until another speaks: a source that was away may go on with it, and what
 	// it tells in the moment of its return would else fall between two tries.
 	Standby bool
 
 	current *subscription
 	older   []*subscription // silent ones that stay open
-	again   seam.Micros
-	waiting seam.Wait
+	again   eventloop.Micros
+	waiting eventloop.Wait
 	closed  bool
 }
 
 // NewClient makes a client that has not subscribed yet.
-func NewClient(loop seam.Loop, seed int64, addr string) *Client {
+func NewClient(loop eventloop.Loop, seed int64, addr string) *Client {
 	return &Client{loop: loop, rand: rand.New(rand.NewSource(seed)), addr: addr, Silence: silence, Least: againLeast, Again: againMost}
 }
 
 // subscription is one connection to the source.
 type subscription struct {
 	c       *Client
-	conn    seam.Conn
+	conn    eventloop.Conn
 	parser  http1.Parser
 	events  sse.Parser
 	object  object
@@ -74,7 +74,7 @@
 	ok      bool
 	leaving bool // its address is not asked any more: it stays until the new one speaks
 	dropped bool // nothing of it counts any more
-	quiet   seam.Wait
+	quiet   eventloop.Wait
 }
 
 // Subscribe asks for the list from the version known on, and goes on asking when the subscription breaks.
@@ -150,8 +150,8 @@
 	if c.again = max(c.again, c.Least); !ok {
 		c.again = min(2*c.again, c.Again)
 	}
-	wait := c.again/2 + seam.Micros(c.rand.Int63n(int64(c.again)))
-	c.Log(fmt.Sprintf("%s is away (%s); what is known is used, next try in %d ms", c.What, why, wait/seam.Millisecond))
+	wait := c.again/2 + eventloop.Micros(c.rand.Int63n(int64(c.again)))
+	c.Log(fmt.Sprintf("%s is away (%s); what is known is used, next try in %d ms", c.What, why, wait/eventloop.Millisecond))
 	c.waiting.For(c.loop, wait, c.Subscribe)
 }
 
@@ -255,12 +255,12 @@
 	depth   int
 	quoted  bool
 	escaped bool
-	since   seam.Micros // when it began; 0: none has
+	since   eventloop.Micros // when it began; 0: none has
 }
 
 var errNoObject = errors.New("something that is no object")
 
-func (o *object) feed(now seam.Micros, b []byte, take func([]byte) error) error {
+func (o *object) feed(now eventloop.Micros, b []byte, take func([]byte) error) error {
 	for from, i := 0, 0; i < len(b); i++ {
 		ch := b[i]
 		switch {
@@ -319,7 +319,7 @@
 }
 
 // Post sends one message on a connection of its own and tells the status of the answer, 0 for none in time.
-func Post(loop seam.Loop, addr, target string, body []byte, within seam.Micros, done func(status int), fields ...string) {
+func Post(loop eventloop.Loop, addr, target string, body []byte, within eventloop.Micros, done func(status int), fields ...string) {
 	p := &post{done: done, parser: http1.Parser{Response: true, Bounds: http1.Usual}}
 	p.request = http1.AppendRequest(nil, "POST", target, addr, body, append(fields, "Content-Type", "application/json", "Connection", "close")...)
 	p.timer = loop.After(within, func() {
@@ -330,10 +330,10 @@
 }
 
 type post struct {
-	conn    seam.Conn
+	conn    eventloop.Conn
 	request []byte
 	parser  http1.Parser
-	timer   seam.Timer
+	timer   eventloop.Timer
 	status  int
 	done    func(int)
 }
--- a/internal/virtual/disk.go
+++ b/internal/virtual/disk.go
@@ -5,7 +5,7 @@
 	"maps"
 	"slices"
 
-	"plumspindle/internal/seam"
+	"plumspindle/internal/eventloop"
 )
 
 // Folder is one process's files in the world: they outlive it. It is a store's Disk for whichever loop uses it now.
@@ -13,10 +13,10 @@
 	w     *World
 	l     *Loop
 	files map[string][]byte
-	busy  seam.Micros // until when what was asked for before takes
+	busy  eventloop.Micros // until when what was asked for before takes
 	// Sync is how long making something durable takes; Fault, where it is set, is the end of all that is asked for. Torn has
 	// what fails leave a part of it written, as a short write or a failed sync does.
-	Sync  seam.Micros
+	Sync  eventloop.Micros
 	Fault error
 	Torn  bool
 	// Room, where it is above 0, is how many bytes all files may have; a write past it fails with what fitted in written.
@@ -27,7 +27,7 @@
 
 // Folder makes an empty one.
 func (w *World) Folder() *Folder {
-	return &Folder{w: w, files: map[string][]byte{}, Sync: 2 * seam.Millisecond}
+	return &Folder{w: w, files: map[string][]byte{}, Sync: 2 * eventloop.Millisecond}
 }
 
 // For hands the folder to a process; what an earlier one had under way has come to nothing, or to a part.
@@ -70,7 +70,7 @@
 	l, fault, torn := f.l, f.Fault, f.Torn
 	f.busy = max(f.busy, f.w.now) + f.Sync
 	if f.Lies {
-		f.busy += 500 * seam.Millisecond
+		f.busy += 500 * eventloop.Millisecond
 		f.w.times.Set(f.w.now, func() { l.call(func() { done(nil) }) })
 		done = func(error) {}
 	}
--- a/internal/virtual/virtual.go
+++ b/internal/virtual/virtual.go
@@ -10,30 +10,30 @@
 	"strconv"
 
 	"plumspindle/choice/due"
-	"plumspindle/internal/seam"
+	"plumspindle/internal/eventloop"
 )
 
 // World holds the time, the network and the chance of one run.
 type World struct {
-	now       seam.Micros
+	now       eventloop.Micros
 	times     due.Times
 	rand      *rand.Rand
 	listeners map[string]*listener
 	nextPort  int
 	// Latency is how long bytes and news travel one way. Segment, where it is above 0, is the most bytes that
 	// arrive in one piece; they are cut at places drawn by chance.
-	Latency seam.Micros
+	Latency eventloop.Micros
 	Segment int
 	// Window is how many bytes a receiver that does not read takes in before its sender has to wait.
 	Window int
 	Steps  int
 	// Heard is how long what has arrived waits until its process hears of it, as where that is busy.
-	Heard seam.Micros
+	Heard eventloop.Micros
 	// Watch, where it is set, is called after each step.
 	Watch func()
 	// Delay, where it is set, is how much longer one piece is on its way.
-	Delay   func() seam.Micros
-	blocked map[[2]*Loop]seam.Micros
+	Delay   func() eventloop.Micros
+	blocked map[[2]*Loop]eventloop.Micros
 	steps   []stepAt
 	// Trace hashes what happens, so that two runs can be told apart.
 	Trace uint64
@@ -41,8 +41,8 @@
 
 // New makes a world at a time of no meaning.
 func New(seed int64) *World {
-	return &World{now: 1_700_000_000 * seam.Second, rand: rand.New(rand.NewSource(seed)), listeners: map[string]*listener{},
-		blocked: map[[2]*Loop]seam.Micros{}, nextPort: 10000, Latency: 200, Window: 128 << 10, Trace: 14695981039346656037}
+	return &World{now: 1_700_000_000 * eventloop.Second, rand: rand.New(rand.NewSource(seed)), listeners: map[string]*listener{},
+		blocked: map[[2]*Loop]eventloop.Micros{}, nextPort: 10000, Latency: 200, Window: 128 << 10, Trace: 14695981039346656037}
 }
 
 type stepAt struct {
@@ -70,12 +70,12 @@
 }
 
 // Block has nothing of one process reach another for a while; it arrives afterwards. The other way is open.
-func (w *World) Block(from, to *Loop, span seam.Micros) {
+func (w *World) Block(from, to *Loop, span eventloop.Micros) {
 	w.blocked[[2]*Loop{from, to}] = w.now + span
 }
 
 // way is when what is sent now is there.
-func (w *World) way(from, to *Loop) seam.Micros {
+func (w *World) way(from, to *Loop) eventloop.Micros {
 	at := w.now + w.Latency
 	if w.Delay != nil {
 		at += w.Delay()
@@ -87,10 +87,10 @@
 }
 
 // Now is the world's time.
-func (w *World) Now() seam.Micros { return w.now }
+func (w *World) Now() eventloop.Micros { return w.now }
 
 // Run lets time pass up to a moment.
-func (w *World) Run(span seam.Micros) {
+func (w *World) Run(span eventloop.Micros) {
 	end := w.now + span
 	for {
 		at, some := w.times.Next()
@@ -104,7 +104,7 @@
 }
 
 // Until runs until something holds, for a span at most, and tells whether it came to hold.
-func (w *World) Until(span seam.Micros, holds func() bool) bool {
+func (w *World) Until(span eventloop.Micros, holds func() bool) bool {
 	for end := w.now + span; !holds(); {
 		at, some := w.times.Next()
 		if !some || at > end {
@@ -136,7 +136,7 @@
 	later  []func()
 	active bool
 	own    []*listener
-	skew   seam.Micros
+	skew   eventloop.Micros
 	// Descriptors, where it is above 0, is how many connections it may have, the last two by DialSpare only.
 	Descriptors int
 }
@@ -160,7 +160,7 @@
 }
 
 // Freeze stops the process for a while; then it goes on as if nothing had been, with all that came meanwhile.
-func (l *Loop) Freeze(span seam.Micros) {
+func (l *Loop) Freeze(span eventloop.Micros) {
 	l.frozen = true
 	l.w.times.Set(l.w.now+span, func() {
 		l.frozen = false
@@ -203,9 +203,9 @@
 func (l *Loop) Post(f func()) { l.call(f) }
 
 // Step sets the process's clock forward, or back; its timers run on.
-func (l *Loop) Step(by seam.Micros) { l.skew += by }
+func (l *Loop) Step(by eventloop.Micros) { l.skew += by }
 
-func (l *Loop) Now() seam.Micros { return l.w.now + l.skew }
+func (l *Loop) Now() eventloop.Micros { return l.w.now + l.skew }
 
 type timer struct {
 	w  *World
@@ -214,7 +214,7 @@
 
 func (t timer) Stop() { t.w.times.Drop(t.it) }
 
-func (l *Loop) After(span seam.Micros, f func()) seam.Timer {
+func (l *Loop) After(span eventloop.Micros, f func()) eventloop.Timer {
 	return timer{l.w, l.w.times.Set(l.w.now+max(span, 0), func() { l.call(f) })}
 }
 
@@ -231,7 +231,7 @@
 type listener struct {
 	l      *Loop
 	addr   string
-	accept func(seam.Conn) seam.Handler
+	accept func(eventloop.Conn) eventloop.Handler
 }
 
 func (ln *listener) Addr() string { return ln.addr }
@@ -243,7 +243,7 @@
 	}
 }
 
-func (l *Loop) Listen(addr string, accept func(seam.Conn) seam.Handler) (seam.Listener, error) {
+func (l *Loop) Listen(addr string, accept func(eventloop.Conn) eventloop.Handler) (eventloop.Listener, error) {
 	if len(addr) > 2 && addr[len(addr)-2:] == ":0" {
 		l.w.nextPort++
 		addr = addr[:len(addr)-1] + strconv.Itoa(l.w.nextPort)
@@ -260,11 +260,11 @@
 // conn is one side of a connection.
 type conn struct {
 	l       *Loop
-	h       seam.Handler
+	h       eventloop.Handler
 	peer    *conn
 	in      []byte // arrived and not handed over
 	flying  int    // bytes on their way
-	arrives seam.Micros
+	arrives eventloop.Micros
 	paused  bool
 	holds   bool
 	closing bool
@@ -292,23 +292,23 @@
 
 func (l *Loop) full() bool { return l.Descriptors > 0 && len(l.conns) >= l.Descriptors-spares }
 
-func (l *Loop) Dial(addr string, within seam.Micros, h seam.Handler) seam.Conn {
+func (l *Loop) Dial(addr string, within eventloop.Micros, h eventloop.Handler) eventloop.Conn {
 	return l.dial(addr, within, h, l.full())
 }
 
-func (l *Loop) DialSpare(addr string, within seam.Micros, h seam.Handler) seam.Conn {
+func (l *Loop) DialSpare(addr string, within eventloop.Micros, h eventloop.Handler) eventloop.Conn {
 	return l.dial(addr, within, h, l.Descriptors > 0 && len(l.conns) >= l.Descriptors)
 }
 
-func (l *Loop) dial(addr string, within seam.Micros, h seam.Handler, full bool) seam.Conn {
+func (l *Loop) dial(addr string, within eventloop.Micros, h eventloop.Handler, full bool) eventloop.Conn {
 	c := &conn{l: l, h: h}
 	w := l.w
-	fail := func(wait seam.Micros, err error) seam.Conn {
+	fail := func(wait eventloop.Micros, err error) eventloop.Conn {
 		w.times.Set(w.now+wait, func() { l.call(func() { c.end(err) }) })
 		return c
 	}
 	if full {
-		return fail(0, seam.ErrNoDescriptors)
+		return fail(0, eventloop.ErrNoDescriptors)
 	}
 	l.track(c)
 	w.times.Set(w.now+w.Latency, func() {
@@ -390,7 +390,7 @@
 		c.arrives = max(c.arrives, w.way(c.l, c.peer.l))
 		w.times.Set(c.arrives, func() { c.arrive(part) })
 		if w.Segment > 0 {
-			c.arrives += seam.Micros(w.rand.Intn(40))
+			c.arrives += eventloop.Micros(w.rand.Intn(40))
 		}
 	}
 	if len(c.waiting) > 0 {
