--- a/internal/platform/platform.go
+++ b/internal/platform/platform.go
@@ -16,8 +16,8 @@
 	"plumspindle/internal/engine"
 	"plumspindle/internal/eventloop"
 	"plumspindle/internal/platform/discovery"
-	"plumspindle/internal/platform/door"
-	"plumspindle/internal/platform/legs"
+	"plumspindle/internal/platform/server"
+	"plumspindle/internal/platform/upstream"
 	"plumspindle/internal/settings"
 )
 
@@ -63,8 +63,8 @@
 	post    Post
 	terms   *settings.Terms
 	module  *choice.Dispatcher
-	legs    *legs.Legs
-	door    *door.Door
+	legs    *upstream.Legs
+	door    *server.Door
 	watch   *discovery.Watch
 	gens    map[choice.GenID]*gen
 	lastGen choice.GenID
@@ -80,8 +80,8 @@
 // gen is what the dispatcher keeps of a generation: what the module does not know, and nothing that it does.
 type gen struct {
 	id       choice.GenID
-	ask      *door.Ask
-	reply    *door.Reply
+	ask      *server.Ask
+	reply    *server.Reply
 	legs     choice.LegNo // sent so far
 	leg      *engine.Leg  // that is out
 	host     choice.HostID
@@ -106,9 +106,9 @@
 	place := t.Place
 	place.Idle /= 2 // connections are closed well before hosts do: what is written to one that is closed counts as lost
 	e := engine.New(loop, post.Name, "", trunks(t, post.Sockets, place.Idle))
-	x.legs = legs.New(loop, e, t.LetGo, func() []choice.HostID { return x.ready })
+	x.legs = upstream.New(loop, e, t.LetGo, func() []choice.HostID { return x.ready })
 	x.legs.Log = func(line string) { post.Log.Warn().Msg(line) }
-	x.door = door.New(loop, doors(post.Sockets, post.Memory), x)
+	x.door = server.New(loop, doors(post.Sockets, post.Memory), x)
 	x.watch = discovery.New(loop, post.Seed, post.Discovery, x.news, func(line string) { post.Log.Warn().Msg(line) })
 	x.module = choice.Start(loop.Now(), post.Seed, place, x)
 	if len(post.Known) > 0 {
@@ -128,8 +128,8 @@
 	return engine.Trunks{Connect: t.Connect, Idle: idle, Silence: silence, Most: most, Opening: max(most/4, 4), All: most}
 }
 
-func doors(sockets, memory int) door.Bounds {
-	b := door.Usual
+func doors(sockets, memory int) server.Bounds {
+	b := server.Usual
 	b.Most = max(sockets/2, 8)
 	b.Kept = max(memory/8, 2*b.Body)
 	b.Unsent = min(max(memory/4/b.Most, 8<<10), 64<<10)
@@ -137,7 +137,7 @@
 }
 
 // Door is the clients' side.
-func (x *Dispatcher) Door() *door.Door { return x.door }
+func (x *Dispatcher) Door() *server.Door { return x.door }
 
 // Move has discovery asked at another address.
 func (x *Dispatcher) Move(discovery string) { x.watch.Move(discovery) }
@@ -257,13 +257,13 @@
 }
 
 // Take takes a request from the door.
-func (x *Dispatcher) Take(ask *door.Ask, to *door.Reply) *door.Refusal {
+func (x *Dispatcher) Take(ask *server.Ask, to *server.Reply) *server.Refusal {
 	product := slices.Index(x.terms.Products, ask.Product)
 	if product < 0 {
-		return &door.Refusal{Status: 400, Why: fmt.Sprintf("unknown kind of request %.40q", ask.Product)}
+		return &server.Refusal{Status: 400, Why: fmt.Sprintf("unknown kind of request %.40q", ask.Product)}
 	}
 	if x.ids[ask.ID] || x.lately[0][ask.ID] || x.lately[1][ask.ID] {
-		return &door.Refusal{Status: 409, Why: "the id is that of another request"}
+		return &server.Refusal{Status: 409, Why: "the id is that of another request"}
 	}
 	tenant := max(slices.Index(x.terms.Tenants, ask.Tenant), 0)
 	if ask.Prompt == 0 {
@@ -395,7 +395,7 @@
 			Event: func(data []byte) { x.event(g, no, data) },
 			Ended: func(o engine.Outcome) { x.ended(g, no, o) },
 		}
-		request := legs.Request{ID: g.ask.ID, Target: g.ask.Target, Type: g.ask.Type, Body: g.ask.Body}
+		request := upstream.Request{ID: g.ask.ID, Target: g.ask.Target, Type: g.ask.Type, Body: g.ask.Body}
 		if g.reads {
 			g.leg = x.legs.Read(host, request, allow, hear)
 		} else {
--- a/internal/platform/door/door.go
+++ b/internal/platform/server/server.go
@@ -1,6 +1,6 @@
 // Package door takes the platform's clients: it reads requests, refuses what can't be read or could do harm, and gives each
 // request that it passes on exactly one final answer. What becomes of a request is decided elsewhere.
-package door
+package server
 
 import (
 	"strings"
--- a/internal/platform/door/door_test.go
+++ b/internal/platform/server/server_test.go
@@ -1,4 +1,4 @@
-package door
+package server
 
 import (
 	"strings"
--- a/internal/platform/legs/legs.go
+++ b/internal/platform/upstream/upstream.go
@@ -1,6 +1,6 @@
 // Package legs carries legs to the platform's model hosts, tells what each way in which one ends means, and sees that what hosts
 // hold for a request is let go of in time. The connections are package engine's.
-package legs
+package upstream
 
 import (
 	"bytes"
--- a/internal/platform/legs/legs_test.go
+++ b/internal/platform/upstream/upstream_test.go
@@ -1,4 +1,4 @@
-package legs
+package upstream
 
 import (
 	"testing"
