--- a/internal/platform/platform.go
+++ b/internal/platform/platform.go
@@ -64,7 +64,7 @@
 	terms   *settings.Terms
 	module  *choice.Dispatcher
 	legs    *upstream.Legs
-	door    *server.Door
+	door    *server.Server
 	watch   *discovery.Watch
 	gens    map[choice.GenID]*gen
 	lastGen choice.GenID
@@ -80,8 +80,8 @@
 // gen is what the dispatcher keeps of a generation: what the module does not know, and nothing that it does.
 type gen struct {
 	id       choice.GenID
-	ask      *server.Ask
-	reply    *server.Reply
+	ask      *server.Request
+	reply    *server.Response
 	legs     choice.LegNo // sent so far
 	leg      *engine.Leg  // that is out
 	host     choice.HostID
@@ -128,8 +128,8 @@
 	return engine.Trunks{Connect: t.Connect, Idle: idle, Silence: silence, Most: most, Opening: max(most/4, 4), All: most}
 }
 
-func doors(sockets, memory int) server.Bounds {
-	b := server.Usual
+func doors(sockets, memory int) server.Limits {
+	b := server.DefaultLimits
 	b.Most = max(sockets/2, 8)
 	b.Kept = max(memory/8, 2*b.Body)
 	b.Unsent = min(max(memory/4/b.Most, 8<<10), 64<<10)
@@ -137,17 +137,17 @@
 }
 
 // Door is the clients' side.
-func (x *Dispatcher) Door() *server.Door { return x.door }
+func (x *Dispatcher) Door() *server.Server { return x.door }
 
 // Move has discovery asked at another address.
 func (x *Dispatcher) Move(discovery string) { x.watch.Move(discovery) }
 
 // Leave answers all that was taken, takes what still comes for a short while, and then calls done.
 func (x *Dispatcher) Leave(shut, done func()) {
-	x.door.Leave()
+	x.door.Drain()
 	x.loop.After(leaveAfter, func() {
 		shut()
-		x.door.Shut()
+		x.door.Shutdown()
 		x.leaving = done
 		x.left()
 	})
@@ -256,33 +256,33 @@
 	return choice.Writer
 }
 
-// Take takes a request from the door.
-func (x *Dispatcher) Take(ask *server.Ask, to *server.Reply) *server.Refusal {
-	product := slices.Index(x.terms.Products, ask.Product)
+// Handle takes a request from the door.
+func (x *Dispatcher) Handle(ask *server.Request, to *server.Response) *server.Rejection {
+	product := slices.Index(x.terms.Products, ask.Class)
 	if product < 0 {
-		return &server.Refusal{Status: 400, Why: fmt.Sprintf("unknown kind of request %.40q", ask.Product)}
+		return &server.Rejection{Status: 400, Reason: fmt.Sprintf("unknown kind of request %.40q", ask.Class)}
 	}
 	if x.ids[ask.ID] || x.lately[0][ask.ID] || x.lately[1][ask.ID] {
-		return &server.Refusal{Status: 409, Why: "the id is that of another request"}
+		return &server.Rejection{Status: 409, Reason: "the id is that of another request"}
 	}
 	tenant := max(slices.Index(x.terms.Tenants, ask.Tenant), 0)
-	if ask.Prompt == 0 {
-		ask.Prompt = float64(len(ask.Body)) / 4
+	if ask.PromptTokens == 0 {
+		ask.PromptTokens = float64(len(ask.Body)) / 4
 	}
 	x.lastGen++
 	x.Taken++
 	g := &gen{id: x.lastGen, ask: ask, reply: to}
 	x.gens[g.id] = g
 	x.ids[ask.ID] = true
-	to.OnLeft = func() { x.loop.Later(func() { x.clientLeft(g) }) } // never within the module's own call
-	to.OnDrained = func() {
+	to.OnClientGone = func() { x.loop.Later(func() { x.clientLeft(g) }) } // never within the module's own call
+	to.OnWritable = func() {
 		if g.leg != nil {
 			g.leg.Slow(false)
 		}
 	}
 	now := x.loop.Now()
 	x.module.Arrive(now, g.id, choice.SessionID(name(ask.Session)), choice.PrefixID(name(ask.Prefix)), choice.ProductID(product),
-		choice.TenantID(tenant), ask.Prompt, ask.Shared, ask.Most, 0, ask.Came+ask.Limit)
+		choice.TenantID(tenant), ask.PromptTokens, ask.PrefixTokens, ask.MaxOutputTokens, 0, ask.ReceivedAt+ask.Timeout)
 	x.settle(g)
 	return nil
 }
@@ -395,7 +395,7 @@
 			Event: func(data []byte) { x.event(g, no, data) },
 			Ended: func(o engine.Outcome) { x.ended(g, no, o) },
 		}
-		request := upstream.Request{ID: g.ask.ID, Target: g.ask.Target, Type: g.ask.Type, Body: g.ask.Body}
+		request := upstream.Request{ID: g.ask.ID, Target: g.ask.Target, Type: g.ask.ContentType, Body: g.ask.Body}
 		if g.reads {
 			g.leg = x.legs.Read(host, request, allow, hear)
 		} else {
@@ -432,14 +432,14 @@
 		g.leg.Started()
 		if e := x.post.Log.Debug(); e.Enabled() {
 			e.Str("id", g.ask.ID).Int("leg", int(no)).Str("host", x.hosts[g.host].Name).Int64("took", int64(x.loop.Now()-g.sent)).
-				Int64("after", int64(x.loop.Now()-g.ask.Came)).Msg("first event")
+				Int64("after", int64(x.loop.Now()-g.ask.ReceivedAt)).Msg("first event")
 		}
 		x.module.Started(x.loop.Now(), g.id, no)
 		if g.answered {
 			return
 		}
 	}
-	if g.reply.Event(data) {
+	if g.reply.WriteEvent(data) {
 		g.leg.Slow(true)
 	}
 }
@@ -458,8 +458,8 @@
 	x.Endings[o.How]++
 	if e := x.post.Log.Debug(); e.Enabled() {
 		e.Str("id", g.ask.ID).Int("leg", int(no)).Str("host", x.hosts[g.host].Name).Bool("reads", g.reads).Bool("started", g.started).
-			Int("ending", int(o.How)).Int("note", o.Note).Float64("prompt", g.ask.Prompt).Int64("took", int64(x.loop.Now()-g.sent)).
-			Int64("waited", int64(g.sent-g.ask.Came)).Str("product", g.ask.Product).Str("prefix", g.ask.Prefix).Str("why", o.Why).Msg("leg ended")
+			Int("ending", int(o.How)).Int("note", o.Note).Float64("prompt", g.ask.PromptTokens).Int64("took", int64(x.loop.Now()-g.sent)).
+			Int64("waited", int64(g.sent-g.ask.ReceivedAt)).Str("product", g.ask.Class).Str("prefix", g.ask.Prefix).Str("why", o.Why).Msg("leg ended")
 	}
 	switch o.How {
 	case choice.Unreachable, choice.NeverSent: // and what lies has waited on
@@ -480,10 +480,10 @@
 		g.answered = true
 		if o.How == choice.Streamed {
 			x.Streamed++
-			g.reply.Streamed()
+			g.reply.Complete()
 		} else {
 			x.Broken++
-			g.reply.Broken()
+			g.reply.Break()
 		}
 	}
 	x.module.Ended(x.loop.Now(), g.id, no, o.How, o.Note, g.answered, o.Memory)
@@ -497,7 +497,7 @@
 	if g := x.gens[id]; g != nil && !g.answered {
 		g.answered = true
 		x.Throttled++
-		g.reply.Throttled(comeBackIn)
+		g.reply.Reject(comeBackIn)
 		x.answered(g, "throttled")
 	}
 }
@@ -507,14 +507,14 @@
 	if g := x.gens[id]; g != nil && !g.answered {
 		g.answered = true
 		x.Terminated++
-		g.reply.Terminated()
+		g.reply.Fail()
 		x.answered(g, "terminated")
 	}
 }
 
 func (x *Dispatcher) answered(g *gen, how string) {
-	x.post.Log.Debug().Str("id", g.ask.ID).Str("product", g.ask.Product).Str("final", how).Int("legs", int(g.legs)).
-		Int64("after", int64(x.loop.Now()-g.ask.Came)).Msg("answered")
+	x.post.Log.Debug().Str("id", g.ask.ID).Str("product", g.ask.Class).Str("final", how).Int("legs", int(g.legs)).
+		Int64("after", int64(x.loop.Now()-g.ask.ReceivedAt)).Msg("answered")
 	x.loop.Later(func() { x.settle(g) })
 }
 
@@ -568,5 +568,5 @@
 	gens, legs, held, _ := x.module.Open()
 	return fmt.Sprintf("generations %d, legs %d, held %d; connections: clients %d, hosts %d; unsent %d at most, bodies %d; taken %d, streamed %d, broken %d, throttled %d, terminated %d, left %d, legs %d, endings %v; releases %d in %d tries, late %d; door refused %d, crowded %d, silent %d; hosts ready %d, list heard %s",
 		gens, legs, held, x.door.Connections(), x.legs.Connections(), x.door.Unsent(), x.door.Kept(), x.Taken, x.Streamed, x.Broken, x.Throttled, x.Terminated, x.Left, x.Legs, x.Endings,
-		x.legs.Releases, x.legs.Tries, x.legs.Late, x.door.Refused, x.door.Crowded, x.door.Silent, len(x.ready), strconv.FormatUint(x.watch.Heard, 10))
+		x.legs.Releases, x.legs.Tries, x.legs.Late, x.door.Rejected, x.door.Evicted, x.door.TimedOut, len(x.ready), strconv.FormatUint(x.watch.Heard, 10))
 }
--- a/internal/platform/server/request.go
+++ b/internal/platform/server/request.go
@@ -13,20 +13,20 @@
 	"plumspindle/internal/http1"
 )
 
-// Ask is a request that is sound.
-type Ask struct {
+// Request is a request that is sound.
+type Request struct {
 	ID      string // as the client wrote it, byte for byte
-	Product string
+	Class string
 	Tenant  string
 	Session string
 	Prefix  string
 	Target  string // path and query
-	Type    string // of the body
-	Prompt  float64
-	Shared  float64 // of the prompt
-	Most    float64 // of the answer
-	Came    eventloop.Micros
-	Limit   eventloop.Micros // counted from when the client sent it
+	ContentType    string // of the body
+	PromptTokens  float64
+	PrefixTokens  float64 // of the prompt
+	MaxOutputTokens    float64 // of the answer
+	ReceivedAt    eventloop.Micros
+	Timeout   eventloop.Micros // counted from when the client sent it
 	Body    []byte
 }
 
@@ -41,42 +41,42 @@
 )
 
 // read takes what a head says; with neither an ask nor a refusal it asks whether the dispatcher is ready.
-func read(h *http1.Head) (*Ask, *Refusal) {
+func read(h *http1.Head) (*Request, *Rejection) {
 	path, _, _ := strings.Cut(h.Target, "?")
 	switch {
 	case path == readyPath && h.Method == "GET":
 		return nil, nil
 	case path != chatPath:
-		return nil, &Refusal{404, "there is nothing at this path"}
+		return nil, &Rejection{404, "there is nothing at this path"}
 	case h.Method != "POST":
-		return nil, &Refusal{405, "only POST is served here"}
+		return nil, &Rejection{405, "only POST is served here"}
 	}
 	var seen [16]bool
-	a := &Ask{Target: h.Target, Type: h.Get("Content-Type")}
+	a := &Request{Target: h.Target, ContentType: h.Get("Content-Type")}
 	for _, f := range h.Fields {
 		for i, name := range once {
 			if len(f.Name) == len(name) && strings.EqualFold(f.Name, name) {
 				if seen[i] {
-					return nil, &Refusal{400, "two fields " + name}
+					return nil, &Rejection{400, "two fields " + name}
 				}
 				seen[i] = true
 			}
 		}
 	}
-	a.ID, a.Product, a.Session, a.Tenant = h.Get("Req-Id"), h.Get("Req-Kind"), h.Get("Req-Key"), h.Get("Req-Owner")
+	a.ID, a.Class, a.Session, a.Tenant = h.Get("Req-Id"), h.Get("Req-Kind"), h.Get("Req-Key"), h.Get("Req-Owner")
 	if !readable(a.ID) {
-		return nil, &Refusal{400, "the field Req-Id is missing or can't be read"}
+		return nil, &Rejection{400, "the field Req-Id is missing or can't be read"}
 	}
-	if a.Product == "" {
-		return nil, &Refusal{400, "the field Req-Kind is missing"}
+	if a.Class == "" {
+		return nil, &Rejection{400, "the field Req-Kind is missing"}
 	}
 	limit, err := span(h.Get("Req-Deadline"))
 	if err != nil {
-		return nil, &Refusal{400, "the field Req-Deadline " + err.Error()}
+		return nil, &Rejection{400, "the field Req-Deadline " + err.Error()}
 	}
-	a.Limit = limit
+	a.Timeout = limit
 	if err := a.extra(h.Get("Req-Extra")); err != nil {
-		return nil, &Refusal{400, "the field Req-Extra " + err.Error()}
+		return nil, &Rejection{400, "the field Req-Extra " + err.Error()}
 	}
 	return a, nil
 }
@@ -110,7 +110,7 @@
 }
 
 // extra reads pairs like prompt_len=5120; names that it does not know it passes over.
-func (a *Ask) extra(text string) error {
+func (a *Request) extra(text string) error {
 	if text == "" {
 		return nil
 	}
@@ -125,11 +125,11 @@
 			a.Prefix = value
 			continue
 		case "prompt_len":
-			to = &a.Prompt
+			to = &a.PromptTokens
 		case "prefix_len":
-			to = &a.Shared
+			to = &a.PrefixTokens
 		case "max_out":
-			to = &a.Most
+			to = &a.MaxOutputTokens
 		default:
 			continue
 		}
@@ -143,9 +143,9 @@
 }
 
 // whole judges a body: one that is not whole, as where a length was wrong, would be turned away by every model host in turn.
-func whole(body []byte) *Refusal {
+func whole(body []byte) *Rejection {
 	if !gjson.ValidBytes(body) || bytes.TrimLeft(body, " \t\r\n")[0] != '{' {
-		return &Refusal{400, "the body is not a JSON object"}
+		return &Rejection{400, "the body is not a JSON object"}
 	}
 	return nil
 }
--- a/internal/platform/server/server.go
+++ b/internal/platform/server/server.go
@@ -10,8 +10,8 @@
 	"plumspindle/internal/sse"
 )
 
-// Bounds are what clients may take.
-type Bounds struct {
+// Limits are what clients may take.
+type Limits struct {
 	Head    int              // bytes of a request's head
 	Body    int              // bytes of a request's body
 	Most    int              // connections
@@ -22,34 +22,34 @@
 	Stall   eventloop.Micros // for a client that reads nothing of what it is sent
 }
 
-// Usual are the bounds that do not hang on the limits. A connection that brings nothing readable is owed an end within 3 s.
-var Usual = Bounds{Head: 16 << 10, Body: 256 << 10, Message: 2 * eventloop.Second, Idle: 10 * eventloop.Second, Stall: 20 * eventloop.Second}
+// DefaultLimits are the bounds that do not hang on the limits. A connection that brings nothing readable is owed an end within 3 s.
+var DefaultLimits = Limits{Head: 16 << 10, Body: 256 << 10, Message: 2 * eventloop.Second, Idle: 10 * eventloop.Second, Stall: 20 * eventloop.Second}
 
 // A client that sent what can't be used is not read again for so long: one that repeats it at once would take the time of all.
 const rest = 100 * eventloop.Millisecond
 
-// Clerk is what stands behind the door.
-type Clerk interface {
+// Handler is what stands behind the door.
+type Handler interface {
 	// Ready tells whether there is anything to serve with.
 	Ready() bool
-	// Take takes a request, or says why not.
-	Take(*Ask, *Reply) *Refusal
+	// Handle takes a request, or says why not.
+	Handle(*Request, *Response) *Rejection
 }
 
-// Refusal is the answer to a request that is not passed on.
-type Refusal struct {
+// Rejection is the answer to a request that is not passed on.
+type Rejection struct {
 	Status int
-	Why    string
+	Reason    string
 }
 
 // Counts are what the door has seen.
-type Counts struct{ Refused, Crowded, Silent uint64 }
+type Counts struct{ Rejected, Evicted, TimedOut uint64 }
 
-// Door takes connections.
-type Door struct {
+// Server takes connections.
+type Server struct {
 	loop    eventloop.Loop
-	clerk   Clerk
-	bounds  Bounds
+	clerk   Handler
+	bounds  Limits
 	clients map[*client]bool
 	oldest  *client // of those without a request under way, in the order in which they fell idle
 	newest  *client
@@ -61,20 +61,20 @@
 }
 
 // New makes one; its Accept goes to Listen.
-func New(loop eventloop.Loop, bounds Bounds, clerk Clerk) *Door {
-	return &Door{loop: loop, bounds: bounds, clerk: clerk, clients: map[*client]bool{}}
+func New(loop eventloop.Loop, bounds Limits, clerk Handler) *Server {
+	return &Server{loop: loop, bounds: bounds, clerk: clerk, clients: map[*client]bool{}}
 }
 
 // Accept is for the listener.
-func (d *Door) Accept(c eventloop.Conn) eventloop.Handler {
+func (d *Server) Accept(c eventloop.Conn) eventloop.Handler {
 	return &client{door: d, conn: c, parser: http1.Parser{Bounds: http1.Bounds{Head: d.bounds.Head, Fields: 100, Body: d.bounds.Body}}}
 }
 
-// Leave has connections end with their next answer; they are still served.
-func (d *Door) Leave() { d.leaving = true }
+// Drain has connections end with their next answer; they are still served.
+func (d *Server) Drain() { d.leaving = true }
 
-// Shut closes the connections that wait for a request; those with one are closed after it.
-func (d *Door) Shut() {
+// Shutdown closes the connections that wait for a request; those with one are closed after it.
+func (d *Server) Shutdown() {
 	d.leaving, d.gone = true, true
 	for d.oldest != nil {
 		d.oldest.finish()
@@ -82,18 +82,18 @@
 }
 
 // Connections is how many there are.
-func (d *Door) Connections() int { return len(d.clients) }
+func (d *Server) Connections() int { return len(d.clients) }
 
 // client is one connection, with one request at a time.
 type client struct {
-	door   *Door
+	door   *Server
 	conn   eventloop.Conn
 	parser http1.Parser
 	head   *http1.Head
-	ask    *Ask
-	reply  *Reply
+	ask    *Request
+	reply  *Response
 	body   []byte
-	refuse *Refusal
+	refuse *Rejection
 	waits  eventloop.Wait
 	over   bool             // nothing more is read
 	came   eventloop.Micros // the first byte of the request
@@ -149,22 +149,22 @@
 		return
 	}
 	// The one that has said nothing for longest makes way; a client that has something to say, says it at once.
-	d.Crowded++
+	d.Evicted++
 	if old := d.oldest; old != nil && old != c {
 		old.finish()
 		return
 	}
-	c.refused(&Refusal{503, "no connection is left for it"})
+	c.refused(&Rejection{503, "no connection is left for it"})
 }
 
 // silent ends a connection that brought nothing, or not all, in time.
 func (c *client) silent() {
-	c.door.Silent++
+	c.door.TimedOut++
 	if c.idle {
 		c.finish()
 		return
 	}
-	c.refused(&Refusal{408, "the request did not come in time"})
+	c.refused(&Rejection{408, "the request did not come in time"})
 }
 
 // finish closes it without a word: no request has come.
@@ -204,15 +204,15 @@
 	if f, is := err.(*http1.Fault); is {
 		status = f.Status
 	}
-	c.refused(&Refusal{status, err.Error()})
+	c.refused(&Rejection{status, err.Error()})
 }
 
 // refused answers what can't be read and closes, as what follows can't be told apart any more.
-func (c *client) refused(r *Refusal) {
+func (c *client) refused(r *Rejection) {
 	if c.over {
 		return
 	}
-	c.door.Refused++
+	c.door.Rejected++
 	if c.reply != nil { // what was sent behind a request that runs is broken: the client is not a sound one
 		c.over = true
 		c.reply.leave()
@@ -220,7 +220,7 @@
 		return
 	}
 	c.drop()
-	c.answer(r.Status, r.Why, false)
+	c.answer(r.Status, r.Reason, false)
 }
 
 // drop gives back what was kept of a request.
@@ -251,8 +251,8 @@
 func (c *client) Drained() {
 	if r := c.reply; r != nil && !c.over {
 		c.waits.Over()
-		if r.OnDrained != nil {
-			r.OnDrained()
+		if r.OnWritable != nil {
+			r.OnWritable()
 		}
 	}
 }
@@ -294,7 +294,7 @@
 	c.head = h
 	c.ask, c.refuse = read(h)
 	if c.ask != nil {
-		c.ask.Came = c.came
+		c.ask.ReceivedAt = c.came
 	}
 	if strings.EqualFold(h.Get("Expect"), "100-continue") && c.refuse == nil {
 		c.conn.Write([]byte("HTTP/1.1 100 Continue\r\n\r\n"))
@@ -313,7 +313,7 @@
 	}
 	if d.kept+n-cap(c.body) > d.bounds.Kept {
 		d.kept -= cap(c.body)
-		c.body, c.refuse = nil, &Refusal{503, "no room is left for the request"}
+		c.body, c.refuse = nil, &Rejection{503, "no room is left for the request"}
 		return
 	}
 	grown := make([]byte, len(c.body), n)
@@ -356,21 +356,21 @@
 		r = whole(c.body)
 	}
 	if r == nil {
-		reply := &Reply{client: c, stays: stays, kept: cap(c.body)}
+		reply := &Response{client: c, stays: stays, kept: cap(c.body)}
 		ask := c.ask
 		ask.Body = c.body
 		c.head, c.ask, c.body = nil, nil, nil
 		c.reply = reply
 		c.door.Open++
-		if r = c.door.clerk.Take(ask, reply); r == nil {
+		if r = c.door.clerk.Handle(ask, reply); r == nil {
 			return nil
 		}
 		reply.over()
 		c.reply = nil
 	}
 	c.drop()
-	c.door.Refused++
-	c.answer(r.Status, r.Why, stays)
+	c.door.Rejected++
+	c.answer(r.Status, r.Reason, stays)
 	if stays {
 		c.waits.For(c.door.loop, rest, c.again)
 	}
@@ -379,27 +379,27 @@
 
 // --- The reply ---
 
-// Reply carries the one final answer to a request, and lets nothing through after it.
-type Reply struct {
+// Response carries the one final answer to a request, and lets nothing through after it.
+type Response struct {
 	client *client
 	stays  bool
 	kept   int
 	begun  bool
 	done   bool
-	// OnLeft is called once when the client goes away before its answer's end, OnDrained when one that lagged has caught up.
-	OnLeft    func()
-	OnDrained func()
+	// OnClientGone is called once when the client goes away before its answer's end, OnDrained when one that lagged has caught up.
+	OnClientGone    func()
+	OnWritable func()
 }
 
 // over: nothing is owed, or kept, any more.
-func (r *Reply) over() {
+func (r *Response) over() {
 	r.done = true
 	r.client.door.kept -= r.kept
 	r.client.door.Open--
 }
 
-// Event hands on one event, unchanged. It tells whether the client lags behind.
-func (r *Reply) Event(data []byte) (lags bool) {
+// WriteEvent hands on one event, unchanged. It tells whether the client lags behind.
+func (r *Response) WriteEvent(data []byte) (lags bool) {
 	if r.done {
 		return false
 	}
@@ -429,24 +429,24 @@
 	c.conn.Abort()
 }
 
-// Streamed ends a stream that is whole.
-func (r *Reply) Streamed() {
+// Complete ends a stream that is whole.
+func (r *Response) Complete() {
 	if !r.done {
 		r.client.conn.Write(http1.AppendLastChunk(nil))
 		r.close()
 	}
 }
 
-// Broken ends a stream that is not: the connection is closed without the last chunk.
-func (r *Reply) Broken() {
+// Break ends a stream that is not: the connection is closed without the last chunk.
+func (r *Response) Break() {
 	if !r.done {
 		r.stays = false
 		r.close()
 	}
 }
 
-// Throttled says that the request may come again without harm, after a while if one is given.
-func (r *Reply) Throttled(comeBack eventloop.Micros) {
+// Reject says that the request may come again without harm, after a while if one is given.
+func (r *Response) Reject(comeBack eventloop.Micros) {
 	var fields []string
 	if comeBack > 0 {
 		fields = []string{"Retry-After", seconds(comeBack)}
@@ -454,10 +454,10 @@
 	r.final(503, "nothing was run; please try again", fields...)
 }
 
-// Terminated says that the request failed, with no word on what it did.
-func (r *Reply) Terminated() { r.final(500, "the generation failed") }
+// Fail says that the request failed, with no word on what it did.
+func (r *Response) Fail() { r.final(500, "the generation failed") }
 
-func (r *Reply) final(status int, why string, fields ...string) {
+func (r *Response) final(status int, why string, fields ...string) {
 	if r.done || r.begun {
 		return
 	}
@@ -469,7 +469,7 @@
 	r.close()
 }
 
-func (r *Reply) close() {
+func (r *Response) close() {
 	c := r.client
 	r.over()
 	c.reply = nil
@@ -482,22 +482,22 @@
 }
 
 // leave: nobody waits for the answer any more.
-func (r *Reply) leave() {
+func (r *Response) leave() {
 	if r.done {
 		return
 	}
 	r.over()
 	r.client.reply = nil
-	if r.OnLeft != nil {
-		r.OnLeft()
+	if r.OnClientGone != nil {
+		r.OnClientGone()
 	}
 }
 
 // Kept is how many bytes of bodies are held, of requests that come or wait.
-func (d *Door) Kept() int { return d.kept }
+func (d *Server) Kept() int { return d.kept }
 
 // Unsent is how many bytes are kept for the client that lags most.
-func (d *Door) Unsent() (most int) {
+func (d *Server) Unsent() (most int) {
 	for c := range d.clients {
 		most = max(most, c.conn.Unsent())
 	}
--- a/internal/platform/server/server_test.go
+++ b/internal/platform/server/server_test.go
@@ -29,10 +29,10 @@
 
 func (e *take) Head(h *http1.Head) error {
 	ask, refusal := read(h)
-	if ask != nil && refusal != nil || ask != nil && (!readable(ask.ID) || ask.Limit < 0 || !(ask.Prompt >= 0 && ask.Shared >= 0 && ask.Most >= 0)) {
+	if ask != nil && refusal != nil || ask != nil && (!readable(ask.ID) || ask.Timeout < 0 || !(ask.PromptTokens >= 0 && ask.PrefixTokens >= 0 && ask.MaxOutputTokens >= 0)) {
 		e.t.Errorf("%+v, %+v", ask, refusal)
 	}
-	if ask != nil && (strings.ContainsAny(ask.Target+ask.Type, "\r\n") || strings.Contains(ask.ID, "/")) {
+	if ask != nil && (strings.ContainsAny(ask.Target+ask.ContentType, "\r\n") || strings.Contains(ask.ID, "/")) {
 		e.t.Errorf("a field that does not go out as it is: %+v", ask)
 	}
 	return nil
