--- /dev/null
+++ b/internal/engine/leg.go
@@ -0,0 +1,184 @@
+package engine
+
+import (
+	"strings"
+
+	"plumspindle/choice"
+	"plumspindle/internal/eventloop"
+	"plumspindle/internal/http1"
+	"plumspindle/internal/sse"
+)
+
+// Hearer is told what becomes of a leg: Event for each usable event of a write, then Ended once.
+type Hearer struct {
+	Event func(data []byte)
+	Ended func(Outcome)
+}
+
+// Call is a leg in whatever protocol over HTTP/1.1: what goes out, and how what comes back is read.
+type Call struct {
+	Request func(addr string, left eventloop.Micros) []byte // as it is when it leaves, with what is left of the time allowed
+	Answer  func(head *http1.Head, body []byte) Outcome     // what an answer means that is not streamed
+	Stream  Stream                                          // nil: none is expected
+	Most    int                                             // bytes of an answer that is not streamed
+	Spare   bool                                            // it lets go of something, and must not wait for legs
+}
+
+// Stream reads the events of one streamed answer.
+type Stream interface {
+	// Event judges one; an error ends the leg.
+	Event(data []byte) (pass bool, err error)
+	// Ended is what the stream came to when its body was complete.
+	Ended() Outcome
+	// Broke is what it came to where it ended in a way it should not have.
+	Broke(how choice.Ending, why string) Outcome
+}
+
+// Leg is one send that is out.
+type Leg struct {
+	engine *Engine
+	host   *host
+	trunk  *trunk
+	hear   Hearer
+	answer func(head *http1.Head, body []byte) Outcome
+	stream Stream
+	most   int // bytes of an answer that is not streamed
+	asks   func(addr string, left eventloop.Micros) []byte
+	due    eventloop.Micros // when the time allowed is over
+	leave  eventloop.Micros // when it has to have left
+	allow  eventloop.Timer
+	ended  bool
+	left   bool // its last byte had, when it ended
+
+	started bool
+	slow    bool             // its client lags, and it is not read
+	heard   eventloop.Micros // when its stream last brought something
+	letsGo  bool             // it tells the host to let go, and must not wait for legs
+	room    int              // connections that were closed for it
+
+	// What the answer has told so far.
+	head   *http1.Head
+	body   []byte
+	events sse.Parser
+	memory float64
+}
+
+// late ends a leg whose time is over. What was never handed to the network whole can't have run; and it is taken back once it should
+// have left, for want of a connection or because its host does not read it: whether it might still be sent, as a repeat in its window,
+// was looked at when it was ordered.
+func (l *Leg) late() {
+	now := l.engine.loop.Now()
+	switch {
+	case l.Unsent():
+		l.end(Outcome{How: choice.Unreachable, Why: "not sent in the time allowed"}, true)
+	case now < l.due:
+		l.allow = l.engine.loop.After(l.due-now, l.late)
+	default:
+		l.end(Outcome{How: choice.TimedOut, Why: "not in the time allowed"}, true)
+	}
+}
+
+// Unsent tells that the leg's last byte has not left this process, so that no host can have begun it.
+func (l *Leg) Unsent() bool {
+	if l.ended {
+		return !l.left
+	}
+	return l.trunk == nil || !l.trunk.sent || l.trunk.conn.Unsent() > 0
+}
+
+// Cancel quits waiting for a leg: the connection is closed, which is how a host is told. Nothing more is heard
+// of it.
+func (l *Leg) Cancel() {
+	if !l.ended {
+		l.left = !l.Unsent()
+		l.ended = true
+		l.allow.Stop()
+		l.drop()
+	}
+}
+
+// Started frees the leg from its time-out, which counts only until the first token. From now on the stream has
+// to go on: a silent peer is never heard to close.
+func (l *Leg) Started() {
+	l.started = true
+	l.watch()
+}
+
+func (l *Leg) watch() {
+	l.allow.Stop()
+	l.heard = l.engine.loop.Now()
+	l.allow = l.engine.loop.After(l.engine.trunks.Silence, l.silent)
+}
+
+func (l *Leg) silent() {
+	quiet := l.engine.loop.Now() - l.heard
+	switch {
+	case l.slow:
+		l.watch()
+	case quiet < l.engine.trunks.Silence:
+		l.allow = l.engine.loop.After(l.engine.trunks.Silence-quiet, l.silent)
+	default:
+		l.end(l.broke(choice.Dropped, "the stream fell silent"), true)
+	}
+}
+
+// Slow stops or resumes the reading of a stream whose client lags.
+func (l *Leg) Slow(on bool) {
+	if l.trunk != nil && !l.ended && l.slow != on {
+		l.slow = on
+		l.heard = l.engine.loop.Now()
+		l.trunk.conn.Pause(on)
+	}
+}
+
+func (l *Leg) drop() {
+	if t := l.trunk; t != nil {
+		l.trunk = nil
+		t.leg = nil
+		t.conn.Abort()
+	}
+}
+
+// end reports the outcome once; broken tells that the connection can carry nothing more.
+func (l *Leg) end(o Outcome, broken bool) {
+	if l.ended {
+		return
+	}
+	l.left = l.left || !l.Unsent()
+	l.ended = true
+	l.allow.Stop()
+	if broken {
+		o.Cut = true
+		l.drop()
+	}
+	if o.Memory == 0 {
+		o.Memory = l.memory
+	}
+	l.hear.Ended(o)
+}
+
+// broke is the outcome of an answer that ended in a way it should not have.
+func (l *Leg) broke(how choice.Ending, why string) Outcome {
+	if l.stream != nil {
+		return l.stream.Broke(how, why)
+	}
+	return Outcome{How: how, Why: why}
+}
+
+// event takes one of the writer's.
+func (l *Leg) event(data []byte) error {
+	if l.ended {
+		return nil
+	}
+	l.heard = l.engine.loop.Now()
+	pass, err := l.stream.Event(data)
+	if err == nil && pass {
+		l.hear.Event(data)
+	}
+	return err
+}
+
+// streams tells whether the answer is a stream of events.
+func (l *Leg) streams() bool {
+	return l.head.Status == 200 && strings.HasPrefix(l.head.Get("Content-Type"), "text/event-stream")
+}
--- /dev/null
+++ b/internal/engine/release.go
@@ -0,0 +1,75 @@
+package engine
+
+import (
+	"slices"
+	"strings"
+
+	"plumspindle/choice"
+	"plumspindle/internal/eventloop"
+	"plumspindle/internal/http1"
+)
+
+// LetGo has a host drop whatever it holds for some legs. It may have a connection and a descriptor beyond those that legs may use,
+// as a state must not be pinned by want of either. Where it may not have arrived it is tried again, with all else that the host is
+// owed in one request, for as long as a host keeps by its own lease what nobody asks for.
+func (e *Engine) LetGo(id choice.HostID, names []string) {
+	h := e.hosts[id]
+	if h == nil || len(names) == 0 {
+		return
+	}
+	e.letGo(h, names, func(arrived bool) {
+		if !arrived {
+			for _, name := range names {
+				h.owed = append(h.owed, owed{name, e.loop.Now() + letGoFor})
+			}
+			e.owe(h)
+		}
+	})
+}
+
+// owed is a leg that a host has not been told to let go of.
+type owed struct {
+	name  string
+	until eventloop.Micros
+}
+
+// owe tells a host again after a pause, which grows while it can't be reached.
+func (e *Engine) owe(h *host) {
+	if h.owing || len(h.owed) == 0 {
+		return
+	}
+	h.owing = true
+	e.loop.After(max(h.pause, letGoPause), func() {
+		now := e.loop.Now()
+		h.owed = slices.DeleteFunc(h.owed, func(o owed) bool { return o.until < now })
+		n := min(len(h.owed), letGoAtOnce)
+		if n == 0 {
+			h.owing, h.pause = false, 0
+			return
+		}
+		var names []string
+		for _, o := range h.owed[:n] {
+			names = append(names, o.name)
+		}
+		e.letGo(h, names, func(arrived bool) {
+			h.owing = false
+			if h.pause = min(max(2*h.pause, letGoPause), letGoPauseMost); arrived {
+				h.owed, h.pause = slices.Delete(h.owed, 0, n), 0
+			}
+			e.owe(h)
+		})
+	})
+}
+
+func (e *Engine) letGo(h *host, names []string, done func(arrived bool)) {
+	answer := func(head *http1.Head, _ []byte) Outcome {
+		if head.Status == 200 {
+			return Outcome{How: choice.ReadDone}
+		}
+		return Outcome{How: choice.Errored}
+	}
+	e.call(h, Call{Spare: true, Most: answerMost, Answer: answer, Request: func(addr string, _ eventloop.Micros) []byte {
+		return http1.AppendRequest(nil, "POST", "/v1/kv/release", addr, []byte(`{"request_ids":["`+strings.Join(names, `","`)+`"]}`),
+			"Content-Type", "application/json", "x-dispatcher", e.name, "x-zone", e.zone)
+	}}, letGoWithin, Hearer{Ended: func(o Outcome) { done(o.How == choice.ReadDone) }})
+}
--- a/internal/eventloop/eventloop.go
+++ b/internal/eventloop/eventloop.go
@@ -1,6 +1,6 @@
-// Package seam is the one place where the program meets time and the network. What stands above it is written
+// Package eventloop is the one place where the program meets time and the network. What stands above it is written
 // for a single loop: it is called with events and asks for things, and never waits, starts a goroutine or
-// reads a clock. Package sockets is the seam over real sockets; a world in virtual time can be another.
+// reads a clock. Package sockets is it over real sockets, package virtual in virtual time.
 package eventloop
 
 import (
@@ -43,6 +43,8 @@
 type Listener interface {
 	Addr() string
 	Close()
+	// Drain takes the connections that this machine has accepted already, as their clients may have sent requests, and then closes.
+	Drain()
 }
 
 // Handler hears what happens to one connection. Closed is the last that it hears.
@@ -66,10 +68,11 @@
 	// Pause stops or resumes the handing over of data; while paused, little more than the socket's own
 	// buffer is taken in, so that the other side is slowed.
 	Pause(on bool)
-	// Hold is Pause for what must hear at once that the other side is gone: what came before its end and was not handed over is dropped.
-	Hold(on bool)
 	// Close closes once all is sent; Abort at once, with a reset. One that was accepted is closed by halves: what the other side sends
 	// until it has seen that is dropped, as a close over unread bytes would reset the connection, and with it what is still on its way.
 	Close()
 	Abort()
+	// CloseIfQuiet is Close for a connection on which nothing is owed, unless something has come that was not handed over yet: who has sent
+	// it would wait for an answer. It tells whether the connection is being closed; where it is not, Data or Closed follows.
+	CloseIfQuiet() bool
 }
--- a/internal/http1/parser.go
+++ b/internal/http1/parser.go
@@ -122,6 +122,13 @@
 // Waiting is how many bytes came while held.
 func (p *Parser) Waiting() int { return len(p.waiting) }
 
+// TakeWaiting gives up what came while held, to one who keeps it elsewhere.
+func (p *Parser) TakeWaiting() []byte {
+	b := p.waiting
+	p.waiting = nil
+	return b
+}
+
 // Feed takes the next bytes.
 func (p *Parser) Feed(b []byte, ev Events) error {
 	for len(b) > 0 {
--- /dev/null
+++ b/internal/platform/attempt.go
@@ -0,0 +1,180 @@
+package platform
+
+import (
+	"slices"
+
+	"plumspindle/choice"
+	"plumspindle/internal/engine"
+	"plumspindle/internal/eventloop"
+	"plumspindle/internal/platform/upstream"
+)
+
+// closeSeen is for how long an attempt that is given up is still out: until its host sees its connection closed, which takes a way
+// through the network, between zones at the most. Nothing else is done for its request for so long.
+const closeSeen = 20 * eventloop.Millisecond
+
+// Send implements choice.Orders: it makes an attempt.
+func (d *Dispatcher) Send(id choice.GenID, host choice.HostID, allow choice.Micros) {
+	r := d.requests[id]
+	if r == nil {
+		return
+	}
+	no := r.attempts
+	r.attempts++
+	d.Attempts++
+	r.host, r.sentAt, r.prefill, r.started = host, d.loop.Now(), d.role(host) == choice.Reader, false
+	send := func() { d.startAttempt(r, no, allow) }
+	if r.releasing {
+		r.deferred = func() { d.afterRelease(r, no, send) }
+		return
+	}
+	send()
+}
+
+// startAttempt hands the attempt to the network. The time that it may take is what was left when it was ordered.
+func (d *Dispatcher) startAttempt(r *request, no choice.LegNo, allow eventloop.Micros) {
+	hear := engine.Hearer{
+		Event: func(data []byte) { d.streamEvent(r, no, data) },
+		Ended: func(o engine.Outcome) { d.attemptEnded(r, no, o) },
+	}
+	out := upstream.Request{ID: r.client.ID, Target: r.client.Target, Type: r.client.ContentType, Body: r.client.Body}
+	allow = max(allow-(d.loop.Now()-r.sentAt), 0)
+	if r.prefill {
+		r.attempt = d.upstream.Read(r.host, out, allow, hear)
+	} else {
+		r.attempt = d.upstream.Write(r.host, out, allow, hear)
+	}
+}
+
+// afterRelease sends an attempt that had to wait, unless its host has begun to go meanwhile, or the time for a repeat may be over,
+// which was looked at when it was ordered.
+func (d *Dispatcher) afterRelease(r *request, no choice.LegNo, send func()) {
+	why := "the host is going"
+	if slices.Contains(d.ready, r.host) {
+		if d.loop.Now()-r.sentAt <= d.settings.Connect {
+			send()
+			return
+		}
+		why = "what was held was released too late"
+	}
+	d.attemptEnded(r, no, engine.Outcome{How: choice.NeverSent, Memory: choice.NoReport, Why: why})
+}
+
+// streamEvent passes an event on to the client.
+func (d *Dispatcher) streamEvent(r *request, no choice.LegNo, data []byte) {
+	if no != r.attempts-1 || r.attempt == nil || r.answered {
+		return
+	}
+	if !r.started {
+		d.streamStarted(r, no)
+		if r.answered {
+			return
+		}
+	}
+	if r.response.WriteEvent(data) {
+		r.attempt.Slow(true)
+	}
+}
+
+func (d *Dispatcher) streamStarted(r *request, no choice.LegNo) {
+	r.started, r.held = true, false
+	r.lease.Over()
+	r.attempt.Started()
+	now := d.loop.Now()
+	if e := d.config.Log.Debug(); e.Enabled() {
+		e.Str("id", r.client.ID).Int("attempt", int(no)).Str("host", d.hosts[r.host].Name).Int64("took", int64(now-r.sentAt)).
+			Int64("after", int64(now-r.client.ReceivedAt)).Msg("first event")
+	}
+	d.module.Started(now, r.id, no)
+}
+
+// attemptEnded takes the end of an attempt.
+func (d *Dispatcher) attemptEnded(r *request, no choice.LegNo, o engine.Outcome) {
+	if no != r.attempts-1 {
+		return
+	}
+	if o.Cut && !r.started && !r.closing && o.How != choice.Unreachable {
+		r.closing = true
+		d.loop.After(closeSeen, func() { d.attemptEnded(r, no, o) })
+		return
+	}
+	r.attempt, r.closing = nil, false
+	d.Outcomes[o.How]++
+	d.logOutcome(r, no, o)
+	d.noteHeld(r, o.How)
+	if r.started && !r.answered {
+		d.endStream(r, o.How)
+	}
+	d.module.Ended(d.loop.Now(), r.id, no, o.How, o.Note, r.answered, o.Memory)
+	d.settle(r)
+}
+
+func (d *Dispatcher) logOutcome(r *request, no choice.LegNo, o engine.Outcome) {
+	e := d.config.Log.Debug()
+	if !e.Enabled() {
+		return
+	}
+	e.Str("id", r.client.ID).Int("attempt", int(no)).Str("host", d.hosts[r.host].Name).Bool("prefill", r.prefill).Bool("started", r.started).
+		Int("outcome", int(o.How)).Int("note", o.Note).Float64("prompt", r.client.PromptTokens).Int64("took", int64(d.loop.Now()-r.sentAt)).
+		Int64("waited", int64(r.sentAt-r.client.ReceivedAt)).Str("class", r.client.Class).Str("prefix", r.client.Prefix).
+		Str("why", o.Why).Msg("attempt ended")
+}
+
+// noteHeld notes what a host may hold for the request after an attempt.
+func (d *Dispatcher) noteHeld(r *request, how choice.Ending) {
+	switch how {
+	case choice.Unreachable, choice.NeverSent: // and what is held has waited on
+	case choice.Full:
+		if r.held { // the attempt that was to take it was out until now
+			d.hold(r)
+		}
+	default:
+		// Also a prefill attempt that broke or was given up may have ended well; a decode attempt that did may have left what it was to take.
+		if r.prefill {
+			r.holder = r.host
+		}
+		if r.prefill || r.held {
+			d.hold(r)
+		}
+	}
+}
+
+// endStream gives the client the end of its stream.
+func (d *Dispatcher) endStream(r *request, how choice.Ending) {
+	r.answered = true
+	if how == choice.Streamed {
+		d.Completed++
+		r.response.Complete()
+		return
+	}
+	d.Broken++
+	r.response.Break()
+}
+
+// Cancel implements choice.Orders: it gives an attempt up. That it was cancelled is told after the module's call; one that never left
+// is known not to have run.
+func (d *Dispatcher) Cancel(id choice.GenID, no choice.LegNo) {
+	r := d.requests[id]
+	if r == nil || no != r.attempts-1 || r.started || r.closing || r.attempt == nil && r.deferred == nil {
+		return
+	}
+	o := engine.Outcome{How: choice.Cancelled, Cut: true, Memory: choice.NoReport, Why: "given up"}
+	if r.attempt == nil || r.attempt.Unsent() {
+		o = engine.Outcome{How: choice.NeverSent, Memory: choice.NoReport, Why: "given up before it left"}
+	}
+	d.takeBack(r, o)
+}
+
+// takeBack ends the attempt that is out, or that waits to be; that is told after the call that is under way.
+func (d *Dispatcher) takeBack(r *request, o engine.Outcome) {
+	attempt, no := r.attempt, r.attempts-1
+	if attempt != nil {
+		attempt.Cancel()
+	}
+	r.deferred = nil
+	d.loop.Later(func() {
+		if no == r.attempts-1 && r.attempt == attempt {
+			d.attemptEnded(r, no, o)
+		}
+	})
+}
--- a/internal/platform/discovery/discovery.go
+++ b/internal/platform/discovery/discovery.go
@@ -1,4 +1,5 @@
-// Package watch follows the platform's discovery: the list of model hosts as it was last known, and what changes in it.
+// Package discovery follows the platform's discovery: the list of model hosts as it was last known, and what changes in it. It relies on
+// package subscribe for the connection, and never decides what to do about a host.
 package discovery
 
 import (
@@ -24,6 +25,9 @@
 	again  = 400 * eventloop.Millisecond
 	// A host's number is not given to another for so long after it is gone: longer than the module remembers hosts.
 	numberKept = 1800 * eventloop.Second
+	// What a newer list told of a host is held against an older list for so long: discovery may be asked at another place that lags, or may
+	// have begun to count anew.
+	newestKept = 60 * eventloop.Second
 )
 
 // Entry is one model host, as the list has it.
@@ -42,6 +46,7 @@
 	client  *subscribe.Client
 	loop    eventloop.Loop
 	version uint64
+	newest  uint64 // the highest version that was ever told
 	numbers map[choice.HostID]*number
 	news    func(entries []Entry, whole bool)
 	log     func(line string)
@@ -52,6 +57,10 @@
 type number struct {
 	name string
 	gone eventloop.Micros // since when it is not listed; 0: it is
+	// As the newest list had it, and when.
+	started  choice.Micros
+	retired  bool // it wants nothing new
+	listedAt eventloop.Micros
 }
 
 // New makes one that has not asked yet; news are told as they come.
@@ -98,9 +107,11 @@
 			w.log(fmt.Sprintf("discovery: entry %d of version %d: %v; it is passed over", i, version, err))
 			continue
 		}
+		w.keepNewest(&e, version, now)
 		entries = append(entries, e)
 	}
 	w.version = version
+	w.newest = max(w.newest, version)
 	w.Heard++
 	w.forget(now)
 	if whole {
@@ -112,6 +123,20 @@
 	return nil
 }
 
+// keepNewest does not let an older list take back what a newer one told: that a host wants nothing new, or has started anew. It was told,
+// and counts.
+func (w *Watch) keepNewest(e *Entry, version uint64, now eventloop.Micros) {
+	n := w.numbers[e.ID]
+	if version < w.newest && now-n.listedAt < newestKept {
+		if n.retired && e.Started <= n.started {
+			e.Condition = choice.Draining
+		}
+		e.Started = max(e.Started, n.started)
+		return
+	}
+	n.started, n.retired, n.listedAt = e.Started, e.Condition != choice.Ready, now
+}
+
 func (w *Watch) entry(s gjson.Result, now eventloop.Micros) (e Entry, err error) {
 	e = Entry{Name: s.Get("id").String(), Addr: s.Get("addr").String(), Zone: s.Get("zone").String(), Kind: s.Get("kind").String()}
 	if e.Name == "" {
@@ -165,7 +190,7 @@
 	}
 	for id, n := range w.numbers {
 		if n.gone == 0 && !listed[id] {
-			n.gone = now
+			n.gone, n.retired, n.listedAt = now, true, now
 		}
 	}
 }
--- /dev/null
+++ b/internal/platform/dispatcher.go
@@ -0,0 +1,164 @@
+// Package platform hosts the decision module on the users' platform, as package dispatch does for the chat API: it tells the module
+// what happens and does what it orders. Clients come by package server, attempts go by package upstream, the list of model hosts comes
+// by package discovery. It runs on one event loop, and decides nothing itself.
+package platform
+
+import (
+	"fmt"
+
+	"github.com/rs/zerolog"
+
+	"plumspindle/choice"
+	"plumspindle/internal/engine"
+	"plumspindle/internal/eventloop"
+	"plumspindle/internal/platform/discovery"
+	"plumspindle/internal/platform/server"
+	"plumspindle/internal/platform/upstream"
+	"plumspindle/internal/settings"
+)
+
+// Config is where a dispatcher stands, and what it may use.
+type Config struct {
+	Name      string
+	Discovery string // address
+	Seed      int64
+	Settings  *settings.Terms
+	Known     []byte // the list as it was last known, in discovery's form; empty: none
+	Sockets   int    // descriptors
+	Memory    int    // bytes
+	Log       zerolog.Logger
+}
+
+const (
+	// A stream that has begun and brings nothing for so long is broken: a client may not be left waiting for 5 s.
+	streamSilence = 4200 * eventloop.Millisecond
+	// The agent on this machine tells what it has at once; without a word of it for so long, what was known before will do.
+	agentTimeout = eventloop.Second
+	// A dispatcher that knows no host to serve with says that it is ready all the same after so long: it rejects requests with a time to
+	// come back, where a process that is never ready counts as one that did not start.
+	readyAnyway  = 5 * eventloop.Second
+	informedPoll = 10 * eventloop.Millisecond
+	unknownKind  = 255
+)
+
+// Counts are what the dispatcher has done since its start.
+type Counts struct {
+	Accepted, Completed, Broken, Rejected, Failed, ClientsGone, Attempts uint64
+	Outcomes                                                             [9]uint64 // by choice.Ending
+}
+
+// Dispatcher serves the clients of one process.
+type Dispatcher struct {
+	loop         eventloop.Loop
+	config       Config
+	settings     *settings.Terms
+	module       *choice.Dispatcher
+	upstream     *upstream.Legs
+	server       *server.Server
+	discovery    *discovery.Watch
+	requests     map[choice.GenID]*request
+	lastRequest  choice.GenID
+	openIDs      map[string]bool
+	recentIDs    [2]map[string]bool // of requests that were answered a while ago
+	hosts        map[choice.HostID]discovery.Entry
+	ready        []choice.HostID // that want new requests, in order
+	startedAt    eventloop.Micros
+	shuttingDown bool
+	lastActive   eventloop.Micros // while it is shutting down
+	Counts
+}
+
+// Start makes a dispatcher on a loop; Server's Accept takes its clients.
+func Start(loop eventloop.Loop, config Config) *Dispatcher {
+	t := config.Settings
+	d := &Dispatcher{loop: loop, config: config, settings: t, requests: map[choice.GenID]*request{}, openIDs: map[string]bool{},
+		recentIDs: [2]map[string]bool{{}, {}}, hosts: map[choice.HostID]discovery.Entry{}, startedAt: loop.Now()}
+	place := t.Place
+	place.Idle /= 2 // connections are closed well before hosts do: what is written to one that is closed counts as lost
+	warn := func(line string) { config.Log.Warn().Msg(line) }
+	e := engine.New(loop, config.Name, "", upstreamLimits(t, config.Sockets, place.Idle))
+	d.upstream = upstream.New(loop, e, t.LetGo, func() []choice.HostID { return d.ready })
+	d.upstream.Log = warn
+	d.server = server.New(loop, clientLimits(config.Sockets, config.Memory), d)
+	d.discovery = discovery.New(loop, config.Seed, config.Discovery, d.updateHosts, warn)
+	d.module = choice.Start(loop.Now(), config.Seed, place, d)
+	if len(config.Known) > 0 {
+		if err := d.discovery.Take(config.Known); err != nil {
+			config.Log.Warn().Err(err).Msg("the known list is not used")
+		}
+	}
+	d.discovery.Begin()
+	d.forgetIDs()
+	return d
+}
+
+// upstreamLimits are the terms of connections to hosts. Clients may hold about half of the descriptors, and each request needs one on
+// either side; what is left is for releases, discovery and the poller.
+func upstreamLimits(t *settings.Terms, sockets int, idle eventloop.Micros) engine.Trunks {
+	most := max(sockets*2/5, 8)
+	return engine.Trunks{Connect: t.Connect, Idle: idle, Silence: streamSilence, Most: most, Opening: max(most/4, 4), All: most}
+}
+
+func clientLimits(sockets, memory int) server.Limits {
+	limits := server.DefaultLimits
+	limits.Connections = max(sockets/2, 8)
+	limits.Buffered = max(memory/8, 2*limits.Body)
+	limits.Unsent = min(max(memory/4/limits.Connections, 8<<10), 64<<10)
+	return limits
+}
+
+// Server is the clients' side.
+func (d *Dispatcher) Server() *server.Server { return d.server }
+
+// MoveDiscovery has discovery asked at another address.
+func (d *Dispatcher) MoveDiscovery(address string) { d.discovery.Move(address) }
+
+// informed tells whether discovery speaks, or has had its chance to. What discovery has counts as told from the first moment, and what
+// was known before may name hosts that are gone.
+func (d *Dispatcher) informed() bool {
+	return d.discovery.Up() || d.loop.Now()-d.startedAt >= agentTimeout
+}
+
+// WhenInformed calls do once discovery speaks, or has had its chance to: until then no request should be taken.
+func (d *Dispatcher) WhenInformed(do func()) {
+	if d.informed() {
+		do()
+		return
+	}
+	d.loop.After(informedPoll, func() { d.WhenInformed(do) })
+}
+
+// Ready implements server.Handler: it tells whether there is a host for prefill and one to decode.
+func (d *Dispatcher) Ready() bool {
+	if !d.informed() {
+		return false
+	}
+	return d.canServe() || d.loop.Now()-d.startedAt >= readyAnyway
+}
+
+func (d *Dispatcher) canServe() bool {
+	var prefill, decode bool
+	for _, id := range d.ready {
+		switch d.role(id) {
+		case choice.Reader:
+			prefill = true
+		case choice.Writer:
+			decode = true
+		case choice.Mixed:
+			return true
+		}
+	}
+	return prefill && decode
+}
+
+// Summary describes the dispatcher in a few numbers, for logs.
+func (d *Dispatcher) Summary() string {
+	requests, attempts, held, _ := d.module.Open()
+	return fmt.Sprintf("requests %d, attempts %d, held %d; connections: clients %d, hosts %d; unsent %d at most, buffered %d; "+
+		"accepted %d, completed %d, broken %d, rejected %d, failed %d, clients gone %d, attempts %d, outcomes %v; "+
+		"releases %d in %d tries, late %d; bad requests %d, evicted %d, timed out %d; hosts ready %d, list heard %d",
+		requests, attempts, held, d.server.Connections(), d.upstream.Connections(), d.server.Unsent(), d.server.Buffered(),
+		d.Accepted, d.Completed, d.Broken, d.Rejected, d.Failed, d.ClientsGone, d.Attempts, d.Outcomes,
+		d.upstream.Releases, d.upstream.Tries, d.upstream.Late,
+		d.server.Rejected, d.server.Evicted, d.server.TimedOut, len(d.ready), d.discovery.Heard)
+}
--- /dev/null
+++ b/internal/platform/hosts.go
@@ -0,0 +1,79 @@
+package platform
+
+import (
+	"slices"
+
+	"plumspindle/choice"
+	"plumspindle/internal/engine"
+	"plumspindle/internal/platform/discovery"
+)
+
+// updateHosts takes a list of hosts, or what has changed in it.
+func (d *Dispatcher) updateHosts(entries []discovery.Entry, whole bool) {
+	listed := map[choice.HostID]bool{}
+	for _, e := range entries {
+		listed[e.ID] = true
+		d.updateHost(e)
+	}
+	for id := range d.hosts {
+		if whole && !listed[id] {
+			delete(d.hosts, id)
+		}
+	}
+	d.updateReady()
+	d.takeBackUnsent()
+	d.module.ListEnded(d.loop.Now(), whole)
+	for _, e := range entries {
+		if e.Condition == choice.Gone {
+			d.upstream.Forget(e.ID)
+		}
+	}
+	if whole {
+		d.upstream.ForgetOthers(listed)
+	}
+}
+
+func (d *Dispatcher) updateHost(e discovery.Entry) {
+	zone, kind := slices.Index(d.settings.Zones, e.Zone), slices.Index(d.settings.Kinds, e.Kind)
+	if zone < 0 || kind < 0 || kind >= len(d.settings.Place.Kinds) {
+		d.config.Log.Warn().Str("host", e.Name).Str("zone", e.Zone).Str("kind", e.Kind).
+			Msg("a host of a zone or kind that the settings do not name; nothing is sent there")
+		zone, kind = max(zone, 0), unknownKind
+	}
+	if e.Condition == choice.Gone {
+		delete(d.hosts, e.ID)
+	} else {
+		d.hosts[e.ID] = e
+		d.upstream.Place(e.ID, e.Addr)
+	}
+	d.config.Log.Debug().Str("host", e.Name).Uint32("number", uint32(e.ID)).Str("addr", e.Addr).Str("kind", e.Kind).Str("zone", e.Zone).
+		Uint16("cell", uint16(e.Cell)).Int("condition", int(e.Condition)).Int64("started", int64(e.Started)).Msg("listed")
+	now := d.loop.Now()
+	d.module.Listed(now, e.ID, choice.ZoneID(zone), choice.KindID(kind), e.Cell, e.Condition, min(e.Started, now))
+}
+
+func (d *Dispatcher) updateReady() {
+	d.ready = d.ready[:0]
+	for id, e := range d.hosts {
+		if e.Condition == choice.Ready {
+			d.ready = append(d.ready, id)
+		}
+	}
+	slices.Sort(d.ready)
+}
+
+// takeBackUnsent takes back what has not left yet to hosts that want nothing new: a connection that opens only now must not carry it.
+func (d *Dispatcher) takeBackUnsent() {
+	for _, r := range d.inOrder() {
+		if r.attempt != nil && r.attempt.Unsent() && !slices.Contains(d.ready, r.host) {
+			d.takeBack(r, engine.Outcome{How: choice.Unreachable, Memory: choice.NoReport, Why: "the host is going"})
+		}
+	}
+}
+
+func (d *Dispatcher) role(id choice.HostID) choice.Role {
+	if k := slices.Index(d.settings.Kinds, d.hosts[id].Kind); k >= 0 && k < len(d.settings.Place.Kinds) {
+		return d.settings.Place.Kinds[k].Role
+	}
+	return choice.Writer
+}
--- /dev/null
+++ b/internal/platform/launch/run.go
@@ -0,0 +1,159 @@
+package launch
+
+import (
+	"os"
+	"os/signal"
+	"runtime"
+	"runtime/debug"
+	"syscall"
+
+	"github.com/rs/zerolog"
+
+	"plumspindle/internal/eventloop"
+	"plumspindle/internal/http1"
+	"plumspindle/internal/platform"
+	"plumspindle/internal/sockets"
+)
+
+const (
+	summaryEvery = 5 * eventloop.Second
+	// What one connection may have read and not yet handled: a quarter of the memory over all descriptors, between these.
+	minReadAhead, maxReadAhead = 8 << 10, 128 << 10
+)
+
+// limitRuntime sets what the Go runtime may use. The limit holds for all of the process; its code, stacks, and what sockets and the
+// collector have under way need a part of their own.
+func (e *Environment) limitRuntime() {
+	runtime.GOMAXPROCS(max(1, int(e.Cores+0.99)))
+	debug.SetMemoryLimit(int64(e.Memory) * 6 / 10)
+}
+
+// process is one running dispatcher.
+type process struct {
+	log        zerolog.Logger
+	getenv     func(string) string
+	loop       *sockets.Loop
+	dispatcher *platform.Dispatcher
+	listener   eventloop.Listener // nil until it listens
+	leaving    bool
+	ended      chan error // what it ends with
+}
+
+// Run serves until the platform ends it.
+func Run(log zerolog.Logger, getenv func(string) string) error {
+	signals := make(chan os.Signal, 16)
+	signal.Notify(signals, syscall.SIGHUP, syscall.SIGTERM, os.Interrupt)
+	defer signal.Stop(signals)
+	env, err := Read(getenv)
+	if err != nil {
+		return err
+	}
+	env.limitRuntime()
+	p := &process{log: log.With().Str("dispatcher", env.Name).Logger(), getenv: getenv, ended: make(chan error, 1)}
+	if p.loop, err = newLoop(env); err != nil {
+		return err
+	}
+	defer p.loop.Stop()
+	p.logStart(env)
+	p.loop.Post(func() { p.start(env) })
+	for {
+		select {
+		case s := <-signals:
+			p.signalled(s)
+		case err := <-p.ended:
+			return err
+		}
+	}
+}
+
+func newLoop(env *Environment) (*sockets.Loop, error) {
+	loop, err := sockets.Start()
+	if err != nil {
+		return nil, err
+	}
+	loop.Anywhere = true
+	loop.TakeIn = min(max(env.Memory/4/env.Sockets, minReadAhead), maxReadAhead)
+	loop.Busy = http1.AppendResponse(nil, 503, []byte("no connection is left for it\n"), "Connection", "close", "Content-Type", "text/plain")
+	return loop, nil
+}
+
+// start makes the dispatcher, and has it listen once it knows what discovery has to tell. What follows runs in the loop.
+func (p *process) start(env *Environment) {
+	config := env.Config
+	config.Log = p.log
+	p.dispatcher = platform.Start(p.loop, config)
+	p.dispatcher.WhenInformed(func() { p.listen(env.Listen) })
+	p.loop.After(summaryEvery, p.logSummary)
+}
+
+func (p *process) listen(address string) {
+	if p.leaving {
+		return
+	}
+	var err error
+	if p.listener, err = p.loop.Listen(address, p.dispatcher.Server().Accept); err != nil {
+		p.end(err)
+		return
+	}
+	p.log.Info().Str("listen", address).Msg("serving")
+}
+
+// end has Run return; only the first call counts.
+func (p *process) end(err error) {
+	select {
+	case p.ended <- err:
+	default:
+	}
+}
+
+func (p *process) signalled(s os.Signal) {
+	if s == syscall.SIGHUP {
+		p.reload()
+		return
+	}
+	p.loop.Post(p.leave)
+}
+
+// reload takes discovery's address from the configuration as it is now.
+func (p *process) reload() {
+	env, err := Read(p.getenv)
+	if err != nil {
+		p.log.Error().Err(err).Msg("the configuration is not taken; the one before stands")
+		return
+	}
+	p.log.Info().Str("discovery", env.Discovery).Msg("the configuration was read again")
+	p.loop.Post(func() { p.dispatcher.MoveDiscovery(env.Discovery) })
+}
+
+// leave answers what was taken and ends the process; a second signal changes nothing.
+func (p *process) leave() {
+	if p.leaving {
+		return
+	}
+	p.leaving = true
+	p.log.Info().Msg("leaving: what was taken is answered")
+	closeListener := func() {
+		if p.listener != nil {
+			p.listener.Drain()
+		}
+	}
+	p.dispatcher.Shutdown(closeListener, func() {
+		p.log.Info().Msg("left; " + p.dispatcher.Summary())
+		p.end(nil)
+	})
+}
+
+func (p *process) logStart(env *Environment) {
+	place := env.Settings.Place
+	for i, class := range place.Products {
+		p.log.Info().Str("class", env.Settings.Products[i]).Int("effect", int(class.Effect)).Int("group", int(class.Group)).
+			Int64("window", int64(class.Window)).Int64("slo", int64(class.SLO)).Msg("a class of requests")
+	}
+	p.log.Info().Str("discovery", env.Discovery).Float64("cores", env.Cores).Int("memory", env.Memory).Int("sockets", env.Sockets).
+		Int("dispatchers", place.Dispatchers).Msg("starting")
+}
+
+func (p *process) logSummary() {
+	p.log.Info().Msg(p.dispatcher.Summary())
+	p.loop.After(summaryEvery, p.logSummary)
+}
--- /dev/null
+++ b/internal/platform/races_test.go
@@ -0,0 +1,213 @@
+package platform
+
+import (
+	"fmt"
+	"strconv"
+	"strings"
+	"testing"
+
+	"plumspindle/choice"
+	"plumspindle/internal/eventloop"
+	"plumspindle/internal/http1"
+)
+
+// TestTimeOfWhatIsSentAhead: a request sent behind another counts its time from when it came, not from when its turn comes.
+func TestTimeOfWhatIsSentAhead(t *testing.T) {
+	r := newRig(t, 256, fleet...)
+	met := 0
+	all(r.writers(), func(l *line) {
+		if met++; met == 1 {
+			l.h.loop.After(800*eventloop.Millisecond, func() { write(l) })
+		} // the second never is answered
+	})
+	began := r.w.Now()
+	c := r.raw(r.request("explain") + r.request("explain", "Req-Deadline", "1500m"))
+	r.until(10*eventloop.Second, "two answers", func() bool { return len(c.finals) == 2 })
+	if took := c.at - began; took > 1500*eventloop.Millisecond {
+		t.Errorf("the second was answered after %d ms of 1500", took/eventloop.Millisecond)
+	}
+	r.quiet()
+}
+
+// TestTimeToldAfterARelease: an attempt that waited for a release tells its host what the client has left then.
+func TestTimeToldAfterARelease(t *testing.T) {
+	r := newRig(t, 256, fleet...)
+	const limit = 2 * eventloop.Second
+	began := r.w.Now()
+	check := func(then func(*line)) func(*line) {
+		return func(l *line) {
+			told, _ := strconv.ParseInt(strings.TrimSuffix(l.head.Get("Req-Deadline"), "u"), 10, 64)
+			if left := limit - (r.w.Now() - began); eventloop.Micros(told) > left+eventloop.Millisecond {
+				t.Errorf("told %d ms, %d ms are left", told/1000, left/eventloop.Millisecond)
+			}
+			then(l)
+		}
+	}
+	met := 0
+	all(r.readers(), check(read))
+	all(r.writers(), check(func(l *line) {
+		if met++; met == 1 {
+			l.answer(410, "", "Srv-Declined", "1")
+			return
+		}
+		write(l)
+	}))
+	for _, h := range r.hosts {
+		h.slack = 60 * eventloop.Millisecond // of a release
+	}
+	if got := r.final(r.ask("explain", "Req-Deadline", "2000m")); got != 200 || r.releases() == 0 {
+		t.Errorf("answered %d after %d releases", got, r.releases())
+	}
+	r.quiet()
+}
+
+// TestAnswerBeforeTheRequestHasLeft: a host that speaks before it has the whole request has not run it, whatever it says; its word is not
+// taken for the answer.
+func TestAnswerBeforeTheRequestHasLeft(t *testing.T) {
+	r := newRig(t, 256, fleet...)
+	r.w.Window = 16 << 10
+	hasty := true
+	for _, h := range r.writers() {
+		h.ln.Close()
+		h.ln, _ = h.loop.Listen(h.addr, func(c eventloop.Conn) eventloop.Handler {
+			l := &line{h: h, conn: c, parser: http1.Parser{Bounds: http1.Usual}}
+			if hasty { // it takes in what its window holds, reads nothing, and answers all the same
+				hasty = false
+				c.Pause(true)
+				h.loop.After(10*eventloop.Millisecond, func() { l.stream(`{"choices":[]}`); l.last() })
+			}
+			return l
+		})
+	}
+	c := r.ask("post", "body", `{"messages":["`+strings.Repeat("x", 100<<10)+`"]}`)
+	if got := r.final(c); got != 200 || hasty || len(c.got) == 0 || c.got[0] != word {
+		t.Errorf("answered %d with %.60q", got, c.got)
+	}
+	r.quiet()
+}
+
+// TestHostThatDoesNotRead: an attempt that has not left in the time for a connection does not leave any more; it goes elsewhere, also with
+// side effects, and a repeat can't arrive after its window.
+func TestHostThatDoesNotRead(t *testing.T) {
+	r := newRig(t, 256, fleet...)
+	r.w.Window = 16 << 10
+	var deaf eventloop.Conn
+	for _, h := range r.writers() {
+		h.ln.Close()
+		h.ln, _ = h.loop.Listen(h.addr, func(c eventloop.Conn) eventloop.Handler {
+			if deaf == nil {
+				deaf = c
+				c.Pause(true)
+			}
+			return &line{h: h, conn: c, parser: http1.Parser{Bounds: http1.Usual}}
+		})
+	}
+	began := r.w.Now()
+	c := r.ask("post", "body", `{"messages":["`+strings.Repeat("x", 100<<10)+`"]}`)
+	if got := r.final(c); got != 200 {
+		t.Errorf("answered %d", got)
+	}
+	if took := c.at - began; took > eventloop.Second || r.x.Outcomes[choice.Unreachable] != 1 {
+		t.Errorf("answered after %d ms with outcomes %v", took/eventloop.Millisecond, r.x.Outcomes)
+	}
+	r.quiet()
+}
+
+// TestListThatTrickles: one that does not come to its end is given up when a silent watch would be, however its bytes come.
+func TestListThatTrickles(t *testing.T) {
+	for _, every := range []eventloop.Micros{100, 1900, 2990} {
+		r := newRig(t, 256, fleet...)
+		r.agent.watches[0].mute = true
+		began := r.w.Now()
+		var trickle func()
+		trickle = func() {
+			if !r.agent.watches[0].closed {
+				r.agent.watches[0].conn.Write(http1.AppendChunk(nil, []byte("{ ")[:1+int(min(r.w.Now()-began, 1))]))
+				r.far.After(every*eventloop.Millisecond, trickle)
+			}
+		}
+		r.far.Do(trickle)
+		r.until(6*eventloop.Second, "another watch", func() bool { return len(r.agent.watches) == 2 })
+		if took := r.w.Now() - began; took > 4*eventloop.Second {
+			t.Errorf("a byte each %d ms: another watch after %d ms", every, took/eventloop.Millisecond)
+		}
+		r.w.Run(10 * eventloop.Second)
+		if n := r.far.Open(); n != 1 {
+			t.Errorf("%d watches are open", n)
+		}
+	}
+}
+
+// TestOlderList: a list of an older version does not take back that a host drains, is gone or has started anew.
+func TestOlderList(t *testing.T) {
+	r := newRig(t, 256, fleet...)
+	started := func(h *host, ms int64) string {
+		return strings.Replace(h.entry("SERVING"), `"started_ms":0`, fmt.Sprintf(`"started_ms":%d`, ms), 1)
+	}
+	now := int64(r.w.Now() / eventloop.Millisecond)
+	r.agent.tell(false, r.hosts[0].entry("DRAINING"), r.hosts[2].entry("DELETED"), started(r.hosts[3], now))
+	r.w.Run(10 * eventloop.Millisecond)
+	r.agent.version -= 3
+	r.agent.tell(true, r.hosts[0].entry("SERVING"), r.hosts[1].entry("SERVING"), r.hosts[2].entry("SERVING"), r.hosts[3].entry("SERVING"))
+	r.w.Run(10 * eventloop.Millisecond)
+	if len(r.x.ready) != 2 {
+		t.Errorf("%d hosts are ready", len(r.x.ready))
+	}
+	if e := r.x.hosts[r.x.discovery.Number(r.hosts[3].id)]; e.Started != eventloop.Micros(now)*eventloop.Millisecond {
+		t.Errorf("it started at %d", e.Started)
+	}
+	// A newer one does, and so does an older one that names a new process.
+	r.agent.tell(true, r.hosts[0].entry("SERVING"), r.hosts[1].entry("SERVING"), started(r.hosts[2], now+1), r.hosts[3].entry("SERVING"))
+	r.w.Run(10 * eventloop.Millisecond)
+	if len(r.x.ready) != 3 {
+		t.Errorf("with a new process: %d hosts are ready", len(r.x.ready))
+	}
+	r.agent.version += 10
+	r.agent.tell(true, r.hosts[0].entry("SERVING"), r.hosts[1].entry("SERVING"), r.hosts[2].entry("SERVING"), r.hosts[3].entry("SERVING"))
+	r.w.Run(10 * eventloop.Millisecond)
+	if len(r.x.ready) != 4 {
+		t.Errorf("by a newer list: %d hosts are ready", len(r.x.ready))
+	}
+}
+
+// TestWhenInformed: no request is taken before discovery has spoken or has had its chance to.
+func TestWhenInformed(t *testing.T) {
+	for _, away := range []bool{false, true} {
+		r := newRig(t, 256, fleet...)
+		r.agent.away, r.agent.watches = true, nil
+		var at eventloop.Micros
+		began := r.w.Now()
+		r.loop.Do(func() {
+			r.x.discovery.Close()
+			r.x = Start(r.loop, r.x.config)
+			r.x.WhenInformed(func() { at = r.w.Now() })
+		})
+		r.w.Run(300 * eventloop.Millisecond)
+		if at != 0 {
+			t.Fatal("informed before discovery has spoken")
+		}
+		if !away {
+			r.far.Do(func() { r.agent.greet(r.agent.watches[0]) })
+		}
+		r.w.Run(eventloop.Second)
+		if took := at - began; at == 0 || (took < 500*eventloop.Millisecond) == away {
+			t.Errorf("away %v: informed after %d ms", away, took/eventloop.Millisecond)
+		}
+	}
+}
+
+// TestReadyWithoutHosts: a process that knows no host to serve with says that it is ready after a while, and rejects what comes.
+func TestReadyWithoutHosts(t *testing.T) {
+	r := newRig(t, 256)
+	if r.w.Run(2 * eventloop.Second); r.x.Ready() {
+		t.Error("ready at once")
+	}
+	if r.w.Run(4 * eventloop.Second); !r.x.Ready() {
+		t.Error("never ready")
+	}
+	for _, class := range []string{"explain", "post"} {
+		if got := r.final(r.ask(class)); got != 503 {
+			t.Errorf("%s: answered %d", class, got)
+		}
+	}
+}
--- /dev/null
+++ b/internal/platform/request.go
@@ -0,0 +1,130 @@
+package platform
+
+import (
+	"cmp"
+	"fmt"
+	"maps"
+	"net/http"
+	"slices"
+
+	"github.com/cespare/xxhash/v2"
+
+	"plumspindle/choice"
+	"plumspindle/internal/engine"
+	"plumspindle/internal/eventloop"
+	"plumspindle/internal/platform/server"
+)
+
+// An id is not taken again for so long after its answer: a copy of an open request may come when that has just ended.
+const idKept = 10 * eventloop.Second
+
+// request is what the dispatcher keeps of a client's request: what the module does not know, and nothing that it does.
+type request struct {
+	id       choice.GenID
+	client   *server.Request
+	response *server.Response
+	answered bool // or nobody waits any more
+
+	// The attempt that is out.
+	attempts choice.LegNo // made so far
+	attempt  *engine.Leg
+	host     choice.HostID
+	sentAt   eventloop.Micros // when it was ordered
+	prefill  bool
+	closing  bool // it is given up, and its host may not have seen it yet
+	started  bool // its stream has, and the client has it
+
+	// The KV state that a host may hold for the request.
+	held      bool
+	holder    choice.HostID // the likely one
+	lease     eventloop.Wait
+	releasing bool   // it is being released
+	deferred  func() // the attempt that waits for it, as the release would take what that attempt leaves
+}
+
+// Handle implements server.Handler.
+func (d *Dispatcher) Handle(client *server.Request, response *server.Response) *server.Rejection {
+	class := slices.Index(d.settings.Products, client.Class)
+	if class < 0 {
+		return &server.Rejection{Status: http.StatusBadRequest, Reason: fmt.Sprintf("unknown kind of request %.40q", client.Class)}
+	}
+	if d.openIDs[client.ID] || d.recentIDs[0][client.ID] || d.recentIDs[1][client.ID] {
+		return &server.Rejection{Status: http.StatusConflict, Reason: "the id is that of another request"}
+	}
+	tenant := max(slices.Index(d.settings.Tenants, client.Tenant), 0)
+	if client.PromptTokens == 0 {
+		client.PromptTokens = float64(len(client.Body)) / 4
+	}
+	d.lastRequest++
+	d.Accepted++
+	r := &request{id: d.lastRequest, client: client, response: response}
+	d.requests[r.id] = r
+	d.openIDs[client.ID] = true
+	response.OnClientGone = func() { d.loop.Later(func() { d.clientGone(r) }) } // never within the module's own call
+	response.OnWritable = func() {
+		if r.attempt != nil {
+			r.attempt.Slow(false)
+		}
+	}
+	d.module.Arrive(d.loop.Now(), r.id, choice.SessionID(hashName(client.Session)), choice.PrefixID(hashName(client.Prefix)),
+		choice.ProductID(class), choice.TenantID(tenant), client.PromptTokens, client.PrefixTokens, client.MaxOutputTokens, 0,
+		client.ReceivedAt+client.Timeout)
+	d.settle(r)
+	return nil
+}
+
+// hashName makes a number of a session's or a prefix's id, alike at every dispatcher; none is 0.
+func hashName(id string) uint64 {
+	if id == "" {
+		return 0
+	}
+	return max(xxhash.Sum64String(id), 1)
+}
+
+// clientGone ends what is done for a request that nobody waits for.
+func (d *Dispatcher) clientGone(r *request) {
+	if r.answered {
+		return
+	}
+	r.answered = true
+	d.ClientsGone++
+	if r.started {
+		attempt, no := r.attempt, r.attempts-1
+		attempt.Cancel()
+		d.attemptEnded(r, no, engine.Outcome{How: choice.Cancelled, Memory: choice.NoReport, Why: "its client left"})
+		return
+	}
+	d.module.Left(d.loop.Now(), r.id)
+	if !d.settings.Place.MayCancel && (r.deferred != nil || r.attempt != nil && r.attempt.Unsent()) { // it has not begun and must not
+		d.Cancel(r.id, r.attempts-1)
+	}
+	d.settle(r)
+}
+
+// settle sees, after each of the module's calls, to what no order comes for: nothing stays held for a request without an attempt that
+// is out, and one that is over is forgotten.
+func (d *Dispatcher) settle(r *request) {
+	if r.attempt != nil || r.deferred != nil || r.releasing || d.requests[r.id] != r {
+		return
+	}
+	if r.held {
+		d.release(r)
+		return
+	}
+	if r.answered {
+		delete(d.requests, r.id)
+		delete(d.openIDs, r.client.ID)
+		d.recentIDs[0][r.client.ID] = true
+	}
+}
+
+// forgetIDs drops the ids of requests that were answered a while ago.
+func (d *Dispatcher) forgetIDs() {
+	d.recentIDs[1], d.recentIDs[0] = d.recentIDs[0], map[string]bool{}
+	d.loop.After(idKept, d.forgetIDs)
+}
+
+// inOrder are the requests, so that nothing depends on the order of a map.
+func (d *Dispatcher) inOrder() []*request {
+	return slices.SortedFunc(maps.Values(d.requests), func(a, b *request) int { return cmp.Compare(a.id, b.id) })
+}
--- /dev/null
+++ b/internal/platform/server/races_test.go
@@ -0,0 +1,255 @@
+package server
+
+import (
+	"bufio"
+	"fmt"
+	"net"
+	"net/http"
+	"runtime"
+	"strings"
+	"testing"
+	"time"
+
+	"plumspindle/internal/eventloop"
+	"plumspindle/internal/sockets"
+)
+
+// silentHandler takes requests and answers none; it counts clients that go.
+type silentHandler struct {
+	handled, gone chan string
+	answer        bool
+}
+
+func (*silentHandler) Ready() bool { return true }
+
+func (h *silentHandler) Handle(r *Request, response *Response) *Rejection {
+	response.OnClientGone = func() { h.gone <- r.ID }
+	h.handled <- r.ID
+	if h.answer {
+		response.Reject(0)
+	}
+	return nil
+}
+
+// serve runs a server on a loop over real sockets.
+func serve(t *testing.T, limits Limits, handler *silentHandler) (*sockets.Loop, *Server, string) {
+	t.Helper()
+	loop, err := sockets.Start()
+	if err != nil {
+		t.Fatal(err)
+	}
+	t.Cleanup(loop.Stop)
+	loop.TakeIn = 8 << 10
+	handler.handled, handler.gone = make(chan string, 1000), make(chan string, 1000)
+	s := New(loop, limits, handler)
+	var address string
+	loop.Do(func() {
+		ln, err := loop.Listen("127.0.0.1:0", s.Accept)
+		if err != nil {
+			t.Error(err)
+			return
+		}
+		address = ln.Addr()
+	})
+	return loop, s, address
+}
+
+func testLimits() Limits {
+	limits := DefaultLimits
+	limits.Connections, limits.Buffered, limits.Unsent = 100, 8<<20, 64<<10
+	return limits
+}
+
+func dial(t *testing.T, address string) net.Conn {
+	t.Helper()
+	c, err := net.Dial("tcp", address)
+	if err != nil {
+		t.Fatal(err)
+	}
+	t.Cleanup(func() { c.Close() })
+	return c
+}
+
+func requestText(id string, bodySize int) string {
+	body := `{"x":"` + strings.Repeat("y", bodySize) + `"}`
+	return fmt.Sprintf("POST /v1/chat/completions HTTP/1.1\r\nHost: h\r\nReq-Id: %s\r\nReq-Kind: k\r\nReq-Deadline: 4000m\r\nContent-Length: %d\r\n\r\n%s", id, len(body), body)
+}
+
+// receive waits for one of what a handler tells.
+func receive(t *testing.T, what string, from chan string) string {
+	t.Helper()
+	select {
+	case id := <-from:
+		return id
+	case <-time.After(10 * time.Second):
+		t.Fatalf("not in 10 s: %s", what)
+		return ""
+	}
+}
+
+// TestEndBehindWhatIsSentAhead: a client that goes is heard at once, however much it sent behind the request that waits, also more than
+// the sockets and the server take in.
+func TestEndBehindWhatIsSentAhead(t *testing.T) {
+	for _, size := range []int{0, 40 << 10, 900 << 10, 12 << 20} {
+		handler := &silentHandler{}
+		loop, s, address := serve(t, testLimits(), handler)
+		c := dial(t, address)
+		go func() {
+			_, _ = c.Write([]byte(requestText("first", 100)))
+			for sent := 0; sent < size; sent += 20 << 10 {
+				if _, err := c.Write([]byte(requestText("ahead", 20<<10))); err != nil {
+					return // cut off
+				}
+			}
+			c.Close()
+		}()
+		receive(t, "the request", handler.handled)
+		if got := receive(t, fmt.Sprintf("the end behind %d bytes", size), handler.gone); got != "first" {
+			t.Errorf("%q has gone", got)
+		}
+		loop.Do(func() {
+			if s.Buffered() > 0 {
+				t.Errorf("%d bytes are buffered for a client that has gone", s.Buffered())
+			}
+		})
+		if n := len(handler.handled); n > 0 {
+			t.Errorf("%d requests were passed on for a client that has gone", n)
+		}
+	}
+}
+
+// TestBufferedInAll: what all clients send ahead is bounded, and an honest one gets through beside them.
+func TestBufferedInAll(t *testing.T) {
+	handler := &silentHandler{}
+	limits := testLimits()
+	limits.Buffered = 1 << 20
+	loop, s, address := serve(t, limits, handler)
+	cut := make(chan string, 20)
+	for range 20 {
+		c := dial(t, address)
+		go func() {
+			text := []byte(requestText("flood", 60<<10))
+			for {
+				if _, err := c.Write(text); err != nil {
+					cut <- "a flood"
+					return
+				}
+			}
+		}()
+	}
+	for range 20 { // each floods until it is cut off
+		receive(t, "a client's end", cut)
+	}
+	buffered := 0
+	loop.Do(func() { buffered = s.Buffered() })
+	if buffered > limits.Buffered+20*minAhead {
+		t.Errorf("%d bytes are buffered", buffered)
+	}
+	c := dial(t, address)
+	if _, err := c.Write([]byte(requestText("honest", 200<<10))); err != nil {
+		t.Fatal(err)
+	}
+	for receive(t, "the honest one", handler.handled) != "honest" {
+	}
+}
+
+// TestRequestMeetsAClose: a request that has come before an idle connection is closed is answered, whether the poller has read it by then
+// or not; one that comes after the close is neither read nor passed on, and its client sees a clean end.
+func TestRequestMeetsAClose(t *testing.T) {
+	for _, before := range []bool{true, false} {
+		for _, read := range []bool{true, false} {
+			if !before && read {
+				continue
+			}
+			handler := &silentHandler{answer: true}
+			loop, s, address := serve(t, testLimits(), handler)
+			c := dial(t, address)
+			exchange(t, c, http.StatusServiceUnavailable)
+			receive(t, "the first", handler.handled)
+			loop.Do(func() { // the loop is busy meanwhile
+				send := func() {
+					if _, err := c.Write([]byte(requestText("crossing", 100))); err != nil {
+						t.Error(err)
+					}
+				}
+				if before {
+					send()
+				}
+				for read && !s.anythingRead() {
+					runtime.Gosched()
+				}
+				s.Shutdown()
+				if !before {
+					send()
+				}
+			})
+			response, err := http.ReadResponse(bufio.NewReader(c), nil)
+			switch {
+			case before && (err != nil || response.StatusCode != http.StatusServiceUnavailable):
+				t.Errorf("read %v: %v", read, err)
+			case !before && (err == nil || !strings.Contains(err.Error(), "EOF")):
+				t.Errorf("after the close: %v, %v", response, err)
+			}
+			if n := len(handler.handled); n > 0 {
+				t.Errorf("before %v, read %v: %d were passed on after the shutdown", before, read, n)
+			}
+		}
+	}
+}
+
+// anythingRead tells whether something has come that was not handed over.
+func (s *Server) anythingRead() bool {
+	for c := range s.connections {
+		if !c.conn.Quiet() {
+			return true
+		}
+	}
+	return false
+}
+
+// exchange sends a request and reads its answer.
+func exchange(t *testing.T, c net.Conn, want int) {
+	t.Helper()
+	if _, err := c.Write([]byte(requestText("exchange", 100))); err != nil {
+		t.Fatal(err)
+	}
+	response, err := http.ReadResponse(bufio.NewReader(c), nil)
+	if err != nil || response.StatusCode != want {
+		t.Fatalf("%v, %v", response, err)
+	}
+	response.Body.Close()
+}
+
+// TestIdleClientThatReadsNothing: a connection that is idle with an answer that its client does not read is closed in the end.
+func TestIdleClientThatReadsNothing(t *testing.T) {
+	handler := &silentHandler{}
+	limits := testLimits()
+	limits.Idle, limits.Stall = 50*eventloop.Millisecond, 200*eventloop.Millisecond
+	loop, s, address := serve(t, limits, handler)
+	var response *Response
+	c := dial(t, address)
+	if _, err := c.Write([]byte(requestText("big", 100))); err != nil {
+		t.Fatal(err)
+	}
+	receive(t, "the request", handler.handled)
+	loop.Do(func() {
+		for conn := range s.connections {
+			response = conn.response
+		}
+		event := []byte(strings.Repeat("z", 64<<10))
+		for range 200 { // more than the sockets hold
+			response.WriteEvent(event)
+		}
+		response.Complete()
+	})
+	for deadline := time.Now().Add(10 * time.Second); ; runtime.Gosched() {
+		n := 0
+		loop.Do(func() { n = s.Connections() })
+		if n == 0 {
+			return
+		}
+		if time.Now().After(deadline) {
+			t.Fatal("it is still there")
+		}
+	}
+}
--- a/internal/platform/server/request.go
+++ b/internal/platform/server/request.go
@@ -13,35 +13,35 @@
 	"plumspindle/internal/http1"
 )
 
-// Request is a request that is sound.
+// Request is a client's request that is sound.
 type Request struct {
-	ID      string // as the client wrote it, byte for byte
-	Class string
-	Tenant  string
-	Session string
-	Prefix  string
-	Target  string // path and query
-	ContentType    string // of the body
-	PromptTokens  float64
-	PrefixTokens  float64 // of the prompt
-	MaxOutputTokens    float64 // of the answer
-	ReceivedAt    eventloop.Micros
-	Timeout   eventloop.Micros // counted from when the client sent it
-	Body    []byte
+	ID              string // as the client wrote it, byte for byte
+	Class           string
+	Tenant          string
+	Session         string
+	Prefix          string
+	Target          string // path and query
+	ContentType     string // of the body
+	PromptTokens    float64
+	PrefixTokens    float64 // of the prompt
+	MaxOutputTokens float64 // of the answer
+	ReceivedAt      eventloop.Micros
+	Timeout         eventloop.Micros // counted from when the client sent it
+	Body            []byte
 }
 
-// Fields that a request may have once at most: a second one could be read differently behind us.
-var once = []string{"Req-Id", "Req-Kind", "Req-Key", "Req-Owner", "Req-Deadline", "Req-Extra", "Content-Length", "Transfer-Encoding", "Host"}
+// singleFields may be there once at most: a second one could be read differently behind us.
+var singleFields = []string{"Req-Id", "Req-Kind", "Req-Key", "Req-Owner", "Req-Deadline", "Req-Extra", "Content-Length", "Transfer-Encoding", "Host"}
 
 const (
-	chatPath  = "/v1/chat/completions"
-	readyPath = "/up"
-	idMost    = 64 // bytes
-	limitMost = 3600 * eventloop.Second
+	chatPath   = "/v1/chat/completions"
+	readyPath  = "/up"
+	maxID      = 64 // bytes
+	maxTimeout = 3600 * eventloop.Second
 )
 
-// read takes what a head says; with neither an ask nor a refusal it asks whether the dispatcher is ready.
-func read(h *http1.Head) (*Request, *Rejection) {
+// parseRequest takes what a head says; with neither a request nor a rejection it asks whether the dispatcher is ready.
+func parseRequest(h *http1.Head) (*Request, *Rejection) {
 	path, _, _ := strings.Cut(h.Target, "?")
 	switch {
 	case path == readyPath && h.Method == "GET":
@@ -52,9 +52,9 @@
 		return nil, &Rejection{405, "only POST is served here"}
 	}
 	var seen [16]bool
-	a := &Request{Target: h.Target, ContentType: h.Get("Content-Type")}
+	r := &Request{Target: h.Target, ContentType: h.Get("Content-Type")}
 	for _, f := range h.Fields {
-		for i, name := range once {
+		for i, name := range singleFields {
 			if len(f.Name) == len(name) && strings.EqualFold(f.Name, name) {
 				if seen[i] {
 					return nil, &Rejection{400, "two fields " + name}
@@ -63,37 +63,37 @@
 			}
 		}
 	}
-	a.ID, a.Class, a.Session, a.Tenant = h.Get("Req-Id"), h.Get("Req-Kind"), h.Get("Req-Key"), h.Get("Req-Owner")
-	if !readable(a.ID) {
+	r.ID, r.Class, r.Session, r.Tenant = h.Get("Req-Id"), h.Get("Req-Kind"), h.Get("Req-Key"), h.Get("Req-Owner")
+	if !validID(r.ID) {
 		return nil, &Rejection{400, "the field Req-Id is missing or can't be read"}
 	}
-	if a.Class == "" {
+	if r.Class == "" {
 		return nil, &Rejection{400, "the field Req-Kind is missing"}
 	}
-	limit, err := span(h.Get("Req-Deadline"))
+	timeout, err := parseTimeout(h.Get("Req-Deadline"))
 	if err != nil {
 		return nil, &Rejection{400, "the field Req-Deadline " + err.Error()}
 	}
-	a.Timeout = limit
-	if err := a.extra(h.Get("Req-Extra")); err != nil {
+	r.Timeout = timeout
+	if err := r.parseExtra(h.Get("Req-Extra")); err != nil {
 		return nil, &Rejection{400, "the field Req-Extra " + err.Error()}
 	}
-	return a, nil
+	return r, nil
 }
 
-// readable: an id is passed on as it is, in heads and paths, and so may hold only what is plain in both.
-func readable(id string) bool {
+// validID tells whether an id may be passed on. It is passed on as it is, in heads and paths, and so may hold only what is plain in both.
+func validID(id string) bool {
 	for i := 0; i < len(id); i++ {
 		c := id[i]
 		if !(c >= '0' && c <= '9' || c >= 'a' && c <= 'z' || c >= 'A' && c <= 'Z' || c == '-' || c == '_' || c == '.') {
 			return false
 		}
 	}
-	return id != "" && len(id) <= idMost && strings.Trim(id, ".") != ""
+	return id != "" && len(id) <= maxID && strings.Trim(id, ".") != ""
 }
 
-// span reads a number with its unit, m for milliseconds or u for microseconds.
-func span(text string) (eventloop.Micros, error) {
+// parseTimeout reads a number with its unit, m for milliseconds or u for microseconds.
+func parseTimeout(text string) (eventloop.Micros, error) {
 	if text == "" {
 		return 0, fmt.Errorf("is missing")
 	}
@@ -106,11 +106,11 @@
 	if unit == 'm' {
 		t *= eventloop.Millisecond
 	}
-	return min(t, limitMost), nil
+	return min(t, maxTimeout), nil
 }
 
-// extra reads pairs like prompt_len=5120; names that it does not know it passes over.
-func (a *Request) extra(text string) error {
+// parseExtra reads pairs like prompt_len=5120; names that it does not know it passes over.
+func (r *Request) parseExtra(text string) error {
 	if text == "" {
 		return nil
 	}
@@ -122,14 +122,14 @@
 		var to *float64
 		switch name {
 		case "prefix":
-			a.Prefix = value
+			r.Prefix = value
 			continue
 		case "prompt_len":
-			to = &a.PromptTokens
+			to = &r.PromptTokens
 		case "prefix_len":
-			to = &a.PrefixTokens
+			to = &r.PrefixTokens
 		case "max_out":
-			to = &a.MaxOutputTokens
+			to = &r.MaxOutputTokens
 		default:
 			continue
 		}
@@ -142,14 +142,10 @@
 	return nil
 }
 
-// whole judges a body: one that is not whole, as where a length was wrong, would be turned away by every model host in turn.
-func whole(body []byte) *Rejection {
+// checkBody judges a body: one that is not whole, as where a length was wrong, would be turned away by every model host in turn.
+func checkBody(body []byte) *Rejection {
 	if !gjson.ValidBytes(body) || bytes.TrimLeft(body, " \t\r\n")[0] != '{' {
 		return &Rejection{400, "the body is not a JSON object"}
 	}
 	return nil
 }
-
-func seconds(t eventloop.Micros) string {
-	return strconv.FormatFloat(float64(t)/float64(eventloop.Second), 'f', -1, 64)
-}
--- /dev/null
+++ b/internal/platform/server/response.go
@@ -0,0 +1,129 @@
+package server
+
+import (
+	"net/http"
+	"strconv"
+
+	"plumspindle/internal/eventloop"
+	"plumspindle/internal/http1"
+	"plumspindle/internal/sse"
+)
+
+// Response carries the one final answer to a request, and lets nothing through after it.
+type Response struct {
+	connection *connection
+	buffered   int  // bytes of the request's body
+	begun      bool // its head has been written
+	staysOpen  bool // which says that another request may follow
+	done       bool
+	// OnClientGone is called once when the client goes away before its answer's end, OnWritable when one that lagged has caught up.
+	OnClientGone func()
+	OnWritable   func()
+}
+
+// finish tells that nothing is owed, or kept, any more.
+func (r *Response) finish() {
+	r.done = true
+	r.connection.server.buffered -= r.buffered
+}
+
+// WriteEvent hands on one event, unchanged. It tells whether the client lags behind.
+func (r *Response) WriteEvent(data []byte) (lags bool) {
+	if r.done {
+		return false
+	}
+	c := r.connection
+	b := c.out[:0]
+	if !r.begun {
+		r.begun = true
+		fields := []string{"Content-Type", "text/event-stream", "Cache-Control", "no-cache"}
+		if r.staysOpen = c.staysOpen(); !r.staysOpen {
+			fields = append(fields, "Connection", "close")
+		}
+		b = http1.AppendStreamHead(b, http.StatusOK, fields...)
+	}
+	c.event = sse.Append(c.event[:0], data)
+	c.out = http1.AppendChunk(b, c.event)
+	c.conn.Write(c.out)
+	limits := &c.server.limits
+	return c.wait.Lags(c.server.loop, c.conn, limits.Unsent, limits.Stall, c.abort)
+}
+
+// Drained implements eventloop.Handler.
+func (c *connection) Drained() {
+	if c.response == nil || c.state != answering {
+		return
+	}
+	c.wait.Over()
+	if c.response.OnWritable != nil {
+		c.response.OnWritable()
+	}
+}
+
+// Complete ends a stream that is whole.
+func (r *Response) Complete() {
+	if !r.done {
+		r.connection.conn.Write(http1.AppendLastChunk(nil))
+		r.close()
+	}
+}
+
+// Break ends a stream that is not whole: the connection is closed without the last chunk.
+func (r *Response) Break() {
+	if !r.done {
+		r.staysOpen = false
+		r.close()
+	}
+}
+
+// Reject says that the request may come again without harm, after a while if one is given.
+func (r *Response) Reject(retryAfter eventloop.Micros) {
+	var fields []string
+	if retryAfter > 0 {
+		fields = []string{"Retry-After", seconds(retryAfter)}
+	}
+	r.answer(http.StatusServiceUnavailable, "nothing was run; please try again", fields...)
+}
+
+// Fail says that the request failed, with no word on what it did.
+func (r *Response) Fail() { r.answer(http.StatusInternalServerError, "the generation failed") }
+
+func (r *Response) answer(status int, text string, fields ...string) {
+	if r.done || r.begun {
+		return
+	}
+	c := r.connection
+	r.finish()
+	c.response = nil
+	if c.writeWhole(status, text, c.staysOpen(), fields...) {
+		c.server.loop.Later(c.next)
+	}
+}
+
+func (r *Response) close() {
+	c := r.connection
+	r.finish()
+	c.response = nil
+	if !r.staysOpen {
+		c.close()
+		return
+	}
+	c.wait.Over()
+	c.server.loop.Later(c.next)
+}
+
+// abandon tells that nobody waits for the answer any more.
+func (r *Response) abandon() {
+	if r.done {
+		return
+	}
+	r.finish()
+	r.connection.response = nil
+	if r.OnClientGone != nil {
+		r.OnClientGone()
+	}
+}
+
+func seconds(t eventloop.Micros) string {
+	return strconv.FormatFloat(float64(t)/float64(eventloop.Second), 'f', -1, 64)
+}
--- /dev/null
+++ b/internal/platform/shutdown.go
@@ -0,0 +1,44 @@
+package platform
+
+import "plumspindle/internal/eventloop"
+
+const (
+	// After SIGTERM new connections keep coming for so long, and clients go on using those that they have.
+	drainTime = 500 * eventloop.Millisecond
+	// Clients close their connections once they have their answers; one that does not is waited for so long after the last answer.
+	lastAnswerTime = 500 * eventloop.Millisecond
+	shutdownPoll   = 25 * eventloop.Millisecond
+)
+
+// Shutdown takes requests for a short while more, answers all that was taken, and then calls done. A second call changes nothing.
+func (d *Dispatcher) Shutdown(closeListener, done func()) {
+	if d.shuttingDown {
+		return
+	}
+	d.shuttingDown = true
+	d.server.Drain()
+	d.loop.After(drainTime, func() {
+		closeListener()
+		d.server.Shutdown()
+		d.lastActive = d.loop.Now()
+		d.awaitEnd(done)
+	})
+}
+
+// awaitEnd looks again and again until nothing is owed any more: no answer, no release, and no byte of an answer that a slow client
+// has not taken.
+func (d *Dispatcher) awaitEnd(done func()) {
+	d.loop.After(shutdownPoll, func() {
+		now := d.loop.Now()
+		if len(d.requests) > 0 || d.server.Active() > 0 || d.server.Unsent() > 0 {
+			d.lastActive = now
+		}
+		if d.lastActive == now || d.server.Connections() > 0 && now-d.lastActive < lastAnswerTime {
+			d.awaitEnd(done)
+			return
+		}
+		d.discovery.Close()
+		d.upstream.Close()
+		done()
+	})
+}
--- /dev/null
+++ b/internal/platform/state.go
@@ -0,0 +1,54 @@
+package platform
+
+import (
+	"plumspindle/choice"
+	"plumspindle/internal/engine"
+	"plumspindle/internal/eventloop"
+)
+
+// leasePart is the part of the time in which a KV state has to be taken or released after which an attempt that has no connection yet
+// does not get it any more: to the rule the state waits there, and its release needs a part too.
+const leasePart = 0.6
+
+// hold notes that a host may hold something for the request from now on, for as long as a state may wait.
+func (d *Dispatcher) hold(r *request) {
+	r.held = true
+	r.lease.For(d.loop, eventloop.Micros(leasePart*float64(d.settings.LetGo)), func() { d.leaseExpired(r) })
+}
+
+// leaseExpired ends the wait of what is held, as its time runs on while connections fail to come up. An attempt that has left by now
+// takes it; one that has not is taken back, and to a decode attempt its state is gone.
+func (d *Dispatcher) leaseExpired(r *request) {
+	attempt, no := r.attempt, r.attempts-1
+	if !r.held || r.releasing || attempt == nil || !attempt.Unsent() {
+		return
+	}
+	outcome := engine.Outcome{How: choice.Full, Note: 1, Memory: choice.NoReport, Why: "no connection while its state may wait"}
+	if r.prefill {
+		outcome.How, outcome.Note = choice.NeverSent, 0
+	}
+	attempt.Cancel()
+	d.release(r)
+	d.attemptEnded(r, no, outcome)
+}
+
+// release has all that is held for the request dropped, and lets the attempt that waits for it go.
+func (d *Dispatcher) release(r *request) {
+	r.held, r.releasing = false, true
+	r.lease.Over()
+	d.upstream.Release(r.client.ID, r.holder, func(bool) {
+		r.releasing = false
+		if send := r.deferred; send != nil {
+			r.deferred = nil
+			send()
+		}
+		d.settle(r)
+	})
+}
+
+// LetGo implements choice.Orders: what is held is released now; an attempt that follows waits for that.
+func (d *Dispatcher) LetGo(id choice.GenID) {
+	if r := d.requests[id]; r != nil && r.held && !r.releasing && r.attempt == nil {
+		d.release(r)
+	}
+}
--- a/internal/platform/upstream/upstream.go
+++ b/internal/platform/upstream/upstream.go
@@ -1,5 +1,5 @@
-// Package legs carries legs to the platform's model hosts, tells what each way in which one ends means, and sees that what hosts
-// hold for a request is let go of in time. The connections are package engine's.
+// Package upstream carries attempts to the platform's model hosts, tells what each way in which one ends means, and sees that what hosts
+// hold for a request is released in time. The connections are package engine's; it never decides where an attempt goes.
 package upstream
 
 import (
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -1,4 +1,4 @@
-// Package terms reads what a dispatcher is told about the place it serves in: the settings as the bench hands them to an
+// Package settings reads what a dispatcher is told about the place it serves in: the settings as the bench hands them to an
 // instance and as the platform writes them into a configuration. They are decoded here and nowhere else.
 package settings
 
--- a/internal/sockets/spares.go
+++ b/internal/sockets/spares.go
@@ -79,7 +79,7 @@
 	}
 	if ln, ok := own.ln.(*net.TCPListener); ok { // with none waiting it must not hold on to the descriptor
 		_ = ln.SetDeadline(time.Now().Add(acceptPause))
-		defer ln.SetDeadline(time.Time{})
+		defer own.resetDeadline(ln)
 	}
 	raw, err := own.ln.Accept()
 	s.fill()
--- a/internal/subscribe/subscribe.go
+++ b/internal/subscribe/subscribe.go
@@ -155,10 +155,11 @@
 	c.waiting.For(c.loop, wait, c.Subscribe)
 }
 
-// silent: it says nothing for too long.
+// silent ends the wait for a source that says nothing, or does not come to the end of what it says, for too long. One that stopped in the
+// middle of an object is not kept beside the next: the rest of it would be taken for a word of the source.
 func (s *subscription) silent() {
 	c := s.c
-	if !c.Standby {
+	if !c.Standby || s.object.since > 0 {
 		s.conn.Abort()
 		return
 	}
@@ -216,6 +217,10 @@
 		}
 		c.Log(fmt.Sprintf("%s: %v; subscribing anew", c.What, err))
 		s.conn.Abort()
+		return
+	}
+	if began := s.object.since; began > 0 { // bytes that trickle in buy no further time
+		s.quiet.For(c.loop, max(began+c.Silence-c.loop.Now(), 0), s.silent)
 	}
 }
 
@@ -233,9 +238,6 @@
 
 func (s *subscription) Body(b []byte) error {
 	if s.c.Lines {
-		if s.object.since > 0 && s.c.loop.Now()-s.object.since > s.c.Silence {
-			return errors.New("a list that does not end") // empty lines that come meanwhile are part of it
-		}
 		return s.object.feed(s.c.loop.Now(), b, s.take)
 	}
 	return s.events.Feed(b, s.take)
--- a/internal/virtual/virtual.go
+++ b/internal/virtual/virtual.go
@@ -243,6 +243,10 @@
 	}
 }
 
+// Drain implements eventloop.Listener: here nothing waits to be accepted.
+func (ln *listener) Drain() { ln.Close() }
+
+// Listen implements eventloop.Loop.
 func (l *Loop) Listen(addr string, accept func(eventloop.Conn) eventloop.Handler) (eventloop.Listener, error) {
 	if len(addr) > 2 && addr[len(addr)-2:] == ":0" {
 		l.w.nextPort++
@@ -266,7 +270,6 @@
 	flying  int    // bytes on their way
 	arrives eventloop.Micros
 	paused  bool
-	holds   bool
 	closing bool
 	ended   bool
 	fin     error // the other side's end, once it has arrived
@@ -451,14 +454,6 @@
 	}
 }
 
-func (c *conn) Hold(on bool) {
-	c.holds = on
-	c.Pause(on)
-	if on && c.fin != nil {
-		c.l.Later(func() { c.end(c.fin) })
-	}
-}
-
 func (c *conn) Pause(on bool) {
 	if c.paused == on {
 		return
@@ -479,6 +474,15 @@
 	}
 }
 
+// CloseIfQuiet implements eventloop.Conn.
+func (c *conn) CloseIfQuiet() bool {
+	if !c.closing && !c.ended && (c.fin != nil || len(c.in) > 0) {
+		return false
+	}
+	c.Close()
+	return true
+}
+
 // sendEnd tells the other side; a reset overtakes nothing, but what is still unsent is lost with it.
 func (c *conn) sendEnd(err error) {
 	if c.finSent {
@@ -494,7 +498,7 @@
 			far.fin = err
 			if !far.paused {
 				far.hear()
-			} else if far.closing || far.holds {
+			} else if far.closing {
 				far.l.call(func() { far.end(err) })
 			}
 		})
