--- a/internal/platform/server/races_test.go
+++ b/internal/platform/server/races_test.go
@@ -161,6 +161,18 @@
 	}
 }
 
+// TestOneClientAhead: a client that sends more ahead than one may is cut off, also where there is room.
+func TestOneClientAhead(t *testing.T) {
+	handler := &silentHandler{}
+	limits := testLimits()
+	_, _, address := serve(t, limits, handler)
+	c := dial(t, address)
+	go func() { _, _ = c.Write([]byte(requestText("first", 100) + strings.Repeat("x", maxAheadBodies*limits.Body+1))) }()
+	if id := receive(t, "its end", handler.gone); id != "first" {
+		t.Errorf("%q has gone", id)
+	}
+}
+
 // TestRequestMeetsAClose: a request that has come before an idle connection is closed is answered, whether the poller has read it by then
 // or not; one that comes after the close is neither read nor passed on, and its client sees a clean end.
 func TestRequestMeetsAClose(t *testing.T) {
