--- a/internal/platform/attempt.go
+++ b/internal/platform/attempt.go
@@ -37,7 +37,7 @@
 		Event: func(data []byte) { d.streamEvent(r, no, data) },
 		Ended: func(o engine.Outcome) { d.attemptEnded(r, no, o) },
 	}
-	out := upstream.Request{ID: r.client.ID, Target: r.client.Target, Type: r.client.ContentType, Body: r.client.Body}
+	out := upstream.Request{ID: r.client.ID, Target: r.client.Target, Fields: r.client.Fields, Body: r.client.Body}
 	allow = max(allow-(d.loop.Now()-r.sentAt), 0)
 	if r.prefill {
 		r.attempt = d.upstream.Read(r.host, out, allow, hear)
--- a/internal/platform/races_test.go
+++ b/internal/platform/races_test.go
@@ -11,6 +11,34 @@
 	"plumspindle/internal/http1"
 )
 
+// TestFieldsPassOn: a model host gets the fields that the client sent, as the key by which repeats are dropped, but for those that speak of
+// the client's own connection; and the time that is left in place of the client's.
+func TestFieldsPassOn(t *testing.T) {
+	r := newRig(t, 256, fleet...)
+	text := strings.Replace(r.request("explain", "Req-Id", "77"), "Host: ", "Idempotency-Key: fc46\r\nX-Custom:  a, b\r\nConnection: keep-alive, X-Hop, Req-Id\r\nX-Hop: 1\r\nTE: trailers\r\nHost: ", 1)
+	if got := r.final(r.raw(text)); got != 200 {
+		t.Fatalf("answered %d", got)
+	}
+	for _, h := range r.hosts {
+		for _, head := range h.heads {
+			for name, want := range map[string]string{"Idempotency-Key": "fc46", "X-Custom": "a, b", "Req-Id": "77", "Req-Kind": "explain", "Req-Key": "7f3a9c21e0b4d655",
+				"Host": h.addr, "X-Hop": "", "TE": "", "Connection": ""} {
+				if got := head.Get(name); got != want {
+					t.Errorf("%s: %s is %q, want %q", h.id, name, got, want)
+				}
+			}
+			seen := map[string]bool{}
+			for _, f := range head.Fields {
+				if name := strings.ToLower(f.Name); seen[name] {
+					t.Errorf("%s: two fields %s", h.id, f.Name)
+				} else {
+					seen[name] = true
+				}
+			}
+		}
+	}
+}
+
 // TestTimeOfWhatIsSentAhead: a request sent behind another counts its time from when it came, not from when its turn comes.
 func TestTimeOfWhatIsSentAhead(t *testing.T) {
 	r := newRig(t, 256, fleet...)
--- a/internal/platform/server/connection.go
+++ b/internal/platform/server/connection.go
@@ -187,7 +187,7 @@
 		c.aheadAt = s.loop.Now()
 	}
 	n := len(c.ahead) + len(b)
-	if n > maxAheadBodies*s.limits.Body || n > minAhead && s.buffered+len(b) > s.limits.Buffered {
+	if n > maxAheadBodies*s.limits.Body || n > minAhead && s.buffered+len(b) > s.limits.Buffered/2 {
 		s.Rejected++
 		c.abort()
 		return
--- a/internal/platform/server/races_test.go
+++ b/internal/platform/server/races_test.go
@@ -122,12 +122,20 @@
 func TestBufferedInAll(t *testing.T) {
 	handler := &silentHandler{}
 	limits := testLimits()
-	limits.Buffered = 1 << 20
+	limits.Buffered = 2 << 20
 	loop, s, address := serve(t, limits, handler)
 	const clients, size = 20, 300 << 10 // of each, which one alone may send
+	var floods []net.Conn
 	for range clients {
 		c := dial(t, address)
-		go func() { _, _ = c.Write([]byte(requestText("flood", 100) + requestText("flood", size))) }()
+		if _, err := c.Write([]byte(requestText("flood", 100))); err != nil {
+			t.Fatal(err)
+		}
+		receive(t, "a request", handler.handled)
+		floods = append(floods, c)
+	}
+	for _, c := range floods {
+		go func() { _, _ = c.Write([]byte(requestText("flood", size))) }()
 	}
 	settled := func() (open int) { // each is cut off, or all that it sent has been read
 		loop.Do(func() {
@@ -141,9 +149,6 @@
 		})
 		return open
 	}
-	for range clients {
-		receive(t, "a request", handler.handled)
-	}
 	for end := time.Now().Add(10 * time.Second); settled() < 0; runtime.Gosched() {
 		if time.Now().After(end) {
 			t.Fatal("not all is read")
@@ -167,7 +172,9 @@
 	limits := testLimits()
 	_, _, address := serve(t, limits, handler)
 	c := dial(t, address)
-	go func() { _, _ = c.Write([]byte(requestText("first", 100) + strings.Repeat("x", maxAheadBodies*limits.Body+1))) }()
+	go func() {
+		_, _ = c.Write([]byte(requestText("first", 100) + strings.Repeat("x", maxAheadBodies*limits.Body+1)))
+	}()
 	if id := receive(t, "its end", handler.gone); id != "first" {
 		t.Errorf("%q has gone", id)
 	}
--- a/internal/platform/server/request.go
+++ b/internal/platform/server/request.go
@@ -4,6 +4,7 @@
 	"bytes"
 	"fmt"
 	"math"
+	"slices"
 	"strconv"
 	"strings"
 
@@ -20,8 +21,8 @@
 	Tenant          string
 	Session         string
 	Prefix          string
-	Target          string // path and query
-	ContentType     string // of the body
+	Target          string   // path and query
+	Fields          []string // of the head, name and value in turn, that pass on to a model host
 	PromptTokens    float64
 	PrefixTokens    float64 // of the prompt
 	MaxOutputTokens float64 // of the answer
@@ -52,7 +53,7 @@
 		return nil, &Rejection{405, "only POST is served here"}
 	}
 	var seen [16]bool
-	r := &Request{Target: h.Target, ContentType: h.Get("Content-Type")}
+	r := &Request{Target: h.Target, Fields: endToEnd(h)}
 	for _, f := range h.Fields {
 		for i, name := range singleFields {
 			if len(f.Name) == len(name) && strings.EqualFold(f.Name, name) {
@@ -81,6 +82,23 @@
 	return r, nil
 }
 
+// hopByHop are the fields that speak of this connection, or of how the body is sent on it, and those that the dispatcher writes itself.
+var hopByHop = []string{"Connection", "Content-Length", "Expect", "Host", "Keep-Alive", "Proxy-Authenticate", "Proxy-Authorization",
+	"Proxy-Connection", "Req-Deadline", "Te", "Trailer", "Transfer-Encoding", "Upgrade"}
+
+// endToEnd are the fields that pass on unchanged: those of a class whose repeats are dropped by a key carry the key.
+func endToEnd(h *http1.Head) (fields []string) {
+	named := strings.Split(h.Get("Connection"), ",")
+	for _, f := range h.Fields {
+		is := func(name string) bool { return strings.EqualFold(strings.TrimSpace(name), f.Name) }
+		if slices.ContainsFunc(hopByHop, is) || slices.ContainsFunc(named, is) && !is("Req-Id") {
+			continue
+		}
+		fields = append(fields, f.Name, f.Value)
+	}
+	return fields
+}
+
 // validID tells whether an id may be passed on. It is passed on as it is, in heads and paths, and so may hold only what is plain in both.
 func validID(id string) bool {
 	for i := 0; i < len(id); i++ {
--- a/internal/platform/server/server.go
+++ b/internal/platform/server/server.go
@@ -35,7 +35,7 @@
 	// What one connection may send ahead while its request is being answered, in bodies; past it the client is cut off. Reading on,
 	// rather than leaving it in the socket, is what lets the client's end be heard.
 	maxAheadBodies = 4
-	// So much of it is taken also where Limits.Buffered is used up.
+	// So much of it is taken also where half of Limits.Buffered is used up; the other half is for requests.
 	minAhead = 16 << 10
 )
 
--- a/internal/platform/server/server_test.go
+++ b/internal/platform/server/server_test.go
@@ -32,7 +32,7 @@
 	if request != nil && rejection != nil || request != nil && (!validID(request.ID) || request.Timeout < 0 || !(request.PromptTokens >= 0 && request.PrefixTokens >= 0 && request.MaxOutputTokens >= 0)) {
 		e.t.Errorf("%+v, %+v", request, rejection)
 	}
-	if request != nil && (strings.ContainsAny(request.Target+request.ContentType, "\r\n") || strings.Contains(request.ID, "/")) {
+	if request != nil && (strings.ContainsAny(request.Target+strings.Join(request.Fields, ""), "\r\n") || strings.Contains(request.ID, "/")) {
 		e.t.Errorf("a field that does not go out as it is: %+v", request)
 	}
 	return nil
--- a/internal/platform/upstream/upstream.go
+++ b/internal/platform/upstream/upstream.go
@@ -6,6 +6,7 @@
 	"bytes"
 	"errors"
 	"fmt"
+	"slices"
 	"strconv"
 
 	"github.com/tidwall/gjson"
@@ -26,8 +27,9 @@
 
 // Request is what of a client's request goes to a model host.
 type Request struct {
-	ID, Target, Type string
-	Body             []byte
+	ID, Target string
+	Fields     []string // name and value in turn; they pass on unchanged
+	Body       []byte
 }
 
 // Legs are those of one dispatcher.
@@ -58,8 +60,8 @@
 }
 
 func (r Request) to(addr string, left eventloop.Micros) []byte {
-	return http1.AppendRequest(nil, "POST", r.Target, addr, r.Body, "Content-Type", r.Type, "Req-Id", r.ID,
-		"Req-Deadline", strconv.FormatInt(int64(left), 10)+"u")
+	fields := slices.Concat(r.Fields, []string{"Req-Deadline", strconv.FormatInt(int64(left), 10) + "u"})
+	return http1.AppendRequest(nil, "POST", r.Target, addr, r.Body, fields...)
 }
 
 // declined are the answers by which a host states that it has not run the leg; only these, with the field that says so, prove it.
