--- a/internal/platform/rig_test.go
+++ b/internal/platform/rig_test.go
@@ -9,6 +9,7 @@
 
 	"plumspindle/internal/eventloop"
 	"plumspindle/internal/http1"
+	"plumspindle/internal/platform/server"
 	"plumspindle/internal/settings"
 	"plumspindle/internal/sse"
 	"plumspindle/internal/virtual"
@@ -345,6 +346,7 @@
 func (r *rig) quiet() {
 	r.t.Helper()
 	r.w.Run(eventloop.Second)
+	r.w.Until(server.DefaultLimits.Message, func() bool { return r.x.server.Active() == 0 }) // half a request waits for so long
 	gens, legs, _, _ := r.x.module.Open()
 	if len(r.x.requests) != 0 || gens != 0 || legs != 0 || r.x.server.Active() != 0 {
 		r.t.Errorf("something is left: %s", r.x.Summary())
