--- a/internal/platform/rig_test.go
+++ b/internal/platform/rig_test.go
@@ -80,6 +80,7 @@
 	loop   *virtual.Loop
 	id     string
 	kind   string
+	zone   string
 	addr   string
 	ln     eventloop.Listener
 	serve  func(*line)
@@ -100,7 +101,7 @@
 }
 
 func (r *rig) host(id, kind string) *host {
-	h := &host{rig: r, loop: r.w.Loop(id), id: id, kind: kind, serve: read}
+	h := &host{rig: r, loop: r.w.Loop(id), id: id, kind: kind, zone: "west", serve: read}
 	if kind != "prefill" {
 		h.serve = write
 	}
@@ -118,7 +119,7 @@
 }
 
 func (h *host) entry(state string) string {
-	return fmt.Sprintf(`{"id":%q,"addr":%q,"zone":"west","kind":%q,"cell":0,"state":%q,"weight":1.0,"started_ms":0}`, h.id, h.addr, h.kind, state)
+	return fmt.Sprintf(`{"id":%q,"addr":%q,"zone":%q,"kind":%q,"cell":0,"state":%q,"weight":1.0,"started_ms":0}`, h.id, h.addr, h.zone, h.kind, state)
 }
 
 // count is how many requests of a method the host has had.
--- /dev/null
+++ b/internal/platform/settings_test.go
@@ -0,0 +1,182 @@
+package platform
+
+import (
+	"encoding/json"
+	"fmt"
+	"math/rand"
+	"strings"
+	"testing"
+
+	"plumspindle/internal/eventloop"
+)
+
+// place is a deployment drawn by chance: nothing in the program may know a name or a figure of any.
+type place struct {
+	raw     string
+	classes []class
+	tenants []string
+	kinds   []string
+	zones   []string
+	retry   bool // a time to come back may be named
+}
+
+type class struct {
+	name             string
+	effect           string
+	deadline, window eventloop.Micros
+}
+
+func word8(chance *rand.Rand) string {
+	const letters = "abcdefghijklmnopqrstuvwxyz-0123456789"
+	b := make([]byte, 3+chance.Intn(12))
+	for i := range b {
+		b[i] = letters[chance.Intn(len(letters))]
+	}
+	return string(b)
+}
+
+func between(chance *rand.Rand, least, most int) int { return least + chance.Intn(most-least+1) }
+
+// drawPlace draws classes, tenants, kinds, zones and figures; some settings are left out, as not all deployments have them.
+func drawPlace(chance *rand.Rand) place {
+	p := place{retry: chance.Intn(2) == 0}
+	var classes, projects []any
+	for i := range between(chance, 1, 5) {
+		c := class{name: fmt.Sprintf("%s%d", word8(chance), i), effect: []string{"read_like", "idempotency_key", "non_idempotent"}[chance.Intn(3)],
+			deadline: eventloop.Micros(between(chance, 600, 9000)) * eventloop.Millisecond, window: eventloop.Micros(between(chance, 100, 3000)) * eventloop.Millisecond}
+		p.classes = append(p.classes, c)
+		classes = append(classes, map[string]any{"name": c.name, "repeat": c.effect, "aim": int64(c.deadline) * 1000 / 4, "deadline": int64(c.deadline) * 1000,
+			"window": int64(c.window) * 1000, "group": []string{"all", "zone", "cell"}[chance.Intn(3)], "points": 1 + chance.Float64()*8, "late_share": chance.Float64()})
+	}
+	for i := range chance.Intn(4) {
+		p.tenants = append(p.tenants, fmt.Sprintf("%s%d", word8(chance), i))
+		projects = append(projects, map[string]any{"name": p.tenants[i], "quota_per_s": 5 + chance.Float64()*50})
+	}
+	p.kinds = []string{word8(chance) + "1", word8(chance) + "2", word8(chance) + "3"}
+	p.zones = []string{word8(chance) + "1", word8(chance) + "2"}
+	settings := map[string]any{"group_size": between(chance, 1, 300), "tick": between(chance, 1, 10) * 1e6, "zone": chance.Intn(2), "localities": p.zones,
+		"host_types": p.kinds, "request_classes": classes, "over_share_worth": chance.Float64(),
+		"domain": map[string]any{"duty_by_kind": []string{"read", "write", "both"}, "kv_tokens": []int{between(chance, 5e4, 9e5), between(chance, 5e4, 9e5), between(chance, 5e4, 9e5)},
+			"local_read": chance.Intn(2) == 0, "let_go_by": between(chance, 200, 1500) * 1e6},
+		"limits": map[string]any{"send_cap": between(chance, 2, 8), "may_cancel": chance.Intn(2) == 0, "retry_after": p.retry, "max_retry_after": between(chance, 100, 3000) * 1e6,
+			"connect_timeout": between(chance, 100, 500) * 1e6, "conn_idle": between(chance, 2, 60) * 1e9},
+		"obligations": map[string]any{"cold": between(chance, 1, 20) * 1e9, "cold_from": 0.25 + chance.Float64()/2, "fall": between(chance, 1, 4) * 1e9, "fall_multiple": 1.5 + 2*chance.Float64()}}
+	if len(projects) > 0 {
+		settings["projects"] = projects
+	}
+	if chance.Intn(4) == 0 {
+		delete(settings["limits"].(map[string]any), []string{"connect_timeout", "conn_idle"}[chance.Intn(2)])
+	}
+	if chance.Intn(4) == 0 {
+		delete(settings["domain"].(map[string]any), "let_go_by")
+	}
+	raw, _ := json.Marshal(settings)
+	p.raw = string(raw)
+	return p
+}
+
+// TestAnyPlace plays requests of every class at deployments drawn by chance, with hosts that misbehave: each gets one final answer in its
+// time, none runs where it must not run again, and what is served is served as the settings name it.
+func TestAnyPlace(t *testing.T) {
+	for seed := range int64(60) {
+		t.Run(fmt.Sprint(seed), func(t *testing.T) {
+			chance := rand.New(rand.NewSource(seed))
+			p := drawPlace(chance)
+			r := newRigAt(t, p.raw, 256)
+			for i := range between(chance, 4, 9) {
+				h := r.host(fmt.Sprintf("h-%d", i), "prefill")
+				h.kind, h.zone = p.kinds[i%3], p.zones[chance.Intn(2)]
+				if i%3 > 0 {
+					h.serve = write
+				}
+			}
+			watch := newEffects(t, p)
+			var entries []string
+			for _, h := range r.hosts {
+				entries = append(entries, h.entry("SERVING"))
+				watch.hear(h, chance)
+			}
+			r.agent.tell(true, entries...)
+			r.w.Run(100 * eventloop.Millisecond)
+			served := 0
+			for i := range 40 {
+				c := p.classes[chance.Intn(len(p.classes))]
+				id := fmt.Sprintf("r-%d", i)
+				watch.classes[id] = c
+				tenant := ""
+				if len(p.tenants) > 0 {
+					tenant = "Req-Owner: " + p.tenants[chance.Intn(len(p.tenants))] + "\r\n"
+				}
+				began := r.w.Now()
+				text := r.request(c.name, "Req-Id", id, "Req-Key", word8(chance), "Req-Deadline", fmt.Sprintf("%du", c.deadline))
+				client := r.raw(strings.Replace(text, "Host: ", tenant+"Host: ", 1))
+				got := r.final(client)
+				if late := client.at - began - c.deadline; got != 200 && got != 0 && late > 0 {
+					t.Errorf("%s of %s: answered %d, %d µs late", id, c.name, got, late)
+				}
+				if got == 200 {
+					served++
+				} else if got == 503 && client.head.Get("Retry-After") != "" && !p.retry {
+					t.Errorf("%s: a time to come back is named, which the settings do not allow", id)
+				}
+			}
+			if served < 10 {
+				t.Errorf("%d of 40 were served: %s", served, r.x.Summary())
+			}
+			r.quiet()
+		})
+	}
+}
+
+// effects hears what reaches the hosts, and holds the rules on repeats against it.
+type effects struct {
+	t       *testing.T
+	classes map[string]class
+	out     map[string]*line
+	ran     map[string]eventloop.Micros // when the first attempt that may have had an effect arrived
+	prefill string                      // the kind whose attempts have none
+}
+
+func newEffects(t *testing.T, p place) *effects {
+	return &effects{t: t, classes: map[string]class{}, out: map[string]*line{}, ran: map[string]eventloop.Micros{}, prefill: p.kinds[0]}
+}
+
+// hear puts itself before what a host does, which goes wrong by chance.
+func (e *effects) hear(h *host, chance *rand.Rand) {
+	usual := h.serve
+	faults := []func(*line){
+		func(l *line) { l.answer(500, "") },
+		func(l *line) { l.answer(503, "", "Srv-Declined", "1") },
+		func(l *line) { l.conn.Abort() },
+		func(l *line) { l.conn.Write([]byte("noise")) },
+		func(*line) {},
+	}
+	h.serve = func(l *line) {
+		id, now := l.head.Get("Req-Id"), h.rig.w.Now()
+		if before := e.out[id]; before != nil && !before.closed {
+			e.t.Errorf("%s: a second attempt is out", id)
+		}
+		delete(e.out, id)
+		fault := -1
+		if chance.Intn(4) == 0 {
+			fault = chance.Intn(len(faults))
+		}
+		if first, ran := e.ran[id]; ran && h.kind != e.prefill {
+			c := e.classes[id]
+			if c.effect == "non_idempotent" || c.effect == "idempotency_key" && now > first+c.window {
+				e.t.Errorf("%s of %s (%s) ran again after %d ms", id, c.name, c.effect, (now-first)/eventloop.Millisecond)
+			}
+		}
+		if declined := fault == 1; !declined && h.kind != e.prefill && e.ran[id] == 0 {
+			e.ran[id] = now
+		}
+		if fault >= 0 {
+			if fault == len(faults)-1 {
+				e.out[id] = l
+			}
+			faults[fault](l)
+			return
+		}
+		usual(l)
+	}
+}
--- a/internal/platform/upstream/upstream.go
+++ b/internal/platform/upstream/upstream.go
@@ -23,6 +23,8 @@
 	triesInTime = 6
 	// A state that could not be let go of in time is still worth freeing for a while.
 	longAfter = 10
+	// Before all hosts are asked in turn again, at the least.
+	leastRingPause = eventloop.Millisecond
 )
 
 // Request is what of a client's request goes to a model host.
@@ -206,7 +208,7 @@
 			// One that refuses at once must not be asked in a ring without a pause.
 			pause := eventloop.Micros(0)
 			if len(r.tried) == 0 {
-				pause = max(span-(now-began), 0)
+				pause = max(span-(now-began), leastRingPause)
 			}
 			l.loop.After(pause, func() { r.try(l.other(r, at)) })
 		}
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -3,6 +3,7 @@
 package settings
 
 import (
+	"cmp"
 	"errors"
 	"fmt"
 	"math"
@@ -19,6 +20,14 @@
 	groups = map[string]choice.Group{"all": choice.AllHosts, "zone": choice.SameZone, "cell": choice.SameCell}
 )
 
+// What holds where the settings do not say: without any time for connections nothing could be sent, and without any for a KV state each
+// would have to be released before it is there.
+const (
+	defaultConnect choice.Micros = 1e6
+	defaultIdle    choice.Micros = 10e6
+	defaultLetGo   choice.Micros = 500e3
+)
+
 // Terms are what the settings say.
 type Terms struct {
 	Place    choice.Deployment
@@ -52,6 +61,10 @@
 			ColdFrom: get("obligations.cold_from").Float(), Fall: span("obligations.fall"),
 			FallMultiple: get("obligations.fall_multiple").Float(),
 		}}
+	t.Connect = cmp.Or(t.Connect, defaultConnect)
+	t.Place.Connect = t.Connect
+	t.Place.Idle = cmp.Or(t.Place.Idle, defaultIdle)
+	t.LetGo = cmp.Or(t.LetGo, defaultLetGo)
 	if get("limits.retry_after").Bool() {
 		t.Place.MaxComeBack = span("limits.max_retry_after")
 	}
