--- a/internal/platform/launch/launch_test.go
+++ b/internal/platform/launch/launch_test.go
@@ -175,6 +175,9 @@
 	if status, _ := ask("third"); status != 200 {
 		t.Errorf("just after SIGTERM: answered %d", status)
 	}
+	syscall.Kill(os.Getpid(), syscall.SIGTERM) // neither a second one nor a new configuration changes what was begun
+	write("nonsense")
+	hup()
 	close(hold)
 	if status := <-slow; status != 200 {
 		t.Errorf("the open one was answered %d", status)
@@ -189,6 +192,58 @@
 	}
 }
 
+// TestLeavesBeforeItListens: a process that is told to end while it still waits for discovery ends, and never listens.
+func TestLeavesBeforeItListens(t *testing.T) {
+	silent, err := net.Listen("tcp", "127.0.0.1:0")
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer silent.Close()
+	asked := make(chan net.Conn, 8)
+	go func() {
+		for {
+			c, err := silent.Accept()
+			if err != nil {
+				return
+			}
+			asked <- c
+		}
+	}()
+	taken, err := net.Listen("tcp", "127.0.0.1:0") // where it would listen: it would end with an error
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer taken.Close()
+	path := filepath.Join(t.TempDir(), "config.json")
+	if err := os.WriteFile(path, []byte(config(taken.Addr().String(), silent.Addr().String(), "")), 0o600); err != nil {
+		t.Fatal(err)
+	}
+	ended := make(chan error, 1)
+	leaving := make(chan bool, 1)
+	log := zerolog.New(io.Discard).Hook(zerolog.HookFunc(func(_ *zerolog.Event, _ zerolog.Level, text string) {
+		if strings.HasPrefix(text, "leaving") {
+			leaving <- true
+		}
+	}))
+	go func() { ended <- Run(log, func(string) string { return path }) }()
+	agent := <-asked
+	defer agent.Close()
+	syscall.Kill(os.Getpid(), syscall.SIGTERM)
+	<-leaving
+	// Now discovery speaks, which would have it listen.
+	if _, err := io.WriteString(agent, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n1\r\n\n\r\n"); err != nil {
+		t.Fatal(err)
+	}
+	select {
+	case err := <-ended:
+		if err != nil {
+			t.Errorf("ended with %v", err)
+		}
+	case <-time.After(10 * time.Second):
+		t.Error("it did not end")
+	}
+}
+
 func FuzzConfig(f *testing.F) {
 	f.Add(config("127.0.0.1:7070", "127.0.0.1:8500", ""))
 	f.Fuzz(func(t *testing.T, text string) {
--- a/internal/platform/races_test.go
+++ b/internal/platform/races_test.go
@@ -239,3 +239,88 @@
 		}
 	}
 }
+
+// TestInOneRound: what a client and a host send is heard in one round, in either order: nothing is left behind, and no attempt begins
+// after the close was heard.
+func TestInOneRound(t *testing.T) {
+	const pause = 50 * eventloop.Millisecond
+	for name, arrive := range map[string]func(r *rig, c *client, l *line){
+		"the close, then the first event": func(r *rig, c *client, l *line) {
+			r.far.Do(c.conn.Abort)
+			r.w.Run(5 * eventloop.Millisecond)
+			l.stream(word)
+		},
+		"the first event, then the close": func(r *rig, c *client, l *line) {
+			l.stream(word)
+			r.w.Run(5 * eventloop.Millisecond)
+			r.far.Do(c.conn.Abort)
+		},
+		"the close, then a refusal": func(r *rig, c *client, l *line) {
+			r.far.Do(c.conn.Abort)
+			r.w.Run(5 * eventloop.Millisecond)
+			l.answer(503, "", "Srv-Declined", "1")
+		},
+		"the close, then the host's end": func(r *rig, c *client, l *line) {
+			r.far.Do(c.conn.Abort)
+			r.w.Run(5 * eventloop.Millisecond)
+			l.conn.Abort()
+		},
+	} {
+		for _, class := range []string{"explain", "post"} {
+			r := newRig(t, 256, fleet...)
+			var out *line
+			all(r.writers(), func(l *line) { out = l })
+			c := r.ask(class)
+			r.until(eventloop.Second, "the decode attempt", func() bool { return out != nil })
+			r.loop.Freeze(pause)
+			attempts := r.legs()
+			arrive(r, c, out)
+			r.w.Run(pause + 50*eventloop.Millisecond)
+			if !out.closed {
+				t.Errorf("%s, %s: the attempt's connection is still open", name, class)
+			}
+			r.quiet()
+			if n := r.legs() - attempts; n > 0 {
+				t.Errorf("%s, %s: %d attempts began after the close", name, class, n)
+			}
+		}
+	}
+}
+
+// TestRequestAndCloseInOneRound: the attempt that begins in the very moment is given up at once, and no other follows.
+func TestRequestAndCloseInOneRound(t *testing.T) {
+	r := newRig(t, 256, fleet...)
+	all(r.hosts, func(*line) {})
+	c := r.raw("")
+	r.w.Run(10 * eventloop.Millisecond)
+	r.loop.Freeze(50 * eventloop.Millisecond)
+	r.far.Do(func() { c.conn.Write([]byte(r.request("explain"))); c.conn.Close() })
+	r.w.Run(eventloop.Second)
+	if r.x.Accepted > 1 || r.legs() > 1 || len(r.x.requests) > 0 {
+		t.Errorf("%d were accepted, %d attempts arrived, %d requests are left", r.x.Accepted, r.legs(), len(r.x.requests))
+	}
+	r.quiet()
+}
+
+// TestSlowClientGoes: the end of a client is heard while its stream is slowed for it.
+func TestSlowClientGoes(t *testing.T) {
+	r := newRig(t, 256, "prefill", "decode")
+	r.w.Window = 4 << 10
+	var out *line
+	r.hosts[1].serve = func(l *line) {
+		out = l
+		l.stream(word)
+		for range 2000 {
+			l.conn.Write(http1.AppendChunk(nil, []byte("data: "+word+"\n\n")))
+		}
+	}
+	c := r.ask("explain")
+	r.until(eventloop.Second, "its stream", func() bool { return len(c.got) > 0 })
+	r.far.Do(func() { c.conn.Pause(true) })
+	r.w.Run(200 * eventloop.Millisecond)
+	r.far.Do(c.conn.Abort)
+	if r.w.Run(20 * eventloop.Millisecond); !out.closed || r.x.ClientsGone != 1 {
+		t.Errorf("its host's connection is closed: %v; %d clients have gone", out.closed, r.x.ClientsGone)
+	}
+	r.quiet()
+}
--- a/internal/sockets/race_test.go
+++ b/internal/sockets/race_test.go
@@ -132,3 +132,22 @@
 		}
 	}
 }
+
+// Small writes leave at once: what the system held back would be lost with a close over unread bytes.
+func TestNothingIsHeldBack(t *testing.T) {
+	opened := make(chan error, 2)
+	server := &ear{opened: func(*ear) { opened <- nil }}
+	client := &ear{opened: func(*ear) { opened <- nil }}
+	pair(t, server, client)
+	waitFor(t, "one side", opened)
+	waitFor(t, "the other", opened)
+	for _, e := range []*ear{server, client} {
+		own, value := e.conn.(*conn), 0
+		own.l.Do(func() {
+			own.socket(func(fd int) { value, _ = syscall.GetsockoptInt(fd, syscall.IPPROTO_TCP, syscall.TCP_NODELAY) })
+		})
+		if value == 0 {
+			t.Error("TCP_NODELAY is off")
+		}
+	}
+}
