--- a/internal/batch/call.go
+++ b/internal/batch/call.go
@@ -4,11 +4,11 @@
 package batch
 
 import (
-	"plumspindle/choice/due"
+	"plumspindle/scheduler/timerqueue"
 )
 
 // Micros is a time or a span in whole microseconds.
-type Micros = due.Micros
+type Micros = timerqueue.Micros
 
 const (
 	millisecond Micros = 1000
@@ -62,7 +62,7 @@
 type Call struct {
 	parts   []part
 	queue   []PartNo // that may go, in order; those that wait for a time are not among them
-	asleep  due.Times
+	asleep  timerqueue.Times
 	open    int // parts that are not back
 	out     int
 	over    bool
--- a/internal/boot/boot.go
+++ b/internal/boot/boot.go
@@ -5,11 +5,11 @@
 import (
 	"slices"
 
-	"plumspindle/choice/due"
+	"plumspindle/scheduler/timerqueue"
 )
 
 // Micros is a time or a span in whole microseconds.
-type Micros = due.Micros
+type Micros = timerqueue.Micros
 
 const (
 	millisecond Micros = 1000
--- a/internal/deployment/deployment.go
+++ b/internal/deployment/deployment.go
@@ -19,8 +19,8 @@
 	"google.golang.org/protobuf/proto"
 	"google.golang.org/protobuf/reflect/protoreflect"
 
-	"plumspindle/choice"
 	"plumspindle/internal/deployment/pb"
+	"plumspindle/scheduler"
 )
 
 // Deployment is the schema's message, found to be without fault.
@@ -385,30 +385,30 @@
 
 const tick = 4 * 1000 // µs; the module gives up two of them before a client's limit
 
-var roles = map[pb.Kind_Role]choice.Role{pb.Kind_READER: choice.Reader, pb.Kind_WRITER: choice.Writer,
-	pb.Kind_MIXED: choice.Mixed, pb.Kind_EMBEDDER: choice.Embedder}
-var effects = map[pb.Product_Effect]choice.Effect{pb.Product_IDEMPOTENT: choice.Idempotent,
-	pb.Product_DEDUPLICATED: choice.Deduplicated, pb.Product_SIDE_EFFECTING: choice.SideEffecting}
-var groups = map[pb.Product_Group]choice.Group{pb.Product_ALL_HOSTS: choice.AllHosts,
-	pb.Product_SAME_ZONE: choice.SameZone, pb.Product_SAME_CELL: choice.SameCell}
+var roles = map[pb.Kind_Role]scheduler.Role{pb.Kind_READER: scheduler.Reader, pb.Kind_WRITER: scheduler.Writer,
+	pb.Kind_MIXED: scheduler.Mixed, pb.Kind_EMBEDDER: scheduler.Embedder}
+var effects = map[pb.Product_Effect]scheduler.Effect{pb.Product_IDEMPOTENT: scheduler.Idempotent,
+	pb.Product_DEDUPLICATED: scheduler.Deduplicated, pb.Product_SIDE_EFFECTING: scheduler.SideEffecting}
+var groups = map[pb.Product_Group]scheduler.Group{pb.Product_ALL_HOSTS: scheduler.AllHosts,
+	pb.Product_SAME_ZONE: scheduler.SameZone, pb.Product_SAME_CELL: scheduler.SameCell}
 
-func micros(ms uint32) choice.Micros { return choice.Micros(ms) * 1000 }
+func micros(ms uint32) scheduler.Micros { return scheduler.Micros(ms) * 1000 }
 
 // Module is what the decision module is handed of it.
-func (d Deployment) Module() choice.Deployment {
-	place := choice.Deployment{
+func (d Deployment) Module() scheduler.Deployment {
+	place := scheduler.Deployment{
 		Dispatchers: int(d.Dispatching.Dispatchers), OverShareWorth: d.Rules.OverShareWorth,
 		WritersRead: d.Dispatching.WritersRead, LegLimit: int(d.Dispatching.LegLimit), MayCancel: d.Dispatching.MayCancel,
 		MaxComeBack: micros(d.Dispatching.MaxComeBackMs), Tick: tick, Idle: micros(d.Dispatching.IdleMs), Connect: micros(d.Dispatching.ConnectMs),
 		Cold: micros(d.Rules.ColdMs), ColdFrom: d.Rules.ColdFrom, Fall: micros(d.Rules.FallMs),
 		FallMultiple: d.Rules.FallMultiple}
 	for _, p := range d.Products {
-		place.Products = append(place.Products, choice.Product{SLO: micros(p.SloMs), SLOPer1000: micros(p.SloMsPer_1000Tokens),
+		place.Products = append(place.Products, scheduler.Product{SLO: micros(p.SloMs), SLOPer1000: micros(p.SloMsPer_1000Tokens),
 			TokenSLO: micros(p.TokenSloMs), Window: micros(p.WindowMs), Revenue: p.Revenue, LateShare: p.LateShare,
 			Effect: effects[p.Effect], Group: groups[p.Group], ReadOnly: p.Form != pb.Product_CHAT})
 	}
 	for _, k := range d.Kinds {
-		place.Kinds = append(place.Kinds, choice.Kind{Role: roles[k.Role], Memory: float64(k.MemoryTokens)})
+		place.Kinds = append(place.Kinds, scheduler.Kind{Role: roles[k.Role], Memory: float64(k.MemoryTokens)})
 	}
 	for _, t := range d.Tenants {
 		quota := t.QuotaPerS
--- a/internal/dispatch/batches.go
+++ b/internal/dispatch/batches.go
@@ -5,7 +5,6 @@
 	"slices"
 	"strconv"
 
-	"plumspindle/choice"
 	"plumspindle/internal/batch"
 	"plumspindle/internal/chat"
 	"plumspindle/internal/deployment/pb"
@@ -17,6 +16,7 @@
 	"plumspindle/internal/path"
 	"plumspindle/internal/tenancy"
 	"plumspindle/internal/vectors"
+	"plumspindle/scheduler"
 )
 
 const (
@@ -56,7 +56,7 @@
 	who        front.Identity
 	to         *front.Reply
 	clientID   string
-	product    choice.ProductID
+	product    scheduler.ProductID
 	form       pb.Product_Form
 	dimensions int
 	deadline   eventloop.Micros
@@ -325,10 +325,10 @@
 	g.leg = x.engine.Whole(w.host, name, g.clientID, to, body, partAnswer, w.allow, func(body []byte) engine.Outcome {
 		r, err := c.ask.ReadPart(body, inputs, c.dimensions)
 		if err != nil {
-			return engine.Outcome{How: choice.Errored, Why: "an answer that is not what was asked for: " + err.Error()}
+			return engine.Outcome{How: scheduler.Errored, Why: "an answer that is not what was asked for: " + err.Error()}
 		}
 		p.result = r
-		return engine.Outcome{How: choice.ReadDone, Why: "read"}
+		return engine.Outcome{How: scheduler.ReadDone, Why: "read"}
 	}, hear)
 }
 
--- a/internal/dispatch/boot.go
+++ b/internal/dispatch/boot.go
@@ -1,10 +1,10 @@
 package dispatch
 
 import (
-	"plumspindle/choice"
 	"plumspindle/internal/boot"
 	"plumspindle/internal/eventloop"
 	"plumspindle/internal/roster"
+	"plumspindle/scheduler"
 )
 
 // begin starts with the list that was kept, as far as its age lets it be believed.
@@ -56,14 +56,14 @@
 		x.tell(entries, false)
 		return
 	}
-	named := map[choice.HostID]bool{}
+	named := map[scheduler.HostID]bool{}
 	for _, e := range entries {
 		named[e.ID] = true
 	}
 	var missing []roster.Entry
 	ready := 0
 	for _, e := range x.hosts {
-		if e.State() != choice.Ready {
+		if e.State() != scheduler.Ready {
 			continue
 		}
 		ready++
@@ -87,7 +87,7 @@
 		}
 		var gone []roster.Entry
 		for _, e := range missing {
-			if now, some := x.list.Hosts[e.ID]; !some || now.State() != choice.Ready {
+			if now, some := x.list.Hosts[e.ID]; !some || now.State() != scheduler.Ready {
 				gone = append(gone, e)
 			}
 		}
--- a/internal/dispatch/check.go
+++ b/internal/dispatch/check.go
@@ -3,16 +3,16 @@
 import (
 	"fmt"
 
-	"plumspindle/choice"
 	"plumspindle/internal/eventloop"
 	"plumspindle/internal/path"
 	"plumspindle/internal/roster"
+	"plumspindle/scheduler"
 )
 
 // Plant is where a fault can be planted on purpose, to see that it is found out. There is none in service.
 type Plant struct {
-	Orders func(choice.Orders) choice.Orders
-	Place  func(*choice.Deployment)
+	Orders func(scheduler.Orders) scheduler.Orders
+	Place  func(*scheduler.Deployment)
 	News   func([]roster.Entry) []roster.Entry
 }
 
--- a/internal/dispatch/dispatch.go
+++ b/internal/dispatch/dispatch.go
@@ -19,7 +19,6 @@
 	"github.com/rs/zerolog"
 	"github.com/tidwall/gjson"
 
-	"plumspindle/choice"
 	"plumspindle/internal/batch"
 	"plumspindle/internal/chat"
 	"plumspindle/internal/deployment"
@@ -35,6 +34,7 @@
 	"plumspindle/internal/store"
 	"plumspindle/internal/subscribe"
 	"plumspindle/internal/tenancy"
+	"plumspindle/scheduler"
 )
 
 // Post is where one dispatcher stands.
@@ -86,14 +86,14 @@
 	deployment.Deployment
 	loop     eventloop.Loop
 	post     Post
-	module   *choice.Dispatcher
-	place    choice.Deployment
+	module   *scheduler.Dispatcher
+	place    scheduler.Deployment
 	engine   *engine.Engine
 	list     *roster.Client
 	front    *front.Front
-	gens     map[choice.GenID]*gen
-	lastGen  choice.GenID
-	products map[string]choice.ProductID
+	gens     map[scheduler.GenID]*gen
+	lastGen  scheduler.GenID
+	products map[string]scheduler.ProductID
 
 	gate      *tenancy.Gate
 	directory *tenancy.Directory
@@ -101,11 +101,11 @@
 	feed      *subscribe.Client
 	seats     map[string]*seat
 	static    map[[sha256.Size]byte]*seat
-	free      []choice.TenantID
-	seatsMade choice.TenantID
+	free      []scheduler.TenantID
+	seatsMade scheduler.TenantID
 	reported  func() // what to do once the last report has been taken, at the end
 
-	hosts   map[choice.HostID]roster.Entry
+	hosts   map[scheduler.HostID]roster.Entry
 	keeping bool
 	heard   uint64 // lists and changes that came from discovery
 	repeats *repeat.Book
@@ -118,15 +118,15 @@
 // gen is what the dispatcher keeps of a generation: what the module does not know, and nothing that it does.
 type gen struct {
 	path.Path
-	id       choice.GenID
+	id       scheduler.GenID
 	ask      *chat.Ask
-	product  choice.ProductID
+	product  scheduler.ProductID
 	answerID string
 	replies  []*front.Reply // of its client, and of those that came with the same key
 	clientID string
-	legs     choice.LegNo // sent so far
-	leg      *engine.Leg  // the last one
-	host     choice.HostID
+	legs     scheduler.LegNo // sent so far
+	leg      *engine.Leg     // the last one
+	host     scheduler.HostID
 	state    string  // where the read state lies, as its reader told
 	mayLie   []place // legs at readers that may have left a state
 	tokens   int     // events relayed
@@ -148,7 +148,7 @@
 
 // place is a leg at a host that may hold something for it.
 type place struct {
-	host choice.HostID
+	host scheduler.HostID
 	name string
 }
 
@@ -158,14 +158,14 @@
 		return nil, fmt.Errorf("the deployment has no zone %q", post.Zone)
 	}
 	ms := func(v uint32) eventloop.Micros { return eventloop.Micros(v) * eventloop.Millisecond }
-	x := &Dispatcher{Deployment: d, loop: loop, post: post, gens: map[choice.GenID]*gen{}, runs: map[*repeat.Entry]*gen{},
-		products: map[string]choice.ProductID{},
-		hosts:    map[choice.HostID]roster.Entry{}}
+	x := &Dispatcher{Deployment: d, loop: loop, post: post, gens: map[scheduler.GenID]*gen{}, runs: map[*repeat.Entry]*gen{},
+		products: map[string]scheduler.ProductID{},
+		hosts:    map[scheduler.HostID]roster.Entry{}}
 	x.engine = engine.New(loop, post.Name, post.Zone, engine.Trunks{Connect: ms(d.Dispatching.ConnectMs),
 		Idle: ms(d.Dispatching.IdleMs), Silence: ms(d.Dispatching.SilenceMs), Most: int(d.Dispatching.Connections),
 		Opening: int(d.Dispatching.Openings)})
 	for i, p := range d.Products {
-		x.products[p.Name] = choice.ProductID(i)
+		x.products[p.Name] = scheduler.ProductID(i)
 	}
 	x.batches.pb = d.Batch()
 	x.batches.limiter = batch.NewLimiter(int(x.batches.pb.FixedLimit))
@@ -182,8 +182,8 @@
 	x.recall()
 	x.place = d.Module()
 	x.place.Quotas = nil // told tenant by tenant, as they come
-	x.place.Zone = choice.ZoneID(slices.Index(d.Zones, post.Zone))
-	var orders choice.Orders = x
+	x.place.Zone = scheduler.ZoneID(slices.Index(d.Zones, post.Zone))
+	var orders scheduler.Orders = x
 	place := x.place
 	if t := post.Plant; t != nil && t.Place != nil {
 		t.Place(&place)
@@ -191,7 +191,7 @@
 	if t := post.Plant; t != nil && t.Orders != nil {
 		orders = t.Orders(x)
 	}
-	x.module = choice.Start(loop.Now(), post.Seed, place, orders)
+	x.module = scheduler.Start(loop.Now(), post.Seed, place, orders)
 	if err := x.seatTenants(); err != nil {
 		return nil, err
 	}
@@ -251,7 +251,7 @@
 // Ready tells that some host is known that may be sent to.
 func (x *Dispatcher) Ready() bool {
 	for _, e := range x.hosts {
-		if e.State() == choice.Ready {
+		if e.State() == scheduler.Ready {
 			return true
 		}
 	}
@@ -311,13 +311,13 @@
 			x.engine.Place(e.ID, e.Addr)
 		}
 		// A start that is told to lie ahead, by another machine's clock, is taken to be now: it is young.
-		x.module.Listed(now, e.ID, choice.ZoneID(zone), choice.KindID(kind), choice.CellID(e.Cell), e.State(),
-			min(choice.Micros(e.Started), now))
+		x.module.Listed(now, e.ID, scheduler.ZoneID(zone), scheduler.KindID(kind), scheduler.CellID(e.Cell), e.State(),
+			min(scheduler.Micros(e.Started), now))
 	}
 	x.module.ListEnded(now, whole)
 	readers := 0
 	for id, e := range x.hosts {
-		if e.State() == choice.Ready && x.role(id) != choice.Writer {
+		if e.State() == scheduler.Ready && x.role(id) != scheduler.Writer {
 			readers++
 		}
 	}
@@ -482,7 +482,7 @@
 }
 
 // answerID names an answer; it tells nothing of how many there were, nor of whose.
-func (x *Dispatcher) answerID(id choice.GenID) string {
+func (x *Dispatcher) answerID(id scheduler.GenID) string {
 	var b [16]byte
 	binary.LittleEndian.PutUint64(b[:], uint64(x.post.Seed))
 	binary.LittleEndian.PutUint64(b[8:], uint64(id))
@@ -514,16 +514,16 @@
 
 // what goes with an event.
 type what struct {
-	host     choice.HostID
-	allow    choice.Micros
-	comeBack choice.Micros
+	host     scheduler.HostID
+	allow    scheduler.Micros
+	comeBack scheduler.Micros
 	outcome  engine.Outcome
 	data     []byte
 	why      string
 }
 
 // cancelled is the outcome of a leg that was closed on this side; its host is not to blame.
-var cancelled = engine.Outcome{How: choice.Cancelled, Memory: choice.NoReport, Why: "closed on this side"}
+var cancelled = engine.Outcome{How: scheduler.Cancelled, Memory: scheduler.NoReport, Why: "closed on this side"}
 
 // take moves a generation on by the table of package path, and does what that says.
 func (x *Dispatcher) take(g *gen, e path.Event, with ...what) {
@@ -566,7 +566,7 @@
 	case path.Fetched:
 		g.state, g.mayLie = "", nil
 	case path.TellStarted:
-		slo := x.place.Products[g.product].SLO + choice.Micros(float64(x.place.Products[g.product].SLOPer1000)*float64(g.ask.Tokens)/1000)
+		slo := x.place.Products[g.product].SLO + scheduler.Micros(float64(x.place.Products[g.product].SLOPer1000)*float64(g.ask.Tokens)/1000)
 		x.batches.limiter.Chat(now, now-g.taken, slo)
 		g.leg.Started()
 		if !g.ask.Stream {
@@ -711,11 +711,11 @@
 		if no != g.legs-1 || g.State != path.Writing {
 			return // taken back, or answered, meanwhile
 		}
-		if e, some := x.hosts[w.host]; !kept || some && e.State() != choice.Ready || !some {
+		if e, some := x.hosts[w.host]; !kept || some && e.State() != scheduler.Ready || !some {
 			// Not kept: it could run twice after a restart. Drained meanwhile: nothing new may go there.
 			x.loop.Later(func() { // never within the module's own call
 				if no == g.legs-1 && g.State == path.Writing {
-					x.ended(g, engine.Outcome{How: choice.NeverSent, Memory: choice.NoReport, Why: "not sent: its intent is not kept, or the host is going"})
+					x.ended(g, engine.Outcome{How: scheduler.NeverSent, Memory: scheduler.NoReport, Why: "not sent: its intent is not kept, or the host is going"})
 				}
 			})
 			return
@@ -729,14 +729,14 @@
 func (x *Dispatcher) ended(g *gen, o engine.Outcome) {
 	e := path.LegFailed
 	switch o.How {
-	case choice.ReadDone:
+	case scheduler.ReadDone:
 		e = path.LegRead
 		if g.state = o.State; g.part != nil {
 			e = path.LegWhole
 		}
-	case choice.Streamed:
+	case scheduler.Streamed:
 		e = path.LegStreamed
-	case choice.Full, choice.Unreachable, choice.NeverSent:
+	case scheduler.Full, scheduler.Unreachable, scheduler.NeverSent:
 		e = path.LegRefused
 		if n := len(g.mayLie); n > 0 && g.State == path.Reading {
 			g.mayLie = g.mayLie[:n-1]
@@ -746,7 +746,7 @@
 		}
 	}
 	if g.part != nil {
-		if o.How == choice.Errored || o.How == choice.Dropped {
+		if o.How == scheduler.Errored || o.How == scheduler.Dropped {
 			g.part.broken++
 		}
 		g.part.bad = g.part.bad || o.Bad
@@ -754,7 +754,7 @@
 			x.take(g, path.ClientLeft)
 		}
 	}
-	if o.How != choice.Streamed && o.How != choice.ReadDone {
+	if o.How != scheduler.Streamed && o.How != scheduler.ReadDone {
 		x.post.Log.Debug().Uint64("gen", uint64(g.id)).Int("leg", int(g.legs)-1).Uint32("host", uint32(g.host)).
 			Int("ending", int(o.How)).Str("why", o.Why).Msg("leg ended")
 	}
@@ -798,48 +798,48 @@
 // --- The module's orders ---
 
 // Send makes a leg.
-func (x *Dispatcher) Send(id choice.GenID, host choice.HostID, allow choice.Micros) {
+func (x *Dispatcher) Send(id scheduler.GenID, host scheduler.HostID, allow scheduler.Micros) {
 	if g := x.gens[id]; g != nil {
 		e := path.OrderWrite
-		if x.role(host) == choice.Reader || g.part != nil {
+		if x.role(host) == scheduler.Reader || g.part != nil {
 			e = path.OrderRead
 		}
 		x.take(g, e, what{host: host, allow: allow})
 	}
 }
 
-func (x *Dispatcher) role(id choice.HostID) choice.Role {
+func (x *Dispatcher) role(id scheduler.HostID) scheduler.Role {
 	for i, k := range x.Kinds {
 		if k.Name == x.hosts[id].Kind {
 			return x.place.Kinds[i].Role
 		}
 	}
-	return choice.Writer
+	return scheduler.Writer
 }
 
 // Throttle is the final answer of a generation that may come again.
-func (x *Dispatcher) Throttle(id choice.GenID, comeBackIn choice.Micros) {
+func (x *Dispatcher) Throttle(id scheduler.GenID, comeBackIn scheduler.Micros) {
 	if g := x.gens[id]; g != nil {
 		x.take(g, path.OrderThrottle, what{comeBack: comeBackIn})
 	}
 }
 
 // Terminate is the final answer of a generation that failed.
-func (x *Dispatcher) Terminate(id choice.GenID) {
+func (x *Dispatcher) Terminate(id scheduler.GenID) {
 	if g := x.gens[id]; g != nil {
 		x.take(g, path.OrderTerminate, what{why: "The generation failed."})
 	}
 }
 
 // Cancel quits waiting for a leg. That it was cancelled is told after the module's call.
-func (x *Dispatcher) Cancel(id choice.GenID, no choice.LegNo) {
+func (x *Dispatcher) Cancel(id scheduler.GenID, no scheduler.LegNo) {
 	if g := x.gens[id]; g != nil && no == g.legs-1 {
 		x.take(g, path.OrderCancel)
 	}
 }
 
 // LetGo has every reader that may hold something for the generation drop it.
-func (x *Dispatcher) LetGo(id choice.GenID) {
+func (x *Dispatcher) LetGo(id scheduler.GenID) {
 	if g := x.gens[id]; g != nil {
 		x.take(g, path.OrderLetGo)
 	}
@@ -849,10 +849,10 @@
 func (x *Dispatcher) Subscribe() { x.list.Subscribe() }
 
 // Ring sets one of the module's two timers.
-func (x *Dispatcher) Ring(after choice.Micros, bell choice.Bell) {
+func (x *Dispatcher) Ring(after scheduler.Micros, bell scheduler.Bell) {
 	x.loop.After(after, func() {
 		x.module.Rang(x.loop.Now(), bell)
-		if bell == choice.Beat && x.gate.Waiting() > 0 {
+		if bell == scheduler.Beat && x.gate.Waiting() > 0 {
 			x.turns()
 		}
 	})
--- a/internal/dispatch/intent.go
+++ b/internal/dispatch/intent.go
@@ -4,13 +4,13 @@
 	"encoding/binary"
 	"slices"
 
-	"plumspindle/choice"
 	"plumspindle/internal/deployment/pb"
 	"plumspindle/internal/engine"
 	"plumspindle/internal/eventloop"
 	"plumspindle/internal/path"
 	"plumspindle/internal/repeat"
 	"plumspindle/internal/store"
+	"plumspindle/scheduler"
 )
 
 // Intents: a generation with a key that counts is written down before its write goes out, so that a client that repeats it
@@ -150,14 +150,14 @@
 
 // late bounds how long a write may wait for its record while its state waits at the reader: a disk that stalls would else pin
 // it there with no leg out. The state is let go of, as it is where a writer finds none, and the module reads again or gives up.
-func (x *Dispatcher) late(g *gen, no choice.LegNo) {
+func (x *Dispatcher) late(g *gen, no scheduler.LegNo) {
 	if g.intent.then == nil {
 		return
 	}
 	x.loop.After(eventloop.Micros(x.Rules.LetGoMs)*eventloop.Millisecond/2, func() {
 		if g.intent.then != nil && no == g.legs-1 && g.State == path.Writing {
 			g.intent.then = nil
-			x.ended(g, engine.Outcome{How: choice.Full, Note: 1, Memory: choice.NoReport, Why: "not sent: its intent is not kept in time"})
+			x.ended(g, engine.Outcome{How: scheduler.Full, Note: 1, Memory: scheduler.NoReport, Why: "not sent: its intent is not kept in time"})
 		}
 	})
 }
--- a/internal/dispatch/rig_test.go
+++ b/internal/dispatch/rig_test.go
@@ -12,7 +12,6 @@
 	"github.com/rs/zerolog"
 	"github.com/tidwall/gjson"
 
-	"plumspindle/choice"
 	"plumspindle/internal/deployment"
 	"plumspindle/internal/deployment/pb"
 	"plumspindle/internal/eventloop"
@@ -21,6 +20,7 @@
 	"plumspindle/internal/sockets"
 	"plumspindle/internal/sse"
 	"plumspindle/internal/virtual"
+	"plumspindle/scheduler"
 )
 
 const key = "sk-test"
@@ -220,7 +220,7 @@
 }
 
 func (s *script) entry(condition string) roster.Entry {
-	return roster.Entry{ID: choice.HostID(s.id), Addr: s.ln.Addr(), Zone: s.zone, Kind: s.kind, Condition: condition}
+	return roster.Entry{ID: scheduler.HostID(s.id), Addr: s.ln.Addr(), Zone: s.zone, Kind: s.kind, Condition: condition}
 }
 
 // told passes a change of the list to the dispatcher.
--- a/internal/dispatch/room_test.go
+++ b/internal/dispatch/room_test.go
@@ -8,13 +8,13 @@
 
 	"github.com/rs/zerolog"
 
-	"plumspindle/choice"
 	"plumspindle/internal/deployment"
 	"plumspindle/internal/eventloop"
 	"plumspindle/internal/http1"
 	"plumspindle/internal/sse"
 	"plumspindle/internal/store"
 	"plumspindle/internal/virtual"
+	"plumspindle/scheduler"
 )
 
 // keeper starts a dispatcher anew, with its intents in a folder of the world.
@@ -260,7 +260,7 @@
 	r := newRig(t, nil, "prefill west", "decode west")
 	for i := range 3000 {
 		e := r.hosts[1].entry("ready")
-		e.ID, e.Addr = choice.HostID(1000+i), "127.0.0.1:9"
+		e.ID, e.Addr = scheduler.HostID(1000+i), "127.0.0.1:9"
 		r.told(e)
 		r.w.Run(500 * eventloop.Millisecond)
 		e.Condition = "gone"
--- a/internal/dispatch/tenants.go
+++ b/internal/dispatch/tenants.go
@@ -9,12 +9,12 @@
 	"slices"
 	"strconv"
 
-	"plumspindle/choice"
 	"plumspindle/internal/eventloop"
 	"plumspindle/internal/front"
 	"plumspindle/internal/path"
 	"plumspindle/internal/subscribe"
 	"plumspindle/internal/tenancy"
+	"plumspindle/scheduler"
 )
 
 // staticIDs is where the ids of tenants begin that the deployment names itself.
@@ -32,7 +32,7 @@
 	id     tenancy.ID
 	name   string
 	space  string
-	index  choice.TenantID // in the module's terms
+	index  scheduler.TenantID // in the module's terms
 	serves bool
 	going  bool
 	limits tenancy.Limits
@@ -250,7 +250,7 @@
 // arrived tells the module of a generation.
 func (x *Dispatcher) arrived(g *gen) {
 	a := g.ask
-	x.module.Arrive(x.loop.Now(), g.id, choice.SessionID(a.Session), choice.PrefixID(a.Shared), g.product, g.seat.index,
+	x.module.Arrive(x.loop.Now(), g.id, scheduler.SessionID(a.Session), scheduler.PrefixID(a.Shared), g.product, g.seat.index,
 		float64(a.Tokens), float64(a.SharedTokens), float64(a.Most), 0, g.deadline)
 }
 
--- a/internal/drill/drill.go
+++ b/internal/drill/drill.go
@@ -11,8 +11,8 @@
 	"math"
 	"slices"
 
-	"plumspindle/choice"
 	"plumspindle/internal/settings"
+	"plumspindle/scheduler"
 )
 
 const (
@@ -24,9 +24,9 @@
 )
 
 var (
-	endings = map[byte]choice.Ending{0: choice.Streamed, 13: choice.Errored, 8: choice.Full, 4: choice.TimedOut,
-		14: choice.Unreachable, 10: choice.Dropped, 1: choice.Cancelled, 9: choice.NeverSent, 77: choice.ReadDone}
-	conditions = map[byte]choice.Condition{3: choice.Ready, 0: choice.Draining, 1: choice.Gone}
+	endings = map[byte]scheduler.Ending{0: scheduler.Streamed, 13: scheduler.Errored, 8: scheduler.Full, 4: scheduler.TimedOut,
+		14: scheduler.Unreachable, 10: scheduler.Dropped, 1: scheduler.Cancelled, 9: scheduler.NeverSent, 77: scheduler.ReadDone}
+	conditions = map[byte]scheduler.Condition{3: scheduler.Ready, 0: scheduler.Draining, 1: scheduler.Gone}
 )
 
 // Serve answers frames until the input ends; any other end is an error that names the frame and the fault.
@@ -68,7 +68,7 @@
 type stage struct {
 	instances map[uint32]*instance
 	lists     [16][]byte
-	now       choice.Micros
+	now       scheduler.Micros
 	speaker   uint32
 	spoken    bool
 	records   []byte
@@ -77,7 +77,7 @@
 
 // instance is the Orders of one dispatcher.
 type instance struct {
-	*choice.Dispatcher
+	*scheduler.Dispatcher
 	stage    *stage
 	who      uint32
 	memoryAt int // the place of the memory share in a load report, below zero if it has none
@@ -89,7 +89,7 @@
 		return fmt.Errorf("%d records do not fit into it", count)
 	}
 	events, tail := body[headSize:headSize+int(count)*eventSize], body[headSize+int(count)*eventSize:]
-	s.now = choice.Micros((now + 999) / 1000) // up: what is late must not look in time
+	s.now = scheduler.Micros((now + 999) / 1000) // up: what is late must not look in time
 	s.records, s.text, s.spoken = s.records[:0], s.text[:0], false
 	var at uint32
 	var named bool
@@ -148,22 +148,22 @@
 	case 20:
 		return s.sync(in, e)
 	case 30:
-		in.Arrive(s.now, choice.GenID(u64(e[1:])), choice.SessionID(u64(e[13:])), choice.PrefixID(u64(e[26:])),
-			choice.ProductID(e[56]), choice.TenantID(binary.LittleEndian.Uint16(e[54:])), f32(e[50:]), f32(e[9:]),
+		in.Arrive(s.now, scheduler.GenID(u64(e[1:])), scheduler.SessionID(u64(e[13:])), scheduler.PrefixID(u64(e[26:])),
+			scheduler.ProductID(e[56]), scheduler.TenantID(binary.LittleEndian.Uint16(e[54:])), f32(e[50:]), f32(e[9:]),
 			f32(e[21:]), settings.Micros(u64(e[34:])), settings.Micros(u64(e[42:])))
 	case 40:
-		in.Started(s.now, choice.GenID(u64(e[1:])), choice.LegNo(binary.LittleEndian.Uint16(e[9:])))
+		in.Started(s.now, scheduler.GenID(u64(e[1:])), scheduler.LegNo(binary.LittleEndian.Uint16(e[9:])))
 	case 50:
 		how, known := endings[e[18]]
 		if !known {
 			return fmt.Errorf("unknown outcome %d", e[18])
 		}
-		in.Ended(s.now, choice.GenID(u64(e[1:])), choice.LegNo(binary.LittleEndian.Uint16(e[27:])), how,
+		in.Ended(s.now, scheduler.GenID(u64(e[1:])), scheduler.LegNo(binary.LittleEndian.Uint16(e[27:])), how,
 			int(u32(e[9:])), e[13] != 0, in.memory(e[29:]))
 	case 60:
-		in.Left(s.now, choice.GenID(u64(e[1:])))
+		in.Left(s.now, scheduler.GenID(u64(e[1:])))
 	case 70:
-		in.Rang(s.now, choice.Bell(u64(e[1:])))
+		in.Rang(s.now, scheduler.Bell(u64(e[1:])))
 	case 80: // a probe's result; the module asks for none
 		if _, known := endings[e[5]]; !known {
 			return fmt.Errorf("unknown outcome %d", e[5])
@@ -184,7 +184,7 @@
 	}
 	in := &instance{stage: s, who: at, memoryAt: slices.Index(t.Report, "x0")}
 	s.instances[at] = in
-	in.Dispatcher = choice.Start(s.now, int64(seed), t.Place, in)
+	in.Dispatcher = scheduler.Start(s.now, int64(seed), t.Place, in)
 	return nil
 }
 
@@ -197,8 +197,8 @@
 		return fmt.Errorf("scope %d, list %d: out of range", e[10], e[9])
 	}
 	for raw := s.lists[e[9]]; len(raw) > 0; raw = raw[entrySize:] {
-		in.Listed(s.now, choice.HostID(u32(raw)), choice.ZoneID(raw[4]), choice.KindID(raw[5]),
-			choice.CellID(binary.LittleEndian.Uint16(raw[6:])), conditions[raw[8]], settings.Micros(u64(raw[13:])))
+		in.Listed(s.now, scheduler.HostID(u32(raw)), scheduler.ZoneID(raw[4]), scheduler.KindID(raw[5]),
+			scheduler.CellID(binary.LittleEndian.Uint16(raw[6:])), conditions[raw[8]], settings.Micros(u64(raw[13:])))
 	}
 	in.ListEnded(s.now, e[10] != 0)
 	return nil
@@ -207,7 +207,7 @@
 // memory is the share of memory held, from a load report that has one.
 func (in *instance) memory(b []byte) float64 {
 	if in.memoryAt < 0 || in.memoryAt >= min(int(b[0]), 4) {
-		return choice.NoReport
+		return scheduler.NoReport
 	}
 	return f32(b[1+4*in.memoryAt:])
 }
@@ -228,33 +228,33 @@
 	return r
 }
 
-func (in *instance) genRecord(code byte, gen choice.GenID) []byte {
+func (in *instance) genRecord(code byte, gen scheduler.GenID) []byte {
 	r := in.record(code)
 	binary.LittleEndian.PutUint64(r[1:], uint64(gen))
 	return r
 }
 
-func (in *instance) Send(gen choice.GenID, host choice.HostID, allow choice.Micros) {
+func (in *instance) Send(gen scheduler.GenID, host scheduler.HostID, allow scheduler.Micros) {
 	r := in.genRecord(10, gen)
 	binary.LittleEndian.PutUint32(r[9:], uint32(host))
 	binary.LittleEndian.PutUint64(r[13:], nanos(allow))
 }
 
-func (in *instance) Throttle(gen choice.GenID, comeBackIn choice.Micros) {
+func (in *instance) Throttle(gen scheduler.GenID, comeBackIn scheduler.Micros) {
 	binary.LittleEndian.PutUint64(in.genRecord(20, gen)[9:], nanos(comeBackIn))
 }
 
-func (in *instance) Terminate(gen choice.GenID) { in.genRecord(30, gen) }
+func (in *instance) Terminate(gen scheduler.GenID) { in.genRecord(30, gen) }
 
-func (in *instance) Cancel(gen choice.GenID, leg choice.LegNo) {
+func (in *instance) Cancel(gen scheduler.GenID, leg scheduler.LegNo) {
 	binary.LittleEndian.PutUint16(in.genRecord(40, gen)[9:], uint16(leg))
 }
 
-func (in *instance) LetGo(gen choice.GenID) { in.genRecord(150, gen) }
+func (in *instance) LetGo(gen scheduler.GenID) { in.genRecord(150, gen) }
 
 func (in *instance) Subscribe() { in.record(110)[1] = 1 }
 
-func (in *instance) Ring(after choice.Micros, bell choice.Bell) {
+func (in *instance) Ring(after scheduler.Micros, bell scheduler.Bell) {
 	r := in.record(50)
 	binary.LittleEndian.PutUint64(r[1:], nanos(after))
 	binary.LittleEndian.PutUint64(r[9:], uint64(bell))
@@ -288,4 +288,4 @@
 	return v
 }
 
-func nanos(t choice.Micros) uint64 { return uint64(max(t, 0)) * 1000 }
+func nanos(t scheduler.Micros) uint64 { return uint64(max(t, 0)) * 1000 }
--- a/internal/engine/chat.go
+++ b/internal/engine/chat.go
@@ -7,25 +7,25 @@
 
 	"github.com/tidwall/gjson"
 
-	"plumspindle/choice"
 	"plumspindle/internal/chat"
 	"plumspindle/internal/eventloop"
 	"plumspindle/internal/http1"
+	"plumspindle/scheduler"
 )
 
 // LegName is how a leg is named to its host.
-func (e *Engine) LegName(gen choice.GenID, leg choice.LegNo) string {
+func (e *Engine) LegName(gen scheduler.GenID, leg scheduler.LegNo) string {
 	return e.name + "-" + strconv.FormatUint(uint64(gen), 10) + "-" + strconv.Itoa(int(leg))
 }
 
 // Read sends a read; Write a write, with the state that a read told of, or without one where the host reads the
 // prompt itself. Neither calls back before it has returned.
-func (e *Engine) Read(id choice.HostID, name, clientID string, ask *chat.Ask, allow eventloop.Micros, hear Hearer) *Leg {
+func (e *Engine) Read(id scheduler.HostID, name, clientID string, ask *chat.Ask, allow eventloop.Micros, hear Hearer) *Leg {
 	members := `"stream":false,"max_tokens":1,"kv_transfer_params":{"do_remote_decode":true,"do_remote_prefill":false}`
 	return e.leg(id, name, clientID, ask, members, nil, allow, hear)
 }
 
-func (e *Engine) Write(id choice.HostID, name, clientID string, ask *chat.Ask, state string, most int,
+func (e *Engine) Write(id scheduler.HostID, name, clientID string, ask *chat.Ask, state string, most int,
 	allow eventloop.Micros, hear Hearer) *Leg {
 	members := `"stream":true,"stream_options":{"include_usage":true},"max_tokens":` + strconv.Itoa(most)
 	if state != "" {
@@ -36,7 +36,7 @@
 
 // Whole sends what is complete with its read. Its answer is read by judge, which says Errored of one that is not what was
 // asked for. It does not call back before it has returned.
-func (e *Engine) Whole(id choice.HostID, name, clientID, path string, body []byte, most int, allow eventloop.Micros, judge func(body []byte) Outcome,
+func (e *Engine) Whole(id scheduler.HostID, name, clientID, path string, body []byte, most int, allow eventloop.Micros, judge func(body []byte) Outcome,
 	hear Hearer) *Leg {
 	return e.Call(id, Call{Most: most, Answer: func(head *http1.Head, answer []byte) Outcome {
 		if head.Status != 200 {
@@ -51,7 +51,7 @@
 	}}, allow, hear)
 }
 
-func (e *Engine) leg(id choice.HostID, name, clientID string, ask *chat.Ask, members string, stream Stream,
+func (e *Engine) leg(id scheduler.HostID, name, clientID string, ask *chat.Ask, members string, stream Stream,
 	allow eventloop.Micros, hear Hearer) *Leg {
 	answer := func(head *http1.Head, body []byte) Outcome {
 		switch {
@@ -104,15 +104,15 @@
 
 func (c *chunks) Ended() Outcome {
 	if c.done {
-		return Outcome{How: choice.Streamed, Why: "streamed"}
+		return Outcome{How: scheduler.Streamed, Why: "streamed"}
 	}
-	return c.Broke(choice.Errored, "the stream ended without its last event")
+	return c.Broke(scheduler.Errored, "the stream ended without its last event")
 }
 
 // Broke: where the writer had already told how the answer ended, nothing of it is missing: it is complete.
-func (c *chunks) Broke(how choice.Ending, why string) Outcome {
+func (c *chunks) Broke(how scheduler.Ending, why string) Outcome {
 	if c.finished {
-		return Outcome{How: choice.Streamed, Why: "the writer had finished, then " + why}
+		return Outcome{How: scheduler.Streamed, Why: "the writer had finished, then " + why}
 	}
 	return Outcome{How: how, Why: why}
 }
--- a/internal/engine/ending.go
+++ b/internal/engine/ending.go
@@ -1,6 +1,6 @@
 // Package engine carries legs to model hosts over HTTP/1.1, in the published manner of disaggregated serving: a
 // read is a completion whose kv_transfer_params ask the host to keep its state, a write hands on those that
-// the read was answered with. It maps every way in which a leg can end onto one choice.Ending, here and
+// the read was answered with. It maps every way in which a leg can end onto one scheduler.Ending, here and
 // nowhere else; what to do about it is the module's.
 package engine
 
@@ -10,15 +10,15 @@
 
 	"github.com/tidwall/gjson"
 
-	"plumspindle/choice"
 	"plumspindle/internal/http1"
+	"plumspindle/scheduler"
 )
 
 // Outcome is how a leg came out.
 type Outcome struct {
-	How    choice.Ending
+	How    scheduler.Ending
 	Note   int     // ReadDone: prompt tokens found kept. Full: 1 if there was no state to fetch
-	Memory float64 // share of the host's memory that is held, or choice.NoReport
+	Memory float64 // share of the host's memory that is held, or scheduler.NoReport
 	State  string  // ReadDone: where the state lies, as the host put it
 	Cut    bool    // the connection was closed from here with the leg on it
 	Bad    bool    // the host says that what it was sent is no good: no other would do better
@@ -30,13 +30,13 @@
 var refusals = []struct {
 	status int
 	code   string
-	how    choice.Ending
+	how    scheduler.Ending
 	note   int
 }{
-	{429, "full", choice.Full, 0},
-	{503, "draining", choice.Full, 0},
-	{409, "state_lost", choice.Full, 1},
-	{422, "invalid_input", choice.NeverSent, 0},
+	{429, "full", scheduler.Full, 0},
+	{503, "draining", scheduler.Full, 0},
+	{409, "state_lost", scheduler.Full, 1},
+	{422, "invalid_input", scheduler.NeverSent, 0},
 }
 
 // refused reads an answer that is not a success.
@@ -47,17 +47,17 @@
 			return Outcome{How: r.how, Note: r.note, Bad: r.status == 422, Why: "host says " + code}
 		}
 	}
-	return Outcome{How: choice.Errored, Why: "status " + strconv.Itoa(status)}
+	return Outcome{How: scheduler.Errored, Why: "status " + strconv.Itoa(status)}
 }
 
 // readDone reads the answer to a read.
 func readDone(body []byte) Outcome {
 	params := gjson.GetBytes(body, "kv_transfer_params")
 	if !gjson.ValidBytes(body) || !params.IsObject() {
-		return Outcome{How: choice.Errored, Why: "a read without a state"}
+		return Outcome{How: scheduler.Errored, Why: "a read without a state"}
 	}
 	kept := gjson.GetBytes(body, "usage.prompt_tokens_details.cached_tokens").Int()
-	return Outcome{How: choice.ReadDone, Note: int(max(kept, 0)), State: params.Raw, Why: "read"}
+	return Outcome{How: scheduler.ReadDone, Note: int(max(kept, 0)), State: params.Raw, Why: "read"}
 }
 
 // memory finds the reported share of memory in an ORCA report (field endpoint-load-metrics), in its text or its
@@ -65,7 +65,7 @@
 func memory(h *http1.Head) float64 {
 	report := h.Get("endpoint-load-metrics")
 	if report == "" {
-		return choice.NoReport
+		return scheduler.NoReport
 	}
 	form, rest, _ := strings.Cut(report, " ")
 	var text string
@@ -82,7 +82,7 @@
 	}
 	v, err := strconv.ParseFloat(text, 64)
 	if err != nil || !(v >= 0 && v <= 1) {
-		return choice.NoReport
+		return scheduler.NoReport
 	}
 	return v
 }
--- a/internal/engine/engine.go
+++ b/internal/engine/engine.go
@@ -3,10 +3,10 @@
 import (
 	"slices"
 
-	"plumspindle/choice"
 	"plumspindle/internal/eventloop"
 	"plumspindle/internal/http1"
 	"plumspindle/internal/sse"
+	"plumspindle/scheduler"
 )
 
 // Trunks are the terms on which connections to hosts are kept.
@@ -44,14 +44,14 @@
 	name   string // names this dispatcher on each leg
 	zone   string
 	trunks Trunks
-	hosts  map[choice.HostID]*host
+	hosts  map[scheduler.HostID]*host
 	lastNo uint64
 	open   int
 }
 
 // New makes an engine without any host yet.
 func New(loop eventloop.Loop, name, zone string, trunks Trunks) *Engine {
-	return &Engine{loop: loop, name: name, zone: zone, trunks: trunks, hosts: map[choice.HostID]*host{}}
+	return &Engine{loop: loop, name: name, zone: zone, trunks: trunks, hosts: map[scheduler.HostID]*host{}}
 }
 
 type host struct {
@@ -75,7 +75,7 @@
 }
 
 // Place tells where a host is reached. Connections to where it was before are not used again.
-func (e *Engine) Place(id choice.HostID, addr string) {
+func (e *Engine) Place(id scheduler.HostID, addr string) {
 	h := e.hosts[id]
 	if h == nil {
 		e.hosts[id] = &host{addr: addr}
@@ -97,7 +97,7 @@
 
 // Forget closes what is idle to a host that is gone. It is dropped after a while: what it holds may still have to be let go of,
 // as a list may be wrong about a host that runs.
-func (e *Engine) Forget(id choice.HostID) {
+func (e *Engine) Forget(id scheduler.HostID) {
 	h := e.hosts[id]
 	if h == nil {
 		return
@@ -109,7 +109,7 @@
 	}
 }
 
-func (e *Engine) drop(id choice.HostID, h *host) {
+func (e *Engine) drop(id scheduler.HostID, h *host) {
 	e.loop.After(forgetAfter, func() {
 		switch {
 		case !h.gone || e.hosts[id] != h:
@@ -125,16 +125,16 @@
 func (e *Engine) Known() int { return len(e.hosts) }
 
 // Call sends one. It does not call back before it has returned. A leg to a host without an address ends soon.
-func (e *Engine) Call(id choice.HostID, c Call, allow eventloop.Micros, hear Hearer) *Leg {
+func (e *Engine) Call(id scheduler.HostID, c Call, allow eventloop.Micros, hear Hearer) *Leg {
 	return e.call(e.hosts[id], c, allow, hear)
 }
 
 func (e *Engine) call(h *host, c Call, allow eventloop.Micros, hear Hearer) *Leg {
-	l := &Leg{engine: e, host: h, hear: hear, memory: choice.NoReport, answer: c.Answer, stream: c.Stream, most: c.Most,
+	l := &Leg{engine: e, host: h, hear: hear, memory: scheduler.NoReport, answer: c.Answer, stream: c.Stream, most: c.Most,
 		letsGo: c.Spare, events: sse.Parser{Most: eventMost}, asks: c.Request, due: e.loop.Now() + allow, leave: e.loop.Now() + e.trunks.Connect}
 	l.allow = e.loop.After(min(allow, e.trunks.Connect), l.late)
 	if l.host == nil || l.host.addr == "" {
-		e.loop.Later(func() { l.end(Outcome{How: choice.Unreachable, Why: "the host has no address"}, false) })
+		e.loop.Later(func() { l.end(Outcome{How: scheduler.Unreachable, Why: "the host has no address"}, false) })
 		return l
 	}
 	e.carry(l)
@@ -161,14 +161,16 @@
 		e.makeRoom()
 	}
 	if h.open >= most {
-		e.loop.Later(func() { l.end(Outcome{How: choice.Unreachable, Why: "the host's connections are all in use"}, false) })
+		e.loop.Later(func() {
+			l.end(Outcome{How: scheduler.Unreachable, Why: "the host's connections are all in use"}, false)
+		})
 		return
 	}
 	if h.opening >= e.trunks.Opening && !l.letsGo {
 		w := &waiter{leg: l}
 		w.timer = e.loop.After(max(l.leave-now, 0), func() {
 			h.waiting = slices.DeleteFunc(h.waiting, func(o *waiter) bool { return o == w })
-			l.end(Outcome{How: choice.Unreachable, Why: "too many connections to the host are opening"}, false)
+			l.end(Outcome{How: scheduler.Unreachable, Why: "too many connections to the host are opening"}, false)
 		})
 		h.waiting = append(h.waiting, w)
 		return
@@ -218,7 +220,7 @@
 }
 
 // Out is how many legs are out at a host.
-func (e *Engine) Out(id choice.HostID) int {
+func (e *Engine) Out(id scheduler.HostID) int {
 	h := e.hosts[id]
 	if h == nil {
 		return 0
@@ -227,7 +229,7 @@
 }
 
 // Opening is how many connections to a host are being opened.
-func (e *Engine) Opening(id choice.HostID) int {
+func (e *Engine) Opening(id scheduler.HostID) int {
 	if h := e.hosts[id]; h != nil {
 		return h.opening
 	}
@@ -235,7 +237,7 @@
 }
 
 // Idle is how many connections to a host wait for a leg.
-func (e *Engine) Idle(id choice.HostID) int {
+func (e *Engine) Idle(id scheduler.HostID) int {
 	if h := e.hosts[id]; h != nil && !h.gone {
 		return len(h.idle)
 	}
@@ -243,7 +245,7 @@
 }
 
 // Heard is when a host last said anything.
-func (e *Engine) Heard(id choice.HostID) eventloop.Micros {
+func (e *Engine) Heard(id scheduler.HostID) eventloop.Micros {
 	if h := e.hosts[id]; h != nil {
 		return h.heard
 	}
@@ -254,7 +256,7 @@
 func (e *Engine) Connections() int { return e.open }
 
 // ForgetOthers forgets all hosts but those that a whole list names.
-func (e *Engine) ForgetOthers(listed map[choice.HostID]bool) {
+func (e *Engine) ForgetOthers(listed map[scheduler.HostID]bool) {
 	for id := range e.hosts {
 		if !listed[id] {
 			e.Forget(id)
--- a/internal/engine/engine_test.go
+++ b/internal/engine/engine_test.go
@@ -3,10 +3,10 @@
 import (
 	"testing"
 
-	"plumspindle/choice"
 	"plumspindle/internal/eventloop"
 	"plumspindle/internal/http1"
 	"plumspindle/internal/virtual"
+	"plumspindle/scheduler"
 )
 
 // deaf takes in what its window holds.
@@ -19,7 +19,7 @@
 
 // TestTimeIsOver: a leg whose last byte never left can't have run; one that left whole may have.
 func TestTimeIsOver(t *testing.T) {
-	for size, want := range map[int]choice.Ending{100 << 10: choice.Unreachable, 1 << 10: choice.TimedOut} {
+	for size, want := range map[int]scheduler.Ending{100 << 10: scheduler.Unreachable, 1 << 10: scheduler.TimedOut} {
 		w := virtual.New(1)
 		w.Window = 16 << 10
 		far, own := w.Loop("far"), w.Loop("own")
@@ -59,7 +59,7 @@
 		began := w.Now()
 		e.Call(1, Call{Request: func(addr string, _ eventloop.Micros) []byte { return http1.AppendRequest(nil, "POST", "/", addr, nil) }},
 			5*eventloop.Second, Hearer{Ended: func(o Outcome) {
-				if took = append(took, w.Now()-began); o.How != choice.Unreachable {
+				if took = append(took, w.Now()-began); o.How != scheduler.Unreachable {
 					t.Errorf("it ended %d: %s", o.How, o.Why)
 				}
 			}})
--- a/internal/engine/leg.go
+++ b/internal/engine/leg.go
@@ -3,10 +3,10 @@
 import (
 	"strings"
 
-	"plumspindle/choice"
 	"plumspindle/internal/eventloop"
 	"plumspindle/internal/http1"
 	"plumspindle/internal/sse"
+	"plumspindle/scheduler"
 )
 
 // Hearer is told what becomes of a leg: Event for each usable event of a write, then Ended once.
@@ -31,7 +31,7 @@
 	// Ended is what the stream came to when its body was complete.
 	Ended() Outcome
 	// Broke is what it came to where it ended in a way it should not have.
-	Broke(how choice.Ending, why string) Outcome
+	Broke(how scheduler.Ending, why string) Outcome
 }
 
 // Leg is one send that is out.
@@ -70,11 +70,11 @@
 	now := l.engine.loop.Now()
 	switch {
 	case l.Unsent():
-		l.end(Outcome{How: choice.Unreachable, Why: "not sent in the time allowed"}, true)
+		l.end(Outcome{How: scheduler.Unreachable, Why: "not sent in the time allowed"}, true)
 	case now < l.due:
 		l.allow = l.engine.loop.After(l.due-now, l.late)
 	default:
-		l.end(Outcome{How: choice.TimedOut, Why: "not in the time allowed"}, true)
+		l.end(Outcome{How: scheduler.TimedOut, Why: "not in the time allowed"}, true)
 	}
 }
 
@@ -118,7 +118,7 @@
 	case quiet < l.engine.trunks.Silence:
 		l.allow = l.engine.loop.After(l.engine.trunks.Silence-quiet, l.silent)
 	default:
-		l.end(l.broke(choice.Dropped, "the stream fell silent"), true)
+		l.end(l.broke(scheduler.Dropped, "the stream fell silent"), true)
 	}
 }
 
@@ -158,7 +158,7 @@
 }
 
 // broke is the outcome of an answer that ended in a way it should not have.
-func (l *Leg) broke(how choice.Ending, why string) Outcome {
+func (l *Leg) broke(how scheduler.Ending, why string) Outcome {
 	if l.stream != nil {
 		return l.stream.Broke(how, why)
 	}
--- a/internal/engine/release.go
+++ b/internal/engine/release.go
@@ -4,15 +4,15 @@
 	"slices"
 	"strings"
 
-	"plumspindle/choice"
 	"plumspindle/internal/eventloop"
 	"plumspindle/internal/http1"
+	"plumspindle/scheduler"
 )
 
 // LetGo has a host drop whatever it holds for some legs. It may have a connection and a descriptor beyond those that legs may use,
 // as a state must not be pinned by want of either. Where it may not have arrived it is tried again, with all else that the host is
 // owed in one request, for as long as a host keeps by its own lease what nobody asks for.
-func (e *Engine) LetGo(id choice.HostID, names []string) {
+func (e *Engine) LetGo(id scheduler.HostID, names []string) {
 	h := e.hosts[id]
 	if h == nil || len(names) == 0 {
 		return
@@ -64,12 +64,12 @@
 func (e *Engine) letGo(h *host, names []string, done func(arrived bool)) {
 	answer := func(head *http1.Head, _ []byte) Outcome {
 		if head.Status == 200 {
-			return Outcome{How: choice.ReadDone}
+			return Outcome{How: scheduler.ReadDone}
 		}
-		return Outcome{How: choice.Errored}
+		return Outcome{How: scheduler.Errored}
 	}
 	e.call(h, Call{Spare: true, Most: answerMost, Answer: answer, Request: func(addr string, _ eventloop.Micros) []byte {
 		return http1.AppendRequest(nil, "POST", "/v1/kv/release", addr, []byte(`{"request_ids":["`+strings.Join(names, `","`)+`"]}`),
 			"Content-Type", "application/json", "x-dispatcher", e.name, "x-zone", e.zone)
-	}}, letGoWithin, Hearer{Ended: func(o Outcome) { done(o.How == choice.ReadDone) }})
+	}}, letGoWithin, Hearer{Ended: func(o Outcome) { done(o.How == scheduler.ReadDone) }})
 }
--- a/internal/engine/trunk.go
+++ b/internal/engine/trunk.go
@@ -5,9 +5,9 @@
 	"fmt"
 	"slices"
 
-	"plumspindle/choice"
 	"plumspindle/internal/eventloop"
 	"plumspindle/internal/http1"
+	"plumspindle/scheduler"
 )
 
 // trunk is one connection to a host; it carries one leg at a time.
@@ -62,11 +62,11 @@
 		return
 	}
 	if t.leg.Unsent() { // whatever it is, it is no answer to what has not left
-		t.leg.end(Outcome{How: choice.Unreachable, Why: "the host spoke before the request had left"}, true)
+		t.leg.end(Outcome{How: scheduler.Unreachable, Why: "the host spoke before the request had left"}, true)
 		return
 	}
 	if err := t.parser.Feed(b, t); err != nil && t.leg != nil {
-		t.leg.end(t.leg.broke(choice.Errored, err.Error()), true)
+		t.leg.end(t.leg.broke(scheduler.Errored, err.Error()), true)
 	}
 }
 
@@ -102,7 +102,7 @@
 			})
 			return
 		}
-		l.end(Outcome{How: choice.Unreachable, Why: cause.Error()}, false)
+		l.end(Outcome{How: scheduler.Unreachable, Why: cause.Error()}, false)
 		return
 	}
 	l.left = true
@@ -115,7 +115,7 @@
 	if err != nil && t.parser.Idle() {
 		why = "no answer came"
 	}
-	l.end(l.broke(choice.Dropped, fmt.Sprintf("%s: %v; leg %d on it, after %d ms idle", why, cause, t.carried+1, t.idled/eventloop.Millisecond)), false)
+	l.end(l.broke(scheduler.Dropped, fmt.Sprintf("%s: %v; leg %d on it, after %d ms idle", why, cause, t.carried+1, t.idled/eventloop.Millisecond)), false)
 }
 
 var errUnasked = errors.New("an answer that nobody asked for")
--- a/internal/eventloop/eventloop.go
+++ b/internal/eventloop/eventloop.go
@@ -6,11 +6,11 @@
 import (
 	"errors"
 
-	"plumspindle/choice/due"
+	"plumspindle/scheduler/timerqueue"
 )
 
 // Micros is a time or a span in whole microseconds.
-type Micros = due.Micros
+type Micros = timerqueue.Micros
 
 const (
 	Millisecond Micros = 1000
--- a/internal/explore/plants.go
+++ b/internal/explore/plants.go
@@ -3,61 +3,61 @@
 import (
 	"bytes"
 
-	"plumspindle/choice"
 	"plumspindle/internal/dispatch"
 	"plumspindle/internal/eventloop"
 	"plumspindle/internal/lab/days"
 	"plumspindle/internal/roster"
 	"plumspindle/internal/virtual"
+	"plumspindle/scheduler"
 )
 
 // orders stands between the module and its dispatcher; what is nil goes through.
 type orders struct {
-	choice.Orders
-	send      func(gen choice.GenID, host choice.HostID, allow choice.Micros)
-	throttle  func(gen choice.GenID, after choice.Micros)
-	terminate func(gen choice.GenID)
-	cancel    func(gen choice.GenID, leg choice.LegNo)
-	letGo     func(gen choice.GenID)
-	ring      func(after choice.Micros, bell choice.Bell)
+	scheduler.Orders
+	send      func(gen scheduler.GenID, host scheduler.HostID, allow scheduler.Micros)
+	throttle  func(gen scheduler.GenID, after scheduler.Micros)
+	terminate func(gen scheduler.GenID)
+	cancel    func(gen scheduler.GenID, leg scheduler.LegNo)
+	letGo     func(gen scheduler.GenID)
+	ring      func(after scheduler.Micros, bell scheduler.Bell)
 }
 
-func (o *orders) Send(g choice.GenID, h choice.HostID, a choice.Micros) {
+func (o *orders) Send(g scheduler.GenID, h scheduler.HostID, a scheduler.Micros) {
 	if o.send != nil {
 		o.send(g, h, a)
 		return
 	}
 	o.Orders.Send(g, h, a)
 }
-func (o *orders) Throttle(g choice.GenID, a choice.Micros) {
+func (o *orders) Throttle(g scheduler.GenID, a scheduler.Micros) {
 	if o.throttle != nil {
 		o.throttle(g, a)
 		return
 	}
 	o.Orders.Throttle(g, a)
 }
-func (o *orders) Terminate(g choice.GenID) {
+func (o *orders) Terminate(g scheduler.GenID) {
 	if o.terminate != nil {
 		o.terminate(g)
 		return
 	}
 	o.Orders.Terminate(g)
 }
-func (o *orders) Cancel(g choice.GenID, l choice.LegNo) {
+func (o *orders) Cancel(g scheduler.GenID, l scheduler.LegNo) {
 	if o.cancel != nil {
 		o.cancel(g, l)
 		return
 	}
 	o.Orders.Cancel(g, l)
 }
-func (o *orders) LetGo(g choice.GenID) {
+func (o *orders) LetGo(g scheduler.GenID) {
 	if o.letGo != nil {
 		o.letGo(g)
 		return
 	}
 	o.Orders.LetGo(g)
 }
-func (o *orders) Ring(a choice.Micros, b choice.Bell) {
+func (o *orders) Ring(a scheduler.Micros, b scheduler.Bell) {
 	if o.ring != nil {
 		o.ring(a, b)
 		return
@@ -98,7 +98,7 @@
 
 func ordered(name string, change func(o *orders)) *days.Plant {
 	return &days.Plant{Name: name, Dispatcher: func() *dispatch.Plant {
-		return &dispatch.Plant{Orders: func(real choice.Orders) choice.Orders {
+		return &dispatch.Plant{Orders: func(real scheduler.Orders) scheduler.Orders {
 			o := &orders{Orders: real}
 			change(o)
 			return o
@@ -106,7 +106,7 @@
 	}}
 }
 
-func placed(name string, change func(*choice.Deployment)) *days.Plant {
+func placed(name string, change func(*scheduler.Deployment)) *days.Plant {
 	return &days.Plant{Name: name, Dispatcher: func() *dispatch.Plant { return &dispatch.Plant{Place: change} }}
 }
 
@@ -126,24 +126,24 @@
 func Plants() []*days.Plant {
 	final := []byte("data: [DONE]")
 	return []*days.Plant{
-		ordered("a state is never let go", func(o *orders) { o.letGo = func(choice.GenID) {} }),
+		ordered("a state is never let go", func(o *orders) { o.letGo = func(scheduler.GenID) {} }),
 		ordered("every third state is not let go", func(o *orders) {
 			n := 0
-			o.letGo = func(g choice.GenID) {
+			o.letGo = func(g scheduler.GenID) {
 				if n++; n%3 != 0 {
 					o.Orders.LetGo(g)
 				}
 			}
 		}),
-		ordered("a throttling is forgotten", func(o *orders) { o.throttle = func(choice.GenID, choice.Micros) {} }),
-		ordered("a termination is forgotten", func(o *orders) { o.terminate = func(choice.GenID) {} }),
+		ordered("a throttling is forgotten", func(o *orders) { o.throttle = func(scheduler.GenID, scheduler.Micros) {} }),
+		ordered("a termination is forgotten", func(o *orders) { o.terminate = func(scheduler.GenID) {} }),
 		ordered("throttled in place of terminated", func(o *orders) {
-			o.terminate = func(g choice.GenID) { o.Orders.Throttle(g, 200*eventloop.Millisecond) }
+			o.terminate = func(g scheduler.GenID) { o.Orders.Throttle(g, 200*eventloop.Millisecond) }
 		}),
-		ordered("a cancel is forgotten", func(o *orders) { o.cancel = func(choice.GenID, choice.LegNo) {} }),
+		ordered("a cancel is forgotten", func(o *orders) { o.cancel = func(scheduler.GenID, scheduler.LegNo) {} }),
 		ordered("the beat stops", func(o *orders) {
 			n := 0
-			o.ring = func(a choice.Micros, b choice.Bell) {
+			o.ring = func(a scheduler.Micros, b scheduler.Bell) {
 				if n++; n < 40 {
 					o.Orders.Ring(a, b)
 				}
@@ -151,7 +151,7 @@
 		}),
 		ordered("a leg in thirty is not sent", func(o *orders) {
 			n := 0
-			o.send = func(g choice.GenID, h choice.HostID, a choice.Micros) {
+			o.send = func(g scheduler.GenID, h scheduler.HostID, a scheduler.Micros) {
 				if n++; n%30 != 0 {
 					o.Orders.Send(g, h, a)
 				}
@@ -179,21 +179,21 @@
 			}
 			return all
 		}),
-		placed("cold hosts are taken for warm", func(p *choice.Deployment) { p.Cold = 0 }),
-		placed("cold credit is ten times as much", func(p *choice.Deployment) { p.FallMultiple *= 10 }),
-		placed("side effects are taken for none", func(p *choice.Deployment) {
+		placed("cold hosts are taken for warm", func(p *scheduler.Deployment) { p.Cold = 0 }),
+		placed("cold credit is ten times as much", func(p *scheduler.Deployment) { p.FallMultiple *= 10 }),
+		placed("side effects are taken for none", func(p *scheduler.Deployment) {
 			for i := range p.Products {
-				if p.Products[i].Effect == choice.SideEffecting {
-					p.Products[i].Effect = choice.Idempotent
+				if p.Products[i].Effect == scheduler.SideEffecting {
+					p.Products[i].Effect = scheduler.Idempotent
 				}
 			}
 		}),
-		placed("repeats are dropped everywhere, it is thought", func(p *choice.Deployment) {
+		placed("repeats are dropped everywhere, it is thought", func(p *scheduler.Deployment) {
 			for i := range p.Products {
-				p.Products[i].Group = choice.AllHosts
+				p.Products[i].Group = scheduler.AllHosts
 			}
 		}),
-		placed("repeats are dropped for ever, it is thought", func(p *choice.Deployment) {
+		placed("repeats are dropped for ever, it is thought", func(p *scheduler.Deployment) {
 			for i := range p.Products {
 				p.Products[i].Window *= 100
 			}
--- a/internal/platform/attempt.go
+++ b/internal/platform/attempt.go
@@ -3,18 +3,18 @@
 import (
 	"slices"
 
-	"plumspindle/choice"
 	"plumspindle/internal/engine"
 	"plumspindle/internal/eventloop"
 	"plumspindle/internal/platform/upstream"
+	"plumspindle/scheduler"
 )
 
 // closeSeen is for how long an attempt that is given up is still out: until its host sees its connection closed, which takes a way
 // through the network, between zones at the most. Nothing else is done for its request for so long.
 const closeSeen = 20 * eventloop.Millisecond
 
-// Send implements choice.Orders: it makes an attempt.
-func (d *Dispatcher) Send(id choice.GenID, host choice.HostID, allow choice.Micros) {
+// Send implements scheduler.Orders: it makes an attempt.
+func (d *Dispatcher) Send(id scheduler.GenID, host scheduler.HostID, allow scheduler.Micros) {
 	r := d.requests[id]
 	if r == nil {
 		return
@@ -22,7 +22,7 @@
 	no := r.attempts
 	r.attempts++
 	d.Attempts++
-	r.host, r.sentAt, r.prefill, r.started = host, d.loop.Now(), d.role(host) == choice.Reader, false
+	r.host, r.sentAt, r.prefill, r.started = host, d.loop.Now(), d.role(host) == scheduler.Reader, false
 	send := func() { d.startAttempt(r, no, allow) }
 	if r.releasing {
 		r.deferred = func() { d.afterRelease(r, no, send) }
@@ -32,7 +32,7 @@
 }
 
 // startAttempt hands the attempt to the network. The time that it may take is what was left when it was ordered.
-func (d *Dispatcher) startAttempt(r *request, no choice.LegNo, allow eventloop.Micros) {
+func (d *Dispatcher) startAttempt(r *request, no scheduler.LegNo, allow eventloop.Micros) {
 	hear := engine.Hearer{
 		Event: func(data []byte) { d.streamEvent(r, no, data) },
 		Ended: func(o engine.Outcome) { d.attemptEnded(r, no, o) },
@@ -48,7 +48,7 @@
 
 // afterRelease sends an attempt that had to wait, unless its host has begun to go meanwhile, or the time for a repeat may be over,
 // which was looked at when it was ordered.
-func (d *Dispatcher) afterRelease(r *request, no choice.LegNo, send func()) {
+func (d *Dispatcher) afterRelease(r *request, no scheduler.LegNo, send func()) {
 	why := "the host is going"
 	if slices.Contains(d.ready, r.host) {
 		if d.loop.Now()-r.sentAt <= d.settings.Connect {
@@ -57,11 +57,11 @@
 		}
 		why = "what was held was released too late"
 	}
-	d.attemptEnded(r, no, engine.Outcome{How: choice.NeverSent, Memory: choice.NoReport, Why: why})
+	d.attemptEnded(r, no, engine.Outcome{How: scheduler.NeverSent, Memory: scheduler.NoReport, Why: why})
 }
 
 // streamEvent passes an event on to the client.
-func (d *Dispatcher) streamEvent(r *request, no choice.LegNo, data []byte) {
+func (d *Dispatcher) streamEvent(r *request, no scheduler.LegNo, data []byte) {
 	if no != r.attempts-1 || r.attempt == nil || r.answered {
 		return
 	}
@@ -76,7 +76,7 @@
 	}
 }
 
-func (d *Dispatcher) streamStarted(r *request, no choice.LegNo) {
+func (d *Dispatcher) streamStarted(r *request, no scheduler.LegNo) {
 	r.started, r.held = true, false
 	r.lease.Over()
 	r.attempt.Started()
@@ -89,11 +89,11 @@
 }
 
 // attemptEnded takes the end of an attempt.
-func (d *Dispatcher) attemptEnded(r *request, no choice.LegNo, o engine.Outcome) {
+func (d *Dispatcher) attemptEnded(r *request, no scheduler.LegNo, o engine.Outcome) {
 	if no != r.attempts-1 {
 		return
 	}
-	if o.Cut && !r.started && !r.closing && o.How != choice.Unreachable {
+	if o.Cut && !r.started && !r.closing && o.How != scheduler.Unreachable {
 		r.closing = true
 		d.loop.After(closeSeen, func() { d.attemptEnded(r, no, o) })
 		return
@@ -109,7 +109,7 @@
 	d.settle(r)
 }
 
-func (d *Dispatcher) logOutcome(r *request, no choice.LegNo, o engine.Outcome) {
+func (d *Dispatcher) logOutcome(r *request, no scheduler.LegNo, o engine.Outcome) {
 	e := d.config.Log.Debug()
 	if !e.Enabled() {
 		return
@@ -121,10 +121,10 @@
 }
 
 // noteHeld notes what a host may hold for the request after an attempt.
-func (d *Dispatcher) noteHeld(r *request, how choice.Ending) {
+func (d *Dispatcher) noteHeld(r *request, how scheduler.Ending) {
 	switch how {
-	case choice.Unreachable, choice.NeverSent: // and what is held has waited on
-	case choice.Full:
+	case scheduler.Unreachable, scheduler.NeverSent: // and what is held has waited on
+	case scheduler.Full:
 		if r.held { // the attempt that was to take it was out until now
 			d.hold(r)
 		}
@@ -140,9 +140,9 @@
 }
 
 // endStream gives the client the end of its stream.
-func (d *Dispatcher) endStream(r *request, how choice.Ending) {
+func (d *Dispatcher) endStream(r *request, how scheduler.Ending) {
 	r.answered = true
-	if how == choice.Streamed {
+	if how == scheduler.Streamed {
 		d.Completed++
 		r.response.Complete()
 		return
@@ -151,16 +151,16 @@
 	r.response.Break()
 }
 
-// Cancel implements choice.Orders: it gives an attempt up. That it was cancelled is told after the module's call; one that never left
+// Cancel implements scheduler.Orders: it gives an attempt up. That it was cancelled is told after the module's call; one that never left
 // is known not to have run.
-func (d *Dispatcher) Cancel(id choice.GenID, no choice.LegNo) {
+func (d *Dispatcher) Cancel(id scheduler.GenID, no scheduler.LegNo) {
 	r := d.requests[id]
 	if r == nil || no != r.attempts-1 || r.started || r.closing || r.attempt == nil && r.deferred == nil {
 		return
 	}
-	o := engine.Outcome{How: choice.Cancelled, Cut: true, Memory: choice.NoReport, Why: "given up"}
+	o := engine.Outcome{How: scheduler.Cancelled, Cut: true, Memory: scheduler.NoReport, Why: "given up"}
 	if r.attempt == nil || r.attempt.Unsent() {
-		o = engine.Outcome{How: choice.NeverSent, Memory: choice.NoReport, Why: "given up before it left"}
+		o = engine.Outcome{How: scheduler.NeverSent, Memory: scheduler.NoReport, Why: "given up before it left"}
 	}
 	d.takeBack(r, o)
 }
--- a/internal/platform/discovery/discovery.go
+++ b/internal/platform/discovery/discovery.go
@@ -10,9 +10,9 @@
 	"github.com/cespare/xxhash/v2"
 	"github.com/tidwall/gjson"
 
-	"plumspindle/choice"
 	"plumspindle/internal/eventloop"
 	"plumspindle/internal/subscribe"
+	"plumspindle/scheduler"
 )
 
 // What a watch that fell silent misses counts as told 6 s later, and so does what could have been had after a call that failed. The
@@ -32,13 +32,13 @@
 
 // Entry is one model host, as the list has it.
 type Entry struct {
-	ID         choice.HostID
+	ID         scheduler.HostID
 	Name       string
 	Addr       string
 	Zone, Kind string
-	Cell       choice.CellID
-	Condition  choice.Condition
-	Started    choice.Micros // 0: long ago
+	Cell       scheduler.CellID
+	Condition  scheduler.Condition
+	Started    scheduler.Micros // 0: long ago
 }
 
 // Watch keeps the list.
@@ -47,7 +47,7 @@
 	loop    eventloop.Loop
 	version uint64
 	newest  uint64 // the highest version that was ever told
-	numbers map[choice.HostID]*number
+	numbers map[scheduler.HostID]*number
 	news    func(entries []Entry, whole bool)
 	log     func(line string)
 	forgot  eventloop.Micros
@@ -58,14 +58,14 @@
 	name string
 	gone eventloop.Micros // since when it is not listed; 0: it is
 	// As the newest list had it, and when.
-	started  choice.Micros
+	started  scheduler.Micros
 	retired  bool // it wants nothing new
 	listedAt eventloop.Micros
 }
 
 // New makes one that has not asked yet; news are told as they come.
 func New(loop eventloop.Loop, seed int64, addr string, news func([]Entry, bool), log func(string)) *Watch {
-	w := &Watch{loop: loop, numbers: map[choice.HostID]*number{}, news: news, log: log}
+	w := &Watch{loop: loop, numbers: map[scheduler.HostID]*number{}, news: news, log: log}
 	c := subscribe.NewClient(loop, seed, addr)
 	c.What, c.Lines, c.Standby, c.Log = "discovery", true, true, log
 	c.Silence, c.Answer, c.Least, c.Again = silence, answer, least, again
@@ -84,7 +84,7 @@
 // Up tells whether discovery speaks.
 func (w *Watch) Up() bool { return w.client.Up() }
 
-var conditions = map[string]choice.Condition{"SERVING": choice.Ready, "DRAINING": choice.Draining, "DELETED": choice.Gone}
+var conditions = map[string]scheduler.Condition{"SERVING": scheduler.Ready, "DRAINING": scheduler.Draining, "DELETED": scheduler.Gone}
 
 // Take takes one list, or the changes since the one before.
 func (w *Watch) Take(line []byte) error {
@@ -129,12 +129,12 @@
 	n := w.numbers[e.ID]
 	if version < w.newest && now-n.listedAt < newestKept {
 		if n.retired && e.Started <= n.started {
-			e.Condition = choice.Draining
+			e.Condition = scheduler.Draining
 		}
 		e.Started = max(e.Started, n.started)
 		return
 	}
-	n.started, n.retired, n.listedAt = e.Started, e.Condition != choice.Ready, now
+	n.started, n.retired, n.listedAt = e.Started, e.Condition != scheduler.Ready, now
 }
 
 func (w *Watch) entry(s gjson.Result, now eventloop.Micros) (e Entry, err error) {
@@ -146,19 +146,19 @@
 	if cell < 0 || cell > math.MaxUint16 {
 		return e, fmt.Errorf("host %s: cell %d is out of range", e.Name, cell)
 	}
-	e.Cell = choice.CellID(cell)
+	e.Cell = scheduler.CellID(cell)
 	condition, known := conditions[s.Get("state").String()]
 	if !known { // whatever it is, it is not said to serve
 		w.log(fmt.Sprintf("discovery: host %s: unknown state %.20q; nothing new is sent there", e.Name, s.Get("state").String()))
-		condition = choice.Draining
+		condition = scheduler.Draining
 	}
 	e.Condition = condition
 	if ms := s.Get("started_ms").Int(); ms > 0 {
-		e.Started = choice.Micros(min(ms, math.MaxInt64/2000)) * eventloop.Millisecond
+		e.Started = scheduler.Micros(min(ms, math.MaxInt64/2000)) * eventloop.Millisecond
 	}
 	e.ID = w.Number(e.Name)
 	n := w.numbers[e.ID]
-	if n.gone = 0; condition == choice.Gone {
+	if n.gone = 0; condition == scheduler.Gone {
 		n.gone = now
 	}
 	return e, nil
@@ -166,10 +166,10 @@
 
 // Number is a hash of the id and nothing else, as a prefix's home is found by it, alike at every dispatcher and after a restart.
 // Where two ids have the same hash the later one is hashed again: they must not become one host.
-func (w *Watch) Number(name string) choice.HostID {
+func (w *Watch) Number(name string) scheduler.HostID {
 	text := name
 	for {
-		id := choice.HostID(xxhash.Sum64String(text))
+		id := scheduler.HostID(xxhash.Sum64String(text))
 		n := w.numbers[id]
 		if n == nil {
 			w.numbers[id] = &number{name: name}
@@ -184,7 +184,7 @@
 
 // unlisted marks what a whole list leaves out.
 func (w *Watch) unlisted(entries []Entry, now eventloop.Micros) {
-	listed := map[choice.HostID]bool{}
+	listed := map[scheduler.HostID]bool{}
 	for _, e := range entries {
 		listed[e.ID] = true
 	}
--- a/internal/platform/discovery/discovery_test.go
+++ b/internal/platform/discovery/discovery_test.go
@@ -3,9 +3,9 @@
 import (
 	"testing"
 
-	"plumspindle/choice"
 	"plumspindle/internal/eventloop"
 	"plumspindle/internal/virtual"
+	"plumspindle/scheduler"
 )
 
 func newWatch(news func([]Entry, bool)) *Watch {
@@ -43,10 +43,10 @@
 		t.Fatalf("%v, entries %+v", err, got)
 	}
 	a := got[0]
-	if a.Started != 1700000000123*eventloop.Millisecond || a.Cell != 3 || a.Condition != choice.Ready || a.Zone != "w" || a.Kind != "m2" || a.Addr != "10.1.0.18:7070" {
+	if a.Started != 1700000000123*eventloop.Millisecond || a.Cell != 3 || a.Condition != scheduler.Ready || a.Zone != "w" || a.Kind != "m2" || a.Addr != "10.1.0.18:7070" {
 		t.Errorf("%+v", a)
 	}
-	if got[1].Condition != choice.Gone || got[2].Condition != choice.Draining {
+	if got[1].Condition != scheduler.Gone || got[2].Condition != scheduler.Draining {
 		t.Errorf("%+v", got[1:])
 	}
 	if err := w.Take([]byte(`{"version":2,"full":false,"servers":[]}`)); err == nil || w.version != 0 {
--- a/internal/platform/dispatcher.go
+++ b/internal/platform/dispatcher.go
@@ -8,13 +8,13 @@
 
 	"github.com/rs/zerolog"
 
-	"plumspindle/choice"
 	"plumspindle/internal/engine"
 	"plumspindle/internal/eventloop"
 	"plumspindle/internal/platform/discovery"
 	"plumspindle/internal/platform/server"
 	"plumspindle/internal/platform/upstream"
 	"plumspindle/internal/settings"
+	"plumspindle/scheduler"
 )
 
 // Config is where a dispatcher stands, and what it may use.
@@ -44,7 +44,7 @@
 // Counts are what the dispatcher has done since its start.
 type Counts struct {
 	Accepted, Completed, Broken, Rejected, Failed, ClientsGone, Attempts uint64
-	Outcomes                                                             [9]uint64 // by choice.Ending
+	Outcomes                                                             [9]uint64 // by scheduler.Ending
 }
 
 // Dispatcher serves the clients of one process.
@@ -52,16 +52,16 @@
 	loop         eventloop.Loop
 	config       Config
 	settings     *settings.Terms
-	module       *choice.Dispatcher
+	module       *scheduler.Dispatcher
 	upstream     *upstream.Legs
 	server       *server.Server
 	discovery    *discovery.Watch
-	requests     map[choice.GenID]*request
-	lastRequest  choice.GenID
+	requests     map[scheduler.GenID]*request
+	lastRequest  scheduler.GenID
 	openIDs      map[string]bool
 	recentIDs    [2]map[string]bool // of requests that were answered a while ago
-	hosts        map[choice.HostID]discovery.Entry
-	ready        []choice.HostID // that want new requests, in order
+	hosts        map[scheduler.HostID]discovery.Entry
+	ready        []scheduler.HostID // that want new requests, in order
 	startedAt    eventloop.Micros
 	shuttingDown bool
 	lastActive   eventloop.Micros // while it is shutting down
@@ -71,17 +71,17 @@
 // Start makes a dispatcher on a loop; Server's Accept takes its clients.
 func Start(loop eventloop.Loop, config Config) *Dispatcher {
 	t := config.Settings
-	d := &Dispatcher{loop: loop, config: config, settings: t, requests: map[choice.GenID]*request{}, openIDs: map[string]bool{},
-		recentIDs: [2]map[string]bool{{}, {}}, hosts: map[choice.HostID]discovery.Entry{}, startedAt: loop.Now()}
+	d := &Dispatcher{loop: loop, config: config, settings: t, requests: map[scheduler.GenID]*request{}, openIDs: map[string]bool{},
+		recentIDs: [2]map[string]bool{{}, {}}, hosts: map[scheduler.HostID]discovery.Entry{}, startedAt: loop.Now()}
 	place := t.Place
 	place.Idle /= 2 // connections are closed well before hosts do: what is written to one that is closed counts as lost
 	warn := func(line string) { config.Log.Warn().Msg(line) }
 	e := engine.New(loop, config.Name, "", upstreamLimits(t, config.Sockets, place.Idle))
-	d.upstream = upstream.New(loop, e, t.LetGo, func() []choice.HostID { return d.ready })
+	d.upstream = upstream.New(loop, e, t.LetGo, func() []scheduler.HostID { return d.ready })
 	d.upstream.Log = warn
 	d.server = server.New(loop, clientLimits(config.Sockets, config.Memory), d)
 	d.discovery = discovery.New(loop, config.Seed, config.Discovery, d.updateHosts, warn)
-	d.module = choice.Start(loop.Now(), config.Seed, place, d)
+	d.module = scheduler.Start(loop.Now(), config.Seed, place, d)
 	if len(config.Known) > 0 {
 		if err := d.discovery.Take(config.Known); err != nil {
 			config.Log.Warn().Err(err).Msg("the known list is not used")
@@ -140,11 +140,11 @@
 	var prefill, decode bool
 	for _, id := range d.ready {
 		switch d.role(id) {
-		case choice.Reader:
+		case scheduler.Reader:
 			prefill = true
-		case choice.Writer:
+		case scheduler.Writer:
 			decode = true
-		case choice.Mixed:
+		case scheduler.Mixed:
 			return true
 		}
 	}
--- a/internal/platform/hosts.go
+++ b/internal/platform/hosts.go
@@ -3,14 +3,14 @@
 import (
 	"slices"
 
-	"plumspindle/choice"
 	"plumspindle/internal/engine"
 	"plumspindle/internal/platform/discovery"
+	"plumspindle/scheduler"
 )
 
 // updateHosts takes a list of hosts, or what has changed in it.
 func (d *Dispatcher) updateHosts(entries []discovery.Entry, whole bool) {
-	listed := map[choice.HostID]bool{}
+	listed := map[scheduler.HostID]bool{}
 	for _, e := range entries {
 		listed[e.ID] = true
 		d.updateHost(e)
@@ -24,7 +24,7 @@
 	d.takeBackUnsent()
 	d.module.ListEnded(d.loop.Now(), whole)
 	for _, e := range entries {
-		if e.Condition == choice.Gone {
+		if e.Condition == scheduler.Gone {
 			d.upstream.Forget(e.ID)
 		}
 	}
@@ -40,7 +40,7 @@
 			Msg("a host of a zone or kind that the settings do not name; nothing is sent there")
 		zone, kind = max(zone, 0), unknownKind
 	}
-	if e.Condition == choice.Gone {
+	if e.Condition == scheduler.Gone {
 		delete(d.hosts, e.ID)
 	} else {
 		d.hosts[e.ID] = e
@@ -49,13 +49,13 @@
 	d.config.Log.Debug().Str("host", e.Name).Uint32("number", uint32(e.ID)).Str("addr", e.Addr).Str("kind", e.Kind).Str("zone", e.Zone).
 		Uint16("cell", uint16(e.Cell)).Int("condition", int(e.Condition)).Int64("started", int64(e.Started)).Msg("listed")
 	now := d.loop.Now()
-	d.module.Listed(now, e.ID, choice.ZoneID(zone), choice.KindID(kind), e.Cell, e.Condition, min(e.Started, now))
+	d.module.Listed(now, e.ID, scheduler.ZoneID(zone), scheduler.KindID(kind), e.Cell, e.Condition, min(e.Started, now))
 }
 
 func (d *Dispatcher) updateReady() {
 	d.ready = d.ready[:0]
 	for id, e := range d.hosts {
-		if e.Condition == choice.Ready {
+		if e.Condition == scheduler.Ready {
 			d.ready = append(d.ready, id)
 		}
 	}
@@ -66,14 +66,14 @@
 func (d *Dispatcher) takeBackUnsent() {
 	for _, r := range d.inOrder() {
 		if r.attempt != nil && r.attempt.Unsent() && !slices.Contains(d.ready, r.host) {
-			d.takeBack(r, engine.Outcome{How: choice.Unreachable, Memory: choice.NoReport, Why: "the host is going"})
+			d.takeBack(r, engine.Outcome{How: scheduler.Unreachable, Memory: scheduler.NoReport, Why: "the host is going"})
 		}
 	}
 }
 
-func (d *Dispatcher) role(id choice.HostID) choice.Role {
+func (d *Dispatcher) role(id scheduler.HostID) scheduler.Role {
 	if k := slices.Index(d.settings.Kinds, d.hosts[id].Kind); k >= 0 && k < len(d.settings.Place.Kinds) {
 		return d.settings.Place.Kinds[k].Role
 	}
-	return choice.Writer
+	return scheduler.Writer
 }
--- a/internal/platform/orders.go
+++ b/internal/platform/orders.go
@@ -1,9 +1,9 @@
 package platform
 
-import "plumspindle/choice"
+import "plumspindle/scheduler"
 
-// Throttle implements choice.Orders: the final answer of a request that may come again.
-func (d *Dispatcher) Throttle(id choice.GenID, retryAfter choice.Micros) {
+// Throttle implements scheduler.Orders: the final answer of a request that may come again.
+func (d *Dispatcher) Throttle(id scheduler.GenID, retryAfter scheduler.Micros) {
 	if r := d.requests[id]; r != nil && !r.answered {
 		r.answered = true
 		d.Rejected++
@@ -12,8 +12,8 @@
 	}
 }
 
-// Terminate implements choice.Orders: the final answer of a request that failed.
-func (d *Dispatcher) Terminate(id choice.GenID) {
+// Terminate implements scheduler.Orders: the final answer of a request that failed.
+func (d *Dispatcher) Terminate(id scheduler.GenID) {
 	if r := d.requests[id]; r != nil && !r.answered {
 		r.answered = true
 		d.Failed++
@@ -28,13 +28,13 @@
 	d.loop.Later(func() { d.settle(r) })
 }
 
-// Subscribe implements choice.Orders; the list comes by itself here.
+// Subscribe implements scheduler.Orders; the list comes by itself here.
 func (d *Dispatcher) Subscribe() {}
 
-// Ring implements choice.Orders: it sets one of the module's two timers.
-func (d *Dispatcher) Ring(after choice.Micros, bell choice.Bell) {
+// Ring implements scheduler.Orders: it sets one of the module's two timers.
+func (d *Dispatcher) Ring(after scheduler.Micros, bell scheduler.Bell) {
 	d.loop.After(after, func() { d.module.Rang(d.loop.Now(), bell) })
 }
 
-// Log implements choice.Orders.
+// Log implements scheduler.Orders.
 func (d *Dispatcher) Log(line string) { d.config.Log.Info().Msg(line) }
--- a/internal/platform/platform_test.go
+++ b/internal/platform/platform_test.go
@@ -6,10 +6,10 @@
 	"strings"
 	"testing"
 
-	"plumspindle/choice"
 	"plumspindle/internal/eventloop"
 	"plumspindle/internal/http1"
 	"plumspindle/internal/sse"
+	"plumspindle/scheduler"
 )
 
 var fleet = []string{"prefill", "prefill", "decode", "decode"}
@@ -457,7 +457,7 @@
 		}
 	}
 	r.quiet()
-	if r.x.Outcomes[choice.TimedOut] > 0 || r.x.Outcomes[choice.Cancelled] > 0 || r.releases() > released {
+	if r.x.Outcomes[scheduler.TimedOut] > 0 || r.x.Outcomes[scheduler.Cancelled] > 0 || r.releases() > released {
 		t.Errorf("endings %v, %d releases", r.x.Outcomes, r.releases()-released)
 	}
 }
@@ -547,8 +547,8 @@
 	for _, l := range kept {
 		l.h.loop.Do(l.conn.Close)
 	}
-	if got := r.final(c); got != 200 || r.x.Outcomes[choice.Dropped] != 0 {
-		t.Errorf("answered %d, with %d legs lost", got, r.x.Outcomes[choice.Dropped])
+	if got := r.final(c); got != 200 || r.x.Outcomes[scheduler.Dropped] != 0 {
+		t.Errorf("answered %d, with %d legs lost", got, r.x.Outcomes[scheduler.Dropped])
 	}
 }
 
--- a/internal/platform/races_test.go
+++ b/internal/platform/races_test.go
@@ -6,9 +6,9 @@
 	"strings"
 	"testing"
 
-	"plumspindle/choice"
 	"plumspindle/internal/eventloop"
 	"plumspindle/internal/http1"
+	"plumspindle/scheduler"
 )
 
 // TestFieldsPassOn: a model host gets the fields that the client sent, as the key by which repeats are dropped, but for those that speak of
@@ -135,7 +135,7 @@
 	if got := r.final(c); got != 200 {
 		t.Errorf("answered %d", got)
 	}
-	if took := c.at - began; took > eventloop.Second || r.x.Outcomes[choice.Unreachable] != 1 {
+	if took := c.at - began; took > eventloop.Second || r.x.Outcomes[scheduler.Unreachable] != 1 {
 		t.Errorf("answered after %d ms with outcomes %v", took/eventloop.Millisecond, r.x.Outcomes)
 	}
 	r.quiet()
--- a/internal/platform/request.go
+++ b/internal/platform/request.go
@@ -9,10 +9,10 @@
 
 	"github.com/cespare/xxhash/v2"
 
-	"plumspindle/choice"
 	"plumspindle/internal/engine"
 	"plumspindle/internal/eventloop"
 	"plumspindle/internal/platform/server"
+	"plumspindle/scheduler"
 )
 
 // An id is not taken again for so long after its answer: a copy of an open request may come when that has just ended.
@@ -20,15 +20,15 @@
 
 // request is what the dispatcher keeps of a client's request: what the module does not know, and nothing that it does.
 type request struct {
-	id       choice.GenID
+	id       scheduler.GenID
 	client   *server.Request
 	response *server.Response
 	answered bool // or nobody waits any more
 
 	// The attempt that is out.
-	attempts choice.LegNo // made so far
+	attempts scheduler.LegNo // made so far
 	attempt  *engine.Leg
-	host     choice.HostID
+	host     scheduler.HostID
 	sentAt   eventloop.Micros // when it was ordered
 	prefill  bool
 	closing  bool // it is given up, and its host may not have seen it yet
@@ -36,7 +36,7 @@
 
 	// The KV state that a host may hold for the request.
 	held      bool
-	holder    choice.HostID // the likely one
+	holder    scheduler.HostID // the likely one
 	lease     eventloop.Wait
 	releasing bool   // it is being released
 	deferred  func() // the attempt that waits for it, as the release would take what that attempt leaves
@@ -66,8 +66,8 @@
 			r.attempt.Slow(false)
 		}
 	}
-	d.module.Arrive(d.loop.Now(), r.id, choice.SessionID(hashName(client.Session)), choice.PrefixID(hashName(client.Prefix)),
-		choice.ProductID(class), choice.TenantID(tenant), client.PromptTokens, client.PrefixTokens, client.MaxOutputTokens, 0,
+	d.module.Arrive(d.loop.Now(), r.id, scheduler.SessionID(hashName(client.Session)), scheduler.PrefixID(hashName(client.Prefix)),
+		scheduler.ProductID(class), scheduler.TenantID(tenant), client.PromptTokens, client.PrefixTokens, client.MaxOutputTokens, 0,
 		client.ReceivedAt+client.Timeout)
 	d.settle(r)
 	return nil
@@ -91,7 +91,7 @@
 	if r.started {
 		attempt, no := r.attempt, r.attempts-1
 		attempt.Cancel()
-		d.attemptEnded(r, no, engine.Outcome{How: choice.Cancelled, Memory: choice.NoReport, Why: "its client left"})
+		d.attemptEnded(r, no, engine.Outcome{How: scheduler.Cancelled, Memory: scheduler.NoReport, Why: "its client left"})
 		return
 	}
 	d.module.Left(d.loop.Now(), r.id)
--- a/internal/platform/state.go
+++ b/internal/platform/state.go
@@ -1,9 +1,9 @@
 package platform
 
 import (
-	"plumspindle/choice"
 	"plumspindle/internal/engine"
 	"plumspindle/internal/eventloop"
+	"plumspindle/scheduler"
 )
 
 // leasePart is the part of the time in which a KV state has to be taken or released after which an attempt that has no connection yet
@@ -23,9 +23,9 @@
 	if !r.held || r.releasing || attempt == nil || !attempt.Unsent() {
 		return
 	}
-	outcome := engine.Outcome{How: choice.Full, Note: 1, Memory: choice.NoReport, Why: "no connection while its state may wait"}
+	outcome := engine.Outcome{How: scheduler.Full, Note: 1, Memory: scheduler.NoReport, Why: "no connection while its state may wait"}
 	if r.prefill {
-		outcome.How, outcome.Note = choice.NeverSent, 0
+		outcome.How, outcome.Note = scheduler.NeverSent, 0
 	}
 	attempt.Cancel()
 	d.release(r)
@@ -46,8 +46,8 @@
 	})
 }
 
-// LetGo implements choice.Orders: what is held is released now; an attempt that follows waits for that.
-func (d *Dispatcher) LetGo(id choice.GenID) {
+// LetGo implements scheduler.Orders: what is held is released now; an attempt that follows waits for that.
+func (d *Dispatcher) LetGo(id scheduler.GenID) {
 	if r := d.requests[id]; r != nil && r.held && !r.releasing && r.attempt == nil {
 		d.release(r)
 	}
--- a/internal/platform/upstream/upstream.go
+++ b/internal/platform/upstream/upstream.go
@@ -11,10 +11,10 @@
 
 	"github.com/tidwall/gjson"
 
-	"plumspindle/choice"
 	"plumspindle/internal/engine"
 	"plumspindle/internal/eventloop"
 	"plumspindle/internal/http1"
+	"plumspindle/scheduler"
 )
 
 const (
@@ -39,7 +39,7 @@
 	*engine.Engine
 	loop   eventloop.Loop
 	within eventloop.Micros
-	hosts  func() []choice.HostID
+	hosts  func() []scheduler.HostID
 	Log    func(line string)
 	Counts
 }
@@ -48,16 +48,16 @@
 type Counts struct{ Releases, Tries, Late uint64 }
 
 // New makes them; within is the time that a state may wait, and hosts are those that a release may be sent to.
-func New(loop eventloop.Loop, e *engine.Engine, within eventloop.Micros, hosts func() []choice.HostID) *Legs {
+func New(loop eventloop.Loop, e *engine.Engine, within eventloop.Micros, hosts func() []scheduler.HostID) *Legs {
 	return &Legs{Engine: e, loop: loop, within: within, hosts: hosts, Log: func(string) {}}
 }
 
 // Read sends a read, Write what is answered with a stream. Neither calls back before it has returned.
-func (l *Legs) Read(id choice.HostID, r Request, allow eventloop.Micros, hear engine.Hearer) *engine.Leg {
+func (l *Legs) Read(id scheduler.HostID, r Request, allow eventloop.Micros, hear engine.Hearer) *engine.Leg {
 	return l.Call(id, engine.Call{Request: r.to, Answer: Read, Most: answerMost}, allow, hear)
 }
 
-func (l *Legs) Write(id choice.HostID, r Request, allow eventloop.Micros, hear engine.Hearer) *engine.Leg {
+func (l *Legs) Write(id scheduler.HostID, r Request, allow eventloop.Micros, hear engine.Hearer) *engine.Leg {
 	return l.Call(id, engine.Call{Request: r.to, Answer: Unstreamed, Stream: &events{}, Most: answerMost}, allow, hear)
 }
 
@@ -68,9 +68,9 @@
 
 // declined are the answers by which a host states that it has not run the leg; only these, with the field that says so, prove it.
 var declined = map[int]engine.Outcome{
-	503: {How: choice.Full, Why: "turned away"},
-	504: {How: choice.Full, Why: "turned away, as its time is over"},
-	410: {How: choice.Full, Note: 1, Why: "the read state is gone"},
+	503: {How: scheduler.Full, Why: "turned away"},
+	504: {How: scheduler.Full, Why: "turned away, as its time is over"},
+	410: {How: scheduler.Full, Note: 1, Why: "the read state is gone"},
 }
 
 // Read is what an answer to a read means.
@@ -80,7 +80,7 @@
 		if gjson.ValidBytes(body) {
 			kept = int(max(gjson.GetBytes(body, "cached_tokens").Int(), 0))
 		}
-		return engine.Outcome{How: choice.ReadDone, Note: kept, Why: "read"}
+		return engine.Outcome{How: scheduler.ReadDone, Note: kept, Why: "read"}
 	}
 	return Unstreamed(h, body)
 }
@@ -90,7 +90,7 @@
 	if o, some := declined[h.Status]; some && h.Get("Srv-Declined") == "1" {
 		return o
 	}
-	return engine.Outcome{How: choice.Errored, Why: "status " + strconv.Itoa(h.Status)}
+	return engine.Outcome{How: scheduler.Errored, Why: "status " + strconv.Itoa(h.Status)}
 }
 
 // events judges those of one stream.
@@ -124,13 +124,13 @@
 
 func (e *events) Ended() engine.Outcome {
 	if !e.some {
-		return engine.Outcome{How: choice.Errored, Why: "a stream without an event"}
+		return engine.Outcome{How: scheduler.Errored, Why: "a stream without an event"}
 	}
-	return engine.Outcome{How: choice.Streamed, Note: e.kept, Why: "streamed"}
+	return engine.Outcome{How: scheduler.Streamed, Note: e.kept, Why: "streamed"}
 }
 
 // Broke: what has no last chunk is not whole, whatever its events say, as the client must not be told that it is.
-func (e *events) Broke(how choice.Ending, why string) engine.Outcome {
+func (e *events) Broke(how scheduler.Ending, why string) engine.Outcome {
 	return engine.Outcome{How: how, Why: why}
 }
 
@@ -139,9 +139,9 @@
 // Release has all that is held for a request let go of. Any host takes it, so one that can't be reached is no reason to wait: one
 // is asked that spoke lately and has a connection that waits, then the others in turn. done is called once, with whether a host has
 // confirmed it.
-func (l *Legs) Release(id string, at choice.HostID, done func(bool)) {
+func (l *Legs) Release(id string, at scheduler.HostID, done func(bool)) {
 	l.Releases++
-	r := &release{legs: l, id: id, done: done, began: l.loop.Now(), tried: map[choice.HostID]bool{}}
+	r := &release{legs: l, id: id, done: done, began: l.loop.Now(), tried: map[scheduler.HostID]bool{}}
 	if now := l.loop.Now(); l.Idle(at) == 0 || now-l.Heard(at) > l.within {
 		at = l.other(r, at)
 	}
@@ -152,13 +152,13 @@
 	legs  *Legs
 	id    string
 	began eventloop.Micros
-	tried map[choice.HostID]bool
+	tried map[scheduler.HostID]bool
 	done  func(bool)
 }
 
 // other is a host not tried yet, one with a connection that waits before all others, and of those the one that spoke last: where many
 // have fallen silent together their connections wait all the same, and a state has no time for one after the other.
-func (l *Legs) other(r *release, usual choice.HostID) choice.HostID {
+func (l *Legs) other(r *release, usual scheduler.HostID) scheduler.HostID {
 	best, rank, spoke := usual, -1, eventloop.Micros(0)
 	for _, h := range l.hosts() {
 		at := 0
@@ -175,7 +175,7 @@
 	return best
 }
 
-func (r *release) try(at choice.HostID) {
+func (r *release) try(at scheduler.HostID) {
 	l := r.legs
 	l.Tries++
 	r.tried[at] = true
@@ -183,16 +183,16 @@
 		return http1.AppendRequest(nil, "DELETE", "/v1/holds/"+r.id, addr, nil)
 	}, Answer: func(h *http1.Head, _ []byte) engine.Outcome {
 		if h.Status == 204 || h.Status == 200 {
-			return engine.Outcome{How: choice.ReadDone}
+			return engine.Outcome{How: scheduler.ReadDone}
 		}
-		return engine.Outcome{How: choice.Errored, Why: "status " + strconv.Itoa(h.Status)}
+		return engine.Outcome{How: scheduler.Errored, Why: "status " + strconv.Itoa(h.Status)}
 	}}
 	span := l.within / triesInTime
 	began := l.loop.Now()
 	l.Call(at, call, span, engine.Hearer{Ended: func(o engine.Outcome) {
 		now := l.loop.Now()
 		switch {
-		case o.How == choice.ReadDone:
+		case o.How == scheduler.ReadDone:
 			if now-r.began > l.within {
 				l.Late++
 			}
--- a/internal/platform/upstream/upstream_test.go
+++ b/internal/platform/upstream/upstream_test.go
@@ -3,9 +3,9 @@
 import (
 	"testing"
 
-	"plumspindle/choice"
 	"plumspindle/internal/engine"
 	"plumspindle/internal/http1"
+	"plumspindle/scheduler"
 )
 
 // TestOutcomes holds the platform's table of what comes back against the results of the simulator's wire: the same ending, and the
@@ -17,24 +17,24 @@
 		fields []http1.Field
 		body   string
 		read   bool
-		how    choice.Ending
+		how    scheduler.Ending
 		note   int
 	}{
-		{202, nil, `{"cached_tokens":4096}`, true, choice.ReadDone, 4096},
-		{202, nil, `{"cached_tokens":-1}`, true, choice.ReadDone, 0},
-		{202, nil, `nonsense`, true, choice.ReadDone, 0},
-		{202, nil, ``, false, choice.Errored, 0},
-		{200, nil, `{}`, true, choice.Errored, 0},
-		{500, nil, ``, true, choice.Errored, 0},
-		{500, said, ``, false, choice.Errored, 0},
-		{503, said, ``, true, choice.Full, 0},
-		{503, said, ``, false, choice.Full, 0},
-		{504, said, ``, false, choice.Full, 0},
-		{410, said, ``, false, choice.Full, 1},
-		{503, nil, ``, false, choice.Errored, 0},
-		{504, []http1.Field{{Name: "Srv-Declined", Value: "0"}}, ``, false, choice.Errored, 0},
-		{410, nil, ``, false, choice.Errored, 0},
-		{404, said, ``, false, choice.Errored, 0},
+		{202, nil, `{"cached_tokens":4096}`, true, scheduler.ReadDone, 4096},
+		{202, nil, `{"cached_tokens":-1}`, true, scheduler.ReadDone, 0},
+		{202, nil, `nonsense`, true, scheduler.ReadDone, 0},
+		{202, nil, ``, false, scheduler.Errored, 0},
+		{200, nil, `{}`, true, scheduler.Errored, 0},
+		{500, nil, ``, true, scheduler.Errored, 0},
+		{500, said, ``, false, scheduler.Errored, 0},
+		{503, said, ``, true, scheduler.Full, 0},
+		{503, said, ``, false, scheduler.Full, 0},
+		{504, said, ``, false, scheduler.Full, 0},
+		{410, said, ``, false, scheduler.Full, 1},
+		{503, nil, ``, false, scheduler.Errored, 0},
+		{504, []http1.Field{{Name: "Srv-Declined", Value: "0"}}, ``, false, scheduler.Errored, 0},
+		{410, nil, ``, false, scheduler.Errored, 0},
+		{404, said, ``, false, scheduler.Errored, 0},
 	} {
 		judge := Unstreamed
 		if c.read {
@@ -50,14 +50,14 @@
 	for _, c := range []struct {
 		events []string
 		bad    bool // one of them is no event
-		how    choice.Ending
+		how    scheduler.Ending
 		note   int
 	}{
-		{nil, false, choice.Errored, 0},
-		{[]string{`{"choices":[]}`}, false, choice.Streamed, 0},
-		{[]string{`{"choices":[]}`, `{"usage":{"prompt_tokens_details":{"cached_tokens":7}}}`, `[DONE]`}, false, choice.Streamed, 7},
-		{[]string{`{"choices":[]}`, `[DONE]`, `{"choices":[]}`}, true, choice.Streamed, 0},
-		{[]string{`{"cho`}, true, choice.Errored, 0},
+		{nil, false, scheduler.Errored, 0},
+		{[]string{`{"choices":[]}`}, false, scheduler.Streamed, 0},
+		{[]string{`{"choices":[]}`, `{"usage":{"prompt_tokens_details":{"cached_tokens":7}}}`, `[DONE]`}, false, scheduler.Streamed, 7},
+		{[]string{`{"choices":[]}`, `[DONE]`, `{"choices":[]}`}, true, scheduler.Streamed, 0},
+		{[]string{`{"cho`}, true, scheduler.Errored, 0},
 	} {
 		e, bad := &events{}, false
 		for _, data := range c.events {
@@ -69,7 +69,7 @@
 		if o := e.Ended(); bad != c.bad || o.How != c.how || o.Note != c.note {
 			t.Errorf("%q: %d with note %d, bad %v", c.events, o.How, o.Note, bad)
 		}
-		if o := e.Broke(choice.Dropped, ""); o.How != choice.Dropped { // what has no last chunk is never whole
+		if o := e.Broke(scheduler.Dropped, ""); o.How != scheduler.Dropped { // what has no last chunk is never whole
 			t.Errorf("%q: broken, and yet %d", c.events, o.How)
 		}
 	}
@@ -80,7 +80,7 @@
 	f.Add(503, `{`, `[DONE]`)
 	f.Fuzz(func(t *testing.T, status int, body, event string) {
 		for _, judge := range []func(*http1.Head, []byte) engine.Outcome{Read, Unstreamed} {
-			if o := judge(&http1.Head{Status: status}, []byte(body)); o.Note < 0 || o.How == choice.Full || o.How == choice.Streamed {
+			if o := judge(&http1.Head{Status: status}, []byte(body)); o.Note < 0 || o.How == scheduler.Full || o.How == scheduler.Streamed {
 				t.Errorf("%d %q: %+v", status, body, o)
 			}
 		}
--- a/internal/program/bench.go
+++ b/internal/program/bench.go
@@ -19,7 +19,6 @@
 	"github.com/tidwall/gjson"
 	"google.golang.org/protobuf/proto"
 
-	"plumspindle/choice"
 	"plumspindle/internal/chat"
 	"plumspindle/internal/deployment"
 	"plumspindle/internal/deployment/pb"
@@ -30,6 +29,7 @@
 	"plumspindle/internal/lab/hosts"
 	"plumspindle/internal/sockets"
 	"plumspindle/internal/sse"
+	"plumspindle/scheduler"
 )
 
 type benchCommand struct {
@@ -247,9 +247,9 @@
 	m.asks.Do(func() {
 		chance := rand.New(rand.NewSource(c.Seed))
 		e := engine.New(m.asks, "bench", m.d.Zones[0], engine.Trunks{Connect: eventloop.Second, Idle: 20 * eventloop.Second, Silence: 30 * eventloop.Second, Most: 8192, Opening: 1000})
-		var readers, writers []choice.HostID
+		var readers, writers []scheduler.HostID
 		for _, h := range m.fleet.Hosts {
-			id := choice.HostID(h.ID)
+			id := scheduler.HostID(h.ID)
 			e.Place(id, h.Addr)
 			if h.Kind() == "prefill" {
 				readers = append(readers, id)
@@ -297,13 +297,13 @@
 					begun = true
 					first(direct)()
 				}
-			}, Ended: func(o engine.Outcome) { end(o.How == choice.Streamed) }}
-			e.Read(readers[asked%len(readers)], e.LegName(choice.GenID(asked), 0), id, plain, 10*eventloop.Second, engine.Hearer{Ended: func(o engine.Outcome) {
-				if o.How != choice.ReadDone {
+			}, Ended: func(o engine.Outcome) { end(o.How == scheduler.Streamed) }}
+			e.Read(readers[asked%len(readers)], e.LegName(scheduler.GenID(asked), 0), id, plain, 10*eventloop.Second, engine.Hearer{Ended: func(o engine.Outcome) {
+				if o.How != scheduler.ReadDone {
 					end(false)
 					return
 				}
-				e.Write(writers[asked%len(writers)], e.LegName(choice.GenID(asked), 1), id, plain, o.State, 40, 10*eventloop.Second, hear)
+				e.Write(writers[asked%len(writers)], e.LegName(scheduler.GenID(asked), 1), id, plain, o.State, 40, 10*eventloop.Second, hear)
 			}})
 		}
 		next()
--- a/internal/repeat/repeat.go
+++ b/internal/repeat/repeat.go
@@ -3,10 +3,10 @@
 // ran, and else only when its window has passed: never to make room, since a forgotten key could run twice.
 package repeat
 
-import "plumspindle/choice/due"
+import "plumspindle/scheduler/timerqueue"
 
 // Micros is a time or a span in whole microseconds.
-type Micros = due.Micros
+type Micros = timerqueue.Micros
 
 // Key names a tenant's product and what its client called the generation, as a digest.
 type Key [16]byte
--- a/internal/roster/roster.go
+++ b/internal/roster/roster.go
@@ -8,19 +8,19 @@
 	"maps"
 	"slices"
 
-	"plumspindle/choice"
 	"plumspindle/internal/subscribe"
+	"plumspindle/scheduler"
 )
 
 // Entry is one line of the list.
 type Entry struct {
-	ID        choice.HostID `json:"id"`
-	Addr      string        `json:"addr"`
-	Zone      string        `json:"zone"`
-	Kind      string        `json:"kind"`
-	Cell      uint16        `json:"cell"`
-	Condition string        `json:"condition"` // ready, draining or gone
-	Started   int64         `json:"started_us,omitempty"`
+	ID        scheduler.HostID `json:"id"`
+	Addr      string           `json:"addr"`
+	Zone      string           `json:"zone"`
+	Kind      string           `json:"kind"`
+	Cell      uint16           `json:"cell"`
+	Condition string           `json:"condition"` // ready, draining or gone
+	Started   int64            `json:"started_us,omitempty"`
 }
 
 // List is one message: the whole list, or what has changed since a version.
@@ -33,16 +33,16 @@
 	Saved   int64   `json:"saved_us,omitempty"` // when it was kept; only in a kept list
 }
 
-var conditions = map[string]choice.Condition{"ready": choice.Ready, "draining": choice.Draining, "gone": choice.Gone}
+var conditions = map[string]scheduler.Condition{"ready": scheduler.Ready, "draining": scheduler.Draining, "gone": scheduler.Gone}
 
 // State is what an entry says of its host, in the module's terms.
-func (e Entry) State() choice.Condition { return conditions[e.Condition] }
+func (e Entry) State() scheduler.Condition { return conditions[e.Condition] }
 
 // Follower knows the list as it was last told.
 type Follower struct {
 	Epoch   string
 	Version uint64
-	Hosts   map[choice.HostID]Entry
+	Hosts   map[scheduler.HostID]Entry
 }
 
 // Take reads one message. It gives the entries to be passed on, and whether they are the whole list; none for a
@@ -68,7 +68,7 @@
 		return nil, false, &subscribe.Gap{Have: f.Version, Since: l.Since}
 	}
 	if l.Whole || f.Hosts == nil {
-		f.Hosts = make(map[choice.HostID]Entry, len(l.Hosts))
+		f.Hosts = make(map[scheduler.HostID]Entry, len(l.Hosts))
 	}
 	for _, e := range l.Hosts {
 		if e.Condition == "gone" {
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -10,34 +10,34 @@
 
 	"github.com/tidwall/gjson"
 
-	"plumspindle/choice"
+	"plumspindle/scheduler"
 )
 
 var (
-	roles   = map[string]choice.Role{"read": choice.Reader, "write": choice.Writer, "both": choice.Mixed}
-	effects = map[string]choice.Effect{"read_like": choice.Idempotent,
-		"idempotency_key": choice.Deduplicated, "non_idempotent": choice.SideEffecting}
-	groups = map[string]choice.Group{"all": choice.AllHosts, "zone": choice.SameZone, "cell": choice.SameCell}
+	roles   = map[string]scheduler.Role{"read": scheduler.Reader, "write": scheduler.Writer, "both": scheduler.Mixed}
+	effects = map[string]scheduler.Effect{"read_like": scheduler.Idempotent,
+		"idempotency_key": scheduler.Deduplicated, "non_idempotent": scheduler.SideEffecting}
+	groups = map[string]scheduler.Group{"all": scheduler.AllHosts, "zone": scheduler.SameZone, "cell": scheduler.SameCell}
 )
 
 // What holds where the settings do not say: without any time for connections nothing could be sent, and without any for a KV state each
 // would have to be released before it is there.
 const (
-	defaultConnect choice.Micros = 1e6
-	defaultIdle    choice.Micros = 10e6
-	defaultLetGo   choice.Micros = 500e3
+	defaultConnect scheduler.Micros = 1e6
+	defaultIdle    scheduler.Micros = 10e6
+	defaultLetGo   scheduler.Micros = 500e3
 )
 
 // Terms are what the settings say.
 type Terms struct {
-	Place    choice.Deployment
+	Place    scheduler.Deployment
 	Products []string // names, in the order of Place.Products
 	Kinds    []string // of model hosts, in the order of Place.Kinds
 	Zones    []string
 	Tenants  []string
-	Connect  choice.Micros // a connection that is not made by then counts as not to be had
-	LetGo    choice.Micros // within which a state is taken or let go of
-	Report   []string      // names of the values of a load report
+	Connect  scheduler.Micros // a connection that is not made by then counts as not to be had
+	LetGo    scheduler.Micros // within which a state is taken or let go of
+	Report   []string         // names of the values of a load report
 }
 
 // Read decodes them. What it does not know it passes over; what it knows and can't read it names.
@@ -46,12 +46,12 @@
 		return nil, errors.New("the start settings are not a JSON object")
 	}
 	get := gjson.ParseBytes(raw).Get
-	span := func(path string) choice.Micros { return Micros(get(path).Uint()) }
+	span := func(path string) scheduler.Micros { return Micros(get(path).Uint()) }
 	t := &Terms{Connect: span("limits.connect_timeout"), LetGo: span("domain.let_go_by"),
 		Zones: names(get("localities")), Kinds: names(get("host_types")), Report: names(get("telemetry.fields")),
-		Place: choice.Deployment{
+		Place: scheduler.Deployment{
 			Dispatchers:    int(get("group_size").Int()),
-			Zone:           choice.ZoneID(get("zone").Uint()),
+			Zone:           scheduler.ZoneID(get("zone").Uint()),
 			OverShareWorth: get("over_share_worth").Float(),
 			WritersRead:    get("domain.local_read").Bool(),
 			LegLimit:       int(get("limits.send_cap").Int()),
@@ -75,13 +75,13 @@
 			return nil, fmt.Errorf("request_classes %d: unknown repeat %q", i, c.Get("repeat").String())
 		}
 		group, known := groups[c.Get("group").String()]
-		if !known && effect == choice.Deduplicated {
+		if !known && effect == scheduler.Deduplicated {
 			return nil, fmt.Errorf("request_classes %d: unknown group %q", i, c.Get("group").String())
 		}
-		p := choice.Product{SLO: Micros(c.Get("aim").Uint()), Window: Micros(c.Get("window").Uint()),
+		p := scheduler.Product{SLO: Micros(c.Get("aim").Uint()), Window: Micros(c.Get("window").Uint()),
 			Effect: effect, Group: group, Revenue: c.Get("points").Float(), LateShare: c.Get("late_share").Float()}
 		if i < len(perK) {
-			p.SLOPer1000 = choice.Micros(perK[i].Float())
+			p.SLOPer1000 = scheduler.Micros(perK[i].Float())
 		}
 		if i < len(pace) {
 			p.TokenSLO = Micros(pace[i].Uint())
@@ -95,7 +95,7 @@
 		if !known {
 			return nil, fmt.Errorf("duty_by_kind %d: unknown duty %q", i, k.String())
 		}
-		kind := choice.Kind{Role: role}
+		kind := scheduler.Kind{Role: role}
 		if i < len(memory) {
 			kind.Memory = memory[i].Float()
 		}
@@ -116,4 +116,4 @@
 }
 
 // Micros rounds nanoseconds down: a time limit must not look longer than it is.
-func Micros(ns uint64) choice.Micros { return choice.Micros(min(ns, math.MaxInt64) / 1000) }
+func Micros(ns uint64) scheduler.Micros { return scheduler.Micros(min(ns, math.MaxInt64) / 1000) }
--- a/internal/sockets/loop.go
+++ b/internal/sockets/loop.go
@@ -12,8 +12,8 @@
 	"github.com/lesismal/nbio"
 	"github.com/lesismal/nbio/logging"
 
-	"plumspindle/choice/due"
 	"plumspindle/internal/eventloop"
+	"plumspindle/scheduler/timerqueue"
 )
 
 // stopWithin is how long the poller may take to end its connections.
@@ -45,7 +45,7 @@
 	done   chan struct{}
 
 	// What follows belongs to the loop's goroutine.
-	times     due.Times
+	times     timerqueue.Times
 	later     []func()
 	listeners map[*listener]bool
 }
@@ -205,7 +205,7 @@
 
 type timer struct {
 	l  *Loop
-	it *due.Item
+	it *timerqueue.Item
 }
 
 func (t timer) Stop() { t.l.times.Drop(t.it) }
--- a/internal/tenancy/gate.go
+++ b/internal/tenancy/gate.go
@@ -9,11 +9,11 @@
 	"math"
 	"slices"
 
-	"plumspindle/choice/due"
+	"plumspindle/scheduler/timerqueue"
 )
 
 // Micros is a time or a span in whole microseconds.
-type Micros = due.Micros
+type Micros = timerqueue.Micros
 
 const (
 	second Micros = 1_000_000
--- a/internal/virtual/virtual.go
+++ b/internal/virtual/virtual.go
@@ -9,14 +9,14 @@
 	"slices"
 	"strconv"
 
-	"plumspindle/choice/due"
 	"plumspindle/internal/eventloop"
+	"plumspindle/scheduler/timerqueue"
 )
 
 // World holds the time, the network and the chance of one run.
 type World struct {
 	now       eventloop.Micros
-	times     due.Times
+	times     timerqueue.Times
 	rand      *rand.Rand
 	listeners map[string]*listener
 	nextPort  int
@@ -209,7 +209,7 @@
 
 type timer struct {
 	w  *World
-	it *due.Item
+	it *timerqueue.Item
 }
 
 func (t timer) Stop() { t.w.times.Drop(t.it) }
--- a/choice/face.go
+++ b/scheduler/api.go
@@ -1,9 +1,9 @@
-package choice
+package scheduler
 
-import "plumspindle/choice/due"
+import "plumspindle/scheduler/timerqueue"
 
 // Micros is a time or a span in whole microseconds, on the clock that the caller hands in.
-type Micros = due.Micros
+type Micros = timerqueue.Micros
 
 // The ids carry no meaning beyond equality; each kind is a type of its own so that none passes for another.
 type (
--- a/choice/choice.go
+++ b/scheduler/scheduler.go
@@ -1,13 +1,13 @@
-// Package choice decides where the prompts and answers of one dispatcher go. It is called by an adapter:
+// Package scheduler decides where the prompts and answers of one dispatcher go. It is called by an adapter:
 // Start makes an instance; then each event is one call (Arrive, Started, Ended, Left, Quit, Quota, Listed and
 // ListEnded, ListFailed, Rang) with the time now, and what is to be done is said through Orders before the
-// call returns. Orders, the ids and the settings handed in at the start (Deployment) are in face.go, the
-// plain state in state.go, the ordered due times in due/. Everything that is decided, and every tuned
+// call returns. Orders, the ids and the settings handed in at the start (Deployment) are in api.go, the
+// plain state in state.go, the ordered due times in timerqueue/. Everything that is decided, and every tuned
 // value, is in this file.
 //
 // A generation goes: Arrive -> enter (hold until some writer fits) -> read at its prefix's home -> write at
 // the emptiest fitting writer -> streamed. Each leg carries the closure that its outcome is handed to.
-package choice
+package scheduler
 
 import (
 	"cmp"
--- a/choice/state.go
+++ b/scheduler/state.go
@@ -1,10 +1,10 @@
-package choice
+package scheduler
 
 import (
 	"math/rand"
 	"slices"
 
-	"plumspindle/choice/due"
+	"plumspindle/scheduler/timerqueue"
 )
 
 const (
@@ -18,7 +18,7 @@
 	now    Micros
 	orders Orders
 	rand   *rand.Rand
-	due    due.Times
+	due    timerqueue.Times
 	armed  Micros // when the due timer next rings; 0 = it is not set
 
 	hosts        []*host // by id, so that nothing hangs on the order of a map
@@ -134,7 +134,7 @@
 	tried    []*host
 	ran      *leg // the first leg that may have taken effect
 	answered bool
-	limit    *due.Item
+	limit    *timerqueue.Item
 }
 
 // part is a share of the time that a generation has from its arrival to its SLO time.
--- a/choice/due/due.go
+++ b/scheduler/timerqueue/timerqueue.go
@@ -1,5 +1,5 @@
-// Package due keeps the due times of one instance in order: by time, then by the order of their setting.
-package due
+// Package timerqueue keeps the due times of one instance in order: by time, then by the order of their setting.
+package timerqueue
 
 import "container/heap"
 
--- a/choice/world_test.go
+++ b/scheduler/world_test.go
@@ -1,4 +1,4 @@
-package choice
+package scheduler
 
 import (
 	"fmt"
