--- a/cmd/drill/main.go
+++ b/cmd/benchadapter/main.go
@@ -5,12 +5,12 @@
 	"fmt"
 	"os"
 
-	"plumspindle/internal/drill"
+	"plumspindle/internal/benchadapter"
 )
 
 func main() {
-	if err := drill.Serve(os.Stdin, os.Stdout); err != nil {
-		fmt.Fprintln(os.Stderr, "drill:", err)
+	if err := benchadapter.Serve(os.Stdin, os.Stdout); err != nil {
+		fmt.Fprintln(os.Stderr, "benchadapter:", err)
 		os.Exit(1)
 	}
 }
--- a/internal/drill/drill.go
+++ b/internal/benchadapter/benchadapter.go
@@ -1,6 +1,6 @@
-// Package drill speaks the simulator's wire for the decision module. It decides nothing: a decoded field goes
+// Package benchadapter speaks the simulator's wire for the decision module. It decides nothing: a decoded field goes
 // straight into a call, and an order straight into the reply.
-package drill
+package benchadapter
 
 import (
 	"bufio"
--- a/internal/drill/drill_test.go
+++ b/internal/benchadapter/benchadapter_test.go
@@ -1,4 +1,4 @@
-package drill
+package benchadapter
 
 import (
 	"bytes"
--- a/internal/chat/ask.go
+++ b/internal/chat/ask.go
@@ -13,17 +13,17 @@
 	"github.com/cespare/xxhash/v2"
 	"github.com/tidwall/gjson"
 
-	"plumspindle/internal/front"
+	"plumspindle/internal/frontend"
 	"plumspindle/internal/http1"
 )
 
 // Route is the API's one URL. Public tells whether the operator lets tenants share a text, by its digest.
-func Route(public func(digest string) bool, take func(ask *Ask, who front.Identity, head *http1.Head, to *front.Reply) *front.Problem) (string, front.Route) {
-	return "/v1/chat/completions", front.Route{Method: "POST", Begin: func(head *http1.Head, who front.Identity, to *front.Reply) (front.Sink, *front.Problem) {
-		if p := front.IsJSON(head); p != nil {
+func Route(public func(digest string) bool, take func(ask *Ask, who frontend.Identity, head *http1.Head, to *frontend.Reply) *frontend.Problem) (string, frontend.Route) {
+	return "/v1/chat/completions", frontend.Route{Method: "POST", Begin: func(head *http1.Head, who frontend.Identity, to *frontend.Reply) (frontend.Sink, *frontend.Problem) {
+		if p := frontend.IsJSON(head); p != nil {
 			return nil, p
 		}
-		return &front.Whole{Do: func(body []byte) *front.Problem {
+		return &frontend.Whole{Do: func(body []byte) *frontend.Problem {
 			ask, p := ParseAsk(body, who.Space, public)
 			if p != nil {
 				return p
@@ -58,23 +58,23 @@
 
 // ParseAsk reads a request's body. Names are kept apart by a space, so that equal texts of two tenants are never taken for
 // one, unless the operator lets a text be shared.
-func ParseAsk(body []byte, space string, public func(digest string) bool) (*Ask, *front.Problem) {
+func ParseAsk(body []byte, space string, public func(digest string) bool) (*Ask, *frontend.Problem) {
 	if !gjson.ValidBytes(body) {
-		return nil, front.Invalid("", "invalid_json", "The body is not valid JSON.")
+		return nil, frontend.Invalid("", "invalid_json", "The body is not valid JSON.")
 	}
 	root := gjson.ParseBytes(body)
 	if !root.IsObject() {
-		return nil, front.Invalid("", "invalid_json", "The body must be a JSON object.")
+		return nil, frontend.Invalid("", "invalid_json", "The body must be a JSON object.")
 	}
 	a := &Ask{Rest: make([]byte, 0, len(body))}
-	var trouble *front.Problem
+	var trouble *frontend.Problem
 	var messages gjson.Result
 	var cacheKey string
 	seen := map[string]bool{}
 	root.ForEach(func(key, v gjson.Result) bool {
 		name := key.String()
 		if seen[name] {
-			trouble = front.Invalid(name, "duplicate_parameter", "The parameter %q is given twice.", name)
+			trouble = frontend.Invalid(name, "duplicate_parameter", "The parameter %q is given twice.", name)
 			return false
 		}
 		seen[name] = true
@@ -99,11 +99,11 @@
 	case trouble != nil:
 		return nil, trouble
 	case a.Model == "":
-		return nil, front.Invalid("model", "missing_required_parameter", "Missing required parameter: 'model'.")
+		return nil, frontend.Invalid("model", "missing_required_parameter", "Missing required parameter: 'model'.")
 	case !seen["messages"]:
-		return nil, front.Invalid("messages", "missing_required_parameter", "Missing required parameter: 'messages'.")
+		return nil, frontend.Invalid("messages", "missing_required_parameter", "Missing required parameter: 'messages'.")
 	case seen["stream_options"] && !a.Stream:
-		return nil, front.Invalid("stream_options", "", "'stream_options' is only allowed when 'stream' is true.")
+		return nil, frontend.Invalid("stream_options", "", "'stream_options' is only allowed when 'stream' is true.")
 	}
 	if trouble := a.messages(messages, space, cacheKey, public); trouble != nil {
 		return nil, trouble
@@ -112,9 +112,9 @@
 }
 
 // member takes one member of the request that the router reads, or refuses.
-func (a *Ask) member(name string, v gjson.Result) *front.Problem {
-	wrong := func(want string) *front.Problem {
-		return front.Invalid(name, "invalid_type", "Invalid type for '%s': expected %s, but got %s instead.", name, want,
+func (a *Ask) member(name string, v gjson.Result) *frontend.Problem {
+	wrong := func(want string) *frontend.Problem {
+		return frontend.Invalid(name, "invalid_type", "Invalid type for '%s': expected %s, but got %s instead.", name, want,
 			strings.ToLower(v.Type.String()))
 	}
 	if v.Type == gjson.Null {
@@ -152,42 +152,42 @@
 			return wrong("an integer")
 		}
 		if v.Num < 1 {
-			return front.Invalid(name, "integer_below_min_value", "Invalid '%s': expected a value >= 1.", name)
+			return frontend.Invalid(name, "integer_below_min_value", "Invalid '%s': expected a value >= 1.", name)
 		}
 		if a.Most == 0 || name == "max_completion_tokens" {
 			a.Most = int(v.Num)
 		}
 	case "n":
 		if v.Num != 1 {
-			return front.Invalid(name, "unsupported_value", "Only one answer a request is served: 'n' must be 1.")
+			return frontend.Invalid(name, "unsupported_value", "Only one answer a request is served: 'n' must be 1.")
 		}
 	case "modalities":
 		for _, m := range v.Array() {
 			if m.String() != "text" {
-				return front.Invalid(name, "unsupported_value", "Only the modality 'text' is served.")
+				return frontend.Invalid(name, "unsupported_value", "Only the modality 'text' is served.")
 			}
 		}
 	case "audio":
-		return front.Invalid(name, "unsupported_parameter", "Audio is not served.")
+		return frontend.Invalid(name, "unsupported_parameter", "Audio is not served.")
 	case "kv_transfer_params", "cache_salt":
-		return front.Invalid(name, "unknown_parameter", "Unknown parameter: '%s'.", name)
+		return frontend.Invalid(name, "unknown_parameter", "Unknown parameter: '%s'.", name)
 	}
 	return nil
 }
 
 // messages checks the conversation and draws the names from it: the shared text is what the leading system
 // and developer messages say, the session the stated key or else how the conversation begins.
-func (a *Ask) messages(list gjson.Result, space, cacheKey string, public func(string) bool) *front.Problem {
+func (a *Ask) messages(list gjson.Result, space, cacheKey string, public func(string) bool) *frontend.Problem {
 	shared, begins := sha256.New(), xxhash.New()
 	_, _ = begins.WriteString(space + "\x00")
-	var trouble *front.Problem
+	var trouble *frontend.Problem
 	i, leading, begun, text, sharedText := 0, true, false, 0, 0
 	list.ForEach(func(_, m gjson.Result) bool {
 		at := fmt.Sprintf("messages[%d]", i)
 		i++
 		role := m.Get("role").String()
 		if !m.IsObject() || !slices.Contains(roles, role) {
-			trouble = front.Invalid(at+".role", "invalid_value", "Invalid value: '%.40s'. Supported values are: %s.", role,
+			trouble = frontend.Invalid(at+".role", "invalid_value", "Invalid value: '%.40s'. Supported values are: %s.", role,
 				strings.Join(roles, ", "))
 			return false
 		}
@@ -214,16 +214,16 @@
 				case "refusal":
 					take(part.Get("refusal").String())
 				default:
-					trouble = front.Invalid(fmt.Sprintf("%s.content[%d].type", at, j), "unsupported_value",
+					trouble = frontend.Invalid(fmt.Sprintf("%s.content[%d].type", at, j), "unsupported_value",
 						"Only parts of type 'text' are served, not '%.40s'.", part.Get("type").String())
 					return false
 				}
 			}
 		case content.Exists() && content.Type != gjson.Null:
-			trouble = front.Invalid(at+".content", "invalid_type", "The content must be a string or an array of parts.")
+			trouble = frontend.Invalid(at+".content", "invalid_type", "The content must be a string or an array of parts.")
 			return false
 		case role != "assistant":
-			trouble = front.Invalid(at+".content", "missing_required_parameter", "The message has no content.")
+			trouble = frontend.Invalid(at+".content", "missing_required_parameter", "The message has no content.")
 			return false
 		}
 		size += len(m.Get("tool_calls").Raw)
@@ -239,7 +239,7 @@
 	case trouble != nil:
 		return trouble
 	case i == 0:
-		return front.Invalid("messages", "empty_array", "Invalid 'messages': empty array.")
+		return frontend.Invalid("messages", "empty_array", "Invalid 'messages': empty array.")
 	}
 	a.Tokens, a.SharedTokens = (text+tokenBytes-1)/tokenBytes, sharedText/tokenBytes
 	a.Salt = space
--- a/internal/dispatch/batches.go
+++ b/internal/dispatch/batches.go
@@ -11,9 +11,9 @@
 	"plumspindle/internal/embed"
 	"plumspindle/internal/engine"
 	"plumspindle/internal/eventloop"
-	"plumspindle/internal/front"
+	"plumspindle/internal/frontend"
 	"plumspindle/internal/http1"
-	"plumspindle/internal/path"
+	"plumspindle/internal/lifecycle"
 	"plumspindle/internal/tenancy"
 	"plumspindle/internal/vectors"
 	"plumspindle/scheduler"
@@ -53,8 +53,8 @@
 type batchCall struct {
 	x          *Dispatcher
 	ask        *embed.Ask
-	who        front.Identity
-	to         *front.Reply
+	who        frontend.Identity
+	to         *frontend.Reply
 	clientID   string
 	product    scheduler.ProductID
 	form       pb.Product_Form
@@ -86,14 +86,14 @@
 }
 
 // batchRoute is one of the APIs whose answers are complete with the read.
-func (x *Dispatcher) batchRoute(kind embed.Kind, form pb.Product_Form) front.Route {
+func (x *Dispatcher) batchRoute(kind embed.Kind, form pb.Product_Form) frontend.Route {
 	b := x.batches.pb
 	bounds := embed.Bounds{Inputs: int(b.InputsMost), InputTokens: int(b.InputTokensMost), Body: int(b.BodyMost), Window: int(b.Window)}
 	if kind == embed.Rerank {
 		bounds.Inputs = int(b.DocumentsMost)
 	}
-	return front.Route{Method: "POST", Body: bounds.Body, Keeps: bounds.Window, Begin: func(head *http1.Head, who front.Identity, to *front.Reply) (front.Sink, *front.Problem) {
-		if p := front.IsJSON(head, "gzip", "zstd"); p != nil {
+	return frontend.Route{Method: "POST", Body: bounds.Body, Keeps: bounds.Window, Begin: func(head *http1.Head, who frontend.Identity, to *frontend.Reply) (frontend.Sink, *frontend.Problem) {
+		if p := frontend.IsJSON(head, "gzip", "zstd"); p != nil {
 			return nil, p
 		}
 		limit, p := number(head, limitField, 1)
@@ -108,29 +108,29 @@
 }
 
 // Begin: all is known that a part needs.
-func (c *batchCall) Begin() *front.Problem {
+func (c *batchCall) Begin() *frontend.Problem {
 	x, a := c.x, c.ask
 	product, known := x.products[a.Model]
 	if !known {
-		return front.NoModel(a.Model)
+		return frontend.NoModel(a.Model)
 	}
 	p := x.Products[product]
 	if p.Form != c.form {
-		return front.Invalid("model", "unsupported_value", "The model '%.60s' is not served by this API.", a.Model)
+		return frontend.Invalid("model", "unsupported_value", "The model '%.60s' is not served by this API.", a.Model)
 	}
 	if c.dimensions = int(p.Dimensions); a.Dimensions > 0 {
 		if a.Dimensions > c.dimensions {
-			return front.Invalid("dimensions", "integer_above_max_value", "The model has %d dimensions.", c.dimensions)
+			return frontend.Invalid("dimensions", "integer_above_max_value", "The model has %d dimensions.", c.dimensions)
 		}
 		c.dimensions = a.Dimensions
 	}
 	s := x.seats[c.who.Tenant]
 	if s == nil || !c.who.Serves {
-		return &front.Problem{Status: 403, Type: "permission_error", Code: "tenant_suspended", Never: true, Message: "This account is suspended."}
+		return &frontend.Problem{Status: 403, Type: "permission_error", Code: "tenant_suspended", Never: true, Message: "This account is suspended."}
 	}
 	if x.batches.calls >= int(x.Doors.OpenMost) {
 		x.AtDoor++
-		return front.Crowded()
+		return frontend.Crowded()
 	}
 	now := x.loop.Now()
 	span := eventloop.Micros(p.TimeLimitMs) * eventloop.Millisecond
@@ -151,7 +151,7 @@
 }
 
 // Added: further inputs have come, or all have.
-func (c *batchCall) Added(whole bool) *front.Problem {
+func (c *batchCall) Added(whole bool) *frontend.Problem {
 	if c.ended {
 		return nil
 	}
@@ -292,7 +292,7 @@
 	c.out[no] = g
 	if v.Pass {
 		x.batches.limiter.Sent()
-		g.State = path.Held
+		g.State = lifecycle.Held
 		x.arrived(g)
 		return
 	}
@@ -333,7 +333,7 @@
 }
 
 // answered takes the final answer of a part's generation.
-func (p *part) answered(g *gen, a path.Action, comeBack eventloop.Micros) {
+func (p *part) answered(g *gen, a lifecycle.Action, comeBack eventloop.Micros) {
 	c := p.call
 	x := c.x
 	now := x.loop.Now()
@@ -344,13 +344,13 @@
 	} else if c.ended || p.bad {
 		x.batches.limiter.Taken()
 	} else {
-		x.batches.limiter.Back(now, g.ask.Tokens, now-p.sent, a == path.AnswerStreamed)
+		x.batches.limiter.Back(now, g.ask.Tokens, now-p.sent, a == lifecycle.AnswerStreamed)
 	}
 	if c.ended {
 		x.loop.Later(x.pump)
 		return
 	}
-	if a != path.AnswerStreamed {
+	if a != lifecycle.AnswerStreamed {
 		why := batch.Busy
 		switch {
 		case p.bad:
@@ -423,7 +423,7 @@
 	}
 	c.answer.Ask, c.answer.ID = c.ask, c.x.answerID(c.x.lastGen)
 	c.x.Streamed++
-	c.meter(path.AnswerStreamed)
+	c.meter(lifecycle.AnswerStreamed)
 	c.end()
 	c.to.Pour("application/json", c.answer.Next, "x-request-id", c.answer.ID)
 }
@@ -455,20 +455,20 @@
 	slices.Sort(out)
 	for _, no := range out {
 		if g := c.out[no]; g != nil {
-			x.take(g, path.ClientLeft)
+			x.take(g, lifecycle.ClientLeft)
 		}
 	}
 	x.loop.Later(x.left)
 }
 
-func (c *batchCall) meter(final path.Action) {
+func (c *batchCall) meter(final lifecycle.Action) {
 	u := tenancy.Used{Tenant: c.who.Tenant, Product: c.ask.Model, Day: tenancy.Day(c.x.loop.Now()), Taken: 1}
 	switch final {
-	case path.AnswerStreamed:
+	case lifecycle.AnswerStreamed:
 		u.Streamed = 1
-	case path.AnswerThrottled:
+	case lifecycle.AnswerThrottled:
 		u.Throttled = 1
-	case path.AnswerTerminated:
+	case lifecycle.AnswerTerminated:
 		u.Terminated = 1
 	default:
 		u.Left = 1
@@ -482,18 +482,18 @@
 		return
 	}
 	if c.x.Left++; c.home != nil {
-		c.meter(path.Forget)
+		c.meter(lifecycle.Forget)
 	}
 	c.end()
 }
 
 // fail answers a call whose body shows a problem after parts of it have gone out.
-func (c *batchCall) fail(p *front.Problem) {
+func (c *batchCall) fail(p *frontend.Problem) {
 	if c.ended {
 		return
 	}
 	c.x.Terminated++
-	c.meter(path.AnswerTerminated)
+	c.meter(lifecycle.AnswerTerminated)
 	c.end()
 	c.to.Refuse(p)
 }
@@ -501,9 +501,9 @@
 // crowded: the answers of all calls together would take more memory than they may.
 func (c *batchCall) crowded() {
 	c.x.Throttled++
-	c.meter(path.AnswerThrottled)
+	c.meter(lifecycle.AnswerThrottled)
 	c.end()
-	c.to.Refuse(&front.Problem{Status: 429, Type: "rate_limit_error", Code: "throttled", Message: "The service is busy. Please try again."})
+	c.to.Refuse(&frontend.Problem{Status: 429, Type: "rate_limit_error", Code: "throttled", Message: "The service is busy. Please try again."})
 }
 
 // late: its client's time is up.
@@ -525,7 +525,7 @@
 		if c.ask.Kind == embed.Rerank {
 			name = "documents"
 		}
-		c.fail(&front.Problem{Status: 422, Type: "invalid_request_error", Param: fmt.Sprintf("%s[%d]", name, at), Code: "input_not_served", Never: true,
+		c.fail(&frontend.Problem{Status: 422, Type: "invalid_request_error", Param: fmt.Sprintf("%s[%d]", name, at), Code: "input_not_served", Never: true,
 			Message: fmt.Sprintf("'%s[%d]' could not be read; the others could.", name, at)})
 		return
 	}
@@ -534,7 +534,7 @@
 
 func (c *batchCall) terminate(why string, again bool) {
 	c.x.Terminated++
-	c.meter(path.AnswerTerminated)
+	c.meter(lifecycle.AnswerTerminated)
 	c.end()
 	if !c.to.Done() {
 		c.to.Terminated(again, why)
@@ -547,12 +547,12 @@
 		return
 	}
 	if v.Reason == tenancy.PromptTooLarge {
-		c.fail(&front.Problem{Status: 400, Type: "invalid_request_error", Param: "input", Code: "prompt_too_large",
+		c.fail(&frontend.Problem{Status: 400, Type: "invalid_request_error", Param: "input", Code: "prompt_too_large",
 			Message: "An input has more tokens than this account may ask for."})
 		return
 	}
 	c.x.Throttled++
-	c.meter(path.AnswerThrottled)
+	c.meter(lifecycle.AnswerThrottled)
 	c.end()
 	c.to.Refused(v.Reason.String(), v.After)
 }
--- a/internal/dispatch/batches_test.go
+++ b/internal/dispatch/batches_test.go
@@ -20,7 +20,7 @@
 	"plumspindle/internal/eventloop"
 	"plumspindle/internal/http1"
 	"plumspindle/internal/lab/hosts"
-	"plumspindle/internal/path"
+	"plumspindle/internal/lifecycle"
 	"plumspindle/internal/sse"
 )
 
@@ -423,7 +423,7 @@
 	r.far.Do(c.conn.Abort)
 	r.w.Run(eventloop.Second)
 	r.idle()
-	if n, m := r.x.Reached[path.Reading][path.LegWhole], r.x.Reached[path.Leaving][path.LegWhole]; n == 0 || m == 0 {
+	if n, m := r.x.Reached[lifecycle.Reading][lifecycle.LegWhole], r.x.Reached[lifecycle.Leaving][lifecycle.LegWhole]; n == 0 || m == 0 {
 		t.Errorf("reached %d times while it was read, %d after its client left", n, m)
 	}
 }
--- a/internal/dispatch/boot.go
+++ b/internal/dispatch/boot.go
@@ -1,8 +1,8 @@
 package dispatch
 
 import (
-	"plumspindle/internal/boot"
 	"plumspindle/internal/eventloop"
+	"plumspindle/internal/hostcache"
 	"plumspindle/internal/roster"
 	"plumspindle/scheduler"
 )
@@ -20,15 +20,15 @@
 			continue
 		}
 		byID := map[uint32]roster.Entry{}
-		var hosts []boot.Host
+		var hosts []hostcache.Host
 		for _, e := range entries {
 			byID[uint32(e.ID)] = e
-			hosts = append(hosts, boot.Host{ID: uint32(e.ID), Group: e.Zone + "/" + e.Kind, Started: eventloop.Micros(e.Started)})
+			hosts = append(hosts, hostcache.Host{ID: uint32(e.ID), Group: e.Zone + "/" + e.Kind, Started: eventloop.Micros(e.Started)})
 		}
-		trust := boot.Weigh(now, eventloop.Micros(saved))
+		trust := hostcache.Weigh(now, eventloop.Micros(saved))
 		x.post.Log.Info().Int("hosts", len(hosts)).Str("trust", trust.String()).Int64("age_ms", int64((now-eventloop.Micros(saved))/eventloop.Millisecond)).
 			Msg("starting with a kept list")
-		for _, w := range boot.Plan(now, trust, hosts) {
+		for _, w := range hostcache.Plan(now, trust, hosts) {
 			var wave []roster.Entry
 			for _, h := range w.Hosts {
 				e := byID[h.ID]
@@ -72,7 +72,7 @@
 			missing = append(missing, e)
 		}
 	}
-	doubt := boot.Doubt(ready, len(missing), eventloop.Micros(x.Rules.DrainGraceMs)*eventloop.Millisecond)
+	doubt := hostcache.Doubt(ready, len(missing), eventloop.Micros(x.Rules.DrainGraceMs)*eventloop.Millisecond)
 	if doubt == 0 {
 		x.tell(entries, true)
 		return
--- a/internal/dispatch/check.go
+++ b/internal/dispatch/check.go
@@ -4,7 +4,7 @@
 	"fmt"
 
 	"plumspindle/internal/eventloop"
-	"plumspindle/internal/path"
+	"plumspindle/internal/lifecycle"
 	"plumspindle/internal/roster"
 	"plumspindle/scheduler"
 )
@@ -29,15 +29,15 @@
 		switch {
 		case g.id != id:
 			fault = "kept under another's id"
-		case (g.State == path.Held || g.State == path.Queued) && len(g.replies) == 0 && g.part == nil:
+		case (g.State == lifecycle.Held || g.State == lifecycle.Queued) && len(g.replies) == 0 && g.part == nil:
 			fault = "nobody waits for it"
-		case g.State == path.Reading && g.leg == nil:
+		case g.State == lifecycle.Reading && g.leg == nil:
 			fault = "read without a leg"
-		case g.State == path.Streaming && g.leg == nil:
+		case g.State == lifecycle.Streaming && g.leg == nil:
 			fault = "streamed without a leg"
 		case !g.Answered() && g.ticket == nil:
 			fault = "without a ticket of its tenant"
-		case g.State != path.Streaming && !g.Answered() && now > g.deadline+overdue && g.beginsBy(now):
+		case g.State != lifecycle.Streaming && !g.Answered() && now > g.deadline+overdue && g.beginsBy(now):
 			fault = fmt.Sprintf("unanswered %d ms after its client's time", (now-g.deadline)/eventloop.Millisecond)
 		case int(g.legs) > x.place.LegLimit:
 			fault = "more legs than there may be"
@@ -48,7 +48,7 @@
 		if g.LegOut() {
 			legs++
 		}
-		if g.part != nil && !g.part.queued && g.final == 0 && g.State != path.Over {
+		if g.part != nil && !g.part.queued && g.final == 0 && g.State != lifecycle.Over {
 			parts++
 		}
 	}
--- a/internal/dispatch/dispatch.go
+++ b/internal/dispatch/dispatch.go
@@ -26,10 +26,10 @@
 	"plumspindle/internal/embed"
 	"plumspindle/internal/engine"
 	"plumspindle/internal/eventloop"
-	"plumspindle/internal/front"
+	"plumspindle/internal/frontend"
 	"plumspindle/internal/http1"
-	"plumspindle/internal/path"
-	"plumspindle/internal/repeat"
+	"plumspindle/internal/idempotency"
+	"plumspindle/internal/lifecycle"
 	"plumspindle/internal/roster"
 	"plumspindle/internal/store"
 	"plumspindle/internal/subscribe"
@@ -77,7 +77,7 @@
 	Refused                                              uint64 // by their tenants' limits; not taken
 	Legs, Events                                         uint64
 	Repeats                                              uint64 // answered from a generation that ran before, or runs
-	Reached                                              path.Reached
+	Reached                                              lifecycle.Reached
 }
 
 // Dispatcher is one.
@@ -90,7 +90,7 @@
 	place    scheduler.Deployment
 	engine   *engine.Engine
 	list     *roster.Client
-	front    *front.Front
+	front    *frontend.Front
 	gens     map[scheduler.GenID]*gen
 	lastGen  scheduler.GenID
 	products map[string]scheduler.ProductID
@@ -108,21 +108,21 @@
 	hosts   map[scheduler.HostID]roster.Entry
 	keeping bool
 	heard   uint64 // lists and changes that came from discovery
-	repeats *repeat.Book
-	runs    map[*repeat.Entry]*gen // generations with a key that are not answered yet
-	leaving func()                 // what to do once nothing runs any more
-	healing bool                   // the record of intents has failed, and is tried again
+	repeats *idempotency.Book
+	runs    map[*idempotency.Entry]*gen // generations with a key that are not answered yet
+	leaving func()                      // what to do once nothing runs any more
+	healing bool                        // the record of intents has failed, and is tried again
 	Counts
 }
 
 // gen is what the dispatcher keeps of a generation: what the module does not know, and nothing that it does.
 type gen struct {
-	path.Path
+	lifecycle.Path
 	id       scheduler.GenID
 	ask      *chat.Ask
 	product  scheduler.ProductID
 	answerID string
-	replies  []*front.Reply // of its client, and of those that came with the same key
+	replies  []*frontend.Reply // of its client, and of those that came with the same key
 	clientID string
 	legs     scheduler.LegNo // sent so far
 	leg      *engine.Leg     // the last one
@@ -133,17 +133,17 @@
 	limit    eventloop.Timer
 	beat     eventloop.Timer
 	deadline eventloop.Micros
-	repeat   *repeat.Entry // where it came with a key that counts
-	ran      bool          // some write of it may have run
-	ranFirst bool          // one before the last
+	repeat   *idempotency.Entry // where it came with a key that counts
+	ran      bool               // some write of it may have run
+	ranFirst bool               // one before the last
 	intent   intent
 	alone    int   // bytes of its body, where it goes on without a client
 	part     *part // of a call with many inputs; nil: it is chat
 	seat     *seat
 	ticket   *tenancy.Ticket
 	taken    eventloop.Micros
-	prompt   int         // tokens, as its writer counted them
-	final    path.Action // the answer that was given; 0 for none
+	prompt   int              // tokens, as its writer counted them
+	final    lifecycle.Action // the answer that was given; 0 for none
 }
 
 // place is a leg at a host that may hold something for it.
@@ -158,7 +158,7 @@
 		return nil, fmt.Errorf("the deployment has no zone %q", post.Zone)
 	}
 	ms := func(v uint32) eventloop.Micros { return eventloop.Micros(v) * eventloop.Millisecond }
-	x := &Dispatcher{Deployment: d, loop: loop, post: post, gens: map[scheduler.GenID]*gen{}, runs: map[*repeat.Entry]*gen{},
+	x := &Dispatcher{Deployment: d, loop: loop, post: post, gens: map[scheduler.GenID]*gen{}, runs: map[*idempotency.Entry]*gen{},
 		products: map[string]scheduler.ProductID{},
 		hosts:    map[scheduler.HostID]roster.Entry{}}
 	x.engine = engine.New(loop, post.Name, post.Zone, engine.Trunks{Connect: ms(d.Dispatching.ConnectMs),
@@ -171,14 +171,14 @@
 	x.batches.limiter = batch.NewLimiter(int(x.batches.pb.FixedLimit))
 	bounds := http1.Usual
 	bounds.Head, bounds.Body = int(d.Doors.HeadMost), int(d.Doors.BodyMost)
-	patience := front.UsualPatience
+	patience := frontend.UsualPatience
 	patience.Message, patience.Stall, patience.Unsent = ms(d.Doors.MessageMs), ms(d.Doors.StallMs), int(d.Doors.UnsentMost)
-	x.front = front.New(loop, x, x.routes(), bounds, patience)
+	x.front = frontend.New(loop, x, x.routes(), bounds, patience)
 	x.front.Bodies = bodiesMost * bounds.Body
 	if n := post.Descriptors; n > 0 {
 		x.front.Most = max((n-min(descriptorsKept, n/2))/2, 1)
 	}
-	x.repeats = repeat.NewBook(int(d.Doors.RememberMost), int(d.Doors.RememberBytes), answerKept)
+	x.repeats = idempotency.NewBook(int(d.Doors.RememberMost), int(d.Doors.RememberBytes), answerKept)
 	x.recall()
 	x.place = d.Module()
 	x.place.Quotas = nil // told tenant by tenant, as they come
@@ -206,9 +206,9 @@
 }
 
 // routes are the client's APIs.
-func (x *Dispatcher) routes() map[string]front.Route {
-	all := map[string]front.Route{}
-	list, many, below, one := front.Models(x.Models)
+func (x *Dispatcher) routes() map[string]frontend.Route {
+	all := map[string]frontend.Route{}
+	list, many, below, one := frontend.Models(x.Models)
 	all[list], all[below] = many, one
 	chatAt, r := chat.Route(func(digest string) bool { return x.directory.Public(digest) }, x.Generate)
 	all[chatAt] = r
@@ -218,7 +218,7 @@
 }
 
 // Front is the client's side.
-func (x *Dispatcher) Front() *front.Front { return x.front }
+func (x *Dispatcher) Front() *frontend.Front { return x.front }
 
 // Leave takes nothing new and calls done once nothing runs any more.
 func (x *Dispatcher) Leave(done func()) {
@@ -345,28 +345,28 @@
 )
 
 // number reads a field that holds a number of milliseconds; 0 where there is none.
-func number(head *http1.Head, field string, least uint64) (eventloop.Micros, *front.Problem) {
+func number(head *http1.Head, field string, least uint64) (eventloop.Micros, *frontend.Problem) {
 	text := head.Get(field)
 	if text == "" {
 		return 0, nil
 	}
 	ms, err := strconv.ParseUint(text, 10, 31)
 	if err != nil || ms < least {
-		return 0, &front.Problem{Status: 400, Type: "invalid_request_error", Param: field, Code: "invalid_value",
+		return 0, &frontend.Problem{Status: 400, Type: "invalid_request_error", Param: field, Code: "invalid_value",
 			Message: fmt.Sprintf("The field %s must be a number of milliseconds, %d at least.", field, least)}
 	}
 	return eventloop.Micros(ms) * eventloop.Millisecond, nil
 }
 
 // Generate takes a generation.
-func (x *Dispatcher) Generate(ask *chat.Ask, who front.Identity, head *http1.Head, to *front.Reply) *front.Problem {
+func (x *Dispatcher) Generate(ask *chat.Ask, who frontend.Identity, head *http1.Head, to *frontend.Reply) *frontend.Problem {
 	product, known := x.products[ask.Model]
 	if !known {
-		return front.NoModel(ask.Model)
+		return frontend.NoModel(ask.Model)
 	}
 	p := x.Products[product]
 	if p.Form != pb.Product_CHAT {
-		return front.Invalid("model", "unsupported_value", "The model '%.60s' is not served by this API.", ask.Model)
+		return frontend.Invalid("model", "unsupported_value", "The model '%.60s' is not served by this API.", ask.Model)
 	}
 	now := x.loop.Now()
 	limit, problem := number(head, limitField, 1)
@@ -393,7 +393,7 @@
 	g.answerID = x.answerID(g.id)
 	if key := head.Get(keyField); key != "" && p.Effect != pb.Product_IDEMPOTENT {
 		if len(key) > keyMost {
-			return &front.Problem{Status: 400, Type: "invalid_request_error", Param: keyField, Code: "invalid_value",
+			return &frontend.Problem{Status: 400, Type: "invalid_request_error", Param: keyField, Code: "invalid_value",
 				Message: fmt.Sprintf("The Idempotency-Key is longer than %d bytes.", keyMost)}
 		}
 		if answered, problem := x.again(g, who.Space, key, to); answered || problem != nil {
@@ -418,7 +418,7 @@
 		x.heartbeat(g, to, beat)
 	}
 	if pass {
-		g.State = path.Held
+		g.State = lifecycle.Held
 		x.arrived(g)
 	} else {
 		x.wait(g)
@@ -427,15 +427,15 @@
 }
 
 // attach makes a reply one that the generation's answer goes to.
-func (x *Dispatcher) attach(g *gen, to *front.Reply) {
+func (x *Dispatcher) attach(g *gen, to *frontend.Reply) {
 	to.Shape(&chat.Answer{ID: g.answerID, Model: g.ask.Model, Created: int64(x.loop.Now() / eventloop.Second), Ask: g.ask})
 	g.replies = append(g.replies, to)
 	to.OnLeft = func() { x.loop.Later(func() { x.clientLeft(g, to) }) } // never within the module's own call
-	to.OnDrained = func() { x.take(g, path.CaughtUp) }
+	to.OnDrained = func() { x.take(g, lifecycle.CaughtUp) }
 }
 
 // heartbeat keeps a stream that has nothing to say yet from being taken for dead by what stands between.
-func (x *Dispatcher) heartbeat(g *gen, to *front.Reply, every eventloop.Micros) {
+func (x *Dispatcher) heartbeat(g *gen, to *frontend.Reply, every eventloop.Micros) {
 	g.beat = x.loop.After(every, func() {
 		if to.Beat() {
 			x.heartbeat(g, to, every)
@@ -444,23 +444,23 @@
 }
 
 // again finds what a request with a key is answered with, where it is not to run.
-func (x *Dispatcher) again(g *gen, space, key string, to *front.Reply) (answered bool, problem *front.Problem) {
+func (x *Dispatcher) again(g *gen, space, key string, to *frontend.Reply) (answered bool, problem *frontend.Problem) {
 	digest := sha256.Sum256([]byte(space + "\x00" + g.ask.Model + "\x00" + key))
 	shape := fmt.Sprint(g.ask.Stream, g.ask.IncludeUsage, g.ask.Most, " ")
 	request := xxhash.Sum64String(shape + string(g.ask.Rest))
-	verdict, entry := x.repeats.Ask(x.loop.Now(), repeat.Key(digest[:16]), request)
-	if verdict != repeat.New && verdict != repeat.Full {
+	verdict, entry := x.repeats.Ask(x.loop.Now(), idempotency.Key(digest[:16]), request)
+	if verdict != idempotency.New && verdict != idempotency.Full {
 		x.Repeats++
 	}
 	switch verdict {
-	case repeat.New:
+	case idempotency.New:
 		g.repeat = entry
 		return false, nil
-	case repeat.Full:
+	case idempotency.Full:
 		x.AtDoor++
 		to.Throttled(0)
 		return true, nil
-	case repeat.Join, repeat.Replay:
+	case idempotency.Join, idempotency.Replay:
 		first := x.runs[entry]
 		if first == nil {
 			first = g // it has ended; its answer is shaped anew
@@ -469,15 +469,15 @@
 		for _, data := range entry.Events {
 			to.Chunk(data)
 		}
-		if verdict == repeat.Replay {
+		if verdict == idempotency.Replay {
 			to.Streamed()
 		}
 		return true, nil
-	case repeat.Conflict:
-		return false, &front.Problem{Status: 422, Type: "invalid_request_error", Param: keyField, Code: "idempotency_key_reused",
+	case idempotency.Conflict:
+		return false, &frontend.Problem{Status: 422, Type: "invalid_request_error", Param: keyField, Code: "idempotency_key_reused",
 			Message: "The Idempotency-Key was used for another request."}
 	}
-	return false, &front.Problem{Status: 409, Type: "invalid_request_error", Param: keyField, Code: "already_ran", Never: true,
+	return false, &frontend.Problem{Status: 409, Type: "invalid_request_error", Param: keyField, Code: "already_ran", Never: true,
 		Message: "The generation of this Idempotency-Key ran, or may have run, and is not run again; its answer is no longer here."}
 }
 
@@ -492,22 +492,22 @@
 
 // clientLeft: this client waits no more. What has a key and may be running goes on without it, as its client can only
 // ask for it again: it is not run a second time.
-func (x *Dispatcher) clientLeft(g *gen, to *front.Reply) {
+func (x *Dispatcher) clientLeft(g *gen, to *frontend.Reply) {
 	at := slices.Index(g.replies, to)
 	if at < 0 {
 		return
 	}
 	g.replies = slices.Delete(g.replies, at, at+1)
 	x.Left++
-	if len(g.replies) > 0 || g.repeat != nil && (g.State == path.Writing || g.State == path.Streaming) {
-		x.take(g, path.CaughtUp)                 // it may have been the one that lagged
+	if len(g.replies) > 0 || g.repeat != nil && (g.State == lifecycle.Writing || g.State == lifecycle.Streaming) {
+		x.take(g, lifecycle.CaughtUp)            // it may have been the one that lagged
 		if len(g.replies) == 0 && g.alone == 0 { // nobody's request holds its body any more, and it is kept all the same
 			g.alone = len(g.ask.Rest)
 			x.front.Kept += g.alone
 		}
 		return
 	}
-	x.take(g, path.ClientLeft)
+	x.take(g, lifecycle.ClientLeft)
 }
 
 // --- The path ---
@@ -526,7 +526,7 @@
 var cancelled = engine.Outcome{How: scheduler.Cancelled, Memory: scheduler.NoReport, Why: "closed on this side"}
 
 // take moves a generation on by the table of package path, and does what that says.
-func (x *Dispatcher) take(g *gen, e path.Event, with ...what) {
+func (x *Dispatcher) take(g *gen, e lifecycle.Event, with ...what) {
 	var w what
 	if len(with) > 0 {
 		w = with[0]
@@ -536,90 +536,90 @@
 	}
 }
 
-func (x *Dispatcher) do(g *gen, a path.Action, w what) {
+func (x *Dispatcher) do(g *gen, a lifecycle.Action, w what) {
 	now := x.loop.Now()
 	switch a {
-	case path.CarryRead, path.CarryWrite:
-		x.carry(g, a == path.CarryRead, w)
-	case path.CloseLeg:
+	case lifecycle.CarryRead, lifecycle.CarryWrite:
+		x.carry(g, a == lifecycle.CarryRead, w)
+	case lifecycle.CloseLeg:
 		if g.leg != nil { // else its intent is still being kept
 			g.leg.Cancel()
 		}
-	case path.ReportCancelled:
+	case lifecycle.ReportCancelled:
 		no := g.legs
 		x.loop.Later(func() {
 			if no == g.legs {
-				x.take(g, path.LegFailed, what{outcome: cancelled})
+				x.take(g, lifecycle.LegFailed, what{outcome: cancelled})
 			}
 		})
-	case path.ReleaseLeg:
+	case lifecycle.ReleaseLeg:
 		// A read that we quit may have ended all the same, and nobody was told where its state lies.
 		if n := len(g.mayLie); n > 0 && g.mayLie[n-1].name == x.engine.LegName(g.id, g.legs-1) {
 			x.engine.LetGo(g.mayLie[n-1].host, []string{g.mayLie[n-1].name})
 			g.mayLie = g.mayLie[:n-1]
 		}
-	case path.Release:
+	case lifecycle.Release:
 		for _, p := range g.mayLie {
 			x.engine.LetGo(p.host, []string{p.name})
 		}
 		g.mayLie, g.state = nil, ""
-	case path.Fetched:
+	case lifecycle.Fetched:
 		g.state, g.mayLie = "", nil
-	case path.TellStarted:
+	case lifecycle.TellStarted:
 		slo := x.place.Products[g.product].SLO + scheduler.Micros(float64(x.place.Products[g.product].SLOPer1000)*float64(g.ask.Tokens)/1000)
 		x.batches.limiter.Chat(now, now-g.taken, slo)
 		g.leg.Started()
 		if !g.ask.Stream {
 			// The client of a whole answer has nothing yet, so its time goes on.
-			g.limit = x.loop.After(g.deadline-wholeGrace-now, func() { x.take(g, path.TimeUp, what{why: "The answer was not whole within the client's time."}) })
+			g.limit = x.loop.After(g.deadline-wholeGrace-now, func() { x.take(g, lifecycle.TimeUp, what{why: "The answer was not whole within the client's time."}) })
 		}
 		x.gate.Began(now, g.ticket, now-g.taken, slo)
 		x.module.Started(now, g.id, g.legs-1)
 		x.loop.Later(x.turns)
-	case path.TellEnded:
+	case lifecycle.TellEnded:
 		o := w.outcome
 		if o == (engine.Outcome{}) {
 			o = cancelled
 		}
 		x.module.Ended(now, g.id, g.legs-1, o.How, o.Note, g.Answered(), o.Memory)
-	case path.TellArrived:
+	case lifecycle.TellArrived:
 		if g.part != nil {
 			g.part.admitted(now)
 		}
 		x.arrived(g)
-	case path.TellQuit:
+	case lifecycle.TellQuit:
 		x.module.Quit(now, g.id)
-	case path.TellLeft:
+	case lifecycle.TellLeft:
 		x.module.Left(now, g.id)
-	case path.Relay:
+	case lifecycle.Relay:
 		x.relay(g, w.data)
-	case path.AnswerStreamed, path.AnswerThrottled, path.AnswerTerminated:
+	case lifecycle.AnswerStreamed, lifecycle.AnswerThrottled, lifecycle.AnswerTerminated:
 		g.final = a
 		if g.part != nil {
 			g.part.answered(g, a, w.comeBack)
 			return
 		}
 		x.answerAs(g, a, w)
-	case path.SlowLeg:
+	case lifecycle.SlowLeg:
 		g.leg.Slow(true)
-	case path.ResumeLeg:
+	case lifecycle.ResumeLeg:
 		g.leg.Slow(false)
-	case path.Forget:
+	case lifecycle.Forget:
 		x.forget(g)
 	}
 }
 
 // answerAs gives the one final answer.
-func (x *Dispatcher) answerAs(g *gen, a path.Action, w what) {
+func (x *Dispatcher) answerAs(g *gen, a lifecycle.Action, w what) {
 	switch a {
-	case path.AnswerStreamed:
+	case lifecycle.AnswerStreamed:
 		x.Streamed++
 		x.note(g, "streamed", w.why)
-		x.answer(g, true, func(r *front.Reply) { r.Streamed() })
-	case path.AnswerThrottled:
+		x.answer(g, true, func(r *frontend.Reply) { r.Streamed() })
+	case lifecycle.AnswerThrottled:
 		x.Throttled++
 		x.note(g, "throttled", w.why)
-		x.answer(g, false, func(r *front.Reply) { r.Throttled(w.comeBack) })
+		x.answer(g, false, func(r *frontend.Reply) { r.Throttled(w.comeBack) })
 	default:
 		x.Terminated++
 		why, again := w.why, x.Products[g.product].Effect == pb.Product_IDEMPOTENT
@@ -630,12 +630,12 @@
 			why += " It may have run and must not be repeated by itself."
 		}
 		x.note(g, "terminated", why)
-		x.answer(g, false, func(r *front.Reply) { r.Terminated(again, why) })
+		x.answer(g, false, func(r *frontend.Reply) { r.Terminated(again, why) })
 	}
 }
 
 // answer gives the final answer to all that wait for it, and has it remembered.
-func (x *Dispatcher) answer(g *gen, good bool, give func(*front.Reply)) {
+func (x *Dispatcher) answer(g *gen, good bool, give func(*frontend.Reply)) {
 	for _, r := range g.replies {
 		give(r)
 	}
@@ -663,7 +663,7 @@
 		}
 	}
 	if g.part != nil && g.final == 0 {
-		g.part.answered(g, path.Forget, 0) // taken back
+		g.part.answered(g, lifecycle.Forget, 0) // taken back
 	}
 	x.front.Kept -= g.alone
 	g.alone = 0
@@ -686,7 +686,7 @@
 		Event: func(data []byte) {
 			if no == g.legs-1 {
 				x.Events++
-				x.take(g, path.Token, what{data: data})
+				x.take(g, lifecycle.Token, what{data: data})
 			}
 		},
 		Ended: func(o engine.Outcome) {
@@ -708,13 +708,13 @@
 	g.ran, g.ranFirst = true, g.ran
 	g.leg = nil
 	x.intend(g, func(kept bool) {
-		if no != g.legs-1 || g.State != path.Writing {
+		if no != g.legs-1 || g.State != lifecycle.Writing {
 			return // taken back, or answered, meanwhile
 		}
 		if e, some := x.hosts[w.host]; !kept || some && e.State() != scheduler.Ready || !some {
 			// Not kept: it could run twice after a restart. Drained meanwhile: nothing new may go there.
 			x.loop.Later(func() { // never within the module's own call
-				if no == g.legs-1 && g.State == path.Writing {
+				if no == g.legs-1 && g.State == lifecycle.Writing {
 					x.ended(g, engine.Outcome{How: scheduler.NeverSent, Memory: scheduler.NoReport, Why: "not sent: its intent is not kept, or the host is going"})
 				}
 			})
@@ -727,21 +727,21 @@
 
 // ended takes the end of a leg.
 func (x *Dispatcher) ended(g *gen, o engine.Outcome) {
-	e := path.LegFailed
+	e := lifecycle.LegFailed
 	switch o.How {
 	case scheduler.ReadDone:
-		e = path.LegRead
+		e = lifecycle.LegRead
 		if g.state = o.State; g.part != nil {
-			e = path.LegWhole
+			e = lifecycle.LegWhole
 		}
 	case scheduler.Streamed:
-		e = path.LegStreamed
+		e = lifecycle.LegStreamed
 	case scheduler.Full, scheduler.Unreachable, scheduler.NeverSent:
-		e = path.LegRefused
-		if n := len(g.mayLie); n > 0 && g.State == path.Reading {
+		e = lifecycle.LegRefused
+		if n := len(g.mayLie); n > 0 && g.State == lifecycle.Reading {
 			g.mayLie = g.mayLie[:n-1]
 		}
-		if g.State == path.Writing {
+		if g.State == lifecycle.Writing {
 			g.ran = g.ranFirst
 		}
 	}
@@ -751,7 +751,7 @@
 		}
 		g.part.bad = g.part.bad || o.Bad
 		if g.part.bad || g.part.broken == batch.HostsMost { // no other host would do better; the call sees to what is the matter
-			x.take(g, path.ClientLeft)
+			x.take(g, lifecycle.ClientLeft)
 		}
 	}
 	if o.How != scheduler.Streamed && o.How != scheduler.ReadDone {
@@ -759,8 +759,8 @@
 			Int("ending", int(o.How)).Str("why", o.Why).Msg("leg ended")
 	}
 	x.take(g, e, what{outcome: o})
-	if len(g.replies) == 0 && g.part == nil && (g.State == path.Held || g.State == path.Reading) {
-		x.take(g, path.ClientLeft) // its client left while it was written, and it is not: what has not run need not go on
+	if len(g.replies) == 0 && g.part == nil && (g.State == lifecycle.Held || g.State == lifecycle.Reading) {
+		x.take(g, lifecycle.ClientLeft) // its client left while it was written, and it is not: what has not run need not go on
 	}
 }
 
@@ -783,7 +783,7 @@
 		lags = r.Chunk(data) || lags
 	}
 	if lags {
-		x.take(g, path.Lags)
+		x.take(g, lifecycle.Lags)
 	}
 }
 
@@ -800,9 +800,9 @@
 // Send makes a leg.
 func (x *Dispatcher) Send(id scheduler.GenID, host scheduler.HostID, allow scheduler.Micros) {
 	if g := x.gens[id]; g != nil {
-		e := path.OrderWrite
+		e := lifecycle.OrderWrite
 		if x.role(host) == scheduler.Reader || g.part != nil {
-			e = path.OrderRead
+			e = lifecycle.OrderRead
 		}
 		x.take(g, e, what{host: host, allow: allow})
 	}
@@ -820,28 +820,28 @@
 // Throttle is the final answer of a generation that may come again.
 func (x *Dispatcher) Throttle(id scheduler.GenID, comeBackIn scheduler.Micros) {
 	if g := x.gens[id]; g != nil {
-		x.take(g, path.OrderThrottle, what{comeBack: comeBackIn})
+		x.take(g, lifecycle.OrderThrottle, what{comeBack: comeBackIn})
 	}
 }
 
 // Terminate is the final answer of a generation that failed.
 func (x *Dispatcher) Terminate(id scheduler.GenID) {
 	if g := x.gens[id]; g != nil {
-		x.take(g, path.OrderTerminate, what{why: "The generation failed."})
+		x.take(g, lifecycle.OrderTerminate, what{why: "The generation failed."})
 	}
 }
 
 // Cancel quits waiting for a leg. That it was cancelled is told after the module's call.
 func (x *Dispatcher) Cancel(id scheduler.GenID, no scheduler.LegNo) {
 	if g := x.gens[id]; g != nil && no == g.legs-1 {
-		x.take(g, path.OrderCancel)
+		x.take(g, lifecycle.OrderCancel)
 	}
 }
 
 // LetGo has every reader that may hold something for the generation drop it.
 func (x *Dispatcher) LetGo(id scheduler.GenID) {
 	if g := x.gens[id]; g != nil {
-		x.take(g, path.OrderLetGo)
+		x.take(g, lifecycle.OrderLetGo)
 	}
 }
 
--- a/internal/dispatch/intent.go
+++ b/internal/dispatch/intent.go
@@ -7,8 +7,8 @@
 	"plumspindle/internal/deployment/pb"
 	"plumspindle/internal/engine"
 	"plumspindle/internal/eventloop"
-	"plumspindle/internal/path"
-	"plumspindle/internal/repeat"
+	"plumspindle/internal/idempotency"
+	"plumspindle/internal/lifecycle"
 	"plumspindle/internal/store"
 	"plumspindle/scheduler"
 )
@@ -33,14 +33,14 @@
 		return
 	}
 	type past struct {
-		key           repeat.Key
+		key           idempotency.Key
 		request       uint64
 		until, window eventloop.Micros
 	}
 	var all []past
 	now := x.loop.Now()
 	x.post.Intents.Scan(intentPrefix, func(key string, v []byte) bool {
-		if len(v) != intentLen || len(key) != len(intentPrefix)+len(repeat.Key{}) {
+		if len(v) != intentLen || len(key) != len(intentPrefix)+len(idempotency.Key{}) {
 			return true
 		}
 		i := past{request: binary.LittleEndian.Uint64(v), until: eventloop.Micros(binary.LittleEndian.Uint64(v[8:])), window: eventloop.Micros(binary.LittleEndian.Uint64(v[16:]))}
@@ -55,7 +55,7 @@
 	for _, i := range all {
 		x.repeats.Restore(i.key, i.request, i.until, i.window)
 	}
-	x.repeats.OnForget = func(k repeat.Key) {
+	x.repeats.OnForget = func(k idempotency.Key) {
 		_ = x.post.Intents.Commit([]store.Op{{Key: intentPrefix + string(k[:])}}, nil, true, nil) // one kept too long does no harm
 	}
 	x.post.Log.Info().Int("keys", len(all)).Msg("remembering what may have run before")
@@ -155,7 +155,7 @@
 		return
 	}
 	x.loop.After(eventloop.Micros(x.Rules.LetGoMs)*eventloop.Millisecond/2, func() {
-		if g.intent.then != nil && no == g.legs-1 && g.State == path.Writing {
+		if g.intent.then != nil && no == g.legs-1 && g.State == lifecycle.Writing {
 			g.intent.then = nil
 			x.ended(g, engine.Outcome{How: scheduler.Full, Note: 1, Memory: scheduler.NoReport, Why: "not sent: its intent is not kept in time"})
 		}
@@ -163,7 +163,7 @@
 }
 
 // keepEnd keeps when a key is to be forgotten. It is written with the next group: lost, the key is remembered for longer.
-func (x *Dispatcher) keepEnd(e *repeat.Entry, window eventloop.Micros) {
+func (x *Dispatcher) keepEnd(e *idempotency.Entry, window eventloop.Micros) {
 	if x.post.Intents == nil {
 		return
 	}
--- a/internal/dispatch/path_test.go
+++ b/internal/dispatch/path_test.go
@@ -10,7 +10,7 @@
 	"plumspindle/internal/deployment"
 	"plumspindle/internal/eventloop"
 	"plumspindle/internal/http1"
-	"plumspindle/internal/path"
+	"plumspindle/internal/lifecycle"
 	"plumspindle/internal/store"
 	"plumspindle/scheduler"
 
@@ -120,7 +120,7 @@
 		}
 		if chance.Intn(100) == 0 { // as where a tenant is removed
 			if g := r.x.gens[scheduler.GenID(int(r.x.lastGen)-chance.Intn(12))]; g != nil {
-				r.loop.Do(func() { r.x.take(g, path.Stop, what{why: "The tenant was removed."}) })
+				r.loop.Do(func() { r.x.take(g, lifecycle.Stop, what{why: "The tenant was removed."}) })
 			}
 		}
 		if chance.Intn(700) == 0 {
@@ -166,7 +166,7 @@
 // Twenty thousand generations under breaks: one final answer each, byte for byte where it is streamed, no
 // side-effecting one run twice, nothing left, and every cell of the path's table reached.
 func TestTwentyThousandGenerations(t *testing.T) {
-	var all path.Reached
+	var all lifecycle.Reached
 	for i, x := range []*Dispatcher{
 		storm(t, 6000, 1, func(d deployment.Deployment) { d.Tenants[0].QuotaPerS = 60 }),
 		storm(t, 4000, 3, func(d deployment.Deployment) {
@@ -183,12 +183,12 @@
 			}
 		}
 	}
-	for s := range path.Table {
-		for e, step := range path.Table[s] {
+	for s := range lifecycle.Table {
+		for e, step := range lifecycle.Table[s] {
 			if step.Some {
-				t.Logf("%-10v %-16v %8d", path.State(s), path.Event(e), all[s][e])
-				if all[s][e] == 0 && path.Event(e) != path.LegWhole { // TestReadEndsAfterItsClientLeft reaches those
-					t.Errorf("%v in %v was never reached", path.Event(e), path.State(s))
+				t.Logf("%-10v %-16v %8d", lifecycle.State(s), lifecycle.Event(e), all[s][e])
+				if all[s][e] == 0 && lifecycle.Event(e) != lifecycle.LegWhole { // TestReadEndsAfterItsClientLeft reaches those
+					t.Errorf("%v in %v was never reached", lifecycle.Event(e), lifecycle.State(s))
 				}
 			}
 		}
--- a/internal/dispatch/tenants.go
+++ b/internal/dispatch/tenants.go
@@ -10,8 +10,8 @@
 	"strconv"
 
 	"plumspindle/internal/eventloop"
-	"plumspindle/internal/front"
-	"plumspindle/internal/path"
+	"plumspindle/internal/frontend"
+	"plumspindle/internal/lifecycle"
 	"plumspindle/internal/subscribe"
 	"plumspindle/internal/tenancy"
 	"plumspindle/scheduler"
@@ -161,7 +161,7 @@
 	}
 	if stop {
 		for _, t := range x.gate.Open(s.id) {
-			x.take(t.Anything.(*gen), path.Stop, what{why: "The tenant was removed."})
+			x.take(t.Anything.(*gen), lifecycle.Stop, what{why: "The tenant was removed."})
 		}
 	}
 	x.emptySeat(s)
@@ -178,37 +178,37 @@
 }
 
 // Identify finds whose key it is.
-func (x *Dispatcher) Identify(key string) (front.Identity, bool) {
+func (x *Dispatcher) Identify(key string) (frontend.Identity, bool) {
 	if s := x.static[sha256.Sum256([]byte(key))]; s != nil {
-		return front.Identity{Tenant: s.name, Space: s.space, Serves: true}, true
+		return frontend.Identity{Tenant: s.name, Space: s.space, Serves: true}, true
 	}
 	t, k, known := x.directory.Whose(int64(x.loop.Now()/eventloop.Second), key)
 	if !known || !slices.Contains(k.Scopes, tenancy.ScopeChat) {
-		return front.Identity{}, false
+		return frontend.Identity{}, false
 	}
 	s := x.seats[t.Name]
 	if s == nil || s.id != t.ID {
-		return front.Identity{}, false
+		return frontend.Identity{}, false
 	}
-	return front.Identity{Tenant: s.name, Key: k.ID, Space: s.space, Serves: s.serves}, true
+	return frontend.Identity{Tenant: s.name, Key: k.ID, Space: s.space, Serves: s.serves}, true
 }
 
 // admission takes a generation to its tenant's gate. It tells whether it goes to the module now; else it waits, or has
 // been answered.
-func (x *Dispatcher) admission(g *gen, who front.Identity, to *front.Reply) (now bool, problem *front.Problem) {
+func (x *Dispatcher) admission(g *gen, who frontend.Identity, to *frontend.Reply) (now bool, problem *frontend.Problem) {
 	s := x.seats[who.Tenant]
 	if s == nil || !who.Serves {
-		return false, &front.Problem{Status: 403, Type: "permission_error", Code: "tenant_suspended", Never: true,
+		return false, &frontend.Problem{Status: 403, Type: "permission_error", Code: "tenant_suspended", Never: true,
 			Message: "This account is suspended."}
 	}
 	g.seat = s
 	t, v := x.gate.Ask(x.loop.Now(), s.id, who.Key, g.ask.Model, g.ask.Tokens, g.ask.Most)
 	switch {
 	case v.Reason == tenancy.PromptTooLarge:
-		return false, &front.Problem{Status: 400, Type: "invalid_request_error", Param: "messages", Code: "prompt_too_large",
+		return false, &frontend.Problem{Status: 400, Type: "invalid_request_error", Param: "messages", Code: "prompt_too_large",
 			Message: "The prompt has more tokens than this account may ask for."}
 	case v.Reason == tenancy.NotServed:
-		return false, &front.Problem{Status: 403, Type: "permission_error", Code: "tenant_suspended", Never: true, Message: "This account is suspended."}
+		return false, &frontend.Problem{Status: 403, Type: "permission_error", Code: "tenant_suspended", Never: true, Message: "This account is suspended."}
 	case v.Reason != tenancy.None:
 		x.Refused++
 		x.meter.Add(tenancy.Used{Tenant: s.name, Product: g.ask.Model, Day: tenancy.Day(x.loop.Now()), Throttled: 1})
@@ -225,10 +225,10 @@
 
 // wait has a generation stand before the module until its tenant's turn comes.
 func (x *Dispatcher) wait(g *gen) {
-	g.State = path.Queued
+	g.State = lifecycle.Queued
 	g.limit = x.loop.After(max(g.deadline-queueGrace-x.loop.Now(), 0), func() {
-		if g.State == path.Queued {
-			x.take(g, path.TimeUp)
+		if g.State == lifecycle.Queued {
+			x.take(g, lifecycle.TimeUp)
 		}
 	})
 }
@@ -243,7 +243,7 @@
 		g := t.Anything.(*gen)
 		g.limit.Stop()
 		g.limit = nil
-		x.take(g, path.Admit)
+		x.take(g, lifecycle.Admit)
 	}
 }
 
@@ -263,20 +263,20 @@
 	u := tenancy.Used{Tenant: g.seat.name, Product: g.ask.Model, Day: tenancy.Day(now), Taken: 1}
 	if g.part != nil { // the call counts, not its parts; but what they read does
 		u.Taken = 0
-		if g.final == path.AnswerStreamed {
+		if g.final == lifecycle.AnswerStreamed {
 			u.Prompt = uint64(g.prompt)
-		} else if g.final == path.AnswerThrottled {
+		} else if g.final == lifecycle.AnswerThrottled {
 			x.gate.Held(now, g.ticket)
 		}
 	}
 	switch final := g.final; {
 	case g.part != nil:
-	case final == path.AnswerStreamed:
+	case final == lifecycle.AnswerStreamed:
 		u.Streamed = 1
-	case final == path.AnswerThrottled:
+	case final == lifecycle.AnswerThrottled:
 		u.Throttled = 1
 		x.gate.Held(now, g.ticket) // one inside its share found no place
-	case final == path.AnswerTerminated:
+	case final == lifecycle.AnswerTerminated:
 		u.Terminated = 1
 	default:
 		u.Left = 1
--- a/internal/embed/ask.go
+++ b/internal/embed/ask.go
@@ -16,7 +16,7 @@
 	"github.com/klauspost/compress/zstd"
 	"github.com/tidwall/gjson"
 
-	"plumspindle/internal/front"
+	"plumspindle/internal/frontend"
 	"plumspindle/internal/vectors"
 )
 
@@ -46,9 +46,9 @@
 // Owner is what stands behind a call.
 type Owner interface {
 	// Begin is told once that all is known that a part needs; inputs may go out from now on.
-	Begin() *front.Problem
+	Begin() *frontend.Problem
 	// Added tells of further inputs, or, with whole, that there will be none.
-	Added(whole bool) *front.Problem
+	Added(whole bool) *frontend.Problem
 }
 
 // Ask is what a client wants, as far as its body has come. It is the front's Sink.
@@ -67,7 +67,7 @@
 
 	bounds  Bounds
 	owner   Owner
-	to      *front.Reply
+	to      *frontend.Reply
 	scan    scanner
 	places  map[vectors.Key]int32
 	tokens  []byte // of one list of tokens that is not inside another
@@ -89,7 +89,7 @@
 const codedMost = 16 << 20
 
 // NewAsk makes one for a body in a coding, "" for none.
-func NewAsk(kind Kind, coding string, bounds Bounds, owner Owner, to *front.Reply) *Ask {
+func NewAsk(kind Kind, coding string, bounds Bounds, owner Owner, to *frontend.Reply) *Ask {
 	a := &Ask{Kind: kind, bounds: bounds, owner: owner, to: to, places: map[vectors.Key]int32{}, coding: strings.ToLower(coding), piece: make([]byte, 32<<10)}
 	if a.coding == "identity" {
 		a.coding = ""
@@ -99,10 +99,10 @@
 }
 
 // Data takes the body's next bytes.
-func (a *Ask) Data(b []byte) *front.Problem {
+func (a *Ask) Data(b []byte) *frontend.Problem {
 	if a.coding != "" {
 		if a.coded = append(a.coded, b...); len(a.coded) > codedMost {
-			return &front.Problem{Status: 413, Type: "invalid_request_error", Code: "body_too_large",
+			return &frontend.Problem{Status: 413, Type: "invalid_request_error", Code: "body_too_large",
 				Message: fmt.Sprintf("A coded body may have %d bytes.", codedMost)}
 		}
 		return nil
@@ -110,7 +110,7 @@
 	return a.take(b)
 }
 
-func (a *Ask) take(b []byte) *front.Problem {
+func (a *Ask) take(b []byte) *frontend.Problem {
 	if p := a.scan.feed(b); p != nil {
 		return p
 	}
@@ -118,7 +118,7 @@
 }
 
 // grown: where much is kept the rest of the body waits, and what has come goes out, if all is known that it needs.
-func (a *Ask) grown() *front.Problem {
+func (a *Ask) grown() *frontend.Problem {
 	if a.Kept <= a.bounds.Window/2 {
 		return nil
 	}
@@ -127,7 +127,7 @@
 			if a.Kept <= a.bounds.Window {
 				return nil
 			}
-			return &front.Problem{Status: 413, Type: "invalid_request_error", Code: "body_too_large", Message: fmt.Sprintf(
+			return &frontend.Problem{Status: 413, Type: "invalid_request_error", Code: "body_too_large", Message: fmt.Sprintf(
 				"Where the inputs have more than %d bytes, 'model' and what else is no input have to come before them.", a.bounds.Window)}
 		}
 		if p := a.begin(); p != nil {
@@ -141,7 +141,7 @@
 	return nil
 }
 
-func (a *Ask) begin() *front.Problem {
+func (a *Ask) begin() *frontend.Problem {
 	a.begun = true
 	if !a.Documents { // it can't be asked for any more
 		a.Texts = nil
@@ -150,7 +150,7 @@
 }
 
 // End tells that the body has come.
-func (a *Ask) End() *front.Problem {
+func (a *Ask) End() *frontend.Problem {
 	a.ended = true
 	if a.coding == "" {
 		return a.finish()
@@ -159,7 +159,7 @@
 }
 
 // decode reads on in a coded body, as far as there is room.
-func (a *Ask) decode() *front.Problem {
+func (a *Ask) decode() *frontend.Problem {
 	if a.decoder == nil {
 		var err error
 		if a.coding == "gzip" {
@@ -174,7 +174,7 @@
 	for a.Kept <= a.bounds.Window {
 		n, err := a.decoder.Read(a.piece)
 		if a.decoded += n; a.decoded > a.bounds.Body {
-			return &front.Problem{Status: 413, Type: "invalid_request_error", Code: "body_too_large",
+			return &frontend.Problem{Status: 413, Type: "invalid_request_error", Code: "body_too_large",
 				Message: fmt.Sprintf("The body is larger than %d bytes once it is decoded.", a.bounds.Body)}
 		}
 		if p := a.take(a.piece[:n]); p != nil {
@@ -191,8 +191,8 @@
 	return nil
 }
 
-func (a *Ask) undecodable() *front.Problem {
-	return front.Invalid("", "invalid_coding", "The body can't be decoded as %s.", a.coding)
+func (a *Ask) undecodable() *frontend.Problem {
+	return frontend.Invalid("", "invalid_coding", "The body can't be decoded as %s.", a.coding)
 }
 
 // Close gives back what decoding took.
@@ -203,7 +203,7 @@
 	a.decoder, a.coded = nil, nil
 }
 
-func (a *Ask) finish() *front.Problem {
+func (a *Ask) finish() *frontend.Problem {
 	if a.over {
 		return nil
 	}
@@ -218,8 +218,8 @@
 	if a.Kind == Rerank {
 		list = "documents"
 	}
-	missing := func(name string) *front.Problem {
-		return front.Invalid(name, "missing_required_parameter", "Missing required parameter: '%s'.", name)
+	missing := func(name string) *frontend.Problem {
+		return frontend.Invalid(name, "missing_required_parameter", "Missing required parameter: '%s'.", name)
 	}
 	switch {
 	case a.Model == "":
@@ -229,7 +229,7 @@
 	case !a.scan.seen[list]:
 		return missing(list)
 	case len(a.Order) == 0:
-		return front.Invalid(list, "empty_array", "Invalid '%s': empty array.", list)
+		return frontend.Invalid(list, "empty_array", "Invalid '%s': empty array.", list)
 	}
 	if !a.begun {
 		if p := a.begin(); p != nil {
@@ -240,7 +240,7 @@
 }
 
 // Drop lets go of an input that is not needed any more. It tells of a problem that shows in what is read on then.
-func (a *Ask) Drop(i int) *front.Problem {
+func (a *Ask) Drop(i int) *frontend.Problem {
 	in := &a.Inputs[i]
 	a.Kept -= len(in.Raw)
 	in.Raw = nil
@@ -255,17 +255,17 @@
 }
 
 // early members have to come before the inputs of a body that is larger than what is kept: parts have gone out without them.
-func (a *Ask) late(name string) *front.Problem {
+func (a *Ask) late(name string) *frontend.Problem {
 	if !a.begun {
 		return nil
 	}
-	return front.Invalid(name, "parameter_too_late", "In a body of this size '%s' has to come before the inputs.", name)
+	return frontend.Invalid(name, "parameter_too_late", "In a body of this size '%s' has to come before the inputs.", name)
 }
 
-func (a *Ask) member(name string, raw []byte) *front.Problem {
+func (a *Ask) member(name string, raw []byte) *frontend.Problem {
 	v := gjson.ParseBytes(raw)
-	wrong := func(want string) *front.Problem {
-		return front.Invalid(name, "invalid_type", "Invalid type for '%s': expected %s, but got %s instead.", name, want, strings.ToLower(v.Type.String()))
+	wrong := func(want string) *frontend.Problem {
+		return frontend.Invalid(name, "invalid_type", "Invalid type for '%s': expected %s, but got %s instead.", name, want, strings.ToLower(v.Type.String()))
 	}
 	if v.Type == gjson.Null && name != "model" && name != "input" && name != "query" && name != "documents" {
 		return nil
@@ -273,16 +273,16 @@
 	if p := a.late(name); p != nil && name != "user" && name != "top_n" && name != "encoding_format" {
 		return p
 	}
-	count := func() (int, *front.Problem) {
+	count := func() (int, *frontend.Problem) {
 		if v.Type != gjson.Number || v.Num != float64(int(v.Num)) {
 			return 0, wrong("an integer")
 		}
 		if v.Num < 1 {
-			return 0, front.Invalid(name, "integer_below_min_value", "Invalid '%s': expected a value >= 1.", name)
+			return 0, frontend.Invalid(name, "integer_below_min_value", "Invalid '%s': expected a value >= 1.", name)
 		}
 		return int(v.Num), nil
 	}
-	var p *front.Problem
+	var p *frontend.Problem
 	switch {
 	case name == "model":
 		if v.Type != gjson.String || v.Str == "" {
@@ -296,7 +296,7 @@
 		return a.element(name, raw)
 	case a.Kind == Embeddings && name == "encoding_format":
 		if f := v.String(); f != "float" && f != "base64" {
-			return front.Invalid(name, "invalid_value", "Invalid value: '%.40s'. Supported values are: float, base64.", f)
+			return frontend.Invalid(name, "invalid_value", "Invalid value: '%.40s'. Supported values are: float, base64.", f)
 		}
 		a.Base64 = v.String() == "base64"
 	case a.Kind == Embeddings && name == "dimensions":
@@ -319,15 +319,15 @@
 		return wrong("an array")
 	case name == "user" && v.Type == gjson.String:
 	default:
-		return front.Invalid(name, "unknown_parameter", "Unknown parameter: '%.60s'.", name)
+		return frontend.Invalid(name, "unknown_parameter", "Unknown parameter: '%.60s'.", name)
 	}
 	return nil
 }
 
 // element takes one of the inputs.
-func (a *Ask) element(name string, raw []byte) *front.Problem {
+func (a *Ask) element(name string, raw []byte) *frontend.Problem {
 	if (name == "documents") != (a.Kind == Rerank) {
-		return front.Invalid(name, "unknown_parameter", "Unknown parameter: '%.60s'.", name)
+		return frontend.Invalid(name, "unknown_parameter", "Unknown parameter: '%.60s'.", name)
 	}
 	at := fmt.Sprintf("%s[%d]", name, len(a.Order))
 	v := gjson.ParseBytes(raw)
@@ -340,7 +340,7 @@
 	case v.Type == gjson.String:
 		text := quoteLess(raw)
 		if text == "" && a.Kind == Embeddings {
-			return front.Invalid(at, "invalid_value", "Invalid '%s': an input may not be empty.", at)
+			return frontend.Invalid(at, "invalid_value", "Invalid '%s': an input may not be empty.", at)
 		}
 		if a.Kind == Rerank {
 			a.keepText(text)
@@ -348,7 +348,7 @@
 		return a.add(at, raw, (len(text)+tokenBytes-1)/tokenBytes)
 	case v.Type == gjson.Number && a.Kind == Embeddings && (len(a.Order) == 0 || a.listed > 0):
 		if !a.token(v) {
-			return front.Invalid("input", "invalid_value", "Invalid 'input': a token is an integer >= 0.")
+			return frontend.Invalid("input", "invalid_value", "Invalid 'input': a token is an integer >= 0.")
 		}
 		if a.listed++; a.listed > a.bounds.InputTokens {
 			return a.tooManyTokens("input", a.listed)
@@ -359,11 +359,11 @@
 		list := v.Array()
 		for _, t := range list {
 			if !a.token(t) {
-				return front.Invalid(at, "invalid_value", "Invalid '%s': a token is an integer >= 0.", at)
+				return frontend.Invalid(at, "invalid_value", "Invalid '%s': a token is an integer >= 0.", at)
 			}
 		}
 		if len(list) == 0 {
-			return front.Invalid(at, "empty_array", "Invalid '%s': empty array.", at)
+			return frontend.Invalid(at, "empty_array", "Invalid '%s': empty array.", at)
 		}
 		return a.add(at, raw, len(list))
 	}
@@ -371,7 +371,7 @@
 	if a.Kind == Rerank {
 		want = "a string or an object with a text"
 	}
-	return front.Invalid(at, "invalid_type", "Invalid type for '%s': expected %s.", at, want)
+	return frontend.Invalid(at, "invalid_type", "Invalid type for '%s': expected %s.", at, want)
 }
 
 func (a *Ask) token(v gjson.Result) bool {
@@ -379,7 +379,7 @@
 }
 
 // endTokens: tokens that were not inside a further list are one input.
-func (a *Ask) endTokens() *front.Problem {
+func (a *Ask) endTokens() *frontend.Problem {
 	if a.listed == 0 {
 		return nil
 	}
@@ -391,8 +391,8 @@
 	return a.add("input", raw, n)
 }
 
-func (a *Ask) tooManyTokens(at string, n int) *front.Problem {
-	return front.Invalid(at, "input_too_long", "Invalid '%s': about %d tokens, and an input may have %d.", at, n, a.bounds.InputTokens)
+func (a *Ask) tooManyTokens(at string, n int) *frontend.Problem {
+	return frontend.Invalid(at, "input_too_long", "Invalid '%s': about %d tokens, and an input may have %d.", at, n, a.bounds.InputTokens)
 }
 
 // keepText keeps a document's text where it is to be given back; whether that is so may be said after it.
@@ -402,15 +402,15 @@
 	}
 }
 
-func (a *Ask) add(at string, raw []byte, tokens int) *front.Problem {
+func (a *Ask) add(at string, raw []byte, tokens int) *frontend.Problem {
 	if a.listed > 0 {
-		return front.Invalid(at, "invalid_type", "Tokens and other inputs can't stand in one list.")
+		return frontend.Invalid(at, "invalid_type", "Tokens and other inputs can't stand in one list.")
 	}
 	if tokens > a.bounds.InputTokens {
 		return a.tooManyTokens(at, tokens)
 	}
 	if len(a.Order) >= a.bounds.Inputs {
-		return front.Invalid(at[:strings.IndexByte(at+"[", '[')], "array_above_max_length", "More than %d inputs are not taken in one call.", a.bounds.Inputs)
+		return frontend.Invalid(at[:strings.IndexByte(at+"[", '[')], "array_above_max_length", "More than %d inputs are not taken in one call.", a.bounds.Inputs)
 	}
 	digest := sha256.Sum256(raw)
 	key := vectors.Key(digest[:16])
--- a/internal/embed/scan.go
+++ b/internal/embed/scan.go
@@ -5,7 +5,7 @@
 
 	"github.com/tidwall/gjson"
 
-	"plumspindle/internal/front"
+	"plumspindle/internal/frontend"
 )
 
 // scanner reads one JSON object as its bytes come, however they are cut: small members whole, and the elements of lists one
@@ -14,8 +14,8 @@
 type scanner struct {
 	lists   []string // members whose elements are told one by one
 	most    int      // bytes of one value
-	member  func(name string, raw []byte) *front.Problem
-	element func(name string, raw []byte) *front.Problem
+	member  func(name string, raw []byte) *frontend.Problem
+	element func(name string, raw []byte) *frontend.Problem
 
 	state  scanState
 	name   string
@@ -42,12 +42,12 @@
 	wantEnd
 )
 
-var notJSON = front.Invalid("", "invalid_json", "The body is not valid JSON.")
+var notJSON = frontend.Invalid("", "invalid_json", "The body is not valid JSON.")
 
 func space(c byte) bool { return c == ' ' || c == '\t' || c == '\n' || c == '\r' }
 
 // feed takes the next bytes. It may be called again after a problem, and then does nothing.
-func (s *scanner) feed(b []byte) *front.Problem {
+func (s *scanner) feed(b []byte) *frontend.Problem {
 	for i := 0; i < len(b); i++ {
 		c := b[i]
 		if s.state != inValue && s.state != inName && space(c) {
@@ -56,7 +56,7 @@
 		switch s.state {
 		case wantObject:
 			if c != '{' {
-				return front.Invalid("", "invalid_json", "The body must be a JSON object.")
+				return frontend.Invalid("", "invalid_json", "The body must be a JSON object.")
 			}
 			s.state = wantName
 		case wantName:
@@ -70,7 +70,7 @@
 			}
 		case inName:
 			if s.value = append(s.value, c); len(s.value) > 256 {
-				return front.Invalid("", "invalid_json", "The name of a parameter is too long.")
+				return frontend.Invalid("", "invalid_json", "The name of a parameter is too long.")
 			}
 			if !s.string(c) {
 				continue
@@ -80,7 +80,7 @@
 			}
 			s.name, s.state, s.some = gjson.ParseBytes(s.value).String(), wantColon, true
 			if s.seen[s.name] {
-				return front.Invalid(s.name, "duplicate_parameter", "The parameter %q is given twice.", s.name)
+				return frontend.Invalid(s.name, "duplicate_parameter", "The parameter %q is given twice.", s.name)
 			}
 			if s.seen == nil {
 				s.seen = map[string]bool{}
@@ -153,7 +153,7 @@
 	return false
 }
 
-func (s *scanner) begin(c byte) *front.Problem {
+func (s *scanner) begin(c byte) *frontend.Problem {
 	listed := false
 	for _, l := range s.lists {
 		listed = listed || l == s.name
@@ -179,7 +179,7 @@
 }
 
 // within takes one byte of a value; again means that the byte is not the value's.
-func (s *scanner) within(c byte) (again bool, p *front.Problem) {
+func (s *scanner) within(c byte) (again bool, p *frontend.Problem) {
 	if s.kind == '0' && (c == ',' || c == ']' || c == '}' || space(c)) {
 		return true, s.end()
 	}
@@ -205,12 +205,12 @@
 	return false, nil
 }
 
-func (s *scanner) tooLong() *front.Problem {
-	return front.Invalid(s.name, "value_too_long", "A value of '%.60s' is longer than %d bytes.", s.name, s.most)
+func (s *scanner) tooLong() *frontend.Problem {
+	return frontend.Invalid(s.name, "value_too_long", "A value of '%.60s' is longer than %d bytes.", s.name, s.most)
 }
 
 // end tells of a whole value.
-func (s *scanner) end() *front.Problem {
+func (s *scanner) end() *frontend.Problem {
 	if !gjson.ValidBytes(s.value) {
 		return notJSON
 	}
@@ -222,7 +222,7 @@
 }
 
 // close tells that the body has ended.
-func (s *scanner) close() *front.Problem {
+func (s *scanner) close() *frontend.Problem {
 	if s.state != wantEnd {
 		return notJSON
 	}
--- a/internal/embed/scan_test.go
+++ b/internal/embed/scan_test.go
@@ -9,17 +9,17 @@
 
 	"pgregory.net/rapid"
 
-	"plumspindle/internal/front"
+	"plumspindle/internal/frontend"
 )
 
 // heard is all that a scanner tells of a body that comes in pieces.
-func heard(body []byte, cuts []int) (events []string, problem *front.Problem) {
+func heard(body []byte, cuts []int) (events []string, problem *frontend.Problem) {
 	s := scanner{lists: []string{"input"}, most: 1 << 20}
-	s.member = func(name string, raw []byte) *front.Problem {
+	s.member = func(name string, raw []byte) *frontend.Problem {
 		events = append(events, fmt.Sprintf("%s=%s", name, raw))
 		return nil
 	}
-	s.element = func(name string, raw []byte) *front.Problem {
+	s.element = func(name string, raw []byte) *frontend.Problem {
 		events = append(events, fmt.Sprintf("%s+%s", name, raw))
 		return nil
 	}
--- a/internal/explore/explore.go
+++ b/internal/faultsearch/faultsearch.go
@@ -1,6 +1,6 @@
-// Package explore looks for what nobody has thought of: days in virtual time whose faults are drawn from a seed, the rules and
+// Package faultsearch looks for what nobody has thought of: days in virtual time whose faults are drawn from a seed, the rules and
 // the dispatchers' own state checked, and a day that fails cut down to the least that still does.
-package explore
+package faultsearch
 
 import (
 	"fmt"
@@ -14,7 +14,7 @@
 	"plumspindle/internal/deployment/pb"
 	"plumspindle/internal/lab/audit"
 	"plumspindle/internal/lab/days"
-	"plumspindle/internal/path"
+	"plumspindle/internal/lifecycle"
 )
 
 // weights are how often each sort of trouble is drawn.
@@ -97,7 +97,7 @@
 	Faults  []string // each begins with what was broken
 	Trace   uint64
 	Steps   int
-	Reached path.Reached
+	Reached lifecycle.Reached
 	Verdict *audit.Verdict
 	Play    *days.Play
 }
--- a/internal/explore/plants.go
+++ b/internal/faultsearch/plants.go
@@ -1,4 +1,4 @@
-package explore
+package faultsearch
 
 import (
 	"bytes"
--- a/internal/front/front.go
+++ b/internal/frontend/frontend.go
@@ -1,7 +1,7 @@
-// Package front is what all of the client's APIs share: connections of clients, who they are, bodies with their bounds, the
+// Package frontend is what all of the client's APIs share: connections of clients, who they are, bodies with their bounds, the
 // one final answer to a request, error objects. An API is a Route: how its requests are read and its answers are shaped. The
 // front decides nothing about where a generation goes, nor whether it is throttled.
-package front
+package frontend
 
 import (
 	"encoding/json"
--- a/internal/boot/boot_test.go
+++ b/internal/hostcache/hostcache_test.go
@@ -1,4 +1,4 @@
-package boot
+package hostcache
 
 import (
 	"fmt"
--- a/internal/repeat/repeat.go
+++ b/internal/idempotency/idempotency.go
@@ -1,7 +1,7 @@
-// Package repeat decides what a client's repeat of a generation with the same Idempotency-Key is answered with. It is
+// Package idempotency decides what a client's repeat of a generation with the same Idempotency-Key is answered with. It is
 // free of I/O. A key is remembered from the moment that its generation is taken; it is forgotten at once where nothing
 // ran, and else only when its window has passed: never to make room, since a forgotten key could run twice.
-package repeat
+package idempotency
 
 import "plumspindle/scheduler/timerqueue"
 
--- a/internal/repeat/repeat_test.go
+++ b/internal/idempotency/idempotency_test.go
@@ -1,4 +1,4 @@
-package repeat
+package idempotency
 
 import (
 	"fmt"
--- a/internal/lab/days/days.go
+++ b/internal/lab/days/days.go
@@ -29,7 +29,7 @@
 	"plumspindle/internal/lab/hosts"
 	"plumspindle/internal/lab/load"
 	"plumspindle/internal/lab/record"
-	"plumspindle/internal/path"
+	"plumspindle/internal/lifecycle"
 	"plumspindle/internal/sockets"
 	"plumspindle/internal/tenancy"
 	"plumspindle/internal/virtual"
@@ -78,7 +78,7 @@
 	Watch       func()                  // called after each step
 	Delay       func() eventloop.Micros // how much longer each piece is on its way, once the load has begun
 	Steps       int                     // of the world
-	Reached     []path.Reached          // by each dispatcher's last life
+	Reached     []lifecycle.Reached     // by each dispatcher's last life
 
 	world *virtual.World
 	all   []*lives
--- a/internal/path/path.go
+++ b/internal/lifecycle/lifecycle.go
@@ -1,7 +1,7 @@
-// Package path is the life of one generation in a dispatcher, from the moment it is taken until nothing of it is
+// Package lifecycle is the life of one generation in a dispatcher, from the moment it is taken until nothing of it is
 // left, as a table: what each event does in each state. It is free of I/O and decides nothing that the module
 // decides: orders are among its events. docs/streams.md prints the table.
-package path
+package lifecycle
 
 // State is where a generation stands.
 type State uint8
--- a/internal/path/path_test.go
+++ b/internal/lifecycle/lifecycle_test.go
@@ -1,4 +1,4 @@
-package path
+package lifecycle
 
 import (
 	"slices"
--- a/internal/program/program.go
+++ b/internal/program/program.go
@@ -30,7 +30,7 @@
 	"plumspindle/internal/deployment"
 	"plumspindle/internal/dispatch"
 	"plumspindle/internal/eventloop"
-	"plumspindle/internal/front"
+	"plumspindle/internal/frontend"
 	"plumspindle/internal/lab/audit"
 	"plumspindle/internal/lab/days"
 	"plumspindle/internal/lab/hosts"
@@ -228,7 +228,7 @@
 		}
 		post.Keep = c.keeper(c.ListFile, true, func(err error) { s.log.Error().Err(err).Msg("the list is not kept; it is tried again") })
 	}
-	loop.Busy = front.Busy()
+	loop.Busy = frontend.Busy()
 	var limit syscall.Rlimit
 	if err := syscall.Getrlimit(syscall.RLIMIT_NOFILE, &limit); err == nil {
 		post.Descriptors = int(min(limit.Cur, 1<<20))
--- a/internal/program/sim.go
+++ b/internal/program/sim.go
@@ -18,10 +18,10 @@
 	"plumspindle/internal/deployment"
 	"plumspindle/internal/deployment/pb"
 	"plumspindle/internal/eventloop"
-	"plumspindle/internal/explore"
+	"plumspindle/internal/faultsearch"
 	"plumspindle/internal/lab/days"
 	"plumspindle/internal/lab/record"
-	"plumspindle/internal/path"
+	"plumspindle/internal/lifecycle"
 )
 
 type simCommand struct {
@@ -92,9 +92,9 @@
 }
 
 // day is a seed's, or a file's.
-func day(text string, size explore.Size) (*pb.Day, error) {
+func day(text string, size faultsearch.Size) (*pb.Day, error) {
 	if seed, err := strconv.ParseInt(text, 10, 64); err == nil {
-		return explore.Draw(seed, size), nil
+		return faultsearch.Draw(seed, size), nil
 	}
 	b, err := os.ReadFile(text)
 	if err != nil {
@@ -107,7 +107,7 @@
 	if text == "" {
 		return nil, nil
 	}
-	for i, p := range explore.Plants() {
+	for i, p := range faultsearch.Plants() {
 		if p.Name == text || strconv.Itoa(i+1) == text {
 			return p, nil
 		}
@@ -168,13 +168,13 @@
 	pairs := map[string]*[2]int{}
 	all := uint64(0)
 	err = each(from, to, c.Jobs, func(seed int64) error {
-		d := explore.Draw(seed, explore.Size{Seconds: c.For, Rate: c.Rate})
-		o, err := explore.Play(d, nil)
+		d := faultsearch.Draw(seed, faultsearch.Size{Seconds: c.For, Rate: c.Rate})
+		o, err := faultsearch.Play(d, nil)
 		if err != nil {
 			return err
 		}
 		if c.Twice {
-			again, err := explore.Play(d, nil)
+			again, err := faultsearch.Play(d, nil)
 			if err != nil {
 				return err
 			}
@@ -258,7 +258,7 @@
 }
 
 func (c *simReplay) Run(s *surroundings) error {
-	d, err := day(c.Day, explore.Size{Seconds: c.For, Rate: c.Rate})
+	d, err := day(c.Day, faultsearch.Size{Seconds: c.For, Rate: c.Rate})
 	if err != nil {
 		return err
 	}
@@ -266,7 +266,7 @@
 	if err != nil {
 		return err
 	}
-	o, err := explore.Play(d, plant)
+	o, err := faultsearch.Play(d, plant)
 	if err != nil {
 		return err
 	}
@@ -307,7 +307,7 @@
 }
 
 func (c *simShrink) Run(s *surroundings) error {
-	d, err := day(c.Day, explore.Size{Seconds: c.For, Rate: c.Rate})
+	d, err := day(c.Day, faultsearch.Size{Seconds: c.For, Rate: c.Rate})
 	if err != nil {
 		return err
 	}
@@ -315,7 +315,7 @@
 	if err != nil {
 		return err
 	}
-	least, tried, err := explore.Shrink(d, plant, func(n int, d *pb.Day) {
+	least, tried, err := faultsearch.Shrink(d, plant, func(n int, d *pb.Day) {
 		fmt.Fprintf(s.err, "%d tried: %d troubles, %d s, %.1f generations a second\n", n, len(d.Troubles), d.Seconds, d.Rate)
 	})
 	if err != nil {
@@ -335,11 +335,11 @@
 		return err
 	}
 	var mu sync.Mutex
-	var reached path.Reached
+	var reached lifecycle.Reached
 	pairs := map[string]int{}
 	if err := each(from, to, 0, func(seed int64) error {
-		d := explore.Draw(seed, explore.Usual)
-		o, err := explore.Play(d, nil)
+		d := faultsearch.Draw(seed, faultsearch.Usual)
+		o, err := faultsearch.Play(d, nil)
 		if err != nil {
 			return err
 		}
@@ -358,13 +358,13 @@
 		return err
 	}
 	cells, got := 0, 0
-	for st := range path.Table {
-		for e, step := range path.Table[st] {
+	for st := range lifecycle.Table {
+		for e, step := range lifecycle.Table[st] {
 			if step.Some {
 				if cells++; reached[st][e] > 0 {
 					got++
 				} else {
-					fmt.Fprintf(s.out, "never: %v in %v\n", path.Event(e), path.State(st))
+					fmt.Fprintf(s.out, "never: %v in %v\n", lifecycle.Event(e), lifecycle.State(st))
 				}
 			}
 		}
@@ -386,7 +386,7 @@
 		troubles = append(troubles, &pb.Day_Trouble{Kind: c.Trouble, AtMs: 300, ForMs: 200, Share: 0.4, Factor: 0.5, Step: 30})
 	}
 	began, told := time.Now(), time.Now()
-	o, err := explore.Explore(c.Depth, eventloop.Micros(c.Late), troubles, func(o *explore.Orders) {
+	o, err := faultsearch.Explore(c.Depth, eventloop.Micros(c.Late), troubles, func(o *faultsearch.Orders) {
 		if time.Since(told) > 5*time.Second {
 			told = time.Now()
 			fmt.Fprintf(s.err, "%d days, %d states, %d faults\n", o.Days, o.States, len(o.Faults))
@@ -436,7 +436,7 @@
 
 func (c *simPlants) Run(s *surroundings) error {
 	missed := 0
-	for i, p := range explore.Plants() {
+	for i, p := range faultsearch.Plants() {
 		if c.Only != "" && c.Only != p.Name && c.Only != strconv.Itoa(i+1) {
 			continue
 		}
@@ -449,7 +449,7 @@
 			if over {
 				return nil
 			}
-			o, err := explore.Play(explore.Draw(seed, explore.Usual), explore.Plants()[i])
+			o, err := faultsearch.Play(faultsearch.Draw(seed, faultsearch.Usual), faultsearch.Plants()[i])
 			if err != nil {
 				return err
 			}
@@ -470,7 +470,7 @@
 		}
 		fmt.Fprintf(s.out, "%2d %-46s seed %d: %.110s\n", i+1, p.Name, found, how)
 		if c.Small {
-			least, tried, err := explore.Shrink(explore.Draw(found, explore.Usual), explore.Plants()[i], nil)
+			least, tried, err := faultsearch.Shrink(faultsearch.Draw(found, faultsearch.Usual), faultsearch.Plants()[i], nil)
 			if err != nil {
 				return err
 			}
