--- a/internal/admin/admin_test.go
+++ b/internal/admin/admin_test.go
@@ -17,9 +17,9 @@
 	"plumspindle/internal/dispatch"
 	"plumspindle/internal/eventloop"
 	"plumspindle/internal/http1"
-	"plumspindle/internal/lab/hosts"
 	"plumspindle/internal/sse"
 	"plumspindle/internal/tenancy"
+	"plumspindle/internal/testbed/hosts"
 	"plumspindle/internal/virtual"
 )
 
--- a/internal/dispatch/batches_test.go
+++ b/internal/dispatch/batches_test.go
@@ -19,9 +19,9 @@
 	"plumspindle/internal/deployment/pb"
 	"plumspindle/internal/eventloop"
 	"plumspindle/internal/http1"
-	"plumspindle/internal/lab/hosts"
 	"plumspindle/internal/lifecycle"
 	"plumspindle/internal/sse"
+	"plumspindle/internal/testbed/hosts"
 )
 
 // embeds answers a part as every host should.
--- a/internal/dispatch/stages_test.go
+++ b/internal/dispatch/stages_test.go
@@ -13,9 +13,9 @@
 	"plumspindle/internal/deployment"
 	"plumspindle/internal/deployment/pb"
 	"plumspindle/internal/eventloop"
-	"plumspindle/internal/lab/audit"
-	"plumspindle/internal/lab/hosts"
-	"plumspindle/internal/lab/record"
+	"plumspindle/internal/testbed/audit"
+	"plumspindle/internal/testbed/hosts"
+	"plumspindle/internal/testbed/record"
 	"plumspindle/internal/virtual"
 )
 
--- a/internal/faultsearch/faultsearch.go
+++ b/internal/faultsearch/faultsearch.go
@@ -12,9 +12,9 @@
 
 	"plumspindle/internal/deployment"
 	"plumspindle/internal/deployment/pb"
-	"plumspindle/internal/lab/audit"
-	"plumspindle/internal/lab/days"
 	"plumspindle/internal/lifecycle"
+	"plumspindle/internal/testbed/audit"
+	"plumspindle/internal/testbed/scenarios"
 )
 
 // weights are how often each sort of trouble is drawn.
@@ -99,7 +99,7 @@
 	Steps   int
 	Reached lifecycle.Reached
 	Verdict *audit.Verdict
-	Play    *days.Play
+	Play    *scenarios.Play
 }
 
 // Sort is what was broken first, without its numbers: two days that fail alike have it alike.
@@ -115,9 +115,9 @@
 const checkEvery = 16
 
 // Play plays a day, with a fault planted or none.
-func Play(d *pb.Day, plant *days.Plant) (*Outcome, error) {
+func Play(d *pb.Day, plant *scenarios.Plant) (*Outcome, error) {
 	o := &Outcome{Day: d}
-	p := &days.Play{Script: proto.Clone(d).(*pb.Day), Deployment: deployment.Standard(), Dispatchers: int(max(d.World.GetDispatchers(), 1)),
+	p := &scenarios.Play{Script: proto.Clone(d).(*pb.Day), Deployment: deployment.Standard(), Dispatchers: int(max(d.World.GetDispatchers(), 1)),
 		Seed: d.World.GetSeed(), Keyed: d.World.GetKeyed(), Intents: d.World.GetIntents(), Plant: plant}
 	if plant != nil && plant.Play != nil {
 		plant.Play(p)
@@ -164,7 +164,7 @@
 
 // returns tells whether service has come back: of what was asked in the last second, when no trouble has been under way for a
 // while, not nearly all may be without an answer.
-func returns(d *pb.Day, p *days.Play) string {
+func returns(d *pb.Day, p *scenarios.Play) string {
 	end := uint32(0)
 	for _, t := range d.Troubles {
 		span := t.ForMs
@@ -188,7 +188,7 @@
 
 // Shrink cuts a day that fails down: troubles, batches, options, the length and the load go as far as it still fails in the
 // same way. Each that was tried is told to note.
-func Shrink(d *pb.Day, plant *days.Plant, note func(tried int, d *pb.Day)) (*pb.Day, int, error) {
+func Shrink(d *pb.Day, plant *scenarios.Plant, note func(tried int, d *pb.Day)) (*pb.Day, int, error) {
 	first, err := Play(d, plant)
 	if err != nil {
 		return nil, 0, err
--- a/internal/faultsearch/faultsearch_test.go
+++ b/internal/faultsearch/faultsearch_test.go
@@ -8,7 +8,7 @@
 	"testing"
 
 	"plumspindle/internal/deployment/pb"
-	"plumspindle/internal/lab/days"
+	"plumspindle/internal/testbed/scenarios"
 )
 
 // several does something for each of some seeds, four at once.
@@ -114,7 +114,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		d, err := days.ReadScript(f, b)
+		d, err := scenarios.ReadScript(f, b)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -126,7 +126,7 @@
 			t.Errorf("%s: %s", f, fault)
 		}
 	}
-	if _, err := days.ReadScript("x", []byte(`name: "x" seconds: 1 rate: 1 troubles { kind: "locusts" }`)); err == nil {
+	if _, err := scenarios.ReadScript("x", []byte(`name: "x" seconds: 1 rate: 1 troubles { kind: "locusts" }`)); err == nil {
 		t.Error("an unknown trouble was taken")
 	}
 }
--- a/internal/faultsearch/orders.go
+++ b/internal/faultsearch/orders.go
@@ -10,7 +10,7 @@
 	"plumspindle/internal/deployment"
 	"plumspindle/internal/deployment/pb"
 	"plumspindle/internal/eventloop"
-	"plumspindle/internal/lab/days"
+	"plumspindle/internal/testbed/scenarios"
 )
 
 // Orders are what a bounded search over the orders of deliveries found.
@@ -47,7 +47,7 @@
 	choices := []int{}
 	for {
 		at, depthNow := 0, depth
-		p := &days.Play{Script: proto.Clone(script).(*pb.Day), Deployment: deployment.Deployment{Deployment: proto.Clone(d.Deployment).(*pb.Deployment)},
+		p := &scenarios.Play{Script: proto.Clone(script).(*pb.Day), Deployment: deployment.Deployment{Deployment: proto.Clone(d.Deployment).(*pb.Deployment)},
 			Dispatchers: 2, Seed: script.World.Seed}
 		p.Delay = func() eventloop.Micros {
 			if at >= depthNow {
--- a/internal/faultsearch/plants.go
+++ b/internal/faultsearch/plants.go
@@ -5,8 +5,8 @@
 
 	"plumspindle/internal/dispatch"
 	"plumspindle/internal/eventloop"
-	"plumspindle/internal/lab/days"
 	"plumspindle/internal/roster"
+	"plumspindle/internal/testbed/scenarios"
 	"plumspindle/internal/virtual"
 	"plumspindle/scheduler"
 )
@@ -96,8 +96,8 @@
 
 func (c *conn) Write(b []byte) { c.write(c.Conn, b) }
 
-func ordered(name string, change func(o *orders)) *days.Plant {
-	return &days.Plant{Name: name, Dispatcher: func() *dispatch.Plant {
+func ordered(name string, change func(o *orders)) *scenarios.Plant {
+	return &scenarios.Plant{Name: name, Dispatcher: func() *dispatch.Plant {
 		return &dispatch.Plant{Orders: func(real scheduler.Orders) scheduler.Orders {
 			o := &orders{Orders: real}
 			change(o)
@@ -106,16 +106,16 @@
 	}}
 }
 
-func placed(name string, change func(*scheduler.Deployment)) *days.Plant {
-	return &days.Plant{Name: name, Dispatcher: func() *dispatch.Plant { return &dispatch.Plant{Place: change} }}
+func placed(name string, change func(*scheduler.Deployment)) *scenarios.Plant {
+	return &scenarios.Plant{Name: name, Dispatcher: func() *dispatch.Plant { return &dispatch.Plant{Place: change} }}
 }
 
-func heard(name string, change func([]roster.Entry) []roster.Entry) *days.Plant {
-	return &days.Plant{Name: name, Dispatcher: func() *dispatch.Plant { return &dispatch.Plant{News: change} }}
+func heard(name string, change func([]roster.Entry) []roster.Entry) *scenarios.Plant {
+	return &scenarios.Plant{Name: name, Dispatcher: func() *dispatch.Plant { return &dispatch.Plant{News: change} }}
 }
 
-func looped(name string, change func(*loop)) *days.Plant {
-	return &days.Plant{Name: name, Loop: func(v *virtual.Loop) eventloop.Loop {
+func looped(name string, change func(*loop)) *scenarios.Plant {
+	return &scenarios.Plant{Name: name, Loop: func(v *virtual.Loop) eventloop.Loop {
 		l := &loop{Loop: v}
 		change(l)
 		return l
@@ -123,9 +123,9 @@
 }
 
 // Plants are the faults that can be planted: each is one that the rules, the state's own checks or the record have to find.
-func Plants() []*days.Plant {
+func Plants() []*scenarios.Plant {
 	final := []byte("data: [DONE]")
-	return []*days.Plant{
+	return []*scenarios.Plant{
 		ordered("a state is never let go", func(o *orders) { o.letGo = func(scheduler.GenID) {} }),
 		ordered("every third state is not let go", func(o *orders) {
 			n := 0
@@ -224,7 +224,7 @@
 				}
 			}
 		}),
-		{Name: "intents are not kept", Play: func(p *days.Play) { p.Intents = false }},
+		{Name: "intents are not kept", Play: func(p *scenarios.Play) { p.Intents = false }},
 		{Name: "the disk answers before it has written", Folder: func(f *virtual.Folder) { f.Lies = true }},
 	}
 }
--- a/internal/program/admin.go
+++ b/internal/program/admin.go
@@ -14,8 +14,8 @@
 
 	"plumspindle/internal/admin"
 	"plumspindle/internal/eventloop"
-	"plumspindle/internal/lab/days"
 	"plumspindle/internal/sockets"
+	"plumspindle/internal/testbed/scenarios"
 )
 
 type adminCommand struct {
@@ -54,7 +54,7 @@
 	if err != nil {
 		return err
 	}
-	if err := days.WriteReady(c.ReadyFile, days.Ready{API: "http://" + ln.Addr()}); err != nil {
+	if err := scenarios.WriteReady(c.ReadyFile, scenarios.Ready{API: "http://" + ln.Addr()}); err != nil {
 		return err
 	}
 	s.log.Info().Str("admin", "http://"+ln.Addr()).Msg("serving")
--- a/internal/program/batches.go
+++ b/internal/program/batches.go
@@ -12,7 +12,7 @@
 
 	"plumspindle/internal/deployment"
 	"plumspindle/internal/deployment/pb"
-	"plumspindle/internal/lab/days"
+	"plumspindle/internal/testbed/scenarios"
 )
 
 type batchesCommand struct {
@@ -126,7 +126,7 @@
 	var failed error
 	room := make(chan struct{}, 4)
 	for seed := range c.Seeds {
-		script, err := days.ReadScript(name, []byte(text))
+		script, err := scenarios.ReadScript(name, []byte(text))
 		if err != nil {
 			return got, err
 		}
@@ -136,7 +136,7 @@
 		room <- struct{}{}
 		go func() {
 			defer func() { <-room; wg.Done() }()
-			play := &days.Play{Script: script, Deployment: d, Dispatchers: 3, Seed: int64(seed + 1)}
+			play := &scenarios.Play{Script: script, Deployment: d, Dispatchers: 3, Seed: int64(seed + 1)}
 			v, left, _, err := play.Virtual(0)
 			mu.Lock()
 			defer mu.Unlock()
--- a/internal/program/bench.go
+++ b/internal/program/bench.go
@@ -25,10 +25,10 @@
 	"plumspindle/internal/engine"
 	"plumspindle/internal/eventloop"
 	"plumspindle/internal/http1"
-	"plumspindle/internal/lab/days"
-	"plumspindle/internal/lab/hosts"
 	"plumspindle/internal/sockets"
 	"plumspindle/internal/sse"
+	"plumspindle/internal/testbed/hosts"
+	"plumspindle/internal/testbed/scenarios"
 	"plumspindle/scheduler"
 )
 
@@ -123,7 +123,7 @@
 	}
 	for range 1000 {
 		if b, err := os.ReadFile(ready); err == nil {
-			var r days.Ready
+			var r scenarios.Ready
 			if err := json.Unmarshal(b, &r); err != nil {
 				return nil, err
 			}
--- a/internal/program/fairness.go
+++ b/internal/program/fairness.go
@@ -12,8 +12,8 @@
 	"gonum.org/v1/plot/vg"
 
 	"plumspindle/internal/deployment"
-	"plumspindle/internal/lab/audit"
-	"plumspindle/internal/lab/days"
+	"plumspindle/internal/testbed/audit"
+	"plumspindle/internal/testbed/scenarios"
 )
 
 type fairnessCommand struct {
@@ -124,11 +124,11 @@
 	if times > 1 {
 		text += fmt.Sprintf(` troubles { at_ms: 5000 kind: "tenant_burst" factor: %v for_ms: 12000 }`, times)
 	}
-	script, err := days.ReadScript("flood", []byte(text))
+	script, err := scenarios.ReadScript("flood", []byte(text))
 	if err != nil {
 		return nil, err
 	}
-	play := &days.Play{Script: script, Deployment: deployment.Standard(), Dispatchers: dispatchers, Seed: seed}
+	play := &scenarios.Play{Script: script, Deployment: deployment.Standard(), Dispatchers: dispatchers, Seed: seed}
 	if !c.Sockets {
 		v, _, _, err := play.Virtual(0)
 		return v, err
--- a/internal/program/program.go
+++ b/internal/program/program.go
@@ -31,13 +31,13 @@
 	"plumspindle/internal/dispatch"
 	"plumspindle/internal/eventloop"
 	"plumspindle/internal/frontend"
-	"plumspindle/internal/lab/audit"
-	"plumspindle/internal/lab/days"
-	"plumspindle/internal/lab/hosts"
 	"plumspindle/internal/platform/launch"
 	"plumspindle/internal/roster"
 	"plumspindle/internal/sockets"
 	"plumspindle/internal/store"
+	"plumspindle/internal/testbed/audit"
+	"plumspindle/internal/testbed/hosts"
+	"plumspindle/internal/testbed/scenarios"
 )
 
 type commands struct {
@@ -79,7 +79,7 @@
 	code := -1
 	k, err := kong.New(&c, kong.Name("plumspindle"), kong.Writers(out, errOut), kong.Exit(func(n int) { code = n }),
 		kong.Description("A router for language-model serving with reading and writing on separate engines."),
-		kong.UsageOnError(), kong.Vars{"days": strings.Join(days.Names(), ", "), "troubles": strings.Join(days.Kinds(), ", ")})
+		kong.UsageOnError(), kong.Vars{"days": strings.Join(scenarios.Names(), ", "), "troubles": strings.Join(scenarios.Kinds(), ", ")})
 	if err != nil {
 		fmt.Fprintln(errOut, err)
 		return 1
@@ -192,7 +192,7 @@
 		return err
 	}
 	addr := ln.Addr()
-	if err := days.WriteReady(c.ReadyFile, days.Ready{API: "http://" + addr}); err != nil {
+	if err := scenarios.WriteReady(c.ReadyFile, scenarios.Ready{API: "http://" + addr}); err != nil {
 		return err
 	}
 	defer func() {
@@ -328,7 +328,7 @@
 	if fleet.Roster != nil {
 		addr = "http://" + fleet.Roster.Addr
 	}
-	if err := days.WriteReady(c.ReadyFile, days.Ready{API: addr}); err != nil {
+	if err := scenarios.WriteReady(c.ReadyFile, scenarios.Ready{API: addr}); err != nil {
 		return err
 	}
 	for _, h := range fleet.Hosts {
@@ -369,7 +369,7 @@
 	if err != nil {
 		return err
 	}
-	if err := days.WriteReady(c.ReadyFile, days.Ready{API: "http://" + r.Addr}); err != nil {
+	if err := scenarios.WriteReady(c.ReadyFile, scenarios.Ready{API: "http://" + r.Addr}); err != nil {
 		return err
 	}
 	s.log.Info().Str("roster", "http://"+r.Addr).Int("hosts", len(entries)).Msg("serving")
@@ -437,7 +437,7 @@
 	if _, err := crand.Read(secret[:]); err != nil {
 		return err
 	}
-	keys := days.Tenants(d, []string{"local"}, 0, func(int) string { return "sk-local-" + hex.EncodeToString(secret[30:]) })
+	keys := scenarios.Tenants(d, []string{"local"}, 0, func(int) string { return "sk-local-" + hex.EncodeToString(secret[30:]) })
 	adminAt, err := sockets.Start()
 	if err != nil {
 		return err
@@ -476,7 +476,7 @@
 		case <-time.After(2 * time.Millisecond):
 		}
 	}
-	if err := days.WriteReady(c.ReadyFile, days.Ready{API: "http://" + addr, Key: keys[0], Admin: "http://" + adminLn.Addr(), AdminKey: operator}); err != nil {
+	if err := scenarios.WriteReady(c.ReadyFile, scenarios.Ready{API: "http://" + addr, Key: keys[0], Admin: "http://" + adminLn.Addr(), AdminKey: operator}); err != nil {
 		return err
 	}
 	fmt.Fprintf(s.out, "Tenants: PLUMSPINDLE_ADMIN=http://%s PLUMSPINDLE_ADMIN_KEY=%s plumspindle tenant add NAME\n\n", adminLn.Addr(), operator)
@@ -503,7 +503,7 @@
 
 // Run plays the day; a broken rule is an error.
 func (c *dayCommand) Run(s *surroundings) error {
-	script, err := days.Find(c.Name)
+	script, err := scenarios.Find(c.Name)
 	if err != nil {
 		return err
 	}
@@ -518,7 +518,7 @@
 	if err != nil {
 		return err
 	}
-	play := &days.Play{Script: script, Deployment: d, Dispatchers: c.Dispatchers, Seed: c.Seed, Binary: binary,
+	play := &scenarios.Play{Script: script, Deployment: d, Dispatchers: c.Dispatchers, Seed: c.Seed, Binary: binary,
 		Record: c.Record, Progress: s.err, Keyed: c.Keyed, Intents: c.Intents}
 	var v *audit.Verdict
 	if c.Virtual {
@@ -551,7 +551,7 @@
 
 // Run judges the record.
 func (c *auditCommand) Run(s *surroundings) error {
-	v, err := days.Again(c.Dir)
+	v, err := scenarios.Again(c.Dir)
 	if err != nil {
 		return err
 	}
--- a/internal/program/program_test.go
+++ b/internal/program/program_test.go
@@ -20,7 +20,7 @@
 	"github.com/openai/openai-go"
 	"github.com/openai/openai-go/option"
 
-	"plumspindle/internal/lab/days"
+	"plumspindle/internal/testbed/scenarios"
 )
 
 var binary string
@@ -41,7 +41,7 @@
 }
 
 // up runs the whole path and ends it in good order.
-func up(t *testing.T) days.Ready {
+func up(t *testing.T) scenarios.Ready {
 	t.Helper()
 	file := filepath.Join(t.TempDir(), "ready")
 	var out bytes.Buffer
@@ -58,14 +58,14 @@
 	})
 	deadline := time.Now().Add(20 * time.Second)
 	for time.Now().Before(deadline) {
-		var r days.Ready
+		var r scenarios.Ready
 		if b, err := os.ReadFile(file); err == nil && json.Unmarshal(b, &r) == nil && r.Key != "" {
 			return r
 		}
 		time.Sleep(5 * time.Millisecond) // waits for another process, which has nothing else to be heard by
 	}
 	t.Fatalf("not ready: %s", out.String())
-	return days.Ready{}
+	return scenarios.Ready{}
 }
 
 // The official client library chats, streams and gets typed errors.
--- a/internal/program/restarts.go
+++ b/internal/program/restarts.go
@@ -13,7 +13,7 @@
 
 	"plumspindle/internal/deployment"
 	"plumspindle/internal/eventloop"
-	"plumspindle/internal/lab/days"
+	"plumspindle/internal/testbed/scenarios"
 )
 
 type restartsCommand struct {
@@ -104,7 +104,7 @@
 	room := make(chan struct{}, 4)
 	got.asked, got.in = make([]int, c.For+1), make([]int, c.For+1)
 	for seed := range c.Seeds {
-		script, err := days.ReadScript("restart", []byte(fmt.Sprintf(`name: "restart" seconds: %d rate: %v`, c.For, c.Rate)))
+		script, err := scenarios.ReadScript("restart", []byte(fmt.Sprintf(`name: "restart" seconds: %d rate: %v`, c.For, c.Rate)))
 		if err != nil {
 			return err
 		}
@@ -116,7 +116,7 @@
 		room <- struct{}{}
 		go func() {
 			defer func() { <-room; wg.Done() }()
-			play := &days.Play{Script: script, Deployment: d, Dispatchers: c.Dispatchers, Seed: int64(seed + 1)}
+			play := &scenarios.Play{Script: script, Deployment: d, Dispatchers: c.Dispatchers, Seed: int64(seed + 1)}
 			v, left, err := play.Restart(eventloop.Micros(age.Microseconds()), share, discovery)
 			mu.Lock()
 			defer mu.Unlock()
--- a/internal/program/room_test.go
+++ b/internal/program/room_test.go
@@ -8,19 +8,19 @@
 	"time"
 
 	"plumspindle/internal/deployment"
-	"plumspindle/internal/lab/days"
+	"plumspindle/internal/testbed/scenarios"
 )
 
 // Dispatchers as processes run out of descriptors while generations are read, moved and written, and clients that say nothing hold
 // all that is given back: what runs goes on, what comes is told so, no state is pinned, and with room again service is back without
 // a restart. Judged from what clients and hosts saw.
 func TestDayWithoutDescriptors(t *testing.T) {
-	script, err := days.ReadScript("room", []byte(`name: "room" seconds: 11 rate: 40
+	script, err := scenarios.ReadScript("room", []byte(`name: "room" seconds: 11 rate: 40
 		troubles { at_ms: 2500 kind: "descriptors" share: 1 factor: 6 for_ms: 3000 }`))
 	if err != nil {
 		t.Fatal(err)
 	}
-	p := &days.Play{Script: script, Deployment: deployment.Standard(), Dispatchers: 1, Seed: 4, Binary: binary}
+	p := &scenarios.Play{Script: script, Deployment: deployment.Standard(), Dispatchers: 1, Seed: 4, Binary: binary}
 	ctx, cancel := context.WithTimeout(context.Background(), 2*time.Minute)
 	defer cancel()
 	var held sync.WaitGroup
--- a/internal/program/sim.go
+++ b/internal/program/sim.go
@@ -19,9 +19,9 @@
 	"plumspindle/internal/deployment/pb"
 	"plumspindle/internal/eventloop"
 	"plumspindle/internal/faultsearch"
-	"plumspindle/internal/lab/days"
-	"plumspindle/internal/lab/record"
 	"plumspindle/internal/lifecycle"
+	"plumspindle/internal/testbed/record"
+	"plumspindle/internal/testbed/scenarios"
 )
 
 type simCommand struct {
@@ -100,10 +100,10 @@
 	if err != nil {
 		return nil, fmt.Errorf("day: %w", err)
 	}
-	return days.ReadScript(filepath.Base(text), b)
+	return scenarios.ReadScript(filepath.Base(text), b)
 }
 
-func planted(text string) (*days.Plant, error) {
+func planted(text string) (*scenarios.Plant, error) {
 	if text == "" {
 		return nil, nil
 	}
@@ -369,7 +369,7 @@
 			}
 		}
 	}
-	kinds := len(days.Kinds())
+	kinds := len(scenarios.Kinds())
 	fmt.Fprintf(s.out, "%d of the path's %d cells reached; %d of %d pairs of troubles within a second played\n", got, cells, len(pairs), kinds*(kinds+1)/2)
 	return nil
 }
@@ -380,7 +380,7 @@
 	}
 	var troubles []*pb.Day_Trouble
 	if c.Trouble != "" {
-		if !slices.Contains(days.Kinds(), c.Trouble) {
+		if !slices.Contains(scenarios.Kinds(), c.Trouble) {
 			return fmt.Errorf("sim: there is no trouble %q", c.Trouble)
 		}
 		troubles = append(troubles, &pb.Day_Trouble{Kind: c.Trouble, AtMs: 300, ForMs: 200, Share: 0.4, Factor: 0.5, Step: 30})
@@ -418,7 +418,7 @@
 	if c.Restart {
 		sc.Troubles = append(sc.Troubles, &pb.Day_Trouble{Kind: "mass_restart", HostKind: "prefill", Share: 1, AtMs: uint32(c.For) * 300, ForMs: 1000})
 	}
-	play := &days.Play{Script: sc, Deployment: d, Dispatchers: c.Dispatchers, Seed: 1}
+	play := &scenarios.Play{Script: sc, Deployment: d, Dispatchers: c.Dispatchers, Seed: 1}
 	began := time.Now()
 	v, left, _, err := play.Virtual(0)
 	if err != nil {
--- a/internal/lab/audit/audit.go
+++ b/internal/testbed/audit/audit.go
@@ -12,7 +12,7 @@
 
 	"plumspindle/internal/deployment"
 	"plumspindle/internal/deployment/pb"
-	"plumspindle/internal/lab/record"
+	"plumspindle/internal/testbed/record"
 )
 
 // Break is one breach of a rule: the line of the record that shows it, and whose it is.
--- a/internal/lab/audit/audit_test.go
+++ b/internal/testbed/audit/audit_test.go
@@ -6,7 +6,7 @@
 	"testing"
 
 	"plumspindle/internal/deployment"
-	"plumspindle/internal/lab/record"
+	"plumspindle/internal/testbed/record"
 )
 
 const ms = 1000
--- a/internal/lab/audit/recorded_test.go
+++ b/internal/testbed/audit/recorded_test.go
@@ -11,7 +11,7 @@
 	"testing"
 
 	"plumspindle/internal/deployment"
-	"plumspindle/internal/lab/record"
+	"plumspindle/internal/testbed/record"
 )
 
 func recorded(t *testing.T, path string) (events []record.Event) {
--- a/internal/lab/hosts/fleet.go
+++ b/internal/testbed/hosts/fleet.go
@@ -10,8 +10,8 @@
 	"plumspindle/internal/deployment"
 	"plumspindle/internal/deployment/pb"
 	"plumspindle/internal/eventloop"
-	"plumspindle/internal/lab/record"
 	"plumspindle/internal/roster"
+	"plumspindle/internal/testbed/record"
 )
 
 // Fleet is a set of stand-in hosts on one loop, with their roster.
--- a/internal/lab/hosts/host.go
+++ b/internal/testbed/hosts/host.go
@@ -13,8 +13,8 @@
 	"plumspindle/internal/deployment/pb"
 	"plumspindle/internal/eventloop"
 	"plumspindle/internal/http1"
-	"plumspindle/internal/lab/record"
 	"plumspindle/internal/sse"
+	"plumspindle/internal/testbed/record"
 )
 
 // Host is one stand-in.
--- a/internal/lab/hosts/roster.go
+++ b/internal/testbed/hosts/roster.go
@@ -8,9 +8,9 @@
 
 	"plumspindle/internal/eventloop"
 	"plumspindle/internal/http1"
-	"plumspindle/internal/lab/record"
 	"plumspindle/internal/roster"
 	"plumspindle/internal/sse"
+	"plumspindle/internal/testbed/record"
 	"plumspindle/scheduler"
 )
 
--- a/internal/lab/load/batch.go
+++ b/internal/testbed/load/batch.go
@@ -11,8 +11,8 @@
 	"plumspindle/internal/deployment/pb"
 	"plumspindle/internal/eventloop"
 	"plumspindle/internal/http1"
-	"plumspindle/internal/lab/hosts"
-	"plumspindle/internal/lab/record"
+	"plumspindle/internal/testbed/hosts"
+	"plumspindle/internal/testbed/record"
 )
 
 // Batches are clients that ask for embeddings or rerankings, so many calls at once; each asks again when it was answered.
--- a/internal/lab/load/load.go
+++ b/internal/testbed/load/load.go
@@ -18,9 +18,9 @@
 	"plumspindle/internal/deployment/pb"
 	"plumspindle/internal/eventloop"
 	"plumspindle/internal/http1"
-	"plumspindle/internal/lab/hosts"
-	"plumspindle/internal/lab/record"
 	"plumspindle/internal/sse"
+	"plumspindle/internal/testbed/hosts"
+	"plumspindle/internal/testbed/record"
 )
 
 // Target is one dispatcher that clients may go to.
--- a/internal/lab/days/flood_test.go
+++ b/internal/testbed/scenarios/flood_test.go
@@ -1,4 +1,4 @@
-package days
+package scenarios
 
 import (
 	"fmt"
@@ -7,7 +7,7 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 
 	"plumspindle/internal/deployment"
-	"plumspindle/internal/lab/audit"
+	"plumspindle/internal/testbed/audit"
 )
 
 // flood plays a day on which one of three tenants asks for so many times its usual traffic, and gives the others' rows.
--- a/internal/lab/days/restart.go
+++ b/internal/testbed/scenarios/restart.go
@@ -1,14 +1,14 @@
-package days
+package scenarios
 
 import (
 	"context"
 	"errors"
 
 	"plumspindle/internal/eventloop"
-	"plumspindle/internal/lab/audit"
-	"plumspindle/internal/lab/hosts"
-	"plumspindle/internal/lab/load"
-	"plumspindle/internal/lab/record"
+	"plumspindle/internal/testbed/audit"
+	"plumspindle/internal/testbed/hosts"
+	"plumspindle/internal/testbed/load"
+	"plumspindle/internal/testbed/record"
 	"plumspindle/internal/virtual"
 )
 
--- a/internal/lab/days/days.go
+++ b/internal/testbed/scenarios/scenarios.go
@@ -1,6 +1,6 @@
-// Package days plays scripted days: dispatchers as real processes, killed outright where the script says so, against
+// Package scenarios plays scripted days: dispatchers as real processes, killed outright where the script says so, against
 // stand-in hosts whose troubles are those of a bench day, with load from an open-loop crowd.
-package days
+package scenarios
 
 import (
 	"context"
@@ -25,13 +25,13 @@
 	"plumspindle/internal/deployment"
 	"plumspindle/internal/deployment/pb"
 	"plumspindle/internal/eventloop"
-	"plumspindle/internal/lab/audit"
-	"plumspindle/internal/lab/hosts"
-	"plumspindle/internal/lab/load"
-	"plumspindle/internal/lab/record"
 	"plumspindle/internal/lifecycle"
 	"plumspindle/internal/sockets"
 	"plumspindle/internal/tenancy"
+	"plumspindle/internal/testbed/audit"
+	"plumspindle/internal/testbed/hosts"
+	"plumspindle/internal/testbed/load"
+	"plumspindle/internal/testbed/record"
 	"plumspindle/internal/virtual"
 )
 
--- a/internal/lab/days/days_test.go
+++ b/internal/testbed/scenarios/scenarios_test.go
@@ -1,4 +1,4 @@
-package days
+package scenarios
 
 import (
 	"testing"
--- a/internal/lab/days/virtual.go
+++ b/internal/testbed/scenarios/virtual.go
@@ -1,4 +1,4 @@
-package days
+package scenarios
 
 import (
 	"context"
@@ -10,11 +10,11 @@
 	"plumspindle/internal/deployment/pb"
 	"plumspindle/internal/dispatch"
 	"plumspindle/internal/eventloop"
-	"plumspindle/internal/lab/audit"
-	"plumspindle/internal/lab/hosts"
-	"plumspindle/internal/lab/load"
-	"plumspindle/internal/lab/record"
 	"plumspindle/internal/store"
+	"plumspindle/internal/testbed/audit"
+	"plumspindle/internal/testbed/hosts"
+	"plumspindle/internal/testbed/load"
+	"plumspindle/internal/testbed/record"
 	"plumspindle/internal/virtual"
 )
 
