--- a/internal/platform/server/races_test.go
+++ b/internal/platform/server/races_test.go
@@ -32,7 +32,7 @@
 }
 
 // serve runs a server on a loop over real sockets.
-func serve(t *testing.T, limits Limits, handler *silentHandler) (*sockets.Loop, *Server, string) {
+func serve(t testing.TB, limits Limits, handler *silentHandler) (*sockets.Loop, *Server, string) {
 	t.Helper()
 	loop, err := sockets.Start()
 	if err != nil {
--- /dev/null
+++ b/internal/platform/server/streams_test.go
@@ -0,0 +1,110 @@
+package server
+
+import (
+	"bufio"
+	"encoding/binary"
+	"encoding/hex"
+	"fmt"
+	"net"
+	"slices"
+	"strings"
+	"sync"
+	"testing"
+	"time"
+
+	"plumspindle/internal/eventloop"
+)
+
+// BenchmarkManyStreams measures how long events take from their writing to the client, over loopback, with many streams open and some
+// clients that read nothing for a moment. Events are due each 50 ms on each stream; those of a client that paused count from its return.
+func BenchmarkManyStreams(b *testing.B) {
+	for _, streams := range []int{100, 1000, 4000} {
+		b.Run(fmt.Sprint(streams), func(b *testing.B) { measureStreams(b, streams) })
+	}
+}
+
+func measureStreams(b *testing.B, streams int) {
+	const every, events, payload = 50 * eventloop.Millisecond, 40, 200
+	handler := &silentHandler{}
+	limits := testLimits()
+	limits.Connections = streams + 10
+	loop, s, address := serve(b, limits, handler)
+	handler.handled = make(chan string, streams)
+	var mu sync.Mutex
+	var delays []time.Duration
+	var clients sync.WaitGroup
+	for i := range streams {
+		c, err := net.Dial("tcp", address)
+		if err != nil {
+			b.Fatal(err)
+		}
+		if _, err := c.Write([]byte(requestText(fmt.Sprint(i), 100))); err != nil {
+			b.Fatal(err)
+		}
+		clients.Go(func() {
+			defer c.Close()
+			own := readDelays(c, i%20 == 0)
+			mu.Lock()
+			delays = append(delays, own...)
+			mu.Unlock()
+		})
+	}
+	for range streams {
+		<-handler.handled
+	}
+	padding := strings.Repeat("x", payload)
+	loop.Do(func() {
+		for c := range s.connections {
+			writeEvents(loop, c.response, every, events, padding)
+		}
+	})
+	clients.Wait()
+	slices.Sort(delays)
+	b.ReportMetric(float64(delays[len(delays)/2].Microseconds())/1000, "ms-p50")
+	b.ReportMetric(float64(delays[len(delays)*99/100].Microseconds())/1000, "ms-p99")
+	b.ReportMetric(float64(delays[len(delays)-1].Microseconds())/1000, "ms-max")
+	if want := streams * events; len(delays) != want {
+		b.Errorf("%d events of %d came", len(delays), want)
+	}
+}
+
+// writeEvents writes a stream's events, each with the time of its writing.
+func writeEvents(loop eventloop.Loop, r *Response, every eventloop.Micros, left int, padding string) {
+	if left == 0 {
+		r.Complete()
+		return
+	}
+	var at [8]byte
+	binary.BigEndian.PutUint64(at[:], uint64(time.Now().UnixNano()))
+	r.WriteEvent([]byte(hex.EncodeToString(at[:]) + padding))
+	loop.After(every, func() { writeEvents(loop, r, every, left-1, padding) })
+}
+
+// readDelays reads a stream to its end; one that pauses reads nothing for half a second in its midst.
+func readDelays(c net.Conn, pauses bool) (delays []time.Duration) {
+	const pause = 500 * time.Millisecond
+	var back time.Time
+	lines := bufio.NewScanner(c)
+	for lines.Scan() {
+		text, event := strings.CutPrefix(lines.Text(), "data: ")
+		if !event {
+			if lines.Text() == "0" {
+				return delays
+			}
+			continue
+		}
+		raw, err := hex.DecodeString(text[:16])
+		if err != nil {
+			return delays
+		}
+		written := time.Unix(0, int64(binary.BigEndian.Uint64(raw)))
+		if written.Before(back) {
+			written = back
+		}
+		if delays = append(delays, time.Since(written)); pauses && len(delays) == 10 {
+			time.Sleep(pause)
+			back = time.Now()
+		}
+	}
+	return delays
+}
