--- a/internal/benchadapter/benchadapter.go
+++ b/internal/benchadapter/benchadapter.go
@@ -178,7 +178,7 @@
 }
 
 func (s *stage) attach(at uint32, seed uint64, info []byte) error {
-	t, err := settings.Read(info)
+	t, err := settings.Parse(info)
 	if err != nil {
 		return err
 	}
--- a/internal/dispatch/batches.go
+++ b/internal/dispatch/batches.go
@@ -317,7 +317,7 @@
 }
 
 // carryPart makes a part's leg.
-func (x *Dispatcher) carryPart(g *gen, name string, w what, hear engine.Hearer) {
+func (x *Dispatcher) carryPart(g *gen, name string, w what, hear engine.Callbacks) {
 	p := g.part
 	c := p.call
 	to, body := c.ask.Part(p.inputs, c.dimensions)
--- a/internal/dispatch/dispatch.go
+++ b/internal/dispatch/dispatch.go
@@ -125,7 +125,7 @@
 	replies  []*frontend.Reply // of its client, and of those that came with the same key
 	clientID string
 	legs     scheduler.LegNo // sent so far
-	leg      *engine.Leg     // the last one
+	leg      *engine.Attempt // the last one
 	host     scheduler.HostID
 	state    string  // where the read state lies, as its reader told
 	mayLie   []place // legs at readers that may have left a state
@@ -161,7 +161,7 @@
 	x := &Dispatcher{Deployment: d, loop: loop, post: post, gens: map[scheduler.GenID]*gen{}, runs: map[*idempotency.Entry]*gen{},
 		products: map[string]scheduler.ProductID{},
 		hosts:    map[scheduler.HostID]roster.Entry{}}
-	x.engine = engine.New(loop, post.Name, post.Zone, engine.Trunks{Connect: ms(d.Dispatching.ConnectMs),
+	x.engine = engine.New(loop, post.Name, post.Zone, engine.Limits{Connect: ms(d.Dispatching.ConnectMs),
 		Idle: ms(d.Dispatching.IdleMs), Silence: ms(d.Dispatching.SilenceMs), Most: int(d.Dispatching.Connections),
 		Opening: int(d.Dispatching.Openings)})
 	for i, p := range d.Products {
@@ -682,7 +682,7 @@
 	x.Legs++
 	g.host = w.host
 	name := x.engine.LegName(g.id, no)
-	hear := engine.Hearer{
+	hear := engine.Callbacks{
 		Event: func(data []byte) {
 			if no == g.legs-1 {
 				x.Events++
--- a/internal/engine/leg.go
+++ b/internal/engine/attempt.go
@@ -9,24 +9,24 @@
 	"plumspindle/scheduler"
 )
 
-// Hearer is told what becomes of a leg: Event for each usable event of a write, then Ended once.
-type Hearer struct {
+// Callbacks is told what becomes of an attempt: Event for each usable event of a write, then Ended once.
+type Callbacks struct {
 	Event func(data []byte)
 	Ended func(Outcome)
 }
 
-// Call is a leg in whatever protocol over HTTP/1.1: what goes out, and how what comes back is read.
+// Call is an attempt in whatever protocol over HTTP/1.1: what goes out, and how what comes back is read.
 type Call struct {
 	Request func(addr string, left eventloop.Micros) []byte // as it is when it leaves, with what is left of the time allowed
 	Answer  func(head *http1.Head, body []byte) Outcome     // what an answer means that is not streamed
 	Stream  Stream                                          // nil: none is expected
 	Most    int                                             // bytes of an answer that is not streamed
-	Spare   bool                                            // it lets go of something, and must not wait for legs
+	Spare   bool                                            // it lets go of something, and must not wait for attempts
 }
 
 // Stream reads the events of one streamed answer.
 type Stream interface {
-	// Event judges one; an error ends the leg.
+	// Event judges one; an error ends the attempt.
 	Event(data []byte) (pass bool, err error)
 	// Ended is what the stream came to when its body was complete.
 	Ended() Outcome
@@ -34,27 +34,27 @@
 	Broke(how scheduler.Ending, why string) Outcome
 }
 
-// Leg is one send that is out.
-type Leg struct {
-	engine *Engine
-	host   *host
-	trunk  *trunk
-	hear   Hearer
-	answer func(head *http1.Head, body []byte) Outcome
-	stream Stream
-	most   int // bytes of an answer that is not streamed
-	asks   func(addr string, left eventloop.Micros) []byte
-	due    eventloop.Micros // when the time allowed is over
-	leave  eventloop.Micros // when it has to have left
-	allow  eventloop.Timer
-	ended  bool
-	left   bool // its last byte had, when it ended
-
-	started bool
-	slow    bool             // its client lags, and it is not read
-	heard   eventloop.Micros // when its stream last brought something
-	letsGo  bool             // it tells the host to let go, and must not wait for legs
-	room    int              // connections that were closed for it
+// Attempt is one send that is out.
+type Attempt struct {
+	engine     *Engine
+	host       *host
+	connection *connection
+	hear       Callbacks
+	answer     func(head *http1.Head, body []byte) Outcome
+	stream     Stream
+	most       int // bytes of an answer that is not streamed
+	asks       func(addr string, left eventloop.Micros) []byte
+	due        eventloop.Micros // when the time allowed is over
+	leave      eventloop.Micros // when it has to have left
+	allow      eventloop.Timer
+	ended      bool
+	left       bool // its last byte had, when it ended
+
+	started   bool
+	slow      bool             // its client lags, and it is not read
+	heard     eventloop.Micros // when its stream last brought something
+	isRelease bool             // it tells the host to let go, and must not wait for attempts
+	room      int              // connections that were closed for it
 
 	// What the answer has told so far.
 	head   *http1.Head
@@ -63,10 +63,10 @@
 	memory float64
 }
 
-// late ends a leg whose time is over. What was never handed to the network whole can't have run; and it is taken back once it should
+// late ends an attempt whose time is over. What was never handed to the network whole can't have run; and it is taken back once it should
 // have left, for want of a connection or because its host does not read it: whether it might still be sent, as a repeat in its window,
 // was looked at when it was ordered.
-func (l *Leg) late() {
+func (l *Attempt) late() {
 	now := l.engine.loop.Now()
 	switch {
 	case l.Unsent():
@@ -78,17 +78,17 @@
 	}
 }
 
-// Unsent tells that the leg's last byte has not left this process, so that no host can have begun it.
-func (l *Leg) Unsent() bool {
+// Unsent tells that the attempt's last byte has not left this process, so that no host can have begun it.
+func (l *Attempt) Unsent() bool {
 	if l.ended {
 		return !l.left
 	}
-	return l.trunk == nil || !l.trunk.sent || l.trunk.conn.Unsent() > 0
+	return l.connection == nil || !l.connection.sent || l.connection.conn.Unsent() > 0
 }
 
-// Cancel quits waiting for a leg: the connection is closed, which is how a host is told. Nothing more is heard
+// Cancel quits waiting for an attempt: the connection is closed, which is how a host is told. Nothing more is heard
 // of it.
-func (l *Leg) Cancel() {
+func (l *Attempt) Cancel() {
 	if !l.ended {
 		l.left = !l.Unsent()
 		l.ended = true
@@ -97,50 +97,50 @@
 	}
 }
 
-// Started frees the leg from its time-out, which counts only until the first token. From now on the stream has
+// Started frees the attempt from its time-out, which counts only until the first token. From now on the stream has
 // to go on: a silent peer is never heard to close.
-func (l *Leg) Started() {
+func (l *Attempt) Started() {
 	l.started = true
 	l.watch()
 }
 
-func (l *Leg) watch() {
+func (l *Attempt) watch() {
 	l.allow.Stop()
 	l.heard = l.engine.loop.Now()
-	l.allow = l.engine.loop.After(l.engine.trunks.Silence, l.silent)
+	l.allow = l.engine.loop.After(l.engine.limits.Silence, l.silent)
 }
 
-func (l *Leg) silent() {
+func (l *Attempt) silent() {
 	quiet := l.engine.loop.Now() - l.heard
 	switch {
 	case l.slow:
 		l.watch()
-	case quiet < l.engine.trunks.Silence:
-		l.allow = l.engine.loop.After(l.engine.trunks.Silence-quiet, l.silent)
+	case quiet < l.engine.limits.Silence:
+		l.allow = l.engine.loop.After(l.engine.limits.Silence-quiet, l.silent)
 	default:
 		l.end(l.broke(scheduler.Dropped, "the stream fell silent"), true)
 	}
 }
 
 // Slow stops or resumes the reading of a stream whose client lags.
-func (l *Leg) Slow(on bool) {
-	if l.trunk != nil && !l.ended && l.slow != on {
+func (l *Attempt) Slow(on bool) {
+	if l.connection != nil && !l.ended && l.slow != on {
 		l.slow = on
 		l.heard = l.engine.loop.Now()
-		l.trunk.conn.Pause(on)
+		l.connection.conn.Pause(on)
 	}
 }
 
-func (l *Leg) drop() {
-	if t := l.trunk; t != nil {
-		l.trunk = nil
-		t.leg = nil
+func (l *Attempt) drop() {
+	if t := l.connection; t != nil {
+		l.connection = nil
+		t.attempt = nil
 		t.conn.Abort()
 	}
 }
 
 // end reports the outcome once; broken tells that the connection can carry nothing more.
-func (l *Leg) end(o Outcome, broken bool) {
+func (l *Attempt) end(o Outcome, broken bool) {
 	if l.ended {
 		return
 	}
@@ -158,7 +158,7 @@
 }
 
 // broke is the outcome of an answer that ended in a way it should not have.
-func (l *Leg) broke(how scheduler.Ending, why string) Outcome {
+func (l *Attempt) broke(how scheduler.Ending, why string) Outcome {
 	if l.stream != nil {
 		return l.stream.Broke(how, why)
 	}
@@ -166,7 +166,7 @@
 }
 
 // event takes one of the writer's.
-func (l *Leg) event(data []byte) error {
+func (l *Attempt) event(data []byte) error {
 	if l.ended {
 		return nil
 	}
@@ -179,6 +179,6 @@
 }
 
 // streams tells whether the answer is a stream of events.
-func (l *Leg) streams() bool {
+func (l *Attempt) streams() bool {
 	return l.head.Status == 200 && strings.HasPrefix(l.head.Get("Content-Type"), "text/event-stream")
 }
--- a/internal/engine/chat.go
+++ b/internal/engine/chat.go
@@ -13,31 +13,31 @@
 	"plumspindle/scheduler"
 )
 
-// LegName is how a leg is named to its host.
+// LegName is how an attempt is named to its host.
 func (e *Engine) LegName(gen scheduler.GenID, leg scheduler.LegNo) string {
 	return e.name + "-" + strconv.FormatUint(uint64(gen), 10) + "-" + strconv.Itoa(int(leg))
 }
 
 // Read sends a read; Write a write, with the state that a read told of, or without one where the host reads the
 // prompt itself. Neither calls back before it has returned.
-func (e *Engine) Read(id scheduler.HostID, name, clientID string, ask *chat.Ask, allow eventloop.Micros, hear Hearer) *Leg {
+func (e *Engine) Read(id scheduler.HostID, name, clientID string, ask *chat.Ask, allow eventloop.Micros, hear Callbacks) *Attempt {
 	members := `"stream":false,"max_tokens":1,"kv_transfer_params":{"do_remote_decode":true,"do_remote_prefill":false}`
-	return e.leg(id, name, clientID, ask, members, nil, allow, hear)
+	return e.chatAttempt(id, name, clientID, ask, members, nil, allow, hear)
 }
 
 func (e *Engine) Write(id scheduler.HostID, name, clientID string, ask *chat.Ask, state string, most int,
-	allow eventloop.Micros, hear Hearer) *Leg {
+	allow eventloop.Micros, hear Callbacks) *Attempt {
 	members := `"stream":true,"stream_options":{"include_usage":true},"max_tokens":` + strconv.Itoa(most)
 	if state != "" {
 		members += `,"kv_transfer_params":` + state
 	}
-	return e.leg(id, name, clientID, ask, members, &chunks{}, allow, hear)
+	return e.chatAttempt(id, name, clientID, ask, members, &chunks{}, allow, hear)
 }
 
 // Whole sends what is complete with its read. Its answer is read by judge, which says Errored of one that is not what was
 // asked for. It does not call back before it has returned.
 func (e *Engine) Whole(id scheduler.HostID, name, clientID, path string, body []byte, most int, allow eventloop.Micros, judge func(body []byte) Outcome,
-	hear Hearer) *Leg {
+	hear Callbacks) *Attempt {
 	return e.Call(id, Call{Most: most, Answer: func(head *http1.Head, answer []byte) Outcome {
 		if head.Status != 200 {
 			return refused(head.Status, answer)
@@ -51,8 +51,8 @@
 	}}, allow, hear)
 }
 
-func (e *Engine) leg(id scheduler.HostID, name, clientID string, ask *chat.Ask, members string, stream Stream,
-	allow eventloop.Micros, hear Hearer) *Leg {
+func (e *Engine) chatAttempt(id scheduler.HostID, name, clientID string, ask *chat.Ask, members string, stream Stream,
+	allow eventloop.Micros, hear Callbacks) *Attempt {
 	answer := func(head *http1.Head, body []byte) Outcome {
 		switch {
 		case head.Status != 200:
--- a/internal/engine/trunk.go
+++ b/internal/engine/connection.go
@@ -10,75 +10,75 @@
 	"plumspindle/scheduler"
 )
 
-// trunk is one connection to a host; it carries one leg at a time.
-type trunk struct {
+// connection is one connection to a host; it carries one attempt at a time.
+type connection struct {
 	engine    *Engine
 	host      *host
 	addr      string
 	conn      eventloop.Conn
 	parser    http1.Parser
-	leg       *Leg
-	sent      bool // the leg was handed to the network
+	attempt   *Attempt
+	sent      bool // the attempt was handed to the network
 	up        bool
 	down      bool
 	last      bool // the host closes after this answer
 	idleTimer eventloop.Timer
 	idleNo    uint64 // in the order in which connections fell idle
-	carried   int    // legs before this one
+	carried   int    // attempts before this one
 	idleAt    eventloop.Micros
-	idled     eventloop.Micros // for how long it was idle before this leg
+	idled     eventloop.Micros // for how long it was idle before this attempt
 }
 
-func (t *trunk) take(l *Leg) {
-	t.leg, l.trunk = l, t
+func (t *connection) take(l *Attempt) {
+	t.attempt, l.connection = l, t
 	t.idled = t.engine.loop.Now() - t.idleAt
 	t.write()
 }
 
-// write hands the leg to the network. What it says of its time is as it is now, not as it was before a connection was there.
-func (t *trunk) write() {
+// write hands the attempt to the network. What it says of its time is as it is now, not as it was before a connection was there.
+func (t *connection) write() {
 	t.sent = true
-	t.conn.Write(t.leg.asks(t.addr, max(t.leg.due-t.engine.loop.Now(), 0)))
+	t.conn.Write(t.attempt.asks(t.addr, max(t.attempt.due-t.engine.loop.Now(), 0)))
 }
 
-func (t *trunk) Opened() {
+func (t *connection) Opened() {
 	t.up = true
 	t.host.opening--
 	defer t.engine.next(t.host)
-	if t.leg != nil {
+	if t.attempt != nil {
 		t.write()
 		return
 	}
 	t.conn.Close()
 }
 
-func (t *trunk) Drained() {}
+func (t *connection) Drained() {}
 
-func (t *trunk) Data(b []byte) {
+func (t *connection) Data(b []byte) {
 	t.host.heard = t.engine.loop.Now()
-	if t.leg == nil {
+	if t.attempt == nil {
 		t.retire() // a host that speaks unasked can't be trusted with the next answer
 		t.conn.Abort()
 		return
 	}
-	if t.leg.Unsent() { // whatever it is, it is no answer to what has not left
-		t.leg.end(Outcome{How: scheduler.Unreachable, Why: "the host spoke before the request had left"}, true)
+	if t.attempt.Unsent() { // whatever it is, it is no answer to what has not left
+		t.attempt.end(Outcome{How: scheduler.Unreachable, Why: "the host spoke before the request had left"}, true)
 		return
 	}
-	if err := t.parser.Feed(b, t); err != nil && t.leg != nil {
-		t.leg.end(t.leg.broke(scheduler.Errored, err.Error()), true)
+	if err := t.parser.Feed(b, t); err != nil && t.attempt != nil {
+		t.attempt.end(t.attempt.broke(scheduler.Errored, err.Error()), true)
 	}
 }
 
 // retire takes an idle connection out of use.
-func (t *trunk) retire() {
+func (t *connection) retire() {
 	if at := slices.Index(t.host.idle, t); at >= 0 {
 		t.host.idle = slices.Delete(t.host.idle, at, at+1)
 		t.idleTimer.Stop()
 	}
 }
 
-func (t *trunk) Closed(cause error) {
+func (t *connection) Closed(cause error) {
 	t.down = true
 	t.host.open--
 	t.engine.open--
@@ -87,12 +87,12 @@
 	}
 	t.retire()
 	defer t.engine.next(t.host)
-	l := t.leg
+	l := t.attempt
 	if l == nil {
 		return
 	}
 	if !t.sent || t.conn.Unsent() > 0 {
-		t.leg, l.trunk = nil, nil
+		t.attempt, l.connection = nil, nil
 		if e := t.engine; errors.Is(cause, eventloop.ErrNoDescriptors) && l.room < roomTries && e.makeRoom() {
 			l.room++
 			e.loop.After(roomPause, func() { // the descriptor is free by then
@@ -107,10 +107,10 @@
 	}
 	l.left = true
 	err := t.parser.Close(t) // an answer that goes on until the close may be complete with it
-	if t.leg == nil {
+	if t.attempt == nil {
 		return
 	}
-	t.leg, l.trunk = nil, nil
+	t.attempt, l.connection = nil, nil
 	why := "the connection broke"
 	if err != nil && t.parser.Idle() {
 		why = "no answer came"
@@ -121,8 +121,8 @@
 var errUnasked = errors.New("an answer that nobody asked for")
 
 // Head, Body and End are the parser's events.
-func (t *trunk) Head(h *http1.Head) error {
-	l := t.leg
+func (t *connection) Head(h *http1.Head) error {
+	l := t.attempt
 	if l == nil {
 		return errUnasked
 	}
@@ -131,8 +131,8 @@
 	return nil
 }
 
-func (t *trunk) Body(b []byte) error {
-	l := t.leg
+func (t *connection) Body(b []byte) error {
+	l := t.attempt
 	if l == nil {
 		return errUnasked
 	}
@@ -145,8 +145,8 @@
 	return l.events.Feed(b, l.event)
 }
 
-func (t *trunk) End() error {
-	l := t.leg
+func (t *connection) End() error {
+	l := t.attempt
 	if l == nil {
 		return errUnasked
 	}
@@ -156,7 +156,7 @@
 	} else {
 		o = l.answer(l.head, l.body)
 	}
-	t.leg, l.trunk, l.left = nil, nil, true
+	t.attempt, l.connection, l.left = nil, nil, true
 	t.conn.Pause(false)
 	switch {
 	case t.parser.More() > 0: // what is behind an answer must not be taken for the next one
@@ -173,8 +173,8 @@
 	return nil
 }
 
-// wait makes a connection usable for another leg.
-func (t *trunk) wait() {
+// wait makes a connection usable for another attempt.
+func (t *connection) wait() {
 	h, e := t.host, t.engine
 	if t.down {
 		return
@@ -186,7 +186,7 @@
 	h.idle = append(h.idle, t)
 	e.lastNo++
 	t.idleNo = e.lastNo
-	t.idleTimer = e.loop.After(e.trunks.Idle, func() {
+	t.idleTimer = e.loop.After(e.limits.Idle, func() {
 		t.retire()
 		t.conn.Close()
 	})
--- a/internal/engine/engine.go
+++ b/internal/engine/engine.go
@@ -9,69 +9,69 @@
 	"plumspindle/scheduler"
 )
 
-// Trunks are the terms on which connections to hosts are kept.
-type Trunks struct {
+// Limits are the terms on which connections to hosts are kept.
+type Limits struct {
 	Connect eventloop.Micros // a connection not made by then counts as unreachable
 	Idle    eventloop.Micros // an unused connection is closed after it; hosts must keep them for longer
 	Silence eventloop.Micros // a stream that has begun and brings nothing for so long counts as broken
 	Most    int              // connections to one host
-	Opening int              // of these, those that may be opening at once; legs beyond them wait, Connect at most
+	Opening int              // of these, those that may be opening at once; attempts beyond them wait, Connect at most
 	All     int              // connections to all hosts, where it is above 0; before more are opened the one idle for longest is closed
 }
 
 const (
-	answerMost  = 1 << 20                     // bytes of a host's answer to a read, or of a refusal
-	eventMost   = 256 << 10                   // bytes of one streamed event
-	letGoWithin = 200 * eventloop.Millisecond // for the answer to one release
-	letGoPause  = 60 * eventloop.Millisecond  // before it is tried again, doubled each time
-	letGoFor    = 10 * eventloop.Second
-	letGoAtOnce = 256 // legs in one release
+	answerMost      = 1 << 20                     // bytes of a host's answer to a read, or of a refusal
+	eventMost       = 256 << 10                   // bytes of one streamed event
+	releaseTimeout  = 200 * eventloop.Millisecond // for the answer to one release
+	releasePause    = 60 * eventloop.Millisecond  // before it is tried again, doubled each time
+	releaseFor      = 10 * eventloop.Second
+	maxReleaseBatch = 256 // attempts in one release
 
-	letGoPauseMost = 240 * eventloop.Millisecond
-	letGoSpare     = 4 // connections to one host beyond the most, for letting go
-	forgetAfter    = 60 * eventloop.Second
-	roomTries      = 3 // connections that are closed so that one leg may have one
-	roomPause      = eventloop.Millisecond
+	maxReleasePause  = 240 * eventloop.Millisecond
+	spareConnections = 4 // connections to one host beyond the most, for letting go
+	forgetAfter      = 60 * eventloop.Second
+	roomTries        = 3 // connections that are closed so that one attempt may have one
+	roomPause        = eventloop.Millisecond
 
 	// Before a connection that brought an answer is used again: a host may send a second one some milliseconds late, which on a
-	// connection in use would be taken for the next leg's.
+	// connection in use would be taken for the next attempt's.
 	restFor = 15 * eventloop.Millisecond
 )
 
 // Engine holds the connections to all hosts.
 type Engine struct {
 	loop   eventloop.Loop
-	name   string // names this dispatcher on each leg
+	name   string // names this dispatcher on each attempt
 	zone   string
-	trunks Trunks
+	limits Limits
 	hosts  map[scheduler.HostID]*host
 	lastNo uint64
 	open   int
 }
 
 // New makes an engine without any host yet.
-func New(loop eventloop.Loop, name, zone string, trunks Trunks) *Engine {
-	return &Engine{loop: loop, name: name, zone: zone, trunks: trunks, hosts: map[scheduler.HostID]*host{}}
+func New(loop eventloop.Loop, name, zone string, limits Limits) *Engine {
+	return &Engine{loop: loop, name: name, zone: zone, limits: limits, hosts: map[scheduler.HostID]*host{}}
 }
 
 type host struct {
 	addr    string
 	gone    bool
-	idle    []*trunk // the one used last comes last
+	idle    []*connection // the one used last comes last
 	open    int
 	opening int
-	waiting []*waiter // legs that wait for a connection, first come first
+	waiting []*waitingAttempt // attempts that wait for a connection, first come first
 	owed    []owed
 	owing   bool // they are told again soon
 	pause   eventloop.Micros
 	heard   eventloop.Micros // when it last said anything
 }
 
-// waiter is a leg that waits for a connection. After a restart all that was held asks at once; a host whose backlog
+// waitingAttempt is an attempt that waits for a connection. After a restart all that was held asks at once; a host whose backlog
 // overflows would refuse many that it could serve a moment later.
-type waiter struct {
-	leg   *Leg
-	timer eventloop.Timer
+type waitingAttempt struct {
+	attempt *Attempt
+	timer   eventloop.Timer
 }
 
 // Place tells where a host is reached. Connections to where it was before are not used again.
@@ -124,15 +124,15 @@
 // Known is how many hosts it has anything of.
 func (e *Engine) Known() int { return len(e.hosts) }
 
-// Call sends one. It does not call back before it has returned. A leg to a host without an address ends soon.
-func (e *Engine) Call(id scheduler.HostID, c Call, allow eventloop.Micros, hear Hearer) *Leg {
+// Call sends one. It does not call back before it has returned. An attempt to a host without an address ends soon.
+func (e *Engine) Call(id scheduler.HostID, c Call, allow eventloop.Micros, hear Callbacks) *Attempt {
 	return e.call(e.hosts[id], c, allow, hear)
 }
 
-func (e *Engine) call(h *host, c Call, allow eventloop.Micros, hear Hearer) *Leg {
-	l := &Leg{engine: e, host: h, hear: hear, memory: scheduler.NoReport, answer: c.Answer, stream: c.Stream, most: c.Most,
-		letsGo: c.Spare, events: sse.Parser{Most: eventMost}, asks: c.Request, due: e.loop.Now() + allow, leave: e.loop.Now() + e.trunks.Connect}
-	l.allow = e.loop.After(min(allow, e.trunks.Connect), l.late)
+func (e *Engine) call(h *host, c Call, allow eventloop.Micros, hear Callbacks) *Attempt {
+	l := &Attempt{engine: e, host: h, hear: hear, memory: scheduler.NoReport, answer: c.Answer, stream: c.Stream, most: c.Most,
+		isRelease: c.Spare, events: sse.Parser{Most: eventMost}, asks: c.Request, due: e.loop.Now() + allow, leave: e.loop.Now() + e.limits.Connect}
+	l.allow = e.loop.After(min(allow, e.limits.Connect), l.late)
 	if l.host == nil || l.host.addr == "" {
 		e.loop.Later(func() { l.end(Outcome{How: scheduler.Unreachable, Why: "the host has no address"}, false) })
 		return l
@@ -141,8 +141,8 @@
 	return l
 }
 
-// carry puts a leg onto an idle connection, or a new one.
-func (e *Engine) carry(l *Leg) {
+// carry puts an attempt onto an idle connection, or a new one.
+func (e *Engine) carry(l *Attempt) {
 	h, now := l.host, e.loop.Now()
 	for n := len(h.idle); n > 0; n = len(h.idle) {
 		t := h.idle[n-1]
@@ -153,11 +153,11 @@
 		}
 		t.conn.Close()
 	}
-	most, dial := e.trunks.Most, e.loop.Dial
-	if l.letsGo {
-		most, dial = most+letGoSpare, e.loop.DialSpare
+	most, dial := e.limits.Most, e.loop.Dial
+	if l.isRelease {
+		most, dial = most+spareConnections, e.loop.DialSpare
 	}
-	if e.trunks.All > 0 && e.open >= e.trunks.All {
+	if e.limits.All > 0 && e.open >= e.limits.All {
 		e.makeRoom()
 	}
 	if h.open >= most {
@@ -166,10 +166,10 @@
 		})
 		return
 	}
-	if h.opening >= e.trunks.Opening && !l.letsGo {
-		w := &waiter{leg: l}
+	if h.opening >= e.limits.Opening && !l.isRelease {
+		w := &waitingAttempt{attempt: l}
 		w.timer = e.loop.After(max(l.leave-now, 0), func() {
-			h.waiting = slices.DeleteFunc(h.waiting, func(o *waiter) bool { return o == w })
+			h.waiting = slices.DeleteFunc(h.waiting, func(o *waitingAttempt) bool { return o == w })
 			l.end(Outcome{How: scheduler.Unreachable, Why: "too many connections to the host are opening"}, false)
 		})
 		h.waiting = append(h.waiting, w)
@@ -178,15 +178,15 @@
 	h.open++
 	e.open++
 	h.opening++
-	t := &trunk{engine: e, host: h, addr: h.addr, parser: http1.Parser{Response: true, Bounds: http1.Usual}}
-	t.leg = l
-	l.trunk = t
+	t := &connection{engine: e, host: h, addr: h.addr, parser: http1.Parser{Response: true, Bounds: http1.Usual}}
+	t.attempt = l
+	l.connection = t
 	t.conn = dial(h.addr, max(l.leave-now, 1), t)
 }
 
 // makeRoom closes the connection to any host that has been idle for longest, so that its descriptor can be used.
 func (e *Engine) makeRoom() bool {
-	var oldest *trunk
+	var oldest *connection
 	for _, h := range e.hosts {
 		if len(h.idle) > 0 && (oldest == nil || h.idle[0].idleNo < oldest.idleNo) {
 			oldest = h.idle[0]
@@ -200,14 +200,14 @@
 	return true
 }
 
-// next serves legs that wait, as far as connections allow now.
+// next serves attempts that wait, as far as connections allow now.
 func (e *Engine) next(h *host) {
-	for len(h.waiting) > 0 && (len(h.idle) > 0 || h.opening < e.trunks.Opening && h.open < e.trunks.Most) {
+	for len(h.waiting) > 0 && (len(h.idle) > 0 || h.opening < e.limits.Opening && h.open < e.limits.Most) {
 		w := h.waiting[0]
 		h.waiting = h.waiting[1:]
 		w.timer.Stop()
-		if !w.leg.ended { // not taken back meanwhile
-			e.carry(w.leg)
+		if !w.attempt.ended { // not taken back meanwhile
+			e.carry(w.attempt)
 		}
 	}
 }
@@ -219,7 +219,7 @@
 	}
 }
 
-// Out is how many legs are out at a host.
+// Out is how many attempts are out at a host.
 func (e *Engine) Out(id scheduler.HostID) int {
 	h := e.hosts[id]
 	if h == nil {
@@ -236,7 +236,7 @@
 	return 0
 }
 
-// Idle is how many connections to a host wait for a leg.
+// Idle is how many connections to a host wait for an attempt.
 func (e *Engine) Idle(id scheduler.HostID) int {
 	if h := e.hosts[id]; h != nil && !h.gone {
 		return len(h.idle)
--- a/internal/engine/engine_test.go
+++ b/internal/engine/engine_test.go
@@ -17,7 +17,7 @@
 func (deaf) Drained()     {}
 func (deaf) Closed(error) {}
 
-// TestTimeIsOver: a leg whose last byte never left can't have run; one that left whole may have.
+// TestTimeIsOver: an attempt whose last byte never left can't have run; one that left whole may have.
 func TestTimeIsOver(t *testing.T) {
 	for size, want := range map[int]scheduler.Ending{100 << 10: scheduler.Unreachable, 1 << 10: scheduler.TimedOut} {
 		w := virtual.New(1)
@@ -29,12 +29,12 @@
 		}
 		var got []Outcome
 		own.Do(func() {
-			e := New(own, "d", "", Trunks{Connect: eventloop.Second, Idle: eventloop.Second, Most: 4, Opening: 4})
+			e := New(own, "d", "", Limits{Connect: eventloop.Second, Idle: eventloop.Second, Most: 4, Opening: 4})
 			e.Place(1, ln.Addr())
 			e.Call(1, Call{Request: func(addr string, _ eventloop.Micros) []byte {
 				return http1.AppendRequest(nil, "POST", "/", addr, make([]byte, size))
 			}},
-				300*eventloop.Millisecond, Hearer{Ended: func(o Outcome) { got = append(got, o) }})
+				300*eventloop.Millisecond, Callbacks{Ended: func(o Outcome) { got = append(got, o) }})
 		})
 		w.Run(2 * eventloop.Second)
 		if len(got) != 1 || got[0].How != want {
@@ -43,7 +43,7 @@
 	}
 }
 
-// TestLeavesInTime: a leg that waited for its turn to open a connection has the rest of the time for one, not all of it anew: whether it
+// TestLeavesInTime: an attempt that waited for its turn to open a connection has the rest of the time for one, not all of it anew: whether it
 // may still be sent was looked at when it was ordered.
 func TestLeavesInTime(t *testing.T) {
 	w := virtual.New(1)
@@ -53,12 +53,12 @@
 		t.Fatal(err)
 	}
 	w.Block(own, far, 10*eventloop.Second)
-	e := New(own, "d", "", Trunks{Connect: eventloop.Second, Idle: eventloop.Second, Most: 4, Opening: 1})
+	e := New(own, "d", "", Limits{Connect: eventloop.Second, Idle: eventloop.Second, Most: 4, Opening: 1})
 	var took []eventloop.Micros
 	call := func() {
 		began := w.Now()
 		e.Call(1, Call{Request: func(addr string, _ eventloop.Micros) []byte { return http1.AppendRequest(nil, "POST", "/", addr, nil) }},
-			5*eventloop.Second, Hearer{Ended: func(o Outcome) {
+			5*eventloop.Second, Callbacks{Ended: func(o Outcome) {
 				if took = append(took, w.Now()-began); o.How != scheduler.Unreachable {
 					t.Errorf("it ended %d: %s", o.How, o.Why)
 				}
--- a/internal/engine/ending.go
+++ b/internal/engine/outcome.go
@@ -1,6 +1,6 @@
-// Package engine carries legs to model hosts over HTTP/1.1, in the published manner of disaggregated serving: a
+// Package engine carries attempts to model hosts over HTTP/1.1, in the published manner of disaggregated serving: a
 // read is a completion whose kv_transfer_params ask the host to keep its state, a write hands on those that
-// the read was answered with. It maps every way in which a leg can end onto one scheduler.Ending, here and
+// the read was answered with. It maps every way in which an attempt can end onto one scheduler.Ending, here and
 // nowhere else; what to do about it is the module's.
 package engine
 
@@ -14,18 +14,18 @@
 	"plumspindle/scheduler"
 )
 
-// Outcome is how a leg came out.
+// Outcome is how an attempt came out.
 type Outcome struct {
 	How    scheduler.Ending
 	Note   int     // ReadDone: prompt tokens found kept. Full: 1 if there was no state to fetch
 	Memory float64 // share of the host's memory that is held, or scheduler.NoReport
 	State  string  // ReadDone: where the state lies, as the host put it
-	Cut    bool    // the connection was closed from here with the leg on it
+	Cut    bool    // the connection was closed from here with the attempt on it
 	Bad    bool    // the host says that what it was sent is no good: no other would do better
 	Why    string  // for logs: which line of the table in docs/legs.md
 }
 
-// refusals are the answers by which a host states that it has not run the leg. Only these, said in words and with
+// refusals are the answers by which a host states that it has not run the attempt. Only these, said in words and with
 // a status that fits, prove it; any other answer leaves doubt, and doubt counts as run.
 var refusals = []struct {
 	status int
--- a/internal/engine/release.go
+++ b/internal/engine/release.go
@@ -9,7 +9,7 @@
 	"plumspindle/scheduler"
 )
 
-// LetGo has a host drop whatever it holds for some legs. It may have a connection and a descriptor beyond those that legs may use,
+// LetGo has a host drop whatever it holds for some attempts. It may have a connection and a descriptor beyond those that attempts may use,
 // as a state must not be pinned by want of either. Where it may not have arrived it is tried again, with all else that the host is
 // owed in one request, for as long as a host keeps by its own lease what nobody asks for.
 func (e *Engine) LetGo(id scheduler.HostID, names []string) {
@@ -20,14 +20,14 @@
 	e.letGo(h, names, func(arrived bool) {
 		if !arrived {
 			for _, name := range names {
-				h.owed = append(h.owed, owed{name, e.loop.Now() + letGoFor})
+				h.owed = append(h.owed, owed{name, e.loop.Now() + releaseFor})
 			}
 			e.owe(h)
 		}
 	})
 }
 
-// owed is a leg that a host has not been told to let go of.
+// owed is an attempt that a host has not been told to let go of.
 type owed struct {
 	name  string
 	until eventloop.Micros
@@ -39,10 +39,10 @@
 		return
 	}
 	h.owing = true
-	e.loop.After(max(h.pause, letGoPause), func() {
+	e.loop.After(max(h.pause, releasePause), func() {
 		now := e.loop.Now()
 		h.owed = slices.DeleteFunc(h.owed, func(o owed) bool { return o.until < now })
-		n := min(len(h.owed), letGoAtOnce)
+		n := min(len(h.owed), maxReleaseBatch)
 		if n == 0 {
 			h.owing, h.pause = false, 0
 			return
@@ -53,7 +53,7 @@
 		}
 		e.letGo(h, names, func(arrived bool) {
 			h.owing = false
-			if h.pause = min(max(2*h.pause, letGoPause), letGoPauseMost); arrived {
+			if h.pause = min(max(2*h.pause, releasePause), maxReleasePause); arrived {
 				h.owed, h.pause = slices.Delete(h.owed, 0, n), 0
 			}
 			e.owe(h)
@@ -71,5 +71,5 @@
 	e.call(h, Call{Spare: true, Most: answerMost, Answer: answer, Request: func(addr string, _ eventloop.Micros) []byte {
 		return http1.AppendRequest(nil, "POST", "/v1/kv/release", addr, []byte(`{"request_ids":["`+strings.Join(names, `","`)+`"]}`),
 			"Content-Type", "application/json", "x-dispatcher", e.name, "x-zone", e.zone)
-	}}, letGoWithin, Hearer{Ended: func(o Outcome) { done(o.How == scheduler.ReadDone) }})
+	}}, releaseTimeout, Callbacks{Ended: func(o Outcome) { done(o.How == scheduler.ReadDone) }})
 }
--- a/internal/platform/attempt.go
+++ b/internal/platform/attempt.go
@@ -33,16 +33,16 @@
 
 // startAttempt hands the attempt to the network. The time that it may take is what was left when it was ordered.
 func (d *Dispatcher) startAttempt(r *request, no scheduler.LegNo, allow eventloop.Micros) {
-	hear := engine.Hearer{
+	hear := engine.Callbacks{
 		Event: func(data []byte) { d.streamEvent(r, no, data) },
 		Ended: func(o engine.Outcome) { d.attemptEnded(r, no, o) },
 	}
 	out := upstream.Request{ID: r.client.ID, Target: r.client.Target, Fields: r.client.Fields, Body: r.client.Body}
 	allow = max(allow-(d.loop.Now()-r.sentAt), 0)
 	if r.prefill {
-		r.attempt = d.upstream.Read(r.host, out, allow, hear)
+		r.attempt = d.upstream.Prefill(r.host, out, allow, hear)
 	} else {
-		r.attempt = d.upstream.Write(r.host, out, allow, hear)
+		r.attempt = d.upstream.Decode(r.host, out, allow, hear)
 	}
 }
 
--- a/internal/platform/dispatcher.go
+++ b/internal/platform/dispatcher.go
@@ -22,7 +22,7 @@
 	Name      string
 	Discovery string // address
 	Seed      int64
-	Settings  *settings.Terms
+	Settings  *settings.Settings
 	Known     []byte // the list as it was last known, in discovery's form; empty: none
 	Sockets   int    // descriptors
 	Memory    int    // bytes
@@ -51,9 +51,9 @@
 type Dispatcher struct {
 	loop         eventloop.Loop
 	config       Config
-	settings     *settings.Terms
+	settings     *settings.Settings
 	module       *scheduler.Dispatcher
-	upstream     *upstream.Legs
+	upstream     *upstream.Client
 	server       *server.Server
 	discovery    *discovery.Watch
 	requests     map[scheduler.GenID]*request
@@ -77,7 +77,7 @@
 	place.Idle /= 2 // connections are closed well before hosts do: what is written to one that is closed counts as lost
 	warn := func(line string) { config.Log.Warn().Msg(line) }
 	e := engine.New(loop, config.Name, "", upstreamLimits(t, config.Sockets, place.Idle))
-	d.upstream = upstream.New(loop, e, t.LetGo, func() []scheduler.HostID { return d.ready })
+	d.upstream = upstream.New(loop, e, t.ReleaseWithin, func() []scheduler.HostID { return d.ready })
 	d.upstream.Log = warn
 	d.server = server.New(loop, clientLimits(config.Sockets, config.Memory), d)
 	d.discovery = discovery.New(loop, config.Seed, config.Discovery, d.updateHosts, warn)
@@ -94,9 +94,9 @@
 
 // upstreamLimits are the terms of connections to hosts. Clients may hold about half of the descriptors, and each request needs one on
 // either side; what is left is for releases, discovery and the poller.
-func upstreamLimits(t *settings.Terms, sockets int, idle eventloop.Micros) engine.Trunks {
+func upstreamLimits(t *settings.Settings, sockets int, idle eventloop.Micros) engine.Limits {
 	most := max(sockets*2/5, 8)
-	return engine.Trunks{Connect: t.Connect, Idle: idle, Silence: streamSilence, Most: most, Opening: max(most/4, 4), All: most}
+	return engine.Limits{Connect: t.Connect, Idle: idle, Silence: streamSilence, Most: most, Opening: max(most/4, 4), All: most}
 }
 
 func clientLimits(sockets, memory int) server.Limits {
--- a/internal/platform/launch/config.go
+++ b/internal/platform/launch/config.go
@@ -92,7 +92,7 @@
 		return nil, errors.New("settings: missing")
 	}
 	var err error
-	if e.Settings, err = settings.Read([]byte(rawSettings.Raw)); err != nil {
+	if e.Settings, err = settings.Parse([]byte(rawSettings.Raw)); err != nil {
 		return nil, fmt.Errorf("settings: %w", err)
 	}
 	if known := get("known"); known.IsObject() {
--- a/internal/platform/launch/run.go
+++ b/internal/platform/launch/run.go
@@ -146,7 +146,7 @@
 func (p *process) logStart(env *Environment) {
 	place := env.Settings.Place
 	for i, class := range place.Products {
-		p.log.Info().Str("class", env.Settings.Products[i]).Int("effect", int(class.Effect)).Int("group", int(class.Group)).
+		p.log.Info().Str("class", env.Settings.Classes[i]).Int("effect", int(class.Effect)).Int("group", int(class.Group)).
 			Int64("window", int64(class.Window)).Int64("slo", int64(class.SLO)).Msg("a class of requests")
 	}
 	p.log.Info().Str("discovery", env.Discovery).Float64("cores", env.Cores).Int("memory", env.Memory).Int("sockets", env.Sockets).
--- a/internal/platform/request.go
+++ b/internal/platform/request.go
@@ -27,7 +27,7 @@
 
 	// The attempt that is out.
 	attempts scheduler.LegNo // made so far
-	attempt  *engine.Leg
+	attempt  *engine.Attempt
 	host     scheduler.HostID
 	sentAt   eventloop.Micros // when it was ordered
 	prefill  bool
@@ -44,7 +44,7 @@
 
 // Handle implements server.Handler.
 func (d *Dispatcher) Handle(client *server.Request, response *server.Response) *server.Rejection {
-	class := slices.Index(d.settings.Products, client.Class)
+	class := slices.Index(d.settings.Classes, client.Class)
 	if class < 0 {
 		return &server.Rejection{Status: http.StatusBadRequest, Reason: fmt.Sprintf("unknown kind of request %.40q", client.Class)}
 	}
--- a/internal/platform/rig_test.go
+++ b/internal/platform/rig_test.go
@@ -56,7 +56,7 @@
 	for _, h := range r.hosts {
 		known = append(known, h.entry("SERVING"))
 	}
-	told, err := settings.Read([]byte(rawSettings))
+	told, err := settings.Parse([]byte(rawSettings))
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/platform/state.go
+++ b/internal/platform/state.go
@@ -13,7 +13,7 @@
 // hold notes that a host may hold something for the request from now on, for as long as a state may wait.
 func (d *Dispatcher) hold(r *request) {
 	r.held = true
-	r.lease.For(d.loop, eventloop.Micros(leasePart*float64(d.settings.LetGo)), func() { d.leaseExpired(r) })
+	r.lease.For(d.loop, eventloop.Micros(leasePart*float64(d.settings.ReleaseWithin)), func() { d.leaseExpired(r) })
 }
 
 // leaseExpired ends the wait of what is held, as its time runs on while connections fail to come up. An attempt that has left by now
--- a/internal/platform/upstream/upstream_test.go
+++ b/internal/platform/upstream/upstream_test.go
@@ -9,7 +9,7 @@
 )
 
 // TestOutcomes holds the platform's table of what comes back against the results of the simulator's wire: the same ending, and the
-// same word on whether the leg has run. What no answer decides (connections, time) is played in package platform.
+// same word on whether the attempt has run. What no answer decides (connections, time) is played in package platform.
 func TestOutcomes(t *testing.T) {
 	said := []http1.Field{{Name: "Srv-Declined", Value: "1"}}
 	for _, c := range []struct {
@@ -36,9 +36,9 @@
 		{410, nil, ``, false, scheduler.Errored, 0},
 		{404, said, ``, false, scheduler.Errored, 0},
 	} {
-		judge := Unstreamed
+		judge := outcome
 		if c.read {
-			judge = Read
+			judge = prefillOutcome
 		}
 		if o := judge(&http1.Head{Status: c.status, Fields: c.fields}, []byte(c.body)); o.How != c.how || o.Note != c.note {
 			t.Errorf("%d %v %q: %d with note %d, want %d with %d", c.status, c.fields, c.body, o.How, o.Note, c.how, c.note)
@@ -79,7 +79,7 @@
 	f.Add(202, `{"cached_tokens":4096}`, `{"choices":[]}`)
 	f.Add(503, `{`, `[DONE]`)
 	f.Fuzz(func(t *testing.T, status int, body, event string) {
-		for _, judge := range []func(*http1.Head, []byte) engine.Outcome{Read, Unstreamed} {
+		for _, judge := range []func(*http1.Head, []byte) engine.Outcome{prefillOutcome, outcome} {
 			if o := judge(&http1.Head{Status: status}, []byte(body)); o.Note < 0 || o.How == scheduler.Full || o.How == scheduler.Streamed {
 				t.Errorf("%d %q: %+v", status, body, o)
 			}
--- a/internal/program/bench.go
+++ b/internal/program/bench.go
@@ -246,7 +246,7 @@
 	var asked, failed, open int
 	m.asks.Do(func() {
 		chance := rand.New(rand.NewSource(c.Seed))
-		e := engine.New(m.asks, "bench", m.d.Zones[0], engine.Trunks{Connect: eventloop.Second, Idle: 20 * eventloop.Second, Silence: 30 * eventloop.Second, Most: 8192, Opening: 1000})
+		e := engine.New(m.asks, "bench", m.d.Zones[0], engine.Limits{Connect: eventloop.Second, Idle: 20 * eventloop.Second, Silence: 30 * eventloop.Second, Most: 8192, Opening: 1000})
 		var readers, writers []scheduler.HostID
 		for _, h := range m.fleet.Hosts {
 			id := scheduler.HostID(h.ID)
@@ -292,13 +292,13 @@
 				return
 			}
 			begun := false
-			hear := engine.Hearer{Event: func([]byte) {
+			hear := engine.Callbacks{Event: func([]byte) {
 				if !begun {
 					begun = true
 					first(direct)()
 				}
 			}, Ended: func(o engine.Outcome) { end(o.How == scheduler.Streamed) }}
-			e.Read(readers[asked%len(readers)], e.LegName(scheduler.GenID(asked), 0), id, plain, 10*eventloop.Second, engine.Hearer{Ended: func(o engine.Outcome) {
+			e.Read(readers[asked%len(readers)], e.LegName(scheduler.GenID(asked), 0), id, plain, 10*eventloop.Second, engine.Callbacks{Ended: func(o engine.Outcome) {
 				if o.How != scheduler.ReadDone {
 					end(false)
 					return
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -28,26 +28,26 @@
 	defaultLetGo   scheduler.Micros = 500e3
 )
 
-// Terms are what the settings say.
-type Terms struct {
-	Place    scheduler.Deployment
-	Products []string // names, in the order of Place.Products
-	Kinds    []string // of model hosts, in the order of Place.Kinds
-	Zones    []string
-	Tenants  []string
-	Connect  scheduler.Micros // a connection that is not made by then counts as not to be had
-	LetGo    scheduler.Micros // within which a state is taken or let go of
-	Report   []string         // names of the values of a load report
+// Settings are what the settings say.
+type Settings struct {
+	Place         scheduler.Deployment
+	Classes       []string // names, in the order of Place.Products
+	Kinds         []string // of model hosts, in the order of Place.Kinds
+	Zones         []string
+	Tenants       []string
+	Connect       scheduler.Micros // a connection that is not made by then counts as not to be had
+	ReleaseWithin scheduler.Micros // within which a state is taken or let go of
+	Report        []string         // names of the values of a load report
 }
 
-// Read decodes them. What it does not know it passes over; what it knows and can't read it names.
-func Read(raw []byte) (*Terms, error) {
+// Parse decodes them. What it does not know it passes over; what it knows and can't read it names.
+func Parse(raw []byte) (*Settings, error) {
 	if !gjson.ValidBytes(raw) || !gjson.ParseBytes(raw).IsObject() {
 		return nil, errors.New("the start settings are not a JSON object")
 	}
 	get := gjson.ParseBytes(raw).Get
 	span := func(path string) scheduler.Micros { return Micros(get(path).Uint()) }
-	t := &Terms{Connect: span("limits.connect_timeout"), LetGo: span("domain.let_go_by"),
+	t := &Settings{Connect: span("limits.connect_timeout"), ReleaseWithin: span("domain.let_go_by"),
 		Zones: names(get("localities")), Kinds: names(get("host_types")), Report: names(get("telemetry.fields")),
 		Place: scheduler.Deployment{
 			Dispatchers:    int(get("group_size").Int()),
@@ -64,7 +64,7 @@
 	t.Connect = cmp.Or(t.Connect, defaultConnect)
 	t.Place.Connect = t.Connect
 	t.Place.Idle = cmp.Or(t.Place.Idle, defaultIdle)
-	t.LetGo = cmp.Or(t.LetGo, defaultLetGo)
+	t.ReleaseWithin = cmp.Or(t.ReleaseWithin, defaultLetGo)
 	if get("limits.retry_after").Bool() {
 		t.Place.MaxComeBack = span("limits.max_retry_after")
 	}
@@ -87,7 +87,7 @@
 			p.TokenSLO = Micros(pace[i].Uint())
 		}
 		t.Place.Products = append(t.Place.Products, p)
-		t.Products = append(t.Products, c.Get("name").String())
+		t.Classes = append(t.Classes, c.Get("name").String())
 	}
 	memory := get("domain.kv_tokens").Array()
 	for i, k := range get("domain.duty_by_kind").Array() {
