--- a/internal/benchadapter/benchadapter.go
+++ b/internal/benchadapter/benchadapter.go
@@ -24,8 +24,8 @@
 )
 
 var (
-	endings = map[byte]scheduler.Ending{0: scheduler.Streamed, 13: scheduler.Errored, 8: scheduler.Full, 4: scheduler.TimedOut,
-		14: scheduler.Unreachable, 10: scheduler.Dropped, 1: scheduler.Cancelled, 9: scheduler.NeverSent, 77: scheduler.ReadDone}
+	endings = map[byte]scheduler.Ending{0: scheduler.Completed, 13: scheduler.Errored, 8: scheduler.Full, 4: scheduler.TimedOut,
+		14: scheduler.Unreachable, 10: scheduler.Dropped, 1: scheduler.Cancelled, 9: scheduler.NeverSent, 77: scheduler.PrefillDone}
 	conditions = map[byte]scheduler.Condition{3: scheduler.Ready, 0: scheduler.Draining, 1: scheduler.Gone}
 )
 
@@ -148,22 +148,22 @@
 	case 20:
 		return s.sync(in, e)
 	case 30:
-		in.Arrive(s.now, scheduler.GenID(u64(e[1:])), scheduler.SessionID(u64(e[13:])), scheduler.PrefixID(u64(e[26:])),
-			scheduler.ProductID(e[56]), scheduler.TenantID(binary.LittleEndian.Uint16(e[54:])), f32(e[50:]), f32(e[9:]),
+		in.Arrive(s.now, scheduler.RequestID(u64(e[1:])), scheduler.SessionID(u64(e[13:])), scheduler.PrefixID(u64(e[26:])),
+			scheduler.ClassID(e[56]), scheduler.TenantID(binary.LittleEndian.Uint16(e[54:])), f32(e[50:]), f32(e[9:]),
 			f32(e[21:]), settings.Micros(u64(e[34:])), settings.Micros(u64(e[42:])))
 	case 40:
-		in.Started(s.now, scheduler.GenID(u64(e[1:])), scheduler.LegNo(binary.LittleEndian.Uint16(e[9:])))
+		in.Started(s.now, scheduler.RequestID(u64(e[1:])), scheduler.AttemptNo(binary.LittleEndian.Uint16(e[9:])))
 	case 50:
 		how, known := endings[e[18]]
 		if !known {
 			return fmt.Errorf("unknown outcome %d", e[18])
 		}
-		in.Ended(s.now, scheduler.GenID(u64(e[1:])), scheduler.LegNo(binary.LittleEndian.Uint16(e[27:])), how,
+		in.Ended(s.now, scheduler.RequestID(u64(e[1:])), scheduler.AttemptNo(binary.LittleEndian.Uint16(e[27:])), how,
 			int(u32(e[9:])), e[13] != 0, in.memory(e[29:]))
 	case 60:
-		in.Left(s.now, scheduler.GenID(u64(e[1:])))
+		in.Left(s.now, scheduler.RequestID(u64(e[1:])))
 	case 70:
-		in.Rang(s.now, scheduler.Bell(u64(e[1:])))
+		in.Rang(s.now, scheduler.TimerID(u64(e[1:])))
 	case 80: // a probe's result; the module asks for none
 		if _, known := endings[e[5]]; !known {
 			return fmt.Errorf("unknown outcome %d", e[5])
@@ -228,33 +228,33 @@
 	return r
 }
 
-func (in *instance) genRecord(code byte, gen scheduler.GenID) []byte {
+func (in *instance) genRecord(code byte, gen scheduler.RequestID) []byte {
 	r := in.record(code)
 	binary.LittleEndian.PutUint64(r[1:], uint64(gen))
 	return r
 }
 
-func (in *instance) Send(gen scheduler.GenID, host scheduler.HostID, allow scheduler.Micros) {
+func (in *instance) Send(gen scheduler.RequestID, host scheduler.HostID, allow scheduler.Micros) {
 	r := in.genRecord(10, gen)
 	binary.LittleEndian.PutUint32(r[9:], uint32(host))
 	binary.LittleEndian.PutUint64(r[13:], nanos(allow))
 }
 
-func (in *instance) Throttle(gen scheduler.GenID, comeBackIn scheduler.Micros) {
+func (in *instance) Reject(gen scheduler.RequestID, comeBackIn scheduler.Micros) {
 	binary.LittleEndian.PutUint64(in.genRecord(20, gen)[9:], nanos(comeBackIn))
 }
 
-func (in *instance) Terminate(gen scheduler.GenID) { in.genRecord(30, gen) }
+func (in *instance) Fail(gen scheduler.RequestID) { in.genRecord(30, gen) }
 
-func (in *instance) Cancel(gen scheduler.GenID, leg scheduler.LegNo) {
+func (in *instance) Cancel(gen scheduler.RequestID, leg scheduler.AttemptNo) {
 	binary.LittleEndian.PutUint16(in.genRecord(40, gen)[9:], uint16(leg))
 }
 
-func (in *instance) LetGo(gen scheduler.GenID) { in.genRecord(150, gen) }
+func (in *instance) Release(gen scheduler.RequestID) { in.genRecord(150, gen) }
 
 func (in *instance) Subscribe() { in.record(110)[1] = 1 }
 
-func (in *instance) Ring(after scheduler.Micros, bell scheduler.Bell) {
+func (in *instance) SetTimer(after scheduler.Micros, bell scheduler.TimerID) {
 	r := in.record(50)
 	binary.LittleEndian.PutUint64(r[1:], nanos(after))
 	binary.LittleEndian.PutUint64(r[9:], uint64(bell))
--- a/internal/deployment/deployment.go
+++ b/internal/deployment/deployment.go
@@ -385,10 +385,10 @@
 
 const tick = 4 * 1000 // µs; the module gives up two of them before a client's limit
 
-var roles = map[pb.Kind_Role]scheduler.Role{pb.Kind_READER: scheduler.Reader, pb.Kind_WRITER: scheduler.Writer,
+var roles = map[pb.Kind_Role]scheduler.Role{pb.Kind_READER: scheduler.Prefill, pb.Kind_WRITER: scheduler.Decode,
 	pb.Kind_MIXED: scheduler.Mixed, pb.Kind_EMBEDDER: scheduler.Embedder}
 var effects = map[pb.Product_Effect]scheduler.Effect{pb.Product_IDEMPOTENT: scheduler.Idempotent,
-	pb.Product_DEDUPLICATED: scheduler.Deduplicated, pb.Product_SIDE_EFFECTING: scheduler.SideEffecting}
+	pb.Product_DEDUPLICATED: scheduler.Deduplicated, pb.Product_SIDE_EFFECTING: scheduler.NonIdempotent}
 var groups = map[pb.Product_Group]scheduler.Group{pb.Product_ALL_HOSTS: scheduler.AllHosts,
 	pb.Product_SAME_ZONE: scheduler.SameZone, pb.Product_SAME_CELL: scheduler.SameCell}
 
@@ -397,13 +397,13 @@
 // Module is what the decision module is handed of it.
 func (d Deployment) Module() scheduler.Deployment {
 	place := scheduler.Deployment{
-		Dispatchers: int(d.Dispatching.Dispatchers), OverShareWorth: d.Rules.OverShareWorth,
-		WritersRead: d.Dispatching.WritersRead, LegLimit: int(d.Dispatching.LegLimit), MayCancel: d.Dispatching.MayCancel,
-		MaxComeBack: micros(d.Dispatching.MaxComeBackMs), Tick: tick, Idle: micros(d.Dispatching.IdleMs), Connect: micros(d.Dispatching.ConnectMs),
+		Dispatchers: int(d.Dispatching.Dispatchers), OverQuotaWorth: d.Rules.OverShareWorth,
+		DecodePrefills: d.Dispatching.WritersRead, MaxAttempts: int(d.Dispatching.LegLimit), MayCancel: d.Dispatching.MayCancel,
+		MaxRetryAfter: micros(d.Dispatching.MaxComeBackMs), Tick: tick, Idle: micros(d.Dispatching.IdleMs), Connect: micros(d.Dispatching.ConnectMs),
 		Cold: micros(d.Rules.ColdMs), ColdFrom: d.Rules.ColdFrom, Fall: micros(d.Rules.FallMs),
 		FallMultiple: d.Rules.FallMultiple}
 	for _, p := range d.Products {
-		place.Products = append(place.Products, scheduler.Product{SLO: micros(p.SloMs), SLOPer1000: micros(p.SloMsPer_1000Tokens),
+		place.Classes = append(place.Classes, scheduler.Class{SLO: micros(p.SloMs), SLOPer1000: micros(p.SloMsPer_1000Tokens),
 			TokenSLO: micros(p.TokenSloMs), Window: micros(p.WindowMs), Revenue: p.Revenue, LateShare: p.LateShare,
 			Effect: effects[p.Effect], Group: groups[p.Group], ReadOnly: p.Form != pb.Product_CHAT})
 	}
--- a/internal/deployment/deployment_test.go
+++ b/internal/deployment/deployment_test.go
@@ -12,7 +12,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if len(again.Module().Products) != 5 || again.Module().Kinds[1].Memory != 140000 {
+	if len(again.Module().Classes) != 5 || again.Module().Kinds[1].Memory != 140000 {
 		t.Fatalf("lost on the way: %+v", again.Module())
 	}
 }
--- a/internal/dispatch/batches.go
+++ b/internal/dispatch/batches.go
@@ -56,7 +56,7 @@
 	who        frontend.Identity
 	to         *frontend.Reply
 	clientID   string
-	product    scheduler.ProductID
+	product    scheduler.ClassID
 	form       pb.Product_Form
 	dimensions int
 	deadline   eventloop.Micros
@@ -328,7 +328,7 @@
 			return engine.Outcome{How: scheduler.Errored, Why: "an answer that is not what was asked for: " + err.Error()}
 		}
 		p.result = r
-		return engine.Outcome{How: scheduler.ReadDone, Why: "read"}
+		return engine.Outcome{How: scheduler.PrefillDone, Why: "read"}
 	}, hear)
 }
 
--- a/internal/dispatch/check.go
+++ b/internal/dispatch/check.go
@@ -39,7 +39,7 @@
 			fault = "without a ticket of its tenant"
 		case g.State != lifecycle.Streaming && !g.Answered() && now > g.deadline+overdue && g.beginsBy(now):
 			fault = fmt.Sprintf("unanswered %d ms after its client's time", (now-g.deadline)/eventloop.Millisecond)
-		case int(g.legs) > x.place.LegLimit:
+		case int(g.legs) > x.place.MaxAttempts:
 			fault = "more legs than there may be"
 		}
 		if fault != "" {
--- a/internal/dispatch/dispatch.go
+++ b/internal/dispatch/dispatch.go
@@ -91,9 +91,9 @@
 	engine   *engine.Engine
 	list     *roster.Client
 	front    *frontend.Front
-	gens     map[scheduler.GenID]*gen
-	lastGen  scheduler.GenID
-	products map[string]scheduler.ProductID
+	gens     map[scheduler.RequestID]*gen
+	lastGen  scheduler.RequestID
+	products map[string]scheduler.ClassID
 
 	gate      *tenancy.Gate
 	directory *tenancy.Directory
@@ -118,14 +118,14 @@
 // gen is what the dispatcher keeps of a generation: what the module does not know, and nothing that it does.
 type gen struct {
 	lifecycle.Path
-	id       scheduler.GenID
+	id       scheduler.RequestID
 	ask      *chat.Ask
-	product  scheduler.ProductID
+	product  scheduler.ClassID
 	answerID string
 	replies  []*frontend.Reply // of its client, and of those that came with the same key
 	clientID string
-	legs     scheduler.LegNo // sent so far
-	leg      *engine.Attempt // the last one
+	legs     scheduler.AttemptNo // sent so far
+	leg      *engine.Attempt     // the last one
 	host     scheduler.HostID
 	state    string  // where the read state lies, as its reader told
 	mayLie   []place // legs at readers that may have left a state
@@ -158,14 +158,14 @@
 		return nil, fmt.Errorf("the deployment has no zone %q", post.Zone)
 	}
 	ms := func(v uint32) eventloop.Micros { return eventloop.Micros(v) * eventloop.Millisecond }
-	x := &Dispatcher{Deployment: d, loop: loop, post: post, gens: map[scheduler.GenID]*gen{}, runs: map[*idempotency.Entry]*gen{},
-		products: map[string]scheduler.ProductID{},
+	x := &Dispatcher{Deployment: d, loop: loop, post: post, gens: map[scheduler.RequestID]*gen{}, runs: map[*idempotency.Entry]*gen{},
+		products: map[string]scheduler.ClassID{},
 		hosts:    map[scheduler.HostID]roster.Entry{}}
 	x.engine = engine.New(loop, post.Name, post.Zone, engine.Limits{Connect: ms(d.Dispatching.ConnectMs),
 		Idle: ms(d.Dispatching.IdleMs), Silence: ms(d.Dispatching.SilenceMs), Most: int(d.Dispatching.Connections),
 		Opening: int(d.Dispatching.Openings)})
 	for i, p := range d.Products {
-		x.products[p.Name] = scheduler.ProductID(i)
+		x.products[p.Name] = scheduler.ClassID(i)
 	}
 	x.batches.pb = d.Batch()
 	x.batches.limiter = batch.NewLimiter(int(x.batches.pb.FixedLimit))
@@ -317,7 +317,7 @@
 	x.module.ListEnded(now, whole)
 	readers := 0
 	for id, e := range x.hosts {
-		if e.State() == scheduler.Ready && x.role(id) != scheduler.Writer {
+		if e.State() == scheduler.Ready && x.role(id) != scheduler.Decode {
 			readers++
 		}
 	}
@@ -482,7 +482,7 @@
 }
 
 // answerID names an answer; it tells nothing of how many there were, nor of whose.
-func (x *Dispatcher) answerID(id scheduler.GenID) string {
+func (x *Dispatcher) answerID(id scheduler.RequestID) string {
 	var b [16]byte
 	binary.LittleEndian.PutUint64(b[:], uint64(x.post.Seed))
 	binary.LittleEndian.PutUint64(b[8:], uint64(id))
@@ -566,7 +566,7 @@
 	case lifecycle.Fetched:
 		g.state, g.mayLie = "", nil
 	case lifecycle.TellStarted:
-		slo := x.place.Products[g.product].SLO + scheduler.Micros(float64(x.place.Products[g.product].SLOPer1000)*float64(g.ask.Tokens)/1000)
+		slo := x.place.Classes[g.product].SLO + scheduler.Micros(float64(x.place.Classes[g.product].SLOPer1000)*float64(g.ask.Tokens)/1000)
 		x.batches.limiter.Chat(now, now-g.taken, slo)
 		g.leg.Started()
 		if !g.ask.Stream {
@@ -729,12 +729,12 @@
 func (x *Dispatcher) ended(g *gen, o engine.Outcome) {
 	e := lifecycle.LegFailed
 	switch o.How {
-	case scheduler.ReadDone:
+	case scheduler.PrefillDone:
 		e = lifecycle.LegRead
 		if g.state = o.State; g.part != nil {
 			e = lifecycle.LegWhole
 		}
-	case scheduler.Streamed:
+	case scheduler.Completed:
 		e = lifecycle.LegStreamed
 	case scheduler.Full, scheduler.Unreachable, scheduler.NeverSent:
 		e = lifecycle.LegRefused
@@ -754,7 +754,7 @@
 			x.take(g, lifecycle.ClientLeft)
 		}
 	}
-	if o.How != scheduler.Streamed && o.How != scheduler.ReadDone {
+	if o.How != scheduler.Completed && o.How != scheduler.PrefillDone {
 		x.post.Log.Debug().Uint64("gen", uint64(g.id)).Int("leg", int(g.legs)-1).Uint32("host", uint32(g.host)).
 			Int("ending", int(o.How)).Str("why", o.Why).Msg("leg ended")
 	}
@@ -798,10 +798,10 @@
 // --- The module's orders ---
 
 // Send makes a leg.
-func (x *Dispatcher) Send(id scheduler.GenID, host scheduler.HostID, allow scheduler.Micros) {
+func (x *Dispatcher) Send(id scheduler.RequestID, host scheduler.HostID, allow scheduler.Micros) {
 	if g := x.gens[id]; g != nil {
 		e := lifecycle.OrderWrite
-		if x.role(host) == scheduler.Reader || g.part != nil {
+		if x.role(host) == scheduler.Prefill || g.part != nil {
 			e = lifecycle.OrderRead
 		}
 		x.take(g, e, what{host: host, allow: allow})
@@ -814,32 +814,32 @@
 			return x.place.Kinds[i].Role
 		}
 	}
-	return scheduler.Writer
+	return scheduler.Decode
 }
 
-// Throttle is the final answer of a generation that may come again.
-func (x *Dispatcher) Throttle(id scheduler.GenID, comeBackIn scheduler.Micros) {
+// Reject is the final answer of a generation that may come again.
+func (x *Dispatcher) Reject(id scheduler.RequestID, comeBackIn scheduler.Micros) {
 	if g := x.gens[id]; g != nil {
 		x.take(g, lifecycle.OrderThrottle, what{comeBack: comeBackIn})
 	}
 }
 
-// Terminate is the final answer of a generation that failed.
-func (x *Dispatcher) Terminate(id scheduler.GenID) {
+// Fail is the final answer of a generation that failed.
+func (x *Dispatcher) Fail(id scheduler.RequestID) {
 	if g := x.gens[id]; g != nil {
 		x.take(g, lifecycle.OrderTerminate, what{why: "The generation failed."})
 	}
 }
 
 // Cancel quits waiting for a leg. That it was cancelled is told after the module's call.
-func (x *Dispatcher) Cancel(id scheduler.GenID, no scheduler.LegNo) {
+func (x *Dispatcher) Cancel(id scheduler.RequestID, no scheduler.AttemptNo) {
 	if g := x.gens[id]; g != nil && no == g.legs-1 {
 		x.take(g, lifecycle.OrderCancel)
 	}
 }
 
-// LetGo has every reader that may hold something for the generation drop it.
-func (x *Dispatcher) LetGo(id scheduler.GenID) {
+// Release has every reader that may hold something for the generation drop it.
+func (x *Dispatcher) Release(id scheduler.RequestID) {
 	if g := x.gens[id]; g != nil {
 		x.take(g, lifecycle.OrderLetGo)
 	}
@@ -848,11 +848,11 @@
 // Subscribe asks for the list of hosts.
 func (x *Dispatcher) Subscribe() { x.list.Subscribe() }
 
-// Ring sets one of the module's two timers.
-func (x *Dispatcher) Ring(after scheduler.Micros, bell scheduler.Bell) {
+// SetTimer sets one of the module's two timers.
+func (x *Dispatcher) SetTimer(after scheduler.Micros, bell scheduler.TimerID) {
 	x.loop.After(after, func() {
 		x.module.Rang(x.loop.Now(), bell)
-		if bell == scheduler.Beat && x.gate.Waiting() > 0 {
+		if bell == scheduler.Tick && x.gate.Waiting() > 0 {
 			x.turns()
 		}
 	})
--- a/internal/dispatch/intent.go
+++ b/internal/dispatch/intent.go
@@ -150,7 +150,7 @@
 
 // late bounds how long a write may wait for its record while its state waits at the reader: a disk that stalls would else pin
 // it there with no leg out. The state is let go of, as it is where a writer finds none, and the module reads again or gives up.
-func (x *Dispatcher) late(g *gen, no scheduler.LegNo) {
+func (x *Dispatcher) late(g *gen, no scheduler.AttemptNo) {
 	if g.intent.then == nil {
 		return
 	}
--- a/internal/dispatch/path_test.go
+++ b/internal/dispatch/path_test.go
@@ -119,7 +119,7 @@
 			r.far.After(eventloop.Micros(60_000+chance.Intn(400_000)), func() { f.call.conn.Pause(false) })
 		}
 		if chance.Intn(100) == 0 { // as where a tenant is removed
-			if g := r.x.gens[scheduler.GenID(int(r.x.lastGen)-chance.Intn(12))]; g != nil {
+			if g := r.x.gens[scheduler.RequestID(int(r.x.lastGen)-chance.Intn(12))]; g != nil {
 				r.loop.Do(func() { r.x.take(g, lifecycle.Stop, what{why: "The tenant was removed."}) })
 			}
 		}
--- a/internal/engine/chat.go
+++ b/internal/engine/chat.go
@@ -14,7 +14,7 @@
 )
 
 // LegName is how an attempt is named to its host.
-func (e *Engine) LegName(gen scheduler.GenID, leg scheduler.LegNo) string {
+func (e *Engine) LegName(gen scheduler.RequestID, leg scheduler.AttemptNo) string {
 	return e.name + "-" + strconv.FormatUint(uint64(gen), 10) + "-" + strconv.Itoa(int(leg))
 }
 
@@ -104,7 +104,7 @@
 
 func (c *chunks) Ended() Outcome {
 	if c.done {
-		return Outcome{How: scheduler.Streamed, Why: "streamed"}
+		return Outcome{How: scheduler.Completed, Why: "streamed"}
 	}
 	return c.Broke(scheduler.Errored, "the stream ended without its last event")
 }
@@ -112,7 +112,7 @@
 // Broke: where the writer had already told how the answer ended, nothing of it is missing: it is complete.
 func (c *chunks) Broke(how scheduler.Ending, why string) Outcome {
 	if c.finished {
-		return Outcome{How: scheduler.Streamed, Why: "the writer had finished, then " + why}
+		return Outcome{How: scheduler.Completed, Why: "the writer had finished, then " + why}
 	}
 	return Outcome{How: how, Why: why}
 }
--- a/internal/engine/outcome.go
+++ b/internal/engine/outcome.go
@@ -57,7 +57,7 @@
 		return Outcome{How: scheduler.Errored, Why: "a read without a state"}
 	}
 	kept := gjson.GetBytes(body, "usage.prompt_tokens_details.cached_tokens").Int()
-	return Outcome{How: scheduler.ReadDone, Note: int(max(kept, 0)), State: params.Raw, Why: "read"}
+	return Outcome{How: scheduler.PrefillDone, Note: int(max(kept, 0)), State: params.Raw, Why: "read"}
 }
 
 // memory finds the reported share of memory in an ORCA report (field endpoint-load-metrics), in its text or its
--- a/internal/engine/release.go
+++ b/internal/engine/release.go
@@ -64,12 +64,12 @@
 func (e *Engine) letGo(h *host, names []string, done func(arrived bool)) {
 	answer := func(head *http1.Head, _ []byte) Outcome {
 		if head.Status == 200 {
-			return Outcome{How: scheduler.ReadDone}
+			return Outcome{How: scheduler.PrefillDone}
 		}
 		return Outcome{How: scheduler.Errored}
 	}
 	e.call(h, Call{Spare: true, Most: answerMost, Answer: answer, Request: func(addr string, _ eventloop.Micros) []byte {
 		return http1.AppendRequest(nil, "POST", "/v1/kv/release", addr, []byte(`{"request_ids":["`+strings.Join(names, `","`)+`"]}`),
 			"Content-Type", "application/json", "x-dispatcher", e.name, "x-zone", e.zone)
-	}}, releaseTimeout, Callbacks{Ended: func(o Outcome) { done(o.How == scheduler.ReadDone) }})
+	}}, releaseTimeout, Callbacks{Ended: func(o Outcome) { done(o.How == scheduler.PrefillDone) }})
 }
--- a/internal/faultsearch/plants.go
+++ b/internal/faultsearch/plants.go
@@ -14,55 +14,55 @@
 // orders stands between the module and its dispatcher; what is nil goes through.
 type orders struct {
 	scheduler.Orders
-	send      func(gen scheduler.GenID, host scheduler.HostID, allow scheduler.Micros)
-	throttle  func(gen scheduler.GenID, after scheduler.Micros)
-	terminate func(gen scheduler.GenID)
-	cancel    func(gen scheduler.GenID, leg scheduler.LegNo)
-	letGo     func(gen scheduler.GenID)
-	ring      func(after scheduler.Micros, bell scheduler.Bell)
+	send      func(gen scheduler.RequestID, host scheduler.HostID, allow scheduler.Micros)
+	throttle  func(gen scheduler.RequestID, after scheduler.Micros)
+	terminate func(gen scheduler.RequestID)
+	cancel    func(gen scheduler.RequestID, leg scheduler.AttemptNo)
+	letGo     func(gen scheduler.RequestID)
+	ring      func(after scheduler.Micros, bell scheduler.TimerID)
 }
 
-func (o *orders) Send(g scheduler.GenID, h scheduler.HostID, a scheduler.Micros) {
+func (o *orders) Send(g scheduler.RequestID, h scheduler.HostID, a scheduler.Micros) {
 	if o.send != nil {
 		o.send(g, h, a)
 		return
 	}
 	o.Orders.Send(g, h, a)
 }
-func (o *orders) Throttle(g scheduler.GenID, a scheduler.Micros) {
+func (o *orders) Reject(g scheduler.RequestID, a scheduler.Micros) {
 	if o.throttle != nil {
 		o.throttle(g, a)
 		return
 	}
-	o.Orders.Throttle(g, a)
+	o.Orders.Reject(g, a)
 }
-func (o *orders) Terminate(g scheduler.GenID) {
+func (o *orders) Fail(g scheduler.RequestID) {
 	if o.terminate != nil {
 		o.terminate(g)
 		return
 	}
-	o.Orders.Terminate(g)
+	o.Orders.Fail(g)
 }
-func (o *orders) Cancel(g scheduler.GenID, l scheduler.LegNo) {
+func (o *orders) Cancel(g scheduler.RequestID, l scheduler.AttemptNo) {
 	if o.cancel != nil {
 		o.cancel(g, l)
 		return
 	}
 	o.Orders.Cancel(g, l)
 }
-func (o *orders) LetGo(g scheduler.GenID) {
+func (o *orders) Release(g scheduler.RequestID) {
 	if o.letGo != nil {
 		o.letGo(g)
 		return
 	}
-	o.Orders.LetGo(g)
+	o.Orders.Release(g)
 }
-func (o *orders) Ring(a scheduler.Micros, b scheduler.Bell) {
+func (o *orders) SetTimer(a scheduler.Micros, b scheduler.TimerID) {
 	if o.ring != nil {
 		o.ring(a, b)
 		return
 	}
-	o.Orders.Ring(a, b)
+	o.Orders.SetTimer(a, b)
 }
 
 // loop stands between a dispatcher and the world.
@@ -126,32 +126,32 @@
 func Plants() []*scenarios.Plant {
 	final := []byte("data: [DONE]")
 	return []*scenarios.Plant{
-		ordered("a state is never let go", func(o *orders) { o.letGo = func(scheduler.GenID) {} }),
+		ordered("a state is never let go", func(o *orders) { o.letGo = func(scheduler.RequestID) {} }),
 		ordered("every third state is not let go", func(o *orders) {
 			n := 0
-			o.letGo = func(g scheduler.GenID) {
+			o.letGo = func(g scheduler.RequestID) {
 				if n++; n%3 != 0 {
-					o.Orders.LetGo(g)
+					o.Orders.Release(g)
 				}
 			}
 		}),
-		ordered("a throttling is forgotten", func(o *orders) { o.throttle = func(scheduler.GenID, scheduler.Micros) {} }),
-		ordered("a termination is forgotten", func(o *orders) { o.terminate = func(scheduler.GenID) {} }),
+		ordered("a throttling is forgotten", func(o *orders) { o.throttle = func(scheduler.RequestID, scheduler.Micros) {} }),
+		ordered("a termination is forgotten", func(o *orders) { o.terminate = func(scheduler.RequestID) {} }),
 		ordered("throttled in place of terminated", func(o *orders) {
-			o.terminate = func(g scheduler.GenID) { o.Orders.Throttle(g, 200*eventloop.Millisecond) }
+			o.terminate = func(g scheduler.RequestID) { o.Orders.Reject(g, 200*eventloop.Millisecond) }
 		}),
-		ordered("a cancel is forgotten", func(o *orders) { o.cancel = func(scheduler.GenID, scheduler.LegNo) {} }),
+		ordered("a cancel is forgotten", func(o *orders) { o.cancel = func(scheduler.RequestID, scheduler.AttemptNo) {} }),
 		ordered("the beat stops", func(o *orders) {
 			n := 0
-			o.ring = func(a scheduler.Micros, b scheduler.Bell) {
+			o.ring = func(a scheduler.Micros, b scheduler.TimerID) {
 				if n++; n < 40 {
-					o.Orders.Ring(a, b)
+					o.Orders.SetTimer(a, b)
 				}
 			}
 		}),
 		ordered("a leg in thirty is not sent", func(o *orders) {
 			n := 0
-			o.send = func(g scheduler.GenID, h scheduler.HostID, a scheduler.Micros) {
+			o.send = func(g scheduler.RequestID, h scheduler.HostID, a scheduler.Micros) {
 				if n++; n%30 != 0 {
 					o.Orders.Send(g, h, a)
 				}
@@ -182,20 +182,20 @@
 		placed("cold hosts are taken for warm", func(p *scheduler.Deployment) { p.Cold = 0 }),
 		placed("cold credit is ten times as much", func(p *scheduler.Deployment) { p.FallMultiple *= 10 }),
 		placed("side effects are taken for none", func(p *scheduler.Deployment) {
-			for i := range p.Products {
-				if p.Products[i].Effect == scheduler.SideEffecting {
-					p.Products[i].Effect = scheduler.Idempotent
+			for i := range p.Classes {
+				if p.Classes[i].Effect == scheduler.NonIdempotent {
+					p.Classes[i].Effect = scheduler.Idempotent
 				}
 			}
 		}),
 		placed("repeats are dropped everywhere, it is thought", func(p *scheduler.Deployment) {
-			for i := range p.Products {
-				p.Products[i].Group = scheduler.AllHosts
+			for i := range p.Classes {
+				p.Classes[i].Group = scheduler.AllHosts
 			}
 		}),
 		placed("repeats are dropped for ever, it is thought", func(p *scheduler.Deployment) {
-			for i := range p.Products {
-				p.Products[i].Window *= 100
+			for i := range p.Classes {
+				p.Classes[i].Window *= 100
 			}
 		}),
 		looped("one timer in two hundred is lost", func(l *loop) { l.lose = 200 }),
--- a/internal/platform/attempt.go
+++ b/internal/platform/attempt.go
@@ -14,7 +14,7 @@
 const closeSeen = 20 * eventloop.Millisecond
 
 // Send implements scheduler.Orders: it makes an attempt.
-func (d *Dispatcher) Send(id scheduler.GenID, host scheduler.HostID, allow scheduler.Micros) {
+func (d *Dispatcher) Send(id scheduler.RequestID, host scheduler.HostID, allow scheduler.Micros) {
 	r := d.requests[id]
 	if r == nil {
 		return
@@ -22,7 +22,7 @@
 	no := r.attempts
 	r.attempts++
 	d.Attempts++
-	r.host, r.sentAt, r.prefill, r.started = host, d.loop.Now(), d.role(host) == scheduler.Reader, false
+	r.host, r.sentAt, r.prefill, r.started = host, d.loop.Now(), d.role(host) == scheduler.Prefill, false
 	send := func() { d.startAttempt(r, no, allow) }
 	if r.releasing {
 		r.deferred = func() { d.afterRelease(r, no, send) }
@@ -32,7 +32,7 @@
 }
 
 // startAttempt hands the attempt to the network. The time that it may take is what was left when it was ordered.
-func (d *Dispatcher) startAttempt(r *request, no scheduler.LegNo, allow eventloop.Micros) {
+func (d *Dispatcher) startAttempt(r *request, no scheduler.AttemptNo, allow eventloop.Micros) {
 	hear := engine.Callbacks{
 		Event: func(data []byte) { d.streamEvent(r, no, data) },
 		Ended: func(o engine.Outcome) { d.attemptEnded(r, no, o) },
@@ -48,7 +48,7 @@
 
 // afterRelease sends an attempt that had to wait, unless its host has begun to go meanwhile, or the time for a repeat may be over,
 // which was looked at when it was ordered.
-func (d *Dispatcher) afterRelease(r *request, no scheduler.LegNo, send func()) {
+func (d *Dispatcher) afterRelease(r *request, no scheduler.AttemptNo, send func()) {
 	why := "the host is going"
 	if slices.Contains(d.ready, r.host) {
 		if d.loop.Now()-r.sentAt <= d.settings.Connect {
@@ -61,7 +61,7 @@
 }
 
 // streamEvent passes an event on to the client.
-func (d *Dispatcher) streamEvent(r *request, no scheduler.LegNo, data []byte) {
+func (d *Dispatcher) streamEvent(r *request, no scheduler.AttemptNo, data []byte) {
 	if no != r.attempts-1 || r.attempt == nil || r.answered {
 		return
 	}
@@ -76,7 +76,7 @@
 	}
 }
 
-func (d *Dispatcher) streamStarted(r *request, no scheduler.LegNo) {
+func (d *Dispatcher) streamStarted(r *request, no scheduler.AttemptNo) {
 	r.started, r.held = true, false
 	r.lease.Over()
 	r.attempt.Started()
@@ -89,7 +89,7 @@
 }
 
 // attemptEnded takes the end of an attempt.
-func (d *Dispatcher) attemptEnded(r *request, no scheduler.LegNo, o engine.Outcome) {
+func (d *Dispatcher) attemptEnded(r *request, no scheduler.AttemptNo, o engine.Outcome) {
 	if no != r.attempts-1 {
 		return
 	}
@@ -109,7 +109,7 @@
 	d.settle(r)
 }
 
-func (d *Dispatcher) logOutcome(r *request, no scheduler.LegNo, o engine.Outcome) {
+func (d *Dispatcher) logOutcome(r *request, no scheduler.AttemptNo, o engine.Outcome) {
 	e := d.config.Log.Debug()
 	if !e.Enabled() {
 		return
@@ -142,7 +142,7 @@
 // endStream gives the client the end of its stream.
 func (d *Dispatcher) endStream(r *request, how scheduler.Ending) {
 	r.answered = true
-	if how == scheduler.Streamed {
+	if how == scheduler.Completed {
 		d.Completed++
 		r.response.Complete()
 		return
@@ -153,7 +153,7 @@
 
 // Cancel implements scheduler.Orders: it gives an attempt up. That it was cancelled is told after the module's call; one that never left
 // is known not to have run.
-func (d *Dispatcher) Cancel(id scheduler.GenID, no scheduler.LegNo) {
+func (d *Dispatcher) Cancel(id scheduler.RequestID, no scheduler.AttemptNo) {
 	r := d.requests[id]
 	if r == nil || no != r.attempts-1 || r.started || r.closing || r.attempt == nil && r.deferred == nil {
 		return
--- a/internal/platform/dispatcher.go
+++ b/internal/platform/dispatcher.go
@@ -56,8 +56,8 @@
 	upstream     *upstream.Client
 	server       *server.Server
 	discovery    *discovery.Watch
-	requests     map[scheduler.GenID]*request
-	lastRequest  scheduler.GenID
+	requests     map[scheduler.RequestID]*request
+	lastRequest  scheduler.RequestID
 	openIDs      map[string]bool
 	recentIDs    [2]map[string]bool // of requests that were answered a while ago
 	hosts        map[scheduler.HostID]discovery.Entry
@@ -71,7 +71,7 @@
 // Start makes a dispatcher on a loop; Server's Accept takes its clients.
 func Start(loop eventloop.Loop, config Config) *Dispatcher {
 	t := config.Settings
-	d := &Dispatcher{loop: loop, config: config, settings: t, requests: map[scheduler.GenID]*request{}, openIDs: map[string]bool{},
+	d := &Dispatcher{loop: loop, config: config, settings: t, requests: map[scheduler.RequestID]*request{}, openIDs: map[string]bool{},
 		recentIDs: [2]map[string]bool{{}, {}}, hosts: map[scheduler.HostID]discovery.Entry{}, startedAt: loop.Now()}
 	place := t.Place
 	place.Idle /= 2 // connections are closed well before hosts do: what is written to one that is closed counts as lost
@@ -140,9 +140,9 @@
 	var prefill, decode bool
 	for _, id := range d.ready {
 		switch d.role(id) {
-		case scheduler.Reader:
+		case scheduler.Prefill:
 			prefill = true
-		case scheduler.Writer:
+		case scheduler.Decode:
 			decode = true
 		case scheduler.Mixed:
 			return true
--- a/internal/platform/hosts.go
+++ b/internal/platform/hosts.go
@@ -75,5 +75,5 @@
 	if k := slices.Index(d.settings.Kinds, d.hosts[id].Kind); k >= 0 && k < len(d.settings.Place.Kinds) {
 		return d.settings.Place.Kinds[k].Role
 	}
-	return scheduler.Writer
+	return scheduler.Decode
 }
--- a/internal/platform/orders.go
+++ b/internal/platform/orders.go
@@ -2,8 +2,8 @@
 
 import "plumspindle/scheduler"
 
-// Throttle implements scheduler.Orders: the final answer of a request that may come again.
-func (d *Dispatcher) Throttle(id scheduler.GenID, retryAfter scheduler.Micros) {
+// Reject implements scheduler.Orders: the final answer of a request that may come again.
+func (d *Dispatcher) Reject(id scheduler.RequestID, retryAfter scheduler.Micros) {
 	if r := d.requests[id]; r != nil && !r.answered {
 		r.answered = true
 		d.Rejected++
@@ -12,8 +12,8 @@
 	}
 }
 
-// Terminate implements scheduler.Orders: the final answer of a request that failed.
-func (d *Dispatcher) Terminate(id scheduler.GenID) {
+// Fail implements scheduler.Orders: the final answer of a request that failed.
+func (d *Dispatcher) Fail(id scheduler.RequestID) {
 	if r := d.requests[id]; r != nil && !r.answered {
 		r.answered = true
 		d.Failed++
@@ -31,8 +31,8 @@
 // Subscribe implements scheduler.Orders; the list comes by itself here.
 func (d *Dispatcher) Subscribe() {}
 
-// Ring implements scheduler.Orders: it sets one of the module's two timers.
-func (d *Dispatcher) Ring(after scheduler.Micros, bell scheduler.Bell) {
+// SetTimer implements scheduler.Orders: it sets one of the module's two timers.
+func (d *Dispatcher) SetTimer(after scheduler.Micros, bell scheduler.TimerID) {
 	d.loop.After(after, func() { d.module.Rang(d.loop.Now(), bell) })
 }
 
--- a/internal/platform/request.go
+++ b/internal/platform/request.go
@@ -20,13 +20,13 @@
 
 // request is what the dispatcher keeps of a client's request: what the module does not know, and nothing that it does.
 type request struct {
-	id       scheduler.GenID
+	id       scheduler.RequestID
 	client   *server.Request
 	response *server.Response
 	answered bool // or nobody waits any more
 
 	// The attempt that is out.
-	attempts scheduler.LegNo // made so far
+	attempts scheduler.AttemptNo // made so far
 	attempt  *engine.Attempt
 	host     scheduler.HostID
 	sentAt   eventloop.Micros // when it was ordered
@@ -67,7 +67,7 @@
 		}
 	}
 	d.module.Arrive(d.loop.Now(), r.id, scheduler.SessionID(hashName(client.Session)), scheduler.PrefixID(hashName(client.Prefix)),
-		scheduler.ProductID(class), scheduler.TenantID(tenant), client.PromptTokens, client.PrefixTokens, client.MaxOutputTokens, 0,
+		scheduler.ClassID(class), scheduler.TenantID(tenant), client.PromptTokens, client.PrefixTokens, client.MaxOutputTokens, 0,
 		client.ReceivedAt+client.Timeout)
 	d.settle(r)
 	return nil
--- a/internal/platform/state.go
+++ b/internal/platform/state.go
@@ -46,8 +46,8 @@
 	})
 }
 
-// LetGo implements scheduler.Orders: what is held is released now; an attempt that follows waits for that.
-func (d *Dispatcher) LetGo(id scheduler.GenID) {
+// Release implements scheduler.Orders: what is held is released now; an attempt that follows waits for that.
+func (d *Dispatcher) Release(id scheduler.RequestID) {
 	if r := d.requests[id]; r != nil && r.held && !r.releasing && r.attempt == nil {
 		d.release(r)
 	}
--- a/internal/platform/upstream/release.go
+++ b/internal/platform/upstream/release.go
@@ -66,7 +66,7 @@
 		return http1.AppendRequest(nil, "DELETE", "/v1/holds/"+r.id, addr, nil)
 	}, Answer: func(h *http1.Head, _ []byte) engine.Outcome {
 		if h.Status == 204 || h.Status == 200 {
-			return engine.Outcome{How: scheduler.ReadDone}
+			return engine.Outcome{How: scheduler.PrefillDone}
 		}
 		return engine.Outcome{How: scheduler.Errored, Why: "status " + strconv.Itoa(h.Status)}
 	}}
@@ -75,7 +75,7 @@
 	l.Call(at, call, span, engine.Callbacks{Ended: func(o engine.Outcome) {
 		now := l.loop.Now()
 		switch {
-		case o.How == scheduler.ReadDone:
+		case o.How == scheduler.PrefillDone:
 			if now-r.began > l.within {
 				l.Late++
 			}
--- a/internal/platform/upstream/upstream.go
+++ b/internal/platform/upstream/upstream.go
@@ -74,7 +74,7 @@
 		if gjson.ValidBytes(body) {
 			kept = int(max(gjson.GetBytes(body, "cached_tokens").Int(), 0))
 		}
-		return engine.Outcome{How: scheduler.ReadDone, Note: kept, Why: "read"}
+		return engine.Outcome{How: scheduler.PrefillDone, Note: kept, Why: "read"}
 	}
 	return outcome(h, body)
 }
@@ -120,7 +120,7 @@
 	if !e.some {
 		return engine.Outcome{How: scheduler.Errored, Why: "a stream without an event"}
 	}
-	return engine.Outcome{How: scheduler.Streamed, Note: e.kept, Why: "streamed"}
+	return engine.Outcome{How: scheduler.Completed, Note: e.kept, Why: "streamed"}
 }
 
 // Broke: what has no last chunk is not whole, whatever its events say, as the client must not be told that it is.
--- a/internal/platform/upstream/upstream_test.go
+++ b/internal/platform/upstream/upstream_test.go
@@ -20,9 +20,9 @@
 		how    scheduler.Ending
 		note   int
 	}{
-		{202, nil, `{"cached_tokens":4096}`, true, scheduler.ReadDone, 4096},
-		{202, nil, `{"cached_tokens":-1}`, true, scheduler.ReadDone, 0},
-		{202, nil, `nonsense`, true, scheduler.ReadDone, 0},
+		{202, nil, `{"cached_tokens":4096}`, true, scheduler.PrefillDone, 4096},
+		{202, nil, `{"cached_tokens":-1}`, true, scheduler.PrefillDone, 0},
+		{202, nil, `nonsense`, true, scheduler.PrefillDone, 0},
 		{202, nil, ``, false, scheduler.Errored, 0},
 		{200, nil, `{}`, true, scheduler.Errored, 0},
 		{500, nil, ``, true, scheduler.Errored, 0},
@@ -54,9 +54,9 @@
 		note   int
 	}{
 		{nil, false, scheduler.Errored, 0},
-		{[]string{`{"choices":[]}`}, false, scheduler.Streamed, 0},
-		{[]string{`{"choices":[]}`, `{"usage":{"prompt_tokens_details":{"cached_tokens":7}}}`, `[DONE]`}, false, scheduler.Streamed, 7},
-		{[]string{`{"choices":[]}`, `[DONE]`, `{"choices":[]}`}, true, scheduler.Streamed, 0},
+		{[]string{`{"choices":[]}`}, false, scheduler.Completed, 0},
+		{[]string{`{"choices":[]}`, `{"usage":{"prompt_tokens_details":{"cached_tokens":7}}}`, `[DONE]`}, false, scheduler.Completed, 7},
+		{[]string{`{"choices":[]}`, `[DONE]`, `{"choices":[]}`}, true, scheduler.Completed, 0},
 		{[]string{`{"cho`}, true, scheduler.Errored, 0},
 	} {
 		e, bad := &events{}, false
@@ -80,7 +80,7 @@
 	f.Add(503, `{`, `[DONE]`)
 	f.Fuzz(func(t *testing.T, status int, body, event string) {
 		for _, judge := range []func(*http1.Head, []byte) engine.Outcome{prefillOutcome, outcome} {
-			if o := judge(&http1.Head{Status: status}, []byte(body)); o.Note < 0 || o.How == scheduler.Full || o.How == scheduler.Streamed {
+			if o := judge(&http1.Head{Status: status}, []byte(body)); o.Note < 0 || o.How == scheduler.Full || o.How == scheduler.Completed {
 				t.Errorf("%d %q: %+v", status, body, o)
 			}
 		}
--- a/internal/program/bench.go
+++ b/internal/program/bench.go
@@ -297,13 +297,13 @@
 					begun = true
 					first(direct)()
 				}
-			}, Ended: func(o engine.Outcome) { end(o.How == scheduler.Streamed) }}
-			e.Read(readers[asked%len(readers)], e.LegName(scheduler.GenID(asked), 0), id, plain, 10*eventloop.Second, engine.Callbacks{Ended: func(o engine.Outcome) {
-				if o.How != scheduler.ReadDone {
+			}, Ended: func(o engine.Outcome) { end(o.How == scheduler.Completed) }}
+			e.Read(readers[asked%len(readers)], e.LegName(scheduler.RequestID(asked), 0), id, plain, 10*eventloop.Second, engine.Callbacks{Ended: func(o engine.Outcome) {
+				if o.How != scheduler.PrefillDone {
 					end(false)
 					return
 				}
-				e.Write(writers[asked%len(writers)], e.LegName(scheduler.GenID(asked), 1), id, plain, o.State, 40, 10*eventloop.Second, hear)
+				e.Write(writers[asked%len(writers)], e.LegName(scheduler.RequestID(asked), 1), id, plain, o.State, 40, 10*eventloop.Second, hear)
 			}})
 		}
 		next()
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -14,9 +14,9 @@
 )
 
 var (
-	roles   = map[string]scheduler.Role{"read": scheduler.Reader, "write": scheduler.Writer, "both": scheduler.Mixed}
+	roles   = map[string]scheduler.Role{"read": scheduler.Prefill, "write": scheduler.Decode, "both": scheduler.Mixed}
 	effects = map[string]scheduler.Effect{"read_like": scheduler.Idempotent,
-		"idempotency_key": scheduler.Deduplicated, "non_idempotent": scheduler.SideEffecting}
+		"idempotency_key": scheduler.Deduplicated, "non_idempotent": scheduler.NonIdempotent}
 	groups = map[string]scheduler.Group{"all": scheduler.AllHosts, "zone": scheduler.SameZone, "cell": scheduler.SameCell}
 )
 
@@ -52,9 +52,9 @@
 		Place: scheduler.Deployment{
 			Dispatchers:    int(get("group_size").Int()),
 			Zone:           scheduler.ZoneID(get("zone").Uint()),
-			OverShareWorth: get("over_share_worth").Float(),
-			WritersRead:    get("domain.local_read").Bool(),
-			LegLimit:       int(get("limits.send_cap").Int()),
+			OverQuotaWorth: get("over_share_worth").Float(),
+			DecodePrefills: get("domain.local_read").Bool(),
+			MaxAttempts:    int(get("limits.send_cap").Int()),
 			MayCancel:      get("limits.may_cancel").Bool(),
 			OnRequest:      get("discovery").String() == "on_request",
 			Tick:           span("tick"), Idle: span("limits.conn_idle"), Connect: span("limits.connect_timeout"), Cold: span("obligations.cold"),
@@ -66,7 +66,7 @@
 	t.Place.Idle = cmp.Or(t.Place.Idle, defaultIdle)
 	t.ReleaseWithin = cmp.Or(t.ReleaseWithin, defaultLetGo)
 	if get("limits.retry_after").Bool() {
-		t.Place.MaxComeBack = span("limits.max_retry_after")
+		t.Place.MaxRetryAfter = span("limits.max_retry_after")
 	}
 	perK, pace := get("domain.aim_us_per_1000_prompt_tokens").Array(), get("domain.token_aim").Array()
 	for i, c := range get("request_classes").Array() {
@@ -78,7 +78,7 @@
 		if !known && effect == scheduler.Deduplicated {
 			return nil, fmt.Errorf("request_classes %d: unknown group %q", i, c.Get("group").String())
 		}
-		p := scheduler.Product{SLO: Micros(c.Get("aim").Uint()), Window: Micros(c.Get("window").Uint()),
+		p := scheduler.Class{SLO: Micros(c.Get("aim").Uint()), Window: Micros(c.Get("window").Uint()),
 			Effect: effect, Group: group, Revenue: c.Get("points").Float(), LateShare: c.Get("late_share").Float()}
 		if i < len(perK) {
 			p.SLOPer1000 = scheduler.Micros(perK[i].Float())
@@ -86,7 +86,7 @@
 		if i < len(pace) {
 			p.TokenSLO = Micros(pace[i].Uint())
 		}
-		t.Place.Products = append(t.Place.Products, p)
+		t.Place.Classes = append(t.Place.Classes, p)
 		t.Classes = append(t.Classes, c.Get("name").String())
 	}
 	memory := get("domain.kv_tokens").Array()
--- a/scheduler/api.go
+++ b/scheduler/api.go
@@ -7,58 +7,58 @@
 
 // The ids carry no meaning beyond equality; each kind is a type of its own so that none passes for another.
 type (
-	GenID     uint64
+	RequestID uint64
 	HostID    uint32
 	SessionID uint64
 	PrefixID  uint64
 	TenantID  uint16
-	ProductID uint8
+	ClassID   uint8
 	ZoneID    uint8
 	KindID    uint8
 	CellID    uint16
-	LegNo     uint16
+	AttemptNo uint16
 )
 
 // Orders is what a dispatcher may ask of the world around it. Calls are carried out in their order.
 type Orders interface {
-	Send(gen GenID, host HostID, allow Micros)
-	Throttle(gen GenID, comeBackIn Micros)
-	Terminate(gen GenID)
-	Cancel(gen GenID, leg LegNo)
-	LetGo(gen GenID)
+	Send(request RequestID, host HostID, allow Micros)
+	Reject(request RequestID, retryAfter Micros)
+	Fail(request RequestID)
+	Cancel(request RequestID, attempt AttemptNo)
+	Release(request RequestID)
 	Subscribe()
-	Ring(after Micros, bell Bell)
+	SetTimer(after Micros, bell TimerID)
 	Log(line string)
 }
 
-// Bell tells the two timers of an instance apart.
-type Bell uint64
+// TimerID tells the two timers of an instance apart.
+type TimerID uint64
 
 const (
-	Beat Bell = 1 // the one periodic timer
-	Due  Bell = 2 // the earliest of the ordered due times
+	Tick TimerID = 1 // the one periodic timer
+	Due  TimerID = 2 // the earliest of the ordered due times
 )
 
 // Role is what a kind of model host can do.
 type Role uint8
 
 const (
-	Reader Role = iota
-	Writer
+	Prefill Role = iota
+	Decode
 	Mixed
 	Embedder // reads what is complete with its read, and nothing else
 )
 
-// Effect says what a repeat of a product's generation would do.
+// Effect says what a repeat of a product's request would do.
 type Effect uint8
 
 const (
 	Idempotent Effect = iota
 	Deduplicated
-	SideEffecting
+	NonIdempotent
 )
 
-// Group names the model hosts that drop each other's repeats of a deduplicated generation.
+// Group names the model hosts that drop each other's repeats of a deduplicated request.
 type Group uint8
 
 const (
@@ -76,31 +76,36 @@
 	Gone
 )
 
-// Ending is how a leg came out.
+// Ending is how an attempt came out.
 type Ending uint8
 
 const (
-	Streamed Ending = iota
-	ReadDone        // the prompt is read and its state waits at the reader
+	Completed   Ending = iota
+	PrefillDone        // the prompt is read and its state waits at the reader
 	Errored
 	Full
 	TimedOut
 	Unreachable // no connection in time
-	Dropped     // the connection broke with the leg on it
+	Dropped     // the connection broke with the attempt on it
 	Cancelled
 	NeverSent
 )
 
+// neverRan tells whether an ending proves that the attempt had no effect.
+func (e Ending) neverRan() bool {
+	return e == Full || e == Unreachable || e == NeverSent || e == PrefillDone
+}
+
 // NoReport stands for the reported memory share of an outcome that came without one.
 const NoReport = -1.0
 
-// Product is what the deployment promises for one class of generations.
-type Product struct {
+// Class is what the deployment promises for one class of requests.
+type Class struct {
 	SLO, SLOPer1000, TokenSLO, Window Micros
 	Revenue, LateShare                float64
 	Effect                            Effect
 	Group                             Group
-	ReadOnly                          bool // a generation is complete with its read; it must be idempotent
+	ReadOnly                          bool // a request is complete with its read; it must be idempotent
 }
 
 // Kind is one sort of machine.
@@ -113,18 +118,18 @@
 type Deployment struct {
 	Dispatchers    int
 	Zone           ZoneID // that this dispatcher stands in
-	Products       []Product
+	Classes        []Class
 	Kinds          []Kind
-	Quotas         []float64 // generations a second inside each tenant's share, over all dispatchers
-	OverShareWorth float64
-	WritersRead    bool
-	LegLimit       int
+	Quotas         []float64 // requests a second inside each tenant's share, over all dispatchers
+	OverQuotaWorth float64
+	DecodePrefills bool
+	MaxAttempts    int
 	MayCancel      bool
-	MaxComeBack    Micros
+	MaxRetryAfter  Micros
 	OnRequest      bool // the list of hosts comes only to those that ask
 	Tick           Micros
 	Idle           Micros // an unused connection is closed after it
-	Connect        Micros // a leg that has not left by then, for want of a connection, never does
+	Connect        Micros // an attempt that has not left by then, for want of a connection, never does
 	Cold           Micros
 	ColdFrom       float64
 	Fall           Micros
--- a/scheduler/cost_test.go
+++ b/scheduler/cost_test.go
@@ -8,27 +8,27 @@
 	"time"
 )
 
-// sent is an Orders that keeps where each generation went last, and nothing else.
+// sent is an Orders that keeps where each request went last, and nothing else.
 type sent struct {
-	at  map[GenID]HostID
-	leg map[GenID]LegNo
+	at  map[RequestID]HostID
+	leg map[RequestID]AttemptNo
 	n   int
 }
 
-func (s *sent) Send(g GenID, h HostID, _ Micros) {
+func (s *sent) Send(g RequestID, h HostID, _ Micros) {
 	if _, again := s.at[g]; again {
 		s.leg[g]++
 	}
 	s.at[g] = h
 	s.n++
 }
-func (s *sent) Throttle(g GenID, _ Micros) { delete(s.at, g) }
-func (s *sent) Terminate(g GenID)          { delete(s.at, g) }
-func (s *sent) Cancel(GenID, LegNo)        {}
-func (s *sent) LetGo(GenID)                {}
-func (s *sent) Subscribe()                 {}
-func (s *sent) Ring(Micros, Bell)          {}
-func (s *sent) Log(string)                 {}
+func (s *sent) Reject(g RequestID, _ Micros) { delete(s.at, g) }
+func (s *sent) Fail(g RequestID)             { delete(s.at, g) }
+func (s *sent) Cancel(RequestID, AttemptNo)  {}
+func (s *sent) Release(RequestID)            {}
+func (s *sent) Subscribe()                   {}
+func (s *sent) SetTimer(Micros, TimerID)     {}
+func (s *sent) Log(string)                   {}
 
 // town is one instance in a fleet of the grown size, or a multiple of it: readers, writers, dispatchers and what is under way.
 type town struct {
@@ -36,12 +36,12 @@
 	d     *Dispatcher
 	now   Micros
 	scale int
-	last  GenID
+	last  RequestID
 }
 
 const (
 	townReaders, townWriters, townOthers = 22, 44, 160
-	townFlying                           = 48 // generations under way at the instance
+	townFlying                           = 48 // requests under way at the instance
 )
 
 func (t *town) hosts(cond Condition) {
@@ -59,10 +59,10 @@
 }
 
 func newTown(scale int, jammed bool) *town {
-	t := &town{sent: &sent{at: map[GenID]HostID{}, leg: map[GenID]LegNo{}}, now: 1000 * sec, scale: scale}
+	t := &town{sent: &sent{at: map[RequestID]HostID{}, leg: map[RequestID]AttemptNo{}}, now: 1000 * sec, scale: scale}
 	place := two(Idempotent)
-	place.Dispatchers, place.Idle, place.Cold, place.LegLimit = townOthers*scale, 30*sec, 14*sec, 6
-	place.Products = append(place.Products, Product{SLO: sec, TokenSLO: 50 * ms, Revenue: 6, LateShare: 0.2, Effect: SideEffecting})
+	place.Dispatchers, place.Idle, place.Cold, place.MaxAttempts = townOthers*scale, 30*sec, 14*sec, 6
+	place.Classes = append(place.Classes, Class{SLO: sec, TokenSLO: 50 * ms, Revenue: 6, LateShare: 0.2, Effect: NonIdempotent})
 	t.d = Start(t.now, 1, place, t)
 	t.hosts(Ready)
 	for _, h := range t.d.hosts { // each has done something lately
@@ -88,22 +88,22 @@
 // jam has no writer fit any more, so that what comes is held.
 func (t *town) jam(on bool) {
 	for _, h := range t.d.hosts {
-		if h.fullUntil = 0; on && h.role == Writer {
+		if h.fullUntil = 0; on && h.role == Decode {
 			h.fullUntil = t.now + 3600*sec
 		}
 	}
 }
 
-func (t *town) arrive(product ProductID) GenID {
+func (t *town) arrive(product ClassID) RequestID {
 	t.last++
 	t.d.Arrive(t.now, t.last, SessionID(t.last), PrefixID(1+t.last%40), product, 0, 2000, 1000, 200, 0, t.now+60*sec)
 	return t.last
 }
-func (t *town) read(id GenID)  { t.d.Ended(t.now, id, t.leg[id], ReadDone, 500, false, NoReport) }
-func (t *town) begin(id GenID) { t.d.Started(t.now, id, t.leg[id]) }
-func (t *town) end(id GenID, how Ending) {
-	t.d.Ended(t.now, id, t.leg[id], how, 0, how == Streamed, NoReport)
-	if how == Streamed {
+func (t *town) read(id RequestID)  { t.d.Ended(t.now, id, t.leg[id], PrefillDone, 500, false, NoReport) }
+func (t *town) begin(id RequestID) { t.d.Started(t.now, id, t.leg[id]) }
+func (t *town) end(id RequestID, how Ending) {
+	t.d.Ended(t.now, id, t.leg[id], how, 0, how == Completed, NoReport)
+	if how == Completed {
 		delete(t.at, id)
 	}
 }
@@ -149,7 +149,7 @@
 				c.looked += float64(t.d.looked-looked) * per
 				all[what+name] = c
 			}
-			var ids, flying [batch]GenID
+			var ids, flying [batch]RequestID
 			if jammed { // some are written while others are held
 				held := t.d.held
 				t.d.held = nil
@@ -169,13 +169,13 @@
 			}
 			note("arrival", batch, func(i int) { ids[i] = t.arrive(0) })
 			if jammed {
-				note("outcome", batch, func(i int) { t.end(flying[i], Streamed) })
+				note("outcome", batch, func(i int) { t.end(flying[i], Completed) })
 			} else {
 				note("read done", batch, func(i int) { t.read(ids[i]) })
 				note("begun", batch, func(i int) { t.begin(ids[i]) })
-				note("outcome", batch, func(i int) { t.end(ids[i], Streamed) })
+				note("outcome", batch, func(i int) { t.end(ids[i], Completed) })
 			}
-			note("beat", 2, func(int) { t.d.Rang(t.now, Beat) })
+			note("beat", 2, func(int) { t.d.Rang(t.now, Tick) })
 			note("list", 1, func(int) { t.hosts(Ready) })
 			for _, id := range ids {
 				t.d.Left(t.now, id) // those that were held
--- a/scheduler/decide_test.go
+++ b/scheduler/decide_test.go
@@ -27,7 +27,7 @@
 		&seen{id: 13, kind: 1, zone: 1, cell: 1})
 	far := 0
 	for i := range 40 {
-		g := w.written(GenID(i+1), 4000)
+		g := w.written(RequestID(i+1), 4000)
 		if g.out().host.zone == 1 {
 			far++
 		}
@@ -56,7 +56,7 @@
 	if h := w.d.byID[11]; w.d.learntCap(h) >= h.held {
 		t.Errorf("cap %v with %v held when an answer began late", w.d.learntCap(h), h.held)
 	}
-	w.end(g, Streamed, 0)
+	w.end(g, Completed, 0)
 	w.pass(sec)
 	if held.out() == nil && len(held.answers) == 0 {
 		t.Error("still held when the writer is free")
@@ -74,13 +74,13 @@
 	} else if far.out().host.cell == 1 {
 		far, near = near, far
 	}
-	w.end(far, ReadDone, 0)
+	w.end(far, PrefillDone, 0)
 	w.pass(10 * ms)
-	w.end(near, ReadDone, 0)
+	w.end(near, PrefillDone, 0)
 	w.pass(20 * ms)
 	w.start(near)
 	w.pass(300 * ms)
-	writer, g := w.d.byID[11], &generation{arrived: w.now, slo: w.now + sec}
+	writer, g := w.d.byID[11], &request{arrived: w.now, slo: w.now + sec}
 	if w.d.jammed(writer) || !w.d.linkJammed(0, g, w.d.lateCells()) || w.d.linkJammed(1, g, w.d.lateCells()) {
 		t.Error("the late state is not put down to its cell's link")
 	}
@@ -94,18 +94,18 @@
 func TestAllColdAtOnce(t *testing.T) {
 	w := newWorld(t, two(Idempotent), 1)
 	w.fleet(2, 0, 1)
-	w.d.warm[Reader] = 20000
+	w.d.warm[Prefill] = 20000
 	before := slices.Repeat([]Micros{w.now}, 16) // what they answered when they were warm
 	w.list(&seen{id: 1, since: w.now, done: before}, &seen{id: 2, since: w.now, done: before})
 	reads := 0
 	for i := range 60 {
-		g := w.arrive(GenID(i+1), 0, 2000, 6*sec)
+		g := w.arrive(RequestID(i+1), 0, 2000, 6*sec)
 		w.pass(30 * ms)
 		if g.out() != nil {
 			reads++
-			w.end(g, ReadDone, 0)
+			w.end(g, PrefillDone, 0)
 			w.start(g)
-			w.end(g, Streamed, 0)
+			w.end(g, Completed, 0)
 		}
 	}
 	if reads < 8 {
@@ -113,7 +113,7 @@
 	}
 }
 
-// Full readers once burnt all legs of a generation within milliseconds.
+// Full readers once burnt all attempts of a request within milliseconds.
 func TestFullReaderBurnsNoLegs(t *testing.T) {
 	w := newWorld(t, two(Idempotent), 1)
 	w.fleet(1, 0, 1)
@@ -140,7 +140,7 @@
 	bad := w.written(1, 3000).out().host
 	w.end(w.gens[1], Errored, 0)
 	for i := range 6 {
-		g := w.written(GenID(i+2), 3000)
+		g := w.written(RequestID(i+2), 3000)
 		if g.out().host == bad {
 			t.Fatalf("gen %d went to the host that erred", i+2)
 		}
@@ -149,7 +149,7 @@
 	}
 }
 
-// A jammed writer looks silent for a while: it rests at once, its legs are taken back only if it stays
+// A jammed writer looks silent for a while: it rests at once, its attempts are taken back only if it stays
 // silent.
 func TestSilentHost(t *testing.T) {
 	w := newWorld(t, two(Idempotent), 1)
@@ -174,7 +174,7 @@
 	w := newWorld(t, two(Idempotent), 1)
 	w.fleet(1, 0, 1, 2)
 	w.d.blame(w.d.byID[21], "test")
-	for id := GenID(1); id < 5; id++ {
+	for id := RequestID(1); id < 5; id++ {
 		if g := w.arrive(id, 0, 1000, 6*sec); g.out() != nil && g.out().host.id == 21 {
 			t.Error("sent to the host that looks ill while others do not")
 		}
@@ -186,7 +186,7 @@
 	w := newWorld(t, two(Idempotent), 1)
 	w.fleet(1, 0, 1, 2)
 	w.list(&seen{id: 1, cond: Draining})
-	for id := GenID(1); id < 4; id++ {
+	for id := RequestID(1); id < 4; id++ {
 		if g := w.arrive(id, 0, 1000*float64(id), 6*sec); g.out() == nil || g.out().host.id != 21 {
 			t.Errorf("gen %d is not read at the mixed host", id)
 		}
@@ -234,7 +234,7 @@
 	w := newWorld(t, two(Idempotent), 1)
 	w.fleet(1, 0)
 	w.fleet(2, 1)
-	id := GenID(0)
+	id := RequestID(0)
 	run := func(n int) map[HostID]int {
 		at := map[HostID]int{}
 		for range n {
@@ -243,7 +243,7 @@
 			at[g.out().host.id]++
 			w.start(g)
 			w.pass(90 * ms)
-			w.end(g, Streamed, 0)
+			w.end(g, Completed, 0)
 		}
 		return at
 	}
@@ -265,7 +265,7 @@
 		t.Errorf("expects to read %v of a known text", w.d.toRead(h, w.d.gens[4]))
 	} else {
 		w.pass(10 * ms)
-		w.end(g, ReadDone, 0)
+		w.end(g, PrefillDone, 0)
 	}
 	w.arrive(7, 0, 4000, 6*sec)
 	if len(h.texts) != 1 {
@@ -286,7 +286,7 @@
 			w.d.byID[11].creditAt = w.now // its part may begin at once
 		}
 		for i := range 4 {
-			w.arrive(GenID(i+1), 0, 4000, 6*sec)
+			w.arrive(RequestID(i+1), 0, 4000, 6*sec)
 		}
 		if len(w.d.held) != want {
 			t.Errorf("cold %v: %d of 4 held, want %d", cold, len(w.d.held), want)
@@ -295,7 +295,7 @@
 }
 
 // The only writer finds no state: it is not to blame, and what is read anew is written there. (It once counted as tried, and the
-// generation was held until its time limit.)
+// request was held until its time limit.)
 func TestStateLostIsNotTheWritersFault(t *testing.T) {
 	w := newWorld(t, two(Idempotent), 1)
 	w.fleet(1, 0, 1)
@@ -305,7 +305,7 @@
 	if g.out() == nil || g.out().host.id != 1 {
 		t.Fatal("it is not read anew")
 	}
-	w.end(g, ReadDone, 0)
+	w.end(g, PrefillDone, 0)
 	if g.out() == nil || g.out().host.id != 11 {
 		t.Error("it is not written at the only writer")
 	}
@@ -328,7 +328,7 @@
 			}
 			h.heldThen = h.held
 		}
-		g := &generation{prompt: 2000, growth: 100, slo: w.now + sec, arrived: w.now}
+		g := &request{prompt: 2000, growth: 100, slo: w.now + sec, arrived: w.now}
 		for cell := range CellID(5) {
 			if w.d.links[cell] = w.now; chance.Intn(2) == 0 {
 				delete(w.d.links, cell)
@@ -336,7 +336,7 @@
 		}
 		takes := slices.Clone(w.d.cellsThatTake(g))
 		for _, r := range w.d.hosts {
-			if _, jammed := w.d.links[r.cell]; r.role != Reader || !jammed {
+			if _, jammed := w.d.links[r.cell]; r.role != Prefill || !jammed {
 				continue
 			}
 			asked, fits := w.d.pickWriter(g, r)
@@ -417,7 +417,7 @@
 	w := newWorld(t, two(Idempotent), 1)
 	w.list(&seen{id: 1, kind: 0}, &seen{id: 11, kind: 1}, &seen{id: 12, kind: 1}, &seen{id: 13, kind: 1, zone: 1, cell: 1})
 	for i := range 10 {
-		g := w.written(GenID(i+1), 4000)
+		g := w.written(RequestID(i+1), 4000)
 		if h := g.out().host; h.zone == 1 {
 			t.Fatalf("the %dth left its zone, with %v and %v held of 140000 near", i+1, w.d.byID[11].held, w.d.byID[12].held)
 		}
@@ -430,12 +430,12 @@
 	w := newWorld(t, two(Idempotent), 1)
 	w.fleet(2, 0, 1)
 	for i := range 20 {
-		g := w.written(GenID(i+1), 2000)
+		g := w.written(RequestID(i+1), 2000)
 		w.start(g)
-		w.end(g, Streamed, 0)
+		w.end(g, Completed, 0)
 		w.pass(50 * ms)
 	}
-	before := w.d.warm[Writer]
+	before := w.d.warm[Decode]
 	if before == 0 {
 		t.Fatal("nothing was seen of the warm writers")
 	}
@@ -444,8 +444,8 @@
 		w.d.byID[id].ill = 1
 	}
 	w.pass(5 * sec)
-	if w.d.warm[Writer] < before {
-		t.Errorf("%v was seen, and %v is left while all are dead", before, w.d.warm[Writer])
+	if w.d.warm[Decode] < before {
+		t.Errorf("%v was seen, and %v is left while all are dead", before, w.d.warm[Decode])
 	}
 }
 
@@ -466,7 +466,7 @@
 	w.list(&seen{id: 1}, &seen{id: 11, kind: 1})
 	w.d.byID[1].texts[77] = true
 	g := w.arriveIn(1, 0, 5, 6000, 5000, 6*sec)
-	w.end(g, ReadDone, 0)
+	w.end(g, PrefillDone, 0)
 	if !w.d.byID[1].texts[77] || !w.d.byID[1].texts[5] {
 		t.Errorf("known texts: %v", w.d.byID[1].texts)
 	}
--- a/scheduler/many_test.go
+++ b/scheduler/many_test.go
@@ -32,12 +32,12 @@
 			if i == 16 {
 				w.list(&seen{id: 13, kind: 1, since: start})
 			}
-			g := w.written(GenID(i+1), 2000)
+			g := w.written(RequestID(i+1), 2000)
 			if w.start(g); i < 16 {
 				warm++
 			}
 			w.pass(890 * ms)
-			w.end(g, Streamed, 0)
+			w.end(g, Completed, 0)
 		}
 		sent = append(sent, w.hosts[13].sent...)
 	}
@@ -65,7 +65,7 @@
 	w := many(t, func(w *world) {
 		w.list(&seen{id: 1, kind: 0}, &seen{id: 11, kind: 1}, &seen{id: 12, kind: 1, zone: 1, cell: 1})
 	})[0]
-	for id := range GenID(3) {
+	for id := range RequestID(3) {
 		g := w.written(id+1, 2000)
 		if w.start(g); g.out().host.id != 11 {
 			t.Errorf("generation %d left its reader's cell", id+1)
@@ -97,15 +97,15 @@
 			w.d.countPrefix(8)
 		}
 		for s := range SessionID(12) {
-			h := w.d.home(&generation{prefix: 7, session: s}, 7, w.d.hosts[:9:9])
+			h := w.d.home(&request{prefix: 7, session: s}, 7, w.d.hosts[:9:9])
 			if was := homes[s]; was != 0 && was != h.id {
 				t.Errorf("session %d is at home at %d and %d", s, was, h.id)
 			}
 			homes[s] = h.id
 		}
 		w.d.often[9], w.d.arrivals = 1, 121
-		if w.d.home(&generation{prefix: 9, session: 1}, 9, w.d.hosts[:9:9]) !=
-			w.d.home(&generation{prefix: 9, session: 2}, 9, w.d.hosts[:9:9]) {
+		if w.d.home(&request{prefix: 9, session: 1}, 9, w.d.hosts[:9:9]) !=
+			w.d.home(&request{prefix: 9, session: 2}, 9, w.d.hosts[:9:9]) {
 			t.Error("a rare prefix has two homes")
 		}
 	}
@@ -125,7 +125,7 @@
 	})[0]
 	g := w.arrive(1, 0, 2000, 6*sec)
 	cell := g.out().host.cell
-	w.d.outOf[cell] = trace{1.5, w.now}
+	w.d.outOf[cell] = decayingMean{1.5, w.now}
 	if h := w.arrive(4, 0, 2000, 6*sec).out().host; h.cell == cell {
 		t.Error("read again in the cell whose states begin late")
 	}
@@ -137,9 +137,9 @@
 	g := w.written(1, 2000)
 	reader, writer := g.legs[0].host.id, g.out().host.id
 	w.start(g)
-	w.end(g, Streamed, 0)
-	w.d.noConnection = trace{1, w.now}
-	for id := range GenID(8) {
+	w.end(g, Completed, 0)
+	w.d.noConnection = decayingMean{1, w.now}
+	for id := range RequestID(8) {
 		if g := w.written(id+2, 2000); g.legs[0].host.id != reader || g.out().host.id != writer {
 			t.Errorf("read at %d, written at %d", g.legs[0].host.id, g.out().host.id)
 		}
@@ -162,10 +162,10 @@
 			if at[prefix] == nil {
 				at[prefix] = map[HostID]int{}
 			}
-			g := w.arriveIn(GenID(i*10+j+1), 0, prefix, 6000, 5000, 6*sec)
+			g := w.arriveIn(RequestID(i*10+j+1), 0, prefix, 6000, 5000, 6*sec)
 			at[prefix][g.out().host.id]++
 			n++
-			w.end(g, ReadDone, 5000)
+			w.end(g, PrefillDone, 5000)
 			w.start(g)
 			w.pass(sec)
 		}
@@ -183,7 +183,7 @@
 	}
 }
 
-// A text in a third of all traffic is read at many readers, by dispatchers that have each seen a dozen generations: at one home in a
+// A text in a third of all traffic is read at many readers, by dispatchers that have each seen a dozen requests: at one home in a
 // zone of twenty it would keep that one busy six times over.
 func TestPopularTextHasHomesEarly(t *testing.T) {
 	at, n := map[HostID]int{}, 0
@@ -197,14 +197,14 @@
 			if j%3 == 0 {
 				prefix = 1
 			}
-			g := w.arriveIn(GenID(i*20+j+1), 0, prefix, 6000, 5000, 6*sec)
+			g := w.arriveIn(RequestID(i*20+j+1), 0, prefix, 6000, 5000, 6*sec)
 			if j >= 3 && prefix == 1 {
 				at[g.out().host.id]++
 				n++
 			}
-			w.end(g, ReadDone, 5000)
+			w.end(g, PrefillDone, 5000)
 			w.start(g)
-			w.end(g, Streamed, 0)
+			w.end(g, Completed, 0)
 			w.pass(sec)
 		}
 	}
@@ -222,11 +222,11 @@
 	w := newWorld(t, two(Idempotent), 1)
 	w.fleet(6, 0, 1)
 	home := w.arriveIn(1, 0, 7, 6000, 5000, 6*sec).out().host
-	w.end(w.gens[1], ReadDone, 5000)
+	w.end(w.gens[1], PrefillDone, 5000)
 	w.start(w.gens[1])
 	clear(w.d.byID[home.id].texts)
 	for _, h := range w.d.hosts {
-		if h.role == Reader && h.id != home.id {
+		if h.role == Prefill && h.id != home.id {
 			h.texts[7] = true
 		}
 	}
@@ -240,11 +240,11 @@
 func TestHomesThatKeepNothing(t *testing.T) {
 	w := newWorld(t, two(Idempotent), 1)
 	w.fleet(4, 0, 1)
-	for i := range GenID(40) {
+	for i := range RequestID(40) {
 		g := w.arriveIn(i+1, 0, PrefixID(i+1), 6000, 5000, 6*sec)
-		w.end(g, ReadDone, 0)
+		w.end(g, PrefillDone, 0)
 		w.start(g)
-		w.end(g, Streamed, 0)
+		w.end(g, Completed, 0)
 	}
 	g := w.arriveIn(99, 0, 99, 6000, 5000, 6*sec)
 	if read := w.d.toRead(w.d.byID[g.out().host.id], w.d.gens[99]); read < 5800 {
@@ -259,11 +259,11 @@
 			switch l := g.out(); {
 			case l == nil:
 			case l.host.kind == 0:
-				w.end(g, ReadDone, 0)
+				w.end(g, PrefillDone, 0)
 			case !l.started:
 				w.start(g)
 			case l.at < w.now-sec:
-				w.end(g, Streamed, 0)
+				w.end(g, Completed, 0)
 			}
 		}
 	}
@@ -271,7 +271,7 @@
 
 // Whatever the number of dispatchers that share nothing, and however unevenly the traffic falls on them, a host that has just started
 // gets no more than the rule's part of what warm hosts do and the chance that the users allow beside it: N + 2 root of N + 2 in any span.
-// A floor of one generation each would be three hundred.
+// A floor of one request each would be three hundred.
 func TestSumAtOneColdHost(t *testing.T) {
 	const perS, warmHosts = 40.0, 4
 	for _, n := range []int{3, 30, 300} {
@@ -294,7 +294,7 @@
 			began := w.now
 			start = began + 20*sec
 			var open []*told
-			for id := GenID(1); ; id++ {
+			for id := RequestID(1); ; id++ {
 				for next := w.now + Micros(chance.ExpFloat64()*sum/(perS*weights[i])*float64(sec)); w.now < next; {
 					w.pass(min(next-w.now, 50*ms))
 					w.serve(open)
@@ -302,7 +302,7 @@
 				if w.now > start+place.Cold {
 					break
 				}
-				if w.now >= start && w.hosts[20] == nil { // all others go: only what the rule leaves keeps legs from it
+				if w.now >= start && w.hosts[20] == nil { // all others go: only what the rule leaves keeps attempts from it
 					w.list(&seen{id: 20, kind: 1, since: start})
 					for h := range HostID(warmHosts) {
 						w.hosts[11+h].cond = Draining
--- a/scheduler/rules_test.go
+++ b/scheduler/rules_test.go
@@ -14,17 +14,17 @@
 	}
 	f.Fuzz(func(t *testing.T, seed int64, shape uint8) {
 		place := two(Idempotent)
-		for i, p := range []Product{{Effect: SideEffecting}, {Effect: Deduplicated},
+		for i, p := range []Class{{Effect: NonIdempotent}, {Effect: Deduplicated},
 			{Effect: Deduplicated, Group: SameZone}, {Effect: Deduplicated, Group: SameCell}} {
 			p.SLO, p.Window, p.Revenue, p.TokenSLO = sec, 2*sec, float64(i+1), 50*ms
-			place.Products = append(place.Products, p)
+			place.Classes = append(place.Classes, p)
 		}
-		place.Products = append(place.Products, Product{SLO: 2 * sec, Revenue: 1, LateShare: 0.5, ReadOnly: true})
+		place.Classes = append(place.Classes, Class{SLO: 2 * sec, Revenue: 1, LateShare: 0.5, ReadOnly: true})
 		place.Kinds = append(place.Kinds, Kind{Embedder, 100000})
-		place.MayCancel, place.WritersRead = shape&1 == 0, shape&2 == 0
+		place.MayCancel, place.DecodePrefills = shape&1 == 0, shape&2 == 0
 		place.OnRequest = shape&1 == 1
-		place.LegLimit = 2 + int(shape%5)
-		place.Quotas, place.OverShareWorth = []float64{3}, 0.1
+		place.MaxAttempts = 2 + int(shape%5)
+		place.Quotas, place.OverQuotaWorth = []float64{3}, 0.1
 		var logs [2][]string
 		for i := range logs {
 			w := newWorld(t, place, seed)
@@ -37,17 +37,17 @@
 	})
 }
 
-// A read that is out has not been seen to do nothing: throttling a side-effecting generation then broke a
+// A read that is out has not been seen to do nothing: throttling a non-idempotent request then broke a
 // rule.
 func TestNoThrottleWhileReadIsOut(t *testing.T) {
-	w := newWorld(t, two(SideEffecting), 1)
+	w := newWorld(t, two(NonIdempotent), 1)
 	w.fleet(1, 0, 1)
 	g := w.arrive(1, 0, 3000, sec)
 	w.pass(sec)
 	if g.out() == nil || g.answers[0] != "terminate" {
 		t.Fatalf("answers %v", g.answers)
 	}
-	w.end(g, ReadDone, 0)
+	w.end(g, PrefillDone, 0)
 	if g.waiting != 0 {
 		t.Error("the read that ended after the answer keeps its state")
 	}
@@ -55,7 +55,7 @@
 
 // A writer cut off from the reader says that there is no state; the reader holds it all the same.
 func TestStateNotFoundIsLetGo(t *testing.T) {
-	w := newWorld(t, two(SideEffecting), 1)
+	w := newWorld(t, two(NonIdempotent), 1)
 	w.fleet(2, 0, 1)
 	g := w.written(1, 3000)
 	w.end(g, Full, 1)
@@ -69,7 +69,7 @@
 
 // A cancel may cross the start of its stream: an end without closing is still owed an answer.
 func TestStreamEndsUnclosed(t *testing.T) {
-	w := newWorld(t, two(SideEffecting), 1)
+	w := newWorld(t, two(NonIdempotent), 1)
 	w.fleet(1, 0, 1)
 	g := w.written(1, 3000)
 	w.start(g)
@@ -96,11 +96,11 @@
 // that only embed are never sent chat, even where they are all that is left.
 func TestReadOnly(t *testing.T) {
 	place := two(Idempotent)
-	place.Products = append(place.Products, Product{SLO: sec, Revenue: 1, ReadOnly: true})
+	place.Classes = append(place.Classes, Class{SLO: sec, Revenue: 1, ReadOnly: true})
 	place.Kinds = append(place.Kinds, Kind{Embedder, 100000})
 	for _, c := range []struct {
 		kinds   []KindID
-		product ProductID
+		product ClassID
 		sent    bool
 	}{{[]KindID{0}, 1, true}, {[]KindID{3}, 1, true}, {[]KindID{2}, 1, true}, {[]KindID{1}, 1, false}, {[]KindID{0}, 0, false}, {[]KindID{3, 1}, 0, false}} {
 		w := newWorld(t, place, 1)
@@ -117,7 +117,7 @@
 			t.Errorf("hosts %v: not read again elsewhere", c.kinds)
 			continue
 		}
-		w.end(g, ReadDone, 0)
+		w.end(g, PrefillDone, 0)
 		w.pass(sec)
 		if len(g.answers) > 0 || len(w.d.gens) > 0 || w.d.underway != 0 {
 			t.Errorf("hosts %v: %v, %d gens left, %v under way", c.kinds, g.answers, len(w.d.gens), w.d.underway)
--- a/scheduler/scheduler.go
+++ b/scheduler/scheduler.go
@@ -5,8 +5,8 @@
 // plain state in state.go, the ordered due times in timerqueue/. Everything that is decided, and every tuned
 // value, is in this file.
 //
-// A generation goes: Arrive -> enter (hold until some writer fits) -> read at its prefix's home -> write at
-// the emptiest fitting writer -> streamed. Each leg carries the closure that its outcome is handed to.
+// A request goes: Arrive -> enter (hold until some writer fits) -> read at its prefix's home -> write at
+// the emptiest fitting writer -> streamed. Each attempt carries the closure that its outcome is handed to.
 package scheduler
 
 import (
@@ -18,16 +18,16 @@
 )
 
 const (
-	beat         = 50 * ms // the design's timer for held generations; health hangs on it too
+	tickEvery    = 50 * ms // the design's timer for held requests; health hangs on it too
 	ceiling      = 0.9     // memory share above which a writer does not fit, where shares are reported
 	paceMargin   = 2.0     // own streams above the median at which a writer no longer fits
 	readTime     = 0.5     // seconds of work at the least-loaded reader above which others may read
 	homeFactor   = 2.0     // times the least wait that a prefix's home may have
 	homeFloor    = 0.05    // seconds; on an idle fleet any work at all would be more than twice none
 	homeLoad     = 0.5     // of a reader's even part of the traffic, for each further home of a prefix
-	arrivalsFew  = 30.0    // generations that count for others of which nothing is known yet
-	arrivalsMost = 1000    // generations after which the prefixes' counts are halved
-	mixedShare   = 1.3     // times the writers' mean load, up to which mixed hosts take generations whole
+	arrivalsFew  = 30.0    // requests that count for others of which nothing is known yet
+	arrivalsMost = 1000    // requests after which the prefixes' counts are halved
+	mixedShare   = 1.3     // times the writers' mean load, up to which mixed hosts take requests whole
 	nearFactor   = 1.3     // times the mean fill of the writers of other cells that a near one may have, and
 	nearFloor    = 0.1     // this share more;
 	nearLittle   = 0.6     // this share it may have however empty the others are
@@ -44,37 +44,37 @@
 	traceFades  = 10.0 // seconds
 	traceMemory = 0.3  // weight of one
 
-	missesMost  = 6       // held generations that find no place before the rest is left to wait
-	shortQueue  = 64      // held generations that are put in order at each answer
+	missesMost  = 6       // held requests that find no place before the rest is left to wait
+	shortQueue  = 64      // held requests that are put in order at each answer
 	firstRate   = 15000.0 // tokens a second that a reader is taken to read until it was seen to
 	rateMemory  = 40000.0 // tokens over which a reader's pace is averaged
-	usualMemory = 0.1     // weight of one leg in what is usual for its stage
+	usualMemory = 0.1     // weight of one attempt in what is usual for its stage
 	textsMost   = 4096    // texts that a host is remembered to keep
 
-	connectHard = 0.3      // share of the legs without a connection yet that failed to get one
+	connectHard = 0.3      // share of the attempts without a connection yet that failed to get one
 	quietFirst  = 400 * ms // rest of a host after its first failure; doubles with each further one
 	illMost     = 5.0      // failures that still lengthen it
 	illHeals    = 0.5      // what one good answer leaves of a host's illness
 	silentLeast = 400 * ms // that a host may say nothing while it owes an answer, at least, and
 	silentTimes = 4        // times the usual
-	takeBack    = 2        // times that, after which legs are taken back
+	takeBack    = 2        // times that, after which attempts are taken back
 	fullRest    = 150 * ms
 	reportStale = 5 * sec
 	forgetAfter = 600 * sec // a host that is not ready
 
 	coldShare   = 1.2 // of the fall rule's part; warm hosts are seen to do much less than they could
 	provenPart  = 0.9 // of the rule's multiple of what the cold host itself was seen to do
-	provenLeast = 2.0 // mean generations lately, from which on it is a measure
-	coldLeast   = 4.0 // mean generations in a span of the rule that any cold host bears from all
+	provenLeast = 2.0 // mean requests lately, from which on it is a measure
+	coldLeast   = 4.0 // mean requests in a span of the rule that any cold host bears from all
 	doneMemory  = 5.0 // seconds over which work done is counted
 )
 
 // Start makes an instance that knows nothing yet but the place it serves in.
 func Start(now Micros, seed int64, place Deployment, orders Orders) *Dispatcher {
 	d := &Dispatcher{Deployment: place, now: now, orders: orders, rand: rand.New(rand.NewSource(seed)),
-		byID: map[HostID]*host{}, links: map[CellID]Micros{}, outOf: map[CellID]trace{},
-		often: map[PrefixID]float64{}, gens: map[GenID]*generation{}, refill: now,
-		typical: make([]float64, len(place.Products)), allowed: make([]float64, len(place.Quotas))}
+		byID: map[HostID]*host{}, links: map[CellID]Micros{}, outOf: map[CellID]decayingMean{},
+		often: map[PrefixID]float64{}, gens: map[RequestID]*request{}, refill: now,
+		typical: make([]float64, len(place.Classes)), allowed: make([]float64, len(place.Quotas))}
 	for t := range d.allowed {
 		d.allowed[t] = d.burst(t)
 	}
@@ -83,7 +83,7 @@
 	if d.OnRequest {
 		orders.Subscribe()
 	}
-	orders.Ring(beat, Beat)
+	orders.SetTimer(tickEvery, Tick)
 	return d
 }
 
@@ -158,8 +158,8 @@
 	d.allowed[tenant] = min(d.allowed[tenant], d.burst(int(tenant)))
 }
 
-// Quit gives up a generation whose answer has not begun, as when its tenant is removed.
-func (d *Dispatcher) Quit(now Micros, id GenID) {
+// Quit gives up a request whose answer has not begun, as when its tenant is removed.
+func (d *Dispatcher) Quit(now Micros, id RequestID) {
 	d.now = now
 	if g := d.gens[id]; g != nil && !g.answered && (g.out == nil || !g.out.started) {
 		d.giveUp(g)
@@ -167,20 +167,20 @@
 	d.arm()
 }
 
-// --- A generation's way ---
+// --- A request's way ---
 
-// Arrive takes a generation; from here on exactly one final answer is owed.
-func (d *Dispatcher) Arrive(now Micros, id GenID, session SessionID, prefix PrefixID, product ProductID,
+// Arrive takes a request; from here on exactly one final answer is owed.
+func (d *Dispatcher) Arrive(now Micros, id RequestID, session SessionID, prefix PrefixID, product ClassID,
 	tenant TenantID, prompt, shared, most float64, hint, deadline Micros) {
 	d.now = now
-	g := &generation{id: id, product: product, session: session, prefix: prefix, prompt: prompt,
+	g := &request{id: id, product: product, session: session, prefix: prefix, prompt: prompt,
 		shared: shared, growth: most / 2, arrived: now, deadline: deadline}
 	d.gens[id] = g
-	if int(product) >= len(d.Products) {
-		d.finish(g, d.orders.Terminate)
+	if int(product) >= len(d.Classes) {
+		d.finish(g, d.orders.Fail)
 		return
 	}
-	p := d.Products[product]
+	p := d.Classes[product]
 	if hint > 0 && p.TokenSLO > 0 {
 		g.growth = float64(hint) / float64(p.TokenSLO)
 	}
@@ -198,13 +198,13 @@
 	d.arm()
 }
 
-// enter starts a generation on its way, or holds it while no writer fits or no reader can be had.
-func (d *Dispatcher) enter(g *generation) {
-	if g.sent+2 > d.LegLimit {
+// enter starts a request on its way, or holds it while no writer fits or no reader can be had.
+func (d *Dispatcher) enter(g *request) {
+	if g.sent+2 > d.MaxAttempts {
 		d.giveUp(g)
 		return
 	}
-	whole := d.Products[g.product].ReadOnly // it goes to mixed hosts only where the readers are busy
+	whole := d.Classes[g.product].ReadOnly // it goes to mixed hosts only where the readers are busy
 	if m := d.pickMixed(g); m != nil && !whole {
 		d.answerAt(g, m, g.prompt)
 		return
@@ -239,13 +239,13 @@
 }
 
 // writerAhead tells whether there is a writer that fits, and room at the writers for what is being read.
-func (d *Dispatcher) writerAhead(g *generation) bool {
+func (d *Dispatcher) writerAhead(g *request) bool {
 	_, fits := d.pickWriter(g, nil)
 	return fits && d.roomAhead(g)
 }
 
 // answerAt sends to where the answer is made: the state is fetched, or so much of the prompt read there.
-func (d *Dispatcher) answerAt(g *generation, w *host, read float64) {
+func (d *Dispatcher) answerAt(g *request, w *host, read float64) {
 	d.send(g, w, read, func(how Ending, note int) { d.afterWrite(g, w, how, note) })
 }
 
@@ -255,13 +255,13 @@
 // flood must not cost its square.
 func (d *Dispatcher) admit(beat bool) {
 	if d.gone > 0 {
-		d.held, d.gone = slices.DeleteFunc(d.held, func(g *generation) bool { return !g.held }), 0
+		d.held, d.gone = slices.DeleteFunc(d.held, func(g *request) bool { return !g.held }), 0
 	}
 	queue, at := d.held, 0
 	d.held = d.missed[:0]
 	ordered := beat || len(queue) < shortQueue
 	if ordered {
-		slices.SortStableFunc(queue, func(a, b *generation) int {
+		slices.SortStableFunc(queue, func(a, b *request) int {
 			return cmp.Or(cmp.Compare(d.value(b), d.value(a)), cmp.Compare(b.arrived, a.arrived))
 		})
 	}
@@ -283,24 +283,24 @@
 }
 
 // timely: what is usual for a read and a first token still fits into the SLO time.
-func (d *Dispatcher) timely(g *generation) bool {
+func (d *Dispatcher) timely(g *request) bool {
 	return d.now+Micros(d.usual[0]+d.usual[1]) <= g.slo
 }
 
-// value is what a generation would still earn for each unit of work.
-func (d *Dispatcher) value(g *generation) float64 {
-	v := d.Products[g.product].Revenue
+// value is what a request would still earn for each unit of work.
+func (d *Dispatcher) value(g *request) float64 {
+	v := d.Classes[g.product].Revenue
 	if !d.timely(g) {
-		v *= d.Products[g.product].LateShare
+		v *= d.Classes[g.product].LateShare
 	}
 	if g.over {
-		v *= d.OverShareWorth
+		v *= d.OverQuotaWorth
 	}
 	return v
 }
 
-func (d *Dispatcher) afterRead(g *generation, r *host, how Ending) {
-	if how == ReadDone {
+func (d *Dispatcher) afterRead(g *request, r *host, how Ending) {
+	if how == PrefillDone {
 		g.state, g.tried = r, nil
 		d.write(g)
 		return
@@ -310,8 +310,8 @@
 }
 
 // write sends the read state to a writer now: a state may not wait, so limits give way where none fits.
-func (d *Dispatcher) write(g *generation) {
-	if w, _ := d.pickWriter(g, g.state); w != nil && g.sent < d.LegLimit {
+func (d *Dispatcher) write(g *request) {
+	if w, _ := d.pickWriter(g, g.state); w != nil && g.sent < d.MaxAttempts {
 		d.answerAt(g, w, 0)
 		return
 	}
@@ -320,7 +320,7 @@
 	d.enter(g)
 }
 
-func (d *Dispatcher) afterWrite(g *generation, w *host, how Ending, note int) {
+func (d *Dispatcher) afterWrite(g *request, w *host, how Ending, note int) {
 	if how == Full && note == 1 { // the writer is not to blame, and may be the only one
 		d.dropState(g)
 	} else {
@@ -336,17 +336,17 @@
 	}
 }
 
-// giveUp ends a generation: throttled where a further try is harmless, otherwise terminated.
-func (d *Dispatcher) giveUp(g *generation) {
-	if d.mayThrottle(g) {
-		d.finish(g, func(id GenID) { d.orders.Throttle(id, min(sec/2, d.MaxComeBack)) })
+// giveUp ends a request: throttled where a further try is harmless, otherwise terminated.
+func (d *Dispatcher) giveUp(g *request) {
+	if d.mayReject(g) {
+		d.finish(g, func(id RequestID) { d.orders.Reject(id, min(sec/2, d.MaxRetryAfter)) })
 	} else {
-		d.finish(g, d.orders.Terminate)
+		d.finish(g, d.orders.Fail)
 	}
 }
 
-// finish gives the final answer and sees that nothing stays held: ending a generation releases nothing.
-func (d *Dispatcher) finish(g *generation, answer func(GenID)) {
+// finish gives the final answer and sees that nothing stays held: ending a request releases nothing.
+func (d *Dispatcher) finish(g *request, answer func(RequestID)) {
 	if !g.answered {
 		g.answered = true
 		answer(g.id)
@@ -364,14 +364,14 @@
 	delete(d.gens, g.id)
 }
 
-// mayRepeat tells whether the product lets the generation be sent again (to h, or to any host at all if nil).
-func (d *Dispatcher) mayRepeat(g *generation, h *host) bool {
-	p := d.Products[g.product]
+// mayRepeat tells whether the product lets the request be sent again (to h, or to any host at all if nil).
+func (d *Dispatcher) mayRepeat(g *request, h *host) bool {
+	p := d.Classes[g.product]
 	if g.ran == nil || p.Effect == Idempotent {
 		return true
 	}
-	// A leg counts when it is there, and may wait for its connection before.
-	if p.Effect == SideEffecting || d.now+d.Tick+d.Connect >= g.ran.sent+p.Window {
+	// An attempt counts when it is there, and may wait for its connection before.
+	if p.Effect == NonIdempotent || d.now+d.Tick+d.Connect >= g.ran.sent+p.Window {
 		return false
 	}
 	switch {
@@ -383,21 +383,21 @@
 	return h.cell == g.ran.host.cell
 }
 
-// mayThrottle: a client told to come again must be able to do so without harm. A leg still out is not known
-// to have done nothing, be it a read.
-func (d *Dispatcher) mayThrottle(g *generation) bool {
-	return d.Products[g.product].Effect == Idempotent || g.ran == nil && g.out == nil
+// mayReject: a client told to come again must be able to do so without harm. An attempt still out is not
+// known to have done nothing, be it a read.
+func (d *Dispatcher) mayReject(g *request) bool {
+	return d.Classes[g.product].Effect == Idempotent || g.ran == nil && g.out == nil
 }
 
 // --- Legs ---
 
-func (d *Dispatcher) send(g *generation, h *host, read float64, then func(Ending, int)) {
-	if g.sent >= d.LegLimit || g.deadline <= d.now {
+func (d *Dispatcher) send(g *request, h *host, read float64, then func(Ending, int)) {
+	if g.sent >= d.MaxAttempts || g.deadline <= d.now {
 		d.giveUp(g)
 		return
 	}
-	l := &leg{no: LegNo(g.sent), gen: g, host: h, sent: d.now, work: read, ahead: h.unread,
-		writes: h.role != Reader, tokens: g.prompt + g.growth, then: then}
+	l := &attempt{no: AttemptNo(g.sent), gen: g, host: h, sent: d.now, work: read, ahead: h.unread,
+		writes: h.role != Prefill, tokens: g.prompt + g.growth, then: then}
 	l.late = d.now + g.part(slowStart)
 	if g.state != nil {
 		l.far, l.from = g.state.cell != h.cell, g.state.cell
@@ -408,19 +408,19 @@
 	d.orders.Send(g.id, h.id, d.patience(g, h, l))
 }
 
-// patience is how long a leg may take: enough for what is usual, but where another host could still do it,
-// not the whole of the time limit, so that one that stalls leaves time for the other.
-func (d *Dispatcher) patience(g *generation, h *host, l *leg) Micros {
+// patience is how long an attempt may take: enough for what is usual, but where another host could still do
+// it, not the whole of the time limit, so that one that stalls leaves time for the other.
+func (d *Dispatcher) patience(g *request, h *host, l *attempt) Micros {
 	left := g.deadline - d.now
-	if l.writes && d.Products[g.product].Effect != Idempotent {
+	if l.writes && d.Classes[g.product].Effect != Idempotent {
 		return left
 	}
 	enough := Micros(6*d.usually(l)+3*float64(sec)*(l.ahead+l.work)/d.pace(h)) + sec/2
 	return min(left, max(enough, left/2))
 }
 
-// usually is what a leg's stage, or both where it reads and answers in one place, takes at this load.
-func (d *Dispatcher) usually(l *leg) float64 {
+// usually is what an attempt's stage, or both where it reads and answers in one place, takes at this load.
+func (d *Dispatcher) usually(l *attempt) float64 {
 	switch {
 	case !l.writes:
 		return d.usual[0]
@@ -430,7 +430,7 @@
 	return d.usual[0] + d.usual[1]
 }
 
-func (d *Dispatcher) cancel(l *leg) {
+func (d *Dispatcher) cancel(l *attempt) {
 	if d.MayCancel && !l.dropped && !l.started {
 		l.dropped = true
 		d.orders.Cancel(l.gen.id, l.no)
@@ -438,7 +438,7 @@
 }
 
 // Started notes that the answer streams; the client has it, and no time limit counts any more.
-func (d *Dispatcher) Started(now Micros, id GenID, no LegNo) {
+func (d *Dispatcher) Started(now Micros, id RequestID, no AttemptNo) {
 	d.now = now
 	l := d.legOut(id, no)
 	if l == nil {
@@ -467,8 +467,8 @@
 	}
 }
 
-// Ended hands a leg's outcome to what the leg left behind.
-func (d *Dispatcher) Ended(now Micros, id GenID, no LegNo, how Ending, note int, closed bool,
+// Ended hands an attempt's outcome to what the attempt left behind.
+func (d *Dispatcher) Ended(now Micros, id RequestID, no AttemptNo, how Ending, note int, closed bool,
 	memory float64) {
 	d.now = now
 	l := d.legOut(id, no)
@@ -489,16 +489,16 @@
 		d.noConnection.learn(d, 0, failed)
 	}
 	d.judge(h, l, how, note)
-	if how == ReadDone {
+	if how == PrefillDone {
 		d.learnRead(h, l, g, work, float64(note))
 	}
-	if l.writes && g.ran == nil && !(how == Full || how == Unreachable || how == NeverSent || how == ReadDone) {
+	if l.writes && g.ran == nil && !how.neverRan() {
 		g.ran = l
 	}
 	switch {
 	case closed || g.answered:
 		g.answered = true
-		if !l.writes && !d.Products[g.product].ReadOnly {
+		if !l.writes && !d.Classes[g.product].ReadOnly {
 			g.state = h // also a read that was cut off may have ended; letting go is free
 		}
 		d.finish(g, nil)
@@ -512,7 +512,7 @@
 }
 
 // Left notes that the client is gone and nobody waits any more.
-func (d *Dispatcher) Left(now Micros, id GenID) {
+func (d *Dispatcher) Left(now Micros, id RequestID) {
 	d.now = now
 	if g := d.gens[id]; g != nil {
 		g.answered = true
@@ -523,10 +523,10 @@
 // --- Time ---
 
 // Rang is one of the two timers.
-func (d *Dispatcher) Rang(now Micros, bell Bell) {
+func (d *Dispatcher) Rang(now Micros, bell TimerID) {
 	d.now = now
-	if bell == Beat {
-		d.orders.Ring(beat, Beat)
+	if bell == Tick {
+		d.orders.SetTimer(tickEvery, Tick)
 		d.refillShares()
 		d.watchSilence()
 		d.seeWarm()
@@ -556,12 +556,12 @@
 // candidates are the usable hosts of some roles. Where none is left no verdict is trusted: when all look
 // ill it is more likely the network, or this dispatcher. The rules (list, repeats, cold hosts) bind all the
 // same.
-func (d *Dispatcher) candidates(g *generation, roles ...Role) []*host {
+func (d *Dispatcher) candidates(g *request, roles ...Role) []*host {
 	from, ill := len(d.lists), func(h *host) bool { return !d.looksWell(h, g) }
 	d.looked += uint64(len(d.hosts))
 	for _, h := range d.hosts {
 		if !slices.Contains(roles, h.role) || !h.ready || g.state == nil && d.now < h.fullUntil {
-			continue // a full host isn't ill: to send to it all the same would only burn the legs that are left
+			continue // a full host isn't ill: to send to it all the same would only burn the attempts that are left
 		}
 		if slices.Contains(g.tried, h) || !d.mayRepeat(g, h) || !d.bears(h) {
 			continue
@@ -595,16 +595,16 @@
 
 func (d *Dispatcher) open(h *host) bool { return h.heard > 0 && d.now-h.heard < d.Idle }
 
-// among are the candidates of some roles that the generation can do without: a dead host that is the only
+// among are the candidates of some roles that the request can do without: a dead host that is the only
 // one of its role must not draw every send for want of a better.
-func (d *Dispatcher) among(g *generation, roles ...Role) []*host {
-	all := d.candidates(g, Reader, Writer, Mixed)
+func (d *Dispatcher) among(g *request, roles ...Role) []*host {
+	all := d.candidates(g, Prefill, Decode, Mixed)
 	return slices.DeleteFunc(all, func(h *host) bool { return !slices.Contains(roles, h.role) })
 }
 
-// looksWell: an ill host rests, then earns its way back, one leg at a time, on what may run again.
-func (d *Dispatcher) looksWell(h *host, g *generation) bool {
-	trial := len(h.legs) == 0 && d.Products[g.product].Effect == Idempotent
+// looksWell: an ill host rests, then earns its way back, one attempt at a time, on what may run again.
+func (d *Dispatcher) looksWell(h *host, g *request) bool {
+	trial := len(h.legs) == 0 && d.Classes[g.product].Effect == Idempotent
 	return d.now >= h.quietUntil && (h.ill == 0 || trial)
 }
 
@@ -636,15 +636,15 @@
 
 // pickReader is the prefix's home unless that is busy, else the reader with the least work. Readers whose
 // states could not be taken anywhere in time are left out.
-func (d *Dispatcher) pickReader(g *generation) *host {
+func (d *Dispatcher) pickReader(g *request) *host {
 	defer d.done(len(d.lists))
-	if d.Products[g.product].ReadOnly { // no state that would have to be taken, nor any text that is kept
-		return d.least(d.candidates(g, Reader, Embedder), func(h *host) float64 { return d.wait(h, g) })
+	if d.Classes[g.product].ReadOnly { // no state that would have to be taken, nor any text that is kept
+		return d.least(d.candidates(g, Prefill, Embedder), func(h *host) float64 { return d.wait(h, g) })
 	}
 	late := d.lateCells()
 	var takes []CellID
 	asked := false
-	readers := slices.DeleteFunc(d.candidates(g, Reader), func(r *host) bool {
+	readers := slices.DeleteFunc(d.candidates(g, Prefill), func(r *host) bool {
 		if !d.linkJammed(r.cell, g, late) {
 			return false
 		}
@@ -668,7 +668,7 @@
 // homes are where a prefix, or a session without one, is read first. It has a home in each zone and one among
 // all. The own zone's goes first: links between zones are long and charged for. Where it is busy that of all
 // goes before the least-loaded, which may not have kept the text.
-func (d *Dispatcher) homes(g *generation, readers []*host) [2]*host {
+func (d *Dispatcher) homes(g *request, readers []*host) [2]*host {
 	key := cmp.Or(uint64(g.prefix), uint64(g.session))
 	g.homes = [2]*host{}
 	if key == 0 || len(readers) == 0 {
@@ -689,7 +689,7 @@
 
 // cellsThatTake are those with a writer that fits among the cell's own, which are all that a state behind a
 // jammed link may go to. One walk finds them for all readers.
-func (d *Dispatcher) cellsThatTake(g *generation) []CellID {
+func (d *Dispatcher) cellsThatTake(g *request) []CellID {
 	defer d.done(len(d.lists))
 	hosts, takes := d.writers(g), d.cells[:0]
 	slices.SortFunc(hosts, func(a, b *host) int { return cmp.Compare(a.cell, b.cell) })
@@ -709,8 +709,8 @@
 }
 
 // writers are the candidates for a write; without any writer mixed hosts are.
-func (d *Dispatcher) writers(g *generation) []*host {
-	if hosts := d.candidates(g, Writer); len(hosts) > 0 {
+func (d *Dispatcher) writers(g *request) []*host {
+	if hosts := d.candidates(g, Decode); len(hosts) > 0 {
 		return hosts
 	}
 	return d.candidates(g, Mixed)
@@ -719,7 +719,7 @@
 // home is the prefix's hashed reader, alike at all dispatchers. A prefix that is a great part of the traffic
 // has further homes, shared out by session: many dispatchers that each see little would learn too late that
 // its one reader can't do it all.
-func (d *Dispatcher) home(g *generation, key uint64, readers []*host) *host {
+func (d *Dispatcher) home(g *request, key uint64, readers []*host) *host {
 	homes := 1
 	if g.prefix != 0 {
 		homes += int(d.share(g.prefix) * float64(len(readers)) / homeLoad)
@@ -737,7 +737,7 @@
 
 // share is a prefix's part of the traffic. Who has seen little must not take the one prefix it saw for all
 // of it: all dispatchers would read each text at homes of their own. So it counts what was seen beyond the
-// first, among some more generations that are taken to be as alike as any two of those seen were; but not for
+// first, among some more requests that are taken to be as alike as any two of those seen were; but not for
 // a prefix that would have been seen more often by now if it were like that.
 func (d *Dispatcher) share(prefix PrefixID) float64 {
 	others := max(d.arrivals-1, 0)
@@ -761,8 +761,8 @@
 	}
 }
 
-// wait is the seconds until a reader would have read the generation, by own counts and its own pace.
-func (d *Dispatcher) wait(h *host, g *generation) float64 {
+// wait is the seconds until a reader would have read the request, by own counts and its own pace.
+func (d *Dispatcher) wait(h *host, g *request) float64 {
 	return (h.unread + d.toRead(h, g)) / d.pace(h)
 }
 
@@ -772,7 +772,7 @@
 	return d.outOf[cell].faded(d, d.usual[1]/float64(sec))
 }
 
-func (d *Dispatcher) learnHandover(l *leg) {
+func (d *Dispatcher) learnHandover(l *attempt) {
 	if l.writes && l.work == 0 {
 		t := d.outOf[l.from]
 		t.learn(d, d.usual[1]/float64(sec), secs(d.now-l.sent))
@@ -782,14 +782,14 @@
 
 // faded is what was seen lately, and ever more the usual where nothing was seen for long: what one dispatcher
 // sees of one host or cell is seldom and soon old.
-func (t trace) faded(d *Dispatcher, usual float64) float64 {
+func (t decayingMean) faded(d *Dispatcher, usual float64) float64 {
 	if t.at == 0 {
 		return usual
 	}
 	return usual + (t.value-usual)*math.Exp(-secs(d.now-t.at)/traceFades)
 }
 
-func (t *trace) learn(d *Dispatcher, usual, seen float64) {
+func (t *decayingMean) learn(d *Dispatcher, usual, seen float64) {
 	t.value = t.faded(d, usual)
 	t.value += traceMemory * (seen - t.value)
 	t.at = d.now
@@ -802,7 +802,7 @@
 // toRead is what of a prompt the host has likely not kept. A home keeps what the others send there, which
 // this dispatcher has not seen: taken to keep nothing, it would look slower than any host that was once read
 // at instead, and each dispatcher would have homes of its own.
-func (d *Dispatcher) toRead(h *host, g *generation) float64 {
+func (d *Dispatcher) toRead(h *host, g *request) float64 {
 	switch {
 	case h.texts[g.prefix]:
 		return max(g.prompt-g.shared, 1)
@@ -814,7 +814,7 @@
 
 // pickWriter is the least filled fitting writer, in the reader's cell, else its zone, else anywhere; if
 // none fits, the least filled past the limits. It tells whether the one it names fits.
-func (d *Dispatcher) pickWriter(g *generation, reader *host) (*host, bool) {
+func (d *Dispatcher) pickWriter(g *request, reader *host) (*host, bool) {
 	defer d.done(len(d.lists))
 	hosts := d.writers(g)
 	if reader != nil && d.linkJammed(reader.cell, g, d.lateCells()) {
@@ -852,7 +852,7 @@
 	return d.least(d.draw(hosts), d.fill), first < 3
 }
 
-func (d *Dispatcher) fits(h *host, g *generation, median float64) bool {
+func (d *Dispatcher) fits(h *host, g *request, median float64) bool {
 	if d.load(h) > median+paceMargin || d.now < h.fullUntil || d.jammed(h) {
 		return false
 	}
@@ -863,11 +863,11 @@
 // roomAhead counts what is being read against what the writers that fit may still take: that can't be held
 // any more, so without this a jam's first free place would let in a whole burst of reads. A cold host takes
 // one more.
-func (d *Dispatcher) roomAhead(g *generation) bool {
+func (d *Dispatcher) roomAhead(g *request) bool {
 	adds := g.prompt + g.growth
 	left := -d.underway - adds
 	defer d.done(len(d.lists))
-	hosts := d.candidates(g, Writer, Mixed)
+	hosts := d.candidates(g, Decode, Mixed)
 	median := median(d.loads(hosts))
 	for _, h := range hosts {
 		if d.cold(h) {
@@ -892,21 +892,21 @@
 }
 
 // jammed: an answer is late to begin at this writer, so its memory, slots or pace are spent, whoever spent
-// them. It stands in for the ceiling where nothing is reported, and in overload it has generations held
+// them. It stands in for the ceiling where nothing is reported, and in overload it has requests held
 // before the read instead of in the writers' queues, where they would all be late.
 func (d *Dispatcher) jammed(h *host) bool {
-	return slices.ContainsFunc(h.legs, func(l *leg) bool {
+	return slices.ContainsFunc(h.legs, func(l *attempt) bool {
 		return l.writes && d.now > l.late && !d.linkToBlame(l)
 	})
 }
 
 // linkToBlame: the state comes out of another cell, and the writer has begun another answer in time since.
-func (d *Dispatcher) linkToBlame(l *leg) bool { return l.far && l.host.timelyAt > l.sent }
+func (d *Dispatcher) linkToBlame(l *attempt) bool { return l.far && l.host.timelyAt > l.sent }
 
 // linkJammed: states come out of a cell late though their writers are well, so its one link is overfull or
 // failing. Until they come in time again they go to writers inside the cell, and prompts are read where
 // states can be taken.
-func (d *Dispatcher) linkJammed(cell CellID, g *generation, late []CellID) bool {
+func (d *Dispatcher) linkJammed(cell CellID, g *request, late []CellID) bool {
 	if at, seen := d.links[cell]; seen && d.now-at < g.part(slowStart) {
 		return true
 	}
@@ -914,7 +914,7 @@
 }
 
 // lateCells are those out of which a state is late that is on its way now; most of the time there is none.
-// They are found once for a decision: to look through all legs for each reader cost the fleet's square.
+// They are found once for a decision: to look through all attempts for each reader cost the fleet's square.
 func (d *Dispatcher) lateCells() (cells []CellID) {
 	d.looked += uint64(len(d.hosts))
 	for _, h := range d.hosts {
@@ -971,13 +971,13 @@
 
 // pickMixed gives mixed hosts their share whole, by their load against the writers' mean. By memory, of which
 // they have most, they would be given more than they read in time.
-func (d *Dispatcher) pickMixed(g *generation) *host {
+func (d *Dispatcher) pickMixed(g *request) *host {
 	defer d.done(len(d.lists))
 	mixed := d.among(g, Mixed)
 	if len(mixed) == 0 {
 		return nil
 	}
-	writers := d.candidates(g, Writer)
+	writers := d.candidates(g, Decode)
 	best := d.leastLoaded(mixed, g, median(d.loads(slices.Concat(mixed, writers))))
 	if len(writers) > 0 && mean(d.loads(mixed)) > mixedShare*mean(d.loads(writers)) {
 		return nil
@@ -986,17 +986,17 @@
 }
 
 // pickOtherReader: readers are busy; the prompt may be read where it is answered.
-func (d *Dispatcher) pickOtherReader(g *generation) *host {
+func (d *Dispatcher) pickOtherReader(g *request) *host {
 	defer d.done(len(d.lists))
 	roles := []Role{Mixed}
-	if d.WritersRead {
-		roles = append(roles, Writer)
+	if d.DecodePrefills {
+		roles = append(roles, Decode)
 	}
 	hosts := d.among(g, roles...)
 	return d.leastLoaded(hosts, g, median(d.loads(hosts)))
 }
 
-func (d *Dispatcher) leastLoaded(hosts []*host, g *generation, median float64) *host {
+func (d *Dispatcher) leastLoaded(hosts []*host, g *request, median float64) *host {
 	return d.least(hosts, func(h *host) float64 {
 		if !d.fits(h, g, median) {
 			return math.Inf(1)
@@ -1009,7 +1009,7 @@
 
 // learnRead takes from a read how fast the host reads and what it keeps. Where much less was kept than
 // before, it has forgotten, and likely more than this text.
-func (d *Dispatcher) learnRead(h *host, l *leg, g *generation, work, kept float64) {
+func (d *Dispatcher) learnRead(h *host, l *attempt, g *request, work, kept float64) {
 	blend(&d.usual[0], float64(d.now-l.sent), usualMemory)
 	h.readTok += l.ahead + max(g.prompt-kept, 1)
 	h.readTime += secs(d.now - l.sent)
@@ -1029,9 +1029,9 @@
 }
 
 // judge draws from an outcome what it says of the host.
-func (d *Dispatcher) judge(h *host, l *leg, how Ending, note int) {
+func (d *Dispatcher) judge(h *host, l *attempt, how Ending, note int) {
 	switch how {
-	case Streamed, ReadDone:
+	case Completed, PrefillDone:
 		h.heard = d.now
 		d.well(h)
 		d.age(h)
@@ -1064,20 +1064,20 @@
 // that the list still names, a cut network and a host out of connections.
 func (d *Dispatcher) blame(h *host, why string) {
 	if d.now < h.quietUntil {
-		return // many legs that break at once are one failure
+		return // many attempts that break at once are one failure
 	}
 	h.ill = min(h.ill+1, illMost)
 	h.quietUntil = d.now + Micros(float64(quietFirst)*math.Exp2(h.ill-1))
 	d.orders.Log(fmt.Sprintf("host %d %s: rests for %d ms", h.id, why, (h.quietUntil-d.now)/ms))
 }
 
-// watchSilence finds hosts that owe answers and say nothing, long before legs time out. Such a host rests
+// watchSilence finds hosts that owe answers and say nothing, long before attempts time out. Such a host rests
 // at first; when it stays silent, what may be sent elsewhere is taken back. It guards against hosts that
 // hang or vanish. It can hurt where a host is merely jammed, as what is taken back loses its place there:
 // so what is usual sets the limit.
 func (d *Dispatcher) watchSilence() {
 	for _, h := range d.hosts {
-		i := slices.IndexFunc(h.legs, func(l *leg) bool { return !l.dropped })
+		i := slices.IndexFunc(h.legs, func(l *attempt) bool { return !l.dropped })
 		if i < 0 {
 			continue
 		}
@@ -1091,7 +1091,7 @@
 			continue
 		}
 		for _, l := range h.legs {
-			if !l.writes || d.Products[l.gen.product].Effect == Idempotent {
+			if !l.writes || d.Classes[l.gen.product].Effect == Idempotent {
 				d.cancel(l)
 			}
 		}
@@ -1128,7 +1128,7 @@
 	}
 }
 
-// bears tells whether a cold host can take one more leg. All dispatchers are taken to send alike, so each
+// bears tells whether a cold host can take one more attempt. All dispatchers are taken to send alike, so each
 // keeps to what the rule leaves of the work that warm hosts of the role were seen to do for it, and the
 // cold one itself.
 func (d *Dispatcher) bears(h *host) bool {
@@ -1145,10 +1145,10 @@
 	if h.done > provenLeast*mean {
 		rate = max(rate, d.FallMultiple*provenPart*h.done/doneMemory)
 	}
-	// Knowing nothing, as after a restart: one mean generation in each span of the rule, and no more than
+	// Knowing nothing, as after a restart: one mean request in each span of the rule, and no more than
 	// coldLeast of them from all together.
 	rate = max(rate, mean/max(secs(d.Fall), 1)*min(1, coldLeast/float64(max(d.Dispatchers, 1))))
-	// Each dispatcher begins its part at a time of its own: less than one generation each is shared out by
+	// Each dispatcher begins its part at a time of its own: less than one request each is shared out by
 	// chance, where all would send their first at once.
 	if h.creditAt == 0 {
 		h.credit, h.creditAt = -mean*d.rand.Float64(), d.now
--- a/scheduler/state.go
+++ b/scheduler/state.go
@@ -24,25 +24,25 @@
 	hosts        []*host // by id, so that nothing hangs on the order of a map
 	byID         map[HostID]*host
 	links        map[CellID]Micros // when a state last came late out of a cell
-	outOf        map[CellID]trace
-	gens         map[GenID]*generation
-	held         []*generation // with those that are held no more, until they are taken out
-	gone         int           // of these, so many
-	missed       []*generation // scratch, as what follows: a decision makes nothing anew that it can use again
+	outOf        map[CellID]decayingMean
+	gens         map[RequestID]*request
+	held         []*request // with those that are held no more, until they are taken out
+	gone         int        // of these, so many
+	missed       []*request // scratch, as what follows: a decision makes nothing anew that it can use again
 	lists        []*host
 	numbers      []float64
 	cells        []CellID
-	underway     float64    // tokens of the generations that are being read
+	underway     float64    // tokens of the requests that are being read
 	usual        [2]float64 // usual time of a read and to a first token, in Micros
 	warm         [4]float64 // work a second that a warm host of each role was last seen to do
-	typical      []float64  // mean work of a product's generations, in tokens
-	allowed      []float64  // generations that each tenant may still send inside its share
+	typical      []float64  // mean work of a product's requests, in tokens
+	allowed      []float64  // requests that each tenant may still send inside its share
 	refill       Micros
-	often        map[PrefixID]float64 // generations that began with it
+	often        map[PrefixID]float64 // requests that began with it
 	arrivals     float64              // all of them
 	pairs        float64              // of these, with the same prefix
 	homesKeep    float64              // share of shared texts that homes had kept though not read for this dispatcher
-	noConnection trace                // share of new connections that failed
+	noConnection decayingMean         // share of new connections that failed
 	looked       uint64               // hosts that were looked at for decisions; tests hold it against the fleet's size
 }
 
@@ -58,7 +58,7 @@
 	goneAt Micros // since when it is not ready, as the lists have it; 0 = it is
 	since  Micros
 
-	legs                  []*leg // out and not yet answering, in the order of their sending
+	legs                  []*attempt // out and not yet answering, in the order of their sending
 	unread                float64
 	held                  float64
 	streams               int
@@ -87,16 +87,16 @@
 	texts map[PrefixID]bool
 }
 
-// trace is what was seen of a thing lately, and when last.
-type trace struct {
+// decayingMean is what was seen of a thing lately, and when last.
+type decayingMean struct {
 	value float64
 	at    Micros
 }
 
-// leg is one send and what to do with its result.
-type leg struct {
-	no      LegNo
-	gen     *generation
+// attempt is one send and what to do with its result.
+type attempt struct {
+	no      AttemptNo
+	gen     *request
 	host    *host
 	sent    Micros
 	work    float64 // prompt tokens to read there
@@ -112,10 +112,10 @@
 	then    func(how Ending, note int)
 }
 
-// generation is one client's request while this dispatcher owes anything for it.
-type generation struct {
-	id       GenID
-	product  ProductID
+// request is one client's request while this dispatcher owes anything for it.
+type request struct {
+	id       RequestID
+	product  ClassID
 	session  SessionID
 	prefix   PrefixID
 	prompt   float64
@@ -128,41 +128,41 @@
 
 	held     bool
 	sent     int
-	out      *leg
+	out      *attempt
 	homes    [2]*host
 	state    *host // the reader where its read state waits
 	tried    []*host
-	ran      *leg // the first leg that may have taken effect
+	ran      *attempt // the first attempt that may have taken effect
 	answered bool
 	limit    *timerqueue.Item
 }
 
-// part is a share of the time that a generation has from its arrival to its SLO time.
-func (g *generation) part(share float64) Micros { return Micros(share * float64(g.slo-g.arrived)) }
+// part is a share of the time that a request has from its arrival to its SLO time.
+func (g *request) part(share float64) Micros { return Micros(share * float64(g.slo-g.arrived)) }
 
-// legOut is the generation's leg that is out, if it is this one; odd and late news finds none.
-func (d *Dispatcher) legOut(id GenID, no LegNo) *leg {
+// legOut is the request's attempt that is out, if it is this one; odd and late news finds none.
+func (d *Dispatcher) legOut(id RequestID, no AttemptNo) *attempt {
 	if g := d.gens[id]; g != nil && g.out != nil && g.out.no == no {
 		return g.out
 	}
 	return nil
 }
 
-// readOff: a leg's prompt is read, or never will be, and nobody waits for its first token.
-func (l *leg) readOff() {
+// readOff: an attempt's prompt is read, or never will be, and nobody waits for its first token.
+func (l *attempt) readOff() {
 	l.host.unread = max(l.host.unread-l.work, 0)
 	l.work = 0
-	l.host.legs = slices.DeleteFunc(l.host.legs, func(o *leg) bool { return o == l })
+	l.host.legs = slices.DeleteFunc(l.host.legs, func(o *attempt) bool { return o == l })
 }
 
 // count and uncount keep what is out at a host and on the way.
-func (d *Dispatcher) count(l *leg) {
+func (d *Dispatcher) count(l *attempt) {
 	h := l.host
 	d.average(h)
 	if l.writes {
 		h.held += l.tokens
 		h.streams++
-	} else if !d.Products[l.gen.product].ReadOnly { // what is read only will never ask a writer for room
+	} else if !d.Classes[l.gen.product].ReadOnly { // what is read only will never ask a writer for room
 		d.underway += l.tokens
 	}
 	h.unread += l.work
@@ -171,13 +171,13 @@
 	l.gen.out = l
 }
 
-func (d *Dispatcher) uncount(l *leg) {
+func (d *Dispatcher) uncount(l *attempt) {
 	h := l.host
 	d.average(h)
 	if l.writes {
 		h.held = max(h.held-l.tokens, 0)
 		h.streams--
-	} else if !d.Products[l.gen.product].ReadOnly {
+	} else if !d.Classes[l.gen.product].ReadOnly {
 		d.underway = max(d.underway-l.tokens, 0)
 	}
 	l.readOff()
@@ -186,9 +186,9 @@
 
 // dropState lets go of the state. It does so too where a writer found none: only a new read helps then, but
 // a reader that is merely cut off from that writer holds it still.
-func (d *Dispatcher) dropState(g *generation) {
+func (d *Dispatcher) dropState(g *request) {
 	if g.state != nil {
-		d.orders.LetGo(g.id)
+		d.orders.Release(g.id)
 		g.state = nil
 	}
 }
@@ -202,7 +202,7 @@
 func (d *Dispatcher) arm() {
 	if at, some := d.due.Next(); some && (d.armed == 0 || at < d.armed) {
 		d.armed = max(at, d.now+1)
-		d.orders.Ring(d.armed-d.now, Due)
+		d.orders.SetTimer(d.armed-d.now, Due)
 	}
 }
 
@@ -242,7 +242,7 @@
 	return x ^ x>>31
 }
 
-// Open is what the instance has under way: generations, legs that are out, generations held, tokens being read.
+// Open is what the instance has under way: requests, attempts that are out, requests held, tokens being read.
 func (d *Dispatcher) Open() (gens, legs, held int, reading float64) {
 	for _, g := range d.gens {
 		if g.out != nil {
--- a/scheduler/world_test.go
+++ b/scheduler/world_test.go
@@ -7,8 +7,8 @@
 	"testing"
 )
 
-// world is the Orders of one dispatcher and, beside it, a plain model of the rules: it keeps every leg of
-// every generation and asks of each order whether the rules allow it.
+// world is the Orders of one dispatcher and, beside it, a plain model of the rules: it keeps every attempt of
+// every request and asks of each order whether the rules allow it.
 type world struct {
 	t     testing.TB
 	d     *Dispatcher
@@ -16,14 +16,14 @@
 	now   Micros
 	rings []ring
 	hosts map[HostID]*seen
-	gens  map[GenID]*told
-	order []GenID
+	gens  map[RequestID]*told
+	order []RequestID
 	log   []string
 }
 
 type ring struct {
 	at   Micros
-	bell Bell
+	bell TimerID
 }
 
 type seen struct {
@@ -33,17 +33,17 @@
 	cell  CellID
 	cond  Condition
 	since Micros
-	sent  []Micros // legs since it started
-	done  []Micros // legs answered
+	sent  []Micros // attempts since it started
+	done  []Micros // attempts answered
 }
 
 type told struct {
-	id       GenID
-	product  ProductID
+	id       RequestID
+	product  ClassID
 	deadline Micros
 	legs     []*sentLeg
 	answers  []string
-	waiting  Micros // since when a state waits with no leg out, 0 = none does
+	waiting  Micros // since when a state waits with no attempt out, 0 = none does
 	left     bool
 	closed   bool
 }
@@ -57,20 +57,20 @@
 }
 
 func newWorld(t testing.TB, place Deployment, seed int64) *world {
-	w := &world{t: t, place: place, now: 1000 * sec, hosts: map[HostID]*seen{}, gens: map[GenID]*told{}}
+	w := &world{t: t, place: place, now: 1000 * sec, hosts: map[HostID]*seen{}, gens: map[RequestID]*told{}}
 	w.d = Start(w.now, seed, place, w)
 	return w
 }
 
-// letGo is how long a state may wait with no leg out.
+// letGo is how long a state may wait with no attempt out.
 const letGo = 500 * ms
 
 // two is a deployment of one product, readers of kind 0, writers of kind 1 and mixed hosts of kind 2.
 func two(effect Effect) Deployment {
-	return Deployment{Dispatchers: 2, LegLimit: 4, MayCancel: true, Tick: 4 * ms, Connect: 250 * ms,
-		Cold: 10 * sec, ColdFrom: 0.25, Fall: 2 * sec, FallMultiple: 2.5, MaxComeBack: sec,
-		Kinds: []Kind{{Reader, 200000}, {Writer, 140000}, {Mixed, 200000}},
-		Products: []Product{{SLO: sec, TokenSLO: 50 * ms, Window: 3 * sec, Revenue: 2, LateShare: 0.2,
+	return Deployment{Dispatchers: 2, MaxAttempts: 4, MayCancel: true, Tick: 4 * ms, Connect: 250 * ms,
+		Cold: 10 * sec, ColdFrom: 0.25, Fall: 2 * sec, FallMultiple: 2.5, MaxRetryAfter: sec,
+		Kinds: []Kind{{Prefill, 200000}, {Decode, 140000}, {Mixed, 200000}},
+		Classes: []Class{{SLO: sec, TokenSLO: 50 * ms, Window: 3 * sec, Revenue: 2, LateShare: 0.2,
 			Effect: effect}}}
 }
 
@@ -91,11 +91,11 @@
 	}
 }
 
-func (w *world) arrive(id GenID, product ProductID, prompt float64, left Micros) *told {
+func (w *world) arrive(id RequestID, product ClassID, prompt float64, left Micros) *told {
 	return w.arriveIn(id, product, PrefixID(id%3), prompt, prompt/2, left)
 }
 
-func (w *world) arriveIn(id GenID, product ProductID, prefix PrefixID, prompt, shared float64, left Micros) *told {
+func (w *world) arriveIn(id RequestID, product ClassID, prefix PrefixID, prompt, shared float64, left Micros) *told {
 	g := &told{id: id, product: product, deadline: w.now + left}
 	w.gens[id] = g
 	w.order = append(w.order, id)
@@ -112,27 +112,27 @@
 
 func (w *world) start(g *told) {
 	g.out().started, g.waiting = true, 0
-	w.d.Started(w.now, g.id, LegNo(len(g.legs)-1))
+	w.d.Started(w.now, g.id, AttemptNo(len(g.legs)-1))
 }
 
 func (w *world) end(g *told, how Ending, note int) {
 	l := g.out()
 	l.out, l.how = false, how
-	if how == Streamed || l.started || how == ReadDone && w.whole(g) {
+	if how == Completed || l.started || how == PrefillDone && w.whole(g) {
 		g.closed = true
 	}
-	if how == Streamed || how == ReadDone {
+	if how == Completed || how == PrefillDone {
 		l.host.done = append(l.host.done, w.now)
 	}
 	switch {
 	case g.closed:
 		g.waiting = 0
-	case how == ReadDone:
+	case how == PrefillDone:
 		g.waiting = w.now
 	case g.waiting != 0:
 		g.waiting = w.now
 	}
-	w.d.Ended(w.now, g.id, LegNo(len(g.legs)-1), how, note, g.closed || len(g.answers) > 0, NoReport)
+	w.d.Ended(w.now, g.id, AttemptNo(len(g.legs)-1), how, note, g.closed || len(g.answers) > 0, NoReport)
 }
 
 // pass lets time go by, ringing what is due and holding the state and answer rules to their times.
@@ -162,9 +162,9 @@
 	}
 }
 
-// whole: a read is all that the generation is.
+// whole: a read is all that the request is.
 func (w *world) whole(g *told) bool {
-	return int(g.product) < len(w.place.Products) && w.place.Products[g.product].ReadOnly
+	return int(g.product) < len(w.place.Classes) && w.place.Classes[g.product].ReadOnly
 }
 
 func (g *told) settled() bool { return len(g.answers) > 0 || g.left || g.closed }
@@ -174,11 +174,11 @@
 }
 
 func proven(l *sentLeg, place Deployment) bool {
-	return !l.out && (l.how == Full || l.how == Unreachable || l.how == NeverSent || l.how == ReadDone ||
-		place.Kinds[l.host.kind].Role == Reader || place.Kinds[l.host.kind].Role == Embedder)
+	return !l.out && (l.how == Full || l.how == Unreachable || l.how == NeverSent || l.how == PrefillDone ||
+		place.Kinds[l.host.kind].Role == Prefill || place.Kinds[l.host.kind].Role == Embedder)
 }
 
-func (w *world) Send(gen GenID, host HostID, allow Micros) {
+func (w *world) Send(gen RequestID, host HostID, allow Micros) {
 	w.say("send %d %d %d", gen, host, allow)
 	g, h := w.gens[gen], w.hosts[host]
 	switch {
@@ -188,25 +188,25 @@
 		w.t.Fatalf("gen %d sent after its end", gen)
 	case g.out() != nil:
 		w.t.Fatalf("gen %d: two legs out", gen)
-	case len(g.legs) >= w.place.LegLimit:
+	case len(g.legs) >= w.place.MaxAttempts:
 		w.t.Fatalf("gen %d: too many legs", gen)
 	case h.cond != Ready:
 		w.t.Fatalf("send to host %d, which is draining or gone", host)
 	case w.place.Kinds[h.kind].Role == Embedder && !w.whole(g):
 		w.t.Fatalf("gen %d, which is to be written, sent to host %d, which only embeds", gen, host)
-	case w.place.Kinds[h.kind].Role == Writer && w.whole(g) && !w.place.WritersRead:
+	case w.place.Kinds[h.kind].Role == Decode && w.whole(g) && !w.place.DecodePrefills:
 		w.t.Fatalf("gen %d, which is only read, sent to host %d, which does not read", gen, host)
 	case allow <= 0 || w.now+allow > g.deadline:
 		w.t.Fatalf("gen %d: a leg of %d with %d left", gen, allow, g.deadline-w.now)
 	}
-	p := w.place.Products[g.product]
+	p := w.place.Classes[g.product]
 	for _, l := range g.legs {
 		if proven(l, w.place) || p.Effect == Idempotent {
 			continue
 		}
 		same := p.Group == AllHosts || p.Group == SameZone && l.host.zone == h.zone ||
 			p.Group == SameCell && l.host.cell == h.cell
-		if p.Effect == SideEffecting || !same || w.now+w.place.Connect >= l.at+p.Window { // it may leave that much later
+		if p.Effect == NonIdempotent || !same || w.now+w.place.Connect >= l.at+p.Window { // it may leave that much later
 			w.t.Fatalf("gen %d may have run and is sent again", gen)
 		}
 	}
@@ -217,7 +217,7 @@
 	g.legs = append(g.legs, &sentLeg{host: h, at: w.now, out: true})
 }
 
-// coldRule: within any span of the rule a cold host takes no more legs from this dispatcher than the rule's
+// coldRule: within any span of the rule a cold host takes no more attempts from this dispatcher than the rule's
 // multiple of what the best warm host of its role was seen to answer in such a span, scaled to a cold
 // start, or of what it was itself seen to answer; two are slack.
 func (w *world) coldRule(h *seen) {
@@ -247,7 +247,7 @@
 	}
 }
 
-func (w *world) answer(gen GenID, what string) {
+func (w *world) answer(gen RequestID, what string) {
 	w.say("%s %d", what, gen)
 	g := w.gens[gen]
 	if g == nil || g.settled() {
@@ -255,25 +255,25 @@
 	}
 	allowed := true
 	for _, l := range g.legs {
-		allowed = allowed && (proven(l, w.place) || w.place.Products[g.product].Effect == Idempotent)
+		allowed = allowed && (proven(l, w.place) || w.place.Classes[g.product].Effect == Idempotent)
 	}
-	if allowed != (what == "throttle") && int(g.product) < len(w.place.Products) {
+	if allowed != (what == "throttle") && int(g.product) < len(w.place.Classes) {
 		w.t.Fatalf("%s for gen %d; throttling is allowed: %v", what, gen, allowed)
 	}
 	g.answers = append(g.answers, what)
 }
 
-func (w *world) Throttle(gen GenID, _ Micros) { w.answer(gen, "throttle") }
-func (w *world) Terminate(gen GenID)          { w.answer(gen, "terminate") }
+func (w *world) Reject(gen RequestID, _ Micros) { w.answer(gen, "throttle") }
+func (w *world) Fail(gen RequestID)             { w.answer(gen, "terminate") }
 
-func (w *world) Cancel(gen GenID, leg LegNo) {
+func (w *world) Cancel(gen RequestID, leg AttemptNo) {
 	w.say("cancel %d %d", gen, leg)
 	if int(leg) >= len(w.gens[gen].legs) {
 		w.t.Fatalf("gen %d has no leg %d", gen, leg)
 	}
 }
 
-func (w *world) LetGo(gen GenID) {
+func (w *world) Release(gen RequestID) {
 	w.say("let go %d", gen)
 	if w.whole(w.gens[gen]) {
 		w.t.Fatalf("gen %d has no state to let go of", gen)
@@ -285,7 +285,7 @@
 
 func (w *world) Subscribe() { w.say("subscribe") }
 func (w *world) Log(string) {}
-func (w *world) Ring(after Micros, bell Bell) {
+func (w *world) SetTimer(after Micros, bell TimerID) {
 	if after <= 0 {
 		w.t.Fatalf("a ring after %d", after)
 	}
@@ -294,7 +294,7 @@
 
 // play feeds the module a generated day, ends it, and checks that nothing is left over.
 func (w *world) play(r *rand.Rand, steps int) {
-	var id GenID
+	var id RequestID
 	for range steps {
 		w.pass(Micros(r.Int63n(int64(60 * ms))))
 		switch r.Intn(10) {
@@ -302,10 +302,10 @@
 			w.change(r)
 		case 1, 2, 3, 4:
 			id++
-			w.arrive(id, ProductID(r.Intn(len(w.place.Products))), float64(3000+r.Intn(2000)),
+			w.arrive(id, ClassID(r.Intn(len(w.place.Classes))), float64(3000+r.Intn(2000)),
 				Micros(r.Int63n(int64(6*sec))))
 		case 5:
-			w.d.Ended(w.now, GenID(r.Intn(20)), 99, Errored, 0, false, NoReport)
+			w.d.Ended(w.now, RequestID(r.Intn(20)), 99, Errored, 0, false, NoReport)
 			w.d.Started(w.now, 1<<40, 0)
 			w.d.Left(w.now, 1<<40)
 		}
@@ -336,17 +336,17 @@
 	}
 }
 
-// step carries a leg one step on.
+// step carries an attempt one step on.
 func (w *world) step(g *told, r *rand.Rand) {
 	l := g.out()
-	reader := w.place.Kinds[l.host.kind].Role == Reader || w.whole(g)
+	reader := w.place.Kinds[l.host.kind].Role == Prefill || w.whole(g)
 	switch n := r.Intn(12); {
 	case n < 8 && reader:
-		w.end(g, ReadDone, r.Intn(4000))
+		w.end(g, PrefillDone, r.Intn(4000))
 	case n < 8 && !l.started && len(g.answers) == 0 && w.now < g.deadline:
 		w.start(g)
 	case n < 8 && l.started:
-		w.end(g, Streamed, 0)
+		w.end(g, Completed, 0)
 	case n == 8 && !l.started:
 		w.end(g, Full, r.Intn(2))
 	default:
@@ -370,21 +370,21 @@
 	w.list(h)
 }
 
-// written takes a generation through its read and tells the writer it went to.
-func (w *world) written(id GenID, prompt float64) *told {
+// written takes a request through its read and tells the writer it went to.
+func (w *world) written(id RequestID, prompt float64) *told {
 	g := w.arrive(id, 0, prompt, 6*sec)
 	if g.out() == nil || g.out().host.kind != 0 {
 		w.t.Fatalf("gen %d is not being read", id)
 	}
 	w.pass(10 * ms)
-	w.end(g, ReadDone, 0)
+	w.end(g, PrefillDone, 0)
 	return g
 }
 
-func (w *world) cancelled(id GenID) bool {
+func (w *world) cancelled(id RequestID) bool {
 	for _, l := range w.log {
 		var at, gen, leg int
-		if n, _ := fmt.Sscanf(l, "%d cancel %d %d", &at, &gen, &leg); n == 3 && GenID(gen) == id {
+		if n, _ := fmt.Sscanf(l, "%d cancel %d %d", &at, &gen, &leg); n == 3 && RequestID(gen) == id {
 			return true
 		}
 	}
