--- a/internal/platform/rig_test.go
+++ b/internal/platform/rig_test.go
@@ -181,6 +181,17 @@
 	l.last()
 }
 
+// wordy makes an answer of many events, which ends unless it is cut.
+func wordy(many int) func(*line) {
+	return func(l *line) {
+		l.stream(word)
+		for range many {
+			l.conn.Write(http1.AppendChunk(nil, sse.Append(nil, []byte(word))))
+		}
+		l.last()
+	}
+}
+
 // --- Discovery ---
 
 type agent struct {
