--- a/internal/sockets/dial.go
+++ b/internal/sockets/dial.go
@@ -91,6 +91,9 @@
 	l.born.Add(1)
 	nb.SetSession(c)
 	_ = nb.SetNoDelay(true)
+	if l.SendBuffer > 0 {
+		_ = nb.SetWriteBuffer(l.SendBuffer)
+	}
 	l.rounds.after(func() { // as for those that are accepted
 		if unwanted() {
 			_ = nb.Close()
--- a/internal/sockets/loop.go
+++ b/internal/sockets/loop.go
@@ -31,6 +31,9 @@
 	// are set before anything is opened.
 	Anywhere bool
 	TakeIn   int
+	// SendBuffer, where it is above 0, is how many bytes the system is asked to take of what is written and has not arrived, in place of
+	// what it takes by itself; tests have writes leave in parts by it.
+	SendBuffer int
 
 	// beforeAccept, where it is set, is called before each connection is accepted; tests hold the listener up by it.
 	beforeAccept func()
