--- a/internal/platform/loopback_test.go
+++ b/internal/platform/loopback_test.go
@@ -42,12 +42,10 @@
 // newPeer listens; with a small window it takes in little of what it does not read.
 func newPeer(t *testing.T, id, kind string, smallWindow bool, serve func(p *peer, c net.Conn, in *bufio.Reader)) *peer {
 	t.Helper()
-	config := net.ListenConfig{Control: func(_, _ string, raw syscall.RawConn) error {
-		if !smallWindow {
-			return nil
-		}
-		return raw.Control(func(fd uintptr) { _ = syscall.SetsockoptInt(int(fd), syscall.SOL_SOCKET, syscall.SO_RCVBUF, 4<<10) })
-	}}
+	config := net.ListenConfig{}
+	if smallWindow {
+		config.Control = shrinkWindow
+	}
 	ln, err := config.Listen(context.Background(), "tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -66,6 +64,11 @@
 	return p
 }
 
+// shrinkWindow has the system take in little of what is not read.
+func shrinkWindow(_, _ string, raw syscall.RawConn) error {
+	return raw.Control(func(fd uintptr) { _ = syscall.SetsockoptInt(int(fd), syscall.SOL_SOCKET, syscall.SO_RCVBUF, 4<<10) })
+}
+
 // next reads one request whole, or tells that none came.
 func (p *peer) next(in *bufio.Reader) bool {
 	request, err := http.ReadRequest(in)
@@ -185,7 +188,8 @@
 
 func (r *loopback) dial() (net.Conn, *bufio.Reader) {
 	r.t.Helper()
-	c, err := net.Dial("tcp", r.address)
+	dialer := net.Dialer{Control: shrinkWindow}
+	c, err := dialer.Dial("tcp", r.address)
 	if err != nil {
 		r.t.Fatal(err)
 	}
@@ -275,8 +279,8 @@
 
 // TestLoopbackSlowClient: the process does not end before a client that reads nothing for a while has its stream to the last byte.
 func TestLoopbackSlowClient(t *testing.T) {
-	const events = 400
-	event := streamEvent(strings.Replace(word, "Lamu", strings.Repeat("z", 32<<10), 1))
+	const events = 20 // less than makes its host wait, so that this has finished long before
+	event := streamEvent(strings.Replace(word, "Lamu", strings.Repeat("z", 2<<10), 1))
 	decode := newPeer(t, "s-1", "decode", false, answering(streamHead+strings.Repeat(event, events)+"0\r\n\r\n"))
 	r := newLoopback(t, goodPrefill(t), decode)
 	c, in := r.dial()
@@ -284,6 +288,13 @@
 	if _, err := in.Peek(1); err != nil {
 		t.Fatal(err)
 	}
+	for end := time.Now().Add(10 * time.Second); time.Now().Before(end); { // until the host has finished
+		open := 1
+		r.loop.Do(func() { open = len(r.d.requests) })
+		if open == 0 {
+			break
+		}
+	}
 	r.shutDown()
 	r.await("the shutdown", r.drained)
 	select { // it reads nothing for longer than the process would wait without it
