--- a/internal/platform/loopback_test.go
+++ b/internal/platform/loopback_test.go
@@ -279,7 +279,7 @@
 
 // TestLoopbackSlowClient: the process does not end before a client that reads nothing for a while has its stream to the last byte.
 func TestLoopbackSlowClient(t *testing.T) {
-	const events = 20 // less than makes its host wait, so that this has finished long before
+	const events = 40 // more than the sockets hold, and less than makes its host wait, so that this has finished long before
 	event := streamEvent(strings.Replace(word, "Lamu", strings.Repeat("z", 2<<10), 1))
 	decode := newPeer(t, "s-1", "decode", false, answering(streamHead+strings.Repeat(event, events)+"0\r\n\r\n"))
 	r := newLoopback(t, goodPrefill(t), decode)
@@ -323,6 +323,8 @@
 			if speaks {
 				_, _ = io.WriteString(c, streamHead+streamEvent(`{"choices":[]}`)+"0\r\n\r\n")
 			}
+			<-t.Context().Done() // it stays open, and unread
+			c.Close()
 		})
 		r := newLoopback(t, goodPrefill(t), deaf, goodDecode(t))
 		for i := 0; len(met) == 0; i++ { // until the deaf one was chosen
