--- a/internal/platform/loopback_test.go
+++ b/internal/platform/loopback_test.go
@@ -18,6 +18,7 @@
 	"plumspindle/internal/eventloop"
 	"plumspindle/internal/settings"
 	"plumspindle/internal/sockets"
+	"plumspindle/scheduler"
 )
 
 // loopback is a dispatcher over real sockets, with peers that send and read exactly what a test orders, when it orders it.
@@ -337,6 +338,11 @@
 				t.Errorf("speaks %v: answered %d with %.60q", speaks, got, body)
 			}
 		}
+		r.loop.Do(func() {
+			if n := r.d.Outcomes[scheduler.Unreachable]; n != 1 { // and not by the end of its state's lease
+				t.Errorf("speaks %v: outcomes %v", speaks, r.d.Outcomes)
+			}
+		})
 	}
 }
 
--- a/internal/sockets/dial.go
+++ b/internal/sockets/dial.go
@@ -90,10 +90,7 @@
 	}
 	l.born.Add(1)
 	nb.SetSession(c)
-	_ = nb.SetNoDelay(true)
-	if l.SendBuffer > 0 {
-		_ = nb.SetWriteBuffer(l.SendBuffer)
-	}
+	l.tune(nb)
 	l.rounds.after(func() { // as for those that are accepted
 		if unwanted() {
 			_ = nb.Close()
@@ -113,6 +110,14 @@
 	})
 }
 
+// tune has small writes leave at once, and sets the bound on what the system takes of them.
+func (l *Loop) tune(nb *nbio.Conn) {
+	_ = nb.SetNoDelay(true)
+	if l.SendBuffer > 0 {
+		_ = nb.SetWriteBuffer(l.SendBuffer)
+	}
+}
+
 // ownOnly hands a connection to nbio, which duplicates its descriptor without marking it: a process started from here would
 // keep the connection open after this one has closed it, and its other side would wait for an answer that nobody gives.
 func ownOnly(raw net.Conn) (*nbio.Conn, error) {
--- a/internal/sockets/listen.go
+++ b/internal/sockets/listen.go
@@ -83,7 +83,7 @@
 			c.nb = nb
 			own.l.born.Add(1)
 			nb.SetSession(c)
-			_ = nb.SetNoDelay(true)
+			own.l.tune(nb)
 			own.l.rounds.after(func() {
 				if c.ended {
 					return
