--- a/internal/platform/upstream/release.go
+++ b/internal/platform/upstream/release.go
@@ -2,6 +2,7 @@
 
 import (
 	"fmt"
+	"slices"
 	"strconv"
 
 	"plumspindle/internal/engine"
@@ -58,6 +59,11 @@
 	return best
 }
 
+// triedAll tells whether every host has been asked since the last pause.
+func (r *release) triedAll() bool {
+	return !slices.ContainsFunc(r.client.hosts(), func(h scheduler.HostID) bool { return !r.tried[h] })
+}
+
 func (r *release) try(at scheduler.HostID) {
 	l := r.client
 	l.Tries++
@@ -85,12 +91,9 @@
 			l.Log(fmt.Sprintf("what is held for request %s could not be released: %s", r.id, o.Why))
 			r.done(false)
 		default:
-			if len(r.tried) > len(l.hosts()) {
-				clear(r.tried)
-			}
-			// One that refuses at once must not be asked in a ring without a pause.
 			pause := eventloop.Micros(0)
-			if len(r.tried) == 0 {
+			if r.triedAll() { // hosts that refuse at once must not be asked in a ring without a pause
+				clear(r.tried)
 				pause = max(span-(now-began), minRingPause)
 			}
 			l.loop.After(pause, func() { r.try(l.other(r, at)) })
--- a/internal/platform/upstream/upstream_test.go
+++ b/internal/platform/upstream/upstream_test.go
@@ -4,7 +4,9 @@
 	"testing"
 
 	"plumspindle/internal/engine"
+	"plumspindle/internal/eventloop"
 	"plumspindle/internal/http1"
+	"plumspindle/internal/virtual"
 	"plumspindle/scheduler"
 )
 
@@ -90,3 +92,27 @@
 		}
 	})
 }
+
+// TestReleaseRing: where every host refuses at once they are asked in turn, with a pause between the rounds, also where a try has no time.
+func TestReleaseRing(t *testing.T) {
+	for within, most := range map[eventloop.Micros]uint64{releaseTries - 1: 10, 500 * eventloop.Millisecond: 200} {
+		w := virtual.New(1)
+		loop := w.Loop("d")
+		e := engine.New(loop, "d", "", engine.Limits{Connect: eventloop.Second, Idle: eventloop.Second, Most: 4, Opening: 4})
+		c := New(loop, e, within, func() []scheduler.HostID { return []scheduler.HostID{1, 2} })
+		done := false
+		loop.Do(func() {
+			e.Place(1, "127.0.0.1:1")
+			e.Place(2, "127.0.0.1:2")
+			c.Release("r", 1, func(bool) { done = true })
+		})
+		w.Watch = func() {
+			if c.Tries > most {
+				t.Fatalf("%d µs: %d tries in %d µs", within, c.Tries, w.Now()-1_700_000_000*eventloop.Second)
+			}
+		}
+		if w.Run(10 * eventloop.Second); !done {
+			t.Errorf("%d µs: it goes on for ever", within)
+		}
+	}
+}
