--- a/internal/dispatch/room_test.go
+++ b/internal/dispatch/room_test.go
@@ -439,3 +439,29 @@
 	}
 	r.ends(r.ask("review-post", "Idempotency-Key", "k"), "streamed") // its answer is kept
 }
+
+// TestRequestMeetsAClose: a request that was read in the instant in which its idle connection would be closed is answered, whatever closes
+// it: the dispatcher's leaving, or a connection that needs the place.
+func TestRequestMeetsAClose(t *testing.T) {
+	for name, closes := range map[string]func(r *rig){
+		"leaving": func(r *rig) { r.loop.Do(r.x.front.Leave) },
+		"a crowd": func(r *rig) {
+			r.loop.Do(func() { r.x.front.Most = 1 })
+			r.ask("explain")
+			r.w.Run(r.w.Latency)
+		},
+	} {
+		r := newRig(t, nil, "prefill west", "decode west")
+		c := r.ask("explain")
+		r.ends(c, "streamed")
+		r.w.Run(2 * eventloop.Second)
+		r.w.Heard = 5 * eventloop.Millisecond // what has arrived is not handed over yet
+		r.far.Do(func() { c.conn.Write(c.request) })
+		r.w.Run(eventloop.Millisecond)
+		closes(r)
+		r.until(5*eventloop.Second, func() bool { return len(c.finals) > 1 || c.closed })
+		if len(c.finals) < 2 {
+			t.Errorf("%s: its connection was closed without an answer", name)
+		}
+	}
+}
--- a/internal/frontend/frontend.go
+++ b/internal/frontend/frontend.go
@@ -166,7 +166,7 @@
 	f.leaving = true
 	for c := range f.clients {
 		if c.reply == nil {
-			c.conn.Close()
+			c.idleTimedOut()
 		}
 	}
 }
@@ -207,25 +207,44 @@
 	f.lastNo++
 	c.no, c.idle = f.lastNo, f.loop.Now()
 	f.clients[c] = true
-	c.waits.For(c.front.loop, c.front.patience.Idle, func() { c.conn.Close() })
+	c.waits.For(c.front.loop, c.front.patience.Idle, c.idleTimedOut)
+}
+
+// idleTimedOut closes a connection without a request, unless something has come that was not handed over yet: a request that was read
+// must not meet a close.
+func (c *client) idleTimedOut() {
+	if !c.conn.CloseIfQuiet() {
+		c.waits.For(c.front.loop, crossingPause, c.idleTimedOut)
+	}
 }
 
 // crowded tells whether clients have all the connections that they may have.
 func (f *Front) crowded() bool { return f.Most > 0 && len(f.clients) > f.Most }
 
-// dropIdle closes the connection that has waited longest for a request, where that is a while.
+// dropIdle closes the connection that has waited longest for a request, where that is a while. One on which something has just come
+// waits no more.
 func (f *Front) dropIdle() {
-	var oldest *client
+	for {
+		oldest := f.oldestIdle()
+		if oldest == nil {
+			return
+		}
+		if oldest.conn.CloseIfQuiet() {
+			oldest.over = true
+			delete(f.clients, oldest)
+			return
+		}
+		oldest.idle = f.loop.Now()
+	}
+}
+
+func (f *Front) oldestIdle() (oldest *client) {
 	for c := range f.clients {
 		if c.reply == nil && !c.over && c.parser.Idle() && f.loop.Now()-c.idle > idleLeast && (oldest == nil || c.no < oldest.no) {
 			oldest = c
 		}
 	}
-	if oldest != nil {
-		oldest.over = true
-		oldest.conn.Close()
-		delete(f.clients, oldest)
-	}
+	return oldest
 }
 
 // Busy is the answer to a connection that is not served for want of room; nothing has run.
@@ -303,6 +322,9 @@
 // idleLeast is how long a connection has waited for a request before it makes way for others.
 const idleLeast = eventloop.Second
 
+// crossingPause is how long an idle connection on which something has just come is left alone.
+const crossingPause = 50 * eventloop.Millisecond
+
 // busyFor is how long a connection that is not served may take to read why.
 const busyFor = 200 * eventloop.Millisecond
 
@@ -457,7 +479,7 @@
 // next makes the connection ready for another request.
 func (c *client) next() {
 	c.reply, c.idle = nil, c.front.loop.Now()
-	c.waits.For(c.front.loop, c.front.patience.Idle, func() { c.conn.Close() })
+	c.waits.For(c.front.loop, c.front.patience.Idle, c.idleTimedOut)
 	c.conn.Pause(false)
 	c.check(c.parser.Resume(c))
 }
