--- a/internal/platform/launch/launch_test.go
+++ b/internal/platform/launch/launch_test.go
@@ -182,6 +182,12 @@
 	if status := <-slow; status != 200 {
 		t.Errorf("the open one was answered %d", status)
 	}
+	awaitEnd(t, ended)
+}
+
+// awaitEnd waits for a process to end in good order.
+func awaitEnd(t *testing.T, ended chan error) {
+	t.Helper()
 	select {
 	case err := <-ended:
 		if err != nil {
@@ -234,14 +240,7 @@
 	if _, err := io.WriteString(agent, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n1\r\n\n\r\n"); err != nil {
 		t.Fatal(err)
 	}
-	select {
-	case err := <-ended:
-		if err != nil {
-			t.Errorf("ended with %v", err)
-		}
-	case <-time.After(10 * time.Second):
-		t.Error("it did not end")
-	}
+	awaitEnd(t, ended)
 }
 
 func FuzzConfig(f *testing.F) {
--- a/internal/platform/rig_test.go
+++ b/internal/platform/rig_test.go
@@ -366,9 +366,11 @@
 func (r *rig) quiet() {
 	r.t.Helper()
 	r.w.Run(eventloop.Second)
-	r.w.Until(server.DefaultLimits.Message, func() bool { return r.x.server.Active() == 0 }) // half a request waits for so long
 	gens, legs, _, _ := r.x.module.Open()
-	if len(r.x.requests) != 0 || gens != 0 || legs != 0 || r.x.server.Active() != 0 {
+	if len(r.x.requests) != 0 || gens != 0 || legs != 0 || r.x.server.Answering() != 0 {
 		r.t.Errorf("something is left: %s", r.x.Summary())
 	}
+	if !r.w.Until(server.DefaultLimits.Message, func() bool { return r.x.server.Active() == 0 }) { // half a request waits for so long
+		r.t.Errorf("half a request is left: %s", r.x.Summary())
+	}
 }
--- a/internal/platform/server/server.go
+++ b/internal/platform/server/server.go
@@ -104,9 +104,14 @@
 func (s *Server) Connections() int { return len(s.connections) }
 
 // Active is how many connections bring a request or wait for an answer's end.
-func (s *Server) Active() (n int) {
+func (s *Server) Active() int { return s.inState(reading) + s.inState(answering) }
+
+// Answering is how many connections wait for an answer's end.
+func (s *Server) Answering() int { return s.inState(answering) }
+
+func (s *Server) inState(state connectionState) (n int) {
 	for c := range s.connections {
-		if c.state == reading || c.state == answering {
+		if c.state == state {
 			n++
 		}
 	}
--- a/internal/platform/server/streams_test.go
+++ b/internal/platform/server/streams_test.go
@@ -13,6 +13,7 @@
 	"time"
 
 	"plumspindle/internal/eventloop"
+	"plumspindle/internal/sockets"
 )
 
 // BenchmarkManyStreams measures how long events take from their writing to the client, over loopback, with many streams open and some
@@ -24,7 +25,7 @@
 }
 
 func measureStreams(b *testing.B, streams int) {
-	const every, events, payload = 50 * eventloop.Millisecond, 40, 200
+	const every, pause, events, payload = 50 * eventloop.Millisecond, 500 * eventloop.Millisecond, 40, 200
 	handler := &silentHandler{}
 	limits := testLimits()
 	limits.Connections = streams + 10
@@ -41,9 +42,13 @@
 		if _, err := c.Write([]byte(requestText(fmt.Sprint(i), 100))); err != nil {
 			b.Fatal(err)
 		}
+		var resume func() <-chan bool
+		if i%20 == 0 {
+			resume = func() <-chan bool { return resumeAfter(loop, pause) }
+		}
 		clients.Go(func() {
 			defer c.Close()
-			own := readDelays(c, i%20 == 0)
+			own := readDelays(c, resume)
 			mu.Lock()
 			delays = append(delays, own...)
 			mu.Unlock()
@@ -80,9 +85,15 @@
 	loop.After(every, func() { writeEvents(loop, r, every, left-1, padding) })
 }
 
-// readDelays reads a stream to its end; one that pauses reads nothing for half a second in its midst.
-func readDelays(c net.Conn, pauses bool) (delays []time.Duration) {
-	const pause = 500 * time.Millisecond
+// resumeAfter tells, by the loop's clock, when a pause is over.
+func resumeAfter(loop *sockets.Loop, pause eventloop.Micros) <-chan bool {
+	over := make(chan bool)
+	loop.Post(func() { loop.After(pause, func() { close(over) }) })
+	return over
+}
+
+// readDelays reads a stream to its end; one with a resume reads nothing in its midst until that tells it to.
+func readDelays(c net.Conn, resume func() <-chan bool) (delays []time.Duration) {
 	var back time.Time
 	lines := bufio.NewScanner(c)
 	for lines.Scan() {
@@ -101,8 +112,8 @@
 		if written.Before(back) {
 			written = back
 		}
-		if delays = append(delays, time.Since(written)); pauses && len(delays) == 10 {
-			time.Sleep(pause)
+		if delays = append(delays, time.Since(written)); resume != nil && len(delays) == 10 {
+			<-resume()
 			back = time.Now()
 		}
 	}
--- a/internal/sockets/race_test.go
+++ b/internal/sockets/race_test.go
@@ -133,6 +133,31 @@
 	}
 }
 
+// One that pauses is handed all that came before the other side's end, once it resumes, and then hears the end.
+func TestPauseKeepsWhatCameBeforeTheEnd(t *testing.T) {
+	paused := make(chan error, 1)
+	server := &ear{}
+	server.onData = func(e *ear) {
+		e.conn.Pause(true)
+		server.onData = nil
+		paused <- nil
+	}
+	c := served(t, server, 8<<10)
+	if _, err := c.Write([]byte("request")); err != nil {
+		t.Fatal(err)
+	}
+	waitFor(t, "the request", paused)
+	if _, err := c.Write(make([]byte, 40<<10)); err != nil {
+		t.Fatal(err)
+	}
+	c.Close()
+	server.conn.(*conn).l.Do(func() { server.conn.Pause(false) })
+	waitFor(t, "the end", server.closed)
+	if len(server.data) != 40<<10+len("request") {
+		t.Errorf("%d bytes were handed over", len(server.data))
+	}
+}
+
 // Small writes leave at once: what the system held back would be lost with a close over unread bytes.
 func TestNothingIsHeldBack(t *testing.T) {
 	opened := make(chan error, 2)
