--- a/internal/admin/admin.go
+++ b/internal/admin/admin.go
@@ -84,7 +84,7 @@
 	random    io.Reader
 	log       zerolog.Logger
 	registry  *tenancy.Registry
-	ledger    *tenancy.Ledger
+	ledger    *tenancy.UsageLedger
 	followers []*conn
 	changes   uint64 // lines in the log of changes
 }
@@ -95,7 +95,7 @@
 		return nil, fmt.Errorf("the secret has %d bytes; it needs 32 at least", len(secret))
 	}
 	a := &Admin{loop: loop, secret: secret, feedToken: dispatch.FeedToken(secret), staff: staff, records: records, random: random, log: log,
-		ledger: tenancy.NewLedger()}
+		ledger: tenancy.NewUsageLedger()}
 	if err := a.restore(); err != nil {
 		return nil, err
 	}
@@ -138,7 +138,7 @@
 	for _, name := range a.registry.Names() {
 		t := a.registry.Tenants[name]
 		for i := range t.Keys {
-			if strings.HasPrefix(token, "sk-"+t.Keys[i].ID+"-") && t.Keys[i].Fits(a.secret, token, a.now()) &&
+			if strings.HasPrefix(token, "sk-"+t.Keys[i].ID+"-") && t.Keys[i].Matches(a.secret, token, a.now()) &&
 				slices.Contains(t.Keys[i].Scopes, tenancy.ScopeAdmin) && t.State == tenancy.Active {
 				return caller{name: "key " + t.Keys[i].ID, role: Own, tenant: name}, true
 			}
@@ -148,7 +148,7 @@
 }
 
 // change makes a change on a copy, keeps it, and only then lets it count and tells it on. A dry run stops before that.
-func (a *Admin) change(r *request, what string, do func(*tenancy.Registry) (answer, *tenancy.Fault)) answer {
+func (a *Admin) change(r *request, what string, do func(*tenancy.Registry) (answer, *tenancy.ChangeError)) answer {
 	next := a.registry.Clone()
 	got, fault := do(next)
 	if fault != nil {
@@ -175,9 +175,9 @@
 }
 
 func (a *Admin) tellOn(before *tenancy.Registry) {
-	news := a.registry.NewsSince(before.Epoch, before.Version)
+	news := a.registry.UpdateSince(before.Epoch, before.Version)
 	if before.Version == 0 {
-		news.Whole = true
+		news.Complete = true
 	}
 	for _, f := range a.followers {
 		f.tell(news)
@@ -187,13 +187,13 @@
 // takeReport adds what a dispatcher used. It is kept before it is acknowledged, so that a report counts once whatever
 // dies in between.
 func (a *Admin) takeReport(body []byte) answer {
-	var r tenancy.Report
+	var r tenancy.UsageReport
 	if err := json.Unmarshal(body, &r); err != nil || r.Dispatcher == "" || r.Number == 0 {
 		return fail(400, "malformed", "", "not a report")
 	}
 	// What is kept is what will be, worked out before it counts: a report that could not be kept comes again, and then has
 	// to count as new.
-	if sums := a.ledger.With(&r); len(sums) > 0 {
+	if sums := a.ledger.Preview(&r); len(sums) > 0 {
 		ops := []store.Op{numberOp(r.Dispatcher, r.Number)}
 		for _, u := range sums {
 			ops = append(ops, usedOp(u))
@@ -203,7 +203,7 @@
 			return fail(500, "not_kept", "", "the report could not be kept")
 		}
 	}
-	a.ledger.Take(a.loop.Now(), &r)
+	a.ledger.Add(a.loop.Now(), &r)
 	a.finishRemovals()
 	return answer{status: 200, body: map[string]any{"taken": r.Number}}
 }
@@ -306,7 +306,7 @@
 		if f := r.decode(&in); f != nil {
 			return *f
 		}
-		return a.change(r, "limits changed", func(g *tenancy.Registry) (answer, *tenancy.Fault) {
+		return a.change(r, "limits changed", func(g *tenancy.Registry) (answer, *tenancy.ChangeError) {
 			return wrap(g.Change(name, version, in.Limits, in.Products))
 		})
 	case "DELETE tenants *":
@@ -314,12 +314,12 @@
 		if policy == "" {
 			policy = tenancy.Finish
 		}
-		got := a.change(r, "removal: "+policy, func(g *tenancy.Registry) (answer, *tenancy.Fault) { return wrap(g.Remove(name, version, policy)) })
+		got := a.change(r, "removal: "+policy, func(g *tenancy.Registry) (answer, *tenancy.ChangeError) { return wrap(g.Remove(name, version, policy)) })
 		a.loop.Later(a.finishRemovals)
 		return got
 	case "POST tenants * suspend", "POST tenants * resume":
-		return a.change(r, at(2), func(g *tenancy.Registry) (answer, *tenancy.Fault) {
-			return wrap(g.Serve(name, version, at(2) == "resume"))
+		return a.change(r, at(2), func(g *tenancy.Registry) (answer, *tenancy.ChangeError) {
+			return wrap(g.SetServing(name, version, at(2) == "resume"))
 		})
 	case "GET tenants * keys":
 		t := a.registry.Tenants[name]
@@ -334,7 +334,7 @@
 		if err != nil {
 			return fail(400, "malformed", "at_s", "must be a time in seconds since 1970")
 		}
-		return a.change(r, "key revoked", func(g *tenancy.Registry) (answer, *tenancy.Fault) {
+		return a.change(r, "key revoked", func(g *tenancy.Registry) (answer, *tenancy.ChangeError) {
 			return wrap(g.Revoke(a.now(), name, version, at(3), when))
 		})
 	case "GET tenants * usage":
@@ -357,7 +357,7 @@
 				return fail(422, "invalid_digest", fmt.Sprintf("sha256[%d]", i), "must be 64 hexadecimal digits")
 			}
 		}
-		return a.change(r, "public texts set", func(g *tenancy.Registry) (answer, *tenancy.Fault) {
+		return a.change(r, "public texts set", func(g *tenancy.Registry) (answer, *tenancy.ChangeError) {
 			g.Public = in.SHA256
 			g.Version++
 			return answer{status: 200, body: in}, nil
@@ -366,7 +366,7 @@
 	return fail(404, "unknown_url", "", "unknown URL or method")
 }
 
-func wrap(t *tenancy.Tenant, fault *tenancy.Fault) (answer, *tenancy.Fault) {
+func wrap(t *tenancy.Tenant, fault *tenancy.ChangeError) (answer, *tenancy.ChangeError) {
 	if fault != nil {
 		return answer{}, fault
 	}
@@ -427,7 +427,7 @@
 	if f := r.decode(&in); f != nil {
 		return *f
 	}
-	return a.change(r, "tenant created", func(g *tenancy.Registry) (answer, *tenancy.Fault) {
+	return a.change(r, "tenant created", func(g *tenancy.Registry) (answer, *tenancy.ChangeError) {
 		t, made, fault := g.Create(a.now(), in.Name, in.Limits, in.Products)
 		if fault != nil {
 			return answer{}, fault
@@ -462,8 +462,8 @@
 	if _, err := io.ReadFull(a.random, random[:]); err != nil {
 		return fail(500, "no_random", "", "no randomness was to be had")
 	}
-	return a.change(r, "key created", func(g *tenancy.Registry) (answer, *tenancy.Fault) {
-		text, k, t, fault := g.Key(a.now(), name, version, a.secret, random[:], in.Label, in.Scopes, in.Expires, in.Limits)
+	return a.change(r, "key created", func(g *tenancy.Registry) (answer, *tenancy.ChangeError) {
+		text, k, t, fault := g.IssueKey(a.now(), name, version, a.secret, random[:], in.Label, in.Scopes, in.Expires, in.Limits)
 		if fault != nil {
 			return answer{}, fault
 		}
@@ -493,24 +493,24 @@
 
 // metrics is the usage of today's ledger in the text form that Prometheus reads.
 func (a *Admin) metrics() []byte {
-	sums := map[string]tenancy.Used{}
+	sums := map[string]tenancy.Usage{}
 	for _, u := range a.ledger.Of("") {
 		s := sums[u.Tenant]
 		s.Tenant = u.Tenant
-		s.Taken, s.Streamed, s.Throttled, s.Terminated = s.Taken+u.Taken, s.Streamed+u.Streamed, s.Throttled+u.Throttled, s.Terminated+u.Terminated
+		s.Accepted, s.Completed, s.Rejected, s.Failed = s.Accepted+u.Accepted, s.Completed+u.Completed, s.Rejected+u.Rejected, s.Failed+u.Failed
 		s.Prompt, s.Answer = s.Prompt+u.Prompt, s.Answer+u.Answer
 		sums[u.Tenant] = s
 	}
 	names := slices.Sorted(maps.Keys(sums))
-	slices.SortStableFunc(names, func(x, y string) int { return int(sums[y].Taken) - int(sums[x].Taken) })
-	rest := tenancy.Used{Tenant: "(others)"}
+	slices.SortStableFunc(names, func(x, y string) int { return int(sums[y].Accepted) - int(sums[x].Accepted) })
+	rest := tenancy.Usage{Tenant: "(others)"}
 	var b strings.Builder
 	for _, m := range []struct {
 		name string
-		of   func(u tenancy.Used) uint64
-	}{{"generations_taken", func(u tenancy.Used) uint64 { return u.Taken }}, {"generations_streamed", func(u tenancy.Used) uint64 { return u.Streamed }},
-		{"generations_throttled", func(u tenancy.Used) uint64 { return u.Throttled }}, {"generations_terminated", func(u tenancy.Used) uint64 { return u.Terminated }},
-		{"prompt_tokens", func(u tenancy.Used) uint64 { return u.Prompt }}, {"answer_tokens", func(u tenancy.Used) uint64 { return u.Answer }}} {
+		of   func(u tenancy.Usage) uint64
+	}{{"generations_taken", func(u tenancy.Usage) uint64 { return u.Accepted }}, {"generations_streamed", func(u tenancy.Usage) uint64 { return u.Completed }},
+		{"generations_throttled", func(u tenancy.Usage) uint64 { return u.Rejected }}, {"generations_terminated", func(u tenancy.Usage) uint64 { return u.Failed }},
+		{"prompt_tokens", func(u tenancy.Usage) uint64 { return u.Prompt }}, {"answer_tokens", func(u tenancy.Usage) uint64 { return u.Answer }}} {
 		fmt.Fprintf(&b, "# TYPE plumspindle_%s_total counter\n", m.name)
 		var others uint64
 		for i, n := range names {
--- a/internal/admin/admin_test.go
+++ b/internal/admin/admin_test.go
@@ -32,7 +32,7 @@
 	adminAt *virtual.Loop
 	a       *Admin
 	addr    string
-	records *Memory
+	records *MemoryRecords
 	far     *virtual.Loop
 	fleet   *hosts.Fleet
 	at      []*virtual.Loop
@@ -44,7 +44,7 @@
 func newTown(t *testing.T, dispatchers int) *town {
 	t.Helper()
 	w := virtual.New(3)
-	y := &town{t: t, w: w, records: &Memory{}, far: w.Loop("far")}
+	y := &town{t: t, w: w, records: &MemoryRecords{}, far: w.Loop("far")}
 	y.startAdmin()
 	d := deployment.Standard()
 	d.Dispatching.Dispatchers = uint32(dispatchers)
@@ -90,8 +90,8 @@
 	y.at[i] = y.w.Loop(name)
 	var err error
 	y.at[i].Do(func() {
-		y.x[i], err = dispatch.Start(y.at[i], d, dispatch.Post{Name: name, Zone: d.Zones[i%2], Seed: int64(i + 1), Roster: y.fleet.Roster.Addr,
-			Log: zerolog.Nop(), Tenants: y.addr, Secret: secret, KeptTenants: y.kept[i], KeepTenants: func(b []byte) { y.kept[i] = b }})
+		y.x[i], err = dispatch.Start(y.at[i], d, dispatch.Config{Name: name, Zone: d.Zones[i%2], Seed: int64(i + 1), Discovery: y.fleet.Roster.Addr,
+			Log: zerolog.Nop(), Tenants: y.addr, Secret: secret, CachedTenants: y.kept[i], CacheTenants: func(b []byte) { y.kept[i] = b }})
 		if err != nil {
 			return
 		}
@@ -283,8 +283,8 @@
 		}
 		y.finals(stays, "streamed")
 		for i, x := range y.x {
-			if x.Running() != 0 {
-				t.Errorf("%s: dispatcher %d: %v", policy, i, x.Remains())
+			if x.OpenRequests() != 0 {
+				t.Errorf("%s: dispatcher %d: %v", policy, i, x.DescribeOpen())
 			}
 		}
 		if got, _ := y.must(200, "GET", "tenants/going", ""); got.Get("state").String() != "removed" {
@@ -428,8 +428,8 @@
 			t.Fatal(fault)
 		}
 	}
-	l := tenancy.NewLedger()
-	l.Take(0, &tenancy.Report{Dispatcher: "d1", Number: 7, Used: []tenancy.Used{{Tenant: "a", Product: "explain", Day: "2026-01-01", Streamed: 4}}})
+	l := tenancy.NewUsageLedger()
+	l.Add(0, &tenancy.UsageReport{Dispatcher: "d1", Number: 7, Used: []tenancy.Usage{{Tenant: "a", Product: "explain", Day: "2026-01-01", Completed: 4}}})
 	old, _ := json.Marshal(kept{g, l, map[string]string{"a\x00k1": "id1"}})
 	write := func(name, text string) {
 		t.Helper()
@@ -438,18 +438,18 @@
 		}
 	}
 	write("tenants.json", "{")
-	if _, err := OpenKept(dir); err == nil || !strings.Contains(err.Error(), "tenants.json") {
+	if _, err := OpenStoredRecords(dir); err == nil || !strings.Contains(err.Error(), "tenants.json") {
 		t.Fatalf("a damaged file of before: %v", err)
 	}
 	write("tenants.json", string(old))
 	write("changes.ndjson", `{"who":"ann"}`+"\n"+`{"who":"bob"}`+"\n"+`{"who":"cut o`)
 	w := virtual.New(1)
 	for round := range 3 {
-		k, err := OpenKept(dir)
+		k, err := OpenStoredRecords(dir)
 		if err != nil {
 			t.Fatal(round, err)
 		}
-		if _, err := OpenKept(dir); err == nil || !strings.Contains(err.Error(), "in use") {
+		if _, err := OpenStoredRecords(dir); err == nil || !strings.Contains(err.Error(), "in use") {
 			t.Errorf("a second process: %v", err)
 		}
 		a, err := Start(w.Loop("x"), secret, nil, k, rand.New(rand.NewSource(1)), zerolog.Nop())
@@ -458,11 +458,11 @@
 		}
 		id, _ := k.Get(madeKey + "a\x00k1")
 		if a.registry.Epoch != "e1" || a.registry.Version != 2+uint64(round) || a.registry.Tenants["b"].Limits.PerS != 3 || a.changes != 2+uint64(round) ||
-			a.ledger.Numbers["d1"] != 7 || len(a.ledger.Of("a")) != 1 || a.ledger.Of("a")[0].Streamed != 4 || string(id) != "id1" {
+			a.ledger.Numbers["d1"] != 7 || len(a.ledger.Of("a")) != 1 || a.ledger.Of("a")[0].Completed != 4 || string(id) != "id1" {
 			t.Errorf("round %d: %+v, %d changes, %+v, %q", round, a.registry, a.changes, a.ledger, id)
 		}
 		r := &request{query: map[string]string{}, who: caller{name: "ann"}, path: []string{"tenants", "a"}}
-		if got := a.change(r, "suspended", func(g *tenancy.Registry) (answer, *tenancy.Fault) {
+		if got := a.change(r, "suspended", func(g *tenancy.Registry) (answer, *tenancy.ChangeError) {
 			g.Version++
 			return answer{status: 200}, nil
 		}); got.status != 200 {
@@ -471,7 +471,7 @@
 		k.Close()
 		write("tenants.json", string(old)) // as if it had died before the renaming
 	}
-	k, err := OpenKept(dir)
+	k, err := OpenStoredRecords(dir)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -483,13 +483,13 @@
 
 // A report that could not be kept comes again and counts then, and once.
 func TestReportThatWasNotKept(t *testing.T) {
-	records := &Memory{}
+	records := &MemoryRecords{}
 	w := virtual.New(1)
 	a, err := Start(w.Loop("x"), secret, nil, records, rand.New(rand.NewSource(1)), zerolog.Nop())
 	if err != nil {
 		t.Fatal(err)
 	}
-	report, _ := json.Marshal(tenancy.Report{Dispatcher: "d1", Number: 1, Used: []tenancy.Used{{Tenant: "a", Product: "p", Day: "d", Taken: 3}, {Tenant: "a", Product: "p", Day: "d", Taken: 2}}})
+	report, _ := json.Marshal(tenancy.UsageReport{Dispatcher: "d1", Number: 1, Used: []tenancy.Usage{{Tenant: "a", Product: "p", Day: "d", Accepted: 3}, {Tenant: "a", Product: "p", Day: "d", Accepted: 2}}})
 	for i, want := range []int{500, 200, 200} {
 		if records.Refuse = nil; i == 0 {
 			records.Refuse = errors.New("disk full")
@@ -498,7 +498,7 @@
 			t.Errorf("time %d: %+v", i, got)
 		}
 		again, err := Start(w.Loop("y"), secret, nil, records, rand.New(rand.NewSource(1)), zerolog.Nop())
-		if used := again.ledger.Of(""); err != nil || i == 0 && len(used) > 0 || i > 0 && (len(used) != 1 || used[0].Taken != 5) {
+		if used := again.ledger.Of(""); err != nil || i == 0 && len(used) > 0 || i > 0 && (len(used) != 1 || used[0].Accepted != 5) {
 			t.Errorf("time %d: kept: %+v %v", i, used, err)
 		}
 	}
--- a/internal/admin/files.go
+++ b/internal/admin/files.go
@@ -13,9 +13,9 @@
 	"plumspindle/internal/tenancy"
 )
 
-// Kept holds the records in an embedded store in a folder. The administration has a loop of its own, which waits for the
+// StoredRecords holds the records in an embedded store in a folder. The administration has a loop of its own, which waits for the
 // disk: a change is answered only once it is durable, and the next one begins from there.
-type Kept struct {
+type StoredRecords struct {
 	*store.Store
 	files  *store.Files
 	posted chan func()
@@ -25,10 +25,10 @@
 // diskWithin is how long the disk may take for one change before the store counts as failed.
 const diskWithin = 20 * time.Second
 
-// OpenKept opens a folder's store, or makes it. Records of before the store, one file tenants.json with a log of changes
+// OpenStoredRecords opens a folder's store, or makes it. Records of before the store, one file tenants.json with a log of changes
 // beside it, are moved in, all or nothing, and the files get names that end in .moved.
-func OpenKept(dir string) (*Kept, error) {
-	k := &Kept{posted: make(chan func(), 1024), within: diskWithin}
+func OpenStoredRecords(dir string) (*StoredRecords, error) {
+	k := &StoredRecords{posted: make(chan func(), 1024), within: diskWithin}
 	var err error
 	if k.files, err = store.OpenFiles(dir, func(f func()) { k.posted <- f }); err != nil {
 		return nil, err
@@ -46,7 +46,7 @@
 
 // move takes over what an earlier version kept. A crash between the commit and the renaming does no harm: what is in the
 // store counts, and the files are not read again.
-func (k *Kept) move(dir string) error {
+func (k *StoredRecords) move(dir string) error {
 	old, log := filepath.Join(dir, "tenants.json"), filepath.Join(dir, "changes.ndjson")
 	b, err := os.ReadFile(old)
 	if errors.Is(err, os.ErrNotExist) {
@@ -99,7 +99,7 @@
 
 // Save commits changes together and waits until they are durable. A store that has failed is healed first, if its disk takes
 // writes again: nobody has to restart the administration.
-func (k *Kept) Save(ops []store.Op) error {
+func (k *StoredRecords) Save(ops []store.Op) error {
 	if k.Failed() != nil {
 		if err := k.wait(func(done func(error)) error { k.Heal(done); return nil }); err != nil {
 			return err
@@ -109,7 +109,7 @@
 }
 
 // wait asks the store for something and waits for the disk's answer.
-func (k *Kept) wait(ask func(done func(error)) error) error {
+func (k *StoredRecords) wait(ask func(done func(error)) error) error {
 	var answered bool
 	var failed error
 	if err := ask(func(err error) { answered, failed = true, err }); err != nil {
@@ -134,17 +134,17 @@
 }
 
 // Close gives the folder back.
-func (k *Kept) Close() { k.files.Close() }
+func (k *StoredRecords) Close() { k.files.Close() }
 
-// Memory keeps the records for as long as the process lives, for trying things out.
-type Memory struct {
+// MemoryRecords keeps the records for as long as the process lives, for trying things out.
+type MemoryRecords struct {
 	store.Index
 	// Refuse, where it is set, is the error of the next Save.
 	Refuse error
 }
 
 // Save changes them.
-func (m *Memory) Save(ops []store.Op) error {
+func (m *MemoryRecords) Save(ops []store.Op) error {
 	if m.Refuse != nil {
 		return m.Refuse
 	}
@@ -170,9 +170,9 @@
 
 // kept is the one file of versions before the store.
 type kept struct {
-	Registry *tenancy.Registry `json:"registry"`
-	Ledger   *tenancy.Ledger   `json:"ledger"`
-	Made     map[string]string `json:"made_keys"`
+	Registry *tenancy.Registry    `json:"registry"`
+	Ledger   *tenancy.UsageLedger `json:"ledger"`
+	Made     map[string]string    `json:"made_keys"`
 }
 
 // keptTenant is one tenant with the registry's version at its last change.
@@ -200,7 +200,7 @@
 	return store.Op{Key: tenantKey + name, Value: marshal(keptTenant{r.Changed[name], r.Tenants[name]})}
 }
 
-func usedOp(u tenancy.Used) store.Op { return store.Op{Key: usedKey + u.Key(), Value: marshal(u)} }
+func usedOp(u tenancy.Usage) store.Op { return store.Op{Key: usedKey + u.Key(), Value: marshal(u)} }
 
 func numberOp(dispatcher string, n uint64) store.Op {
 	return store.Op{Key: numberKey + dispatcher, Value: marshal(n)}
@@ -257,7 +257,7 @@
 		return nil
 	})
 	each(usedKey, func(key string, value []byte) error {
-		var u tenancy.Used
+		var u tenancy.Usage
 		if err := json.Unmarshal(value, &u); err != nil {
 			return err
 		}
--- a/internal/admin/room_test.go
+++ b/internal/admin/room_test.go
@@ -36,10 +36,10 @@
 }
 
 // opened starts an administration on a folder of the world.
-func opened(t *testing.T, w *virtual.World, folder *virtual.Folder, within time.Duration) (k *Kept, a *Admin) {
+func opened(t *testing.T, w *virtual.World, folder *virtual.Folder, within time.Duration) (k *StoredRecords, a *Admin) {
 	t.Helper()
 	loop := w.Loop("admin")
-	k = &Kept{posted: make(chan func(), 16), within: within}
+	k = &StoredRecords{posted: make(chan func(), 16), within: within}
 	var err error
 	if k.Store, err = store.Open(&posted{folder.For(loop), w, k.posted}, store.Usual); err != nil {
 		t.Fatal(err)
@@ -56,12 +56,12 @@
 func TestRecordsWithoutRoom(t *testing.T) {
 	w := virtual.New(1)
 	folder := w.Folder()
-	open := func() (*Kept, *Admin) { return opened(t, w, folder, diskWithin) }
+	open := func() (*StoredRecords, *Admin) { return opened(t, w, folder, diskWithin) }
 	k, a := open()
 	n := uint64(0)
 	report := func(want int) {
 		t.Helper()
-		body, _ := json.Marshal(tenancy.Report{Dispatcher: "d1", Number: n + 1, Used: []tenancy.Used{{Tenant: "a", Product: "p", Day: "d", Taken: 1}}})
+		body, _ := json.Marshal(tenancy.UsageReport{Dispatcher: "d1", Number: n + 1, Used: []tenancy.Usage{{Tenant: "a", Product: "p", Day: "d", Accepted: 1}}})
 		got := a.takeReport(body)
 		if got.status != want {
 			t.Errorf("report %d: %+v, want %d", n+1, got, want)
@@ -97,7 +97,7 @@
 		t.Error("the store has failed for good")
 	}
 	_, a = open()
-	if used := a.ledger.Of(""); len(used) != 1 || used[0].Taken != n || n != 6 {
+	if used := a.ledger.Of(""); len(used) != 1 || used[0].Accepted != n || n != 6 {
 		t.Errorf("kept usage: %+v after %d reports", used, n)
 	}
 	if names := a.registry.Names(); fmt.Sprint(names) != "[kept0 kept1 kept2 kept3 kept4 last]" {
--- a/internal/admin/server.go
+++ b/internal/admin/server.go
@@ -158,7 +158,7 @@
 	c.name = r.head.Get("x-dispatcher")
 	c.conn.Write(http1.AppendStreamHead(nil, 200, "Content-Type", "text/event-stream"))
 	since, _ := strconv.ParseUint(r.query["since"], 10, 64)
-	c.tell(c.admin.registry.NewsSince(r.query["epoch"], since))
+	c.tell(c.admin.registry.UpdateSince(r.query["epoch"], since))
 	c.admin.followers = append(c.admin.followers, c)
 }
 
--- a/internal/chat/answer.go
+++ b/internal/chat/answer.go
@@ -14,7 +14,7 @@
 	ID      string
 	Model   string
 	Created int64 // seconds since 1970
-	Ask     *Ask
+	Ask     *Request
 
 	Tokens   int    // chunks of content so far, about a token each
 	Finished string // the reason that the writer gave for the end
--- a/internal/chat/ask.go
+++ b/internal/chat/ask.go
@@ -18,13 +18,13 @@
 )
 
 // Route is the API's one URL. Public tells whether the operator lets tenants share a text, by its digest.
-func Route(public func(digest string) bool, take func(ask *Ask, who frontend.Identity, head *http1.Head, to *frontend.Reply) *frontend.Problem) (string, frontend.Route) {
-	return "/v1/chat/completions", frontend.Route{Method: "POST", Begin: func(head *http1.Head, who frontend.Identity, to *frontend.Reply) (frontend.Sink, *frontend.Problem) {
+func Route(public func(digest string) bool, take func(ask *Request, who frontend.Identity, head *http1.Head, to *frontend.Response) *frontend.Problem) (string, frontend.Route) {
+	return "/v1/chat/completions", frontend.Route{Method: "POST", Begin: func(head *http1.Head, who frontend.Identity, to *frontend.Response) (frontend.Sink, *frontend.Problem) {
 		if p := frontend.IsJSON(head); p != nil {
 			return nil, p
 		}
-		return &frontend.Whole{Do: func(body []byte) *frontend.Problem {
-			ask, p := ParseAsk(body, who.Space, public)
+		return &frontend.BufferedBody{Do: func(body []byte) *frontend.Problem {
+			ask, p := ParseRequest(body, who.Space, public)
 			if p != nil {
 				return p
 			}
@@ -33,12 +33,12 @@
 	}}
 }
 
-// Ask is what a client wants.
-type Ask struct {
+// Request is what a client wants.
+type Request struct {
 	Model        string
 	Stream       bool
 	IncludeUsage bool
-	Most         int // tokens that the answer may have; 0 = not stated
+	MaxTokens    int // tokens that the answer may have; 0 = not stated
 	Tokens       int // of the prompt, as far as it can be known here
 	SharedTokens int // of these, those of the shared text
 	Session      uint64
@@ -56,9 +56,9 @@
 // roles that the specification knows.
 var roles = []string{"system", "developer", "user", "assistant", "tool", "function"}
 
-// ParseAsk reads a request's body. Names are kept apart by a space, so that equal texts of two tenants are never taken for
+// ParseRequest reads a request's body. Names are kept apart by a space, so that equal texts of two tenants are never taken for
 // one, unless the operator lets a text be shared.
-func ParseAsk(body []byte, space string, public func(digest string) bool) (*Ask, *frontend.Problem) {
+func ParseRequest(body []byte, space string, public func(digest string) bool) (*Request, *frontend.Problem) {
 	if !gjson.ValidBytes(body) {
 		return nil, frontend.Invalid("", "invalid_json", "The body is not valid JSON.")
 	}
@@ -66,7 +66,7 @@
 	if !root.IsObject() {
 		return nil, frontend.Invalid("", "invalid_json", "The body must be a JSON object.")
 	}
-	a := &Ask{Rest: make([]byte, 0, len(body))}
+	a := &Request{Rest: make([]byte, 0, len(body))}
 	var trouble *frontend.Problem
 	var messages gjson.Result
 	var cacheKey string
@@ -112,7 +112,7 @@
 }
 
 // member takes one member of the request that the router reads, or refuses.
-func (a *Ask) member(name string, v gjson.Result) *frontend.Problem {
+func (a *Request) member(name string, v gjson.Result) *frontend.Problem {
 	wrong := func(want string) *frontend.Problem {
 		return frontend.Invalid(name, "invalid_type", "Invalid type for '%s': expected %s, but got %s instead.", name, want,
 			strings.ToLower(v.Type.String()))
@@ -154,8 +154,8 @@
 		if v.Num < 1 {
 			return frontend.Invalid(name, "integer_below_min_value", "Invalid '%s': expected a value >= 1.", name)
 		}
-		if a.Most == 0 || name == "max_completion_tokens" {
-			a.Most = int(v.Num)
+		if a.MaxTokens == 0 || name == "max_completion_tokens" {
+			a.MaxTokens = int(v.Num)
 		}
 	case "n":
 		if v.Num != 1 {
@@ -177,7 +177,7 @@
 
 // messages checks the conversation and draws the names from it: the shared text is what the leading system
 // and developer messages say, the session the stated key or else how the conversation begins.
-func (a *Ask) messages(list gjson.Result, space, cacheKey string, public func(string) bool) *frontend.Problem {
+func (a *Request) messages(list gjson.Result, space, cacheKey string, public func(string) bool) *frontend.Problem {
 	shared, begins := sha256.New(), xxhash.New()
 	_, _ = begins.WriteString(space + "\x00")
 	var trouble *frontend.Problem
--- a/internal/dispatch/batches.go
+++ b/internal/dispatch/batches.go
@@ -52,9 +52,9 @@
 // batchCall is one client's.
 type batchCall struct {
 	x          *Dispatcher
-	ask        *embed.Ask
+	ask        *embed.Request
 	who        frontend.Identity
-	to         *frontend.Reply
+	to         *frontend.Response
 	clientID   string
 	product    scheduler.ClassID
 	form       pb.Product_Form
@@ -92,7 +92,7 @@
 	if kind == embed.Rerank {
 		bounds.Inputs = int(b.DocumentsMost)
 	}
-	return frontend.Route{Method: "POST", Body: bounds.Body, Keeps: bounds.Window, Begin: func(head *http1.Head, who frontend.Identity, to *frontend.Reply) (frontend.Sink, *frontend.Problem) {
+	return frontend.Route{Method: "POST", Body: bounds.Body, Keeps: bounds.Window, Begin: func(head *http1.Head, who frontend.Identity, to *frontend.Response) (frontend.Sink, *frontend.Problem) {
 		if p := frontend.IsJSON(head, "gzip", "zstd"); p != nil {
 			return nil, p
 		}
@@ -101,8 +101,8 @@
 			return nil, p
 		}
 		c := &batchCall{x: x, who: who, to: to, form: form, clientID: head.Get("x-client-request-id"), deadline: limit, out: map[batch.PartNo]*gen{}}
-		c.ask = embed.NewAsk(kind, head.Get("Content-Encoding"), bounds, c, to)
-		to.OnLeft = func() { x.loop.Later(c.left) }
+		c.ask = embed.NewRequest(kind, head.Get("Content-Encoding"), bounds, c, to)
+		to.OnDisconnect = func() { x.loop.Later(c.left) }
 		return c.ask, nil
 	}}
 }
@@ -129,8 +129,8 @@
 		return &frontend.Problem{Status: 403, Type: "permission_error", Code: "tenant_suspended", Never: true, Message: "This account is suspended."}
 	}
 	if x.batches.calls >= int(x.Doors.OpenMost) {
-		x.AtDoor++
-		return frontend.Crowded()
+		x.Shed++
+		return frontend.TooManyConnections()
 	}
 	now := x.loop.Now()
 	span := eventloop.Micros(p.TimeLimitMs) * eventloop.Millisecond
@@ -144,7 +144,7 @@
 		c.cache = x.cacheOf(c.who.Space, c.dimensions)
 	}
 	x.batches.calls++
-	x.Taken++
+	x.Accepted++
 	c.home = x.batches.of(s)
 	c.home.calls = append(c.home.calls, c)
 	return nil
@@ -268,10 +268,10 @@
 	x, s := c.x, c.home.seat
 	no, inputs := c.parts.Send()
 	tokens := c.ask.Tokens(inputs)
-	t, v := x.gate.Ask(now, s.id, c.who.Key, c.ask.Model, tokens, 0)
+	t, v := x.gate.Admit(now, s.id, c.who.Key, c.ask.Model, tokens, 0)
 	if v.Reason != tenancy.None {
-		x.Refused++
-		after := v.After
+		x.OverQuota++
+		after := v.RetryAfter
 		if after == 0 {
 			after = 100 * eventloop.Millisecond
 		}
@@ -285,14 +285,14 @@
 		return
 	}
 	x.lastGen++
-	g := &gen{id: x.lastGen, ask: &chat.Ask{Model: c.ask.Model, Tokens: tokens}, product: c.product, deadline: c.deadline, taken: now, clientID: c.clientID,
+	g := &gen{id: x.lastGen, ask: &chat.Request{Model: c.ask.Model, Tokens: tokens}, product: c.product, deadline: c.deadline, taken: now, clientID: c.clientID,
 		ticket: t, seat: s, part: &part{call: c, no: no, inputs: inputs, sent: now}}
-	t.Anything = g
+	t.Owner = g
 	x.gens[g.id] = g
 	c.out[no] = g
-	if v.Pass {
+	if v.Admitted {
 		x.batches.limiter.Sent()
-		g.State = lifecycle.Held
+		g.State = lifecycle.Pending
 		x.arrived(g)
 		return
 	}
@@ -322,13 +322,13 @@
 	c := p.call
 	to, body := c.ask.Part(p.inputs, c.dimensions)
 	inputs := len(p.inputs)
-	g.leg = x.engine.Whole(w.host, name, g.clientID, to, body, partAnswer, w.allow, func(body []byte) engine.Outcome {
+	g.leg = x.engine.PrefillOnly(w.host, name, g.clientID, to, body, partAnswer, w.allow, func(body []byte) engine.Result {
 		r, err := c.ask.ReadPart(body, inputs, c.dimensions)
 		if err != nil {
-			return engine.Outcome{How: scheduler.Errored, Why: "an answer that is not what was asked for: " + err.Error()}
+			return engine.Result{Outcome: scheduler.Errored, Reason: "an answer that is not what was asked for: " + err.Error()}
 		}
 		p.result = r
-		return engine.Outcome{How: scheduler.PrefillDone, Why: "read"}
+		return engine.Result{Outcome: scheduler.PrefillDone, Reason: "read"}
 	}, hear)
 }
 
@@ -344,13 +344,13 @@
 	} else if c.ended || p.bad {
 		x.batches.limiter.Taken()
 	} else {
-		x.batches.limiter.Back(now, g.ask.Tokens, now-p.sent, a == lifecycle.AnswerStreamed)
+		x.batches.limiter.Back(now, g.ask.Tokens, now-p.sent, a == lifecycle.AnswerCompleted)
 	}
 	if c.ended {
 		x.loop.Later(x.pump)
 		return
 	}
-	if a != lifecycle.AnswerStreamed {
+	if a != lifecycle.AnswerCompleted {
 		why := batch.Busy
 		switch {
 		case p.bad:
@@ -422,10 +422,10 @@
 		return
 	}
 	c.answer.Ask, c.answer.ID = c.ask, c.x.answerID(c.x.lastGen)
-	c.x.Streamed++
-	c.meter(lifecycle.AnswerStreamed)
+	c.x.Completed++
+	c.meter(lifecycle.AnswerCompleted)
 	c.end()
-	c.to.Pour("application/json", c.answer.Next, "x-request-id", c.answer.ID)
+	c.to.Stream("application/json", c.answer.Next, "x-request-id", c.answer.ID)
 }
 
 // end: nothing more is sent, what is out is taken back, and the call is forgotten.
@@ -455,23 +455,23 @@
 	slices.Sort(out)
 	for _, no := range out {
 		if g := c.out[no]; g != nil {
-			x.take(g, lifecycle.ClientLeft)
+			x.take(g, lifecycle.ClientDisconnected)
 		}
 	}
 	x.loop.Later(x.left)
 }
 
 func (c *batchCall) meter(final lifecycle.Action) {
-	u := tenancy.Used{Tenant: c.who.Tenant, Product: c.ask.Model, Day: tenancy.Day(c.x.loop.Now()), Taken: 1}
+	u := tenancy.Usage{Tenant: c.who.Tenant, Product: c.ask.Model, Day: tenancy.Day(c.x.loop.Now()), Accepted: 1}
 	switch final {
-	case lifecycle.AnswerStreamed:
-		u.Streamed = 1
-	case lifecycle.AnswerThrottled:
-		u.Throttled = 1
-	case lifecycle.AnswerTerminated:
-		u.Terminated = 1
+	case lifecycle.AnswerCompleted:
+		u.Completed = 1
+	case lifecycle.AnswerRejected:
+		u.Rejected = 1
+	case lifecycle.AnswerFailed:
+		u.Failed = 1
 	default:
-		u.Left = 1
+		u.Disconnected = 1
 	}
 	c.x.meter.Add(u)
 }
@@ -481,7 +481,7 @@
 	if c.ended {
 		return
 	}
-	if c.x.Left++; c.home != nil {
+	if c.x.Disconnected++; c.home != nil {
 		c.meter(lifecycle.Forget)
 	}
 	c.end()
@@ -492,18 +492,18 @@
 	if c.ended {
 		return
 	}
-	c.x.Terminated++
-	c.meter(lifecycle.AnswerTerminated)
+	c.x.Failed++
+	c.meter(lifecycle.AnswerFailed)
 	c.end()
-	c.to.Refuse(p)
+	c.to.Error(p)
 }
 
 // crowded: the answers of all calls together would take more memory than they may.
 func (c *batchCall) crowded() {
-	c.x.Throttled++
-	c.meter(lifecycle.AnswerThrottled)
+	c.x.Rejected++
+	c.meter(lifecycle.AnswerRejected)
 	c.end()
-	c.to.Refuse(&frontend.Problem{Status: 429, Type: "rate_limit_error", Code: "throttled", Message: "The service is busy. Please try again."})
+	c.to.Error(&frontend.Problem{Status: 429, Type: "rate_limit_error", Code: "throttled", Message: "The service is busy. Please try again."})
 }
 
 // late: its client's time is up.
@@ -533,16 +533,16 @@
 }
 
 func (c *batchCall) terminate(why string, again bool) {
-	c.x.Terminated++
-	c.meter(lifecycle.AnswerTerminated)
+	c.x.Failed++
+	c.meter(lifecycle.AnswerFailed)
 	c.end()
 	if !c.to.Done() {
-		c.to.Terminated(again, why)
+		c.to.Fail(again, why)
 	}
 }
 
 // refuse answers a call of which nothing has gone out and that its tenant's limits don't let in.
-func (c *batchCall) refuse(v tenancy.Verdict) {
+func (c *batchCall) refuse(v tenancy.Decision) {
 	if c.ended {
 		return
 	}
@@ -551,8 +551,8 @@
 			Message: "An input has more tokens than this account may ask for."})
 		return
 	}
-	c.x.Throttled++
-	c.meter(lifecycle.AnswerThrottled)
+	c.x.Rejected++
+	c.meter(lifecycle.AnswerRejected)
 	c.end()
-	c.to.Refused(v.Reason.String(), v.After)
+	c.to.RejectOverQuota(v.Reason.String(), v.RetryAfter)
 }
--- a/internal/dispatch/batches_test.go
+++ b/internal/dispatch/batches_test.go
@@ -423,7 +423,7 @@
 	r.far.Do(c.conn.Abort)
 	r.w.Run(eventloop.Second)
 	r.idle()
-	if n, m := r.x.Reached[lifecycle.Reading][lifecycle.LegWhole], r.x.Reached[lifecycle.Leaving][lifecycle.LegWhole]; n == 0 || m == 0 {
+	if n, m := r.x.Coverage[lifecycle.Prefilling][lifecycle.PrefillOnlyCompleted], r.x.Coverage[lifecycle.Closing][lifecycle.PrefillOnlyCompleted]; n == 0 || m == 0 {
 		t.Errorf("reached %d times while it was read, %d after its client left", n, m)
 	}
 }
--- a/internal/dispatch/boot.go
+++ b/internal/dispatch/boot.go
@@ -10,7 +10,7 @@
 // begin starts with the list that was kept, as far as its age lets it be believed.
 func (x *Dispatcher) begin() {
 	now := x.loop.Now()
-	for i, kept := range x.post.Kept {
+	for i, kept := range x.post.CachedEndpoints {
 		if len(kept) == 0 {
 			continue
 		}
@@ -20,12 +20,12 @@
 			continue
 		}
 		byID := map[uint32]roster.Entry{}
-		var hosts []hostcache.Host
+		var hosts []hostcache.Endpoint
 		for _, e := range entries {
 			byID[uint32(e.ID)] = e
-			hosts = append(hosts, hostcache.Host{ID: uint32(e.ID), Group: e.Zone + "/" + e.Kind, Started: eventloop.Micros(e.Started)})
+			hosts = append(hosts, hostcache.Endpoint{ID: uint32(e.ID), Group: e.Zone + "/" + e.Kind, Started: eventloop.Micros(e.Started)})
 		}
-		trust := hostcache.Weigh(now, eventloop.Micros(saved))
+		trust := hostcache.Assess(now, eventloop.Micros(saved))
 		x.post.Log.Info().Int("hosts", len(hosts)).Str("trust", trust.String()).Int64("age_ms", int64((now-eventloop.Micros(saved))/eventloop.Millisecond)).
 			Msg("starting with a kept list")
 		for _, w := range hostcache.Plan(now, trust, hosts) {
@@ -72,7 +72,7 @@
 			missing = append(missing, e)
 		}
 	}
-	doubt := hostcache.Doubt(ready, len(missing), eventloop.Micros(x.Rules.DrainGraceMs)*eventloop.Millisecond)
+	doubt := hostcache.RemovalDelay(ready, len(missing), eventloop.Micros(x.Rules.DrainGraceMs)*eventloop.Millisecond)
 	if doubt == 0 {
 		x.tell(entries, true)
 		return
--- a/internal/dispatch/check.go
+++ b/internal/dispatch/check.go
@@ -9,11 +9,11 @@
 	"plumspindle/scheduler"
 )
 
-// Plant is where a fault can be planted on purpose, to see that it is found out. There is none in service.
-type Plant struct {
-	Orders func(scheduler.Executor) scheduler.Executor
-	Place  func(*scheduler.Config)
-	News   func([]roster.Entry) []roster.Entry
+// Mutation is where a fault can be planted on purpose, to see that it is found out. There is none in service.
+type Mutation struct {
+	Executor       func(scheduler.Executor) scheduler.Executor
+	Config         func(*scheduler.Config)
+	EndpointUpdate func([]roster.Entry) []roster.Entry
 }
 
 // overdue is how long after its time a generation may still be waiting: the loop's own work, and whole answers' grace.
@@ -29,9 +29,9 @@
 		switch {
 		case g.id != id:
 			fault = "kept under another's id"
-		case (g.State == lifecycle.Held || g.State == lifecycle.Queued) && len(g.replies) == 0 && g.part == nil:
+		case (g.State == lifecycle.Pending || g.State == lifecycle.Queued) && len(g.replies) == 0 && g.part == nil:
 			fault = "nobody waits for it"
-		case g.State == lifecycle.Reading && g.leg == nil:
+		case g.State == lifecycle.Prefilling && g.leg == nil:
 			fault = "read without a leg"
 		case g.State == lifecycle.Streaming && g.leg == nil:
 			fault = "streamed without a leg"
@@ -45,10 +45,10 @@
 		if fault != "" {
 			return fmt.Errorf("generation %d (%s), %v: %s", id, g.clientID, g.State, fault)
 		}
-		if g.LegOut() {
+		if g.AttemptInFlight() {
 			legs++
 		}
-		if g.part != nil && !g.part.queued && g.final == 0 && g.State != lifecycle.Over {
+		if g.part != nil && !g.part.queued && g.final == 0 && g.State != lifecycle.Done {
 			parts++
 		}
 	}
--- a/internal/dispatch/dispatch.go
+++ b/internal/dispatch/dispatch.go
@@ -38,26 +38,26 @@
 	"plumspindle/scheduler"
 )
 
-// Post is where one dispatcher stands.
-type Post struct {
-	Name   string // tells it apart from all others, also from the one that it replaces
-	Zone   string
-	Seed   int64
-	Roster string   // address of the list's source; empty: only the kept list is used
-	Kept   [][]byte // the last lists, as Keep was handed them, the newest first; the first that can be read is used
-	Keep   func(list []byte)
-	Log    zerolog.Logger
+// Config is where one dispatcher stands.
+type Config struct {
+	Name            string // tells it apart from all others, also from the one that it replaces
+	Zone            string
+	Seed            int64
+	Discovery       string   // address of the list's source; empty: only the kept list is used
+	CachedEndpoints [][]byte // the last lists, as Keep was handed them, the newest first; the first that can be read is used
+	CacheEndpoints  func(list []byte)
+	Log             zerolog.Logger
 
 	Intents *store.Store // keeps, across restarts, which generations with a key may have run; nil: a restart forgets them
 
-	Tenants string // address of the administration; empty: only the deployment's own tenants, and kept ones, are served
-	Secret  []byte // shared with the administration; keys are sealed with it
-	Plant   *Plant // a fault on purpose; nil in service
+	Tenants  string    // address of the administration; empty: only the deployment's own tenants, and kept ones, are served
+	Secret   []byte    // shared with the administration; keys are sealed with it
+	Mutation *Mutation // a fault on purpose; nil in service
 
 	Descriptors int // that this process may have open; 0: not known, and clients may have all
 
-	KeptTenants []byte // what the administration last said, as KeepTenants was handed it
-	KeepTenants func([]byte)
+	CachedTenants []byte // what the administration last said, as KeepTenants was handed it
+	CacheTenants  func([]byte)
 }
 
 const (
@@ -74,11 +74,11 @@
 
 // Counts are what the dispatcher has done since its start.
 type Counts struct {
-	Taken, Streamed, Throttled, Terminated, Left, AtDoor uint64
-	Refused                                              uint64 // by their tenants' limits; not taken
-	Legs, Events                                         uint64
-	Repeats                                              uint64 // answered from a generation that ran before, or runs
-	Reached                                              lifecycle.Reached
+	Accepted, Completed, Rejected, Failed, Disconnected, Shed uint64
+	OverQuota                                                 uint64 // by their tenants' limits; not taken
+	Attempts, Events                                          uint64
+	Repeats                                                   uint64 // answered from a generation that ran before, or runs
+	Coverage                                                  lifecycle.Coverage
 }
 
 // Dispatcher is one.
@@ -86,19 +86,19 @@
 	batches batches
 	deployment.Deployment
 	loop     eventloop.Loop
-	post     Post
+	post     Config
 	module   *scheduler.Scheduler
 	place    scheduler.Config
 	engine   *engine.Engine
-	list     *roster.Client
-	front    *frontend.Front
+	list     *roster.Watch
+	front    *frontend.Server
 	gens     map[scheduler.RequestID]*gen
 	lastGen  scheduler.RequestID
 	products map[string]scheduler.ClassID
 
-	gate      *tenancy.Gate
+	gate      *tenancy.AdmissionController
 	directory *tenancy.Directory
-	meter     *tenancy.Meter
+	meter     *tenancy.UsageMeter
 	feed      *subscribe.Client
 	seats     map[string]*seat
 	static    map[[sha256.Size]byte]*seat
@@ -110,7 +110,7 @@
 	keeping bool
 	heard   uint64 // lists and changes that came from discovery
 	starts  map[scheduler.EndpointID]starttimes.Start
-	repeats *idempotency.Book
+	repeats *idempotency.Cache
 	runs    map[*idempotency.Entry]*gen // generations with a key that are not answered yet
 	leaving func()                      // what to do once nothing runs any more
 	healing bool                        // the record of intents has failed, and is tried again
@@ -119,12 +119,12 @@
 
 // gen is what the dispatcher keeps of a generation: what the module does not know, and nothing that it does.
 type gen struct {
-	lifecycle.Path
+	lifecycle.Machine
 	id       scheduler.RequestID
-	ask      *chat.Ask
+	ask      *chat.Request
 	product  scheduler.ClassID
 	answerID string
-	replies  []*frontend.Reply // of its client, and of those that came with the same key
+	replies  []*frontend.Response // of its client, and of those that came with the same key
 	clientID string
 	legs     scheduler.AttemptNo // sent so far
 	leg      *engine.Attempt     // the last one
@@ -155,7 +155,7 @@
 }
 
 // Start makes a dispatcher on a loop; Front's Accept takes its clients.
-func Start(loop eventloop.Loop, d deployment.Deployment, post Post) (*Dispatcher, error) {
+func Start(loop eventloop.Loop, d deployment.Deployment, post Config) (*Dispatcher, error) {
 	if !slices.Contains(d.Zones, post.Zone) {
 		return nil, fmt.Errorf("the deployment has no zone %q", post.Zone)
 	}
@@ -164,7 +164,7 @@
 		products: map[string]scheduler.ClassID{},
 		hosts:    map[scheduler.EndpointID]roster.Entry{}, starts: map[scheduler.EndpointID]starttimes.Start{}}
 	x.engine = engine.New(loop, post.Name, post.Zone, engine.Limits{Connect: ms(d.Dispatching.ConnectMs),
-		Idle: ms(d.Dispatching.IdleMs), Silence: ms(d.Dispatching.SilenceMs), Most: int(d.Dispatching.Connections),
+		Idle: ms(d.Dispatching.IdleMs), Silence: ms(d.Dispatching.SilenceMs), PerEndpoint: int(d.Dispatching.Connections),
 		Opening: int(d.Dispatching.Openings)})
 	for i, p := range d.Products {
 		x.products[p.Name] = scheduler.ClassID(i)
@@ -176,32 +176,32 @@
 	patience := frontend.UsualPatience
 	patience.Message, patience.Stall, patience.Unsent = ms(d.Doors.MessageMs), ms(d.Doors.StallMs), int(d.Doors.UnsentMost)
 	x.front = frontend.New(loop, x, x.routes(), bounds, patience)
-	x.front.Bodies = bodiesMost * bounds.Body
+	x.front.MaxBufferedBodies = bodiesMost * bounds.Body
 	if n := post.Descriptors; n > 0 {
-		x.front.Most = max((n-min(descriptorsKept, n/2))/2, 1)
+		x.front.MaxConnections = max((n-min(descriptorsKept, n/2))/2, 1)
 	}
-	x.repeats = idempotency.NewBook(int(d.Doors.RememberMost), int(d.Doors.RememberBytes), answerKept)
+	x.repeats = idempotency.NewCache(int(d.Doors.RememberMost), int(d.Doors.RememberBytes), answerKept)
 	x.recall()
 	x.place = d.Module()
 	x.place.Quotas = nil // told tenant by tenant, as they come
 	x.place.Zone = scheduler.ZoneID(slices.Index(d.Zones, post.Zone))
 	var orders scheduler.Executor = x
 	place := x.place
-	if t := post.Plant; t != nil && t.Place != nil {
-		t.Place(&place)
+	if t := post.Mutation; t != nil && t.Config != nil {
+		t.Config(&place)
 	}
-	if t := post.Plant; t != nil && t.Orders != nil {
-		orders = t.Orders(x)
+	if t := post.Mutation; t != nil && t.Executor != nil {
+		orders = t.Executor(x)
 	}
 	x.module = scheduler.New(loop.Now(), post.Seed, place, orders)
 	if err := x.seatTenants(); err != nil {
 		return nil, err
 	}
-	x.list = roster.NewClient(loop, post.Seed, post.Roster, post.Name)
-	x.list.News = x.news
+	x.list = roster.NewWatch(loop, post.Seed, post.Discovery, post.Name)
+	x.list.OnUpdate = x.news
 	x.list.Log = func(line string) { post.Log.Warn().Msg(line) }
 	x.begin()
-	if post.Roster != "" {
+	if post.Discovery != "" {
 		x.list.Subscribe()
 	}
 	return x, nil
@@ -212,7 +212,7 @@
 	all := map[string]frontend.Route{}
 	list, many, below, one := frontend.Models(x.Models)
 	all[list], all[below] = many, one
-	chatAt, r := chat.Route(func(digest string) bool { return x.directory.Public(digest) }, x.Generate)
+	chatAt, r := chat.Route(func(digest string) bool { return x.directory.Public(digest) }, x.HandleChat)
 	all[chatAt] = r
 	all["/v1/embeddings"] = x.batchRoute(embed.Embeddings, pb.Product_EMBEDDING)
 	all["/v1/rerank"] = x.batchRoute(embed.Rerank, pb.Product_RERANK)
@@ -220,12 +220,12 @@
 }
 
 // Front is the client's side.
-func (x *Dispatcher) Front() *frontend.Front { return x.front }
+func (x *Dispatcher) Front() *frontend.Server { return x.front }
 
-// Leave takes nothing new and calls done once nothing runs any more.
-func (x *Dispatcher) Leave(done func()) {
+// Shutdown takes nothing new and calls done once nothing runs any more.
+func (x *Dispatcher) Shutdown(done func()) {
 	x.leaving = done
-	x.front.Leave()
+	x.front.Shutdown()
 	x.list.Close()
 	if x.feed != nil {
 		x.feed.Close()
@@ -260,11 +260,11 @@
 	return false
 }
 
-// Running is how many generations are taken and not yet let go of.
-func (x *Dispatcher) Running() int { return len(x.gens) }
+// OpenRequests is how many generations are taken and not yet let go of.
+func (x *Dispatcher) OpenRequests() int { return len(x.gens) }
 
-// Remains describes what still runs, for those who wonder why it does.
-func (x *Dispatcher) Remains() (lines []string) {
+// DescribeOpen describes what still runs, for those who wonder why it does.
+func (x *Dispatcher) DescribeOpen() (lines []string) {
 	for id, g := range x.gens {
 		lines = append(lines, fmt.Sprintf("generation %d (%s): %v, legs %d, last at host %d, %d clients", id, g.clientID, g.State, g.legs, g.host,
 			len(g.replies)))
@@ -276,16 +276,16 @@
 // --- The list ---
 
 func (x *Dispatcher) news(entries []roster.Entry, whole bool) {
-	if t := x.post.Plant; t != nil && t.News != nil {
-		entries = t.News(entries)
+	if t := x.post.Mutation; t != nil && t.EndpointUpdate != nil {
+		entries = t.EndpointUpdate(entries)
 	}
 	x.heard++
 	x.believe(entries, whole)
-	if x.post.Keep != nil && !x.keeping {
+	if x.post.CacheEndpoints != nil && !x.keeping {
 		x.keeping = true
 		x.loop.After(keepEvery, func() {
 			x.keeping = false
-			x.post.Keep(x.list.Snapshot(int64(x.loop.Now())))
+			x.post.CacheEndpoints(x.list.Snapshot(int64(x.loop.Now())))
 		})
 	}
 }
@@ -296,7 +296,7 @@
 	for _, e := range entries {
 		stamps = append(stamps, eventloop.Micros(e.Started))
 	}
-	ahead := starttimes.Ahead(now, stamps...)
+	ahead := starttimes.ClockSkew(now, stamps...)
 	for _, e := range entries {
 		zone, kind := slices.Index(x.Zones, e.Zone), unknownKind
 		for i, k := range x.Kinds {
@@ -316,7 +316,7 @@
 			delete(x.hosts, e.ID)
 			delete(x.starts, e.ID)
 		} else {
-			x.engine.Place(e.ID, e.Addr)
+			x.engine.SetAddress(e.ID, e.Addr)
 		}
 		start := starttimes.Next(x.starts[e.ID], eventloop.Micros(e.Started), now, ahead, x.heard > 1)
 		if e.Condition != "gone" {
@@ -332,7 +332,7 @@
 			readers++
 		}
 	}
-	x.gate.Places(readers)
+	x.gate.SetPrefillEndpoints(readers)
 	x.turns()
 }
 
@@ -369,8 +369,8 @@
 	return eventloop.Micros(ms) * eventloop.Millisecond, nil
 }
 
-// Generate takes a generation.
-func (x *Dispatcher) Generate(ask *chat.Ask, who frontend.Identity, head *http1.Head, to *frontend.Reply) *frontend.Problem {
+// HandleChat takes a generation.
+func (x *Dispatcher) HandleChat(ask *chat.Request, who frontend.Identity, head *http1.Head, to *frontend.Response) *frontend.Problem {
 	product, known := x.products[ask.Model]
 	if !known {
 		return frontend.NoModel(ask.Model)
@@ -393,12 +393,12 @@
 		deadline = min(deadline, now+limit)
 	}
 	if len(x.gens) >= int(x.Doors.OpenMost) {
-		x.AtDoor++
-		to.Throttled(0)
+		x.Shed++
+		to.Reject(0)
 		return nil
 	}
-	if ask.Most == 0 {
-		ask.Most = int(p.MostTokens)
+	if ask.MaxTokens == 0 {
+		ask.MaxTokens = int(p.MostTokens)
 	}
 	g := &gen{id: x.lastGen + 1, ask: ask, product: product, deadline: deadline, taken: now, clientID: head.Get("x-client-request-id")}
 	g.answerID = x.answerID(g.id)
@@ -419,7 +419,7 @@
 		return problem
 	}
 	x.lastGen++
-	x.Taken++
+	x.Accepted++
 	x.gens[g.id] = g
 	if g.repeat != nil {
 		x.runs[g.repeat] = g
@@ -429,7 +429,7 @@
 		x.heartbeat(g, to, beat)
 	}
 	if pass {
-		g.State = lifecycle.Held
+		g.State = lifecycle.Pending
 		x.arrived(g)
 	} else {
 		x.wait(g)
@@ -438,28 +438,28 @@
 }
 
 // attach makes a reply one that the generation's answer goes to.
-func (x *Dispatcher) attach(g *gen, to *frontend.Reply) {
-	to.Shape(&chat.Answer{ID: g.answerID, Model: g.ask.Model, Created: int64(x.loop.Now() / eventloop.Second), Ask: g.ask})
+func (x *Dispatcher) attach(g *gen, to *frontend.Response) {
+	to.SetFormat(&chat.Answer{ID: g.answerID, Model: g.ask.Model, Created: int64(x.loop.Now() / eventloop.Second), Ask: g.ask})
 	g.replies = append(g.replies, to)
-	to.OnLeft = func() { x.loop.Later(func() { x.clientLeft(g, to) }) } // never within the module's own call
-	to.OnDrained = func() { x.take(g, lifecycle.CaughtUp) }
+	to.OnDisconnect = func() { x.loop.Later(func() { x.clientLeft(g, to) }) } // never within the module's own call
+	to.OnDrained = func() { x.take(g, lifecycle.ClientCaughtUp) }
 }
 
 // heartbeat keeps a stream that has nothing to say yet from being taken for dead by what stands between.
-func (x *Dispatcher) heartbeat(g *gen, to *frontend.Reply, every eventloop.Micros) {
+func (x *Dispatcher) heartbeat(g *gen, to *frontend.Response, every eventloop.Micros) {
 	g.beat = x.loop.After(every, func() {
-		if to.Beat() {
+		if to.Heartbeat() {
 			x.heartbeat(g, to, every)
 		}
 	})
 }
 
 // again finds what a request with a key is answered with, where it is not to run.
-func (x *Dispatcher) again(g *gen, space, key string, to *frontend.Reply) (answered bool, problem *frontend.Problem) {
+func (x *Dispatcher) again(g *gen, space, key string, to *frontend.Response) (answered bool, problem *frontend.Problem) {
 	digest := sha256.Sum256([]byte(space + "\x00" + g.ask.Model + "\x00" + key))
-	shape := fmt.Sprint(g.ask.Stream, g.ask.IncludeUsage, g.ask.Most, " ")
+	shape := fmt.Sprint(g.ask.Stream, g.ask.IncludeUsage, g.ask.MaxTokens, " ")
 	request := xxhash.Sum64String(shape + string(g.ask.Rest))
-	verdict, entry := x.repeats.Ask(x.loop.Now(), idempotency.Key(digest[:16]), request)
+	verdict, entry := x.repeats.Begin(x.loop.Now(), idempotency.Key(digest[:16]), request)
 	if verdict != idempotency.New && verdict != idempotency.Full {
 		x.Repeats++
 	}
@@ -468,8 +468,8 @@
 		g.repeat = entry
 		return false, nil
 	case idempotency.Full:
-		x.AtDoor++
-		to.Throttled(0)
+		x.Shed++
+		to.Reject(0)
 		return true, nil
 	case idempotency.Join, idempotency.Replay:
 		first := x.runs[entry]
@@ -481,7 +481,7 @@
 			to.Chunk(data)
 		}
 		if verdict == idempotency.Replay {
-			to.Streamed()
+			to.Complete()
 		}
 		return true, nil
 	case idempotency.Conflict:
@@ -503,22 +503,22 @@
 
 // clientLeft: this client waits no more. What has a key and may be running goes on without it, as its client can only
 // ask for it again: it is not run a second time.
-func (x *Dispatcher) clientLeft(g *gen, to *frontend.Reply) {
+func (x *Dispatcher) clientLeft(g *gen, to *frontend.Response) {
 	at := slices.Index(g.replies, to)
 	if at < 0 {
 		return
 	}
 	g.replies = slices.Delete(g.replies, at, at+1)
-	x.Left++
-	if len(g.replies) > 0 || g.repeat != nil && (g.State == lifecycle.Writing || g.State == lifecycle.Streaming) {
-		x.take(g, lifecycle.CaughtUp)            // it may have been the one that lagged
+	x.Disconnected++
+	if len(g.replies) > 0 || g.repeat != nil && (g.State == lifecycle.Decoding || g.State == lifecycle.Streaming) {
+		x.take(g, lifecycle.ClientCaughtUp)      // it may have been the one that lagged
 		if len(g.replies) == 0 && g.alone == 0 { // nobody's request holds its body any more, and it is kept all the same
 			g.alone = len(g.ask.Rest)
 			x.front.Kept += g.alone
 		}
 		return
 	}
-	x.take(g, lifecycle.ClientLeft)
+	x.take(g, lifecycle.ClientDisconnected)
 }
 
 // --- The path ---
@@ -528,13 +528,13 @@
 	host     scheduler.EndpointID
 	allow    scheduler.Micros
 	comeBack scheduler.Micros
-	outcome  engine.Outcome
+	outcome  engine.Result
 	data     []byte
 	why      string
 }
 
 // cancelled is the outcome of a leg that was closed on this side; its host is not to blame.
-var cancelled = engine.Outcome{How: scheduler.Cancelled, Memory: scheduler.NoLoadReport, Why: "closed on this side"}
+var cancelled = engine.Result{Outcome: scheduler.Cancelled, MemoryUsage: scheduler.NoLoadReport, Reason: "closed on this side"}
 
 // take moves a generation on by the table of package path, and does what that says.
 func (x *Dispatcher) take(g *gen, e lifecycle.Event, with ...what) {
@@ -542,7 +542,7 @@
 	if len(with) > 0 {
 		w = with[0]
 	}
-	for _, a := range g.Take(e, &x.Reached) {
+	for _, a := range g.Fire(e, &x.Coverage) {
 		x.do(g, a, w)
 	}
 }
@@ -550,9 +550,9 @@
 func (x *Dispatcher) do(g *gen, a lifecycle.Action, w what) {
 	now := x.loop.Now()
 	switch a {
-	case lifecycle.CarryRead, lifecycle.CarryWrite:
-		x.carry(g, a == lifecycle.CarryRead, w)
-	case lifecycle.CloseLeg:
+	case lifecycle.StartPrefill, lifecycle.StartDecode:
+		x.carry(g, a == lifecycle.StartPrefill, w)
+	case lifecycle.CloseAttempt:
 		if g.leg != nil { // else its intent is still being kept
 			g.leg.Cancel()
 		}
@@ -560,61 +560,63 @@
 		no := g.legs
 		x.loop.Later(func() {
 			if no == g.legs {
-				x.take(g, lifecycle.LegFailed, what{outcome: cancelled})
+				x.take(g, lifecycle.AttemptFailed, what{outcome: cancelled})
 			}
 		})
-	case lifecycle.ReleaseLeg:
+	case lifecycle.ReleaseAttempt:
 		// A read that we quit may have ended all the same, and nobody was told where its state lies.
-		if n := len(g.mayLie); n > 0 && g.mayLie[n-1].name == x.engine.LegName(g.id, g.legs-1) {
-			x.engine.LetGo(g.mayLie[n-1].host, []string{g.mayLie[n-1].name})
+		if n := len(g.mayLie); n > 0 && g.mayLie[n-1].name == x.engine.AttemptName(g.id, g.legs-1) {
+			x.engine.Release(g.mayLie[n-1].host, []string{g.mayLie[n-1].name})
 			g.mayLie = g.mayLie[:n-1]
 		}
-	case lifecycle.Release:
+	case lifecycle.ReleaseState:
 		for _, p := range g.mayLie {
-			x.engine.LetGo(p.host, []string{p.name})
+			x.engine.Release(p.host, []string{p.name})
 		}
 		g.mayLie, g.state = nil, ""
-	case lifecycle.Fetched:
+	case lifecycle.StateFetched:
 		g.state, g.mayLie = "", nil
-	case lifecycle.TellStarted:
+	case lifecycle.NotifyStarted:
 		slo := x.place.Classes[g.product].SLO + scheduler.Micros(float64(x.place.Classes[g.product].SLOPer1000)*float64(g.ask.Tokens)/1000)
 		x.batches.limiter.Chat(now, now-g.taken, slo)
 		g.leg.Started()
 		if !g.ask.Stream {
 			// The client of a whole answer has nothing yet, so its time goes on.
-			g.limit = x.loop.After(g.deadline-wholeGrace-now, func() { x.take(g, lifecycle.TimeUp, what{why: "The answer was not whole within the client's time."}) })
+			g.limit = x.loop.After(g.deadline-wholeGrace-now, func() {
+				x.take(g, lifecycle.DeadlineExceeded, what{why: "The answer was not whole within the client's time."})
+			})
 		}
-		x.gate.Began(now, g.ticket, now-g.taken, slo)
+		x.gate.FirstToken(now, g.ticket, now-g.taken, slo)
 		x.module.AttemptStarted(now, g.id, g.legs-1)
 		x.loop.Later(x.turns)
-	case lifecycle.TellEnded:
+	case lifecycle.NotifyEnded:
 		o := w.outcome
-		if o == (engine.Outcome{}) {
+		if o == (engine.Result{}) {
 			o = cancelled
 		}
-		x.module.AttemptEnded(now, g.id, g.legs-1, o.How, o.Note, g.Answered(), o.Memory)
-	case lifecycle.TellArrived:
+		x.module.AttemptEnded(now, g.id, g.legs-1, o.Outcome, o.Note, g.Answered(), o.MemoryUsage)
+	case lifecycle.NotifyArrived:
 		if g.part != nil {
 			g.part.admitted(now)
 		}
 		x.arrived(g)
-	case lifecycle.TellQuit:
+	case lifecycle.NotifyWithdrawn:
 		x.module.RequestWithdrawn(now, g.id)
-	case lifecycle.TellLeft:
+	case lifecycle.NotifyDisconnected:
 		x.module.ClientDisconnected(now, g.id)
-	case lifecycle.Relay:
+	case lifecycle.ForwardEvent:
 		x.relay(g, w.data)
-	case lifecycle.AnswerStreamed, lifecycle.AnswerThrottled, lifecycle.AnswerTerminated:
+	case lifecycle.AnswerCompleted, lifecycle.AnswerRejected, lifecycle.AnswerFailed:
 		g.final = a
 		if g.part != nil {
 			g.part.answered(g, a, w.comeBack)
 			return
 		}
 		x.answerAs(g, a, w)
-	case lifecycle.SlowLeg:
-		g.leg.Slow(true)
-	case lifecycle.ResumeLeg:
-		g.leg.Slow(false)
+	case lifecycle.PauseAttempt:
+		g.leg.PauseReading(true)
+	case lifecycle.ResumeAttempt:
+		g.leg.PauseReading(false)
 	case lifecycle.Forget:
 		x.forget(g)
 	}
@@ -623,30 +625,30 @@
 // answerAs gives the one final answer.
 func (x *Dispatcher) answerAs(g *gen, a lifecycle.Action, w what) {
 	switch a {
-	case lifecycle.AnswerStreamed:
-		x.Streamed++
+	case lifecycle.AnswerCompleted:
+		x.Completed++
 		x.note(g, "streamed", w.why)
-		x.answer(g, true, func(r *frontend.Reply) { r.Streamed() })
-	case lifecycle.AnswerThrottled:
-		x.Throttled++
+		x.answer(g, true, func(r *frontend.Response) { r.Complete() })
+	case lifecycle.AnswerRejected:
+		x.Rejected++
 		x.note(g, "throttled", w.why)
-		x.answer(g, false, func(r *frontend.Reply) { r.Throttled(w.comeBack) })
+		x.answer(g, false, func(r *frontend.Response) { r.Reject(w.comeBack) })
 	default:
-		x.Terminated++
+		x.Failed++
 		why, again := w.why, x.Products[g.product].Effect == pb.Product_IDEMPOTENT
-		if g.tokens > 0 && w.outcome.Why != "" {
+		if g.tokens > 0 && w.outcome.Reason != "" {
 			why = "The stream broke after " + strconv.Itoa(g.tokens) + " tokens."
 		}
 		if !again {
 			why += " It may have run and must not be repeated by itself."
 		}
 		x.note(g, "terminated", why)
-		x.answer(g, false, func(r *frontend.Reply) { r.Terminated(again, why) })
+		x.answer(g, false, func(r *frontend.Response) { r.Fail(again, why) })
 	}
 }
 
 // answer gives the final answer to all that wait for it, and has it remembered.
-func (x *Dispatcher) answer(g *gen, good bool, give func(*frontend.Reply)) {
+func (x *Dispatcher) answer(g *gen, good bool, give func(*frontend.Response)) {
 	for _, r := range g.replies {
 		give(r)
 	}
@@ -690,17 +692,17 @@
 func (x *Dispatcher) carry(g *gen, reads bool, w what) {
 	no := g.legs
 	g.legs++
-	x.Legs++
+	x.Attempts++
 	g.host = w.host
-	name := x.engine.LegName(g.id, no)
+	name := x.engine.AttemptName(g.id, no)
 	hear := engine.Callbacks{
 		Event: func(data []byte) {
 			if no == g.legs-1 {
 				x.Events++
-				x.take(g, lifecycle.Token, what{data: data})
+				x.take(g, lifecycle.EventReceived, what{data: data})
 			}
 		},
-		Ended: func(o engine.Outcome) {
+		Ended: func(o engine.Result) {
 			if no == g.legs-1 {
 				x.ended(g, o)
 			}
@@ -713,65 +715,65 @@
 	if reads {
 		g.mayLie = append(g.mayLie, place{w.host, name})
 		x.intendEarly(g)
-		g.leg = x.engine.Read(w.host, name, g.clientID, g.ask, w.allow, hear)
+		g.leg = x.engine.Prefill(w.host, name, g.clientID, g.ask, w.allow, hear)
 		return
 	}
 	g.ran, g.ranFirst = true, g.ran
 	g.leg = nil
 	x.intend(g, func(kept bool) {
-		if no != g.legs-1 || g.State != lifecycle.Writing {
+		if no != g.legs-1 || g.State != lifecycle.Decoding {
 			return // taken back, or answered, meanwhile
 		}
 		if e, some := x.hosts[w.host]; !kept || some && e.State() != scheduler.Ready || !some {
 			// Not kept: it could run twice after a restart. Drained meanwhile: nothing new may go there.
 			x.loop.Later(func() { // never within the module's own call
-				if no == g.legs-1 && g.State == lifecycle.Writing {
-					x.ended(g, engine.Outcome{How: scheduler.NotSent, Memory: scheduler.NoLoadReport, Why: "not sent: its intent is not kept, or the host is going"})
+				if no == g.legs-1 && g.State == lifecycle.Decoding {
+					x.ended(g, engine.Result{Outcome: scheduler.NotSent, MemoryUsage: scheduler.NoLoadReport, Reason: "not sent: its intent is not kept, or the host is going"})
 				}
 			})
 			return
 		}
-		g.leg = x.engine.Write(w.host, name, g.clientID, g.ask, g.state, g.ask.Most, w.allow, hear)
+		g.leg = x.engine.Decode(w.host, name, g.clientID, g.ask, g.state, g.ask.MaxTokens, w.allow, hear)
 	})
 	x.late(g, no)
 }
 
 // ended takes the end of a leg.
-func (x *Dispatcher) ended(g *gen, o engine.Outcome) {
-	e := lifecycle.LegFailed
-	switch o.How {
+func (x *Dispatcher) ended(g *gen, o engine.Result) {
+	e := lifecycle.AttemptFailed
+	switch o.Outcome {
 	case scheduler.PrefillDone:
-		e = lifecycle.LegRead
+		e = lifecycle.PrefillCompleted
 		if g.state = o.State; g.part != nil {
-			e = lifecycle.LegWhole
+			e = lifecycle.PrefillOnlyCompleted
 		}
 	case scheduler.Completed:
-		e = lifecycle.LegStreamed
+		e = lifecycle.DecodeCompleted
 	case scheduler.NoCapacity, scheduler.Unreachable, scheduler.NotSent:
-		e = lifecycle.LegRefused
-		if n := len(g.mayLie); n > 0 && g.State == lifecycle.Reading {
+		e = lifecycle.AttemptRejected
+		if n := len(g.mayLie); n > 0 && g.State == lifecycle.Prefilling {
 			g.mayLie = g.mayLie[:n-1]
 		}
-		if g.State == lifecycle.Writing {
+		if g.State == lifecycle.Decoding {
 			g.ran = g.ranFirst
 		}
 	}
 	if g.part != nil {
-		if o.How == scheduler.Errored || o.How == scheduler.ConnectionLost {
+		if o.Outcome == scheduler.Errored || o.Outcome == scheduler.ConnectionLost {
 			g.part.broken++
 		}
-		g.part.bad = g.part.bad || o.Bad
+		g.part.bad = g.part.bad || o.InvalidRequest
 		if g.part.bad || g.part.broken == batch.HostsMost { // no other host would do better; the call sees to what is the matter
-			x.take(g, lifecycle.ClientLeft)
+			x.take(g, lifecycle.ClientDisconnected)
 		}
 	}
-	if o.How != scheduler.Completed && o.How != scheduler.PrefillDone {
+	if o.Outcome != scheduler.Completed && o.Outcome != scheduler.PrefillDone {
 		x.post.Log.Debug().Uint64("gen", uint64(g.id)).Int("leg", int(g.legs)-1).Uint32("host", uint32(g.host)).
-			Int("ending", int(o.How)).Str("why", o.Why).Msg("leg ended")
+			Int("ending", int(o.Outcome)).Str("why", o.Reason).Msg("leg ended")
 	}
 	x.take(g, e, what{outcome: o})
-	if len(g.replies) == 0 && g.part == nil && (g.State == lifecycle.Held || g.State == lifecycle.Reading) {
-		x.take(g, lifecycle.ClientLeft) // its client left while it was written, and it is not: what has not run need not go on
+	if len(g.replies) == 0 && g.part == nil && (g.State == lifecycle.Pending || g.State == lifecycle.Prefilling) {
+		x.take(g, lifecycle.ClientDisconnected) // its client left while it was written, and it is not: what has not run need not go on
 	}
 }
 
@@ -794,7 +796,7 @@
 		lags = r.Chunk(data) || lags
 	}
 	if lags {
-		x.take(g, lifecycle.Lags)
+		x.take(g, lifecycle.ClientLagging)
 	}
 }
 
@@ -811,9 +813,9 @@
 // Send makes a leg.
 func (x *Dispatcher) Send(id scheduler.RequestID, host scheduler.EndpointID, allow scheduler.Micros) {
 	if g := x.gens[id]; g != nil {
-		e := lifecycle.OrderWrite
+		e := lifecycle.DecodeOrdered
 		if x.role(host) == scheduler.Prefill || g.part != nil {
-			e = lifecycle.OrderRead
+			e = lifecycle.PrefillOrdered
 		}
 		x.take(g, e, what{host: host, allow: allow})
 	}
@@ -831,28 +833,28 @@
 // Reject is the final answer of a generation that may come again.
 func (x *Dispatcher) Reject(id scheduler.RequestID, comeBackIn scheduler.Micros) {
 	if g := x.gens[id]; g != nil {
-		x.take(g, lifecycle.OrderThrottle, what{comeBack: comeBackIn})
+		x.take(g, lifecycle.RejectOrdered, what{comeBack: comeBackIn})
 	}
 }
 
 // Fail is the final answer of a generation that failed.
 func (x *Dispatcher) Fail(id scheduler.RequestID) {
 	if g := x.gens[id]; g != nil {
-		x.take(g, lifecycle.OrderTerminate, what{why: "The generation failed."})
+		x.take(g, lifecycle.FailOrdered, what{why: "The generation failed."})
 	}
 }
 
 // Cancel quits waiting for a leg. That it was cancelled is told after the module's call.
 func (x *Dispatcher) Cancel(id scheduler.RequestID, no scheduler.AttemptNo) {
 	if g := x.gens[id]; g != nil && no == g.legs-1 {
-		x.take(g, lifecycle.OrderCancel)
+		x.take(g, lifecycle.CancelOrdered)
 	}
 }
 
 // Release has every reader that may hold something for the generation drop it.
 func (x *Dispatcher) Release(id scheduler.RequestID) {
 	if g := x.gens[id]; g != nil {
-		x.take(g, lifecycle.OrderLetGo)
+		x.take(g, lifecycle.ReleaseOrdered)
 	}
 }
 
--- a/internal/dispatch/dispatch_test.go
+++ b/internal/dispatch/dispatch_test.go
@@ -194,7 +194,7 @@
 			}
 			c := r.ask("explain")
 			r.w.Run(100 * eventloop.Millisecond)
-			if r.x.Running() != 1 {
+			if r.x.OpenRequests() != 1 {
 				t.Fatalf("it is not %s", when)
 			}
 			r.far.Do(c.conn.Abort)
@@ -203,8 +203,8 @@
 			if (when == "reading" || when == "waiting for the writer") && r.hosts[0].releases() == 0 {
 				t.Error("its state was not let go")
 			}
-			if r.x.Left != 1 {
-				t.Errorf("left: %d", r.x.Left)
+			if r.x.Disconnected != 1 {
+				t.Errorf("left: %d", r.x.Disconnected)
 			}
 		})
 	}
@@ -276,9 +276,9 @@
 	if r.hosts[2].legs()+r.hosts[3].legs() != 0 {
 		t.Error("a host of an unknown kind or zone was sent something")
 	}
-	f := roster.Follower{}
+	f := roster.View{}
 	for _, bad := range []string{`{"hosts":[{"id":1,"addr":"a","condition":"asleep"}],"whole":true}`, `{"hosts":[{"id":1,"condition":"ready"}]}`, `[`} {
-		if _, _, err := f.Take([]byte(bad)); err == nil {
+		if _, _, err := f.Apply([]byte(bad)); err == nil {
 			t.Errorf("%s was taken", bad)
 		}
 	}
@@ -439,10 +439,10 @@
 func TestRestartWithKeptList(t *testing.T) {
 	r := newRig(t, nil, "prefill west", "decode west")
 	var kept []byte
-	r.x.post.Keep = func(b []byte) { kept = b }
+	r.x.post.CacheEndpoints = func(b []byte) { kept = b }
 	r.told(r.hosts[1].entry("ready"))
 	r.w.Run(2 * eventloop.Second)
-	f := roster.Follower{}
+	f := roster.View{}
 	entries, _, err := f.Restore(kept)
 	if err != nil || len(entries) == 0 || f.Version != 0 {
 		t.Fatalf("%v, %d entries, version %d", err, len(entries), f.Version)
@@ -495,7 +495,7 @@
 	c := r.ask("review-post")
 	r.w.Run(50 * eventloop.Millisecond)
 	done := false
-	r.loop.Do(func() { r.x.Leave(func() { done = true }) })
+	r.loop.Do(func() { r.x.Shutdown(func() { done = true }) })
 	late := r.ask("explain")
 	r.w.Run(50 * eventloop.Millisecond)
 	if done || len(late.finals) > 0 || !late.closed {
@@ -531,7 +531,7 @@
 		loop := r.w.Loop("d.2")
 		r.loop = loop
 		loop.Do(func() {
-			x, err := Start(loop, r.d, Post{Name: "d.2", Zone: "west", Seed: 5, Kept: lists, Log: zerolog.Nop()})
+			x, err := Start(loop, r.d, Config{Name: "d.2", Zone: "west", Seed: 5, CachedEndpoints: lists, Log: zerolog.Nop()})
 			if err != nil {
 				t.Fatal(err)
 			}
--- a/internal/dispatch/path_test.go
+++ b/internal/dispatch/path_test.go
@@ -120,7 +120,7 @@
 		}
 		if chance.Intn(100) == 0 { // as where a tenant is removed
 			if g := r.x.gens[scheduler.RequestID(int(r.x.lastGen)-chance.Intn(12))]; g != nil {
-				r.loop.Do(func() { r.x.take(g, lifecycle.Stop, what{why: "The tenant was removed."}) })
+				r.loop.Do(func() { r.x.take(g, lifecycle.TenantStopped, what{why: "The tenant was removed."}) })
 			}
 		}
 		if chance.Intn(700) == 0 {
@@ -156,7 +156,7 @@
 		t.Errorf("%d of %d wrong", bad, n)
 	}
 	for _, h := range r.hosts {
-		if r.x.engine.Out(h.entry("ready").ID) != 0 {
+		if r.x.engine.InFlight(h.entry("ready").ID) != 0 {
 			t.Errorf("legs left out at host %d", h.id)
 		}
 	}
@@ -166,7 +166,7 @@
 // Twenty thousand generations under breaks: one final answer each, byte for byte where it is streamed, no
 // side-effecting one run twice, nothing left, and every cell of the path's table reached.
 func TestTwentyThousandGenerations(t *testing.T) {
-	var all lifecycle.Reached
+	var all lifecycle.Coverage
 	for i, x := range []*Dispatcher{
 		storm(t, 6000, 1, func(d deployment.Deployment) { d.Tenants[0].QuotaPerS = 60 }),
 		storm(t, 4000, 3, func(d deployment.Deployment) {
@@ -176,18 +176,18 @@
 		}),
 		storm(t, 10000, 2, func(d deployment.Deployment) { d.Dispatching.MayCancel = false }),
 	} {
-		t.Logf("storm %d: taken %d, streamed %d, throttled %d, terminated %d, left %d", i+1, x.Taken, x.Streamed, x.Throttled, x.Terminated, x.Left)
-		for s := range x.Reached {
-			for e, n := range x.Reached[s] {
+		t.Logf("storm %d: taken %d, streamed %d, throttled %d, terminated %d, left %d", i+1, x.Accepted, x.Completed, x.Rejected, x.Failed, x.Disconnected)
+		for s := range x.Coverage {
+			for e, n := range x.Coverage[s] {
 				all[s][e] += n
 			}
 		}
 	}
-	for s := range lifecycle.Table {
-		for e, step := range lifecycle.Table[s] {
-			if step.Some {
+	for s := range lifecycle.Transitions {
+		for e, step := range lifecycle.Transitions[s] {
+			if step.Defined {
 				t.Logf("%-10v %-16v %8d", lifecycle.State(s), lifecycle.Event(e), all[s][e])
-				if all[s][e] == 0 && lifecycle.Event(e) != lifecycle.LegWhole { // TestReadEndsAfterItsClientLeft reaches those
+				if all[s][e] == 0 && lifecycle.Event(e) != lifecycle.PrefillOnlyCompleted { // TestReadEndsAfterItsClientLeft reaches those
 					t.Errorf("%v in %v was never reached", lifecycle.Event(e), lifecycle.State(s))
 				}
 			}
@@ -327,7 +327,7 @@
 		life := func(name string) {
 			loop := r.w.Loop(name)
 			r.loop, disk.loop = loop, loop
-			post := Post{Name: name, Zone: "west", Seed: 1, Kept: [][]byte{r.kept}, Log: zerolog.Nop()}
+			post := Config{Name: name, Zone: "west", Seed: 1, CachedEndpoints: [][]byte{r.kept}, Log: zerolog.Nop()}
 			loop.Do(func() {
 				var err error
 				if keeps {
@@ -393,8 +393,8 @@
 	r.w.Run(50 * eventloop.Millisecond)
 	r.far.Do(c.conn.Abort)
 	r.w.Run(100 * eventloop.Millisecond)
-	if err := r.x.Check(); err != nil || r.x.Running() > 0 || r.hosts[0].releases() != 1 {
-		t.Errorf("%v; left %v; %d releases", err, r.x.Remains(), r.hosts[0].releases())
+	if err := r.x.Check(); err != nil || r.x.OpenRequests() > 0 || r.hosts[0].releases() != 1 {
+		t.Errorf("%v; left %v; %d releases", err, r.x.DescribeOpen(), r.hosts[0].releases())
 	}
 	r.hosts[1].serve = write
 	r.ends(r.ask("review-post", "Idempotency-Key", "k"), "streamed")
--- a/internal/dispatch/rig_test.go
+++ b/internal/dispatch/rig_test.go
@@ -35,7 +35,7 @@
 	x     *Dispatcher
 	addr  string
 	hosts []*script
-	list  roster.List
+	list  roster.Update
 	kept  []byte // the list, as it is kept
 }
 
@@ -172,7 +172,7 @@
 // bring brings up the hosts and the dispatcher.
 func (r *rig) bring(hosts []string) {
 	r.t.Helper()
-	r.list = roster.List{Epoch: "e", Version: 1, Whole: true, Saved: int64(r.far.Now())}
+	r.list = roster.Update{Epoch: "e", Version: 1, Complete: true, Saved: int64(r.far.Now())}
 	for i, h := range hosts {
 		kind, zone, _ := strings.Cut(h, " ")
 		s := &script{rig: r, id: uint32(i + 1), kind: kind, zone: zone, serve: read}
@@ -186,7 +186,7 @@
 	r.kept, _ = json.Marshal(r.list)
 	var err error
 	r.loop.Do(func() {
-		r.x, err = Start(r.loop, r.d, Post{Name: "d", Zone: "west", Seed: 1, Kept: [][]byte{r.kept}, Log: zerolog.Nop()})
+		r.x, err = Start(r.loop, r.d, Config{Name: "d", Zone: "west", Seed: 1, CachedEndpoints: [][]byte{r.kept}, Log: zerolog.Nop()})
 		if err != nil {
 			return
 		}
@@ -313,7 +313,7 @@
 	} else {
 		r.until(2*eventloop.Second, func() bool {
 			running := 0
-			r.loop.Do(func() { running = r.x.Running() })
+			r.loop.Do(func() { running = r.x.OpenRequests() })
 			return running == 0
 		})
 	}
@@ -326,8 +326,8 @@
 func (r *rig) idle() {
 	r.t.Helper()
 	r.loop.Do(func() {
-		if r.x.Running() != 0 {
-			r.t.Errorf("left over: %v", r.x.Remains())
+		if r.x.OpenRequests() != 0 {
+			r.t.Errorf("left over: %v", r.x.DescribeOpen())
 		}
 	})
 }
--- a/internal/dispatch/room_test.go
+++ b/internal/dispatch/room_test.go
@@ -27,7 +27,7 @@
 		if err != nil {
 			r.t.Fatal(err)
 		}
-		if r.x, err = Start(loop, r.d, Post{Name: "kept", Zone: "west", Seed: 1, Kept: [][]byte{r.kept}, Log: zerolog.Nop(), Intents: intents}); err != nil {
+		if r.x, err = Start(loop, r.d, Config{Name: "kept", Zone: "west", Seed: 1, CachedEndpoints: [][]byte{r.kept}, Log: zerolog.Nop(), Intents: intents}); err != nil {
 			r.t.Fatal(err)
 		}
 		ln, err := loop.Listen("127.0.0.1:0", r.x.Front().Accept)
@@ -208,7 +208,7 @@
 // closed, past an eighth more none is served; those that idle make way, and with room again all is as before.
 func TestClientsHaveTheirPartOfConnections(t *testing.T) {
 	r := newRig(t, nil, "prefill west", "decode west")
-	r.x.front.Most = 8
+	r.x.front.MaxConnections = 8
 	running := r.ask("explain")
 	r.hosts[1].serve = func(l *line) {
 		l.stream(event("Lamu ", ""))
@@ -251,7 +251,7 @@
 	r.ends(running, "streamed")
 	r.hosts[1].serve = write
 	r.w.Run(8 * eventloop.Second)
-	r.x.front.Most = 40
+	r.x.front.MaxConnections = 40
 	r.ends(r.ask("explain"), "streamed")
 }
 
@@ -267,7 +267,7 @@
 		r.told(e)
 	}
 	r.w.Run(120 * eventloop.Second)
-	if n := r.x.engine.Known(); n != 2 || len(r.x.hosts) != 2 {
+	if n := r.x.engine.Endpoints(); n != 2 || len(r.x.hosts) != 2 {
 		t.Errorf("%d hosts are known to the legs, %d to the dispatcher", n, len(r.x.hosts))
 	}
 	r.ends(r.ask("explain"), "streamed")
@@ -313,8 +313,8 @@
 					throttled++
 				}
 			}
-			if throttled < 40 || throttled > 70 || r.x.Running() > 70 {
-				t.Errorf("%d of 120 are throttled, %d run", throttled, r.x.Running())
+			if throttled < 40 || throttled > 70 || r.x.OpenRequests() > 70 {
+				t.Errorf("%d of 120 are throttled, %d run", throttled, r.x.OpenRequests())
 			}
 		}
 		r.w.Run(15 * eventloop.Second)
@@ -430,12 +430,12 @@
 	r.w.Run(100 * eventloop.Millisecond)
 	r.far.Do(c.conn.Abort)
 	r.w.Run(100 * eventloop.Millisecond)
-	if r.x.front.Kept == 0 || r.x.Running() != 1 {
-		t.Errorf("%d bytes are counted, %d run", r.x.front.Kept, r.x.Running())
+	if r.x.front.Kept == 0 || r.x.OpenRequests() != 1 {
+		t.Errorf("%d bytes are counted, %d run", r.x.front.Kept, r.x.OpenRequests())
 	}
 	r.w.Run(2 * eventloop.Second)
-	if r.x.front.Kept != 0 || r.x.Running() != 0 {
-		t.Errorf("at the end %d bytes are counted, %d run", r.x.front.Kept, r.x.Running())
+	if r.x.front.Kept != 0 || r.x.OpenRequests() != 0 {
+		t.Errorf("at the end %d bytes are counted, %d run", r.x.front.Kept, r.x.OpenRequests())
 	}
 	r.ends(r.ask("review-post", "Idempotency-Key", "k"), "streamed") // its answer is kept
 }
@@ -444,9 +444,9 @@
 // it: the dispatcher's leaving, or a connection that needs the place.
 func TestRequestMeetsAClose(t *testing.T) {
 	for name, closes := range map[string]func(r *rig){
-		"leaving": func(r *rig) { r.loop.Do(r.x.front.Leave) },
+		"leaving": func(r *rig) { r.loop.Do(r.x.front.Shutdown) },
 		"a crowd": func(r *rig) {
-			r.loop.Do(func() { r.x.front.Most = 1 })
+			r.loop.Do(func() { r.x.front.MaxConnections = 1 })
 			r.ask("explain")
 			r.w.Run(r.w.Latency)
 		},
--- a/internal/dispatch/stages_test.go
+++ b/internal/dispatch/stages_test.go
@@ -47,7 +47,7 @@
 		t.Fatal(err)
 	}
 	y.loop.Do(func() {
-		y.x, err = Start(y.loop, d, Post{Name: "d", Zone: d.Zones[0], Seed: 1, Roster: y.fleet.Roster.Addr, Log: zerolog.Nop()})
+		y.x, err = Start(y.loop, d, Config{Name: "d", Zone: d.Zones[0], Seed: 1, Discovery: y.fleet.Roster.Addr, Log: zerolog.Nop()})
 		if err != nil {
 			return
 		}
@@ -169,11 +169,11 @@
 		y.t.Errorf("at the end the hosts have %d jobs, %d states, %d tokens\n%s", jobs, states, tokens, strings.Join(y.fleet.Summary(), "\n"))
 	}
 	gens, legs, held, reading := y.x.module.InFlight()
-	if gens+legs+held > 0 || reading > 0.5 || y.x.Running() > 0 || y.x.front.Open != 0 {
-		y.t.Errorf("the module has %d generations, %d legs, %d held, %.0f tokens being read; the dispatcher %v, %d open", gens, legs, held, reading, y.x.Remains(), y.x.front.Open)
+	if gens+legs+held > 0 || reading > 0.5 || y.x.OpenRequests() > 0 || y.x.front.Open != 0 {
+		y.t.Errorf("the module has %d generations, %d legs, %d held, %.0f tokens being read; the dispatcher %v, %d open", gens, legs, held, reading, y.x.DescribeOpen(), y.x.front.Open)
 	}
 	for _, h := range y.fleet.Hosts {
-		if out := y.x.engine.Out(h.Entry("ready").ID); out != 0 {
+		if out := y.x.engine.InFlight(h.Entry("ready").ID); out != 0 {
 			y.t.Errorf("%d legs are out at host %d", out, h.ID)
 		}
 	}
--- a/internal/dispatch/tenants.go
+++ b/internal/dispatch/tenants.go
@@ -48,9 +48,9 @@
 // seatTenants gives the deployment's own tenants their places, and begins to follow the administration's.
 func (x *Dispatcher) seatTenants() error {
 	x.seats, x.static = map[string]*seat{}, map[[sha256.Size]byte]*seat{}
-	x.gate = tenancy.NewGate(int(x.Dispatching.Dispatchers))
+	x.gate = tenancy.NewAdmissionController(int(x.Dispatching.Dispatchers))
 	x.directory = tenancy.NewDirectory(x.post.Secret)
-	x.meter = tenancy.NewMeter()
+	x.meter = tenancy.NewUsageMeter()
 	for i, t := range x.Tenants {
 		s := x.sit(t.Name, staticIDs+tenancy.ID(i))
 		x.allow(s, tenancy.Limits{SharePerS: t.QuotaPerS}, nil, nil, true)
@@ -62,8 +62,8 @@
 			x.static[[sha256.Size]byte(raw)] = s
 		}
 	}
-	if len(x.post.KeptTenants) > 0 {
-		if err := x.tenantNews(x.post.KeptTenants); err != nil {
+	if len(x.post.CachedTenants) > 0 {
+		if err := x.tenantNews(x.post.CachedTenants); err != nil {
 			x.post.Log.Error().Err(err).Msg("the kept tenants can't be read; starting without them")
 		}
 		x.directory.Epoch, x.directory.Version = "", 0 // the source's first word is all of them
@@ -72,17 +72,17 @@
 		return nil
 	}
 	c := subscribe.NewClient(x.loop, x.post.Seed+1, x.post.Tenants)
-	c.What, c.Fields = "the administration", []string{"Authorization", "Bearer " + FeedToken(x.post.Secret), "x-dispatcher", x.post.Name}
+	c.Name, c.Fields = "the administration", []string{"Authorization", "Bearer " + FeedToken(x.post.Secret), "x-dispatcher", x.post.Name}
 	c.Target = func() string {
 		return "/internal/v1/tenants?epoch=" + x.directory.Epoch + "&since=" + strconv.FormatUint(x.directory.Version, 10)
 	}
-	c.Forget = func() { x.directory.Epoch, x.directory.Version = "", 0 }
-	c.Take = func(data []byte) error {
+	c.OnReset = func() { x.directory.Epoch, x.directory.Version = "", 0 }
+	c.OnMessage = func(data []byte) error {
 		if err := x.tenantNews(data); err != nil {
 			return err
 		}
-		if x.post.KeepTenants != nil {
-			x.post.KeepTenants(x.directory.Snapshot())
+		if x.post.CacheTenants != nil {
+			x.post.CacheTenants(x.directory.Snapshot())
 		}
 		return nil
 	}
@@ -109,7 +109,7 @@
 
 func (x *Dispatcher) allow(s *seat, l tenancy.Limits, keys, products map[string]tenancy.Limits, serves bool) {
 	s.limits, s.serves = l, serves
-	x.gate.Set(s.id, l, keys, products, serves)
+	x.gate.SetTenant(s.id, l, keys, products, serves)
 	share := l.SharePerS
 	if share == 0 {
 		share = unlimited
@@ -119,7 +119,7 @@
 
 // tenantNews takes what the administration says.
 func (x *Dispatcher) tenantNews(data []byte) error {
-	changed, err := x.directory.Take(data)
+	changed, err := x.directory.Apply(data)
 	if err != nil {
 		return err
 	}
@@ -130,15 +130,15 @@
 				x.post.Log.Error().Str("tenant", t.Name).Msg("the deployment names this tenant itself; the administration's is not served here")
 				continue
 			}
-			x.leaveSeat(s, t.Policy == tenancy.StopIt || t.State != tenancy.Removing)
+			x.leaveSeat(s, t.Policy == tenancy.Abort || t.State != tenancy.Removing)
 			s = nil
 		}
 		if t.State == tenancy.Removing || t.State == tenancy.Removed {
 			if s == nil {
-				x.meter.Ended(t.Name)
+				x.meter.TenantEnded(t.Name)
 				continue
 			}
-			x.leaveSeat(s, t.Policy == tenancy.StopIt || t.State == tenancy.Removed)
+			x.leaveSeat(s, t.Policy == tenancy.Abort || t.State == tenancy.Removed)
 			continue
 		}
 		if s == nil {
@@ -157,11 +157,11 @@
 func (x *Dispatcher) leaveSeat(s *seat, stop bool) {
 	s.going, s.serves = true, false
 	if x.seats[s.name] == s {
-		x.gate.Set(s.id, s.limits, nil, nil, false)
+		x.gate.SetTenant(s.id, s.limits, nil, nil, false)
 	}
 	if stop {
-		for _, t := range x.gate.Open(s.id) {
-			x.take(t.Anything.(*gen), lifecycle.Stop, what{why: "The tenant was removed."})
+		for _, t := range x.gate.Tickets(s.id) {
+			x.take(t.Owner.(*gen), lifecycle.TenantStopped, what{why: "The tenant was removed."})
 		}
 	}
 	x.emptySeat(s)
@@ -174,7 +174,7 @@
 	delete(x.seats, s.name)
 	x.module.QuotaChanged(x.loop.Now(), s.index, 0)
 	x.free = append(x.free, s.index)
-	x.meter.Ended(s.name)
+	x.meter.TenantEnded(s.name)
 }
 
 // Identify finds whose key it is.
@@ -182,7 +182,7 @@
 	if s := x.static[sha256.Sum256([]byte(key))]; s != nil {
 		return frontend.Identity{Tenant: s.name, Space: s.space, Serves: true}, true
 	}
-	t, k, known := x.directory.Whose(int64(x.loop.Now()/eventloop.Second), key)
+	t, k, known := x.directory.Authenticate(int64(x.loop.Now()/eventloop.Second), key)
 	if !known || !slices.Contains(k.Scopes, tenancy.ScopeChat) {
 		return frontend.Identity{}, false
 	}
@@ -195,14 +195,14 @@
 
 // admission takes a generation to its tenant's gate. It tells whether it goes to the module now; else it waits, or has
 // been answered.
-func (x *Dispatcher) admission(g *gen, who frontend.Identity, to *frontend.Reply) (now bool, problem *frontend.Problem) {
+func (x *Dispatcher) admission(g *gen, who frontend.Identity, to *frontend.Response) (now bool, problem *frontend.Problem) {
 	s := x.seats[who.Tenant]
 	if s == nil || !who.Serves {
 		return false, &frontend.Problem{Status: 403, Type: "permission_error", Code: "tenant_suspended", Never: true,
 			Message: "This account is suspended."}
 	}
 	g.seat = s
-	t, v := x.gate.Ask(x.loop.Now(), s.id, who.Key, g.ask.Model, g.ask.Tokens, g.ask.Most)
+	t, v := x.gate.Admit(x.loop.Now(), s.id, who.Key, g.ask.Model, g.ask.Tokens, g.ask.MaxTokens)
 	switch {
 	case v.Reason == tenancy.PromptTooLarge:
 		return false, &frontend.Problem{Status: 400, Type: "invalid_request_error", Param: "messages", Code: "prompt_too_large",
@@ -210,14 +210,14 @@
 	case v.Reason == tenancy.NotServed:
 		return false, &frontend.Problem{Status: 403, Type: "permission_error", Code: "tenant_suspended", Never: true, Message: "This account is suspended."}
 	case v.Reason != tenancy.None:
-		x.Refused++
-		x.meter.Add(tenancy.Used{Tenant: s.name, Product: g.ask.Model, Day: tenancy.Day(x.loop.Now()), Throttled: 1})
-		to.Refused(v.Reason.String(), v.After)
+		x.OverQuota++
+		x.meter.Add(tenancy.Usage{Tenant: s.name, Product: g.ask.Model, Day: tenancy.Day(x.loop.Now()), Rejected: 1})
+		to.RejectOverQuota(v.Reason.String(), v.RetryAfter)
 		return false, nil
 	}
-	t.Anything = g
+	t.Owner = g
 	g.ticket = t
-	return v.Pass, nil
+	return v.Admitted, nil
 }
 
 // queueGrace is how long before a client's limit one that still waits for its turn is given up.
@@ -228,7 +228,7 @@
 	g.State = lifecycle.Queued
 	g.limit = x.loop.After(max(g.deadline-queueGrace-x.loop.Now(), 0), func() {
 		if g.State == lifecycle.Queued {
-			x.take(g, lifecycle.TimeUp)
+			x.take(g, lifecycle.DeadlineExceeded)
 		}
 	})
 }
@@ -240,10 +240,10 @@
 		if !some {
 			return
 		}
-		g := t.Anything.(*gen)
+		g := t.Owner.(*gen)
 		g.limit.Stop()
 		g.limit = nil
-		x.take(g, lifecycle.Admit)
+		x.take(g, lifecycle.Admitted)
 	}
 }
 
@@ -251,7 +251,7 @@
 func (x *Dispatcher) arrived(g *gen) {
 	a := g.ask
 	x.module.RequestArrived(x.loop.Now(), g.id, scheduler.SessionID(a.Session), scheduler.PrefixID(a.Shared), g.product, g.seat.index,
-		float64(a.Tokens), float64(a.SharedTokens), float64(a.Most), 0, g.deadline)
+		float64(a.Tokens), float64(a.SharedTokens), float64(a.MaxTokens), 0, g.deadline)
 }
 
 // paid settles a generation with its tenant.
@@ -260,26 +260,26 @@
 		return
 	}
 	now := x.loop.Now()
-	u := tenancy.Used{Tenant: g.seat.name, Product: g.ask.Model, Day: tenancy.Day(now), Taken: 1}
+	u := tenancy.Usage{Tenant: g.seat.name, Product: g.ask.Model, Day: tenancy.Day(now), Accepted: 1}
 	if g.part != nil { // the call counts, not its parts; but what they read does
-		u.Taken = 0
-		if g.final == lifecycle.AnswerStreamed {
+		u.Accepted = 0
+		if g.final == lifecycle.AnswerCompleted {
 			u.Prompt = uint64(g.prompt)
-		} else if g.final == lifecycle.AnswerThrottled {
-			x.gate.Held(now, g.ticket)
+		} else if g.final == lifecycle.AnswerRejected {
+			x.gate.NoCapacity(now, g.ticket)
 		}
 	}
 	switch final := g.final; {
 	case g.part != nil:
-	case final == lifecycle.AnswerStreamed:
-		u.Streamed = 1
-	case final == lifecycle.AnswerThrottled:
-		u.Throttled = 1
-		x.gate.Held(now, g.ticket) // one inside its share found no place
-	case final == lifecycle.AnswerTerminated:
-		u.Terminated = 1
+	case final == lifecycle.AnswerCompleted:
+		u.Completed = 1
+	case final == lifecycle.AnswerRejected:
+		u.Rejected = 1
+		x.gate.NoCapacity(now, g.ticket) // one inside its share found no place
+	case final == lifecycle.AnswerFailed:
+		u.Failed = 1
 	default:
-		u.Left = 1
+		u.Disconnected = 1
 	}
 	if g.tokens > 0 {
 		u.Prompt, u.Answer = uint64(g.ask.Tokens), uint64(g.tokens)
@@ -290,7 +290,7 @@
 	if g.part == nil || u.Prompt > 0 {
 		x.meter.Add(u)
 	}
-	x.gate.End(now, g.ticket, int(u.Prompt+u.Answer))
+	x.gate.Release(now, g.ticket, int(u.Prompt+u.Answer))
 	g.ticket = nil
 	s := g.seat
 	x.loop.Later(func() {
@@ -300,7 +300,7 @@
 }
 
 // Usage is what was used and not yet reported.
-func (x *Dispatcher) Usage() []tenancy.Used { return x.meter.Report(x.post.Name).Used }
+func (x *Dispatcher) Usage() []tenancy.Usage { return x.meter.Report(x.post.Name).Used }
 
 // report sends what was used.
 func (x *Dispatcher) report() {
@@ -312,10 +312,10 @@
 	}
 	subscribe.Post(x.loop, x.post.Tenants, "/internal/v1/usage", body, reportWithin, func(status int) {
 		if status == 200 {
-			x.meter.Taken(r.Number)
+			x.meter.Acknowledge(r.Number)
 		}
 		if x.reported != nil {
-			if status == 200 && x.meter.Some() {
+			if status == 200 && x.meter.Pending() {
 				x.report()
 				return
 			}
--- a/internal/embed/answer.go
+++ b/internal/embed/answer.go
@@ -22,7 +22,7 @@
 
 // ReadPart reads a host's answer to a part of so many inputs. It is refused whole unless each input has exactly one vector, or
 // score, of the right size whose numbers are all numbers: a vector that is wrong is worse than none, as nobody sees it.
-func (a *Ask) ReadPart(body []byte, inputs, dimensions int) (r Result, err error) {
+func (a *Request) ReadPart(body []byte, inputs, dimensions int) (r Result, err error) {
 	if !gjson.ValidBytes(body) {
 		return r, fmt.Errorf("not JSON")
 	}
@@ -100,7 +100,7 @@
 
 // Answer gives the pieces of the answer to a call, all of whose inputs have their results.
 type Answer struct {
-	Ask     *Ask
+	Ask     *Request
 	ID      string
 	Vectors [][]byte  // by place among the ask's inputs
 	Scores  []float64 //
--- a/internal/embed/ask.go
+++ b/internal/embed/ask.go
@@ -51,8 +51,8 @@
 	Added(whole bool) *frontend.Problem
 }
 
-// Ask is what a client wants, as far as its body has come. It is the front's Sink.
-type Ask struct {
+// Request is what a client wants, as far as its body has come. It is the front's Sink.
+type Request struct {
 	Kind       Kind
 	Model      string
 	Base64     bool
@@ -67,7 +67,7 @@
 
 	bounds  Bounds
 	owner   Owner
-	to      *frontend.Reply
+	to      *frontend.Response
 	scan    scanner
 	places  map[vectors.Key]int32
 	tokens  []byte // of one list of tokens that is not inside another
@@ -88,9 +88,9 @@
 // codedMost is how large a coded body may be as it comes: it is kept whole and decoded as there is room.
 const codedMost = 16 << 20
 
-// NewAsk makes one for a body in a coding, "" for none.
-func NewAsk(kind Kind, coding string, bounds Bounds, owner Owner, to *frontend.Reply) *Ask {
-	a := &Ask{Kind: kind, bounds: bounds, owner: owner, to: to, places: map[vectors.Key]int32{}, coding: strings.ToLower(coding), piece: make([]byte, 32<<10)}
+// NewRequest makes one for a body in a coding, "" for none.
+func NewRequest(kind Kind, coding string, bounds Bounds, owner Owner, to *frontend.Response) *Request {
+	a := &Request{Kind: kind, bounds: bounds, owner: owner, to: to, places: map[vectors.Key]int32{}, coding: strings.ToLower(coding), piece: make([]byte, 32<<10)}
 	if a.coding == "identity" {
 		a.coding = ""
 	}
@@ -99,7 +99,7 @@
 }
 
 // Data takes the body's next bytes.
-func (a *Ask) Data(b []byte) *frontend.Problem {
+func (a *Request) Data(b []byte) *frontend.Problem {
 	if a.coding != "" {
 		if a.coded = append(a.coded, b...); len(a.coded) > codedMost {
 			return &frontend.Problem{Status: 413, Type: "invalid_request_error", Code: "body_too_large",
@@ -110,7 +110,7 @@
 	return a.take(b)
 }
 
-func (a *Ask) take(b []byte) *frontend.Problem {
+func (a *Request) take(b []byte) *frontend.Problem {
 	if p := a.scan.feed(b); p != nil {
 		return p
 	}
@@ -118,7 +118,7 @@
 }
 
 // grown: where much is kept the rest of the body waits, and what has come goes out, if all is known that it needs.
-func (a *Ask) grown() *frontend.Problem {
+func (a *Request) grown() *frontend.Problem {
 	if a.Kept <= a.bounds.Window/2 {
 		return nil
 	}
@@ -141,7 +141,7 @@
 	return nil
 }
 
-func (a *Ask) begin() *frontend.Problem {
+func (a *Request) begin() *frontend.Problem {
 	a.begun = true
 	if !a.Documents { // it can't be asked for any more
 		a.Texts = nil
@@ -150,7 +150,7 @@
 }
 
 // End tells that the body has come.
-func (a *Ask) End() *frontend.Problem {
+func (a *Request) End() *frontend.Problem {
 	a.ended = true
 	if a.coding == "" {
 		return a.finish()
@@ -159,7 +159,7 @@
 }
 
 // decode reads on in a coded body, as far as there is room.
-func (a *Ask) decode() *frontend.Problem {
+func (a *Request) decode() *frontend.Problem {
 	if a.decoder == nil {
 		var err error
 		if a.coding == "gzip" {
@@ -191,19 +191,19 @@
 	return nil
 }
 
-func (a *Ask) undecodable() *frontend.Problem {
+func (a *Request) undecodable() *frontend.Problem {
 	return frontend.Invalid("", "invalid_coding", "The body can't be decoded as %s.", a.coding)
 }
 
 // Close gives back what decoding took.
-func (a *Ask) Close() {
+func (a *Request) Close() {
 	if z, ok := a.decoder.(*zstd.Decoder); ok {
 		z.Close()
 	}
 	a.decoder, a.coded = nil, nil
 }
 
-func (a *Ask) finish() *frontend.Problem {
+func (a *Request) finish() *frontend.Problem {
 	if a.over {
 		return nil
 	}
@@ -240,7 +240,7 @@
 }
 
 // Drop lets go of an input that is not needed any more. It tells of a problem that shows in what is read on then.
-func (a *Ask) Drop(i int) *frontend.Problem {
+func (a *Request) Drop(i int) *frontend.Problem {
 	in := &a.Inputs[i]
 	a.Kept -= len(in.Raw)
 	in.Raw = nil
@@ -255,14 +255,14 @@
 }
 
 // early members have to come before the inputs of a body that is larger than what is kept: parts have gone out without them.
-func (a *Ask) late(name string) *frontend.Problem {
+func (a *Request) late(name string) *frontend.Problem {
 	if !a.begun {
 		return nil
 	}
 	return frontend.Invalid(name, "parameter_too_late", "In a body of this size '%s' has to come before the inputs.", name)
 }
 
-func (a *Ask) member(name string, raw []byte) *frontend.Problem {
+func (a *Request) member(name string, raw []byte) *frontend.Problem {
 	v := gjson.ParseBytes(raw)
 	wrong := func(want string) *frontend.Problem {
 		return frontend.Invalid(name, "invalid_type", "Invalid type for '%s': expected %s, but got %s instead.", name, want, strings.ToLower(v.Type.String()))
@@ -325,7 +325,7 @@
 }
 
 // element takes one of the inputs.
-func (a *Ask) element(name string, raw []byte) *frontend.Problem {
+func (a *Request) element(name string, raw []byte) *frontend.Problem {
 	if (name == "documents") != (a.Kind == Rerank) {
 		return frontend.Invalid(name, "unknown_parameter", "Unknown parameter: '%.60s'.", name)
 	}
@@ -374,12 +374,12 @@
 	return frontend.Invalid(at, "invalid_type", "Invalid type for '%s': expected %s.", at, want)
 }
 
-func (a *Ask) token(v gjson.Result) bool {
+func (a *Request) token(v gjson.Result) bool {
 	return v.Type == gjson.Number && v.Num >= 0 && v.Num == float64(int64(v.Num)) && v.Num < 1<<31
 }
 
 // endTokens: tokens that were not inside a further list are one input.
-func (a *Ask) endTokens() *frontend.Problem {
+func (a *Request) endTokens() *frontend.Problem {
 	if a.listed == 0 {
 		return nil
 	}
@@ -391,18 +391,18 @@
 	return a.add("input", raw, n)
 }
 
-func (a *Ask) tooManyTokens(at string, n int) *frontend.Problem {
+func (a *Request) tooManyTokens(at string, n int) *frontend.Problem {
 	return frontend.Invalid(at, "input_too_long", "Invalid '%s': about %d tokens, and an input may have %d.", at, n, a.bounds.InputTokens)
 }
 
 // keepText keeps a document's text where it is to be given back; whether that is so may be said after it.
-func (a *Ask) keepText(text string) {
+func (a *Request) keepText(text string) {
 	if len(a.Texts) == len(a.Inputs) && (!a.begun || a.Documents) {
 		a.Texts = append(a.Texts, text)
 	}
 }
 
-func (a *Ask) add(at string, raw []byte, tokens int) *frontend.Problem {
+func (a *Request) add(at string, raw []byte, tokens int) *frontend.Problem {
 	if a.listed > 0 {
 		return frontend.Invalid(at, "invalid_type", "Tokens and other inputs can't stand in one list.")
 	}
@@ -428,7 +428,7 @@
 }
 
 // CacheKey names an input's vector for a product and a number of dimensions.
-func (a *Ask) CacheKey(i, dimensions int) vectors.Key {
+func (a *Request) CacheKey(i, dimensions int) vectors.Key {
 	k := a.Inputs[i].Key
 	h := sha256.New()
 	_, _ = h.Write(k[:])
@@ -438,7 +438,7 @@
 }
 
 // Part is the body of the request to a host for some inputs.
-func (a *Ask) Part(inputs []int, dimensions int) (path string, body []byte) {
+func (a *Request) Part(inputs []int, dimensions int) (path string, body []byte) {
 	body = append(body, `{"model":`...)
 	body = appendString(body, a.Model)
 	if a.Kind == Rerank {
@@ -460,7 +460,7 @@
 }
 
 // Tokens is how much is to be read for some inputs.
-func (a *Ask) Tokens(inputs []int) (sum int) {
+func (a *Request) Tokens(inputs []int) (sum int) {
 	for _, i := range inputs {
 		sum += a.Inputs[i].Tokens
 		if a.Kind == Rerank {
--- a/internal/embed/scan_test.go
+++ b/internal/embed/scan_test.go
@@ -103,7 +103,7 @@
 func FuzzReadPart(f *testing.F) {
 	f.Add([]byte(`{"data":[{"index":0,"embedding":[1,2]},{"index":1,"embedding":"AAAAAAAAAAA="}]}`))
 	f.Add([]byte(`{"data":[{"index":1e400,"embedding":[1e60,2]}]}`))
-	a := &Ask{}
+	a := &Request{}
 	f.Fuzz(func(t *testing.T, body []byte) {
 		r, err := a.ReadPart(body, 2, 2)
 		for _, v := range r.Vectors {
--- a/internal/engine/attempt.go
+++ b/internal/engine/attempt.go
@@ -12,16 +12,16 @@
 // Callbacks is told what becomes of an attempt: Event for each usable event of a write, then Ended once.
 type Callbacks struct {
 	Event func(data []byte)
-	Ended func(Outcome)
+	Ended func(Result)
 }
 
 // Call is an attempt in whatever protocol over HTTP/1.1: what goes out, and how what comes back is read.
 type Call struct {
 	Request func(addr string, left eventloop.Micros) []byte // as it is when it leaves, with what is left of the time allowed
-	Answer  func(head *http1.Head, body []byte) Outcome     // what an answer means that is not streamed
+	Answer  func(head *http1.Head, body []byte) Result      // what an answer means that is not streamed
 	Stream  Stream                                          // nil: none is expected
-	Most    int                                             // bytes of an answer that is not streamed
-	Spare   bool                                            // it lets go of something, and must not wait for attempts
+	MaxBody int                                             // bytes of an answer that is not streamed
+	Release bool                                            // it lets go of something, and must not wait for attempts
 	// LeaveWithin, where it is above 0, is how long the call may take to leave, where that is less than the time for a connection.
 	LeaveWithin eventloop.Micros
 }
@@ -31,11 +31,11 @@
 	// Event judges one; an error ends the attempt.
 	Event(data []byte) (pass bool, err error)
 	// Ended is what the stream came to when its body was complete.
-	Ended() Outcome
-	// Whole tells whether its last event has come; a body that goes on until its connection ends shows no other end.
-	Whole() bool
-	// Broke is what it came to where it ended in a way it should not have.
-	Broke(how scheduler.Outcome, why string) Outcome
+	Ended() Result
+	// Complete tells whether its last event has come; a body that goes on until its connection ends shows no other end.
+	Complete() bool
+	// Broken is what it came to where it ended in a way it should not have.
+	Broken(how scheduler.Outcome, why string) Result
 }
 
 // Attempt is one send that is out.
@@ -44,7 +44,7 @@
 	host       *host
 	connection *connection
 	hear       Callbacks
-	answer     func(head *http1.Head, body []byte) Outcome
+	answer     func(head *http1.Head, body []byte) Result
 	stream     Stream
 	most       int // bytes of an answer that is not streamed
 	asks       func(addr string, left eventloop.Micros) []byte
@@ -75,11 +75,11 @@
 	now := l.engine.loop.Now()
 	switch {
 	case l.Unsent():
-		l.end(Outcome{How: scheduler.Unreachable, Why: "not sent in the time allowed"}, true)
+		l.end(Result{Outcome: scheduler.Unreachable, Reason: "not sent in the time allowed"}, true)
 	case now < l.due:
 		l.allow = l.engine.loop.After(l.due-now, l.late)
 	default:
-		l.end(Outcome{How: scheduler.TimedOut, Why: "not in the time allowed"}, true)
+		l.end(Result{Outcome: scheduler.TimedOut, Reason: "not in the time allowed"}, true)
 	}
 }
 
@@ -135,8 +135,8 @@
 	}
 }
 
-// Slow stops or resumes the reading of a stream whose client lags.
-func (l *Attempt) Slow(on bool) {
+// PauseReading stops or resumes the reading of a stream whose client lags.
+func (l *Attempt) PauseReading(on bool) {
 	if l.connection != nil && !l.ended && l.slow != on {
 		l.slow = on
 		l.heard = l.engine.loop.Now()
@@ -153,7 +153,7 @@
 }
 
 // end reports the outcome once; broken tells that the connection can carry nothing more.
-func (l *Attempt) end(o Outcome, broken bool) {
+func (l *Attempt) end(o Result, broken bool) {
 	if l.ended {
 		return
 	}
@@ -163,21 +163,21 @@
 	o.Undelivered = l.pending
 	l.allow.Stop()
 	if broken {
-		o.Cut = true
+		o.ClosedLocally = true
 		l.drop()
 	}
-	if o.Memory == 0 {
-		o.Memory = l.memory
+	if o.MemoryUsage == 0 {
+		o.MemoryUsage = l.memory
 	}
 	l.hear.Ended(o)
 }
 
 // broke is the outcome of an answer that ended in a way it should not have.
-func (l *Attempt) broke(how scheduler.Outcome, why string) Outcome {
+func (l *Attempt) broke(how scheduler.Outcome, why string) Result {
 	if l.stream != nil {
-		return l.stream.Broke(how, why)
+		return l.stream.Broken(how, why)
 	}
-	return Outcome{How: how, Why: why}
+	return Result{Outcome: how, Reason: why}
 }
 
 // event takes one of the writer's.
--- a/internal/engine/chat.go
+++ b/internal/engine/chat.go
@@ -13,19 +13,19 @@
 	"plumspindle/scheduler"
 )
 
-// LegName is how an attempt is named to its host.
-func (e *Engine) LegName(gen scheduler.RequestID, leg scheduler.AttemptNo) string {
+// AttemptName is how an attempt is named to its host.
+func (e *Engine) AttemptName(gen scheduler.RequestID, leg scheduler.AttemptNo) string {
 	return e.name + "-" + strconv.FormatUint(uint64(gen), 10) + "-" + strconv.Itoa(int(leg))
 }
 
-// Read sends a read; Write a write, with the state that a read told of, or without one where the host reads the
+// Prefill sends a read; Write a write, with the state that a read told of, or without one where the host reads the
 // prompt itself. Neither calls back before it has returned.
-func (e *Engine) Read(id scheduler.EndpointID, name, clientID string, ask *chat.Ask, allow eventloop.Micros, hear Callbacks) *Attempt {
+func (e *Engine) Prefill(id scheduler.EndpointID, name, clientID string, ask *chat.Request, allow eventloop.Micros, hear Callbacks) *Attempt {
 	members := `"stream":false,"max_tokens":1,"kv_transfer_params":{"do_remote_decode":true,"do_remote_prefill":false}`
 	return e.chatAttempt(id, name, clientID, ask, members, nil, allow, hear)
 }
 
-func (e *Engine) Write(id scheduler.EndpointID, name, clientID string, ask *chat.Ask, state string, most int,
+func (e *Engine) Decode(id scheduler.EndpointID, name, clientID string, ask *chat.Request, state string, most int,
 	allow eventloop.Micros, hear Callbacks) *Attempt {
 	members := `"stream":true,"stream_options":{"include_usage":true},"max_tokens":` + strconv.Itoa(most)
 	if state != "" {
@@ -34,16 +34,16 @@
 	return e.chatAttempt(id, name, clientID, ask, members, &chunks{}, allow, hear)
 }
 
-// Whole sends what is complete with its read. Its answer is read by judge, which says Errored of one that is not what was
+// PrefillOnly sends what is complete with its read. Its answer is read by judge, which says Errored of one that is not what was
 // asked for. It does not call back before it has returned.
-func (e *Engine) Whole(id scheduler.EndpointID, name, clientID, path string, body []byte, most int, allow eventloop.Micros, judge func(body []byte) Outcome,
+func (e *Engine) PrefillOnly(id scheduler.EndpointID, name, clientID, path string, body []byte, most int, allow eventloop.Micros, judge func(body []byte) Result,
 	hear Callbacks) *Attempt {
-	return e.Call(id, Call{Most: most, Answer: func(head *http1.Head, answer []byte) Outcome {
+	return e.Call(id, Call{MaxBody: most, Answer: func(head *http1.Head, answer []byte) Result {
 		if head.Status != 200 {
 			return refused(head.Status, answer)
 		}
 		o := judge(answer)
-		o.Memory = 0 // as its head reports
+		o.MemoryUsage = 0 // as its head reports
 		return o
 	}, Request: func(addr string, _ eventloop.Micros) []byte {
 		return http1.AppendRequest(nil, "POST", path, addr, body, "Content-Type", "application/json", "x-request-id", name,
@@ -51,9 +51,9 @@
 	}}, allow, hear)
 }
 
-func (e *Engine) chatAttempt(id scheduler.EndpointID, name, clientID string, ask *chat.Ask, members string, stream Stream,
+func (e *Engine) chatAttempt(id scheduler.EndpointID, name, clientID string, ask *chat.Request, members string, stream Stream,
 	allow eventloop.Micros, hear Callbacks) *Attempt {
-	answer := func(head *http1.Head, body []byte) Outcome {
+	answer := func(head *http1.Head, body []byte) Result {
 		switch {
 		case head.Status != 200:
 			return refused(head.Status, body)
@@ -62,7 +62,7 @@
 		}
 		return readDone(body)
 	}
-	return e.Call(id, Call{Answer: answer, Stream: stream, Most: answerMost, Request: func(addr string, _ eventloop.Micros) []byte {
+	return e.Call(id, Call{Answer: answer, Stream: stream, MaxBody: answerMost, Request: func(addr string, _ eventloop.Micros) []byte {
 		if ask.Salt != "" {
 			members += `,"cache_salt":` + strconv.Quote(ask.Salt)
 		}
@@ -102,19 +102,19 @@
 	return true, nil
 }
 
-func (c *chunks) Ended() Outcome {
+func (c *chunks) Ended() Result {
 	if c.done {
-		return Outcome{How: scheduler.Completed, Why: "streamed"}
+		return Result{Outcome: scheduler.Completed, Reason: "streamed"}
 	}
-	return c.Broke(scheduler.Errored, "the stream ended without its last event")
+	return c.Broken(scheduler.Errored, "the stream ended without its last event")
 }
 
-func (c *chunks) Whole() bool { return c.done }
+func (c *chunks) Complete() bool { return c.done }
 
-// Broke: where the writer had already told how the answer ended, nothing of it is missing: it is complete.
-func (c *chunks) Broke(how scheduler.Outcome, why string) Outcome {
+// Broken: where the writer had already told how the answer ended, nothing of it is missing: it is complete.
+func (c *chunks) Broken(how scheduler.Outcome, why string) Result {
 	if c.finished {
-		return Outcome{How: scheduler.Completed, Why: "the writer had finished, then " + why}
+		return Result{Outcome: scheduler.Completed, Reason: "the writer had finished, then " + why}
 	}
-	return Outcome{How: how, Why: why}
+	return Result{Outcome: how, Reason: why}
 }
--- a/internal/engine/connection.go
+++ b/internal/engine/connection.go
@@ -63,7 +63,7 @@
 		return
 	}
 	if t.attempt.Unsent() { // whatever it is, it is no answer to what has not left
-		t.attempt.end(Outcome{How: scheduler.Unreachable, Why: "the host spoke before the request had left"}, true)
+		t.attempt.end(Result{Outcome: scheduler.Unreachable, Reason: "the host spoke before the request had left"}, true)
 		return
 	}
 	if err := t.parser.Feed(b, t); err != nil && t.attempt != nil {
@@ -103,7 +103,7 @@
 			})
 			return
 		}
-		l.end(Outcome{How: scheduler.Unreachable, Why: cause.Error()}, false)
+		l.end(Result{Outcome: scheduler.Unreachable, Reason: cause.Error()}, false)
 		return
 	}
 	l.left, t.ended = true, true
@@ -151,12 +151,12 @@
 	if l == nil {
 		return errUnasked
 	}
-	var o Outcome
+	var o Result
 	switch {
 	case l.stream == nil || !l.streams():
 		o = l.answer(l.head, l.body)
-	case t.ended && !l.stream.Whole():
-		o = l.stream.Broke(scheduler.ConnectionLost, "the connection ended before the stream's last event")
+	case t.ended && !l.stream.Complete():
+		o = l.stream.Broken(scheduler.ConnectionLost, "the connection ended before the stream's last event")
 	default:
 		o = l.stream.Ended()
 	}
--- a/internal/engine/engine.go
+++ b/internal/engine/engine.go
@@ -11,12 +11,12 @@
 
 // Limits are the terms on which connections to hosts are kept.
 type Limits struct {
-	Connect eventloop.Micros // a connection not made by then counts as unreachable
-	Idle    eventloop.Micros // an unused connection is closed after it; hosts must keep them for longer
-	Silence eventloop.Micros // a stream that has begun and brings nothing for so long counts as broken
-	Most    int              // connections to one host
-	Opening int              // of these, those that may be opening at once; attempts beyond them wait, Connect at most
-	All     int              // connections to all hosts, where it is above 0; before more are opened the one idle for longest is closed
+	Connect     eventloop.Micros // a connection not made by then counts as unreachable
+	Idle        eventloop.Micros // an unused connection is closed after it; hosts must keep them for longer
+	Silence     eventloop.Micros // a stream that has begun and brings nothing for so long counts as broken
+	PerEndpoint int              // connections to one host
+	Opening     int              // of these, those that may be opening at once; attempts beyond them wait, Connect at most
+	Total       int              // connections to all hosts, where it is above 0; before more are opened the one idle for longest is closed
 }
 
 const (
@@ -74,8 +74,8 @@
 	timer   eventloop.Timer
 }
 
-// Place tells where a host is reached. Connections to where it was before are not used again.
-func (e *Engine) Place(id scheduler.EndpointID, addr string) {
+// SetAddress tells where a host is reached. Connections to where it was before are not used again.
+func (e *Engine) SetAddress(id scheduler.EndpointID, addr string) {
 	h := e.hosts[id]
 	if h == nil {
 		e.hosts[id] = &host{addr: addr}
@@ -121,8 +121,8 @@
 	})
 }
 
-// Known is how many hosts it has anything of.
-func (e *Engine) Known() int { return len(e.hosts) }
+// Endpoints is how many hosts it has anything of.
+func (e *Engine) Endpoints() int { return len(e.hosts) }
 
 // Call sends one. It does not call back before it has returned. An attempt to a host without an address ends soon.
 func (e *Engine) Call(id scheduler.EndpointID, c Call, allow eventloop.Micros, hear Callbacks) *Attempt {
@@ -134,11 +134,11 @@
 	if c.LeaveWithin > 0 {
 		within = min(within, c.LeaveWithin)
 	}
-	l := &Attempt{engine: e, host: h, hear: hear, memory: scheduler.NoLoadReport, answer: c.Answer, stream: c.Stream, most: c.Most,
-		isRelease: c.Spare, events: sse.Parser{Most: eventMost}, asks: c.Request, due: e.loop.Now() + allow, leave: e.loop.Now() + within}
+	l := &Attempt{engine: e, host: h, hear: hear, memory: scheduler.NoLoadReport, answer: c.Answer, stream: c.Stream, most: c.MaxBody,
+		isRelease: c.Release, events: sse.Parser{Most: eventMost}, asks: c.Request, due: e.loop.Now() + allow, leave: e.loop.Now() + within}
 	l.allow = e.loop.After(min(allow, within), l.late)
 	if l.host == nil || l.host.addr == "" {
-		e.loop.Later(func() { l.end(Outcome{How: scheduler.Unreachable, Why: "the host has no address"}, false) })
+		e.loop.Later(func() { l.end(Result{Outcome: scheduler.Unreachable, Reason: "the host has no address"}, false) })
 		return l
 	}
 	e.carry(l)
@@ -157,16 +157,16 @@
 		}
 		t.conn.Close()
 	}
-	most, dial := e.limits.Most, e.loop.Dial
+	most, dial := e.limits.PerEndpoint, e.loop.Dial
 	if l.isRelease {
 		most, dial = most+spareConnections, e.loop.DialSpare
 	}
-	if e.limits.All > 0 && e.open >= e.limits.All {
+	if e.limits.Total > 0 && e.open >= e.limits.Total {
 		e.makeRoom()
 	}
 	if h.open >= most {
 		e.loop.Later(func() {
-			l.end(Outcome{How: scheduler.Unreachable, Why: "the host's connections are all in use"}, false)
+			l.end(Result{Outcome: scheduler.Unreachable, Reason: "the host's connections are all in use"}, false)
 		})
 		return
 	}
@@ -174,7 +174,7 @@
 		w := &waitingAttempt{attempt: l}
 		w.timer = e.loop.After(max(l.leave-now, 0), func() {
 			h.waiting = slices.DeleteFunc(h.waiting, func(o *waitingAttempt) bool { return o == w })
-			l.end(Outcome{How: scheduler.Unreachable, Why: "too many connections to the host are opening"}, false)
+			l.end(Result{Outcome: scheduler.Unreachable, Reason: "too many connections to the host are opening"}, false)
 		})
 		h.waiting = append(h.waiting, w)
 		return
@@ -206,7 +206,7 @@
 
 // next serves attempts that wait, as far as connections allow now.
 func (e *Engine) next(h *host) {
-	for len(h.waiting) > 0 && (len(h.idle) > 0 || h.opening < e.limits.Opening && h.open < e.limits.Most) {
+	for len(h.waiting) > 0 && (len(h.idle) > 0 || h.opening < e.limits.Opening && h.open < e.limits.PerEndpoint) {
 		w := h.waiting[0]
 		h.waiting = h.waiting[1:]
 		w.timer.Stop()
@@ -223,8 +223,8 @@
 	}
 }
 
-// Out is how many attempts are out at a host.
-func (e *Engine) Out(id scheduler.EndpointID) int {
+// InFlight is how many attempts are out at a host.
+func (e *Engine) InFlight(id scheduler.EndpointID) int {
 	h := e.hosts[id]
 	if h == nil {
 		return 0
@@ -248,8 +248,8 @@
 	return 0
 }
 
-// Heard is when a host last said anything.
-func (e *Engine) Heard(id scheduler.EndpointID) eventloop.Micros {
+// LastHeard is when a host last said anything.
+func (e *Engine) LastHeard(id scheduler.EndpointID) eventloop.Micros {
 	if h := e.hosts[id]; h != nil {
 		return h.heard
 	}
--- a/internal/engine/engine_test.go
+++ b/internal/engine/engine_test.go
@@ -27,17 +27,17 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		var got []Outcome
+		var got []Result
 		own.Do(func() {
-			e := New(own, "d", "", Limits{Connect: eventloop.Second, Idle: eventloop.Second, Most: 4, Opening: 4})
-			e.Place(1, ln.Addr())
+			e := New(own, "d", "", Limits{Connect: eventloop.Second, Idle: eventloop.Second, PerEndpoint: 4, Opening: 4})
+			e.SetAddress(1, ln.Addr())
 			e.Call(1, Call{Request: func(addr string, _ eventloop.Micros) []byte {
 				return http1.AppendRequest(nil, "POST", "/", addr, make([]byte, size))
 			}},
-				300*eventloop.Millisecond, Callbacks{Ended: func(o Outcome) { got = append(got, o) }})
+				300*eventloop.Millisecond, Callbacks{Ended: func(o Result) { got = append(got, o) }})
 		})
 		w.Run(2 * eventloop.Second)
-		if len(got) != 1 || got[0].How != want {
+		if len(got) != 1 || got[0].Outcome != want {
 			t.Errorf("%d bytes: %+v, want one ending %d", size, got, want)
 		}
 	}
@@ -53,18 +53,18 @@
 		t.Fatal(err)
 	}
 	w.Block(own, far, 10*eventloop.Second)
-	e := New(own, "d", "", Limits{Connect: eventloop.Second, Idle: eventloop.Second, Most: 4, Opening: 1})
+	e := New(own, "d", "", Limits{Connect: eventloop.Second, Idle: eventloop.Second, PerEndpoint: 4, Opening: 1})
 	var took []eventloop.Micros
 	call := func() {
 		began := w.Now()
 		e.Call(1, Call{Request: func(addr string, _ eventloop.Micros) []byte { return http1.AppendRequest(nil, "POST", "/", addr, nil) }},
-			5*eventloop.Second, Callbacks{Ended: func(o Outcome) {
-				if took = append(took, w.Now()-began); o.How != scheduler.Unreachable {
-					t.Errorf("it ended %d: %s", o.How, o.Why)
+			5*eventloop.Second, Callbacks{Ended: func(o Result) {
+				if took = append(took, w.Now()-began); o.Outcome != scheduler.Unreachable {
+					t.Errorf("it ended %d: %s", o.Outcome, o.Reason)
 				}
 			}})
 	}
-	own.Do(func() { e.Place(1, ln.Addr()); call() })
+	own.Do(func() { e.SetAddress(1, ln.Addr()); call() })
 	w.Run(500 * eventloop.Millisecond)
 	own.Do(call)
 	w.Run(4 * eventloop.Second)
--- a/internal/engine/outcome.go
+++ b/internal/engine/outcome.go
@@ -14,17 +14,17 @@
 	"plumspindle/scheduler"
 )
 
-// Outcome is how an attempt came out.
-type Outcome struct {
-	How    scheduler.Outcome
-	Note   int     // ReadDone: prompt tokens found kept. Full: 1 if there was no state to fetch
-	Memory float64 // share of the host's memory that is held, or scheduler.NoReport
-	State  string  // ReadDone: where the state lies, as the host put it
-	Cut    bool    // the connection was closed from here with the attempt on it
+// Result is how an attempt came out.
+type Result struct {
+	Outcome       scheduler.Outcome
+	Note          int     // ReadDone: prompt tokens found kept. Full: 1 if there was no state to fetch
+	MemoryUsage   float64 // share of the host's memory that is held, or scheduler.NoReport
+	State         string  // ReadDone: where the state lies, as the host put it
+	ClosedLocally bool    // the connection was closed from here with the attempt on it
 	// Undelivered: the attempt's last byte was not known to have reached its host when it ended.
-	Undelivered bool
-	Bad         bool   // the host says that what it was sent is no good: no other would do better
-	Why         string // for logs: which line of the table in docs/legs.md
+	Undelivered    bool
+	InvalidRequest bool   // the host says that what it was sent is no good: no other would do better
+	Reason         string // for logs: which line of the table in docs/legs.md
 }
 
 // refusals are the answers by which a host states that it has not run the attempt. Only these, said in words and with
@@ -42,24 +42,24 @@
 }
 
 // refused reads an answer that is not a success.
-func refused(status int, body []byte) Outcome {
+func refused(status int, body []byte) Result {
 	code := gjson.GetBytes(body, "error.code").String()
 	for _, r := range refusals {
 		if r.status == status && r.code == code && gjson.ValidBytes(body) {
-			return Outcome{How: r.how, Note: r.note, Bad: r.status == 422, Why: "host says " + code}
+			return Result{Outcome: r.how, Note: r.note, InvalidRequest: r.status == 422, Reason: "host says " + code}
 		}
 	}
-	return Outcome{How: scheduler.Errored, Why: "status " + strconv.Itoa(status)}
+	return Result{Outcome: scheduler.Errored, Reason: "status " + strconv.Itoa(status)}
 }
 
 // readDone reads the answer to a read.
-func readDone(body []byte) Outcome {
+func readDone(body []byte) Result {
 	params := gjson.GetBytes(body, "kv_transfer_params")
 	if !gjson.ValidBytes(body) || !params.IsObject() {
-		return Outcome{How: scheduler.Errored, Why: "a read without a state"}
+		return Result{Outcome: scheduler.Errored, Reason: "a read without a state"}
 	}
 	kept := gjson.GetBytes(body, "usage.prompt_tokens_details.cached_tokens").Int()
-	return Outcome{How: scheduler.PrefillDone, Note: int(max(kept, 0)), State: params.Raw, Why: "read"}
+	return Result{Outcome: scheduler.PrefillDone, Note: int(max(kept, 0)), State: params.Raw, Reason: "read"}
 }
 
 // memory finds the reported share of memory in an ORCA report (field endpoint-load-metrics), in its text or its
--- a/internal/engine/release.go
+++ b/internal/engine/release.go
@@ -9,10 +9,10 @@
 	"plumspindle/scheduler"
 )
 
-// LetGo has a host drop whatever it holds for some attempts. It may have a connection and a descriptor beyond those that attempts may use,
+// Release has a host drop whatever it holds for some attempts. It may have a connection and a descriptor beyond those that attempts may use,
 // as a state must not be pinned by want of either. Where it may not have arrived it is tried again, with all else that the host is
 // owed in one request, for as long as a host keeps by its own lease what nobody asks for.
-func (e *Engine) LetGo(id scheduler.EndpointID, names []string) {
+func (e *Engine) Release(id scheduler.EndpointID, names []string) {
 	h := e.hosts[id]
 	if h == nil || len(names) == 0 {
 		return
@@ -62,14 +62,14 @@
 }
 
 func (e *Engine) letGo(h *host, names []string, within eventloop.Micros, done func(arrived bool)) {
-	answer := func(head *http1.Head, _ []byte) Outcome {
+	answer := func(head *http1.Head, _ []byte) Result {
 		if head.Status == 200 {
-			return Outcome{How: scheduler.PrefillDone}
+			return Result{Outcome: scheduler.PrefillDone}
 		}
-		return Outcome{How: scheduler.Errored}
+		return Result{Outcome: scheduler.Errored}
 	}
-	e.call(h, Call{Spare: true, Most: answerMost, Answer: answer, Request: func(addr string, _ eventloop.Micros) []byte {
+	e.call(h, Call{Release: true, MaxBody: answerMost, Answer: answer, Request: func(addr string, _ eventloop.Micros) []byte {
 		return http1.AppendRequest(nil, "POST", "/v1/kv/release", addr, []byte(`{"request_ids":["`+strings.Join(names, `","`)+`"]}`),
 			"Content-Type", "application/json", "x-dispatcher", e.name, "x-zone", e.zone)
-	}}, within, Callbacks{Ended: func(o Outcome) { done(o.How == scheduler.PrefillDone) }})
+	}}, within, Callbacks{Ended: func(o Result) { done(o.Outcome == scheduler.PrefillDone) }})
 }
--- a/internal/faultsearch/faultsearch.go
+++ b/internal/faultsearch/faultsearch.go
@@ -97,9 +97,9 @@
 	Faults  []string // each begins with what was broken
 	Trace   uint64
 	Steps   int
-	Reached lifecycle.Reached
+	Reached lifecycle.Coverage
 	Verdict *audit.Verdict
-	Play    *scenarios.Play
+	Play    *scenarios.Run
 }
 
 // Sort is what was broken first, without its numbers: two days that fail alike have it alike.
@@ -114,11 +114,11 @@
 // checkEvery is how many steps lie between two looks into the dispatchers.
 const checkEvery = 16
 
-// Play plays a day, with a fault planted or none.
-func Play(d *pb.Day, plant *scenarios.Plant) (*Outcome, error) {
+// Run plays a day, with a fault planted or none.
+func Run(d *pb.Day, plant *scenarios.Mutant) (*Outcome, error) {
 	o := &Outcome{Day: d}
-	p := &scenarios.Play{Script: proto.Clone(d).(*pb.Day), Deployment: deployment.Standard(), Dispatchers: int(max(d.World.GetDispatchers(), 1)),
-		Seed: d.World.GetSeed(), Keyed: d.World.GetKeyed(), Intents: d.World.GetIntents(), Plant: plant}
+	p := &scenarios.Run{Script: proto.Clone(d).(*pb.Day), Deployment: deployment.Standard(), Dispatchers: int(max(d.World.GetDispatchers(), 1)),
+		Seed: d.World.GetSeed(), Keyed: d.World.GetKeyed(), Intents: d.World.GetIntents(), Mutant: plant}
 	if plant != nil && plant.Play != nil {
 		plant.Play(p)
 	}
@@ -164,7 +164,7 @@
 
 // returns tells whether service has come back: of what was asked in the last second, when no trouble has been under way for a
 // while, not nearly all may be without an answer.
-func returns(d *pb.Day, p *scenarios.Play) string {
+func returns(d *pb.Day, p *scenarios.Run) string {
 	end := uint32(0)
 	for _, t := range d.Troubles {
 		span := t.ForMs
@@ -188,8 +188,8 @@
 
 // Shrink cuts a day that fails down: troubles, batches, options, the length and the load go as far as it still fails in the
 // same way. Each that was tried is told to note.
-func Shrink(d *pb.Day, plant *scenarios.Plant, note func(tried int, d *pb.Day)) (*pb.Day, int, error) {
-	first, err := Play(d, plant)
+func Shrink(d *pb.Day, plant *scenarios.Mutant, note func(tried int, d *pb.Day)) (*pb.Day, int, error) {
+	first, err := Run(d, plant)
 	if err != nil {
 		return nil, 0, err
 	}
@@ -206,7 +206,7 @@
 			return false
 		}
 		tried++
-		o, err := Play(next, plant)
+		o, err := Run(next, plant)
 		if err != nil || o.Sort() != want {
 			return false
 		}
--- a/internal/faultsearch/faultsearch_test.go
+++ b/internal/faultsearch/faultsearch_test.go
@@ -34,7 +34,7 @@
 		n = 40
 	}
 	several(1, n, func(seed int64) {
-		o, err := Play(Draw(seed, Usual), nil)
+		o, err := Run(Draw(seed, Usual), nil)
 		if err != nil {
 			t.Error(err)
 			return
@@ -45,7 +45,7 @@
 		if seed%10 > 0 {
 			return
 		}
-		if again, err := Play(Draw(seed, Usual), nil); err != nil || again.Trace != o.Trace || again.Steps != o.Steps {
+		if again, err := Run(Draw(seed, Usual), nil); err != nil || again.Trace != o.Trace || again.Steps != o.Steps {
 			t.Errorf("seed %d: not the same twice (%v)", seed, err)
 		}
 	})
@@ -54,13 +54,13 @@
 // Each planted fault is found. The seed where a search from 1 on found it is tried first; a change of the program may have moved it.
 func TestPlantsAreFound(t *testing.T) {
 	at := []int64{5, 5, 5, 18, 32, 0, 5, 1, 1, 0, 68, 32, 0, 65, 30, 0, 149, 1, 1, 1, 39, 2}
-	several(0, int64(len(Plants())-1), func(i int64) {
-		p := Plants()[i]
+	several(0, int64(len(Mutants())-1), func(i int64) {
+		p := Mutants()[i]
 		if int(i) >= len(at) || at[i] == 0 {
 			return // its seed is beyond what is played here; docs/simulation.md
 		}
 		for seed, tried := at[i], int64(0); tried <= 120; tried++ {
-			o, err := Play(Draw(seed, Usual), p)
+			o, err := Run(Draw(seed, Usual), p)
 			if err != nil {
 				t.Error(err)
 				return
@@ -79,9 +79,9 @@
 func TestShrink(t *testing.T) {
 	for _, i := range []int{2, 8} {
 		var found *Outcome
-		p := Plants()[i]
+		p := Mutants()[i]
 		for seed := int64(1); found == nil; seed++ {
-			o, err := Play(Draw(seed, Usual), p)
+			o, err := Run(Draw(seed, Usual), p)
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -94,7 +94,7 @@
 			t.Fatal(err)
 		}
 		t.Logf("%s: %d troubles of %d after %d days", p.Name, len(least.Troubles), len(found.Day.Troubles), tried)
-		if o, err := Play(least, p); err != nil || o.Sort() != found.Sort() || len(least.Troubles) > 5 {
+		if o, err := Run(least, p); err != nil || o.Sort() != found.Sort() || len(least.Troubles) > 5 {
 			t.Errorf("%s: %d troubles, %v, %v", p.Name, len(least.Troubles), o, err)
 		}
 	}
@@ -118,7 +118,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		o, err := Play(d, nil)
+		o, err := Run(d, nil)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -131,8 +131,8 @@
 	}
 }
 
-func ExamplePlants() {
-	fmt.Println(len(Plants()) >= 15)
+func ExampleMutants() {
+	fmt.Println(len(Mutants()) >= 15)
 	// Output: true
 }
 
@@ -144,7 +144,7 @@
 		d.Name, d.Batches, d.Rate = fmt.Sprint("kill at ", step), nil, 10
 		d.World = &pb.World{Seed: 6, Dispatchers: 1, LatencyUs: 300, Keyed: true, Intents: true}
 		d.Troubles = []*pb.Day_Trouble{{Kind: "kill_at", AtMs: 700, ForMs: 300, Step: uint32(step * 3)}}
-		o, err := Play(d, nil)
+		o, err := Run(d, nil)
 		if err != nil {
 			t.Error(err)
 			return
--- a/internal/faultsearch/orders.go
+++ b/internal/faultsearch/orders.go
@@ -13,8 +13,8 @@
 	"plumspindle/internal/testbed/scenarios"
 )
 
-// Orders are what a bounded search over the orders of deliveries found.
-type Orders struct {
+// Interleavings are what a bounded search over the orders of deliveries found.
+type Interleavings struct {
 	Days   int // played
 	States int // told apart
 	Cut    int // choices not followed, as their state had been met at that depth
@@ -39,15 +39,15 @@
 // Explore plays all orders in which the first pieces arrive early or late, depth choices deep, each of them by late µs, with
 // troubles on top. A choice whose state was met before at that depth is not followed further; what tells states apart is what the
 // dispatchers and hosts have under way, so that two that differ in anything else count as one.
-func Explore(depth int, late eventloop.Micros, troubles []*pb.Day_Trouble, told func(o *Orders)) (*Orders, error) {
-	o := &Orders{}
+func Explore(depth int, late eventloop.Micros, troubles []*pb.Day_Trouble, told func(o *Interleavings)) (*Interleavings, error) {
+	o := &Interleavings{}
 	met := map[string]bool{}
 	d, script := smallWorld()
 	script.Troubles = troubles
 	choices := []int{}
 	for {
 		at, depthNow := 0, depth
-		p := &scenarios.Play{Script: proto.Clone(script).(*pb.Day), Deployment: deployment.Deployment{Deployment: proto.Clone(d.Deployment).(*pb.Deployment)},
+		p := &scenarios.Run{Script: proto.Clone(script).(*pb.Day), Deployment: deployment.Deployment{Deployment: proto.Clone(d.Deployment).(*pb.Deployment)},
 			Dispatchers: 2, Seed: script.World.Seed}
 		p.Delay = func() eventloop.Micros {
 			if at >= depthNow {
--- a/internal/faultsearch/plants.go
+++ b/internal/faultsearch/plants.go
@@ -96,9 +96,9 @@
 
 func (c *conn) Write(b []byte) { c.write(c.Conn, b) }
 
-func ordered(name string, change func(o *orders)) *scenarios.Plant {
-	return &scenarios.Plant{Name: name, Dispatcher: func() *dispatch.Plant {
-		return &dispatch.Plant{Orders: func(real scheduler.Executor) scheduler.Executor {
+func ordered(name string, change func(o *orders)) *scenarios.Mutant {
+	return &scenarios.Mutant{Name: name, Dispatcher: func() *dispatch.Mutation {
+		return &dispatch.Mutation{Executor: func(real scheduler.Executor) scheduler.Executor {
 			o := &orders{Executor: real}
 			change(o)
 			return o
@@ -106,26 +106,26 @@
 	}}
 }
 
-func placed(name string, change func(*scheduler.Config)) *scenarios.Plant {
-	return &scenarios.Plant{Name: name, Dispatcher: func() *dispatch.Plant { return &dispatch.Plant{Place: change} }}
+func placed(name string, change func(*scheduler.Config)) *scenarios.Mutant {
+	return &scenarios.Mutant{Name: name, Dispatcher: func() *dispatch.Mutation { return &dispatch.Mutation{Config: change} }}
 }
 
-func heard(name string, change func([]roster.Entry) []roster.Entry) *scenarios.Plant {
-	return &scenarios.Plant{Name: name, Dispatcher: func() *dispatch.Plant { return &dispatch.Plant{News: change} }}
+func heard(name string, change func([]roster.Entry) []roster.Entry) *scenarios.Mutant {
+	return &scenarios.Mutant{Name: name, Dispatcher: func() *dispatch.Mutation { return &dispatch.Mutation{EndpointUpdate: change} }}
 }
 
-func looped(name string, change func(*loop)) *scenarios.Plant {
-	return &scenarios.Plant{Name: name, Loop: func(v *virtual.Loop) eventloop.Loop {
+func looped(name string, change func(*loop)) *scenarios.Mutant {
+	return &scenarios.Mutant{Name: name, Loop: func(v *virtual.Loop) eventloop.Loop {
 		l := &loop{Loop: v}
 		change(l)
 		return l
 	}}
 }
 
-// Plants are the faults that can be planted: each is one that the rules, the state's own checks or the record have to find.
-func Plants() []*scenarios.Plant {
+// Mutants are the faults that can be planted: each is one that the rules, the state's own checks or the record have to find.
+func Mutants() []*scenarios.Mutant {
 	final := []byte("data: [DONE]")
-	return []*scenarios.Plant{
+	return []*scenarios.Mutant{
 		ordered("a state is never let go", func(o *orders) { o.letGo = func(scheduler.RequestID) {} }),
 		ordered("every third state is not let go", func(o *orders) {
 			n := 0
@@ -224,7 +224,7 @@
 				}
 			}
 		}),
-		{Name: "intents are not kept", Play: func(p *scenarios.Play) { p.Intents = false }},
+		{Name: "intents are not kept", Play: func(p *scenarios.Run) { p.Intents = false }},
 		{Name: "the disk answers before it has written", Folder: func(f *virtual.Folder) { f.Lies = true }},
 	}
 }
--- a/internal/faultsearch/reject_test.go
+++ b/internal/faultsearch/reject_test.go
@@ -53,15 +53,15 @@
 			if tried > 0 {
 				seed = tried
 			}
-			for _, p := range Plants() {
+			for _, p := range Mutants() {
 				if p.Name != c.plant {
 					continue
 				}
-				bad, err := Play(c.day(seed), p)
+				bad, err := Run(c.day(seed), p)
 				if err != nil || !only(bad, c.rule) {
 					continue
 				}
-				good, err := Play(c.day(seed), nil)
+				good, err := Run(c.day(seed), nil)
 				if err != nil || len(good.Faults) > 0 || good.Verdict.Rules[c.rule-1].Checked == 0 || bad.Verdict.Rules[c.rule-1].Checked == 0 {
 					continue
 				}
--- a/internal/frontend/frontend.go
+++ b/internal/frontend/frontend.go
@@ -16,8 +16,8 @@
 	"plumspindle/internal/sse"
 )
 
-// Patience is how long the front waits for a client, and what it buffers for it.
-type Patience struct {
+// Timeouts is how long the front waits for a client, and what it buffers for it.
+type Timeouts struct {
 	Message eventloop.Micros // for a request, from its first byte to its last
 	Idle    eventloop.Micros // for the next request
 	Stall   eventloop.Micros // for a client that reads nothing of what is sent
@@ -25,7 +25,7 @@
 }
 
 // UsualPatience suits clients near by.
-var UsualPatience = Patience{Message: 10 * eventloop.Second, Idle: 75 * eventloop.Second, Stall: 10 * eventloop.Second, Unsent: 64 << 10}
+var UsualPatience = Timeouts{Message: 10 * eventloop.Second, Idle: 75 * eventloop.Second, Stall: 10 * eventloop.Second, Unsent: 64 << 10}
 
 // Service is what stands behind the front.
 type Service interface {
@@ -40,7 +40,7 @@
 	Keeps  int // bytes of a body that are kept at once, however long it is; 0: all
 	// Begin takes a request whose head has come: either it gives what takes the body, or the request is refused. Once the
 	// body's end was taken without a problem exactly one final answer is owed on the reply.
-	Begin func(head *http1.Head, who Identity, to *Reply) (Sink, *Problem)
+	Begin func(head *http1.Head, who Identity, to *Response) (Sink, *Problem)
 }
 
 // Sink takes one request's body as it comes.
@@ -49,14 +49,14 @@
 	End() *Problem
 }
 
-// Whole is a Sink that needs all of a body at once.
-type Whole struct {
+// BufferedBody is a Sink that needs all of a body at once.
+type BufferedBody struct {
 	body []byte
 	Do   func(body []byte) *Problem
 }
 
-func (w *Whole) Data(b []byte) *Problem { w.body = append(w.body, b...); return nil }
-func (w *Whole) End() *Problem          { return w.Do(w.body) }
+func (w *BufferedBody) Data(b []byte) *Problem { w.body = append(w.body, b...); return nil }
+func (w *BufferedBody) End() *Problem          { return w.Do(w.body) }
 
 // IsJSON refuses what is not said to be JSON, and codings other than those that are taken.
 func IsJSON(head *http1.Head, codings ...string) *Problem {
@@ -112,32 +112,32 @@
 	Serves bool // false: the tenant is known and not served now
 }
 
-// Front takes connections of clients.
-type Front struct {
+// Server takes connections of clients.
+type Server struct {
 	loop     eventloop.Loop
 	service  Service
 	routes   map[string]Route
 	bounds   http1.Bounds
-	patience Patience
+	patience Timeouts
 	clients  map[*client]bool
 	leaving  bool
 	lastNo   uint64
 	// Open is how many requests wait for their final answer.
 	Open int
-	// Most, where it is above 0, is how many connections clients may have. Requests on more are throttled, and their connections
+	// MaxConnections, where it is above 0, is how many connections clients may have. Requests on more are throttled, and their connections
 	// closed; connections beyond an eighth more are not served at all. What hosts, the list's source and the administration are
 	// reached by must not run out because clients hold all there is.
-	Most int
-	// Bodies, where it is above 0, is how many bytes of bodies are kept at once, of requests that come or wait for their answer; one
+	MaxConnections int
+	// MaxBufferedBodies, where it is above 0, is how many bytes of bodies are kept at once, of requests that come or wait for their answer; one
 	// that would go beyond it is throttled, and nothing more of it is kept.
-	Bodies int
+	MaxBufferedBodies int
 	// Kept is how many are.
 	Kept int
 }
 
 // New makes one; its Accept goes to Listen. Routes are by path; one that ends in a slash takes all paths below it.
-func New(loop eventloop.Loop, service Service, routes map[string]Route, bounds http1.Bounds, patience Patience) *Front {
-	f := &Front{loop: loop, service: service, routes: routes, bounds: bounds, patience: patience, clients: map[*client]bool{}}
+func New(loop eventloop.Loop, service Service, routes map[string]Route, bounds http1.Bounds, patience Timeouts) *Server {
+	f := &Server{loop: loop, service: service, routes: routes, bounds: bounds, patience: patience, clients: map[*client]bool{}}
 	f.bounds.BodyOf = func(target string) int {
 		if r, some := f.route(target); some && r.Body > 0 {
 			return r.Body
@@ -147,7 +147,7 @@
 	return f
 }
 
-func (f *Front) route(target string) (Route, bool) {
+func (f *Server) route(target string) (Route, bool) {
 	path, _, _ := strings.Cut(target, "?")
 	r, some := f.routes[path]
 	if at := strings.LastIndexByte(path, '/'); !some && at > 0 {
@@ -157,12 +157,12 @@
 }
 
 // Accept is for the listener.
-func (f *Front) Accept(c eventloop.Conn) eventloop.Handler {
+func (f *Server) Accept(c eventloop.Conn) eventloop.Handler {
 	return &client{front: f, conn: c, parser: http1.Parser{Bounds: f.bounds}}
 }
 
-// Leave takes no further request; what runs goes on, and a connection is closed after its answer.
-func (f *Front) Leave() {
+// Shutdown takes no further request; what runs goes on, and a connection is closed after its answer.
+func (f *Server) Shutdown() {
 	f.leaving = true
 	for c := range f.clients {
 		if c.reply == nil {
@@ -173,14 +173,14 @@
 
 // client is one connection of a client, with one request at a time.
 type client struct {
-	front  *Front
+	front  *Server
 	conn   eventloop.Conn
 	parser http1.Parser
 	head   *http1.Head
 	sink   Sink
 	refuse *Problem // what the request will be answered with, once it has come
 	came   int      // bytes of its body since its time was last drawn out
-	reply  *Reply
+	reply  *Response
 	waits  eventloop.Wait
 	out    []byte
 	over   bool // nothing more is read
@@ -195,10 +195,10 @@
 		c.conn.Close()
 		return
 	}
-	if f.Most > 0 && len(f.clients) >= f.Most {
+	if f.MaxConnections > 0 && len(f.clients) >= f.MaxConnections {
 		f.dropIdle()
 	}
-	if f.Most > 0 && len(f.clients) >= f.Most+f.Most/8+1 {
+	if f.MaxConnections > 0 && len(f.clients) >= f.MaxConnections+f.MaxConnections/8+1 {
 		c.over = true
 		c.conn.Write(Busy())
 		c.waits.For(c.front.loop, busyFor, func() { c.conn.Close() }) // what it sends is taken meanwhile, as a reset would overtake the answer
@@ -219,11 +219,11 @@
 }
 
 // crowded tells whether clients have all the connections that they may have.
-func (f *Front) crowded() bool { return f.Most > 0 && len(f.clients) > f.Most }
+func (f *Server) crowded() bool { return f.MaxConnections > 0 && len(f.clients) > f.MaxConnections }
 
 // dropIdle closes the connection that has waited longest for a request, where that is a while. One on which something has just come
 // waits no more.
-func (f *Front) dropIdle() {
+func (f *Server) dropIdle() {
 	for {
 		oldest := f.oldestIdle()
 		if oldest == nil {
@@ -238,7 +238,7 @@
 	}
 }
 
-func (f *Front) oldestIdle() (oldest *client) {
+func (f *Server) oldestIdle() (oldest *client) {
 	for c := range f.clients {
 		if c.reply == nil && !c.over && c.parser.Idle() && f.loop.Now()-c.idle > idleLeast && (oldest == nil || c.no < oldest.no) {
 			oldest = c
@@ -249,12 +249,12 @@
 
 // Busy is the answer to a connection that is not served for want of room; nothing has run.
 func Busy() []byte {
-	p := Crowded()
+	p := TooManyConnections()
 	return http1.AppendResponse(nil, p.Status, p.Body(), append(backFields(0), "Connection", "close", "Content-Type", "application/json")...)
 }
 
-// Crowded is a request that is turned away for want of room; nothing of it has run.
-func Crowded() *Problem {
+// TooManyConnections is a request that is turned away for want of room; nothing of it has run.
+func TooManyConnections() *Problem {
 	return &Problem{Status: 429, Type: "rate_limit_error", Code: "throttled", Message: "The service is busy; nothing was run. Please try again."}
 }
 
@@ -334,7 +334,7 @@
 // Head, Body and End are the parser's events.
 func (c *client) Head(h *http1.Head) error {
 	c.head, c.sink, c.refuse = h, nil, nil
-	c.reply = &Reply{client: c, stays: h.KeepAlive() && !c.front.leaving}
+	c.reply = &Response{client: c, stays: h.KeepAlive() && !c.front.leaving}
 	c.front.Open++
 	c.sink, c.refuse = c.front.begin(h, c.reply)
 	if r, some := c.front.route(h.Target); some {
@@ -354,13 +354,13 @@
 	case c.refuse != nil || c.sink == nil:
 	case !isDeaf(c.sink) && !c.reply.keep(len(b)):
 		to := c.reply
-		if to.OnLeft != nil { // what takes the body has begun with it, and is told that nobody waits
-			to.OnLeft()
-			to.OnLeft = nil
+		if to.OnDisconnect != nil { // what takes the body has begun with it, and is told that nobody waits
+			to.OnDisconnect()
+			to.OnDisconnect = nil
 		}
 		to.free()
 		to.Pause(false)
-		c.sink = &deaf{func() { to.Throttled(0) }}
+		c.sink = &deaf{func() { to.Reject(0) }}
 	default:
 		c.refuse = c.sink.Data(b)
 	}
@@ -383,11 +383,11 @@
 }
 
 // begin finds what a request asks for, and who asks.
-func (f *Front) begin(head *http1.Head, to *Reply) (Sink, *Problem) {
+func (f *Server) begin(head *http1.Head, to *Response) (Sink, *Problem) {
 	if f.leaving || f.crowded() {
 		// Nothing ran; another dispatcher takes it.
 		to.stays = false
-		return &deaf{func() { to.Throttled(0) }}, nil
+		return &deaf{func() { to.Reject(0) }}, nil
 	}
 	path, _, _ := strings.Cut(head.Target, "?")
 	key, bearer := strings.CutPrefix(head.Get("Authorization"), "Bearer ")
@@ -421,8 +421,8 @@
 	entry := func(m string) map[string]any {
 		return map[string]any{"id": m, "object": "model", "created": 0, "owned_by": "plumspindle"}
 	}
-	all = Route{Method: "GET", Begin: func(_ *http1.Head, _ Identity, to *Reply) (Sink, *Problem) {
-		return &Whole{Do: func([]byte) *Problem {
+	all = Route{Method: "GET", Begin: func(_ *http1.Head, _ Identity, to *Response) (Sink, *Problem) {
+		return &BufferedBody{Do: func([]byte) *Problem {
 			list := []any{}
 			for _, m := range names() {
 				list = append(list, entry(m))
@@ -432,13 +432,13 @@
 			return nil
 		}}, nil
 	}}
-	one = Route{Method: "GET", Begin: func(head *http1.Head, _ Identity, to *Reply) (Sink, *Problem) {
+	one = Route{Method: "GET", Begin: func(head *http1.Head, _ Identity, to *Response) (Sink, *Problem) {
 		path, _, _ := strings.Cut(head.Target, "?")
 		name := path[strings.LastIndexByte(path, '/')+1:]
 		if !slices.Contains(names(), name) {
 			return nil, NoModel(name)
 		}
-		return &Whole{Do: func([]byte) *Problem {
+		return &BufferedBody{Do: func([]byte) *Problem {
 			b, _ := json.Marshal(entry(name))
 			to.finish(200, b)
 			return nil
@@ -486,8 +486,8 @@
 
 // --- The reply ---
 
-// Shape is what an API makes of a writer's events.
-type Shape interface {
+// Format is what an API makes of a writer's events.
+type Format interface {
 	RequestID() string
 	Streams() bool               // the client is sent events, else one whole answer
 	Waits() bool                 // nothing of the answer has been shaped yet
@@ -496,8 +496,8 @@
 	Whole() []byte               // the whole answer
 }
 
-// Reply carries one final answer to the client, and nothing after it.
-type Reply struct {
+// Response carries one final answer to the client, and nothing after it.
+type Response struct {
 	client *client
 	stays  bool // the connection does, after the answer
 	taken  bool // the whole request has come
@@ -506,24 +506,24 @@
 	paused bool
 	begun  bool
 	done   bool
-	shape  Shape
+	shape  Format
 	out    []byte
-	// OnLeft is called once when the client goes away before its final answer; OnDrained when a client that
+	// OnDisconnect is called once when the client goes away before its final answer; OnDrained when a client that
 	// lagged has caught up.
-	OnLeft    func()
-	OnDrained func()
+	OnDisconnect func()
+	OnDrained    func()
 }
 
 // Done tells that the final answer was given, or that nobody waits for one.
-func (r *Reply) Done() bool { return r.done }
+func (r *Response) Done() bool { return r.done }
 
 // keep counts bytes of the body that are kept from now on, if there is room for them.
-func (r *Reply) keep(n int) bool {
+func (r *Response) keep(n int) bool {
 	f := r.client.front
 	if r.keeps > 0 {
 		n = max(min(n, r.keeps-r.kept), 0)
 	}
-	if f.Bodies > 0 && f.Kept+n > f.Bodies {
+	if f.MaxBufferedBodies > 0 && f.Kept+n > f.MaxBufferedBodies {
 		return false
 	}
 	r.kept, f.Kept = r.kept+n, f.Kept+n
@@ -531,19 +531,19 @@
 }
 
 // free: nothing of the body is kept any more.
-func (r *Reply) free() {
+func (r *Response) free() {
 	r.client.front.Kept -= r.kept
 	r.kept = 0
 }
 
 // Begun tells that the first byte of a streamed answer has been sent.
-func (r *Reply) Begun() bool { return r.begun }
+func (r *Response) Begun() bool { return r.begun }
 
-// Shape says how the answer is to look; before the first chunk.
-func (r *Reply) Shape(s Shape) { r.shape = s }
+// SetFormat says how the answer is to look; before the first chunk.
+func (r *Response) SetFormat(s Format) { r.shape = s }
 
 // Pause has the request's body wait, where what was read of it already is enough to go on with.
-func (r *Reply) Pause(on bool) {
+func (r *Response) Pause(on bool) {
 	c := r.client
 	if r.taken || r.done || r.paused == on {
 		return
@@ -557,8 +557,8 @@
 	}
 }
 
-// Refuse is the final answer to a request whose body is still coming, or has come.
-func (r *Reply) Refuse(p *Problem) {
+// Error is the final answer to a request whose body is still coming, or has come.
+func (r *Response) Error(p *Problem) {
 	if r.done {
 		return
 	}
@@ -570,8 +570,8 @@
 	r.Pause(false)
 }
 
-// Pour is a long whole answer that is made piece by piece, as the client takes it.
-func (r *Reply) Pour(kind string, next func() (piece []byte, more bool), fields ...string) {
+// Stream is a long whole answer that is made piece by piece, as the client takes it.
+func (r *Response) Stream(kind string, next func() (piece []byte, more bool), fields ...string) {
 	if r.done {
 		return
 	}
@@ -598,7 +598,7 @@
 }
 
 // Chunk hands on one usable event of a writer. It tells whether the client lags behind.
-func (r *Reply) Chunk(data []byte) (lags bool) {
+func (r *Response) Chunk(data []byte) (lags bool) {
 	if r.done {
 		return false
 	}
@@ -618,9 +618,9 @@
 	return c.waits.Lags(c.front.loop, c.conn, c.front.patience.Unsent, c.front.patience.Stall, c.stalled)
 }
 
-// Beat begins the stream, where it has not begun, and sends a comment that clients pass over. It tells whether there
+// Heartbeat begins the stream, where it has not begun, and sends a comment that clients pass over. It tells whether there
 // is still something to wait for.
-func (r *Reply) Beat() bool {
+func (r *Response) Heartbeat() bool {
 	if r.done || r.begun && !r.shape.Waits() {
 		return false
 	}
@@ -635,7 +635,7 @@
 	return true
 }
 
-func (r *Reply) head(b []byte) []byte {
+func (r *Response) head(b []byte) []byte {
 	return http1.AppendStreamHead(b, 200, "Content-Type", "text/event-stream; charset=utf-8", "Cache-Control", "no-cache",
 		"x-request-id", r.shape.RequestID())
 }
@@ -649,8 +649,8 @@
 	c.conn.Abort()
 }
 
-// Streamed is the final answer of a generation that came to its end.
-func (r *Reply) Streamed() {
+// Complete is the final answer of a generation that came to its end.
+func (r *Response) Complete() {
 	if r.done {
 		return
 	}
@@ -667,8 +667,8 @@
 	r.close()
 }
 
-// Refused is the final answer of a generation that its tenant's limits don't let in; nothing has run.
-func (r *Reply) Refused(why string, comeBack eventloop.Micros) {
+// RejectOverQuota is the final answer of a generation that its tenant's limits don't let in; nothing has run.
+func (r *Response) RejectOverQuota(why string, comeBack eventloop.Micros) {
 	p := &Problem{Status: 429, Type: "rate_limit_error", Code: "rate_limit_exceeded", Message: "Rate limit reached: " + why + "."}
 	r.end(p, backFields(comeBack)...)
 }
@@ -681,15 +681,15 @@
 		"retry-after-ms", strconv.FormatInt(int64((comeBack+eventloop.Millisecond-1)/eventloop.Millisecond), 10)}
 }
 
-// Throttled is the final answer of a generation that did nothing and may come again, after a while if one is
+// Reject is the final answer of a generation that did nothing and may come again, after a while if one is
 // given.
-func (r *Reply) Throttled(comeBack eventloop.Micros) {
-	r.end(Crowded(), backFields(comeBack)...)
+func (r *Response) Reject(comeBack eventloop.Micros) {
+	r.end(TooManyConnections(), backFields(comeBack)...)
 }
 
-// Terminated is the final answer of a generation that failed. Where it must not run again the client is told
+// Fail is the final answer of a generation that failed. Where it must not run again the client is told
 // so, as common client libraries repeat a 5xx by themselves.
-func (r *Reply) Terminated(mayComeAgain bool, why string) {
+func (r *Response) Fail(mayComeAgain bool, why string) {
 	retry := "false"
 	if mayComeAgain {
 		retry = "true"
@@ -697,7 +697,7 @@
 	r.end(&Problem{Status: 503, Type: "server_error", Code: "terminated", Message: why}, "x-should-retry", retry)
 }
 
-func (r *Reply) end(p *Problem, fields ...string) {
+func (r *Response) end(p *Problem, fields ...string) {
 	if r.done {
 		return
 	}
@@ -711,7 +711,7 @@
 	r.close()
 }
 
-func (r *Reply) problem(p *Problem) {
+func (r *Response) problem(p *Problem) {
 	fields := []string{}
 	if p.Status == 401 {
 		fields = append(fields, "WWW-Authenticate", "Bearer")
@@ -722,7 +722,7 @@
 	r.finish(p.Status, p.Body(), fields...)
 }
 
-func (r *Reply) finish(status int, body []byte, fields ...string) {
+func (r *Response) finish(status int, body []byte, fields ...string) {
 	if r.done {
 		return
 	}
@@ -735,7 +735,7 @@
 	r.close()
 }
 
-func (r *Reply) close() {
+func (r *Response) close() {
 	c := r.client
 	r.free()
 	r.done = true
@@ -754,7 +754,7 @@
 }
 
 // leave: nobody waits for the answer any more.
-func (r *Reply) leave() {
+func (r *Response) leave() {
 	if r.done {
 		return
 	}
@@ -762,7 +762,7 @@
 	r.done = true
 	r.client.front.Open--
 	r.client.reply = nil
-	if r.OnLeft != nil {
-		r.OnLeft()
+	if r.OnDisconnect != nil {
+		r.OnDisconnect()
 	}
 }
--- a/internal/hostcache/hostcache.go
+++ b/internal/hostcache/hostcache.go
@@ -36,9 +36,9 @@
 
 func (t Trust) String() string { return names[t] }
 
-// Weigh tells how far a list that was kept at a time is believed now. A time that lies ahead, or none, says nothing about
+// Assess tells how far a list that was kept at a time is believed now. A time that lies ahead, or none, says nothing about
 // its age; such a list is taken to be stale.
-func Weigh(now, kept Micros) Trust {
+func Assess(now, kept Micros) Trust {
 	switch age := now - kept; {
 	case kept <= 0 || age < 0:
 		return Stale
@@ -50,33 +50,33 @@
 	return Old
 }
 
-// Host is what of a host matters here.
-type Host struct {
+// Endpoint is what of a host matters here.
+type Endpoint struct {
 	ID      uint32
 	Group   string // hosts of one group can stand in for each other: one zone and kind
 	Started Micros
 }
 
-// Wave is a part of a list and how long after the start it is used.
-type Wave struct {
+// Batch is a part of a list and how long after the start it is used.
+type Batch struct {
 	After Micros
-	Hosts []Host
+	Hosts []Endpoint
 }
 
 // Plan parts a kept list into waves. Each of an old one has its part of every group, so that there are readers and writers
 // from the first on; hosts that are dead cost failed connections, and a whole fleet of them would cost all of them at once.
-func Plan(now Micros, trust Trust, hosts []Host) []Wave {
+func Plan(now Micros, trust Trust, hosts []Endpoint) []Batch {
 	if trust == Fresh {
-		return []Wave{{0, hosts}}
+		return []Batch{{0, hosts}}
 	}
 	careful := slices.Clone(hosts)
 	for i := range careful {
 		careful[i].Started = now
 	}
 	if trust == Stale {
-		return []Wave{{0, careful}}
+		return []Batch{{0, careful}}
 	}
-	parts := make([]Wave, waves)
+	parts := make([]Batch, waves)
 	seen := map[string]int{}
 	for i := range parts {
 		parts[i].After = Micros(i) * waveEvery
@@ -86,13 +86,13 @@
 		seen[h.Group]++
 		parts[n].Hosts = append(parts[n].Hosts, h)
 	}
-	return slices.DeleteFunc(parts, func(w Wave) bool { return len(w.Hosts) == 0 })
+	return slices.DeleteFunc(parts, func(w Batch) bool { return len(w.Hosts) == 0 })
 }
 
-// Doubt tells for how long it is not believed that hosts are gone because a whole list leaves them out: discovery that has
+// RemovalDelay tells for how long it is not believed that hosts are gone because a whole list leaves them out: discovery that has
 // just restarted knows none yet. What a list says of a host by name is believed at once, and the doubt ends within the
 // drain grace, so that nothing new goes to a host later than that after it was left out.
-func Doubt(ready, missing int, grace Micros) Micros {
+func RemovalDelay(ready, missing int, grace Micros) Micros {
 	if ready < 2 || float64(missing) <= lossShare*float64(ready) {
 		return 0
 	}
--- a/internal/hostcache/hostcache_test.go
+++ b/internal/hostcache/hostcache_test.go
@@ -9,16 +9,16 @@
 	now := 1_000_000 * second
 	for age, want := range map[Micros]Trust{0: Fresh, second: Fresh, 60 * second: Stale, 3600 * second: Stale, 24 * 3600 * second: Old,
 		-3600 * second: Stale, now: Stale, now + 5: Stale} {
-		if got := Weigh(now, now-age); got != want {
+		if got := Assess(now, now-age); got != want {
 			t.Errorf("age %d s: %v, want %v", age/second, got, want)
 		}
 	}
 }
 
 func TestPlan(t *testing.T) {
-	var hosts []Host
+	var hosts []Endpoint
 	for i := range 23 {
-		hosts = append(hosts, Host{ID: uint32(i), Group: fmt.Sprint("g", i%4), Started: 5})
+		hosts = append(hosts, Endpoint{ID: uint32(i), Group: fmt.Sprint("g", i%4), Started: 5})
 	}
 	for _, trust := range []Trust{Fresh, Stale, Old} {
 		seen := map[uint32]int{}
@@ -48,7 +48,7 @@
 	grace := 250 * millisecond
 	for ready := range 20 {
 		for missing := range ready + 1 {
-			d := Doubt(ready, missing, grace)
+			d := RemovalDelay(ready, missing, grace)
 			if d >= grace || (d > 0) != (ready >= 2 && 2*missing > ready) {
 				t.Errorf("%d of %d missing: doubted for %d", missing, ready, d)
 			}
--- a/internal/idempotency/idempotency.go
+++ b/internal/idempotency/idempotency.go
@@ -11,16 +11,16 @@
 // Key names a tenant's product and what its client called the generation, as a digest.
 type Key [16]byte
 
-// Verdict is what becomes of a request with a key.
-type Verdict uint8
+// Decision is what becomes of a request with a key.
+type Decision uint8
 
 const (
-	New      Verdict = iota // run it
-	Join                    // it is running, and all that was streamed is here: be sent that, then what follows
-	Replay                  // it has been streamed, and all of it is here
-	Known                   // it ran or may have run, and its answer is not here any more
-	Conflict                // the key was used for another request
-	Full                    // no more keys can be remembered: nothing may run that would have to be
+	New        Decision = iota // run it
+	Join                       // it is running, and all that was streamed is here: be sent that, then what follows
+	Replay                     // it has been streamed, and all of it is here
+	AlreadyRan                 // it ran or may have run, and its answer is not here any more
+	Conflict                   // the key was used for another request
+	Full                       // no more keys can be remembered: nothing may run that would have to be
 )
 
 // Entry is one remembered generation.
@@ -36,8 +36,8 @@
 	gone    bool
 }
 
-// Book remembers keys, within bounds on their number and on the bytes of answers kept for them.
-type Book struct {
+// Cache remembers keys, within bounds on their number and on the bytes of answers kept for them.
+type Cache struct {
 	most, bytesMost, answerMost int
 	entries                     map[Key]*Entry
 	lines                       []*line // one for each length of window, each in the order of its ends
@@ -53,18 +53,18 @@
 	queue  []*Entry
 }
 
-// NewBook makes one that remembers at most so many keys, and so many bytes of answers: in all, and of one.
-func NewBook(most, bytesMost, answerMost int) *Book {
-	return &Book{most: most, bytesMost: bytesMost, answerMost: answerMost, entries: map[Key]*Entry{}}
+// NewCache makes one that remembers at most so many keys, and so many bytes of answers: in all, and of one.
+func NewCache(most, bytesMost, answerMost int) *Cache {
+	return &Cache{most: most, bytesMost: bytesMost, answerMost: answerMost, entries: map[Key]*Entry{}}
 }
 
 // Len is how many keys are remembered, Bytes what their answers take.
-func (b *Book) Len() int   { return len(b.entries) }
-func (b *Book) Bytes() int { return b.bytes }
+func (b *Cache) Len() int   { return len(b.entries) }
+func (b *Cache) Bytes() int { return b.bytes }
 
-// Ask takes a request. For New the entry is to be told of what becomes of it; for Join and Replay it holds what was
+// Begin takes a request. For New the entry is to be told of what becomes of it; for Join and Replay it holds what was
 // streamed.
-func (b *Book) Ask(now Micros, key Key, request uint64) (Verdict, *Entry) {
+func (b *Cache) Begin(now Micros, key Key, request uint64) (Decision, *Entry) {
 	b.expire(now)
 	e := b.entries[key]
 	switch {
@@ -77,18 +77,18 @@
 	case e.request != request:
 		return Conflict, nil
 	case !e.whole:
-		return Known, nil
+		return AlreadyRan, nil
 	case !e.ended:
 		return Join, e
 	case e.good:
 		return Replay, e
 	}
-	return Known, nil
+	return AlreadyRan, nil
 }
 
 // Event keeps one more event of a running answer, while the bounds let it. Room is made by dropping the answers that
 // ended first, never by dropping a key.
-func (b *Book) Event(e *Entry, data []byte) {
+func (b *Cache) Event(e *Entry, data []byte) {
 	if !e.whole || e.gone {
 		return
 	}
@@ -111,13 +111,13 @@
 	b.bytes += len(data)
 }
 
-func (b *Book) drop(e *Entry) {
+func (b *Cache) drop(e *Entry) {
 	b.bytes -= e.bytes
 	e.Events, e.bytes, e.whole = nil, 0, false
 }
 
 // End tells how a generation came out. Where nothing ran its key is free again at once.
-func (b *Book) End(now Micros, e *Entry, good, mayHaveRun bool, window Micros) {
+func (b *Cache) End(now Micros, e *Entry, good, mayHaveRun bool, window Micros) {
 	if e.ended || e.gone {
 		return
 	}
@@ -135,7 +135,7 @@
 	b.queue(e, window)
 }
 
-func (b *Book) queue(e *Entry, window Micros) {
+func (b *Cache) queue(e *Entry, window Micros) {
 	for _, l := range b.lines {
 		if l.window == window {
 			l.queue = append(l.queue, e)
@@ -145,7 +145,7 @@
 	b.lines = append(b.lines, &line{window, []*Entry{e}})
 }
 
-func (b *Book) forget(e *Entry) {
+func (b *Cache) forget(e *Entry) {
 	b.drop(e)
 	e.gone = true
 	delete(b.entries, e.key)
@@ -162,13 +162,13 @@
 // Restore puts back what an earlier life of the dispatcher had remembered: it ran or may have run, and its answer is not
 // here. It is for a book that is new; keys come in the order of their ends. One more than the bound is taken all the same:
 // the bound is on what may run, and this has.
-func (b *Book) Restore(key Key, request uint64, until, window Micros) {
+func (b *Cache) Restore(key Key, request uint64, until, window Micros) {
 	e := &Entry{key: key, request: request, until: until, ended: true}
 	b.entries[key] = e
 	b.queue(e, window)
 }
 
-func (b *Book) expire(now Micros) {
+func (b *Cache) expire(now Micros) {
 	for _, l := range b.lines {
 		n := 0
 		for n < len(l.queue) && l.queue[n].until <= now {
--- a/internal/idempotency/idempotency_test.go
+++ b/internal/idempotency/idempotency_test.go
@@ -12,7 +12,7 @@
 func TestAgainstPlainModel(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		const most, bytesMost, answerMost = 6, 60, 25
-		b := NewBook(most, bytesMost, answerMost)
+		b := NewCache(most, bytesMost, answerMost)
 		type known struct {
 			entry   *Entry
 			request uint64
@@ -36,7 +36,7 @@
 			switch rapid.IntRange(0, 3).Draw(t, "what") {
 			case 0, 1:
 				request := uint64(rapid.IntRange(0, 1).Draw(t, "request"))
-				v, e := b.Ask(now, key, request)
+				v, e := b.Begin(now, key, request)
 				switch {
 				case m == nil && len(model) >= most:
 					if v != Full {
@@ -90,9 +90,9 @@
 
 // A flood of keys is refused at the bound, and room comes back with time only.
 func TestFloodOfKeys(t *testing.T) {
-	b := NewBook(1000, 1<<20, 1<<10)
+	b := NewCache(1000, 1<<20, 1<<10)
 	for i := range 5000 {
-		v, e := b.Ask(Micros(i), Key{byte(i), byte(i >> 8)}, 1)
+		v, e := b.Begin(Micros(i), Key{byte(i), byte(i >> 8)}, 1)
 		if (v == New) != (i < 1000) || v != New && v != Full {
 			t.Fatalf("key %d got %d", i, v)
 		}
@@ -101,10 +101,10 @@
 			b.End(Micros(i), e, true, true, 10000)
 		}
 	}
-	if v, _ := b.Ask(10500, Key{1}, 1); v != New {
+	if v, _ := b.Begin(10500, Key{1}, 1); v != New {
 		t.Errorf("after its window a key got %d", v)
 	}
-	if v, _ := b.Ask(10500, Key{99, 3}, 1); v != Replay {
+	if v, _ := b.Begin(10500, Key{99, 3}, 1); v != Replay {
 		t.Errorf("within its window a key got %d", v)
 	}
 }
--- a/internal/lifecycle/lifecycle.go
+++ b/internal/lifecycle/lifecycle.go
@@ -7,14 +7,14 @@
 type State uint8
 
 const (
-	Queued    State = iota // it waits for its tenant's turn; the module does not know of it
-	Held                   // taken, no leg out, not answered
-	Reading                // a read is out
-	Writing                // a write is out and has brought nothing yet
-	Streaming              // its answer has begun
-	Leaving                // answered, or its client left, with a leg still out
-	Over                   // answered, or its client left, and nothing out
-	States    = int(Over) + 1
+	Queued     State = iota // it waits for its tenant's turn; the module does not know of it
+	Pending                 // taken, no leg out, not answered
+	Prefilling              // a read is out
+	Decoding                // a write is out and has brought nothing yet
+	Streaming               // its answer has begun
+	Closing                 // answered, or its client left, with a leg still out
+	Done                    // answered, or its client left, and nothing out
+	States     = int(Done) + 1
 )
 
 var stateNames = [States]string{"queued", "held", "reading", "writing", "streaming", "leaving", "over"}
@@ -25,25 +25,25 @@
 type Event uint8
 
 const (
-	OrderRead      Event = iota // the module sends it to a reader
-	OrderWrite                  // the module sends it to where it is answered
-	OrderThrottle               // the module throttles it
-	OrderTerminate              // the module terminates it
-	OrderCancel                 // the module takes its leg back
-	OrderLetGo                  // the module lets go of its state
-	LegRead                     // its read ended well
-	LegStreamed                 // its write ended well
-	LegRefused                  // its leg is known not to have run
-	LegFailed                   // its leg ended in any other way
-	Token                       // its writer sent an event
-	ClientLeft                  // nobody waits any more
-	TimeUp                      // its client's time for a whole answer is up
-	Lags                        // its client does not read what it is sent
-	CaughtUp                    // it does again
-	Admit                       // its tenant's turn has come
-	Stop                        // its tenant is removed, and what runs is not to go on
-	LegWhole                    // its read ended well, and that is its answer
-	Events         = int(LegWhole) + 1
+	PrefillOrdered       Event = iota // the module sends it to a reader
+	DecodeOrdered                     // the module sends it to where it is answered
+	RejectOrdered                     // the module throttles it
+	FailOrdered                       // the module terminates it
+	CancelOrdered                     // the module takes its leg back
+	ReleaseOrdered                    // the module lets go of its state
+	PrefillCompleted                  // its read ended well
+	DecodeCompleted                   // its write ended well
+	AttemptRejected                   // its leg is known not to have run
+	AttemptFailed                     // its leg ended in any other way
+	EventReceived                     // its writer sent an event
+	ClientDisconnected                // nobody waits any more
+	DeadlineExceeded                  // its client's time for a whole answer is up
+	ClientLagging                     // its client does not read what it is sent
+	ClientCaughtUp                    // it does again
+	Admitted                          // its tenant's turn has come
+	TenantStopped                     // its tenant is removed, and what runs is not to go on
+	PrefillOnlyCompleted              // its read ended well, and that is its answer
+	Events               = int(PrefillOnlyCompleted) + 1
 )
 
 var eventNames = [Events]string{"order read", "order write", "order throttle", "order terminate", "order cancel", "order let go", "leg read",
@@ -55,26 +55,26 @@
 type Action uint8
 
 const (
-	CarryRead        Action = iota // make the leg
-	CarryWrite                     //
-	CloseLeg                       // close its connection
-	ReportCancelled                // afterwards, tell that the closed leg failed
-	ReleaseLeg                     // let go of what the leg may have left at its reader
-	Release                        // let go of all that is held
-	Fetched                        // what was held has been taken
-	TellStarted                    // tell the module
-	TellEnded                      //
-	TellLeft                       //
-	TellArrived                    //
-	TellQuit                       // tell it to give the generation up
-	Relay                          // hand the event on to the client
-	AnswerStreamed                 // the one final answer
-	AnswerThrottled                //
-	AnswerTerminated               //
-	SlowLeg                        // read no more of it
-	ResumeLeg                      //
-	Forget                         // nothing is left
-	Actions          = int(Forget) + 1
+	StartPrefill       Action = iota // make the leg
+	StartDecode                      //
+	CloseAttempt                     // close its connection
+	ReportCancelled                  // afterwards, tell that the closed leg failed
+	ReleaseAttempt                   // let go of what the leg may have left at its reader
+	ReleaseState                     // let go of all that is held
+	StateFetched                     // what was held has been taken
+	NotifyStarted                    // tell the module
+	NotifyEnded                      //
+	NotifyDisconnected               //
+	NotifyArrived                    //
+	NotifyWithdrawn                  // tell it to give the generation up
+	ForwardEvent                     // hand the event on to the client
+	AnswerCompleted                  // the one final answer
+	AnswerRejected                   //
+	AnswerFailed                     //
+	PauseAttempt                     // read no more of it
+	ResumeAttempt                    //
+	Forget                           // nothing is left
+	Actions            = int(Forget) + 1
 )
 
 var actionNames = [Actions]string{"carry read", "carry write", "close leg", "report cancelled", "release leg", "release", "fetched", "tell started",
@@ -82,102 +82,102 @@
 
 func (a Action) String() string { return actionNames[a] }
 
-// Step is one cell of the table. A cell that is not given can't come, or comes too late to matter: nothing is done.
-type Step struct {
-	Next State
-	Do   []Action
-	Some bool // the cell is given
+// Transition is one cell of the table. A cell that is not given can't come, or comes too late to matter: nothing is done.
+type Transition struct {
+	Next    State
+	Actions []Action
+	Defined bool // the cell is given
 }
 
-func to(next State, do ...Action) Step { return Step{next, do, true} }
+func to(next State, do ...Action) Transition { return Transition{next, do, true} }
 
-// Table is the whole of it.
-var Table = [States][Events]Step{
+// Transitions is the whole of it.
+var Transitions = [States][Events]Transition{
 	Queued: {
-		Admit:      to(Held, TellArrived),
-		TimeUp:     to(Over, AnswerThrottled, Forget),
-		ClientLeft: to(Over, Forget),
-		Stop:       to(Over, AnswerThrottled, Forget),
+		Admitted:           to(Pending, NotifyArrived),
+		DeadlineExceeded:   to(Done, AnswerRejected, Forget),
+		ClientDisconnected: to(Done, Forget),
+		TenantStopped:      to(Done, AnswerRejected, Forget),
 	},
-	Held: {
-		Stop:           to(Held, TellQuit),
-		OrderRead:      to(Reading, CarryRead),
-		OrderWrite:     to(Writing, CarryWrite),
-		OrderThrottle:  to(Over, AnswerThrottled, Forget),
-		OrderTerminate: to(Over, AnswerTerminated, Forget),
-		OrderLetGo:     to(Held, Release),
-		ClientLeft:     to(Over, TellLeft, Forget),
+	Pending: {
+		TenantStopped:      to(Pending, NotifyWithdrawn),
+		PrefillOrdered:     to(Prefilling, StartPrefill),
+		DecodeOrdered:      to(Decoding, StartDecode),
+		RejectOrdered:      to(Done, AnswerRejected, Forget),
+		FailOrdered:        to(Done, AnswerFailed, Forget),
+		ReleaseOrdered:     to(Pending, ReleaseState),
+		ClientDisconnected: to(Done, NotifyDisconnected, Forget),
 	},
-	Reading: {
-		Stop:           to(Reading, TellQuit),
-		OrderThrottle:  to(Leaving, AnswerThrottled),
-		OrderTerminate: to(Leaving, AnswerTerminated),
-		OrderCancel:    to(Reading, CloseLeg, ReportCancelled),
-		LegRead:        to(Held, TellEnded),
-		LegWhole:       to(Over, AnswerStreamed, TellEnded, Forget),
-		LegRefused:     to(Held, TellEnded),
-		LegFailed:      to(Held, ReleaseLeg, TellEnded),
-		ClientLeft:     to(Leaving, TellLeft),
+	Prefilling: {
+		TenantStopped:        to(Prefilling, NotifyWithdrawn),
+		RejectOrdered:        to(Closing, AnswerRejected),
+		FailOrdered:          to(Closing, AnswerFailed),
+		CancelOrdered:        to(Prefilling, CloseAttempt, ReportCancelled),
+		PrefillCompleted:     to(Pending, NotifyEnded),
+		PrefillOnlyCompleted: to(Done, AnswerCompleted, NotifyEnded, Forget),
+		AttemptRejected:      to(Pending, NotifyEnded),
+		AttemptFailed:        to(Pending, ReleaseAttempt, NotifyEnded),
+		ClientDisconnected:   to(Closing, NotifyDisconnected),
 	},
-	Writing: {
-		Stop:           to(Writing, TellQuit),
-		OrderThrottle:  to(Leaving, AnswerThrottled),
-		OrderTerminate: to(Leaving, AnswerTerminated),
-		OrderCancel:    to(Writing, CloseLeg, ReportCancelled),
-		LegRefused:     to(Held, TellEnded),
-		LegFailed:      to(Held, TellEnded),
-		Token:          to(Streaming, Fetched, TellStarted, Relay),
-		ClientLeft:     to(Leaving, TellLeft),
+	Decoding: {
+		TenantStopped:      to(Decoding, NotifyWithdrawn),
+		RejectOrdered:      to(Closing, AnswerRejected),
+		FailOrdered:        to(Closing, AnswerFailed),
+		CancelOrdered:      to(Decoding, CloseAttempt, ReportCancelled),
+		AttemptRejected:    to(Pending, NotifyEnded),
+		AttemptFailed:      to(Pending, NotifyEnded),
+		EventReceived:      to(Streaming, StateFetched, NotifyStarted, ForwardEvent),
+		ClientDisconnected: to(Closing, NotifyDisconnected),
 	},
 	Streaming: {
-		LegStreamed: to(Over, AnswerStreamed, TellEnded, Forget),
-		LegFailed:   to(Over, AnswerTerminated, TellEnded, Forget),
-		Token:       to(Streaming, Relay),
-		ClientLeft:  to(Over, CloseLeg, TellEnded, Forget),
-		TimeUp:      to(Over, AnswerTerminated, CloseLeg, TellEnded, Forget),
-		Stop:        to(Over, AnswerTerminated, CloseLeg, TellEnded, Forget),
-		Lags:        to(Streaming, SlowLeg),
-		CaughtUp:    to(Streaming, ResumeLeg),
+		DecodeCompleted:    to(Done, AnswerCompleted, NotifyEnded, Forget),
+		AttemptFailed:      to(Done, AnswerFailed, NotifyEnded, Forget),
+		EventReceived:      to(Streaming, ForwardEvent),
+		ClientDisconnected: to(Done, CloseAttempt, NotifyEnded, Forget),
+		DeadlineExceeded:   to(Done, AnswerFailed, CloseAttempt, NotifyEnded, Forget),
+		TenantStopped:      to(Done, AnswerFailed, CloseAttempt, NotifyEnded, Forget),
+		ClientLagging:      to(Streaming, PauseAttempt),
+		ClientCaughtUp:     to(Streaming, ResumeAttempt),
 	},
-	Leaving: {
-		OrderCancel: to(Leaving, CloseLeg, ReportCancelled),
-		LegRead:     to(Over, TellEnded, Forget),
-		LegWhole:    to(Over, TellEnded, Forget),
-		LegRefused:  to(Over, TellEnded, Forget),
-		LegFailed:   to(Over, ReleaseLeg, TellEnded, Forget),
-		Token:       to(Over, CloseLeg, TellEnded, Forget), // it began although nobody waits: it could not be taken back
+	Closing: {
+		CancelOrdered:        to(Closing, CloseAttempt, ReportCancelled),
+		PrefillCompleted:     to(Done, NotifyEnded, Forget),
+		PrefillOnlyCompleted: to(Done, NotifyEnded, Forget),
+		AttemptRejected:      to(Done, NotifyEnded, Forget),
+		AttemptFailed:        to(Done, ReleaseAttempt, NotifyEnded, Forget),
+		EventReceived:        to(Done, CloseAttempt, NotifyEnded, Forget), // it began although nobody waits: it could not be taken back
 	},
-	Over: {
-		OrderLetGo: to(Over, Release),
+	Done: {
+		ReleaseOrdered: to(Done, ReleaseState),
 	},
 }
 
-// Reached counts how often each cell was taken.
-type Reached [States][Events]uint64
+// Coverage counts how often each cell was taken.
+type Coverage [States][Events]uint64
 
-// Path is one generation's place in the table.
-type Path struct {
+// Machine is one generation's place in the table.
+type Machine struct {
 	State State
 }
 
-// Take moves on. It gives what is to be done, in order; the state is the next one already, as what is done can bring
+// Fire moves on. It gives what is to be done, in order; the state is the next one already, as what is done can bring
 // the next event within it.
-func (p *Path) Take(e Event, count *Reached) []Action {
-	s := Table[p.State][e]
-	if !s.Some {
+func (p *Machine) Fire(e Event, count *Coverage) []Action {
+	s := Transitions[p.State][e]
+	if !s.Defined {
 		return nil
 	}
 	if count != nil {
 		count[p.State][e]++
 	}
 	p.State = s.Next
-	return s.Do
+	return s.Actions
 }
 
-// LegOut tells whether a leg is out.
-func (p *Path) LegOut() bool {
-	return p.State == Reading || p.State == Writing || p.State == Streaming || p.State == Leaving
+// AttemptInFlight tells whether a leg is out.
+func (p *Machine) AttemptInFlight() bool {
+	return p.State == Prefilling || p.State == Decoding || p.State == Streaming || p.State == Closing
 }
 
 // Answered tells whether the client has its final answer, or has left.
-func (p *Path) Answered() bool { return p.State >= Leaving }
+func (p *Machine) Answered() bool { return p.State >= Closing }
--- a/internal/lifecycle/lifecycle_test.go
+++ b/internal/lifecycle/lifecycle_test.go
@@ -24,7 +24,7 @@
 
 func (m *model) do(a Action) {
 	switch a {
-	case CarryRead, CarryWrite:
+	case StartPrefill, StartDecode:
 		if m.legOut || m.closed {
 			m.t.Fatal("a second leg out")
 		}
@@ -33,30 +33,30 @@
 		}
 		m.legOut = true
 		m.legs++
-	case CloseLeg:
+	case CloseAttempt:
 		if !m.legOut {
 			m.t.Fatal("no leg to close")
 		}
 		m.legOut = false
 	case ReportCancelled:
 		m.closed = true
-	case TellEnded:
+	case NotifyEnded:
 		m.endsTold++
-	case TellStarted:
+	case NotifyStarted:
 		m.started++
-	case Relay:
+	case ForwardEvent:
 		if m.answers > 0 || m.left {
 			m.t.Fatal("bytes after the answer")
 		}
 		m.begun = true
-	case AnswerStreamed, AnswerThrottled, AnswerTerminated:
+	case AnswerCompleted, AnswerRejected, AnswerFailed:
 		if m.left {
 			return // nobody is there to be sent it; the reply lets nothing through
 		}
 		if m.answers++; m.answers > 1 {
 			m.t.Fatal("a second final answer")
 		}
-		if a == AnswerThrottled && m.begun {
+		if a == AnswerRejected && m.begun {
 			m.t.Fatal("throttled after its stream began")
 		}
 	case Forget:
@@ -70,58 +70,58 @@
 // Random orders of events, those that the world allows at each point: never a second answer, no byte after it, no two
 // legs, every leg's end told once, and once answered and without a leg nothing is left.
 func TestRandomOrders(t *testing.T) {
-	var count Reached
+	var count Coverage
 	rapid.Check(t, func(t *rapid.T) {
 		m := &model{t: t}
-		p := Path{State: Held}
+		p := Machine{State: Pending}
 		for range 300 {
 			if m.forgot && rapid.IntRange(0, 9).Draw(t, "another") == 0 {
-				m, p = &model{t: t}, Path{State: State(rapid.IntRange(0, 1).Draw(t, "queued"))}
+				m, p = &model{t: t}, Machine{State: State(rapid.IntRange(0, 1).Draw(t, "queued"))}
 			}
 			e := Event(rapid.IntRange(0, Events-1).Draw(t, "event"))
-			ends := e == LegRead || e == LegWhole || e == LegStreamed || e == LegRefused || e == LegFailed
+			ends := e == PrefillCompleted || e == PrefillOnlyCompleted || e == DecodeCompleted || e == AttemptRejected || e == AttemptFailed
 			switch {
-			case (e == OrderRead || e == OrderWrite) && (m.legOut || m.closed || m.answers > 0 || m.left),
-				(ends || e == Token) && !m.legOut && !(m.closed && e == LegFailed), // what is closed is heard of only as failed
-				e == LegStreamed && !m.begun, (e == LegRead || e == LegWhole) && m.begun,
-				(e == OrderThrottle || e == OrderTerminate) && (m.begun || m.answers > 0 || m.left),
-				e == OrderCancel && (!m.legOut || m.begun), e == ClientLeft && (m.left || m.answers > 0),
-				e == TimeUp && !m.begun && p.State != Queued, e == Admit && p.State != Queued,
-				p.State == Queued && (e == OrderRead || e == OrderWrite || e == OrderThrottle || e == OrderTerminate || e == OrderLetGo), e == Lags && !m.begun, e == CaughtUp && !m.begun:
+			case (e == PrefillOrdered || e == DecodeOrdered) && (m.legOut || m.closed || m.answers > 0 || m.left),
+				(ends || e == EventReceived) && !m.legOut && !(m.closed && e == AttemptFailed), // what is closed is heard of only as failed
+				e == DecodeCompleted && !m.begun, (e == PrefillCompleted || e == PrefillOnlyCompleted) && m.begun,
+				(e == RejectOrdered || e == FailOrdered) && (m.begun || m.answers > 0 || m.left),
+				e == CancelOrdered && (!m.legOut || m.begun), e == ClientDisconnected && (m.left || m.answers > 0),
+				e == DeadlineExceeded && !m.begun && p.State != Queued, e == Admitted && p.State != Queued,
+				p.State == Queued && (e == PrefillOrdered || e == DecodeOrdered || e == RejectOrdered || e == FailOrdered || e == ReleaseOrdered), e == ClientLagging && !m.begun, e == ClientCaughtUp && !m.begun:
 				continue // it can't happen now
 			}
-			if p.State == Reading && (e == Token || e == LegStreamed) || (p.State == Writing || p.State == Streaming) && (e == LegRead || e == LegWhole) ||
-				p.State == Streaming && e == LegRefused || p.State == Leaving && e == LegStreamed {
+			if p.State == Prefilling && (e == EventReceived || e == DecodeCompleted) || (p.State == Decoding || p.State == Streaming) && (e == PrefillCompleted || e == PrefillOnlyCompleted) ||
+				p.State == Streaming && e == AttemptRejected || p.State == Closing && e == DecodeCompleted {
 				continue // no host does this; the engine knows a read from a write
 			}
 			if ends {
 				m.legOut, m.closed = false, false
 			}
-			if e == ClientLeft {
+			if e == ClientDisconnected {
 				m.left = true
 			}
 			before, told := p.State, m.endsTold
-			for _, a := range p.Take(e, &count) {
+			for _, a := range p.Fire(e, &count) {
 				m.do(a)
 			}
 			if ends && m.endsTold != told+1 {
 				t.Fatalf("the end of a leg (%v in %v) was told %d times", e, before, m.endsTold-told)
 			}
-			if over := (m.answers > 0 || m.left) && !m.legOut && !m.closed; over != (p.State == Over) || over != m.forgot {
+			if over := (m.answers > 0 || m.left) && !m.legOut && !m.closed; over != (p.State == Done) || over != m.forgot {
 				t.Fatalf("after %v in %v: over %v, forgotten %v, and in %v", e, before, over, m.forgot, p.State)
 			}
-			if p.LegOut() != (m.legOut || m.closed) {
+			if p.AttemptInFlight() != (m.legOut || m.closed) {
 				t.Fatalf("after %v in %v: a leg out %v, and in %v", e, before, m.legOut || m.closed, p.State)
 			}
 		}
 	})
 	reached := 0
-	for s := range Table {
-		for e, step := range Table[s] {
-			if step.Some && count[s][e] > 0 {
+	for s := range Transitions {
+		for e, step := range Transitions[s] {
+			if step.Defined && count[s][e] > 0 {
 				reached++
 			}
-			if step.Some && slices.Contains(step.Do, Forget) && step.Next != Over {
+			if step.Defined && slices.Contains(step.Actions, Forget) && step.Next != Done {
 				t.Errorf("%v in %v forgets without being over", Event(e), State(s))
 			}
 		}
--- a/internal/platform/attempt.go
+++ b/internal/platform/attempt.go
@@ -39,20 +39,20 @@
 	if r.response.ClientGone() { // its news may be late, as after the process was held up
 		d.loop.Later(func() {
 			d.clientGone(r)
-			d.attemptEnded(r, no, engine.Outcome{How: scheduler.NotSent, Memory: scheduler.NoLoadReport, Why: "its client has left"})
+			d.attemptEnded(r, no, engine.Result{Outcome: scheduler.NotSent, MemoryUsage: scheduler.NoLoadReport, Reason: "its client has left"})
 		})
 		return
 	}
 	host := d.guardHost(r)
 	if v := r.ledger.Send(d.loop.Now(), host); v != nil { // never within the module's own call
 		d.loop.Later(func() {
-			d.attemptEnded(r, no, engine.Outcome{How: scheduler.NotSent, Memory: scheduler.NoLoadReport, Why: "the guard: " + v.Error()})
+			d.attemptEnded(r, no, engine.Result{Outcome: scheduler.NotSent, MemoryUsage: scheduler.NoLoadReport, Reason: "the guard: " + v.Error()})
 		})
 		return
 	}
 	hear := engine.Callbacks{
 		Event: func(data []byte) { d.streamEvent(r, no, data) },
-		Ended: func(o engine.Outcome) { d.attemptEnded(r, no, o) },
+		Ended: func(o engine.Result) { d.attemptEnded(r, no, o) },
 	}
 	waited := d.loop.Now() - r.sentAt
 	out := upstream.Request{ID: r.client.ID, Target: r.client.Target, Fields: r.client.Fields, Body: r.client.Body,
@@ -76,7 +76,7 @@
 		}
 		why = "what was held was released too late"
 	}
-	d.attemptEnded(r, no, engine.Outcome{How: scheduler.NotSent, Memory: scheduler.NoLoadReport, Why: why})
+	d.attemptEnded(r, no, engine.Result{Outcome: scheduler.NotSent, MemoryUsage: scheduler.NoLoadReport, Reason: why})
 }
 
 // streamEvent passes an event on to the client.
@@ -91,7 +91,7 @@
 		}
 	}
 	if r.response.WriteEvent(data) {
-		r.attempt.Slow(true)
+		r.attempt.PauseReading(true)
 	}
 }
 
@@ -109,41 +109,41 @@
 }
 
 // attemptEnded takes the end of an attempt.
-func (d *Dispatcher) attemptEnded(r *request, no scheduler.AttemptNo, o engine.Outcome) {
+func (d *Dispatcher) attemptEnded(r *request, no scheduler.AttemptNo, o engine.Result) {
 	if no != r.attempts-1 {
 		return
 	}
-	if o.Cut && !r.started && !r.closing && o.How != scheduler.Unreachable {
+	if o.ClosedLocally && !r.started && !r.closing && o.Outcome != scheduler.Unreachable {
 		r.closing = true
 		d.loop.After(closeSeen, func() { d.attemptEnded(r, no, o) })
 		return
 	}
 	r.attempt, r.closing = nil, false
-	r.ledger.Ended(!o.How.KnownNotRun())
-	d.Outcomes[o.How]++
+	r.ledger.Ended(!o.Outcome.KnownNotRun())
+	d.Outcomes[o.Outcome]++
 	d.logOutcome(r, no, o)
 	d.noteHeld(r, o)
 	if r.started && !r.answered {
-		d.endStream(r, o.How)
+		d.endStream(r, o.Outcome)
 	}
-	d.module.AttemptEnded(d.loop.Now(), r.id, no, o.How, o.Note, r.answered, o.Memory)
+	d.module.AttemptEnded(d.loop.Now(), r.id, no, o.Outcome, o.Note, r.answered, o.MemoryUsage)
 	d.settle(r)
 }
 
-func (d *Dispatcher) logOutcome(r *request, no scheduler.AttemptNo, o engine.Outcome) {
+func (d *Dispatcher) logOutcome(r *request, no scheduler.AttemptNo, o engine.Result) {
 	e := d.config.Log.Debug()
 	if !e.Enabled() {
 		return
 	}
 	e.Str("id", r.client.ID).Int("attempt", int(no)).Str("host", d.hosts[r.host].Name).Bool("prefill", r.prefill).Bool("started", r.started).
-		Int("outcome", int(o.How)).Int("note", o.Note).Bool("undelivered", o.Undelivered).Float64("prompt", r.client.PromptTokens).Int64("took", int64(d.loop.Now()-r.sentAt)).
+		Int("outcome", int(o.Outcome)).Int("note", o.Note).Bool("undelivered", o.Undelivered).Float64("prompt", r.client.PromptTokens).Int64("took", int64(d.loop.Now()-r.sentAt)).
 		Int64("waited", int64(r.sentAt-r.client.ReceivedAt)).Str("class", r.client.Class).Str("prefix", r.client.Prefix).
-		Str("why", o.Why).Msg("attempt ended")
+		Str("why", o.Reason).Msg("attempt ended")
 }
 
 // noteHeld notes what a host may hold for the request after an attempt.
-func (d *Dispatcher) noteHeld(r *request, o engine.Outcome) {
-	switch o.How {
+func (d *Dispatcher) noteHeld(r *request, o engine.Result) {
+	switch o.Outcome {
 	case scheduler.Unreachable, scheduler.NotSent: // and what is held has waited on
 	case scheduler.NoCapacity:
 		if r.held { // the attempt that was to take it was out until now
@@ -153,7 +153,7 @@
 		// Also a prefill attempt that broke or was given up may have ended well; a decode attempt that did may have left what it was to take.
 		switch {
 		case r.prefill:
-			r.holder, r.doubtful = r.host, o.How != scheduler.PrefillDone
+			r.holder, r.doubtful = r.host, o.Outcome != scheduler.PrefillDone
 			d.hold(r)
 		case r.held && o.Undelivered: // it was not out, and what is held has waited on
 			d.awaitLeaseEnd(r)
@@ -184,15 +184,15 @@
 	if r == nil || no != r.attempts-1 || r.started || r.closing || r.attempt == nil && r.deferred == nil {
 		return
 	}
-	o := engine.Outcome{How: scheduler.Cancelled, Cut: true, Memory: scheduler.NoLoadReport, Why: "given up"}
+	o := engine.Result{Outcome: scheduler.Cancelled, ClosedLocally: true, MemoryUsage: scheduler.NoLoadReport, Reason: "given up"}
 	if r.attempt == nil || r.attempt.Unsent() {
-		o = engine.Outcome{How: scheduler.NotSent, Memory: scheduler.NoLoadReport, Why: "given up before it left"}
+		o = engine.Result{Outcome: scheduler.NotSent, MemoryUsage: scheduler.NoLoadReport, Reason: "given up before it left"}
 	}
 	d.takeBack(r, o)
 }
 
 // takeBack ends the attempt that is out, or that waits to be; that is told after the call that is under way.
-func (d *Dispatcher) takeBack(r *request, o engine.Outcome) {
+func (d *Dispatcher) takeBack(r *request, o engine.Result) {
 	attempt, no := r.attempt, r.attempts-1
 	if attempt != nil {
 		attempt.Cancel()
--- a/internal/platform/discovery/discovery.go
+++ b/internal/platform/discovery/discovery.go
@@ -70,11 +70,11 @@
 func New(loop eventloop.Loop, seed int64, addr string, news func([]Entry, bool), log func(string)) *Watch {
 	w := &Watch{loop: loop, numbers: map[scheduler.EndpointID]*number{}, news: news, log: log}
 	c := subscribe.NewClient(loop, seed, addr)
-	c.What, c.Lines, c.Standby, c.Log = "discovery", true, true, log
-	c.Silence, c.Answer, c.Least, c.Again = silence, answer, least, again
+	c.Name, c.LineDelimited, c.Standby, c.Log = "discovery", true, true, log
+	c.Silence, c.ResponseTimeout, c.MinRetryDelay, c.RetryDelay = silence, answer, least, again
 	c.Target = func() string { return "/discovery/hosts?stream=1&index=" + strconv.FormatUint(w.version, 10) }
-	c.Take = w.Take
-	c.Forget = func() { w.version = 0 }
+	c.OnMessage = w.Take
+	c.OnReset = func() { w.version = 0 }
 	w.client = c
 	return w
 }
@@ -156,7 +156,7 @@
 	for _, s := range list.Get("servers").Array() {
 		stamps = append(stamps, stampOf(s))
 	}
-	return starttimes.Ahead(now, stamps...)
+	return starttimes.ClockSkew(now, stamps...)
 }
 
 // stampOf is when an entry says that its host started.
--- a/internal/platform/hosts.go
+++ b/internal/platform/hosts.go
@@ -46,7 +46,7 @@
 		delete(d.hosts, e.ID)
 	} else {
 		d.hosts[e.ID] = e
-		d.upstream.Place(e.ID, e.Addr)
+		d.upstream.SetAddress(e.ID, e.Addr)
 	}
 	d.config.Log.Debug().Str("host", e.Name).Uint32("number", uint32(e.ID)).Str("addr", e.Addr).Str("kind", e.Kind).Str("zone", e.Zone).
 		Uint16("cell", uint16(e.Cell)).Int("condition", int(e.Condition)).Int64("started", int64(e.Started)).Msg("listed")
@@ -82,7 +82,7 @@
 func (d *Dispatcher) takeBackUnsent() {
 	for _, r := range d.inOrder() {
 		if r.attempt != nil && r.attempt.Unsent() && !d.wanted(r.host) {
-			d.takeBack(r, engine.Outcome{How: scheduler.Unreachable, Memory: scheduler.NoLoadReport, Why: "the host is going"})
+			d.takeBack(r, engine.Result{Outcome: scheduler.Unreachable, MemoryUsage: scheduler.NoLoadReport, Reason: "the host is going"})
 		}
 	}
 }
--- a/internal/platform/request.go
+++ b/internal/platform/request.go
@@ -71,7 +71,7 @@
 	response.OnClientGone = func() { d.loop.Later(func() { d.clientGone(r) }) } // never within the module's own call
 	response.OnWritable = func() {
 		if r.attempt != nil {
-			r.attempt.Slow(false)
+			r.attempt.PauseReading(false)
 		}
 	}
 	d.module.RequestArrived(d.loop.Now(), r.id, scheduler.SessionID(hashName(client.Session)), scheduler.PrefixID(hashName(client.Prefix)),
@@ -101,7 +101,7 @@
 	if r.started {
 		attempt, no := r.attempt, r.attempts-1
 		attempt.Cancel()
-		d.attemptEnded(r, no, engine.Outcome{How: scheduler.Cancelled, Memory: scheduler.NoLoadReport, Why: "its client left"})
+		d.attemptEnded(r, no, engine.Result{Outcome: scheduler.Cancelled, MemoryUsage: scheduler.NoLoadReport, Reason: "its client left"})
 		return
 	}
 	d.module.ClientDisconnected(d.loop.Now(), r.id)
--- a/internal/platform/state.go
+++ b/internal/platform/state.go
@@ -33,16 +33,16 @@
 	if !r.held || r.releasing || r.closing || attempt == nil || !attempt.Undelivered() {
 		return
 	}
-	outcome := engine.Outcome{How: scheduler.NoCapacity, Note: 1, Memory: scheduler.NoLoadReport, Why: "no connection while its state may wait"}
+	outcome := engine.Result{Outcome: scheduler.NoCapacity, Note: 1, MemoryUsage: scheduler.NoLoadReport, Reason: "no connection while its state may wait"}
 	switch {
 	case !attempt.Unsent() && !r.confirms: // it may have left only now
 		r.confirms = true
 		r.lease.For(d.loop, confirmTime, func() { d.leaseExpired(r) })
 		return
 	case !attempt.Unsent(): // it may arrive, or have arrived, all the same
-		outcome.How, outcome.Cut, outcome.Why = scheduler.ConnectionLost, true, "its connection is silent while its state may wait"
+		outcome.Outcome, outcome.ClosedLocally, outcome.Reason = scheduler.ConnectionLost, true, "its connection is silent while its state may wait"
 	case r.prefill:
-		outcome.How, outcome.Note = scheduler.NotSent, 0
+		outcome.Outcome, outcome.Note = scheduler.NotSent, 0
 	}
 	attempt.Cancel()
 	d.release(r)
--- a/internal/platform/upstream/release.go
+++ b/internal/platform/upstream/release.go
@@ -27,7 +27,7 @@
 func (l *Client) Release(id string, at scheduler.EndpointID, done func(bool)) {
 	l.Releases++
 	r := &release{client: l, id: id, done: done, began: l.loop.Now(), tried: map[scheduler.EndpointID]bool{}}
-	if now := l.loop.Now(); l.Idle(at) == 0 || now-l.Heard(at) > l.within {
+	if now := l.loop.Now(); l.Idle(at) == 0 || now-l.LastHeard(at) > l.within {
 		at = l.other(r, at)
 	}
 	r.ask(at)
@@ -60,7 +60,7 @@
 		if l.Idle(h) > 0 {
 			at++
 		}
-		if heard := l.Heard(h); at > rank || at == rank && heard > spoke {
+		if heard := l.LastHeard(h); at > rank || at == rank && heard > spoke {
 			best, rank, spoke = h, at, heard
 		}
 	}
@@ -85,21 +85,21 @@
 		r.open[0].Cancel()
 		r.open = r.open[1:]
 	}
-	call := engine.Call{Spare: true, Most: maxAnswer, Answer: confirmed, Request: func(addr string, _ eventloop.Micros) []byte {
+	call := engine.Call{Release: true, MaxBody: maxAnswer, Answer: confirmed, Request: func(addr string, _ eventloop.Micros) []byte {
 		return http1.AppendRequest(nil, "DELETE", "/v1/holds/"+r.id, addr, nil)
 	}}
 	var attempt *engine.Attempt
-	attempt = l.Call(at, call, l.within, engine.Callbacks{Ended: func(o engine.Outcome) { r.answered(attempt, o) }})
+	attempt = l.Call(at, call, l.within, engine.Callbacks{Ended: func(o engine.Result) { r.answered(attempt, o) }})
 	r.open = append(r.open, attempt)
 	r.next.For(l.loop, r.pause(), r.askNext)
 }
 
 // confirmed is what an answer to a release means.
-func confirmed(h *http1.Head, _ []byte) engine.Outcome {
+func confirmed(h *http1.Head, _ []byte) engine.Result {
 	if h.Status == 204 || h.Status == 200 {
-		return engine.Outcome{How: scheduler.PrefillDone}
+		return engine.Result{Outcome: scheduler.PrefillDone}
 	}
-	return engine.Outcome{How: scheduler.Errored, Why: "status " + strconv.Itoa(h.Status)}
+	return engine.Result{Outcome: scheduler.Errored, Reason: "status " + strconv.Itoa(h.Status)}
 }
 
 // pause is the time between two tries that are not answered.
@@ -118,13 +118,13 @@
 
 // answered takes the end of one try. Where it failed the next host is asked at once, but with a pause between the rounds: hosts that all
 // refuse must not be asked in a ring without one.
-func (r *release) answered(attempt *engine.Attempt, o engine.Outcome) {
+func (r *release) answered(attempt *engine.Attempt, o engine.Result) {
 	if r.ended {
 		return
 	}
 	r.open = slices.DeleteFunc(r.open, func(a *engine.Attempt) bool { return a == attempt })
 	switch {
-	case o.How == scheduler.PrefillDone:
+	case o.Outcome == scheduler.PrefillDone:
 		r.end(true, "")
 	case r.triedAll():
 		clear(r.tried)
--- a/internal/platform/upstream/upstream.go
+++ b/internal/platform/upstream/upstream.go
@@ -54,12 +54,12 @@
 
 // Prefill sends a prompt to be read. It does not call back before it has returned.
 func (l *Client) Prefill(id scheduler.EndpointID, r Request, allow eventloop.Micros, hear engine.Callbacks) *engine.Attempt {
-	return l.Call(id, engine.Call{Request: r.to, Answer: prefillOutcome, Most: maxAnswer, LeaveWithin: r.LeaveWithin}, allow, hear)
+	return l.Call(id, engine.Call{Request: r.to, Answer: prefillOutcome, MaxBody: maxAnswer, LeaveWithin: r.LeaveWithin}, allow, hear)
 }
 
 // Decode sends what is answered with a stream. It does not call back before it has returned.
 func (l *Client) Decode(id scheduler.EndpointID, r Request, allow eventloop.Micros, hear engine.Callbacks) *engine.Attempt {
-	return l.Call(id, engine.Call{Request: r.to, Answer: outcome, Stream: &events{}, Most: maxAnswer, LeaveWithin: r.LeaveWithin}, allow, hear)
+	return l.Call(id, engine.Call{Request: r.to, Answer: outcome, Stream: &events{}, MaxBody: maxAnswer, LeaveWithin: r.LeaveWithin}, allow, hear)
 }
 
 func (r Request) to(addr string, left eventloop.Micros) []byte {
@@ -71,30 +71,30 @@
 }
 
 // declined are the answers by which a host states that it has not run the attempt; only these, with the field that says so, prove it.
-var declined = map[int]engine.Outcome{
-	503: {How: scheduler.NoCapacity, Why: "turned away"},
-	504: {How: scheduler.NoCapacity, Why: "turned away, as its time is over"},
-	410: {How: scheduler.NoCapacity, Note: 1, Why: "the read state is gone"},
+var declined = map[int]engine.Result{
+	503: {Outcome: scheduler.NoCapacity, Reason: "turned away"},
+	504: {Outcome: scheduler.NoCapacity, Reason: "turned away, as its time is over"},
+	410: {Outcome: scheduler.NoCapacity, Note: 1, Reason: "the read state is gone"},
 }
 
 // prefillOutcome is what an answer to a read means.
-func prefillOutcome(h *http1.Head, body []byte) engine.Outcome {
+func prefillOutcome(h *http1.Head, body []byte) engine.Result {
 	if h.Status == 202 {
 		kept := 0
 		if gjson.ValidBytes(body) {
 			kept = int(max(gjson.GetBytes(body, "cached_tokens").Int(), 0))
 		}
-		return engine.Outcome{How: scheduler.PrefillDone, Note: kept, Why: "read"}
+		return engine.Result{Outcome: scheduler.PrefillDone, Note: kept, Reason: "read"}
 	}
 	return outcome(h, body)
 }
 
 // outcome is what an answer means that is no stream.
-func outcome(h *http1.Head, _ []byte) engine.Outcome {
+func outcome(h *http1.Head, _ []byte) engine.Result {
 	if o, some := declined[h.Status]; some && h.Get("Srv-Declined") == "1" {
 		return o
 	}
-	return engine.Outcome{How: scheduler.Errored, Why: "status " + strconv.Itoa(h.Status)}
+	return engine.Result{Outcome: scheduler.Errored, Reason: "status " + strconv.Itoa(h.Status)}
 }
 
 // events judges those of one stream.
@@ -126,16 +126,16 @@
 	return true, nil
 }
 
-func (e *events) Ended() engine.Outcome {
+func (e *events) Ended() engine.Result {
 	if !e.some {
-		return engine.Outcome{How: scheduler.Errored, Why: "a stream without an event"}
+		return engine.Result{Outcome: scheduler.Errored, Reason: "a stream without an event"}
 	}
-	return engine.Outcome{How: scheduler.Completed, Note: e.kept, Why: "streamed"}
+	return engine.Result{Outcome: scheduler.Completed, Note: e.kept, Reason: "streamed"}
 }
 
-func (e *events) Whole() bool { return e.done }
+func (e *events) Complete() bool { return e.done }
 
-// Broke: what has no last chunk is not whole, whatever its events say, as the client must not be told that it is.
-func (e *events) Broke(how scheduler.Outcome, why string) engine.Outcome {
-	return engine.Outcome{How: how, Why: why}
+// Broken: what has no last chunk is not whole, whatever its events say, as the client must not be told that it is.
+func (e *events) Broken(how scheduler.Outcome, why string) engine.Result {
+	return engine.Result{Outcome: how, Reason: why}
 }
--- a/internal/platform/upstream/upstream_test.go
+++ b/internal/platform/upstream/upstream_test.go
@@ -42,8 +42,8 @@
 		if c.read {
 			judge = prefillOutcome
 		}
-		if o := judge(&http1.Head{Status: c.status, Fields: c.fields}, []byte(c.body)); o.How != c.how || o.Note != c.note {
-			t.Errorf("%d %v %q: %d with note %d, want %d with %d", c.status, c.fields, c.body, o.How, o.Note, c.how, c.note)
+		if o := judge(&http1.Head{Status: c.status, Fields: c.fields}, []byte(c.body)); o.Outcome != c.how || o.Note != c.note {
+			t.Errorf("%d %v %q: %d with note %d, want %d with %d", c.status, c.fields, c.body, o.Outcome, o.Note, c.how, c.note)
 		}
 	}
 }
@@ -68,11 +68,11 @@
 				t.Errorf("%q: passed on %v with error %v", data, pass, err)
 			}
 		}
-		if o := e.Ended(); bad != c.bad || o.How != c.how || o.Note != c.note {
-			t.Errorf("%q: %d with note %d, bad %v", c.events, o.How, o.Note, bad)
+		if o := e.Ended(); bad != c.bad || o.Outcome != c.how || o.Note != c.note {
+			t.Errorf("%q: %d with note %d, bad %v", c.events, o.Outcome, o.Note, bad)
 		}
-		if o := e.Broke(scheduler.ConnectionLost, ""); o.How != scheduler.ConnectionLost { // what has no last chunk is never whole
-			t.Errorf("%q: broken, and yet %d", c.events, o.How)
+		if o := e.Broken(scheduler.ConnectionLost, ""); o.Outcome != scheduler.ConnectionLost { // what has no last chunk is never whole
+			t.Errorf("%q: broken, and yet %d", c.events, o.Outcome)
 		}
 	}
 }
@@ -81,8 +81,8 @@
 	f.Add(202, `{"cached_tokens":4096}`, `{"choices":[]}`)
 	f.Add(503, `{`, `[DONE]`)
 	f.Fuzz(func(t *testing.T, status int, body, event string) {
-		for _, judge := range []func(*http1.Head, []byte) engine.Outcome{prefillOutcome, outcome} {
-			if o := judge(&http1.Head{Status: status}, []byte(body)); o.Note < 0 || o.How == scheduler.NoCapacity || o.How == scheduler.Completed {
+		for _, judge := range []func(*http1.Head, []byte) engine.Result{prefillOutcome, outcome} {
+			if o := judge(&http1.Head{Status: status}, []byte(body)); o.Note < 0 || o.Outcome == scheduler.NoCapacity || o.Outcome == scheduler.Completed {
 				t.Errorf("%d %q: %+v", status, body, o)
 			}
 		}
@@ -98,12 +98,12 @@
 	for within, most := range map[eventloop.Micros]uint64{releaseTries - 1: 10, 500 * eventloop.Millisecond: 200} {
 		w := virtual.New(1)
 		loop := w.Loop("d")
-		e := engine.New(loop, "d", "", engine.Limits{Connect: eventloop.Second, Idle: eventloop.Second, Most: 4, Opening: 4})
+		e := engine.New(loop, "d", "", engine.Limits{Connect: eventloop.Second, Idle: eventloop.Second, PerEndpoint: 4, Opening: 4})
 		c := New(loop, e, within, func(bool) []scheduler.EndpointID { return []scheduler.EndpointID{1, 2} })
 		done := false
 		loop.Do(func() {
-			e.Place(1, "127.0.0.1:1")
-			e.Place(2, "127.0.0.1:2")
+			e.SetAddress(1, "127.0.0.1:1")
+			e.SetAddress(2, "127.0.0.1:2")
 			c.Release("r", 1, func(bool) { done = true })
 		})
 		w.Watch = func() {
--- a/internal/program/admin.go
+++ b/internal/program/admin.go
@@ -40,7 +40,7 @@
 	if err != nil {
 		return fmt.Errorf("%s: %w", c.Staff, err)
 	}
-	records, err := admin.OpenKept(c.Records)
+	records, err := admin.OpenStoredRecords(c.Records)
 	if err != nil {
 		return err
 	}
--- a/internal/program/batches.go
+++ b/internal/program/batches.go
@@ -136,7 +136,7 @@
 		room <- struct{}{}
 		go func() {
 			defer func() { <-room; wg.Done() }()
-			play := &scenarios.Play{Script: script, Deployment: d, Dispatchers: 3, Seed: int64(seed + 1)}
+			play := &scenarios.Run{Script: script, Deployment: d, Dispatchers: 3, Seed: int64(seed + 1)}
 			v, left, _, err := play.Virtual(0)
 			mu.Lock()
 			defer mu.Unlock()
--- a/internal/program/bench.go
+++ b/internal/program/bench.go
@@ -246,18 +246,18 @@
 	var asked, failed, open int
 	m.asks.Do(func() {
 		chance := rand.New(rand.NewSource(c.Seed))
-		e := engine.New(m.asks, "bench", m.d.Zones[0], engine.Limits{Connect: eventloop.Second, Idle: 20 * eventloop.Second, Silence: 30 * eventloop.Second, Most: 8192, Opening: 1000})
+		e := engine.New(m.asks, "bench", m.d.Zones[0], engine.Limits{Connect: eventloop.Second, Idle: 20 * eventloop.Second, Silence: 30 * eventloop.Second, PerEndpoint: 8192, Opening: 1000})
 		var readers, writers []scheduler.EndpointID
 		for _, h := range m.fleet.Hosts {
 			id := scheduler.EndpointID(h.ID)
-			e.Place(id, h.Addr)
+			e.SetAddress(id, h.Addr)
 			if h.Kind() == "prefill" {
 				readers = append(readers, id)
 			} else {
 				writers = append(writers, id)
 			}
 		}
-		plain, problem := chat.ParseAsk(m.body("explain", 40), "bench", nil)
+		plain, problem := chat.ParseRequest(m.body("explain", 40), "bench", nil)
 		if problem != nil {
 			err = problem
 			return
@@ -297,13 +297,13 @@
 					begun = true
 					first(direct)()
 				}
-			}, Ended: func(o engine.Outcome) { end(o.How == scheduler.Completed) }}
-			e.Read(readers[asked%len(readers)], e.LegName(scheduler.RequestID(asked), 0), id, plain, 10*eventloop.Second, engine.Callbacks{Ended: func(o engine.Outcome) {
-				if o.How != scheduler.PrefillDone {
+			}, Ended: func(o engine.Result) { end(o.Outcome == scheduler.Completed) }}
+			e.Prefill(readers[asked%len(readers)], e.AttemptName(scheduler.RequestID(asked), 0), id, plain, 10*eventloop.Second, engine.Callbacks{Ended: func(o engine.Result) {
+				if o.Outcome != scheduler.PrefillDone {
 					end(false)
 					return
 				}
-				e.Write(writers[asked%len(writers)], e.LegName(scheduler.RequestID(asked), 1), id, plain, o.State, 40, 10*eventloop.Second, hear)
+				e.Decode(writers[asked%len(writers)], e.AttemptName(scheduler.RequestID(asked), 1), id, plain, o.State, 40, 10*eventloop.Second, hear)
 			}})
 		}
 		next()
--- a/internal/program/fairness.go
+++ b/internal/program/fairness.go
@@ -128,7 +128,7 @@
 	if err != nil {
 		return nil, err
 	}
-	play := &scenarios.Play{Script: script, Deployment: deployment.Standard(), Dispatchers: dispatchers, Seed: seed}
+	play := &scenarios.Run{Script: script, Deployment: deployment.Standard(), Dispatchers: dispatchers, Seed: seed}
 	if !c.Sockets {
 		v, _, _, err := play.Virtual(0)
 		return v, err
