--- a/internal/program/program.go
+++ b/internal/program/program.go
@@ -220,16 +220,16 @@
 	if c.Name == "" {
 		c.Name = "d" + strconv.FormatUint(uint64(c.Seed)%(1<<40), 36)
 	}
-	post := dispatch.Post{Name: c.Name, Zone: c.Zone, Seed: c.Seed, Roster: c.Roster, Log: s.log}
+	post := dispatch.Config{Name: c.Name, Zone: c.Zone, Seed: c.Seed, Discovery: c.Roster, Log: s.log}
 	if c.ListFile != "" {
 		for _, name := range []string{c.ListFile, c.ListFile + ".1"} {
 			kept, err := os.ReadFile(name)
 			if err != nil && !errors.Is(err, os.ErrNotExist) {
 				s.log.Error().Err(err).Msg("a kept list can't be read")
 			}
-			post.Kept = append(post.Kept, kept)
+			post.CachedEndpoints = append(post.CachedEndpoints, kept)
 		}
-		post.Keep = c.keeper(c.ListFile, true, func(err error) { s.log.Error().Err(err).Msg("the list is not kept; it is tried again") })
+		post.CacheEndpoints = c.keeper(c.ListFile, true, func(err error) { s.log.Error().Err(err).Msg("the list is not kept; it is tried again") })
 	}
 	loop.Busy = frontend.Busy()
 	var limit syscall.Rlimit
@@ -246,10 +246,10 @@
 		return nil, nil, errors.New("serve: --tenants needs --secret")
 	}
 	if c.TenantFile != "" {
-		if post.KeptTenants, err = os.ReadFile(c.TenantFile); err != nil && !errors.Is(err, os.ErrNotExist) {
+		if post.CachedTenants, err = os.ReadFile(c.TenantFile); err != nil && !errors.Is(err, os.ErrNotExist) {
 			s.log.Error().Err(err).Msg("the kept tenants can't be read")
 		}
-		post.KeepTenants = c.keeper(c.TenantFile, false, func(err error) { s.log.Error().Err(err).Msg("the tenants are not kept; it is tried again") })
+		post.CacheTenants = c.keeper(c.TenantFile, false, func(err error) { s.log.Error().Err(err).Msg("the tenants are not kept; it is tried again") })
 	}
 	err = nil
 	if c.StateDir != "" {
@@ -274,7 +274,7 @@
 	done := make(chan struct{})
 	loop.Do(func() {
 		ln.Close()
-		x.Leave(func() { close(done) })
+		x.Shutdown(func() { close(done) })
 	})
 	var counts dispatch.Counts
 	var running int
@@ -282,11 +282,11 @@
 	case <-done:
 	case <-time.After(within):
 	}
-	loop.Do(func() { counts, running = x.Counts, x.Running() })
+	loop.Do(func() { counts, running = x.Counts, x.OpenRequests() })
 	var mem runtime.MemStats
 	runtime.ReadMemStats(&mem)
-	s.log.Info().Uint64("events", counts.Events).Uint64("allocations", mem.Mallocs).Uint64("taken", counts.Taken).Uint64("streamed", counts.Streamed).Uint64("throttled", counts.Throttled).
-		Uint64("terminated", counts.Terminated).Uint64("left", counts.Left).Uint64("legs", counts.Legs).Int("running", running).Msg("ended")
+	s.log.Info().Uint64("events", counts.Events).Uint64("allocations", mem.Mallocs).Uint64("taken", counts.Accepted).Uint64("streamed", counts.Completed).Uint64("throttled", counts.Rejected).
+		Uint64("terminated", counts.Failed).Uint64("left", counts.Disconnected).Uint64("legs", counts.Attempts).Int("running", running).Msg("ended")
 	if running > 0 {
 		return fmt.Errorf("%d generations were still running after %v", running, within)
 	}
@@ -319,7 +319,7 @@
 		return err
 	}
 	if c.ListOut != "" {
-		list, err := json.Marshal(roster.List{Whole: true, Hosts: fleet.Entries()})
+		list, err := json.Marshal(roster.Update{Complete: true, Hosts: fleet.Entries()})
 		if err != nil {
 			return err
 		}
@@ -409,17 +409,17 @@
 	if err != nil {
 		return nil, fmt.Errorf("list: %w", err)
 	}
-	var l roster.List
+	var l roster.Update
 	if err := json.Unmarshal(b, &l); err != nil {
 		return nil, fmt.Errorf("list %s: %w", path, err)
 	}
-	l.Epoch, l.Version, l.Whole = "x", 1, true
+	l.Epoch, l.Version, l.Complete = "x", 1, true
 	b, err = json.Marshal(l)
 	if err != nil {
 		return nil, err
 	}
-	f := roster.Follower{}
-	entries, _, err := f.Take(b)
+	f := roster.View{}
+	entries, _, err := f.Apply(b)
 	if err != nil {
 		return nil, fmt.Errorf("list %s: %w", path, err)
 	}
@@ -447,7 +447,7 @@
 	}
 	defer adminAt.Stop()
 	operator := "op-" + hex.EncodeToString(secret[:9])
-	adminLn, err := startAdmin(s, adminAt, c.Admin, secret[:], []admin.Staff{{Name: "local", Role: admin.Operator, Digest: sha256.Sum256([]byte(operator))}}, &admin.Memory{})
+	adminLn, err := startAdmin(s, adminAt, c.Admin, secret[:], []admin.Staff{{Name: "local", Role: admin.Operator, Digest: sha256.Sum256([]byte(operator))}}, &admin.MemoryRecords{})
 	if err != nil {
 		return err
 	}
@@ -521,7 +521,7 @@
 	if err != nil {
 		return err
 	}
-	play := &scenarios.Play{Script: script, Deployment: d, Dispatchers: c.Dispatchers, Seed: c.Seed, Binary: binary,
+	play := &scenarios.Run{Script: script, Deployment: d, Dispatchers: c.Dispatchers, Seed: c.Seed, Binary: binary,
 		Record: c.Record, Progress: s.err, Keyed: c.Keyed, Intents: c.Intents}
 	var v *audit.Verdict
 	if c.Virtual {
--- a/internal/program/restarts.go
+++ b/internal/program/restarts.go
@@ -116,7 +116,7 @@
 		room <- struct{}{}
 		go func() {
 			defer func() { <-room; wg.Done() }()
-			play := &scenarios.Play{Script: script, Deployment: d, Dispatchers: c.Dispatchers, Seed: int64(seed + 1)}
+			play := &scenarios.Run{Script: script, Deployment: d, Dispatchers: c.Dispatchers, Seed: int64(seed + 1)}
 			v, left, err := play.Restart(eventloop.Micros(age.Microseconds()), share, discovery)
 			mu.Lock()
 			defer mu.Unlock()
--- a/internal/program/room_test.go
+++ b/internal/program/room_test.go
@@ -20,7 +20,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	p := &scenarios.Play{Script: script, Deployment: deployment.Standard(), Dispatchers: 1, Seed: 4, Binary: binary}
+	p := &scenarios.Run{Script: script, Deployment: deployment.Standard(), Dispatchers: 1, Seed: 4, Binary: binary}
 	ctx, cancel := context.WithTimeout(context.Background(), 2*time.Minute)
 	defer cancel()
 	var held sync.WaitGroup
--- a/internal/program/sim.go
+++ b/internal/program/sim.go
@@ -103,11 +103,11 @@
 	return scenarios.ReadScript(filepath.Base(text), b)
 }
 
-func planted(text string) (*scenarios.Plant, error) {
+func planted(text string) (*scenarios.Mutant, error) {
 	if text == "" {
 		return nil, nil
 	}
-	for i, p := range faultsearch.Plants() {
+	for i, p := range faultsearch.Mutants() {
 		if p.Name == text || strconv.Itoa(i+1) == text {
 			return p, nil
 		}
@@ -169,12 +169,12 @@
 	all := uint64(0)
 	err = each(from, to, c.Jobs, func(seed int64) error {
 		d := faultsearch.Draw(seed, faultsearch.Size{Seconds: c.For, Rate: c.Rate})
-		o, err := faultsearch.Play(d, nil)
+		o, err := faultsearch.Run(d, nil)
 		if err != nil {
 			return err
 		}
 		if c.Twice {
-			again, err := faultsearch.Play(d, nil)
+			again, err := faultsearch.Run(d, nil)
 			if err != nil {
 				return err
 			}
@@ -266,7 +266,7 @@
 	if err != nil {
 		return err
 	}
-	o, err := faultsearch.Play(d, plant)
+	o, err := faultsearch.Run(d, plant)
 	if err != nil {
 		return err
 	}
@@ -335,11 +335,11 @@
 		return err
 	}
 	var mu sync.Mutex
-	var reached lifecycle.Reached
+	var reached lifecycle.Coverage
 	pairs := map[string]int{}
 	if err := each(from, to, 0, func(seed int64) error {
 		d := faultsearch.Draw(seed, faultsearch.Usual)
-		o, err := faultsearch.Play(d, nil)
+		o, err := faultsearch.Run(d, nil)
 		if err != nil {
 			return err
 		}
@@ -358,9 +358,9 @@
 		return err
 	}
 	cells, got := 0, 0
-	for st := range lifecycle.Table {
-		for e, step := range lifecycle.Table[st] {
-			if step.Some {
+	for st := range lifecycle.Transitions {
+		for e, step := range lifecycle.Transitions[st] {
+			if step.Defined {
 				if cells++; reached[st][e] > 0 {
 					got++
 				} else {
@@ -386,7 +386,7 @@
 		troubles = append(troubles, &pb.Day_Trouble{Kind: c.Trouble, AtMs: 300, ForMs: 200, Share: 0.4, Factor: 0.5, Step: 30})
 	}
 	began, told := time.Now(), time.Now()
-	o, err := faultsearch.Explore(c.Depth, eventloop.Micros(c.Late), troubles, func(o *faultsearch.Orders) {
+	o, err := faultsearch.Explore(c.Depth, eventloop.Micros(c.Late), troubles, func(o *faultsearch.Interleavings) {
 		if time.Since(told) > 5*time.Second {
 			told = time.Now()
 			fmt.Fprintf(s.err, "%d days, %d states, %d faults\n", o.Days, o.States, len(o.Faults))
@@ -418,7 +418,7 @@
 	if c.Restart {
 		sc.Troubles = append(sc.Troubles, &pb.Day_Trouble{Kind: "mass_restart", HostKind: "prefill", Share: 1, AtMs: uint32(c.For) * 300, ForMs: 1000})
 	}
-	play := &scenarios.Play{Script: sc, Deployment: d, Dispatchers: c.Dispatchers, Seed: 1}
+	play := &scenarios.Run{Script: sc, Deployment: d, Dispatchers: c.Dispatchers, Seed: 1}
 	began := time.Now()
 	v, left, _, err := play.Virtual(0)
 	if err != nil {
@@ -436,7 +436,7 @@
 
 func (c *simPlants) Run(s *surroundings) error {
 	missed := 0
-	for i, p := range faultsearch.Plants() {
+	for i, p := range faultsearch.Mutants() {
 		if c.Only != "" && c.Only != p.Name && c.Only != strconv.Itoa(i+1) {
 			continue
 		}
@@ -449,7 +449,7 @@
 			if over {
 				return nil
 			}
-			o, err := faultsearch.Play(faultsearch.Draw(seed, faultsearch.Usual), faultsearch.Plants()[i])
+			o, err := faultsearch.Run(faultsearch.Draw(seed, faultsearch.Usual), faultsearch.Mutants()[i])
 			if err != nil {
 				return err
 			}
@@ -470,7 +470,7 @@
 		}
 		fmt.Fprintf(s.out, "%2d %-46s seed %d: %.110s\n", i+1, p.Name, found, how)
 		if c.Small {
-			least, tried, err := faultsearch.Shrink(faultsearch.Draw(found, faultsearch.Usual), faultsearch.Plants()[i], nil)
+			least, tried, err := faultsearch.Shrink(faultsearch.Draw(found, faultsearch.Usual), faultsearch.Mutants()[i], nil)
 			if err != nil {
 				return err
 			}
--- a/internal/roster/client.go
+++ b/internal/roster/client.go
@@ -7,26 +7,26 @@
 	"plumspindle/internal/subscribe"
 )
 
-// Client follows the list at its source.
-type Client struct {
+// Watch follows the list at its source.
+type Watch struct {
 	*subscribe.Client
-	Follower
-	// News is told of entries as they come.
-	News func(entries []Entry, whole bool)
+	View
+	// OnUpdate is told of entries as they come.
+	OnUpdate func(entries []Entry, whole bool)
 }
 
-// NewClient makes a client that has not subscribed yet.
-func NewClient(loop eventloop.Loop, seed int64, addr, name string) *Client {
-	c := &Client{Client: subscribe.NewClient(loop, seed, addr)}
-	c.What, c.Fields = "the list's source", []string{"x-dispatcher", name}
+// NewWatch makes a client that has not subscribed yet.
+func NewWatch(loop eventloop.Loop, seed int64, addr, name string) *Watch {
+	c := &Watch{Client: subscribe.NewClient(loop, seed, addr)}
+	c.Name, c.Fields = "the list's source", []string{"x-dispatcher", name}
 	c.Target = func() string {
 		return "/v1/hosts/watch?epoch=" + c.Epoch + "&since=" + strconv.FormatUint(c.Version, 10)
 	}
-	c.Forget = func() { c.Epoch, c.Version = "", 0 }
-	c.Client.Take = func(data []byte) error {
-		news, whole, err := c.Follower.Take(data)
+	c.OnReset = func() { c.Epoch, c.Version = "", 0 }
+	c.Client.OnMessage = func(data []byte) error {
+		news, whole, err := c.View.Apply(data)
 		if err == nil && (len(news) > 0 || whole) {
-			c.News(news, whole)
+			c.OnUpdate(news, whole)
 		}
 		return err
 	}
--- a/internal/roster/roster.go
+++ b/internal/roster/roster.go
@@ -23,14 +23,14 @@
 	Started   int64                `json:"started_us,omitempty"`
 }
 
-// List is one message: the whole list, or what has changed since a version.
-type List struct {
-	Epoch   string  `json:"epoch"` // of the source's own life; versions count within it
-	Version uint64  `json:"version"`
-	Since   uint64  `json:"since,omitempty"`
-	Whole   bool    `json:"whole,omitempty"`
-	Hosts   []Entry `json:"hosts"`
-	Saved   int64   `json:"saved_us,omitempty"` // when it was kept; only in a kept list
+// Update is one message: the whole list, or what has changed since a version.
+type Update struct {
+	Epoch    string  `json:"epoch"` // of the source's own life; versions count within it
+	Version  uint64  `json:"version"`
+	Since    uint64  `json:"since,omitempty"`
+	Complete bool    `json:"whole,omitempty"`
+	Hosts    []Entry `json:"hosts"`
+	Saved    int64   `json:"saved_us,omitempty"` // when it was kept; only in a kept list
 }
 
 var conditions = map[string]scheduler.EndpointState{"ready": scheduler.Ready, "draining": scheduler.Draining, "gone": scheduler.Removed}
@@ -38,17 +38,17 @@
 // State is what an entry says of its host, in the module's terms.
 func (e Entry) State() scheduler.EndpointState { return conditions[e.Condition] }
 
-// Follower knows the list as it was last told.
-type Follower struct {
+// View knows the list as it was last told.
+type View struct {
 	Epoch   string
 	Version uint64
 	Hosts   map[scheduler.EndpointID]Entry
 }
 
-// Take reads one message. It gives the entries to be passed on, and whether they are the whole list; none for a
+// Apply reads one message. It gives the entries to be passed on, and whether they are the whole list; none for a
 // message that tells nothing new. A faulty message changes nothing.
-func (f *Follower) Take(data []byte) (news []Entry, whole bool, err error) {
-	var l List
+func (f *View) Apply(data []byte) (news []Entry, whole bool, err error) {
+	var l Update
 	if err := json.Unmarshal(data, &l); err != nil {
 		return nil, false, fmt.Errorf("not a list: %w", err)
 	}
@@ -62,12 +62,12 @@
 	}
 	same := l.Epoch == f.Epoch
 	switch {
-	case same && l.Version < f.Version, same && !l.Whole && l.Version == f.Version:
+	case same && l.Version < f.Version, same && !l.Complete && l.Version == f.Version:
 		return nil, false, nil // told late, what is known is newer
-	case !l.Whole && (!same || l.Since != f.Version):
+	case !l.Complete && (!same || l.Since != f.Version):
 		return nil, false, &subscribe.Gap{Have: f.Version, Since: l.Since}
 	}
-	if l.Whole || f.Hosts == nil {
+	if l.Complete || f.Hosts == nil {
 		f.Hosts = make(map[scheduler.EndpointID]Entry, len(l.Hosts))
 	}
 	for _, e := range l.Hosts {
@@ -78,12 +78,12 @@
 		}
 	}
 	f.Epoch, f.Version = l.Epoch, l.Version
-	return l.Hosts, l.Whole, nil
+	return l.Hosts, l.Complete, nil
 }
 
 // Snapshot is the list as it is known, for keeping.
-func (f *Follower) Snapshot(now int64) []byte {
-	l := List{Saved: now, Epoch: f.Epoch, Version: f.Version, Whole: true, Hosts: make([]Entry, 0, len(f.Hosts))}
+func (f *View) Snapshot(now int64) []byte {
+	l := Update{Saved: now, Epoch: f.Epoch, Version: f.Version, Complete: true, Hosts: make([]Entry, 0, len(f.Hosts))}
 	for _, id := range slices.Sorted(maps.Keys(f.Hosts)) {
 		l.Hosts = append(l.Hosts, f.Hosts[id])
 	}
@@ -93,9 +93,9 @@
 
 // Restore takes a kept list before the source was heard, and tells when it was kept. Its versions are not believed: the
 // source's first word is the whole list whatever was kept.
-func (f *Follower) Restore(kept []byte) (entries []Entry, saved int64, err error) {
-	entries, _, err = f.Take(kept)
-	var l List
+func (f *View) Restore(kept []byte) (entries []Entry, saved int64, err error) {
+	entries, _, err = f.Apply(kept)
+	var l Update
 	if err == nil {
 		err = json.Unmarshal(kept, &l)
 	}
--- a/internal/starttimes/starttimes.go
+++ b/internal/starttimes/starttimes.go
@@ -25,8 +25,8 @@
 	return Start{stamp, max(min(stamp-ahead, now), 1)}
 }
 
-// Ahead is by how much the clock of a list is ahead of the loop's, as far as starts in the future show it.
-func Ahead(now eventloop.Micros, stamps ...eventloop.Micros) (ahead eventloop.Micros) {
+// ClockSkew is by how much the clock of a list is ahead of the loop's, as far as starts in the future show it.
+func ClockSkew(now eventloop.Micros, stamps ...eventloop.Micros) (ahead eventloop.Micros) {
 	for _, stamp := range stamps {
 		ahead = max(ahead, stamp-now)
 	}
--- a/internal/starttimes/starttimes_test.go
+++ b/internal/starttimes/starttimes_test.go
@@ -29,7 +29,7 @@
 			t.Errorf("%s: %+v, want %+v", name, got, test.want)
 		}
 	}
-	if got := Ahead(now, now-5, now+hour, now+5); got != hour {
+	if got := ClockSkew(now, now-5, now+hour, now+5); got != hour {
 		t.Errorf("ahead by %d", got)
 	}
 }
--- a/internal/store/history_test.go
+++ b/internal/store/history_test.go
@@ -107,7 +107,7 @@
 			}
 			in := step{compare: -1, sets: map[int]string{}}
 			var ops []Op
-			var conditions []If
+			var conditions []Condition
 			switch chance.Intn(4) {
 			case 0:
 				in.reads = true
@@ -116,7 +116,7 @@
 				if v, some := s.Get(fmt.Sprint("k", in.compare)); some && chance.Intn(3) > 0 {
 					in.old = string(v)
 				}
-				conditions = []If{{Key: fmt.Sprint("k", in.compare)}}
+				conditions = []Condition{{Key: fmt.Sprint("k", in.compare)}}
 				if in.old != "" {
 					conditions[0].Value = []byte(in.old)
 				}
--- a/internal/store/store.go
+++ b/internal/store/store.go
@@ -57,8 +57,8 @@
 	Value []byte
 }
 
-// If is a condition on a key: that it has this value now, or, for nil, that it is absent.
-type If struct {
+// Condition is a condition on a key: that it has this value now, or, for nil, that it is absent.
+type Condition struct {
 	Key   string
 	Value []byte
 }
@@ -322,7 +322,7 @@
 // Commit makes several changes together, all or none, if all conditions hold. done is told once they are durable; an error
 // there means that they may or may not be there after a restart. With lazy they count at once and are written with the
 // next group; done may be nil. A refusal is the call's own error, and then nothing was changed.
-func (s *Store) Commit(ops []Op, conditions []If, lazy bool, done func(error)) error {
+func (s *Store) Commit(ops []Op, conditions []Condition, lazy bool, done func(error)) error {
 	if s.failed != nil {
 		return ErrFailed
 	}
--- a/internal/store/store_test.go
+++ b/internal/store/store_test.go
@@ -384,17 +384,17 @@
 func TestConditionsAndBounds(t *testing.T) {
 	m := newMemory()
 	s, _ := Open(m, Bounds{Keys: 3, Bytes: 100, Segment: 1000, Log: 1000})
-	must := func(want error, ops []Op, ifs ...If) {
+	must := func(want error, ops []Op, ifs ...Condition) {
 		t.Helper()
 		if err := s.Commit(ops, ifs, false, nil); !errors.Is(err, want) {
 			t.Errorf("%v: got %v, want %v", ops, err, want)
 		}
 		m.out(10)
 	}
-	must(nil, []Op{{"a", []byte("1")}}, If{"a", nil})
-	must(ErrConflict, []Op{{"a", []byte("2")}, {"b", []byte("2")}}, If{"a", nil})
-	must(ErrConflict, []Op{{"a", []byte("2")}}, If{"a", []byte("0")})
-	must(nil, []Op{{"a", []byte("2")}, {"b", []byte("2")}}, If{"a", []byte("1")}, If{"b", nil})
+	must(nil, []Op{{"a", []byte("1")}}, Condition{"a", nil})
+	must(ErrConflict, []Op{{"a", []byte("2")}, {"b", []byte("2")}}, Condition{"a", nil})
+	must(ErrConflict, []Op{{"a", []byte("2")}}, Condition{"a", []byte("0")})
+	must(nil, []Op{{"a", []byte("2")}, {"b", []byte("2")}}, Condition{"a", []byte("1")}, Condition{"b", nil})
 	must(ErrFull, []Op{{"c", []byte("3")}, {"d", []byte("4")}})
 	must(ErrFull, []Op{{"c", make([]byte, 200)}})
 	must(nil, []Op{{"b", nil}})
--- a/internal/subscribe/subscribe.go
+++ b/internal/subscribe/subscribe.go
@@ -35,18 +35,18 @@
 	rand *rand.Rand
 	addr string
 	// Target is what to ask for, from what is known on; Take is handed each event; Forget has the next target ask for all.
-	Target func() string
-	Take   func(data []byte) error
-	Forget func()
-	Fields []string // of the request's head: name, value, ...
-	What   string   // for logs
-	Log    func(line string)
-	// Lines: events are JSON objects, and empty lines only show that the source is there; else they are streamed events.
-	Lines bool
-	// Silence is how long the source may say nothing; Least and Again bound the wait before it is asked again.
-	Silence, Least, Again eventloop.Micros
-	// Answer, where it is above 0, is how long the source has to begin its answer, its connection included.
-	Answer eventloop.Micros
+	Target    func() string
+	OnMessage func(data []byte) error
+	OnReset   func()
+	Fields    []string // of the request's head: name, value, ...
+	Name      string   // for logs
+	Log       func(line string)
+	// LineDelimited: events are JSON objects, and empty lines only show that the source is there; else they are streamed events.
+	LineDelimited bool
+	// Silence is how long the source may say nothing; MinRetryDelay and RetryDelay bound the wait before it is asked again.
+	Silence, MinRetryDelay, RetryDelay eventloop.Micros
+	// ResponseTimeout, where it is above 0, is how long the source has to begin its answer, its connection included.
+	ResponseTimeout eventloop.Micros
 	// Standby has a silent subscription stay open until another speaks: a source that was away may go on with it, and what
 	// it tells in the moment of its return would else fall between two tries.
 	Standby bool
@@ -60,7 +60,7 @@
 
 // NewClient makes a client that has not subscribed yet.
 func NewClient(loop eventloop.Loop, seed int64, addr string) *Client {
-	return &Client{loop: loop, rand: rand.New(rand.NewSource(seed)), addr: addr, Silence: silence, Least: againLeast, Again: againMost}
+	return &Client{loop: loop, rand: rand.New(rand.NewSource(seed)), addr: addr, Silence: silence, MinRetryDelay: againLeast, RetryDelay: againMost}
 }
 
 // subscription is one connection to the source.
@@ -85,8 +85,8 @@
 	s := &subscription{c: c, parser: http1.Parser{Response: true, Bounds: http1.Usual}, events: sse.Parser{Most: listMost}}
 	c.current = s
 	s.conn = c.loop.DialSpare(c.addr, connectWithin, s) // news are owed also while clients hold all descriptors
-	if c.Answer > 0 {
-		s.quiet.For(c.loop, c.Answer, s.silent)
+	if c.ResponseTimeout > 0 {
+		s.quiet.For(c.loop, c.ResponseTimeout, s.silent)
 	}
 }
 
@@ -106,7 +106,7 @@
 	if c.closed || addr == c.addr {
 		return
 	}
-	c.addr, c.again = addr, c.Least
+	c.addr, c.again = addr, c.MinRetryDelay
 	c.waiting.Over()
 	if s := c.current; s != nil {
 		c.current = nil
@@ -147,11 +147,11 @@
 
 // retry asks again after a wait drawn by chance: dispatchers cut off together must not come back together.
 func (c *Client) retry(why string, ok bool) {
-	if c.again = max(c.again, c.Least); !ok {
-		c.again = min(2*c.again, c.Again)
+	if c.again = max(c.again, c.MinRetryDelay); !ok {
+		c.again = min(2*c.again, c.RetryDelay)
 	}
 	wait := c.again/2 + eventloop.Micros(c.rand.Int63n(int64(c.again)))
-	c.Log(fmt.Sprintf("%s is away (%s); what is known is used, next try in %d ms", c.What, why, wait/eventloop.Millisecond))
+	c.Log(fmt.Sprintf("%s is away (%s); what is known is used, next try in %d ms", c.Name, why, wait/eventloop.Millisecond))
 	c.waiting.For(c.loop, wait, c.Subscribe)
 }
 
@@ -194,7 +194,7 @@
 	}
 	fields := append([]string{"Accept", "text/event-stream"}, c.Fields...)
 	s.conn.Write(http1.AppendRequest(nil, "GET", c.Target(), c.addr, nil, fields...))
-	if c.Answer == 0 {
+	if c.ResponseTimeout == 0 {
 		s.quiet.For(c.loop, c.Silence, s.silent)
 	}
 }
@@ -213,9 +213,9 @@
 	if err := s.parser.Feed(b, s); err != nil {
 		var gap *Gap
 		if errors.As(err, &gap) {
-			c.Forget()
+			c.OnReset()
 		}
-		c.Log(fmt.Sprintf("%s: %v; subscribing anew", c.What, err))
+		c.Log(fmt.Sprintf("%s: %v; subscribing anew", c.Name, err))
 		s.conn.Abort()
 		return
 	}
@@ -237,17 +237,17 @@
 func (c *Client) Up() bool { return c.current != nil && c.current.headed }
 
 func (s *subscription) Body(b []byte) error {
-	if s.c.Lines {
+	if s.c.LineDelimited {
 		return s.object.feed(s.c.loop.Now(), b, s.take)
 	}
 	return s.events.Feed(b, s.take)
 }
 
 func (s *subscription) take(data []byte) error {
-	if err := s.c.Take(data); err != nil {
+	if err := s.c.OnMessage(data); err != nil {
 		return err
 	}
-	s.ok, s.c.again = true, s.c.Least
+	s.ok, s.c.again = true, s.c.MinRetryDelay
 	return nil
 }
 
--- a/internal/tenancy/fair.go
+++ b/internal/tenancy/fair.go
@@ -1,9 +1,9 @@
 package tenancy
 
-// Fair hands out turns among tenants that wait, by weight: a deficit round robin (Shreedhar and Varghese). Every
+// FairQueue hands out turns among tenants that wait, by weight: a deficit round robin (Shreedhar and Varghese). Every
 // operation takes the same time however many tenants there are, as no order among them is kept: those that wait stand in a
 // ring, and each gains on its turn what its weight gives it. A tenant that waits for nothing keeps nothing.
-type Fair[T any] struct {
+type FairQueue[T any] struct {
 	lines map[ID]*turn[T]
 	head  *turn[T] // whose turn it is
 	size  int
@@ -30,16 +30,16 @@
 	gone bool
 }
 
-// NewFair makes one.
-func NewFair[T any](quantum float64) *Fair[T] {
-	return &Fair[T]{lines: map[ID]*turn[T]{}, Quantum: quantum}
+// NewFairQueue makes one.
+func NewFairQueue[T any](quantum float64) *FairQueue[T] {
+	return &FairQueue[T]{lines: map[ID]*turn[T]{}, Quantum: quantum}
 }
 
 // Len is how many wait; Of how many of one tenant do.
-func (f *Fair[T]) Len() int { return f.size }
+func (f *FairQueue[T]) Len() int { return f.size }
 
 // Of is how many of a tenant's stand in its line, those dropped and not yet passed over included.
-func (f *Fair[T]) Of(id ID) int {
+func (f *FairQueue[T]) Of(id ID) int {
 	if t := f.lines[id]; t != nil {
 		return len(t.queue) - t.first
 	}
@@ -47,7 +47,7 @@
 }
 
 // Add puts something at the end of its tenant's line.
-func (f *Fair[T]) Add(id ID, weight float64, item T, cost float64) {
+func (f *FairQueue[T]) Add(id ID, weight float64, item T, cost float64) {
 	t := f.lines[id]
 	if t == nil {
 		t = &turn[T]{id: id}
@@ -64,7 +64,7 @@
 }
 
 // link puts a tenant in front of whose turn it is, so that it comes last.
-func (f *Fair[T]) link(t *turn[T]) {
+func (f *FairQueue[T]) link(t *turn[T]) {
 	if f.head == nil {
 		f.head, t.next, t.prev = t, t, t
 		return
@@ -73,7 +73,7 @@
 	t.prev.next, t.next.prev = t, t
 }
 
-func (f *Fair[T]) unlink(t *turn[T]) {
+func (f *FairQueue[T]) unlink(t *turn[T]) {
 	if t.next == t {
 		f.head = nil
 	} else {
@@ -88,7 +88,7 @@
 
 // Next gives who is next, among those whose items may go now; may is asked once for each item at the head of its line
 // that could be served. A tenant whose head may not go loses its turn, not its place.
-func (f *Fair[T]) Next(may func(T) bool) (item T, some bool) {
+func (f *FairQueue[T]) Next(may func(T) bool) (item T, some bool) {
 	refused := 0
 	for f.head != nil && refused < len(f.lines) {
 		t := f.head
@@ -118,12 +118,12 @@
 	return item, false
 }
 
-func (f *Fair[T]) pass(t *turn[T]) {
+func (f *FairQueue[T]) pass(t *turn[T]) {
 	t.fresh = true
 	f.head = t.next
 }
 
-func (f *Fair[T]) pop(t *turn[T]) {
+func (f *FairQueue[T]) pop(t *turn[T]) {
 	t.queue[t.first] = waiting[T]{}
 	t.first++
 	if t.first == len(t.queue) {
@@ -135,7 +135,7 @@
 }
 
 // Drop takes out what matches, of one tenant; its place in the line is passed over when its turn comes.
-func (f *Fair[T]) Drop(id ID, is func(T) bool) bool {
+func (f *FairQueue[T]) Drop(id ID, is func(T) bool) bool {
 	t := f.lines[id]
 	if t == nil {
 		return false
--- a/internal/tenancy/gate.go
+++ b/internal/tenancy/gate.go
@@ -103,30 +103,30 @@
 
 func (r Reason) String() string { return reasons[r] }
 
-// Verdict is what becomes of a request at the gate.
-type Verdict struct {
-	Pass   bool   // let it through now
-	Wait   bool   // its turn will come, or it will have to be given up in time
-	Reason Reason // else it is refused,
-	After  Micros // and may come again after this; 0 if that is not known
+// Decision is what becomes of a request at the gate.
+type Decision struct {
+	Admitted   bool   // let it through now
+	Queued     bool   // its turn will come, or it will have to be given up in time
+	Reason     Reason // else it is refused,
+	RetryAfter Micros // and may come again after this; 0 if that is not known
 }
 
 // Ticket is one generation at the gate and beyond it.
 type Ticket struct {
-	tenant   *member
-	levels   [3]*account
-	cost     float64 // tokens reserved
-	over     bool    // beyond its tenant's share
-	through  bool
-	waits    bool
-	ended    bool
-	begun    bool
-	passed   Micros
-	Anything any // the caller's
+	tenant  *member
+	levels  [3]*account
+	cost    float64 // tokens reserved
+	over    bool    // beyond its tenant's share
+	through bool
+	waits   bool
+	ended   bool
+	begun   bool
+	passed  Micros
+	Owner   any // the caller's
 }
 
-// Over tells whether it is beyond its tenant's share.
-func (t *Ticket) Over() bool { return t.over }
+// OverQuota tells whether it is beyond its tenant's share.
+func (t *Ticket) OverQuota() bool { return t.over }
 
 type member struct {
 	id ID
@@ -146,11 +146,11 @@
 	at     Micros
 }
 
-// Gate keeps one dispatcher's even part of all limits.
-type Gate struct {
+// AdmissionController keeps one dispatcher's even part of all limits.
+type AdmissionController struct {
 	parts     float64
 	members   map[ID]*member
-	fair      *Fair[*Ticket]
+	fair      *FairQueue[*Ticket]
 	window    float64 // generations beyond their share that may be through at once
 	surplus   int     // that are
 	unbegun   int     // of these, those whose answer has not begun
@@ -163,13 +163,13 @@
 	last      uint64
 }
 
-// NewGate makes one of so many that share the limits.
-func NewGate(parts int) *Gate {
-	return &Gate{parts: float64(max(parts, 1)), members: map[ID]*member{}, fair: NewFair[*Ticket](quantum), window: windowStart}
+// NewAdmissionController makes one of so many that share the limits.
+func NewAdmissionController(parts int) *AdmissionController {
+	return &AdmissionController{parts: float64(max(parts, 1)), members: map[ID]*member{}, fair: NewFairQueue[*Ticket](quantum), window: windowStart}
 }
 
-// Set makes a tenant known, or changes what it may do. Limits lowered under what runs bind what comes next.
-func (g *Gate) Set(id ID, l Limits, keys, products map[string]Limits, serves bool) {
+// SetTenant makes a tenant known, or changes what it may do. Limits lowered under what runs bind what comes next.
+func (g *AdmissionController) SetTenant(id ID, l Limits, keys, products map[string]Limits, serves bool) {
 	m := g.members[id]
 	if m == nil {
 		m = &member{id: id, open: map[*Ticket]uint64{}}
@@ -192,7 +192,7 @@
 }
 
 // Forget drops a tenant of which nothing is open any more, and tells whether it could.
-func (g *Gate) Forget(id ID) bool {
+func (g *AdmissionController) Forget(id ID) bool {
 	m := g.members[id]
 	if m != nil && len(m.open) > 0 {
 		return false
@@ -201,8 +201,8 @@
 	return true
 }
 
-// Open are a tenant's generations at the gate and beyond, in the order of their coming.
-func (g *Gate) Open(id ID) []*Ticket {
+// Tickets are a tenant's generations at the gate and beyond, in the order of their coming.
+func (g *AdmissionController) Tickets(id ID) []*Ticket {
 	m := g.members[id]
 	if m == nil {
 		return nil
@@ -211,15 +211,15 @@
 }
 
 // Waiting is how many wait for their turn; Window how many beyond their share may be through at once.
-func (g *Gate) Waiting() int    { return g.fair.Len() }
-func (g *Gate) Window() float64 { return g.window }
+func (g *AdmissionController) Waiting() int    { return g.fair.Len() }
+func (g *AdmissionController) Window() float64 { return g.window }
 
-// Ask takes a generation to the gate.
-func (g *Gate) Ask(now Micros, id ID, key, product string, prompt, most int) (*Ticket, Verdict) {
+// Admit takes a generation to the gate.
+func (g *AdmissionController) Admit(now Micros, id ID, key, product string, prompt, most int) (*Ticket, Decision) {
 	g.now = now
 	m := g.members[id]
 	if m == nil || !m.serves {
-		return nil, Verdict{Reason: NotServed}
+		return nil, Decision{Reason: NotServed}
 	}
 	t := &Ticket{tenant: m, levels: [3]*account{&m.account, m.keys[key], m.products[product]}, cost: float64(prompt + most/2)}
 	for _, a := range t.levels {
@@ -227,7 +227,7 @@
 			continue
 		}
 		if reason, after := a.check(now, g.parts, prompt, t.cost); reason != None {
-			return nil, Verdict{Reason: reason, After: after}
+			return nil, Decision{Reason: reason, RetryAfter: after}
 		}
 	}
 	share := g.sharePerS(m)
@@ -239,7 +239,7 @@
 			most = waitingMost
 		}
 		if g.fair.Of(id) >= max(int(float64(most)/g.parts), 1) {
-			return nil, Verdict{Reason: TooManyWaiting, After: second / 2}
+			return nil, Decision{Reason: TooManyWaiting, RetryAfter: second / 2}
 		}
 	} else {
 		m.share.level--
@@ -259,11 +259,11 @@
 	m.open[t] = g.last
 	if !t.over {
 		t.through = true
-		return t, Verdict{Pass: true}
+		return t, Decision{Admitted: true}
 	}
 	if g.fair.Len() == 0 && g.mayPass(t) || g.fair.Of(id) == 0 && g.own(t) {
 		g.pass(t)
-		return t, Verdict{Pass: true}
+		return t, Decision{Admitted: true}
 	}
 	t.waits = true
 	weight := m.limits.Weight
@@ -271,10 +271,10 @@
 		weight = 1
 	}
 	g.fair.Add(id, weight, t, t.cost)
-	return t, Verdict{Wait: true}
+	return t, Decision{Queued: true}
 }
 
-func (g *Gate) sharePerS(m *member) float64 {
+func (g *AdmissionController) sharePerS(m *member) float64 {
 	if m.limits.SharePerS == 0 {
 		return unlimited
 	}
@@ -315,7 +315,7 @@
 
 // mayPass lets surplus through up to the window, and a little of each tenant's in any case: one that has gone beyond its
 // share by chance must not wait for what another floods the window with.
-func (g *Gate) mayPass(t *Ticket) bool {
+func (g *AdmissionController) mayPass(t *Ticket) bool {
 	if g.own(t) {
 		return true
 	}
@@ -329,10 +329,12 @@
 }
 
 // own is what each tenant may have beyond its share in any case.
-func (g *Gate) own(t *Ticket) bool { return t.tenant.surplus < ownSurplus && t.tenant.unbegun == 0 }
+func (g *AdmissionController) own(t *Ticket) bool {
+	return t.tenant.surplus < ownSurplus && t.tenant.unbegun == 0
+}
 
 // othersCome tells whether another tenant has lately asked for something inside its share.
-func (g *Gate) othersCome(m *member) bool {
+func (g *AdmissionController) othersCome(m *member) bool {
 	for _, c := range g.came {
 		if c.tenant != m && c.tenant != nil && g.now-c.at < quietFor {
 			return true
@@ -343,13 +345,13 @@
 
 // duty is how many prompts of the surplus this dispatcher's part of the readers may have at once; below 1 it is the part
 // of the time in which there may be one.
-func (g *Gate) duty() float64 { return float64(g.places) * readPart / g.parts }
+func (g *AdmissionController) duty() float64 { return float64(g.places) * readPart / g.parts }
 
-// Places tells how many hosts read prompts now. While others ask, all dispatchers together let prompts of the surplus be
+// SetPrefillEndpoints tells how many hosts read prompts now. While others ask, all dispatchers together let prompts of the surplus be
 // read at a part of them only: what is beyond its share may fill gaps, but would else stand before everyone's next prompt.
-func (g *Gate) Places(n int) { g.places = n }
+func (g *AdmissionController) SetPrefillEndpoints(n int) { g.places = n }
 
-func (g *Gate) begun(t *Ticket) {
+func (g *AdmissionController) begun(t *Ticket) {
 	if t.through && t.over && !t.begun {
 		t.begun = true
 		if d := g.duty(); d < 1 && d > 0 {
@@ -360,7 +362,7 @@
 	}
 }
 
-func (g *Gate) pass(t *Ticket) {
+func (g *AdmissionController) pass(t *Ticket) {
 	t.through, t.waits, t.passed = true, false, g.now
 	g.surplus++
 	t.tenant.surplus++
@@ -369,7 +371,7 @@
 }
 
 // Next gives one that has waited and may go now.
-func (g *Gate) Next(now Micros) (*Ticket, bool) {
+func (g *AdmissionController) Next(now Micros) (*Ticket, bool) {
 	g.now = now
 	t, some := g.fair.Next(g.mayPass)
 	if some {
@@ -378,9 +380,9 @@
 	return t, some
 }
 
-// Began tells how long one that is through took to its first token, against its SLO time. Those inside their share must
+// FirstToken tells how long one that is through took to its first token, against its SLO time. Those inside their share must
 // not be made late by what is beyond the others': the window is cut when one is, and grows while none is.
-func (g *Gate) Began(now Micros, t *Ticket, took, slo Micros) {
+func (g *AdmissionController) FirstToken(now Micros, t *Ticket, took, slo Micros) {
 	g.now = now
 	g.begun(t)
 	if t.over || float64(took) <= lateShare*float64(slo) {
@@ -389,14 +391,14 @@
 	g.late(now)
 }
 
-// Held tells that one inside its share finds no place at all just now.
-func (g *Gate) Held(now Micros, t *Ticket) {
+// NoCapacity tells that one inside its share finds no place at all just now.
+func (g *AdmissionController) NoCapacity(now Micros, t *Ticket) {
 	if !t.over {
 		g.late(now)
 	}
 }
 
-func (g *Gate) late(now Micros) {
+func (g *AdmissionController) late(now Micros) {
 	g.lateAt = now
 	if now-g.cutAt >= cutEvery || now < g.cutAt {
 		g.cutAt = now
@@ -404,9 +406,9 @@
 	}
 }
 
-// End gives back what a generation held, and corrects what was reserved to what it took. It is for one that was refused
+// Release gives back what a generation held, and corrects what was reserved to what it took. It is for one that was refused
 // elsewhere or left, too; then nothing was taken.
-func (g *Gate) End(now Micros, t *Ticket, took int) {
+func (g *AdmissionController) Release(now Micros, t *Ticket, took int) {
 	if t.ended {
 		return
 	}
--- a/internal/tenancy/registry.go
+++ b/internal/tenancy/registry.go
@@ -25,7 +25,7 @@
 // Policies of removal.
 const (
 	Finish = "finish" // what runs goes on to its end
-	StopIt = "stop"   // what runs is given its one final answer now
+	Abort  = "stop"   // what runs is given its one final answer now
 )
 
 // Scopes of a key.
@@ -60,23 +60,23 @@
 	Limits  Limits   `json:"limits"`
 }
 
-// Fault is a change that can't be made.
-type Fault struct {
+// ChangeError is a change that can't be made.
+type ChangeError struct {
 	Status int
 	Code   string
 	Field  string
 	Reason string
 }
 
-func (f *Fault) Error() string { return f.Reason }
+func (f *ChangeError) Error() string { return f.Reason }
 
-func refuse(status int, code, field, format string, args ...any) *Fault {
-	return &Fault{status, code, field, fmt.Sprintf(format, args...)}
+func refuse(status int, code, field, format string, args ...any) *ChangeError {
+	return &ChangeError{status, code, field, fmt.Sprintf(format, args...)}
 }
 
-// NameRest is how long the name of a removed tenant can't be taken again, s: what is still on its way under that name
+// NameReuseDelay is how long the name of a removed tenant can't be taken again, s: what is still on its way under that name
 // must not be taken for another's.
-const NameRest = 24 * 3600
+const NameReuseDelay = 24 * 3600
 
 // Registry is all tenants. Version counts its changes; followers ask for what has changed since one.
 type Registry struct {
@@ -122,7 +122,7 @@
 	r.Changed[t.Name] = r.Version
 }
 
-func nameFault(name string) *Fault {
+func nameFault(name string) *ChangeError {
 	if len(name) < 1 || len(name) > 63 {
 		return refuse(422, "invalid_name", "name", "a name has 1 to 63 characters")
 	}
@@ -134,7 +134,7 @@
 	return nil
 }
 
-func (l Limits) fault(field string) *Fault {
+func (l Limits) fault(field string) *ChangeError {
 	for name, v := range map[string]float64{"share_per_s": l.SharePerS, "weight": l.Weight, "per_s": l.PerS, "tokens_per_s": l.TokensPerS,
 		"burst_s": l.BurstS, "concurrent": float64(l.Concurrent), "largest_prompt": float64(l.LargestPrompt), "waiting": float64(l.Waiting)} {
 		if !(v >= 0 && v <= 1e9) {
@@ -145,7 +145,7 @@
 }
 
 // Create adds a tenant. The same creation again, as after an answer that was lost, changes nothing.
-func (r *Registry) Create(now int64, name string, limits Limits, products map[string]Limits) (t *Tenant, made bool, fault *Fault) {
+func (r *Registry) Create(now int64, name string, limits Limits, products map[string]Limits) (t *Tenant, made bool, fault *ChangeError) {
 	if fault := nameFault(name); fault != nil {
 		return nil, false, fault
 	}
@@ -160,9 +160,9 @@
 	old := r.Tenants[name]
 	switch {
 	case old == nil:
-	case old.State == Removed && now-old.Gone >= NameRest:
+	case old.State == Removed && now-old.Gone >= NameReuseDelay:
 	case old.State == Removed || old.State == Removing:
-		return nil, false, refuse(409, "name_resting", "name", "the name was a removed tenant's and rests for %d hours", NameRest/3600)
+		return nil, false, refuse(409, "name_resting", "name", "the name was a removed tenant's and rests for %d hours", NameReuseDelay/3600)
 	case old.Limits == limits && len(old.Products) == len(products) && (len(products) == 0 || reflect.DeepEqual(old.Products, products)):
 		return old, false, nil
 	default:
@@ -179,7 +179,7 @@
 }
 
 // find looks a tenant up for a change that was made against a version of it; 0 is any.
-func (r *Registry) find(name string, version uint64) (*Tenant, *Fault) {
+func (r *Registry) find(name string, version uint64) (*Tenant, *ChangeError) {
 	t := r.Tenants[name]
 	switch {
 	case t == nil:
@@ -191,7 +191,7 @@
 }
 
 // Change sets limits.
-func (r *Registry) Change(name string, version uint64, limits *Limits, products map[string]Limits) (*Tenant, *Fault) {
+func (r *Registry) Change(name string, version uint64, limits *Limits, products map[string]Limits) (*Tenant, *ChangeError) {
 	t, fault := r.find(name, version)
 	if fault != nil {
 		return nil, fault
@@ -219,8 +219,8 @@
 	return t, nil
 }
 
-// Serve suspends a tenant, or takes it into service again.
-func (r *Registry) Serve(name string, version uint64, on bool) (*Tenant, *Fault) {
+// SetServing suspends a tenant, or takes it into service again.
+func (r *Registry) SetServing(name string, version uint64, on bool) (*Tenant, *ChangeError) {
 	t, fault := r.find(name, version)
 	if fault != nil {
 		return nil, fault
@@ -237,13 +237,13 @@
 }
 
 // Remove begins a tenant's end. All of its keys are worth nothing from now on.
-func (r *Registry) Remove(name string, version uint64, policy string) (*Tenant, *Fault) {
+func (r *Registry) Remove(name string, version uint64, policy string) (*Tenant, *ChangeError) {
 	t, fault := r.find(name, version)
 	if fault != nil {
 		return nil, fault
 	}
-	if policy != Finish && policy != StopIt {
-		return nil, refuse(422, "invalid_policy", "policy", "must be %q or %q", Finish, StopIt)
+	if policy != Finish && policy != Abort {
+		return nil, refuse(422, "invalid_policy", "policy", "must be %q or %q", Finish, Abort)
 	}
 	switch {
 	case t.State == Removed, t.State == Removing && (t.Policy == policy || policy == Finish):
@@ -262,9 +262,9 @@
 	}
 }
 
-// Key is a new key for a tenant; text is the key itself, which is never seen again.
-func (r *Registry) Key(now int64, name string, version uint64, secret, random []byte, label string, scopes []string, expires int64,
-	limits Limits) (text string, k *KeyRecord, t *Tenant, fault *Fault) {
+// IssueKey is a new key for a tenant; text is the key itself, which is never seen again.
+func (r *Registry) IssueKey(now int64, name string, version uint64, secret, random []byte, label string, scopes []string, expires int64,
+	limits Limits) (text string, k *KeyRecord, t *Tenant, fault *ChangeError) {
 	t, fault = r.find(name, version)
 	if fault != nil {
 		return "", nil, nil, fault
@@ -298,7 +298,7 @@
 }
 
 // Revoke ends a key at once, or at a time, so that a new one can overlap with it.
-func (r *Registry) Revoke(now int64, name string, version uint64, id string, at int64) (*Tenant, *Fault) {
+func (r *Registry) Revoke(now int64, name string, version uint64, id string, at int64) (*Tenant, *ChangeError) {
 	t, fault := r.find(name, version)
 	if fault != nil {
 		return nil, fault
@@ -332,21 +332,21 @@
 
 // --- What followers are told ---
 
-// News is one message to those that follow the registry: all of it, or what has changed since a version.
-type News struct {
-	Epoch   string    `json:"epoch"`
-	Version uint64    `json:"version"`
-	Since   uint64    `json:"since,omitempty"`
-	Whole   bool      `json:"whole,omitempty"`
-	Tenants []*Tenant `json:"tenants"`
-	Public  []string  `json:"public_texts"`
+// Update is one message to those that follow the registry: all of it, or what has changed since a version.
+type Update struct {
+	Epoch    string    `json:"epoch"`
+	Version  uint64    `json:"version"`
+	Since    uint64    `json:"since,omitempty"`
+	Complete bool      `json:"whole,omitempty"`
+	Tenants  []*Tenant `json:"tenants"`
+	Public   []string  `json:"public_texts"`
 }
 
-// NewsSince is what a follower of a version has missed; all, where it followed another epoch.
-func (r *Registry) NewsSince(epoch string, version uint64) News {
-	n := News{Epoch: r.Epoch, Version: r.Version, Since: version, Public: r.Public, Whole: epoch != r.Epoch || version == 0 || version > r.Version}
+// UpdateSince is what a follower of a version has missed; all, where it followed another epoch.
+func (r *Registry) UpdateSince(epoch string, version uint64) Update {
+	n := Update{Epoch: r.Epoch, Version: r.Version, Since: version, Public: r.Public, Complete: epoch != r.Epoch || version == 0 || version > r.Version}
 	for _, name := range r.Names() {
-		if t := r.Tenants[name]; n.Whole && t.State != Removed || !n.Whole && r.Changed[name] > version {
+		if t := r.Tenants[name]; n.Complete && t.State != Removed || !n.Complete && r.Changed[name] > version {
 			n.Tenants = append(n.Tenants, t)
 		}
 	}
@@ -373,17 +373,17 @@
 	return &Directory{secret: secret, tenants: map[string]*Tenant{}, keys: map[string]known{}, public: map[string]bool{}}
 }
 
-// Take reads one message. It gives the tenants that have changed, those that are gone from a whole list as removed.
-func (d *Directory) Take(data []byte) (changed []*Tenant, err error) {
-	var n News
+// Apply reads one message. It gives the tenants that have changed, those that are gone from a whole list as removed.
+func (d *Directory) Apply(data []byte) (changed []*Tenant, err error) {
+	var n Update
 	if err := json.Unmarshal(data, &n); err != nil {
 		return nil, fmt.Errorf("not the tenants' news: %w", err)
 	}
 	same := n.Epoch == d.Epoch
 	switch {
-	case same && n.Version < d.Version, same && !n.Whole && n.Version == d.Version:
+	case same && n.Version < d.Version, same && !n.Complete && n.Version == d.Version:
 		return nil, nil
-	case !n.Whole && (!same || n.Since != d.Version):
+	case !n.Complete && (!same || n.Since != d.Version):
 		return nil, &subscribe.Gap{Have: d.Version, Since: n.Since}
 	}
 	named := map[string]bool{}
@@ -393,7 +393,7 @@
 		}
 		named[t.Name] = true
 	}
-	if n.Whole {
+	if n.Complete {
 		for _, name := range slices.Sorted(maps.Keys(d.tenants)) {
 			if !named[name] {
 				gone := *d.tenants[name]
@@ -406,7 +406,7 @@
 		if old := d.tenants[t.Name]; old != nil {
 			if old.ID != t.ID {
 				end := *old
-				end.State, end.Policy, end.Keys = Removing, StopIt, nil
+				end.State, end.Policy, end.Keys = Removing, Abort, nil
 				changed = append(changed, &end) // the name is another's now
 			}
 			for _, k := range old.Keys {
@@ -434,28 +434,28 @@
 // Public tells whether the operator lets tenants share a text, by its digest.
 func (d *Directory) Public(digest string) bool { return d.public[digest] }
 
-// Whose finds the tenant and the key record of a key's text. It takes the same time for a key that is nearly right as
+// Authenticate finds the tenant and the key record of a key's text. It takes the same time for a key that is nearly right as
 // for one that is not; an unknown one costs a look-up and leaves nothing.
-func (d *Directory) Whose(now int64, text string) (*Tenant, *KeyRecord, bool) {
+func (d *Directory) Authenticate(now int64, text string) (*Tenant, *KeyRecord, bool) {
 	id, _, ok := strings.Cut(strings.TrimPrefix(text, "sk-"), "-")
 	if !ok || !strings.HasPrefix(text, "sk-") {
 		return nil, nil, false
 	}
 	k, some := d.keys[id]
-	if !some || !k.key.Fits(d.secret, text, now) {
+	if !some || !k.key.Matches(d.secret, text, now) {
 		return nil, nil, false
 	}
 	return k.tenant, &k.key, true
 }
 
-// Fits tells whether a text is this key, and the key is worth something now.
-func (k *KeyRecord) Fits(secret []byte, text string, now int64) bool {
+// Matches tells whether a text is this key, and the key is worth something now.
+func (k *KeyRecord) Matches(secret []byte, text string, now int64) bool {
 	return hmac.Equal([]byte(k.MAC), []byte(seal(secret, text))) && k.Revoked == 0 && (k.Expires == 0 || now < k.Expires)
 }
 
 // Snapshot is the directory as it is known, for keeping.
 func (d *Directory) Snapshot() []byte {
-	n := News{Epoch: d.Epoch, Version: d.Version, Whole: true, Public: slices.Sorted(maps.Keys(d.public))}
+	n := Update{Epoch: d.Epoch, Version: d.Version, Complete: true, Public: slices.Sorted(maps.Keys(d.public))}
 	for _, name := range slices.Sorted(maps.Keys(d.tenants)) {
 		n.Tenants = append(n.Tenants, d.tenants[name])
 	}
--- a/internal/tenancy/tenancy_test.go
+++ b/internal/tenancy/tenancy_test.go
@@ -14,7 +14,7 @@
 // Turns follow the weights, whatever the costs; one that waits for nothing keeps nothing; what was dropped is passed over.
 func TestFairByWeight(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		f := NewFair[int](100)
+		f := NewFairQueue[int](100)
 		weights := map[ID]float64{1: 1, 2: 2, 3: 4}
 		chance := rand.New(rand.NewSource(rapid.Int64().Draw(t, "seed")))
 		item := 0
@@ -77,7 +77,7 @@
 func BenchmarkFair(b *testing.B) {
 	for _, n := range []int{10, 1000, 100000} {
 		b.Run(fmt.Sprintf("ring/%d", n), func(b *testing.B) {
-			f := NewFair[int](2000)
+			f := NewFairQueue[int](2000)
 			for i := range n {
 				f.Add(ID(i), 1, i, 1500)
 			}
@@ -102,25 +102,25 @@
 }
 
 func BenchmarkGate(b *testing.B) {
-	g := NewGate(4)
+	g := NewAdmissionController(4)
 	const tenants = 10000
 	for i := range tenants {
-		g.Set(ID(i), Limits{SharePerS: 4, PerS: 1e6, TokensPerS: 1e9, Concurrent: 1000}, map[string]Limits{"k": {PerS: 1e6}}, map[string]Limits{"p": {PerS: 1e6}}, true)
+		g.SetTenant(ID(i), Limits{SharePerS: 4, PerS: 1e6, TokensPerS: 1e9, Concurrent: 1000}, map[string]Limits{"k": {PerS: 1e6}}, map[string]Limits{"p": {PerS: 1e6}}, true)
 	}
-	g.Places(100)
+	g.SetPrefillEndpoints(100)
 	b.ReportAllocs()
 	now := Micros(1)
 	for i := 0; b.Loop(); i++ {
 		now += 50
-		t, v := g.Ask(now, ID(i%tenants), "k", "p", 1500, 200)
+		t, v := g.Admit(now, ID(i%tenants), "k", "p", 1500, 200)
 		if t == nil {
 			b.Fatal(v)
 		}
-		if v.Wait {
+		if v.Queued {
 			g.Next(now)
 		}
-		g.Began(now, t, 1000, second)
-		g.End(now, t, 1600)
+		g.FirstToken(now, t, 1000, second)
+		g.Release(now, t, 1600)
 	}
 }
 
@@ -131,22 +131,22 @@
 		parts := rapid.IntRange(1, 8).Draw(t, "dispatchers")
 		l := Limits{PerS: float64(rapid.IntRange(1, 50).Draw(t, "per_s")), Concurrent: rapid.IntRange(0, 20).Draw(t, "concurrent"),
 			TokensPerS: float64(rapid.IntRange(0, 1).Draw(t, "tokens")) * 20000}
-		var gates []*Gate
+		var gates []*AdmissionController
 		for range parts {
-			g := NewGate(parts)
-			g.Set(1, l, nil, nil, true)
-			g.Places(1000)
+			g := NewAdmissionController(parts)
+			g.SetTenant(1, l, nil, nil, true)
+			g.SetPrefillEndpoints(1000)
 			gates = append(gates, g)
 		}
 		now, start, passed, most := 1000*second, 1000*second, 0, 0
 		tokens := 0.0
-		open := map[*Ticket]*Gate{}
+		open := map[*Ticket]*AdmissionController{}
 		for range 300 {
 			step := Micros(rapid.IntRange(-2000, 8000).Draw(t, "step"))
 			now = max(now+step, start)
 			most = max(most, int(now-start))
 			g := gates[rapid.IntRange(0, parts-1).Draw(t, "gate")]
-			if tk, v := g.Ask(now, 1, "", "", 900, 200); tk != nil {
+			if tk, v := g.Admit(now, 1, "", "", 900, 200); tk != nil {
 				passed++
 				tokens += 1000
 				open[tk] = g
@@ -158,7 +158,7 @@
 			}
 			for tk, g := range open {
 				if rapid.IntRange(0, 3).Draw(t, "end") == 0 {
-					g.End(now, tk, 1000)
+					g.Release(now, tk, 1000)
 					delete(open, tk)
 				}
 			}
@@ -172,9 +172,9 @@
 			t.Fatalf("%.0f tokens in %.2f s, %.0f allowed", tokens, seconds, bound)
 		}
 		g := gates[0]
-		g.Set(1, Limits{PerS: 0.001}, nil, nil, true)
-		g.Ask(now, 1, "", "", 10, 10)
-		if tk, v := g.Ask(now, 1, "", "", 10, 10); tk != nil || v.Reason != TooManyPerS || v.After < second {
+		g.SetTenant(1, Limits{PerS: 0.001}, nil, nil, true)
+		g.Admit(now, 1, "", "", 10, 10)
+		if tk, v := g.Admit(now, 1, "", "", 10, 10); tk != nil || v.Reason != TooManyPerS || v.RetryAfter < second {
 			t.Fatalf("after the limit was lowered: %v, %+v", tk, v)
 		}
 	})
@@ -182,20 +182,20 @@
 
 // What one tenant does not use is lent at once, and its owner is served at once when it comes back.
 func TestLentAndTakenBack(t *testing.T) {
-	g := NewGate(1)
-	g.Set(1, Limits{SharePerS: 5}, nil, nil, true)
-	g.Set(2, Limits{SharePerS: 5}, nil, nil, true)
-	g.Places(8)
+	g := NewAdmissionController(1)
+	g.SetTenant(1, Limits{SharePerS: 5}, nil, nil, true)
+	g.SetTenant(2, Limits{SharePerS: 5}, nil, nil, true)
+	g.SetPrefillEndpoints(8)
 	now := 1000 * second
 	served := map[ID]int{}
 	var running []*Ticket
 	step := func(owner bool) (waited int) {
 		now += 10_000
-		if tk, v := g.Ask(now, 1, "", "", 500, 100); v.Pass {
+		if tk, v := g.Admit(now, 1, "", "", 500, 100); v.Admitted {
 			running = append(running, tk)
 		}
 		if owner && now%200_000 == 0 {
-			if tk, v := g.Ask(now, 2, "", "", 500, 100); v.Pass {
+			if tk, v := g.Admit(now, 2, "", "", 500, 100); v.Admitted {
 				running = append(running, tk)
 			} else {
 				waited++
@@ -207,9 +207,9 @@
 		for len(running) > 3 { // what the fleet has ended meanwhile
 			tk := running[0]
 			running = running[1:]
-			g.Began(now, tk, second/20, second)
+			g.FirstToken(now, tk, second/20, second)
 			served[tk.tenant.id]++
-			g.End(now, tk, 600)
+			g.Release(now, tk, 600)
 		}
 		return waited
 	}
@@ -238,13 +238,13 @@
 		chance := rand.New(rand.NewSource(rapid.Int64().Draw(t, "seed")))
 		keys := map[string]string{} // text, tenant
 		hear := func() {
-			news := r.NewsSince(d.Epoch, d.Version)
+			news := r.UpdateSince(d.Epoch, d.Version)
 			b, _ := json.Marshal(news)
-			if _, err := d.Take(b); err != nil {
+			if _, err := d.Apply(b); err != nil {
 				t.Fatal(err)
 			}
 			if rapid.Bool().Draw(t, "twice") {
-				if changed, err := d.Take(b); err != nil || len(changed) > 0 && !news.Whole {
+				if changed, err := d.Apply(b); err != nil || len(changed) > 0 && !news.Complete {
 					t.Fatalf("heard twice: %v, %d changes", err, len(changed))
 				}
 			}
@@ -257,7 +257,7 @@
 			case 1:
 				random := make([]byte, 30)
 				chance.Read(random)
-				if text, _, _, fault := r.Key(now, name, 0, secret, random, "", nil, []int64{0, now + 5}[rapid.IntRange(0, 1).Draw(t, "expires")], Limits{}); fault == nil {
+				if text, _, _, fault := r.IssueKey(now, name, 0, secret, random, "", nil, []int64{0, now + 5}[rapid.IntRange(0, 1).Draw(t, "expires")], Limits{}); fault == nil {
 					keys[text] = name
 				}
 			case 2:
@@ -265,7 +265,7 @@
 					_, _ = r.Revoke(now, name, 0, tn.Keys[0].ID, 0)
 				}
 			case 3:
-				_, _ = r.Serve(name, 0, rapid.Bool().Draw(t, "on"))
+				_, _ = r.SetServing(name, 0, rapid.Bool().Draw(t, "on"))
 			case 4:
 				_, _ = r.Remove(name, 0, Finish)
 			case 5:
@@ -281,11 +281,11 @@
 				for _, k := range tn.Keys {
 					want = want || strings.HasPrefix(text, "sk-"+k.ID) && k.Revoked == 0 && (k.Expires == 0 || now < k.Expires)
 				}
-				got, _, known := d.Whose(now, text)
+				got, _, known := d.Authenticate(now, text)
 				if known != want || known && got.Name != name {
 					t.Fatalf("a key of %s (%s): known %v, want %v", name, tn.State, known, want)
 				}
-				if _, _, known := d.Whose(now, text[:len(text)-1]+"x"); known {
+				if _, _, known := d.Authenticate(now, text[:len(text)-1]+"x"); known {
 					t.Fatal("a key that is nearly right is known")
 				}
 			}
@@ -296,29 +296,29 @@
 // A report that is lost is sent again, one that is heard twice counts once.
 func TestUsageCountsOnce(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		l := NewLedger()
-		meters := map[string]*Meter{"a": NewMeter(), "b": NewMeter()}
+		l := NewUsageLedger()
+		meters := map[string]*UsageMeter{"a": NewUsageMeter(), "b": NewUsageMeter()}
 		var used uint64
 		for range 60 {
 			name := rapid.SampledFrom([]string{"a", "b"}).Draw(t, "dispatcher")
 			m := meters[name]
 			if rapid.Bool().Draw(t, "use") {
 				used += 7
-				m.Add(Used{Tenant: "x", Product: "p", Day: "d", Answer: 7})
+				m.Add(Usage{Tenant: "x", Product: "p", Day: "d", Answer: 7})
 			}
 			r := m.Report(name)
 			for range rapid.IntRange(0, 2).Draw(t, "arrives") {
-				l.Take(1, r)
+				l.Add(1, r)
 				if rapid.Bool().Draw(t, "acknowledged") {
-					m.Taken(r.Number)
+					m.Acknowledge(r.Number)
 				}
 			}
 		}
 		for name, m := range meters {
-			for m.Some() {
+			for m.Pending() {
 				r := m.Report(name)
-				l.Take(1, r)
-				m.Taken(r.Number)
+				l.Add(1, r)
+				m.Acknowledge(r.Number)
 			}
 		}
 		if sum := l.Of("x"); used > 0 && (len(sum) != 1 || sum[0].Answer != used) {
--- a/internal/testbed/hosts/roster.go
+++ b/internal/testbed/hosts/roster.go
@@ -53,7 +53,7 @@
 	}
 	r.version++
 	for _, w := range r.watchers {
-		w.send(roster.List{Epoch: r.epoch, Version: r.version, Since: r.version - 1, Hosts: changes})
+		w.send(roster.Update{Epoch: r.epoch, Version: r.version, Since: r.version - 1, Hosts: changes})
 	}
 }
 
@@ -135,7 +135,7 @@
 	w.name = w.head.Get("x-dispatcher")
 	w.conn.Write(http1.AppendStreamHead(nil, 200, "Content-Type", "text/event-stream"))
 	r := w.roster
-	all := roster.List{Epoch: r.epoch, Version: r.version, Whole: true}
+	all := roster.Update{Epoch: r.epoch, Version: r.version, Complete: true}
 	for _, id := range slices.Sorted(maps.Keys(r.entries)) {
 		all.Hosts = append(all.Hosts, r.entries[id])
 	}
@@ -144,7 +144,7 @@
 	return nil
 }
 
-func (w *watcher) send(l roster.List) {
+func (w *watcher) send(l roster.Update) {
 	b, _ := json.Marshal(l)
 	w.conn.Write(http1.AppendChunk(nil, sse.Append(nil, b)))
 	book := w.roster.book
--- a/internal/testbed/scenarios/batch_test.go
+++ b/internal/testbed/scenarios/batch_test.go
@@ -26,7 +26,7 @@
 		d := deployment.Standard()
 		d.Kinds = append(d.Kinds, &pb.Kind{Name: "embedder", Role: pb.Kind_EMBEDDER, MemoryTokens: 100000})
 		d.Fleet.Groups = append(d.Fleet.Groups, &pb.Fleet_Group{Kind: "embedder", HostsPerZone: 1, ReadTokensPerS: 18000, Slots: 8, Queue: 40, StepUs: 5000})
-		p := &Play{Script: script, Deployment: d, Dispatchers: 3, Seed: seed}
+		p := &Run{Script: script, Deployment: d, Dispatchers: 3, Seed: seed}
 		v, left, _, err := p.Virtual(0)
 		if err != nil {
 			t.Fatal(err)
--- a/internal/testbed/scenarios/flood_test.go
+++ b/internal/testbed/scenarios/flood_test.go
@@ -25,7 +25,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	p := &Play{Script: script, Deployment: deployment.Standard(), Dispatchers: dispatchers, Seed: seed}
+	p := &Run{Script: script, Deployment: deployment.Standard(), Dispatchers: dispatchers, Seed: seed}
 	v, left, _, err := p.Virtual(0)
 	if err != nil {
 		t.Fatal(err)
@@ -64,7 +64,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	p := &Play{Script: script, Deployment: deployment.Standard(), Dispatchers: 3, Seed: 8}
+	p := &Run{Script: script, Deployment: deployment.Standard(), Dispatchers: 3, Seed: 8}
 	if _, _, _, err := p.Virtual(0); err != nil {
 		t.Fatal(err)
 	}
@@ -72,8 +72,8 @@
 	said, seen := map[string]sums{}, map[string]sums{}
 	for _, u := range p.Used {
 		s := said[u.Tenant+" "+u.Product]
-		s.streamed, s.throttled, s.terminated = s.streamed+int64(u.Streamed), s.throttled+int64(u.Throttled), s.terminated+int64(u.Terminated)
-		if u.Terminated == 0 { // of a broken stream the client counts what it was sent, the writer what it wrote
+		s.streamed, s.throttled, s.terminated = s.streamed+int64(u.Completed), s.throttled+int64(u.Rejected), s.terminated+int64(u.Failed)
+		if u.Failed == 0 { // of a broken stream the client counts what it was sent, the writer what it wrote
 			s.tokens += int64(u.Answer)
 		}
 		said[u.Tenant+" "+u.Product] = s
@@ -125,7 +125,7 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			p := &Play{Script: script, Deployment: deployment.Standard(), Dispatchers: 3, Seed: seed, Keyed: true, Intents: intents}
+			p := &Run{Script: script, Deployment: deployment.Standard(), Dispatchers: 3, Seed: seed, Keyed: true, Intents: intents}
 			v, left, _, err := p.Virtual(600)
 			if err != nil {
 				t.Fatal(err)
--- a/internal/testbed/scenarios/restart.go
+++ b/internal/testbed/scenarios/restart.go
@@ -15,7 +15,7 @@
 // Restart plays one restart of all dispatchers in virtual time: they keep their lists, die together, and come back after a
 // while in which a share of the hosts has been replaced by others elsewhere, with discovery answering or not. The script's
 // seconds and rate are those after the return.
-func (p *Play) Restart(away eventloop.Micros, replaced float64, discovery bool) (v *audit.Verdict, left int, err error) {
+func (p *Run) Restart(away eventloop.Micros, replaced float64, discovery bool) (v *audit.Verdict, left int, err error) {
 	text := p.prepare()
 	if p.book, err = openRecord(p.Record, text); err != nil {
 		return nil, 0, err
@@ -68,7 +68,7 @@
 	w.Until(eventloop.Micros(endWithin.Microseconds()), func() bool { return p.crowd.Open == 0 })
 	w.Run(eventloop.Second)
 	for _, l := range all {
-		left += l.x.Running()
+		left += l.x.OpenRequests()
 	}
 	events, err := p.book.Close()
 	if err = errors.Join(err, p.failed); err != nil {
@@ -79,10 +79,10 @@
 }
 
 // Events are what clients and hosts saw on a played day.
-func (p *Play) Events() []record.Event { return p.events }
+func (p *Run) Events() []record.Event { return p.events }
 
 // Streamed is how many generations were first asked for in one second of the day, and how many of them were streamed.
-func (p *Play) Streamed(second int) (asked, streamed int) {
+func (p *Run) Streamed(second int) (asked, streamed int) {
 	in, first := map[string]bool{}, int64(0)
 	for _, e := range p.events {
 		if e.What == "ask" && e.Try == 1 {
@@ -106,7 +106,7 @@
 
 // InTime gives, for each second of a played day's load, how many generations were asked for and how many of them got their
 // answer within the SLO time.
-func (p *Play) InTime() (asked, in []int) {
+func (p *Run) InTime() (asked, in []int) {
 	at, first := map[string]int64{}, int64(0)
 	for _, e := range p.events {
 		if e.What == "ask" && e.Try == 1 {
--- a/internal/testbed/scenarios/scenarios.go
+++ b/internal/testbed/scenarios/scenarios.go
@@ -60,8 +60,8 @@
 	return os.Rename(part, path)
 }
 
-// Play is one playing of a day.
-type Play struct {
+// Run is one playing of a day.
+type Run struct {
 	Script      *pb.Day
 	Deployment  deployment.Deployment
 	Dispatchers int
@@ -69,16 +69,16 @@
 	Binary      string // of this program
 	Record      string // folder that is kept; empty: none is
 	Progress    io.Writer
-	Keyed       bool           // clients send Idempotency-Keys and repeat, at the same dispatcher, what was cut off
-	Intents     bool           // dispatchers keep intents across their lives
-	Used        []tenancy.Used // what the dispatchers say was used, after a virtual day
+	Keyed       bool            // clients send Idempotency-Keys and repeat, at the same dispatcher, what was cut off
+	Intents     bool            // dispatchers keep intents across their lives
+	Used        []tenancy.Usage // what the dispatchers say was used, after a virtual day
 	Batches     []*load.Batches
 	Begun       func(addrs []string)    // over sockets: told where the dispatchers are, once the load has begun
-	Plant       *Plant                  // virtual days only, as what follows
+	Mutant      *Mutant                 // virtual days only, as what follows
 	Watch       func()                  // called after each step
 	Delay       func() eventloop.Micros // how much longer each piece is on its way, once the load has begun
 	Steps       int                     // of the world
-	Reached     []lifecycle.Reached     // by each dispatcher's last life
+	Reached     []lifecycle.Coverage    // by each dispatcher's last life
 
 	world *virtual.World
 	all   []*lives
@@ -113,7 +113,7 @@
 
 // process is one dispatcher.
 type process struct {
-	play   *Play
+	play   *Run
 	target *load.Target
 	no     int
 	lives  int
@@ -133,7 +133,7 @@
 }
 
 // Run plays the day and judges it.
-func (p *Play) Run(ctx context.Context) (v *audit.Verdict, err error) {
+func (p *Run) Run(ctx context.Context) (v *audit.Verdict, err error) {
 	for i, t := range p.Script.Troubles {
 		if inVirtualTime[t.Kind] != nil {
 			return nil, fmt.Errorf("day %s: troubles[%d]: %s can be played in virtual time only", p.Script.Name, i, t.Kind)
@@ -169,7 +169,7 @@
 }
 
 // prepare gives the day its own tenants and its number of dispatchers.
-func (p *Play) prepare() (text []byte) {
+func (p *Run) prepare() (text []byte) {
 	p.rand = rand.New(rand.NewSource(p.Seed))
 	p.keys = Tenants(p.Deployment, []string{"north", "middle", "south"}, 0.4*p.Script.Rate,
 		func(i int) string { return fmt.Sprintf("sk-day-%d-%016x", i, p.rand.Uint64()) })
@@ -178,7 +178,7 @@
 }
 
 // fits tells whether the deployment has what the script asks for.
-func (p *Play) fits() error {
+func (p *Run) fits() error {
 	for i, b := range p.Script.Batches {
 		fine := false
 		for _, product := range p.Deployment.Products {
@@ -229,7 +229,7 @@
 	endWithin   = 30 * time.Second
 )
 
-func (p *Play) play(ctx context.Context) (err error) {
+func (p *Run) play(ctx context.Context) (err error) {
 	fleetAt, err := sockets.Start()
 	if err != nil {
 		return err
@@ -276,7 +276,7 @@
 }
 
 // begin sets the crowd going and the troubles down for their times.
-func (p *Play) begin(ctx context.Context, targets []*load.Target) {
+func (p *Run) begin(ctx context.Context, targets []*load.Target) {
 	p.crowdAt.Do(func() {
 		p.crowd = load.New(p.crowdAt, p.Deployment, p.Seed, p.keys, targets, p.book)
 		p.crowd.Rate, p.crowd.Keyed = p.Script.Rate, p.Keyed
@@ -304,7 +304,7 @@
 }
 
 // stop: nothing more is asked.
-func (p *Play) stop() {
+func (p *Run) stop() {
 	p.crowd.Stop()
 	for _, b := range p.Batches {
 		b.Stop()
@@ -312,7 +312,7 @@
 }
 
 // open is what waits for its answer.
-func (p *Play) open() int {
+func (p *Run) open() int {
 	n := p.crowd.Open
 	for _, b := range p.Batches {
 		n += b.Open
@@ -321,7 +321,7 @@
 }
 
 // wait lets the day pass, and what is out at its end.
-func (p *Play) wait(ctx context.Context, started time.Time) error {
+func (p *Run) wait(ctx context.Context, started time.Time) error {
 	tick := time.NewTicker(500 * time.Millisecond)
 	defer tick.Stop()
 	day := time.Duration(p.Script.Seconds) * time.Second
@@ -434,7 +434,7 @@
 }
 
 // stopAll ends the dispatchers in good order.
-func (p *Play) stopAll(procs []*process) error {
+func (p *Run) stopAll(procs []*process) error {
 	select {
 	case <-p.end:
 		return nil
@@ -468,10 +468,10 @@
 
 // --- Troubles ---
 
-type effect func(p *Play, ctx context.Context, t *pb.Day_Trouble, span eventloop.Micros, picked []*hosts.Host)
+type effect func(p *Run, ctx context.Context, t *pb.Day_Trouble, span eventloop.Micros, picked []*hosts.Host)
 
 func each(f func(h *hosts.Host, t *pb.Day_Trouble, span eventloop.Micros)) effect {
-	return func(_ *Play, _ context.Context, t *pb.Day_Trouble, span eventloop.Micros, picked []*hosts.Host) {
+	return func(_ *Run, _ context.Context, t *pb.Day_Trouble, span eventloop.Micros, picked []*hosts.Host) {
 		for _, h := range picked {
 			f(h, t, span)
 		}
@@ -480,7 +480,7 @@
 
 // crowdChange alters what clients do, for a while.
 func crowdChange(change func(c *load.Crowd, t *pb.Day_Trouble) (undo func())) effect {
-	return func(p *Play, _ context.Context, t *pb.Day_Trouble, span eventloop.Micros, _ []*hosts.Host) {
+	return func(p *Run, _ context.Context, t *pb.Day_Trouble, span eventloop.Micros, _ []*hosts.Host) {
 		p.crowdAt.Post(func() {
 			undo := change(p.crowd, t)
 			p.crowdAt.After(span, undo)
@@ -505,7 +505,7 @@
 	"report_late": each(func(h *hosts.Host, t *pb.Day_Trouble, span eventloop.Micros) {
 		h.Report(eventloop.Micros(t.Factor*float64(eventloop.Second)), span)
 	}),
-	"throttle": func(p *Play, _ context.Context, t *pb.Day_Trouble, span eventloop.Micros, picked []*hosts.Host) {
+	"throttle": func(p *Run, _ context.Context, t *pb.Day_Trouble, span eventloop.Micros, picked []*hosts.Host) {
 		product := t.Product
 		if product == "" {
 			product = p.Deployment.Products[0].Name
@@ -514,21 +514,21 @@
 			h.Full(product, span)
 		}
 	},
-	"zone_cut": func(p *Play, _ context.Context, t *pb.Day_Trouble, span eventloop.Micros, _ []*hosts.Host) {
+	"zone_cut": func(p *Run, _ context.Context, t *pb.Day_Trouble, span eventloop.Micros, _ []*hosts.Host) {
 		zone := t.Zone
 		if zone == "" {
 			zone = p.Deployment.Zones[len(p.Deployment.Zones)-1]
 		}
 		p.fleet.Cut(zone, span)
 	},
-	"balancer_crash": func(p *Play, ctx context.Context, t *pb.Day_Trouble, span eventloop.Micros, _ []*hosts.Host) {
+	"balancer_crash": func(p *Run, ctx context.Context, t *pb.Day_Trouble, span eventloop.Micros, _ []*hosts.Host) {
 		n := max(int(t.Share*float64(len(p.servers))+0.5), 1)
 		for _, i := range p.rand.Perm(len(p.servers))[:min(n, len(p.servers))] {
 			p.servers[i].crash(ctx, span)
 		}
 	},
 	// Dispatchers have but a few descriptors beyond those that they have open.
-	"descriptors": func(p *Play, _ context.Context, t *pb.Day_Trouble, span eventloop.Micros, _ []*hosts.Host) {
+	"descriptors": func(p *Run, _ context.Context, t *pb.Day_Trouble, span eventloop.Micros, _ []*hosts.Host) {
 		n := max(int(t.Share*float64(len(p.servers))+0.5), 1)
 		for _, i := range p.rand.Perm(len(p.servers))[:min(n, len(p.servers))] {
 			p.fleetAt.After(span, p.servers[i].squeeze(int(t.Factor)))
@@ -568,7 +568,7 @@
 }
 
 // trouble begins one; it runs on the fleet's loop.
-func (p *Play) trouble(ctx context.Context, t *pb.Day_Trouble) {
+func (p *Run) trouble(ctx context.Context, t *pb.Day_Trouble) {
 	p.book.Add(record.Event{At: int64(p.fleetAt.Now()), What: "trouble", Kind: t.Kind, How: t.String(), Value: t.Share})
 	share := t.Share
 	if t.Kind == "neighbour" && share == 0 {
--- a/internal/testbed/scenarios/scenarios_test.go
+++ b/internal/testbed/scenarios/scenarios_test.go
@@ -12,7 +12,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	p := &Play{Script: script, Deployment: deployment.Standard(), Dispatchers: 3, Seed: seed}
+	p := &Run{Script: script, Deployment: deployment.Standard(), Dispatchers: 3, Seed: seed}
 	v, left, trace, err := p.Virtual(segment)
 	if err != nil {
 		t.Fatal(err)
--- a/internal/testbed/scenarios/virtual.go
+++ b/internal/testbed/scenarios/virtual.go
@@ -20,7 +20,7 @@
 
 // lives is one dispatcher of a virtual day, over all its lives.
 type lives struct {
-	play   *Play
+	play   *Run
 	world  *virtual.World
 	target *load.Target
 	no, n  int
@@ -41,14 +41,14 @@
 	l.loop = l.world.Loop(name)
 	l.loop.Step(l.skew)
 	var at eventloop.Loop = l.loop
-	if p.Plant != nil && p.Plant.Loop != nil {
-		at = p.Plant.Loop(l.loop)
+	if p.Mutant != nil && p.Mutant.Loop != nil {
+		at = p.Mutant.Loop(l.loop)
 	}
-	post := dispatch.Post{Name: name, Plant: p.Plant.dispatcher(), Zone: l.target.Zone, Seed: p.Seed*100 + int64(l.no*10+l.n), Roster: p.fleet.Roster.Addr,
-		Kept: [][]byte{l.kept}, Keep: func(b []byte) { l.kept = b }, Log: zerolog.Nop()}
+	post := dispatch.Config{Name: name, Mutation: p.Mutant.dispatcher(), Zone: l.target.Zone, Seed: p.Seed*100 + int64(l.no*10+l.n), Discovery: p.fleet.Roster.Addr,
+		CachedEndpoints: [][]byte{l.kept}, CacheEndpoints: func(b []byte) { l.kept = b }, Log: zerolog.Nop()}
 	l.loop.Do(func() {
-		if p.Plant != nil && p.Plant.Folder != nil {
-			p.Plant.Folder(l.folder)
+		if p.Mutant != nil && p.Mutant.Folder != nil {
+			p.Mutant.Folder(l.folder)
 		}
 		if p.Intents {
 			if post.Intents, err = store.Open(l.folder.For(l.loop), store.Usual); err != nil {
@@ -91,7 +91,7 @@
 
 // Virtual plays the day in virtual time, in this one process: the dispatchers' own code, the same stand-ins, the
 // same clients. It gives the verdict, what is left in the dispatchers, and the hash of all that happened.
-func (p *Play) Virtual(segment int) (v *audit.Verdict, left int, trace uint64, err error) {
+func (p *Run) Virtual(segment int) (v *audit.Verdict, left int, trace uint64, err error) {
 	text := p.prepare()
 	if err := p.fits(); err != nil {
 		return nil, 0, 0, err
@@ -134,10 +134,10 @@
 	w.Run(eventloop.Second) // what was held is let go by then
 	p.Steps = w.Steps
 	for _, l := range all {
-		p.Reached = append(p.Reached, l.x.Reached)
+		p.Reached = append(p.Reached, l.x.Coverage)
 		p.Used = append(p.Used, l.x.Usage()...)
-		left += l.x.Running()
-		for _, line := range l.x.Remains() {
+		left += l.x.OpenRequests()
+		for _, line := range l.x.DescribeOpen() {
 			if p.Progress != nil {
 				fmt.Fprintln(p.Progress, line)
 			}
@@ -152,7 +152,7 @@
 }
 
 // Check asks each dispatcher that lives whether its own state is what it should be.
-func (p *Play) Check() error {
+func (p *Run) Check() error {
 	for _, l := range p.all {
 		if l.down || l.world.Now() < l.back+100*eventloop.Millisecond {
 			continue
@@ -165,26 +165,26 @@
 }
 
 // Summary is what is under way in the dispatchers and at the hosts.
-func (p *Play) Summary() (lines []string) {
+func (p *Run) Summary() (lines []string) {
 	for _, l := range p.all {
 		lines = append(lines, l.target.Name)
 		if !l.down {
-			lines = append(lines, l.x.Remains()...)
+			lines = append(lines, l.x.DescribeOpen()...)
 		}
 	}
 	return append(lines, p.fleet.Summary()...)
 }
 
-// Plant is a fault that is planted on purpose, to see that it is found out.
-type Plant struct {
+// Mutant is a fault that is planted on purpose, to see that it is found out.
+type Mutant struct {
 	Name       string
-	Dispatcher func() *dispatch.Plant
+	Dispatcher func() *dispatch.Mutation
 	Loop       func(*virtual.Loop) eventloop.Loop
 	Folder     func(*virtual.Folder)
-	Play       func(*Play)
+	Play       func(*Run)
 }
 
-func (t *Plant) dispatcher() *dispatch.Plant {
+func (t *Mutant) dispatcher() *dispatch.Mutation {
 	if t == nil || t.Dispatcher == nil {
 		return nil
 	}
@@ -198,7 +198,7 @@
 }
 
 // picked are dispatchers drawn by chance, one at least.
-func (p *Play) picked(share float64) (some []*lives) {
+func (p *Run) picked(share float64) (some []*lives) {
 	n := max(int(share*float64(len(p.all))+0.5), 1)
 	for _, i := range p.rand.Perm(len(p.all))[:min(n, len(p.all))] {
 		some = append(some, p.all[i])
@@ -207,20 +207,20 @@
 }
 
 // Troubles that need a world in virtual time.
-var inVirtualTime = map[string]func(p *Play, t *pb.Day_Trouble, span eventloop.Micros){
+var inVirtualTime = map[string]func(p *Run, t *pb.Day_Trouble, span eventloop.Micros){
 	// One dispatcher dies between two things that happen, wherever that is.
-	"kill_at": func(p *Play, t *pb.Day_Trouble, span eventloop.Micros) {
+	"kill_at": func(p *Run, t *pb.Day_Trouble, span eventloop.Micros) {
 		l := p.picked(0)[0]
 		p.world.AtStep(int(t.Step), func() { l.crash(context.Background(), max(span, eventloop.Millisecond)) })
 	},
-	"freeze": func(p *Play, t *pb.Day_Trouble, span eventloop.Micros) {
+	"freeze": func(p *Run, t *pb.Day_Trouble, span eventloop.Micros) {
 		for _, l := range p.picked(t.Share) {
 			l.away("stands", span)
 			l.loop.Freeze(span)
 		}
 	},
 	// One way between a dispatcher and all hosts is cut, the other is open.
-	"half_cut": func(p *Play, t *pb.Day_Trouble, span eventloop.Micros) {
+	"half_cut": func(p *Run, t *pb.Day_Trouble, span eventloop.Micros) {
 		hosts, _ := p.fleetAt.(*virtual.Loop)
 		for i, l := range p.picked(t.Share) {
 			l.away("cut", span)
@@ -232,28 +232,28 @@
 		}
 	},
 	// The machine's clock is set while a dispatcher is down: within its life its own time goes on evenly, whatever that clock does.
-	"clock_step": func(p *Play, t *pb.Day_Trouble, span eventloop.Micros) {
+	"clock_step": func(p *Run, t *pb.Day_Trouble, span eventloop.Micros) {
 		for _, l := range p.picked(t.Share) {
 			l.skew += eventloop.Micros(t.Factor * float64(eventloop.Second))
 			l.crash(context.Background(), max(span, eventloop.Millisecond))
 		}
 	},
 	// Writes fail, and leave a part of themselves.
-	"disk_fault": func(p *Play, t *pb.Day_Trouble, span eventloop.Micros) {
+	"disk_fault": func(p *Run, t *pb.Day_Trouble, span eventloop.Micros) {
 		for _, l := range p.picked(t.Share) {
 			l.folder.Fault, l.folder.Torn = errors.New("input/output error"), true
 			p.fleetAt.After(span, func() { l.folder.Fault = nil })
 		}
 	},
 	// The disk has room for a few bytes more.
-	"disk_full": func(p *Play, t *pb.Day_Trouble, span eventloop.Micros) {
+	"disk_full": func(p *Run, t *pb.Day_Trouble, span eventloop.Micros) {
 		for _, l := range p.picked(t.Share) {
 			l.folder.Room = l.folder.Used() + int(t.Factor) + 1
 			p.fleetAt.After(span, func() { l.folder.Room = 0 })
 		}
 	},
 	// Each write takes so many seconds; 0.15 if none are given.
-	"slow_disk": func(p *Play, t *pb.Day_Trouble, span eventloop.Micros) {
+	"slow_disk": func(p *Run, t *pb.Day_Trouble, span eventloop.Micros) {
 		for _, l := range p.picked(t.Share) {
 			if l.folder.Sync = 150 * eventloop.Millisecond; t.Factor > 0 {
 				l.folder.Sync = eventloop.Micros(t.Factor * float64(eventloop.Second))
