--- a/cmd/plumspindle/main.go
+++ b/cmd/plumspindle/main.go
@@ -4,7 +4,7 @@
 import (
 	"os"
 
-	"plumspindle/internal/program"
+	"plumspindle/internal/cli"
 )
 
-func main() { os.Exit(program.Main(os.Args[1:], os.Stdout, os.Stderr)) }
+func main() { os.Exit(cli.Main(os.Args[1:], os.Stdout, os.Stderr)) }
--- a/internal/admin/admin_test.go
+++ b/internal/admin/admin_test.go
@@ -19,7 +19,7 @@
 	"plumspindle/internal/http1"
 	"plumspindle/internal/sse"
 	"plumspindle/internal/tenancy"
-	"plumspindle/internal/testbed/hosts"
+	"plumspindle/internal/testbed/modelserver"
 	"plumspindle/internal/virtual"
 )
 
@@ -34,7 +34,7 @@
 	addr    string
 	records *MemoryRecords
 	far     *virtual.Loop
-	fleet   *hosts.Fleet
+	fleet   *modelserver.Fleet
 	at      []*virtual.Loop
 	x       []*dispatch.Dispatcher
 	api     []string
@@ -53,7 +53,7 @@
 	}
 	var err error
 	fleetAt := w.Loop("fleet")
-	fleetAt.Do(func() { y.fleet, err = hosts.Start(fleetAt, d, 1, "127.0.0.1:0", nil) })
+	fleetAt.Do(func() { y.fleet, err = modelserver.Start(fleetAt, d, 1, "127.0.0.1:0", nil) })
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/program/admin.go
+++ b/internal/cli/admin.go
@@ -1,4 +1,4 @@
-package program
+package cli
 
 import (
 	"bytes"
--- a/internal/program/bench.go
+++ b/internal/cli/bench.go
@@ -1,4 +1,4 @@
-package program
+package cli
 
 import (
 	"bytes"
@@ -27,7 +27,7 @@
 	"plumspindle/internal/http1"
 	"plumspindle/internal/sockets"
 	"plumspindle/internal/sse"
-	"plumspindle/internal/testbed/hosts"
+	"plumspindle/internal/testbed/modelserver"
 	"plumspindle/internal/testbed/scenarios"
 	"plumspindle/scheduler"
 )
@@ -67,7 +67,7 @@
 	key     string
 	dir     string
 	fleetAt *sockets.Loop
-	fleet   *hosts.Fleet
+	fleet   *modelserver.Fleet
 	asks    *sockets.Loop
 	cmd     *exec.Cmd
 	api     string
--- a/internal/program/program.go
+++ b/internal/cli/program.go
@@ -1,6 +1,6 @@
-// Package program is the command line: each command puts parts together on loops and runs them until it is told
+// Package cli is the command line: each command puts parts together on loops and runs them until it is told
 // to end.
-package program
+package cli
 
 import (
 	"context"
@@ -29,14 +29,14 @@
 	"plumspindle/internal/admin"
 	"plumspindle/internal/deployment"
 	"plumspindle/internal/dispatch"
+	"plumspindle/internal/endpoints"
 	"plumspindle/internal/eventloop"
 	"plumspindle/internal/frontend"
 	"plumspindle/internal/platform/launch"
-	"plumspindle/internal/roster"
 	"plumspindle/internal/sockets"
 	"plumspindle/internal/store"
 	"plumspindle/internal/testbed/audit"
-	"plumspindle/internal/testbed/hosts"
+	"plumspindle/internal/testbed/modelserver"
 	"plumspindle/internal/testbed/scenarios"
 )
 
@@ -319,7 +319,7 @@
 		return err
 	}
 	if c.ListOut != "" {
-		list, err := json.Marshal(roster.Update{Complete: true, Hosts: fleet.Entries()})
+		list, err := json.Marshal(endpoints.Update{Complete: true, Hosts: fleet.Entries()})
 		if err != nil {
 			return err
 		}
@@ -343,8 +343,8 @@
 	return nil
 }
 
-func (c *hostsCommand) start(loop *sockets.Loop, d deployment.Deployment) (fleet *hosts.Fleet, err error) {
-	loop.Do(func() { fleet, err = hosts.Start(loop, d, seed(c.Seed), c.Roster, nil) })
+func (c *hostsCommand) start(loop *sockets.Loop, d deployment.Deployment) (fleet *modelserver.Fleet, err error) {
+	loop.Do(func() { fleet, err = modelserver.Start(loop, d, seed(c.Seed), c.Roster, nil) })
 	return fleet, err
 }
 
@@ -367,8 +367,8 @@
 		return err
 	}
 	defer loop.Stop()
-	var r *hosts.Roster
-	loop.Do(func() { r, err = hosts.NewRoster(loop, c.Listen, entries, nil) })
+	var r *modelserver.Roster
+	loop.Do(func() { r, err = modelserver.NewRoster(loop, c.Listen, entries, nil) })
 	if err != nil {
 		return err
 	}
@@ -404,12 +404,12 @@
 }
 
 // readList reads a list and checks it as a dispatcher would.
-func readList(path string) ([]roster.Entry, error) {
+func readList(path string) ([]endpoints.Entry, error) {
 	b, err := os.ReadFile(path)
 	if err != nil {
 		return nil, fmt.Errorf("list: %w", err)
 	}
-	var l roster.Update
+	var l endpoints.Update
 	if err := json.Unmarshal(b, &l); err != nil {
 		return nil, fmt.Errorf("list %s: %w", path, err)
 	}
@@ -418,7 +418,7 @@
 	if err != nil {
 		return nil, err
 	}
-	f := roster.View{}
+	f := endpoints.View{}
 	entries, _, err := f.Apply(b)
 	if err != nil {
 		return nil, fmt.Errorf("list %s: %w", path, err)
--- a/internal/dispatch/batches.go
+++ b/internal/dispatch/batches.go
@@ -8,7 +8,7 @@
 	"plumspindle/internal/batch"
 	"plumspindle/internal/chat"
 	"plumspindle/internal/deployment/pb"
-	"plumspindle/internal/embed"
+	"plumspindle/internal/embeddings"
 	"plumspindle/internal/engine"
 	"plumspindle/internal/eventloop"
 	"plumspindle/internal/frontend"
@@ -52,7 +52,7 @@
 // batchCall is one client's.
 type batchCall struct {
 	x          *Dispatcher
-	ask        *embed.Request
+	ask        *embeddings.Request
 	who        frontend.Identity
 	to         *frontend.Response
 	clientID   string
@@ -67,7 +67,7 @@
 	whole      bool
 	home       *batcher
 	out        map[batch.PartNo]*gen
-	answer     embed.Answer
+	answer     embeddings.Answer
 	cache      *vectors.Cache
 	ended      bool
 	answers    int // bytes that its answer is going to have
@@ -78,7 +78,7 @@
 	call   *batchCall
 	no     batch.PartNo
 	inputs []int
-	result embed.Result
+	result embeddings.Result
 	sent   eventloop.Micros // to the module
 	queued bool
 	broken int  // hosts that failed on it
@@ -86,10 +86,10 @@
 }
 
 // batchRoute is one of the APIs whose answers are complete with the read.
-func (x *Dispatcher) batchRoute(kind embed.Kind, form pb.Product_Form) frontend.Route {
+func (x *Dispatcher) batchRoute(kind embeddings.Kind, form pb.Product_Form) frontend.Route {
 	b := x.batches.pb
-	bounds := embed.Bounds{Inputs: int(b.InputsMost), InputTokens: int(b.InputTokensMost), Body: int(b.BodyMost), Window: int(b.Window)}
-	if kind == embed.Rerank {
+	bounds := embeddings.Bounds{Inputs: int(b.InputsMost), InputTokens: int(b.InputTokensMost), Body: int(b.BodyMost), Window: int(b.Window)}
+	if kind == embeddings.Rerank {
 		bounds.Inputs = int(b.DocumentsMost)
 	}
 	return frontend.Route{Method: "POST", Body: bounds.Body, Keeps: bounds.Window, Begin: func(head *http1.Head, who frontend.Identity, to *frontend.Response) (frontend.Sink, *frontend.Problem) {
@@ -101,7 +101,7 @@
 			return nil, p
 		}
 		c := &batchCall{x: x, who: who, to: to, form: form, clientID: head.Get("x-client-request-id"), deadline: limit, out: map[batch.PartNo]*gen{}}
-		c.ask = embed.NewRequest(kind, head.Get("Content-Encoding"), bounds, c, to)
+		c.ask = embeddings.NewRequest(kind, head.Get("Content-Encoding"), bounds, c, to)
 		to.OnDisconnect = func() { x.loop.Later(c.left) }
 		return c.ask, nil
 	}}
@@ -366,7 +366,7 @@
 	g.tokens = 0
 	c.answer.Tokens += g.prompt
 	for n, i := range p.inputs {
-		if c.ask.Kind == embed.Rerank {
+		if c.ask.Kind == embeddings.Rerank {
 			c.answer.Scores[i] = p.result.Scores[n]
 		} else {
 			c.answer.Vectors[i] = p.result.Vectors[n]
@@ -522,7 +522,7 @@
 	if i := c.parts.Blame; i >= 0 {
 		at := slices.Index(c.ask.Order, int32(i))
 		name := "input"
-		if c.ask.Kind == embed.Rerank {
+		if c.ask.Kind == embeddings.Rerank {
 			name = "documents"
 		}
 		c.fail(&frontend.Problem{Status: 422, Type: "invalid_request_error", Param: fmt.Sprintf("%s[%d]", name, at), Code: "input_not_served", Never: true,
--- a/internal/dispatch/batches_test.go
+++ b/internal/dispatch/batches_test.go
@@ -21,14 +21,14 @@
 	"plumspindle/internal/http1"
 	"plumspindle/internal/lifecycle"
 	"plumspindle/internal/sse"
-	"plumspindle/internal/testbed/hosts"
+	"plumspindle/internal/testbed/modelserver"
 )
 
 // embeds answers a part as every host should.
 func embeds(l *line) {
 	list := []any{}
 	gjson.GetBytes(l.body, "input").ForEach(func(_, v gjson.Result) bool {
-		list = append(list, map[string]any{"index": len(list), "embedding": base64.StdEncoding.EncodeToString(hosts.Vector(v.Raw, int(gjson.GetBytes(l.body, "dimensions").Int())))})
+		list = append(list, map[string]any{"index": len(list), "embedding": base64.StdEncoding.EncodeToString(modelserver.Vector(v.Raw, int(gjson.GetBytes(l.body, "dimensions").Int())))})
 		return true
 	})
 	b, _ := json.Marshal(map[string]any{"data": list, "usage": map[string]int{"prompt_tokens": len(list)}})
@@ -91,7 +91,7 @@
 	}
 	for i, v := range data {
 		raw, _ := json.Marshal(inputs[i])
-		want := hosts.Vector(string(raw), dimensions)
+		want := modelserver.Vector(string(raw), dimensions)
 		e := v.Get("embedding")
 		if e.IsArray() {
 			list := e.Array()
--- a/internal/dispatch/boot.go
+++ b/internal/dispatch/boot.go
@@ -1,9 +1,9 @@
 package dispatch
 
 import (
+	"plumspindle/internal/endpointcache"
+	"plumspindle/internal/endpoints"
 	"plumspindle/internal/eventloop"
-	"plumspindle/internal/hostcache"
-	"plumspindle/internal/roster"
 	"plumspindle/scheduler"
 )
 
@@ -19,17 +19,17 @@
 			x.post.Log.Error().Err(err).Int("list", i).Msg("a kept list can't be read; the one before it is tried")
 			continue
 		}
-		byID := map[uint32]roster.Entry{}
-		var hosts []hostcache.Endpoint
+		byID := map[uint32]endpoints.Entry{}
+		var hosts []endpointcache.Endpoint
 		for _, e := range entries {
 			byID[uint32(e.ID)] = e
-			hosts = append(hosts, hostcache.Endpoint{ID: uint32(e.ID), Group: e.Zone + "/" + e.Kind, Started: eventloop.Micros(e.Started)})
+			hosts = append(hosts, endpointcache.Endpoint{ID: uint32(e.ID), Group: e.Zone + "/" + e.Kind, Started: eventloop.Micros(e.Started)})
 		}
-		trust := hostcache.Assess(now, eventloop.Micros(saved))
+		trust := endpointcache.Assess(now, eventloop.Micros(saved))
 		x.post.Log.Info().Int("hosts", len(hosts)).Str("trust", trust.String()).Int64("age_ms", int64((now-eventloop.Micros(saved))/eventloop.Millisecond)).
 			Msg("starting with a kept list")
-		for _, w := range hostcache.Plan(now, trust, hosts) {
-			var wave []roster.Entry
+		for _, w := range endpointcache.Plan(now, trust, hosts) {
+			var wave []endpoints.Entry
 			for _, h := range w.Hosts {
 				e := byID[h.ID]
 				e.Started = int64(h.Started)
@@ -51,7 +51,7 @@
 
 // believe passes news of discovery on. That hosts are gone because a list leaves them out, and most of them at once, is
 // doubted for a moment; what it says by name never is.
-func (x *Dispatcher) believe(entries []roster.Entry, whole bool) {
+func (x *Dispatcher) believe(entries []endpoints.Entry, whole bool) {
 	if !whole {
 		x.tell(entries, false)
 		return
@@ -60,7 +60,7 @@
 	for _, e := range entries {
 		named[e.ID] = true
 	}
-	var missing []roster.Entry
+	var missing []endpoints.Entry
 	ready := 0
 	for _, e := range x.hosts {
 		if e.State() != scheduler.Ready {
@@ -72,7 +72,7 @@
 			missing = append(missing, e)
 		}
 	}
-	doubt := hostcache.RemovalDelay(ready, len(missing), eventloop.Micros(x.Rules.DrainGraceMs)*eventloop.Millisecond)
+	doubt := endpointcache.RemovalDelay(ready, len(missing), eventloop.Micros(x.Rules.DrainGraceMs)*eventloop.Millisecond)
 	if doubt == 0 {
 		x.tell(entries, true)
 		return
@@ -85,7 +85,7 @@
 			x.tell(entries, true)
 			return
 		}
-		var gone []roster.Entry
+		var gone []endpoints.Entry
 		for _, e := range missing {
 			if now, some := x.list.Hosts[e.ID]; !some || now.State() != scheduler.Ready {
 				gone = append(gone, e)
--- a/internal/dispatch/check.go
+++ b/internal/dispatch/check.go
@@ -3,9 +3,9 @@
 import (
 	"fmt"
 
+	"plumspindle/internal/endpoints"
 	"plumspindle/internal/eventloop"
 	"plumspindle/internal/lifecycle"
-	"plumspindle/internal/roster"
 	"plumspindle/scheduler"
 )
 
@@ -13,7 +13,7 @@
 type Mutation struct {
 	Executor       func(scheduler.Executor) scheduler.Executor
 	Config         func(*scheduler.Config)
-	EndpointUpdate func([]roster.Entry) []roster.Entry
+	EndpointUpdate func([]endpoints.Entry) []endpoints.Entry
 }
 
 // overdue is how long after its time a generation may still be waiting: the loop's own work, and whole answers' grace.
--- a/internal/dispatch/dispatch.go
+++ b/internal/dispatch/dispatch.go
@@ -23,14 +23,14 @@
 	"plumspindle/internal/chat"
 	"plumspindle/internal/deployment"
 	"plumspindle/internal/deployment/pb"
-	"plumspindle/internal/embed"
+	"plumspindle/internal/embeddings"
+	"plumspindle/internal/endpoints"
 	"plumspindle/internal/engine"
 	"plumspindle/internal/eventloop"
 	"plumspindle/internal/frontend"
 	"plumspindle/internal/http1"
 	"plumspindle/internal/idempotency"
 	"plumspindle/internal/lifecycle"
-	"plumspindle/internal/roster"
 	"plumspindle/internal/starttimes"
 	"plumspindle/internal/store"
 	"plumspindle/internal/subscribe"
@@ -90,7 +90,7 @@
 	module   *scheduler.Scheduler
 	place    scheduler.Config
 	engine   *engine.Engine
-	list     *roster.Watch
+	list     *endpoints.Watch
 	front    *frontend.Server
 	gens     map[scheduler.RequestID]*gen
 	lastGen  scheduler.RequestID
@@ -106,7 +106,7 @@
 	seatsMade scheduler.TenantID
 	reported  func() // what to do once the last report has been taken, at the end
 
-	hosts   map[scheduler.EndpointID]roster.Entry
+	hosts   map[scheduler.EndpointID]endpoints.Entry
 	keeping bool
 	heard   uint64 // lists and changes that came from discovery
 	starts  map[scheduler.EndpointID]starttimes.Start
@@ -162,7 +162,7 @@
 	ms := func(v uint32) eventloop.Micros { return eventloop.Micros(v) * eventloop.Millisecond }
 	x := &Dispatcher{Deployment: d, loop: loop, post: post, gens: map[scheduler.RequestID]*gen{}, runs: map[*idempotency.Entry]*gen{},
 		products: map[string]scheduler.ClassID{},
-		hosts:    map[scheduler.EndpointID]roster.Entry{}, starts: map[scheduler.EndpointID]starttimes.Start{}}
+		hosts:    map[scheduler.EndpointID]endpoints.Entry{}, starts: map[scheduler.EndpointID]starttimes.Start{}}
 	x.engine = engine.New(loop, post.Name, post.Zone, engine.Limits{Connect: ms(d.Dispatching.ConnectMs),
 		Idle: ms(d.Dispatching.IdleMs), Silence: ms(d.Dispatching.SilenceMs), PerEndpoint: int(d.Dispatching.Connections),
 		Opening: int(d.Dispatching.Openings)})
@@ -197,7 +197,7 @@
 	if err := x.seatTenants(); err != nil {
 		return nil, err
 	}
-	x.list = roster.NewWatch(loop, post.Seed, post.Discovery, post.Name)
+	x.list = endpoints.NewWatch(loop, post.Seed, post.Discovery, post.Name)
 	x.list.OnUpdate = x.news
 	x.list.Log = func(line string) { post.Log.Warn().Msg(line) }
 	x.begin()
@@ -214,8 +214,8 @@
 	all[list], all[below] = many, one
 	chatAt, r := chat.Route(func(digest string) bool { return x.directory.Public(digest) }, x.HandleChat)
 	all[chatAt] = r
-	all["/v1/embeddings"] = x.batchRoute(embed.Embeddings, pb.Product_EMBEDDING)
-	all["/v1/rerank"] = x.batchRoute(embed.Rerank, pb.Product_RERANK)
+	all["/v1/embeddings"] = x.batchRoute(embeddings.Embeddings, pb.Product_EMBEDDING)
+	all["/v1/rerank"] = x.batchRoute(embeddings.Rerank, pb.Product_RERANK)
 	return all
 }
 
@@ -275,7 +275,7 @@
 
 // --- The list ---
 
-func (x *Dispatcher) news(entries []roster.Entry, whole bool) {
+func (x *Dispatcher) news(entries []endpoints.Entry, whole bool) {
 	if t := x.post.Mutation; t != nil && t.EndpointUpdate != nil {
 		entries = t.EndpointUpdate(entries)
 	}
@@ -290,7 +290,7 @@
 	}
 }
 
-func (x *Dispatcher) tell(entries []roster.Entry, whole bool) {
+func (x *Dispatcher) tell(entries []endpoints.Entry, whole bool) {
 	now := x.loop.Now()
 	var stamps []eventloop.Micros
 	for _, e := range entries {
--- a/internal/dispatch/dispatch_test.go
+++ b/internal/dispatch/dispatch_test.go
@@ -7,9 +7,9 @@
 	"testing"
 
 	"plumspindle/internal/deployment"
+	"plumspindle/internal/endpoints"
 	"plumspindle/internal/eventloop"
 	"plumspindle/internal/http1"
-	"plumspindle/internal/roster"
 	"plumspindle/scheduler"
 
 	"github.com/rs/zerolog"
@@ -276,7 +276,7 @@
 	if r.hosts[2].legs()+r.hosts[3].legs() != 0 {
 		t.Error("a host of an unknown kind or zone was sent something")
 	}
-	f := roster.View{}
+	f := endpoints.View{}
 	for _, bad := range []string{`{"hosts":[{"id":1,"addr":"a","condition":"asleep"}],"whole":true}`, `{"hosts":[{"id":1,"condition":"ready"}]}`, `[`} {
 		if _, _, err := f.Apply([]byte(bad)); err == nil {
 			t.Errorf("%s was taken", bad)
@@ -442,7 +442,7 @@
 	r.x.post.CacheEndpoints = func(b []byte) { kept = b }
 	r.told(r.hosts[1].entry("ready"))
 	r.w.Run(2 * eventloop.Second)
-	f := roster.View{}
+	f := endpoints.View{}
 	entries, _, err := f.Restore(kept)
 	if err != nil || len(entries) == 0 || f.Version != 0 {
 		t.Fatalf("%v, %d entries, version %d", err, len(entries), f.Version)
@@ -578,7 +578,7 @@
 	for _, h := range r.hosts {
 		h.up()
 	}
-	r.loop.Do(func() { r.x.news([]roster.Entry{r.hosts[0].entry("ready"), r.hosts[1].entry("ready")}, true) })
+	r.loop.Do(func() { r.x.news([]endpoints.Entry{r.hosts[0].entry("ready"), r.hosts[1].entry("ready")}, true) })
 	r.w.Run(8 * eventloop.Second)
 	r.ends(r.ask("explain"), "streamed")
 }
@@ -589,7 +589,7 @@
 	for _, back := range []bool{true, false} {
 		r := newRig(t, nil, "prefill west", "decode west", "decode west")
 		r.ends(r.ask("explain"), "streamed")
-		r.loop.Do(func() { r.x.news([]roster.Entry{r.hosts[1].entry("draining")}, true) })
+		r.loop.Do(func() { r.x.news([]endpoints.Entry{r.hosts[1].entry("draining")}, true) })
 		drained := r.hosts[1].legs()
 		r.w.Run(50 * eventloop.Millisecond)
 		c := r.ask("review-post")
@@ -599,8 +599,8 @@
 		}
 		if back {
 			r.loop.Do(func() {
-				r.x.list.Hosts = map[scheduler.EndpointID]roster.Entry{1: r.hosts[0].entry("ready"), 3: r.hosts[2].entry("ready")}
-				r.x.news([]roster.Entry{r.hosts[0].entry("ready"), r.hosts[2].entry("ready")}, true)
+				r.x.list.Hosts = map[scheduler.EndpointID]endpoints.Entry{1: r.hosts[0].entry("ready"), 3: r.hosts[2].entry("ready")}
+				r.x.news([]endpoints.Entry{r.hosts[0].entry("ready"), r.hosts[2].entry("ready")}, true)
 			})
 		}
 		r.w.Run(100 * eventloop.Millisecond) // 200 ms after the list: still within the grace of 250
--- a/internal/dispatch/rig_test.go
+++ b/internal/dispatch/rig_test.go
@@ -14,9 +14,9 @@
 
 	"plumspindle/internal/deployment"
 	"plumspindle/internal/deployment/pb"
+	"plumspindle/internal/endpoints"
 	"plumspindle/internal/eventloop"
 	"plumspindle/internal/http1"
-	"plumspindle/internal/roster"
 	"plumspindle/internal/sockets"
 	"plumspindle/internal/sse"
 	"plumspindle/internal/virtual"
@@ -35,7 +35,7 @@
 	x     *Dispatcher
 	addr  string
 	hosts []*script
-	list  roster.Update
+	list  endpoints.Update
 	kept  []byte // the list, as it is kept
 }
 
@@ -172,7 +172,7 @@
 // bring brings up the hosts and the dispatcher.
 func (r *rig) bring(hosts []string) {
 	r.t.Helper()
-	r.list = roster.Update{Epoch: "e", Version: 1, Complete: true, Saved: int64(r.far.Now())}
+	r.list = endpoints.Update{Epoch: "e", Version: 1, Complete: true, Saved: int64(r.far.Now())}
 	for i, h := range hosts {
 		kind, zone, _ := strings.Cut(h, " ")
 		s := &script{rig: r, id: uint32(i + 1), kind: kind, zone: zone, serve: read}
@@ -219,12 +219,12 @@
 	})
 }
 
-func (s *script) entry(condition string) roster.Entry {
-	return roster.Entry{ID: scheduler.EndpointID(s.id), Addr: s.ln.Addr(), Zone: s.zone, Kind: s.kind, Condition: condition}
+func (s *script) entry(condition string) endpoints.Entry {
+	return endpoints.Entry{ID: scheduler.EndpointID(s.id), Addr: s.ln.Addr(), Zone: s.zone, Kind: s.kind, Condition: condition}
 }
 
 // told passes a change of the list to the dispatcher.
-func (r *rig) told(entries ...roster.Entry) {
+func (r *rig) told(entries ...endpoints.Entry) {
 	r.loop.Do(func() { r.x.news(entries, false) })
 }
 
--- a/internal/dispatch/stages_test.go
+++ b/internal/dispatch/stages_test.go
@@ -14,7 +14,7 @@
 	"plumspindle/internal/deployment/pb"
 	"plumspindle/internal/eventloop"
 	"plumspindle/internal/testbed/audit"
-	"plumspindle/internal/testbed/hosts"
+	"plumspindle/internal/testbed/modelserver"
 	"plumspindle/internal/testbed/record"
 	"plumspindle/internal/virtual"
 )
@@ -22,7 +22,7 @@
 // yard is a dispatcher with the laboratory's own hosts, one reader and two writers, and a record of what they and the client see.
 type yard struct {
 	*rig
-	fleet *hosts.Fleet
+	fleet *modelserver.Fleet
 	book  *record.Book
 }
 
@@ -42,7 +42,7 @@
 	y.book, _ = record.Open("")
 	y.book.Add(record.Event{At: int64(w.Now()), What: "world", N: int64(w.Latency)})
 	var err error
-	y.far.Do(func() { y.fleet, err = hosts.Start(y.far, d, 1, "127.0.0.1:0", y.book) })
+	y.far.Do(func() { y.fleet, err = modelserver.Start(y.far, d, 1, "127.0.0.1:0", y.book) })
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -104,7 +104,7 @@
 // ending is how it ends there. It tells which final answers are right for it, by effect; none where the client has left.
 type ending struct {
 	name string
-	do   func(y *yard, c *call, at *hosts.Host)
+	do   func(y *yard, c *call, at *modelserver.Host)
 	want func(s stage, effect pb.Product_Effect) []string
 }
 
@@ -120,12 +120,12 @@
 }
 
 var endings = []ending{
-	{"its client leaves", func(y *yard, c *call, _ *hosts.Host) { y.far.Do(c.conn.Abort) }, func(stage, pb.Product_Effect) []string { return nil }},
+	{"its client leaves", func(y *yard, c *call, _ *modelserver.Host) { y.far.Do(c.conn.Abort) }, func(stage, pb.Product_Effect) []string { return nil }},
 	{"its time limit", nil, endsBy},
-	{"its tenant is removed", func(y *yard, _ *call, _ *hosts.Host) {
+	{"its tenant is removed", func(y *yard, _ *call, _ *modelserver.Host) {
 		y.loop.Do(func() { y.x.leaveSeat(y.x.seats["one"], true) })
 	}, endsBy},
-	{"its host is lost", func(y *yard, _ *call, at *hosts.Host) {
+	{"its host is lost", func(y *yard, _ *call, at *modelserver.Host) {
 		if at == nil { // held: the reader is
 			at = y.fleet.Hosts[0]
 		}
--- a/internal/embed/ask.go
+++ b/internal/embeddings/request.go
@@ -1,7 +1,7 @@
-// Package embed is the client's APIs whose answers are complete with the read: embeddings after the public OpenAI
+// Package embeddings is the client's APIs whose answers are complete with the read: embeddings after the public OpenAI
 // specification, and reranking in the form that is commonly published. It reads a body as it comes, keeps each input only
 // until its part is back, and shapes vectors and scores into the one answer. How a call is parted is package batch's.
-package embed
+package embeddings
 
 import (
 	"bytes"
--- a/internal/embed/scan_test.go
+++ b/internal/embeddings/scan_test.go
@@ -1,4 +1,4 @@
-package embed
+package embeddings
 
 import (
 	"bytes"
--- a/internal/hostcache/hostcache.go
+++ b/internal/endpointcache/endpointcache.go
@@ -1,6 +1,6 @@
-// Package hostcache decides how far a list of hosts is believed that did not come from discovery just now: one that was kept on
+// Package endpointcache decides how far a list of hosts is believed that did not come from discovery just now: one that was kept on
 // disk, and one from discovery that suddenly leaves most of the fleet out. It is free of I/O.
-package hostcache
+package endpointcache
 
 import (
 	"slices"
--- a/internal/hostcache/hostcache_test.go
+++ b/internal/endpointcache/endpointcache_test.go
@@ -1,4 +1,4 @@
-package hostcache
+package endpointcache
 
 import (
 	"fmt"
--- a/internal/roster/roster.go
+++ b/internal/endpoints/endpoints.go
@@ -1,6 +1,6 @@
-// Package roster follows the list of model hosts that discovery pushes: whole lists, changes to them, breaks.
+// Package endpoints follows the list of model hosts that discovery pushes: whole lists, changes to them, breaks.
 // Follower is the state machine, free of I/O; Client keeps a connection to the source for it.
-package roster
+package endpoints
 
 import (
 	"encoding/json"
--- a/internal/roster/client.go
+++ b/internal/endpoints/watch.go
@@ -1,4 +1,4 @@
-package roster
+package endpoints
 
 import (
 	"strconv"
--- a/internal/faultsearch/plants.go
+++ b/internal/faultsearch/mutants.go
@@ -4,8 +4,8 @@
 	"bytes"
 
 	"plumspindle/internal/dispatch"
+	"plumspindle/internal/endpoints"
 	"plumspindle/internal/eventloop"
-	"plumspindle/internal/roster"
 	"plumspindle/internal/testbed/scenarios"
 	"plumspindle/internal/virtual"
 	"plumspindle/scheduler"
@@ -110,7 +110,7 @@
 	return &scenarios.Mutant{Name: name, Dispatcher: func() *dispatch.Mutation { return &dispatch.Mutation{Config: change} }}
 }
 
-func heard(name string, change func([]roster.Entry) []roster.Entry) *scenarios.Mutant {
+func heard(name string, change func([]endpoints.Entry) []endpoints.Entry) *scenarios.Mutant {
 	return &scenarios.Mutant{Name: name, Dispatcher: func() *dispatch.Mutation { return &dispatch.Mutation{EndpointUpdate: change} }}
 }
 
@@ -157,7 +157,7 @@
 				}
 			}
 		}),
-		heard("drains are not heard", func(all []roster.Entry) []roster.Entry {
+		heard("drains are not heard", func(all []endpoints.Entry) []endpoints.Entry {
 			for i := range all {
 				if all[i].Condition == "draining" {
 					all[i].Condition = "ready"
@@ -165,7 +165,7 @@
 			}
 			return all
 		}),
-		heard("ends are not heard", func(all []roster.Entry) (kept []roster.Entry) {
+		heard("ends are not heard", func(all []endpoints.Entry) (kept []endpoints.Entry) {
 			for _, e := range all {
 				if e.Condition != "gone" {
 					kept = append(kept, e)
@@ -173,7 +173,7 @@
 			}
 			return kept
 		}),
-		heard("starts are not heard", func(all []roster.Entry) []roster.Entry {
+		heard("starts are not heard", func(all []endpoints.Entry) []endpoints.Entry {
 			for i := range all {
 				all[i].Started = 0
 			}
--- a/internal/testbed/load/batch.go
+++ b/internal/testbed/load/batch.go
@@ -11,7 +11,7 @@
 	"plumspindle/internal/deployment/pb"
 	"plumspindle/internal/eventloop"
 	"plumspindle/internal/http1"
-	"plumspindle/internal/testbed/hosts"
+	"plumspindle/internal/testbed/modelserver"
 	"plumspindle/internal/testbed/record"
 )
 
@@ -196,7 +196,7 @@
 		last, seen := 2.0, map[int]bool{}
 		gjson.GetBytes(t.body, "results").ForEach(func(_, r gjson.Result) bool {
 			i, score := int(r.Get("index").Int()), r.Get("relevance_score").Num
-			if i < 0 || i >= len(inputs) || seen[i] || score != hosts.Score("why?", inputs[i]) || score > last {
+			if i < 0 || i >= len(inputs) || seen[i] || score != modelserver.Score("why?", inputs[i]) || score > last {
 				wrong = fmt.Sprintf("document %d, score %v after %v", i, score, last)
 				return false
 			}
@@ -211,7 +211,7 @@
 	n := 0
 	gjson.GetBytes(t.body, "data").ForEach(func(_, v gjson.Result) bool {
 		if n >= len(inputs) || v.Get("index").Int() != int64(n) ||
-			v.Get("embedding").Str != base64.StdEncoding.EncodeToString(hosts.Vector(inputs[n], int(b.Product.Dimensions))) {
+			v.Get("embedding").Str != base64.StdEncoding.EncodeToString(modelserver.Vector(inputs[n], int(b.Product.Dimensions))) {
 			wrong = fmt.Sprintf("vector %d is not its input's", n)
 			return false
 		}
--- a/internal/testbed/load/load.go
+++ b/internal/testbed/load/load.go
@@ -19,7 +19,7 @@
 	"plumspindle/internal/eventloop"
 	"plumspindle/internal/http1"
 	"plumspindle/internal/sse"
-	"plumspindle/internal/testbed/hosts"
+	"plumspindle/internal/testbed/modelserver"
 	"plumspindle/internal/testbed/record"
 )
 
@@ -306,7 +306,7 @@
 	case t.ended:
 		t.note("after", "event")
 	case string(data) == "[DONE]":
-		t.exact = t.exact && t.tokens == hosts.AnswerLength(t.want.id, t.want.most)
+		t.exact = t.exact && t.tokens == modelserver.AnswerLength(t.want.id, t.want.most)
 		t.final("streamed")
 	case gjson.GetBytes(data, "error").Exists():
 		t.final("terminated")
@@ -318,7 +318,7 @@
 		if t.tokens == 0 {
 			t.exact, t.first = true, now
 		}
-		if delta.String() != hosts.TokenText(t.want.id, t.tokens) {
+		if delta.String() != modelserver.TokenText(t.want.id, t.tokens) {
 			t.exact = false
 		}
 		t.tokens++
@@ -335,9 +335,9 @@
 	switch {
 	case t.head.Status == 200 && t.want.whole:
 		var all strings.Builder
-		n := hosts.AnswerLength(t.want.id, t.want.most)
+		n := modelserver.AnswerLength(t.want.id, t.want.most)
 		for i := range n {
-			all.WriteString(hosts.TokenText(t.want.id, i))
+			all.WriteString(modelserver.TokenText(t.want.id, i))
 		}
 		t.tokens, t.first = n, t.want.crowd.loop.Now()
 		t.last = t.first
--- a/internal/testbed/hosts/fleet.go
+++ b/internal/testbed/modelserver/fleet.go
@@ -1,6 +1,6 @@
-// Package hosts are the laboratory's stand-ins: model hosts that read and write by the brief's model, and the
+// Package modelserver are the laboratory's stand-ins: model hosts that read and write by the brief's model, and the
 // roster that lists them. They compute nothing; they take the time, slots and memory that the real ones would.
-package hosts
+package modelserver
 
 import (
 	"fmt"
@@ -9,8 +9,8 @@
 
 	"plumspindle/internal/deployment"
 	"plumspindle/internal/deployment/pb"
+	"plumspindle/internal/endpoints"
 	"plumspindle/internal/eventloop"
-	"plumspindle/internal/roster"
 	"plumspindle/internal/testbed/record"
 )
 
@@ -59,7 +59,7 @@
 }
 
 // Entries are all hosts' lines in the list.
-func (f *Fleet) Entries() (all []roster.Entry) {
+func (f *Fleet) Entries() (all []endpoints.Entry) {
 	for _, h := range f.Hosts {
 		all = append(all, h.Entry("ready"))
 	}
--- a/internal/testbed/hosts/host.go
+++ b/internal/testbed/modelserver/host.go
@@ -1,4 +1,4 @@
-package hosts
+package modelserver
 
 import (
 	"fmt"
--- a/internal/testbed/hosts/roster.go
+++ b/internal/testbed/modelserver/roster.go
@@ -1,4 +1,4 @@
-package hosts
+package modelserver
 
 import (
 	"encoding/json"
@@ -6,9 +6,9 @@
 	"slices"
 	"strconv"
 
+	"plumspindle/internal/endpoints"
 	"plumspindle/internal/eventloop"
 	"plumspindle/internal/http1"
-	"plumspindle/internal/roster"
 	"plumspindle/internal/sse"
 	"plumspindle/internal/testbed/record"
 	"plumspindle/scheduler"
@@ -21,7 +21,7 @@
 	listener eventloop.Listener
 	epoch    string
 	version  uint64
-	entries  map[scheduler.EndpointID]roster.Entry
+	entries  map[scheduler.EndpointID]endpoints.Entry
 	watchers []*watcher
 	Addr     string
 }
@@ -29,8 +29,8 @@
 const heartbeat = 4 * eventloop.Second
 
 // NewRoster serves a list on an address.
-func NewRoster(loop eventloop.Loop, addr string, entries []roster.Entry, book *record.Book) (*Roster, error) {
-	r := &Roster{loop: loop, book: book, epoch: strconv.FormatInt(int64(loop.Now()), 36), version: 1, entries: map[scheduler.EndpointID]roster.Entry{}}
+func NewRoster(loop eventloop.Loop, addr string, entries []endpoints.Entry, book *record.Book) (*Roster, error) {
+	r := &Roster{loop: loop, book: book, epoch: strconv.FormatInt(int64(loop.Now()), 36), version: 1, entries: map[scheduler.EndpointID]endpoints.Entry{}}
 	for _, e := range entries {
 		r.entries[e.ID] = e
 	}
@@ -47,20 +47,20 @@
 }
 
 // Tell passes changes on to all that watch.
-func (r *Roster) Tell(changes ...roster.Entry) {
+func (r *Roster) Tell(changes ...endpoints.Entry) {
 	for _, e := range changes {
 		r.entries[e.ID] = e
 	}
 	r.version++
 	for _, w := range r.watchers {
-		w.send(roster.Update{Epoch: r.epoch, Version: r.version, Since: r.version - 1, Hosts: changes})
+		w.send(endpoints.Update{Epoch: r.epoch, Version: r.version, Since: r.version - 1, Hosts: changes})
 	}
 }
 
 // Replace takes a whole new list and tells what has changed by it.
-func (r *Roster) Replace(entries []roster.Entry) (changed int) {
+func (r *Roster) Replace(entries []endpoints.Entry) (changed int) {
 	named := map[scheduler.EndpointID]bool{}
-	var changes []roster.Entry
+	var changes []endpoints.Entry
 	for _, e := range entries {
 		named[e.ID] = true
 		if r.entries[e.ID] != e {
@@ -90,8 +90,8 @@
 func (r *Roster) Close() { r.listener.Close() }
 
 // Entry is a host's line in the list.
-func (h *Host) Entry(condition string) roster.Entry {
-	return roster.Entry{ID: scheduler.EndpointID(h.ID), Addr: h.Addr, Zone: h.Zone, Kind: h.kind.Name, Cell: h.Cell,
+func (h *Host) Entry(condition string) endpoints.Entry {
+	return endpoints.Entry{ID: scheduler.EndpointID(h.ID), Addr: h.Addr, Zone: h.Zone, Kind: h.kind.Name, Cell: h.Cell,
 		Condition: condition, Started: int64(h.started)}
 }
 
@@ -135,7 +135,7 @@
 	w.name = w.head.Get("x-dispatcher")
 	w.conn.Write(http1.AppendStreamHead(nil, 200, "Content-Type", "text/event-stream"))
 	r := w.roster
-	all := roster.Update{Epoch: r.epoch, Version: r.version, Complete: true}
+	all := endpoints.Update{Epoch: r.epoch, Version: r.version, Complete: true}
 	for _, id := range slices.Sorted(maps.Keys(r.entries)) {
 		all.Hosts = append(all.Hosts, r.entries[id])
 	}
@@ -144,7 +144,7 @@
 	return nil
 }
 
-func (w *watcher) send(l roster.Update) {
+func (w *watcher) send(l endpoints.Update) {
 	b, _ := json.Marshal(l)
 	w.conn.Write(http1.AppendChunk(nil, sse.Append(nil, b)))
 	book := w.roster.book
--- a/internal/testbed/scenarios/restart.go
+++ b/internal/testbed/scenarios/restart.go
@@ -6,8 +6,8 @@
 
 	"plumspindle/internal/eventloop"
 	"plumspindle/internal/testbed/audit"
-	"plumspindle/internal/testbed/hosts"
 	"plumspindle/internal/testbed/load"
+	"plumspindle/internal/testbed/modelserver"
 	"plumspindle/internal/testbed/record"
 	"plumspindle/internal/virtual"
 )
@@ -23,7 +23,7 @@
 	w := virtual.New(p.Seed)
 	fleetAt, crowdAt := w.Loop("fleet"), w.Loop("crowd")
 	p.fleetAt, p.crowdAt = fleetAt, crowdAt
-	fleetAt.Do(func() { p.fleet, err = hosts.Start(fleetAt, p.Deployment, p.Seed, "127.0.0.1:0", p.book) })
+	fleetAt.Do(func() { p.fleet, err = modelserver.Start(fleetAt, p.Deployment, p.Seed, "127.0.0.1:0", p.book) })
 	if err != nil {
 		return nil, 0, err
 	}
--- a/internal/testbed/scenarios/scenarios.go
+++ b/internal/testbed/scenarios/scenarios.go
@@ -29,8 +29,8 @@
 	"plumspindle/internal/sockets"
 	"plumspindle/internal/tenancy"
 	"plumspindle/internal/testbed/audit"
-	"plumspindle/internal/testbed/hosts"
 	"plumspindle/internal/testbed/load"
+	"plumspindle/internal/testbed/modelserver"
 	"plumspindle/internal/testbed/record"
 	"plumspindle/internal/virtual"
 )
@@ -89,7 +89,7 @@
 	failed  error
 	fleetAt place
 	crowdAt place
-	fleet   *hosts.Fleet
+	fleet   *modelserver.Fleet
 	crowd   *load.Crowd
 	servers []server
 	rand    *rand.Rand
@@ -242,7 +242,7 @@
 	defer crowdAt.Stop()
 	p.fleetAt, p.crowdAt = fleetAt, crowdAt
 	p.fleetAt.Do(func() {
-		p.fleet, err = hosts.Start(p.fleetAt, p.Deployment, p.Seed, "127.0.0.1:0", p.book)
+		p.fleet, err = modelserver.Start(p.fleetAt, p.Deployment, p.Seed, "127.0.0.1:0", p.book)
 	})
 	if err != nil {
 		return err
@@ -468,10 +468,10 @@
 
 // --- Troubles ---
 
-type effect func(p *Run, ctx context.Context, t *pb.Day_Trouble, span eventloop.Micros, picked []*hosts.Host)
+type effect func(p *Run, ctx context.Context, t *pb.Day_Trouble, span eventloop.Micros, picked []*modelserver.Host)
 
-func each(f func(h *hosts.Host, t *pb.Day_Trouble, span eventloop.Micros)) effect {
-	return func(_ *Run, _ context.Context, t *pb.Day_Trouble, span eventloop.Micros, picked []*hosts.Host) {
+func each(f func(h *modelserver.Host, t *pb.Day_Trouble, span eventloop.Micros)) effect {
+	return func(_ *Run, _ context.Context, t *pb.Day_Trouble, span eventloop.Micros, picked []*modelserver.Host) {
 		for _, h := range picked {
 			f(h, t, span)
 		}
@@ -480,7 +480,7 @@
 
 // crowdChange alters what clients do, for a while.
 func crowdChange(change func(c *load.Crowd, t *pb.Day_Trouble) (undo func())) effect {
-	return func(p *Run, _ context.Context, t *pb.Day_Trouble, span eventloop.Micros, _ []*hosts.Host) {
+	return func(p *Run, _ context.Context, t *pb.Day_Trouble, span eventloop.Micros, _ []*modelserver.Host) {
 		p.crowdAt.Post(func() {
 			undo := change(p.crowd, t)
 			p.crowdAt.After(span, undo)
@@ -489,23 +489,23 @@
 }
 
 var troubles = map[string]effect{
-	"crash":        each(func(h *hosts.Host, _ *pb.Day_Trouble, span eventloop.Micros) { h.Crash(span) }),
-	"vanish":       each(func(h *hosts.Host, _ *pb.Day_Trouble, span eventloop.Micros) { h.Vanish(span) }),
-	"hang":         each(func(h *hosts.Host, _ *pb.Day_Trouble, span eventloop.Micros) { h.Hang(span) }),
-	"pauses":       each(func(h *hosts.Host, _ *pb.Day_Trouble, span eventloop.Micros) { h.Pause(span) }),
-	"mass_restart": each(func(h *hosts.Host, _ *pb.Day_Trouble, span eventloop.Micros) { h.Crash(span) }),
-	"flush":        each(func(h *hosts.Host, _ *pb.Day_Trouble, _ eventloop.Micros) { h.Flush() }),
-	"drain":        each(func(h *hosts.Host, _ *pb.Day_Trouble, span eventloop.Micros) { h.Drain(span, span) }),
-	"slow":         each(func(h *hosts.Host, t *pb.Day_Trouble, span eventloop.Micros) { h.Slow(max(t.Factor, 1), span) }),
-	"neighbour":    each(func(h *hosts.Host, t *pb.Day_Trouble, span eventloop.Micros) { h.Slow(max(t.Factor, 1), span) }),
-	"fast_errors":  each(func(h *hosts.Host, t *pb.Day_Trouble, span eventloop.Micros) { h.Err(t.Factor, span) }),
-	"handshake_slow": each(func(h *hosts.Host, t *pb.Day_Trouble, span eventloop.Micros) {
+	"crash":        each(func(h *modelserver.Host, _ *pb.Day_Trouble, span eventloop.Micros) { h.Crash(span) }),
+	"vanish":       each(func(h *modelserver.Host, _ *pb.Day_Trouble, span eventloop.Micros) { h.Vanish(span) }),
+	"hang":         each(func(h *modelserver.Host, _ *pb.Day_Trouble, span eventloop.Micros) { h.Hang(span) }),
+	"pauses":       each(func(h *modelserver.Host, _ *pb.Day_Trouble, span eventloop.Micros) { h.Pause(span) }),
+	"mass_restart": each(func(h *modelserver.Host, _ *pb.Day_Trouble, span eventloop.Micros) { h.Crash(span) }),
+	"flush":        each(func(h *modelserver.Host, _ *pb.Day_Trouble, _ eventloop.Micros) { h.Flush() }),
+	"drain":        each(func(h *modelserver.Host, _ *pb.Day_Trouble, span eventloop.Micros) { h.Drain(span, span) }),
+	"slow":         each(func(h *modelserver.Host, t *pb.Day_Trouble, span eventloop.Micros) { h.Slow(max(t.Factor, 1), span) }),
+	"neighbour":    each(func(h *modelserver.Host, t *pb.Day_Trouble, span eventloop.Micros) { h.Slow(max(t.Factor, 1), span) }),
+	"fast_errors":  each(func(h *modelserver.Host, t *pb.Day_Trouble, span eventloop.Micros) { h.Err(t.Factor, span) }),
+	"handshake_slow": each(func(h *modelserver.Host, t *pb.Day_Trouble, span eventloop.Micros) {
 		h.Greet(eventloop.Micros(t.Factor*float64(eventloop.Millisecond)), span)
 	}),
-	"report_late": each(func(h *hosts.Host, t *pb.Day_Trouble, span eventloop.Micros) {
+	"report_late": each(func(h *modelserver.Host, t *pb.Day_Trouble, span eventloop.Micros) {
 		h.Report(eventloop.Micros(t.Factor*float64(eventloop.Second)), span)
 	}),
-	"throttle": func(p *Run, _ context.Context, t *pb.Day_Trouble, span eventloop.Micros, picked []*hosts.Host) {
+	"throttle": func(p *Run, _ context.Context, t *pb.Day_Trouble, span eventloop.Micros, picked []*modelserver.Host) {
 		product := t.Product
 		if product == "" {
 			product = p.Deployment.Products[0].Name
@@ -514,21 +514,21 @@
 			h.Full(product, span)
 		}
 	},
-	"zone_cut": func(p *Run, _ context.Context, t *pb.Day_Trouble, span eventloop.Micros, _ []*hosts.Host) {
+	"zone_cut": func(p *Run, _ context.Context, t *pb.Day_Trouble, span eventloop.Micros, _ []*modelserver.Host) {
 		zone := t.Zone
 		if zone == "" {
 			zone = p.Deployment.Zones[len(p.Deployment.Zones)-1]
 		}
 		p.fleet.Cut(zone, span)
 	},
-	"balancer_crash": func(p *Run, ctx context.Context, t *pb.Day_Trouble, span eventloop.Micros, _ []*hosts.Host) {
+	"balancer_crash": func(p *Run, ctx context.Context, t *pb.Day_Trouble, span eventloop.Micros, _ []*modelserver.Host) {
 		n := max(int(t.Share*float64(len(p.servers))+0.5), 1)
 		for _, i := range p.rand.Perm(len(p.servers))[:min(n, len(p.servers))] {
 			p.servers[i].crash(ctx, span)
 		}
 	},
 	// Dispatchers have but a few descriptors beyond those that they have open.
-	"descriptors": func(p *Run, _ context.Context, t *pb.Day_Trouble, span eventloop.Micros, _ []*hosts.Host) {
+	"descriptors": func(p *Run, _ context.Context, t *pb.Day_Trouble, span eventloop.Micros, _ []*modelserver.Host) {
 		n := max(int(t.Share*float64(len(p.servers))+0.5), 1)
 		for _, i := range p.rand.Perm(len(p.servers))[:min(n, len(p.servers))] {
 			p.fleetAt.After(span, p.servers[i].squeeze(int(t.Factor)))
--- a/internal/testbed/scenarios/virtual.go
+++ b/internal/testbed/scenarios/virtual.go
@@ -12,8 +12,8 @@
 	"plumspindle/internal/eventloop"
 	"plumspindle/internal/store"
 	"plumspindle/internal/testbed/audit"
-	"plumspindle/internal/testbed/hosts"
 	"plumspindle/internal/testbed/load"
+	"plumspindle/internal/testbed/modelserver"
 	"plumspindle/internal/testbed/record"
 	"plumspindle/internal/virtual"
 )
@@ -108,7 +108,7 @@
 	p.book.Add(record.Event{At: int64(w.Now()), What: "world", N: int64(w.Latency)})
 	fleetAt, crowdAt := w.Loop("fleet"), w.Loop("crowd")
 	p.fleetAt, p.crowdAt = fleetAt, crowdAt
-	fleetAt.Do(func() { p.fleet, err = hosts.Start(fleetAt, p.Deployment, p.Seed, "127.0.0.1:0", p.book) })
+	fleetAt.Do(func() { p.fleet, err = modelserver.Start(fleetAt, p.Deployment, p.Seed, "127.0.0.1:0", p.book) })
 	if err != nil {
 		return nil, 0, 0, err
 	}
