--- a/internal/benchadapter/benchadapter.go
+++ b/internal/benchadapter/benchadapter.go
@@ -148,9 +148,18 @@
 	case 20:
 		return s.sync(in, e)
 	case 30:
-		in.RequestArrived(s.now, scheduler.RequestID(u64(e[1:])), scheduler.SessionID(u64(e[13:])), scheduler.PrefixID(u64(e[26:])),
-			scheduler.ClassID(e[56]), scheduler.TenantID(binary.LittleEndian.Uint16(e[54:])), f32(e[50:]), f32(e[9:]),
-			f32(e[21:]), settings.Micros(u64(e[34:])), settings.Micros(u64(e[42:])))
+		in.RequestArrived(s.now, scheduler.Arrival{
+			ID:              scheduler.RequestID(u64(e[1:])),
+			Session:         scheduler.SessionID(u64(e[13:])),
+			Prefix:          scheduler.PrefixID(u64(e[26:])),
+			Class:           scheduler.ClassID(e[56]),
+			Tenant:          scheduler.TenantID(binary.LittleEndian.Uint16(e[54:])),
+			PromptTokens:    f32(e[50:]),
+			PrefixTokens:    f32(e[9:]),
+			MaxOutputTokens: f32(e[21:]),
+			DecodeTime:      settings.Micros(u64(e[34:])),
+			Deadline:        settings.Micros(u64(e[42:])),
+		})
 	case 40:
 		in.AttemptStarted(s.now, scheduler.RequestID(u64(e[1:])), scheduler.AttemptNo(binary.LittleEndian.Uint16(e[9:])))
 	case 50:
@@ -158,8 +167,13 @@
 		if !known {
 			return fmt.Errorf("unknown outcome %d", e[18])
 		}
-		in.AttemptEnded(s.now, scheduler.RequestID(u64(e[1:])), scheduler.AttemptNo(binary.LittleEndian.Uint16(e[27:])), how,
-			int(u32(e[9:])), e[13] != 0, in.memory(e[29:]))
+		in.AttemptEnded(s.now, scheduler.RequestID(u64(e[1:])), scheduler.AttemptNo(binary.LittleEndian.Uint16(e[27:])), scheduler.AttemptResult{
+			Outcome:       how,
+			CachedTokens:  int(u32(e[9:])),
+			StateMissing:  u32(e[9:]) == 1,
+			RequestClosed: e[13] != 0,
+			MemoryUsage:   in.memory(e[29:]),
+		})
 	case 60:
 		in.ClientDisconnected(s.now, scheduler.RequestID(u64(e[1:])))
 	case 70:
@@ -197,8 +211,14 @@
 		return fmt.Errorf("scope %d, list %d: out of range", e[10], e[9])
 	}
 	for raw := s.lists[e[9]]; len(raw) > 0; raw = raw[entrySize:] {
-		in.EndpointUpdated(s.now, scheduler.EndpointID(u32(raw)), scheduler.ZoneID(raw[4]), scheduler.KindID(raw[5]),
-			scheduler.CellID(binary.LittleEndian.Uint16(raw[6:])), conditions[raw[8]], settings.Micros(u64(raw[13:])))
+		in.EndpointUpdated(s.now, scheduler.EndpointStatus{
+			ID:        scheduler.EndpointID(u32(raw)),
+			Zone:      scheduler.ZoneID(raw[4]),
+			Kind:      scheduler.KindID(raw[5]),
+			Cell:      scheduler.CellID(binary.LittleEndian.Uint16(raw[6:])),
+			State:     conditions[raw[8]],
+			StartedAt: settings.Micros(u64(raw[13:])),
+		})
 	}
 	in.EndpointUpdateEnded(s.now, e[10] != 0)
 	return nil
--- a/internal/dispatch/check.go
+++ b/internal/dispatch/check.go
@@ -55,8 +55,8 @@
 	if out := x.batches.limiter.Out(); out != parts {
 		return fmt.Errorf("%d parts are out, and %d are counted", parts, out)
 	}
-	if gens, out, _, _ := x.module.InFlight(); out != legs || gens > len(x.gens) {
-		return fmt.Errorf("the module has %d generations and %d legs out, the dispatcher %d and %d", gens, out, len(x.gens), legs)
+	if open := x.module.InFlight(); open.Attempts != legs || open.Requests > len(x.gens) {
+		return fmt.Errorf("the module has %d generations and %d legs out, the dispatcher %d and %d", open.Requests, open.Attempts, len(x.gens), legs)
 	}
 	if n := x.front.Open; n < 0 {
 		return fmt.Errorf("%d requests are open", n)
--- a/internal/dispatch/dispatch.go
+++ b/internal/dispatch/dispatch.go
@@ -322,8 +322,8 @@
 		if e.Condition != "gone" {
 			x.starts[e.ID] = start
 		}
-		x.module.EndpointUpdated(now, e.ID, scheduler.ZoneID(zone), scheduler.KindID(kind), scheduler.CellID(e.Cell), e.State(),
-			start.At)
+		x.module.EndpointUpdated(now, scheduler.EndpointStatus{ID: e.ID, Zone: scheduler.ZoneID(zone), Kind: scheduler.KindID(kind),
+			Cell: scheduler.CellID(e.Cell), State: e.State(), StartedAt: start.At})
 	}
 	x.module.EndpointUpdateEnded(now, whole)
 	readers := 0
@@ -594,7 +594,7 @@
 		if o == (engine.Result{}) {
 			o = cancelled
 		}
-		x.module.AttemptEnded(now, g.id, g.legs-1, o.Outcome, o.Note, g.Answered(), o.MemoryUsage)
+		x.module.AttemptEnded(now, g.id, g.legs-1, o.ForScheduler(g.Answered()))
 	case lifecycle.NotifyArrived:
 		if g.part != nil {
 			g.part.admitted(now)
--- a/internal/dispatch/intent.go
+++ b/internal/dispatch/intent.go
@@ -157,7 +157,7 @@
 	x.loop.After(eventloop.Micros(x.Rules.LetGoMs)*eventloop.Millisecond/2, func() {
 		if g.intent.then != nil && no == g.legs-1 && g.State == lifecycle.Decoding {
 			g.intent.then = nil
-			x.ended(g, engine.Result{Outcome: scheduler.NoCapacity, Note: 1, MemoryUsage: scheduler.NoLoadReport, Reason: "not sent: its intent is not kept in time"})
+			x.ended(g, engine.Result{Outcome: scheduler.NoCapacity, StateMissing: true, MemoryUsage: scheduler.NoLoadReport, Reason: "not sent: its intent is not kept in time"})
 		}
 	})
 }
--- a/internal/dispatch/tenants.go
+++ b/internal/dispatch/tenants.go
@@ -250,8 +250,17 @@
 // arrived tells the module of a generation.
 func (x *Dispatcher) arrived(g *gen) {
 	a := g.ask
-	x.module.RequestArrived(x.loop.Now(), g.id, scheduler.SessionID(a.Session), scheduler.PrefixID(a.Shared), g.product, g.seat.index,
-		float64(a.Tokens), float64(a.SharedTokens), float64(a.MaxTokens), 0, g.deadline)
+	x.module.RequestArrived(x.loop.Now(), scheduler.Arrival{
+		ID:              g.id,
+		Session:         scheduler.SessionID(a.Session),
+		Prefix:          scheduler.PrefixID(a.Shared),
+		Class:           g.product,
+		Tenant:          g.seat.index,
+		PromptTokens:    float64(a.Tokens),
+		PrefixTokens:    float64(a.SharedTokens),
+		MaxOutputTokens: float64(a.MaxTokens),
+		Deadline:        g.deadline,
+	})
 }
 
 // paid settles a generation with its tenant.
--- a/internal/engine/outcome.go
+++ b/internal/engine/outcome.go
@@ -17,9 +17,10 @@
 // Result is how an attempt came out.
 type Result struct {
 	Outcome       scheduler.Outcome
-	Note          int     // ReadDone: prompt tokens found kept. Full: 1 if there was no state to fetch
-	MemoryUsage   float64 // share of the host's memory that is held, or scheduler.NoReport
-	State         string  // ReadDone: where the state lies, as the host put it
+	CachedTokens  int     // of the prompt, those that the endpoint had cached
+	StateMissing  bool    // with NoCapacity: the decode server found no state to fetch
+	MemoryUsage   float64 // share of the host's memory that is held, or scheduler.NoLoadReport
+	State         string  // with PrefillDone: where the state lies, as the host put it
 	ClosedLocally bool    // the connection was closed from here with the attempt on it
 	// Undelivered: the attempt's last byte was not known to have reached its host when it ended.
 	Undelivered    bool
@@ -27,18 +28,29 @@
 	Reason         string // for logs: which line of the table in docs/legs.md
 }
 
+// ForScheduler is the result in the scheduler's terms; requestClosed tells whether the client has its final answer, or has left.
+func (r Result) ForScheduler(requestClosed bool) scheduler.AttemptResult {
+	return scheduler.AttemptResult{
+		Outcome:       r.Outcome,
+		CachedTokens:  r.CachedTokens,
+		StateMissing:  r.StateMissing,
+		RequestClosed: requestClosed,
+		MemoryUsage:   r.MemoryUsage,
+	}
+}
+
 // refusals are the answers by which a host states that it has not run the attempt. Only these, said in words and with
 // a status that fits, prove it; any other answer leaves doubt, and doubt counts as run.
 var refusals = []struct {
-	status int
-	code   string
-	how    scheduler.Outcome
-	note   int
+	status       int
+	code         string
+	outcome      scheduler.Outcome
+	stateMissing bool
 }{
-	{429, "full", scheduler.NoCapacity, 0},
-	{503, "draining", scheduler.NoCapacity, 0},
-	{409, "state_lost", scheduler.NoCapacity, 1},
-	{422, "invalid_input", scheduler.NotSent, 0},
+	{429, "full", scheduler.NoCapacity, false},
+	{503, "draining", scheduler.NoCapacity, false},
+	{409, "state_lost", scheduler.NoCapacity, true},
+	{422, "invalid_input", scheduler.NotSent, false},
 }
 
 // refused reads an answer that is not a success.
@@ -46,7 +58,7 @@
 	code := gjson.GetBytes(body, "error.code").String()
 	for _, r := range refusals {
 		if r.status == status && r.code == code && gjson.ValidBytes(body) {
-			return Result{Outcome: r.how, Note: r.note, InvalidRequest: r.status == 422, Reason: "host says " + code}
+			return Result{Outcome: r.outcome, StateMissing: r.stateMissing, InvalidRequest: r.status == 422, Reason: "host says " + code}
 		}
 	}
 	return Result{Outcome: scheduler.Errored, Reason: "status " + strconv.Itoa(status)}
@@ -59,7 +71,7 @@
 		return Result{Outcome: scheduler.Errored, Reason: "a read without a state"}
 	}
 	kept := gjson.GetBytes(body, "usage.prompt_tokens_details.cached_tokens").Int()
-	return Result{Outcome: scheduler.PrefillDone, Note: int(max(kept, 0)), State: params.Raw, Reason: "read"}
+	return Result{Outcome: scheduler.PrefillDone, CachedTokens: int(max(kept, 0)), State: params.Raw, Reason: "read"}
 }
 
 // memory finds the reported share of memory in an ORCA report (field endpoint-load-metrics), in its text or its
--- a/internal/platform/attempt.go
+++ b/internal/platform/attempt.go
@@ -126,7 +126,7 @@
 	if r.started && !r.answered {
 		d.endStream(r, o.Outcome)
 	}
-	d.module.AttemptEnded(d.loop.Now(), r.id, no, o.Outcome, o.Note, r.answered, o.MemoryUsage)
+	d.module.AttemptEnded(d.loop.Now(), r.id, no, o.ForScheduler(r.answered))
 	d.settle(r)
 }
 
@@ -136,7 +136,7 @@
 		return
 	}
 	e.Str("id", r.client.ID).Int("attempt", int(no)).Str("host", d.hosts[r.host].Name).Bool("prefill", r.prefill).Bool("started", r.started).
-		Int("outcome", int(o.Outcome)).Int("note", o.Note).Bool("undelivered", o.Undelivered).Float64("prompt", r.client.PromptTokens).Int64("took", int64(d.loop.Now()-r.sentAt)).
+		Int("outcome", int(o.Outcome)).Int("cached_tokens", o.CachedTokens).Bool("state_missing", o.StateMissing).Bool("undelivered", o.Undelivered).Float64("prompt", r.client.PromptTokens).Int64("took", int64(d.loop.Now()-r.sentAt)).
 		Int64("waited", int64(r.sentAt-r.client.ReceivedAt)).Str("class", r.client.Class).Str("prefix", r.client.Prefix).
 		Str("why", o.Reason).Msg("attempt ended")
 }
--- a/internal/platform/endpoints.go
+++ b/internal/platform/endpoints.go
@@ -51,7 +51,8 @@
 	d.config.Log.Debug().Str("host", e.Name).Uint32("number", uint32(e.ID)).Str("addr", e.Addr).Str("kind", e.Kind).Str("zone", e.Zone).
 		Uint16("cell", uint16(e.Cell)).Int("condition", int(e.Condition)).Int64("started", int64(e.Started)).Msg("listed")
 	now := d.loop.Now()
-	d.module.EndpointUpdated(now, e.ID, scheduler.ZoneID(zone), scheduler.KindID(kind), e.Cell, e.Condition, min(e.Started, now))
+	d.module.EndpointUpdated(now, scheduler.EndpointStatus{ID: e.ID, Zone: scheduler.ZoneID(zone), Kind: scheduler.KindID(kind), Cell: e.Cell,
+		State: e.Condition, StartedAt: min(e.Started, now)})
 }
 
 // listedHosts are those that want new requests, or all that are listed, in order.
--- a/internal/platform/request.go
+++ b/internal/platform/request.go
@@ -74,9 +74,17 @@
 			r.attempt.PauseReading(false)
 		}
 	}
-	d.module.RequestArrived(d.loop.Now(), r.id, scheduler.SessionID(hashName(client.Session)), scheduler.PrefixID(hashName(client.Prefix)),
-		scheduler.ClassID(class), scheduler.TenantID(tenant), client.PromptTokens, client.PrefixTokens, client.MaxOutputTokens, 0,
-		client.ReceivedAt+client.Timeout)
+	d.module.RequestArrived(d.loop.Now(), scheduler.Arrival{
+		ID:              r.id,
+		Session:         scheduler.SessionID(hashName(client.Session)),
+		Prefix:          scheduler.PrefixID(hashName(client.Prefix)),
+		Class:           scheduler.ClassID(class),
+		Tenant:          scheduler.TenantID(tenant),
+		PromptTokens:    client.PromptTokens,
+		PrefixTokens:    client.PrefixTokens,
+		MaxOutputTokens: client.MaxOutputTokens,
+		Deadline:        client.ReceivedAt + client.Timeout,
+	})
 	d.settle(r)
 	return nil
 }
--- a/internal/platform/rig_test.go
+++ b/internal/platform/rig_test.go
@@ -379,8 +379,8 @@
 	if r.x.guard.Violations() > 0 || r.x.module.Violations() > 0 {
 		r.t.Errorf("the guard counts violations: %s; %v", r.x.Summary(), r.violations)
 	}
-	gens, legs, _, _ := r.x.module.InFlight()
-	if len(r.x.requests) != 0 || gens != 0 || legs != 0 || r.x.server.Answering() != 0 {
+	open := r.x.module.InFlight()
+	if len(r.x.requests) != 0 || open.Requests != 0 || open.Attempts != 0 || r.x.server.Answering() != 0 {
 		r.t.Errorf("something is left: %s", r.x.Summary())
 	}
 	if !r.w.Until(server.DefaultLimits.Message, func() bool { return r.x.server.Active() == 0 }) { // half a request waits for so long
--- a/internal/platform/state.go
+++ b/internal/platform/state.go
@@ -33,7 +33,7 @@
 	if !r.held || r.releasing || r.closing || attempt == nil || !attempt.Undelivered() {
 		return
 	}
-	outcome := engine.Result{Outcome: scheduler.NoCapacity, Note: 1, MemoryUsage: scheduler.NoLoadReport, Reason: "no connection while its state may wait"}
+	outcome := engine.Result{Outcome: scheduler.NoCapacity, StateMissing: true, MemoryUsage: scheduler.NoLoadReport, Reason: "no connection while its state may wait"}
 	switch {
 	case !attempt.Unsent() && !r.confirms: // it may have left only now
 		r.confirms = true
@@ -42,7 +42,7 @@
 	case !attempt.Unsent(): // it may arrive, or have arrived, all the same
 		outcome.Outcome, outcome.ClosedLocally, outcome.Reason = scheduler.ConnectionLost, true, "its connection is silent while its state may wait"
 	case r.prefill:
-		outcome.Outcome, outcome.Note = scheduler.NotSent, 0
+		outcome.Outcome, outcome.StateMissing = scheduler.NotSent, false
 	}
 	attempt.Cancel()
 	d.release(r)
--- a/internal/platform/upstream/upstream.go
+++ b/internal/platform/upstream/upstream.go
@@ -74,7 +74,7 @@
 var declined = map[int]engine.Result{
 	503: {Outcome: scheduler.NoCapacity, Reason: "turned away"},
 	504: {Outcome: scheduler.NoCapacity, Reason: "turned away, as its time is over"},
-	410: {Outcome: scheduler.NoCapacity, Note: 1, Reason: "the read state is gone"},
+	410: {Outcome: scheduler.NoCapacity, StateMissing: true, Reason: "the read state is gone"},
 }
 
 // prefillOutcome is what an answer to a read means.
@@ -84,7 +84,7 @@
 		if gjson.ValidBytes(body) {
 			kept = int(max(gjson.GetBytes(body, "cached_tokens").Int(), 0))
 		}
-		return engine.Result{Outcome: scheduler.PrefillDone, Note: kept, Reason: "read"}
+		return engine.Result{Outcome: scheduler.PrefillDone, CachedTokens: kept, Reason: "read"}
 	}
 	return outcome(h, body)
 }
@@ -130,7 +130,7 @@
 	if !e.some {
 		return engine.Result{Outcome: scheduler.Errored, Reason: "a stream without an event"}
 	}
-	return engine.Result{Outcome: scheduler.Completed, Note: e.kept, Reason: "streamed"}
+	return engine.Result{Outcome: scheduler.Completed, CachedTokens: e.kept, Reason: "streamed"}
 }
 
 func (e *events) Complete() bool { return e.done }
--- a/internal/platform/upstream/upstream_test.go
+++ b/internal/platform/upstream/upstream_test.go
@@ -20,30 +20,31 @@
 		body   string
 		read   bool
 		how    scheduler.Outcome
-		note   int
+		cached int
+		lost   bool // the state is gone
 	}{
-		{202, nil, `{"cached_tokens":4096}`, true, scheduler.PrefillDone, 4096},
-		{202, nil, `{"cached_tokens":-1}`, true, scheduler.PrefillDone, 0},
-		{202, nil, `nonsense`, true, scheduler.PrefillDone, 0},
-		{202, nil, ``, false, scheduler.Errored, 0},
-		{200, nil, `{}`, true, scheduler.Errored, 0},
-		{500, nil, ``, true, scheduler.Errored, 0},
-		{500, said, ``, false, scheduler.Errored, 0},
-		{503, said, ``, true, scheduler.NoCapacity, 0},
-		{503, said, ``, false, scheduler.NoCapacity, 0},
-		{504, said, ``, false, scheduler.NoCapacity, 0},
-		{410, said, ``, false, scheduler.NoCapacity, 1},
-		{503, nil, ``, false, scheduler.Errored, 0},
-		{504, []http1.Field{{Name: "Srv-Declined", Value: "0"}}, ``, false, scheduler.Errored, 0},
-		{410, nil, ``, false, scheduler.Errored, 0},
-		{404, said, ``, false, scheduler.Errored, 0},
+		{202, nil, `{"cached_tokens":4096}`, true, scheduler.PrefillDone, 4096, false},
+		{202, nil, `{"cached_tokens":-1}`, true, scheduler.PrefillDone, 0, false},
+		{202, nil, `nonsense`, true, scheduler.PrefillDone, 0, false},
+		{202, nil, ``, false, scheduler.Errored, 0, false},
+		{200, nil, `{}`, true, scheduler.Errored, 0, false},
+		{500, nil, ``, true, scheduler.Errored, 0, false},
+		{500, said, ``, false, scheduler.Errored, 0, false},
+		{503, said, ``, true, scheduler.NoCapacity, 0, false},
+		{503, said, ``, false, scheduler.NoCapacity, 0, false},
+		{504, said, ``, false, scheduler.NoCapacity, 0, false},
+		{410, said, ``, false, scheduler.NoCapacity, 0, true},
+		{503, nil, ``, false, scheduler.Errored, 0, false},
+		{504, []http1.Field{{Name: "Srv-Declined", Value: "0"}}, ``, false, scheduler.Errored, 0, false},
+		{410, nil, ``, false, scheduler.Errored, 0, false},
+		{404, said, ``, false, scheduler.Errored, 0, false},
 	} {
 		judge := outcome
 		if c.read {
 			judge = prefillOutcome
 		}
-		if o := judge(&http1.Head{Status: c.status, Fields: c.fields}, []byte(c.body)); o.Outcome != c.how || o.Note != c.note {
-			t.Errorf("%d %v %q: %d with note %d, want %d with %d", c.status, c.fields, c.body, o.Outcome, o.Note, c.how, c.note)
+		if o := judge(&http1.Head{Status: c.status, Fields: c.fields}, []byte(c.body)); o.Outcome != c.how || o.CachedTokens != c.cached || o.StateMissing != c.lost {
+			t.Errorf("%d %v %q: got %+v, want outcome %d, %d cached tokens, state missing %v", c.status, c.fields, c.body, o, c.how, c.cached, c.lost)
 		}
 	}
 }
@@ -53,7 +54,7 @@
 		events []string
 		bad    bool // one of them is no event
 		how    scheduler.Outcome
-		note   int
+		cached int
 	}{
 		{nil, false, scheduler.Errored, 0},
 		{[]string{`{"choices":[]}`}, false, scheduler.Completed, 0},
@@ -68,8 +69,8 @@
 				t.Errorf("%q: passed on %v with error %v", data, pass, err)
 			}
 		}
-		if o := e.Ended(); bad != c.bad || o.Outcome != c.how || o.Note != c.note {
-			t.Errorf("%q: %d with note %d, bad %v", c.events, o.Outcome, o.Note, bad)
+		if o := e.Ended(); bad != c.bad || o.Outcome != c.how || o.CachedTokens != c.cached || o.StateMissing {
+			t.Errorf("%q: %+v, bad %v", c.events, o, bad)
 		}
 		if o := e.Broken(scheduler.ConnectionLost, ""); o.Outcome != scheduler.ConnectionLost { // what has no last chunk is never whole
 			t.Errorf("%q: broken, and yet %d", c.events, o.Outcome)
@@ -82,7 +83,7 @@
 	f.Add(503, `{`, `[DONE]`)
 	f.Fuzz(func(t *testing.T, status int, body, event string) {
 		for _, judge := range []func(*http1.Head, []byte) engine.Result{prefillOutcome, outcome} {
-			if o := judge(&http1.Head{Status: status}, []byte(body)); o.Note < 0 || o.Outcome == scheduler.NoCapacity || o.Outcome == scheduler.Completed {
+			if o := judge(&http1.Head{Status: status}, []byte(body)); o.CachedTokens < 0 || o.StateMissing || o.Outcome == scheduler.NoCapacity || o.Outcome == scheduler.Completed {
 				t.Errorf("%d %q: %+v", status, body, o)
 			}
 		}
--- a/scheduler/api.go
+++ b/scheduler/api.go
@@ -135,3 +135,44 @@
 	OverloadWindow  Micros
 	OverloadFactor  float64
 }
+
+// Arrival is a client's request as the scheduler gets to know it. The counts are tokens.
+type Arrival struct {
+	ID              RequestID
+	Session         SessionID
+	Prefix          PrefixID // of the prompt, shared with other requests; 0 if none is named
+	Class           ClassID
+	Tenant          TenantID
+	PromptTokens    float64
+	PrefixTokens    float64 // of the prompt, those of its shared prefix
+	MaxOutputTokens float64
+	DecodeTime      Micros // that decoding is expected to take; 0 if it is not known
+	Deadline        Micros // by which the client needs its final answer
+}
+
+// EndpointStatus is one entry of the endpoint list.
+type EndpointStatus struct {
+	ID        EndpointID
+	Zone      ZoneID
+	Kind      KindID
+	Cell      CellID
+	State     EndpointState
+	StartedAt Micros // of its process, on the caller's clock; 0 if it is not known
+}
+
+// AttemptResult is how an attempt ended.
+type AttemptResult struct {
+	Outcome       Outcome
+	CachedTokens  int     // of the prompt, those the prefill server had cached; with PrefillDone only
+	StateMissing  bool    // the decode server found no state to fetch; with NoCapacity and ConnectionLost only
+	RequestClosed bool    // the client has its final answer, or has left
+	MemoryUsage   float64 // share of the endpoint's memory that is taken, or NoLoadReport
+}
+
+// InFlight is what a scheduler has under way.
+type InFlight struct {
+	Requests      int
+	Attempts      int
+	Held          int     // requests that wait for capacity
+	PrefillTokens float64 // of the requests that are being prefilled
+}
--- a/scheduler/cost_test.go
+++ b/scheduler/cost_test.go
@@ -53,7 +53,8 @@
 		if i%10 == 4 { // some have just started
 			since = 1000*sec - 3*sec
 		}
-		t.d.EndpointUpdated(t.now, EndpointID(i+1), ZoneID(i/6%3), kind, CellID(i/6), cond, since)
+		t.d.EndpointUpdated(t.now, EndpointStatus{ID: EndpointID(i + 1), Zone: ZoneID(i / 6 % 3), Kind: kind, Cell: CellID(i / 6),
+			State: cond, StartedAt: since})
 	}
 	t.d.EndpointUpdateEnded(t.now, true)
 }
@@ -96,15 +97,16 @@
 
 func (t *town) arrive(product ClassID) RequestID {
 	t.last++
-	t.d.RequestArrived(t.now, t.last, SessionID(t.last), PrefixID(1+t.last%40), product, 0, 2000, 1000, 200, 0, t.now+60*sec)
+	t.d.RequestArrived(t.now, Arrival{ID: t.last, Session: SessionID(t.last), Prefix: PrefixID(1 + t.last%40), Class: product,
+		PromptTokens: 2000, PrefixTokens: 1000, MaxOutputTokens: 200, Deadline: t.now + 60*sec})
 	return t.last
 }
 func (t *town) read(id RequestID) {
-	t.d.AttemptEnded(t.now, id, t.leg[id], PrefillDone, 500, false, NoLoadReport)
+	t.d.AttemptEnded(t.now, id, t.leg[id], AttemptResult{Outcome: PrefillDone, CachedTokens: 500, MemoryUsage: NoLoadReport})
 }
 func (t *town) begin(id RequestID) { t.d.AttemptStarted(t.now, id, t.leg[id]) }
 func (t *town) end(id RequestID, how Outcome) {
-	t.d.AttemptEnded(t.now, id, t.leg[id], how, 0, how == Completed, NoLoadReport)
+	t.d.AttemptEnded(t.now, id, t.leg[id], AttemptResult{Outcome: how, RequestClosed: how == Completed, MemoryUsage: NoLoadReport})
 	if how == Completed {
 		delete(t.at, id)
 	}
--- a/scheduler/rules_test.go
+++ b/scheduler/rules_test.go
@@ -74,7 +74,7 @@
 	g := w.written(1, 3000)
 	w.start(g)
 	g.out().out, g.out().how = false, Cancelled
-	w.d.AttemptEnded(w.now, 1, 1, Cancelled, 0, false, NoLoadReport)
+	w.d.AttemptEnded(w.now, 1, 1, AttemptResult{Outcome: Cancelled, MemoryUsage: NoLoadReport})
 	if len(g.answers) != 1 {
 		t.Errorf("answers %v", g.answers)
 	}
--- a/scheduler/scheduler.go
+++ b/scheduler/scheduler.go
@@ -89,10 +89,10 @@
 
 // --- The list of hosts ---
 
-// EndpointUpdated takes one entry of a list; ListEnded follows the last.
-func (d *Scheduler) EndpointUpdated(now Micros, id EndpointID, zone ZoneID, kind KindID, cell CellID, cond EndpointState,
-	since Micros) {
+// EndpointUpdated takes one entry of a list; EndpointUpdateEnded follows the last.
+func (d *Scheduler) EndpointUpdated(now Micros, e EndpointStatus) {
 	d.now = now
+	id, since := e.ID, e.StartedAt
 	h := d.byID[id]
 	if h == nil {
 		h = &host{id: id, memory: -1, texts: map[PrefixID]bool{}}
@@ -106,11 +106,11 @@
 		h.done, h.readTok, h.readTime, h.heard = 0, 0, 0, 0
 		clear(h.texts)
 	}
-	h.zone, h.kind, h.cell, h.since, h.listed = zone, kind, cell, since, true
+	h.zone, h.kind, h.cell, h.since, h.listed = e.Zone, e.Kind, e.Cell, since, true
 	// A kind that the settings do not name can't be told reader from writer: it gets nothing.
-	h.ready = cond == Ready && int(kind) < len(d.Kinds)
+	h.ready = e.State == Ready && int(e.Kind) < len(d.Kinds)
 	if h.ready {
-		h.role = d.Kinds[kind].Role
+		h.role = d.Kinds[e.Kind].Role
 	}
 }
 
@@ -170,31 +170,31 @@
 // --- A request's way ---
 
 // RequestArrived takes a request; from here on exactly one final answer is owed.
-func (d *Scheduler) RequestArrived(now Micros, id RequestID, session SessionID, prefix PrefixID, product ClassID,
-	tenant TenantID, prompt, shared, most float64, hint, deadline Micros) {
+func (d *Scheduler) RequestArrived(now Micros, a Arrival) {
 	d.now = now
-	g := &request{id: id, product: product, session: session, prefix: prefix, prompt: prompt,
-		shared: shared, growth: most / 2, arrived: now, deadline: deadline}
-	d.gens[id] = g
+	product, tenant := a.Class, a.Tenant
+	g := &request{id: a.ID, product: product, session: a.Session, prefix: a.Prefix, prompt: a.PromptTokens,
+		shared: a.PrefixTokens, growth: a.MaxOutputTokens / 2, arrived: now, deadline: a.Deadline}
+	d.gens[a.ID] = g
 	if int(product) >= len(d.Classes) {
 		d.explain(g, UnknownClass)
 		d.finish(g, d.orders.Fail)
 		return
 	}
 	p := d.Classes[product]
-	if hint > 0 && p.TokenSLO > 0 {
-		g.growth = float64(hint) / float64(p.TokenSLO)
+	if a.DecodeTime > 0 && p.TokenSLO > 0 {
+		g.growth = float64(a.DecodeTime) / float64(p.TokenSLO)
 	}
-	g.slo = now + p.SLO + Micros(float64(p.SLOPer1000)*prompt/1000)
-	d.countPrefix(prefix)
-	blend(&d.typical[product], prompt+g.growth, usualMemory)
+	g.slo = now + p.SLO + Micros(float64(p.SLOPer1000)*a.PromptTokens/1000)
+	d.countPrefix(a.Prefix)
+	blend(&d.typical[product], a.PromptTokens+g.growth, usualMemory)
 	if int(tenant) < len(d.Quotas) {
 		d.allowed[tenant]--
 		g.over = d.allowed[tenant] < 0
 		d.allowed[tenant] = max(d.allowed[tenant], 0)
 	}
 	// Two ticks early: an answer given at the limit itself would reach the client after it has hung up.
-	g.limit = d.due.Set(deadline-2*d.TickInterval-ms, func() { d.giveUp(g, DeadlineReached) })
+	g.limit = d.due.Set(a.Deadline-2*d.TickInterval-ms, func() { d.giveUp(g, DeadlineReached) })
 	d.enter(g)
 	d.arm()
 }
@@ -229,7 +229,7 @@
 	}
 	if r != nil && (len(r.legs) == 0 || wait <= most) {
 		if whole || d.writerAhead(g) {
-			d.send(g, r, d.toRead(r, g), func(how Outcome, _ int) { d.afterRead(g, r, how) })
+			d.send(g, r, d.toRead(r, g), func(res AttemptResult) { d.afterRead(g, r, res.Outcome) })
 			return
 		}
 	}
@@ -247,7 +247,7 @@
 
 // answerAt sends to where the answer is made: the state is fetched, or so much of the prompt read there.
 func (d *Scheduler) answerAt(g *request, w *host, read float64) {
-	d.send(g, w, read, func(how Outcome, note int) { d.afterWrite(g, w, how, note) })
+	d.send(g, w, read, func(res AttemptResult) { d.afterWrite(g, w, res) })
 }
 
 // admit tries what is held again: dearest first, and among equals the newest, which has the most time left;
@@ -321,11 +321,12 @@
 	d.enter(g)
 }
 
-func (d *Scheduler) afterWrite(g *request, w *host, how Outcome, note int) {
-	if note == 1 && (how == NoCapacity || how == ConnectionLost) {
+func (d *Scheduler) afterWrite(g *request, w *host, res AttemptResult) {
+	how := res.Outcome
+	if res.StateMissing && (how == NoCapacity || how == ConnectionLost) {
 		d.dropState(g)
 	}
-	if how != NoCapacity || note != 1 { // else the writer is not to blame, and may be the only one
+	if how != NoCapacity || !res.StateMissing { // else the writer is not to blame, and may be the only one
 		g.tried = append(g.tried, w)
 	}
 	switch {
@@ -400,7 +401,7 @@
 
 // --- Legs ---
 
-func (d *Scheduler) send(g *request, h *host, read float64, then func(Outcome, int)) {
+func (d *Scheduler) send(g *request, h *host, read float64, then func(AttemptResult)) {
 	switch {
 	case g.sent >= d.MaxAttempts:
 		d.giveUp(g, AttemptsExhausted)
@@ -484,16 +485,16 @@
 }
 
 // AttemptEnded hands an attempt's outcome to what the attempt left behind.
-func (d *Scheduler) AttemptEnded(now Micros, id RequestID, no AttemptNo, how Outcome, note int, closed bool,
-	memory float64) {
+func (d *Scheduler) AttemptEnded(now Micros, id RequestID, no AttemptNo, res AttemptResult) {
 	d.now = now
+	how := res.Outcome
 	l := d.legOut(id, no)
 	if l == nil {
 		return
 	}
 	g, h, work := l.gen, l.host, l.work
 	d.uncount(l)
-	d.hear(h, memory)
+	d.hear(h, res.MemoryUsage)
 	if !l.started && (how == TimedOut || how == Cancelled) {
 		d.learnHandover(l)
 	}
@@ -504,15 +505,15 @@
 		}
 		d.noConnection.learn(d, 0, failed)
 	}
-	d.judge(h, l, how, note)
+	d.judge(h, l, res)
 	if how == PrefillDone {
-		d.learnRead(h, l, g, work, float64(note))
+		d.learnRead(h, l, g, work, float64(res.CachedTokens))
 	}
 	if l.writes && g.ran == nil && !how.KnownNotRun() {
 		g.ran = l
 	}
 	switch {
-	case closed || g.answered:
+	case res.RequestClosed || g.answered:
 		g.answered = true
 		if !l.writes && !d.Classes[g.product].PrefillOnly {
 			g.state = h // also a read that was cut off may have ended; letting go is free
@@ -522,7 +523,7 @@
 		// It ended without closing, as when our cancel crossed its start: an answer is still owed.
 		d.giveUp(g, StreamEndedEarly)
 	default:
-		l.then(how, note)
+		l.then(res)
 	}
 	d.admit(false)
 	d.arm()
@@ -1046,15 +1047,15 @@
 }
 
 // judge draws from an outcome what it says of the host.
-func (d *Scheduler) judge(h *host, l *attempt, how Outcome, note int) {
-	switch how {
+func (d *Scheduler) judge(h *host, l *attempt, res AttemptResult) {
+	switch how := res.Outcome; how {
 	case Completed, PrefillDone:
 		h.heard = d.now
 		d.well(h)
 		d.age(h)
 		h.done += d.typical[l.gen.product]
 	case NoCapacity:
-		if note != 1 { // that a state is gone may be known without a word from the host
+		if !res.StateMissing { // that a state is gone may be known without a word from the host
 			h.heard = d.now
 			h.fullUntil = d.now + fullRest
 		}
--- a/scheduler/state.go
+++ b/scheduler/state.go
@@ -110,7 +110,7 @@
 	from    CellID // this one
 	dropped bool   // cancelled by us
 	fresh   bool   // sent without a connection to the host
-	then    func(how Outcome, note int)
+	then    func(AttemptResult)
 }
 
 // request is one client's request while this dispatcher owes anything for it.
@@ -243,12 +243,13 @@
 	return x ^ x>>31
 }
 
-// InFlight is what the instance has under way: requests, attempts that are out, requests held, tokens being read.
-func (d *Scheduler) InFlight() (gens, legs, held int, reading float64) {
+// InFlight tells what is under way.
+func (d *Scheduler) InFlight() InFlight {
+	attempts := 0
 	for _, g := range d.gens {
 		if g.out != nil {
-			legs++
+			attempts++
 		}
 	}
-	return len(d.gens), legs, len(d.held) - d.gone, d.underway
+	return InFlight{Requests: len(d.gens), Attempts: attempts, Held: len(d.held) - d.gone, PrefillTokens: d.underway}
 }
--- a/scheduler/world_test.go
+++ b/scheduler/world_test.go
@@ -77,7 +77,7 @@
 func (w *world) list(hs ...*seen) {
 	for _, h := range hs {
 		w.hosts[h.id] = h
-		w.d.EndpointUpdated(w.now, h.id, h.zone, h.kind, h.cell, h.cond, h.since)
+		w.d.EndpointUpdated(w.now, EndpointStatus{ID: h.id, Zone: h.zone, Kind: h.kind, Cell: h.cell, State: h.cond, StartedAt: h.since})
 	}
 	w.d.EndpointUpdateEnded(w.now, false)
 }
@@ -99,7 +99,8 @@
 	g := &told{id: id, product: product, deadline: w.now + left}
 	w.gens[id] = g
 	w.order = append(w.order, id)
-	w.d.RequestArrived(w.now, id, SessionID(id), prefix, product, 0, prompt, shared, 100, 0, g.deadline)
+	w.d.RequestArrived(w.now, Arrival{ID: id, Session: SessionID(id), Prefix: prefix, Class: product, PromptTokens: prompt,
+		PrefixTokens: shared, MaxOutputTokens: 100, Deadline: g.deadline})
 	return g
 }
 
@@ -132,7 +133,8 @@
 	case g.waiting != 0:
 		g.waiting = w.now
 	}
-	w.d.AttemptEnded(w.now, g.id, AttemptNo(len(g.legs)-1), how, note, g.closed || len(g.answers) > 0, NoLoadReport)
+	w.d.AttemptEnded(w.now, g.id, AttemptNo(len(g.legs)-1), AttemptResult{Outcome: how, CachedTokens: note, StateMissing: note == 1,
+		RequestClosed: g.closed || len(g.answers) > 0, MemoryUsage: NoLoadReport})
 }
 
 // pass lets time go by, ringing what is due and holding the state and answer rules to their times.
@@ -305,7 +307,7 @@
 			w.arrive(id, ClassID(r.Intn(len(w.place.Classes))), float64(3000+r.Intn(2000)),
 				Micros(r.Int63n(int64(6*sec))))
 		case 5:
-			w.d.AttemptEnded(w.now, RequestID(r.Intn(20)), 99, Errored, 0, false, NoLoadReport)
+			w.d.AttemptEnded(w.now, RequestID(r.Intn(20)), 99, AttemptResult{Outcome: Errored, MemoryUsage: NoLoadReport})
 			w.d.AttemptStarted(w.now, 1<<40, 0)
 			w.d.ClientDisconnected(w.now, 1<<40)
 		}
