--- /dev/null
+++ b/internal/dispatch/stored_intents_test.go
@@ -0,0 +1,128 @@
+package dispatch
+
+import (
+	"encoding/json"
+	"fmt"
+	"os"
+	"testing"
+
+	"github.com/rs/zerolog"
+
+	"plumspindle/internal/eventloop"
+	"plumspindle/internal/store"
+)
+
+// When the folder in testdata was written, in microseconds since 1970. Its dispatcher was killed at intentsKilled; the windows are
+// those of the standard deployment.
+const (
+	intentsKilled eventloop.Micros = 1796217380651553
+	reviewPost                     = 600 * eventloop.Second
+	buildNote                      = 5 * eventloop.Second
+)
+
+// storedRequest is one whose intent is in the folder.
+type storedRequest struct {
+	product string
+	key     string
+	tokens  int
+	until   eventloop.Micros // its key is remembered, by a dispatcher that starts at intentsKilled
+}
+
+var storedRequests = []storedRequest{
+	{"review-post", "ended before the snapshot", 5, 1796217970922933},
+	{"build-note", "any", 3, 1796217381549450},
+	{"review-post", "makes the lazy records durable", 3, 1796217976589874},
+	{"review-post", "ended after the snapshot", 5, 1796217980260315},
+	{"build-note", "ended in its window", 3, 1796217385300671},
+	{"review-post", "cut off in its stream", 250, intentsKilled + reviewPost},
+	{"build-note", "cut off in its window", 190, intentsKilled + buildNote},
+}
+
+// body is the request as it was sent when the folder was written; its digest is in the intent.
+func (s storedRequest) body(tokens int) string {
+	return fmt.Sprintf(`{"model": %q, "stream": true, "max_tokens": %d, "messages": [{"role": "user", "content": %q}]}`, s.product, tokens, "why "+s.key+"?")
+}
+
+// storedDisk is a copy in memory of the folder in testdata.
+func storedDisk(t *testing.T, loop eventloop.Loop) *instant {
+	t.Helper()
+	const folder = "testdata/intents-v1"
+	files, err := os.ReadDir(folder)
+	if err != nil {
+		t.Fatal(err)
+	}
+	disk := &instant{loop: loop, files: map[string][]byte{}}
+	for _, f := range files {
+		if disk.files[f.Name()], err = os.ReadFile(folder + "/" + f.Name()); err != nil {
+			t.Fatal(err)
+		}
+	}
+	return disk
+}
+
+// startFromStored starts a dispatcher from the folder in testdata, at a time.
+func startFromStored(t *testing.T, at eventloop.Micros) *rig {
+	t.Helper()
+	r := newRig(t, nil, "prefill west", "decode west")
+	loop := r.w.Loop("d.stored")
+	loop.Step(at - loop.Now())
+	r.loop = loop
+	r.list.Saved = int64(at)
+	list, err := json.Marshal(r.list)
+	if err != nil {
+		t.Fatal(err)
+	}
+	loop.Do(func() {
+		intents, err := store.Open(storedDisk(t, loop), store.Usual)
+		if err != nil {
+			t.Fatal(err)
+		}
+		r.x, err = Start(loop, r.d, Post{Name: "d.stored", Zone: "west", Seed: 1, Kept: [][]byte{list}, Intents: intents, Log: zerolog.Nop()})
+		if err != nil {
+			t.Fatal(err)
+		}
+		ln, err := loop.Listen("127.0.0.1:0", r.x.Front().Accept)
+		if err != nil {
+			t.Fatal(err)
+		}
+		r.addr = ln.Addr()
+	})
+	return r
+}
+
+// Each intent that an earlier version wrote down is recalled with its key, the digest of its request, and the end of its time: until then
+// a repeat is refused as one that ran, another request under its key as a misuse, and after it the key is free.
+func TestRecallsIntentsOfEarlierVersion(t *testing.T) {
+	const around = 100 * eventloop.Millisecond // a request takes less to arrive
+	for _, s := range storedRequests {
+		t.Run(s.key, func(t *testing.T) {
+			for _, ask := range []struct {
+				at     eventloop.Micros
+				key    string
+				tokens int
+				want   string
+			}{
+				{intentsKilled, s.key, s.tokens, "409"},
+				{intentsKilled, s.key, s.tokens + 1, "422"},
+				{intentsKilled, "never used", s.tokens, "streamed"},
+				{s.until - around, s.key, s.tokens, "409"},
+				{s.until + 1, s.key, s.tokens, "streamed"},
+			} {
+				r := startFromStored(t, intentsKilled)
+				r.virtual().Step(ask.at - r.virtual().Now())
+				r.ends(r.send(s.body(ask.tokens), "Idempotency-Key", ask.key), ask.want)
+			}
+		})
+	}
+}
+
+// A key whose time had passed before the start is free.
+func TestForgetsIntentsOfEarlierVersionInTime(t *testing.T) {
+	for _, s := range storedRequests {
+		if s.product != "build-note" || s.until == intentsKilled+buildNote { // what was cut off is remembered from the start on
+			continue
+		}
+		r := startFromStored(t, s.until+1)
+		r.ends(r.send(s.body(s.tokens), "Idempotency-Key", s.key), "streamed")
+	}
+}
