--- a/internal/admin/stored_test.go
+++ b/internal/admin/stored_test.go
@@ -50,7 +50,7 @@
 // serve starts an administration on a folder.
 func serve(t *testing.T, dir string) api {
 	t.Helper()
-	records, err := admin.OpenKept(dir)
+	records, err := admin.OpenStoredRecords(dir)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -268,7 +268,7 @@
 func TestReadsEachRecordOfEarlierVersion(t *testing.T) {
 	for _, fixture := range []string{"records-v1", "records-v1-removing"} {
 		t.Run(fixture, func(t *testing.T) {
-			records, err := admin.OpenKept(copiedRecords(t, fixture))
+			records, err := admin.OpenStoredRecords(copiedRecords(t, fixture))
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -293,7 +293,7 @@
 func TestKeepsTheFilesOfBeforeTheStore(t *testing.T) {
 	const fixture = "records-before-store"
 	dir := copiedRecords(t, fixture)
-	records, err := admin.OpenKept(dir)
+	records, err := admin.OpenStoredRecords(dir)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/dispatch/stored_intents_test.go
+++ b/internal/dispatch/stored_intents_test.go
@@ -77,7 +77,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		r.x, err = Start(loop, r.d, Post{Name: "d.stored", Zone: "west", Seed: 1, Kept: [][]byte{list}, Intents: intents, Log: zerolog.Nop()})
+		r.x, err = Start(loop, r.d, Config{Name: "d.stored", Zone: "west", Seed: 1, CachedEndpoints: [][]byte{list}, Intents: intents, Log: zerolog.Nop()})
 		if err != nil {
 			t.Fatal(err)
 		}
--- a/internal/roster/kept_list_test.go
+++ b/internal/endpoints/cached_list_test.go
@@ -1,15 +1,15 @@
-package roster_test
+package endpoints_test
 
 import (
 	"os"
 	"slices"
 	"testing"
 
-	"plumspindle/internal/roster"
+	"plumspindle/internal/endpoints"
 )
 
 // keptEntries are the hosts of both kept lists in testdata.
-var keptEntries = []roster.Entry{
+var keptEntries = []endpoints.Entry{
 	{ID: 105, Addr: "127.0.0.1:45973", Zone: "west", Kind: "prefill", Cell: 0, Condition: "ready", Started: 1796213769732894},
 	{ID: 112, Addr: "127.0.0.1:33841", Zone: "west", Kind: "prefill", Cell: 1, Condition: "draining", Started: 1796213768732894},
 	{ID: 115, Addr: "127.0.0.1:38505", Zone: "west", Kind: "decode", Cell: 0, Condition: "ready", Started: 1796213767732894},
@@ -37,7 +37,7 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			var restored roster.Follower
+			var restored endpoints.View
 			entries, saved, err := restored.Restore(kept)
 			if err != nil {
 				t.Fatal(err)
@@ -51,8 +51,8 @@
 			if restored.Epoch != "" || restored.Version != 0 {
 				t.Errorf("epoch %q, version %d of a kept list are believed", restored.Epoch, restored.Version)
 			}
-			var followed roster.Follower
-			if _, whole, err := followed.Take(kept); err != nil || !whole {
+			var followed endpoints.View
+			if _, whole, err := followed.Apply(kept); err != nil || !whole {
 				t.Fatalf("whole %v: %v", whole, err)
 			}
 			if written := followed.Snapshot(c.saved); string(written) != string(kept) {
--- a/internal/tenancy/kept_tenants_test.go
+++ b/internal/tenancy/cached_tenants_test.go
@@ -52,7 +52,7 @@
 		t.Fatal(err)
 	}
 	directory := tenancy.NewDirectory([]byte(testSecret))
-	tenants, err := directory.Take(kept)
+	tenants, err := directory.Apply(kept)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -83,7 +83,7 @@
 		{"sk-f42c75bfc801-adb42e1b9829951a232a799fcf4c647f73c42c20d3f2141e", ""}, // of a tenant that was removed
 	} {
 		const beforeExpiry = 4102444799
-		tenant, _, known := directory.Whose(beforeExpiry, c.key)
+		tenant, _, known := directory.Authenticate(beforeExpiry, c.key)
 		if known != (c.tenant != "") || known && tenant.Name != c.tenant {
 			t.Errorf("key %.15s: known %v, want tenant %q", c.key, known, c.tenant)
 		}
