--- /dev/null
+++ b/scripts/readability/main.go
@@ -0,0 +1,171 @@
+// Command readability prints a table of the module's packages for docs/status.md: the largest hand-written file, the
+// longest function, the lines over 120 characters, and how many words of the withdrawn house style are left in
+// identifiers and comments. Test files are left out. It reads source only and changes nothing.
+package main
+
+import (
+	"bufio"
+	"bytes"
+	"fmt"
+	"go/ast"
+	"go/parser"
+	"go/token"
+	"io/fs"
+	"os"
+	"path/filepath"
+	"regexp"
+	"slices"
+	"strings"
+	"unicode"
+)
+
+const maxLine = 120
+
+// withdrawn are the words that give way to the terms of the field; they are matched as whole words in comments and as
+// parts of identifiers.
+var withdrawn = []string{
+	"kept", "told", "tell", "tells", "news", "leg", "legs", "gen", "gens", "generation", "generations", "room",
+	"plant", "plants", "planted", "home", "homes", "owed", "seat", "seats", "beat", "beats", "ill", "heals",
+	"roster", "reader", "readers", "writer", "writers", "throttled", "terminated", "trouble", "troubles",
+}
+
+// figures are what is printed of one package.
+type figures struct {
+	largestFile     string
+	fileLines       int
+	longestFunction string
+	functionLines   int
+	longLines       int
+	words           int
+}
+
+func main() {
+	packages, err := measure(os.DirFS("."))
+	if err != nil {
+		fmt.Fprintln(os.Stderr, "readability:", err)
+		os.Exit(1)
+	}
+	fmt.Println("| package | largest file | longest function | lines over 120 | withdrawn words |")
+	fmt.Println("| --- | --- | --- | --- | --- |")
+	for _, name := range sortedKeys(packages) {
+		f := packages[name]
+		fmt.Printf("| `%s` | %s %d | %s %d | %d | %d |\n", name, f.largestFile, f.fileLines, f.longestFunction,
+			f.functionLines, f.longLines, f.words)
+	}
+}
+
+func sortedKeys(packages map[string]*figures) []string {
+	names := make([]string, 0, len(packages))
+	for name := range packages {
+		names = append(names, name)
+	}
+	slices.Sort(names)
+	return names
+}
+
+// measure walks the tree and measures each hand-written Go file that is not a test.
+func measure(tree fs.FS) (map[string]*figures, error) {
+	packages := map[string]*figures{}
+	err := fs.WalkDir(tree, ".", func(path string, entry fs.DirEntry, err error) error {
+		if err != nil {
+			return err
+		}
+		if entry.IsDir() && (strings.HasPrefix(entry.Name(), ".") && path != "." || entry.Name() == "testdata") {
+			return fs.SkipDir
+		}
+		if !strings.HasSuffix(path, ".go") || strings.HasSuffix(path, "_test.go") {
+			return nil
+		}
+		source, err := fs.ReadFile(tree, path)
+		if err != nil {
+			return err
+		}
+		return measureFile(packages, path, source)
+	})
+	return packages, err
+}
+
+func measureFile(packages map[string]*figures, path string, source []byte) error {
+	files := token.NewFileSet()
+	parsed, err := parser.ParseFile(files, path, source, parser.ParseComments)
+	if err != nil {
+		return fmt.Errorf("parsing %s: %w", path, err)
+	}
+	if ast.IsGenerated(parsed) {
+		return nil
+	}
+	name := filepath.ToSlash(filepath.Dir(path))
+	f := packages[name]
+	if f == nil {
+		f = &figures{}
+		packages[name] = f
+	}
+	lines, long := countLines(source)
+	f.longLines += long
+	if lines > f.fileLines {
+		f.largestFile, f.fileLines = filepath.Base(path), lines
+	}
+	for _, declaration := range parsed.Decls {
+		function, ok := declaration.(*ast.FuncDecl)
+		if !ok {
+			continue
+		}
+		length := files.Position(function.End()).Line - files.Position(function.Pos()).Line + 1
+		if length > f.functionLines {
+			f.longestFunction, f.functionLines = function.Name.Name, length
+		}
+	}
+	f.words += withdrawnWords(parsed)
+	return nil
+}
+
+func countLines(source []byte) (lines, long int) {
+	scanner := bufio.NewScanner(bytes.NewReader(source))
+	for scanner.Scan() {
+		lines++
+		if len([]rune(scanner.Text())) > maxLine {
+			long++
+		}
+	}
+	return lines, long
+}
+
+var word = regexp.MustCompile(`[A-Za-z]+`)
+
+// withdrawnWords counts the withdrawn words in a file's identifiers and comments; strings, which may be wire words, are
+// not looked at.
+func withdrawnWords(file *ast.File) (count int) {
+	ast.Inspect(file, func(node ast.Node) bool {
+		if identifier, ok := node.(*ast.Ident); ok {
+			count += countWithdrawn(splitIdentifier(identifier.Name))
+		}
+		return true
+	})
+	for _, group := range file.Comments {
+		count += countWithdrawn(word.FindAllString(group.Text(), -1))
+	}
+	return count
+}
+
+func countWithdrawn(words []string) (count int) {
+	for _, w := range words {
+		if slices.Contains(withdrawn, strings.ToLower(w)) {
+			count++
+		}
+	}
+	return count
+}
+
+// splitIdentifier splits at changes from lower to upper case, at digits and at underscores.
+func splitIdentifier(name string) []string {
+	var parts []string
+	start := 0
+	runes := []rune(name)
+	for i := 1; i < len(runes); i++ {
+		if unicode.IsUpper(runes[i]) && !unicode.IsUpper(runes[i-1]) {
+			parts = append(parts, string(runes[start:i]))
+			start = i
+		}
+	}
+	return append(parts, word.FindAllString(string(runes[start:]), -1)...)
+}
