--- a/internal/benchadapter/benchadapter.go
+++ b/internal/benchadapter/benchadapter.go
@@ -157,8 +157,8 @@
 			PromptTokens:    f32(e[50:]),
 			PrefixTokens:    f32(e[9:]),
 			MaxOutputTokens: f32(e[21:]),
-			DecodeTime:      settings.Micros(u64(e[34:])),
-			Deadline:        settings.Micros(u64(e[42:])),
+			DecodeTime:      settings.MicrosFromNanos(u64(e[34:])),
+			Deadline:        settings.MicrosFromNanos(u64(e[42:])),
 		})
 	case 40:
 		in.AttemptStarted(s.now, scheduler.RequestID(u64(e[1:])), scheduler.AttemptNo(binary.LittleEndian.Uint16(e[9:])))
@@ -196,9 +196,9 @@
 	if err != nil {
 		return err
 	}
-	in := &instance{stage: s, who: at, memoryAt: slices.Index(t.Report, "x0")}
+	in := &instance{stage: s, who: at, memoryAt: slices.Index(t.LoadReportFields, "x0")}
 	s.instances[at] = in
-	in.Scheduler = scheduler.New(s.now, int64(seed), t.Place, in)
+	in.Scheduler = scheduler.New(s.now, int64(seed), t.Scheduler, in)
 	return nil
 }
 
@@ -217,7 +217,7 @@
 			Kind:      scheduler.KindID(raw[5]),
 			Cell:      scheduler.CellID(binary.LittleEndian.Uint16(raw[6:])),
 			State:     conditions[raw[8]],
-			StartedAt: settings.Micros(u64(raw[13:])),
+			StartedAt: settings.MicrosFromNanos(u64(raw[13:])),
 		})
 	}
 	in.EndpointUpdateEnded(s.now, e[10] != 0)
--- a/internal/cli/program.go
+++ b/internal/cli/program.go
@@ -319,7 +319,7 @@
 		return err
 	}
 	if c.ListOut != "" {
-		list, err := json.Marshal(endpoints.Update{Complete: true, Hosts: fleet.Entries()})
+		list, err := json.Marshal(endpoints.Update{Complete: true, Endpoints: fleet.Entries()})
 		if err != nil {
 			return err
 		}
--- a/internal/dispatch/boot.go
+++ b/internal/dispatch/boot.go
@@ -23,23 +23,23 @@
 		var hosts []endpointcache.Endpoint
 		for _, e := range entries {
 			byID[uint32(e.ID)] = e
-			hosts = append(hosts, endpointcache.Endpoint{ID: uint32(e.ID), Group: e.Zone + "/" + e.Kind, Started: eventloop.Micros(e.Started)})
+			hosts = append(hosts, endpointcache.Endpoint{ID: uint32(e.ID), Group: e.Zone + "/" + e.Kind, StartedAt: eventloop.Micros(e.StartedAt)})
 		}
-		trust := endpointcache.Assess(now, eventloop.Micros(saved))
+		trust := endpointcache.FreshnessOf(now, eventloop.Micros(saved))
 		x.post.Log.Info().Int("hosts", len(hosts)).Str("trust", trust.String()).Int64("age_ms", int64((now-eventloop.Micros(saved))/eventloop.Millisecond)).
 			Msg("starting with a kept list")
 		for _, w := range endpointcache.Plan(now, trust, hosts) {
 			var wave []endpoints.Entry
-			for _, h := range w.Hosts {
+			for _, h := range w.Endpoints {
 				e := byID[h.ID]
-				e.Started = int64(h.Started)
+				e.StartedAt = int64(h.StartedAt)
 				wave = append(wave, e)
 			}
-			if w.After == 0 {
+			if w.Delay == 0 {
 				x.tell(wave, false)
 				continue
 			}
-			x.loop.After(w.After, func() {
+			x.loop.After(w.Delay, func() {
 				if x.heard == 0 { // discovery is still away
 					x.tell(wave, false)
 				}
@@ -87,7 +87,7 @@
 		}
 		var gone []endpoints.Entry
 		for _, e := range missing {
-			if now, some := x.list.Hosts[e.ID]; !some || now.State() != scheduler.Ready {
+			if now, some := x.list.Endpoints[e.ID]; !some || now.State() != scheduler.Ready {
 				gone = append(gone, e)
 			}
 		}
--- a/internal/dispatch/dispatch.go
+++ b/internal/dispatch/dispatch.go
@@ -90,7 +90,7 @@
 	module   *scheduler.Scheduler
 	place    scheduler.Config
 	engine   *engine.Engine
-	list     *endpoints.Watch
+	list     *endpoints.Watcher
 	front    *frontend.Server
 	gens     map[scheduler.RequestID]*gen
 	lastGen  scheduler.RequestID
@@ -197,7 +197,7 @@
 	if err := x.seatTenants(); err != nil {
 		return nil, err
 	}
-	x.list = endpoints.NewWatch(loop, post.Seed, post.Discovery, post.Name)
+	x.list = endpoints.NewWatcher(loop, post.Seed, post.Discovery, post.Name)
 	x.list.OnUpdate = x.news
 	x.list.Log = func(line string) { post.Log.Warn().Msg(line) }
 	x.begin()
@@ -294,7 +294,7 @@
 	now := x.loop.Now()
 	var stamps []eventloop.Micros
 	for _, e := range entries {
-		stamps = append(stamps, eventloop.Micros(e.Started))
+		stamps = append(stamps, eventloop.Micros(e.StartedAt))
 	}
 	ahead := starttimes.ClockSkew(now, stamps...)
 	for _, e := range entries {
@@ -318,7 +318,7 @@
 		} else {
 			x.engine.SetAddress(e.ID, e.Addr)
 		}
-		start := starttimes.Next(x.starts[e.ID], eventloop.Micros(e.Started), now, ahead, x.heard > 1)
+		start := starttimes.Next(x.starts[e.ID], eventloop.Micros(e.StartedAt), now, ahead, x.heard > 1)
 		if e.Condition != "gone" {
 			x.starts[e.ID] = start
 		}
--- a/internal/dispatch/dispatch_test.go
+++ b/internal/dispatch/dispatch_test.go
@@ -447,7 +447,7 @@
 	if err != nil || len(entries) == 0 || f.Version != 0 {
 		t.Fatalf("%v, %d entries, version %d", err, len(entries), f.Version)
 	}
-	if e := f.Hosts[scheduler.EndpointID(2)]; e.State() != scheduler.Ready {
+	if e := f.Endpoints[scheduler.EndpointID(2)]; e.State() != scheduler.Ready {
 		t.Errorf("host 2: %+v", e)
 	}
 }
@@ -522,7 +522,7 @@
 	}{{"fresh", eventloop.Second, false, 60, 60}, {"stale", 3600 * eventloop.Second, false, 5, 25}, {"old", 48 * 3600 * eventloop.Second, false, 3, 25}, {"torn", eventloop.Second, true, 60, 60}} {
 		r := newRig(t, nil, "prefill west", "prefill west", "prefill west", "prefill west", "decode west", "decode west", "decode west", "decode west")
 		list := r.list
-		list.Saved = int64(r.w.Now() - c.age)
+		list.SavedAt = int64(r.w.Now() - c.age)
 		kept, _ := json.Marshal(list)
 		lists := [][]byte{kept}
 		if c.torn {
@@ -599,7 +599,7 @@
 		}
 		if back {
 			r.loop.Do(func() {
-				r.x.list.Hosts = map[scheduler.EndpointID]endpoints.Entry{1: r.hosts[0].entry("ready"), 3: r.hosts[2].entry("ready")}
+				r.x.list.Endpoints = map[scheduler.EndpointID]endpoints.Entry{1: r.hosts[0].entry("ready"), 3: r.hosts[2].entry("ready")}
 				r.x.news([]endpoints.Entry{r.hosts[0].entry("ready"), r.hosts[2].entry("ready")}, true)
 			})
 		}
--- a/internal/dispatch/rig_test.go
+++ b/internal/dispatch/rig_test.go
@@ -172,7 +172,7 @@
 // bring brings up the hosts and the dispatcher.
 func (r *rig) bring(hosts []string) {
 	r.t.Helper()
-	r.list = endpoints.Update{Epoch: "e", Version: 1, Complete: true, Saved: int64(r.far.Now())}
+	r.list = endpoints.Update{Epoch: "e", Version: 1, Complete: true, SavedAt: int64(r.far.Now())}
 	for i, h := range hosts {
 		kind, zone, _ := strings.Cut(h, " ")
 		s := &script{rig: r, id: uint32(i + 1), kind: kind, zone: zone, serve: read}
@@ -181,7 +181,7 @@
 		}
 		r.far.Do(s.up)
 		r.hosts = append(r.hosts, s)
-		r.list.Hosts = append(r.list.Hosts, s.entry("ready"))
+		r.list.Endpoints = append(r.list.Endpoints, s.entry("ready"))
 	}
 	r.kept, _ = json.Marshal(r.list)
 	var err error
--- a/internal/endpointcache/endpointcache.go
+++ b/internal/endpointcache/endpointcache.go
@@ -23,22 +23,22 @@
 	doubtPart = 0.6               // of the drain grace, for which that is
 )
 
-// Trust is how far a kept list is believed.
-type Trust uint8
+// Freshness is how far a kept list is believed.
+type Freshness uint8
 
 const (
-	Fresh Trust = iota // as it is
-	Stale              // each host may have restarted since, or be gone: as if it had just started
-	Old                // the same, and only a part of the hosts at a time
+	Fresh Freshness = iota // as it is
+	Stale                  // each host may have restarted since, or be gone: as if it had just started
+	Old                    // the same, and only a part of the hosts at a time
 )
 
 var names = [...]string{"fresh", "stale", "old"}
 
-func (t Trust) String() string { return names[t] }
+func (t Freshness) String() string { return names[t] }
 
-// Assess tells how far a list that was kept at a time is believed now. A time that lies ahead, or none, says nothing about
+// FreshnessOf tells how far a list that was kept at a time is believed now. A time that lies ahead, or none, says nothing about
 // its age; such a list is taken to be stale.
-func Assess(now, kept Micros) Trust {
+func FreshnessOf(now, kept Micros) Freshness {
 	switch age := now - kept; {
 	case kept <= 0 || age < 0:
 		return Stale
@@ -52,26 +52,26 @@
 
 // Endpoint is what of a host matters here.
 type Endpoint struct {
-	ID      uint32
-	Group   string // hosts of one group can stand in for each other: one zone and kind
-	Started Micros
+	ID        uint32
+	Group     string // hosts of one group can stand in for each other: one zone and kind
+	StartedAt Micros
 }
 
 // Batch is a part of a list and how long after the start it is used.
 type Batch struct {
-	After Micros
-	Hosts []Endpoint
+	Delay     Micros
+	Endpoints []Endpoint
 }
 
 // Plan parts a kept list into waves. Each of an old one has its part of every group, so that there are readers and writers
 // from the first on; hosts that are dead cost failed connections, and a whole fleet of them would cost all of them at once.
-func Plan(now Micros, trust Trust, hosts []Endpoint) []Batch {
+func Plan(now Micros, trust Freshness, hosts []Endpoint) []Batch {
 	if trust == Fresh {
 		return []Batch{{0, hosts}}
 	}
 	careful := slices.Clone(hosts)
 	for i := range careful {
-		careful[i].Started = now
+		careful[i].StartedAt = now
 	}
 	if trust == Stale {
 		return []Batch{{0, careful}}
@@ -79,14 +79,14 @@
 	parts := make([]Batch, waves)
 	seen := map[string]int{}
 	for i := range parts {
-		parts[i].After = Micros(i) * waveEvery
+		parts[i].Delay = Micros(i) * waveEvery
 	}
 	for _, h := range careful {
 		n := seen[h.Group] % waves
 		seen[h.Group]++
-		parts[n].Hosts = append(parts[n].Hosts, h)
+		parts[n].Endpoints = append(parts[n].Endpoints, h)
 	}
-	return slices.DeleteFunc(parts, func(w Batch) bool { return len(w.Hosts) == 0 })
+	return slices.DeleteFunc(parts, func(w Batch) bool { return len(w.Endpoints) == 0 })
 }
 
 // RemovalDelay tells for how long it is not believed that hosts are gone because a whole list leaves them out: discovery that has
--- a/internal/endpointcache/endpointcache_test.go
+++ b/internal/endpointcache/endpointcache_test.go
@@ -7,9 +7,9 @@
 
 func TestWeigh(t *testing.T) {
 	now := 1_000_000 * second
-	for age, want := range map[Micros]Trust{0: Fresh, second: Fresh, 60 * second: Stale, 3600 * second: Stale, 24 * 3600 * second: Old,
+	for age, want := range map[Micros]Freshness{0: Fresh, second: Fresh, 60 * second: Stale, 3600 * second: Stale, 24 * 3600 * second: Old,
 		-3600 * second: Stale, now: Stale, now + 5: Stale} {
-		if got := Assess(now, now-age); got != want {
+		if got := FreshnessOf(now, now-age); got != want {
 			t.Errorf("age %d s: %v, want %v", age/second, got, want)
 		}
 	}
@@ -18,24 +18,24 @@
 func TestPlan(t *testing.T) {
 	var hosts []Endpoint
 	for i := range 23 {
-		hosts = append(hosts, Endpoint{ID: uint32(i), Group: fmt.Sprint("g", i%4), Started: 5})
+		hosts = append(hosts, Endpoint{ID: uint32(i), Group: fmt.Sprint("g", i%4), StartedAt: 5})
 	}
-	for _, trust := range []Trust{Fresh, Stale, Old} {
+	for _, trust := range []Freshness{Fresh, Stale, Old} {
 		seen := map[uint32]int{}
 		for n, w := range Plan(1000, trust, hosts) {
 			groups := map[string]bool{}
-			for _, h := range w.Hosts {
+			for _, h := range w.Endpoints {
 				seen[h.ID]++
 				groups[h.Group] = true
-				if want := map[bool]Micros{true: 5, false: 1000}[trust == Fresh]; h.Started != want {
-					t.Errorf("%v: started %d", trust, h.Started)
+				if want := map[bool]Micros{true: 5, false: 1000}[trust == Fresh]; h.StartedAt != want {
+					t.Errorf("%v: started %d", trust, h.StartedAt)
 				}
 			}
 			if len(groups) != 4 {
 				t.Errorf("%v: wave %d has %d groups of 4", trust, n, len(groups))
 			}
-			if trust == Old && len(w.Hosts) > 8 || w.After != Micros(n)*waveEvery {
-				t.Errorf("%v: wave %d has %d hosts after %d", trust, n, len(w.Hosts), w.After)
+			if trust == Old && len(w.Endpoints) > 8 || w.Delay != Micros(n)*waveEvery {
+				t.Errorf("%v: wave %d has %d hosts after %d", trust, n, len(w.Endpoints), w.Delay)
 			}
 		}
 		if len(seen) != len(hosts) {
--- a/internal/endpoints/endpoints.go
+++ b/internal/endpoints/endpoints.go
@@ -20,17 +20,17 @@
 	Kind      string               `json:"kind"`
 	Cell      uint16               `json:"cell"`
 	Condition string               `json:"condition"` // ready, draining or gone
-	Started   int64                `json:"started_us,omitempty"`
+	StartedAt int64                `json:"started_us,omitempty"`
 }
 
 // Update is one message: the whole list, or what has changed since a version.
 type Update struct {
-	Epoch    string  `json:"epoch"` // of the source's own life; versions count within it
-	Version  uint64  `json:"version"`
-	Since    uint64  `json:"since,omitempty"`
-	Complete bool    `json:"whole,omitempty"`
-	Hosts    []Entry `json:"hosts"`
-	Saved    int64   `json:"saved_us,omitempty"` // when it was kept; only in a kept list
+	Epoch     string  `json:"epoch"` // of the source's own life; versions count within it
+	Version   uint64  `json:"version"`
+	Since     uint64  `json:"since,omitempty"`
+	Complete  bool    `json:"whole,omitempty"`
+	Endpoints []Entry `json:"hosts"`
+	SavedAt   int64   `json:"saved_us,omitempty"` // when it was kept; only in a kept list
 }
 
 var conditions = map[string]scheduler.EndpointState{"ready": scheduler.Ready, "draining": scheduler.Draining, "gone": scheduler.Removed}
@@ -40,9 +40,9 @@
 
 // View knows the list as it was last told.
 type View struct {
-	Epoch   string
-	Version uint64
-	Hosts   map[scheduler.EndpointID]Entry
+	Epoch     string
+	Version   uint64
+	Endpoints map[scheduler.EndpointID]Entry
 }
 
 // Apply reads one message. It gives the entries to be passed on, and whether they are the whole list; none for a
@@ -52,7 +52,7 @@
 	if err := json.Unmarshal(data, &l); err != nil {
 		return nil, false, fmt.Errorf("not a list: %w", err)
 	}
-	for i, e := range l.Hosts {
+	for i, e := range l.Endpoints {
 		if _, known := conditions[e.Condition]; !known {
 			return nil, false, fmt.Errorf("hosts[%d] (id %d): unknown condition %.20q", i, e.ID, e.Condition)
 		}
@@ -65,27 +65,27 @@
 	case same && l.Version < f.Version, same && !l.Complete && l.Version == f.Version:
 		return nil, false, nil // told late, what is known is newer
 	case !l.Complete && (!same || l.Since != f.Version):
-		return nil, false, &subscribe.Gap{Have: f.Version, Since: l.Since}
+		return nil, false, &subscribe.GapError{Have: f.Version, Since: l.Since}
 	}
-	if l.Complete || f.Hosts == nil {
-		f.Hosts = make(map[scheduler.EndpointID]Entry, len(l.Hosts))
+	if l.Complete || f.Endpoints == nil {
+		f.Endpoints = make(map[scheduler.EndpointID]Entry, len(l.Endpoints))
 	}
-	for _, e := range l.Hosts {
+	for _, e := range l.Endpoints {
 		if e.Condition == "gone" {
-			delete(f.Hosts, e.ID)
+			delete(f.Endpoints, e.ID)
 		} else {
-			f.Hosts[e.ID] = e
+			f.Endpoints[e.ID] = e
 		}
 	}
 	f.Epoch, f.Version = l.Epoch, l.Version
-	return l.Hosts, l.Complete, nil
+	return l.Endpoints, l.Complete, nil
 }
 
 // Snapshot is the list as it is known, for keeping.
 func (f *View) Snapshot(now int64) []byte {
-	l := Update{Saved: now, Epoch: f.Epoch, Version: f.Version, Complete: true, Hosts: make([]Entry, 0, len(f.Hosts))}
-	for _, id := range slices.Sorted(maps.Keys(f.Hosts)) {
-		l.Hosts = append(l.Hosts, f.Hosts[id])
+	l := Update{SavedAt: now, Epoch: f.Epoch, Version: f.Version, Complete: true, Endpoints: make([]Entry, 0, len(f.Endpoints))}
+	for _, id := range slices.Sorted(maps.Keys(f.Endpoints)) {
+		l.Endpoints = append(l.Endpoints, f.Endpoints[id])
 	}
 	b, _ := json.Marshal(l)
 	return b
@@ -100,5 +100,5 @@
 		err = json.Unmarshal(kept, &l)
 	}
 	f.Epoch, f.Version = "", 0
-	return entries, l.Saved, err
+	return entries, l.SavedAt, err
 }
--- a/internal/endpoints/watch.go
+++ b/internal/endpoints/watch.go
@@ -7,17 +7,17 @@
 	"plumspindle/internal/subscribe"
 )
 
-// Watch follows the list at its source.
-type Watch struct {
+// Watcher follows the list at its source.
+type Watcher struct {
 	*subscribe.Client
 	View
 	// OnUpdate is told of entries as they come.
 	OnUpdate func(entries []Entry, whole bool)
 }
 
-// NewWatch makes a client that has not subscribed yet.
-func NewWatch(loop eventloop.Loop, seed int64, addr, name string) *Watch {
-	c := &Watch{Client: subscribe.NewClient(loop, seed, addr)}
+// NewWatcher makes a client that has not subscribed yet.
+func NewWatcher(loop eventloop.Loop, seed int64, addr, name string) *Watcher {
+	c := &Watcher{Client: subscribe.NewClient(loop, seed, addr)}
 	c.Name, c.Fields = "the list's source", []string{"x-dispatcher", name}
 	c.Target = func() string {
 		return "/v1/hosts/watch?epoch=" + c.Epoch + "&since=" + strconv.FormatUint(c.Version, 10)
--- a/internal/faultsearch/mutants.go
+++ b/internal/faultsearch/mutants.go
@@ -175,7 +175,7 @@
 		}),
 		heard("starts are not heard", func(all []endpoints.Entry) []endpoints.Entry {
 			for i := range all {
-				all[i].Started = 0
+				all[i].StartedAt = 0
 			}
 			return all
 		}),
--- a/internal/platform/attempt.go
+++ b/internal/platform/attempt.go
@@ -56,7 +56,7 @@
 	}
 	waited := d.loop.Now() - r.sentAt
 	out := upstream.Request{ID: r.client.ID, Target: r.client.Target, Fields: r.client.Fields, Body: r.client.Body,
-		LeaveWithin: max(d.settings.Connect-waited, 1), OnLeave: func(told eventloop.Micros) { d.attemptLeaves(r, no, told) }}
+		SendTimeout: max(d.settings.ConnectTimeout-waited, 1), OnSend: func(told eventloop.Micros) { d.attemptLeaves(r, no, told) }}
 	allow = max(allow-waited, 0)
 	if r.prefill {
 		r.attempt = d.upstream.Prefill(r.host, out, allow, hear)
@@ -70,7 +70,7 @@
 func (d *Dispatcher) afterRelease(r *request, no scheduler.AttemptNo, send func()) {
 	why := "the host is going"
 	if d.wanted(r.host) {
-		if d.loop.Now()-r.sentAt <= d.settings.Connect {
+		if d.loop.Now()-r.sentAt <= d.settings.ConnectTimeout {
 			send()
 			return
 		}
--- a/internal/platform/discovery/discovery.go
+++ b/internal/platform/discovery/discovery.go
@@ -38,13 +38,13 @@
 	Addr       string
 	Zone, Kind string
 	Cell       scheduler.CellID
-	Condition  scheduler.EndpointState
-	Started    scheduler.Micros // on this process's clock; 0: long ago
+	State      scheduler.EndpointState
+	StartedAt  scheduler.Micros // on this process's clock; 0: long ago
 	start      starttimes.Start
 }
 
-// Watch keeps the list.
-type Watch struct {
+// Watcher keeps the list.
+type Watcher struct {
 	client  *subscribe.Client
 	loop    eventloop.Loop
 	version uint64
@@ -54,7 +54,7 @@
 	log     func(line string)
 	forgot  eventloop.Micros
 	speaks  bool   // discovery has told a list since this process began
-	Heard   uint64 // lists and changes
+	Updates uint64 // lists and changes
 }
 
 type number struct {
@@ -67,37 +67,37 @@
 }
 
 // New makes one that has not asked yet; news are told as they come.
-func New(loop eventloop.Loop, seed int64, addr string, news func([]Entry, bool), log func(string)) *Watch {
-	w := &Watch{loop: loop, numbers: map[scheduler.EndpointID]*number{}, news: news, log: log}
+func New(loop eventloop.Loop, seed int64, addr string, news func([]Entry, bool), log func(string)) *Watcher {
+	w := &Watcher{loop: loop, numbers: map[scheduler.EndpointID]*number{}, news: news, log: log}
 	c := subscribe.NewClient(loop, seed, addr)
 	c.Name, c.LineDelimited, c.Standby, c.Log = "discovery", true, true, log
 	c.Silence, c.ResponseTimeout, c.MinRetryDelay, c.RetryDelay = silence, answer, least, again
 	c.Target = func() string { return "/discovery/hosts?stream=1&index=" + strconv.FormatUint(w.version, 10) }
-	c.OnMessage = w.Take
+	c.OnMessage = w.Apply
 	c.OnReset = func() { w.version = 0 }
 	w.client = c
 	return w
 }
 
-// Begin asks from the version known on; Move asks at another address.
-func (w *Watch) Begin()           { w.client.Subscribe() }
-func (w *Watch) Move(addr string) { w.client.Move(addr) }
-func (w *Watch) Close()           { w.client.Close() }
+// Start asks from the version known on; Move asks at another address.
+func (w *Watcher) Start()                 { w.client.Subscribe() }
+func (w *Watcher) SetAddress(addr string) { w.client.SetAddress(addr) }
+func (w *Watcher) Close()                 { w.client.Close() }
 
-// Up tells whether discovery speaks.
-func (w *Watch) Up() bool { return w.client.Up() }
+// Connected tells whether discovery speaks.
+func (w *Watcher) Connected() bool { return w.client.Connected() }
 
 var conditions = map[string]scheduler.EndpointState{"SERVING": scheduler.Ready, "DRAINING": scheduler.Draining, "DELETED": scheduler.Removed}
 
-// Take takes one list, or the changes since the one before.
-func (w *Watch) Take(line []byte) error {
-	err := w.TakeKnown(line)
+// Apply takes one list, or the changes since the one before.
+func (w *Watcher) Apply(line []byte) error {
+	err := w.ApplyCached(line)
 	w.speaks = w.speaks || err == nil
 	return err
 }
 
-// TakeKnown takes a list that discovery told to an earlier process.
-func (w *Watch) TakeKnown(line []byte) error {
+// ApplyCached takes a list that discovery told to an earlier process.
+func (w *Watcher) ApplyCached(line []byte) error {
 	list := gjson.ParseBytes(line)
 	if !gjson.ValidBytes(line) || !list.Get("servers").IsArray() {
 		w.version = 0 // what it said is not known: the whole list is asked for
@@ -120,12 +120,12 @@
 		}
 		e.start = starttimes.Next(w.numbers[e.ID].start, stampOf(s), now, ahead, w.speaks)
 		w.keepNewest(&e, version, now)
-		e.Started = e.start.At
+		e.StartedAt = e.start.At
 		entries = append(entries, e)
 	}
 	w.version = version
 	w.newest = max(w.newest, version)
-	w.Heard++
+	w.Updates++
 	w.forget(now)
 	if whole {
 		w.unlisted(entries, now)
@@ -138,16 +138,16 @@
 
 // keepNewest does not let an older list take back what a newer one told: that a host wants nothing new, or has started anew. It was told,
 // and counts.
-func (w *Watch) keepNewest(e *Entry, version uint64, now eventloop.Micros) {
+func (w *Watcher) keepNewest(e *Entry, version uint64, now eventloop.Micros) {
 	n := w.numbers[e.ID]
 	if version < w.newest && now-n.listedAt < newestKept {
-		if n.retired && e.start.Stamp <= n.start.Stamp {
-			e.Condition = scheduler.Draining
+		if n.retired && e.start.Timestamp <= n.start.Timestamp {
+			e.State = scheduler.Draining
 		}
 		e.start = n.start
 		return
 	}
-	n.start, n.retired, n.listedAt = e.start, e.Condition != scheduler.Ready, now
+	n.start, n.retired, n.listedAt = e.start, e.State != scheduler.Ready, now
 }
 
 // clockAhead is by how much the clock of a list is ahead of this process's.
@@ -164,7 +164,7 @@
 	return eventloop.Micros(min(entry.Get("started_ms").Int(), math.MaxInt64/2000)) * eventloop.Millisecond
 }
 
-func (w *Watch) entry(s gjson.Result, now eventloop.Micros) (e Entry, err error) {
+func (w *Watcher) entry(s gjson.Result, now eventloop.Micros) (e Entry, err error) {
 	e = Entry{Name: s.Get("id").String(), Addr: s.Get("addr").String(), Zone: s.Get("zone").String(), Kind: s.Get("kind").String()}
 	if e.Name == "" {
 		return e, fmt.Errorf("no id in %.80q", s.Raw)
@@ -179,8 +179,8 @@
 		w.log(fmt.Sprintf("discovery: host %s: unknown state %.20q; nothing new is sent there", e.Name, s.Get("state").String()))
 		condition = scheduler.Draining
 	}
-	e.Condition = condition
-	e.ID = w.Number(e.Name)
+	e.State = condition
+	e.ID = w.EndpointID(e.Name)
 	n := w.numbers[e.ID]
 	if n.gone = 0; condition == scheduler.Removed {
 		n.gone = now
@@ -188,9 +188,9 @@
 	return e, nil
 }
 
-// Number is a hash of the id and nothing else, as a prefix's home is found by it, alike at every dispatcher and after a restart.
+// EndpointID is a hash of the id and nothing else, as a prefix's home is found by it, alike at every dispatcher and after a restart.
 // Where two ids have the same hash the later one is hashed again: they must not become one host.
-func (w *Watch) Number(name string) scheduler.EndpointID {
+func (w *Watcher) EndpointID(name string) scheduler.EndpointID {
 	text := name
 	for {
 		id := scheduler.EndpointID(xxhash.Sum64String(text))
@@ -207,7 +207,7 @@
 }
 
 // unlisted marks what a whole list leaves out.
-func (w *Watch) unlisted(entries []Entry, now eventloop.Micros) {
+func (w *Watcher) unlisted(entries []Entry, now eventloop.Micros) {
 	listed := map[scheduler.EndpointID]bool{}
 	for _, e := range entries {
 		listed[e.ID] = true
@@ -220,7 +220,7 @@
 }
 
 // forget drops the numbers of hosts that are long gone: they are replaced under new ids for months.
-func (w *Watch) forget(now eventloop.Micros) {
+func (w *Watcher) forget(now eventloop.Micros) {
 	if now-w.forgot < numberKept/10 {
 		return
 	}
--- a/internal/platform/discovery/discovery_test.go
+++ b/internal/platform/discovery/discovery_test.go
@@ -9,7 +9,7 @@
 	"plumspindle/scheduler"
 )
 
-func newWatch(news func([]Entry, bool)) *Watch {
+func newWatch(news func([]Entry, bool)) *Watcher {
 	return New(virtual.New(1).Loop("d"), 1, "127.0.0.1:1", news, func(string) {})
 }
 
@@ -17,19 +17,19 @@
 func TestNumbers(t *testing.T) {
 	a, b := newWatch(nil), newWatch(nil)
 	for _, name := range []string{"s-1", "s-2", "s-5be2a07c"} {
-		a.Number(name)
+		a.EndpointID(name)
 	}
 	for _, name := range []string{"s-5be2a07c", "s-0", "s-2", "s-1"} {
-		b.Number(name)
+		b.EndpointID(name)
 	}
 	for _, name := range []string{"s-1", "s-2", "s-5be2a07c"} {
-		if a.Number(name) != b.Number(name) {
-			t.Errorf("%s is %d here and %d there", name, a.Number(name), b.Number(name))
+		if a.EndpointID(name) != b.EndpointID(name) {
+			t.Errorf("%s is %d here and %d there", name, a.EndpointID(name), b.EndpointID(name))
 		}
 	}
-	first := a.Number("s-1")
+	first := a.EndpointID("s-1")
 	a.numbers[first].name = "another whose hash is the same"
-	if again := a.Number("s-1"); again == first || again != a.Number("s-1") {
+	if again := a.EndpointID("s-1"); again == first || again != a.EndpointID("s-1") {
 		t.Errorf("two hosts have the number %d", first)
 	}
 }
@@ -37,20 +37,20 @@
 func TestEntries(t *testing.T) {
 	var got []Entry
 	w := newWatch(func(entries []Entry, whole bool) { got = entries })
-	err := w.Take([]byte(`{"version":3,"full":true,"servers":[
+	err := w.Apply([]byte(`{"version":3,"full":true,"servers":[
 		{"id":"a","addr":"10.1.0.18:7070","zone":"w","kind":"m2","cell":3,"state":"SERVING","weight":1.0,"started_ms":1699999999123},
 		{"id":"b","state":"DRAINING","cell":70000},{"id":"c","state":"DELETED"},{"id":"d","state":"RESTING"},{"addr":"x"}]}`))
 	if err != nil || len(got) != 3 {
 		t.Fatalf("%v, entries %+v", err, got)
 	}
 	a := got[0]
-	if a.Started != 1699999999123*eventloop.Millisecond || a.Cell != 3 || a.Condition != scheduler.Ready || a.Zone != "w" || a.Kind != "m2" || a.Addr != "10.1.0.18:7070" {
+	if a.StartedAt != 1699999999123*eventloop.Millisecond || a.Cell != 3 || a.State != scheduler.Ready || a.Zone != "w" || a.Kind != "m2" || a.Addr != "10.1.0.18:7070" {
 		t.Errorf("%+v", a)
 	}
-	if got[1].Condition != scheduler.Removed || got[2].Condition != scheduler.Draining {
+	if got[1].State != scheduler.Removed || got[2].State != scheduler.Draining {
 		t.Errorf("%+v", got[1:])
 	}
-	if err := w.Take([]byte(`{"version":2,"full":false,"servers":[]}`)); err == nil || w.version != 0 {
+	if err := w.Apply([]byte(`{"version":2,"full":false,"servers":[]}`)); err == nil || w.version != 0 {
 		t.Errorf("an older change was taken: %v, version %d", err, w.version)
 	}
 }
@@ -67,10 +67,10 @@
 		t.Helper()
 		version++
 		line := fmt.Sprintf(`{"version":%d,"full":%v,"servers":[{"id":"a","state":"SERVING","started_ms":%d}]}`, version, whole, started/eventloop.Millisecond)
-		if err := w.Take([]byte(line)); err != nil || len(got) != 1 {
+		if err := w.Apply([]byte(line)); err != nil || len(got) != 1 {
 			t.Fatalf("%v, entries %+v", err, got)
 		}
-		return got[0].Started
+		return got[0].StartedAt
 	}
 	const hour = 3600 * eventloop.Second
 	begin := loop.Now()
@@ -84,7 +84,7 @@
 		if at := listed(false, raw); told-at > eventloop.Second || at > told {
 			t.Errorf("%s: a start that is told now was %d ms ago", name, (told-at)/eventloop.Millisecond)
 		}
-		first := got[0].Started
+		first := got[0].StartedAt
 		loop.Step(eventloop.Second)
 		if at := listed(true, raw); at != first {
 			t.Errorf("%s: listed again it has started %d ms later", name, (at-first)/eventloop.Millisecond)
@@ -98,11 +98,11 @@
 	f.Fuzz(func(t *testing.T, line string) {
 		w := newWatch(func(entries []Entry, _ bool) {
 			for _, e := range entries {
-				if e.Name == "" || e.Started < 0 {
+				if e.Name == "" || e.StartedAt < 0 {
 					t.Errorf("%+v", e)
 				}
 			}
 		})
-		_ = w.Take([]byte(line))
+		_ = w.Apply([]byte(line))
 	})
 }
--- a/internal/platform/dispatcher.go
+++ b/internal/platform/dispatcher.go
@@ -57,7 +57,7 @@
 	module       *scheduler.Scheduler
 	upstream     *upstream.Client
 	server       *server.Server
-	discovery    *discovery.Watch
+	discovery    *discovery.Watcher
 	guard        *guard.Guard
 	requests     map[scheduler.RequestID]*request
 	lastRequest  scheduler.RequestID
@@ -79,23 +79,23 @@
 	t := config.Settings
 	d := &Dispatcher{loop: loop, config: config, settings: t, requests: map[scheduler.RequestID]*request{}, openIDs: map[string]bool{},
 		recentIDs: [2]map[string]bool{{}, {}}, hosts: map[scheduler.EndpointID]discovery.Entry{}, startedAt: loop.Now()}
-	place := t.Place
+	place := t.Scheduler
 	place.IdleTimeout /= 2 // connections are closed well before hosts do: what is written to one that is closed counts as lost
 	warn := func(line string) { config.Log.Warn().Msg(line) }
-	d.guard = d.newGuard(t.ReleaseWithin)
+	d.guard = d.newGuard(t.StateTimeout)
 	e := engine.New(loop, config.Name, "", upstreamLimits(t, config.Sockets, place.IdleTimeout))
-	d.upstream = upstream.New(loop, e, t.ReleaseWithin, d.listedHosts)
+	d.upstream = upstream.New(loop, e, t.StateTimeout, d.listedHosts)
 	d.upstream.Log = warn
 	d.server = server.New(loop, clientLimits(config.Sockets, config.Memory), d)
 	d.server.OnUnansweredClose = d.unansweredClose
 	d.discovery = discovery.New(loop, config.Seed, config.Discovery, d.updateHosts, warn)
 	d.module = scheduler.New(loop.Now(), config.Seed, place, d)
 	if len(config.Known) > 0 {
-		if err := d.discovery.TakeKnown(config.Known); err != nil {
+		if err := d.discovery.ApplyCached(config.Known); err != nil {
 			config.Log.Warn().Err(err).Msg("the known list is not used")
 		}
 	}
-	d.discovery.Begin()
+	d.discovery.Start()
 	d.forgetIDs()
 	return d
 }
@@ -104,7 +104,7 @@
 // either side; what is left is for releases, discovery and the poller.
 func upstreamLimits(t *settings.Settings, sockets int, idle eventloop.Micros) engine.Limits {
 	most := max(sockets*2/5, 8)
-	return engine.Limits{Connect: t.Connect, Idle: idle, Silence: streamSilence, PerEndpoint: most, Opening: max(most/4, 4), Total: most}
+	return engine.Limits{Connect: t.ConnectTimeout, Idle: idle, Silence: streamSilence, PerEndpoint: most, Opening: max(most/4, 4), Total: most}
 }
 
 func clientLimits(sockets, memory int) server.Limits {
@@ -119,12 +119,12 @@
 func (d *Dispatcher) Server() *server.Server { return d.server }
 
 // MoveDiscovery has discovery asked at another address.
-func (d *Dispatcher) MoveDiscovery(address string) { d.discovery.Move(address) }
+func (d *Dispatcher) MoveDiscovery(address string) { d.discovery.SetAddress(address) }
 
 // informed tells whether discovery speaks, or has had its chance to. What discovery has counts as told from the first moment, and what
 // was known before may name hosts that are gone.
 func (d *Dispatcher) informed() bool {
-	d.wasInformed = d.wasInformed || d.discovery.Up() || d.loop.Now()-d.startedAt >= agentTimeout
+	d.wasInformed = d.wasInformed || d.discovery.Connected() || d.loop.Now()-d.startedAt >= agentTimeout
 	return d.wasInformed
 }
 
@@ -169,7 +169,7 @@
 		"closed %v; answered for %v; violations %d, refused sends %d",
 		open.Requests, open.Attempts, open.Held, d.server.Connections(), d.upstream.Connections(), d.server.Unsent(), d.server.Buffered(),
 		d.Accepted, d.Completed, d.Broken, d.Rejected, d.Failed, d.ClientsGone, d.Attempts, d.Outcomes,
-		d.upstream.Releases, d.upstream.Tries, d.upstream.Late,
-		d.server.Rejected, d.server.Evicted, d.server.TimedOut, len(d.ready), d.discovery.Heard,
+		d.upstream.Releases, d.upstream.ReleaseAttempts, d.upstream.LateReleases,
+		d.server.Rejected, d.server.Evicted, d.server.TimedOut, len(d.ready), d.discovery.Updates,
 		d.server.Closed, d.Reasons, d.guard.Violations(), d.module.Violations())
 }
--- a/internal/platform/endpoints.go
+++ b/internal/platform/endpoints.go
@@ -26,7 +26,7 @@
 	d.takeBackUnsent()
 	d.module.EndpointUpdateEnded(d.loop.Now(), whole)
 	for _, e := range entries {
-		if e.Condition == scheduler.Removed {
+		if e.State == scheduler.Removed {
 			d.upstream.Forget(e.ID)
 		}
 	}
@@ -37,22 +37,22 @@
 
 func (d *Dispatcher) updateHost(e discovery.Entry) {
 	zone, kind := slices.Index(d.settings.Zones, e.Zone), slices.Index(d.settings.Kinds, e.Kind)
-	if zone < 0 || kind < 0 || kind >= len(d.settings.Place.Kinds) {
+	if zone < 0 || kind < 0 || kind >= len(d.settings.Scheduler.Kinds) {
 		d.config.Log.Warn().Str("host", e.Name).Str("zone", e.Zone).Str("kind", e.Kind).
 			Msg("a host of a zone or kind that the settings do not name; nothing is sent there")
 		zone, kind = max(zone, 0), unknownKind
 	}
-	if e.Condition == scheduler.Removed {
+	if e.State == scheduler.Removed {
 		delete(d.hosts, e.ID)
 	} else {
 		d.hosts[e.ID] = e
 		d.upstream.SetAddress(e.ID, e.Addr)
 	}
 	d.config.Log.Debug().Str("host", e.Name).Uint32("number", uint32(e.ID)).Str("addr", e.Addr).Str("kind", e.Kind).Str("zone", e.Zone).
-		Uint16("cell", uint16(e.Cell)).Int("condition", int(e.Condition)).Int64("started", int64(e.Started)).Msg("listed")
+		Uint16("cell", uint16(e.Cell)).Int("condition", int(e.State)).Int64("started", int64(e.StartedAt)).Msg("listed")
 	now := d.loop.Now()
 	d.module.EndpointUpdated(now, scheduler.EndpointStatus{ID: e.ID, Zone: scheduler.ZoneID(zone), Kind: scheduler.KindID(kind), Cell: e.Cell,
-		State: e.Condition, StartedAt: min(e.Started, now)})
+		State: e.State, StartedAt: min(e.StartedAt, now)})
 }
 
 // listedHosts are those that want new requests, or all that are listed, in order.
@@ -72,7 +72,7 @@
 func (d *Dispatcher) updateReady() {
 	d.ready = d.ready[:0]
 	for id, e := range d.hosts {
-		if e.Condition == scheduler.Ready {
+		if e.State == scheduler.Ready {
 			d.ready = append(d.ready, id)
 		}
 	}
@@ -89,8 +89,8 @@
 }
 
 func (d *Dispatcher) role(id scheduler.EndpointID) scheduler.Role {
-	if k := slices.Index(d.settings.Kinds, d.hosts[id].Kind); k >= 0 && k < len(d.settings.Place.Kinds) {
-		return d.settings.Place.Kinds[k].Role
+	if k := slices.Index(d.settings.Kinds, d.hosts[id].Kind); k >= 0 && k < len(d.settings.Scheduler.Kinds) {
+		return d.settings.Scheduler.Kinds[k].Role
 	}
 	return scheduler.Decode
 }
--- a/internal/platform/launch/run.go
+++ b/internal/platform/launch/run.go
@@ -179,7 +179,7 @@
 }
 
 func (p *process) logStart(env *Environment) {
-	place := env.Settings.Place
+	place := env.Settings.Scheduler
 	for i, class := range place.Classes {
 		p.log.Info().Str("class", env.Settings.Classes[i]).Int("effect", int(class.Effect)).Int("group", int(class.Group)).
 			Int64("window", int64(class.Window)).Int64("slo", int64(class.SLO)).Msg("a class of requests")
--- a/internal/platform/loopback_test.go
+++ b/internal/platform/loopback_test.go
@@ -354,7 +354,7 @@
 		fmt.Sprintf(`{"version":8,"full":true,"servers":[%s,%s,%s]}`, prefill.entry("SERVING"), leaves.entry("SERVING"), stays.entry("SERVING")))
 	for end := time.Now().Add(10 * time.Second); time.Now().Before(end); { // until both are heard
 		heard := uint64(0)
-		r.loop.Do(func() { heard = r.d.discovery.Heard })
+		r.loop.Do(func() { heard = r.d.discovery.Updates })
 		if heard == 3 {
 			break
 		}
--- a/internal/platform/platform_test.go
+++ b/internal/platform/platform_test.go
@@ -256,7 +256,7 @@
 	}
 	r.until(eventloop.Second, "a read that waits", func() bool { return waits() != nil })
 	for _, h := range r.readers() {
-		if r.x.discovery.Number(h.id) == waits().host {
+		if r.x.discovery.EndpointID(h.id) == waits().host {
 			before := h.count("POST")
 			r.agent.tell(false, h.entry("DRAINING"))
 			if got := r.final(c); got != 200 || h.count("POST") != before {
--- a/internal/platform/races_test.go
+++ b/internal/platform/races_test.go
@@ -181,8 +181,8 @@
 	if len(r.x.ready) != 2 {
 		t.Errorf("%d hosts are ready", len(r.x.ready))
 	}
-	if e := r.x.hosts[r.x.discovery.Number(r.hosts[3].id)]; e.Started != eventloop.Micros(now)*eventloop.Millisecond {
-		t.Errorf("it started at %d", e.Started)
+	if e := r.x.hosts[r.x.discovery.EndpointID(r.hosts[3].id)]; e.StartedAt != eventloop.Micros(now)*eventloop.Millisecond {
+		t.Errorf("it started at %d", e.StartedAt)
 	}
 	// A newer one does, and so does an older one that names a new process.
 	r.agent.tell(true, r.hosts[0].entry("SERVING"), r.hosts[1].entry("SERVING"), started(r.hosts[2], now+1), r.hosts[3].entry("SERVING"))
--- a/internal/platform/rules.go
+++ b/internal/platform/rules.go
@@ -49,7 +49,7 @@
 	if d.lastActive > 0 {
 		d.guard.Violated(guard.Violation{Rule: guard.EarlyStart, Request: client.ID, Detail: "passed on after the shutdown"})
 	}
-	c := d.settings.Place.Classes[class]
+	c := d.settings.Scheduler.Classes[class]
 	return d.guard.Begin(guard.Terms{ID: client.ID, Repeats: repeats[c.Effect], Window: c.Window, Deadline: client.ReceivedAt + client.Timeout})
 }
 
@@ -57,7 +57,7 @@
 func (d *Dispatcher) guardHost(r *request) guard.Host {
 	e := d.hosts[r.host]
 	h := guard.Host{Name: e.Name, Wanted: d.wanted(r.host), Effects: !r.prefill}
-	switch d.settings.Place.Classes[r.class].Group {
+	switch d.settings.Scheduler.Classes[r.class].Group {
 	case scheduler.SameZone:
 		h.Group = e.Zone
 	case scheduler.SameCell:
--- a/internal/platform/state.go
+++ b/internal/platform/state.go
@@ -17,7 +17,7 @@
 func (d *Dispatcher) hold(r *request) {
 	r.held = true
 	r.ledger.Held(d.loop.Now())
-	r.leaseEnd = d.loop.Now() + eventloop.Micros(leasePart*float64(d.settings.ReleaseWithin))
+	r.leaseEnd = d.loop.Now() + eventloop.Micros(leasePart*float64(d.settings.StateTimeout))
 	d.awaitLeaseEnd(r)
 }
 
--- a/internal/platform/upstream/release.go
+++ b/internal/platform/upstream/release.go
@@ -79,7 +79,7 @@
 // ask sends one try, and another one soon if no answer comes.
 func (r *release) ask(at scheduler.EndpointID) {
 	l := r.client
-	l.Tries++
+	l.ReleaseAttempts++
 	r.asked, r.tried[at] = at, true
 	if len(r.open) == releaseTries {
 		r.open[0].Cancel()
@@ -146,7 +146,7 @@
 		l.Log(fmt.Sprintf("what is held for request %s could not be released: %s", r.id, why))
 	}
 	if !confirmed || l.loop.Now()-r.began > l.within {
-		l.Late++
+		l.LateReleases++
 	}
 	r.done(confirmed)
 }
--- a/internal/platform/upstream/upstream.go
+++ b/internal/platform/upstream/upstream.go
@@ -25,10 +25,10 @@
 	ID, Target string
 	Fields     []string // name and value in turn; they pass on unchanged
 	Body       []byte
-	// LeaveWithin is how long the request may take to leave; 0: the time for a connection.
-	LeaveWithin eventloop.Micros
-	// OnLeave is called as the request is written, with the time that its host is told.
-	OnLeave func(told eventloop.Micros)
+	// SendTimeout is how long the request may take to leave; 0: the time for a connection.
+	SendTimeout eventloop.Micros
+	// OnSend is called as the request is written, with the time that its host is told.
+	OnSend func(told eventloop.Micros)
 }
 
 // Client makes the attempts and releases of one dispatcher.
@@ -36,35 +36,35 @@
 	*engine.Engine
 	loop   eventloop.Loop
 	within eventloop.Micros
-	hosts  Hosts
+	hosts  EndpointLister
 	Log    func(line string)
 	Counts
 }
 
 // Counts are of releases.
-type Counts struct{ Releases, Tries, Late uint64 }
+type Counts struct{ Releases, ReleaseAttempts, LateReleases uint64 }
 
-// Hosts are those that a release may be sent to: those that want new requests, or all that are listed.
-type Hosts func(all bool) []scheduler.EndpointID
+// EndpointLister are those that a release may be sent to: those that want new requests, or all that are listed.
+type EndpointLister func(all bool) []scheduler.EndpointID
 
 // New makes a client; within is the time that a state may wait.
-func New(loop eventloop.Loop, e *engine.Engine, within eventloop.Micros, hosts Hosts) *Client {
+func New(loop eventloop.Loop, e *engine.Engine, within eventloop.Micros, hosts EndpointLister) *Client {
 	return &Client{Engine: e, loop: loop, within: within, hosts: hosts, Log: func(string) {}}
 }
 
 // Prefill sends a prompt to be read. It does not call back before it has returned.
 func (l *Client) Prefill(id scheduler.EndpointID, r Request, allow eventloop.Micros, hear engine.Callbacks) *engine.Attempt {
-	return l.Call(id, engine.Call{Request: r.to, Answer: prefillOutcome, MaxBody: maxAnswer, LeaveWithin: r.LeaveWithin}, allow, hear)
+	return l.Call(id, engine.Call{Request: r.to, Answer: prefillOutcome, MaxBody: maxAnswer, LeaveWithin: r.SendTimeout}, allow, hear)
 }
 
 // Decode sends what is answered with a stream. It does not call back before it has returned.
 func (l *Client) Decode(id scheduler.EndpointID, r Request, allow eventloop.Micros, hear engine.Callbacks) *engine.Attempt {
-	return l.Call(id, engine.Call{Request: r.to, Answer: outcome, Stream: &events{}, MaxBody: maxAnswer, LeaveWithin: r.LeaveWithin}, allow, hear)
+	return l.Call(id, engine.Call{Request: r.to, Answer: outcome, Stream: &events{}, MaxBody: maxAnswer, LeaveWithin: r.SendTimeout}, allow, hear)
 }
 
 func (r Request) to(addr string, left eventloop.Micros) []byte {
-	if r.OnLeave != nil {
-		r.OnLeave(left)
+	if r.OnSend != nil {
+		r.OnSend(left)
 	}
 	fields := slices.Concat(r.Fields, []string{"Req-Deadline", strconv.FormatInt(int64(left), 10) + "u"})
 	return http1.AppendRequest(nil, "POST", r.Target, addr, r.Body, fields...)
--- a/internal/platform/upstream/upstream_test.go
+++ b/internal/platform/upstream/upstream_test.go
@@ -108,8 +108,8 @@
 			c.Release("r", 1, func(bool) { done = true })
 		})
 		w.Watch = func() {
-			if c.Tries > most {
-				t.Fatalf("%d µs: %d tries in %d µs", within, c.Tries, w.Now()-1_700_000_000*eventloop.Second)
+			if c.ReleaseAttempts > most {
+				t.Fatalf("%d µs: %d tries in %d µs", within, c.ReleaseAttempts, w.Now()-1_700_000_000*eventloop.Second)
 			}
 		}
 		if w.Run(10 * eventloop.Second); !done {
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -30,14 +30,14 @@
 
 // Settings are what the settings say.
 type Settings struct {
-	Place         scheduler.Config
-	Classes       []string // names, in the order of Place.Products
-	Kinds         []string // of model hosts, in the order of Place.Kinds
-	Zones         []string
-	Tenants       []string
-	Connect       scheduler.Micros // a connection that is not made by then counts as not to be had
-	ReleaseWithin scheduler.Micros // within which a state is taken or let go of
-	Report        []string         // names of the values of a load report
+	Scheduler        scheduler.Config
+	Classes          []string // names, in the order of Place.Products
+	Kinds            []string // of model hosts, in the order of Place.Kinds
+	Zones            []string
+	Tenants          []string
+	ConnectTimeout   scheduler.Micros // a connection that is not made by then counts as not to be had
+	StateTimeout     scheduler.Micros // within which a state is taken or let go of
+	LoadReportFields []string         // names of the values of a load report
 }
 
 // Parse decodes them. What it does not know it passes over; what it knows and can't read it names.
@@ -46,10 +46,10 @@
 		return nil, errors.New("the start settings are not a JSON object")
 	}
 	get := gjson.ParseBytes(raw).Get
-	span := func(path string) scheduler.Micros { return Micros(get(path).Uint()) }
-	t := &Settings{Connect: span("limits.connect_timeout"), ReleaseWithin: span("domain.let_go_by"),
-		Zones: names(get("localities")), Kinds: names(get("host_types")), Report: names(get("telemetry.fields")),
-		Place: scheduler.Config{
+	span := func(path string) scheduler.Micros { return MicrosFromNanos(get(path).Uint()) }
+	t := &Settings{ConnectTimeout: span("limits.connect_timeout"), StateTimeout: span("domain.let_go_by"),
+		Zones: names(get("localities")), Kinds: names(get("host_types")), LoadReportFields: names(get("telemetry.fields")),
+		Scheduler: scheduler.Config{
 			Dispatchers:     int(get("group_size").Int()),
 			Zone:            scheduler.ZoneID(get("zone").Uint()),
 			OverQuotaWeight: get("over_share_worth").Float(),
@@ -61,12 +61,12 @@
 			SlowStartFactor: get("obligations.cold_from").Float(), OverloadWindow: span("obligations.fall"),
 			OverloadFactor: get("obligations.fall_multiple").Float(),
 		}}
-	t.Connect = cmp.Or(t.Connect, defaultConnect)
-	t.Place.ConnectTimeout = t.Connect
-	t.Place.IdleTimeout = cmp.Or(t.Place.IdleTimeout, defaultIdle)
-	t.ReleaseWithin = cmp.Or(t.ReleaseWithin, defaultLetGo)
+	t.ConnectTimeout = cmp.Or(t.ConnectTimeout, defaultConnect)
+	t.Scheduler.ConnectTimeout = t.ConnectTimeout
+	t.Scheduler.IdleTimeout = cmp.Or(t.Scheduler.IdleTimeout, defaultIdle)
+	t.StateTimeout = cmp.Or(t.StateTimeout, defaultLetGo)
 	if get("limits.retry_after").Bool() {
-		t.Place.MaxRetryAfter = span("limits.max_retry_after")
+		t.Scheduler.MaxRetryAfter = span("limits.max_retry_after")
 	}
 	perK, pace := get("domain.aim_us_per_1000_prompt_tokens").Array(), get("domain.token_aim").Array()
 	for i, c := range get("request_classes").Array() {
@@ -78,15 +78,15 @@
 		if !known && effect == scheduler.Deduplicated {
 			return nil, fmt.Errorf("request_classes %d: unknown group %q", i, c.Get("group").String())
 		}
-		p := scheduler.Class{SLO: Micros(c.Get("aim").Uint()), Window: Micros(c.Get("window").Uint()),
+		p := scheduler.Class{SLO: MicrosFromNanos(c.Get("aim").Uint()), Window: MicrosFromNanos(c.Get("window").Uint()),
 			Effect: effect, Group: group, Revenue: c.Get("points").Float(), LateRevenueShare: c.Get("late_share").Float()}
 		if i < len(perK) {
 			p.SLOPer1000 = scheduler.Micros(perK[i].Float())
 		}
 		if i < len(pace) {
-			p.TokenSLO = Micros(pace[i].Uint())
+			p.TokenSLO = MicrosFromNanos(pace[i].Uint())
 		}
-		t.Place.Classes = append(t.Place.Classes, p)
+		t.Scheduler.Classes = append(t.Scheduler.Classes, p)
 		t.Classes = append(t.Classes, c.Get("name").String())
 	}
 	memory := get("domain.kv_tokens").Array()
@@ -99,10 +99,10 @@
 		if i < len(memory) {
 			kind.Memory = memory[i].Float()
 		}
-		t.Place.Kinds = append(t.Place.Kinds, kind)
+		t.Scheduler.Kinds = append(t.Scheduler.Kinds, kind)
 	}
 	for _, p := range get("projects").Array() {
-		t.Place.Quotas = append(t.Place.Quotas, p.Get("quota_per_s").Float())
+		t.Scheduler.Quotas = append(t.Scheduler.Quotas, p.Get("quota_per_s").Float())
 		t.Tenants = append(t.Tenants, p.Get("name").String())
 	}
 	return t, nil
@@ -115,5 +115,7 @@
 	return all
 }
 
-// Micros rounds nanoseconds down: a time limit must not look longer than it is.
-func Micros(ns uint64) scheduler.Micros { return scheduler.Micros(min(ns, math.MaxInt64) / 1000) }
+// MicrosFromNanos rounds nanoseconds down: a time limit must not look longer than it is.
+func MicrosFromNanos(ns uint64) scheduler.Micros {
+	return scheduler.Micros(min(ns, math.MaxInt64) / 1000)
+}
--- a/internal/starttimes/starttimes.go
+++ b/internal/starttimes/starttimes.go
@@ -6,8 +6,8 @@
 
 // Start is when a host started.
 type Start struct {
-	Stamp eventloop.Micros // as it was listed, on some wall clock; 0: long ago
-	At    eventloop.Micros // on the loop's clock
+	Timestamp eventloop.Micros // as it was listed, on some wall clock; 0: long ago
+	At        eventloop.Micros // on the loop's clock
 }
 
 // Next is the start of a host that is listed with a stamp, given what was known of it before. In service a stamp is only compared: where it has
@@ -17,7 +17,7 @@
 	switch {
 	case stamp <= 0:
 		return Start{}
-	case stamp == before.Stamp:
+	case stamp == before.Timestamp:
 		return before
 	case inService:
 		return Start{stamp, now}
--- a/internal/starttimes/starttimes_test.go
+++ b/internal/starttimes/starttimes_test.go
@@ -9,7 +9,7 @@
 func TestNext(t *testing.T) {
 	const hour = 3600 * eventloop.Second
 	const now = 10 * hour
-	known := Start{Stamp: now - hour, At: now - 2*hour}
+	known := Start{Timestamp: now - hour, At: now - 2*hour}
 	for name, test := range map[string]struct {
 		before       Start
 		stamp, ahead eventloop.Micros
@@ -17,8 +17,8 @@
 		want         Start
 	}{
 		"long ago":                        {known, 0, 0, true, Start{}},
-		"listed again":                    {known, known.Stamp, 0, true, known},
-		"listed again in the first list":  {known, known.Stamp, 0, false, known},
+		"listed again":                    {known, known.Timestamp, 0, true, known},
+		"listed again in the first list":  {known, known.Timestamp, 0, false, known},
 		"told in service":                 {known, now - 5, 0, true, Start{now - 5, now}},
 		"told by a clock an hour behind":  {known, now - hour - 5, 0, true, Start{now - hour - 5, now}},
 		"told by a clock an hour ahead":   {known, now + hour, hour, true, Start{now + hour, now}},
--- a/internal/subscribe/subscribe.go
+++ b/internal/subscribe/subscribe.go
@@ -22,10 +22,10 @@
 	olderMost     = 2       // silent subscriptions that stay open
 )
 
-// Gap is an event that does not follow on what is known; only a subscription from the beginning helps.
-type Gap struct{ Have, Since uint64 }
+// GapError is an event that does not follow on what is known; only a subscription from the beginning helps.
+type GapError struct{ Have, Since uint64 }
 
-func (g *Gap) Error() string {
+func (g *GapError) Error() string {
 	return fmt.Sprintf("a change since version %d, where version %d is known", g.Since, g.Have)
 }
 
@@ -100,9 +100,9 @@
 	}
 }
 
-// Move has the source asked at another address from now on, for what followed on what is known. The one before may still tell
+// SetAddress has the source asked at another address from now on, for what followed on what is known. The one before may still tell
 // something until the new one does.
-func (c *Client) Move(addr string) {
+func (c *Client) SetAddress(addr string) {
 	if c.closed || addr == c.addr {
 		return
 	}
@@ -211,7 +211,7 @@
 	}
 	s.quiet.For(c.loop, c.Silence, s.silent)
 	if err := s.parser.Feed(b, s); err != nil {
-		var gap *Gap
+		var gap *GapError
 		if errors.As(err, &gap) {
 			c.OnReset()
 		}
@@ -233,8 +233,8 @@
 	return nil
 }
 
-// Up tells whether the source speaks.
-func (c *Client) Up() bool { return c.current != nil && c.current.headed }
+// Connected tells whether the source speaks.
+func (c *Client) Connected() bool { return c.current != nil && c.current.headed }
 
 func (s *subscription) Body(b []byte) error {
 	if s.c.LineDelimited {
--- a/internal/tenancy/registry.go
+++ b/internal/tenancy/registry.go
@@ -384,7 +384,7 @@
 	case same && n.Version < d.Version, same && !n.Complete && n.Version == d.Version:
 		return nil, nil
 	case !n.Complete && (!same || n.Since != d.Version):
-		return nil, &subscribe.Gap{Have: d.Version, Since: n.Since}
+		return nil, &subscribe.GapError{Have: d.Version, Since: n.Since}
 	}
 	named := map[string]bool{}
 	for _, t := range n.Tenants {
--- a/internal/testbed/modelserver/roster.go
+++ b/internal/testbed/modelserver/roster.go
@@ -53,7 +53,7 @@
 	}
 	r.version++
 	for _, w := range r.watchers {
-		w.send(endpoints.Update{Epoch: r.epoch, Version: r.version, Since: r.version - 1, Hosts: changes})
+		w.send(endpoints.Update{Epoch: r.epoch, Version: r.version, Since: r.version - 1, Endpoints: changes})
 	}
 }
 
@@ -92,7 +92,7 @@
 // Entry is a host's line in the list.
 func (h *Host) Entry(condition string) endpoints.Entry {
 	return endpoints.Entry{ID: scheduler.EndpointID(h.ID), Addr: h.Addr, Zone: h.Zone, Kind: h.kind.Name, Cell: h.Cell,
-		Condition: condition, Started: int64(h.started)}
+		Condition: condition, StartedAt: int64(h.started)}
 }
 
 // changed tells of a host's new condition, after a while.
@@ -102,7 +102,7 @@
 		if condition == "draining" && !h.alive {
 			return
 		}
-		if condition == "gone" && h.alive && h.started > 0 && e.Started != int64(h.started) {
+		if condition == "gone" && h.alive && h.started > 0 && e.StartedAt != int64(h.started) {
 			return // it is back already; its start is told by the change that follows
 		}
 		if f.Roster != nil {
@@ -137,7 +137,7 @@
 	r := w.roster
 	all := endpoints.Update{Epoch: r.epoch, Version: r.version, Complete: true}
 	for _, id := range slices.Sorted(maps.Keys(r.entries)) {
-		all.Hosts = append(all.Hosts, r.entries[id])
+		all.Endpoints = append(all.Endpoints, r.entries[id])
 	}
 	w.send(all)
 	r.watchers = append(r.watchers, w)
@@ -152,7 +152,7 @@
 		return
 	}
 	now := int64(w.roster.loop.Now())
-	for _, e := range l.Hosts {
+	for _, e := range l.Endpoints {
 		book.Add(record.Event{At: now, What: "told", Dispatcher: w.name, Host: uint32(e.ID), How: e.Condition})
 	}
 }
