--- a/internal/dispatch/stored_intents_test.go
+++ b/internal/dispatch/stored_intents_test.go
@@ -67,7 +67,7 @@
 	loop := r.w.Loop("d.stored")
 	loop.Step(at - loop.Now())
 	r.loop = loop
-	r.list.Saved = int64(at)
+	r.list.SavedAt = int64(at)
 	list, err := json.Marshal(r.list)
 	if err != nil {
 		t.Fatal(err)
--- a/internal/endpoints/cached_list_test.go
+++ b/internal/endpoints/cached_list_test.go
@@ -10,16 +10,16 @@
 
 // keptEntries are the hosts of both kept lists in testdata.
 var keptEntries = []endpoints.Entry{
-	{ID: 105, Addr: "127.0.0.1:45973", Zone: "west", Kind: "prefill", Cell: 0, Condition: "ready", Started: 1796213769732894},
-	{ID: 112, Addr: "127.0.0.1:33841", Zone: "west", Kind: "prefill", Cell: 1, Condition: "draining", Started: 1796213768732894},
-	{ID: 115, Addr: "127.0.0.1:38505", Zone: "west", Kind: "decode", Cell: 0, Condition: "ready", Started: 1796213767732894},
-	{ID: 116, Addr: "127.0.0.1:40857", Zone: "west", Kind: "decode", Cell: 1, Condition: "ready", Started: 1796213766732894},
-	{ID: 119, Addr: "127.0.0.1:37299", Zone: "west", Kind: "mixed", Cell: 0, Condition: "ready", Started: 1796213765732894},
-	{ID: 121, Addr: "127.0.0.1:39313", Zone: "east", Kind: "prefill", Cell: 2, Condition: "ready", Started: 1796213764732894},
-	{ID: 124, Addr: "127.0.0.1:45735", Zone: "east", Kind: "prefill", Cell: 3, Condition: "ready", Started: 1796213763732894},
-	{ID: 129, Addr: "127.0.0.1:41297", Zone: "east", Kind: "decode", Cell: 2, Condition: "ready", Started: 1796213762732894},
-	{ID: 132, Addr: "127.0.0.1:32901", Zone: "east", Kind: "decode", Cell: 3, Condition: "ready", Started: 1796213761732894},
-	{ID: 135, Addr: "127.0.0.1:42167", Zone: "east", Kind: "mixed", Cell: 1, Condition: "ready", Started: 1796213760732894},
+	{ID: 105, Addr: "127.0.0.1:45973", Zone: "west", Kind: "prefill", Cell: 0, Condition: "ready", StartedAt: 1796213769732894},
+	{ID: 112, Addr: "127.0.0.1:33841", Zone: "west", Kind: "prefill", Cell: 1, Condition: "draining", StartedAt: 1796213768732894},
+	{ID: 115, Addr: "127.0.0.1:38505", Zone: "west", Kind: "decode", Cell: 0, Condition: "ready", StartedAt: 1796213767732894},
+	{ID: 116, Addr: "127.0.0.1:40857", Zone: "west", Kind: "decode", Cell: 1, Condition: "ready", StartedAt: 1796213766732894},
+	{ID: 119, Addr: "127.0.0.1:37299", Zone: "west", Kind: "mixed", Cell: 0, Condition: "ready", StartedAt: 1796213765732894},
+	{ID: 121, Addr: "127.0.0.1:39313", Zone: "east", Kind: "prefill", Cell: 2, Condition: "ready", StartedAt: 1796213764732894},
+	{ID: 124, Addr: "127.0.0.1:45735", Zone: "east", Kind: "prefill", Cell: 3, Condition: "ready", StartedAt: 1796213763732894},
+	{ID: 129, Addr: "127.0.0.1:41297", Zone: "east", Kind: "decode", Cell: 2, Condition: "ready", StartedAt: 1796213762732894},
+	{ID: 132, Addr: "127.0.0.1:32901", Zone: "east", Kind: "decode", Cell: 3, Condition: "ready", StartedAt: 1796213761732894},
+	{ID: 135, Addr: "127.0.0.1:42167", Zone: "east", Kind: "mixed", Cell: 1, Condition: "ready", StartedAt: 1796213760732894},
 }
 
 // Both lists that an earlier version kept, the newest and the one before it, are read with every field of every host, and are
