--- a/internal/platform/dispatcher.go
+++ b/internal/platform/dispatcher.go
@@ -167,7 +167,7 @@
 		"accepted %d, completed %d, broken %d, rejected %d, failed %d, clients gone %d, attempts %d, outcomes %v; "+
 		"releases %d in %d tries, late %d; bad requests %d, evicted %d, timed out %d; hosts ready %d, list heard %d; "+
 		"closed %v; answered for %v; violations %d, refused sends %d",
-		open.Requests, open.Attempts, open.Held, d.server.Connections(), d.upstream.Connections(), d.server.Unsent(), d.server.Buffered(),
+		open.Requests, open.Attempts, open.Queued, d.server.Connections(), d.upstream.Connections(), d.server.Unsent(), d.server.Buffered(),
 		d.Accepted, d.Completed, d.Broken, d.Rejected, d.Failed, d.ClientsGone, d.Attempts, d.Outcomes,
 		d.upstream.Releases, d.upstream.Tries, d.upstream.Late,
 		d.server.Rejected, d.server.Evicted, d.server.TimedOut, len(d.ready), d.discovery.Heard,
--- a/scheduler/api.go
+++ b/scheduler/api.go
@@ -173,6 +173,6 @@
 type InFlight struct {
 	Requests      int
 	Attempts      int
-	Held          int     // requests that wait for capacity
+	Queued        int     // requests that wait for capacity
 	PrefillTokens float64 // of the requests that are being prefilled
 }
--- a/scheduler/many_test.go
+++ b/scheduler/many_test.go
@@ -7,14 +7,14 @@
 	"testing"
 )
 
-// many is a deployment of 100 dispatchers, and one world for each.
-func many(t *testing.T, fill func(w *world)) (ws []*world) {
-	place := two(Idempotent)
-	place.Dispatchers, place.IdleTimeout = 100, 30*sec
+// hundredDispatchers is a deployment of 100 dispatchers, and one world for each.
+func hundredDispatchers(t *testing.T, fill func(sim *fleetSim)) (ws []*fleetSim) {
+	config := testConfig(Idempotent)
+	config.Dispatchers, config.IdleTimeout = 100, 30*sec
 	for seed := range int64(100) {
-		w := newWorld(t, place, seed)
-		fill(w)
-		ws = append(ws, w)
+		sim := newFleetSim(t, config, seed)
+		fill(sim)
+		ws = append(ws, sim)
 	}
 	return ws
 }
@@ -22,32 +22,32 @@
 // A hundred dispatchers that each see little learn of a cold host at once: what they send it together stays
 // within the rule, and it gets some work.
 func TestManyAtOneColdHost(t *testing.T) {
-	ws := many(t, func(w *world) { w.fleet(2, 0, 1) })
+	ws := hundredDispatchers(t, func(sim *fleetSim) { sim.addEndpoints(2, 0, 1) })
 	start := ws[0].now + 15*sec
 	var sent []Micros
 	warm := 0
-	for n, w := range ws {
-		w.pass(Micros(n) * 9 * ms) // they don't act in step
+	for n, sim := range ws {
+		sim.advance(Micros(n) * 9 * ms) // they don't act in step
 		for i := range 32 {
 			if i == 16 {
-				w.list(&seen{id: 13, kind: 1, since: start})
+				sim.updateEndpoints(&simEndpoint{id: 13, kind: 1, startedAt: start})
 			}
-			g := w.written(RequestID(i+1), 2000)
-			if w.start(g); i < 16 {
+			req := sim.prefilled(RequestID(i+1), 2000)
+			if sim.startAnswer(req); i < 16 {
 				warm++
 			}
-			w.pass(890 * ms)
-			w.end(g, Completed, 0)
+			sim.advance(890 * ms)
+			sim.endAttempt(req, Completed, 0)
 		}
-		sent = append(sent, w.hosts[13].sent...)
+		sent = append(sent, sim.endpoints[13].sent...)
 	}
 	rate := float64(warm) / 2 / 14.4 // answers a second at each of the two warm hosts
 	// Warm hosts could do more than they were sent: the module takes coldShare of what they were seen to do.
-	allowed := ws[0].place.OverloadFactor * ws[0].place.SlowStartFactor * coldShare * rate * secs(ws[0].place.OverloadWindow)
+	allowed := ws[0].config.OverloadFactor * ws[0].config.SlowStartFactor * slowStartShare * rate * secs(ws[0].config.OverloadWindow)
 	for from := start; from < start+2*sec; from += 100 * ms {
 		n := 0.0
 		for _, at := range sent {
-			if at >= from && at < from+ws[0].place.OverloadWindow {
+			if at >= from && at < from+ws[0].config.OverloadWindow {
 				n++
 			}
 		}
@@ -62,12 +62,12 @@
 
 // One stream of its own does not tell a dispatcher among many that a writer is full.
 func TestOneOwnStreamFillsNothing(t *testing.T) {
-	w := many(t, func(w *world) {
-		w.list(&seen{id: 1, kind: 0}, &seen{id: 11, kind: 1}, &seen{id: 12, kind: 1, zone: 1, cell: 1})
+	sim := hundredDispatchers(t, func(sim *fleetSim) {
+		sim.updateEndpoints(&simEndpoint{id: 1, kind: 0}, &simEndpoint{id: 11, kind: 1}, &simEndpoint{id: 12, kind: 1, zone: 1, cell: 1})
 	})[0]
 	for id := range RequestID(3) {
-		g := w.written(id+1, 2000)
-		if w.start(g); g.out().host.id != 11 {
+		req := sim.prefilled(id+1, 2000)
+		if sim.startAnswer(req); req.inFlight().endpoint.id != 11 {
 			t.Errorf("generation %d left its reader's cell", id+1)
 		}
 	}
@@ -76,11 +76,11 @@
 // All hear the same reports: they must not all send to the host that was emptiest then.
 func TestReportsDrawNoRush(t *testing.T) {
 	at := map[EndpointID]int{}
-	for _, w := range many(t, func(w *world) { w.fleet(5, 0, 1) }) {
-		for i, h := range w.d.hosts[5:] {
-			w.d.hear(h, 0.2+0.01*float64(i))
+	for _, sim := range hundredDispatchers(t, func(sim *fleetSim) { sim.addEndpoints(5, 0, 1) }) {
+		for i, ep := range sim.scheduler.endpoints[5:] {
+			sim.scheduler.recordMemoryReport(ep, 0.2+0.01*float64(i))
 		}
-		at[w.written(1, 2000).out().host.id]++
+		at[sim.prefilled(1, 2000).inFlight().endpoint.id]++
 	}
 	if at[11] > 60 || len(at) < 4 {
 		t.Errorf("writers by the number that chose them: %v", at)
@@ -91,27 +91,27 @@
 // one by every dispatcher; others stay at one home.
 func TestHotPrefixHasHomes(t *testing.T) {
 	homes := map[SessionID]EndpointID{}
-	for _, w := range many(t, func(w *world) { w.fleet(9, 0, 1) })[:5] {
+	for _, sim := range hundredDispatchers(t, func(sim *fleetSim) { sim.addEndpoints(9, 0, 1) })[:5] {
 		for range 60 {
-			w.d.countPrefix(7)
-			w.d.countPrefix(8)
+			sim.scheduler.countPrefix(7)
+			sim.scheduler.countPrefix(8)
 		}
 		for s := range SessionID(12) {
-			h := w.d.home(&request{prefix: 7, session: s}, 7, w.d.hosts[:9:9])
-			if was := homes[s]; was != 0 && was != h.id {
-				t.Errorf("session %d is at home at %d and %d", s, was, h.id)
+			ep := sim.scheduler.affinityEndpoint(&request{prefix: 7, session: s}, 7, sim.scheduler.endpoints[:9:9])
+			if was := homes[s]; was != 0 && was != ep.id {
+				t.Errorf("session %d is at home at %d and %d", s, was, ep.id)
 			}
-			homes[s] = h.id
+			homes[s] = ep.id
 		}
-		w.d.often[9], w.d.arrivals = 1, 121
-		if w.d.home(&request{prefix: 9, session: 1}, 9, w.d.hosts[:9:9]) !=
-			w.d.home(&request{prefix: 9, session: 2}, 9, w.d.hosts[:9:9]) {
+		sim.scheduler.requestCounts[9], sim.scheduler.arrivals = 1, 121
+		if sim.scheduler.affinityEndpoint(&request{prefix: 9, session: 1}, 9, sim.scheduler.endpoints[:9:9]) !=
+			sim.scheduler.affinityEndpoint(&request{prefix: 9, session: 2}, 9, sim.scheduler.endpoints[:9:9]) {
 			t.Error("a rare prefix has two homes")
 		}
 	}
 	at := map[EndpointID]bool{}
-	for _, h := range homes {
-		at[h] = true
+	for _, ep := range homes {
+		at[ep] = true
 	}
 	if len(at) < 2 {
 		t.Errorf("half the traffic has the homes %v", at)
@@ -120,28 +120,28 @@
 
 // States out of one cell begin late: prompts are read in another.
 func TestLateHandoverMovesReads(t *testing.T) {
-	w := many(t, func(w *world) {
-		w.list(&seen{id: 1, kind: 0}, &seen{id: 2, kind: 0, cell: 1}, &seen{id: 11, kind: 1, cell: 2})
+	sim := hundredDispatchers(t, func(sim *fleetSim) {
+		sim.updateEndpoints(&simEndpoint{id: 1, kind: 0}, &simEndpoint{id: 2, kind: 0, cell: 1}, &simEndpoint{id: 11, kind: 1, cell: 2})
 	})[0]
-	g := w.arrive(1, 0, 2000, 6*sec)
-	cell := g.out().host.cell
-	w.d.outOf[cell] = decayingMean{1.5, w.now}
-	if h := w.arrive(4, 0, 2000, 6*sec).out().host; h.cell == cell {
+	req := sim.arrive(1, 0, 2000, 6*sec)
+	cell := req.inFlight().endpoint.cell
+	sim.scheduler.handoverDelay[cell] = decayingMean{1.5, sim.now}
+	if ep := sim.arrive(4, 0, 2000, 6*sec).inFlight().endpoint; ep.cell == cell {
 		t.Error("read again in the cell whose states begin late")
 	}
 }
 
 // While new connections fail, hosts with an open one come first.
 func TestOpenConnectionsFirst(t *testing.T) {
-	w := many(t, func(w *world) { w.fleet(5, 0, 1) })[0]
-	g := w.written(1, 2000)
-	reader, writer := g.legs[0].host.id, g.out().host.id
-	w.start(g)
-	w.end(g, Completed, 0)
-	w.d.noConnection = decayingMean{1, w.now}
+	sim := hundredDispatchers(t, func(sim *fleetSim) { sim.addEndpoints(5, 0, 1) })[0]
+	req := sim.prefilled(1, 2000)
+	reader, writer := req.attempts[0].endpoint.id, req.inFlight().endpoint.id
+	sim.startAnswer(req)
+	sim.endAttempt(req, Completed, 0)
+	sim.scheduler.connectFailures = decayingMean{1, sim.now}
 	for id := range RequestID(8) {
-		if g := w.written(id+2, 2000); g.legs[0].host.id != reader || g.out().host.id != writer {
-			t.Errorf("read at %d, written at %d", g.legs[0].host.id, g.out().host.id)
+		if req := sim.prefilled(id+2, 2000); req.attempts[0].endpoint.id != reader || req.inFlight().endpoint.id != writer {
+			t.Errorf("read at %d, written at %d", req.attempts[0].endpoint.id, req.inFlight().endpoint.id)
 		}
 	}
 }
@@ -152,9 +152,9 @@
 func TestFewGenerationsAgreeOnHomes(t *testing.T) {
 	at := map[PrefixID]map[EndpointID]int{}
 	n := 0
-	for i, w := range many(t, func(w *world) {
+	for i, sim := range hundredDispatchers(t, func(sim *fleetSim) {
 		for i := range EndpointID(40) {
-			w.list(&seen{id: 100 + i, kind: 0}, &seen{id: 200 + i, kind: 1})
+			sim.updateEndpoints(&simEndpoint{id: 100 + i, kind: 0}, &simEndpoint{id: 200 + i, kind: 1})
 		}
 	}) {
 		for j := range 4 {
@@ -162,12 +162,12 @@
 			if at[prefix] == nil {
 				at[prefix] = map[EndpointID]int{}
 			}
-			g := w.arriveIn(RequestID(i*10+j+1), 0, prefix, 6000, 5000, 6*sec)
-			at[prefix][g.out().host.id]++
+			req := sim.arriveWithPrefix(RequestID(i*10+j+1), 0, prefix, 6000, 5000, 6*sec)
+			at[prefix][req.inFlight().endpoint.id]++
 			n++
-			w.end(g, PrefillDone, 5000)
-			w.start(g)
-			w.pass(sec)
+			sim.endAttempt(req, PrefillDone, 5000)
+			sim.startAnswer(req)
+			sim.advance(sec)
 		}
 	}
 	astray := n
@@ -187,9 +187,9 @@
 // zone of twenty it would keep that one busy six times over.
 func TestPopularTextHasHomesEarly(t *testing.T) {
 	at, n := map[EndpointID]int{}, 0
-	for i, w := range many(t, func(w *world) {
+	for i, sim := range hundredDispatchers(t, func(sim *fleetSim) {
 		for i := range EndpointID(20) {
-			w.list(&seen{id: 100 + i, kind: 0}, &seen{id: 200 + i, kind: 1})
+			sim.updateEndpoints(&simEndpoint{id: 100 + i, kind: 0}, &simEndpoint{id: 200 + i, kind: 1})
 		}
 	}) {
 		for j := range 12 {
@@ -197,15 +197,15 @@
 			if j%3 == 0 {
 				prefix = 1
 			}
-			g := w.arriveIn(RequestID(i*20+j+1), 0, prefix, 6000, 5000, 6*sec)
+			req := sim.arriveWithPrefix(RequestID(i*20+j+1), 0, prefix, 6000, 5000, 6*sec)
 			if j >= 3 && prefix == 1 {
-				at[g.out().host.id]++
+				at[req.inFlight().endpoint.id]++
 				n++
 			}
-			w.end(g, PrefillDone, 5000)
-			w.start(g)
-			w.end(g, Completed, 0)
-			w.pass(sec)
+			sim.endAttempt(req, PrefillDone, 5000)
+			sim.startAnswer(req)
+			sim.endAttempt(req, Completed, 0)
+			sim.advance(sec)
 		}
 	}
 	most := 0
@@ -219,51 +219,51 @@
 
 // One that this dispatcher happened to read a text at does not take the home's place.
 func TestHomeBeforeWhereItWasRead(t *testing.T) {
-	w := newWorld(t, two(Idempotent), 1)
-	w.fleet(6, 0, 1)
-	home := w.arriveIn(1, 0, 7, 6000, 5000, 6*sec).out().host
-	w.end(w.gens[1], PrefillDone, 5000)
-	w.start(w.gens[1])
-	clear(w.d.byID[home.id].texts)
-	for _, h := range w.d.hosts {
-		if h.role == Prefill && h.id != home.id {
-			h.texts[7] = true
+	sim := newFleetSim(t, testConfig(Idempotent), 1)
+	sim.addEndpoints(6, 0, 1)
+	home := sim.arriveWithPrefix(1, 0, 7, 6000, 5000, 6*sec).inFlight().endpoint
+	sim.endAttempt(sim.requests[1], PrefillDone, 5000)
+	sim.startAnswer(sim.requests[1])
+	clear(sim.scheduler.byID[home.id].cachedPrefixes)
+	for _, ep := range sim.scheduler.endpoints {
+		if ep.role == Prefill && ep.id != home.id {
+			ep.cachedPrefixes[7] = true
 		}
 	}
-	w.pass(sec)
-	if h := w.arriveIn(2, 0, 7, 6000, 5000, 6*sec).out().host; h.id != home.id {
-		t.Errorf("read at %d and not at %d, where all others read it", h.id, home.id)
+	sim.advance(sec)
+	if ep := sim.arriveWithPrefix(2, 0, 7, 6000, 5000, 6*sec).inFlight().endpoint; ep.id != home.id {
+		t.Errorf("read at %d and not at %d, where all others read it", ep.id, home.id)
 	}
 }
 
 // What a home turns out not to keep is learnt.
 func TestHomesThatKeepNothing(t *testing.T) {
-	w := newWorld(t, two(Idempotent), 1)
-	w.fleet(4, 0, 1)
+	sim := newFleetSim(t, testConfig(Idempotent), 1)
+	sim.addEndpoints(4, 0, 1)
 	for i := range RequestID(40) {
-		g := w.arriveIn(i+1, 0, PrefixID(i+1), 6000, 5000, 6*sec)
-		w.end(g, PrefillDone, 0)
-		w.start(g)
-		w.end(g, Completed, 0)
+		req := sim.arriveWithPrefix(i+1, 0, PrefixID(i+1), 6000, 5000, 6*sec)
+		sim.endAttempt(req, PrefillDone, 0)
+		sim.startAnswer(req)
+		sim.endAttempt(req, Completed, 0)
 	}
-	g := w.arriveIn(99, 0, 99, 6000, 5000, 6*sec)
-	if read := w.d.toRead(w.d.byID[g.out().host.id], w.d.gens[99]); read < 5800 {
+	req := sim.arriveWithPrefix(99, 0, 99, 6000, 5000, 6*sec)
+	if read := sim.scheduler.tokensToPrefill(sim.scheduler.byID[req.inFlight().endpoint.id], sim.scheduler.requests[99]); read < 5800 {
 		t.Errorf("a home is still taken to need %v of 6000", read)
 	}
 }
 
-// serve ends reads at once, begins answers and ends those of a second ago.
-func (w *world) serve(gens []*told) {
+// stepAll ends reads at once, begins answers and ends those of a second ago.
+func (sim *fleetSim) stepAll(gens []*simRequest) {
 	for range 2 {
-		for _, g := range gens {
-			switch l := g.out(); {
+		for _, req := range gens {
+			switch l := req.inFlight(); {
 			case l == nil:
-			case l.host.kind == 0:
-				w.end(g, PrefillDone, 0)
+			case l.endpoint.kind == 0:
+				sim.endAttempt(req, PrefillDone, 0)
 			case !l.started:
-				w.start(g)
-			case l.at < w.now-sec:
-				w.end(g, Completed, 0)
+				sim.startAnswer(req)
+			case l.sentAt < sim.now-sec:
+				sim.endAttempt(req, Completed, 0)
 			}
 		}
 	}
@@ -275,8 +275,8 @@
 func TestSumAtOneColdHost(t *testing.T) {
 	const perS, warmHosts = 40.0, 4
 	for _, n := range []int{3, 30, 300} {
-		place := two(Idempotent)
-		place.Dispatchers, place.IdleTimeout = n, 30*sec
+		config := testConfig(Idempotent)
+		config.Dispatchers, config.IdleTimeout = n, 30*sec
 		chance := rand.New(rand.NewSource(int64(n)))
 		weights, sum := make([]float64, n), 0.0
 		for i := range weights {
@@ -286,50 +286,50 @@
 		var sent []Micros
 		var start Micros
 		for i := range n {
-			w := newWorld(t, place, int64(i))
-			w.list(&seen{id: 1}, &seen{id: 2}, &seen{id: 3}, &seen{id: 4})
-			for h := range EndpointID(warmHosts) {
-				w.list(&seen{id: 11 + h, kind: 1})
+			sim := newFleetSim(t, config, int64(i))
+			sim.updateEndpoints(&simEndpoint{id: 1}, &simEndpoint{id: 2}, &simEndpoint{id: 3}, &simEndpoint{id: 4})
+			for ep := range EndpointID(warmHosts) {
+				sim.updateEndpoints(&simEndpoint{id: 11 + ep, kind: 1})
 			}
-			began := w.now
+			began := sim.now
 			start = began + 20*sec
-			var open []*told
+			var open []*simRequest
 			for id := RequestID(1); ; id++ {
-				for next := w.now + Micros(chance.ExpFloat64()*sum/(perS*weights[i])*float64(sec)); w.now < next; {
-					w.pass(min(next-w.now, 50*ms))
-					w.serve(open)
+				for next := sim.now + Micros(chance.ExpFloat64()*sum/(perS*weights[i])*float64(sec)); sim.now < next; {
+					sim.advance(min(next-sim.now, 50*ms))
+					sim.stepAll(open)
 				}
-				if w.now > start+place.WarmUp {
+				if sim.now > start+config.WarmUp {
 					break
 				}
-				if w.now >= start && w.hosts[20] == nil { // all others go: only what the rule leaves keeps attempts from it
-					w.list(&seen{id: 20, kind: 1, since: start})
-					for h := range EndpointID(warmHosts) {
-						w.hosts[11+h].cond = Draining
-						w.list(w.hosts[11+h])
+				if sim.now >= start && sim.endpoints[20] == nil { // all others go: only what the rule leaves keeps attempts from it
+					sim.updateEndpoints(&simEndpoint{id: 20, kind: 1, startedAt: start})
+					for ep := range EndpointID(warmHosts) {
+						sim.endpoints[11+ep].state = Draining
+						sim.updateEndpoints(sim.endpoints[11+ep])
 					}
 				}
-				open = append(open, w.arrive(id, 0, 2000, 6*sec))
-				w.serve(open)
-				open = slices.DeleteFunc(open, func(g *told) bool { return g.settled() && g.out() == nil })
+				open = append(open, sim.arrive(id, 0, 2000, 6*sec))
+				sim.stepAll(open)
+				open = slices.DeleteFunc(open, func(req *simRequest) bool { return req.settled() && req.inFlight() == nil })
 			}
-			if h := w.hosts[20]; h != nil {
-				sent = append(sent, h.sent...)
+			if ep := sim.endpoints[20]; ep != nil {
+				sent = append(sent, ep.sent...)
 			}
 		}
 		within := func(times []Micros, from Micros) (n float64) {
 			for _, at := range times {
-				if at >= from && at < from+place.OverloadWindow {
+				if at >= from && at < from+config.OverloadWindow {
 					n++
 				}
 			}
 			return n
 		}
-		for from := start; from+place.OverloadWindow <= start+place.WarmUp; from += 50 * ms {
+		for from := start; from+config.OverloadWindow <= start+config.WarmUp; from += 50 * ms {
 			got := within(sent, from)
 			// What it can do at the span's end, if warm hosts do what they can.
-			now := place.SlowStartFactor + (1-place.SlowStartFactor)*float64(from+place.OverloadWindow-start)/float64(place.WarmUp)
-			allowed := place.OverloadFactor * min(now, 1) * perS / warmHosts * secs(place.OverloadWindow)
+			now := config.SlowStartFactor + (1-config.SlowStartFactor)*float64(from+config.OverloadWindow-start)/float64(config.WarmUp)
+			allowed := config.OverloadFactor * min(now, 1) * perS / warmHosts * secs(config.OverloadWindow)
 			if got > allowed+2*math.Sqrt(allowed)+2 {
 				t.Fatalf("%d dispatchers: %v legs in a span from %d ms, %.1f allowed", n, got, (from-start)/ms, allowed)
 			}
@@ -343,23 +343,23 @@
 // A cell's few writers do not take all that is read beside them where many dispatchers send, of which none sees that they are full; few
 // dispatchers keep to the cell.
 func TestManySpreadOverTheZone(t *testing.T) {
-	fill := func(w *world) {
-		w.list(&seen{id: 1}, &seen{id: 11, kind: 1}, &seen{id: 12, kind: 1})
+	fill := func(sim *fleetSim) {
+		sim.updateEndpoints(&simEndpoint{id: 1}, &simEndpoint{id: 11, kind: 1}, &simEndpoint{id: 12, kind: 1})
 		for i := range EndpointID(6) {
-			w.list(&seen{id: 13 + i, kind: 1, cell: CellID(1 + i/2)})
+			sim.updateEndpoints(&simEndpoint{id: 13 + i, kind: 1, cell: CellID(1 + i/2)})
 		}
-		w.list(&seen{id: 30, kind: 1, zone: 1, cell: 9})
+		sim.updateEndpoints(&simEndpoint{id: 30, kind: 1, zone: 1, cell: 9})
 	}
 	at := map[CellID]int{}
-	for _, w := range many(t, fill) {
-		at[w.written(1, 2000).out().host.cell]++
+	for _, sim := range hundredDispatchers(t, fill) {
+		at[sim.prefilled(1, 2000).inFlight().endpoint.cell]++
 	}
 	if at[0] > 50 || at[9] > 0 {
 		t.Errorf("writes by cell: %v", at)
 	}
-	w := newWorld(t, two(Idempotent), 1)
-	fill(w)
-	if h := w.written(1, 2000).out().host; h.cell != 0 {
-		t.Errorf("one of two dispatchers left the cell for %d", h.cell)
+	sim := newFleetSim(t, testConfig(Idempotent), 1)
+	fill(sim)
+	if ep := sim.prefilled(1, 2000).inFlight().endpoint; ep.cell != 0 {
+		t.Errorf("one of two dispatchers left the cell for %d", ep.cell)
 	}
 }
--- a/scheduler/scheduler.go
+++ b/scheduler/scheduler.go
@@ -62,511 +62,511 @@
 	reportStale = 5 * sec
 	forgetAfter = 600 * sec // a host that is not ready
 
-	coldShare   = 1.2 // of the fall rule's part; warm hosts are seen to do much less than they could
-	provenPart  = 0.9 // of the rule's multiple of what the cold host itself was seen to do
-	provenLeast = 2.0 // mean requests lately, from which on it is a measure
-	coldLeast   = 4.0 // mean requests in a span of the rule that any cold host bears from all
-	doneMemory  = 5.0 // seconds over which work done is counted
+	slowStartShare = 1.2 // of the fall rule's part; warm hosts are seen to do much less than they could
+	provenPart     = 0.9 // of the rule's multiple of what the cold host itself was seen to do
+	provenLeast    = 2.0 // mean requests lately, from which on it is a measure
+	coldLeast      = 4.0 // mean requests in a span of the rule that any cold host bears from all
+	doneMemory     = 5.0 // seconds over which work done is counted
 )
 
 // New makes an instance that knows nothing yet but the place it serves in.
-func New(now Micros, seed int64, place Config, orders Executor) *Scheduler {
-	d := &Scheduler{Config: place, now: now, orders: orders, rand: rand.New(rand.NewSource(seed)),
-		byID: map[EndpointID]*host{}, links: map[CellID]Micros{}, outOf: map[CellID]decayingMean{},
-		often: map[PrefixID]float64{}, gens: map[RequestID]*request{}, refill: now,
-		typical: make([]float64, len(place.Classes)), allowed: make([]float64, len(place.Quotas))}
-	for t := range d.allowed {
-		d.allowed[t] = d.burst(t)
-	}
-	d.homesKeep = 1
-	d.usual = [2]float64{float64(150 * ms), float64(100 * ms)}
-	if d.WatchOnDemand {
+func New(now Micros, seed int64, config Config, orders Executor) *Scheduler {
+	s := &Scheduler{Config: config, now: now, executor: orders, rand: rand.New(rand.NewSource(seed)),
+		byID: map[EndpointID]*endpoint{}, links: map[CellID]Micros{}, handoverDelay: map[CellID]decayingMean{},
+		requestCounts: map[PrefixID]float64{}, requests: map[RequestID]*request{}, refill: now,
+		typical: make([]float64, len(config.Classes)), allowed: make([]float64, len(config.Quotas))}
+	for t := range s.allowed {
+		s.allowed[t] = s.burst(t)
+	}
+	s.cachedShare = 1
+	s.usual = [2]float64{float64(150 * ms), float64(100 * ms)}
+	if s.WatchOnDemand {
 		orders.WatchEndpoints()
 	}
 	orders.SetTimer(tickEvery, PeriodicTimer)
-	return d
+	return s
 }
 
 // --- The list of hosts ---
 
 // EndpointUpdated takes one entry of a list; EndpointUpdateEnded follows the last.
-func (d *Scheduler) EndpointUpdated(now Micros, e EndpointStatus) {
-	d.now = now
+func (s *Scheduler) EndpointUpdated(now Micros, e EndpointStatus) {
+	s.now = now
 	id, since := e.ID, e.StartedAt
-	h := d.byID[id]
-	if h == nil {
-		h = &host{id: id, memory: -1, texts: map[PrefixID]bool{}}
-		d.byID[id] = h
-		at, _ := slices.BinarySearchFunc(d.hosts, id, func(h *host, id EndpointID) int { return int(h.id) - int(id) })
-		d.hosts = slices.Insert(d.hosts, at, h)
-	}
-	if h.since != since && since > 0 {
+	ep := s.byID[id]
+	if ep == nil {
+		ep = &endpoint{id: id, reportedUsage: -1, cachedPrefixes: map[PrefixID]bool{}}
+		s.byID[id] = ep
+		at, _ := slices.BinarySearchFunc(s.endpoints, id, func(ep *endpoint, id EndpointID) int { return int(ep.id) - int(id) })
+		s.endpoints = slices.Insert(s.endpoints, at, ep)
+	}
+	if ep.startedAt != since && since > 0 {
 		// A new process: what the old one kept, and what was held against it, is gone.
-		h.ill, h.quietUntil, h.creditAt, h.memory = 0, 0, 0, -1
-		h.done, h.readTok, h.readTime, h.heard = 0, 0, 0, 0
-		clear(h.texts)
+		ep.failureScore, ep.ejectedUntil, ep.creditAt, ep.reportedUsage = 0, 0, 0, -1
+		ep.completedTokens, ep.prefillTokens, ep.prefillSeconds, ep.lastHeard = 0, 0, 0, 0
+		clear(ep.cachedPrefixes)
 	}
-	h.zone, h.kind, h.cell, h.since, h.listed = e.Zone, e.Kind, e.Cell, since, true
+	ep.zone, ep.kind, ep.cell, ep.startedAt, ep.listed = e.Zone, e.Kind, e.Cell, since, true
 	// A kind that the settings do not name can't be told reader from writer: it gets nothing.
-	h.ready = e.State == Ready && int(e.Kind) < len(d.Kinds)
-	if h.ready {
-		h.role = d.Kinds[e.Kind].Role
+	ep.ready = e.State == Ready && int(e.Kind) < len(s.Kinds)
+	if ep.ready {
+		ep.role = s.Kinds[e.Kind].Role
 	}
 }
 
 // EndpointUpdateEnded closes a list; a host that a whole list leaves out is gone, and after a while forgotten: where
 // hosts are replaced under new ids for months, a decision must not look at all that there ever were.
-func (d *Scheduler) EndpointUpdateEnded(now Micros, whole bool) {
-	d.now = now
-	d.hosts = slices.DeleteFunc(d.hosts, func(h *host) bool {
-		if h.ready = h.ready && (h.listed || !whole); h.ready {
-			h.goneAt = 0
-		} else if h.goneAt == 0 {
-			h.goneAt = now
+func (s *Scheduler) EndpointUpdateEnded(now Micros, whole bool) {
+	s.now = now
+	s.endpoints = slices.DeleteFunc(s.endpoints, func(ep *endpoint) bool {
+		if ep.ready = ep.ready && (ep.listed || !whole); ep.ready {
+			ep.unavailableSince = 0
+		} else if ep.unavailableSince == 0 {
+			ep.unavailableSince = now
 		}
-		h.listed = false
-		if h.goneAt == 0 || now-h.goneAt < forgetAfter || len(h.legs) > 0 || h.streams > 0 {
+		ep.listed = false
+		if ep.unavailableSince == 0 || now-ep.unavailableSince < forgetAfter || len(ep.pending) > 0 || ep.streams > 0 {
 			return false
 		}
-		delete(d.byID, h.id)
+		delete(s.byID, ep.id)
 		return true
 	})
-	d.admit(false)
-	d.arm()
+	s.admit(false)
+	s.arm()
 }
 
 // EndpointWatchFailed asks again after a wait drawn by chance, so that instances cut off together do not call
 // together.
-func (d *Scheduler) EndpointWatchFailed(now Micros) {
-	d.now = now
-	if d.WatchOnDemand {
-		d.due.Set(now+sec/2+Micros(d.rand.Int63n(int64(sec))), d.orders.WatchEndpoints)
+func (s *Scheduler) EndpointWatchFailed(now Micros) {
+	s.now = now
+	if s.WatchOnDemand {
+		s.due.Set(now+sec/2+Micros(s.rand.Int63n(int64(sec))), s.executor.WatchEndpoints)
 	}
-	d.arm()
+	s.arm()
 }
 
 // QuotaChanged changes what a tenant may send inside its share, over all dispatchers; one not heard of yet is new.
-func (d *Scheduler) QuotaChanged(now Micros, tenant TenantID, perS float64) {
-	d.now = now
-	for int(tenant) >= len(d.Quotas) {
-		d.Quotas, d.allowed = append(slices.Clone(d.Quotas), 0), append(d.allowed, 0)
+func (s *Scheduler) QuotaChanged(now Micros, tenant TenantID, perS float64) {
+	s.now = now
+	for int(tenant) >= len(s.Quotas) {
+		s.Quotas, s.allowed = append(slices.Clone(s.Quotas), 0), append(s.allowed, 0)
 	}
-	fresh := d.Quotas[tenant] == 0
-	if d.Quotas[tenant] = perS; fresh {
-		d.allowed[tenant] = d.burst(int(tenant))
+	fresh := s.Quotas[tenant] == 0
+	if s.Quotas[tenant] = perS; fresh {
+		s.allowed[tenant] = s.burst(int(tenant))
 	}
-	d.allowed[tenant] = min(d.allowed[tenant], d.burst(int(tenant)))
+	s.allowed[tenant] = min(s.allowed[tenant], s.burst(int(tenant)))
 }
 
 // RequestWithdrawn gives up a request whose answer has not begun, as when its tenant is removed.
-func (d *Scheduler) RequestWithdrawn(now Micros, id RequestID) {
-	d.now = now
-	if g := d.gens[id]; g != nil && !g.answered && (g.out == nil || !g.out.started) {
-		d.giveUp(g, Withdrawn)
+func (s *Scheduler) RequestWithdrawn(now Micros, id RequestID) {
+	s.now = now
+	if req := s.requests[id]; req != nil && !req.answered && (req.out == nil || !req.out.started) {
+		s.giveUp(req, Withdrawn)
 	}
-	d.arm()
+	s.arm()
 }
 
 // --- A request's way ---
 
 // RequestArrived takes a request; from here on exactly one final answer is owed.
-func (d *Scheduler) RequestArrived(now Micros, a Arrival) {
-	d.now = now
-	product, tenant := a.Class, a.Tenant
-	g := &request{id: a.ID, product: product, session: a.Session, prefix: a.Prefix, prompt: a.PromptTokens,
-		shared: a.PrefixTokens, growth: a.MaxOutputTokens / 2, arrived: now, deadline: a.Deadline}
-	d.gens[a.ID] = g
-	if int(product) >= len(d.Classes) {
-		d.explain(g, UnknownClass)
-		d.finish(g, d.orders.Fail)
+func (s *Scheduler) RequestArrived(now Micros, a Arrival) {
+	s.now = now
+	class, tenant := a.Class, a.Tenant
+	req := &request{id: a.ID, class: class, session: a.Session, prefix: a.Prefix, promptTokens: a.PromptTokens,
+		prefixTokens: a.PrefixTokens, answerTokens: a.MaxOutputTokens / 2, arrivedAt: now, deadline: a.Deadline}
+	s.requests[a.ID] = req
+	if int(class) >= len(s.Classes) {
+		s.explain(req, UnknownClass)
+		s.finish(req, s.executor.Fail)
 		return
 	}
-	p := d.Classes[product]
+	p := s.Classes[class]
 	if a.DecodeTime > 0 && p.TokenSLO > 0 {
-		g.growth = float64(a.DecodeTime) / float64(p.TokenSLO)
+		req.answerTokens = float64(a.DecodeTime) / float64(p.TokenSLO)
 	}
-	g.slo = now + p.SLO + Micros(float64(p.SLOPer1000)*a.PromptTokens/1000)
-	d.countPrefix(a.Prefix)
-	blend(&d.typical[product], a.PromptTokens+g.growth, usualMemory)
-	if int(tenant) < len(d.Quotas) {
-		d.allowed[tenant]--
-		g.over = d.allowed[tenant] < 0
-		d.allowed[tenant] = max(d.allowed[tenant], 0)
+	req.sloAt = now + p.SLO + Micros(float64(p.SLOPer1000)*a.PromptTokens/1000)
+	s.countPrefix(a.Prefix)
+	blend(&s.typical[class], a.PromptTokens+req.answerTokens, usualMemory)
+	if int(tenant) < len(s.Quotas) {
+		s.allowed[tenant]--
+		req.over = s.allowed[tenant] < 0
+		s.allowed[tenant] = max(s.allowed[tenant], 0)
 	}
 	// Two ticks early: an answer given at the limit itself would reach the client after it has hung up.
-	g.limit = d.due.Set(a.Deadline-2*d.TickInterval-ms, func() { d.giveUp(g, DeadlineReached) })
-	d.enter(g)
-	d.arm()
+	req.limit = s.due.Set(a.Deadline-2*s.TickInterval-ms, func() { s.giveUp(req, DeadlineReached) })
+	s.enter(req)
+	s.arm()
 }
 
 // enter starts a request on its way, or holds it while no writer fits or no reader can be had.
-func (d *Scheduler) enter(g *request) {
-	if g.sent+2 > d.MaxAttempts {
-		d.giveUp(g, AttemptsExhausted)
+func (s *Scheduler) enter(req *request) {
+	if req.sent+2 > s.MaxAttempts {
+		s.giveUp(req, AttemptsExhausted)
 		return
 	}
-	whole := d.Classes[g.product].PrefillOnly // it goes to mixed hosts only where the readers are busy
-	if m := d.pickMixed(g); m != nil && !whole {
-		d.answerAt(g, m, g.prompt)
+	whole := s.Classes[req.class].PrefillOnly // it goes to mixed hosts only where the readers are busy
+	if m := s.pickMixed(req); m != nil && !whole {
+		s.answerAt(req, m, req.promptTokens)
 		return
 	}
-	r, wait := d.pickReader(g), math.Inf(1)
+	r, wait := s.pickReader(req), math.Inf(1)
 	if r != nil {
-		wait = d.wait(r, g)
+		wait = s.wait(r, req)
 	}
 	// With no reader at all to be had, as when all are released at once, long prompts too are read elsewhere.
-	if wait > readTime && (r == nil || g.prompt <= d.typical[g.product]) {
-		if w := d.pickOtherReader(g); w != nil {
-			d.answerAt(g, w, g.prompt)
+	if wait > readTime && (r == nil || req.promptTokens <= s.typical[req.class]) {
+		if sim := s.pickOtherReader(req); sim != nil {
+			s.answerAt(req, sim, req.promptTokens)
 			return
 		}
 	}
 	// Past this the readers' queues only make all late, and what spills from its prefix's home is read in
 	// full: what waits here can still be put in order, and given up when it is too late.
-	most := holdShare * secs(g.slo-g.arrived)
+	most := holdShare * secs(req.sloAt-req.arrivedAt)
 	if whole { // it makes way: chat behind it at its home would look for another, and be read in full there
-		most = makeWay + g.prompt/d.pace(cmp.Or(r, &host{}))
+		most = makeWay + req.promptTokens/s.pace(cmp.Or(r, &endpoint{}))
 	}
-	if r != nil && (len(r.legs) == 0 || wait <= most) {
-		if whole || d.writerAhead(g) {
-			d.send(g, r, d.toRead(r, g), func(res AttemptResult) { d.afterRead(g, r, res.Outcome) })
+	if r != nil && (len(r.pending) == 0 || wait <= most) {
+		if whole || s.writerAhead(req) {
+			s.send(req, r, s.tokensToPrefill(r, req), func(res AttemptResult) { s.afterRead(req, r, res.Outcome) })
 			return
 		}
 	}
-	if !g.held {
-		g.held = true
-		d.held = append(d.held, g)
+	if !req.held {
+		req.held = true
+		s.queued = append(s.queued, req)
 	}
 }
 
 // writerAhead tells whether there is a writer that fits, and room at the writers for what is being read.
-func (d *Scheduler) writerAhead(g *request) bool {
-	_, fits := d.pickWriter(g, nil)
-	return fits && d.roomAhead(g)
+func (s *Scheduler) writerAhead(req *request) bool {
+	_, fits := s.pickDecode(req, nil)
+	return fits && s.roomAhead(req)
 }
 
 // answerAt sends to where the answer is made: the state is fetched, or so much of the prompt read there.
-func (d *Scheduler) answerAt(g *request, w *host, read float64) {
-	d.send(g, w, read, func(res AttemptResult) { d.afterWrite(g, w, res) })
+func (s *Scheduler) answerAt(req *request, sim *endpoint, read float64) {
+	s.send(req, sim, read, func(res AttemptResult) { s.afterWrite(req, sim, res) })
 }
 
 // admit tries what is held again: dearest first, and among equals the newest, which has the most time left;
 // by the earliest SLO time all would barely miss it. What can't be in time any more makes way at once for
 // what can. It stops when several find no place, and a long queue is put in order only at each beat: a
 // flood must not cost its square.
-func (d *Scheduler) admit(beat bool) {
-	if d.gone > 0 {
-		d.held, d.gone = slices.DeleteFunc(d.held, func(g *request) bool { return !g.held }), 0
+func (s *Scheduler) admit(beat bool) {
+	if s.removed > 0 {
+		s.queued, s.removed = slices.DeleteFunc(s.queued, func(req *request) bool { return !req.held }), 0
 	}
-	queue, at := d.held, 0
-	d.held = d.missed[:0]
+	queue, at := s.queued, 0
+	s.queued = s.requeued[:0]
 	ordered := beat || len(queue) < shortQueue
 	if ordered {
 		slices.SortStableFunc(queue, func(a, b *request) int {
-			return cmp.Or(cmp.Compare(d.value(b), d.value(a)), cmp.Compare(b.arrived, a.arrived))
+			return cmp.Or(cmp.Compare(s.value(b), s.value(a)), cmp.Compare(b.arrivedAt, a.arrivedAt))
 		})
 	}
-	for ; at < len(queue) && len(d.held) < missesMost; at++ {
+	for ; at < len(queue) && len(s.queued) < missesMost; at++ {
 		queue[at].held = false
-		d.enter(queue[at])
+		s.enter(queue[at])
 	}
 	// What found no place stands first again; it has room in front of the rest, where it came from.
-	d.missed = d.held
-	d.held = queue[at-len(d.missed):]
-	copy(d.held, d.missed)
-	if ordered && slices.ContainsFunc(d.held, d.timely) {
-		for _, g := range d.held {
-			if !d.timely(g) {
-				d.giveUp(g, TooLate)
+	s.requeued = s.queued
+	s.queued = queue[at-len(s.requeued):]
+	copy(s.queued, s.requeued)
+	if ordered && slices.ContainsFunc(s.queued, s.timely) {
+		for _, req := range s.queued {
+			if !s.timely(req) {
+				s.giveUp(req, TooLate)
 			}
 		}
 	}
 }
 
 // timely: what is usual for a read and a first token still fits into the SLO time.
-func (d *Scheduler) timely(g *request) bool {
-	return d.now+Micros(d.usual[0]+d.usual[1]) <= g.slo
+func (s *Scheduler) timely(req *request) bool {
+	return s.now+Micros(s.usual[0]+s.usual[1]) <= req.sloAt
 }
 
 // value is what a request would still earn for each unit of work.
-func (d *Scheduler) value(g *request) float64 {
-	v := d.Classes[g.product].Revenue
-	if !d.timely(g) {
-		v *= d.Classes[g.product].LateRevenueShare
+func (s *Scheduler) value(req *request) float64 {
+	v := s.Classes[req.class].Revenue
+	if !s.timely(req) {
+		v *= s.Classes[req.class].LateRevenueShare
 	}
-	if g.over {
-		v *= d.OverQuotaWeight
+	if req.over {
+		v *= s.OverQuotaWeight
 	}
 	return v
 }
 
-func (d *Scheduler) afterRead(g *request, r *host, how Outcome) {
+func (s *Scheduler) afterRead(req *request, r *endpoint, how Outcome) {
 	if how == PrefillDone {
-		g.state, g.tried = r, nil
-		d.write(g)
+		req.state, req.tried = r, nil
+		s.write(req)
 		return
 	}
-	g.tried = append(g.tried, r)
-	d.enter(g)
+	req.tried = append(req.tried, r)
+	s.enter(req)
 }
 
 // write sends the read state to a writer now: a state may not wait, so limits give way where none fits.
-func (d *Scheduler) write(g *request) {
-	if w, _ := d.pickWriter(g, g.state); w != nil && g.sent < d.MaxAttempts {
-		d.answerAt(g, w, 0)
+func (s *Scheduler) write(req *request) {
+	if sim, _ := s.pickDecode(req, req.state); sim != nil && req.sent < s.MaxAttempts {
+		s.answerAt(req, sim, 0)
 		return
 	}
-	d.dropState(g)
-	g.tried = nil
-	d.enter(g)
+	s.dropState(req)
+	req.tried = nil
+	s.enter(req)
 }
 
-func (d *Scheduler) afterWrite(g *request, w *host, res AttemptResult) {
+func (s *Scheduler) afterWrite(req *request, sim *endpoint, res AttemptResult) {
 	how := res.Outcome
 	if res.StateMissing && (how == NoCapacity || how == ConnectionLost) {
-		d.dropState(g)
+		s.dropState(req)
 	}
 	if how != NoCapacity || !res.StateMissing { // else the writer is not to blame, and may be the only one
-		g.tried = append(g.tried, w)
+		req.tried = append(req.tried, sim)
 	}
 	switch {
-	case !d.mayRepeat(g, nil):
-		d.giveUp(g, MayHaveRun)
-	case g.state != nil:
-		d.write(g)
+	case !s.mayRepeat(req, nil):
+		s.giveUp(req, MayHaveRun)
+	case req.state != nil:
+		s.write(req)
 	default:
-		d.enter(g)
+		s.enter(req)
 	}
 }
 
 // giveUp ends a request: throttled where a further try is harmless, otherwise terminated.
-func (d *Scheduler) giveUp(g *request, why Reason) {
-	d.explain(g, why)
-	if d.mayReject(g) {
-		d.finish(g, func(id RequestID) { d.orders.Reject(id, min(sec/2, d.MaxRetryAfter)) })
+func (s *Scheduler) giveUp(req *request, why Reason) {
+	s.explain(req, why)
+	if s.mayReject(req) {
+		s.finish(req, func(id RequestID) { s.executor.Reject(id, min(sec/2, s.MaxRetryAfter)) })
 	} else {
-		d.finish(g, d.orders.Fail)
+		s.finish(req, s.executor.Fail)
 	}
 }
 
-func (d *Scheduler) explain(g *request, why Reason) {
-	if e, ok := d.orders.(Explainer); ok && !g.answered {
-		e.Explain(g.id, why)
+func (s *Scheduler) explain(req *request, why Reason) {
+	if e, ok := s.executor.(Explainer); ok && !req.answered {
+		e.Explain(req.id, why)
 	}
 }
 
 // finish gives the final answer and sees that nothing stays held: ending a request releases nothing.
-func (d *Scheduler) finish(g *request, answer func(RequestID)) {
-	if !g.answered {
-		g.answered = true
-		answer(g.id)
-	}
-	d.due.Drop(g.limit)
-	if g.held { // it is taken out of the queue when that is next looked through: many end at once
-		g.held = false
-		d.gone++
-	}
-	if g.out != nil {
-		d.cancel(g.out) // its outcome lets go of the rest
+func (s *Scheduler) finish(req *request, answer func(RequestID)) {
+	if !req.answered {
+		req.answered = true
+		answer(req.id)
+	}
+	s.due.Drop(req.limit)
+	if req.held { // it is taken out of the queue when that is next looked through: many end at once
+		req.held = false
+		s.removed++
+	}
+	if req.out != nil {
+		s.cancel(req.out) // its outcome lets go of the rest
 		return
 	}
-	d.dropState(g)
-	delete(d.gens, g.id)
+	s.dropState(req)
+	delete(s.requests, req.id)
 }
 
 // mayRepeat tells whether the product lets the request be sent again (to h, or to any host at all if nil).
-func (d *Scheduler) mayRepeat(g *request, h *host) bool {
-	p := d.Classes[g.product]
-	if g.ran == nil || p.Effect == Idempotent {
+func (s *Scheduler) mayRepeat(req *request, ep *endpoint) bool {
+	p := s.Classes[req.class]
+	if req.ran == nil || p.Effect == Idempotent {
 		return true
 	}
 	// An attempt counts when it is there, and may wait for its connection before.
-	if p.Effect == NonIdempotent || d.now+d.TickInterval+d.ConnectTimeout >= g.ran.sent+p.Window {
+	if p.Effect == NonIdempotent || s.now+s.TickInterval+s.ConnectTimeout >= req.ran.sent+p.Window {
 		return false
 	}
 	switch {
-	case h == nil || p.Group == AllEndpoints:
+	case ep == nil || p.Group == AllEndpoints:
 		return true
 	case p.Group == SameZone:
-		return h.zone == g.ran.host.zone
+		return ep.zone == req.ran.host.zone
 	}
-	return h.cell == g.ran.host.cell
+	return ep.cell == req.ran.host.cell
 }
 
 // mayReject: a client told to come again must be able to do so without harm. An attempt still out is not
 // known to have done nothing, be it a read.
-func (d *Scheduler) mayReject(g *request) bool {
-	return d.Classes[g.product].Effect == Idempotent || g.ran == nil && g.out == nil
+func (s *Scheduler) mayReject(req *request) bool {
+	return s.Classes[req.class].Effect == Idempotent || req.ran == nil && req.out == nil
 }
 
 // --- Legs ---
 
-func (d *Scheduler) send(g *request, h *host, read float64, then func(AttemptResult)) {
+func (s *Scheduler) send(req *request, ep *endpoint, read float64, then func(AttemptResult)) {
 	switch {
-	case g.sent >= d.MaxAttempts:
-		d.giveUp(g, AttemptsExhausted)
+	case req.sent >= s.MaxAttempts:
+		s.giveUp(req, AttemptsExhausted)
 		return
-	case g.deadline <= d.now:
-		d.giveUp(g, DeadlineReached)
+	case req.deadline <= s.now:
+		s.giveUp(req, DeadlineReached)
 		return
-	case d.refuse(g, h):
-		d.giveUp(g, RuleViolation)
+	case s.refuse(req, ep):
+		s.giveUp(req, RuleViolation)
 		return
 	}
-	l := &attempt{no: AttemptNo(g.sent), gen: g, host: h, sent: d.now, work: read, ahead: h.unread,
-		writes: h.role != Prefill, tokens: g.prompt + g.growth, then: then}
-	l.late = d.now + g.part(slowStart)
-	if g.state != nil {
-		l.far, l.from = g.state.cell != h.cell, g.state.cell
+	l := &attempt{no: AttemptNo(req.sent), gen: req, host: ep, sent: s.now, work: read, ahead: ep.unread,
+		writes: ep.role != Prefill, tokens: req.promptTokens + req.answerTokens, then: then}
+	l.late = s.now + req.part(slowStart)
+	if req.state != nil {
+		l.far, l.from = req.state.cell != ep.cell, req.state.cell
 	}
-	l.fresh = !d.open(h)
-	d.count(l)
-	h.credit -= max(d.typical[g.product], 1)
-	d.orders.Send(g.id, h.id, d.patience(g, h, l))
+	l.fresh = !s.open(ep)
+	s.count(l)
+	ep.credit -= max(s.typical[req.class], 1)
+	s.executor.Send(req.id, ep.id, s.patience(req, ep, l))
 }
 
 // patience is how long an attempt may take: enough for what is usual, but where another host could still do
 // it, not the whole of the time limit, so that one that stalls leaves time for the other.
-func (d *Scheduler) patience(g *request, h *host, l *attempt) Micros {
-	left := g.deadline - d.now
-	if l.writes && d.Classes[g.product].Effect != Idempotent {
+func (s *Scheduler) patience(req *request, ep *endpoint, l *attempt) Micros {
+	left := req.deadline - s.now
+	if l.writes && s.Classes[req.class].Effect != Idempotent {
 		return left
 	}
-	enough := Micros(6*d.usually(l)+3*float64(sec)*(l.ahead+l.work)/d.pace(h)) + sec/2
+	enough := Micros(6*s.usually(l)+3*float64(sec)*(l.ahead+l.work)/s.pace(ep)) + sec/2
 	return min(left, max(enough, left/2))
 }
 
 // usually is what an attempt's stage, or both where it reads and answers in one place, takes at this load.
-func (d *Scheduler) usually(l *attempt) float64 {
+func (s *Scheduler) usually(l *attempt) float64 {
 	switch {
 	case !l.writes:
-		return d.usual[0]
+		return s.usual[0]
 	case l.work == 0:
-		return d.usual[1]
+		return s.usual[1]
 	}
-	return d.usual[0] + d.usual[1]
+	return s.usual[0] + s.usual[1]
 }
 
-func (d *Scheduler) cancel(l *attempt) {
-	if d.CancelAllowed && !l.dropped && !l.started {
+func (s *Scheduler) cancel(l *attempt) {
+	if s.CancelAllowed && !l.dropped && !l.started {
 		l.dropped = true
-		d.orders.Cancel(l.gen.id, l.no)
+		s.executor.Cancel(l.gen.id, l.no)
 	}
 }
 
 // AttemptStarted notes that the answer streams; the client has it, and no time limit counts any more.
-func (d *Scheduler) AttemptStarted(now Micros, id RequestID, no AttemptNo) {
-	d.now = now
-	l := d.legOut(id, no)
+func (s *Scheduler) AttemptStarted(now Micros, id RequestID, no AttemptNo) {
+	s.now = now
+	l := s.currentAttempt(id, no)
 	if l == nil {
 		return
 	}
 	if l.work == 0 {
-		blend(&d.usual[1], float64(now-l.sent), usualMemory)
+		blend(&s.usual[1], float64(now-l.sent), usualMemory)
 	}
-	d.learnHandover(l)
+	s.learnHandover(l)
 	l.started, l.gen.state = true, nil
-	d.due.Drop(l.gen.limit)
+	s.due.Drop(l.gen.limit)
 	l.readOff()
-	h := l.host
-	d.well(h)
-	h.heard = now
+	ep := l.host
+	s.well(ep)
+	ep.lastHeard = now
 	switch {
 	case now <= l.late:
-		h.timelyAt = now
+		ep.timelyStartAt = now
 		if l.far {
-			delete(d.links, l.from)
+			delete(s.links, l.from)
 		}
-	case d.linkToBlame(l):
-		d.links[l.from] = now
-	case now-h.cutAt > capEvery:
-		h.mayHold, h.cutAt = capCut*min(h.held, d.learntCap(h)), now
+	case s.linkToBlame(l):
+		s.links[l.from] = now
+	case now-ep.limitCutAt > capEvery:
+		ep.limit, ep.limitCutAt = capCut*min(ep.reservedTokens, s.reservationLimit(ep)), now
 	}
 }
 
 // AttemptEnded hands an attempt's outcome to what the attempt left behind.
-func (d *Scheduler) AttemptEnded(now Micros, id RequestID, no AttemptNo, res AttemptResult) {
-	d.now = now
+func (s *Scheduler) AttemptEnded(now Micros, id RequestID, no AttemptNo, res AttemptResult) {
+	s.now = now
 	how := res.Outcome
-	l := d.legOut(id, no)
+	l := s.currentAttempt(id, no)
 	if l == nil {
 		return
 	}
-	g, h, work := l.gen, l.host, l.work
-	d.uncount(l)
-	d.hear(h, res.MemoryUsage)
+	req, ep, work := l.gen, l.host, l.work
+	s.uncount(l)
+	s.recordMemoryReport(ep, res.MemoryUsage)
 	if !l.started && (how == TimedOut || how == Cancelled) {
-		d.learnHandover(l)
+		s.learnHandover(l)
 	}
 	if l.fresh {
 		failed := 0.0
 		if how == Unreachable {
 			failed = 1
 		}
-		d.noConnection.learn(d, 0, failed)
+		s.connectFailures.learn(s, 0, failed)
 	}
-	d.judge(h, l, res)
+	s.judge(ep, l, res)
 	if how == PrefillDone {
-		d.learnRead(h, l, g, work, float64(res.CachedTokens))
+		s.learnRead(ep, l, req, work, float64(res.CachedTokens))
 	}
-	if l.writes && g.ran == nil && !how.KnownNotRun() {
-		g.ran = l
+	if l.writes && req.ran == nil && !how.KnownNotRun() {
+		req.ran = l
 	}
 	switch {
-	case res.RequestClosed || g.answered:
-		g.answered = true
-		if !l.writes && !d.Classes[g.product].PrefillOnly {
-			g.state = h // also a read that was cut off may have ended; letting go is free
+	case res.RequestClosed || req.answered:
+		req.answered = true
+		if !l.writes && !s.Classes[req.class].PrefillOnly {
+			req.state = ep // also a read that was cut off may have ended; letting go is free
 		}
-		d.finish(g, nil)
+		s.finish(req, nil)
 	case l.started:
 		// It ended without closing, as when our cancel crossed its start: an answer is still owed.
-		d.giveUp(g, StreamEndedEarly)
+		s.giveUp(req, StreamEndedEarly)
 	default:
 		l.then(res)
 	}
-	d.admit(false)
-	d.arm()
+	s.admit(false)
+	s.arm()
 }
 
 // ClientDisconnected notes that the client is gone and nobody waits any more.
-func (d *Scheduler) ClientDisconnected(now Micros, id RequestID) {
-	d.now = now
-	if g := d.gens[id]; g != nil {
-		g.answered = true
-		d.finish(g, nil)
+func (s *Scheduler) ClientDisconnected(now Micros, id RequestID) {
+	s.now = now
+	if req := s.requests[id]; req != nil {
+		req.answered = true
+		s.finish(req, nil)
 	}
 }
 
 // --- Time ---
 
 // TimerFired is one of the two timers.
-func (d *Scheduler) TimerFired(now Micros, bell TimerID) {
-	d.now = now
+func (s *Scheduler) TimerFired(now Micros, bell TimerID) {
+	s.now = now
 	if bell == PeriodicTimer {
-		d.orders.SetTimer(tickEvery, PeriodicTimer)
-		d.refillShares()
-		d.watchSilence()
-		d.seeWarm()
-		d.admit(true)
+		s.executor.SetTimer(tickEvery, PeriodicTimer)
+		s.refillShares()
+		s.watchSilence()
+		s.seeWarm()
+		s.admit(true)
 	} else {
-		d.armed = 0
+		s.armed = 0
 	}
-	d.due.Run(now)
-	d.arm()
+	s.due.Run(now)
+	s.arm()
 }
 
-func (d *Scheduler) refillShares() {
-	for t := range d.Quotas {
-		d.allowed[t] = min(d.allowed[t]+d.burst(t)*secs(d.now-d.refill)/burstTime, d.burst(t))
+func (s *Scheduler) refillShares() {
+	for t := range s.Quotas {
+		s.allowed[t] = min(s.allowed[t]+s.burst(t)*secs(s.now-s.refill)/burstTime, s.burst(t))
 	}
-	d.refill = d.now
+	s.refill = s.now
 }
 
 // burst is what a tenant may send at once and still be inside its share, of which this dispatcher has an
 // even part.
-func (d *Scheduler) burst(t int) float64 {
-	return max(d.Quotas[t]/float64(max(d.Dispatchers, 1))*burstTime, 1)
+func (s *Scheduler) burst(t int) float64 {
+	return max(s.Quotas[t]/float64(max(s.Dispatchers, 1))*burstTime, 1)
 }
 
 // --- Choosing ---
@@ -574,79 +574,81 @@
 // candidates are the usable hosts of some roles. Where none is left no verdict is trusted: when all look
 // ill it is more likely the network, or this dispatcher. The rules (list, repeats, cold hosts) bind all the
 // same.
-func (d *Scheduler) candidates(g *request, roles ...Role) []*host {
-	from, ill := len(d.lists), func(h *host) bool { return !d.looksWell(h, g) }
-	d.looked += uint64(len(d.hosts))
-	for _, h := range d.hosts {
-		if !slices.Contains(roles, h.role) || !h.ready || g.state == nil && d.now < h.fullUntil {
+func (s *Scheduler) candidates(req *request, roles ...Role) []*endpoint {
+	from, ill := len(s.lists), func(ep *endpoint) bool { return !s.looksWell(ep, req) }
+	s.examined += uint64(len(s.endpoints))
+	for _, ep := range s.endpoints {
+		if !slices.Contains(roles, ep.role) || !ep.ready || req.state == nil && s.now < ep.noCapacityUntil {
 			continue // a full host isn't ill: to send to it all the same would only burn the attempts that are left
 		}
-		if slices.Contains(g.tried, h) || !d.mayRepeat(g, h) || !d.bears(h) {
+		if slices.Contains(req.tried, ep) || !s.mayRepeat(req, ep) || !s.bears(ep) {
 			continue
 		}
-		d.lists = append(d.lists, h)
+		s.lists = append(s.lists, ep)
 	}
-	hosts := d.lists[from:len(d.lists):len(d.lists)]
-	if i := slices.IndexFunc(hosts, func(h *host) bool { return !ill(h) }); i >= 0 {
+	hosts := s.lists[from:len(s.lists):len(s.lists)]
+	if i := slices.IndexFunc(hosts, func(ep *endpoint) bool { return !ill(ep) }); i >= 0 {
 		hosts = slices.DeleteFunc(hosts, ill)
 	}
-	return d.connected(hosts)
+	return s.connected(hosts)
 }
 
 // done gives back the lists of candidates that were made since a mark: one decision makes several, and none
 // outlives it.
-func (d *Scheduler) done(mark int) { d.lists = d.lists[:mark] }
+func (s *Scheduler) done(mark int) { s.lists = s.lists[:mark] }
 
 // connected are the hosts that this dispatcher has a connection to, those of a role all where it has none,
 // while new connections often fail: they are slow to set up, or the hosts have no more to give. Many
 // dispatchers over many hosts open them all the time.
-func (d *Scheduler) connected(hosts []*host) []*host {
-	if d.noConnection.faded(d, 0) < connectHard {
+func (s *Scheduler) connected(hosts []*endpoint) []*endpoint {
+	if s.connectFailures.faded(s, 0) < connectHard {
 		return hosts
 	}
 	var some [4]bool
-	for _, h := range hosts {
-		some[h.role] = some[h.role] || d.open(h)
+	for _, ep := range hosts {
+		some[ep.role] = some[ep.role] || s.open(ep)
 	}
-	return slices.DeleteFunc(hosts, func(h *host) bool { return some[h.role] && !d.open(h) })
+	return slices.DeleteFunc(hosts, func(ep *endpoint) bool { return some[ep.role] && !s.open(ep) })
 }
 
-func (d *Scheduler) open(h *host) bool { return h.heard > 0 && d.now-h.heard < d.IdleTimeout }
+func (s *Scheduler) open(ep *endpoint) bool {
+	return ep.lastHeard > 0 && s.now-ep.lastHeard < s.IdleTimeout
+}
 
 // among are the candidates of some roles that the request can do without: a dead host that is the only
 // one of its role must not draw every send for want of a better.
-func (d *Scheduler) among(g *request, roles ...Role) []*host {
-	all := d.candidates(g, Prefill, Decode, Mixed)
-	return slices.DeleteFunc(all, func(h *host) bool { return !slices.Contains(roles, h.role) })
+func (s *Scheduler) among(req *request, roles ...Role) []*endpoint {
+	all := s.candidates(req, Prefill, Decode, Mixed)
+	return slices.DeleteFunc(all, func(ep *endpoint) bool { return !slices.Contains(roles, ep.role) })
 }
 
 // looksWell: an ill host rests, then earns its way back, one attempt at a time, on what may run again.
-func (d *Scheduler) looksWell(h *host, g *request) bool {
-	trial := len(h.legs) == 0 && d.Classes[g.product].Effect == Idempotent
-	return d.now >= h.quietUntil && (h.ill == 0 || trial)
+func (s *Scheduler) looksWell(ep *endpoint, req *request) bool {
+	trial := len(ep.pending) == 0 && s.Classes[req.class].Effect == Idempotent
+	return s.now >= ep.ejectedUntil && (ep.failureScore == 0 || trial)
 }
 
 // draw takes some of the hosts by chance where there are many dispatchers: all hear the same reports and know
 // little else, and would all send to the same one, the least filled when last heard of.
-func (d *Scheduler) draw(hosts []*host) []*host {
-	n := max(2, len(hosts)*alike/max(d.Dispatchers, 1))
+func (s *Scheduler) draw(hosts []*endpoint) []*endpoint {
+	n := max(2, len(hosts)*alike/max(s.Dispatchers, 1))
 	if n >= len(hosts) {
 		return hosts
 	}
-	d.rand.Shuffle(len(hosts), func(i, j int) { hosts[i], hosts[j] = hosts[j], hosts[i] })
+	s.rand.Shuffle(len(hosts), func(i, j int) { hosts[i], hosts[j] = hosts[j], hosts[i] })
 	return hosts[:n]
 }
 
 // least is the host of the lowest cost below infinity; ties, as after a restart, must not all fall on one.
-func (d *Scheduler) least(hosts []*host, cost func(*host) float64) (best *host) {
+func (s *Scheduler) least(hosts []*endpoint, cost func(*endpoint) float64) (best *endpoint) {
 	if len(hosts) == 0 {
 		return nil
 	}
-	lowest, first := math.Inf(1), d.rand.Intn(len(hosts))
+	lowest, first := math.Inf(1), s.rand.Intn(len(hosts))
 	for i := range hosts {
-		h := hosts[(first+i)%len(hosts)]
-		if c := cost(h); c < lowest {
-			best, lowest = h, c
+		ep := hosts[(first+i)%len(hosts)]
+		if c := cost(ep); c < lowest {
+			best, lowest = ep, c
 		}
 	}
 	return best
@@ -654,27 +656,29 @@
 
 // pickReader is the prefix's home unless that is busy, else the reader with the least work. Readers whose
 // states could not be taken anywhere in time are left out.
-func (d *Scheduler) pickReader(g *request) *host {
-	defer d.done(len(d.lists))
-	if d.Classes[g.product].PrefillOnly { // no state that would have to be taken, nor any text that is kept
-		return d.least(d.candidates(g, Prefill, Embedder), func(h *host) float64 { return d.wait(h, g) })
+func (s *Scheduler) pickReader(req *request) *endpoint {
+	defer s.done(len(s.lists))
+	if s.Classes[req.class].PrefillOnly { // no state that would have to be taken, nor any text that is kept
+		return s.least(s.candidates(req, Prefill, Embedder), func(ep *endpoint) float64 { return s.wait(ep, req) })
 	}
-	late := d.lateCells()
+	late := s.congestedCells()
 	var takes []CellID
 	asked := false
-	readers := slices.DeleteFunc(d.candidates(g, Prefill), func(r *host) bool {
-		if !d.linkJammed(r.cell, g, late) {
+	readers := slices.DeleteFunc(s.candidates(req, Prefill), func(r *endpoint) bool {
+		if !s.linkCongested(r.cell, req, late) {
 			return false
 		}
 		if !asked {
-			takes, asked = d.cellsThatTake(g), true
+			takes, asked = s.cellsAcceptingState(req), true
 		}
 		_, some := slices.BinarySearch(takes, r.cell)
 		return !some
 	})
-	homes := d.homes(g, readers)
-	wait := func(h *host) float64 { return d.wait(h, g) + max(d.handover(h.cell)-secs(g.part(slowStart/2)), 0) }
-	least := d.least(readers, wait)
+	homes := s.affinityEndpoints(req, readers)
+	wait := func(ep *endpoint) float64 {
+		return s.wait(ep, req) + max(s.handover(ep.cell)-secs(req.part(slowStart/2)), 0)
+	}
+	least := s.least(readers, wait)
 	for _, home := range homes {
 		if home != nil && wait(home) <= homeFactor*wait(least)+homeFloor {
 			return home
@@ -683,73 +687,73 @@
 	return least
 }
 
-// homes are where a prefix, or a session without one, is read first. It has a home in each zone and one among
+// affinityEndpoints are where a prefix, or a session without one, is read first. It has a home in each zone and one among
 // all. The own zone's goes first: links between zones are long and charged for. Where it is busy that of all
 // goes before the least-loaded, which may not have kept the text.
-func (d *Scheduler) homes(g *request, readers []*host) [2]*host {
-	key := cmp.Or(uint64(g.prefix), uint64(g.session))
-	g.homes = [2]*host{}
+func (s *Scheduler) affinityEndpoints(req *request, readers []*endpoint) [2]*endpoint {
+	key := cmp.Or(uint64(req.prefix), uint64(req.session))
+	req.homes = [2]*endpoint{}
 	if key == 0 || len(readers) == 0 {
-		return g.homes
+		return req.homes
 	}
-	from := len(d.lists)
-	for _, h := range readers {
-		if h.zone == d.Zone {
-			d.lists = append(d.lists, h)
+	from := len(s.lists)
+	for _, ep := range readers {
+		if ep.zone == s.Zone {
+			s.lists = append(s.lists, ep)
 		}
 	}
-	if near := d.lists[from:]; len(near) > 0 {
-		g.homes[0] = d.home(g, key, near)
+	if near := s.lists[from:]; len(near) > 0 {
+		req.homes[0] = s.affinityEndpoint(req, key, near)
 	}
-	g.homes[1] = d.home(g, key, readers)
-	return g.homes
+	req.homes[1] = s.affinityEndpoint(req, key, readers)
+	return req.homes
 }
 
-// cellsThatTake are those with a writer that fits among the cell's own, which are all that a state behind a
+// cellsAcceptingState are those with a writer that fits among the cell's own, which are all that a state behind a
 // jammed link may go to. One walk finds them for all readers.
-func (d *Scheduler) cellsThatTake(g *request) []CellID {
-	defer d.done(len(d.lists))
-	hosts, takes := d.writers(g), d.cells[:0]
-	slices.SortFunc(hosts, func(a, b *host) int { return cmp.Compare(a.cell, b.cell) })
+func (s *Scheduler) cellsAcceptingState(req *request) []CellID {
+	defer s.done(len(s.lists))
+	hosts, takes := s.writers(req), s.cells[:0]
+	slices.SortFunc(hosts, func(a, b *endpoint) int { return cmp.Compare(a.cell, b.cell) })
 	for len(hosts) > 0 {
 		n := 1
 		for n < len(hosts) && hosts[n].cell == hosts[0].cell {
 			n++
 		}
-		median := median(d.loads(hosts[:n]))
-		if slices.ContainsFunc(hosts[:n], func(h *host) bool { return d.fits(h, g, median) }) {
+		median := median(s.loads(hosts[:n]))
+		if slices.ContainsFunc(hosts[:n], func(ep *endpoint) bool { return s.fits(ep, req, median) }) {
 			takes = append(takes, hosts[0].cell)
 		}
 		hosts = hosts[n:]
 	}
-	d.cells = takes
+	s.cells = takes
 	return takes
 }
 
 // writers are the candidates for a write; without any writer mixed hosts are.
-func (d *Scheduler) writers(g *request) []*host {
-	if hosts := d.candidates(g, Decode); len(hosts) > 0 {
+func (s *Scheduler) writers(req *request) []*endpoint {
+	if hosts := s.candidates(req, Decode); len(hosts) > 0 {
 		return hosts
 	}
-	return d.candidates(g, Mixed)
+	return s.candidates(req, Mixed)
 }
 
-// home is the prefix's hashed reader, alike at all dispatchers. A prefix that is a great part of the traffic
+// affinityEndpoint is the prefix's hashed reader, alike at all dispatchers. A prefix that is a great part of the traffic
 // has further homes, shared out by session: many dispatchers that each see little would learn too late that
 // its one reader can't do it all.
-func (d *Scheduler) home(g *request, key uint64, readers []*host) *host {
+func (s *Scheduler) affinityEndpoint(req *request, key uint64, readers []*endpoint) *endpoint {
 	homes := 1
-	if g.prefix != 0 {
-		homes += int(d.share(g.prefix) * float64(len(readers)) / homeLoad)
+	if req.prefix != 0 {
+		homes += int(s.share(req.prefix) * float64(len(readers)) / homeLoad)
 	}
-	hash := func(a, b *host) int {
+	hash := func(a, b *endpoint) int {
 		return cmp.Compare(mix(key^mix(uint64(b.id))), mix(key^mix(uint64(a.id))))
 	}
 	if homes == 1 {
 		return slices.MinFunc(readers, hash)
 	}
 	slices.SortFunc(readers, hash)
-	key = uint64(g.session)
+	key = uint64(req.session)
 	return slices.MinFunc(readers[:min(homes, len(readers))], hash)
 }
 
@@ -757,187 +761,187 @@
 // of it: all dispatchers would read each text at homes of their own. So it counts what was seen beyond the
 // first, among some more requests that are taken to be as alike as any two of those seen were; but not for
 // a prefix that would have been seen more often by now if it were like that.
-func (d *Scheduler) share(prefix PrefixID) float64 {
-	others := max(d.arrivals-1, 0)
-	alike := d.pairs / (d.arrivals*others/2 + arrivalsFew)
-	return (max(d.often[prefix]-1, 0) + arrivalsFew*alike*math.Exp(-others*alike)) / (others + arrivalsFew)
+func (s *Scheduler) share(prefix PrefixID) float64 {
+	others := max(s.arrivals-1, 0)
+	alike := s.pairs / (s.arrivals*others/2 + arrivalsFew)
+	return (max(s.requestCounts[prefix]-1, 0) + arrivalsFew*alike*math.Exp(-others*alike)) / (others + arrivalsFew)
 }
 
 // countPrefix keeps each prefix's part of the traffic; what is long past counts for little.
-func (d *Scheduler) countPrefix(prefix PrefixID) {
-	d.arrivals++
-	d.pairs += d.often[prefix]
-	d.often[prefix]++
-	if d.arrivals > arrivalsMost {
-		d.arrivals /= 2
-		d.pairs /= 4
-		for p, n := range d.often {
-			if d.often[p] = n / 2; n < 0.1 {
-				delete(d.often, p)
+func (s *Scheduler) countPrefix(prefix PrefixID) {
+	s.arrivals++
+	s.pairs += s.requestCounts[prefix]
+	s.requestCounts[prefix]++
+	if s.arrivals > arrivalsMost {
+		s.arrivals /= 2
+		s.pairs /= 4
+		for p, n := range s.requestCounts {
+			if s.requestCounts[p] = n / 2; n < 0.1 {
+				delete(s.requestCounts, p)
 			}
 		}
 	}
 }
 
 // wait is the seconds until a reader would have read the request, by own counts and its own pace.
-func (d *Scheduler) wait(h *host, g *request) float64 {
-	return (h.unread + d.toRead(h, g)) / d.pace(h)
+func (s *Scheduler) wait(ep *endpoint, req *request) float64 {
+	return (ep.unread + s.tokensToPrefill(ep, req)) / s.pace(ep)
 }
 
 // handover is the seconds until a state that was read in a cell begins to be answered, as lately seen; a cell
 // whose one link is overfull, or whose writers are, has its readers look busy.
-func (d *Scheduler) handover(cell CellID) float64 {
-	return d.outOf[cell].faded(d, d.usual[1]/float64(sec))
+func (s *Scheduler) handover(cell CellID) float64 {
+	return s.handoverDelay[cell].faded(s, s.usual[1]/float64(sec))
 }
 
-func (d *Scheduler) learnHandover(l *attempt) {
+func (s *Scheduler) learnHandover(l *attempt) {
 	if l.writes && l.work == 0 {
-		t := d.outOf[l.from]
-		t.learn(d, d.usual[1]/float64(sec), secs(d.now-l.sent))
-		d.outOf[l.from] = t
+		t := s.handoverDelay[l.from]
+		t.learn(s, s.usual[1]/float64(sec), secs(s.now-l.sent))
+		s.handoverDelay[l.from] = t
 	}
 }
 
 // faded is what was seen lately, and ever more the usual where nothing was seen for long: what one dispatcher
 // sees of one host or cell is seldom and soon old.
-func (t decayingMean) faded(d *Scheduler, usual float64) float64 {
+func (t decayingMean) faded(s *Scheduler, usual float64) float64 {
 	if t.at == 0 {
 		return usual
 	}
-	return usual + (t.value-usual)*math.Exp(-secs(d.now-t.at)/traceFades)
+	return usual + (t.value-usual)*math.Exp(-secs(s.now-t.at)/traceFades)
 }
 
-func (t *decayingMean) learn(d *Scheduler, usual, seen float64) {
-	t.value = t.faded(d, usual)
+func (t *decayingMean) learn(s *Scheduler, usual, seen float64) {
+	t.value = t.faded(s, usual)
 	t.value += traceMemory * (seen - t.value)
-	t.at = d.now
+	t.at = s.now
 }
 
-func (d *Scheduler) pace(h *host) float64 {
-	return (h.readTok + firstRate) / (h.readTime + 1)
+func (s *Scheduler) pace(ep *endpoint) float64 {
+	return (ep.prefillTokens + firstRate) / (ep.prefillSeconds + 1)
 }
 
-// toRead is what of a prompt the host has likely not kept. A home keeps what the others send there, which
+// tokensToPrefill is what of a prompt the host has likely not kept. A home keeps what the others send there, which
 // this dispatcher has not seen: taken to keep nothing, it would look slower than any host that was once read
 // at instead, and each dispatcher would have homes of its own.
-func (d *Scheduler) toRead(h *host, g *request) float64 {
+func (s *Scheduler) tokensToPrefill(ep *endpoint, req *request) float64 {
 	switch {
-	case h.texts[g.prefix]:
-		return max(g.prompt-g.shared, 1)
-	case h == g.homes[0] || h == g.homes[1]:
-		return max(g.prompt-g.shared*d.homesKeep, 1)
+	case ep.cachedPrefixes[req.prefix]:
+		return max(req.promptTokens-req.prefixTokens, 1)
+	case ep == req.homes[0] || ep == req.homes[1]:
+		return max(req.promptTokens-req.prefixTokens*s.cachedShare, 1)
 	}
-	return g.prompt
+	return req.promptTokens
 }
 
-// pickWriter is the least filled fitting writer, in the reader's cell, else its zone, else anywhere; if
+// pickDecode is the least filled fitting writer, in the reader's cell, else its zone, else anywhere; if
 // none fits, the least filled past the limits. It tells whether the one it names fits.
-func (d *Scheduler) pickWriter(g *request, reader *host) (*host, bool) {
-	defer d.done(len(d.lists))
-	hosts := d.writers(g)
-	if reader != nil && d.linkJammed(reader.cell, g, d.lateCells()) {
-		inside := func(h *host) bool { return h.cell == reader.cell }
+func (s *Scheduler) pickDecode(req *request, reader *endpoint) (*endpoint, bool) {
+	defer s.done(len(s.lists))
+	hosts := s.writers(req)
+	if reader != nil && s.linkCongested(reader.cell, req, s.congestedCells()) {
+		inside := func(ep *endpoint) bool { return ep.cell == reader.cell }
 		if slices.ContainsFunc(hosts, inside) {
-			hosts = slices.DeleteFunc(hosts, func(h *host) bool { return !inside(h) })
+			hosts = slices.DeleteFunc(hosts, func(ep *endpoint) bool { return !inside(ep) })
 		}
 	}
 	if len(hosts) == 0 {
 		return nil, false
 	}
-	median, outside := median(d.loads(hosts)), d.numbers[:0]
-	for _, h := range hosts {
-		if reader != nil && h.cell != reader.cell {
-			outside = append(outside, d.fill(h))
+	median, outside := median(s.loads(hosts)), s.numbers[:0]
+	for _, ep := range hosts {
+		if reader != nil && ep.cell != reader.cell {
+			outside = append(outside, s.fill(ep))
 		}
 	}
-	d.numbers = outside
+	s.numbers = outside
 	most := max(nearFactor*mean(outside)+nearFloor, nearLittle)
 	// The step that the least filled is looked for in: the cell, the zone, anywhere, past the limits.
 	first := 4
-	for i, h := range hosts {
+	for i, ep := range hosts {
 		at := 0
 		switch {
-		case !d.fits(h, g, median):
+		case !s.fits(ep, req, median):
 			at = 3
-		case reader == nil || h.zone != reader.zone || d.fill(h) > most:
+		case reader == nil || ep.zone != reader.zone || s.fill(ep) > most:
 			at = 2
-		case h.cell != reader.cell && d.Dispatchers <= alike*len(hosts):
+		case ep.cell != reader.cell && s.Dispatchers <= alike*len(hosts):
 			at = 1 // many dispatchers would all overfill a cell's few, and none of them see it
 		}
 		first, hosts[i].step = min(first, at), at
 	}
-	hosts = slices.DeleteFunc(hosts, func(h *host) bool { return h.step != first })
-	return d.least(d.draw(hosts), d.fill), first < 3
+	hosts = slices.DeleteFunc(hosts, func(ep *endpoint) bool { return ep.step != first })
+	return s.least(s.draw(hosts), s.fill), first < 3
 }
 
-func (d *Scheduler) fits(h *host, g *request, median float64) bool {
-	if d.load(h) > median+paceMargin || d.now < h.fullUntil || d.jammed(h) {
+func (s *Scheduler) fits(ep *endpoint, req *request, median float64) bool {
+	if s.load(ep) > median+paceMargin || s.now < ep.noCapacityUntil || s.stalled(ep) {
 		return false
 	}
-	adds := g.prompt + g.growth
-	return h.held+adds < d.learntCap(h) && (!d.reported(h) || d.fill(h)+adds/d.room(h) < ceiling)
+	adds := req.promptTokens + req.answerTokens
+	return ep.reservedTokens+adds < s.reservationLimit(ep) && (!s.reported(ep) || s.fill(ep)+adds/s.room(ep) < ceiling)
 }
 
 // roomAhead counts what is being read against what the writers that fit may still take: that can't be held
 // any more, so without this a jam's first free place would let in a whole burst of reads. A cold host takes
 // one more.
-func (d *Scheduler) roomAhead(g *request) bool {
-	adds := g.prompt + g.growth
-	left := -d.underway - adds
-	defer d.done(len(d.lists))
-	hosts := d.candidates(g, Decode, Mixed)
-	median := median(d.loads(hosts))
-	for _, h := range hosts {
-		if d.cold(h) {
+func (s *Scheduler) roomAhead(req *request) bool {
+	adds := req.promptTokens + req.answerTokens
+	left := -s.prefillTokens - adds
+	defer s.done(len(s.lists))
+	hosts := s.candidates(req, Decode, Mixed)
+	median := median(s.loads(hosts))
+	for _, ep := range hosts {
+		if s.cold(ep) {
 			left += adds
-		} else if d.fits(h, g, median) {
-			left += max(d.learntCap(h)-h.held, 0)
+		} else if s.fits(ep, req, median) {
+			left += max(s.reservationLimit(ep)-ep.reservedTokens, 0)
 		}
 	}
-	return left >= 0 || d.underway == 0
+	return left >= 0 || s.prefillTokens == 0
 }
 
-// learntCap is what this dispatcher may hold at a writer, in tokens, whatever is reported of it. How much
+// reservationLimit is what this dispatcher may hold at a writer, in tokens, whatever is reported of it. How much
 // others hold there is not known and changes when a zone is cut or a dispatcher dies, so it is learnt: cut
 // when answers begin late, for then the memory has run out and answers are put back and read anew; grown
 // again with time.
-func (d *Scheduler) learntCap(h *host) float64 {
-	if h.cutAt == 0 {
+func (s *Scheduler) reservationLimit(ep *endpoint) float64 {
+	if ep.limitCutAt == 0 {
 		return math.Inf(1)
 	}
-	even := d.room(h) / float64(max(d.Dispatchers, 1))
-	return max(h.mayHold, even/8) + capGrows*even*secs(d.now-h.cutAt)
+	even := s.room(ep) / float64(max(s.Dispatchers, 1))
+	return max(ep.limit, even/8) + capGrows*even*secs(s.now-ep.limitCutAt)
 }
 
-// jammed: an answer is late to begin at this writer, so its memory, slots or pace are spent, whoever spent
+// stalled: an answer is late to begin at this writer, so its memory, slots or pace are spent, whoever spent
 // them. It stands in for the ceiling where nothing is reported, and in overload it has requests held
 // before the read instead of in the writers' queues, where they would all be late.
-func (d *Scheduler) jammed(h *host) bool {
-	return slices.ContainsFunc(h.legs, func(l *attempt) bool {
-		return l.writes && d.now > l.late && !d.linkToBlame(l)
+func (s *Scheduler) stalled(ep *endpoint) bool {
+	return slices.ContainsFunc(ep.pending, func(l *attempt) bool {
+		return l.writes && s.now > l.late && !s.linkToBlame(l)
 	})
 }
 
 // linkToBlame: the state comes out of another cell, and the writer has begun another answer in time since.
-func (d *Scheduler) linkToBlame(l *attempt) bool { return l.far && l.host.timelyAt > l.sent }
+func (s *Scheduler) linkToBlame(l *attempt) bool { return l.far && l.host.timelyStartAt > l.sent }
 
-// linkJammed: states come out of a cell late though their writers are well, so its one link is overfull or
+// linkCongested: states come out of a cell late though their writers are well, so its one link is overfull or
 // failing. Until they come in time again they go to writers inside the cell, and prompts are read where
 // states can be taken.
-func (d *Scheduler) linkJammed(cell CellID, g *request, late []CellID) bool {
-	if at, seen := d.links[cell]; seen && d.now-at < g.part(slowStart) {
+func (s *Scheduler) linkCongested(cell CellID, req *request, late []CellID) bool {
+	if at, seen := s.links[cell]; seen && s.now-at < req.part(slowStart) {
 		return true
 	}
 	return slices.Contains(late, cell)
 }
 
-// lateCells are those out of which a state is late that is on its way now; most of the time there is none.
+// congestedCells are those out of which a state is late that is on its way now; most of the time there is none.
 // They are found once for a decision: to look through all attempts for each reader cost the fleet's square.
-func (d *Scheduler) lateCells() (cells []CellID) {
-	d.looked += uint64(len(d.hosts))
-	for _, h := range d.hosts {
-		for _, l := range h.legs {
-			if l.far && d.now > l.late && d.linkToBlame(l) && !slices.Contains(cells, l.from) {
+func (s *Scheduler) congestedCells() (cells []CellID) {
+	s.examined += uint64(len(s.endpoints))
+	for _, ep := range s.endpoints {
+		for _, l := range ep.pending {
+			if l.far && s.now > l.late && s.linkToBlame(l) && !slices.Contains(cells, l.from) {
 				cells = append(cells, l.from)
 			}
 		}
@@ -946,80 +950,80 @@
 }
 
 // load is a host's streams, those of the others taken from own averages, as one dispatcher's even part.
-func (d *Scheduler) load(h *host) float64 {
-	d.average(h)
-	return (float64(h.streams) + h.streamsMean*float64(d.others())) / float64(d.others()+1)
+func (s *Scheduler) load(ep *endpoint) float64 {
+	s.average(ep)
+	return (float64(ep.streams) + ep.meanStreams*float64(s.others())) / float64(s.others()+1)
 }
 
-func (d *Scheduler) others() int { return max(d.Dispatchers-1, 0) }
+func (s *Scheduler) others() int { return max(s.Dispatchers-1, 0) }
 
 // average keeps what this dispatcher had at a host, over the longer the more dispatchers there are, each of
 // which sends there the more seldom: what is there now says next to nothing of what the others have there.
-func (d *Scheduler) average(h *host) {
-	if gap := d.now - h.meanAt; gap > 0 && d.others() > 0 {
-		w := 1 - math.Exp(-secs(gap)/(meanOver*float64(d.others())))
-		h.heldMean += w * (h.held - h.heldMean)
-		h.streamsMean += w * (float64(h.streams) - h.streamsMean)
-		h.meanAt = d.now
+func (s *Scheduler) average(ep *endpoint) {
+	if gap := s.now - ep.meanAt; gap > 0 && s.others() > 0 {
+		sim := 1 - math.Exp(-secs(gap)/(meanOver*float64(s.others())))
+		ep.meanReserved += sim * (ep.reservedTokens - ep.meanReserved)
+		ep.meanStreams += sim * (float64(ep.streams) - ep.meanStreams)
+		ep.meanAt = s.now
 	}
 }
 
 // loads are good until the next ones are asked for.
-func (d *Scheduler) loads(hosts []*host) []float64 {
-	d.numbers = d.numbers[:0]
-	for _, h := range hosts {
-		d.numbers = append(d.numbers, d.load(h))
+func (s *Scheduler) loads(hosts []*endpoint) []float64 {
+	s.numbers = s.numbers[:0]
+	for _, ep := range hosts {
+		s.numbers = append(s.numbers, s.load(ep))
 	}
-	return d.numbers
+	return s.numbers
 }
 
-func (d *Scheduler) reported(h *host) bool {
-	return h.memory >= 0 && d.now-h.reportedAt < reportStale
+func (s *Scheduler) reported(ep *endpoint) bool {
+	return ep.reportedUsage >= 0 && s.now-ep.reportedAt < reportStale
 }
 
 // fill is the share of a writer's memory that is taken: the last report and what this dispatcher has added
 // since, or its own count alone, taken to be an even part of the whole.
-func (d *Scheduler) fill(h *host) float64 {
-	if d.reported(h) {
-		return max(h.memory+(h.held-h.heldThen)/d.room(h), h.held/d.room(h))
+func (s *Scheduler) fill(ep *endpoint) float64 {
+	if s.reported(ep) {
+		return max(ep.reportedUsage+(ep.reservedTokens-ep.reservedAtReport)/s.room(ep), ep.reservedTokens/s.room(ep))
 	}
-	d.average(h)
-	return (h.held + h.heldMean*float64(d.others())) / d.room(h)
+	s.average(ep)
+	return (ep.reservedTokens + ep.meanReserved*float64(s.others())) / s.room(ep)
 }
 
 // pickMixed gives mixed hosts their share whole, by their load against the writers' mean. By memory, of which
 // they have most, they would be given more than they read in time.
-func (d *Scheduler) pickMixed(g *request) *host {
-	defer d.done(len(d.lists))
-	mixed := d.among(g, Mixed)
+func (s *Scheduler) pickMixed(req *request) *endpoint {
+	defer s.done(len(s.lists))
+	mixed := s.among(req, Mixed)
 	if len(mixed) == 0 {
 		return nil
 	}
-	writers := d.candidates(g, Decode)
-	best := d.leastLoaded(mixed, g, median(d.loads(slices.Concat(mixed, writers))))
-	if len(writers) > 0 && mean(d.loads(mixed)) > mixedShare*mean(d.loads(writers)) {
+	writers := s.candidates(req, Decode)
+	best := s.leastLoaded(mixed, req, median(s.loads(slices.Concat(mixed, writers))))
+	if len(writers) > 0 && mean(s.loads(mixed)) > mixedShare*mean(s.loads(writers)) {
 		return nil
 	}
 	return best
 }
 
 // pickOtherReader: readers are busy; the prompt may be read where it is answered.
-func (d *Scheduler) pickOtherReader(g *request) *host {
-	defer d.done(len(d.lists))
+func (s *Scheduler) pickOtherReader(req *request) *endpoint {
+	defer s.done(len(s.lists))
 	roles := []Role{Mixed}
-	if d.DecodePrefills {
+	if s.DecodePrefills {
 		roles = append(roles, Decode)
 	}
-	hosts := d.among(g, roles...)
-	return d.leastLoaded(hosts, g, median(d.loads(hosts)))
+	hosts := s.among(req, roles...)
+	return s.leastLoaded(hosts, req, median(s.loads(hosts)))
 }
 
-func (d *Scheduler) leastLoaded(hosts []*host, g *request, median float64) *host {
-	return d.least(hosts, func(h *host) float64 {
-		if !d.fits(h, g, median) {
+func (s *Scheduler) leastLoaded(hosts []*endpoint, req *request, median float64) *endpoint {
+	return s.least(hosts, func(ep *endpoint) float64 {
+		if !s.fits(ep, req, median) {
 			return math.Inf(1)
 		}
-		return d.load(h)
+		return s.load(ep)
 	})
 }
 
@@ -1027,90 +1031,90 @@
 
 // learnRead takes from a read how fast the host reads and what it keeps. Where much less was kept than
 // before, it has forgotten, and likely more than this text.
-func (d *Scheduler) learnRead(h *host, l *attempt, g *request, work, kept float64) {
-	blend(&d.usual[0], float64(d.now-l.sent), usualMemory)
-	h.readTok += l.ahead + max(g.prompt-kept, 1)
-	h.readTime += secs(d.now - l.sent)
-	if h.readTok > rateMemory {
-		h.readTime *= rateMemory / h.readTok
-		h.readTok = rateMemory
+func (s *Scheduler) learnRead(ep *endpoint, l *attempt, req *request, work, kept float64) {
+	blend(&s.usual[0], float64(s.now-l.sent), usualMemory)
+	ep.prefillTokens += l.ahead + max(req.promptTokens-kept, 1)
+	ep.prefillSeconds += secs(s.now - l.sent)
+	if ep.prefillTokens > rateMemory {
+		ep.prefillSeconds *= rateMemory / ep.prefillTokens
+		ep.prefillTokens = rateMemory
 	}
-	if !h.texts[g.prefix] && g.shared > 0 && (h == g.homes[0] || h == g.homes[1]) {
-		blend(&d.homesKeep, min(kept/g.shared, 1), usualMemory)
+	if !ep.cachedPrefixes[req.prefix] && req.prefixTokens > 0 && (ep == req.homes[0] || ep == req.homes[1]) {
+		blend(&s.cachedShare, min(kept/req.prefixTokens, 1), usualMemory)
 	}
-	if h.texts[g.prefix] && kept < (g.prompt-work)/2 || len(h.texts) > textsMost {
-		clear(h.texts)
+	if ep.cachedPrefixes[req.prefix] && kept < (req.promptTokens-work)/2 || len(ep.cachedPrefixes) > textsMost {
+		clear(ep.cachedPrefixes)
 	}
-	if g.prefix != 0 {
-		h.texts[g.prefix] = true
+	if req.prefix != 0 {
+		ep.cachedPrefixes[req.prefix] = true
 	}
 }
 
 // judge draws from an outcome what it says of the host.
-func (d *Scheduler) judge(h *host, l *attempt, res AttemptResult) {
+func (s *Scheduler) judge(ep *endpoint, l *attempt, res AttemptResult) {
 	switch how := res.Outcome; how {
 	case Completed, PrefillDone:
-		h.heard = d.now
-		d.well(h)
-		d.age(h)
-		h.done += d.typical[l.gen.product]
+		ep.lastHeard = s.now
+		s.well(ep)
+		s.age(ep)
+		ep.completedTokens += s.typical[l.gen.class]
 	case NoCapacity:
 		if !res.StateMissing { // that a state is gone may be known without a word from the host
-			h.heard = d.now
-			h.fullUntil = d.now + fullRest
+			ep.lastHeard = s.now
+			ep.noCapacityUntil = s.now + fullRest
 		}
 	case Errored, ConnectionLost, Unreachable:
 		if how != Errored {
-			h.heard = 0
+			ep.lastHeard = 0
 		}
-		d.blame(h, "failed a leg")
+		s.recordFailure(ep, "failed a leg")
 	case TimedOut:
-		if h.heard <= l.sent {
-			d.blame(h, "let a leg time out and said nothing else")
+		if ep.lastHeard <= l.sent {
+			s.recordFailure(ep, "let a leg time out and said nothing else")
 		}
 	}
 }
 
-func (d *Scheduler) well(h *host) {
-	if h.ill *= illHeals; h.ill < 0.4 {
-		h.ill = 0
+func (s *Scheduler) well(ep *endpoint) {
+	if ep.failureScore *= illHeals; ep.failureScore < 0.4 {
+		ep.failureScore = 0
 	}
 }
 
-// blame rests a host, longer each time. It guards against a host that errs quickly: that one frees its
+// recordFailure rests a host, longer each time. It guards against a host that errs quickly: that one frees its
 // counted memory at once, would look emptiest and draw every send. It holds as well against a dead host
 // that the list still names, a cut network and a host out of connections.
-func (d *Scheduler) blame(h *host, why string) {
-	if d.now < h.quietUntil {
+func (s *Scheduler) recordFailure(ep *endpoint, why string) {
+	if s.now < ep.ejectedUntil {
 		return // many attempts that break at once are one failure
 	}
-	h.ill = min(h.ill+1, illMost)
-	h.quietUntil = d.now + Micros(float64(quietFirst)*math.Exp2(h.ill-1))
-	d.orders.Log(fmt.Sprintf("host %d %s: rests for %d ms", h.id, why, (h.quietUntil-d.now)/ms))
+	ep.failureScore = min(ep.failureScore+1, illMost)
+	ep.ejectedUntil = s.now + Micros(float64(quietFirst)*math.Exp2(ep.failureScore-1))
+	s.executor.Log(fmt.Sprintf("host %d %s: rests for %d ms", ep.id, why, (ep.ejectedUntil-s.now)/ms))
 }
 
 // watchSilence finds hosts that owe answers and say nothing, long before attempts time out. Such a host rests
 // at first; when it stays silent, what may be sent elsewhere is taken back. It guards against hosts that
 // hang or vanish. It can hurt where a host is merely jammed, as what is taken back loses its place there:
 // so what is usual sets the limit.
-func (d *Scheduler) watchSilence() {
-	for _, h := range d.hosts {
-		i := slices.IndexFunc(h.legs, func(l *attempt) bool { return !l.dropped })
+func (s *Scheduler) watchSilence() {
+	for _, ep := range s.endpoints {
+		i := slices.IndexFunc(ep.pending, func(l *attempt) bool { return !l.dropped })
 		if i < 0 {
 			continue
 		}
-		limit := max(silentLeast, Micros(silentTimes*d.usually(h.legs[i])))
-		limit += Micros(2 * float64(sec) * (h.legs[i].ahead + h.legs[i].work) / d.pace(h))
-		quiet := d.now - max(h.legs[i].sent, h.heard)
+		limit := max(silentLeast, Micros(silentTimes*s.usually(ep.pending[i])))
+		limit += Micros(2 * float64(sec) * (ep.pending[i].ahead + ep.pending[i].work) / s.pace(ep))
+		quiet := s.now - max(ep.pending[i].sent, ep.lastHeard)
 		if quiet >= limit {
-			d.blame(h, "owes answers and is silent")
+			s.recordFailure(ep, "owes answers and is silent")
 		}
 		if quiet < takeBack*limit {
 			continue
 		}
-		for _, l := range h.legs {
-			if !l.writes || d.Classes[l.gen.product].Effect == Idempotent {
-				d.cancel(l)
+		for _, l := range ep.pending {
+			if !l.writes || s.Classes[l.gen.class].Effect == Idempotent {
+				s.cancel(l)
 			}
 		}
 	}
@@ -1118,30 +1122,30 @@
 
 // --- Cold hosts ---
 
-func (d *Scheduler) age(h *host) {
-	h.done *= math.Exp(-secs(d.now-h.doneAt) / doneMemory)
-	h.doneAt = d.now
+func (s *Scheduler) age(ep *endpoint) {
+	ep.completedTokens *= math.Exp(-secs(s.now-ep.completedAt) / doneMemory)
+	ep.completedAt = s.now
 }
 
-func (d *Scheduler) cold(h *host) bool { return h.since > 0 && d.now-h.since < d.WarmUp }
+func (s *Scheduler) cold(ep *endpoint) bool { return ep.startedAt > 0 && s.now-ep.startedAt < s.WarmUp }
 
 // seeWarm learns what warm hosts of each role lately did, and keeps it: where all of a role start together
 // no warm one is left to go by, and what was not seen before would let next to nothing through. So it is
 // looked at on each beat, not only once there are cold ones. Those that look ill do not count: dead ones that
 // the list still names would make the others' work look small.
-func (d *Scheduler) seeWarm() {
+func (s *Scheduler) seeWarm() {
 	var sum, n [4]float64
-	d.looked += uint64(len(d.hosts))
-	for _, o := range d.hosts {
-		if o.ready && o.ill == 0 && !d.cold(o) {
-			d.age(o)
-			sum[o.role] += o.done / doneMemory
+	s.examined += uint64(len(s.endpoints))
+	for _, o := range s.endpoints {
+		if o.ready && o.failureScore == 0 && !s.cold(o) {
+			s.age(o)
+			sum[o.role] += o.completedTokens / doneMemory
 			n[o.role]++
 		}
 	}
 	for role := range n {
 		if n[role] > 0 {
-			d.warm[role] = sum[role] / n[role]
+			s.warmThroughput[role] = sum[role] / n[role]
 		}
 	}
 }
@@ -1149,29 +1153,29 @@
 // bears tells whether a cold host can take one more attempt. All dispatchers are taken to send alike, so each
 // keeps to what the rule leaves of the work that warm hosts of the role were seen to do for it, and the
 // cold one itself.
-func (d *Scheduler) bears(h *host) bool {
-	if !d.cold(h) {
+func (s *Scheduler) bears(ep *endpoint) bool {
+	if !s.cold(ep) {
 		return true
 	}
-	d.age(h)
-	rate := d.OverloadFactor * coldShare * d.SlowStartFactor * d.warm[h.role]
+	s.age(ep)
+	rate := s.OverloadFactor * slowStartShare * s.SlowStartFactor * s.warmThroughput[ep.role]
 	mean := 1.0
-	for _, tokens := range d.typical {
+	for _, tokens := range s.typical {
 		mean = max(mean, tokens)
 	}
 	// One answer is no measure: where each dispatcher sees few, those that saw one would all take it for many.
-	if h.done > provenLeast*mean {
-		rate = max(rate, d.OverloadFactor*provenPart*h.done/doneMemory)
+	if ep.completedTokens > provenLeast*mean {
+		rate = max(rate, s.OverloadFactor*provenPart*ep.completedTokens/doneMemory)
 	}
 	// Knowing nothing, as after a restart: one mean request in each span of the rule, and no more than
 	// coldLeast of them from all together.
-	rate = max(rate, mean/max(secs(d.OverloadWindow), 1)*min(1, coldLeast/float64(max(d.Dispatchers, 1))))
+	rate = max(rate, mean/max(secs(s.OverloadWindow), 1)*min(1, coldLeast/float64(max(s.Dispatchers, 1))))
 	// Each dispatcher begins its part at a time of its own: less than one request each is shared out by
 	// chance, where all would send their first at once.
-	if h.creditAt == 0 {
-		h.credit, h.creditAt = -mean*d.rand.Float64(), d.now
+	if ep.creditAt == 0 {
+		ep.credit, ep.creditAt = -mean*s.rand.Float64(), s.now
 	}
-	h.credit = min(h.credit+rate*secs(d.now-h.creditAt), 0)
-	h.creditAt = d.now
-	return h.credit >= 0
+	ep.credit = min(ep.credit+rate*secs(s.now-ep.creditAt), 0)
+	ep.creditAt = s.now
+	return ep.credit >= 0
 }
--- a/scheduler/state.go
+++ b/scheduler/state.go
@@ -15,77 +15,77 @@
 // Scheduler is one instance. It shares nothing with any other.
 type Scheduler struct {
 	Config
-	now    Micros
-	orders Executor
-	rand   *rand.Rand
-	due    timerqueue.Queue
-	armed  Micros // when the due timer next rings; 0 = it is not set
-
-	hosts        []*host // by id, so that nothing hangs on the order of a map
-	byID         map[EndpointID]*host
-	links        map[CellID]Micros // when a state last came late out of a cell
-	outOf        map[CellID]decayingMean
-	gens         map[RequestID]*request
-	held         []*request // with those that are held no more, until they are taken out
-	gone         int        // of these, so many
-	missed       []*request // scratch, as what follows: a decision makes nothing anew that it can use again
-	lists        []*host
-	numbers      []float64
-	cells        []CellID
-	underway     float64    // tokens of the requests that are being read
-	usual        [2]float64 // usual time of a read and to a first token, in Micros
-	warm         [4]float64 // work a second that a warm host of each role was last seen to do
-	typical      []float64  // mean work of a product's requests, in tokens
-	allowed      []float64  // requests that each tenant may still send inside its share
-	refill       Micros
-	often        map[PrefixID]float64 // requests that began with it
-	arrivals     float64              // all of them
-	pairs        float64              // of these, with the same prefix
-	homesKeep    float64              // share of shared texts that homes had kept though not read for this dispatcher
-	noConnection decayingMean         // share of new connections that failed
-	violations   int                  // attempts that were refused where they are sent
-	looked       uint64               // hosts that were looked at for decisions; tests hold it against the fleet's size
-}
-
-// host is what one dispatcher knows of one model host.
-type host struct {
-	id     EndpointID
-	zone   ZoneID
-	kind   KindID
-	cell   CellID
-	role   Role
-	ready  bool
-	listed bool   // named by the list being taken in
-	goneAt Micros // since when it is not ready, as the lists have it; 0 = it is
-	since  Micros
-
-	legs                  []*attempt // out and not yet answering, in the order of their sending
-	unread                float64
-	held                  float64
-	streams               int
-	heldMean, streamsMean float64 // both, as they were on average
-	meanAt                Micros
-	readTok               float64
-	readTime              float64
-	done                  float64 // work answered lately, decaying
-	doneAt                Micros
-	credit                float64 // work that may still go to it while it is cold
-	creditAt              Micros
-
-	ill        float64
-	quietUntil Micros
-	fullUntil  Micros
-	heard      Micros
-	timelyAt   Micros  // when one last began in time
-	mayHold    float64 // own tokens it was last seen to bear
-	cutAt      Micros
-
-	memory     float64 // as last reported, below zero if never
-	heldThen   float64
-	reportedAt Micros
-
-	step  int // that a writer is in, in the decision that is under way
-	texts map[PrefixID]bool
+	now      Micros
+	executor Executor
+	rand     *rand.Rand
+	due      timerqueue.Queue
+	armed    Micros // when the due timer next rings; 0 = it is not set
+
+	endpoints       []*endpoint // by id, so that nothing hangs on the order of a map
+	byID            map[EndpointID]*endpoint
+	links           map[CellID]Micros // when a state last came late out of a cell
+	handoverDelay   map[CellID]decayingMean
+	requests        map[RequestID]*request
+	queued          []*request // with those that are held no more, until they are taken out
+	removed         int        // of these, so many
+	requeued        []*request // scratch, as what follows: a decision makes nothing anew that it can use again
+	lists           []*endpoint
+	numbers         []float64
+	cells           []CellID
+	prefillTokens   float64    // tokens of the requests that are being read
+	usual           [2]float64 // usual time of a read and to a first token, in Micros
+	warmThroughput  [4]float64 // work a second that a warm host of each role was last seen to do
+	typical         []float64  // mean work of a product's requests, in tokens
+	allowed         []float64  // requests that each tenant may still send inside its share
+	refill          Micros
+	requestCounts   map[PrefixID]float64 // requests that began with it
+	arrivals        float64              // all of them
+	pairs           float64              // of these, with the same prefix
+	cachedShare     float64              // share of shared texts that homes had kept though not read for this dispatcher
+	connectFailures decayingMean         // share of new connections that failed
+	violations      int                  // attempts that were refused where they are sent
+	examined        uint64               // hosts that were looked at for decisions; tests hold it against the fleet's size
+}
+
+// endpoint is what one dispatcher knows of one model host.
+type endpoint struct {
+	id               EndpointID
+	zone             ZoneID
+	kind             KindID
+	cell             CellID
+	role             Role
+	ready            bool
+	listed           bool   // named by the list being taken in
+	unavailableSince Micros // since when it is not ready, as the lists have it; 0 = it is
+	startedAt        Micros
+
+	pending                   []*attempt // out and not yet answering, in the order of their sending
+	unread                    float64
+	reservedTokens            float64
+	streams                   int
+	meanReserved, meanStreams float64 // both, as they were on average
+	meanAt                    Micros
+	prefillTokens             float64
+	prefillSeconds            float64
+	completedTokens           float64 // work answered lately, decaying
+	completedAt               Micros
+	credit                    float64 // work that may still go to it while it is cold
+	creditAt                  Micros
+
+	failureScore    float64
+	ejectedUntil    Micros
+	noCapacityUntil Micros
+	lastHeard       Micros
+	timelyStartAt   Micros  // when one last began in time
+	limit           float64 // own tokens it was last seen to bear
+	limitCutAt      Micros
+
+	reportedUsage    float64 // as last reported, below zero if never
+	reservedAtReport float64
+	reportedAt       Micros
+
+	step           int // that a writer is in, in the decision that is under way
+	cachedPrefixes map[PrefixID]bool
 }
 
 // decayingMean is what was seen of a thing lately, and when last.
@@ -98,7 +98,7 @@
 type attempt struct {
 	no      AttemptNo
 	gen     *request
-	host    *host
+	host    *endpoint
 	sent    Micros
 	work    float64 // prompt tokens to read there
 	ahead   float64 // own tokens to be read before it
@@ -115,36 +115,38 @@
 
 // request is one client's request while this dispatcher owes anything for it.
 type request struct {
-	id       RequestID
-	product  ClassID
-	session  SessionID
-	prefix   PrefixID
-	prompt   float64
-	shared   float64
-	growth   float64
-	arrived  Micros
-	slo      Micros
-	deadline Micros
-	over     bool // beyond its tenant's share
+	id           RequestID
+	class        ClassID
+	session      SessionID
+	prefix       PrefixID
+	promptTokens float64
+	prefixTokens float64
+	answerTokens float64
+	arrivedAt    Micros
+	sloAt        Micros
+	deadline     Micros
+	over         bool // beyond its tenant's share
 
 	held     bool
 	sent     int
 	out      *attempt
-	homes    [2]*host
-	state    *host // the reader where its read state waits
-	tried    []*host
+	homes    [2]*endpoint
+	state    *endpoint // the reader where its read state waits
+	tried    []*endpoint
 	ran      *attempt // the first attempt that may have taken effect
 	answered bool
 	limit    *timerqueue.Item
 }
 
 // part is a share of the time that a request has from its arrival to its SLO time.
-func (g *request) part(share float64) Micros { return Micros(share * float64(g.slo-g.arrived)) }
+func (req *request) part(share float64) Micros {
+	return Micros(share * float64(req.sloAt-req.arrivedAt))
+}
 
-// legOut is the request's attempt that is out, if it is this one; odd and late news finds none.
-func (d *Scheduler) legOut(id RequestID, no AttemptNo) *attempt {
-	if g := d.gens[id]; g != nil && g.out != nil && g.out.no == no {
-		return g.out
+// currentAttempt is the request's attempt that is out, if it is this one; odd and late news finds none.
+func (s *Scheduler) currentAttempt(id RequestID, no AttemptNo) *attempt {
+	if req := s.requests[id]; req != nil && req.out != nil && req.out.no == no {
+		return req.out
 	}
 	return nil
 }
@@ -153,33 +155,33 @@
 func (l *attempt) readOff() {
 	l.host.unread = max(l.host.unread-l.work, 0)
 	l.work = 0
-	l.host.legs = slices.DeleteFunc(l.host.legs, func(o *attempt) bool { return o == l })
+	l.host.pending = slices.DeleteFunc(l.host.pending, func(o *attempt) bool { return o == l })
 }
 
 // count and uncount keep what is out at a host and on the way.
-func (d *Scheduler) count(l *attempt) {
-	h := l.host
-	d.average(h)
+func (s *Scheduler) count(l *attempt) {
+	ep := l.host
+	s.average(ep)
 	if l.writes {
-		h.held += l.tokens
-		h.streams++
-	} else if !d.Classes[l.gen.product].PrefillOnly { // what is read only will never ask a writer for room
-		d.underway += l.tokens
+		ep.reservedTokens += l.tokens
+		ep.streams++
+	} else if !s.Classes[l.gen.class].PrefillOnly { // what is read only will never ask a writer for room
+		s.prefillTokens += l.tokens
 	}
-	h.unread += l.work
-	h.legs = append(h.legs, l)
+	ep.unread += l.work
+	ep.pending = append(ep.pending, l)
 	l.gen.sent++
 	l.gen.out = l
 }
 
-func (d *Scheduler) uncount(l *attempt) {
-	h := l.host
-	d.average(h)
+func (s *Scheduler) uncount(l *attempt) {
+	ep := l.host
+	s.average(ep)
 	if l.writes {
-		h.held = max(h.held-l.tokens, 0)
-		h.streams--
-	} else if !d.Classes[l.gen.product].PrefillOnly {
-		d.underway = max(d.underway-l.tokens, 0)
+		ep.reservedTokens = max(ep.reservedTokens-l.tokens, 0)
+		ep.streams--
+	} else if !s.Classes[l.gen.class].PrefillOnly {
+		s.prefillTokens = max(s.prefillTokens-l.tokens, 0)
 	}
 	l.readOff()
 	l.gen.out = nil
@@ -187,27 +189,27 @@
 
 // dropState lets go of the state. It does so too where a writer found none: only a new read helps then, but
 // a reader that is merely cut off from that writer holds it still.
-func (d *Scheduler) dropState(g *request) {
-	if g.state != nil {
-		d.orders.Release(g.id)
-		g.state = nil
+func (s *Scheduler) dropState(req *request) {
+	if req.state != nil {
+		s.executor.Release(req.id)
+		req.state = nil
 	}
 }
 
-func (d *Scheduler) hear(h *host, memory float64) {
+func (s *Scheduler) recordMemoryReport(ep *endpoint, memory float64) {
 	if memory >= 0 {
-		h.memory, h.heldThen, h.reportedAt = memory, h.held, d.now
+		ep.reportedUsage, ep.reservedAtReport, ep.reportedAt = memory, ep.reservedTokens, s.now
 	}
 }
 
-func (d *Scheduler) arm() {
-	if at, some := d.due.Next(); some && (d.armed == 0 || at < d.armed) {
-		d.armed = max(at, d.now+1)
-		d.orders.SetTimer(d.armed-d.now, DeadlineTimer)
+func (s *Scheduler) arm() {
+	if at, some := s.due.Next(); some && (s.armed == 0 || at < s.armed) {
+		s.armed = max(at, s.now+1)
+		s.executor.SetTimer(s.armed-s.now, DeadlineTimer)
 	}
 }
 
-func (d *Scheduler) room(h *host) float64 { return max(d.Kinds[h.kind].Memory, 1) }
+func (s *Scheduler) room(ep *endpoint) float64 { return max(s.Kinds[ep.kind].Memory, 1) }
 
 func median(values []float64) float64 {
 	if len(values) == 0 {
@@ -244,12 +246,12 @@
 }
 
 // InFlight tells what is under way.
-func (d *Scheduler) InFlight() InFlight {
+func (s *Scheduler) InFlight() InFlight {
 	attempts := 0
-	for _, g := range d.gens {
-		if g.out != nil {
+	for _, req := range s.requests {
+		if req.out != nil {
 			attempts++
 		}
 	}
-	return InFlight{Requests: len(d.gens), Attempts: attempts, Held: len(d.held) - d.gone, PrefillTokens: d.underway}
+	return InFlight{Requests: len(s.requests), Attempts: attempts, Queued: len(s.queued) - s.removed, PrefillTokens: s.prefillTokens}
 }
