--- a/internal/benchadapter/benchadapter.go
+++ b/internal/benchadapter/benchadapter.go
@@ -280,13 +280,25 @@
 	binary.LittleEndian.PutUint64(r[9:], uint64(bell))
 }
 
-func (in *instance) Log(line string) {
+func (in *instance) Log(event scheduler.Event) {
+	line := describe(event)
 	r := in.record(90)
 	binary.LittleEndian.PutUint32(r[1:], uint32(len(in.stage.text)))
 	binary.LittleEndian.PutUint32(r[5:], uint32(len(line)))
 	in.stage.text = append(in.stage.text, line...)
 }
 
+// describe is the text of an event in the bench's log.
+func describe(event scheduler.Event) string {
+	switch e := event.(type) {
+	case scheduler.EndpointEjected:
+		return fmt.Sprintf("endpoint %d ejected for %d ms: %s", e.Endpoint, e.For/1000, e.Reason)
+	case scheduler.SendBlocked:
+		return fmt.Sprintf("send of request %d to endpoint %d blocked by guard: %s", e.Request, e.Endpoint, e.Rule)
+	}
+	return ""
+}
+
 // slice is what a tail field points at; each of its count items is size bytes.
 func slice(tail, field []byte, size uint64) ([]byte, error) {
 	from, count := uint64(u32(field)), uint64(u32(field[4:]))
--- a/internal/dispatch/dispatch.go
+++ b/internal/dispatch/dispatch.go
@@ -31,6 +31,7 @@
 	"plumspindle/internal/http1"
 	"plumspindle/internal/idempotency"
 	"plumspindle/internal/lifecycle"
+	"plumspindle/internal/schedulerlog"
 	"plumspindle/internal/starttimes"
 	"plumspindle/internal/store"
 	"plumspindle/internal/subscribe"
@@ -871,5 +872,5 @@
 	})
 }
 
-// Log is the module's own line.
-func (x *Dispatcher) Log(line string) { x.post.Log.Info().Msg(line) }
+// Log writes the scheduler's events to the dispatcher's log.
+func (x *Dispatcher) Log(event scheduler.Event) { schedulerlog.Write(&x.post.Log, event) }
--- a/internal/platform/executor.go
+++ b/internal/platform/executor.go
@@ -2,6 +2,7 @@
 
 import (
 	"plumspindle/internal/platform/guard"
+	"plumspindle/internal/schedulerlog"
 	"plumspindle/scheduler"
 )
 
@@ -49,5 +50,5 @@
 	d.loop.After(after, func() { d.module.TimerFired(d.loop.Now(), bell) })
 }
 
-// Log implements scheduler.Orders.
-func (d *Dispatcher) Log(line string) { d.config.Log.Info().Msg(line) }
+// Log implements scheduler.Executor.
+func (d *Dispatcher) Log(event scheduler.Event) { schedulerlog.Write(&d.config.Log, event) }
--- a/internal/testbed/soak/run.go
+++ b/internal/testbed/soak/run.go
@@ -12,6 +12,7 @@
 	"syscall"
 	"time"
 
+	"plumspindle/internal/schedulerlog"
 	"plumspindle/internal/testbed/syscallfaults"
 )
 
@@ -366,7 +367,7 @@
 		if held && audit.cutOff(fmt.Sprint(d.number+1), at-(letGoBy+heldSlack+slack).Microseconds(), at) {
 			continue
 		}
-		if strings.Contains(text, "a rule would be broken") || strings.Contains(text, "rule kept in the last moment") {
+		if strings.Contains(text, "a rule would be broken") || strings.Contains(text, schedulerlog.SendBlocked) {
 			r.report.Violations = append(r.report.Violations, fmt.Sprintf("n%d: %s", d.number, text))
 		}
 		if strings.HasPrefix(text, "panic:") || strings.HasPrefix(text, "fatal error:") {
--- a/scheduler/api.go
+++ b/scheduler/api.go
@@ -28,7 +28,7 @@
 	Release(request RequestID)
 	WatchEndpoints()
 	SetTimer(after Micros, bell TimerID)
-	Log(line string)
+	Log(event Event)
 }
 
 // TimerID tells the two timers of an instance apart.
--- a/scheduler/cost_test.go
+++ b/scheduler/cost_test.go
@@ -28,7 +28,7 @@
 func (s *sendRecorder) Release(RequestID)              {}
 func (s *sendRecorder) WatchEndpoints()                {}
 func (s *sendRecorder) SetTimer(Micros, TimerID)       {}
-func (s *sendRecorder) Log(string)                     {}
+func (s *sendRecorder) Log(Event)                      {}
 
 // costFleet is one instance in a fleet of the grown size, or a multiple of it: readers, writers, dispatchers and what is under way.
 type costFleet struct {
--- a/scheduler/decide_test.go
+++ b/scheduler/decide_test.go
@@ -173,7 +173,7 @@
 func TestOnlyMixedHostIsDead(t *testing.T) {
 	sim := newFleetSim(t, testConfig(Idempotent), 1)
 	sim.addEndpoints(1, 0, 1, 2)
-	sim.scheduler.recordFailure(sim.scheduler.byID[21], "test")
+	sim.scheduler.recordFailure(sim.scheduler.byID[21], AttemptFailed)
 	for id := RequestID(1); id < 5; id++ {
 		if req := sim.arrive(id, 0, 1000, 6*sec); req.inFlight() != nil && req.inFlight().endpoint.id == 21 {
 			t.Error("sent to the host that looks ill while others do not")
@@ -198,7 +198,7 @@
 	sim := newFleetSim(t, testConfig(Idempotent), 1)
 	sim.addEndpoints(2, 0, 1)
 	for _, ep := range sim.scheduler.endpoints {
-		sim.scheduler.recordFailure(ep, "test")
+		sim.scheduler.recordFailure(ep, AttemptFailed)
 	}
 	if sim.arrive(1, 0, 1000, 4*sec).inFlight() == nil {
 		t.Error("held though nothing better is to be had")
--- a/scheduler/guard.go
+++ b/scheduler/guard.go
@@ -1,30 +1,28 @@
 package scheduler
 
-import "fmt"
-
-// Violations is how many attempts were refused in the last moment because they would have broken a rule. It
-// stays 0 unless a decision is wrong.
+// Violations is how many attempts the guard stopped because they would have broken a rule. It stays 0 unless a decision is
+// wrong.
 func (s *Scheduler) Violations() int { return s.violations }
 
-// refuse looks at an attempt once more where it is sent, whatever chose it: the rules on repeats, on hosts
-// that want nothing new and on cold hosts bind on every path.
-func (s *Scheduler) refuse(req *request, ep *endpoint) bool {
-	why := ""
+// blocked checks an attempt once more where it is sent, whatever chose it: the rules on retries, on endpoints that are not
+// ready and on those that are warming up bind on every path.
+func (s *Scheduler) blocked(req *request, ep *endpoint) bool {
+	var rule Rule
 	switch {
 	case req.out != nil:
-		why = "an attempt is out"
+		rule = SingleAttempt
 	case req.answered:
-		why = "it is answered"
+		rule = NotAnswered
 	case !ep.ready:
-		why = "the host wants nothing new"
+		rule = EndpointReady
 	case !s.mayRepeat(req, ep):
-		why = "a repeat there could do harm"
+		rule = SafeRetry
 	case !s.bears(ep):
-		why = "the host is cold and bears no more"
+		rule = WarmUpProtected
 	default:
 		return false
 	}
 	s.violations++
-	s.executor.Log(fmt.Sprintf("rule kept in the last moment: request %d to host %d: %s", req.id, ep.id, why))
+	s.executor.Log(SendBlocked{Request: req.id, Endpoint: ep.id, Rule: rule})
 	return true
 }
--- a/scheduler/scheduler.go
+++ b/scheduler/scheduler.go
@@ -11,7 +11,6 @@
 
 import (
 	"cmp"
-	"fmt"
 	"math"
 	"math/rand"
 	"slices"
@@ -409,7 +408,7 @@
 	case req.deadline <= s.now:
 		s.giveUp(req, DeadlineReached)
 		return
-	case s.refuse(req, ep):
+	case s.blocked(req, ep):
 		s.giveUp(req, RuleViolation)
 		return
 	}
@@ -1067,10 +1066,10 @@
 		if how != Errored {
 			ep.lastHeard = 0
 		}
-		s.recordFailure(ep, "failed a leg")
+		s.recordFailure(ep, AttemptFailed)
 	case TimedOut:
 		if ep.lastHeard <= l.sent {
-			s.recordFailure(ep, "let a leg time out and said nothing else")
+			s.recordFailure(ep, AttemptTimedOut)
 		}
 	}
 }
@@ -1084,13 +1083,13 @@
 // recordFailure rests a host, longer each time. It guards against a host that errs quickly: that one frees its
 // counted memory at once, would look emptiest and draw every send. It holds as well against a dead host
 // that the list still names, a cut network and a host out of connections.
-func (s *Scheduler) recordFailure(ep *endpoint, why string) {
+func (s *Scheduler) recordFailure(ep *endpoint, why EjectionReason) {
 	if s.now < ep.ejectedUntil {
 		return // many attempts that break at once are one failure
 	}
 	ep.failureScore = min(ep.failureScore+1, illMost)
 	ep.ejectedUntil = s.now + Micros(float64(quietFirst)*math.Exp2(ep.failureScore-1))
-	s.executor.Log(fmt.Sprintf("host %d %s: rests for %d ms", ep.id, why, (ep.ejectedUntil-s.now)/ms))
+	s.executor.Log(EndpointEjected{Endpoint: ep.id, Reason: why, For: ep.ejectedUntil - s.now})
 }
 
 // watchSilence finds hosts that owe answers and say nothing, long before attempts time out. Such a host rests
@@ -1107,7 +1106,7 @@
 		limit += Micros(2 * float64(sec) * (ep.pending[i].ahead + ep.pending[i].work) / s.pace(ep))
 		quiet := s.now - max(ep.pending[i].sent, ep.lastHeard)
 		if quiet >= limit {
-			s.recordFailure(ep, "owes answers and is silent")
+			s.recordFailure(ep, EndpointSilent)
 		}
 		if quiet < takeBack*limit {
 			continue
--- a/scheduler/world_test.go
+++ b/scheduler/world_test.go
@@ -286,7 +286,7 @@
 }
 
 func (sim *fleetSim) WatchEndpoints() { sim.record("subscribe") }
-func (sim *fleetSim) Log(string)      {}
+func (sim *fleetSim) Log(Event)       {}
 func (sim *fleetSim) SetTimer(after Micros, bell TimerID) {
 	if after <= 0 {
 		sim.t.Fatalf("a ring after %d", after)
