--- a/internal/admin/admin.go
+++ b/internal/admin/admin.go
@@ -34,9 +34,9 @@
 type Role string
 
 const (
-	Operator Role = "operator" // all
-	Viewer   Role = "viewer"   // see all, change nothing
-	Own      Role = "tenant"   // see one tenant, and change its keys
+	Operator    Role = "operator" // all
+	Viewer      Role = "viewer"   // see all, change nothing
+	TenantAdmin Role = "tenant"   // see one tenant, and change its keys
 )
 
 // Staff is one operator or viewer, by the SHA-256 of its key.
@@ -46,8 +46,8 @@
 	Digest [sha256.Size]byte
 }
 
-// ReadStaff reads lines of a role, a name and the SHA-256 of a key, 64 hexadecimal digits. Each fault names its line.
-func ReadStaff(text string) (all []Staff, err error) {
+// ParseStaff reads lines of a role, a name and the SHA-256 of a key, 64 hexadecimal digits. Each fault names its line.
+func ParseStaff(text string) (all []Staff, err error) {
 	for i, l := range strings.Split(text, "\n") {
 		f := strings.Fields(l)
 		if len(f) == 0 || strings.HasPrefix(f[0], "#") {
@@ -74,8 +74,8 @@
 	tenant string // Own only
 }
 
-// Admin is the administration on one loop.
-type Admin struct {
+// Server is the administration on one loop.
+type Server struct {
 	loop      eventloop.Loop
 	secret    []byte
 	feedToken string
@@ -89,12 +89,21 @@
 	changes   uint64 // lines in the log of changes
 }
 
-// Start brings it up from what was kept.
-func Start(loop eventloop.Loop, secret []byte, staff []Staff, records Records, random io.Reader, log zerolog.Logger) (*Admin, error) {
-	if len(secret) < 32 {
-		return nil, fmt.Errorf("the secret has %d bytes; it needs 32 at least", len(secret))
+// Config is what an administration is started with.
+type Config struct {
+	Secret  []byte // shared with the dispatchers; 32 bytes at least
+	Staff   []Staff
+	Records Records
+	Random  io.Reader // source of the random bytes of keys
+	Log     zerolog.Logger
+}
+
+// Start restores the state from the records and starts the heartbeat on the loop.
+func Start(loop eventloop.Loop, c Config) (*Server, error) {
+	if len(c.Secret) < 32 {
+		return nil, fmt.Errorf("the secret has %d bytes; it needs 32 at least", len(c.Secret))
 	}
-	a := &Admin{loop: loop, secret: secret, feedToken: dispatch.FeedToken(secret), staff: staff, records: records, random: random, log: log,
+	a := &Server{loop: loop, secret: c.Secret, feedToken: dispatch.FeedToken(c.Secret), staff: c.Staff, records: c.Records, random: c.Random, log: c.Log,
 		ledger: tenancy.NewUsageLedger()}
 	if err := a.restore(); err != nil {
 		return nil, err
@@ -106,7 +115,7 @@
 	return a, nil
 }
 
-func (a *Admin) beat() {
+func (a *Server) beat() {
 	for _, f := range a.followers {
 		f.conn.Write(http1.AppendChunk(nil, []byte(": here\n\n")))
 	}
@@ -114,18 +123,18 @@
 	a.loop.After(heartbeat, a.beat)
 }
 
-func (a *Admin) unfollow(c *conn) {
+func (a *Server) unfollow(c *conn) {
 	a.followers = slices.DeleteFunc(a.followers, func(o *conn) bool { return o == c })
 }
 
-func (a *Admin) now() int64 { return int64(a.loop.Now() / eventloop.Second) }
+func (a *Server) now() int64 { return int64(a.loop.Now() / eventloop.Second) }
 
-func (a *Admin) isDispatcher(token string) bool {
+func (a *Server) isDispatcher(token string) bool {
 	return subtle.ConstantTimeCompare([]byte(token), []byte(a.feedToken)) == 1
 }
 
 // identify finds who calls. Every staff digest is compared, so that the time tells nothing.
-func (a *Admin) identify(token string) (who caller, known bool) {
+func (a *Server) identify(token string) (who caller, known bool) {
 	digest := sha256.Sum256([]byte(token))
 	for _, s := range a.staff {
 		if subtle.ConstantTimeCompare(digest[:], s.Digest[:]) == 1 {
@@ -139,8 +148,8 @@
 		t := a.registry.Tenants[name]
 		for i := range t.Keys {
 			if strings.HasPrefix(token, "sk-"+t.Keys[i].ID+"-") && t.Keys[i].Matches(a.secret, token, a.now()) &&
-				slices.Contains(t.Keys[i].Scopes, tenancy.ScopeAdmin) && t.State == tenancy.Active {
-				return caller{name: "key " + t.Keys[i].ID, role: Own, tenant: name}, true
+				slices.Contains(t.Keys[i].Scopes, tenancy.ScopeAdmin) && t.State == tenancy.StateActive {
+				return caller{name: "key " + t.Keys[i].ID, role: TenantAdmin, tenant: name}, true
 			}
 		}
 	}
@@ -148,7 +157,7 @@
 }
 
 // change makes a change on a copy, keeps it, and only then lets it count and tells it on. A dry run stops before that.
-func (a *Admin) change(r *request, what string, do func(*tenancy.Registry) (answer, *tenancy.ChangeError)) answer {
+func (a *Server) change(r *request, what string, do func(*tenancy.Registry) (answer, *tenancy.ChangeError)) answer {
 	next := a.registry.Clone()
 	got, fault := do(next)
 	if fault != nil {
@@ -174,7 +183,7 @@
 	return got
 }
 
-func (a *Admin) tellOn(before *tenancy.Registry) {
+func (a *Server) tellOn(before *tenancy.Registry) {
 	news := a.registry.UpdateSince(before.Epoch, before.Version)
 	if before.Version == 0 {
 		news.Complete = true
@@ -186,7 +195,7 @@
 
 // takeReport adds what a dispatcher used. It is kept before it is acknowledged, so that a report counts once whatever
 // dies in between.
-func (a *Admin) takeReport(body []byte) answer {
+func (a *Server) takeReport(body []byte) answer {
 	var r tenancy.UsageReport
 	if err := json.Unmarshal(body, &r); err != nil || r.Dispatcher == "" || r.Number == 0 {
 		return fail(400, "malformed", "", "not a report")
@@ -209,13 +218,13 @@
 }
 
 // finishRemovals ends removals of tenants of which nothing runs at any dispatcher that lives.
-func (a *Admin) finishRemovals() {
+func (a *Server) finishRemovals() {
 	for _, name := range a.registry.Names() {
-		if a.registry.Tenants[name].State != tenancy.Removing || !a.ledger.EndedEverywhere(a.loop.Now(), name) {
+		if a.registry.Tenants[name].State != tenancy.StateRemoving || !a.ledger.RemovedEverywhere(a.loop.Now(), name) {
 			continue
 		}
 		before, next := a.registry, a.registry.Clone()
-		next.Ended(a.now(), name)
+		next.CompleteRemoval(a.now(), name)
 		ops := difference(before, next)
 		a.records.ScanFrom(madeKey+name+"\x00", madeKey+name+"\x00", func(key string, _ []byte) bool {
 			ops = append(ops, store.Op{Key: key}) // the name may be another's one day
@@ -226,7 +235,7 @@
 			return
 		}
 		a.registry = next
-		a.ledger.Forget(name)
+		a.ledger.ForgetRemoval(name)
 		a.tellOn(before)
 	}
 }
@@ -251,7 +260,7 @@
 var openAPI []byte
 
 // call answers one call of the API.
-func (a *Admin) call(r *request) answer {
+func (a *Server) call(r *request) answer {
 	if r.who.role == Viewer && r.method != "GET" {
 		return fail(403, "forbidden", "", "a viewer changes nothing")
 	}
@@ -277,7 +286,7 @@
 		}
 	}
 	name := at(1)
-	if r.who.role == Own {
+	if r.who.role == TenantAdmin {
 		allowed := []string{"GET tenants *", "GET tenants * keys", "POST tenants * keys", "DELETE tenants * keys *", "GET tenants * usage", "GET openapi.json"}
 		if !slices.Contains(allowed, route) || name != "" && name != r.who.tenant {
 			return fail(404, "no_tenant", "", "there is nothing here for this key") // the same whether or not it exists
@@ -307,12 +316,12 @@
 			return *f
 		}
 		return a.change(r, "limits changed", func(g *tenancy.Registry) (answer, *tenancy.ChangeError) {
-			return wrap(g.Change(name, version, in.Limits, in.Products))
+			return wrap(g.SetLimits(name, version, in.Limits, in.Products))
 		})
 	case "DELETE tenants *":
 		policy := r.query["policy"]
 		if policy == "" {
-			policy = tenancy.Finish
+			policy = tenancy.RemovalFinish
 		}
 		got := a.change(r, "removal: "+policy, func(g *tenancy.Registry) (answer, *tenancy.ChangeError) { return wrap(g.Remove(name, version, policy)) })
 		a.loop.Later(a.finishRemovals)
@@ -335,16 +344,16 @@
 			return fail(400, "malformed", "at_s", "must be a time in seconds since 1970")
 		}
 		return a.change(r, "key revoked", func(g *tenancy.Registry) (answer, *tenancy.ChangeError) {
-			return wrap(g.Revoke(a.now(), name, version, at(3), when))
+			return wrap(g.RevokeKey(a.now(), name, version, at(3), when))
 		})
 	case "GET tenants * usage":
-		return answer{status: 200, body: map[string]any{"usage": a.ledger.Of(name)}}
+		return answer{status: 200, body: map[string]any{"usage": a.ledger.UsageOf(name)}}
 	case "GET usage":
-		return answer{status: 200, body: map[string]any{"usage": a.ledger.Of("")}}
+		return answer{status: 200, body: map[string]any{"usage": a.ledger.UsageOf("")}}
 	case "GET audit":
 		return a.auditLog(r)
 	case "GET public-texts":
-		return answer{status: 200, body: map[string]any{"sha256": a.registry.Public}}
+		return answer{status: 200, body: map[string]any{"sha256": a.registry.PublicTexts}}
 	case "PUT public-texts":
 		var in struct {
 			SHA256 []string `json:"sha256"`
@@ -358,7 +367,7 @@
 			}
 		}
 		return a.change(r, "public texts set", func(g *tenancy.Registry) (answer, *tenancy.ChangeError) {
-			g.Public = in.SHA256
+			g.PublicTexts = in.SHA256
 			g.Version++
 			return answer{status: 200, body: in}, nil
 		})
@@ -402,7 +411,7 @@
 	return min(limit, pageMost)
 }
 
-func (a *Admin) listTenants(r *request) answer {
+func (a *Server) listTenants(r *request) answer {
 	after, limit := r.query["after"], r.page()
 	list, next := []tenancy.Tenant{}, ""
 	for _, name := range a.registry.Names() {
@@ -418,7 +427,7 @@
 	return answer{status: 200, body: map[string]any{"tenants": list, "next_after": next}}
 }
 
-func (a *Admin) createTenant(r *request) answer {
+func (a *Server) createTenant(r *request) answer {
 	var in struct {
 		Name     string                    `json:"name"`
 		Limits   tenancy.Limits            `json:"limits"`
@@ -439,7 +448,7 @@
 	})
 }
 
-func (a *Admin) createKey(r *request, name string, version uint64) answer {
+func (a *Server) createKey(r *request, name string, version uint64) answer {
 	var in struct {
 		Label   string         `json:"label"`
 		Scopes  []string       `json:"scopes"`
@@ -470,11 +479,11 @@
 		if repeat != "" {
 			r.also = append(r.also, store.Op{Key: repeat, Value: []byte(k.ID)})
 		}
-		return answer{status: 201, etag: t.Version, body: map[string]any{"id": k.ID, "key": text, "scopes": k.Scopes, "expires_s": k.Expires, "label": k.Label}}, nil
+		return answer{status: 201, etag: t.Version, body: map[string]any{"id": k.ID, "key": text, "scopes": k.Scopes, "expires_s": k.ExpiresAt, "label": k.Label}}, nil
 	})
 }
 
-func (a *Admin) auditLog(r *request) answer {
+func (a *Server) auditLog(r *request) answer {
 	from, _ := strconv.ParseUint(r.query["after"], 10, 64)
 	list := []json.RawMessage{}
 	a.records.ScanFrom(changeKey(from), logKey, func(_ string, line []byte) bool {
@@ -492,13 +501,13 @@
 const seriesMost = 50
 
 // metrics is the usage of today's ledger in the text form that Prometheus reads.
-func (a *Admin) metrics() []byte {
+func (a *Server) metrics() []byte {
 	sums := map[string]tenancy.Usage{}
-	for _, u := range a.ledger.Of("") {
+	for _, u := range a.ledger.UsageOf("") {
 		s := sums[u.Tenant]
 		s.Tenant = u.Tenant
 		s.Accepted, s.Completed, s.Rejected, s.Failed = s.Accepted+u.Accepted, s.Completed+u.Completed, s.Rejected+u.Rejected, s.Failed+u.Failed
-		s.Prompt, s.Answer = s.Prompt+u.Prompt, s.Answer+u.Answer
+		s.PromptTokens, s.OutputTokens = s.PromptTokens+u.PromptTokens, s.OutputTokens+u.OutputTokens
 		sums[u.Tenant] = s
 	}
 	names := slices.Sorted(maps.Keys(sums))
@@ -510,7 +519,7 @@
 		of   func(u tenancy.Usage) uint64
 	}{{"generations_taken", func(u tenancy.Usage) uint64 { return u.Accepted }}, {"generations_streamed", func(u tenancy.Usage) uint64 { return u.Completed }},
 		{"generations_throttled", func(u tenancy.Usage) uint64 { return u.Rejected }}, {"generations_terminated", func(u tenancy.Usage) uint64 { return u.Failed }},
-		{"prompt_tokens", func(u tenancy.Usage) uint64 { return u.Prompt }}, {"answer_tokens", func(u tenancy.Usage) uint64 { return u.Answer }}} {
+		{"prompt_tokens", func(u tenancy.Usage) uint64 { return u.PromptTokens }}, {"answer_tokens", func(u tenancy.Usage) uint64 { return u.OutputTokens }}} {
 		fmt.Fprintf(&b, "# TYPE plumspindle_%s_total counter\n", m.name)
 		var others uint64
 		for i, n := range names {
--- a/internal/admin/admin_test.go
+++ b/internal/admin/admin_test.go
@@ -30,7 +30,7 @@
 	t       *testing.T
 	w       *virtual.World
 	adminAt *virtual.Loop
-	a       *Admin
+	a       *Server
 	addr    string
 	records *MemoryRecords
 	far     *virtual.Loop
@@ -74,7 +74,7 @@
 	var err error
 	y.adminAt.Do(func() {
 		staff := []Staff{{"ann", Operator, sha256.Sum256([]byte("op"))}, {"vic", Viewer, sha256.Sum256([]byte("view"))}}
-		if y.a, err = Start(y.adminAt, secret, staff, y.records, rand.New(rand.NewSource(9)), zerolog.Nop()); err == nil {
+		if y.a, err = Start(y.adminAt, Config{Secret: secret, Staff: staff, Records: y.records, Random: rand.New(rand.NewSource(9)), Log: zerolog.Nop()}); err == nil {
 			ln, e := y.adminAt.Listen(addr, y.a.Accept)
 			if err = e; e == nil {
 				y.addr = ln.Addr()
@@ -303,9 +303,9 @@
 	y.must(200, "PATCH", "tenants/a", `{"limits":{"per_s":6}}`, "If-Match", etag)
 	y.must(412, "PATCH", "tenants/a", `{"limits":{"per_s":7}}`, "If-Match", etag)
 	y.must(200, "PATCH", "tenants/a?dry_run=true", `{"limits":{"per_s":8}}`)
-	y.records.Refuse = errors.New("disk full")
+	y.records.SaveError = errors.New("disk full")
 	y.must(500, "PATCH", "tenants/a", `{"limits":{"per_s":9}}`)
-	y.records.Refuse = nil
+	y.records.SaveError = nil
 	if got, _ := y.must(200, "GET", "tenants/a", ""); got.Get("limits.per_s").Num != 6 {
 		t.Errorf("limits: %s", got.Raw)
 	}
@@ -429,7 +429,7 @@
 		}
 	}
 	l := tenancy.NewUsageLedger()
-	l.Add(0, &tenancy.UsageReport{Dispatcher: "d1", Number: 7, Used: []tenancy.Usage{{Tenant: "a", Product: "explain", Day: "2026-01-01", Completed: 4}}})
+	l.Add(0, &tenancy.UsageReport{Dispatcher: "d1", Number: 7, Usage: []tenancy.Usage{{Tenant: "a", Product: "explain", Day: "2026-01-01", Completed: 4}}})
 	old, _ := json.Marshal(kept{g, l, map[string]string{"a\x00k1": "id1"}})
 	write := func(name, text string) {
 		t.Helper()
@@ -452,13 +452,13 @@
 		if _, err := OpenStoredRecords(dir); err == nil || !strings.Contains(err.Error(), "in use") {
 			t.Errorf("a second process: %v", err)
 		}
-		a, err := Start(w.Loop("x"), secret, nil, k, rand.New(rand.NewSource(1)), zerolog.Nop())
+		a, err := Start(w.Loop("x"), Config{Secret: secret, Records: k, Random: rand.New(rand.NewSource(1)), Log: zerolog.Nop()})
 		if err != nil {
 			t.Fatal(err)
 		}
 		id, _ := k.Get(madeKey + "a\x00k1")
 		if a.registry.Epoch != "e1" || a.registry.Version != 2+uint64(round) || a.registry.Tenants["b"].Limits.PerS != 3 || a.changes != 2+uint64(round) ||
-			a.ledger.Numbers["d1"] != 7 || len(a.ledger.Of("a")) != 1 || a.ledger.Of("a")[0].Completed != 4 || string(id) != "id1" {
+			a.ledger.Numbers["d1"] != 7 || len(a.ledger.UsageOf("a")) != 1 || a.ledger.UsageOf("a")[0].Completed != 4 || string(id) != "id1" {
 			t.Errorf("round %d: %+v, %d changes, %+v, %q", round, a.registry, a.changes, a.ledger, id)
 		}
 		r := &request{query: map[string]string{}, who: caller{name: "ann"}, path: []string{"tenants", "a"}}
@@ -485,20 +485,20 @@
 func TestReportThatWasNotKept(t *testing.T) {
 	records := &MemoryRecords{}
 	w := virtual.New(1)
-	a, err := Start(w.Loop("x"), secret, nil, records, rand.New(rand.NewSource(1)), zerolog.Nop())
+	a, err := Start(w.Loop("x"), Config{Secret: secret, Records: records, Random: rand.New(rand.NewSource(1)), Log: zerolog.Nop()})
 	if err != nil {
 		t.Fatal(err)
 	}
-	report, _ := json.Marshal(tenancy.UsageReport{Dispatcher: "d1", Number: 1, Used: []tenancy.Usage{{Tenant: "a", Product: "p", Day: "d", Accepted: 3}, {Tenant: "a", Product: "p", Day: "d", Accepted: 2}}})
+	report, _ := json.Marshal(tenancy.UsageReport{Dispatcher: "d1", Number: 1, Usage: []tenancy.Usage{{Tenant: "a", Product: "p", Day: "d", Accepted: 3}, {Tenant: "a", Product: "p", Day: "d", Accepted: 2}}})
 	for i, want := range []int{500, 200, 200} {
-		if records.Refuse = nil; i == 0 {
-			records.Refuse = errors.New("disk full")
+		if records.SaveError = nil; i == 0 {
+			records.SaveError = errors.New("disk full")
 		}
 		if got := a.takeReport(report); got.status != want {
 			t.Errorf("time %d: %+v", i, got)
 		}
-		again, err := Start(w.Loop("y"), secret, nil, records, rand.New(rand.NewSource(1)), zerolog.Nop())
-		if used := again.ledger.Of(""); err != nil || i == 0 && len(used) > 0 || i > 0 && (len(used) != 1 || used[0].Accepted != 5) {
+		again, err := Start(w.Loop("y"), Config{Secret: secret, Records: records, Random: rand.New(rand.NewSource(1)), Log: zerolog.Nop()})
+		if used := again.ledger.UsageOf(""); err != nil || i == 0 && len(used) > 0 || i > 0 && (len(used) != 1 || used[0].Accepted != 5) {
 			t.Errorf("time %d: kept: %+v %v", i, used, err)
 		}
 	}
@@ -521,7 +521,7 @@
 		}
 	}
 	for _, bad := range []string{"", "operator x", "king x " + strings.Repeat("0", 64), "viewer x 12"} {
-		if _, err := ReadStaff(bad); err == nil {
+		if _, err := ParseStaff(bad); err == nil {
 			t.Errorf("staff %q was taken", bad)
 		}
 	}
--- a/internal/admin/records.go
+++ b/internal/admin/records.go
@@ -33,7 +33,7 @@
 	if k.files, err = store.OpenFiles(dir, func(f func()) { k.posted <- f }); err != nil {
 		return nil, err
 	}
-	if k.Store, err = store.Open(k.files, store.Usual); err != nil {
+	if k.Store, err = store.Open(k.files, store.DefaultLimits); err != nil {
 		k.files.Close()
 		return nil, fmt.Errorf("%s: %w", dir, err)
 	}
@@ -68,7 +68,7 @@
 		for _, name := range was.Registry.Names() {
 			ops = append(ops, tenantOp(was.Registry, name))
 		}
-		for _, u := range was.Ledger.Of("") {
+		for _, u := range was.Ledger.UsageOf("") {
 			ops = append(ops, usedOp(u))
 		}
 		for d, n := range was.Ledger.Numbers {
@@ -100,8 +100,8 @@
 // Save commits changes together and waits until they are durable. A store that has failed is healed first, if its disk takes
 // writes again: nobody has to restart the administration.
 func (k *StoredRecords) Save(ops []store.Op) error {
-	if k.Failed() != nil {
-		if err := k.wait(func(done func(error)) error { k.Heal(done); return nil }); err != nil {
+	if k.Err() != nil {
+		if err := k.wait(func(done func(error)) error { k.Repair(done); return nil }); err != nil {
 			return err
 		}
 	}
@@ -139,14 +139,14 @@
 // MemoryRecords keeps the records for as long as the process lives, for trying things out.
 type MemoryRecords struct {
 	store.Index
-	// Refuse, where it is set, is the error of the next Save.
-	Refuse error
+	// SaveError, where it is set, is the error of the next Save.
+	SaveError error
 }
 
 // Save changes them.
 func (m *MemoryRecords) Save(ops []store.Op) error {
-	if m.Refuse != nil {
-		return m.Refuse
+	if m.SaveError != nil {
+		return m.SaveError
 	}
 	for _, o := range ops {
 		if o.Value == nil {
@@ -192,12 +192,12 @@
 // headOp is all of a registry but its tenants.
 func headOp(r *tenancy.Registry) store.Op {
 	head := *r
-	head.Tenants, head.Changed = nil, nil
+	head.Tenants, head.ChangedIn = nil, nil
 	return store.Op{Key: headKey, Value: marshal(head)}
 }
 
 func tenantOp(r *tenancy.Registry, name string) store.Op {
-	return store.Op{Key: tenantKey + name, Value: marshal(keptTenant{r.Changed[name], r.Tenants[name]})}
+	return store.Op{Key: tenantKey + name, Value: marshal(keptTenant{r.ChangedIn[name], r.Tenants[name]})}
 }
 
 func usedOp(u tenancy.Usage) store.Op { return store.Op{Key: usedKey + u.Key(), Value: marshal(u)} }
@@ -210,7 +210,7 @@
 func difference(before, next *tenancy.Registry) []store.Op {
 	ops := []store.Op{headOp(next)}
 	for _, name := range next.Names() {
-		if next.Changed[name] > before.Version {
+		if next.ChangedIn[name] > before.Version {
 			ops = append(ops, tenantOp(next, name))
 		}
 	}
@@ -223,7 +223,7 @@
 }
 
 // restore builds the state from the records.
-func (a *Admin) restore() error {
+func (a *Server) restore() error {
 	var fault error
 	each := func(prefix string, into func(rest string, value []byte) error) {
 		a.records.ScanFrom(prefix, prefix, func(key string, value []byte) bool {
@@ -242,7 +242,7 @@
 			return errors.New("a registry without an epoch")
 		}
 		a.registry = r
-		a.registry.Tenants, a.registry.Changed = map[string]*tenancy.Tenant{}, map[string]uint64{}
+		a.registry.Tenants, a.registry.ChangedIn = map[string]*tenancy.Tenant{}, map[string]uint64{}
 		return nil
 	})
 	each(tenantKey, func(name string, value []byte) error {
@@ -253,7 +253,7 @@
 		if t.Tenant == nil || t.Tenant.Name != name || a.registry == nil || t.Changed > a.registry.Version {
 			return errors.New("it does not belong to this registry")
 		}
-		a.registry.Tenants[name], a.registry.Changed[name] = t.Tenant, t.Changed
+		a.registry.Tenants[name], a.registry.ChangedIn[name] = t.Tenant, t.Changed
 		return nil
 	})
 	each(usedKey, func(key string, value []byte) error {
--- a/internal/admin/room_test.go
+++ b/internal/admin/room_test.go
@@ -36,15 +36,17 @@
 }
 
 // opened starts an administration on a folder of the world.
-func opened(t *testing.T, w *virtual.World, folder *virtual.Folder, within time.Duration) (k *StoredRecords, a *Admin) {
+func opened(t *testing.T, w *virtual.World, folder *virtual.Folder, within time.Duration) (k *StoredRecords, a *Server) {
 	t.Helper()
 	loop := w.Loop("admin")
 	k = &StoredRecords{posted: make(chan func(), 16), within: within}
 	var err error
-	if k.Store, err = store.Open(&posted{folder.For(loop), w, k.posted}, store.Usual); err != nil {
+	if k.Store, err = store.Open(&posted{folder.For(loop), w, k.posted}, store.DefaultLimits); err != nil {
 		t.Fatal(err)
 	}
-	loop.Do(func() { a, err = Start(loop, secret, nil, k, rand.New(rand.NewSource(1)), zerolog.Nop()) })
+	loop.Do(func() {
+		a, err = Start(loop, Config{Secret: secret, Records: k, Random: rand.New(rand.NewSource(1)), Log: zerolog.Nop()})
+	})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -56,12 +58,12 @@
 func TestRecordsWithoutRoom(t *testing.T) {
 	w := virtual.New(1)
 	folder := w.Folder()
-	open := func() (*StoredRecords, *Admin) { return opened(t, w, folder, diskWithin) }
+	open := func() (*StoredRecords, *Server) { return opened(t, w, folder, diskWithin) }
 	k, a := open()
 	n := uint64(0)
 	report := func(want int) {
 		t.Helper()
-		body, _ := json.Marshal(tenancy.UsageReport{Dispatcher: "d1", Number: n + 1, Used: []tenancy.Usage{{Tenant: "a", Product: "p", Day: "d", Accepted: 1}}})
+		body, _ := json.Marshal(tenancy.UsageReport{Dispatcher: "d1", Number: n + 1, Usage: []tenancy.Usage{{Tenant: "a", Product: "p", Day: "d", Accepted: 1}}})
 		got := a.takeReport(body)
 		if got.status != want {
 			t.Errorf("report %d: %+v, want %d", n+1, got, want)
@@ -93,11 +95,11 @@
 	}
 	report(200)
 	add("last", 201)
-	if k.Failed() != nil {
+	if k.Err() != nil {
 		t.Error("the store has failed for good")
 	}
 	_, a = open()
-	if used := a.ledger.Of(""); len(used) != 1 || used[0].Accepted != n || n != 6 {
+	if used := a.ledger.UsageOf(""); len(used) != 1 || used[0].Accepted != n || n != 6 {
 		t.Errorf("kept usage: %+v after %d reports", used, n)
 	}
 	if names := a.registry.Names(); fmt.Sprint(names) != "[kept0 kept1 kept2 kept3 kept4 last]" {
@@ -150,8 +152,8 @@
 	}
 	folder.Sync = eventloop.Millisecond
 	w.Run(200 * eventloop.Second)
-	if got := add("four"); got != 201 || k.Failed() != nil {
-		t.Errorf("once the disk answers: %d, %v", got, k.Failed())
+	if got := add("four"); got != 201 || k.Err() != nil {
+		t.Errorf("once the disk answers: %d, %v", got, k.Err())
 	}
 	if names := fmt.Sprint(a.registry.Names()); names != "[four one]" {
 		t.Errorf("tenants: %s", names)
--- a/internal/admin/server.go
+++ b/internal/admin/server.go
@@ -49,7 +49,7 @@
 
 // conn is one connection to the administration.
 type conn struct {
-	admin  *Admin
+	admin  *Server
 	conn   eventloop.Conn
 	parser http1.Parser
 	head   *http1.Head
@@ -61,7 +61,7 @@
 }
 
 // Accept is for the listener.
-func (a *Admin) Accept(c eventloop.Conn) eventloop.Handler {
+func (a *Server) Accept(c eventloop.Conn) eventloop.Handler {
 	return &conn{admin: a, conn: c, parser: http1.Parser{Bounds: http1.Bounds{Head: 16 << 10, Fields: 64, Body: bodyMost}}}
 }
 
--- a/internal/admin/stored_test.go
+++ b/internal/admin/stored_test.go
@@ -63,8 +63,10 @@
 	staff := []admin.Staff{{Name: "ann", Role: admin.Operator, Digest: sha256.Sum256([]byte(operatorKey))}}
 	var ln eventloop.Listener
 	loop.Do(func() {
-		var a *admin.Admin
-		if a, err = admin.Start(loop, []byte(testSecret), staff, records, rand.Reader, zerolog.Nop()); err == nil {
+		var a *admin.Server
+		if a, err = admin.Start(loop, admin.Config{
+			Secret: []byte(testSecret), Staff: staff, Records: records, Random: rand.Reader, Log: zerolog.Nop(),
+		}); err == nil {
 			ln, err = loop.Listen("127.0.0.1:0", a.Accept)
 		}
 	})
--- a/internal/cli/admin.go
+++ b/internal/cli/admin.go
@@ -36,7 +36,7 @@
 	if err != nil {
 		return fmt.Errorf("staff: %w", err)
 	}
-	staff, err := admin.ReadStaff(string(text))
+	staff, err := admin.ParseStaff(string(text))
 	if err != nil {
 		return fmt.Errorf("%s: %w", c.Staff, err)
 	}
@@ -65,8 +65,8 @@
 
 func startAdmin(s *surroundings, loop *sockets.Loop, listen string, secret []byte, staff []admin.Staff, records admin.Records) (ln eventloop.Listener, err error) {
 	loop.Do(func() {
-		var a *admin.Admin
-		if a, err = admin.Start(loop, secret, staff, records, crand.Reader, s.log); err == nil {
+		var a *admin.Server
+		if a, err = admin.Start(loop, admin.Config{Secret: secret, Staff: staff, Records: records, Random: crand.Reader, Log: s.log}); err == nil {
 			ln, err = loop.Listen(listen, a.Accept)
 		}
 	})
--- a/internal/cli/program.go
+++ b/internal/cli/program.go
@@ -256,7 +256,7 @@
 		if c.files, err = store.OpenFiles(c.StateDir, loop.Post); err != nil {
 			return nil, nil, err
 		}
-		if post.Intents, err = store.Open(c.files, store.Usual); err != nil {
+		if post.Intents, err = store.Open(c.files, store.DefaultLimits); err != nil {
 			return nil, nil, fmt.Errorf("%s: %w", c.StateDir, err)
 		}
 	}
--- a/internal/cli/store.go
+++ b/internal/cli/store.go
@@ -34,7 +34,7 @@
 	if err != nil {
 		return nil, nil, nil, err
 	}
-	s, err := store.Open(files, store.Usual)
+	s, err := store.Open(files, store.DefaultLimits)
 	if err != nil {
 		files.Close()
 		return nil, nil, nil, fmt.Errorf("%s: %w", dir, err)
--- a/internal/dispatch/batches.go
+++ b/internal/dispatch/batches.go
@@ -268,8 +268,8 @@
 	x, s := c.x, c.home.seat
 	no, inputs := c.parts.Send()
 	tokens := c.ask.Tokens(inputs)
-	t, v := x.gate.Admit(now, s.id, c.who.Key, c.ask.Model, tokens, 0)
-	if v.Reason != tenancy.None {
+	t, v := x.gate.Admit(now, tenancy.AdmissionRequest{Tenant: s.id, Key: c.who.Key, Product: c.ask.Model, PromptTokens: tokens})
+	if v.Reason != tenancy.NotRejected {
 		x.OverQuota++
 		after := v.RetryAfter
 		if after == 0 {
--- a/internal/dispatch/dispatch.go
+++ b/internal/dispatch/dispatch.go
@@ -212,7 +212,7 @@
 	all := map[string]frontend.Route{}
 	list, many, below, one := frontend.Models(x.Models)
 	all[list], all[below] = many, one
-	chatAt, r := chat.Route(func(digest string) bool { return x.directory.Public(digest) }, x.HandleChat)
+	chatAt, r := chat.Route(func(digest string) bool { return x.directory.IsPublicText(digest) }, x.HandleChat)
 	all[chatAt] = r
 	all["/v1/embeddings"] = x.batchRoute(embeddings.Embeddings, pb.Product_EMBEDDING)
 	all["/v1/rerank"] = x.batchRoute(embeddings.Rerank, pb.Product_RERANK)
@@ -865,7 +865,7 @@
 func (x *Dispatcher) SetTimer(after scheduler.Micros, bell scheduler.TimerID) {
 	x.loop.After(after, func() {
 		x.module.TimerFired(x.loop.Now(), bell)
-		if bell == scheduler.PeriodicTimer && x.gate.Waiting() > 0 {
+		if bell == scheduler.PeriodicTimer && x.gate.QueueLength() > 0 {
 			x.turns()
 		}
 	})
--- a/internal/dispatch/intent.go
+++ b/internal/dispatch/intent.go
@@ -129,14 +129,14 @@
 
 // heal has the record of intents taken into service again once the disk takes writes, without a restart.
 func (x *Dispatcher) heal() {
-	if x.healing || x.post.Intents.Failed() == nil {
+	if x.healing || x.post.Intents.Err() == nil {
 		return
 	}
 	x.healing = true
-	x.post.Log.Error().Err(x.post.Intents.Failed()).Msg("the record of intents has failed; keyed generations are not run until it takes writes again")
+	x.post.Log.Error().Err(x.post.Intents.Err()).Msg("the record of intents has failed; keyed generations are not run until it takes writes again")
 	var try func()
 	try = func() {
-		x.post.Intents.Heal(func(err error) {
+		x.post.Intents.Repair(func(err error) {
 			if err != nil {
 				x.loop.After(healEvery, try)
 				return
--- a/internal/dispatch/path_test.go
+++ b/internal/dispatch/path_test.go
@@ -331,7 +331,7 @@
 			loop.Do(func() {
 				var err error
 				if keeps {
-					if post.Intents, err = store.Open(disk, store.Usual); err != nil {
+					if post.Intents, err = store.Open(disk, store.DefaultLimits); err != nil {
 						t.Fatal(err)
 					}
 				}
--- a/internal/dispatch/room_test.go
+++ b/internal/dispatch/room_test.go
@@ -23,7 +23,7 @@
 	loop := r.w.Loop("kept")
 	r.loop = loop
 	loop.Do(func() {
-		intents, err := store.Open(f.For(loop), store.Usual)
+		intents, err := store.Open(f.For(loop), store.DefaultLimits)
 		if err != nil {
 			r.t.Fatal(err)
 		}
--- a/internal/dispatch/stored_intents_test.go
+++ b/internal/dispatch/stored_intents_test.go
@@ -73,7 +73,7 @@
 		t.Fatal(err)
 	}
 	loop.Do(func() {
-		intents, err := store.Open(storedDisk(t, loop), store.Usual)
+		intents, err := store.Open(storedDisk(t, loop), store.DefaultLimits)
 		if err != nil {
 			t.Fatal(err)
 		}
--- a/internal/dispatch/tenants.go
+++ b/internal/dispatch/tenants.go
@@ -130,15 +130,15 @@
 				x.post.Log.Error().Str("tenant", t.Name).Msg("the deployment names this tenant itself; the administration's is not served here")
 				continue
 			}
-			x.leaveSeat(s, t.Policy == tenancy.Abort || t.State != tenancy.Removing)
+			x.leaveSeat(s, t.Removal == tenancy.RemovalStop || t.State != tenancy.StateRemoving)
 			s = nil
 		}
-		if t.State == tenancy.Removing || t.State == tenancy.Removed {
+		if t.State == tenancy.StateRemoving || t.State == tenancy.StateRemoved {
 			if s == nil {
 				x.meter.TenantEnded(t.Name)
 				continue
 			}
-			x.leaveSeat(s, t.Policy == tenancy.Abort || t.State == tenancy.Removed)
+			x.leaveSeat(s, t.Removal == tenancy.RemovalStop || t.State == tenancy.StateRemoved)
 			continue
 		}
 		if s == nil {
@@ -148,7 +148,7 @@
 		for _, k := range t.Keys {
 			keys[k.ID] = k.Limits
 		}
-		x.allow(s, t.Limits, keys, t.Products, t.State == tenancy.Active)
+		x.allow(s, t.Limits, keys, t.Products, t.State == tenancy.StateActive)
 	}
 	return nil
 }
@@ -160,7 +160,7 @@
 		x.gate.SetTenant(s.id, s.limits, nil, nil, false)
 	}
 	if stop {
-		for _, t := range x.gate.Tickets(s.id) {
+		for _, t := range x.gate.OpenTickets(s.id) {
 			x.take(t.Owner.(*gen), lifecycle.TenantStopped, what{why: "The tenant was removed."})
 		}
 	}
@@ -168,7 +168,7 @@
 }
 
 func (x *Dispatcher) emptySeat(s *seat) {
-	if !s.going || x.seats[s.name] != s || !x.gate.Forget(s.id) {
+	if !s.going || x.seats[s.name] != s || !x.gate.RemoveTenant(s.id) {
 		return
 	}
 	delete(x.seats, s.name)
@@ -202,14 +202,20 @@
 			Message: "This account is suspended."}
 	}
 	g.seat = s
-	t, v := x.gate.Admit(x.loop.Now(), s.id, who.Key, g.ask.Model, g.ask.Tokens, g.ask.MaxTokens)
+	t, v := x.gate.Admit(x.loop.Now(), tenancy.AdmissionRequest{
+		Tenant:          s.id,
+		Key:             who.Key,
+		Product:         g.ask.Model,
+		PromptTokens:    g.ask.Tokens,
+		MaxOutputTokens: g.ask.MaxTokens,
+	})
 	switch {
 	case v.Reason == tenancy.PromptTooLarge:
 		return false, &frontend.Problem{Status: 400, Type: "invalid_request_error", Param: "messages", Code: "prompt_too_large",
 			Message: "The prompt has more tokens than this account may ask for."}
 	case v.Reason == tenancy.NotServed:
 		return false, &frontend.Problem{Status: 403, Type: "permission_error", Code: "tenant_suspended", Never: true, Message: "This account is suspended."}
-	case v.Reason != tenancy.None:
+	case v.Reason != tenancy.NotRejected:
 		x.OverQuota++
 		x.meter.Add(tenancy.Usage{Tenant: s.name, Product: g.ask.Model, Day: tenancy.Day(x.loop.Now()), Rejected: 1})
 		to.RejectOverQuota(v.Reason.String(), v.RetryAfter)
@@ -236,7 +242,7 @@
 // turns lets in those whose turn has come.
 func (x *Dispatcher) turns() {
 	for {
-		t, some := x.gate.Next(x.loop.Now())
+		t, some := x.gate.AdmitNext(x.loop.Now())
 		if !some {
 			return
 		}
@@ -273,7 +279,7 @@
 	if g.part != nil { // the call counts, not its parts; but what they read does
 		u.Accepted = 0
 		if g.final == lifecycle.AnswerCompleted {
-			u.Prompt = uint64(g.prompt)
+			u.PromptTokens = uint64(g.prompt)
 		} else if g.final == lifecycle.AnswerRejected {
 			x.gate.NoCapacity(now, g.ticket)
 		}
@@ -291,15 +297,15 @@
 		u.Disconnected = 1
 	}
 	if g.tokens > 0 {
-		u.Prompt, u.Answer = uint64(g.ask.Tokens), uint64(g.tokens)
+		u.PromptTokens, u.OutputTokens = uint64(g.ask.Tokens), uint64(g.tokens)
 		if g.prompt > 0 {
-			u.Prompt = uint64(g.prompt)
+			u.PromptTokens = uint64(g.prompt)
 		}
 	}
-	if g.part == nil || u.Prompt > 0 {
+	if g.part == nil || u.PromptTokens > 0 {
 		x.meter.Add(u)
 	}
-	x.gate.Release(now, g.ticket, int(u.Prompt+u.Answer))
+	x.gate.Release(now, g.ticket, int(u.PromptTokens+u.OutputTokens))
 	g.ticket = nil
 	s := g.seat
 	x.loop.Later(func() {
@@ -309,7 +315,7 @@
 }
 
 // Usage is what was used and not yet reported.
-func (x *Dispatcher) Usage() []tenancy.Usage { return x.meter.Report(x.post.Name).Used }
+func (x *Dispatcher) Usage() []tenancy.Usage { return x.meter.Report(x.post.Name).Usage }
 
 // report sends what was used.
 func (x *Dispatcher) report() {
--- a/internal/store/bench_test.go
+++ b/internal/store/bench_test.go
@@ -22,7 +22,7 @@
 				b.Fatal(err)
 			}
 			defer f.Close()
-			s, err := Open(f, Usual)
+			s, err := Open(f, DefaultLimits)
 			if err != nil {
 				b.Fatal(err)
 			}
@@ -46,8 +46,8 @@
 			for out > 0 {
 				(<-posted)()
 			}
-			b.ReportMetric(float64(s.Stats.Records)/float64(max(s.Stats.Groups, 1)), "records/sync")
-			b.ReportMetric(float64(s.Stats.Written)/float64(max(s.Stats.User, 1)), "written/user")
+			b.ReportMetric(float64(s.Stats.Records)/float64(max(s.Stats.GroupCommits, 1)), "records/sync")
+			b.ReportMetric(float64(s.Stats.BytesWritten)/float64(max(s.Stats.UserBytes, 1)), "written/user")
 		})
 	}
 }
@@ -57,8 +57,8 @@
 	for _, n := range []int{10_000, 1_000_000, 10_000_000} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
 			m := newMemory()
-			bounds := Usual
-			bounds.Keys, bounds.Bytes = 20_000_000, 4<<30
+			bounds := DefaultLimits
+			bounds.MaxKeys, bounds.MaxBytes = 20_000_000, 4<<30
 			s, err := Open(m, bounds)
 			if err != nil {
 				b.Fatal(err)
@@ -79,7 +79,7 @@
 				}
 			}
 			b.ReportMetric(float64(n)*float64(b.N)/b.Elapsed().Seconds(), "records/s")
-			b.ReportMetric(float64(s.Stats.Written)/float64(s.Stats.User), "written/user")
+			b.ReportMetric(float64(s.Stats.BytesWritten)/float64(s.Stats.UserBytes), "written/user")
 		})
 	}
 }
@@ -163,7 +163,7 @@
 		t.Fatal(err)
 	}
 	defer f.Close()
-	s, err := Open(f, Usual)
+	s, err := Open(f, DefaultLimits)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/store/history_test.go
+++ b/internal/store/history_test.go
@@ -166,13 +166,13 @@
 			switch {
 			case chance.Intn(150) == 0:
 				m.fault = []error{syscall.ENOSPC, syscall.EIO}[chance.Intn(2)]
-			case s.Failed() != nil && chance.Intn(5) == 0:
+			case s.Err() != nil && chance.Intn(5) == 0:
 				m.fault = nil                                          // there is room again
 				for _, client := range slices.Sorted(maps.Keys(out)) { // what has failed stays unanswered; its client goes on
 					cut = append(cut, out[client])
 					delete(out, client)
 				}
-				s.Heal(func(error) {})
+				s.Repair(func(error) {})
 			}
 		}
 		if chance.Intn(3) == 0 {
--- a/internal/store/room_test.go
+++ b/internal/store/room_test.go
@@ -34,7 +34,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	s, err := Open(files, Usual)
+	s, err := Open(files, DefaultLimits)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -82,7 +82,7 @@
 			t.Fatal(err)
 		}
 		bound(100)
-		if err := wait(func(done func(error)) error { s.Heal(done); return nil }); err == nil {
+		if err := wait(func(done func(error)) error { s.Repair(done); return nil }); err == nil {
 			t.Fatal("healed without room")
 		}
 		names, _ := files.List()
@@ -92,7 +92,7 @@
 			}
 		}
 		bound(limit.Cur)
-		if err := wait(func(done func(error)) error { s.Heal(done); return nil }); err != nil {
+		if err := wait(func(done func(error)) error { s.Repair(done); return nil }); err != nil {
 			t.Fatal(err)
 		}
 	}
@@ -105,7 +105,7 @@
 		t.Fatal(err)
 	}
 	defer files.Close()
-	if s, err = Open(files, Usual); err != nil || s.Len() != kept+1 {
+	if s, err = Open(files, DefaultLimits); err != nil || s.Len() != kept+1 {
 		t.Fatalf("%v: %d keys, want %d", err, s.Len(), kept+1)
 	}
 }
--- a/internal/store/store.go
+++ b/internal/store/store.go
@@ -32,16 +32,16 @@
 	Remove(name string, done func(error))
 }
 
-// Bounds limit a store.
-type Bounds struct {
-	Keys    int // more are refused
-	Bytes   int // of keys and values
-	Segment int // bytes of a segment of the log, after which the next begins
-	Log     int // bytes of log since the last snapshot, after which one is written
+// Limits limit a store.
+type Limits struct {
+	MaxKeys           int // more are refused
+	MaxBytes          int // of keys and values
+	SegmentBytes      int // bytes of a segment of the log, after which the next begins
+	CompactAfterBytes int // bytes of log since the last snapshot, after which one is written
 }
 
-// Usual bounds suit a dispatcher's own records.
-var Usual = Bounds{Keys: 2_000_000, Bytes: 512 << 20, Segment: 8 << 20, Log: 16 << 20}
+// DefaultLimits bounds suit a dispatcher's own records.
+var DefaultLimits = Limits{MaxKeys: 2_000_000, MaxBytes: 512 << 20, SegmentBytes: 8 << 20, CompactAfterBytes: 16 << 20}
 
 // Errors that callers tell apart.
 var (
@@ -66,7 +66,7 @@
 // Store is one folder's.
 type Store struct {
 	disk   Disk
-	bounds Bounds
+	bounds Limits
 	index  Index
 	bytes  int
 	seq    uint64 // of the last record
@@ -89,7 +89,7 @@
 
 // Stats count what was done, for figures.
 type Stats struct {
-	Records, Groups, Written, User, Snapshots int
+	Records, GroupCommits, BytesWritten, UserBytes, Snapshots int
 }
 
 const (
@@ -138,7 +138,7 @@
 // Open recovers what a folder holds. A record that was being written when the process died, at the very end of the log, is
 // cut off: nobody was told that it was kept. Anything else that can't be read is ErrCorrupt, and the files are left as
 // they are.
-func Open(disk Disk, bounds Bounds) (*Store, error) {
+func Open(disk Disk, bounds Limits) (*Store, error) {
 	s := &Store{disk: disk, bounds: bounds}
 	names, err := disk.List()
 	if err != nil {
@@ -316,8 +316,8 @@
 func (s *Store) Snapshot() *Index { return s.index.Snapshot() }
 
 // Len is how many keys there are; Failed why nothing is acknowledged any more.
-func (s *Store) Len() int      { return s.index.Len() }
-func (s *Store) Failed() error { return s.failed }
+func (s *Store) Len() int   { return s.index.Len() }
+func (s *Store) Err() error { return s.failed }
 
 // Commit makes several changes together, all or none, if all conditions hold. done is told once they are durable; an error
 // there means that they may or may not be there after a restart. With lazy they count at once and are written with the
@@ -341,7 +341,7 @@
 		}
 		batch.Ops = append(batch.Ops, &pb.Op{Key: []byte(o.Key), Value: o.Value, Delete: o.Value == nil})
 	}
-	if grows := slices.ContainsFunc(ops, func(o Op) bool { return o.Value != nil }); grows && (keys > s.bounds.Keys || size > s.bounds.Bytes) {
+	if grows := slices.ContainsFunc(ops, func(o Op) bool { return o.Value != nil }); grows && (keys > s.bounds.MaxKeys || size > s.bounds.MaxBytes) {
 		return ErrFull
 	}
 	payload, err := proto.Marshal(batch)
@@ -356,7 +356,7 @@
 		old, _ := s.index.Get(o.Key)
 		s.undo = append(s.undo, Op{o.Key, old})
 		s.change(o, o.Value == nil)
-		s.Stats.User += len(o.Key) + len(o.Value)
+		s.Stats.UserBytes += len(o.Key) + len(o.Value)
 	}
 	s.group = frame(s.group, payload)
 	s.Stats.Records++
@@ -377,7 +377,7 @@
 	if s.writing || len(s.group) == 0 || s.failed != nil {
 		return
 	}
-	if s.size >= s.bounds.Segment {
+	if s.size >= s.bounds.SegmentBytes {
 		s.segment++
 		s.size = 0
 	}
@@ -392,8 +392,8 @@
 	last := s.seq
 	s.size += len(b)
 	s.log += len(b)
-	s.Stats.Groups++
-	s.Stats.Written += len(b)
+	s.Stats.GroupCommits++
+	s.Stats.BytesWritten += len(b)
 	s.disk.Append(segmentName(s.segment), b, func(err error) {
 		s.writing = false
 		if err != nil {
@@ -426,11 +426,11 @@
 	}
 }
 
-// Heal takes a store that has failed into service again, once there is room: what is durable is written as a snapshot of its
+// Repair takes a store that has failed into service again, once there is room: what is durable is written as a snapshot of its
 // own, and the log that ended in the failure, with whatever stands at its torn end, is dropped. Nothing else is trusted: a sync
 // that succeeds after one that failed does not mean that the data is there. Where this fails too it may be called again; who
 // calls it sees to the pauses, as the store has no clock.
-func (s *Store) Heal(done func(error)) {
+func (s *Store) Repair(done func(error)) {
 	switch {
 	case s.failed == nil:
 		done(nil)
@@ -452,7 +452,7 @@
 // shrink writes a snapshot where the log has grown beyond its bound and beyond what lives, and then drops the segments that
 // are in it. Writes go on into a segment of their own.
 func (s *Store) shrink() {
-	if s.shrinks || s.writing || s.failed != nil || s.log < max(s.bounds.Log, 2*s.bytes) {
+	if s.shrinks || s.writing || s.failed != nil || s.log < max(s.bounds.CompactAfterBytes, 2*s.bytes) {
 		return
 	}
 	s.Compact(nil)
@@ -490,7 +490,7 @@
 		return b
 	}, func(err error) {
 		s.Stats.Snapshots++
-		s.Stats.Written += size
+		s.Stats.BytesWritten += size
 		if err != nil {
 			done(err)
 			return
--- a/internal/store/store_test.go
+++ b/internal/store/store_test.go
@@ -104,7 +104,7 @@
 	return b.String()
 }
 
-var small = Bounds{Keys: 1000, Bytes: 1 << 20, Segment: 1500, Log: 4000}
+var small = Limits{MaxKeys: 1000, MaxBytes: 1 << 20, SegmentBytes: 1500, CompactAfterBytes: 4000}
 
 // work runs random changes on a store and tells, for each record, what the whole should be after it; and for each
 // operation of the disk how many records had been acknowledged before it, and submitted.
@@ -254,7 +254,7 @@
 			}
 			err := s.Commit([]Op{{fmt.Sprint("k", i%20), []byte(fmt.Sprint(i))}}, nil, false, func(err error) {
 				if err == nil {
-					if m.fault != nil && s.Failed() != nil {
+					if m.fault != nil && s.Err() != nil {
 						t.Fatal("acknowledged after the failure")
 					}
 					acked = i + 1
@@ -266,7 +266,7 @@
 			m.out(1)
 		}
 		m.out(1000)
-		if s.Heal(func(error) {}); s.Failed() == nil {
+		if s.Repair(func(error) {}); s.Err() == nil {
 			t.Fatal("a failed disk was not noticed")
 		}
 		m.out(1000) // there is no room for that either
@@ -322,7 +322,7 @@
 			}
 			tried := chance.Intn(3)
 			for range tried {
-				s.Heal(func(err error) {
+				s.Repair(func(err error) {
 					if err == nil {
 						t.Error("healed on a disk without room")
 					}
@@ -343,15 +343,15 @@
 				s.Scan("", func(k string, v []byte) bool { want[k] = string(v); return true })
 				continue
 			}
-			s.Heal(func(err error) {
+			s.Repair(func(err error) {
 				if err != nil {
 					t.Error(err)
 				}
 			})
 			m.out(1000)
 			for _, now := range []*Store{s, reopened(t, m)} {
-				if now.Len() != len(want) || now.Failed() != nil {
-					t.Fatalf("seed %d, round %d: %d keys, not %d, failed %v", seed, round, now.Len(), len(want), now.Failed())
+				if now.Len() != len(want) || now.Err() != nil {
+					t.Fatalf("seed %d, round %d: %d keys, not %d, failed %v", seed, round, now.Len(), len(want), now.Err())
 				}
 				for k, v := range want {
 					if got, _ := now.Get(k); string(got) != v {
@@ -383,7 +383,7 @@
 // Conditions, bounds and transactions: all or nothing.
 func TestConditionsAndBounds(t *testing.T) {
 	m := newMemory()
-	s, _ := Open(m, Bounds{Keys: 3, Bytes: 100, Segment: 1000, Log: 1000})
+	s, _ := Open(m, Limits{MaxKeys: 3, MaxBytes: 100, SegmentBytes: 1000, CompactAfterBytes: 1000})
 	must := func(want error, ops []Op, ifs ...Condition) {
 		t.Helper()
 		if err := s.Commit(ops, ifs, false, nil); !errors.Is(err, want) {
--- a/internal/store/stored_test.go
+++ b/internal/store/stored_test.go
@@ -28,7 +28,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	opened, err = store.Open(files, store.Usual)
+	opened, err = store.Open(files, store.DefaultLimits)
 	if err != nil {
 		files.Close()
 		t.Fatal(err)
--- a/internal/tenancy/admission.go
+++ b/internal/tenancy/admission.go
@@ -89,11 +89,11 @@
 type Reason uint8
 
 const (
-	None Reason = iota
-	TooManyPerS
-	TooManyTokens
-	TooManyOpen
-	TooManyWaiting
+	NotRejected Reason = iota
+	RequestRateExceeded
+	TokenRateExceeded
+	ConcurrencyExceeded
+	QueueFull
 	PromptTooLarge
 	NotServed // the tenant is suspended, or is going
 )
@@ -191,8 +191,8 @@
 	m.keys, m.products = set(m.keys, keys), set(m.products, products)
 }
 
-// Forget drops a tenant of which nothing is open any more, and tells whether it could.
-func (g *AdmissionController) Forget(id ID) bool {
+// RemoveTenant drops a tenant of which nothing is open any more, and tells whether it could.
+func (g *AdmissionController) RemoveTenant(id ID) bool {
 	m := g.members[id]
 	if m != nil && len(m.open) > 0 {
 		return false
@@ -201,8 +201,8 @@
 	return true
 }
 
-// Tickets are a tenant's generations at the gate and beyond, in the order of their coming.
-func (g *AdmissionController) Tickets(id ID) []*Ticket {
+// OpenTickets are a tenant's generations at the gate and beyond, in the order of their coming.
+func (g *AdmissionController) OpenTickets(id ID) []*Ticket {
 	m := g.members[id]
 	if m == nil {
 		return nil
@@ -210,23 +210,32 @@
 	return slices.SortedFunc(maps.Keys(m.open), func(a, b *Ticket) int { return cmp.Compare(m.open[a], m.open[b]) })
 }
 
-// Waiting is how many wait for their turn; Window how many beyond their share may be through at once.
-func (g *AdmissionController) Waiting() int    { return g.fair.Len() }
-func (g *AdmissionController) Window() float64 { return g.window }
+// QueueLength is how many wait for their turn; Window how many beyond their share may be through at once.
+func (g *AdmissionController) QueueLength() int { return g.fair.Len() }
+func (g *AdmissionController) Window() float64  { return g.window }
+
+// AdmissionRequest is one request as the limits see it.
+type AdmissionRequest struct {
+	Tenant          ID
+	Key             string // the id of the key it came with; empty if that key has no limits
+	Product         string
+	PromptTokens    int
+	MaxOutputTokens int
+}
 
-// Admit takes a generation to the gate.
-func (g *AdmissionController) Admit(now Micros, id ID, key, product string, prompt, most int) (*Ticket, Decision) {
+// Admit decides what becomes of one more request. The ticket is nil when it is rejected; else the caller must Release it.
+func (g *AdmissionController) Admit(now Micros, r AdmissionRequest) (*Ticket, Decision) {
 	g.now = now
-	m := g.members[id]
+	m := g.members[r.Tenant]
 	if m == nil || !m.serves {
 		return nil, Decision{Reason: NotServed}
 	}
-	t := &Ticket{tenant: m, levels: [3]*account{&m.account, m.keys[key], m.products[product]}, cost: float64(prompt + most/2)}
+	t := &Ticket{tenant: m, levels: [3]*account{&m.account, m.keys[r.Key], m.products[r.Product]}, cost: float64(r.PromptTokens + r.MaxOutputTokens/2)}
 	for _, a := range t.levels {
 		if a == nil {
 			continue
 		}
-		if reason, after := a.check(now, g.parts, prompt, t.cost); reason != None {
+		if reason, after := a.check(now, g.parts, r.PromptTokens, t.cost); reason != NotRejected {
 			return nil, Decision{Reason: reason, RetryAfter: after}
 		}
 	}
@@ -238,8 +247,8 @@
 		if most == 0 {
 			most = waitingMost
 		}
-		if g.fair.Of(id) >= max(int(float64(most)/g.parts), 1) {
-			return nil, Decision{Reason: TooManyWaiting, RetryAfter: second / 2}
+		if g.fair.LenOf(r.Tenant) >= max(int(float64(most)/g.parts), 1) {
+			return nil, Decision{Reason: QueueFull, RetryAfter: second / 2}
 		}
 	} else {
 		m.share.level--
@@ -261,7 +270,7 @@
 		t.through = true
 		return t, Decision{Admitted: true}
 	}
-	if g.fair.Len() == 0 && g.mayPass(t) || g.fair.Of(id) == 0 && g.own(t) {
+	if g.fair.Len() == 0 && g.mayPass(t) || g.fair.LenOf(r.Tenant) == 0 && g.own(t) {
 		g.pass(t)
 		return t, Decision{Admitted: true}
 	}
@@ -270,7 +279,7 @@
 	if weight == 0 {
 		weight = 1
 	}
-	g.fair.Add(id, weight, t, t.cost)
+	g.fair.Add(r.Tenant, weight, t, t.cost)
 	return t, Decision{Queued: true}
 }
 
@@ -288,7 +297,7 @@
 		return PromptTooLarge, 0
 	}
 	if l.Concurrent > 0 && a.open >= max(int(float64(l.Concurrent)/parts), 1) {
-		return TooManyOpen, 0
+		return ConcurrencyExceeded, 0
 	}
 	burst := l.BurstS
 	if burst == 0 {
@@ -302,15 +311,15 @@
 	}
 	a.gens.fill(now, rate(l.PerS), max(rate(l.PerS)*burst, 1))
 	if l.PerS > 0 && a.gens.level < 1 { // a limit that was lifted binds no more, though its bucket is still empty
-		return TooManyPerS, a.gens.after(1, rate(l.PerS))
+		return RequestRateExceeded, a.gens.after(1, rate(l.PerS))
 	}
 	// A generation larger than the whole bucket goes when the bucket is full, and leaves a debt.
 	most := rate(l.TokensPerS) * burst
 	a.tokens.fill(now, rate(l.TokensPerS), most)
 	if want := min(cost, most); l.TokensPerS > 0 && a.tokens.level < want {
-		return TooManyTokens, a.tokens.after(want, rate(l.TokensPerS))
+		return TokenRateExceeded, a.tokens.after(want, rate(l.TokensPerS))
 	}
-	return None, 0
+	return NotRejected, 0
 }
 
 // mayPass lets surplus through up to the window, and a little of each tenant's in any case: one that has gone beyond its
@@ -370,8 +379,8 @@
 	t.tenant.unbegun++
 }
 
-// Next gives one that has waited and may go now.
-func (g *AdmissionController) Next(now Micros) (*Ticket, bool) {
+// AdmitNext gives one that has waited and may go now.
+func (g *AdmissionController) AdmitNext(now Micros) (*Ticket, bool) {
 	g.now = now
 	t, some := g.fair.Next(g.mayPass)
 	if some {
@@ -422,7 +431,7 @@
 		}
 	}
 	if t.waits {
-		g.fair.Drop(t.tenant.id, func(o *Ticket) bool { return o == t })
+		g.fair.Remove(t.tenant.id, func(o *Ticket) bool { return o == t })
 	}
 	if t.through && t.over {
 		g.begun(t)
--- a/internal/tenancy/cached_tenants_test.go
+++ b/internal/tenancy/cached_tenants_test.go
@@ -22,24 +22,24 @@
 func keptTenants() []*tenancy.Tenant {
 	return []*tenancy.Tenant{
 		{
-			ID: 1, Name: "bahari", State: tenancy.Active, Version: 5, Limits: limitsFrom(6), Created: 1796217369,
+			ID: 1, Name: "bahari", State: tenancy.StateActive, Version: 5, Limits: limitsFrom(6), CreatedAt: 1796217369,
 			Products: map[string]tenancy.Limits{"explain": limitsFrom(2), "review-post": limitsFrom(3)},
 			Keys: []tenancy.KeyRecord{
 				{
 					ID: "433b2215375e", MAC: "fda8b58512522541f7a49438d0b6cb42717d6905ced63c81753f091483abcafd", Label: "ci",
-					Scopes: []string{tenancy.ScopeChat, tenancy.ScopeAdmin}, Created: 1796217369, Expires: 4102444800, Limits: limitsFrom(4),
+					Scopes: []string{tenancy.ScopeChat, tenancy.ScopeAdmin}, CreatedAt: 1796217369, ExpiresAt: 4102444800, Limits: limitsFrom(4),
 				},
 				{
 					ID: "0a194ac022a6", MAC: "4c8f5ccf73ebd7c21829f440f5c27b296a65b019ea485a00c51a42f7ab191a16", Label: "lost",
-					Scopes: []string{tenancy.ScopeChat, tenancy.ScopeAdmin}, Created: 1796217369, Revoked: 1796217369,
+					Scopes: []string{tenancy.ScopeChat, tenancy.ScopeAdmin}, CreatedAt: 1796217369, RevokedAt: 1796217369,
 				},
 			},
 		},
 		{
-			ID: 3, Name: "mto", State: tenancy.Suspended, Version: 3, Limits: tenancy.Limits{SharePerS: 7}, Created: 1796217369,
+			ID: 3, Name: "mto", State: tenancy.StateSuspended, Version: 3, Limits: tenancy.Limits{SharePerS: 7}, CreatedAt: 1796217369,
 			Keys: []tenancy.KeyRecord{{
 				ID: "b1b125e2c5f1", MAC: "f4efbb017516ed4f97d5b0832839eac7b2c38ae1e2197ed2f4d59dfb430fedd0", Label: "chat only",
-				Scopes: []string{tenancy.ScopeChat}, Created: 1796217369,
+				Scopes: []string{tenancy.ScopeChat}, CreatedAt: 1796217369,
 			}},
 		},
 	}
@@ -69,7 +69,7 @@
 		"7dd31d55e362c4d2b9c74f7baf90b0a168cc4d2e055a4ab32bb3dbc2e673ed7f",
 		"b7d0de837f14d258bc31e4d0b744311f1254698b2128818816dbcb655776e902",
 	} {
-		if !directory.Public(digest) {
+		if !directory.IsPublicText(digest) {
 			t.Errorf("the public text %s is not known", digest)
 		}
 	}
--- a/internal/tenancy/fairqueue.go
+++ b/internal/tenancy/fairqueue.go
@@ -38,8 +38,8 @@
 // Len is how many wait; Of how many of one tenant do.
 func (f *FairQueue[T]) Len() int { return f.size }
 
-// Of is how many of a tenant's stand in its line, those dropped and not yet passed over included.
-func (f *FairQueue[T]) Of(id ID) int {
+// LenOf is how many of a tenant's stand in its line, those dropped and not yet passed over included.
+func (f *FairQueue[T]) LenOf(id ID) int {
 	if t := f.lines[id]; t != nil {
 		return len(t.queue) - t.first
 	}
@@ -134,8 +134,8 @@
 	}
 }
 
-// Drop takes out what matches, of one tenant; its place in the line is passed over when its turn comes.
-func (f *FairQueue[T]) Drop(id ID, is func(T) bool) bool {
+// Remove takes out what matches, of one tenant; its place in the line is passed over when its turn comes.
+func (f *FairQueue[T]) Remove(id ID, is func(T) bool) bool {
 	t := f.lines[id]
 	if t == nil {
 		return false
--- a/internal/tenancy/registry.go
+++ b/internal/tenancy/registry.go
@@ -16,16 +16,16 @@
 
 // States of a tenant.
 const (
-	Active    = "active"
-	Suspended = "suspended" // nothing new; what runs goes on
-	Removing  = "removing"  // it is gone for its clients; what runs goes on, or is stopped
-	Removed   = "removed"   // nothing of it is left but its name and what it has used
+	StateActive    = "active"
+	StateSuspended = "suspended" // nothing new; what runs goes on
+	StateRemoving  = "removing"  // it is gone for its clients; what runs goes on, or is stopped
+	StateRemoved   = "removed"   // nothing of it is left but its name and what it has used
 )
 
 // Policies of removal.
 const (
-	Finish = "finish" // what runs goes on to its end
-	Abort  = "stop"   // what runs is given its one final answer now
+	RemovalFinish = "finish" // what runs goes on to its end
+	RemovalStop   = "stop"   // what runs is given its one final answer now
 )
 
 // Scopes of a key.
@@ -36,28 +36,28 @@
 
 // Tenant is one customer, as it is kept and as it is shown.
 type Tenant struct {
-	ID       ID                `json:"id"`
-	Name     string            `json:"name"`
-	State    string            `json:"state"`
-	Version  uint64            `json:"version"` // of this record; it changes with each change
-	Limits   Limits            `json:"limits"`
-	Products map[string]Limits `json:"products,omitempty"`
-	Keys     []KeyRecord       `json:"keys,omitempty"`
-	Created  int64             `json:"created_s"`
-	Policy   string            `json:"removal,omitempty"`
-	Gone     int64             `json:"removed_s,omitempty"`
+	ID        ID                `json:"id"`
+	Name      string            `json:"name"`
+	State     string            `json:"state"`
+	Version   uint64            `json:"version"` // of this record; it changes with each change
+	Limits    Limits            `json:"limits"`
+	Products  map[string]Limits `json:"products,omitempty"`
+	Keys      []KeyRecord       `json:"keys,omitempty"`
+	CreatedAt int64             `json:"created_s"`
+	Removal   string            `json:"removal,omitempty"`
+	RemovedAt int64             `json:"removed_s,omitempty"`
 }
 
 // KeyRecord is what is kept of a key: never the key itself.
 type KeyRecord struct {
-	ID      string   `json:"id"`
-	MAC     string   `json:"mac,omitempty"`
-	Label   string   `json:"label,omitempty"`
-	Scopes  []string `json:"scopes"`
-	Created int64    `json:"created_s"`
-	Expires int64    `json:"expires_s,omitempty"` // 0 = never
-	Revoked int64    `json:"revoked_s,omitempty"`
-	Limits  Limits   `json:"limits"`
+	ID        string   `json:"id"`
+	MAC       string   `json:"mac,omitempty"`
+	Label     string   `json:"label,omitempty"`
+	Scopes    []string `json:"scopes"`
+	CreatedAt int64    `json:"created_s"`
+	ExpiresAt int64    `json:"expires_s,omitempty"` // 0 = never
+	RevokedAt int64    `json:"revoked_s,omitempty"`
+	Limits    Limits   `json:"limits"`
 }
 
 // ChangeError is a change that can't be made.
@@ -80,18 +80,18 @@
 
 // Registry is all tenants. Version counts its changes; followers ask for what has changed since one.
 type Registry struct {
-	Epoch   string             `json:"epoch"`
-	Version uint64             `json:"version"`
-	LastID  ID                 `json:"last_id"`
-	Tenants map[string]*Tenant `json:"tenants"`
-	Public  []string           `json:"public_texts,omitempty"` // digests of shared texts that tenants may share
-	// Changed is the registry's version at each tenant's last change.
-	Changed map[string]uint64 `json:"changed"`
+	Epoch       string             `json:"epoch"`
+	Version     uint64             `json:"version"`
+	LastID      ID                 `json:"last_id"`
+	Tenants     map[string]*Tenant `json:"tenants"`
+	PublicTexts []string           `json:"public_texts,omitempty"` // digests of shared texts that tenants may share
+	// ChangedIn is the registry's version at each tenant's last change.
+	ChangedIn map[string]uint64 `json:"changed"`
 }
 
 // NewRegistry makes an empty one.
 func NewRegistry(epoch string) *Registry {
-	return &Registry{Epoch: epoch, Tenants: map[string]*Tenant{}, Changed: map[string]uint64{}}
+	return &Registry{Epoch: epoch, Tenants: map[string]*Tenant{}, ChangedIn: map[string]uint64{}}
 }
 
 // Load reads a kept one.
@@ -100,7 +100,7 @@
 	if err := json.Unmarshal(kept, r); err != nil {
 		return nil, fmt.Errorf("tenants' records: %w", err)
 	}
-	if r.Epoch == "" || r.Tenants == nil || r.Changed == nil {
+	if r.Epoch == "" || r.Tenants == nil || r.ChangedIn == nil {
 		return nil, fmt.Errorf("tenants' records: not a whole registry")
 	}
 	return r, nil
@@ -119,7 +119,7 @@
 func (r *Registry) touch(t *Tenant) {
 	r.Version++
 	t.Version++
-	r.Changed[t.Name] = r.Version
+	r.ChangedIn[t.Name] = r.Version
 }
 
 func nameFault(name string) *ChangeError {
@@ -160,8 +160,8 @@
 	old := r.Tenants[name]
 	switch {
 	case old == nil:
-	case old.State == Removed && now-old.Gone >= NameReuseDelay:
-	case old.State == Removed || old.State == Removing:
+	case old.State == StateRemoved && now-old.RemovedAt >= NameReuseDelay:
+	case old.State == StateRemoved || old.State == StateRemoving:
 		return nil, false, refuse(409, "name_resting", "name", "the name was a removed tenant's and rests for %d hours", NameReuseDelay/3600)
 	case old.Limits == limits && len(old.Products) == len(products) && (len(products) == 0 || reflect.DeepEqual(old.Products, products)):
 		return old, false, nil
@@ -169,7 +169,7 @@
 		return nil, false, refuse(409, "exists", "name", "there is a tenant %q", name)
 	}
 	r.LastID++
-	t = &Tenant{ID: r.LastID, Name: name, State: Active, Limits: limits, Products: products, Created: now}
+	t = &Tenant{ID: r.LastID, Name: name, State: StateActive, Limits: limits, Products: products, CreatedAt: now}
 	if old != nil {
 		t.Version = old.Version
 	}
@@ -190,13 +190,13 @@
 	return t, nil
 }
 
-// Change sets limits.
-func (r *Registry) Change(name string, version uint64, limits *Limits, products map[string]Limits) (*Tenant, *ChangeError) {
+// SetLimits sets limits.
+func (r *Registry) SetLimits(name string, version uint64, limits *Limits, products map[string]Limits) (*Tenant, *ChangeError) {
 	t, fault := r.find(name, version)
 	if fault != nil {
 		return nil, fault
 	}
-	if t.State == Removing || t.State == Removed {
+	if t.State == StateRemoving || t.State == StateRemoved {
 		return nil, refuse(409, "removed", "", "the tenant is %s", t.State)
 	}
 	if limits != nil {
@@ -225,8 +225,8 @@
 	if fault != nil {
 		return nil, fault
 	}
-	want := map[bool]string{true: Active, false: Suspended}[on]
-	if t.State == Removing || t.State == Removed {
+	want := map[bool]string{true: StateActive, false: StateSuspended}[on]
+	if t.State == StateRemoving || t.State == StateRemoved {
 		return nil, refuse(409, "removed", "", "the tenant is %s", t.State)
 	}
 	if t.State != want {
@@ -242,22 +242,22 @@
 	if fault != nil {
 		return nil, fault
 	}
-	if policy != Finish && policy != Abort {
-		return nil, refuse(422, "invalid_policy", "policy", "must be %q or %q", Finish, Abort)
+	if policy != RemovalFinish && policy != RemovalStop {
+		return nil, refuse(422, "invalid_policy", "policy", "must be %q or %q", RemovalFinish, RemovalStop)
 	}
 	switch {
-	case t.State == Removed, t.State == Removing && (t.Policy == policy || policy == Finish):
+	case t.State == StateRemoved, t.State == StateRemoving && (t.Removal == policy || policy == RemovalFinish):
 		return t, nil
 	}
-	t.State, t.Policy, t.Keys = Removing, policy, nil
+	t.State, t.Removal, t.Keys = StateRemoving, policy, nil
 	r.touch(t)
 	return t, nil
 }
 
-// Ended tells that nothing of a tenant runs any more: its data go, its name rests.
-func (r *Registry) Ended(now int64, name string) {
-	if t := r.Tenants[name]; t != nil && t.State == Removing {
-		t.State, t.Gone, t.Limits, t.Products = Removed, now, Limits{}, nil
+// CompleteRemoval tells that nothing of a tenant runs any more: its data go, its name rests.
+func (r *Registry) CompleteRemoval(now int64, name string) {
+	if t := r.Tenants[name]; t != nil && t.State == StateRemoving {
+		t.State, t.RemovedAt, t.Limits, t.Products = StateRemoved, now, Limits{}, nil
 		r.touch(t)
 	}
 }
@@ -269,7 +269,7 @@
 	if fault != nil {
 		return "", nil, nil, fault
 	}
-	if t.State != Active && t.State != Suspended {
+	if t.State != StateActive && t.State != StateSuspended {
 		return "", nil, nil, refuse(409, "removed", "", "the tenant is %s", t.State)
 	}
 	if len(scopes) == 0 {
@@ -291,14 +291,14 @@
 	}
 	id := hex.EncodeToString(random[:6])
 	text = "sk-" + id + "-" + hex.EncodeToString(random[6:30])
-	k = &KeyRecord{ID: id, MAC: seal(secret, text), Label: label, Scopes: scopes, Created: now, Expires: expires, Limits: limits}
+	k = &KeyRecord{ID: id, MAC: seal(secret, text), Label: label, Scopes: scopes, CreatedAt: now, ExpiresAt: expires, Limits: limits}
 	t.Keys = append(t.Keys, *k)
 	r.touch(t)
 	return text, k, t, nil
 }
 
-// Revoke ends a key at once, or at a time, so that a new one can overlap with it.
-func (r *Registry) Revoke(now int64, name string, version uint64, id string, at int64) (*Tenant, *ChangeError) {
+// RevokeKey ends a key at once, or at a time, so that a new one can overlap with it.
+func (r *Registry) RevokeKey(now int64, name string, version uint64, id string, at int64) (*Tenant, *ChangeError) {
 	t, fault := r.find(name, version)
 	if fault != nil {
 		return nil, fault
@@ -309,9 +309,9 @@
 			continue
 		}
 		if at > now {
-			k.Expires = at
-		} else if k.Revoked == 0 {
-			k.Revoked = now
+			k.ExpiresAt = at
+		} else if k.RevokedAt == 0 {
+			k.RevokedAt = now
 		}
 		r.touch(t)
 		return t, nil
@@ -334,19 +334,19 @@
 
 // Update is one message to those that follow the registry: all of it, or what has changed since a version.
 type Update struct {
-	Epoch    string    `json:"epoch"`
-	Version  uint64    `json:"version"`
-	Since    uint64    `json:"since,omitempty"`
-	Complete bool      `json:"whole,omitempty"`
-	Tenants  []*Tenant `json:"tenants"`
-	Public   []string  `json:"public_texts"`
+	Epoch       string    `json:"epoch"`
+	Version     uint64    `json:"version"`
+	Since       uint64    `json:"since,omitempty"`
+	Complete    bool      `json:"whole,omitempty"`
+	Tenants     []*Tenant `json:"tenants"`
+	PublicTexts []string  `json:"public_texts"`
 }
 
 // UpdateSince is what a follower of a version has missed; all, where it followed another epoch.
 func (r *Registry) UpdateSince(epoch string, version uint64) Update {
-	n := Update{Epoch: r.Epoch, Version: r.Version, Since: version, Public: r.Public, Complete: epoch != r.Epoch || version == 0 || version > r.Version}
+	n := Update{Epoch: r.Epoch, Version: r.Version, Since: version, PublicTexts: r.PublicTexts, Complete: epoch != r.Epoch || version == 0 || version > r.Version}
 	for _, name := range r.Names() {
-		if t := r.Tenants[name]; n.Complete && t.State != Removed || !n.Complete && r.Changed[name] > version {
+		if t := r.Tenants[name]; n.Complete && t.State != StateRemoved || !n.Complete && r.ChangedIn[name] > version {
 			n.Tenants = append(n.Tenants, t)
 		}
 	}
@@ -397,7 +397,7 @@
 		for _, name := range slices.Sorted(maps.Keys(d.tenants)) {
 			if !named[name] {
 				gone := *d.tenants[name]
-				gone.State, gone.Keys = Removed, nil
+				gone.State, gone.Keys = StateRemoved, nil
 				n.Tenants = append(n.Tenants, &gone)
 			}
 		}
@@ -406,14 +406,14 @@
 		if old := d.tenants[t.Name]; old != nil {
 			if old.ID != t.ID {
 				end := *old
-				end.State, end.Policy, end.Keys = Removing, Abort, nil
+				end.State, end.Removal, end.Keys = StateRemoving, RemovalStop, nil
 				changed = append(changed, &end) // the name is another's now
 			}
 			for _, k := range old.Keys {
 				delete(d.keys, k.ID)
 			}
 		}
-		if t.State == Removed {
+		if t.State == StateRemoved {
 			delete(d.tenants, t.Name)
 		} else {
 			d.tenants[t.Name] = t
@@ -424,15 +424,15 @@
 		changed = append(changed, t)
 	}
 	clear(d.public)
-	for _, p := range n.Public {
+	for _, p := range n.PublicTexts {
 		d.public[p] = true
 	}
 	d.Epoch, d.Version = n.Epoch, n.Version
 	return changed, nil
 }
 
-// Public tells whether the operator lets tenants share a text, by its digest.
-func (d *Directory) Public(digest string) bool { return d.public[digest] }
+// IsPublicText tells whether the operator lets tenants share a text, by its digest.
+func (d *Directory) IsPublicText(digest string) bool { return d.public[digest] }
 
 // Authenticate finds the tenant and the key record of a key's text. It takes the same time for a key that is nearly right as
 // for one that is not; an unknown one costs a look-up and leaves nothing.
@@ -450,12 +450,12 @@
 
 // Matches tells whether a text is this key, and the key is worth something now.
 func (k *KeyRecord) Matches(secret []byte, text string, now int64) bool {
-	return hmac.Equal([]byte(k.MAC), []byte(seal(secret, text))) && k.Revoked == 0 && (k.Expires == 0 || now < k.Expires)
+	return hmac.Equal([]byte(k.MAC), []byte(seal(secret, text))) && k.RevokedAt == 0 && (k.ExpiresAt == 0 || now < k.ExpiresAt)
 }
 
 // Snapshot is the directory as it is known, for keeping.
 func (d *Directory) Snapshot() []byte {
-	n := Update{Epoch: d.Epoch, Version: d.Version, Complete: true, Public: slices.Sorted(maps.Keys(d.public))}
+	n := Update{Epoch: d.Epoch, Version: d.Version, Complete: true, PublicTexts: slices.Sorted(maps.Keys(d.public))}
 	for _, name := range slices.Sorted(maps.Keys(d.tenants)) {
 		n.Tenants = append(n.Tenants, d.tenants[name])
 	}
--- a/internal/tenancy/tenancy_test.go
+++ b/internal/tenancy/tenancy_test.go
@@ -23,7 +23,7 @@
 		served := map[ID]float64{}
 		for range 6000 {
 			for id, w := range map[ID]float64{1: 1, 2: 2, 3: 4} {
-				for f.Of(id) < 3 { // all three always wait for something
+				for f.LenOf(id) < 3 { // all three always wait for something
 					item++
 					whose[item], cost[item] = id, float64(1+chance.Intn(300))
 					f.Add(id, w, item, cost[item])
@@ -40,7 +40,7 @@
 			}
 		}
 		before := f.Len()
-		if !f.Drop(2, func(i int) bool { return true }) || f.Len() != before-1 {
+		if !f.Remove(2, func(i int) bool { return true }) || f.Len() != before-1 {
 			t.Fatal("not dropped")
 		}
 		for n := f.Len(); n > 0; n-- {
@@ -112,12 +112,12 @@
 	now := Micros(1)
 	for i := 0; b.Loop(); i++ {
 		now += 50
-		t, v := g.Admit(now, ID(i%tenants), "k", "p", 1500, 200)
+		t, v := g.Admit(now, AdmissionRequest{Tenant: ID(i % tenants), Key: "k", Product: "p", PromptTokens: 1500, MaxOutputTokens: 200})
 		if t == nil {
 			b.Fatal(v)
 		}
 		if v.Queued {
-			g.Next(now)
+			g.AdmitNext(now)
 		}
 		g.FirstToken(now, t, 1000, second)
 		g.Release(now, t, 1600)
@@ -146,11 +146,11 @@
 			now = max(now+step, start)
 			most = max(most, int(now-start))
 			g := gates[rapid.IntRange(0, parts-1).Draw(t, "gate")]
-			if tk, v := g.Admit(now, 1, "", "", 900, 200); tk != nil {
+			if tk, v := g.Admit(now, AdmissionRequest{Tenant: 1, PromptTokens: 900, MaxOutputTokens: 200}); tk != nil {
 				passed++
 				tokens += 1000
 				open[tk] = g
-			} else if v.Reason == None {
+			} else if v.Reason == NotRejected {
 				t.Fatal("refused without a reason")
 			}
 			if l.Concurrent > 0 && len(open) > max(l.Concurrent, parts) {
@@ -173,8 +173,8 @@
 		}
 		g := gates[0]
 		g.SetTenant(1, Limits{PerS: 0.001}, nil, nil, true)
-		g.Admit(now, 1, "", "", 10, 10)
-		if tk, v := g.Admit(now, 1, "", "", 10, 10); tk != nil || v.Reason != TooManyPerS || v.RetryAfter < second {
+		g.Admit(now, AdmissionRequest{Tenant: 1, PromptTokens: 10, MaxOutputTokens: 10})
+		if tk, v := g.Admit(now, AdmissionRequest{Tenant: 1, PromptTokens: 10, MaxOutputTokens: 10}); tk != nil || v.Reason != RequestRateExceeded || v.RetryAfter < second {
 			t.Fatalf("after the limit was lowered: %v, %+v", tk, v)
 		}
 	})
@@ -191,17 +191,17 @@
 	var running []*Ticket
 	step := func(owner bool) (waited int) {
 		now += 10_000
-		if tk, v := g.Admit(now, 1, "", "", 500, 100); v.Admitted {
+		if tk, v := g.Admit(now, AdmissionRequest{Tenant: 1, PromptTokens: 500, MaxOutputTokens: 100}); v.Admitted {
 			running = append(running, tk)
 		}
 		if owner && now%200_000 == 0 {
-			if tk, v := g.Admit(now, 2, "", "", 500, 100); v.Admitted {
+			if tk, v := g.Admit(now, AdmissionRequest{Tenant: 2, PromptTokens: 500, MaxOutputTokens: 100}); v.Admitted {
 				running = append(running, tk)
 			} else {
 				waited++
 			}
 		}
-		for tk, some := g.Next(now); some; tk, some = g.Next(now) {
+		for tk, some := g.AdmitNext(now); some; tk, some = g.AdmitNext(now) {
 			running = append(running, tk)
 		}
 		for len(running) > 3 { // what the fleet has ended meanwhile
@@ -262,14 +262,14 @@
 				}
 			case 2:
 				if tn := r.Tenants[name]; tn != nil && len(tn.Keys) > 0 {
-					_, _ = r.Revoke(now, name, 0, tn.Keys[0].ID, 0)
+					_, _ = r.RevokeKey(now, name, 0, tn.Keys[0].ID, 0)
 				}
 			case 3:
 				_, _ = r.SetServing(name, 0, rapid.Bool().Draw(t, "on"))
 			case 4:
-				_, _ = r.Remove(name, 0, Finish)
+				_, _ = r.Remove(name, 0, RemovalFinish)
 			case 5:
-				r.Ended(now, name)
+				r.CompleteRemoval(now, name)
 			}
 			if rapid.IntRange(0, 2).Draw(t, "hear") > 0 {
 				continue
@@ -279,7 +279,7 @@
 				tn := r.Tenants[name]
 				want := false
 				for _, k := range tn.Keys {
-					want = want || strings.HasPrefix(text, "sk-"+k.ID) && k.Revoked == 0 && (k.Expires == 0 || now < k.Expires)
+					want = want || strings.HasPrefix(text, "sk-"+k.ID) && k.RevokedAt == 0 && (k.ExpiresAt == 0 || now < k.ExpiresAt)
 				}
 				got, _, known := d.Authenticate(now, text)
 				if known != want || known && got.Name != name {
@@ -304,7 +304,7 @@
 			m := meters[name]
 			if rapid.Bool().Draw(t, "use") {
 				used += 7
-				m.Add(Usage{Tenant: "x", Product: "p", Day: "d", Answer: 7})
+				m.Add(Usage{Tenant: "x", Product: "p", Day: "d", OutputTokens: 7})
 			}
 			r := m.Report(name)
 			for range rapid.IntRange(0, 2).Draw(t, "arrives") {
@@ -321,7 +321,7 @@
 				m.Acknowledge(r.Number)
 			}
 		}
-		if sum := l.Of("x"); used > 0 && (len(sum) != 1 || sum[0].Answer != used) {
+		if sum := l.UsageOf("x"); used > 0 && (len(sum) != 1 || sum[0].OutputTokens != used) {
 			t.Fatalf("used %d, counted %+v", used, sum)
 		}
 	})
--- a/internal/tenancy/usage.go
+++ b/internal/tenancy/usage.go
@@ -17,8 +17,8 @@
 	Rejected     uint64 `json:"throttled"`
 	Failed       uint64 `json:"terminated"`
 	Disconnected uint64 `json:"left"`
-	Prompt       uint64 `json:"prompt_tokens"`
-	Answer       uint64 `json:"answer_tokens"`
+	PromptTokens uint64 `json:"prompt_tokens"`
+	OutputTokens uint64 `json:"answer_tokens"`
 }
 
 func (u Usage) key() line { return line{u.Tenant, u.Product, u.Day} }
@@ -31,8 +31,8 @@
 	u.Rejected += o.Rejected
 	u.Failed += o.Failed
 	u.Disconnected += o.Disconnected
-	u.Prompt += o.Prompt
-	u.Answer += o.Answer
+	u.PromptTokens += o.PromptTokens
+	u.OutputTokens += o.OutputTokens
 }
 
 // Day is the day that a time, in microseconds since 1970, lies in.
@@ -49,10 +49,10 @@
 
 // UsageReport is one.
 type UsageReport struct {
-	Dispatcher string   `json:"dispatcher"`
-	Number     uint64   `json:"number"`
-	Used       []Usage  `json:"used"`
-	Ended      []string `json:"ended,omitempty"`
+	Dispatcher     string   `json:"dispatcher"`
+	Number         uint64   `json:"number"`
+	Usage          []Usage  `json:"used"`
+	RemovedTenants []string `json:"ended,omitempty"`
 }
 
 // NewUsageMeter makes one.
@@ -81,11 +81,11 @@
 		return m.out
 	}
 	m.number++
-	m.out = &UsageReport{Dispatcher: dispatcher, Number: m.number, Ended: m.noneRun}
+	m.out = &UsageReport{Dispatcher: dispatcher, Number: m.number, RemovedTenants: m.noneRun}
 	for _, u := range m.next {
-		m.out.Used = append(m.out.Used, *u)
+		m.out.Usage = append(m.out.Usage, *u)
 	}
-	sortUsed(m.out.Used)
+	sortUsed(m.out.Usage)
 	m.next, m.noneRun = map[line]*Usage{}, nil
 	return m.out
 }
@@ -131,7 +131,7 @@
 		return nil
 	}
 	sums := map[string]Usage{}
-	for _, u := range r.Used {
+	for _, u := range r.Usage {
 		k := u.Key()
 		sum, some := sums[k]
 		if !some {
@@ -149,7 +149,7 @@
 // Add adds a report, once.
 func (l *UsageLedger) Add(now Micros, r *UsageReport) {
 	l.heard[r.Dispatcher] = now
-	for _, t := range r.Ended {
+	for _, t := range r.RemovedTenants {
 		if l.ended[t] == nil {
 			l.ended[t] = map[string]bool{}
 		}
@@ -164,8 +164,8 @@
 	l.Numbers[r.Dispatcher] = r.Number
 }
 
-// EndedEverywhere tells whether each dispatcher that lives has said that nothing of a tenant runs there.
-func (l *UsageLedger) EndedEverywhere(now Micros, tenant string) bool {
+// RemovedEverywhere tells whether each dispatcher that lives has said that nothing of a tenant runs there.
+func (l *UsageLedger) RemovedEverywhere(now Micros, tenant string) bool {
 	for d, at := range l.heard {
 		if now-at > dispatcherRest {
 			delete(l.heard, d)
@@ -178,11 +178,11 @@
 	return true
 }
 
-// Forget drops who has said that a tenant ended, once it has everywhere.
-func (l *UsageLedger) Forget(tenant string) { delete(l.ended, tenant) }
+// ForgetRemoval drops who has said that a tenant ended, once it has everywhere.
+func (l *UsageLedger) ForgetRemoval(tenant string) { delete(l.ended, tenant) }
 
-// Of is what a tenant used, by day and product; all tenants for an empty name.
-func (l *UsageLedger) Of(tenant string) []Usage {
+// UsageOf is what a tenant used, by day and product; all tenants for an empty name.
+func (l *UsageLedger) UsageOf(tenant string) []Usage {
 	all := []Usage{}
 	for _, u := range l.Sums {
 		if tenant == "" || u.Tenant == tenant {
--- a/internal/testbed/scenarios/flood_test.go
+++ b/internal/testbed/scenarios/flood_test.go
@@ -74,7 +74,7 @@
 		s := said[u.Tenant+" "+u.Product]
 		s.streamed, s.throttled, s.terminated = s.streamed+int64(u.Completed), s.throttled+int64(u.Rejected), s.terminated+int64(u.Failed)
 		if u.Failed == 0 { // of a broken stream the client counts what it was sent, the writer what it wrote
-			s.tokens += int64(u.Answer)
+			s.tokens += int64(u.OutputTokens)
 		}
 		said[u.Tenant+" "+u.Product] = s
 	}
--- a/internal/testbed/scenarios/virtual.go
+++ b/internal/testbed/scenarios/virtual.go
@@ -51,7 +51,7 @@
 			p.Mutant.Folder(l.folder)
 		}
 		if p.Intents {
-			if post.Intents, err = store.Open(l.folder.For(l.loop), store.Usual); err != nil {
+			if post.Intents, err = store.Open(l.folder.For(l.loop), store.DefaultLimits); err != nil {
 				return
 			}
 		}
