--- a/internal/admin/admin.go
+++ b/internal/admin/admin.go
@@ -111,7 +111,7 @@
 		f.conn.Write(http1.AppendChunk(nil, []byte(": here\n\n")))
 	}
 	a.finishRemovals()
-	a.loop.After(heartbeat, a.beat)
+	a.loop.AfterFunc(heartbeat, a.beat)
 }
 
 func (a *Admin) unfollow(c *conn) {
@@ -315,7 +315,7 @@
 			policy = tenancy.Finish
 		}
 		got := a.change(r, "removal: "+policy, func(g *tenancy.Registry) (answer, *tenancy.ChangeError) { return wrap(g.Remove(name, version, policy)) })
-		a.loop.Later(a.finishRemovals)
+		a.loop.Defer(a.finishRemovals)
 		return got
 	case "POST tenants * suspend", "POST tenants * resume":
 		return a.change(r, at(2), func(g *tenancy.Registry) (answer, *tenancy.ChangeError) {
--- a/internal/admin/admin_test.go
+++ b/internal/admin/admin_test.go
@@ -28,7 +28,7 @@
 // town is an administration, two dispatchers that follow it, and stand-in hosts, in virtual time.
 type town struct {
 	t       *testing.T
-	w       *virtual.World
+	w       *virtual.Network
 	adminAt *virtual.Loop
 	a       *Admin
 	addr    string
@@ -43,8 +43,8 @@
 
 func newTown(t *testing.T, dispatchers int) *town {
 	t.Helper()
-	w := virtual.New(3)
-	y := &town{t: t, w: w, records: &MemoryRecords{}, far: w.Loop("far")}
+	w := virtual.NewNetwork(3)
+	y := &town{t: t, w: w, records: &MemoryRecords{}, far: w.NewLoop("far")}
 	y.startAdmin()
 	d := deployment.Standard()
 	d.Dispatching.Dispatchers = uint32(dispatchers)
@@ -52,7 +52,7 @@
 		p.TimeLimitMs = 8000
 	}
 	var err error
-	fleetAt := w.Loop("fleet")
+	fleetAt := w.NewLoop("fleet")
 	fleetAt.Do(func() { y.fleet, err = modelserver.Start(fleetAt, d, 1, "127.0.0.1:0", nil) })
 	if err != nil {
 		t.Fatal(err)
@@ -66,7 +66,7 @@
 }
 
 func (y *town) startAdmin() {
-	y.adminAt = y.w.Loop("admin")
+	y.adminAt = y.w.NewLoop("admin")
 	addr := y.addr
 	if addr == "" {
 		addr = "127.0.0.1:0"
@@ -87,7 +87,7 @@
 }
 
 func (y *town) startDispatcher(i int, d deployment.Deployment, name string) {
-	y.at[i] = y.w.Loop(name)
+	y.at[i] = y.w.NewLoop(name)
 	var err error
 	y.at[i].Do(func() {
 		y.x[i], err = dispatch.Start(y.at[i], d, dispatch.Config{Name: name, Zone: d.Zones[i%2], Seed: int64(i + 1), Discovery: y.fleet.Roster.Addr,
@@ -116,7 +116,7 @@
 	tokens  int
 	first   eventloop.Micros
 	began   eventloop.Micros
-	w       *virtual.World
+	w       *virtual.Network
 	finals  []string
 	closed  bool
 }
@@ -153,7 +153,7 @@
 }
 
 func (y *town) send(addr, method, target, key, body string, fields ...string) *call {
-	c := &call{w: y.w, began: y.w.Now(), parser: http1.Parser{Response: true, Bounds: http1.Usual}, events: sse.Parser{Most: 1 << 20}}
+	c := &call{w: y.w, began: y.w.Now(), parser: http1.Parser{Response: true, Limits: http1.DefaultLimits}, events: sse.Parser{MaxEventBytes: 1 << 20}}
 	c.request = http1.AppendRequest(nil, method, target, addr, []byte(body), append(fields, "Authorization", "Bearer "+key, "Content-Type",
 		"application/json", "Connection", "close")...)
 	y.far.Do(func() { c.conn = y.far.Dial(addr, eventloop.Second, c) })
@@ -164,7 +164,7 @@
 func (y *town) admin(key, method, path, body string, fields ...string) (int, gjson.Result, string) {
 	y.t.Helper()
 	c := y.send(y.addr, method, "/admin/v1/"+path, key, body, fields...)
-	if !y.w.Until(5*eventloop.Second, func() bool { return len(c.finals) > 0 }) {
+	if !y.w.RunUntil(5*eventloop.Second, func() bool { return len(c.finals) > 0 }) {
 		y.t.Fatalf("%s %s: no answer", method, path)
 	}
 	y.w.Run(20 * eventloop.Millisecond)
@@ -195,7 +195,7 @@
 
 func (y *town) finals(c *call, want string) {
 	y.t.Helper()
-	y.w.Until(40*eventloop.Second, func() bool { return len(c.finals) > 0 })
+	y.w.RunUntil(40*eventloop.Second, func() bool { return len(c.finals) > 0 })
 	if fmt.Sprint(c.finals) != "["+want+"]" {
 		y.t.Errorf("finals %v, want %s; %s", c.finals, want, c.body)
 	}
@@ -217,7 +217,7 @@
 	}
 	second, _ := y.must(201, "POST", "tenants/bahari/keys", `{"label":"next"}`)
 	running := y.ask(0, key, "explain")
-	y.w.Until(5*eventloop.Second, func() bool { return running.tokens > 0 })
+	y.w.RunUntil(5*eventloop.Second, func() bool { return running.tokens > 0 })
 	y.must(200, "DELETE", "tenants/bahari/keys/"+got.Get("keys.0.id").String(), "")
 	y.finals(y.ask(0, key, "explain"), "401")
 	y.finals(y.ask(0, second.Get("key").String(), "explain"), "streamed")
@@ -443,7 +443,7 @@
 	}
 	write("tenants.json", string(old))
 	write("changes.ndjson", `{"who":"ann"}`+"\n"+`{"who":"bob"}`+"\n"+`{"who":"cut o`)
-	w := virtual.New(1)
+	w := virtual.NewNetwork(1)
 	for round := range 3 {
 		k, err := OpenStoredRecords(dir)
 		if err != nil {
@@ -452,7 +452,7 @@
 		if _, err := OpenStoredRecords(dir); err == nil || !strings.Contains(err.Error(), "in use") {
 			t.Errorf("a second process: %v", err)
 		}
-		a, err := Start(w.Loop("x"), secret, nil, k, rand.New(rand.NewSource(1)), zerolog.Nop())
+		a, err := Start(w.NewLoop("x"), secret, nil, k, rand.New(rand.NewSource(1)), zerolog.Nop())
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -484,8 +484,8 @@
 // A report that could not be kept comes again and counts then, and once.
 func TestReportThatWasNotKept(t *testing.T) {
 	records := &MemoryRecords{}
-	w := virtual.New(1)
-	a, err := Start(w.Loop("x"), secret, nil, records, rand.New(rand.NewSource(1)), zerolog.Nop())
+	w := virtual.NewNetwork(1)
+	a, err := Start(w.NewLoop("x"), secret, nil, records, rand.New(rand.NewSource(1)), zerolog.Nop())
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -497,7 +497,7 @@
 		if got := a.takeReport(report); got.status != want {
 			t.Errorf("time %d: %+v", i, got)
 		}
-		again, err := Start(w.Loop("y"), secret, nil, records, rand.New(rand.NewSource(1)), zerolog.Nop())
+		again, err := Start(w.NewLoop("y"), secret, nil, records, rand.New(rand.NewSource(1)), zerolog.Nop())
 		if used := again.ledger.Of(""); err != nil || i == 0 && len(used) > 0 || i > 0 && (len(used) != 1 || used[0].Accepted != 5) {
 			t.Errorf("time %d: kept: %+v %v", i, used, err)
 		}
@@ -600,7 +600,7 @@
 			calls = append(calls, out{y.send(y.api[i], "GET", "/v1/models", keys[who], ""), -1, []string{"200"}})
 		}
 		if len(calls) == 200 {
-			y.w.Until(10*eventloop.Second, func() bool {
+			y.w.RunUntil(10*eventloop.Second, func() bool {
 				for _, o := range calls {
 					if len(o.c.finals) == 0 {
 						return false
--- a/internal/admin/room_test.go
+++ b/internal/admin/room_test.go
@@ -21,27 +21,27 @@
 
 // posted is a folder of the world whose answers go to a channel, as those of the real one do.
 type posted struct {
-	*virtual.Folder
-	w  *virtual.World
+	*virtual.Disk
+	w  *virtual.Network
 	to chan func()
 }
 
 func (p *posted) Append(name string, b []byte, done func(error)) {
-	p.Folder.Append(name, b, func(err error) { p.to <- func() { done(err) } })
+	p.Disk.Append(name, b, func(err error) { p.to <- func() { done(err) } })
 	p.w.Run(1_000_000)
 }
 func (p *posted) Write(name string, build func() []byte, done func(error)) {
-	p.Folder.Write(name, build, func(err error) { p.to <- func() { done(err) } })
+	p.Disk.Write(name, build, func(err error) { p.to <- func() { done(err) } })
 	p.w.Run(1_000_000)
 }
 
 // opened starts an administration on a folder of the world.
-func opened(t *testing.T, w *virtual.World, folder *virtual.Folder, within time.Duration) (k *StoredRecords, a *Admin) {
+func opened(t *testing.T, w *virtual.Network, folder *virtual.Disk, within time.Duration) (k *StoredRecords, a *Admin) {
 	t.Helper()
-	loop := w.Loop("admin")
+	loop := w.NewLoop("admin")
 	k = &StoredRecords{posted: make(chan func(), 16), within: within}
 	var err error
-	if k.Store, err = store.Open(&posted{folder.For(loop), w, k.posted}, store.Usual); err != nil {
+	if k.Store, err = store.Open(&posted{folder.AttachTo(loop), w, k.posted}, store.Usual); err != nil {
 		t.Fatal(err)
 	}
 	loop.Do(func() { a, err = Start(loop, secret, nil, k, rand.New(rand.NewSource(1)), zerolog.Nop()) })
@@ -54,8 +54,8 @@
 // The records' disk has no room for a while: a change is refused and not made, a report comes again, and both are taken once
 // there is room, without a restart. A start afterwards finds what was acknowledged and nothing that was refused.
 func TestRecordsWithoutRoom(t *testing.T) {
-	w := virtual.New(1)
-	folder := w.Folder()
+	w := virtual.NewNetwork(1)
+	folder := w.NewDisk()
 	open := func() (*StoredRecords, *Admin) { return opened(t, w, folder, diskWithin) }
 	k, a := open()
 	n := uint64(0)
@@ -82,14 +82,14 @@
 		report(200)
 		add(fmt.Sprint("kept", round), 201)
 		if round%2 == 0 {
-			folder.Room = folder.Used() + 9
+			folder.Capacity = folder.Used() + 9
 		} else {
-			folder.Fault, folder.Torn = errors.New("input/output error"), true
+			folder.Failure, folder.PartialWrites = errors.New("input/output error"), true
 		}
 		report(500)
 		add("refused", 500)
 		report(500)
-		folder.Room, folder.Fault = 0, nil
+		folder.Capacity, folder.Failure = 0, nil
 	}
 	report(200)
 	add("last", 201)
@@ -108,7 +108,7 @@
 // A follower that reads nothing is not written to without end: it is cut off, and asks for all when it comes back.
 func TestFollowerThatDoesNotRead(t *testing.T) {
 	y := newTown(t, 1)
-	c := &call{w: y.w, parser: http1.Parser{Response: true, Bounds: http1.Usual}, events: sse.Parser{Most: 64 << 20}}
+	c := &call{w: y.w, parser: http1.Parser{Response: true, Limits: http1.DefaultLimits}, events: sse.Parser{MaxEventBytes: 64 << 20}}
 	c.request = http1.AppendRequest(nil, "GET", "/internal/v1/tenants?epoch=&since=0", y.addr, nil, "Authorization", "Bearer "+dispatch.FeedToken(secret))
 	y.far.Do(func() { c.conn = y.far.Dial(y.addr, eventloop.Second, c) })
 	y.w.Run(100 * eventloop.Millisecond)
@@ -132,8 +132,8 @@
 // The records' disk stalls: the change is refused in time, and the next one is taken once the disk answers again; the administration
 // is not started anew. Whether the one that was refused counts shows at the next start, as it is told.
 func TestRecordsOnADiskThatStalls(t *testing.T) {
-	w := virtual.New(1)
-	folder := w.Folder()
+	w := virtual.NewNetwork(1)
+	folder := w.NewDisk()
 	k, a := opened(t, w, folder, 20*time.Millisecond)
 	add := func(name string) int {
 		return a.call(&request{method: "POST", path: []string{"tenants"}, query: map[string]string{}, head: &http1.Head{},
@@ -142,13 +142,13 @@
 	if got := add("one"); got != 201 {
 		t.Fatal(got)
 	}
-	folder.Sync = 60 * eventloop.Second // of the world's time, which the disk of this test lets pass by a second a call
+	folder.SyncTime = 60 * eventloop.Second // of the world's time, which the disk of this test lets pass by a second a call
 	for _, name := range []string{"two", "three"} {
 		if got := add(name); got != 500 {
 			t.Errorf("%s: %d with a disk that stalls", name, got)
 		}
 	}
-	folder.Sync = eventloop.Millisecond
+	folder.SyncTime = eventloop.Millisecond
 	w.Run(200 * eventloop.Second)
 	if got := add("four"); got != 201 || k.Failed() != nil {
 		t.Errorf("once the disk answers: %d, %v", got, k.Failed())
--- a/internal/admin/server.go
+++ b/internal/admin/server.go
@@ -62,7 +62,7 @@
 
 // Accept is for the listener.
 func (a *Admin) Accept(c eventloop.Conn) eventloop.Handler {
-	return &conn{admin: a, conn: c, parser: http1.Parser{Bounds: http1.Bounds{Head: 16 << 10, Fields: 64, Body: bodyMost}}}
+	return &conn{admin: a, conn: c, parser: http1.Parser{Limits: http1.Limits{HeadBytes: 16 << 10, FieldCount: 64, BodyBytes: bodyMost}}}
 }
 
 func (c *conn) Opened()  { c.wait(idleFor) }
@@ -71,7 +71,7 @@
 	if c.timer != nil {
 		c.timer.Stop()
 	}
-	c.timer = c.admin.loop.After(span, c.conn.Abort)
+	c.timer = c.admin.loop.AfterFunc(span, c.conn.Abort)
 }
 
 func (c *conn) Closed(error) {
@@ -87,7 +87,7 @@
 	if c.parser.Idle() {
 		c.wait(slowFor)
 	}
-	var fault *http1.Fault
+	var fault *http1.ProtocolError
 	if err := c.parser.Feed(b, c); errors.As(err, &fault) {
 		c.over = true
 		c.send(fail(fault.Status, "malformed", "", fault.Reason), "Connection", "close")
--- a/internal/batch/batch_test.go
+++ b/internal/batch/batch_test.go
@@ -16,20 +16,20 @@
 		for range n {
 			tokens = append(tokens, rapid.IntRange(1, 300).Draw(t, "tokens"))
 		}
-		b := Bounds{Tokens: rapid.IntRange(1, 600).Draw(t, "part"), Inputs: rapid.IntRange(1, 9).Draw(t, "most")}
+		b := PartLimits{Tokens: rapid.IntRange(1, 600).Draw(t, "part"), Inputs: rapid.IntRange(1, 9).Draw(t, "most")}
 		c := NewCall(tokens, b)
 		poison := rapid.IntRange(-3, n-1).Draw(t, "poison")
 		now := Micros(1)
-		out := map[PartNo][]int{}
+		out := map[PartID][]int{}
 		back := map[int]bool{}
-		next := GoOn
-		for step := 0; next == GoOn; step++ {
+		next := InProgress
+		for step := 0; next == InProgress; step++ {
 			if step > 5000 {
-				t.Fatalf("no end: %d open, %d out", c.Open(), c.Out())
+				t.Fatalf("no end: %d open, %d out", c.Pending(), c.InFlight())
 			}
 			now += Micros(rapid.IntRange(0, 60_000).Draw(t, "passes"))
-			if c.Ready(now) && rapid.Bool().Draw(t, "send") {
-				no, inputs := c.Send()
+			if c.HasReady(now) && rapid.Bool().Draw(t, "send") {
+				no, inputs := c.SendNext()
 				sum := 0
 				for _, i := range inputs {
 					sum += tokens[i]
@@ -48,7 +48,7 @@
 				continue
 			}
 			if len(out) == 0 {
-				if at, some := c.WakesAt(); some && !c.Ready(now) {
+				if at, some := c.NextRetryAt(); some && !c.HasReady(now) {
 					now = max(now, at)
 				}
 				continue
@@ -61,13 +61,13 @@
 				}
 				switch how := rapid.IntRange(0, 5).Draw(t, "how"); {
 				case has && how < 3:
-					next = c.Failed(now, no, Broken, 0)
+					next = c.PartFailed(now, no, EndpointFailed, 0)
 				case has:
-					next = c.Failed(now, no, Invalid, 0)
+					next = c.PartFailed(now, no, InvalidInput, 0)
 				case how == 0:
-					next = c.Failed(now, no, Busy, Micros(rapid.IntRange(1, 90_000).Draw(t, "after")))
+					next = c.PartFailed(now, no, Overloaded, Micros(rapid.IntRange(1, 90_000).Draw(t, "after")))
 				default:
-					next = c.Done(no)
+					next = c.PartCompleted(no)
 					for _, i := range inputs {
 						back[i] = true
 					}
@@ -75,13 +75,13 @@
 				break
 			}
 		}
-		if c.Ready(now + second*10) {
+		if c.HasReady(now + second*10) {
 			t.Fatal("something is to be sent after the end")
 		}
-		if next == Ended && len(back) != n || next == GaveUp && c.Blame != poison {
-			t.Fatalf("%v: %d of %d back, blamed %d, poison %d", next, len(back), n, c.Blame, poison)
+		if next == Completed && len(back) != n || next == Abandoned && c.InvalidInput != poison {
+			t.Fatalf("%v: %d of %d back, blamed %d, poison %d", next, len(back), n, c.InvalidInput, poison)
 		}
-		if next == Ended && poison >= 0 {
+		if next == Completed && poison >= 0 {
 			t.Fatal("ended with an input that never came back")
 		}
 	})
@@ -95,8 +95,8 @@
 		var outs []Micros // when each comes back
 		free := make([]Micros, places)
 		step := func(cost Micros) {
-			for l.May() {
-				l.Sent()
+			for l.HasCapacity() {
+				l.Acquire()
 				best := 0
 				for i := range free {
 					if free[i] < free[best] {
@@ -120,7 +120,7 @@
 				before := len(outs)
 				step(cost)
 				late = max(late, outsMax(outs)-now)
-				l.Back(now, 256, cost*Micros(max(before, places))/Micros(places), true)
+				l.Completed(now, 256, cost*Micros(max(before, places))/Micros(places), true)
 			}
 			return done, late
 		}
@@ -135,7 +135,7 @@
 		limit := l.Limit()
 		for range 5 {
 			now += second
-			l.Chat(now, second, second)
+			l.ChatStarted(now, second, second)
 		}
 		if l.Limit() > max(limit/8, 1) {
 			t.Errorf("%d places: with chat late the limit is %d, was %d", places, l.Limit(), limit)
--- a/internal/batch/call.go
+++ b/internal/batch/call.go
@@ -21,29 +21,29 @@
 )
 
 const (
-	HostsMost  = 2 // hosts that fail on one part before it is taken back, to be halved or given up
-	QueuedMost = 4 // parts of one tenant that may wait for its turn at the gate
+	MaxEndpoints   = 2 // hosts that fail on one part before it is taken back, to be halved or given up
+	MaxQueuedParts = 4 // parts of one tenant that may wait for its turn at the gate
 )
 
-// PartNo names a part of one call.
-type PartNo int
+// PartID names a part of one call.
+type PartID int
 
 // Failure is why a part did not come back with its vectors.
 type Failure uint8
 
 const (
-	Busy    Failure = iota // nothing ran; it may come again after a while
-	Broken                 // hosts failed on it
-	Invalid                // a host says that an input is no good
+	Overloaded     Failure = iota // nothing ran; it may come again after a while
+	EndpointFailed                // hosts failed on it
+	InvalidInput                  // a host says that an input is no good
 )
 
-// Next is what a call waits for.
-type Next uint8
+// Progress is what a call waits for.
+type Progress uint8
 
 const (
-	GoOn   Next = iota // other parts are out or to be sent
-	Ended              // all parts are back
-	GaveUp             // the call has failed
+	InProgress Progress = iota // other parts are out or to be sent
+	Completed                  // all parts are back
+	Abandoned                  // the call has failed
 )
 
 type part struct {
@@ -52,35 +52,35 @@
 	broken int
 }
 
-// Bounds of parts.
-type Bounds struct {
+// PartLimits of parts.
+type PartLimits struct {
 	Tokens int // of a part, where it has more than one input
 	Inputs int // of a part
 }
 
 // Call is one call of a client. Its inputs are numbered as they came, without repeats.
 type Call struct {
-	parts   []part
-	queue   []PartNo // that may go, in order; those that wait for a time are not among them
-	asleep  timerqueue.Queue
-	open    int // parts that are not back
-	out     int
-	over    bool
-	Blame   int // the input that the call failed for; -1 where it is none alone
-	Splits  int // parts that were halved
-	Repeats int // parts that were sent again
+	parts        []part
+	queue        []PartID // that may go, in order; those that wait for a time are not among them
+	asleep       timerqueue.Queue
+	open         int // parts that are not back
+	out          int
+	over         bool
+	InvalidInput int // the input that the call failed for; -1 where it is none alone
+	Splits       int // parts that were halved
+	Retries      int // parts that were sent again
 }
 
 // NewCall parts inputs of so many tokens each, in their order: neighbours stay together, so that what is answered in order
 // can be let go of early.
-func NewCall(tokens []int, b Bounds) *Call {
-	c := &Call{Blame: -1}
+func NewCall(tokens []int, b PartLimits) *Call {
+	c := &Call{InvalidInput: -1}
 	c.Add(0, tokens, b)
 	return c
 }
 
 // Add takes further inputs, numbered from one on, as a body that is still coming brings them.
-func (c *Call) Add(from int, tokens []int, b Bounds) {
+func (c *Call) Add(from int, tokens []int, b PartLimits) {
 	for i := 0; i < len(tokens); {
 		var inputs []int
 		sum := 0
@@ -93,58 +93,58 @@
 
 func (c *Call) add(inputs []int, tries int) {
 	c.parts = append(c.parts, part{inputs: inputs, tries: tries})
-	c.queue = append(c.queue, PartNo(len(c.parts)-1))
+	c.queue = append(c.queue, PartID(len(c.parts)-1))
 	c.open++
 }
 
-// Open is how many parts are not back; Out how many of them are out.
-func (c *Call) Open() int { return c.open }
-func (c *Call) Out() int  { return c.out }
+// Pending is how many parts are not back; Out how many of them are out.
+func (c *Call) Pending() int  { return c.open }
+func (c *Call) InFlight() int { return c.out }
 
-// Ready tells whether a part may be sent now.
-func (c *Call) Ready(now Micros) bool {
+// HasReady tells whether a part may be sent now.
+func (c *Call) HasReady(now Micros) bool {
 	c.asleep.Run(now)
 	return !c.over && len(c.queue) > 0
 }
 
-// WakesAt is when the next part that waits may go.
-func (c *Call) WakesAt() (Micros, bool) { return c.asleep.Next() }
+// NextRetryAt is when the next part that waits may go.
+func (c *Call) NextRetryAt() (Micros, bool) { return c.asleep.Next() }
 
-// Send takes the next part; there must be one.
-func (c *Call) Send() (PartNo, []int) {
+// SendNext takes the next part; there must be one.
+func (c *Call) SendNext() (PartID, []int) {
 	no := c.queue[0]
 	c.queue = c.queue[1:]
 	c.out++
 	if c.parts[no].tries++; c.parts[no].tries > 1 {
-		c.Repeats++
+		c.Retries++
 	}
 	return no, c.parts[no].inputs
 }
 
-// Done takes a part that is back.
-func (c *Call) Done(no PartNo) Next {
+// PartCompleted takes a part that is back.
+func (c *Call) PartCompleted(no PartID) Progress {
 	c.out--
 	c.open--
 	c.parts[no].inputs = nil
 	if c.open == 0 {
 		c.over = true
-		return Ended
+		return Completed
 	}
-	return GoOn
+	return InProgress
 }
 
-// Failed takes a part that did not come back. Single parts are tried again, and only those; one that hosts keep failing on
+// PartFailed takes a part that did not come back. Single parts are tried again, and only those; one that hosts keep failing on
 // is halved, so that one bad input is found and named and the call does not blame all. After is what the refusal asked for.
-func (c *Call) Failed(now Micros, no PartNo, why Failure, after Micros) Next {
+func (c *Call) PartFailed(now Micros, no PartID, why Failure, after Micros) Progress {
 	c.out--
 	p := &c.parts[no]
 	switch {
 	case c.over:
-		return GaveUp
-	case why == Broken:
+		return Abandoned
+	case why == EndpointFailed:
 		p.broken++
 	}
-	if (why == Broken && p.broken >= blamedMost || why == Invalid) && len(p.inputs) > 1 {
+	if (why == EndpointFailed && p.broken >= blamedMost || why == InvalidInput) && len(p.inputs) > 1 {
 		half := len(p.inputs) / 2
 		inputs := p.inputs
 		p.inputs = nil
@@ -152,23 +152,23 @@
 		c.Splits++
 		c.add(inputs[:half], 0)
 		c.add(inputs[half:], 0)
-		return GoOn
+		return InProgress
 	}
-	if why == Invalid || p.tries >= triesMost || why == Broken && p.broken >= blamedMost {
+	if why == InvalidInput || p.tries >= triesMost || why == EndpointFailed && p.broken >= blamedMost {
 		c.over = true
-		if len(p.inputs) == 1 && why != Busy {
-			c.Blame = p.inputs[0]
+		if len(p.inputs) == 1 && why != Overloaded {
+			c.InvalidInput = p.inputs[0]
 		}
-		return GaveUp
+		return Abandoned
 	}
 	wait := min(againFirst<<(p.tries-1), againMost)
-	if why == Busy && after > 0 {
+	if why == Overloaded && after > 0 {
 		p.tries-- // it was not its fault, and it waits as long as it was told
 		wait = after
 	}
 	c.asleep.Set(now+wait, func() { c.queue = append(c.queue, no) })
-	return GoOn
+	return InProgress
 }
 
-// End sees that nothing more is sent.
-func (c *Call) End() { c.over = true }
+// Cancel sees that nothing more is sent.
+func (c *Call) Cancel() { c.over = true }
--- a/internal/batch/limiter.go
+++ b/internal/batch/limiter.go
@@ -68,17 +68,17 @@
 	}
 }
 
-// May tells whether one more part may be sent.
-func (l *Limiter) May() bool { return l.out < l.Limit() }
+// HasCapacity tells whether one more part may be sent.
+func (l *Limiter) HasCapacity() bool { return l.out < l.Limit() }
 
-// Out is how many are.
-func (l *Limiter) Out() int { return l.out }
+// InFlight is how many are.
+func (l *Limiter) InFlight() int { return l.out }
 
-// Sent counts one.
-func (l *Limiter) Sent() { l.out++ }
+// Acquire counts one.
+func (l *Limiter) Acquire() { l.out++ }
 
-// Back takes a part's return: what it took from its sending, and whether it was read.
-func (l *Limiter) Back(now Micros, tokens int, took Micros, good bool) {
+// Completed takes a part's return: what it took from its sending, and whether it was read.
+func (l *Limiter) Completed(now Micros, tokens int, took Micros, good bool) {
 	full := l.out >= int(l.limit)
 	l.out--
 	l.clock(now)
@@ -105,11 +105,11 @@
 	}
 }
 
-// Taken back: it was cancelled, and says nothing.
-func (l *Limiter) Taken() { l.out-- }
+// Cancelled back: it was cancelled, and says nothing.
+func (l *Limiter) Cancelled() { l.out-- }
 
-// Chat tells of an interactive generation that begins, after so long, with its SLO time.
-func (l *Limiter) Chat(now, took, slo Micros) {
+// ChatStarted tells of an interactive generation that begins, after so long, with its SLO time.
+func (l *Limiter) ChatStarted(now, took, slo Micros) {
 	l.chatAt = now
 	if float64(took) > chatLate*float64(slo) {
 		l.shrink(now, cutLate)
--- a/internal/cli/bench.go
+++ b/internal/cli/bench.go
@@ -213,7 +213,7 @@
 }
 
 func (m *measured) askOf(model, id string, most int, first, token func(), end func(bool), fields ...string) *benchAsk {
-	a := &benchAsk{parser: http1.Parser{Response: true, Bounds: http1.Usual}, events: sse.Parser{Most: 1 << 20}, first: first, token: token, end: end}
+	a := &benchAsk{parser: http1.Parser{Response: true, Limits: http1.DefaultLimits}, events: sse.Parser{MaxEventBytes: 1 << 20}, first: first, token: token, end: end}
 	a.request = http1.AppendRequest(nil, "POST", "/v1/chat/completions", m.api, m.body(model, most), append(fields, "Authorization", "Bearer "+m.key,
 		"Content-Type", "application/json", "x-client-request-id", id, "Connection", "close")...)
 	a.conn = m.asks.Dial(m.api, 5*eventloop.Second, a)
@@ -268,7 +268,7 @@
 			if m.asks.Now() >= until {
 				return
 			}
-			m.asks.After(eventloop.Micros(chance.ExpFloat64()/c.Rate*1e6), next)
+			m.asks.AfterFunc(eventloop.Micros(chance.ExpFloat64()/c.Rate*1e6), next)
 			asked++
 			open++
 			began := m.asks.Now()
@@ -380,7 +380,7 @@
 					}
 				}, func(bool) { got.ended++ })
 			}
-			m.asks.After(10*eventloop.Millisecond, next)
+			m.asks.AfterFunc(10*eventloop.Millisecond, next)
 		}
 		next()
 	})
@@ -493,7 +493,7 @@
 			if began >= until {
 				return
 			}
-			m.asks.After(eventloop.Micros(chance.ExpFloat64()/c.Rate*1e6), next)
+			m.asks.AfterFunc(eventloop.Micros(chance.ExpFloat64()/c.Rate*1e6), next)
 			asked++
 			open++
 			sort := &sorts[chance.Intn(len(sorts))]
--- a/internal/dispatch/batches.go
+++ b/internal/dispatch/batches.go
@@ -66,7 +66,7 @@
 	parted     int // inputs that are in parts
 	whole      bool
 	home       *batcher
-	out        map[batch.PartNo]*gen
+	out        map[batch.PartID]*gen
 	answer     embeddings.Answer
 	cache      *vectors.Cache
 	ended      bool
@@ -76,7 +76,7 @@
 // part ties a generation to the call that it is a part of.
 type part struct {
 	call   *batchCall
-	no     batch.PartNo
+	no     batch.PartID
 	inputs []int
 	result embeddings.Result
 	sent   eventloop.Micros // to the module
@@ -100,9 +100,9 @@
 		if p != nil {
 			return nil, p
 		}
-		c := &batchCall{x: x, who: who, to: to, form: form, clientID: head.Get("x-client-request-id"), deadline: limit, out: map[batch.PartNo]*gen{}}
+		c := &batchCall{x: x, who: who, to: to, form: form, clientID: head.Get("x-client-request-id"), deadline: limit, out: map[batch.PartID]*gen{}}
 		c.ask = embeddings.NewRequest(kind, head.Get("Content-Encoding"), bounds, c, to)
-		to.OnDisconnect = func() { x.loop.Later(c.left) }
+		to.OnDisconnect = func() { x.loop.Defer(c.left) }
 		return c.ask, nil
 	}}
 }
@@ -138,8 +138,8 @@
 		span = min(span, c.deadline)
 	}
 	c.product, c.deadline = product, now+span
-	c.limit = x.loop.After(max(span-batchMargin, 0), c.late)
-	c.parts = batch.NewCall(nil, batch.Bounds{})
+	c.limit = x.loop.AfterFunc(max(span-batchMargin, 0), c.late)
+	c.parts = batch.NewCall(nil, batch.PartLimits{})
 	if x.batches.pb.Cache > 0 && c.form == pb.Product_EMBEDDING {
 		c.cache = x.cacheOf(c.who.Space, c.dimensions)
 	}
@@ -165,7 +165,7 @@
 	c.x.batches.answers, c.answers = c.x.batches.answers+need, c.answers+need
 	c.answer.Vectors = append(c.answer.Vectors, make([][]byte, n-len(c.answer.Vectors))...)
 	c.answer.Scores = append(c.answer.Scores, make([]float64, n-len(c.answer.Scores))...)
-	b := batch.Bounds{Tokens: int(c.x.batches.pb.PartTokens), Inputs: int(c.x.batches.pb.PartInputs)}
+	b := batch.PartLimits{Tokens: int(c.x.batches.pb.PartTokens), Inputs: int(c.x.batches.pb.PartInputs)}
 	for c.parted < n {
 		// What is cached is there already; what is not goes out, neighbours together.
 		from := c.parted
@@ -196,7 +196,7 @@
 	v, some := c.cache.Get(c.ask.CacheKey(i, c.dimensions))
 	if some {
 		c.answer.Vectors[i] = slices.Clone(v)
-		c.x.loop.Later(func() { // it may read on in the body, and this is called while its inputs are parted
+		c.x.loop.Defer(func() { // it may read on in the body, and this is called while its inputs are parted
 			if p := c.ask.Drop(i); p != nil {
 				c.fail(p)
 			}
@@ -239,11 +239,11 @@
 func (x *Dispatcher) pump() {
 	b := &x.batches
 	now := x.loop.Now()
-	for idle := 0; idle < len(b.turns) && b.limiter.May(); {
+	for idle := 0; idle < len(b.turns) && b.limiter.HasCapacity(); {
 		t := b.turns[0]
 		b.turns = append(b.turns[1:], t)
 		c := t.next(now)
-		if c == nil || t.queued >= batch.QueuedMost {
+		if c == nil || t.queued >= batch.MaxQueuedParts {
 			idle++
 			continue
 		}
@@ -256,7 +256,7 @@
 	for range t.calls {
 		c := t.calls[0]
 		t.calls = append(t.calls[1:], c)
-		if !c.ended && c.parts.Ready(now) {
+		if !c.ended && c.parts.HasReady(now) {
 			return c
 		}
 	}
@@ -266,7 +266,7 @@
 // send makes a generation of the call's next part.
 func (c *batchCall) send(now eventloop.Micros) {
 	x, s := c.x, c.home.seat
-	no, inputs := c.parts.Send()
+	no, inputs := c.parts.SendNext()
 	tokens := c.ask.Tokens(inputs)
 	t, v := x.gate.Admit(now, s.id, c.who.Key, c.ask.Model, tokens, 0)
 	if v.Reason != tenancy.None {
@@ -277,11 +277,11 @@
 		}
 		// A limit delays a call that has begun; one of which nothing has gone out yet is refused as chat would be.
 		if v.Reason == tenancy.PromptTooLarge || v.Reason == tenancy.NotServed || !c.begun() {
-			c.parts.Failed(now, no, batch.Busy, after)
-			x.loop.Later(func() { c.refuse(v) })
+			c.parts.PartFailed(now, no, batch.Overloaded, after)
+			x.loop.Defer(func() { c.refuse(v) })
 			return
 		}
-		c.back(no, batch.Busy, after)
+		c.back(no, batch.Overloaded, after)
 		return
 	}
 	x.lastGen++
@@ -291,7 +291,7 @@
 	x.gens[g.id] = g
 	c.out[no] = g
 	if v.Admitted {
-		x.batches.limiter.Sent()
+		x.batches.limiter.Acquire()
 		g.State = lifecycle.Pending
 		x.arrived(g)
 		return
@@ -303,7 +303,7 @@
 
 // begun tells whether anything of the call has gone out.
 func (c *batchCall) begun() bool {
-	return len(c.out) > 0 || c.answer.Tokens > 0 || c.parts.Repeats > 0 || c.parts.Splits > 0
+	return len(c.out) > 0 || c.answer.Tokens > 0 || c.parts.Retries > 0 || c.parts.Splits > 0
 }
 
 // admitted: a part's turn at the gate has come.
@@ -311,7 +311,7 @@
 	if p.queued {
 		p.queued = false
 		p.call.home.queued--
-		p.call.x.batches.limiter.Sent()
+		p.call.x.batches.limiter.Acquire()
 		p.sent = now
 	}
 }
@@ -342,26 +342,26 @@
 		p.queued = false
 		c.home.queued--
 	} else if c.ended || p.bad {
-		x.batches.limiter.Taken()
+		x.batches.limiter.Cancelled()
 	} else {
-		x.batches.limiter.Back(now, g.ask.Tokens, now-p.sent, a == lifecycle.AnswerCompleted)
+		x.batches.limiter.Completed(now, g.ask.Tokens, now-p.sent, a == lifecycle.AnswerCompleted)
 	}
 	if c.ended {
-		x.loop.Later(x.pump)
+		x.loop.Defer(x.pump)
 		return
 	}
 	if a != lifecycle.AnswerCompleted {
-		why := batch.Busy
+		why := batch.Overloaded
 		switch {
 		case p.bad:
-			why = batch.Invalid
+			why = batch.InvalidInput
 		case p.broken > 0:
-			why = batch.Broken
+			why = batch.EndpointFailed
 		}
 		c.back(p.no, why, comeBack)
 		return
 	}
-	c.parts.Done(p.no)
+	c.parts.PartCompleted(p.no)
 	g.prompt = max(p.result.Tokens, 1)
 	g.tokens = 0
 	c.answer.Tokens += g.prompt
@@ -376,7 +376,7 @@
 		}
 	}
 	inputs := p.inputs
-	x.loop.Later(func() { // never within the module's own call
+	x.loop.Defer(func() { // never within the module's own call
 		for _, i := range inputs {
 			if problem := c.ask.Drop(i); problem != nil {
 				c.fail(problem)
@@ -389,13 +389,13 @@
 }
 
 // back takes a part that did not come back with its results.
-func (c *batchCall) back(no batch.PartNo, why batch.Failure, after eventloop.Micros) {
+func (c *batchCall) back(no batch.PartID, why batch.Failure, after eventloop.Micros) {
 	x := c.x
-	if c.parts.Failed(x.loop.Now(), no, why, after) == batch.GaveUp {
-		x.loop.Later(c.gaveUp)
+	if c.parts.PartFailed(x.loop.Now(), no, why, after) == batch.Abandoned {
+		x.loop.Defer(c.gaveUp)
 		return
 	}
-	x.loop.Later(func() {
+	x.loop.Defer(func() {
 		c.sleep()
 		x.pump()
 	})
@@ -407,9 +407,9 @@
 		c.wake.Stop()
 		c.wake = nil
 	}
-	if at, some := c.parts.WakesAt(); some && !c.ended {
-		c.wake = c.x.loop.After(max(at-c.x.loop.Now(), 0)+1, func() {
-			c.parts.Ready(c.x.loop.Now())
+	if at, some := c.parts.NextRetryAt(); some && !c.ended {
+		c.wake = c.x.loop.AfterFunc(max(at-c.x.loop.Now(), 0)+1, func() {
+			c.parts.HasReady(c.x.loop.Now())
 			c.sleep()
 			c.x.pump()
 		})
@@ -418,7 +418,7 @@
 
 // finished answers, once all has come and all is back.
 func (c *batchCall) finished() {
-	if c.ended || !c.whole || c.parts.Open() > 0 {
+	if c.ended || !c.whole || c.parts.Pending() > 0 {
 		return
 	}
 	c.answer.Ask, c.answer.ID = c.ask, c.x.answerID(c.x.lastGen)
@@ -436,7 +436,7 @@
 	if c.home == nil {
 		return
 	}
-	c.parts.End()
+	c.parts.Cancel()
 	for _, t := range []eventloop.Timer{c.limit, c.wake} {
 		if t != nil {
 			t.Stop()
@@ -448,7 +448,7 @@
 	}
 	x.batches.calls--
 	x.batches.answers -= c.answers
-	var out []batch.PartNo
+	var out []batch.PartID
 	for no := range c.out {
 		out = append(out, no)
 	}
@@ -458,7 +458,7 @@
 			x.take(g, lifecycle.ClientDisconnected)
 		}
 	}
-	x.loop.Later(x.left)
+	x.loop.Defer(x.left)
 }
 
 func (c *batchCall) meter(final lifecycle.Action) {
@@ -511,7 +511,7 @@
 	if c.ended {
 		return
 	}
-	c.terminate(fmt.Sprintf("The call was not complete within the client's time: %d parts are missing.", c.parts.Open()), true)
+	c.terminate(fmt.Sprintf("The call was not complete within the client's time: %d parts are missing.", c.parts.Pending()), true)
 }
 
 // gaveUp: a part has failed for good.
@@ -519,7 +519,7 @@
 	if c.ended {
 		return
 	}
-	if i := c.parts.Blame; i >= 0 {
+	if i := c.parts.InvalidInput; i >= 0 {
 		at := slices.Index(c.ask.Order, int32(i))
 		name := "input"
 		if c.ask.Kind == embeddings.Rerank {
--- a/internal/dispatch/batches_test.go
+++ b/internal/dispatch/batches_test.go
@@ -45,7 +45,7 @@
 
 // post sends a whole body to a URL.
 func (r *rig) post(path string, body []byte, fields ...string) *call {
-	c := &call{r: r, parser: http1.Parser{Response: true, Bounds: http1.Usual}, events: sse.Parser{Most: 1 << 20}}
+	c := &call{r: r, parser: http1.Parser{Response: true, Limits: http1.DefaultLimits}, events: sse.Parser{MaxEventBytes: 1 << 20}}
 	c.request = http1.AppendRequest(nil, "POST", path, r.addr, body, append([]string{
 		"Authorization", "Bearer " + key, "Content-Type", "application/json"}, fields...)...)
 	r.far.Do(func() { c.conn = r.far.Dial(r.addr, eventloop.Second, c) })
@@ -68,7 +68,7 @@
 func (c *call) dechunk(t *testing.T) []byte {
 	t.Helper()
 	got := &bodyOf{}
-	p := http1.Parser{Response: true, Bounds: http1.Usual}
+	p := http1.Parser{Response: true, Limits: http1.DefaultLimits}
 	if err := p.Feed(c.raw, got); err != nil {
 		t.Fatal(err)
 	}
@@ -128,7 +128,7 @@
 		h.serve = func(l *line) {
 			copied := *l
 			asked += len(gjson.GetBytes(l.body, "input").Array())
-			r.far.After(eventloop.Micros(chance.Intn(40_000)), func() { embeds(&copied) })
+			r.far.AfterFunc(eventloop.Micros(chance.Intn(40_000)), func() { embeds(&copied) })
 		}
 	}
 	inputs := append(texts(300), texts(40)...)
@@ -231,8 +231,8 @@
 	r.far.Do(c.conn.Abort)
 	r.w.Run(eventloop.Second)
 	r.idle()
-	if r.x.batches.calls != 0 || len(r.x.batches.turns) != 0 || r.x.batches.limiter.Out() != 0 {
-		t.Errorf("left: %d calls, %d tenants, %d parts out", r.x.batches.calls, len(r.x.batches.turns), r.x.batches.limiter.Out())
+	if r.x.batches.calls != 0 || len(r.x.batches.turns) != 0 || r.x.batches.limiter.InFlight() != 0 {
+		t.Errorf("left: %d calls, %d tenants, %d parts out", r.x.batches.calls, len(r.x.batches.turns), r.x.batches.limiter.InFlight())
 	}
 	began := r.far.Now()
 	c = r.post("/v1/embeddings", body(texts(100), ""), "x-time-limit-ms", "700")
@@ -249,7 +249,7 @@
 	for _, h := range r.hosts {
 		h.serve = func(l *line) {
 			copied := *l
-			r.far.After(4*eventloop.Millisecond, func() { embeds(&copied) })
+			r.far.AfterFunc(4*eventloop.Millisecond, func() { embeds(&copied) })
 		}
 	}
 	long := texts(2048)
@@ -414,7 +414,7 @@
 	for _, h := range r.hosts {
 		h.serve = func(l *line) {
 			copied := *l
-			r.far.After(100*eventloop.Millisecond, func() { embeds(&copied) })
+			r.far.AfterFunc(100*eventloop.Millisecond, func() { embeds(&copied) })
 		}
 	}
 	r.ends(r.post("/v1/embeddings", body(texts(3), "")), "streamed")
--- a/internal/dispatch/boot.go
+++ b/internal/dispatch/boot.go
@@ -39,7 +39,7 @@
 				x.tell(wave, false)
 				continue
 			}
-			x.loop.After(w.After, func() {
+			x.loop.AfterFunc(w.After, func() {
 				if x.heard == 0 { // discovery is still away
 					x.tell(wave, false)
 				}
@@ -80,7 +80,7 @@
 	x.post.Log.Warn().Int("ready", ready).Int("missing", len(missing)).Msg("discovery leaves most hosts out; that is doubted for a moment")
 	x.tell(entries, false)
 	at := x.heard
-	x.loop.After(doubt, func() {
+	x.loop.AfterFunc(doubt, func() {
 		if x.heard == at { // nothing else was heard: it is so
 			x.tell(entries, true)
 			return
--- a/internal/dispatch/check.go
+++ b/internal/dispatch/check.go
@@ -52,7 +52,7 @@
 			parts++
 		}
 	}
-	if out := x.batches.limiter.Out(); out != parts {
+	if out := x.batches.limiter.InFlight(); out != parts {
 		return fmt.Errorf("%d parts are out, and %d are counted", parts, out)
 	}
 	if open := x.module.InFlight(); open.Attempts != legs || open.Requests > len(x.gens) {
--- a/internal/dispatch/dispatch.go
+++ b/internal/dispatch/dispatch.go
@@ -171,12 +171,12 @@
 	}
 	x.batches.pb = d.Batch()
 	x.batches.limiter = batch.NewLimiter(int(x.batches.pb.FixedLimit))
-	bounds := http1.Usual
-	bounds.Head, bounds.Body = int(d.Doors.HeadMost), int(d.Doors.BodyMost)
+	bounds := http1.DefaultLimits
+	bounds.HeadBytes, bounds.BodyBytes = int(d.Doors.HeadMost), int(d.Doors.BodyMost)
 	patience := frontend.UsualPatience
 	patience.Message, patience.Stall, patience.Unsent = ms(d.Doors.MessageMs), ms(d.Doors.StallMs), int(d.Doors.UnsentMost)
 	x.front = frontend.New(loop, x, x.routes(), bounds, patience)
-	x.front.MaxBufferedBodies = bodiesMost * bounds.Body
+	x.front.MaxBufferedBodies = bodiesMost * bounds.BodyBytes
 	if n := post.Descriptors; n > 0 {
 		x.front.MaxConnections = max((n-min(descriptorsKept, n/2))/2, 1)
 	}
@@ -283,7 +283,7 @@
 	x.believe(entries, whole)
 	if x.post.CacheEndpoints != nil && !x.keeping {
 		x.keeping = true
-		x.loop.After(keepEvery, func() {
+		x.loop.AfterFunc(keepEvery, func() {
 			x.keeping = false
 			x.post.CacheEndpoints(x.list.Snapshot(int64(x.loop.Now())))
 		})
@@ -441,13 +441,13 @@
 func (x *Dispatcher) attach(g *gen, to *frontend.Response) {
 	to.SetFormat(&chat.Answer{ID: g.answerID, Model: g.ask.Model, Created: int64(x.loop.Now() / eventloop.Second), Ask: g.ask})
 	g.replies = append(g.replies, to)
-	to.OnDisconnect = func() { x.loop.Later(func() { x.clientLeft(g, to) }) } // never within the module's own call
+	to.OnDisconnect = func() { x.loop.Defer(func() { x.clientLeft(g, to) }) } // never within the module's own call
 	to.OnDrained = func() { x.take(g, lifecycle.ClientCaughtUp) }
 }
 
 // heartbeat keeps a stream that has nothing to say yet from being taken for dead by what stands between.
 func (x *Dispatcher) heartbeat(g *gen, to *frontend.Response, every eventloop.Micros) {
-	g.beat = x.loop.After(every, func() {
+	g.beat = x.loop.AfterFunc(every, func() {
 		if to.Heartbeat() {
 			x.heartbeat(g, to, every)
 		}
@@ -558,7 +558,7 @@
 		}
 	case lifecycle.ReportCancelled:
 		no := g.legs
-		x.loop.Later(func() {
+		x.loop.Defer(func() {
 			if no == g.legs {
 				x.take(g, lifecycle.AttemptFailed, what{outcome: cancelled})
 			}
@@ -578,17 +578,17 @@
 		g.state, g.mayLie = "", nil
 	case lifecycle.NotifyStarted:
 		slo := x.place.Classes[g.product].SLO + scheduler.Micros(float64(x.place.Classes[g.product].SLOPer1000)*float64(g.ask.Tokens)/1000)
-		x.batches.limiter.Chat(now, now-g.taken, slo)
+		x.batches.limiter.ChatStarted(now, now-g.taken, slo)
 		g.leg.Started()
 		if !g.ask.Stream {
 			// The client of a whole answer has nothing yet, so its time goes on.
-			g.limit = x.loop.After(g.deadline-wholeGrace-now, func() {
+			g.limit = x.loop.AfterFunc(g.deadline-wholeGrace-now, func() {
 				x.take(g, lifecycle.DeadlineExceeded, what{why: "The answer was not whole within the client's time."})
 			})
 		}
 		x.gate.FirstToken(now, g.ticket, now-g.taken, slo)
 		x.module.AttemptStarted(now, g.id, g.legs-1)
-		x.loop.Later(x.turns)
+		x.loop.Defer(x.turns)
 	case lifecycle.NotifyEnded:
 		o := w.outcome
 		if o == (engine.Result{}) {
@@ -682,7 +682,7 @@
 	g.alone = 0
 	x.remember(g, false) // where its client left before it was answered
 	x.paid(g)
-	x.loop.Later(func() { // the module answers first and then lets go, in one call
+	x.loop.Defer(func() { // the module answers first and then lets go, in one call
 		delete(x.gens, g.id)
 		x.left()
 	})
@@ -726,7 +726,7 @@
 		}
 		if e, some := x.hosts[w.host]; !kept || some && e.State() != scheduler.Ready || !some {
 			// Not kept: it could run twice after a restart. Drained meanwhile: nothing new may go there.
-			x.loop.Later(func() { // never within the module's own call
+			x.loop.Defer(func() { // never within the module's own call
 				if no == g.legs-1 && g.State == lifecycle.Decoding {
 					x.ended(g, engine.Result{Outcome: scheduler.NotSent, MemoryUsage: scheduler.NoLoadReport, Reason: "not sent: its intent is not kept, or the host is going"})
 				}
@@ -763,7 +763,7 @@
 			g.part.broken++
 		}
 		g.part.bad = g.part.bad || o.InvalidRequest
-		if g.part.bad || g.part.broken == batch.HostsMost { // no other host would do better; the call sees to what is the matter
+		if g.part.bad || g.part.broken == batch.MaxEndpoints { // no other host would do better; the call sees to what is the matter
 			x.take(g, lifecycle.ClientDisconnected)
 		}
 	}
@@ -863,7 +863,7 @@
 
 // SetTimer sets one of the module's two timers.
 func (x *Dispatcher) SetTimer(after scheduler.Micros, bell scheduler.TimerID) {
-	x.loop.After(after, func() {
+	x.loop.AfterFunc(after, func() {
 		x.module.TimerFired(x.loop.Now(), bell)
 		if bell == scheduler.PeriodicTimer && x.gate.Waiting() > 0 {
 			x.turns()
--- a/internal/dispatch/dispatch_test.go
+++ b/internal/dispatch/dispatch_test.go
@@ -31,7 +31,7 @@
 	{"reset before a token", reset, "streamed", "terminated"},
 	{"head, then closed", func(l *line) { l.stream(); cut(l) }, "streamed", "terminated"},
 	{"closed after a token", func(l *line) { l.stream(event("Lamu ", "")); cut(l) }, "terminated", "terminated"},
-	{"reset after a token", func(l *line) { l.stream(event("Lamu ", "")); l.s.rig.far.After(5000, func() { reset(l) }) },
+	{"reset after a token", func(l *line) { l.stream(event("Lamu ", "")); l.s.rig.far.AfterFunc(5000, func() { reset(l) }) },
 		"terminated", "terminated"},
 	{"closed inside an event", func(l *line) { l.stream(event("Lamu ", ""), event("é", "stop")[:20]); cut(l) }, "terminated", "terminated"},
 	{"closed inside a character", func(l *line) {
@@ -67,7 +67,7 @@
 		b := http1.AppendStreamHead(nil, 200, "Content-Type", "text/event-stream")
 		b = http1.AppendChunk(b, []byte(event("Lamu ", "")+event("é", "stop")+"data: [DONE]\n\n"))
 		for i, c := range http1.AppendLastChunk(b) {
-			l.s.rig.far.After(eventloop.Micros(i*100), func() { l.conn.Write([]byte{c}) })
+			l.s.rig.far.AfterFunc(eventloop.Micros(i*100), func() { l.conn.Write([]byte{c}) })
 		}
 	}, "streamed", "streamed"},
 }
@@ -231,7 +231,7 @@
 				sent += len(long)
 				l.conn.Write(http1.AppendChunk(nil, []byte(event(long, ""))))
 			}
-			r.far.After(2000, more)
+			r.far.AfterFunc(2000, more)
 		}
 		more()
 	}
@@ -239,7 +239,7 @@
 	r.w.Run(20 * eventloop.Millisecond)
 	r.far.Do(func() { c.conn.Pause(true) })
 	r.w.Run(3 * eventloop.Second)
-	if most := 3*r.w.Window + int(r.d.Doors.UnsentMost); sent > most {
+	if most := 3*r.w.ReceiveWindow + int(r.d.Doors.UnsentMost); sent > most {
 		t.Errorf("%d bytes were taken from the writer, more than %d", sent, most)
 	}
 	r.w.Run(200 * eventloop.Millisecond)
@@ -327,7 +327,7 @@
 	r.hosts[1].serve = func(l *line) { l.stream(event("Lamu ", "")) }
 	began := r.w.Now()
 	c := r.send(`{"model":"explain","messages":[{"role":"user","content":"why?"}]}`, "x-time-limit-ms", "900")
-	r.w.Until(5*eventloop.Second, func() bool { return len(c.finals) > 0 })
+	r.w.RunUntil(5*eventloop.Second, func() bool { return len(c.finals) > 0 })
 	if took := r.w.Now() - began; took > 900*eventloop.Millisecond {
 		t.Errorf("answered after %d ms", took/eventloop.Millisecond)
 	}
@@ -337,7 +337,7 @@
 // The dispatcher wakes from a freeze with a client's time gone: no second answer, no leg to a host that drains.
 func TestFrozenDispatcher(t *testing.T) {
 	r := newRig(t, nil, "prefill west", "decode west", "decode west")
-	r.hosts[0].serve = func(l *line) { r.far.After(50*eventloop.Millisecond, func() { read(l) }) }
+	r.hosts[0].serve = func(l *line) { r.far.AfterFunc(50*eventloop.Millisecond, func() { read(l) }) }
 	c := r.ask("review-post")
 	r.w.Run(20 * eventloop.Millisecond)
 	r.virtual().Freeze(6 * eventloop.Second)
@@ -357,13 +357,13 @@
 	r := newRig(t, nil, "prefill west", "decode west")
 	c := r.ask("explain")
 	r.ends(c, "streamed")
-	r.virtual().Descriptors = 5 // its own client, two idle trunks, and what is kept back
+	r.virtual().DescriptorLimit = 5 // its own client, two idle trunks, and what is kept back
 	var calls []*call
 	for range 8 {
 		calls = append(calls, r.ask("review-post"))
 	}
 	r.w.Run(10 * eventloop.Second)
-	r.virtual().Descriptors = 0
+	r.virtual().DescriptorLimit = 0
 	r.ends(r.ask("review-post"), "streamed")
 	for i, c := range calls {
 		if len(c.finals) > 1 || !c.closed && len(c.finals) == 0 {
@@ -414,14 +414,14 @@
 	}{
 		"trickle": {func(c *call) {
 			for i := range 100 {
-				r.far.After(eventloop.Micros(i)*eventloop.Second, func() { c.conn.Write([]byte("X-Very: slow\r\n")) })
+				r.far.AfterFunc(eventloop.Micros(i)*eventloop.Second, func() { c.conn.Write([]byte("X-Very: slow\r\n")) })
 			}
 		}, "408"},
 		"endless": {func(c *call) { c.conn.Write([]byte("x-a: " + strings.Repeat("b", 100<<10))) }, "431"},
 		"fields":  {func(c *call) { c.conn.Write([]byte(strings.Repeat("a: b\r\n", 200) + "\r\n")) }, "431"},
 		"both":    {func(c *call) { c.conn.Write([]byte("Content-Length: 3\r\nTransfer-Encoding: chunked\r\n\r\n")) }, "400"},
 	} {
-		call := &call{r: r, parser: http1.Parser{Response: true, Bounds: http1.Usual}, request: []byte("POST /v1/chat/completions HTTP/1.1\r\n")}
+		call := &call{r: r, parser: http1.Parser{Response: true, Limits: http1.DefaultLimits}, request: []byte("POST /v1/chat/completions HTTP/1.1\r\n")}
 		r.far.Do(func() { call.conn = r.far.Dial(r.addr, eventloop.Second, call) })
 		r.w.Run(10 * eventloop.Millisecond)
 		r.far.Do(func() { c.send(call) })
@@ -460,7 +460,7 @@
 	for _, h := range r.hosts {
 		good := h.serve
 		h.serve = func(l *line) {
-			r.far.After(30*eventloop.Millisecond, func() { good(l) })
+			r.far.AfterFunc(30*eventloop.Millisecond, func() { good(l) })
 		}
 	}
 	var calls []*call
@@ -528,7 +528,7 @@
 		if c.torn {
 			lists = [][]byte{kept[:len(kept)/2], kept}
 		}
-		loop := r.w.Loop("d.2")
+		loop := r.w.NewLoop("d.2")
 		r.loop = loop
 		loop.Do(func() {
 			x, err := Start(loop, r.d, Config{Name: "d.2", Zone: "west", Seed: 5, CachedEndpoints: lists, Log: zerolog.Nop()})
--- a/internal/dispatch/intent.go
+++ b/internal/dispatch/intent.go
@@ -120,7 +120,7 @@
 	if err != nil {
 		x.post.Log.Error().Err(err).Msg("an intent can't be kept; the generation is not run")
 		x.heal()
-		x.loop.Later(func() { answered(err) })
+		x.loop.Defer(func() { answered(err) })
 	}
 }
 
@@ -138,14 +138,14 @@
 	try = func() {
 		x.post.Intents.Heal(func(err error) {
 			if err != nil {
-				x.loop.After(healEvery, try)
+				x.loop.AfterFunc(healEvery, try)
 				return
 			}
 			x.healing = false
 			x.post.Log.Info().Msg("the record of intents takes writes again")
 		})
 	}
-	x.loop.After(healEvery, try)
+	x.loop.AfterFunc(healEvery, try)
 }
 
 // late bounds how long a write may wait for its record while its state waits at the reader: a disk that stalls would else pin
@@ -154,7 +154,7 @@
 	if g.intent.then == nil {
 		return
 	}
-	x.loop.After(eventloop.Micros(x.Rules.LetGoMs)*eventloop.Millisecond/2, func() {
+	x.loop.AfterFunc(eventloop.Micros(x.Rules.LetGoMs)*eventloop.Millisecond/2, func() {
 		if g.intent.then != nil && no == g.legs-1 && g.State == lifecycle.Decoding {
 			g.intent.then = nil
 			x.ended(g, engine.Result{Outcome: scheduler.NoCapacity, StateMissing: true, MemoryUsage: scheduler.NoLoadReport, Reason: "not sent: its intent is not kept in time"})
--- a/internal/dispatch/path_test.go
+++ b/internal/dispatch/path_test.go
@@ -37,14 +37,14 @@
 		}
 		change(d)
 	}, "prefill west", "prefill west", "prefill east", "decode west", "decode west", "decode east", "decode east", "mixed west")
-	r.w.Segment, r.w.Window = 900, 4<<10
+	r.w.MaxSegment, r.w.ReceiveWindow = 900, 4<<10
 	fates := map[string]*fate{}
 	readBreaks := []func(*line){cut, reset, func(*line) {}, func(l *line) { l.answer(500, `{}`) }, func(l *line) { l.answer(429, `{"error":{"code":"full"}}`) },
 		func(l *line) {
-			r.far.After(eventloop.Micros(chance.Intn(900))*eventloop.Millisecond, func() { read(l) })
+			r.far.AfterFunc(eventloop.Micros(chance.Intn(900))*eventloop.Millisecond, func() { read(l) })
 		},
 		func(l *line) {
-			r.far.After(eventloop.Micros(chance.Intn(900))*eventloop.Millisecond, func() { l.answer(429, `{"error":{"code":"full"}}`) })
+			r.far.AfterFunc(eventloop.Micros(chance.Intn(900))*eventloop.Millisecond, func() { l.answer(429, `{"error":{"code":"full"}}`) })
 		}}
 	var hung *script // takes all and answers nothing, for some seconds
 	proofs := map[string]bool{"full": true, "draining": true, "state lost": true}
@@ -60,7 +60,7 @@
 				if chance.Intn(6) == 0 {
 					readBreaks[chance.Intn(len(readBreaks))](l)
 				} else {
-					r.far.After(eventloop.Micros(chance.Intn(30_000)), func() { read(l) })
+					r.far.AfterFunc(eventloop.Micros(chance.Intn(30_000)), func() { read(l) })
 				}
 				return
 			}
@@ -74,15 +74,15 @@
 				b.serve(l)
 			case 2: // late, perhaps too late
 				f.ran++
-				r.far.After(eventloop.Micros(chance.Intn(900))*eventloop.Millisecond, func() { write(l) })
+				r.far.AfterFunc(eventloop.Micros(chance.Intn(900))*eventloop.Millisecond, func() { write(l) })
 			case 3: // long, so that a client can leave, lag, or run out of time in it
 				f.ran++
 				l.stream(event("Lamu ", ""))
 				parts := chance.Intn(40)
 				for i := range parts {
-					r.far.After(eventloop.Micros(i*20)*eventloop.Millisecond, func() { l.conn.Write(http1.AppendChunk(nil, []byte(event(strings.Repeat("\u2063", 400), "")))) })
+					r.far.AfterFunc(eventloop.Micros(i*20)*eventloop.Millisecond, func() { l.conn.Write(http1.AppendChunk(nil, []byte(event(strings.Repeat("\u2063", 400), "")))) })
 				}
-				r.far.After(eventloop.Micros(parts*20)*eventloop.Millisecond, func() {
+				r.far.AfterFunc(eventloop.Micros(parts*20)*eventloop.Millisecond, func() {
 					l.conn.Write(http1.AppendLastChunk(http1.AppendChunk(nil, []byte(event("é", "stop")+"data: [DONE]\n\n"))))
 				})
 			default:
@@ -108,15 +108,15 @@
 		f.call = r.send(body, fields...)
 		switch chance.Intn(12) {
 		case 0:
-			r.far.After(eventloop.Micros(chance.Intn(500_000)), func() {
+			r.far.AfterFunc(eventloop.Micros(chance.Intn(500_000)), func() {
 				if len(f.call.finals) == 0 {
 					f.left = true
 					f.call.conn.Abort()
 				}
 			})
 		case 1:
-			r.far.After(eventloop.Micros(chance.Intn(60_000)), func() { f.call.conn.Pause(true) })
-			r.far.After(eventloop.Micros(60_000+chance.Intn(400_000)), func() { f.call.conn.Pause(false) })
+			r.far.AfterFunc(eventloop.Micros(chance.Intn(60_000)), func() { f.call.conn.Pause(true) })
+			r.far.AfterFunc(eventloop.Micros(60_000+chance.Intn(400_000)), func() { f.call.conn.Pause(false) })
 		}
 		if chance.Intn(100) == 0 { // as where a tenant is removed
 			if g := r.x.gens[scheduler.RequestID(int(r.x.lastGen)-chance.Intn(12))]; g != nil {
@@ -125,12 +125,12 @@
 		}
 		if chance.Intn(700) == 0 {
 			hung = r.hosts[chance.Intn(len(r.hosts))]
-			r.far.After(3*eventloop.Second, func() { hung = nil })
+			r.far.AfterFunc(3*eventloop.Second, func() { hung = nil })
 		}
 		if chance.Intn(500) == 0 {
 			h := r.hosts[chance.Intn(len(r.hosts))]
 			r.told(h.entry("draining"))
-			r.far.After(300*eventloop.Millisecond, func() { r.told(h.entry("ready")) })
+			r.far.AfterFunc(300*eventloop.Millisecond, func() { r.told(h.entry("ready")) })
 		}
 		r.w.Run(eventloop.Micros(chance.Intn(9_000)))
 	}
@@ -225,7 +225,7 @@
 			t.Errorf("%s: texts %q, %q, %q; written %d times", product, second.text, third.text, fourth.text, writes())
 		}
 		r.ends(r.send(`{"model":"`+product+`","stream":true,"messages":[{"role":"user","content":"other"}]}`, "Idempotency-Key", "k"), "422")
-		r.hosts[0].serve = func(l *line) { r.far.After(100*eventloop.Millisecond, func() { read(l) }) }
+		r.hosts[0].serve = func(l *line) { r.far.AfterFunc(100*eventloop.Millisecond, func() { read(l) }) }
 		r.hosts[1].serve, r.hosts[2].serve = write, write
 		early := r.ask(product, "Idempotency-Key", "m")
 		r.w.Run(10 * eventloop.Millisecond)
@@ -315,7 +315,7 @@
 	if d.fails {
 		err = errors.New("no space left on device")
 	}
-	d.loop.After(2*eventloop.Millisecond, func() { done(err) })
+	d.loop.AfterFunc(2*eventloop.Millisecond, func() { done(err) })
 }
 
 // A dispatcher is killed while a keyed, side-effecting generation is being written. Its next life does not run the client's
@@ -325,7 +325,7 @@
 		r := newRig(t, nil, "prefill west", "decode west", "decode west")
 		disk := &instant{loop: r.far, files: map[string][]byte{}}
 		life := func(name string) {
-			loop := r.w.Loop(name)
+			loop := r.w.NewLoop(name)
 			r.loop, disk.loop = loop, loop
 			post := Config{Name: name, Zone: "west", Seed: 1, CachedEndpoints: [][]byte{r.kept}, Log: zerolog.Nop()}
 			loop.Do(func() {
@@ -387,7 +387,7 @@
 func TestRefusedAfterItsClientLeft(t *testing.T) {
 	r := newRig(t, nil, "prefill west", "decode west")
 	r.hosts[1].serve = func(l *line) {
-		r.far.After(100*eventloop.Millisecond, func() { l.answer(429, `{"error":{"code":"full"}}`) })
+		r.far.AfterFunc(100*eventloop.Millisecond, func() { l.answer(429, `{"error":{"code":"full"}}`) })
 	}
 	c := r.ask("review-post", "Idempotency-Key", "k")
 	r.w.Run(50 * eventloop.Millisecond)
--- a/internal/dispatch/rig_test.go
+++ b/internal/dispatch/rig_test.go
@@ -28,7 +28,7 @@
 // rig is one dispatcher in virtual time, with hosts that do what a test scripts.
 type rig struct {
 	t     *testing.T
-	w     *virtual.World // none over sockets
+	w     *virtual.Network // none over sockets
 	loop  either
 	far   either // of hosts and clients
 	d     deployment.Deployment
@@ -140,8 +140,8 @@
 	if change != nil {
 		change(d)
 	}
-	w := virtual.New(1)
-	r := &rig{t: t, w: w, loop: w.Loop("d"), far: w.Loop("far"), d: d}
+	w := virtual.NewNetwork(1)
+	r := &rig{t: t, w: w, loop: w.NewLoop("d"), far: w.NewLoop("far"), d: d}
 	r.bring(hosts)
 	return r
 }
@@ -201,7 +201,7 @@
 // until lets time pass until something holds of the hosts and clients.
 func (r *rig) until(span eventloop.Micros, holds func() bool) bool {
 	if r.w != nil {
-		return r.w.Until(span, holds)
+		return r.w.RunUntil(span, holds)
 	}
 	for end := r.far.Now() + span; ; {
 		var held bool
@@ -215,7 +215,7 @@
 
 func (s *script) up() {
 	s.ln, _ = s.rig.far.Listen("127.0.0.1:0", func(c eventloop.Conn) eventloop.Handler {
-		return &line{s: s, conn: c, parser: http1.Parser{Bounds: http1.Usual}}
+		return &line{s: s, conn: c, parser: http1.Parser{Limits: http1.DefaultLimits}}
 	})
 }
 
@@ -294,7 +294,7 @@
 }
 
 func (r *rig) send(body string, fields ...string) *call {
-	c := &call{r: r, parser: http1.Parser{Response: true, Bounds: http1.Usual}, events: sse.Parser{Most: 1 << 20}}
+	c := &call{r: r, parser: http1.Parser{Response: true, Limits: http1.DefaultLimits}, events: sse.Parser{MaxEventBytes: 1 << 20}}
 	c.request = http1.AppendRequest(nil, "POST", "/v1/chat/completions", r.addr, []byte(body), append([]string{
 		"Authorization", "Bearer " + key, "Content-Type", "application/json"}, fields...)...)
 	r.far.Do(func() { c.conn = r.far.Dial(r.addr, eventloop.Second, c) })
--- a/internal/dispatch/room_test.go
+++ b/internal/dispatch/room_test.go
@@ -18,12 +18,12 @@
 )
 
 // keeper starts a dispatcher anew, with its intents in a folder of the world.
-func (r *rig) keeper(f *virtual.Folder) {
+func (r *rig) keeper(f *virtual.Disk) {
 	r.t.Helper()
-	loop := r.w.Loop("kept")
+	loop := r.w.NewLoop("kept")
 	r.loop = loop
 	loop.Do(func() {
-		intents, err := store.Open(f.For(loop), store.Usual)
+		intents, err := store.Open(f.AttachTo(loop), store.Usual)
 		if err != nil {
 			r.t.Fatal(err)
 		}
@@ -41,22 +41,22 @@
 // The disk has no room, writes short, or fails a sync, while keyed generations come: none runs whose record is not kept, what
 // needs none goes on, and once there is room again, keyed ones run without a restart. What was refused is free to run.
 func TestDiskWithoutRoom(t *testing.T) {
-	for name, fail := range map[string]func(f *virtual.Folder, on bool){
-		"no room": func(f *virtual.Folder, on bool) {
-			f.Room = 0
+	for name, fail := range map[string]func(f *virtual.Disk, on bool){
+		"no room": func(f *virtual.Disk, on bool) {
+			f.Capacity = 0
 			if on {
-				f.Room = f.Used() + 20
+				f.Capacity = f.Used() + 20
 			}
 		},
-		"a failed sync": func(f *virtual.Folder, on bool) {
-			f.Torn, f.Fault = on, nil
+		"a failed sync": func(f *virtual.Disk, on bool) {
+			f.PartialWrites, f.Failure = on, nil
 			if on {
-				f.Fault = errors.New("input/output error")
+				f.Failure = errors.New("input/output error")
 			}
 		},
 	} {
 		r := newRig(t, nil, "prefill west", "decode west", "decode west")
-		f := r.w.Folder()
+		f := r.w.NewDisk()
 		r.keeper(f)
 		writes := func() int { return r.hosts[1].legs() + r.hosts[2].legs() }
 		r.ends(r.ask("review-post", "Idempotency-Key", "before"), "streamed")
@@ -93,9 +93,9 @@
 func TestDiskStalls(t *testing.T) {
 	for _, product := range []string{"review-post", "build-note"} {
 		r := newRig(t, nil, "prefill west", "decode west", "decode west")
-		f := r.w.Folder()
+		f := r.w.NewDisk()
 		r.keeper(f)
-		f.Sync = 20 * eventloop.Second
+		f.SyncTime = 20 * eventloop.Second
 		var since eventloop.Micros
 		most := eventloop.Micros(0)
 		r.hosts[0].serve = func(l *line) {
@@ -104,7 +104,7 @@
 		}
 		c := r.ask(product, "Idempotency-Key", "k")
 		seen := 0
-		r.w.Watch = func() {
+		r.w.AfterStep = func() {
 			if n := len(r.hosts[0].seen); n > seen {
 				seen = n
 				if r.hosts[0].seen[n-1].target == "/v1/kv/release" && since > 0 {
@@ -113,14 +113,14 @@
 			}
 		}
 		r.ends(c, "throttled")
-		r.w.Watch = nil
+		r.w.AfterStep = nil
 		if since > 0 || most == 0 || most > eventloop.Micros(r.d.Rules.LetGoMs)*eventloop.Millisecond {
 			t.Errorf("%s: a state waited for %d ms (still held: %v)", product, most/1000, since > 0)
 		}
 		if n := r.hosts[1].legs() + r.hosts[2].legs(); n != 0 {
 			t.Errorf("%s: %d writes without a record", product, n)
 		}
-		f.Sync = eventloop.Millisecond
+		f.SyncTime = eventloop.Millisecond
 		r.w.Run(90 * eventloop.Second) // what it was asked for takes its time
 		r.ends(r.ask(product, "Idempotency-Key", "m"), "streamed")
 	}
@@ -158,10 +158,10 @@
 			r.hosts[0].serve = func(*line) {}
 			r.ask("explain") // takes the idle connection
 			r.w.Run(20 * eventloop.Millisecond)
-			r.virtual().Descriptors = r.virtual().Open() + 2 // which are kept back; and what is given back is taken at once
+			r.virtual().DescriptorLimit = r.virtual().OpenConnections() + 2 // which are kept back; and what is given back is taken at once
 			for i := range 4000 {
 				r.far.Do(func() {
-					r.far.After(eventloop.Micros(i*250), func() { r.far.Dial(r.addr, eventloop.Second, &mute{}) })
+					r.far.AfterFunc(eventloop.Micros(i*250), func() { r.far.Dial(r.addr, eventloop.Second, &mute{}) })
 				})
 			}
 		},
@@ -178,7 +178,7 @@
 		before := r.hosts[0].releases()
 		r.until(eventloop.Second, func() bool { return len(c.finals) > 0 })
 		r.letGoWithin(r.hosts[0], before, name)
-		r.virtual().Descriptors = 0
+		r.virtual().DescriptorLimit = 0
 		r.hosts[0].serve, r.hosts[1].serve = read, write
 		r.w.Run(10 * eventloop.Second)
 		r.ends(r.ask("review-post"), "streamed")
@@ -200,7 +200,7 @@
 	r.hosts = append(r.hosts, next)
 	r.told(next.entry("ready"))
 	r.w.Run(100 * eventloop.Millisecond)
-	r.virtual().Descriptors = r.virtual().Open() + 3 // its client's, and what is kept back
+	r.virtual().DescriptorLimit = r.virtual().OpenConnections() + 3 // its client's, and what is kept back
 	r.ends(r.ask("review-post"), "streamed")
 }
 
@@ -212,7 +212,7 @@
 	running := r.ask("explain")
 	r.hosts[1].serve = func(l *line) {
 		l.stream(event("Lamu ", ""))
-		r.far.After(3*eventloop.Second, func() {
+		r.far.AfterFunc(3*eventloop.Second, func() {
 			l.conn.Write(http1.AppendLastChunk(http1.AppendChunk(nil, []byte(event("é", "stop")+"data: [DONE]\n\n"))))
 		})
 	}
@@ -236,8 +236,8 @@
 	}
 	c = r.ask("explain")
 	r.until(eventloop.Second, func() bool { return c.closed })
-	if len(c.finals) != 1 || c.finals[0] != "throttled" || r.virtual().Open() > 16 {
-		t.Errorf("past an eighth more: %v, %d connections", c.finals, r.virtual().Open())
+	if len(c.finals) != 1 || c.finals[0] != "throttled" || r.virtual().OpenConnections() > 16 {
+		t.Errorf("past an eighth more: %v, %d connections", c.finals, r.virtual().OpenConnections())
 	}
 	r.w.Run(2 * eventloop.Second)
 	r.ask("explain") // one of those that idle makes way
@@ -294,7 +294,7 @@
 			if whole {
 				calls = append(calls, r.send(`{"model":"explain","stream":true,"messages":[{"role":"user","content":"`+text+`"}]}`))
 			} else {
-				c := &call{r: r, parser: http1.Parser{Response: true, Bounds: http1.Usual}, events: sse.Parser{Most: 1 << 20}}
+				c := &call{r: r, parser: http1.Parser{Response: true, Limits: http1.DefaultLimits}, events: sse.Parser{MaxEventBytes: 1 << 20}}
 				c.request = []byte("POST /v1/chat/completions HTTP/1.1\r\nHost: x\r\nAuthorization: Bearer " + key + "\r\nContent-Type: application/json\r\nContent-Length: 20000\r\n\r\n" + text)
 				r.far.Do(func() { c.conn = r.far.Dial(r.addr, eventloop.Second, c) })
 				calls = append(calls, c)
@@ -351,7 +351,7 @@
 		return b.String()
 	}
 	post := func(i int) *call {
-		c := &call{r: r, parser: http1.Parser{Response: true, Bounds: http1.Usual}, events: sse.Parser{Most: 1 << 20}}
+		c := &call{r: r, parser: http1.Parser{Response: true, Limits: http1.DefaultLimits}, events: sse.Parser{MaxEventBytes: 1 << 20}}
 		c.request = http1.AppendRequest(nil, "POST", "/v1/embeddings", r.addr, []byte(numbered(i)), "Authorization", "Bearer "+key, "Content-Type", "application/json")
 		r.far.Do(func() { c.conn = r.far.Dial(r.addr, eventloop.Second, c) })
 		return c
@@ -425,7 +425,7 @@
 // A keyed generation that goes on without its client counts with its body until it has ended.
 func TestBodyOfOneThatGoesOnAlone(t *testing.T) {
 	r := newRig(t, nil, "prefill west", "decode west")
-	r.hosts[1].serve = func(l *line) { r.far.After(eventloop.Second, func() { write(l) }) }
+	r.hosts[1].serve = func(l *line) { r.far.AfterFunc(eventloop.Second, func() { write(l) }) }
 	c := r.ask("review-post", "Idempotency-Key", "k")
 	r.w.Run(100 * eventloop.Millisecond)
 	r.far.Do(c.conn.Abort)
@@ -455,7 +455,7 @@
 		c := r.ask("explain")
 		r.ends(c, "streamed")
 		r.w.Run(2 * eventloop.Second)
-		r.w.Heard = 5 * eventloop.Millisecond // what has arrived is not handed over yet
+		r.w.DeliveryDelay = 5 * eventloop.Millisecond // what has arrived is not handed over yet
 		r.far.Do(func() { c.conn.Write(c.request) })
 		r.w.Run(eventloop.Millisecond)
 		closes(r)
--- a/internal/dispatch/stages_test.go
+++ b/internal/dispatch/stages_test.go
@@ -37,8 +37,8 @@
 	d.Dispatching.MayCancel = cancels
 	digest := sha256.Sum256([]byte(key))
 	d.Tenants = []*pb.Tenant{{Name: "one", KeySha256: []string{hex.EncodeToString(digest[:])}}}
-	w := virtual.New(1)
-	y := &yard{rig: &rig{t: t, w: w, loop: w.Loop("d"), far: w.Loop("far"), d: d}}
+	w := virtual.NewNetwork(1)
+	y := &yard{rig: &rig{t: t, w: w, loop: w.NewLoop("d"), far: w.NewLoop("far"), d: d}}
 	y.book, _ = record.Open("")
 	y.book.Add(record.Event{At: int64(w.Now()), What: "world", N: int64(w.Latency)})
 	var err error
@@ -308,10 +308,10 @@
 	c := y.begin("warm", "explain", 500, false, 0)
 	y.until(5*eventloop.Second, func() bool { return len(c.finals) > 0 })
 	var mutes []*mute
-	y.virtual().Descriptors = y.virtual().Open() + 2
+	y.virtual().DescriptorLimit = y.virtual().OpenConnections() + 2
 	for i := range 6000 {
 		y.far.Do(func() {
-			y.far.After(eventloop.Micros(i)*500, func() {
+			y.far.AfterFunc(eventloop.Micros(i)*500, func() {
 				m := &mute{}
 				m.conn = y.far.Dial(y.addr, eventloop.Second, m)
 				mutes = append(mutes, m)
@@ -320,7 +320,7 @@
 	}
 	y.w.Run(10 * eventloop.Millisecond)
 	if !kept {
-		y.virtual().Descriptors = 1
+		y.virtual().DescriptorLimit = 1
 	}
 	y.far.Do(y.fleet.Roster.Break)
 	y.w.Run(500 * eventloop.Millisecond)
@@ -333,7 +333,7 @@
 	if kept {
 		heard = 0
 	}
-	y.virtual().Descriptors = 0
+	y.virtual().DescriptorLimit = 0
 	for _, m := range mutes {
 		y.far.Do(m.conn.Abort)
 	}
--- a/internal/dispatch/stored_intents_test.go
+++ b/internal/dispatch/stored_intents_test.go
@@ -64,8 +64,8 @@
 func startFromStored(t *testing.T, at eventloop.Micros) *rig {
 	t.Helper()
 	r := newRig(t, nil, "prefill west", "decode west")
-	loop := r.w.Loop("d.stored")
-	loop.Step(at - loop.Now())
+	loop := r.w.NewLoop("d.stored")
+	loop.StepClock(at - loop.Now())
 	r.loop = loop
 	r.list.Saved = int64(at)
 	list, err := json.Marshal(r.list)
@@ -109,7 +109,7 @@
 				{s.until + 1, s.key, s.tokens, "streamed"},
 			} {
 				r := startFromStored(t, intentsKilled)
-				r.virtual().Step(ask.at - r.virtual().Now())
+				r.virtual().StepClock(ask.at - r.virtual().Now())
 				r.ends(r.send(s.body(ask.tokens), "Idempotency-Key", ask.key), ask.want)
 			}
 		})
--- a/internal/dispatch/tenants.go
+++ b/internal/dispatch/tenants.go
@@ -89,7 +89,7 @@
 	c.Log = func(line string) { x.post.Log.Warn().Msg(line) }
 	x.feed = c
 	c.Subscribe()
-	x.loop.After(reportEvery, x.report)
+	x.loop.AfterFunc(reportEvery, x.report)
 	return nil
 }
 
@@ -226,7 +226,7 @@
 // wait has a generation stand before the module until its tenant's turn comes.
 func (x *Dispatcher) wait(g *gen) {
 	g.State = lifecycle.Queued
-	g.limit = x.loop.After(max(g.deadline-queueGrace-x.loop.Now(), 0), func() {
+	g.limit = x.loop.AfterFunc(max(g.deadline-queueGrace-x.loop.Now(), 0), func() {
 		if g.State == lifecycle.Queued {
 			x.take(g, lifecycle.DeadlineExceeded)
 		}
@@ -302,7 +302,7 @@
 	x.gate.Release(now, g.ticket, int(u.Prompt+u.Answer))
 	g.ticket = nil
 	s := g.seat
-	x.loop.Later(func() {
+	x.loop.Defer(func() {
 		x.turns()
 		x.emptySeat(s)
 	})
@@ -333,6 +333,6 @@
 			done()
 			return
 		}
-		x.loop.After(reportEvery, x.report)
+		x.loop.AfterFunc(reportEvery, x.report)
 	}, "Authorization", "Bearer "+FeedToken(x.post.Secret))
 }
--- a/internal/engine/attempt.go
+++ b/internal/engine/attempt.go
@@ -77,7 +77,7 @@
 	case l.Unsent():
 		l.end(Result{Outcome: scheduler.Unreachable, Reason: "not sent in the time allowed"}, true)
 	case now < l.due:
-		l.allow = l.engine.loop.After(l.due-now, l.late)
+		l.allow = l.engine.loop.AfterFunc(l.due-now, l.late)
 	default:
 		l.end(Result{Outcome: scheduler.TimedOut, Reason: "not in the time allowed"}, true)
 	}
@@ -120,7 +120,7 @@
 func (l *Attempt) watch() {
 	l.allow.Stop()
 	l.heard = l.engine.loop.Now()
-	l.allow = l.engine.loop.After(l.engine.limits.Silence, l.silent)
+	l.allow = l.engine.loop.AfterFunc(l.engine.limits.Silence, l.silent)
 }
 
 func (l *Attempt) silent() {
@@ -129,7 +129,7 @@
 	case l.slow:
 		l.watch()
 	case quiet < l.engine.limits.Silence:
-		l.allow = l.engine.loop.After(l.engine.limits.Silence-quiet, l.silent)
+		l.allow = l.engine.loop.AfterFunc(l.engine.limits.Silence-quiet, l.silent)
 	default:
 		l.end(l.broke(scheduler.ConnectionLost, "the stream fell silent"), true)
 	}
--- a/internal/engine/connection.go
+++ b/internal/engine/connection.go
@@ -96,7 +96,7 @@
 		t.attempt, l.connection = nil, nil
 		if e := t.engine; errors.Is(cause, eventloop.ErrNoDescriptors) && l.room < roomTries && e.makeRoom() {
 			l.room++
-			e.loop.After(roomPause, func() { // the descriptor is free by then
+			e.loop.AfterFunc(roomPause, func() { // the descriptor is free by then
 				if !l.ended {
 					e.carry(l)
 				}
@@ -163,14 +163,14 @@
 	t.attempt, l.connection, l.left = nil, nil, true
 	t.conn.Pause(false)
 	switch {
-	case t.parser.More() > 0: // what is behind an answer must not be taken for the next one
+	case t.parser.Pipelined() > 0: // what is behind an answer must not be taken for the next one
 		t.conn.Abort()
 	case t.last || t.down || t.addr != t.host.addr || t.host.gone:
 		t.conn.Close()
 	default:
 		t.carried++
 		t.idleAt = t.engine.loop.Now()
-		t.engine.loop.After(restFor, t.wait)
+		t.engine.loop.AfterFunc(restFor, t.wait)
 	}
 	t.engine.next(t.host)
 	l.end(o, false)
@@ -190,7 +190,7 @@
 	h.idle = append(h.idle, t)
 	e.lastNo++
 	t.idleNo = e.lastNo
-	t.idleTimer = e.loop.After(e.limits.Idle, func() {
+	t.idleTimer = e.loop.AfterFunc(e.limits.Idle, func() {
 		t.retire()
 		t.conn.Close()
 	})
--- a/internal/engine/engine.go
+++ b/internal/engine/engine.go
@@ -110,7 +110,7 @@
 }
 
 func (e *Engine) drop(id scheduler.EndpointID, h *host) {
-	e.loop.After(forgetAfter, func() {
+	e.loop.AfterFunc(forgetAfter, func() {
 		switch {
 		case !h.gone || e.hosts[id] != h:
 		case h.open > 0 || len(h.waiting) > 0 || len(h.owed) > 0:
@@ -135,10 +135,10 @@
 		within = min(within, c.LeaveWithin)
 	}
 	l := &Attempt{engine: e, host: h, hear: hear, memory: scheduler.NoLoadReport, answer: c.Answer, stream: c.Stream, most: c.MaxBody,
-		isRelease: c.Release, events: sse.Parser{Most: eventMost}, asks: c.Request, due: e.loop.Now() + allow, leave: e.loop.Now() + within}
-	l.allow = e.loop.After(min(allow, within), l.late)
+		isRelease: c.Release, events: sse.Parser{MaxEventBytes: eventMost}, asks: c.Request, due: e.loop.Now() + allow, leave: e.loop.Now() + within}
+	l.allow = e.loop.AfterFunc(min(allow, within), l.late)
 	if l.host == nil || l.host.addr == "" {
-		e.loop.Later(func() { l.end(Result{Outcome: scheduler.Unreachable, Reason: "the host has no address"}, false) })
+		e.loop.Defer(func() { l.end(Result{Outcome: scheduler.Unreachable, Reason: "the host has no address"}, false) })
 		return l
 	}
 	e.carry(l)
@@ -151,7 +151,7 @@
 	for n := len(h.idle); n > 0; n = len(h.idle) {
 		t := h.idle[n-1]
 		t.retire()
-		if t.conn.Quiet() { // else what is written to it would be lost, or be answered by what was meant for another
+		if t.conn.Idle() { // else what is written to it would be lost, or be answered by what was meant for another
 			t.take(l)
 			return
 		}
@@ -159,20 +159,20 @@
 	}
 	most, dial := e.limits.PerEndpoint, e.loop.Dial
 	if l.isRelease {
-		most, dial = most+spareConnections, e.loop.DialSpare
+		most, dial = most+spareConnections, e.loop.DialReserved
 	}
 	if e.limits.Total > 0 && e.open >= e.limits.Total {
 		e.makeRoom()
 	}
 	if h.open >= most {
-		e.loop.Later(func() {
+		e.loop.Defer(func() {
 			l.end(Result{Outcome: scheduler.Unreachable, Reason: "the host's connections are all in use"}, false)
 		})
 		return
 	}
 	if h.opening >= e.limits.Opening && !l.isRelease {
 		w := &waitingAttempt{attempt: l}
-		w.timer = e.loop.After(max(l.leave-now, 0), func() {
+		w.timer = e.loop.AfterFunc(max(l.leave-now, 0), func() {
 			h.waiting = slices.DeleteFunc(h.waiting, func(o *waitingAttempt) bool { return o == w })
 			l.end(Result{Outcome: scheduler.Unreachable, Reason: "too many connections to the host are opening"}, false)
 		})
@@ -182,7 +182,7 @@
 	h.open++
 	e.open++
 	h.opening++
-	t := &connection{engine: e, host: h, addr: h.addr, parser: http1.Parser{Response: true, Bounds: http1.Usual}}
+	t := &connection{engine: e, host: h, addr: h.addr, parser: http1.Parser{Response: true, Limits: http1.DefaultLimits}}
 	t.attempt = l
 	l.connection = t
 	t.conn = dial(h.addr, max(l.leave-now, 1), t)
--- a/internal/engine/engine_test.go
+++ b/internal/engine/engine_test.go
@@ -20,9 +20,9 @@
 // TestTimeIsOver: an attempt whose last byte never left can't have run; one that left whole may have.
 func TestTimeIsOver(t *testing.T) {
 	for size, want := range map[int]scheduler.Outcome{100 << 10: scheduler.Unreachable, 1 << 10: scheduler.TimedOut} {
-		w := virtual.New(1)
-		w.Window = 16 << 10
-		far, own := w.Loop("far"), w.Loop("own")
+		w := virtual.NewNetwork(1)
+		w.ReceiveWindow = 16 << 10
+		far, own := w.NewLoop("far"), w.NewLoop("own")
 		ln, err := far.Listen("127.0.0.1:0", func(c eventloop.Conn) eventloop.Handler { c.Pause(true); return deaf{} })
 		if err != nil {
 			t.Fatal(err)
@@ -46,8 +46,8 @@
 // TestLeavesInTime: an attempt that waited for its turn to open a connection has the rest of the time for one, not all of it anew: whether it
 // may still be sent was looked at when it was ordered.
 func TestLeavesInTime(t *testing.T) {
-	w := virtual.New(1)
-	far, own := w.Loop("far"), w.Loop("own")
+	w := virtual.NewNetwork(1)
+	far, own := w.NewLoop("far"), w.NewLoop("own")
 	ln, err := far.Listen("127.0.0.1:0", func(c eventloop.Conn) eventloop.Handler { return deaf{} })
 	if err != nil {
 		t.Fatal(err)
--- a/internal/engine/release.go
+++ b/internal/engine/release.go
@@ -39,7 +39,7 @@
 		return
 	}
 	h.owing = true
-	e.loop.After(max(h.pause, releasePause), func() {
+	e.loop.AfterFunc(max(h.pause, releasePause), func() {
 		now := e.loop.Now()
 		h.owed = slices.DeleteFunc(h.owed, func(o owed) bool { return o.until < now })
 		n := min(len(h.owed), maxReleaseBatch)
--- a/internal/eventloop/eventloop.go
+++ b/internal/eventloop/eventloop.go
@@ -24,14 +24,14 @@
 // only from within those calls.
 type Loop interface {
 	Now() Micros
-	// After runs f once, after the span; the timer can be stopped.
-	After(span Micros, f func()) Timer
-	// Later runs f after the call that is under way, before anything that comes in from outside.
-	Later(f func())
+	// AfterFunc runs f once, after the span; the timer can be stopped.
+	AfterFunc(span Micros, f func()) Timer
+	// Defer runs f after the call that is under way, before anything that comes in from outside.
+	Defer(f func())
 	// Dial opens a connection. The handler hears Opened, or Closed with the cause where none could be made.
 	Dial(addr string, within Micros, h Handler) Conn
-	// DialSpare is Dial for what must not wait for others: it may use one of a few descriptors that are kept back for it.
-	DialSpare(addr string, within Micros, h Handler) Conn
+	// DialReserved is Dial for what must not wait for others: it may use one of a few descriptors that are kept back for it.
+	DialReserved(addr string, within Micros, h Handler) Conn
 	// Listen takes connections until the listener is closed. Only loopback addresses are accepted, where nothing else was asked for.
 	Listen(addr string, accept func(Conn) Handler) (Listener, error)
 }
@@ -64,11 +64,11 @@
 	Unsent() int
 	// Undelivered tells whether written bytes are known not to have reached the other side's machine yet, or not to have been confirmed.
 	Undelivered() bool
-	// Quiet tells whether the other side is still there and has sent nothing that is not handed over yet. It asks the network, as that
+	// Idle tells whether the other side is still there and has sent nothing that is not handed over yet. It asks the network, as that
 	// news may still be on its way up.
-	Quiet() bool
-	// HungUp tells whether the other side has ended, also where that is not handed over yet. It asks the network.
-	HungUp() bool
+	Idle() bool
+	// PeerClosed tells whether the other side has ended, also where that is not handed over yet. It asks the network.
+	PeerClosed() bool
 	// Pause stops or resumes the handing over of data; while paused, little more than the socket's own
 	// buffer is taken in, so that the other side is slowed.
 	Pause(on bool)
@@ -76,7 +76,7 @@
 	// until it has seen that is dropped, as a close over unread bytes would reset the connection, and with it what is still on its way.
 	Close()
 	Abort()
-	// CloseIfQuiet is Close for a connection on which nothing is owed, unless something has come that was not handed over yet: who has sent
+	// CloseIfIdle is Close for a connection on which nothing is owed, unless something has come that was not handed over yet: who has sent
 	// it would wait for an answer. It tells whether the connection is being closed; where it is not, Data or Closed follows.
-	CloseIfQuiet() bool
+	CloseIfIdle() bool
 }
--- a/internal/faultsearch/mutants.go
+++ b/internal/faultsearch/mutants.go
@@ -73,11 +73,11 @@
 	write  func(c eventloop.Conn, b []byte)
 }
 
-func (l *loop) After(span eventloop.Micros, f func()) eventloop.Timer {
+func (l *loop) AfterFunc(span eventloop.Micros, f func()) eventloop.Timer {
 	if l.timers++; l.lose > 0 && l.timers%l.lose == 0 {
 		f = func() {}
 	}
-	return l.Loop.After(span, f)
+	return l.Loop.AfterFunc(span, f)
 }
 
 func (l *loop) Listen(addr string, accept func(eventloop.Conn) eventloop.Handler) (eventloop.Listener, error) {
@@ -225,6 +225,6 @@
 			}
 		}),
 		{Name: "intents are not kept", Play: func(p *scenarios.Run) { p.Intents = false }},
-		{Name: "the disk answers before it has written", Folder: func(f *virtual.Folder) { f.Lies = true }},
+		{Name: "the disk answers before it has written", Folder: func(f *virtual.Disk) { f.AcknowledgesEarly = true }},
 	}
 }
--- a/internal/frontend/frontend.go
+++ b/internal/frontend/frontend.go
@@ -117,7 +117,7 @@
 	loop     eventloop.Loop
 	service  Service
 	routes   map[string]Route
-	bounds   http1.Bounds
+	bounds   http1.Limits
 	patience Timeouts
 	clients  map[*client]bool
 	leaving  bool
@@ -136,13 +136,13 @@
 }
 
 // New makes one; its Accept goes to Listen. Routes are by path; one that ends in a slash takes all paths below it.
-func New(loop eventloop.Loop, service Service, routes map[string]Route, bounds http1.Bounds, patience Timeouts) *Server {
+func New(loop eventloop.Loop, service Service, routes map[string]Route, bounds http1.Limits, patience Timeouts) *Server {
 	f := &Server{loop: loop, service: service, routes: routes, bounds: bounds, patience: patience, clients: map[*client]bool{}}
-	f.bounds.BodyOf = func(target string) int {
+	f.bounds.BodyBytesFor = func(target string) int {
 		if r, some := f.route(target); some && r.Body > 0 {
 			return r.Body
 		}
-		return bounds.Body
+		return bounds.BodyBytes
 	}
 	return f
 }
@@ -158,7 +158,7 @@
 
 // Accept is for the listener.
 func (f *Server) Accept(c eventloop.Conn) eventloop.Handler {
-	return &client{front: f, conn: c, parser: http1.Parser{Bounds: f.bounds}}
+	return &client{front: f, conn: c, parser: http1.Parser{Limits: f.bounds}}
 }
 
 // Shutdown takes no further request; what runs goes on, and a connection is closed after its answer.
@@ -181,7 +181,7 @@
 	refuse *Problem // what the request will be answered with, once it has come
 	came   int      // bytes of its body since its time was last drawn out
 	reply  *Response
-	waits  eventloop.Wait
+	waits  eventloop.Timeout
 	out    []byte
 	over   bool // nothing more is read
 	no     uint64
@@ -201,20 +201,20 @@
 	if f.MaxConnections > 0 && len(f.clients) >= f.MaxConnections+f.MaxConnections/8+1 {
 		c.over = true
 		c.conn.Write(Busy())
-		c.waits.For(c.front.loop, busyFor, func() { c.conn.Close() }) // what it sends is taken meanwhile, as a reset would overtake the answer
+		c.waits.Set(c.front.loop, busyFor, func() { c.conn.Close() }) // what it sends is taken meanwhile, as a reset would overtake the answer
 		return
 	}
 	f.lastNo++
 	c.no, c.idle = f.lastNo, f.loop.Now()
 	f.clients[c] = true
-	c.waits.For(c.front.loop, c.front.patience.Idle, c.idleTimedOut)
+	c.waits.Set(c.front.loop, c.front.patience.Idle, c.idleTimedOut)
 }
 
 // idleTimedOut closes a connection without a request, unless something has come that was not handed over yet: a request that was read
 // must not meet a close.
 func (c *client) idleTimedOut() {
-	if !c.conn.CloseIfQuiet() {
-		c.waits.For(c.front.loop, crossingPause, c.idleTimedOut)
+	if !c.conn.CloseIfIdle() {
+		c.waits.Set(c.front.loop, crossingPause, c.idleTimedOut)
 	}
 }
 
@@ -229,7 +229,7 @@
 		if oldest == nil {
 			return
 		}
-		if oldest.conn.CloseIfQuiet() {
+		if oldest.conn.CloseIfIdle() {
 			oldest.over = true
 			delete(f.clients, oldest)
 			return
@@ -275,20 +275,20 @@
 		c.awaitMessage()
 	}
 	c.check(c.parser.Feed(b, c))
-	if c.parser.Waiting() > c.front.bounds.Head {
+	if c.parser.Buffered() > c.front.bounds.HeadBytes {
 		c.conn.Pause(true) // requests sent ahead wait in the socket
 	}
 }
 
 func (c *client) awaitMessage() {
 	c.came = 0
-	c.waits.For(c.front.loop, c.front.patience.Message, func() {
+	c.waits.Set(c.front.loop, c.front.patience.Message, func() {
 		c.refused(&Problem{Status: 408, Type: "invalid_request_error", Code: "request_timeout", Message: "The request did not come in time."})
 	})
 }
 
 func (c *client) check(err error) {
-	var fault *http1.Fault
+	var fault *http1.ProtocolError
 	if errors.As(err, &fault) {
 		kind := "invalid_request_error"
 		c.refused(&Problem{Status: fault.Status, Type: kind, Message: "The request can't be read: " + fault.Reason + "."})
@@ -312,7 +312,7 @@
 	}
 	c.send(p, "Connection", "close")
 	c.conn.Close()
-	c.waits.For(c.front.loop, c.front.patience.Stall, func() { c.conn.Abort() })
+	c.waits.Set(c.front.loop, c.front.patience.Stall, func() { c.conn.Abort() })
 }
 
 func (c *client) send(p *Problem, fields ...string) {
@@ -368,8 +368,8 @@
 }
 
 func (c *client) End() error {
-	c.parser.Hold()
-	c.waits.Over()
+	c.parser.Pause()
+	c.waits.Clear()
 	to, sink, p := c.reply, c.sink, c.refuse
 	c.head, c.sink, c.refuse = nil, nil, nil
 	to.taken = true
@@ -460,7 +460,7 @@
 		return
 	}
 	if r := c.reply; r != nil {
-		c.waits.Over()
+		c.waits.Clear()
 		if r.OnDrained != nil {
 			r.OnDrained()
 		}
@@ -470,7 +470,7 @@
 func (c *client) Closed(error) {
 	delete(c.front.clients, c)
 	c.over = true
-	c.waits.Over()
+	c.waits.Clear()
 	if c.reply != nil {
 		c.reply.leave()
 	}
@@ -479,7 +479,7 @@
 // next makes the connection ready for another request.
 func (c *client) next() {
 	c.reply, c.idle = nil, c.front.loop.Now()
-	c.waits.For(c.front.loop, c.front.patience.Idle, c.idleTimedOut)
+	c.waits.Set(c.front.loop, c.front.patience.Idle, c.idleTimedOut)
 	c.conn.Pause(false)
 	c.check(c.parser.Resume(c))
 }
@@ -551,7 +551,7 @@
 	r.paused = on
 	c.conn.Pause(on)
 	if on {
-		c.waits.Over()
+		c.waits.Clear()
 	} else {
 		c.awaitMessage()
 	}
@@ -590,7 +590,7 @@
 			c.conn.Write(b)
 		}
 		if !r.done {
-			c.waits.For(c.front.loop, c.front.patience.Stall, func() { c.stalled() })
+			c.waits.Set(c.front.loop, c.front.patience.Stall, func() { c.stalled() })
 		}
 	}
 	r.OnDrained = on
@@ -615,7 +615,7 @@
 	}
 	c.out = http1.AppendChunk(b, event)
 	c.conn.Write(c.out)
-	return c.waits.Lags(c.front.loop, c.conn, c.front.patience.Unsent, c.front.patience.Stall, c.stalled)
+	return c.waits.LimitUnsent(c.front.loop, c.conn, c.front.patience.Unsent, c.front.patience.Stall, c.stalled)
 }
 
 // Heartbeat begins the stream, where it has not begun, and sends a comment that clients pass over. It tells whether there
@@ -741,7 +741,7 @@
 	r.done = true
 	c.front.Open--
 	if r.stays && !c.front.leaving {
-		c.front.loop.Later(func() {
+		c.front.loop.Defer(func() {
 			if c.reply == r && !c.over {
 				c.next()
 			}
@@ -750,7 +750,7 @@
 	}
 	c.reply, c.over = nil, true
 	c.conn.Close()
-	c.waits.For(c.front.loop, c.front.patience.Stall, func() { c.conn.Abort() })
+	c.waits.Set(c.front.loop, c.front.patience.Stall, func() { c.conn.Abort() })
 }
 
 // leave: nobody waits for the answer any more.
--- a/internal/http1/parser.go
+++ b/internal/http1/parser.go
@@ -10,29 +10,29 @@
 	"strings"
 )
 
-// Fault is a message that can't be read; Status is what a server answers it with.
-type Fault struct {
+// ProtocolError is a message that can't be read; Status is what a server answers it with.
+type ProtocolError struct {
 	Status int
 	Reason string
 }
 
-func (f *Fault) Error() string { return f.Reason }
+func (f *ProtocolError) Error() string { return f.Reason }
 
-func fault(status int, format string, args ...any) *Fault {
-	return &Fault{status, fmt.Sprintf(format, args...)}
+func fault(status int, format string, args ...any) *ProtocolError {
+	return &ProtocolError{status, fmt.Sprintf(format, args...)}
 }
 
-// Bounds limit what one message may take.
-type Bounds struct {
-	Head   int // bytes of the start line and all fields
-	Fields int
-	Body   int // bytes; for a request
-	// BodyOf, where it is set, stands for Body by the request's target.
-	BodyOf func(target string) int
+// Limits limit what one message may take.
+type Limits struct {
+	HeadBytes  int // bytes of the start line and all fields
+	FieldCount int
+	BodyBytes  int // bytes; for a request
+	// BodyBytesFor, where it is set, stands for Body by the request's target.
+	BodyBytesFor func(target string) int
 }
 
-// Usual are bounds that common clients stay far below.
-var Usual = Bounds{Head: 32 << 10, Fields: 100, Body: 4 << 20}
+// DefaultLimits are bounds that common clients stay far below.
+var DefaultLimits = Limits{HeadBytes: 32 << 10, FieldCount: 100, BodyBytes: 4 << 20}
 
 // Field is one header field.
 type Field struct{ Name, Value string }
@@ -41,9 +41,9 @@
 type Head struct {
 	Method, Target string // of a request
 	Status         int    // of a response
-	Minor          int    // HTTP/1.Minor
+	MinorVersion   int    // HTTP/1.Minor
 	Fields         []Field
-	Length         int64 // of the body; below zero where it is chunked or goes on until the close
+	ContentLength  int64 // of the body; below zero where it is chunked or goes on until the close
 }
 
 // Get is the first field of a name, whatever the case of its letters.
@@ -59,14 +59,14 @@
 // KeepAlive tells whether the connection may carry another message after this one.
 func (h *Head) KeepAlive() bool {
 	c := strings.ToLower(h.Get("Connection"))
-	if h.Minor == 0 {
+	if h.MinorVersion == 0 {
 		return strings.Contains(c, "keep-alive")
 	}
 	return !strings.Contains(c, "close")
 }
 
-// Events are told of each part of a message as it becomes known.
-type Events interface {
+// Handler are told of each part of a message as it becomes known.
+type Handler interface {
 	Head(h *Head) error
 	Body(b []byte) error // the bytes are the callee's only until it returns
 	End() error
@@ -82,60 +82,60 @@
 	inChunkEnd
 	inTrailer
 	untilClose
-	held
+	paused
 )
 
 // Parser reads one connection's messages in turn.
 type Parser struct {
 	Response bool // responses are read, else requests
-	Bounds   Bounds
-
-	state   state
-	line    []byte // of the head, or of a chunk's size, as far as it has come
-	left    int64
-	body    int
-	most    int    // bytes that this body may have
-	waiting []byte // what came while held
-	more    int    // bytes behind the message that has just ended
+	Limits   Limits
+
+	state     state
+	line      []byte // of the head, or of a chunk's size, as far as it has come
+	left      int64
+	body      int
+	most      int    // bytes that this body may have
+	buffered  []byte // what came while held
+	pipelined int    // bytes behind the message that has just ended
 }
 
-// More is how many bytes came at once with the message that has just ended, behind it; for use within End.
-func (p *Parser) More() int { return p.more }
+// Pipelined is how many bytes came at once with the message that has just ended, behind it; for use within End.
+func (p *Parser) Pipelined() int { return p.pipelined }
 
 // Idle tells that nothing of a message has been read yet.
-func (p *Parser) Idle() bool { return (p.state == inHead || p.state == held) && len(p.line) == 0 }
+func (p *Parser) Idle() bool { return (p.state == inHead || p.state == paused) && len(p.line) == 0 }
 
-// Hold keeps what follows the message that has just ended until Resume; for use within End.
-func (p *Parser) Hold() { p.state = held }
+// Pause keeps what follows the message that has just ended until Resume; for use within End.
+func (p *Parser) Pause() { p.state = paused }
 
 // Resume reads on.
-func (p *Parser) Resume(ev Events) error {
-	if p.state != held {
+func (p *Parser) Resume(ev Handler) error {
+	if p.state != paused {
 		return nil
 	}
 	p.state = inHead
-	b := p.waiting
-	p.waiting = nil
+	b := p.buffered
+	p.buffered = nil
 	return p.Feed(b, ev)
 }
 
-// Waiting is how many bytes came while held.
-func (p *Parser) Waiting() int { return len(p.waiting) }
+// Buffered is how many bytes came while held.
+func (p *Parser) Buffered() int { return len(p.buffered) }
 
-// TakeWaiting gives up what came while held, to one who keeps it elsewhere.
-func (p *Parser) TakeWaiting() []byte {
-	b := p.waiting
-	p.waiting = nil
+// TakeBuffered gives up what came while held, to one who keeps it elsewhere.
+func (p *Parser) TakeBuffered() []byte {
+	b := p.buffered
+	p.buffered = nil
 	return b
 }
 
 // Feed takes the next bytes.
-func (p *Parser) Feed(b []byte, ev Events) error {
+func (p *Parser) Feed(b []byte, ev Handler) error {
 	for len(b) > 0 {
 		var err error
 		switch p.state {
-		case held:
-			p.waiting = append(p.waiting, b...)
+		case paused:
+			p.buffered = append(p.buffered, b...)
 			return nil
 		case inHead:
 			b, err = p.head(b, ev)
@@ -167,7 +167,7 @@
 }
 
 // Close tells that no more will come. A message that was not complete by then is a fault.
-func (p *Parser) Close(ev Events) error {
+func (p *Parser) Close(ev Handler) error {
 	switch {
 	case p.state == untilClose:
 		return p.end(ev, 0)
@@ -177,15 +177,15 @@
 	return fault(400, "the message was cut short")
 }
 
-func (p *Parser) deliver(b []byte, ev Events) error {
+func (p *Parser) deliver(b []byte, ev Handler) error {
 	if p.body += len(b); !p.Response && p.body > p.most {
 		return fault(413, "the body is larger than %d bytes", p.most)
 	}
 	return ev.Body(b)
 }
 
-func (p *Parser) end(ev Events, more int) error {
-	p.state, p.body, p.line, p.more = inHead, 0, p.line[:0], more
+func (p *Parser) end(ev Handler, more int) error {
+	p.state, p.body, p.line, p.pipelined = inHead, 0, p.line[:0], more
 	return ev.End()
 }
 
@@ -193,7 +193,7 @@
 
 var headEnd = []byte("\r\n\r\n")
 
-func (p *Parser) head(b []byte, ev Events) ([]byte, error) {
+func (p *Parser) head(b []byte, ev Handler) ([]byte, error) {
 	if len(p.line) == 0 {
 		for len(b) > 0 && (b[0] == '\r' || b[0] == '\n') && !p.Response {
 			b = b[1:] // empty lines before a request line are to be let pass
@@ -203,7 +203,7 @@
 		}
 	}
 	had := len(p.line)
-	room := p.Bounds.Head + len(headEnd) - had
+	room := p.Limits.HeadBytes + len(headEnd) - had
 	take := b[:min(len(b), max(room, 0))]
 	p.line = append(p.line, take...)
 	if n := min(len(p.line), len(protocol)); p.Response && string(p.line[:n]) != protocol[:n] {
@@ -212,8 +212,8 @@
 	from := max(had-len(headEnd)+1, 0)
 	at := bytes.Index(p.line[from:], headEnd)
 	if at < 0 {
-		if len(take) < len(b) || len(p.line) >= p.Bounds.Head+len(headEnd) {
-			return nil, fault(431, "the head is larger than %d bytes", p.Bounds.Head)
+		if len(take) < len(b) || len(p.line) >= p.Limits.HeadBytes+len(headEnd) {
+			return nil, fault(431, "the head is larger than %d bytes", p.Limits.HeadBytes)
 		}
 		return nil, nil
 	}
@@ -277,8 +277,8 @@
 		if strings.ContainsAny(value, "\r\n\x00") {
 			return nil, fault(400, "a control byte in field %q", name)
 		}
-		if h.Fields = append(h.Fields, Field{name, value}); len(h.Fields) > p.Bounds.Fields {
-			return nil, fault(431, "more than %d fields", p.Bounds.Fields)
+		if h.Fields = append(h.Fields, Field{name, value}); len(h.Fields) > p.Limits.FieldCount {
+			return nil, fault(431, "more than %d fields", p.Limits.FieldCount)
 		}
 	}
 	return h, nil
@@ -288,7 +288,7 @@
 	if len(proto) != 8 || proto[:7] != "HTTP/1." || proto[7] < '0' || proto[7] > '9' {
 		return false
 	}
-	h.Minor = int(proto[7] - '0')
+	h.MinorVersion = int(proto[7] - '0')
 	return true
 }
 
@@ -321,15 +321,15 @@
 			coding = strings.ToLower(f.Value)
 		}
 	}
-	p.body, p.most = 0, p.Bounds.Body
-	if p.Bounds.BodyOf != nil {
-		p.most = p.Bounds.BodyOf(h.Target)
+	p.body, p.most = 0, p.Limits.BodyBytes
+	if p.Limits.BodyBytesFor != nil {
+		p.most = p.Limits.BodyBytesFor(h.Target)
 	}
 	switch {
 	case coding != "" && length != "":
 		return fault(400, "both a length and a transfer coding")
 	case coding == "chunked":
-		p.state, h.Length = inChunkSize, -1
+		p.state, h.ContentLength = inChunkSize, -1
 	case coding != "":
 		return fault(501, "unknown transfer coding %.20q", coding)
 	case p.Response && (h.Status == 204 || h.Status == 304):
@@ -342,9 +342,9 @@
 		if !p.Response && n > uint64(p.most) {
 			return fault(413, "the body of %d bytes is larger than %d", n, p.most)
 		}
-		p.state, p.left, h.Length = inBody, int64(n), int64(n)
+		p.state, p.left, h.ContentLength = inBody, int64(n), int64(n)
 	case p.Response:
-		p.state, h.Length = untilClose, -1
+		p.state, h.ContentLength = untilClose, -1
 	default:
 		p.state, p.left = inBody, 0
 	}
@@ -354,7 +354,7 @@
 const chunkLineMost = 256
 
 // chunkLine reads the lines of the chunked coding: sizes, the ends of chunks and the trailer.
-func (p *Parser) chunkLine(b []byte, ev Events) ([]byte, error) {
+func (p *Parser) chunkLine(b []byte, ev Handler) ([]byte, error) {
 	at := bytes.IndexByte(b, '\n')
 	if at < 0 {
 		p.line = append(p.line, b...)
--- a/internal/http1/parser_test.go
+++ b/internal/http1/parser_test.go
@@ -22,7 +22,7 @@
 
 // feed cuts the text into pieces of some size.
 func feed(text string, size int, response bool) (string, error) {
-	p := Parser{Response: response, Bounds: Bounds{Head: 200, Fields: 5, Body: 50}}
+	p := Parser{Response: response, Limits: Limits{HeadBytes: 200, FieldCount: 5, BodyBytes: 50}}
 	h := &heard{}
 	var err error
 	for b := []byte(text); len(b) > 0 && err == nil; {
@@ -73,7 +73,7 @@
 	} {
 		for _, size := range []int{1, 2, 7, 1000} {
 			got, err := feed(c.text, size, c.response)
-			var f *Fault
+			var f *ProtocolError
 			status := 0
 			if errors.As(err, &f) {
 				status = f.Status
@@ -105,12 +105,12 @@
 // TestNoiseIsSeenAtOnce: what is no status line may never bring the end of a head.
 func TestNoiseIsSeenAtOnce(t *testing.T) {
 	for _, text := range []string{"\x01", "HTTP/2", "HTTX", "<html>"} {
-		p := Parser{Response: true, Bounds: Usual}
+		p := Parser{Response: true, Limits: DefaultLimits}
 		if err := p.Feed([]byte(text), nil); err == nil {
 			t.Errorf("%q was waited for", text)
 		}
 	}
-	p := Parser{Response: true, Bounds: Usual}
+	p := Parser{Response: true, Limits: DefaultLimits}
 	for _, c := range "HTTP/1.1 2" {
 		if err := p.Feed([]byte(string(c)), nil); err != nil {
 			t.Fatalf("a status line that comes in pieces: %v", err)
--- a/internal/platform/attempt.go
+++ b/internal/platform/attempt.go
@@ -37,7 +37,7 @@
 // it may still be sent, as a repeat in its window, was looked at then.
 func (d *Dispatcher) startAttempt(r *request, no scheduler.AttemptNo, allow eventloop.Micros) {
 	if r.response.ClientGone() { // its news may be late, as after the process was held up
-		d.loop.Later(func() {
+		d.loop.Defer(func() {
 			d.clientGone(r)
 			d.attemptEnded(r, no, engine.Result{Outcome: scheduler.NotSent, MemoryUsage: scheduler.NoLoadReport, Reason: "its client has left"})
 		})
@@ -45,7 +45,7 @@
 	}
 	host := d.guardHost(r)
 	if v := r.ledger.Send(d.loop.Now(), host); v != nil { // never within the module's own call
-		d.loop.Later(func() {
+		d.loop.Defer(func() {
 			d.attemptEnded(r, no, engine.Result{Outcome: scheduler.NotSent, MemoryUsage: scheduler.NoLoadReport, Reason: "the guard: " + v.Error()})
 		})
 		return
@@ -97,7 +97,7 @@
 
 func (d *Dispatcher) streamStarted(r *request, no scheduler.AttemptNo) {
 	r.started, r.held = true, false
-	r.lease.Over()
+	r.lease.Clear()
 	r.ledger.Used()
 	r.attempt.Started()
 	now := d.loop.Now()
@@ -115,7 +115,7 @@
 	}
 	if o.ClosedLocally && !r.started && !r.closing && o.Outcome != scheduler.Unreachable {
 		r.closing = true
-		d.loop.After(closeSeen, func() { d.attemptEnded(r, no, o) })
+		d.loop.AfterFunc(closeSeen, func() { d.attemptEnded(r, no, o) })
 		return
 	}
 	r.attempt, r.closing = nil, false
@@ -199,7 +199,7 @@
 		o.Undelivered = attempt.Undelivered()
 	}
 	r.deferred = nil
-	d.loop.Later(func() {
+	d.loop.Defer(func() {
 		if no == r.attempts-1 && r.attempt == attempt {
 			d.attemptEnded(r, no, o)
 		}
--- a/internal/platform/crossings_test.go
+++ b/internal/platform/crossings_test.go
@@ -25,7 +25,7 @@
 			l.conn.Abort()
 		case 2: // where the state is gone: it is released, and the next attempt waits for that
 			r.agent.tell(false, r.hosts[0].entry("DRAINING"), r.hosts[1].entry("DRAINING")) // so that a decode host reads the prompt too
-			l.h.loop.After(2*r.w.Latency, func() { l.answer(410, "", "Srv-Declined", "1", "Connection", "close") })
+			l.h.loop.AfterFunc(2*r.w.Latency, func() { l.answer(410, "", "Srv-Declined", "1", "Connection", "close") })
 		default:
 			if late := r.w.Now() - first; late > window+r.w.Latency { // it left after the window
 				t.Errorf("a repeat arrived %d ms after the first attempt", late/eventloop.Millisecond)
@@ -75,7 +75,7 @@
 				for _, e := range test.events {
 					l.conn.Write(sse.Append(nil, []byte(e)))
 				}
-				l.h.loop.After(50*eventloop.Millisecond, func() { test.end(l.conn) })
+				l.h.loop.AfterFunc(50*eventloop.Millisecond, func() { test.end(l.conn) })
 			})
 			c := r.ask("post")
 			r.until(5*eventloop.Second, "the end", func() bool { return c.closed || len(c.finals) > 0 })
@@ -96,13 +96,13 @@
 		c := r.raw("")
 		r.w.Run(10 * eventloop.Millisecond)
 		ended := r.shutDown()
-		r.far.After(after, func() {
+		r.far.AfterFunc(after, func() {
 			if !c.closed {
 				c.conn.Write([]byte(r.request("explain")))
 			}
 		})
 		clean := true
-		r.w.Watch = func() {
+		r.w.AfterStep = func() {
 			if *ended && r.x.Server().Open() > 0 { // the process ends, and resets what is open
 				clean = false
 			}
@@ -194,10 +194,10 @@
 	r.until(eventloop.Second, "two refusals", func() bool { return declined == 2 })
 	c := r.ask("post") // the hosts are not asked again for a moment
 	r.w.Run(5 * eventloop.Millisecond)
-	r.w.Heard = 400 * eventloop.Millisecond
+	r.w.DeliveryDelay = 400 * eventloop.Millisecond
 	r.far.Do(c.conn.Abort)
 	r.w.Run(390 * eventloop.Millisecond)
-	r.w.Heard = 0
+	r.w.DeliveryDelay = 0
 	r.far.Do(first.conn.Abort)
 	r.w.Run(eventloop.Second)
 	if declined > 2 {
@@ -219,20 +219,20 @@
 	p := drawPlace(chance)
 	r, watch := p.rig(t, chance)
 	watch.t = &testing.T{} // what arrives after a silence is no fault of the dispatcher's
-	r.w.Heard = eventloop.Micros(chance.Intn(2000))
-	r.w.Delay = func() eventloop.Micros { return eventloop.Micros(chance.Intn(3000)) }
+	r.w.DeliveryDelay = eventloop.Micros(chance.Intn(2000))
+	r.w.ExtraLatency = func() eventloop.Micros { return eventloop.Micros(chance.Intn(3000)) }
 	during := func(most eventloop.Micros) eventloop.Micros { return eventloop.Micros(chance.Int63n(int64(most))) }
 	const day = 6 * eventloop.Second
 	var visitors []*visitor
 	for i := range 60 {
-		r.far.After(during(day), func() { visitors = append(visitors, r.visit(p, watch, chance, i)) })
+		r.far.AfterFunc(during(day), func() { visitors = append(visitors, r.visit(p, watch, chance, i)) })
 	}
 	troubles := []func(){
 		func() { r.w.Block(r.loop, r.hosts[chance.Intn(len(r.hosts))].loop, during(eventloop.Second)) },
 		func() { r.w.Block(r.hosts[chance.Intn(len(r.hosts))].loop, r.loop, during(eventloop.Second)) },
 		func() {
-			r.loop.Descriptors = r.loop.Open() + chance.Intn(4)
-			r.far.After(during(eventloop.Second), func() { r.loop.Descriptors = 0 })
+			r.loop.DescriptorLimit = r.loop.OpenConnections() + chance.Intn(4)
+			r.far.AfterFunc(during(eventloop.Second), func() { r.loop.DescriptorLimit = 0 })
 		},
 		func() {
 			for _, l := range r.agent.watches {
@@ -248,7 +248,7 @@
 		},
 	}
 	for range 12 {
-		r.far.After(during(day), troubles[chance.Intn(len(troubles))])
+		r.far.AfterFunc(during(day), troubles[chance.Intn(len(troubles))])
 	}
 	r.w.Run(during(day + eventloop.Second))
 	ended := r.shutDown()
--- a/internal/platform/discovery/discovery_test.go
+++ b/internal/platform/discovery/discovery_test.go
@@ -10,7 +10,7 @@
 )
 
 func newWatch(news func([]Entry, bool)) *Watch {
-	return New(virtual.New(1).Loop("d"), 1, "127.0.0.1:1", news, func(string) {})
+	return New(virtual.NewNetwork(1).NewLoop("d"), 1, "127.0.0.1:1", news, func(string) {})
 }
 
 // TestNumbers: a host's number follows from its id alone, whenever it is first heard of, and two ids with one hash stay two hosts.
@@ -58,8 +58,8 @@
 // TestStartedByAnotherClock: a start that is told in service was a moment ago, whatever the wall clocks say by then; it is told once, however
 // often it is listed. At the beginning nothing but the clock says how long ago a start was.
 func TestStartedByAnotherClock(t *testing.T) {
-	loop := virtual.New(1).Loop("d")
-	loop.Step(1700000000 * eventloop.Second)
+	loop := virtual.NewNetwork(1).NewLoop("d")
+	loop.StepClock(1700000000 * eventloop.Second)
 	var got []Entry
 	w := New(loop, 1, "127.0.0.1:1", func(entries []Entry, _ bool) { got = entries }, func(string) {})
 	version := 0
@@ -78,14 +78,14 @@
 		t.Errorf("at the beginning: started %d us ago, want 5 s", begin-at)
 	}
 	for name, step := range map[string]eventloop.Micros{"no step": 0, "an hour back": -hour, "an hour on": hour, "3 s back": -3 * eventloop.Second} {
-		loop.Step(60 * eventloop.Second)
+		loop.StepClock(60 * eventloop.Second)
 		told := loop.Now()
 		raw := told + step - 200*eventloop.Millisecond
 		if at := listed(false, raw); told-at > eventloop.Second || at > told {
 			t.Errorf("%s: a start that is told now was %d ms ago", name, (told-at)/eventloop.Millisecond)
 		}
 		first := got[0].Started
-		loop.Step(eventloop.Second)
+		loop.StepClock(eventloop.Second)
 		if at := listed(true, raw); at != first {
 			t.Errorf("%s: listed again it has started %d ms later", name, (at-first)/eventloop.Millisecond)
 		}
--- a/internal/platform/dispatcher.go
+++ b/internal/platform/dispatcher.go
@@ -134,7 +134,7 @@
 		do()
 		return
 	}
-	d.loop.After(informedPoll, func() { d.WhenInformed(do) })
+	d.loop.AfterFunc(informedPoll, func() { d.WhenInformed(do) })
 }
 
 // Ready implements server.Handler: it tells whether there is a host for prefill and one to decode.
--- a/internal/platform/executor.go
+++ b/internal/platform/executor.go
@@ -38,7 +38,7 @@
 	d.Reasons[r.why]++
 	d.logState(r, how).Str("class", r.client.Class).Stringer("why", r.why).Int("attempts", int(r.attempts)).Msg("request")
 	d.dropUnsent(r)
-	d.loop.Later(func() { d.settle(r) })
+	d.loop.Defer(func() { d.settle(r) })
 }
 
 // WatchEndpoints implements scheduler.Orders; the list comes by itself here.
@@ -46,7 +46,7 @@
 
 // SetTimer implements scheduler.Orders: it sets one of the module's two timers.
 func (d *Dispatcher) SetTimer(after scheduler.Micros, bell scheduler.TimerID) {
-	d.loop.After(after, func() { d.module.TimerFired(d.loop.Now(), bell) })
+	d.loop.AfterFunc(after, func() { d.module.TimerFired(d.loop.Now(), bell) })
 }
 
 // Log implements scheduler.Orders.
--- a/internal/platform/fleet_test.go
+++ b/internal/platform/fleet_test.go
@@ -37,8 +37,8 @@
 			if len(r.x.ready) != 2 {
 				t.Errorf("silent from %d ms: %d hosts are ready %d ms later", at/eventloop.Millisecond, len(r.x.ready), (r.w.Now()-began)/eventloop.Millisecond)
 			}
-			if r.w.Run(10 * eventloop.Second); !r.agent.watches[0].closed || r.far.Open() > 1 {
-				t.Errorf("%d watches are open", r.far.Open())
+			if r.w.Run(10 * eventloop.Second); !r.agent.watches[0].closed || r.far.OpenConnections() > 1 {
+				t.Errorf("%d watches are open", r.far.OpenConnections())
 			}
 		}
 	}
@@ -52,7 +52,7 @@
 			r := newRig(t, 256, fleet...)
 			r.agent.away, r.agent.watches[0].mute = true, true
 			r.w.Run(away * eventloop.Millisecond)
-			if n := r.far.Open(); n > 3 {
+			if n := r.far.OpenConnections(); n > 3 {
 				t.Errorf("%d watches are open", n)
 			}
 			l := r.agent.watches[0]
@@ -91,7 +91,7 @@
 func TestIndentedList(t *testing.T) {
 	for _, most := range []int{0, 1, 7} {
 		r := newRig(t, 256, fleet...)
-		r.w.Segment = most
+		r.w.MaxSegment = most
 		indented := func(entries ...string) string {
 			return "\r\n{\n  \"version\": 9,\n  \"full\": true,\n  \"note\": \"} \\\" ]\",\n  \"servers\": [\n    " + strings.Join(entries, ",\n    ") + "\n  ]\n}\n\n"
 		}
@@ -165,7 +165,7 @@
 			for _, o := range r.writers() {
 				r.w.Block(r.loop, o.loop, 3*eventloop.Second)
 			}
-			h.loop.After(400*eventloop.Millisecond, func() { l.answer(503, "", "Srv-Declined", "1"); refused = true })
+			h.loop.AfterFunc(400*eventloop.Millisecond, func() { l.answer(503, "", "Srv-Declined", "1"); refused = true })
 		}
 	}
 	c := r.ask("explain")
@@ -190,7 +190,7 @@
 			text := own()
 			answer := func() { l.stream(text, stop, usage, "[DONE]"); l.last() }
 			if answer(); n == 1 {
-				l.h.loop.After(span, answer)
+				l.h.loop.AfterFunc(span, answer)
 			}
 		}
 		var last *client
@@ -337,7 +337,7 @@
 				usual(l)
 			}
 		}
-		r.w.Delay = func() eventloop.Micros { return eventloop.Micros(chance.Intn(8000)) }
+		r.w.ExtraLatency = func() eventloop.Micros { return eventloop.Micros(chance.Intn(8000)) }
 		for i := range 60 {
 			product, limit := "post", "1500m"
 			if i%2 > 0 {
@@ -349,7 +349,7 @@
 			c := r.ask(product, "Req-Key", strconv.Itoa(i), "Req-Extra", "prompt_len=512,max_out=80", "Req-Deadline", limit)
 			r.final(c)
 		}
-		r.w.Delay = nil
+		r.w.ExtraLatency = nil
 		if overtaken > 0 {
 			t.Errorf("may cancel %s: %d legs overtook the close of the one before", may, overtaken)
 		}
--- a/internal/platform/launch/run.go
+++ b/internal/platform/launch/run.go
@@ -82,9 +82,9 @@
 	if err != nil {
 		return nil, err
 	}
-	loop.Anywhere = true
-	loop.TakeIn = min(max(env.Memory/4/env.Sockets, minReadAhead), maxReadAhead)
-	loop.Busy = http1.AppendResponse(nil, 503, []byte("no connection is left for it\n"), "Connection", "close", "Content-Type", "text/plain")
+	loop.AllowAnyAddress = true
+	loop.ReadBufferLimit = min(max(env.Memory/4/env.Sockets, minReadAhead), maxReadAhead)
+	loop.OverloadResponse = http1.AppendResponse(nil, 503, []byte("no connection is left for it\n"), "Connection", "close", "Content-Type", "text/plain")
 	return loop, nil
 }
 
@@ -94,7 +94,7 @@
 	config.Log = p.log
 	p.dispatcher = platform.Start(p.loop, config)
 	p.dispatcher.WhenInformed(func() { p.listen(env.Listen, p.loop.Now()) })
-	p.loop.After(summaryEvery, p.logSummary)
+	p.loop.AfterFunc(summaryEvery, p.logSummary)
 }
 
 // listen tries for a while, as what is wanting may be there a moment later.
@@ -110,7 +110,7 @@
 			return
 		}
 		p.log.Warn().Err(err).Msg("can't listen for the moment")
-		p.loop.After(startPause, func() { p.listen(address, since) })
+		p.loop.AfterFunc(startPause, func() { p.listen(address, since) })
 		return
 	}
 	p.log.Info().Str("listen", address).Msg("serving")
@@ -136,14 +136,14 @@
 // nothing more would be heard of drains once the old address falls silent.
 func (p *process) reload(tries int) {
 	var env *Environment
-	err := p.loop.WithDescriptor(func() (err error) {
+	err := p.loop.WithReservedDescriptor(func() (err error) {
 		env, err = Read(p.getenv)
 		return err
 	})
 	if transient(err) && tries < maxReloadTries {
 		p.log.Warn().Err(err).Int("tries", tries+1).Msg("the configuration can't be read for the moment")
 		p.loop.Post(func() {
-			p.loop.After(reloadPause, func() {
+			p.loop.AfterFunc(reloadPause, func() {
 				select {
 				case p.rereads <- tries + 1:
 				default: // another will be read anyway
@@ -190,5 +190,5 @@
 
 func (p *process) logSummary() {
 	p.log.Info().Msg(p.dispatcher.Summary())
-	p.loop.After(summaryEvery, p.logSummary)
+	p.loop.AfterFunc(summaryEvery, p.logSummary)
 }
--- a/internal/platform/loopback_test.go
+++ b/internal/platform/loopback_test.go
@@ -129,7 +129,7 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(r.loop.Stop)
-	r.loop.SendBuffer = 4 << 10
+	r.loop.SendBufferSize = 4 << 10
 	told, err := settings.Parse([]byte(usualSettings))
 	if err != nil {
 		t.Fatal(err)
--- a/internal/platform/order_test.go
+++ b/internal/platform/order_test.go
@@ -29,26 +29,26 @@
 	chance := rand.New(rand.NewSource(seed))
 	p := drawPlace(chance)
 	r, watch := p.rig(t, chance)
-	r.w.Heard = eventloop.Micros(chance.Intn(2000))
-	r.w.Delay = func() eventloop.Micros { return eventloop.Micros(chance.Intn(3000)) }
+	r.w.DeliveryDelay = eventloop.Micros(chance.Intn(2000))
+	r.w.ExtraLatency = func() eventloop.Micros { return eventloop.Micros(chance.Intn(3000)) }
 	during := func(most eventloop.Micros) eventloop.Micros { return eventloop.Micros(chance.Int63n(int64(most))) }
 	const day = 6 * eventloop.Second
 	var visitors []*visitor
 	for i := range 60 {
-		r.far.After(during(day), func() { visitors = append(visitors, r.visit(p, watch, chance, i)) })
+		r.far.AfterFunc(during(day), func() { visitors = append(visitors, r.visit(p, watch, chance, i)) })
 	}
 	for range 4 {
 		h := r.hosts[chance.Intn(len(r.hosts))]
 		switch chance.Intn(3) {
 		case 0:
-			r.far.After(during(day), func() {
+			r.far.AfterFunc(during(day), func() {
 				r.agent.tell(false, h.entry("DRAINING"))
 				watch.drained[h] = r.w.Now()
 			})
 		case 1:
-			r.far.After(during(day), func() { r.loop.Freeze(during(100 * eventloop.Millisecond)) })
+			r.far.AfterFunc(during(day), func() { r.loop.Freeze(during(100 * eventloop.Millisecond)) })
 		default:
-			r.far.After(during(day), func() {
+			r.far.AfterFunc(during(day), func() {
 				for _, l := range h.lines {
 					if chance.Intn(2) == 0 {
 						h.loop.Do(l.conn.Abort)
@@ -86,7 +86,7 @@
 	v.client = r.raw(text)
 	switch chance.Intn(6) {
 	case 0:
-		r.far.After(eventloop.Micros(chance.Int63n(int64(eventloop.Second))), func() {
+		r.far.AfterFunc(eventloop.Micros(chance.Int63n(int64(eventloop.Second))), func() {
 			v.gone = true
 			watch.gone[v.id] = r.w.Now()
 			if chance.Intn(2) == 0 {
@@ -97,9 +97,9 @@
 		})
 	case 1:
 		span := eventloop.Micros(chance.Int63n(int64(eventloop.Second)))
-		r.far.After(eventloop.Micros(chance.Intn(20000)), func() {
+		r.far.AfterFunc(eventloop.Micros(chance.Intn(20000)), func() {
 			v.conn.Pause(true)
-			r.far.After(span, func() { v.conn.Pause(false) })
+			r.far.AfterFunc(span, func() { v.conn.Pause(false) })
 		})
 	}
 	return v
--- a/internal/platform/platform_test.go
+++ b/internal/platform/platform_test.go
@@ -220,7 +220,7 @@
 		}
 		write(l)
 	})
-	r.w.Watch = func() { // it is over once the host has answered it
+	r.w.AfterStep = func() { // it is over once the host has answered it
 		if r.releases() > 0 && r.x.upstream.Releases > 0 && !slices.Contains(order, "release") && !slices.ContainsFunc(r.x.inOrder(), func(g *request) bool { return g.releasing }) {
 			order = append(order, "release")
 		}
@@ -350,7 +350,7 @@
 // TestCrowd: connections that say nothing, and requests sent again as soon as they are turned away, do not keep others out.
 func TestCrowd(t *testing.T) {
 	r := newRig(t, 64, fleet...)
-	r.loop.Descriptors = 64
+	r.loop.DescriptorLimit = 64
 	var silent []*client
 	for i := 0; i < 300; i++ {
 		silent = append(silent, r.raw(""))
@@ -359,8 +359,8 @@
 				t.Fatalf("after %d silent ones: answered %d", i, got)
 			}
 		}
-		if r.loop.Open() > 64 {
-			t.Fatalf("%d descriptors", r.loop.Open())
+		if r.loop.OpenConnections() > 64 {
+			t.Fatalf("%d descriptors", r.loop.OpenConnections())
 		}
 	}
 	r.w.Run(3 * eventloop.Second)
@@ -418,16 +418,16 @@
 // TestBrokenBeforeTheLastByte: what was not written whole can't have run, so that a side-effecting generation is tried elsewhere.
 func TestBrokenBeforeTheLastByte(t *testing.T) {
 	r := newRig(t, 256, fleet...)
-	r.w.Window = 16 << 10
+	r.w.ReceiveWindow = 16 << 10
 	deaf := true
 	for _, h := range r.writers() {
 		h.ln.Close()
 		ln, err := h.loop.Listen(h.addr, func(c eventloop.Conn) eventloop.Handler {
-			l := &line{h: h, conn: c, parser: http1.Parser{Bounds: http1.Usual}}
+			l := &line{h: h, conn: c, parser: http1.Parser{Limits: http1.DefaultLimits}}
 			if deaf { // it takes in what its window holds, reads nothing, and breaks
 				deaf = false
 				c.Pause(true)
-				h.loop.After(50*eventloop.Millisecond, c.Abort)
+				h.loop.AfterFunc(50*eventloop.Millisecond, c.Abort)
 			}
 			return l
 		})
@@ -446,7 +446,7 @@
 		h.ln.Close()
 		h.ln, _ = h.loop.Listen(h.addr, func(c eventloop.Conn) eventloop.Handler {
 			c.Pause(true)
-			return &line{h: h, conn: c, parser: http1.Parser{Bounds: http1.Usual}}
+			return &line{h: h, conn: c, parser: http1.Parser{Limits: http1.DefaultLimits}}
 		})
 	}
 	r.w.Run(20 * eventloop.Second)
@@ -466,7 +466,7 @@
 func TestCutAnywhere(t *testing.T) {
 	for _, most := range []int{1, 3, 50} {
 		r := newRig(t, 256, fleet...)
-		r.w.Segment = most
+		r.w.MaxSegment = most
 		r.agent.tell(true, r.hosts[0].entry("SERVING"), r.hosts[2].entry("SERVING"))
 		r.w.Run(eventloop.Second)
 		if len(r.x.ready) != 2 {
@@ -540,7 +540,7 @@
 	}
 	// A request is on its way up, and so is, behind it, the end of the connection that it would be sent on.
 	r.final(r.ask("post"))
-	r.w.Heard = 5 * eventloop.Millisecond
+	r.w.DeliveryDelay = 5 * eventloop.Millisecond
 	r.w.Run(20 * eventloop.Millisecond)
 	c := r.ask("post")
 	r.w.Run(3 * eventloop.Millisecond)
@@ -635,7 +635,7 @@
 // TestSlowClient: what is kept for one that does not read is bounded, its host is slowed, and all arrives once it reads.
 func TestSlowClient(t *testing.T) {
 	r := newRig(t, 256, "prefill", "decode")
-	r.w.Window = 4 << 10
+	r.w.ReceiveWindow = 4 << 10
 	const many = 2000
 	r.hosts[1].serve = wordy(many)
 	c := r.ask("explain")
@@ -654,7 +654,7 @@
 // TestLeave: on SIGTERM what still comes for a short while is taken, all is answered, and then the dispatcher ends.
 func TestLeave(t *testing.T) {
 	r := newRig(t, 256, fleet...)
-	all(r.writers(), func(l *line) { l.h.loop.After(2*eventloop.Second, func() { write(l) }) })
+	all(r.writers(), func(l *line) { l.h.loop.AfterFunc(2*eventloop.Second, func() { write(l) }) })
 	idle := r.raw("GET /up HTTP/1.1\r\n\r\n")
 	first := r.ask("post")
 	r.w.Run(100 * eventloop.Millisecond)
--- a/internal/platform/races_test.go
+++ b/internal/platform/races_test.go
@@ -45,7 +45,7 @@
 	met := 0
 	all(r.writers(), func(l *line) {
 		if met++; met == 1 {
-			l.h.loop.After(800*eventloop.Millisecond, func() { write(l) })
+			l.h.loop.AfterFunc(800*eventloop.Millisecond, func() { write(l) })
 		} // the second never is answered
 	})
 	began := r.w.Now()
@@ -93,16 +93,16 @@
 // taken for the answer.
 func TestAnswerBeforeTheRequestHasLeft(t *testing.T) {
 	r := newRig(t, 256, fleet...)
-	r.w.Window = 16 << 10
+	r.w.ReceiveWindow = 16 << 10
 	hasty := true
 	for _, h := range r.writers() {
 		h.ln.Close()
 		h.ln, _ = h.loop.Listen(h.addr, func(c eventloop.Conn) eventloop.Handler {
-			l := &line{h: h, conn: c, parser: http1.Parser{Bounds: http1.Usual}}
+			l := &line{h: h, conn: c, parser: http1.Parser{Limits: http1.DefaultLimits}}
 			if hasty { // it takes in what its window holds, reads nothing, and answers all the same
 				hasty = false
 				c.Pause(true)
-				h.loop.After(10*eventloop.Millisecond, func() { l.stream(`{"choices":[]}`); l.last() })
+				h.loop.AfterFunc(10*eventloop.Millisecond, func() { l.stream(`{"choices":[]}`); l.last() })
 			}
 			return l
 		})
@@ -118,7 +118,7 @@
 // side effects, and a repeat can't arrive after its window.
 func TestHostThatDoesNotRead(t *testing.T) {
 	r := newRig(t, 256, fleet...)
-	r.w.Window = 16 << 10
+	r.w.ReceiveWindow = 16 << 10
 	var deaf eventloop.Conn
 	for _, h := range r.writers() {
 		h.ln.Close()
@@ -127,7 +127,7 @@
 				deaf = c
 				c.Pause(true)
 			}
-			return &line{h: h, conn: c, parser: http1.Parser{Bounds: http1.Usual}}
+			return &line{h: h, conn: c, parser: http1.Parser{Limits: http1.DefaultLimits}}
 		})
 	}
 	began := r.w.Now()
@@ -151,7 +151,7 @@
 		trickle = func() {
 			if !r.agent.watches[0].closed {
 				r.agent.watches[0].conn.Write(http1.AppendChunk(nil, []byte("{ ")[:1+int(min(r.w.Now()-began, 1))]))
-				r.far.After(every*eventloop.Millisecond, trickle)
+				r.far.AfterFunc(every*eventloop.Millisecond, trickle)
 			}
 		}
 		r.far.Do(trickle)
@@ -160,7 +160,7 @@
 			t.Errorf("a byte each %d ms: another watch after %d ms", every, took/eventloop.Millisecond)
 		}
 		r.w.Run(10 * eventloop.Second)
-		if n := r.far.Open(); n != 1 {
+		if n := r.far.OpenConnections(); n != 1 {
 			t.Errorf("%d watches are open", n)
 		}
 	}
@@ -305,7 +305,7 @@
 // TestSlowClientGoes: the end of a client is heard while its stream is slowed for it.
 func TestSlowClientGoes(t *testing.T) {
 	r := newRig(t, 256, "prefill", "decode")
-	r.w.Window = 4 << 10
+	r.w.ReceiveWindow = 4 << 10
 	var out *line
 	r.hosts[1].serve = func(l *line) {
 		out = l
--- a/internal/platform/request.go
+++ b/internal/platform/request.go
@@ -42,7 +42,7 @@
 	held      bool
 	doubtful  bool                 // the prefill that may have left it was not answered
 	holder    scheduler.EndpointID // the likely one
-	lease     eventloop.Wait
+	lease     eventloop.Timeout
 	leaseEnd  eventloop.Micros
 	confirms  bool   // whether a call has reached its host is looked at once more
 	releasing bool   // it is being released
@@ -68,7 +68,7 @@
 	d.logState(r, "accepted").Str("class", client.Class).Int64("allowed", int64(client.Timeout)).Msg("request")
 	d.requests[r.id] = r
 	d.openIDs[client.ID] = true
-	response.OnClientGone = func() { d.loop.Later(func() { d.clientGone(r) }) } // never within the module's own call
+	response.OnClientGone = func() { d.loop.Defer(func() { d.clientGone(r) }) } // never within the module's own call
 	response.OnWritable = func() {
 		if r.attempt != nil {
 			r.attempt.PauseReading(false)
@@ -146,7 +146,7 @@
 // forgetIDs drops the ids of requests that were answered a while ago.
 func (d *Dispatcher) forgetIDs() {
 	d.recentIDs[1], d.recentIDs[0] = d.recentIDs[0], map[string]bool{}
-	d.loop.After(idKept, d.forgetIDs)
+	d.loop.AfterFunc(idKept, d.forgetIDs)
 }
 
 // inOrder are the requests, so that nothing depends on the order of a map.
--- a/internal/platform/rig_test.go
+++ b/internal/platform/rig_test.go
@@ -28,7 +28,7 @@
 // rig is one dispatcher in virtual time, with stand-ins of model hosts and discovery that do what a test scripts.
 type rig struct {
 	t     *testing.T
-	w     *virtual.World
+	w     *virtual.Network
 	loop  *virtual.Loop // the dispatcher's
 	far   *virtual.Loop // clients and discovery
 	x     *Dispatcher
@@ -48,8 +48,8 @@
 
 func newRigAt(t *testing.T, rawSettings string, sockets int, hosts ...string) *rig {
 	t.Helper()
-	w := virtual.New(1)
-	r := &rig{t: t, w: w, loop: w.Loop("d"), far: w.Loop("far")}
+	w := virtual.NewNetwork(1)
+	r := &rig{t: t, w: w, loop: w.NewLoop("d"), far: w.NewLoop("far")}
 	for i, kind := range hosts {
 		r.host(fmt.Sprintf("s-%d", i), kind)
 	}
@@ -107,7 +107,7 @@
 }
 
 func (r *rig) host(id, kind string) *host {
-	h := &host{rig: r, loop: r.w.Loop(id), id: id, kind: kind, zone: "west", serve: read}
+	h := &host{rig: r, loop: r.w.NewLoop(id), id: id, kind: kind, zone: "west", serve: read}
 	if kind != "prefill" {
 		h.serve = write
 	}
@@ -119,7 +119,7 @@
 func (h *host) up(addr string) {
 	h.ln, _ = h.loop.Listen(addr, func(c eventloop.Conn) eventloop.Handler {
 		h.opened++
-		l := &line{h: h, conn: c, parser: http1.Parser{Bounds: http1.Usual}}
+		l := &line{h: h, conn: c, parser: http1.Parser{Limits: http1.DefaultLimits}}
 		h.lines = append(h.lines, l)
 		return l
 	})
@@ -151,7 +151,7 @@
 	l.h.heads = append(l.h.heads, l.head)
 	l.h.bodies = append(l.h.bodies, string(l.body))
 	if l.head.Method == "DELETE" {
-		l.h.loop.After(l.h.slack, func() {
+		l.h.loop.AfterFunc(l.h.slack, func() {
 			l.answer(204, "")
 			if l.h.after != nil {
 				l.h.after()
@@ -215,7 +215,7 @@
 
 func (a *agent) up(addr string) {
 	a.ln, _ = a.rig.far.Listen(addr, func(c eventloop.Conn) eventloop.Handler {
-		l := &line{conn: c, parser: http1.Parser{Bounds: http1.Usual}}
+		l := &line{conn: c, parser: http1.Parser{Limits: http1.DefaultLimits}}
 		l.h = &host{rig: a.rig, serve: func(l *line) {
 			a.targets = append(a.targets, l.head.Target)
 			a.watches = append(a.watches, l)
@@ -241,7 +241,7 @@
 func (a *agent) beat(l *line) {
 	if !l.closed && !l.mute {
 		l.conn.Write(http1.AppendChunk(nil, []byte("\n")))
-		a.rig.far.After(2*eventloop.Second, func() { a.beat(l) })
+		a.rig.far.AfterFunc(2*eventloop.Second, func() { a.beat(l) })
 	}
 }
 
@@ -301,7 +301,7 @@
 
 // raw opens a connection and sends some bytes.
 func (r *rig) raw(sends string) *client {
-	c := &client{rig: r, sends: sends, parser: http1.Parser{Response: true, Bounds: http1.Usual}, events: sse.Parser{Most: 1 << 20}}
+	c := &client{rig: r, sends: sends, parser: http1.Parser{Response: true, Limits: http1.DefaultLimits}, events: sse.Parser{MaxEventBytes: 1 << 20}}
 	r.far.Do(func() { c.conn = r.far.Dial(r.door, eventloop.Second, c) })
 	return c
 }
@@ -339,7 +339,7 @@
 // until lets time pass until something holds, and fails the test if it does not in time.
 func (r *rig) until(span eventloop.Micros, what string, holds func() bool) {
 	r.t.Helper()
-	if !r.w.Until(span, holds) {
+	if !r.w.RunUntil(span, holds) {
 		r.t.Fatalf("not in %d ms: %s\n%s", span/eventloop.Millisecond, what, r.x.Summary())
 	}
 }
@@ -383,7 +383,7 @@
 	if len(r.x.requests) != 0 || open.Requests != 0 || open.Attempts != 0 || r.x.server.Answering() != 0 {
 		r.t.Errorf("something is left: %s", r.x.Summary())
 	}
-	if !r.w.Until(server.DefaultLimits.Message, func() bool { return r.x.server.Active() == 0 }) { // half a request waits for so long
+	if !r.w.RunUntil(server.DefaultLimits.Message, func() bool { return r.x.server.Active() == 0 }) { // half a request waits for so long
 		r.t.Errorf("half a request is left: %s", r.x.Summary())
 	}
 }
--- a/internal/platform/server/connection.go
+++ b/internal/platform/server/connection.go
@@ -27,9 +27,9 @@
 	server *Server
 	conn   eventloop.Conn
 	state  connectionState
-	wait   eventloop.Wait // the one time-out that counts in this state
-	order  *list.Element  // its place among the server's idle connections
-	used   bool           // a request has begun on it
+	wait   eventloop.Timeout // the one time-out that counts in this state
+	order  *list.Element     // its place among the server's idle connections
+	used   bool              // a request has begun on it
 
 	parser     http1.Parser
 	head       *http1.Head
@@ -57,7 +57,7 @@
 	if c.order == nil {
 		c.order = c.server.idle.PushBack(c)
 	}
-	c.wait.For(c.server.loop, within, c.idleTimedOut)
+	c.wait.Set(c.server.loop, within, c.idleTimedOut)
 }
 
 // leaveIdle takes the connection out of the server's order.
@@ -71,7 +71,7 @@
 // closeIdle closes a connection without a request, unless something has come that was not handed over yet: a request that was read
 // must not meet a close.
 func (c *connection) closeIdle(why CloseReason) bool {
-	if !c.conn.CloseIfQuiet() {
+	if !c.conn.CloseIfIdle() {
 		return false
 	}
 	c.becomeClosing(why)
@@ -80,7 +80,7 @@
 
 func (c *connection) idleTimedOut() {
 	if !c.closeIdle(Idle) {
-		c.wait.For(c.server.loop, crossingPause, c.idleTimedOut)
+		c.wait.Set(c.server.loop, crossingPause, c.idleTimedOut)
 	}
 }
 
@@ -100,7 +100,7 @@
 		c.state = closing
 		c.server.open--
 	}
-	c.wait.For(c.server.loop, c.server.limits.Stall, c.conn.Abort)
+	c.wait.Set(c.server.loop, c.server.limits.Stall, c.conn.Abort)
 }
 
 // close closes once all is sent.
@@ -121,7 +121,7 @@
 // Closed implements eventloop.Handler.
 func (c *connection) Closed(error) {
 	c.becomeClosing(ByClient)
-	c.wait.Over()
+	c.wait.Clear()
 	delete(c.server.connections, c)
 	c.dropRequest()
 	if c.response != nil {
@@ -165,7 +165,7 @@
 	c.leaveIdle()
 	c.state, c.used = reading, true
 	c.receivedAt = at
-	c.wait.For(c.server.loop, c.server.limits.Message, c.requestTimedOut)
+	c.wait.Set(c.server.loop, c.server.limits.Message, c.requestTimedOut)
 }
 
 func (c *connection) requestTimedOut() {
@@ -179,7 +179,7 @@
 		c.malformed(err)
 		return
 	}
-	rest := c.parser.TakeWaiting()
+	rest := c.parser.TakeBuffered()
 	switch {
 	case len(rest) == 0 || c.state == closing:
 	case c.surplus != nil: // it was kept before
@@ -191,7 +191,7 @@
 
 func (c *connection) malformed(err error) {
 	status := http.StatusBadRequest
-	var fault *http1.Fault
+	var fault *http1.ProtocolError
 	if errors.As(err, &fault) {
 		status = fault.Status
 	}
@@ -253,7 +253,7 @@
 
 // --- A request ---
 
-// Head implements http1.Events.
+// Head implements http1.Handler.
 func (c *connection) Head(h *http1.Head) error {
 	c.head = h
 	c.request, c.rejection = parseRequest(h)
@@ -263,8 +263,8 @@
 	if c.rejection == nil && strings.EqualFold(h.Get("Expect"), "100-continue") {
 		c.conn.Write([]byte("HTTP/1.1 100 Continue\r\n\r\n"))
 	}
-	if c.rejection == nil && h.Length > 0 && c.request != nil {
-		c.reserveBody(int(h.Length))
+	if c.rejection == nil && h.ContentLength > 0 && c.request != nil {
+		c.reserveBody(int(h.ContentLength))
 	}
 	return nil
 }
@@ -286,7 +286,7 @@
 	c.body = grown
 }
 
-// Body implements http1.Events.
+// Body implements http1.Handler.
 func (c *connection) Body(b []byte) error {
 	if c.rejection != nil || c.request == nil {
 		return nil
@@ -300,10 +300,10 @@
 	return nil
 }
 
-// End implements http1.Events.
+// End implements http1.Handler.
 func (c *connection) End() error {
-	c.parser.Hold()
-	c.wait.Over()
+	c.parser.Pause()
+	c.wait.Clear()
 	c.keepAlive = c.head.KeepAlive()
 	if c.request == nil && c.rejection == nil {
 		c.answerReadiness()
@@ -327,7 +327,7 @@
 // staysOpen tells whether another request may follow the answer that is written now. While the server drains only what has been sent
 // ahead may.
 func (c *connection) staysOpen() bool {
-	return c.keepAlive && (!c.server.draining || len(c.ahead) > 0 || c.surplus != nil || c.parser.More() > 0)
+	return c.keepAlive && (!c.server.draining || len(c.ahead) > 0 || c.surplus != nil || c.parser.Pipelined() > 0)
 }
 
 // answerReadiness answers whether there is anything to serve with.
@@ -339,7 +339,7 @@
 	c.dropRequest()
 	if c.writeWhole(status, text, c.staysOpen(), AfterAnswer) {
 		c.state = answering
-		c.server.loop.Later(c.next)
+		c.server.loop.Defer(c.next)
 	}
 }
 
@@ -370,7 +370,7 @@
 	c.server.Rejected++
 	if c.writeWhole(r.Status, r.Reason, c.staysOpen(), AfterAnswer) {
 		c.state = pausing
-		c.wait.For(c.server.loop, rejectionPause, c.next)
+		c.wait.Set(c.server.loop, rejectionPause, c.next)
 	}
 }
 
--- a/internal/platform/server/races_test.go
+++ b/internal/platform/server/races_test.go
@@ -45,7 +45,7 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(loop.Stop)
-	loop.TakeIn = 8 << 10
+	loop.ReadBufferLimit = 8 << 10
 	handler.handled, handler.gone, handler.waiting = make(chan string, 1000), make(chan string, 1000), make(chan *Response, 1000)
 	s := New(loop, limits, handler)
 	var address string
@@ -264,7 +264,7 @@
 // anythingRead tells whether something has come that was not handed over.
 func (s *Server) anythingRead() bool {
 	for c := range s.connections {
-		if !c.conn.Quiet() {
+		if !c.conn.Idle() {
 			return true
 		}
 	}
--- a/internal/platform/server/response.go
+++ b/internal/platform/server/response.go
@@ -23,7 +23,7 @@
 }
 
 // ClientGone tells whether the client has closed its connection, also where that was not told yet.
-func (r *Response) ClientGone() bool { return r.done || r.connection.conn.HungUp() }
+func (r *Response) ClientGone() bool { return r.done || r.connection.conn.PeerClosed() }
 
 // finish tells that nothing is owed, or kept, any more.
 func (r *Response) finish() {
@@ -50,13 +50,13 @@
 	c.out = http1.AppendChunk(b, c.event)
 	c.conn.Write(c.out)
 	limits := &c.server.limits
-	return c.wait.Lags(c.server.loop, c.conn, limits.Unsent, limits.Stall, func() { c.abort(ClientStalled) })
+	return c.wait.LimitUnsent(c.server.loop, c.conn, limits.Unsent, limits.Stall, func() { c.abort(ClientStalled) })
 }
 
 // Drained implements eventloop.Handler.
 func (c *connection) Drained() {
 	if c.state == rejecting {
-		c.wait.Over()
+		c.wait.Clear()
 		c.surplusWaits = false
 		c.rejectSurplus()
 		return
@@ -64,7 +64,7 @@
 	if c.response == nil || c.state != answering {
 		return
 	}
-	c.wait.Over()
+	c.wait.Clear()
 	if c.response.OnWritable != nil {
 		c.response.OnWritable()
 	}
@@ -106,7 +106,7 @@
 	r.finish()
 	c.response = nil
 	if c.writeWhole(status, text, c.staysOpen(), AfterAnswer, fields...) {
-		c.server.loop.Later(c.next)
+		c.server.loop.Defer(c.next)
 	}
 }
 
@@ -118,8 +118,8 @@
 		c.close(why)
 		return
 	}
-	c.wait.Over()
-	c.server.loop.Later(c.next)
+	c.wait.Clear()
+	c.server.loop.Defer(c.next)
 }
 
 // abandon tells that nobody waits for the answer any more.
--- a/internal/platform/server/server.go
+++ b/internal/platform/server/server.go
@@ -83,7 +83,7 @@
 // Accept is for the listener.
 func (s *Server) Accept(conn eventloop.Conn) eventloop.Handler {
 	c := &connection{server: s, conn: conn}
-	c.parser.Bounds = http1.Bounds{Head: s.limits.Head, Fields: maxFields, Body: s.limits.Body}
+	c.parser.Limits = http1.Limits{HeadBytes: s.limits.Head, FieldCount: maxFields, BodyBytes: s.limits.Body}
 	s.connections[c] = true // from now on, so that the process does not end before it is heard
 	s.open++
 	return c
--- a/internal/platform/server/server_test.go
+++ b/internal/platform/server/server_test.go
@@ -44,7 +44,7 @@
 	f.Add("POST /v1/chat/completions HTTP/1.1\r\nReq-Id: 9b1f\r\nReq-Kind: chat\r\nReq-Deadline: 4800m\r\nReq-Extra: prefix=5c,prompt_len=5120,max_out=1e9\r\nContent-Length: 2\r\n\r\n{}")
 	f.Add("GET /up HTTP/1.1\r\n\r\nPOST /v1/chat/completions HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n1\r\n{\r\n0\r\n\r\n")
 	f.Fuzz(func(t *testing.T, text string) {
-		p := http1.Parser{Bounds: http1.Bounds{Head: 16 << 10, Fields: 100, Body: 256 << 10}}
+		p := http1.Parser{Limits: http1.Limits{HeadBytes: 16 << 10, FieldCount: 100, BodyBytes: 256 << 10}}
 		_ = p.Feed([]byte(text), &take{t: t})
 	})
 }
--- a/internal/platform/server/streams_test.go
+++ b/internal/platform/server/streams_test.go
@@ -82,13 +82,13 @@
 	var at [8]byte
 	binary.BigEndian.PutUint64(at[:], uint64(time.Now().UnixNano()))
 	r.WriteEvent([]byte(hex.EncodeToString(at[:]) + padding))
-	loop.After(every, func() { writeEvents(loop, r, every, left-1, padding) })
+	loop.AfterFunc(every, func() { writeEvents(loop, r, every, left-1, padding) })
 }
 
 // resumeAfter tells, by the loop's clock, when a pause is over.
 func resumeAfter(loop *sockets.Loop, pause eventloop.Micros) <-chan bool {
 	over := make(chan bool)
-	loop.Post(func() { loop.After(pause, func() { close(over) }) })
+	loop.Post(func() { loop.AfterFunc(pause, func() { close(over) }) })
 	return over
 }
 
--- a/internal/platform/server/surplus.go
+++ b/internal/platform/server/surplus.go
@@ -20,7 +20,7 @@
 	fault    error
 }
 
-func newSurplus(bounds http1.Bounds) *surplus { return &surplus{parser: http1.Parser{Bounds: bounds}} }
+func newSurplus(bounds http1.Limits) *surplus { return &surplus{parser: http1.Parser{Limits: bounds}} }
 
 // feed follows the next bytes.
 func (s *surplus) feed(b []byte) {
@@ -30,7 +30,7 @@
 	}
 }
 
-// Head, Body and End implement http1.Events.
+// Head, Body and End implement http1.Handler.
 func (s *surplus) Head(h *http1.Head) error {
 	s.closes = !h.KeepAlive()
 	return nil
@@ -40,9 +40,9 @@
 
 func (s *surplus) End() error {
 	s.requests++
-	s.whole = s.read - s.parser.More()
+	s.whole = s.read - s.parser.Pipelined()
 	if s.closes {
-		s.parser.Hold()
+		s.parser.Pause()
 	}
 	return nil
 }
@@ -52,7 +52,7 @@
 
 // overflow stops keeping what is sent ahead: what has come whole stays, and what follows is only followed.
 func (c *connection) overflow(b []byte) {
-	c.surplus = newSurplus(c.parser.Bounds)
+	c.surplus = newSurplus(c.parser.Limits)
 	c.surplus.feed(c.ahead)
 	c.server.buffered -= len(c.ahead) - c.surplus.whole
 	c.ahead = c.ahead[:c.surplus.whole]
@@ -64,7 +64,7 @@
 func (c *connection) rejectSurplus() {
 	s := c.server
 	for c.surplus.requests > 0 {
-		if c.wait.Lags(s.loop, c.conn, s.limits.Unsent, s.limits.Stall, func() { c.abort(ClientStalled) }) {
+		if c.wait.LimitUnsent(s.loop, c.conn, s.limits.Unsent, s.limits.Stall, func() { c.abort(ClientStalled) }) {
 			return
 		}
 		c.surplus.requests--
@@ -80,11 +80,11 @@
 	case c.surplus.middle():
 		if c.conn.Unsent() == 0 && !c.surplusWaits {
 			c.surplusWaits = true
-			c.wait.For(s.loop, s.limits.Message, c.requestTimedOut)
+			c.wait.Set(s.loop, s.limits.Message, c.requestTimedOut)
 		}
 	default:
 		c.surplus, c.surplusWaits = nil, false
-		c.wait.Over()
+		c.wait.Clear()
 		c.rest()
 	}
 }
@@ -95,7 +95,7 @@
 	c.surplus.feed(b)
 	if c.surplus.requests > before { // the one that was waited for has come
 		c.surplusWaits = false
-		c.wait.Over()
+		c.wait.Clear()
 	}
 	if c.surplus.read > maxSurplus {
 		c.abort(TooMuchAhead)
--- a/internal/platform/shutdown.go
+++ b/internal/platform/shutdown.go
@@ -17,7 +17,7 @@
 	}
 	d.shuttingDown = true
 	d.server.Drain()
-	d.loop.After(drainTime, func() {
+	d.loop.AfterFunc(drainTime, func() {
 		closeListener()
 		d.server.Shutdown()
 		d.lastActive = d.loop.Now()
@@ -28,7 +28,7 @@
 // awaitEnd looks again and again until nothing is owed any more: no answer, no release, no byte of an answer that a slow client has not
 // taken, and no connection on which a request may be on its way.
 func (d *Dispatcher) awaitEnd(done func()) {
-	d.loop.After(shutdownPoll, func() {
+	d.loop.AfterFunc(shutdownPoll, func() {
 		now := d.loop.Now()
 		if len(d.requests) > 0 || d.server.Active() > 0 || d.server.Unsent() > 0 {
 			d.lastActive = now
--- a/internal/platform/shutdown_test.go
+++ b/internal/platform/shutdown_test.go
@@ -31,7 +31,7 @@
 			r := newRig(t, 64, fleet...)
 			c := r.raw("GET /up HTTP/1.1\r\n\r\n")
 			r.w.Run(10 * eventloop.Millisecond)
-			r.w.Heard = 5 * eventloop.Millisecond // what has arrived is not handed over yet
+			r.w.DeliveryDelay = 5 * eventloop.Millisecond // what has arrived is not handed over yet
 			r.far.Do(func() { c.conn.Write([]byte(r.request("explain"))) })
 			r.w.Run(eventloop.Millisecond)
 			r.loop.Do(func() { closes(r) })
@@ -51,7 +51,7 @@
 		c := r.raw("GET /up HTTP/1.1\r\n\r\n")
 		r.until(eventloop.Second, "the first answer", func() bool { return len(c.finals) == 1 })
 		r.w.Run(9990 * eventloop.Millisecond)
-		r.w.Heard = 20 * eventloop.Millisecond
+		r.w.DeliveryDelay = 20 * eventloop.Millisecond
 		r.w.Run(before)
 		r.far.Do(func() { c.conn.Write([]byte(r.request("explain"))) })
 		r.until(5*eventloop.Second, "an answer", func() bool { return len(c.finals) > 1 || c.closed })
@@ -83,7 +83,7 @@
 // it rejected.
 func TestSentAheadAtShutdown(t *testing.T) {
 	r := newRig(t, 256, fleet...)
-	all(r.writers(), func(l *line) { l.h.loop.After(300*eventloop.Millisecond, func() { write(l) }) })
+	all(r.writers(), func(l *line) { l.h.loop.AfterFunc(300*eventloop.Millisecond, func() { write(l) }) })
 	var text strings.Builder
 	for range 5 {
 		text.WriteString(r.request("explain"))
@@ -102,7 +102,7 @@
 // ends.
 func TestSlowClientAtShutdown(t *testing.T) {
 	r := newRig(t, 256, "prefill", "decode")
-	r.w.Window = 4 << 10
+	r.w.ReceiveWindow = 4 << 10
 	const many = 200
 	r.hosts[1].serve = wordy(many)
 	c := r.ask("explain")
@@ -124,7 +124,7 @@
 // TestShutdownTwice: a second signal neither shortens nor repeats anything.
 func TestShutdownTwice(t *testing.T) {
 	r := newRig(t, 256, fleet...)
-	all(r.writers(), func(l *line) { l.h.loop.After(2*eventloop.Second, func() { write(l) }) })
+	all(r.writers(), func(l *line) { l.h.loop.AfterFunc(2*eventloop.Second, func() { write(l) }) })
 	c := r.ask("post")
 	r.w.Run(100 * eventloop.Millisecond)
 	first := r.shutDown()
--- a/internal/platform/state.go
+++ b/internal/platform/state.go
@@ -23,7 +23,7 @@
 
 func (d *Dispatcher) awaitLeaseEnd(r *request) {
 	r.confirms = false
-	r.lease.For(d.loop, max(r.leaseEnd-d.loop.Now(), 0), func() { d.leaseExpired(r) })
+	r.lease.Set(d.loop, max(r.leaseEnd-d.loop.Now(), 0), func() { d.leaseExpired(r) })
 }
 
 // leaseExpired ends the wait of what is held, as its time runs on while connections fail to come up or are silent. An attempt that has
@@ -37,7 +37,7 @@
 	switch {
 	case !attempt.Unsent() && !r.confirms: // it may have left only now
 		r.confirms = true
-		r.lease.For(d.loop, confirmTime, func() { d.leaseExpired(r) })
+		r.lease.Set(d.loop, confirmTime, func() { d.leaseExpired(r) })
 		return
 	case !attempt.Unsent(): // it may arrive, or have arrived, all the same
 		outcome.Outcome, outcome.ClosedLocally, outcome.Reason = scheduler.ConnectionLost, true, "its connection is silent while its state may wait"
@@ -52,7 +52,7 @@
 // release has all that is held for the request dropped, and lets the attempt that waits for it go.
 func (d *Dispatcher) release(r *request) {
 	r.held, r.releasing = false, true
-	r.lease.Over()
+	r.lease.Clear()
 	d.logState(r, "releasing").Str("holder", d.hosts[r.holder].Name).Msg("request")
 	d.upstream.Release(r.client.ID, r.holder, func(bool) {
 		r.releasing = false
--- a/internal/platform/upstream/release.go
+++ b/internal/platform/upstream/release.go
@@ -43,7 +43,7 @@
 	tried  map[scheduler.EndpointID]bool
 	wide   bool              // hosts that want nothing new are asked too, as none of the others has confirmed it
 	open   []*engine.Attempt // the oldest first
-	next   eventloop.Wait    // for the time to ask another
+	next   eventloop.Timeout // for the time to ask another
 	ended  bool
 	done   func(bool)
 }
@@ -91,7 +91,7 @@
 	var attempt *engine.Attempt
 	attempt = l.Call(at, call, l.within, engine.Callbacks{Ended: func(o engine.Result) { r.answered(attempt, o) }})
 	r.open = append(r.open, attempt)
-	r.next.For(l.loop, r.pause(), r.askNext)
+	r.next.Set(l.loop, r.pause(), r.askNext)
 }
 
 // confirmed is what an answer to a release means.
@@ -128,7 +128,7 @@
 		r.end(true, "")
 	case r.triedAll():
 		clear(r.tried)
-		r.next.For(r.client.loop, r.pause(), r.askNext)
+		r.next.Set(r.client.loop, r.pause(), r.askNext)
 	default:
 		r.askNext()
 	}
@@ -138,7 +138,7 @@
 func (r *release) end(confirmed bool, why string) {
 	l := r.client
 	r.ended = true
-	r.next.Over()
+	r.next.Clear()
 	for _, a := range r.open {
 		a.Cancel()
 	}
--- a/internal/platform/upstream/upstream_test.go
+++ b/internal/platform/upstream/upstream_test.go
@@ -97,8 +97,8 @@
 // TestReleaseRing: where every host refuses at once they are asked in turn, with a pause between the rounds, also where a try has no time.
 func TestReleaseRing(t *testing.T) {
 	for within, most := range map[eventloop.Micros]uint64{releaseTries - 1: 10, 500 * eventloop.Millisecond: 200} {
-		w := virtual.New(1)
-		loop := w.Loop("d")
+		w := virtual.NewNetwork(1)
+		loop := w.NewLoop("d")
 		e := engine.New(loop, "d", "", engine.Limits{Connect: eventloop.Second, Idle: eventloop.Second, PerEndpoint: 4, Opening: 4})
 		c := New(loop, e, within, func(bool) []scheduler.EndpointID { return []scheduler.EndpointID{1, 2} })
 		done := false
@@ -107,7 +107,7 @@
 			e.SetAddress(2, "127.0.0.1:2")
 			c.Release("r", 1, func(bool) { done = true })
 		})
-		w.Watch = func() {
+		w.AfterStep = func() {
 			if c.Tries > most {
 				t.Fatalf("%d µs: %d tries in %d µs", within, c.Tries, w.Now()-1_700_000_000*eventloop.Second)
 			}
--- a/internal/sockets/close_test.go
+++ b/internal/sockets/close_test.go
@@ -14,7 +14,7 @@
 func served(t *testing.T, server *ear, takeIn int) net.Conn {
 	t.Helper()
 	l := start(t)
-	l.TakeIn = takeIn
+	l.ReadBufferLimit = takeIn
 	c, err := net.Dial("tcp", listen(t, l, server))
 	if err != nil {
 		t.Fatal(err)
--- a/internal/sockets/conn.go
+++ b/internal/sockets/conn.go
@@ -100,8 +100,8 @@
 }
 
 func (l *Loop) takeIn() int {
-	if l.TakeIn > 0 {
-		return l.TakeIn
+	if l.ReadBufferLimit > 0 {
+		return l.ReadBufferLimit
 	}
 	return takeInMost
 }
@@ -240,7 +240,7 @@
 }
 
 func (c *conn) writeLater(pause eventloop.Micros) {
-	c.rewrite = c.l.After(pause, func() { c.flush(pause) })
+	c.rewrite = c.l.AfterFunc(pause, func() { c.flush(pause) })
 }
 
 // flush offers to the socket again what it did not take.
@@ -269,8 +269,8 @@
 	c.h.Drained()
 }
 
-// Quiet implements eventloop.Conn. It asks the socket: what the poller has seen may not have reached the loop yet.
-func (c *conn) Quiet() bool {
+// Idle implements eventloop.Conn. It asks the socket: what the poller has seen may not have reached the loop yet.
+func (c *conn) Idle() bool {
 	if c.nb == nil || c.ended || c.closing || c.cause != nil {
 		return false
 	}
@@ -298,8 +298,8 @@
 // Unsent implements eventloop.Conn.
 func (c *conn) Unsent() int { return len(c.out) }
 
-// HungUp implements eventloop.Conn.
-func (c *conn) HungUp() bool {
+// PeerClosed implements eventloop.Conn.
+func (c *conn) PeerClosed() bool {
 	if c.ended || c.cause != nil {
 		return true
 	}
@@ -343,7 +343,7 @@
 	}
 	c.closing = true
 	if c.cause != nil {
-		c.l.Later(c.end)
+		c.l.Defer(c.end)
 		return
 	}
 	if c.nb != nil && len(c.out) == 0 {
@@ -351,9 +351,9 @@
 	}
 }
 
-// CloseIfQuiet implements eventloop.Conn. The poller reads nothing between the look and the shutdown: what it reads after that is
+// CloseIfIdle implements eventloop.Conn. The poller reads nothing between the look and the shutdown: what it reads after that is
 // dropped, and came too late.
-func (c *conn) CloseIfQuiet() bool {
+func (c *conn) CloseIfIdle() bool {
 	if c.nb == nil || c.closing || c.ended || len(c.out) > 0 {
 		c.Close()
 		return true
@@ -388,7 +388,7 @@
 		_ = c.nb.Close()
 		return
 	}
-	c.lingers = c.l.After(lingerFor, func() { _ = c.nb.Close() })
+	c.lingers = c.l.AfterFunc(lingerFor, func() { _ = c.nb.Close() })
 	if !c.posted { // what has come is dropped, and room is made for what still comes
 		c.posted = true
 		c.l.post(c.handOver)
@@ -399,7 +399,7 @@
 func (c *conn) Abort() {
 	c.closing = true
 	if c.cause != nil {
-		c.l.Later(c.end)
+		c.l.Defer(c.end)
 		return
 	}
 	if c.nb != nil && !c.ended {
--- a/internal/sockets/dial.go
+++ b/internal/sockets/dial.go
@@ -22,8 +22,8 @@
 	return l.dial(addr, within, h, false)
 }
 
-// DialSpare is Dial that may use the descriptors that are kept back.
-func (l *Loop) DialSpare(addr string, within eventloop.Micros, h eventloop.Handler) eventloop.Conn {
+// DialReserved is Dial that may use the descriptors that are kept back.
+func (l *Loop) DialReserved(addr string, within eventloop.Micros, h eventloop.Handler) eventloop.Conn {
 	return l.dial(addr, within, h, true)
 }
 
@@ -36,7 +36,7 @@
 			c.end()
 		}
 	}
-	c.dialing = l.After(within, func() { fail(errors.New("no connection in time")) })
+	c.dialing = l.AfterFunc(within, func() { fail(errors.New("no connection in time")) })
 	// Not by nbio's own dialling: it takes the first four bytes of an address that has sixteen, and so reaches only this machine's own.
 	dialer := net.Dialer{Timeout: time.Duration(within) * time.Microsecond, KeepAlive: -1}
 	var dial func(again bool)
@@ -116,8 +116,8 @@
 // tune has small writes leave at once, and sets the bound on what the system takes of them.
 func (l *Loop) tune(nb *nbio.Conn) {
 	_ = nb.SetNoDelay(true)
-	if l.SendBuffer > 0 {
-		_ = nb.SetWriteBuffer(l.SendBuffer)
+	if l.SendBufferSize > 0 {
+		_ = nb.SetWriteBuffer(l.SendBufferSize)
 	}
 }
 
--- a/internal/sockets/listen.go
+++ b/internal/sockets/listen.go
@@ -34,7 +34,7 @@
 	if err != nil {
 		return nil, fmt.Errorf("listen on %q: %w", addr, err)
 	}
-	if ip := net.ParseIP(host); !l.Anywhere && host != "localhost" && (ip == nil || !ip.IsLoopback()) {
+	if ip := net.ParseIP(host); !l.AllowAnyAddress && host != "localhost" && (ip == nil || !ip.IsLoopback()) {
 		return nil, fmt.Errorf("listen on %q: only loopback addresses are served", addr)
 	}
 	ln, err := net.Listen("tcp", addr)
--- a/internal/sockets/loop.go
+++ b/internal/sockets/loop.go
@@ -25,15 +25,15 @@
 	epoch  time.Time
 	rounds *rounds
 	spares *spares
-	// Busy is what a connection is told that is turned away because no descriptor is left; it is set before Listen.
-	Busy []byte
-	// Anywhere lets Listen take any address that it is told, not only loopback's; TakeIn, where it is above 0, stands for takeInMost. Both
+	// OverloadResponse is what a connection is told that is turned away because no descriptor is left; it is set before Listen.
+	OverloadResponse []byte
+	// AllowAnyAddress lets Listen take any address that it is told, not only loopback's; TakeIn, where it is above 0, stands for takeInMost. Both
 	// are set before anything is opened.
-	Anywhere bool
-	TakeIn   int
-	// SendBuffer, where it is above 0, is how many bytes the system is asked to take of what is written and has not arrived, in place of
+	AllowAnyAddress bool
+	ReadBufferLimit int
+	// SendBufferSize, where it is above 0, is how many bytes the system is asked to take of what is written and has not arrived, in place of
 	// what it takes by itself; tests have writes leave in parts by it.
-	SendBuffer int
+	SendBufferSize int
 
 	// beforeAccept, where it is set, is called before each connection is accepted; tests hold the listener up by it.
 	beforeAccept func()
@@ -209,11 +209,11 @@
 
 func (t timer) Stop() { t.l.times.Drop(t.it) }
 
-func (l *Loop) After(span eventloop.Micros, f func()) eventloop.Timer {
+func (l *Loop) AfterFunc(span eventloop.Micros, f func()) eventloop.Timer {
 	return timer{l, l.times.Set(l.Now()+max(span, 0), f)}
 }
 
-func (l *Loop) Later(f func()) {
+func (l *Loop) Defer(f func()) {
 	if l.later = append(l.later, f); len(l.later) == 1 {
 		l.post(func() {}) // so that it runs also where nothing else comes in
 	}
--- a/internal/sockets/race_test.go
+++ b/internal/sockets/race_test.go
@@ -33,7 +33,7 @@
 			for test.read && !own.hasRead() {
 				runtime.Gosched()
 			}
-			closed = own.CloseIfQuiet()
+			closed = own.CloseIfIdle()
 			if name == "it comes after the close" {
 				_, _ = c.Write([]byte("request"))
 			}
@@ -69,13 +69,13 @@
 // A connection that is closed before the poller has it comes to its end too.
 func TestClosedBeforeItOpened(t *testing.T) {
 	for name, closes := range map[string]func(eventloop.Conn){"close": eventloop.Conn.Close, "abort": eventloop.Conn.Abort,
-		"if quiet": func(c eventloop.Conn) { c.CloseIfQuiet() }} {
+		"if quiet": func(c eventloop.Conn) { c.CloseIfIdle() }} {
 		l := start(t)
 		server := &ear{closed: make(chan error, 1), opened: func(*ear) { t.Errorf("%s: it opened", name) }}
 		var addr string
 		l.Do(func() {
 			ln, _ := l.Listen("127.0.0.1:0", func(c eventloop.Conn) eventloop.Handler {
-				l.Later(func() { closes(c) })
+				l.Defer(func() { closes(c) })
 				return server
 			})
 			addr = ln.Addr()
--- a/internal/sockets/sockets_test.go
+++ b/internal/sockets/sockets_test.go
@@ -254,11 +254,11 @@
 	done := make(chan error, 1)
 	l.Do(func() {
 		for _, i := range []int{3, 1, 2} {
-			l.After(eventloop.Micros(i)*eventloop.Millisecond, func() { order = append(order, i) })
+			l.AfterFunc(eventloop.Micros(i)*eventloop.Millisecond, func() { order = append(order, i) })
 		}
-		l.After(2500, func() { order = append(order, 99) }).Stop()
-		l.Later(func() { order = append(order, 0) })
-		l.After(5*eventloop.Millisecond, func() { done <- nil })
+		l.AfterFunc(2500, func() { order = append(order, 99) }).Stop()
+		l.Defer(func() { order = append(order, 0) })
+		l.AfterFunc(5*eventloop.Millisecond, func() { done <- nil })
 	})
 	waitFor(t, "the last timer", done)
 	l.Do(func() {
@@ -397,11 +397,11 @@
 			t.Fatal("not connected", err)
 		}
 		l.Do(func() {
-			if !c.Quiet() {
+			if !c.Idle() {
 				t.Errorf("%s: not quiet before", name)
 			}
 			act(far)
-			for end := l.Now() + 5*eventloop.Second; c.Quiet(); {
+			for end := l.Now() + 5*eventloop.Second; c.Idle(); {
 				if l.Now() > end {
 					t.Errorf("%s: still quiet", name)
 					return
--- a/internal/sockets/spares.go
+++ b/internal/sockets/spares.go
@@ -67,8 +67,8 @@
 // complete tells whether none is missing for want of descriptors, once those are taken again that can be had.
 func (s *spares) complete() bool { return !noDescriptors(s.fill()) }
 
-// WithDescriptor runs f, and again with descriptors that are kept back where it fails for want of one. It may be called from anywhere.
-func (l *Loop) WithDescriptor(f func() error) error {
+// WithReservedDescriptor runs f, and again with descriptors that are kept back where it fails for want of one. It may be called from anywhere.
+func (l *Loop) WithReservedDescriptor(f func() error) error {
 	defer func() { _ = l.spares.fill() }()
 	for {
 		if err := f(); !noDescriptors(err) || !l.spares.take() {
@@ -123,7 +123,7 @@
 		}
 	}
 	_ = raw.SetDeadline(time.Now().Add(busyFor))
-	_, _ = raw.Write(l.Busy)
+	_, _ = raw.Write(l.OverloadResponse)
 	if c, ok := raw.(*net.TCPConn); ok { // what comes only now must not reset it either
 		_ = c.CloseWrite()
 		_, _ = io.Copy(io.Discard, io.LimitReader(c, int64(len(b)))) // the limit also hides the connection's own splicing
--- a/internal/sockets/spares_test.go
+++ b/internal/sockets/spares_test.go
@@ -35,7 +35,7 @@
 		fmt.Println(err)
 		return
 	}
-	l.Busy = []byte("busy")
+	l.OverloadResponse = []byte("busy")
 	l.Do(func() {
 		ln, err := l.Listen("127.0.0.1:0", func(c eventloop.Conn) eventloop.Handler {
 			return &ear{conn: c, closed: make(chan error, 1), onData: func(e *ear) { e.conn.Write(e.data); e.conn.Close() }}
--- a/internal/sse/sse.go
+++ b/internal/sse/sse.go
@@ -9,19 +9,19 @@
 // Parser finds the data of each event; a comment or an event without data is passed over. Lines end with LF,
 // CRLF or CR, as the specification lets them.
 type Parser struct {
-	Most   int // bytes that one event may have
-	line   []byte
-	data   []byte
-	some   bool
-	wasCR  bool
-	Events int // how many events there were
+	MaxEventBytes int // bytes that one event may have
+	line          []byte
+	data          []byte
+	hasData       bool
+	wasCR         bool
+	EventCount    int // how many events there were
 }
 
-// ErrTooLong is an event beyond the bound.
-var ErrTooLong = errors.New("a streamed event is too long")
+// ErrEventTooLong is an event beyond the bound.
+var ErrEventTooLong = errors.New("a streamed event is too long")
 
 // Idle tells that no part of an event is waiting for its rest.
-func (p *Parser) Idle() bool { return len(p.line) == 0 && !p.some }
+func (p *Parser) Idle() bool { return len(p.line) == 0 && !p.hasData }
 
 // Feed takes the next bytes and calls each for every event that they complete; the data are the callee's
 // only until it returns. It stops at the first error.
@@ -35,8 +35,8 @@
 		p.wasCR = false
 		at := bytes.IndexAny(b, "\r\n")
 		if at < 0 {
-			if p.line = append(p.line, b...); len(p.line)+len(p.data) > p.Most {
-				return ErrTooLong
+			if p.line = append(p.line, b...); len(p.line)+len(p.data) > p.MaxEventBytes {
+				return ErrEventTooLong
 			}
 			return nil
 		}
@@ -47,8 +47,8 @@
 		}
 		p.wasCR = b[at] == '\r'
 		b = b[at+1:]
-		if len(line)+len(p.data) > p.Most {
-			return ErrTooLong
+		if len(line)+len(p.data) > p.MaxEventBytes {
+			return ErrEventTooLong
 		}
 		err := p.take(line, each)
 		p.line = p.line[:0]
@@ -61,12 +61,12 @@
 
 func (p *Parser) take(line []byte, each func([]byte) error) error {
 	if len(line) == 0 {
-		if !p.some {
+		if !p.hasData {
 			return nil
 		}
 		data := p.data
-		p.data, p.some = p.data[:0], false
-		p.Events++
+		p.data, p.hasData = p.data[:0], false
+		p.EventCount++
 		return each(data)
 	}
 	value, ok := bytes.CutPrefix(line, []byte("data"))
@@ -76,11 +76,11 @@
 	if len(value) > 0 {
 		value = bytes.TrimPrefix(value[1:], []byte(" "))
 	}
-	if p.some {
+	if p.hasData {
 		p.data = append(p.data, '\n')
 	}
 	p.data = append(p.data, value...)
-	p.some = true
+	p.hasData = true
 	return nil
 }
 
--- a/internal/sse/sse_test.go
+++ b/internal/sse/sse_test.go
@@ -7,7 +7,7 @@
 )
 
 func feed(text string, size int) (string, error) {
-	p := Parser{Most: 40}
+	p := Parser{MaxEventBytes: 40}
 	var got []string
 	var err error
 	for b := []byte(text); len(b) > 0 && err == nil; {
@@ -56,7 +56,7 @@
 // An event of several lines of data is read back as it was written.
 func TestAppendLines(t *testing.T) {
 	for _, data := range []string{"one", "two\nlines", "\n", "an end\n", "a\n\nb"} {
-		p := Parser{Most: 100}
+		p := Parser{MaxEventBytes: 100}
 		var got []string
 		err := p.Feed(Append(nil, []byte(data)), func(b []byte) error { got = append(got, string(b)); return nil })
 		if err != nil || len(got) != 1 || got[0] != data {
--- a/internal/subscribe/subscribe.go
+++ b/internal/subscribe/subscribe.go
@@ -54,7 +54,7 @@
 	current *subscription
 	older   []*subscription // silent ones that stay open
 	again   eventloop.Micros
-	waiting eventloop.Wait
+	waiting eventloop.Timeout
 	closed  bool
 }
 
@@ -74,7 +74,7 @@
 	ok      bool
 	leaving bool // its address is not asked any more: it stays until the new one speaks
 	dropped bool // nothing of it counts any more
-	quiet   eventloop.Wait
+	quiet   eventloop.Timeout
 }
 
 // Subscribe asks for the list from the version known on, and goes on asking when the subscription breaks.
@@ -82,18 +82,18 @@
 	if c.current != nil || c.closed {
 		return
 	}
-	s := &subscription{c: c, parser: http1.Parser{Response: true, Bounds: http1.Usual}, events: sse.Parser{Most: listMost}}
+	s := &subscription{c: c, parser: http1.Parser{Response: true, Limits: http1.DefaultLimits}, events: sse.Parser{MaxEventBytes: listMost}}
 	c.current = s
-	s.conn = c.loop.DialSpare(c.addr, connectWithin, s) // news are owed also while clients hold all descriptors
+	s.conn = c.loop.DialReserved(c.addr, connectWithin, s) // news are owed also while clients hold all descriptors
 	if c.ResponseTimeout > 0 {
-		s.quiet.For(c.loop, c.ResponseTimeout, s.silent)
+		s.quiet.Set(c.loop, c.ResponseTimeout, s.silent)
 	}
 }
 
 // Close ends it.
 func (c *Client) Close() {
 	c.closed = true
-	c.waiting.Over()
+	c.waiting.Clear()
 	c.dropOlder(nil)
 	if c.current != nil {
 		c.current.conn.Close()
@@ -107,7 +107,7 @@
 		return
 	}
 	c.addr, c.again = addr, c.MinRetryDelay
-	c.waiting.Over()
+	c.waiting.Clear()
 	if s := c.current; s != nil {
 		c.current = nil
 		c.keep(s)
@@ -141,7 +141,7 @@
 
 func (s *subscription) drop() {
 	s.dropped = true
-	s.quiet.Over()
+	s.quiet.Clear()
 	s.conn.Abort()
 }
 
@@ -152,7 +152,7 @@
 	}
 	wait := c.again/2 + eventloop.Micros(c.rand.Int63n(int64(c.again)))
 	c.Log(fmt.Sprintf("%s is away (%s); what is known is used, next try in %d ms", c.Name, why, wait/eventloop.Millisecond))
-	c.waiting.For(c.loop, wait, c.Subscribe)
+	c.waiting.Set(c.loop, wait, c.Subscribe)
 }
 
 // silent ends the wait for a source that says nothing, or does not come to the end of what it says, for too long. One that stopped in the
@@ -182,7 +182,7 @@
 		}
 		c.current = s
 	}
-	c.waiting.Over()
+	c.waiting.Clear()
 	c.dropOlder(s)
 }
 
@@ -195,7 +195,7 @@
 	fields := append([]string{"Accept", "text/event-stream"}, c.Fields...)
 	s.conn.Write(http1.AppendRequest(nil, "GET", c.Target(), c.addr, nil, fields...))
 	if c.ResponseTimeout == 0 {
-		s.quiet.For(c.loop, c.Silence, s.silent)
+		s.quiet.Set(c.loop, c.Silence, s.silent)
 	}
 }
 
@@ -209,7 +209,7 @@
 	if s.headed {
 		s.speaks()
 	}
-	s.quiet.For(c.loop, c.Silence, s.silent)
+	s.quiet.Set(c.loop, c.Silence, s.silent)
 	if err := s.parser.Feed(b, s); err != nil {
 		var gap *Gap
 		if errors.As(err, &gap) {
@@ -220,7 +220,7 @@
 		return
 	}
 	if began := s.object.since; began > 0 { // bytes that trickle in buy no further time
-		s.quiet.For(c.loop, max(began+c.Silence-c.loop.Now(), 0), s.silent)
+		s.quiet.Set(c.loop, max(began+c.Silence-c.loop.Now(), 0), s.silent)
 	}
 }
 
@@ -295,7 +295,7 @@
 			}
 		case i == len(b)-1:
 			if o.text = append(o.text, b[from:]...); len(o.text) > listMost {
-				return sse.ErrTooLong
+				return sse.ErrEventTooLong
 			}
 		}
 	}
@@ -306,7 +306,7 @@
 
 func (s *subscription) Closed(cause error) {
 	c := s.c
-	s.quiet.Over()
+	s.quiet.Clear()
 	if s.dropped {
 		return
 	}
@@ -322,9 +322,9 @@
 
 // Post sends one message on a connection of its own and tells the status of the answer, 0 for none in time.
 func Post(loop eventloop.Loop, addr, target string, body []byte, within eventloop.Micros, done func(status int), fields ...string) {
-	p := &post{done: done, parser: http1.Parser{Response: true, Bounds: http1.Usual}}
+	p := &post{done: done, parser: http1.Parser{Response: true, Limits: http1.DefaultLimits}}
 	p.request = http1.AppendRequest(nil, "POST", target, addr, body, append(fields, "Content-Type", "application/json", "Connection", "close")...)
-	p.timer = loop.After(within, func() {
+	p.timer = loop.AfterFunc(within, func() {
 		p.end(0)
 		p.conn.Abort()
 	})
--- a/internal/testbed/load/batch.go
+++ b/internal/testbed/load/batch.go
@@ -89,7 +89,7 @@
 	if b.Product.Form == pb.Product_RERANK {
 		path, body = "/v1/rerank", `{"model":"`+b.Product.Name+`","query":"why?","documents":[`+strings.Join(c.inputs, ",")+`]}`
 	}
-	t := &batchTry{call: c, no: c.tries, name: target.Name, allow: left, parser: http1.Parser{Response: true, Bounds: http1.Usual}}
+	t := &batchTry{call: c, no: c.tries, name: target.Name, allow: left, parser: http1.Parser{Response: true, Limits: http1.DefaultLimits}}
 	t.request = http1.AppendRequest(nil, "POST", path, target.Addr, []byte(body), "Content-Type", "application/json",
 		"Authorization", "Bearer "+crowd.Keys[b.Tenant], "x-client-request-id", c.id,
 		"x-time-limit-ms", strconv.FormatInt(int64(left/eventloop.Millisecond), 10), "Connection", "close")
@@ -107,7 +107,7 @@
 	}
 	b.Crowd.book.Add(record.Event{At: int64(b.Crowd.loop.Now()), What: "over", Gen: c.id, How: how, Product: b.Product.Name,
 		Tenant: b.Crowd.d.Tenants[b.Tenant].Name, N: int64(took), Try: c.tries, Exact: how == "streamed"})
-	b.Crowd.loop.Later(b.next)
+	b.Crowd.loop.Defer(b.next)
 }
 
 // batchTry is one request of a call.
@@ -140,7 +140,7 @@
 	t.note("ask", "")
 	t.conn.Write(t.request)
 	t.request = nil
-	t.timer = t.call.load.Crowd.loop.After(t.allow, func() {
+	t.timer = t.call.load.Crowd.loop.AfterFunc(t.allow, func() {
 		t.final("gave_up")
 		t.conn.Abort()
 	})
@@ -256,5 +256,5 @@
 			wait = eventloop.Micros(ms) * eventloop.Millisecond
 		}
 	}
-	t.call.load.Crowd.loop.After(wait, t.call.try)
+	t.call.load.Crowd.loop.AfterFunc(wait, t.call.try)
 }
--- a/internal/testbed/load/load.go
+++ b/internal/testbed/load/load.go
@@ -95,7 +95,7 @@
 	if c.stopped {
 		return
 	}
-	c.loop.After(eventloop.Micros(-math.Log(1-c.rand.Float64())/max(c.Rate, 0.01)*1e6), func() {
+	c.loop.AfterFunc(eventloop.Micros(-math.Log(1-c.rand.Float64())/max(c.Rate, 0.01)*1e6), func() {
 		if !c.stopped {
 			c.ask()
 			c.Run()
@@ -191,7 +191,7 @@
 		target = c.Targets[int(xxhash.Sum64String(g.id)%uint64(len(c.Targets)))] // dispatchers know their own keys only
 	}
 	t := &try{want: g, no: g.tries, name: target.Name, allow: allow, began: c.loop.Now(),
-		parser: http1.Parser{Response: true, Bounds: http1.Usual}, events: sse.Parser{Most: 1 << 20}}
+		parser: http1.Parser{Response: true, Limits: http1.DefaultLimits}, events: sse.Parser{MaxEventBytes: 1 << 20}}
 	body := map[string]any{"model": g.session.product.Name, "messages": g.session.messages, "max_tokens": g.most}
 	if !g.whole {
 		body["stream"] = true
@@ -265,7 +265,7 @@
 	t.sent = true
 	t.note("ask", "")
 	t.conn.Write(t.request)
-	t.timer = t.want.crowd.loop.After(t.allow, func() {
+	t.timer = t.want.crowd.loop.AfterFunc(t.allow, func() {
 		if t.first == 0 || t.want.whole {
 			t.final("gave_up")
 			t.conn.Abort()
@@ -409,5 +409,5 @@
 			wait = eventloop.Micros(ms) * eventloop.Millisecond
 		}
 	}
-	c.loop.After(wait, g.try)
+	c.loop.AfterFunc(wait, g.try)
 }
--- a/internal/testbed/modelserver/fleet.go
+++ b/internal/testbed/modelserver/fleet.go
@@ -111,7 +111,7 @@
 	for _, h := range f.Hosts {
 		h.cut = zone
 	}
-	f.loop.After(span, func() {
+	f.loop.AfterFunc(span, func() {
 		for _, h := range f.Hosts {
 			h.cut = ""
 			h.thaw()
--- a/internal/testbed/modelserver/host.go
+++ b/internal/testbed/modelserver/host.go
@@ -95,7 +95,7 @@
 	h.alive, h.draining, h.frozen, h.hung, h.errs, h.slow, h.started = true, false, false, false, 0, 1, started
 	h.stepping = false
 	listener, err := f.loop.Listen("127.0.0.1:0", func(c eventloop.Conn) eventloop.Handler {
-		hc := &hostConn{host: h, conn: c, parser: http1.Parser{Bounds: http1.Bounds{Head: 64 << 10, Fields: 100, Body: 64 << 20}}}
+		hc := &hostConn{host: h, conn: c, parser: http1.Parser{Limits: http1.Limits{HeadBytes: 64 << 10, FieldCount: 100, BodyBytes: 64 << 20}}}
 		return hc
 	})
 	if err != nil {
@@ -134,7 +134,7 @@
 	h.down()
 	h.fleet.changed(h, "gone")
 	if back > 0 {
-		h.fleet.loop.After(back, func() {
+		h.fleet.loop.AfterFunc(back, func() {
 			if err := h.up(h.fleet.loop.Now()); err == nil {
 				h.fleet.changed(h, "ready")
 			}
@@ -145,19 +145,19 @@
 // Vanish makes it silent, without a reset; then it comes back cold.
 func (h *Host) Vanish(span eventloop.Micros) {
 	h.frozen = true
-	h.fleet.loop.After(span, func() { h.Crash(100 * eventloop.Millisecond) })
+	h.fleet.loop.AfterFunc(span, func() { h.Crash(100 * eventloop.Millisecond) })
 }
 
 // Hang has it take work and do none, then start anew.
 func (h *Host) Hang(span eventloop.Micros) {
 	h.hung = true
-	h.fleet.loop.After(span, func() { h.Crash(100 * eventloop.Millisecond) })
+	h.fleet.loop.AfterFunc(span, func() { h.Crash(100 * eventloop.Millisecond) })
 }
 
 // Pause freezes it; it goes on as if nothing had been.
 func (h *Host) Pause(span eventloop.Micros) {
 	h.frozen = true
-	h.fleet.loop.After(span, func() {
+	h.fleet.loop.AfterFunc(span, func() {
 		h.frozen = false
 		h.thaw()
 	})
@@ -166,31 +166,31 @@
 // Slow makes all that it does take so many times as long.
 func (h *Host) Slow(factor float64, span eventloop.Micros) {
 	h.slow = factor
-	h.fleet.loop.After(span, func() { h.slow = 1 })
+	h.fleet.loop.AfterFunc(span, func() { h.slow = 1 })
 }
 
 // Err has it fail a share of its legs at once.
 func (h *Host) Err(share float64, span eventloop.Micros) {
 	h.errs = share
-	h.fleet.loop.After(span, func() { h.errs = 0 })
+	h.fleet.loop.AfterFunc(span, func() { h.errs = 0 })
 }
 
 // Full has it turn away one product for a while.
 func (h *Host) Full(product string, span eventloop.Micros) {
 	h.full = product
-	h.fleet.loop.After(span, func() { h.full = "" })
+	h.fleet.loop.AfterFunc(span, func() { h.full = "" })
 }
 
 // Greet has new connections wait before they are served.
 func (h *Host) Greet(wait, span eventloop.Micros) {
 	h.greets = wait
-	h.fleet.loop.After(span, func() { h.greets = 0 })
+	h.fleet.loop.AfterFunc(span, func() { h.greets = 0 })
 }
 
 // Report has its load reports be old ones.
 func (h *Host) Report(age, span eventloop.Micros) {
 	h.stale = age
-	h.fleet.loop.After(span, func() { h.stale = 0 })
+	h.fleet.loop.AfterFunc(span, func() { h.stale = 0 })
 }
 
 // Flush makes it forget the texts that it kept.
@@ -200,7 +200,7 @@
 func (h *Host) Drain(span, back eventloop.Micros) {
 	h.draining = true
 	h.fleet.changed(h, "draining")
-	h.fleet.loop.After(span, func() { h.Crash(back) })
+	h.fleet.loop.AfterFunc(span, func() { h.Crash(back) })
 }
 
 func (h *Host) thaw() {
@@ -280,7 +280,7 @@
 		span = eventloop.Micros(step / f) // a slow writer's steps are longer; a slow reader's do less
 	}
 	generation := h.started
-	h.fleet.loop.After(span, func() {
+	h.fleet.loop.AfterFunc(span, func() {
 		if h.alive && h.started == generation {
 			h.stepping = false
 			h.step(span)
@@ -363,7 +363,7 @@
 	}
 	h.fleet.note(h, "hold", j)
 	s := &state{tokens: j.prompt, job: j}
-	s.lease = h.fleet.loop.After(eventloop.Micros(h.fleet.d.Fleet.LeaseMs)*eventloop.Millisecond, func() { h.release(j.leg, "lease") })
+	s.lease = h.fleet.loop.AfterFunc(eventloop.Micros(h.fleet.d.Fleet.LeaseMs)*eventloop.Millisecond, func() { h.release(j.leg, "lease") })
 	h.states[j.leg] = s
 	params := fmt.Sprintf(`{"do_remote_decode":false,"do_remote_prefill":true,"remote_engine_id":"%d","remote_block_ids":[%d],`+
 		`"remote_request_id":%q,"remote_addr":%q,"tokens":%d}`, h.ID, j.prompt/16, j.leg, h.Addr, j.prompt)
@@ -390,7 +390,7 @@
 // fetch gets a state from the reader that holds it.
 func (h *Host) fetch(j *job) {
 	j.fetching = true
-	mover := &mover{h: h, j: j, parser: http1.Parser{Response: true, Bounds: http1.Usual}}
+	mover := &mover{h: h, j: j, parser: http1.Parser{Response: true, Limits: http1.DefaultLimits}}
 	mover.conn = h.fleet.loop.Dial(j.fetchFrom, 500*eventloop.Millisecond, mover)
 }
 
@@ -455,7 +455,7 @@
 	}
 	now := f.loop.Now()
 	*free = max(*free, now) + eventloop.Micros(float64(s.tokens)/rate*1e6)
-	f.loop.After(*free-now, func() {
+	f.loop.AfterFunc(*free-now, func() {
 		if !h.alive || c.away() {
 			return
 		}
@@ -596,7 +596,7 @@
 		h.conns[c] = h.lastConn
 		if h.greets > 0 {
 			c.conn.Pause(true)
-			h.fleet.loop.After(h.greets, func() { c.conn.Pause(false) })
+			h.fleet.loop.AfterFunc(h.greets, func() { c.conn.Pause(false) })
 		}
 	}
 }
--- a/internal/testbed/modelserver/roster.go
+++ b/internal/testbed/modelserver/roster.go
@@ -36,7 +36,7 @@
 	}
 	var err error
 	r.listener, err = loop.Listen(addr, func(c eventloop.Conn) eventloop.Handler {
-		return &watcher{roster: r, conn: c, parser: http1.Parser{Bounds: http1.Usual}}
+		return &watcher{roster: r, conn: c, parser: http1.Parser{Limits: http1.DefaultLimits}}
 	})
 	if err != nil {
 		return nil, err
@@ -83,7 +83,7 @@
 	for _, w := range r.watchers {
 		w.conn.Write(http1.AppendChunk(nil, []byte(": here\n\n")))
 	}
-	r.loop.After(heartbeat, r.beat)
+	r.loop.AfterFunc(heartbeat, r.beat)
 }
 
 // Close ends it.
@@ -98,7 +98,7 @@
 // changed tells of a host's new condition, after a while.
 func (f *Fleet) changed(h *Host, condition string) {
 	e := h.Entry(condition)
-	f.loop.After(eventloop.Micros(f.rand.Int63n(int64(f.d.Fleet.RosterLateMs)*1000+1)), func() {
+	f.loop.AfterFunc(eventloop.Micros(f.rand.Int63n(int64(f.d.Fleet.RosterLateMs)*1000+1)), func() {
 		if condition == "draining" && !h.alive {
 			return
 		}
--- a/internal/testbed/scenarios/restart.go
+++ b/internal/testbed/scenarios/restart.go
@@ -20,8 +20,8 @@
 	if p.book, err = openRecord(p.Record, text); err != nil {
 		return nil, 0, err
 	}
-	w := virtual.New(p.Seed)
-	fleetAt, crowdAt := w.Loop("fleet"), w.Loop("crowd")
+	w := virtual.NewNetwork(p.Seed)
+	fleetAt, crowdAt := w.NewLoop("fleet"), w.NewLoop("crowd")
 	p.fleetAt, p.crowdAt = fleetAt, crowdAt
 	fleetAt.Do(func() { p.fleet, err = modelserver.Start(fleetAt, p.Deployment, p.Seed, "127.0.0.1:0", p.book) })
 	if err != nil {
@@ -30,7 +30,7 @@
 	var all []*lives
 	var targets []*load.Target
 	for i := range p.Dispatchers {
-		l := &lives{play: p, world: w, no: i + 1, folder: w.Folder(), target: &load.Target{Zone: p.Deployment.Zones[i%len(p.Deployment.Zones)],
+		l := &lives{play: p, world: w, no: i + 1, folder: w.NewDisk(), target: &load.Target{Zone: p.Deployment.Zones[i%len(p.Deployment.Zones)],
 			Addr: "127.0.0.1:0", Alive: true}}
 		if err := l.start(); err != nil {
 			return nil, 0, err
@@ -65,7 +65,7 @@
 	p.begin(context.Background(), targets)
 	w.Run(eventloop.Micros(p.Script.Seconds) * eventloop.Second)
 	crowdAt.Do(p.crowd.Stop)
-	w.Until(eventloop.Micros(endWithin.Microseconds()), func() bool { return p.crowd.Open == 0 })
+	w.RunUntil(eventloop.Micros(endWithin.Microseconds()), func() bool { return p.crowd.Open == 0 })
 	w.Run(eventloop.Second)
 	for _, l := range all {
 		left += l.x.OpenRequests()
--- a/internal/testbed/scenarios/scenarios.go
+++ b/internal/testbed/scenarios/scenarios.go
@@ -80,7 +80,7 @@
 	Steps       int                     // of the world
 	Reached     []lifecycle.Coverage    // by each dispatcher's last life
 
-	world *virtual.World
+	world *virtual.Network
 	all   []*lives
 
 	dir     string
@@ -291,15 +291,15 @@
 				}
 			}
 			p.Batches = append(p.Batches, l)
-			p.crowdAt.After(eventloop.Micros(b.FromMs)*eventloop.Millisecond, l.Run)
+			p.crowdAt.AfterFunc(eventloop.Micros(b.FromMs)*eventloop.Millisecond, l.Run)
 			if b.ForMs > 0 {
-				p.crowdAt.After(eventloop.Micros(b.FromMs+b.ForMs)*eventloop.Millisecond, l.Stop)
+				p.crowdAt.AfterFunc(eventloop.Micros(b.FromMs+b.ForMs)*eventloop.Millisecond, l.Stop)
 			}
 		})
 	}
 	for _, t := range p.Script.Troubles {
 		after := eventloop.Micros(t.AtMs) * eventloop.Millisecond
-		p.fleetAt.Do(func() { p.fleetAt.After(after, func() { p.trouble(ctx, t) }) })
+		p.fleetAt.Do(func() { p.fleetAt.AfterFunc(after, func() { p.trouble(ctx, t) }) })
 	}
 }
 
@@ -483,7 +483,7 @@
 	return func(p *Run, _ context.Context, t *pb.Day_Trouble, span eventloop.Micros, _ []*modelserver.Host) {
 		p.crowdAt.Post(func() {
 			undo := change(p.crowd, t)
-			p.crowdAt.After(span, undo)
+			p.crowdAt.AfterFunc(span, undo)
 		})
 	}
 }
@@ -531,7 +531,7 @@
 	"descriptors": func(p *Run, _ context.Context, t *pb.Day_Trouble, span eventloop.Micros, _ []*modelserver.Host) {
 		n := max(int(t.Share*float64(len(p.servers))+0.5), 1)
 		for _, i := range p.rand.Perm(len(p.servers))[:min(n, len(p.servers))] {
-			p.fleetAt.After(span, p.servers[i].squeeze(int(t.Factor)))
+			p.fleetAt.AfterFunc(span, p.servers[i].squeeze(int(t.Factor)))
 		}
 	},
 	"burst": crowdChange(func(c *load.Crowd, t *pb.Day_Trouble) func() {
--- a/internal/testbed/scenarios/virtual.go
+++ b/internal/testbed/scenarios/virtual.go
@@ -21,7 +21,7 @@
 // lives is one dispatcher of a virtual day, over all its lives.
 type lives struct {
 	play   *Run
-	world  *virtual.World
+	world  *virtual.Network
 	target *load.Target
 	no, n  int
 	loop   *virtual.Loop
@@ -30,7 +30,7 @@
 	skew   eventloop.Micros
 	down   bool
 	back   eventloop.Micros // it can do nothing before this
-	folder *virtual.Folder
+	folder *virtual.Disk
 }
 
 func (l *lives) start() (err error) {
@@ -38,8 +38,8 @@
 	l.n++
 	l.down = false
 	name := fmt.Sprintf("d%d.%d", l.no, l.n)
-	l.loop = l.world.Loop(name)
-	l.loop.Step(l.skew)
+	l.loop = l.world.NewLoop(name)
+	l.loop.StepClock(l.skew)
 	var at eventloop.Loop = l.loop
 	if p.Mutant != nil && p.Mutant.Loop != nil {
 		at = p.Mutant.Loop(l.loop)
@@ -51,7 +51,7 @@
 			p.Mutant.Folder(l.folder)
 		}
 		if p.Intents {
-			if post.Intents, err = store.Open(l.folder.For(l.loop), store.Usual); err != nil {
+			if post.Intents, err = store.Open(l.folder.AttachTo(l.loop), store.Usual); err != nil {
 				return
 			}
 		}
@@ -76,7 +76,7 @@
 	l.down = true
 	p.book.Add(record.Event{At: int64(l.world.Now()), What: "killed", Dispatcher: l.target.Name})
 	l.loop.Kill()
-	p.fleetAt.After(back, func() {
+	p.fleetAt.AfterFunc(back, func() {
 		if err := l.start(); err != nil {
 			p.failed = errors.Join(p.failed, fmt.Errorf("dispatcher %d did not come back: %w", l.no, err))
 		}
@@ -85,8 +85,8 @@
 
 func (l *lives) squeeze(left int) func() {
 	at := l.loop
-	at.Descriptors = at.Open() + left
-	return func() { at.Descriptors = 0 }
+	at.DescriptorLimit = at.OpenConnections() + left
+	return func() { at.DescriptorLimit = 0 }
 }
 
 // Virtual plays the day in virtual time, in this one process: the dispatchers' own code, the same stand-ins, the
@@ -99,14 +99,14 @@
 	if p.book, err = openRecord(p.Record, text); err != nil {
 		return nil, 0, 0, err
 	}
-	w := virtual.New(p.Seed)
-	w.Segment = segment
+	w := virtual.NewNetwork(p.Seed)
+	w.MaxSegment = segment
 	if v := p.Script.World; v != nil {
-		w.Latency, w.Segment = max(eventloop.Micros(v.LatencyUs), 1), int(v.Segment)
+		w.Latency, w.MaxSegment = max(eventloop.Micros(v.LatencyUs), 1), int(v.Segment)
 	}
 	p.world = w
 	p.book.Add(record.Event{At: int64(w.Now()), What: "world", N: int64(w.Latency)})
-	fleetAt, crowdAt := w.Loop("fleet"), w.Loop("crowd")
+	fleetAt, crowdAt := w.NewLoop("fleet"), w.NewLoop("crowd")
 	p.fleetAt, p.crowdAt = fleetAt, crowdAt
 	fleetAt.Do(func() { p.fleet, err = modelserver.Start(fleetAt, p.Deployment, p.Seed, "127.0.0.1:0", p.book) })
 	if err != nil {
@@ -115,7 +115,7 @@
 	var all []*lives
 	var targets []*load.Target
 	for i := range p.Dispatchers {
-		l := &lives{play: p, world: w, no: i + 1, folder: w.Folder(), target: &load.Target{Zone: p.Deployment.Zones[i%len(p.Deployment.Zones)],
+		l := &lives{play: p, world: w, no: i + 1, folder: w.NewDisk(), target: &load.Target{Zone: p.Deployment.Zones[i%len(p.Deployment.Zones)],
 			Addr: "127.0.0.1:0", Alive: true}}
 		if err := l.start(); err != nil {
 			return nil, 0, 0, err
@@ -126,11 +126,11 @@
 	}
 	w.Run(100 * eventloop.Millisecond)
 	p.all = all
-	w.Watch, w.Delay = p.Watch, p.Delay
+	w.AfterStep, w.ExtraLatency = p.Watch, p.Delay
 	p.begin(context.Background(), targets)
 	w.Run(eventloop.Micros(p.Script.Seconds) * eventloop.Second)
 	crowdAt.Do(p.stop)
-	w.Until(eventloop.Micros(endWithin.Microseconds()), func() bool { return p.open() == 0 })
+	w.RunUntil(eventloop.Micros(endWithin.Microseconds()), func() bool { return p.open() == 0 })
 	w.Run(eventloop.Second) // what was held is let go by then
 	p.Steps = w.Steps
 	for _, l := range all {
@@ -145,10 +145,10 @@
 	}
 	events, err := p.book.Close()
 	if err = errors.Join(err, p.failed); err != nil {
-		return nil, left, w.Trace, err
+		return nil, left, w.TraceHash, err
 	}
 	p.events = events
-	return audit.Judge(p.Deployment, events), left, w.Trace, nil
+	return audit.Judge(p.Deployment, events), left, w.TraceHash, nil
 }
 
 // Check asks each dispatcher that lives whether its own state is what it should be.
@@ -180,7 +180,7 @@
 	Name       string
 	Dispatcher func() *dispatch.Mutation
 	Loop       func(*virtual.Loop) eventloop.Loop
-	Folder     func(*virtual.Folder)
+	Folder     func(*virtual.Disk)
 	Play       func(*Run)
 }
 
@@ -241,24 +241,24 @@
 	// Writes fail, and leave a part of themselves.
 	"disk_fault": func(p *Run, t *pb.Day_Trouble, span eventloop.Micros) {
 		for _, l := range p.picked(t.Share) {
-			l.folder.Fault, l.folder.Torn = errors.New("input/output error"), true
-			p.fleetAt.After(span, func() { l.folder.Fault = nil })
+			l.folder.Failure, l.folder.PartialWrites = errors.New("input/output error"), true
+			p.fleetAt.AfterFunc(span, func() { l.folder.Failure = nil })
 		}
 	},
 	// The disk has room for a few bytes more.
 	"disk_full": func(p *Run, t *pb.Day_Trouble, span eventloop.Micros) {
 		for _, l := range p.picked(t.Share) {
-			l.folder.Room = l.folder.Used() + int(t.Factor) + 1
-			p.fleetAt.After(span, func() { l.folder.Room = 0 })
+			l.folder.Capacity = l.folder.Used() + int(t.Factor) + 1
+			p.fleetAt.AfterFunc(span, func() { l.folder.Capacity = 0 })
 		}
 	},
 	// Each write takes so many seconds; 0.15 if none are given.
 	"slow_disk": func(p *Run, t *pb.Day_Trouble, span eventloop.Micros) {
 		for _, l := range p.picked(t.Share) {
-			if l.folder.Sync = 150 * eventloop.Millisecond; t.Factor > 0 {
-				l.folder.Sync = eventloop.Micros(t.Factor * float64(eventloop.Second))
+			if l.folder.SyncTime = 150 * eventloop.Millisecond; t.Factor > 0 {
+				l.folder.SyncTime = eventloop.Micros(t.Factor * float64(eventloop.Second))
 			}
-			p.fleetAt.After(span, func() { l.folder.Sync = 2 * eventloop.Millisecond })
+			p.fleetAt.AfterFunc(span, func() { l.folder.SyncTime = 2 * eventloop.Millisecond })
 		}
 	},
 }
--- a/internal/vectors/cache.go
+++ b/internal/vectors/cache.go
@@ -14,19 +14,19 @@
 // Cache holds so many values of one size. The hand passes over them from the oldest on and drops the first that was not
 // asked for since it last came by; what is new begins without its bit, so that what is asked for once goes first.
 type Cache struct {
-	size  int // bytes of a value
-	most  int // values
-	keys  []Key
-	asked []bool
-	pages [][]byte
-	next  []int32 // of the order in which they came, toward the newer
-	prev  []int32
-	free  []int32
-	table []int32 // slot+1; 0 is none
-	old   int32   // -1: none
-	young int32
-	hand  int32
-	n     int
+	size     int // bytes of a value
+	capacity int // values
+	keys     []Key
+	asked    []bool
+	pages    [][]byte
+	next     []int32 // of the order in which they came, toward the newer
+	prev     []int32
+	free     []int32
+	table    []int32 // slot+1; 0 is none
+	old      int32   // -1: none
+	young    int32
+	hand     int32
+	n        int
 
 	Hits, Misses uint64
 }
@@ -34,7 +34,7 @@
 // New makes one for values of a size within so many bytes, all that it takes counted.
 func New(size, bytes int) *Cache {
 	c := &Cache{size: size, old: -1, young: -1, hand: -1}
-	c.most = max(bytes/(size+perValue), 1)
+	c.capacity = max(bytes/(size+perValue), 1)
 	return c
 }
 
@@ -47,8 +47,8 @@
 }
 
 // Len is how many values it holds, Most how many it may.
-func (c *Cache) Len() int  { return c.n }
-func (c *Cache) Most() int { return c.most }
+func (c *Cache) Len() int      { return c.n }
+func (c *Cache) Capacity() int { return c.capacity }
 
 func (c *Cache) home(k Key) int {
 	return int(binary.LittleEndian.Uint64(k[:]) & uint64(len(c.table)-1))
@@ -93,7 +93,7 @@
 		copy(c.value(s), value)
 		return
 	}
-	if c.n >= c.most {
+	if c.n >= c.capacity {
 		c.evict()
 	}
 	if 2*(c.n+1) > len(c.table) {
--- a/internal/vectors/cache_test.go
+++ b/internal/vectors/cache_test.go
@@ -38,8 +38,8 @@
 			} else if got, some := c.Get(k); some && string(got) != plain[k] {
 				t.Fatalf("%x: %q, want %q", k, got, plain[k])
 			}
-			if c.Len() > c.Most() {
-				t.Fatalf("%d values, %d at most", c.Len(), c.Most())
+			if c.Len() > c.Capacity() {
+				t.Fatalf("%d values, %d at most", c.Len(), c.Capacity())
 			}
 			n := 0
 			for s := c.old; s >= 0; s = c.next[s] {
--- a/internal/virtual/virtual.go
+++ b/internal/virtual/virtual.go
@@ -13,8 +13,8 @@
 	"plumspindle/scheduler/timerqueue"
 )
 
-// World holds the time, the network and the chance of one run.
-type World struct {
+// Network holds the time, the network and the chance of one run.
+type Network struct {
 	now       eventloop.Micros
 	times     timerqueue.Queue
 	rand      *rand.Rand
@@ -22,27 +22,27 @@
 	nextPort  int
 	// Latency is how long bytes and news travel one way. Segment, where it is above 0, is the most bytes that
 	// arrive in one piece; they are cut at places drawn by chance.
-	Latency eventloop.Micros
-	Segment int
-	// Window is how many bytes a receiver that does not read takes in before its sender has to wait.
-	Window int
-	Steps  int
-	// Heard is how long what has arrived waits until its process hears of it, as where that is busy.
-	Heard eventloop.Micros
-	// Watch, where it is set, is called after each step.
-	Watch func()
-	// Delay, where it is set, is how much longer one piece is on its way.
-	Delay   func() eventloop.Micros
-	blocked map[[2]*Loop]eventloop.Micros
-	steps   []stepAt
-	// Trace hashes what happens, so that two runs can be told apart.
-	Trace uint64
-}
-
-// New makes a world at a time of no meaning.
-func New(seed int64) *World {
-	return &World{now: 1_700_000_000 * eventloop.Second, rand: rand.New(rand.NewSource(seed)), listeners: map[string]*listener{},
-		blocked: map[[2]*Loop]eventloop.Micros{}, nextPort: 10000, Latency: 200, Window: 128 << 10, Trace: 14695981039346656037}
+	Latency    eventloop.Micros
+	MaxSegment int
+	// ReceiveWindow is how many bytes a receiver that does not read takes in before its sender has to wait.
+	ReceiveWindow int
+	Steps         int
+	// DeliveryDelay is how long what has arrived waits until its process hears of it, as where that is busy.
+	DeliveryDelay eventloop.Micros
+	// AfterStep, where it is set, is called after each step.
+	AfterStep func()
+	// ExtraLatency, where it is set, is how much longer one piece is on its way.
+	ExtraLatency func() eventloop.Micros
+	blocked      map[[2]*Loop]eventloop.Micros
+	steps        []stepAt
+	// TraceHash hashes what happens, so that two runs can be told apart.
+	TraceHash uint64
+}
+
+// NewNetwork makes a world at a time of no meaning.
+func NewNetwork(seed int64) *Network {
+	return &Network{now: 1_700_000_000 * eventloop.Second, rand: rand.New(rand.NewSource(seed)), listeners: map[string]*listener{},
+		blocked: map[[2]*Loop]eventloop.Micros{}, nextPort: 10000, Latency: 200, ReceiveWindow: 128 << 10, TraceHash: 14695981039346656037}
 }
 
 type stepAt struct {
@@ -51,10 +51,10 @@
 }
 
 // AtStep does something between two steps, so many from now.
-func (w *World) AtStep(n int, do func()) { w.steps = append(w.steps, stepAt{w.Steps + n, do}) }
+func (w *Network) AtStep(n int, do func()) { w.steps = append(w.steps, stepAt{w.Steps + n, do}) }
 
 // step is one thing that happens.
-func (w *World) step() {
+func (w *Network) step() {
 	w.Steps++
 	w.times.RunOne()
 	for i := 0; i < len(w.steps); i++ {
@@ -64,21 +64,21 @@
 			s.do()
 		}
 	}
-	if w.Watch != nil {
-		w.Watch()
+	if w.AfterStep != nil {
+		w.AfterStep()
 	}
 }
 
 // Block has nothing of one process reach another for a while; it arrives afterwards. The other way is open.
-func (w *World) Block(from, to *Loop, span eventloop.Micros) {
+func (w *Network) Block(from, to *Loop, span eventloop.Micros) {
 	w.blocked[[2]*Loop{from, to}] = w.now + span
 }
 
 // way is when what is sent now is there.
-func (w *World) way(from, to *Loop) eventloop.Micros {
+func (w *Network) way(from, to *Loop) eventloop.Micros {
 	at := w.now + w.Latency
-	if w.Delay != nil {
-		at += w.Delay()
+	if w.ExtraLatency != nil {
+		at += w.ExtraLatency()
 	}
 	if len(w.blocked) > 0 {
 		at = max(at, w.blocked[[2]*Loop{from, to}])
@@ -87,10 +87,10 @@
 }
 
 // Now is the world's time.
-func (w *World) Now() eventloop.Micros { return w.now }
+func (w *Network) Now() eventloop.Micros { return w.now }
 
 // Run lets time pass up to a moment.
-func (w *World) Run(span eventloop.Micros) {
+func (w *Network) Run(span eventloop.Micros) {
 	end := w.now + span
 	for {
 		at, some := w.times.Next()
@@ -103,8 +103,8 @@
 	}
 }
 
-// Until runs until something holds, for a span at most, and tells whether it came to hold.
-func (w *World) Until(span eventloop.Micros, holds func() bool) bool {
+// RunUntil runs until something holds, for a span at most, and tells whether it came to hold.
+func (w *Network) RunUntil(span eventloop.Micros, holds func() bool) bool {
 	for end := w.now + span; !holds(); {
 		at, some := w.times.Next()
 		if !some || at > end {
@@ -117,16 +117,16 @@
 	return true
 }
 
-func (w *World) mark(text string) {
+func (w *Network) mark(text string) {
 	for _, c := range []byte(text) {
-		w.Trace = (w.Trace ^ uint64(c)) * 1099511628211
+		w.TraceHash = (w.TraceHash ^ uint64(c)) * 1099511628211
 	}
-	w.Trace = (w.Trace ^ uint64(w.now)) * 1099511628211
+	w.TraceHash = (w.TraceHash ^ uint64(w.now)) * 1099511628211
 }
 
 // Loop is one process of the world.
 type Loop struct {
-	w      *World
+	w      *Network
 	name   string
 	dead   bool
 	frozen bool
@@ -137,12 +137,12 @@
 	active bool
 	own    []*listener
 	skew   eventloop.Micros
-	// Descriptors, where it is above 0, is how many connections it may have, the last two by DialSpare only.
-	Descriptors int
+	// DescriptorLimit, where it is above 0, is how many connections it may have, the last two by DialSpare only.
+	DescriptorLimit int
 }
 
-// Loop makes a process.
-func (w *World) Loop(name string) *Loop {
+// NewLoop makes a process.
+func (w *Network) NewLoop(name string) *Loop {
 	return &Loop{w: w, name: name, conns: map[*conn]bool{}}
 }
 
@@ -202,23 +202,23 @@
 // Post is Do, for what is written for either seam.
 func (l *Loop) Post(f func()) { l.call(f) }
 
-// Step sets the process's clock forward, or back; its timers run on.
-func (l *Loop) Step(by eventloop.Micros) { l.skew += by }
+// StepClock sets the process's clock forward, or back; its timers run on.
+func (l *Loop) StepClock(by eventloop.Micros) { l.skew += by }
 
 func (l *Loop) Now() eventloop.Micros { return l.w.now + l.skew }
 
 type timer struct {
-	w  *World
+	w  *Network
 	it *timerqueue.Item
 }
 
 func (t timer) Stop() { t.w.times.Drop(t.it) }
 
-func (l *Loop) After(span eventloop.Micros, f func()) eventloop.Timer {
+func (l *Loop) AfterFunc(span eventloop.Micros, f func()) eventloop.Timer {
 	return timer{l.w, l.w.times.Set(l.w.now+max(span, 0), func() { l.call(f) })}
 }
 
-func (l *Loop) Later(f func()) {
+func (l *Loop) Defer(f func()) {
 	if !l.active {
 		l.w.times.Set(l.w.now, func() { l.call(f) })
 		return
@@ -287,20 +287,20 @@
 	l.order = append(l.order, c)
 }
 
-// Open is how many connections the process has.
-func (l *Loop) Open() int { return len(l.conns) }
+// OpenConnections is how many connections the process has.
+func (l *Loop) OpenConnections() int { return len(l.conns) }
 
 // spares are descriptors that only DialSpare may use.
 const spares = 2
 
-func (l *Loop) full() bool { return l.Descriptors > 0 && len(l.conns) >= l.Descriptors-spares }
+func (l *Loop) full() bool { return l.DescriptorLimit > 0 && len(l.conns) >= l.DescriptorLimit-spares }
 
 func (l *Loop) Dial(addr string, within eventloop.Micros, h eventloop.Handler) eventloop.Conn {
 	return l.dial(addr, within, h, l.full())
 }
 
-func (l *Loop) DialSpare(addr string, within eventloop.Micros, h eventloop.Handler) eventloop.Conn {
-	return l.dial(addr, within, h, l.Descriptors > 0 && len(l.conns) >= l.Descriptors)
+func (l *Loop) DialReserved(addr string, within eventloop.Micros, h eventloop.Handler) eventloop.Conn {
+	return l.dial(addr, within, h, l.DescriptorLimit > 0 && len(l.conns) >= l.DescriptorLimit)
 }
 
 func (l *Loop) dial(addr string, within eventloop.Micros, h eventloop.Handler, full bool) eventloop.Conn {
@@ -353,13 +353,13 @@
 	return c
 }
 
-func (c *conn) Quiet() bool {
+func (c *conn) Idle() bool {
 	return c.open && !c.ended && !c.closing && c.fin == nil && len(c.in) == 0
 }
 
 func (c *conn) Unsent() int { return len(c.waiting) }
 
-func (c *conn) HungUp() bool { return c.ended || c.fin != nil }
+func (c *conn) PeerClosed() bool { return c.ended || c.fin != nil }
 
 func (c *conn) Undelivered() bool { return !c.ended && len(c.waiting)+c.flying > 0 }
 
@@ -373,7 +373,7 @@
 
 // push hands on what the other side has room for.
 func (c *conn) push() {
-	room := c.l.w.Window - len(c.peer.in) - c.flying
+	room := c.l.w.ReceiveWindow - len(c.peer.in) - c.flying
 	if len(c.waiting) == 0 {
 		return
 	}
@@ -389,14 +389,14 @@
 	w := c.l.w
 	for len(piece) > 0 {
 		m := len(piece)
-		if w.Segment > 0 {
-			m = min(m, 1+w.rand.Intn(w.Segment))
+		if w.MaxSegment > 0 {
+			m = min(m, 1+w.rand.Intn(w.MaxSegment))
 		}
 		part := piece[:m]
 		piece = piece[m:]
 		c.arrives = max(c.arrives, w.way(c.l, c.peer.l))
 		w.times.Set(c.arrives, func() { c.arrive(part) })
-		if w.Segment > 0 {
+		if w.MaxSegment > 0 {
 			c.arrives += eventloop.Micros(w.rand.Intn(40))
 		}
 	}
@@ -432,11 +432,11 @@
 
 // hear has the process take what has arrived.
 func (c *conn) hear() {
-	if c.l.w.Heard == 0 {
+	if c.l.w.DeliveryDelay == 0 {
 		c.l.call(c.handOver)
 		return
 	}
-	c.l.w.times.Set(c.l.w.now+c.l.w.Heard, func() { c.l.call(c.handOver) })
+	c.l.w.times.Set(c.l.w.now+c.l.w.DeliveryDelay, func() { c.l.call(c.handOver) })
 }
 
 func (c *conn) handOver() {
@@ -478,8 +478,8 @@
 	}
 }
 
-// CloseIfQuiet implements eventloop.Conn.
-func (c *conn) CloseIfQuiet() bool {
+// CloseIfIdle implements eventloop.Conn.
+func (c *conn) CloseIfIdle() bool {
 	if !c.closing && !c.ended && (c.fin != nil || len(c.in) > 0) {
 		return false
 	}
