--- a/internal/admin/admin.go
+++ b/internal/admin/admin.go
@@ -120,7 +120,7 @@
 		f.conn.Write(http1.AppendChunk(nil, []byte(": here\n\n")))
 	}
 	a.finishRemovals()
-	a.loop.After(heartbeat, a.beat)
+	a.loop.AfterFunc(heartbeat, a.beat)
 }
 
 func (a *Server) unfollow(c *conn) {
@@ -324,7 +324,7 @@
 			policy = tenancy.RemovalFinish
 		}
 		got := a.change(r, "removal: "+policy, func(g *tenancy.Registry) (answer, *tenancy.ChangeError) { return wrap(g.Remove(name, version, policy)) })
-		a.loop.Later(a.finishRemovals)
+		a.loop.Defer(a.finishRemovals)
 		return got
 	case "POST tenants * suspend", "POST tenants * resume":
 		return a.change(r, at(2), func(g *tenancy.Registry) (answer, *tenancy.ChangeError) {
