--- a/internal/platform/attempt.go
+++ b/internal/platform/attempt.go
@@ -8,9 +8,9 @@
 	"plumspindle/scheduler"
 )
 
-// closeSeen is for how long an attempt that is given up is still out: until its host sees its connection closed, which takes a way
+// cancelDelivery is for how long an attempt that is given up is still out: until its host sees its connection closed, which takes a way
 // through the network, between zones at the most. Nothing else is done for its request for so long.
-const closeSeen = 20 * eventloop.Millisecond
+const cancelDelivery = 20 * eventloop.Millisecond
 
 // Send implements scheduler.Orders: it makes an attempt.
 func (d *Dispatcher) Send(id scheduler.RequestID, host scheduler.EndpointID, allow scheduler.Micros) {
@@ -21,8 +21,8 @@
 	no := r.attempts
 	r.attempts++
 	d.Attempts++
-	r.host, r.sentAt, r.prefill, r.started = host, d.loop.Now(), d.role(host) == scheduler.Prefill, false
-	if r.held && !r.releasing && (r.prefill || r.doubtful) { // it does not take what is held, and what it leaves must not go with that
+	r.endpoint, r.sentAt, r.prefill, r.started = host, d.loop.Now(), d.role(host) == scheduler.Prefill, false
+	if r.leased && !r.releasing && (r.prefill || r.unconfirmed) { // it does not take what is held, and what it leaves must not go with that
 		d.release(r)
 	}
 	send := func() { d.startAttempt(r, no, allow) }
@@ -36,14 +36,14 @@
 // startAttempt hands the attempt to the network. The times that it may take, and may take to leave, count from when it was ordered: whether
 // it may still be sent, as a repeat in its window, was looked at then.
 func (d *Dispatcher) startAttempt(r *request, no scheduler.AttemptNo, allow eventloop.Micros) {
-	if r.response.ClientGone() { // its news may be late, as after the process was held up
+	if r.response.Disconnected() { // its news may be late, as after the process was held up
 		d.loop.Later(func() {
-			d.clientGone(r)
+			d.clientDisconnected(r)
 			d.attemptEnded(r, no, engine.Result{Outcome: scheduler.NotSent, MemoryUsage: scheduler.NoLoadReport, Reason: "its client has left"})
 		})
 		return
 	}
-	host := d.guardHost(r)
+	host := d.guardEndpoint(r)
 	if v := r.ledger.Send(d.loop.Now(), host); v != nil { // never within the module's own call
 		d.loop.Later(func() {
 			d.attemptEnded(r, no, engine.Result{Outcome: scheduler.NotSent, MemoryUsage: scheduler.NoLoadReport, Reason: "the guard: " + v.Error()})
@@ -56,12 +56,12 @@
 	}
 	waited := d.loop.Now() - r.sentAt
 	out := upstream.Request{ID: r.client.ID, Target: r.client.Target, Fields: r.client.Fields, Body: r.client.Body,
-		LeaveWithin: max(d.settings.Connect-waited, 1), OnLeave: func(told eventloop.Micros) { d.attemptLeaves(r, no, told) }}
+		LeaveWithin: max(d.settings.Connect-waited, 1), OnLeave: func(told eventloop.Micros) { d.attemptWritten(r, no, told) }}
 	allow = max(allow-waited, 0)
 	if r.prefill {
-		r.attempt = d.upstream.Prefill(r.host, out, allow, hear)
+		r.attempt = d.upstream.Prefill(r.endpoint, out, allow, hear)
 	} else {
-		r.attempt = d.upstream.Decode(r.host, out, allow, hear)
+		r.attempt = d.upstream.Decode(r.endpoint, out, allow, hear)
 	}
 }
 
@@ -69,7 +69,7 @@
 // which was looked at when it was ordered.
 func (d *Dispatcher) afterRelease(r *request, no scheduler.AttemptNo, send func()) {
 	why := "the host is going"
-	if d.wanted(r.host) {
+	if d.isReady(r.endpoint) {
 		if d.loop.Now()-r.sentAt <= d.settings.Connect {
 			send()
 			return
@@ -96,16 +96,16 @@
 }
 
 func (d *Dispatcher) streamStarted(r *request, no scheduler.AttemptNo) {
-	r.started, r.held = true, false
+	r.started, r.leased = true, false
 	r.lease.Over()
-	r.ledger.Used()
+	r.ledger.LeaseTaken()
 	r.attempt.Started()
 	now := d.loop.Now()
 	if e := d.config.Log.Debug(); e.Enabled() {
-		e.Str("id", r.client.ID).Int("attempt", int(no)).Str("host", d.hosts[r.host].Name).Int64("took", int64(now-r.sentAt)).
+		e.Str("id", r.client.ID).Int("attempt", int(no)).Str("host", d.endpoints[r.endpoint].Name).Int64("took", int64(now-r.sentAt)).
 			Int64("after", int64(now-r.client.ReceivedAt)).Msg("first event")
 	}
-	d.module.AttemptStarted(now, r.id, no)
+	d.scheduler.AttemptStarted(now, r.id, no)
 }
 
 // attemptEnded takes the end of an attempt.
@@ -113,21 +113,21 @@
 	if no != r.attempts-1 {
 		return
 	}
-	if o.ClosedLocally && !r.started && !r.closing && o.Outcome != scheduler.Unreachable {
-		r.closing = true
-		d.loop.After(closeSeen, func() { d.attemptEnded(r, no, o) })
+	if o.ClosedLocally && !r.started && !r.cancelling && o.Outcome != scheduler.Unreachable {
+		r.cancelling = true
+		d.loop.After(cancelDelivery, func() { d.attemptEnded(r, no, o) })
 		return
 	}
-	r.attempt, r.closing = nil, false
-	r.ledger.Ended(!o.Outcome.KnownNotRun())
+	r.attempt, r.cancelling = nil, false
+	r.ledger.AttemptEnded(!o.Outcome.KnownNotRun())
 	d.Outcomes[o.Outcome]++
 	d.logOutcome(r, no, o)
-	d.noteHeld(r, o)
+	d.updateLease(r, o)
 	if r.started && !r.answered {
 		d.endStream(r, o.Outcome)
 	}
-	d.module.AttemptEnded(d.loop.Now(), r.id, no, o.ForScheduler(r.answered))
-	d.settle(r)
+	d.scheduler.AttemptEnded(d.loop.Now(), r.id, no, o.ForScheduler(r.answered))
+	d.finishIfIdle(r)
 }
 
 func (d *Dispatcher) logOutcome(r *request, no scheduler.AttemptNo, o engine.Result) {
@@ -135,30 +135,30 @@
 	if !e.Enabled() {
 		return
 	}
-	e.Str("id", r.client.ID).Int("attempt", int(no)).Str("host", d.hosts[r.host].Name).Bool("prefill", r.prefill).Bool("started", r.started).
+	e.Str("id", r.client.ID).Int("attempt", int(no)).Str("host", d.endpoints[r.endpoint].Name).Bool("prefill", r.prefill).Bool("started", r.started).
 		Int("outcome", int(o.Outcome)).Int("cached_tokens", o.CachedTokens).Bool("state_missing", o.StateMissing).Bool("undelivered", o.Undelivered).Float64("prompt", r.client.PromptTokens).Int64("took", int64(d.loop.Now()-r.sentAt)).
 		Int64("waited", int64(r.sentAt-r.client.ReceivedAt)).Str("class", r.client.Class).Str("prefix", r.client.Prefix).
 		Str("why", o.Reason).Msg("attempt ended")
 }
 
-// noteHeld notes what a host may hold for the request after an attempt.
-func (d *Dispatcher) noteHeld(r *request, o engine.Result) {
+// updateLease notes what a host may hold for the request after an attempt.
+func (d *Dispatcher) updateLease(r *request, o engine.Result) {
 	switch o.Outcome {
 	case scheduler.Unreachable, scheduler.NotSent: // and what is held has waited on
 	case scheduler.NoCapacity:
-		if r.held { // the attempt that was to take it was out until now
-			d.hold(r)
+		if r.leased { // the attempt that was to take it was out until now
+			d.startLease(r)
 		}
 	default:
 		// Also a prefill attempt that broke or was given up may have ended well; a decode attempt that did may have left what it was to take.
 		switch {
 		case r.prefill:
-			r.holder, r.doubtful = r.host, o.Outcome != scheduler.PrefillDone
-			d.hold(r)
-		case r.held && o.Undelivered: // it was not out, and what is held has waited on
-			d.awaitLeaseEnd(r)
-		case r.held:
-			d.hold(r)
+			r.leaseEndpoint, r.unconfirmed = r.endpoint, o.Outcome != scheduler.PrefillDone
+			d.startLease(r)
+		case r.leased && o.Undelivered: // it was not out, and what is held has waited on
+			d.scheduleLeaseExpiry(r)
+		case r.leased:
+			d.startLease(r)
 		}
 	}
 }
@@ -181,18 +181,18 @@
 // is known not to have run.
 func (d *Dispatcher) Cancel(id scheduler.RequestID, no scheduler.AttemptNo) {
 	r := d.requests[id]
-	if r == nil || no != r.attempts-1 || r.started || r.closing || r.attempt == nil && r.deferred == nil {
+	if r == nil || no != r.attempts-1 || r.started || r.cancelling || r.attempt == nil && r.deferred == nil {
 		return
 	}
 	o := engine.Result{Outcome: scheduler.Cancelled, ClosedLocally: true, MemoryUsage: scheduler.NoLoadReport, Reason: "given up"}
 	if r.attempt == nil || r.attempt.Unsent() {
 		o = engine.Result{Outcome: scheduler.NotSent, MemoryUsage: scheduler.NoLoadReport, Reason: "given up before it left"}
 	}
-	d.takeBack(r, o)
+	d.cancelAttempt(r, o)
 }
 
-// takeBack ends the attempt that is out, or that waits to be; that is told after the call that is under way.
-func (d *Dispatcher) takeBack(r *request, o engine.Result) {
+// cancelAttempt ends the attempt that is out, or that waits to be; that is told after the call that is under way.
+func (d *Dispatcher) cancelAttempt(r *request, o engine.Result) {
 	attempt, no := r.attempt, r.attempts-1
 	if attempt != nil {
 		attempt.Cancel()
--- a/internal/platform/dispatcher.go
+++ b/internal/platform/dispatcher.go
@@ -34,41 +34,41 @@
 	// A stream that has begun and brings nothing for so long is broken: a client may not be left waiting for 5 s.
 	streamSilence = 4200 * eventloop.Millisecond
 	// The agent on this machine tells what it has at once; without a word of it for so long, what was known before will do.
-	agentTimeout = eventloop.Second
+	discoveryTimeout = eventloop.Second
 	// A dispatcher that knows no host to serve with says that it is ready all the same after so long: it rejects requests with a time to
 	// come back, where a process that is never ready counts as one that did not start.
-	readyAnyway  = 5 * eventloop.Second
-	informedPoll = 10 * eventloop.Millisecond
-	unknownKind  = 255
+	readyWithoutEndpoints = 5 * eventloop.Second
+	discoveryPoll         = 10 * eventloop.Millisecond
+	unknownKind           = 255
 )
 
 // Counts are what the dispatcher has done since its start.
 type Counts struct {
-	Accepted, Completed, Broken, Rejected, Failed, ClientsGone, Attempts uint64
-	Outcomes                                                             [9]uint64 // by scheduler.Ending
-	Reasons                                                              [8]uint64 // of rejections and failures, by scheduler.Reason
+	Accepted, Completed, Broken, Rejected, Failed, ClientDisconnects, Attempts uint64
+	Outcomes                                                                   [9]uint64 // by scheduler.Ending
+	Reasons                                                                    [8]uint64 // of rejections and failures, by scheduler.Reason
 }
 
 // Dispatcher serves the clients of one process.
 type Dispatcher struct {
-	loop         eventloop.Loop
-	config       Config
-	settings     *settings.Settings
-	module       *scheduler.Scheduler
-	upstream     *upstream.Client
-	server       *server.Server
-	discovery    *discovery.Watch
-	guard        *guard.Guard
-	requests     map[scheduler.RequestID]*request
-	lastRequest  scheduler.RequestID
-	openIDs      map[string]bool
-	recentIDs    [2]map[string]bool // of requests that were answered a while ago
-	hosts        map[scheduler.EndpointID]discovery.Entry
-	ready        []scheduler.EndpointID // that want new requests, in order
-	startedAt    eventloop.Micros
-	wasInformed  bool // discovery has spoken since, or had its chance to
-	shuttingDown bool
-	lastActive   eventloop.Micros // while it is shutting down
+	loop              eventloop.Loop
+	config            Config
+	settings          *settings.Settings
+	scheduler         *scheduler.Scheduler
+	upstream          *upstream.Client
+	server            *server.Server
+	discovery         *discovery.Watch
+	guard             *guard.Guard
+	requests          map[scheduler.RequestID]*request
+	lastRequest       scheduler.RequestID
+	activeIDs         map[string]bool
+	recentIDs         [2]map[string]bool // of requests that were answered a while ago
+	endpoints         map[scheduler.EndpointID]discovery.Entry
+	ready             []scheduler.EndpointID // that want new requests, in order
+	startedAt         eventloop.Micros
+	discoveryWasReady bool // discovery has spoken since, or had its chance to
+	shuttingDown      bool
+	lastActiveAt      eventloop.Micros // while it is shutting down
 	// OnViolation, where it is set, is told what the guard reports.
 	OnViolation func(guard.Violation)
 	Counts
@@ -77,19 +77,19 @@
 // Start makes a dispatcher on a loop; Server's Accept takes its clients.
 func Start(loop eventloop.Loop, config Config) *Dispatcher {
 	t := config.Settings
-	d := &Dispatcher{loop: loop, config: config, settings: t, requests: map[scheduler.RequestID]*request{}, openIDs: map[string]bool{},
-		recentIDs: [2]map[string]bool{{}, {}}, hosts: map[scheduler.EndpointID]discovery.Entry{}, startedAt: loop.Now()}
+	d := &Dispatcher{loop: loop, config: config, settings: t, requests: map[scheduler.RequestID]*request{}, activeIDs: map[string]bool{},
+		recentIDs: [2]map[string]bool{{}, {}}, endpoints: map[scheduler.EndpointID]discovery.Entry{}, startedAt: loop.Now()}
 	place := t.Place
 	place.IdleTimeout /= 2 // connections are closed well before hosts do: what is written to one that is closed counts as lost
 	warn := func(line string) { config.Log.Warn().Msg(line) }
 	d.guard = d.newGuard(t.ReleaseWithin)
 	e := engine.New(loop, config.Name, "", upstreamLimits(t, config.Sockets, place.IdleTimeout))
-	d.upstream = upstream.New(loop, e, t.ReleaseWithin, d.listedHosts)
+	d.upstream = upstream.New(loop, e, t.ReleaseWithin, d.releaseTargets)
 	d.upstream.Log = warn
 	d.server = server.New(loop, clientLimits(config.Sockets, config.Memory), d)
-	d.server.OnUnansweredClose = d.unansweredClose
-	d.discovery = discovery.New(loop, config.Seed, config.Discovery, d.updateHosts, warn)
-	d.module = scheduler.New(loop.Now(), config.Seed, place, d)
+	d.server.OnUnansweredClose = d.reportUnansweredClose
+	d.discovery = discovery.New(loop, config.Seed, config.Discovery, d.updateEndpoints, warn)
+	d.scheduler = scheduler.New(loop.Now(), config.Seed, place, d)
 	if len(config.Known) > 0 {
 		if err := d.discovery.TakeKnown(config.Known); err != nil {
 			config.Log.Warn().Err(err).Msg("the known list is not used")
@@ -110,8 +110,8 @@
 func clientLimits(sockets, memory int) server.Limits {
 	limits := server.DefaultLimits
 	limits.Connections = max(sockets/2, 8)
-	limits.Buffered = max(memory/8, 2*limits.Body)
-	limits.Unsent = min(max(memory/4/limits.Connections, 8<<10), 64<<10)
+	limits.BufferedBytes = max(memory/8, 2*limits.BodyBytes)
+	limits.UnsentBytes = min(max(memory/4/limits.Connections, 8<<10), 64<<10)
 	return limits
 }
 
@@ -121,28 +121,28 @@
 // MoveDiscovery has discovery asked at another address.
 func (d *Dispatcher) MoveDiscovery(address string) { d.discovery.Move(address) }
 
-// informed tells whether discovery speaks, or has had its chance to. What discovery has counts as told from the first moment, and what
+// discoveryReady tells whether discovery speaks, or has had its chance to. What discovery has counts as told from the first moment, and what
 // was known before may name hosts that are gone.
-func (d *Dispatcher) informed() bool {
-	d.wasInformed = d.wasInformed || d.discovery.Up() || d.loop.Now()-d.startedAt >= agentTimeout
-	return d.wasInformed
+func (d *Dispatcher) discoveryReady() bool {
+	d.discoveryWasReady = d.discoveryWasReady || d.discovery.Up() || d.loop.Now()-d.startedAt >= discoveryTimeout
+	return d.discoveryWasReady
 }
 
-// WhenInformed calls do once discovery speaks, or has had its chance to: until then no request should be taken.
-func (d *Dispatcher) WhenInformed(do func()) {
-	if d.informed() {
+// WhenDiscoveryReady calls do once discovery speaks, or has had its chance to: until then no request should be taken.
+func (d *Dispatcher) WhenDiscoveryReady(do func()) {
+	if d.discoveryReady() {
 		do()
 		return
 	}
-	d.loop.After(informedPoll, func() { d.WhenInformed(do) })
+	d.loop.After(discoveryPoll, func() { d.WhenDiscoveryReady(do) })
 }
 
 // Ready implements server.Handler: it tells whether there is a host for prefill and one to decode.
 func (d *Dispatcher) Ready() bool {
-	if !d.informed() {
+	if !d.discoveryReady() {
 		return false
 	}
-	return d.canServe() || d.loop.Now()-d.startedAt >= readyAnyway
+	return d.canServe() || d.loop.Now()-d.startedAt >= readyWithoutEndpoints
 }
 
 func (d *Dispatcher) canServe() bool {
@@ -162,14 +162,14 @@
 
 // Summary describes the dispatcher in a few numbers, for logs.
 func (d *Dispatcher) Summary() string {
-	open := d.module.InFlight()
+	open := d.scheduler.InFlight()
 	return fmt.Sprintf("requests %d, attempts %d, held %d; connections: clients %d, hosts %d; unsent %d at most, buffered %d; "+
 		"accepted %d, completed %d, broken %d, rejected %d, failed %d, clients gone %d, attempts %d, outcomes %v; "+
 		"releases %d in %d tries, late %d; bad requests %d, evicted %d, timed out %d; hosts ready %d, list heard %d; "+
 		"closed %v; answered for %v; violations %d, refused sends %d",
 		open.Requests, open.Attempts, open.Held, d.server.Connections(), d.upstream.Connections(), d.server.Unsent(), d.server.Buffered(),
-		d.Accepted, d.Completed, d.Broken, d.Rejected, d.Failed, d.ClientsGone, d.Attempts, d.Outcomes,
+		d.Accepted, d.Completed, d.Broken, d.Rejected, d.Failed, d.ClientDisconnects, d.Attempts, d.Outcomes,
 		d.upstream.Releases, d.upstream.Tries, d.upstream.Late,
 		d.server.Rejected, d.server.Evicted, d.server.TimedOut, len(d.ready), d.discovery.Heard,
-		d.server.Closed, d.Reasons, d.guard.Violations(), d.module.Violations())
+		d.server.Closed, d.Reasons, d.guard.Violations(), d.scheduler.Violations())
 }
--- a/internal/platform/executor.go
+++ b/internal/platform/executor.go
@@ -30,15 +30,15 @@
 // Explain implements scheduler.Explainer.
 func (d *Dispatcher) Explain(id scheduler.RequestID, why scheduler.Reason) {
 	if r := d.requests[id]; r != nil {
-		r.why = why
+		r.reason = why
 	}
 }
 
 func (d *Dispatcher) afterAnswer(r *request, how string) {
-	d.Reasons[r.why]++
-	d.logState(r, how).Str("class", r.client.Class).Stringer("why", r.why).Int("attempts", int(r.attempts)).Msg("request")
-	d.dropUnsent(r)
-	d.loop.Later(func() { d.settle(r) })
+	d.Reasons[r.reason]++
+	d.logState(r, how).Str("class", r.client.Class).Stringer("why", r.reason).Int("attempts", int(r.attempts)).Msg("request")
+	d.cancelUnsent(r)
+	d.loop.Later(func() { d.finishIfIdle(r) })
 }
 
 // WatchEndpoints implements scheduler.Orders; the list comes by itself here.
@@ -46,7 +46,7 @@
 
 // SetTimer implements scheduler.Orders: it sets one of the module's two timers.
 func (d *Dispatcher) SetTimer(after scheduler.Micros, bell scheduler.TimerID) {
-	d.loop.After(after, func() { d.module.TimerFired(d.loop.Now(), bell) })
+	d.loop.After(after, func() { d.scheduler.TimerFired(d.loop.Now(), bell) })
 }
 
 // Log implements scheduler.Orders.
--- a/internal/platform/guard/guard.go
+++ b/internal/platform/guard/guard.go
@@ -14,27 +14,27 @@
 type Rule uint8
 
 const (
-	OneAnswer       Rule = iota // a request gets exactly one final answer, in time
-	RepeatedEffect              // no effect twice, and no promise that a repeat is harmless where it may not be
-	TwoAttempts                 // never two attempts of a request out
-	UnwantedSend                // nothing new to a host that drains or is gone
-	ClientGone                  // no attempt begins after its client has closed
-	TimeTold                    // a host is not told more time than the client has left
-	HeldState                   // what a host holds is used or released in time
-	UnansweredClose             // no connection is closed over a request that was read
-	EarlyStart                  // no request is taken before discovery was heard, or passed on after the shutdown
-	rules
+	OneAnswer          Rule = iota // a request gets exactly one final answer, in time
+	RepeatedEffect                 // no effect twice, and no promise that a repeat is harmless where it may not be
+	ConcurrentAttempts             // never two attempts of a request out
+	EndpointNotReady               // nothing new to a host that drains or is gone
+	ClientDisconnected             // no attempt begins after its client has closed
+	DeadlineOverstated             // a host is not told more time than the client has left
+	StateLease                     // what a host holds is used or released in time
+	UnansweredClose                // no connection is closed over a request that was read
+	NotServing                     // no request is taken before discovery was heard, or passed on after the shutdown
+	ruleCount
 )
 
-var names = [rules]string{"one answer", "repeated effect", "two attempts", "unwanted send", "client gone", "time told", "held state", "unanswered close", "early start"}
+var ruleNames = [ruleCount]string{"one answer", "repeated effect", "two attempts", "unwanted send", "client gone", "time told", "held state", "unanswered close", "early start"}
 
-func (r Rule) String() string { return names[r] }
+func (r Rule) String() string { return ruleNames[r] }
 
 // Violation is one thing that broke a rule, or would have.
 type Violation struct {
 	Rule      Rule
-	Request   string // the client's id for it
-	Host      string
+	RequestID string // the client's id for it
+	Endpoint  string
 	Detail    string
 	Prevented bool
 }
@@ -43,17 +43,17 @@
 
 // Limits are the terms that the rules are checked by.
 type Limits struct {
-	AnswerSlack eventloop.Micros // for a final answer after its deadline
-	GoneSlack   eventloop.Micros // for an attempt after its client's close
-	ToldSlack   eventloop.Micros // for the time that a host is told
-	HeldFor     eventloop.Micros // what is held is used or released by then
+	AnswerSlack     eventloop.Micros // for a final answer after its deadline
+	DisconnectSlack eventloop.Micros // for an attempt after its client's close
+	DeadlineSlack   eventloop.Micros // for the time that a host is told
+	StateLease      eventloop.Micros // what is held is used or released by then
 }
 
 // Guard counts what breaks rules.
 type Guard struct {
 	limits Limits
 	report func(Violation)
-	counts [rules]uint64
+	counts [ruleCount]uint64
 }
 
 // New makes a guard that reports each violation.
--- a/internal/platform/guard/request.go
+++ b/internal/platform/guard/request.go
@@ -6,102 +6,102 @@
 	"plumspindle/internal/eventloop"
 )
 
-// Repeats is what a request's class lets be done again.
-type Repeats uint8
+// RetryPolicy is what a request's class lets be done again.
+type RetryPolicy uint8
 
 const (
-	Always       Repeats = iota // the class is idempotent
-	WithinWindow                // its hosts drop repeats in their group for a while
-	Never
+	RetryAlways       RetryPolicy = iota // the class is idempotent
+	RetryWithinWindow                    // its hosts drop repeats in their group for a while
+	RetryNever
 )
 
-// Host is a model host as an attempt meets it.
-type Host struct {
-	Name    string
-	Group   string // hosts of one group drop each other's repeats; "" where a class has no groups
-	Wanted  bool   // it is listed, and wants new requests
-	Effects bool   // an attempt there has the effects of the request; one that only reads the prompt has none
+// Endpoint is a model host as an attempt meets it.
+type Endpoint struct {
+	Name       string
+	Group      string // hosts of one group drop each other's repeats; "" where a class has no groups
+	Ready      bool   // it is listed, and wants new requests
+	HasEffects bool   // an attempt there has the effects of the request; one that only reads the prompt has none
 }
 
 // Terms are what a request is bound by.
 type Terms struct {
-	ID       string
-	Repeats  Repeats
-	Window   eventloop.Micros
-	Deadline eventloop.Micros
+	RequestID   string
+	Retry       RetryPolicy
+	RetryWindow eventloop.Micros
+	Deadline    eventloop.Micros
 }
 
 // Request is the ledger of one request.
 type Request struct {
-	guard    *Guard
-	terms    Terms
-	out      *Host // of the attempt that is out
-	outSince eventloop.Micros
-	ran      *Host // of the first attempt that may have had effects
-	ranSince eventloop.Micros
-	answered bool
-	goneAt   eventloop.Micros // when its client closed; 0: it has not
-	heldAt   eventloop.Micros // since when something may be held, or waits on; 0: nothing is
+	guard          *Guard
+	terms          Terms
+	inFlight       *Endpoint // of the attempt that is out
+	sentAt         eventloop.Micros
+	mayHaveRun     *Endpoint // of the first attempt that may have had effects
+	mayHaveRunAt   eventloop.Micros
+	answered       bool
+	disconnectedAt eventloop.Micros // when its client closed; 0: it has not
+	leasedAt       eventloop.Micros // since when something may be held, or waits on; 0: nothing is
 }
 
 // Begin opens a request's ledger.
 func (g *Guard) Begin(terms Terms) *Request { return &Request{guard: g, terms: terms} }
 
-func (r *Request) violated(rule Rule, host *Host, prevented bool, format string, args ...any) *Violation {
-	v := Violation{Rule: rule, Request: r.terms.ID, Detail: fmt.Sprintf(format, args...), Prevented: prevented}
+func (r *Request) violated(rule Rule, host *Endpoint, prevented bool, format string, args ...any) *Violation {
+	v := Violation{Rule: rule, RequestID: r.terms.RequestID, Detail: fmt.Sprintf(format, args...), Prevented: prevented}
 	if host != nil {
-		v.Host = host.Name
+		v.Endpoint = host.Name
 	}
 	r.guard.Violated(v)
 	return &v
 }
 
 // Send is asked before an attempt is handed to the network; one that it objects to must not be made.
-func (r *Request) Send(now eventloop.Micros, host Host) *Violation {
-	if r.out != nil {
-		return r.violated(TwoAttempts, &host, true, "the attempt to %s is out since %d us", r.out.Name, now-r.outSince)
+func (r *Request) Send(now eventloop.Micros, host Endpoint) *Violation {
+	if r.inFlight != nil {
+		return r.violated(ConcurrentAttempts, &host, true, "the attempt to %s is out since %d us", r.inFlight.Name, now-r.sentAt)
 	}
-	if v := r.mayLeave(now, host, true); v != nil {
+	if v := r.checkSend(now, host, true); v != nil {
 		return v
 	}
-	r.out, r.outSince = &host, now
+	r.inFlight, r.sentAt = &host, now
 	return nil
 }
 
-// Leaves checks an attempt again in the moment in which it is written, and what it tells its host of the time.
-func (r *Request) Leaves(now eventloop.Micros, host Host, told eventloop.Micros) {
-	r.mayLeave(now, host, false)
-	if left := r.terms.Deadline - now; told > max(left, 0)+r.guard.limits.ToldSlack {
-		r.violated(TimeTold, &host, false, "told %d us, %d us are left", told, left)
+// Written checks an attempt again in the moment in which it is written, and what it tells its host of the time.
+func (r *Request) Written(now eventloop.Micros, host Endpoint, told eventloop.Micros) {
+	r.checkSend(now, host, false)
+	if left := r.terms.Deadline - now; told > max(left, 0)+r.guard.limits.DeadlineSlack {
+		r.violated(DeadlineOverstated, &host, false, "told %d us, %d us are left", told, left)
 	}
 }
 
-func (r *Request) mayLeave(now eventloop.Micros, host Host, prevents bool) *Violation {
+func (r *Request) checkSend(now eventloop.Micros, host Endpoint, prevents bool) *Violation {
 	switch {
 	case r.answered:
 		return r.violated(OneAnswer, &host, prevents, "an attempt after the final answer")
-	case r.goneAt > 0 && now-r.goneAt > r.guard.limits.GoneSlack:
-		return r.violated(ClientGone, &host, prevents, "an attempt %d us after its client closed", now-r.goneAt)
-	case !host.Wanted:
-		return r.violated(UnwantedSend, &host, prevents, "the host drains or is gone")
-	case r.ran == nil || !host.Effects || r.terms.Repeats == Always:
+	case r.disconnectedAt > 0 && now-r.disconnectedAt > r.guard.limits.DisconnectSlack:
+		return r.violated(ClientDisconnected, &host, prevents, "an attempt %d us after its client closed", now-r.disconnectedAt)
+	case !host.Ready:
+		return r.violated(EndpointNotReady, &host, prevents, "the host drains or is gone")
+	case r.mayHaveRun == nil || !host.HasEffects || r.terms.Retry == RetryAlways:
 		return nil
-	case r.terms.Repeats == Never:
-		return r.violated(RepeatedEffect, &host, prevents, "the attempt to %s may have run", r.ran.Name)
-	case now-r.ranSince > r.terms.Window:
-		return r.violated(RepeatedEffect, &host, prevents, "%d us after the attempt to %s, the window is %d us", now-r.ranSince, r.ran.Name, r.terms.Window)
-	case r.ran.Group != host.Group:
-		return r.violated(RepeatedEffect, &host, prevents, "the attempt to %s may have run in group %q, this is %q", r.ran.Name, r.ran.Group, host.Group)
+	case r.terms.Retry == RetryNever:
+		return r.violated(RepeatedEffect, &host, prevents, "the attempt to %s may have run", r.mayHaveRun.Name)
+	case now-r.mayHaveRunAt > r.terms.RetryWindow:
+		return r.violated(RepeatedEffect, &host, prevents, "%d us after the attempt to %s, the window is %d us", now-r.mayHaveRunAt, r.mayHaveRun.Name, r.terms.RetryWindow)
+	case r.mayHaveRun.Group != host.Group:
+		return r.violated(RepeatedEffect, &host, prevents, "the attempt to %s may have run in group %q, this is %q", r.mayHaveRun.Name, r.mayHaveRun.Group, host.Group)
 	}
 	return nil
 }
 
-// Ended notes that the attempt that was out is over, and whether it may have run.
-func (r *Request) Ended(mayHaveRun bool) {
-	if r.out != nil && r.out.Effects && mayHaveRun && r.ran == nil {
-		r.ran, r.ranSince = r.out, r.outSince
+// AttemptEnded notes that the attempt that was out is over, and whether it may have run.
+func (r *Request) AttemptEnded(mayHaveRun bool) {
+	if r.inFlight != nil && r.inFlight.HasEffects && mayHaveRun && r.mayHaveRun == nil {
+		r.mayHaveRun, r.mayHaveRunAt = r.inFlight, r.sentAt
 	}
-	r.out = nil
+	r.inFlight = nil
 }
 
 // Answer is a final answer.
@@ -121,41 +121,41 @@
 		r.violated(OneAnswer, nil, false, "a second final answer")
 	case answer != Completed && answer != Broken && now > r.terms.Deadline+r.guard.limits.AnswerSlack:
 		r.violated(OneAnswer, nil, false, "answered %d us after its deadline", now-r.terms.Deadline)
-	case answer == Rejected && r.terms.Repeats != Always && r.ran != nil:
-		r.violated(RepeatedEffect, r.ran, false, "rejected as safe to repeat, and the attempt to %s may have run", r.ran.Name)
-	case answer == Rejected && r.terms.Repeats != Always && r.out != nil:
-		r.violated(RepeatedEffect, r.out, false, "rejected as safe to repeat, and the attempt to %s is out", r.out.Name)
+	case answer == Rejected && r.terms.Retry != RetryAlways && r.mayHaveRun != nil:
+		r.violated(RepeatedEffect, r.mayHaveRun, false, "rejected as safe to repeat, and the attempt to %s may have run", r.mayHaveRun.Name)
+	case answer == Rejected && r.terms.Retry != RetryAlways && r.inFlight != nil:
+		r.violated(RepeatedEffect, r.inFlight, false, "rejected as safe to repeat, and the attempt to %s is out", r.inFlight.Name)
 	}
 	r.answered = true
 }
 
-// ClientClosed notes that nobody waits for the answer any more.
-func (r *Request) ClientClosed(now eventloop.Micros) {
-	if r.goneAt == 0 {
-		r.goneAt = now
+// ClientDisconnected notes that nobody waits for the answer any more.
+func (r *Request) ClientDisconnected(now eventloop.Micros) {
+	if r.disconnectedAt == 0 {
+		r.disconnectedAt = now
 	}
 }
 
-// Held notes that a host may hold something for the request, from now on.
-func (r *Request) Held(now eventloop.Micros) { r.heldAt = now }
+// LeaseStarted notes that a host may hold something for the request, from now on.
+func (r *Request) LeaseStarted(now eventloop.Micros) { r.leasedAt = now }
 
-// Used notes that what was held has been taken.
-func (r *Request) Used() { r.heldAt = 0 }
+// LeaseTaken notes that what was held has been taken.
+func (r *Request) LeaseTaken() { r.leasedAt = 0 }
 
-// Released checks that what was held was let go of in time, or taken.
-func (r *Request) Released(now eventloop.Micros) {
-	if held := now - r.heldAt; r.heldAt > 0 && held > r.guard.limits.HeldFor {
-		r.violated(HeldState, nil, false, "released after %d us", held)
+// LeaseReleased checks that what was held was let go of in time, or taken.
+func (r *Request) LeaseReleased(now eventloop.Micros) {
+	if held := now - r.leasedAt; r.leasedAt > 0 && held > r.guard.limits.StateLease {
+		r.violated(StateLease, nil, false, "released after %d us", held)
 	}
-	r.heldAt = 0
+	r.leasedAt = 0
 }
 
 // Closed is told when nothing is kept of the request any more.
 func (r *Request) Closed() {
-	if !r.answered && r.goneAt == 0 {
+	if !r.answered && r.disconnectedAt == 0 {
 		r.violated(OneAnswer, nil, false, "no final answer was given")
 	}
-	if r.out != nil {
-		r.violated(TwoAttempts, r.out, false, "its attempt is still out")
+	if r.inFlight != nil {
+		r.violated(ConcurrentAttempts, r.inFlight, false, "its attempt is still out")
 	}
 }
--- a/internal/platform/launch/run.go
+++ b/internal/platform/launch/run.go
@@ -93,7 +93,7 @@
 	config := env.Config
 	config.Log = p.log
 	p.dispatcher = platform.Start(p.loop, config)
-	p.dispatcher.WhenInformed(func() { p.listen(env.Listen, p.loop.Now()) })
+	p.dispatcher.WhenDiscoveryReady(func() { p.listen(env.Listen, p.loop.Now()) })
 	p.loop.After(summaryEvery, p.logSummary)
 }
 
--- a/internal/platform/loopback_test.go
+++ b/internal/platform/loopback_test.go
@@ -23,14 +23,14 @@
 
 // loopback is a dispatcher over real sockets, with peers that send and read exactly what a test orders, when it orders it.
 type loopback struct {
-	t       *testing.T
-	loop    *sockets.Loop
-	d       *Dispatcher
-	ln      eventloop.Listener
-	address string
-	agent   net.Conn // discovery's side of the watch
-	drained chan bool
-	ended   chan bool
+	t          *testing.T
+	loop       *sockets.Loop
+	dispatcher *Dispatcher
+	listener   eventloop.Listener
+	address    string
+	agent      net.Conn // discovery's side of the watch
+	drained    chan bool
+	ended      chan bool
 }
 
 // peer is a model host; serve has one connection for itself.
@@ -110,7 +110,7 @@
 }
 
 func goodDecode(t *testing.T) *peer {
-	return newPeer(t, "s-9", "decode", false, answering(streamHead+streamEvent(word)+"0\r\n\r\n"))
+	return newPeer(t, "s-9", "decode", false, answering(streamHead+streamEvent(wordEvent)+"0\r\n\r\n"))
 }
 
 func (p *peer) entry(state string) string {
@@ -130,7 +130,7 @@
 	}
 	t.Cleanup(r.loop.Stop)
 	r.loop.SendBuffer = 4 << 10
-	told, err := settings.Parse([]byte(usualSettings))
+	told, err := settings.Parse([]byte(testSettings))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -139,10 +139,10 @@
 		known = append(known, p.entry("SERVING"))
 	}
 	r.loop.Do(func() {
-		r.d = Start(r.loop, Config{Name: "n0", Discovery: agent.Addr().String(), Seed: 1, Settings: told, Sockets: 256, Memory: 32 << 20, Log: zerolog.Nop(),
+		r.dispatcher = Start(r.loop, Config{Name: "n0", Discovery: agent.Addr().String(), Seed: 1, Settings: told, Sockets: 256, Memory: 32 << 20, Log: zerolog.Nop(),
 			Known: []byte(`{"version":7,"full":true,"servers":[` + strings.Join(known, ",") + `]}`)})
-		if r.ln, err = r.loop.Listen("127.0.0.1:0", r.d.Server().Accept); err == nil {
-			r.address = r.ln.Addr()
+		if r.listener, err = r.loop.Listen("127.0.0.1:0", r.dispatcher.Server().Accept); err == nil {
+			r.address = r.listener.Addr()
 		}
 	})
 	if err != nil {
@@ -155,12 +155,12 @@
 	if _, err := http.ReadRequest(bufio.NewReader(r.agent)); err != nil {
 		t.Fatal(err)
 	}
-	r.tell("")
+	r.update("")
 	return r
 }
 
-// tell has discovery say something; the watch's answer begins with the first.
-func (r *loopback) tell(line string) {
+// update has discovery say something; the watch's answer begins with the first.
+func (r *loopback) update(line string) {
 	r.t.Helper()
 	text := fmt.Sprintf("%x\r\n%s\n\r\n", len(line)+1, line)
 	if line == "" {
@@ -173,7 +173,7 @@
 
 func (r *loopback) shutDown() {
 	r.loop.Do(func() {
-		r.d.Shutdown(func() { r.ln.Drain(); r.drained <- true }, func() { r.ended <- true })
+		r.dispatcher.Shutdown(func() { r.listener.Drain(); r.drained <- true }, func() { r.ended <- true })
 	})
 }
 
@@ -227,8 +227,8 @@
 	return response.StatusCode, string(body)
 }
 
-// TestLoopbackHalfRead: a request whose last bytes come after the shutdown is rejected and never sent on; the process waits for it.
-func TestLoopbackHalfRead(t *testing.T) {
+// TestLoopbackPartialRequest: a request whose last bytes come after the shutdown is rejected and never sent on; the process waits for it.
+func TestLoopbackPartialRequest(t *testing.T) {
 	prefill, decode := goodPrefill(t), goodDecode(t)
 	r := newLoopback(t, prefill, decode)
 	text := requestOf("post", "half", 100)
@@ -236,7 +236,7 @@
 	r.send(c, text[:len(text)-10])
 	for end := time.Now().Add(10 * time.Second); time.Now().Before(end); { // until it is read
 		active := 0
-		r.loop.Do(func() { active = r.d.server.Active() })
+		r.loop.Do(func() { active = r.dispatcher.server.Active() })
 		if active > 0 {
 			break
 		}
@@ -250,13 +250,13 @@
 	r.await("the end", r.ended)
 }
 
-// TestLoopbackSentAhead: what was sent ahead is answered too, each request once, the process's end or not.
-func TestLoopbackSentAhead(t *testing.T) {
+// TestLoopbackPipelinedRequests: what was sent ahead is answered too, each request once, the process's end or not.
+func TestLoopbackPipelinedRequests(t *testing.T) {
 	hold := make(chan bool)
 	decode := newPeer(t, "s-1", "decode", false, func(p *peer, c net.Conn, in *bufio.Reader) {
 		for p.next(in) {
 			<-hold
-			if _, err := io.WriteString(c, streamHead+streamEvent(word)+"0\r\n\r\n"); err != nil {
+			if _, err := io.WriteString(c, streamHead+streamEvent(wordEvent)+"0\r\n\r\n"); err != nil {
 				return
 			}
 		}
@@ -281,7 +281,7 @@
 // TestLoopbackSlowClient: the process does not end before a client that reads nothing for a while has its stream to the last byte.
 func TestLoopbackSlowClient(t *testing.T) {
 	const events = 40 // more than the sockets hold, and less than makes its host wait, so that this has finished long before
-	event := streamEvent(strings.Replace(word, "Lamu", strings.Repeat("z", 2<<10), 1))
+	event := streamEvent(strings.Replace(wordEvent, "Lamu", strings.Repeat("z", 2<<10), 1))
 	decode := newPeer(t, "s-1", "decode", false, answering(streamHead+strings.Repeat(event, events)+"0\r\n\r\n"))
 	r := newLoopback(t, goodPrefill(t), decode)
 	c, in := r.dial()
@@ -291,7 +291,7 @@
 	}
 	for end := time.Now().Add(10 * time.Second); time.Now().Before(end); { // until the host has finished
 		open := 1
-		r.loop.Do(func() { open = len(r.d.requests) })
+		r.loop.Do(func() { open = len(r.dispatcher.requests) })
 		if open == 0 {
 			break
 		}
@@ -301,7 +301,7 @@
 	select { // it reads nothing for longer than the process would wait without it
 	case <-r.ended:
 		t.Fatal("it ended with a stream that its client has not read")
-	case <-time.After(time.Duration(2*lastAnswerTime) * time.Microsecond):
+	case <-time.After(time.Duration(2*idleCloseTime) * time.Microsecond):
 	}
 	if got, body := r.status(in); got != 200 || strings.Count(body, "data: ") != events {
 		t.Errorf("answered %d with %d events", got, strings.Count(body, "data: "))
@@ -310,9 +310,9 @@
 	r.await("the end", r.ended)
 }
 
-// TestLoopbackHostThatDoesNotRead: an attempt that its host does not take in never leaves whole, and goes elsewhere, with side effects too;
+// TestLoopbackEndpointThatDoesNotRead: an attempt that its host does not take in never leaves whole, and goes elsewhere, with side effects too;
 // where that host speaks all the same, its word is no answer.
-func TestLoopbackHostThatDoesNotRead(t *testing.T) {
+func TestLoopbackEndpointThatDoesNotRead(t *testing.T) {
 	for _, speaks := range []bool{false, true} {
 		met := make(chan bool, 100)
 		deaf := newPeer(t, "s-1", "decode", true, func(_ *peer, c net.Conn, in *bufio.Reader) {
@@ -339,8 +339,8 @@
 			}
 		}
 		r.loop.Do(func() {
-			if n := r.d.Outcomes[scheduler.Unreachable]; n != 1 { // and not by the end of its state's lease
-				t.Errorf("speaks %v: outcomes %v", speaks, r.d.Outcomes)
+			if n := r.dispatcher.Outcomes[scheduler.Unreachable]; n != 1 { // and not by the end of its state's lease
+				t.Errorf("speaks %v: outcomes %v", speaks, r.dispatcher.Outcomes)
 			}
 		})
 	}
@@ -348,13 +348,13 @@
 
 // TestLoopbackOlderList: a drain that was told stays told, whatever an older list says behind it in the same read.
 func TestLoopbackOlderList(t *testing.T) {
-	prefill, leaves, stays := goodPrefill(t), newPeer(t, "s-1", "decode", false, answering(streamHead+streamEvent(word)+"0\r\n\r\n")), goodDecode(t)
+	prefill, leaves, stays := goodPrefill(t), newPeer(t, "s-1", "decode", false, answering(streamHead+streamEvent(wordEvent)+"0\r\n\r\n")), goodDecode(t)
 	r := newLoopback(t, prefill, leaves, stays)
-	r.tell(fmt.Sprintf(`{"version":9,"full":false,"servers":[%s]}`, leaves.entry("DRAINING")) + "\n" +
+	r.update(fmt.Sprintf(`{"version":9,"full":false,"servers":[%s]}`, leaves.entry("DRAINING")) + "\n" +
 		fmt.Sprintf(`{"version":8,"full":true,"servers":[%s,%s,%s]}`, prefill.entry("SERVING"), leaves.entry("SERVING"), stays.entry("SERVING")))
 	for end := time.Now().Add(10 * time.Second); time.Now().Before(end); { // until both are heard
 		heard := uint64(0)
-		r.loop.Do(func() { heard = r.d.discovery.Heard })
+		r.loop.Do(func() { heard = r.dispatcher.discovery.Heard })
 		if heard == 3 {
 			break
 		}
--- a/internal/platform/rig_test.go
+++ b/internal/platform/rig_test.go
@@ -16,7 +16,7 @@
 	"plumspindle/internal/virtual"
 )
 
-const usualSettings = `{"group_size": 2, "tick": 4000000, "zone": 0, "localities": ["west", "east"], "host_types": ["prefill", "decode"],
+const testSettings = `{"group_size": 2, "tick": 4000000, "zone": 0, "localities": ["west", "east"], "host_types": ["prefill", "decode"],
 "domain": {"duty_by_kind": ["read", "write"], "kv_tokens": [200000, 140000], "token_aim": [50000000, 60000000],
  "aim_us_per_1000_prompt_tokens": [60000.0, 40000.0], "let_go_by": 500000000},
 "limits": {"send_cap": 6, "may_cancel": true, "retry_after": true, "max_retry_after": 1000000000, "connect_timeout": 250000000, "conn_idle": 30000000000},
@@ -25,38 +25,38 @@
  {"name": "explain", "aim": 1000000000, "deadline": 4000000000, "repeat": "read_like", "points": 2.0, "late_share": 0.2},
  {"name": "post", "aim": 1000000000, "deadline": 4000000000, "repeat": "non_idempotent", "points": 6.0, "late_share": 0.2}]}`
 
-// rig is one dispatcher in virtual time, with stand-ins of model hosts and discovery that do what a test scripts.
-type rig struct {
-	t     *testing.T
-	w     *virtual.World
-	loop  *virtual.Loop // the dispatcher's
-	far   *virtual.Loop // clients and discovery
-	x     *Dispatcher
-	door  string
-	ln    eventloop.Listener
-	agent *agent
-	hosts []*host
-	asked int
+// harness is one dispatcher in virtual time, with stand-ins of model hosts and discovery that do what a test scripts.
+type harness struct {
+	t          *testing.T
+	world      *virtual.World
+	loop       *virtual.Loop // the dispatcher's
+	remote     *virtual.Loop // clients and discovery
+	dispatcher *Dispatcher
+	address    string
+	listener   eventloop.Listener
+	agent      *discoveryAgent
+	endpoints  []*endpoint
+	sent       int
 
 	violations []guard.Violation
 }
 
-func newRig(t *testing.T, sockets int, hosts ...string) *rig {
+func newHarness(t *testing.T, sockets int, hosts ...string) *harness {
 	t.Helper()
-	return newRigAt(t, usualSettings, sockets, hosts...)
+	return newHarnessWith(t, testSettings, sockets, hosts...)
 }
 
-func newRigAt(t *testing.T, rawSettings string, sockets int, hosts ...string) *rig {
+func newHarnessWith(t *testing.T, rawSettings string, sockets int, hosts ...string) *harness {
 	t.Helper()
 	w := virtual.New(1)
-	r := &rig{t: t, w: w, loop: w.Loop("d"), far: w.Loop("far")}
+	r := &harness{t: t, world: w, loop: w.Loop("d"), remote: w.Loop("far")}
 	for i, kind := range hosts {
-		r.host(fmt.Sprintf("s-%d", i), kind)
+		r.addEndpoint(fmt.Sprintf("s-%d", i), kind)
 	}
-	r.agent = &agent{rig: r, version: 7}
-	r.agent.up("127.0.0.9:8500")
+	r.agent = &discoveryAgent{harness: r, version: 7}
+	r.agent.listen("127.0.0.9:8500")
 	var known []string
-	for _, h := range r.hosts {
+	for _, h := range r.endpoints {
 		known = append(known, h.entry("SERVING"))
 	}
 	told, err := settings.Parse([]byte(rawSettings))
@@ -64,75 +64,75 @@
 		t.Fatal(err)
 	}
 	r.loop.Do(func() {
-		r.x = Start(r.loop, Config{Name: "n0", Discovery: "127.0.0.9:8500", Seed: 1, Settings: told, Sockets: sockets, Memory: 32 << 20, Log: zerolog.Nop(),
+		r.dispatcher = Start(r.loop, Config{Name: "n0", Discovery: "127.0.0.9:8500", Seed: 1, Settings: told, Sockets: sockets, Memory: 32 << 20, Log: zerolog.Nop(),
 			Known: []byte(`{"version":7,"full":true,"servers":[` + strings.Join(known, ",") + `]}`)})
-		ln, err := r.loop.Listen("127.0.0.1:0", r.x.Server().Accept)
+		ln, err := r.loop.Listen("127.0.0.1:0", r.dispatcher.Server().Accept)
 		if err != nil {
 			t.Fatal(err)
 		}
-		r.door, r.ln = ln.Addr(), ln
+		r.address, r.listener = ln.Addr(), ln
 	})
-	r.x.OnViolation = func(v guard.Violation) { r.violations = append(r.violations, v) }
-	r.w.Run(20 * eventloop.Millisecond)
+	r.dispatcher.OnViolation = func(v guard.Violation) { r.violations = append(r.violations, v) }
+	r.world.Run(20 * eventloop.Millisecond)
 	return r
 }
 
 // --- Model hosts ---
 
-type host struct {
-	rig    *rig
-	loop   *virtual.Loop
-	id     string
-	kind   string
-	zone   string
-	addr   string
-	ln     eventloop.Listener
-	serve  func(*line)
-	heads  []*http1.Head // of all requests, in their order
-	bodies []string
-	opened int
-	lines  []*line
-	slack  eventloop.Micros // before it answers a release
-	after  func()           // runs behind that answer
-}
-
-type line struct {
-	h      *host
-	conn   eventloop.Conn
-	parser http1.Parser
-	head   *http1.Head
-	body   []byte
-	closed bool
-	mute   bool
-}
-
-func (r *rig) host(id, kind string) *host {
-	h := &host{rig: r, loop: r.w.Loop(id), id: id, kind: kind, zone: "west", serve: read}
+type endpoint struct {
+	harness      *harness
+	loop         *virtual.Loop
+	id           string
+	kind         string
+	zone         string
+	addr         string
+	listener     eventloop.Listener
+	serve        func(*endpointConn)
+	received     []*http1.Head // of all requests, in their order
+	bodies       []string
+	opened       int
+	connections  []*endpointConn
+	releaseDelay eventloop.Micros // before it answers a release
+	onReleased   func()           // runs behind that answer
+}
+
+type endpointConn struct {
+	endpoint *endpoint
+	conn     eventloop.Conn
+	parser   http1.Parser
+	head     *http1.Head
+	body     []byte
+	closed   bool
+	mute     bool
+}
+
+func (r *harness) addEndpoint(id, kind string) *endpoint {
+	h := &endpoint{harness: r, loop: r.world.Loop(id), id: id, kind: kind, zone: "west", serve: servePrefill}
 	if kind != "prefill" {
-		h.serve = write
+		h.serve = serveDecode
 	}
-	h.loop.Do(func() { h.up("127.0.0.1:0") })
-	r.hosts = append(r.hosts, h)
+	h.loop.Do(func() { h.listen("127.0.0.1:0") })
+	r.endpoints = append(r.endpoints, h)
 	return h
 }
 
-func (h *host) up(addr string) {
-	h.ln, _ = h.loop.Listen(addr, func(c eventloop.Conn) eventloop.Handler {
+func (h *endpoint) listen(addr string) {
+	h.listener, _ = h.loop.Listen(addr, func(c eventloop.Conn) eventloop.Handler {
 		h.opened++
-		l := &line{h: h, conn: c, parser: http1.Parser{Bounds: http1.Usual}}
-		h.lines = append(h.lines, l)
+		l := &endpointConn{endpoint: h, conn: c, parser: http1.Parser{Bounds: http1.Usual}}
+		h.connections = append(h.connections, l)
 		return l
 	})
-	h.addr = h.ln.Addr()
+	h.addr = h.listener.Addr()
 }
 
-func (h *host) entry(state string) string {
+func (h *endpoint) entry(state string) string {
 	return fmt.Sprintf(`{"id":%q,"addr":%q,"zone":%q,"kind":%q,"cell":0,"state":%q,"weight":1.0,"started_ms":0}`, h.id, h.addr, h.zone, h.kind, state)
 }
 
 // count is how many requests of a method the host has had.
-func (h *host) count(method string) (n int) {
-	for _, head := range h.heads {
+func (h *endpoint) count(method string) (n int) {
+	for _, head := range h.received {
 		if head.Method == method {
 			n++
 		}
@@ -140,43 +140,43 @@
 	return n
 }
 
-func (l *line) Opened()                  {}
-func (l *line) Drained()                 {}
-func (l *line) Data(b []byte)            { _ = l.parser.Feed(b, l) }
-func (l *line) Closed(error)             { l.closed = true }
-func (l *line) Head(h *http1.Head) error { l.head, l.body = h, nil; return nil }
-func (l *line) Body(b []byte) error      { l.body = append(l.body, b...); return nil }
+func (l *endpointConn) Opened()                  {}
+func (l *endpointConn) Drained()                 {}
+func (l *endpointConn) Data(b []byte)            { _ = l.parser.Feed(b, l) }
+func (l *endpointConn) Closed(error)             { l.closed = true }
+func (l *endpointConn) Head(h *http1.Head) error { l.head, l.body = h, nil; return nil }
+func (l *endpointConn) Body(b []byte) error      { l.body = append(l.body, b...); return nil }
 
-func (l *line) End() error {
-	l.h.heads = append(l.h.heads, l.head)
-	l.h.bodies = append(l.h.bodies, string(l.body))
+func (l *endpointConn) End() error {
+	l.endpoint.received = append(l.endpoint.received, l.head)
+	l.endpoint.bodies = append(l.endpoint.bodies, string(l.body))
 	if l.head.Method == "DELETE" {
-		l.h.loop.After(l.h.slack, func() {
+		l.endpoint.loop.After(l.endpoint.releaseDelay, func() {
 			l.answer(204, "")
-			if l.h.after != nil {
-				l.h.after()
+			if l.endpoint.onReleased != nil {
+				l.endpoint.onReleased()
 			}
 		})
 		return nil
 	}
-	l.h.serve(l)
+	l.endpoint.serve(l)
 	return nil
 }
 
-func (l *line) answer(status int, body string, fields ...string) {
+func (l *endpointConn) answer(status int, body string, fields ...string) {
 	l.conn.Write(http1.AppendResponse(nil, status, []byte(body), fields...))
 }
 
-func read(l *line) { l.answer(202, `{"cached_tokens":16}`) }
+func servePrefill(l *endpointConn) { l.answer(202, `{"cached_tokens":16}`) }
 
 const (
-	word  = `{"choices":[{"index":0,"delta":{"content":"Lamu"},"finish_reason":null}]}`
-	stop  = `{"choices":[{"index":0,"delta":{"content":"."},"finish_reason":"stop"}]}`
-	usage = `{"choices":[],"usage":{"prompt_tokens":5120,"completion_tokens":2,"prompt_tokens_details":{"cached_tokens":4096}}}`
+	wordEvent  = `{"choices":[{"index":0,"delta":{"content":"Lamu"},"finish_reason":null}]}`
+	stopEvent  = `{"choices":[{"index":0,"delta":{"content":"."},"finish_reason":"stop"}]}`
+	usageEvent = `{"choices":[],"usage":{"prompt_tokens":5120,"completion_tokens":2,"prompt_tokens_details":{"cached_tokens":4096}}}`
 )
 
 // stream begins an answer with some events; write makes a whole one.
-func (l *line) stream(events ...string) {
+func (l *endpointConn) stream(events ...string) {
 	b := http1.AppendStreamHead(nil, 200, "Content-Type", "text/event-stream")
 	for _, e := range events {
 		b = http1.AppendChunk(b, sse.Append(nil, []byte(e)))
@@ -184,102 +184,102 @@
 	l.conn.Write(b)
 }
 
-func (l *line) last() { l.conn.Write(http1.AppendLastChunk(nil)) }
+func (l *endpointConn) endStream() { l.conn.Write(http1.AppendLastChunk(nil)) }
 
-func write(l *line) {
-	l.stream(word, stop, usage, "[DONE]")
-	l.last()
+func serveDecode(l *endpointConn) {
+	l.stream(wordEvent, stopEvent, usageEvent, "[DONE]")
+	l.endStream()
 }
 
-// wordy makes an answer of many events, which ends unless it is cut.
-func wordy(many int) func(*line) {
-	return func(l *line) {
-		l.stream(word)
+// serveLongStream makes an answer of many events, which ends unless it is cut.
+func serveLongStream(many int) func(*endpointConn) {
+	return func(l *endpointConn) {
+		l.stream(wordEvent)
 		for range many {
-			l.conn.Write(http1.AppendChunk(nil, sse.Append(nil, []byte(word))))
+			l.conn.Write(http1.AppendChunk(nil, sse.Append(nil, []byte(wordEvent))))
 		}
-		l.last()
+		l.endStream()
 	}
 }
 
 // --- Discovery ---
 
-type agent struct {
-	rig     *rig
-	version int
-	watches []*line
-	targets []string
-	ln      eventloop.Listener
-	away    bool // it takes connections and answers none
+type discoveryAgent struct {
+	harness  *harness
+	version  int
+	watches  []*endpointConn
+	targets  []string
+	listener eventloop.Listener
+	silent   bool // it takes connections and answers none
 }
 
-func (a *agent) up(addr string) {
-	a.ln, _ = a.rig.far.Listen(addr, func(c eventloop.Conn) eventloop.Handler {
-		l := &line{conn: c, parser: http1.Parser{Bounds: http1.Usual}}
-		l.h = &host{rig: a.rig, serve: func(l *line) {
+func (a *discoveryAgent) listen(addr string) {
+	a.listener, _ = a.harness.remote.Listen(addr, func(c eventloop.Conn) eventloop.Handler {
+		l := &endpointConn{conn: c, parser: http1.Parser{Bounds: http1.Usual}}
+		l.endpoint = &endpoint{harness: a.harness, serve: func(l *endpointConn) {
 			a.targets = append(a.targets, l.head.Target)
 			a.watches = append(a.watches, l)
-			if !a.away {
-				a.greet(l)
+			if !a.silent {
+				a.startStream(l)
 			}
 		}}
 		return l
 	})
 }
 
-func (a *agent) greet(l *line) {
+func (a *discoveryAgent) startStream(l *endpointConn) {
 	l.conn.Write(http1.AppendStreamHead(nil, 200))
-	a.beat(l)
+	a.heartbeat(l)
 }
 
-// list is the text of a whole list.
-func (a *agent) list(entries ...string) []byte {
+// fullList is the text of a whole list.
+func (a *discoveryAgent) fullList(entries ...string) []byte {
 	a.version++
 	return http1.AppendChunk(nil, []byte(fmt.Sprintf(`{"version":%d,"full":true,"servers":[%s]}`+"\n", a.version, strings.Join(entries, ","))))
 }
 
-func (a *agent) beat(l *line) {
+func (a *discoveryAgent) heartbeat(l *endpointConn) {
 	if !l.closed && !l.mute {
 		l.conn.Write(http1.AppendChunk(nil, []byte("\n")))
-		a.rig.far.After(2*eventloop.Second, func() { a.beat(l) })
+		a.harness.remote.After(2*eventloop.Second, func() { a.heartbeat(l) })
 	}
 }
 
-// text sends whatever it is told to all that watch.
-func (a *agent) text(text string) {
-	a.rig.far.Do(func() {
+// push sends whatever it is told to all that watch.
+func (a *discoveryAgent) push(text string) {
+	a.harness.remote.Do(func() {
 		for _, l := range a.watches {
 			l.conn.Write(http1.AppendChunk(nil, []byte(text)))
 		}
 	})
 }
 
-// tell sends a list, or changes, to all that watch.
-func (a *agent) tell(whole bool, entries ...string) {
+// update sends a list, or changes, to all that watch.
+func (a *discoveryAgent) update(whole bool, entries ...string) {
 	a.version++
 	text := fmt.Sprintf(`{"version":%d,"full":%v,"servers":[%s]}`+"\n", a.version, whole, strings.Join(entries, ","))
-	a.text(text)
+	a.push(text)
 }
 
 // --- Clients ---
 
 type client struct {
-	conn   eventloop.Conn
-	sends  string
-	parser http1.Parser
-	head   *http1.Head
-	events sse.Parser
-	got    []string // data of events
-	finals []int    // statuses of whole answers
-	at     eventloop.Micros
-	opened bool
-	closed bool
-	rig    *rig
+	conn        eventloop.Conn
+	input       string
+	parser      http1.Parser
+	head        *http1.Head
+	eventParser sse.Parser
+	events      []string // data of events
+	statuses    []int    // statuses of whole answers
+	answeredAt  eventloop.Micros
+	opened      bool
+	closed      bool
+	harness     *harness
 }
 
 func (c *client) Opened() {
 	c.opened = true
-	c.conn.Write([]byte(c.sends))
+	c.conn.Write([]byte(c.input))
 }
 
 func (c *client) Drained()                 {}
@@ -291,25 +291,25 @@
 	if c.head.Status != 200 {
 		return nil
 	}
-	return c.events.Feed(b, func(data []byte) error { c.got = append(c.got, string(data)); return nil })
+	return c.eventParser.Feed(b, func(data []byte) error { c.events = append(c.events, string(data)); return nil })
 }
 
 func (c *client) End() error {
-	c.finals, c.at = append(c.finals, c.head.Status), c.rig.w.Now()
+	c.statuses, c.answeredAt = append(c.statuses, c.head.Status), c.harness.world.Now()
 	return nil
 }
 
-// raw opens a connection and sends some bytes.
-func (r *rig) raw(sends string) *client {
-	c := &client{rig: r, sends: sends, parser: http1.Parser{Response: true, Bounds: http1.Usual}, events: sse.Parser{Most: 1 << 20}}
-	r.far.Do(func() { c.conn = r.far.Dial(r.door, eventloop.Second, c) })
+// connect opens a connection and sends some bytes.
+func (r *harness) connect(sends string) *client {
+	c := &client{harness: r, input: sends, parser: http1.Parser{Response: true, Bounds: http1.Usual}, eventParser: sse.Parser{Most: 1 << 20}}
+	r.remote.Do(func() { c.conn = r.remote.Dial(r.address, eventloop.Second, c) })
 	return c
 }
 
-// request is the text of a sound request, with fields replaced or, with a value "-", left out.
-func (r *rig) request(product string, change ...string) string {
-	r.asked++
-	fields := []string{"Host", "origin.svc", "Req-Id", fmt.Sprintf("9b1f03aa5c7e%04x", r.asked), "Req-Kind", product, "Req-Key", "7f3a9c21e0b4d655",
+// requestText is the text of a sound request, with fields replaced or, with a value "-", left out.
+func (r *harness) requestText(product string, change ...string) string {
+	r.sent++
+	fields := []string{"Host", "origin.svc", "Req-Id", fmt.Sprintf("9b1f03aa5c7e%04x", r.sent), "Req-Kind", product, "Req-Key", "7f3a9c21e0b4d655",
 		"Req-Deadline", "4000m", "Req-Extra", "prefix=5c0f6e1a2b3d4c59,prompt_len=512,prefix_len=256,max_out=80"}
 	body := `{"model":"chat","stream":true,"messages":[]}`
 	for i := 0; i < len(change); i += 2 {
@@ -332,58 +332,58 @@
 	return text + fmt.Sprintf("Content-Length: %d\r\n\r\n%s", len(body), body)
 }
 
-func (r *rig) ask(product string, change ...string) *client {
-	return r.raw(r.request(product, change...))
+func (r *harness) sendRequest(product string, change ...string) *client {
+	return r.connect(r.requestText(product, change...))
 }
 
-// until lets time pass until something holds, and fails the test if it does not in time.
-func (r *rig) until(span eventloop.Micros, what string, holds func() bool) {
+// waitFor lets time pass until something holds, and fails the test if it does not in time.
+func (r *harness) waitFor(span eventloop.Micros, what string, holds func() bool) {
 	r.t.Helper()
-	if !r.w.Until(span, holds) {
-		r.t.Fatalf("not in %d ms: %s\n%s", span/eventloop.Millisecond, what, r.x.Summary())
+	if !r.world.Until(span, holds) {
+		r.t.Fatalf("not in %d ms: %s\n%s", span/eventloop.Millisecond, what, r.dispatcher.Summary())
 	}
 }
 
-// final waits for the answer's end and gives its status, 0 for a connection that was closed without.
-func (r *rig) final(c *client) int {
+// finalStatus waits for the answer's end and gives its status, 0 for a connection that was closed without.
+func (r *harness) finalStatus(c *client) int {
 	r.t.Helper()
-	r.until(20*eventloop.Second, "a final answer", func() bool { return c.closed || len(c.finals) > 0 })
-	r.w.Run(50 * eventloop.Millisecond)
-	if len(c.finals) > 1 {
-		r.t.Fatalf("%d answers", len(c.finals))
+	r.waitFor(20*eventloop.Second, "a final answer", func() bool { return c.closed || len(c.statuses) > 0 })
+	r.world.Run(50 * eventloop.Millisecond)
+	if len(c.statuses) > 1 {
+		r.t.Fatalf("%d answers", len(c.statuses))
 	}
-	if len(c.finals) == 0 {
+	if len(c.statuses) == 0 {
 		return 0
 	}
-	return c.finals[0]
+	return c.statuses[0]
 }
 
-func (r *rig) legs() (n int) {
-	for _, h := range r.hosts {
+func (r *harness) attempts() (n int) {
+	for _, h := range r.endpoints {
 		n += h.count("POST")
 	}
 	return n
 }
 
-func (r *rig) releases() (n int) {
-	for _, h := range r.hosts {
+func (r *harness) releases() (n int) {
+	for _, h := range r.endpoints {
 		n += h.count("DELETE")
 	}
 	return n
 }
 
-// quiet checks that nothing is left of any generation.
-func (r *rig) quiet() {
+// requireIdle checks that nothing is left of any generation.
+func (r *harness) requireIdle() {
 	r.t.Helper()
-	r.w.Run(eventloop.Second)
-	if r.x.guard.Violations() > 0 || r.x.module.Violations() > 0 {
-		r.t.Errorf("the guard counts violations: %s; %v", r.x.Summary(), r.violations)
+	r.world.Run(eventloop.Second)
+	if r.dispatcher.guard.Violations() > 0 || r.dispatcher.scheduler.Violations() > 0 {
+		r.t.Errorf("the guard counts violations: %s; %v", r.dispatcher.Summary(), r.violations)
 	}
-	open := r.x.module.InFlight()
-	if len(r.x.requests) != 0 || open.Requests != 0 || open.Attempts != 0 || r.x.server.Answering() != 0 {
-		r.t.Errorf("something is left: %s", r.x.Summary())
+	open := r.dispatcher.scheduler.InFlight()
+	if len(r.dispatcher.requests) != 0 || open.Requests != 0 || open.Attempts != 0 || r.dispatcher.server.Answering() != 0 {
+		r.t.Errorf("something is left: %s", r.dispatcher.Summary())
 	}
-	if !r.w.Until(server.DefaultLimits.Message, func() bool { return r.x.server.Active() == 0 }) { // half a request waits for so long
-		r.t.Errorf("half a request is left: %s", r.x.Summary())
+	if !r.world.Until(server.DefaultLimits.RequestTimeout, func() bool { return r.dispatcher.server.Active() == 0 }) { // half a request waits for so long
+		r.t.Errorf("half a request is left: %s", r.dispatcher.Summary())
 	}
 }
--- a/internal/platform/rules.go
+++ b/internal/platform/rules.go
@@ -13,20 +13,20 @@
 
 // What the rules allow beyond the times themselves.
 const (
-	answerSlack = 500 * eventloop.Millisecond
-	goneSlack   = 100 * eventloop.Millisecond
-	toldSlack   = 10 * eventloop.Millisecond // the platform allows 150, of which a process that is held up needs most
-	heldSlack   = 300 * eventloop.Millisecond
+	answerSlack     = 500 * eventloop.Millisecond
+	disconnectSlack = 100 * eventloop.Millisecond
+	deadlineSlack   = 10 * eventloop.Millisecond // the platform allows 150, of which a process that is held up needs most
+	leaseSlack      = 300 * eventloop.Millisecond
 	// So many violations are logged with their ids; the rest are only counted.
-	maxLogged = 200
+	maxLoggedViolations = 200
 )
 
 func (d *Dispatcher) newGuard(heldFor eventloop.Micros) *guard.Guard {
 	logged := 0
-	limits := guard.Limits{AnswerSlack: answerSlack, GoneSlack: goneSlack, ToldSlack: toldSlack, HeldFor: heldFor + heldSlack}
+	limits := guard.Limits{AnswerSlack: answerSlack, DisconnectSlack: disconnectSlack, DeadlineSlack: deadlineSlack, StateLease: heldFor + leaseSlack}
 	return guard.New(limits, func(v guard.Violation) {
-		if logged++; logged <= maxLogged {
-			d.config.Log.Error().Stringer("rule", v.Rule).Str("id", v.Request).Str("host", v.Host).Bool("prevented", v.Prevented).Str("what", v.Detail).
+		if logged++; logged <= maxLoggedViolations {
+			d.config.Log.Error().Stringer("rule", v.Rule).Str("id", v.RequestID).Str("host", v.Endpoint).Bool("prevented", v.Prevented).Str("what", v.Detail).
 				Msg("a rule would be broken")
 		}
 		if d.OnViolation != nil {
@@ -38,25 +38,25 @@
 // Guard is what the dispatcher is held to its rules by.
 func (d *Dispatcher) Guard() *guard.Guard { return d.guard }
 
-var repeats = map[scheduler.Effect]guard.Repeats{scheduler.Idempotent: guard.Always, scheduler.Deduplicated: guard.WithinWindow,
-	scheduler.NonIdempotent: guard.Never}
+var retryPolicies = map[scheduler.Effect]guard.RetryPolicy{scheduler.Idempotent: guard.RetryAlways, scheduler.Deduplicated: guard.RetryWithinWindow,
+	scheduler.NonIdempotent: guard.RetryNever}
 
-// begin opens the ledger of a request that is taken.
-func (d *Dispatcher) begin(client *server.Request, class scheduler.ClassID) *guard.Request {
-	if !d.informed() {
-		d.guard.Violated(guard.Violation{Rule: guard.EarlyStart, Request: client.ID, Detail: "taken before discovery was heard"})
+// openLedger opens the ledger of a request that is taken.
+func (d *Dispatcher) openLedger(client *server.Request, class scheduler.ClassID) *guard.Request {
+	if !d.discoveryReady() {
+		d.guard.Violated(guard.Violation{Rule: guard.NotServing, RequestID: client.ID, Detail: "taken before discovery was heard"})
 	}
-	if d.lastActive > 0 {
-		d.guard.Violated(guard.Violation{Rule: guard.EarlyStart, Request: client.ID, Detail: "passed on after the shutdown"})
+	if d.lastActiveAt > 0 {
+		d.guard.Violated(guard.Violation{Rule: guard.NotServing, RequestID: client.ID, Detail: "passed on after the shutdown"})
 	}
 	c := d.settings.Place.Classes[class]
-	return d.guard.Begin(guard.Terms{ID: client.ID, Repeats: repeats[c.Effect], Window: c.Window, Deadline: client.ReceivedAt + client.Timeout})
+	return d.guard.Begin(guard.Terms{RequestID: client.ID, Retry: retryPolicies[c.Effect], RetryWindow: c.Window, Deadline: client.ReceivedAt + client.Timeout})
 }
 
-// guardHost is the host of the attempt that is ordered, as it stands now.
-func (d *Dispatcher) guardHost(r *request) guard.Host {
-	e := d.hosts[r.host]
-	h := guard.Host{Name: e.Name, Wanted: d.wanted(r.host), Effects: !r.prefill}
+// guardEndpoint is the host of the attempt that is ordered, as it stands now.
+func (d *Dispatcher) guardEndpoint(r *request) guard.Endpoint {
+	e := d.endpoints[r.endpoint]
+	h := guard.Endpoint{Name: e.Name, Ready: d.isReady(r.endpoint), HasEffects: !r.prefill}
 	switch d.settings.Place.Classes[r.class].Group {
 	case scheduler.SameZone:
 		h.Group = e.Zone
@@ -66,16 +66,16 @@
 	return h
 }
 
-// attemptLeaves checks the attempt that is written now.
-func (d *Dispatcher) attemptLeaves(r *request, no scheduler.AttemptNo, told eventloop.Micros) {
+// attemptWritten checks the attempt that is written now.
+func (d *Dispatcher) attemptWritten(r *request, no scheduler.AttemptNo, told eventloop.Micros) {
 	if no == r.attempts-1 {
-		r.ledger.Leaves(d.loop.Now(), d.guardHost(r), told)
+		r.ledger.Written(d.loop.Now(), d.guardEndpoint(r), told)
 	}
 }
 
-// unansweredClose is told of a connection that the server closes over a request that it has read.
-func (d *Dispatcher) unansweredClose(id, why string) {
-	d.guard.Violated(guard.Violation{Rule: guard.UnansweredClose, Request: id, Detail: why})
+// reportUnansweredClose is told of a connection that the server closes over a request that it has read.
+func (d *Dispatcher) reportUnansweredClose(id, why string) {
+	d.guard.Violated(guard.Violation{Rule: guard.UnansweredClose, RequestID: id, Detail: why})
 }
 
 // logState begins a line on what becomes of a request.
--- a/internal/platform/server/connection.go
+++ b/internal/platform/server/connection.go
@@ -14,38 +14,38 @@
 type connectionState uint8
 
 const (
-	idle      connectionState = iota // waits for a request's first byte
-	reading                          // a request is coming in
-	answering                        // its answer is owed
-	pausing                          // the client sent what can't be used, and is not served for a while
-	rejecting                        // requests that were sent ahead and not kept are answered
-	closing                          // nothing more is read
+	idle              connectionState = iota // waits for a request's first byte
+	reading                                  // a request is coming in
+	answering                                // its answer is owed
+	throttled                                // the client sent what can't be used, and is not served for a while
+	rejectingOverflow                        // requests that were sent ahead and not kept are answered
+	closing                                  // nothing more is read
 )
 
 // connection is one client connection, with one request at a time.
 type connection struct {
-	server *Server
-	conn   eventloop.Conn
-	state  connectionState
-	wait   eventloop.Wait // the one time-out that counts in this state
-	order  *list.Element  // its place among the server's idle connections
-	used   bool           // a request has begun on it
-
-	parser     http1.Parser
-	head       *http1.Head
-	request    *Request
-	rejection  *Rejection
-	body       []byte
-	receivedAt eventloop.Micros // the first byte of the request
-	keepAlive  bool             // the request lets others follow it
-	ahead      []byte           // what came behind the request that is being answered
-	aheadAt    eventloop.Micros // when that began to come
-	surplus    *surplus         // what came ahead and was not kept; nil: all was
-
-	surplusWaits bool // for the rest of a request that is not kept
+	server      *Server
+	conn        eventloop.Conn
+	state       connectionState
+	wait        eventloop.Wait // the one time-out that counts in this state
+	idleElement *list.Element  // its place among the server's idle connections
+	hadRequest  bool           // a request has begun on it
+
+	parser      http1.Parser
+	head        *http1.Head
+	request     *Request
+	rejection   *Rejection
+	body        []byte
+	receivedAt  eventloop.Micros // the first byte of the request
+	keepAlive   bool             // the request lets others follow it
+	pipelined   []byte           // what came behind the request that is being answered
+	pipelinedAt eventloop.Micros // when that began to come
+	overflow    *overflow        // what came ahead and was not kept; nil: all was
+
+	overflowTimed bool // for the rest of a request that is not kept
 
 	response *Response
-	out      []byte // scratch
+	buffer   []byte // scratch
 	event    []byte // scratch
 }
 
@@ -54,17 +54,17 @@
 // becomeIdle waits for a request's first byte.
 func (c *connection) becomeIdle(within eventloop.Micros) {
 	c.state = idle
-	if c.order == nil {
-		c.order = c.server.idle.PushBack(c)
+	if c.idleElement == nil {
+		c.idleElement = c.server.idleConnections.PushBack(c)
 	}
 	c.wait.For(c.server.loop, within, c.idleTimedOut)
 }
 
 // leaveIdle takes the connection out of the server's order.
 func (c *connection) leaveIdle() {
-	if c.order != nil {
-		c.server.idle.Remove(c.order)
-		c.order = nil
+	if c.idleElement != nil {
+		c.server.idleConnections.Remove(c.idleElement)
+		c.idleElement = nil
 	}
 }
 
@@ -79,8 +79,8 @@
 }
 
 func (c *connection) idleTimedOut() {
-	if !c.closeIdle(Idle) {
-		c.wait.For(c.server.loop, crossingPause, c.idleTimedOut)
+	if !c.closeIdle(IdleTimeout) {
+		c.wait.For(c.server.loop, busyIdleRetry, c.idleTimedOut)
 	}
 }
 
@@ -91,16 +91,16 @@
 	c.leaveIdle()
 	if c.state != closing {
 		c.server.Closed[why]++
-		if why != ByClient {
-			c.unanswered(why)
+		if why != ClosedByClient {
+			c.reportUnanswered(why)
 		}
 	}
-	c.dropAhead()
+	c.dropPipelined()
 	if c.state != closing {
 		c.state = closing
-		c.server.open--
+		c.server.openCount--
 	}
-	c.wait.For(c.server.loop, c.server.limits.Stall, c.conn.Abort)
+	c.wait.For(c.server.loop, c.server.limits.StallTimeout, c.conn.Abort)
 }
 
 // close closes once all is sent.
@@ -120,7 +120,7 @@
 
 // Closed implements eventloop.Handler.
 func (c *connection) Closed(error) {
-	c.becomeClosing(ByClient)
+	c.becomeClosing(ClosedByClient)
 	c.wait.Over()
 	delete(c.server.connections, c)
 	c.dropRequest()
@@ -134,8 +134,8 @@
 // Opened implements eventloop.Handler.
 func (c *connection) Opened() {
 	s := c.server
-	c.becomeIdle(s.limits.Message)
-	if s.open <= s.limits.Connections {
+	c.becomeIdle(s.limits.RequestTimeout)
+	if s.openCount <= s.limits.Connections {
 		return
 	}
 	s.Evicted++
@@ -148,10 +148,10 @@
 func (c *connection) Data(b []byte) {
 	switch c.state {
 	case closing:
-	case answering, pausing:
-		c.readAhead(b)
-	case rejecting:
-		c.more(b)
+	case answering, throttled:
+		c.readPipelined(b)
+	case rejectingOverflow:
+		c.readOverflow(b)
 	case idle:
 		c.beginRequest(c.server.loop.Now())
 		c.feed(b)
@@ -163,9 +163,9 @@
 // beginRequest waits for a whole request from its first byte; bytes that trickle in buy no further time.
 func (c *connection) beginRequest(at eventloop.Micros) {
 	c.leaveIdle()
-	c.state, c.used = reading, true
+	c.state, c.hadRequest = reading, true
 	c.receivedAt = at
-	c.wait.For(c.server.loop, c.server.limits.Message, c.requestTimedOut)
+	c.wait.For(c.server.loop, c.server.limits.RequestTimeout, c.requestTimedOut)
 }
 
 func (c *connection) requestTimedOut() {
@@ -182,10 +182,10 @@
 	rest := c.parser.TakeWaiting()
 	switch {
 	case len(rest) == 0 || c.state == closing:
-	case c.surplus != nil: // it was kept before
-		c.keepAhead(rest)
+	case c.overflow != nil: // it was kept before
+		c.bufferPipelined(rest)
 	default:
-		c.readAhead(rest)
+		c.readPipelined(rest)
 	}
 }
 
@@ -198,35 +198,35 @@
 	c.reject(&Rejection{status, err.Error()}, BadInput)
 }
 
-// readAhead keeps what comes while a request is being answered.
-func (c *connection) readAhead(b []byte) {
+// readPipelined keeps what comes while a request is being answered.
+func (c *connection) readPipelined(b []byte) {
 	s := c.server
-	if len(c.ahead) == 0 {
-		c.aheadAt = s.loop.Now()
+	if len(c.pipelined) == 0 {
+		c.pipelinedAt = s.loop.Now()
 	}
-	n := len(c.ahead) + len(b)
+	n := len(c.pipelined) + len(b)
 	switch {
-	case c.surplus != nil:
-		c.surplus.feed(b)
-	case n > maxAheadBodies*s.limits.Body || n > minAhead && s.buffered+len(b) > s.limits.Buffered/2:
-		c.overflow(b)
+	case c.overflow != nil:
+		c.overflow.feed(b)
+	case n > maxPipelinedBodies*s.limits.BodyBytes || n > minPipelinedBytes && s.bufferedBytes+len(b) > s.limits.BufferedBytes/2:
+		c.startOverflow(b)
 	default:
-		c.keepAhead(b)
+		c.bufferPipelined(b)
 	}
-	if c.surplus != nil && c.surplus.read > maxSurplus {
+	if c.overflow != nil && c.overflow.bytesRead > maxOverflowBytes {
 		s.Rejected++
-		c.abort(TooMuchAhead)
+		c.abort(PipelineOverflow)
 	}
 }
 
-func (c *connection) keepAhead(b []byte) {
-	c.ahead = append(c.ahead, b...)
-	c.server.buffered += len(b)
+func (c *connection) bufferPipelined(b []byte) {
+	c.pipelined = append(c.pipelined, b...)
+	c.server.bufferedBytes += len(b)
 }
 
-func (c *connection) dropAhead() {
-	c.server.buffered -= len(c.ahead)
-	c.ahead = nil
+func (c *connection) dropPipelined() {
+	c.server.bufferedBytes -= len(c.pipelined)
+	c.pipelined = nil
 }
 
 // next makes the connection ready for another request.
@@ -236,19 +236,19 @@
 	}
 	c.response = nil
 	_ = c.parser.Resume(c) // nothing waits in it
-	if len(c.ahead) > 0 {
-		b := c.ahead
-		c.dropAhead()
-		c.beginRequest(c.aheadAt)
+	if len(c.pipelined) > 0 {
+		b := c.pipelined
+		c.dropPipelined()
+		c.beginRequest(c.pipelinedAt)
 		c.feed(b)
 		return
 	}
-	if c.surplus != nil {
-		c.state = rejecting
-		c.rejectSurplus()
+	if c.overflow != nil {
+		c.state = rejectingOverflow
+		c.rejectOverflow()
 		return
 	}
-	c.rest()
+	c.awaitNextRequest()
 }
 
 // --- A request ---
@@ -275,14 +275,14 @@
 	if n <= cap(c.body) {
 		return
 	}
-	if s.buffered+n-cap(c.body) > s.limits.Buffered {
-		s.buffered -= cap(c.body)
+	if s.bufferedBytes+n-cap(c.body) > s.limits.BufferedBytes {
+		s.bufferedBytes -= cap(c.body)
 		c.body, c.rejection = nil, &Rejection{http.StatusServiceUnavailable, "no room is left for the request"}
 		return
 	}
 	grown := make([]byte, len(c.body), n)
 	copy(grown, c.body)
-	s.buffered += cap(grown) - cap(c.body)
+	s.bufferedBytes += cap(grown) - cap(c.body)
 	c.body = grown
 }
 
@@ -312,7 +312,7 @@
 	if c.rejection == nil {
 		c.rejection = checkBody(c.body)
 	}
-	if c.rejection == nil && c.server.shutDown {
+	if c.rejection == nil && c.server.stopped {
 		c.rejection = &Rejection{http.StatusServiceUnavailable, "the dispatcher is shutting down"}
 	}
 	if c.rejection == nil {
@@ -327,17 +327,17 @@
 // staysOpen tells whether another request may follow the answer that is written now. While the server drains only what has been sent
 // ahead may.
 func (c *connection) staysOpen() bool {
-	return c.keepAlive && (!c.server.draining || len(c.ahead) > 0 || c.surplus != nil || c.parser.More() > 0)
+	return c.keepAlive && (!c.server.draining || len(c.pipelined) > 0 || c.overflow != nil || c.parser.More() > 0)
 }
 
 // answerReadiness answers whether there is anything to serve with.
 func (c *connection) answerReadiness() {
 	status, text := http.StatusOK, "ready"
-	if c.server.shutDown || !c.server.handler.Ready() {
+	if c.server.stopped || !c.server.handler.Ready() {
 		status, text = http.StatusServiceUnavailable, "no model host is known yet"
 	}
 	c.dropRequest()
-	if c.writeWhole(status, text, c.staysOpen(), AfterAnswer) {
+	if c.writeResponse(status, text, c.staysOpen(), AfterResponse) {
 		c.state = answering
 		c.server.loop.Later(c.next)
 	}
@@ -345,7 +345,7 @@
 
 // handle passes the request on.
 func (c *connection) handle() *Rejection {
-	response := &Response{connection: c, id: c.request.ID, buffered: cap(c.body)}
+	response := &Response{connection: c, id: c.request.ID, bodyBytes: cap(c.body)}
 	request := c.request
 	request.Body = c.body
 	c.head, c.request, c.body = nil, nil, nil
@@ -360,7 +360,7 @@
 
 // dropRequest gives back what is kept of a request.
 func (c *connection) dropRequest() {
-	c.server.buffered -= cap(c.body)
+	c.server.bufferedBytes -= cap(c.body)
 	c.head, c.request, c.body, c.rejection = nil, nil, nil, nil
 }
 
@@ -368,9 +368,9 @@
 func (c *connection) rejectAndKeep(r *Rejection) {
 	c.dropRequest()
 	c.server.Rejected++
-	if c.writeWhole(r.Status, r.Reason, c.staysOpen(), AfterAnswer) {
-		c.state = pausing
-		c.wait.For(c.server.loop, rejectionPause, c.next)
+	if c.writeResponse(r.Status, r.Reason, c.staysOpen(), AfterResponse) {
+		c.state = throttled
+		c.wait.For(c.server.loop, throttleTime, c.next)
 	}
 }
 
@@ -381,11 +381,11 @@
 	}
 	c.server.Rejected++
 	c.dropRequest()
-	c.writeWhole(r.Status, r.Reason, false, why)
+	c.writeResponse(r.Status, r.Reason, false, why)
 }
 
-// writeWhole writes a whole answer, and closes the connection unless it stays open; it tells whether it does.
-func (c *connection) writeWhole(status int, text string, staysOpen bool, why CloseReason, fields ...string) bool {
+// writeResponse writes a whole answer, and closes the connection unless it stays open; it tells whether it does.
+func (c *connection) writeResponse(status int, text string, staysOpen bool, why CloseReason, fields ...string) bool {
 	fields = append(fields, "Content-Type", "text/plain")
 	if !staysOpen {
 		fields = append(fields, "Connection", "close")
--- a/internal/platform/server/races_test.go
+++ b/internal/platform/server/races_test.go
@@ -16,15 +16,15 @@
 
 // silentHandler takes requests and answers none; it counts clients that go.
 type silentHandler struct {
-	handled, gone chan string
-	waiting       chan *Response // of requests that are not answered
-	answer        bool
+	handled, disconnected chan string
+	waiting               chan *Response // of requests that are not answered
+	answer                bool
 }
 
 func (*silentHandler) Ready() bool { return true }
 
 func (h *silentHandler) Handle(r *Request, response *Response) *Rejection {
-	response.OnClientGone = func() { h.gone <- r.ID }
+	response.OnDisconnect = func() { h.disconnected <- r.ID }
 	h.handled <- r.ID
 	if h.answer {
 		response.Reject(0)
@@ -46,7 +46,7 @@
 	}
 	t.Cleanup(loop.Stop)
 	loop.TakeIn = 8 << 10
-	handler.handled, handler.gone, handler.waiting = make(chan string, 1000), make(chan string, 1000), make(chan *Response, 1000)
+	handler.handled, handler.disconnected, handler.waiting = make(chan string, 1000), make(chan string, 1000), make(chan *Response, 1000)
 	s := New(loop, limits, handler)
 	var address string
 	loop.Do(func() {
@@ -62,7 +62,7 @@
 
 func testLimits() Limits {
 	limits := DefaultLimits
-	limits.Connections, limits.Buffered, limits.Unsent = 100, 8<<20, 64<<10
+	limits.Connections, limits.BufferedBytes, limits.UnsentBytes = 100, 8<<20, 64<<10
 	return limits
 }
 
@@ -93,9 +93,9 @@
 	}
 }
 
-// TestEndBehindWhatIsSentAhead: a client that goes is heard at once, however much it sent behind the request that waits, also more than
+// TestDisconnectBehindPipelinedInput: a client that goes is heard at once, however much it sent behind the request that waits, also more than
 // the sockets and the server take in.
-func TestEndBehindWhatIsSentAhead(t *testing.T) {
+func TestDisconnectBehindPipelinedInput(t *testing.T) {
 	for _, size := range []int{0, 40 << 10, 900 << 10, 12 << 20} {
 		handler := &silentHandler{}
 		loop, s, address := serve(t, testLimits(), handler)
@@ -110,7 +110,7 @@
 			c.Close()
 		}()
 		receive(t, "the request", handler.handled)
-		if got := receive(t, fmt.Sprintf("the end behind %d bytes", size), handler.gone); got != "first" {
+		if got := receive(t, fmt.Sprintf("the end behind %d bytes", size), handler.disconnected); got != "first" {
 			t.Errorf("%q has gone", got)
 		}
 		loop.Do(func() {
@@ -124,11 +124,11 @@
 	}
 }
 
-// TestBufferedInAll: what all clients send ahead is bounded, and an honest one gets through beside them.
-func TestBufferedInAll(t *testing.T) {
+// TestTotalBufferLimit: what all clients send ahead is bounded, and an honest one gets through beside them.
+func TestTotalBufferLimit(t *testing.T) {
 	handler := &silentHandler{}
 	limits := testLimits()
-	limits.Buffered = 2 << 20
+	limits.BufferedBytes = 2 << 20
 	loop, s, address := serve(t, limits, handler)
 	const clients, size = 20, 300 << 10 // of each, which one alone may send
 	var floods []net.Conn
@@ -145,21 +145,21 @@
 	}
 	kept := 0 // connections of which all is
 	until(t, "all is read", func() (read bool) {
-		loop.Do(func() { read = s.readAheadOf() >= clients*size })
+		loop.Do(func() { read = s.pipelinedBytesRead() >= clients*size })
 		return read
 	})
 	loop.Do(func() {
 		for c := range s.connections {
-			if c.surplus == nil && len(c.ahead) >= size {
+			if c.overflow == nil && len(c.pipelined) >= size {
 				kept++
 			}
 		}
-		if s.buffered > limits.Buffered {
-			t.Errorf("%d bytes are buffered of %d", s.buffered, limits.Buffered)
+		if s.bufferedBytes > limits.BufferedBytes {
+			t.Errorf("%d bytes are buffered of %d", s.bufferedBytes, limits.BufferedBytes)
 		}
 	})
 	if kept < 1 || kept > 3 {
-		t.Errorf("%d connections with %d bytes ahead are kept, where %d bytes may be buffered", kept, size, limits.Buffered)
+		t.Errorf("%d connections with %d bytes ahead are kept, where %d bytes may be buffered", kept, size, limits.BufferedBytes)
 	}
 	c := dial(t, address)
 	if _, err := c.Write([]byte(requestText("honest", 50<<10))); err != nil {
@@ -170,13 +170,13 @@
 	}
 }
 
-// readAheadOf is how many bytes were read of what all clients sent ahead, whether they are kept or not.
-func (s *Server) readAheadOf() (n int) {
+// pipelinedBytesRead is how many bytes were read of what all clients sent ahead, whether they are kept or not.
+func (s *Server) pipelinedBytesRead() (n int) {
 	for c := range s.connections {
-		if c.surplus != nil {
-			n += c.surplus.read
+		if c.overflow != nil {
+			n += c.overflow.bytesRead
 		} else {
-			n += len(c.ahead)
+			n += len(c.pipelined)
 		}
 	}
 	return n
@@ -192,9 +192,9 @@
 	}
 }
 
-// TestOneClientAhead: of what a client sends ahead no more is kept than one may, also where there is room, and one that goes on without
+// TestPipelineLimitPerConnection: of what a client sends ahead no more is kept than one may, also where there is room, and one that goes on without
 // an end is cut off.
-func TestOneClientAhead(t *testing.T) {
+func TestPipelineLimitPerConnection(t *testing.T) {
 	handler := &silentHandler{}
 	limits := testLimits()
 	loop, s, address := serve(t, limits, handler)
@@ -206,20 +206,20 @@
 				return // cut off
 			}
 			loop.Do(func() {
-				if s.Buffered() > maxAheadBodies*limits.Body+minAhead {
+				if s.Buffered() > maxPipelinedBodies*limits.BodyBytes+minPipelinedBytes {
 					t.Errorf("%d bytes are buffered", s.Buffered())
 				}
 			})
 		}
 	}()
-	if id := receive(t, "its end", handler.gone); id != "first" {
+	if id := receive(t, "its end", handler.disconnected); id != "first" {
 		t.Errorf("%q has gone", id)
 	}
 }
 
-// TestRequestMeetsAClose: a request that has come before an idle connection is closed is answered, whether the poller has read it by then
+// TestRequestCrossesClose: a request that has come before an idle connection is closed is answered, whether the poller has read it by then
 // or not; one that comes after the close is neither read nor passed on, and its client sees a clean end.
-func TestRequestMeetsAClose(t *testing.T) {
+func TestRequestCrossesClose(t *testing.T) {
 	for _, before := range []bool{true, false} {
 		for _, read := range []bool{true, false} {
 			if !before && read {
@@ -239,7 +239,7 @@
 				if before {
 					send()
 				}
-				for read && !s.anythingRead() {
+				for read && !s.hasUnreadInput() {
 					runtime.Gosched()
 				}
 				s.Shutdown()
@@ -261,8 +261,8 @@
 	}
 }
 
-// anythingRead tells whether something has come that was not handed over.
-func (s *Server) anythingRead() bool {
+// hasUnreadInput tells whether something has come that was not handed over.
+func (s *Server) hasUnreadInput() bool {
 	for c := range s.connections {
 		if !c.conn.Quiet() {
 			return true
@@ -284,11 +284,11 @@
 	response.Body.Close()
 }
 
-// TestIdleClientThatReadsNothing: a connection that is idle with an answer that its client does not read is closed in the end.
-func TestIdleClientThatReadsNothing(t *testing.T) {
+// TestIdleClientThatReadsNothingIsClosed: a connection that is idle with an answer that its client does not read is closed in the end.
+func TestIdleClientThatReadsNothingIsClosed(t *testing.T) {
 	handler := &silentHandler{}
 	limits := testLimits()
-	limits.Idle, limits.Stall = 50*eventloop.Millisecond, 200*eventloop.Millisecond
+	limits.IdleTimeout, limits.StallTimeout = 50*eventloop.Millisecond, 200*eventloop.Millisecond
 	loop, s, address := serve(t, limits, handler)
 	var response *Response
 	c := dial(t, address)
@@ -318,9 +318,9 @@
 	}
 }
 
-// TestMoreAheadThanIsKept: a client that sends more requests ahead than are kept has an answer to each, in their order, and the connection
+// TestPipelineOverflowIsRejectedInTurn: a client that sends more requests ahead than are kept has an answer to each, in their order, and the connection
 // goes on; what is not kept is rejected in its turn.
-func TestMoreAheadThanIsKept(t *testing.T) {
+func TestPipelineOverflowIsRejectedInTurn(t *testing.T) {
 	handler := &silentHandler{}
 	limits := testLimits()
 	loop, s, address := serve(t, limits, handler)
@@ -341,12 +341,12 @@
 		t.Fatal(err)
 	}
 	until(t, "all is read", func() (read bool) {
-		loop.Do(func() { read = s.open == 0 || s.readAheadOf() >= ahead*size })
+		loop.Do(func() { read = s.openCount == 0 || s.pipelinedBytesRead() >= ahead*size })
 		return read
 	})
 	in := bufio.NewReader(c)
 	loop.Do(func() {
-		if s.Buffered() > maxAheadBodies*limits.Body+minAhead {
+		if s.Buffered() > maxPipelinedBodies*limits.BodyBytes+minPipelinedBytes {
 			t.Errorf("%d bytes are buffered", s.Buffered())
 		}
 		handler.answer = true
--- a/internal/platform/server/response.go
+++ b/internal/platform/server/response.go
@@ -13,22 +13,22 @@
 type Response struct {
 	connection *connection
 	id         string
-	buffered   int  // bytes of the request's body
-	begun      bool // its head has been written
+	bodyBytes  int  // bytes of the request's body
+	started    bool // its head has been written
 	staysOpen  bool // which says that another request may follow
 	done       bool
-	// OnClientGone is called once when the client goes away before its answer's end, OnWritable when one that lagged has caught up.
-	OnClientGone func()
+	// OnDisconnect is called once when the client goes away before its answer's end, OnWritable when one that lagged has caught up.
+	OnDisconnect func()
 	OnWritable   func()
 }
 
-// ClientGone tells whether the client has closed its connection, also where that was not told yet.
-func (r *Response) ClientGone() bool { return r.done || r.connection.conn.HungUp() }
+// Disconnected tells whether the client has closed its connection, also where that was not told yet.
+func (r *Response) Disconnected() bool { return r.done || r.connection.conn.HungUp() }
 
 // finish tells that nothing is owed, or kept, any more.
 func (r *Response) finish() {
 	r.done = true
-	r.connection.server.buffered -= r.buffered
+	r.connection.server.bufferedBytes -= r.bodyBytes
 }
 
 // WriteEvent hands on one event, unchanged. It tells whether the client lags behind.
@@ -37,9 +37,9 @@
 		return false
 	}
 	c := r.connection
-	b := c.out[:0]
-	if !r.begun {
-		r.begun = true
+	b := c.buffer[:0]
+	if !r.started {
+		r.started = true
 		fields := []string{"Content-Type", "text/event-stream", "Cache-Control", "no-cache"}
 		if r.staysOpen = c.staysOpen(); !r.staysOpen {
 			fields = append(fields, "Connection", "close")
@@ -47,18 +47,18 @@
 		b = http1.AppendStreamHead(b, http.StatusOK, fields...)
 	}
 	c.event = sse.Append(c.event[:0], data)
-	c.out = http1.AppendChunk(b, c.event)
-	c.conn.Write(c.out)
+	c.buffer = http1.AppendChunk(b, c.event)
+	c.conn.Write(c.buffer)
 	limits := &c.server.limits
-	return c.wait.Lags(c.server.loop, c.conn, limits.Unsent, limits.Stall, func() { c.abort(ClientStalled) })
+	return c.wait.Lags(c.server.loop, c.conn, limits.UnsentBytes, limits.StallTimeout, func() { c.abort(ClientStalled) })
 }
 
 // Drained implements eventloop.Handler.
 func (c *connection) Drained() {
-	if c.state == rejecting {
+	if c.state == rejectingOverflow {
 		c.wait.Over()
-		c.surplusWaits = false
-		c.rejectSurplus()
+		c.overflowTimed = false
+		c.rejectOverflow()
 		return
 	}
 	if c.response == nil || c.state != answering {
@@ -74,7 +74,7 @@
 func (r *Response) Complete() {
 	if !r.done {
 		r.connection.conn.Write(http1.AppendLastChunk(nil))
-		r.close(AfterAnswer)
+		r.close(AfterResponse)
 	}
 }
 
@@ -99,13 +99,13 @@
 func (r *Response) Fail() { r.answer(http.StatusInternalServerError, "the generation failed") }
 
 func (r *Response) answer(status int, text string, fields ...string) {
-	if r.done || r.begun {
+	if r.done || r.started {
 		return
 	}
 	c := r.connection
 	r.finish()
 	c.response = nil
-	if c.writeWhole(status, text, c.staysOpen(), AfterAnswer, fields...) {
+	if c.writeResponse(status, text, c.staysOpen(), AfterResponse, fields...) {
 		c.server.loop.Later(c.next)
 	}
 }
@@ -129,8 +129,8 @@
 	}
 	r.finish()
 	r.connection.response = nil
-	if r.OnClientGone != nil {
-		r.OnClientGone()
+	if r.OnDisconnect != nil {
+		r.OnDisconnect()
 	}
 }
 
--- a/internal/platform/server/surplus.go
+++ b/internal/platform/server/surplus.go
@@ -6,108 +6,110 @@
 	"plumspindle/internal/http1"
 )
 
-// maxSurplus is how many bytes of one connection are read that are not kept; a client that sends more is cut off.
-const maxSurplus = 16 << 20
+// maxOverflowBytes is how many bytes of one connection are read that are not kept; a client that sends more is cut off.
+const maxOverflowBytes = 16 << 20
 
-// surplus follows what a client sends ahead beyond what is kept: it finds where each request ends, and keeps nothing else. Each of these
+// overflow follows what a client sends ahead beyond what is kept: it finds where each request ends, and keeps nothing else. Each of these
 // requests is rejected in its turn, so that all that were read are answered.
-type surplus struct {
-	parser   http1.Parser
-	requests int  // that have come whole and are not answered
-	whole    int  // bytes up to the end of the last of them
-	read     int  // bytes
-	closes   bool // the last one asked for the connection's end: nothing counts behind it
-	fault    error
+type overflow struct {
+	parser        http1.Parser
+	pending       int  // that have come whole and are not answered
+	completeBytes int  // bytes up to the end of the last of them
+	bytesRead     int  // bytes
+	lastRequest   bool // the last one asked for the connection's end: nothing counts behind it
+	fault         error
 }
 
-func newSurplus(bounds http1.Bounds) *surplus { return &surplus{parser: http1.Parser{Bounds: bounds}} }
+func newOverflow(bounds http1.Bounds) *overflow {
+	return &overflow{parser: http1.Parser{Bounds: bounds}}
+}
 
 // feed follows the next bytes.
-func (s *surplus) feed(b []byte) {
-	s.read += len(b)
-	if s.fault == nil && !s.closes {
+func (s *overflow) feed(b []byte) {
+	s.bytesRead += len(b)
+	if s.fault == nil && !s.lastRequest {
 		s.fault = s.parser.Feed(b, s)
 	}
 }
 
 // Head, Body and End implement http1.Events.
-func (s *surplus) Head(h *http1.Head) error {
-	s.closes = !h.KeepAlive()
+func (s *overflow) Head(h *http1.Head) error {
+	s.lastRequest = !h.KeepAlive()
 	return nil
 }
 
-func (s *surplus) Body([]byte) error { return nil }
+func (s *overflow) Body([]byte) error { return nil }
 
-func (s *surplus) End() error {
-	s.requests++
-	s.whole = s.read - s.parser.More()
-	if s.closes {
+func (s *overflow) End() error {
+	s.pending++
+	s.completeBytes = s.bytesRead - s.parser.More()
+	if s.lastRequest {
 		s.parser.Hold()
 	}
 	return nil
 }
 
-// middle tells that a request has begun and not come whole.
-func (s *surplus) middle() bool { return !s.parser.Idle() }
+// partial tells that a request has begun and not come whole.
+func (s *overflow) partial() bool { return !s.parser.Idle() }
 
-// overflow stops keeping what is sent ahead: what has come whole stays, and what follows is only followed.
-func (c *connection) overflow(b []byte) {
-	c.surplus = newSurplus(c.parser.Bounds)
-	c.surplus.feed(c.ahead)
-	c.server.buffered -= len(c.ahead) - c.surplus.whole
-	c.ahead = c.ahead[:c.surplus.whole]
-	c.surplus.requests = 0 // they are kept, and have their turn
-	c.surplus.feed(b)
+// startOverflow stops keeping what is sent ahead: what has come whole stays, and what follows is only followed.
+func (c *connection) startOverflow(b []byte) {
+	c.overflow = newOverflow(c.parser.Bounds)
+	c.overflow.feed(c.pipelined)
+	c.server.bufferedBytes -= len(c.pipelined) - c.overflow.completeBytes
+	c.pipelined = c.pipelined[:c.overflow.completeBytes]
+	c.overflow.pending = 0 // they are kept, and have their turn
+	c.overflow.feed(b)
 }
 
-// rejectSurplus answers, in their turn, the requests that were not kept, as far as the client reads the answers.
-func (c *connection) rejectSurplus() {
+// rejectOverflow answers, in their turn, the requests that were not kept, as far as the client reads the answers.
+func (c *connection) rejectOverflow() {
 	s := c.server
-	for c.surplus.requests > 0 {
-		if c.wait.Lags(s.loop, c.conn, s.limits.Unsent, s.limits.Stall, func() { c.abort(ClientStalled) }) {
+	for c.overflow.pending > 0 {
+		if c.wait.Lags(s.loop, c.conn, s.limits.UnsentBytes, s.limits.StallTimeout, func() { c.abort(ClientStalled) }) {
 			return
 		}
-		c.surplus.requests--
+		c.overflow.pending--
 		s.Rejected++
-		last := c.surplus.closes && c.surplus.requests == 0
-		if !c.writeWhole(http.StatusServiceUnavailable, "too much was sent ahead", !last, AfterAnswer) {
+		last := c.overflow.lastRequest && c.overflow.pending == 0
+		if !c.writeResponse(http.StatusServiceUnavailable, "too much was sent ahead", !last, AfterResponse) {
 			return
 		}
 	}
 	switch {
-	case c.surplus.fault != nil:
-		c.malformed(c.surplus.fault)
-	case c.surplus.middle():
-		if c.conn.Unsent() == 0 && !c.surplusWaits {
-			c.surplusWaits = true
-			c.wait.For(s.loop, s.limits.Message, c.requestTimedOut)
+	case c.overflow.fault != nil:
+		c.malformed(c.overflow.fault)
+	case c.overflow.partial():
+		if c.conn.Unsent() == 0 && !c.overflowTimed {
+			c.overflowTimed = true
+			c.wait.For(s.loop, s.limits.RequestTimeout, c.requestTimedOut)
 		}
 	default:
-		c.surplus, c.surplusWaits = nil, false
+		c.overflow, c.overflowTimed = nil, false
 		c.wait.Over()
-		c.rest()
+		c.awaitNextRequest()
 	}
 }
 
-// more takes what comes while surplus requests have their turn.
-func (c *connection) more(b []byte) {
-	before := c.surplus.requests
-	c.surplus.feed(b)
-	if c.surplus.requests > before { // the one that was waited for has come
-		c.surplusWaits = false
+// readOverflow takes what comes while surplus requests have their turn.
+func (c *connection) readOverflow(b []byte) {
+	before := c.overflow.pending
+	c.overflow.feed(b)
+	if c.overflow.pending > before { // the one that was waited for has come
+		c.overflowTimed = false
 		c.wait.Over()
 	}
-	if c.surplus.read > maxSurplus {
-		c.abort(TooMuchAhead)
+	if c.overflow.bytesRead > maxOverflowBytes {
+		c.abort(PipelineOverflow)
 		return
 	}
-	c.rejectSurplus()
+	c.rejectOverflow()
 }
 
-// rest waits for the next request.
-func (c *connection) rest() {
-	c.becomeIdle(c.server.limits.Idle)
-	if c.server.shutDown {
+// awaitNextRequest waits for the next request.
+func (c *connection) awaitNextRequest() {
+	c.becomeIdle(c.server.limits.IdleTimeout)
+	if c.server.stopped {
 		c.idleTimedOut()
 	}
 }
--- a/internal/platform/shutdown.go
+++ b/internal/platform/shutdown.go
@@ -6,8 +6,8 @@
 	// After SIGTERM new connections keep coming for so long, and clients go on using those that they have.
 	drainTime = 500 * eventloop.Millisecond
 	// Clients close their connections once they have their answers; one that does not is waited for so long after the last answer.
-	lastAnswerTime = 500 * eventloop.Millisecond
-	shutdownPoll   = 25 * eventloop.Millisecond
+	idleCloseTime = 500 * eventloop.Millisecond
+	shutdownPoll  = 25 * eventloop.Millisecond
 )
 
 // Shutdown takes requests for a short while more, answers all that was taken, and then calls done. A second call changes nothing.
@@ -20,26 +20,26 @@
 	d.loop.After(drainTime, func() {
 		closeListener()
 		d.server.Shutdown()
-		d.lastActive = d.loop.Now()
-		d.awaitEnd(done)
+		d.lastActiveAt = d.loop.Now()
+		d.awaitIdle(done)
 	})
 }
 
-// awaitEnd looks again and again until nothing is owed any more: no answer, no release, no byte of an answer that a slow client has not
+// awaitIdle looks again and again until nothing is owed any more: no answer, no release, no byte of an answer that a slow client has not
 // taken, and no connection on which a request may be on its way.
-func (d *Dispatcher) awaitEnd(done func()) {
+func (d *Dispatcher) awaitIdle(done func()) {
 	d.loop.After(shutdownPoll, func() {
 		now := d.loop.Now()
 		if len(d.requests) > 0 || d.server.Active() > 0 || d.server.Unsent() > 0 {
-			d.lastActive = now
+			d.lastActiveAt = now
 		}
-		quiet := now-d.lastActive >= lastAnswerTime
+		quiet := now-d.lastActiveAt >= idleCloseTime
 		if quiet && d.server.Open() > 0 {
 			d.server.CloseIdle()
-			d.lastActive = now
+			d.lastActiveAt = now
 		}
-		if d.lastActive == now || d.server.Connections() > 0 && !quiet {
-			d.awaitEnd(done)
+		if d.lastActiveAt == now || d.server.Connections() > 0 && !quiet {
+			d.awaitIdle(done)
 			return
 		}
 		d.discovery.Close()
