--- a/internal/chat/answer.go
+++ b/internal/chat/answer.go
@@ -14,10 +14,10 @@
 	ID      string
 	Model   string
 	Created int64 // seconds since 1970
-	Ask     *Request
+	Request *Request
 
-	Tokens   int    // chunks of content so far, about a token each
-	Finished string // the reason that the writer gave for the end
+	CompletionTokens int    // chunks of content so far, about a token each
+	FinishReason     string // the reason that the writer gave for the end
 
 	usage   string
 	content []byte
@@ -39,20 +39,20 @@
 // RequestID is the id that the client is told.
 func (a *Answer) RequestID() string { return a.ID }
 
-// Streams tells whether the answer is streamed.
-func (a *Answer) Streams() bool { return a.Ask.Stream }
+// Streaming tells whether the answer is streamed.
+func (a *Answer) Streaming() bool { return a.Request.Stream }
 
-// Waits tells whether nothing of the answer has been sent yet.
-func (a *Answer) Waits() bool { return !a.roled }
+// Unstarted tells whether nothing of the answer has been sent yet.
+func (a *Answer) Unstarted() bool { return !a.roled }
 
 // Usable tells whether a writer's event is a chunk of an answer at all.
 func Usable(data []byte) bool {
 	return gjson.ValidBytes(data) && gjson.GetBytes(data, "choices").IsArray()
 }
 
-// Take appends to b what the client is sent for one of the writer's events, which must be usable; nothing for a
+// AppendEvent appends to b what the client is sent for one of the writer's events, which must be usable; nothing for a
 // whole answer, which Whole gives at the end.
-func (a *Answer) Take(b, data []byte) []byte {
+func (a *Answer) AppendEvent(b, data []byte) []byte {
 	if u := gjson.GetBytes(data, "usage"); u.IsObject() {
 		a.usage = u.Raw
 	}
@@ -62,12 +62,12 @@
 	}
 	delta := choice.Get("delta")
 	if reason := choice.Get("finish_reason"); reason.Type == gjson.String {
-		a.Finished = reason.String()
+		a.FinishReason = reason.String()
 	}
 	if text := delta.Get("content"); text.Type == gjson.String && text.Raw != `""` {
-		a.Tokens++
+		a.CompletionTokens++
 	}
-	if !a.Ask.Stream {
+	if !a.Request.Stream {
 		a.keep(delta)
 		return b
 	}
@@ -91,13 +91,13 @@
 		out = append(out, lp.Raw...)
 	}
 	out = append(out, `,"finish_reason":`...)
-	if a.Finished == "" {
+	if a.FinishReason == "" {
 		out = append(out, "null"...)
 	} else {
-		out = strconv.AppendQuote(out, a.Finished)
+		out = strconv.AppendQuote(out, a.FinishReason)
 	}
 	out = append(out, '}', ']')
-	if a.Ask.IncludeUsage {
+	if a.Request.IncludeUsage {
 		out = append(out, `,"usage":null`...)
 	}
 	out = append(out, '}')
@@ -105,9 +105,9 @@
 	return sse.Append(b, out)
 }
 
-// Last appends the end of a streamed answer: the usage where it was asked for, and the closing mark.
-func (a *Answer) Last(b []byte) []byte {
-	if a.Ask.IncludeUsage {
+// AppendEnd appends the end of a streamed answer: the usage where it was asked for, and the closing mark.
+func (a *Answer) AppendEnd(b []byte) []byte {
+	if a.Request.IncludeUsage {
 		out := a.open(a.scratch[:0], "chat.completion.chunk")
 		out = append(out, `"choices":[],"usage":`...)
 		out = append(out, a.Usage()...)
@@ -116,8 +116,8 @@
 	return sse.Append(b, []byte("[DONE]"))
 }
 
-// Whole is a whole answer's object.
-func (a *Answer) Whole() []byte {
+// Object is a whole answer's object.
+func (a *Answer) Object() []byte {
 	message := map[string]any{"role": "assistant", "content": string(a.content), "refusal": nil}
 	if len(a.refusal) > 0 {
 		message["refusal"] = string(a.refusal)
@@ -133,7 +133,7 @@
 	out = append(out, `"choices":[{"index":0,"message":`...)
 	out = append(out, text...)
 	out = append(out, `,"logprobs":null,"finish_reason":`...)
-	out = strconv.AppendQuote(out, a.Finished)
+	out = strconv.AppendQuote(out, a.FinishReason)
 	out = append(out, `}],"usage":`...)
 	out = append(out, a.Usage()...)
 	return append(out, '}')
@@ -144,8 +144,8 @@
 	if a.usage != "" {
 		return a.usage
 	}
-	p, c := strconv.Itoa(a.Ask.Tokens), strconv.Itoa(a.Tokens)
-	return `{"prompt_tokens":` + p + `,"completion_tokens":` + c + `,"total_tokens":` + strconv.Itoa(a.Ask.Tokens+a.Tokens) + `}`
+	p, c := strconv.Itoa(a.Request.PromptTokens), strconv.Itoa(a.CompletionTokens)
+	return `{"prompt_tokens":` + p + `,"completion_tokens":` + c + `,"total_tokens":` + strconv.Itoa(a.Request.PromptTokens+a.CompletionTokens) + `}`
 }
 
 func (a *Answer) open(b []byte, object string) []byte {
--- a/internal/chat/request.go
+++ b/internal/chat/request.go
@@ -20,10 +20,10 @@
 // Route is the API's one URL. Public tells whether the operator lets tenants share a text, by its digest.
 func Route(public func(digest string) bool, take func(ask *Request, who frontend.Identity, head *http1.Head, to *frontend.Response) *frontend.Problem) (string, frontend.Route) {
 	return "/v1/chat/completions", frontend.Route{Method: "POST", Begin: func(head *http1.Head, who frontend.Identity, to *frontend.Response) (frontend.Sink, *frontend.Problem) {
-		if p := frontend.IsJSON(head); p != nil {
+		if p := frontend.RequireJSON(head); p != nil {
 			return nil, p
 		}
-		return &frontend.BufferedBody{Do: func(body []byte) *frontend.Problem {
+		return &frontend.BufferedBody{Handle: func(body []byte) *frontend.Problem {
 			ask, p := ParseRequest(body, who.Space, public)
 			if p != nil {
 				return p
@@ -35,16 +35,16 @@
 
 // Request is what a client wants.
 type Request struct {
-	Model        string
-	Stream       bool
-	IncludeUsage bool
-	MaxTokens    int // tokens that the answer may have; 0 = not stated
-	Tokens       int // of the prompt, as far as it can be known here
-	SharedTokens int // of these, those of the shared text
-	Session      uint64
-	Shared       uint64 // names the shared text; 0 = there is none
-	Salt         string // kept texts at the hosts are shared only where this is equal
-	Rest         []byte // the request's members but for those that each leg states anew, without the braces
+	Model              string
+	Stream             bool
+	IncludeUsage       bool
+	MaxTokens          int // tokens that the answer may have; 0 = not stated
+	PromptTokens       int // of the prompt, as far as it can be known here
+	SharedPrefixTokens int // of these, those of the shared text
+	Session            uint64
+	SharedPrefix       uint64 // names the shared text; 0 = there is none
+	CacheSalt          string // kept texts at the hosts are shared only where this is equal
+	Passthrough        []byte // the request's members but for those that each leg states anew, without the braces
 }
 
 // tokenBytes is how many bytes of text are taken for a token; hosts tell the true count afterwards.
@@ -66,7 +66,7 @@
 	if !root.IsObject() {
 		return nil, frontend.Invalid("", "invalid_json", "The body must be a JSON object.")
 	}
-	a := &Request{Rest: make([]byte, 0, len(body))}
+	a := &Request{Passthrough: make([]byte, 0, len(body))}
 	var trouble *frontend.Problem
 	var messages gjson.Result
 	var cacheKey string
@@ -86,12 +86,12 @@
 			cacheKey = v.String()
 		}
 		if !slices.Contains(legMembers, name) {
-			if len(a.Rest) > 0 {
-				a.Rest = append(a.Rest, ',')
+			if len(a.Passthrough) > 0 {
+				a.Passthrough = append(a.Passthrough, ',')
 			}
-			a.Rest = append(a.Rest, key.Raw...)
-			a.Rest = append(a.Rest, ':')
-			a.Rest = append(a.Rest, v.Raw...)
+			a.Passthrough = append(a.Passthrough, key.Raw...)
+			a.Passthrough = append(a.Passthrough, ':')
+			a.Passthrough = append(a.Passthrough, v.Raw...)
 		}
 		return trouble == nil
 	})
@@ -241,14 +241,14 @@
 	case i == 0:
 		return frontend.Invalid("messages", "empty_array", "Invalid 'messages': empty array.")
 	}
-	a.Tokens, a.SharedTokens = (text+tokenBytes-1)/tokenBytes, sharedText/tokenBytes
-	a.Salt = space
-	if a.SharedTokens > 0 {
+	a.PromptTokens, a.SharedPrefixTokens = (text+tokenBytes-1)/tokenBytes, sharedText/tokenBytes
+	a.CacheSalt = space
+	if a.SharedPrefixTokens > 0 {
 		digest := hex.EncodeToString(shared.Sum(nil))
 		if public != nil && public(digest) {
-			a.Salt = "public"
+			a.CacheSalt = "public"
 		}
-		a.Shared = max(xxhash.Sum64String(a.Salt+"\x00"+digest), 1)
+		a.SharedPrefix = max(xxhash.Sum64String(a.CacheSalt+"\x00"+digest), 1)
 	}
 	if a.Session = max(begins.Sum64(), 1); cacheKey != "" {
 		a.Session = max(xxhash.Sum64String(space+"\x00key\x00"+cacheKey), 1)
--- a/internal/cli/bench.go
+++ b/internal/cli/bench.go
@@ -246,7 +246,7 @@
 	var asked, failed, open int
 	m.asks.Do(func() {
 		chance := rand.New(rand.NewSource(c.Seed))
-		e := engine.New(m.asks, "bench", m.d.Zones[0], engine.Limits{Connect: eventloop.Second, Idle: 20 * eventloop.Second, Silence: 30 * eventloop.Second, PerEndpoint: 8192, Opening: 1000})
+		e := engine.New(m.asks, "bench", m.d.Zones[0], engine.Limits{ConnectTimeout: eventloop.Second, IdleTimeout: 20 * eventloop.Second, StreamIdleTimeout: 30 * eventloop.Second, MaxPerEndpoint: 8192, MaxOpening: 1000})
 		var readers, writers []scheduler.EndpointID
 		for _, h := range m.fleet.Hosts {
 			id := scheduler.EndpointID(h.ID)
@@ -298,12 +298,16 @@
 					first(direct)()
 				}
 			}, Ended: func(o engine.Result) { end(o.Outcome == scheduler.Completed) }}
-			e.Prefill(readers[asked%len(readers)], e.AttemptName(scheduler.RequestID(asked), 0), id, plain, 10*eventloop.Second, engine.Callbacks{Ended: func(o engine.Result) {
+			target := func(endpoint scheduler.EndpointID, attempt scheduler.AttemptNo) engine.Target {
+				name := e.AttemptName(scheduler.RequestID(asked), attempt)
+				return engine.Target{Endpoint: endpoint, RequestID: name, ClientID: id, Timeout: 10 * eventloop.Second}
+			}
+			e.Prefill(target(readers[asked%len(readers)], 0), plain, engine.Callbacks{Ended: func(o engine.Result) {
 				if o.Outcome != scheduler.PrefillDone {
 					end(false)
 					return
 				}
-				e.Decode(writers[asked%len(writers)], e.AttemptName(scheduler.RequestID(asked), 1), id, plain, o.State, 40, 10*eventloop.Second, hear)
+				e.Decode(target(writers[asked%len(writers)], 1), engine.DecodeRequest{Chat: plain, KVParams: o.State, MaxTokens: 40}, hear)
 			}})
 		}
 		next()
--- a/internal/cli/program.go
+++ b/internal/cli/program.go
@@ -231,7 +231,7 @@
 		}
 		post.CacheEndpoints = c.keeper(c.ListFile, true, func(err error) { s.log.Error().Err(err).Msg("the list is not kept; it is tried again") })
 	}
-	loop.Busy = frontend.Busy()
+	loop.Busy = frontend.BusyResponse()
 	var limit syscall.Rlimit
 	if err := syscall.Getrlimit(syscall.RLIMIT_NOFILE, &limit); err == nil {
 		post.Descriptors = int(min(limit.Cur, 1<<20))
--- a/internal/dispatch/batches.go
+++ b/internal/dispatch/batches.go
@@ -88,12 +88,12 @@
 // batchRoute is one of the APIs whose answers are complete with the read.
 func (x *Dispatcher) batchRoute(kind embeddings.Kind, form pb.Product_Form) frontend.Route {
 	b := x.batches.pb
-	bounds := embeddings.Bounds{Inputs: int(b.InputsMost), InputTokens: int(b.InputTokensMost), Body: int(b.BodyMost), Window: int(b.Window)}
+	bounds := embeddings.Limits{MaxInputs: int(b.InputsMost), MaxInputTokens: int(b.InputTokensMost), MaxBody: int(b.BodyMost), MaxBuffered: int(b.Window)}
 	if kind == embeddings.Rerank {
-		bounds.Inputs = int(b.DocumentsMost)
+		bounds.MaxInputs = int(b.DocumentsMost)
 	}
-	return frontend.Route{Method: "POST", Body: bounds.Body, Keeps: bounds.Window, Begin: func(head *http1.Head, who frontend.Identity, to *frontend.Response) (frontend.Sink, *frontend.Problem) {
-		if p := frontend.IsJSON(head, "gzip", "zstd"); p != nil {
+	return frontend.Route{Method: "POST", MaxBody: bounds.MaxBody, MaxBuffered: bounds.MaxBuffered, Begin: func(head *http1.Head, who frontend.Identity, to *frontend.Response) (frontend.Sink, *frontend.Problem) {
+		if p := frontend.RequireJSON(head, "gzip", "zstd"); p != nil {
 			return nil, p
 		}
 		limit, p := number(head, limitField, 1)
@@ -112,7 +112,7 @@
 	x, a := c.x, c.ask
 	product, known := x.products[a.Model]
 	if !known {
-		return frontend.NoModel(a.Model)
+		return frontend.ModelNotFound(a.Model)
 	}
 	p := x.Products[product]
 	if p.Form != c.form {
@@ -125,8 +125,8 @@
 		c.dimensions = a.Dimensions
 	}
 	s := x.seats[c.who.Tenant]
-	if s == nil || !c.who.Serves {
-		return &frontend.Problem{Status: 403, Type: "permission_error", Code: "tenant_suspended", Never: true, Message: "This account is suspended."}
+	if s == nil || !c.who.Active {
+		return &frontend.Problem{Status: 403, Type: "permission_error", Code: "tenant_suspended", NoRetry: true, Message: "This account is suspended."}
 	}
 	if x.batches.calls >= int(x.Doors.OpenMost) {
 		x.Shed++
@@ -197,7 +197,7 @@
 	if some {
 		c.answer.Vectors[i] = slices.Clone(v)
 		c.x.loop.Later(func() { // it may read on in the body, and this is called while its inputs are parted
-			if p := c.ask.Drop(i); p != nil {
+			if p := c.ask.DiscardInput(i); p != nil {
 				c.fail(p)
 			}
 		})
@@ -285,7 +285,7 @@
 		return
 	}
 	x.lastGen++
-	g := &gen{id: x.lastGen, ask: &chat.Request{Model: c.ask.Model, Tokens: tokens}, product: c.product, deadline: c.deadline, taken: now, clientID: c.clientID,
+	g := &gen{id: x.lastGen, ask: &chat.Request{Model: c.ask.Model, PromptTokens: tokens}, product: c.product, deadline: c.deadline, taken: now, clientID: c.clientID,
 		ticket: t, seat: s, part: &part{call: c, no: no, inputs: inputs, sent: now}}
 	t.Owner = g
 	x.gens[g.id] = g
@@ -320,16 +320,19 @@
 func (x *Dispatcher) carryPart(g *gen, name string, w what, hear engine.Callbacks) {
 	p := g.part
 	c := p.call
-	to, body := c.ask.Part(p.inputs, c.dimensions)
+	to, body := c.ask.PartRequest(p.inputs, c.dimensions)
 	inputs := len(p.inputs)
-	g.leg = x.engine.PrefillOnly(w.host, name, g.clientID, to, body, partAnswer, w.allow, func(body []byte) engine.Result {
+	target := engine.Target{Endpoint: w.host, RequestID: name, ClientID: g.clientID, Timeout: w.allow}
+	read := func(body []byte) engine.Result {
 		r, err := c.ask.ReadPart(body, inputs, c.dimensions)
 		if err != nil {
 			return engine.Result{Outcome: scheduler.Errored, Reason: "an answer that is not what was asked for: " + err.Error()}
 		}
 		p.result = r
 		return engine.Result{Outcome: scheduler.PrefillDone, Reason: "read"}
-	}, hear)
+	}
+	request := engine.PrefillOnlyRequest{Path: to, Body: body, MaxResponseBody: partAnswer, ReadResponse: read}
+	g.leg = x.engine.PrefillOnly(target, request, hear)
 }
 
 // answered takes the final answer of a part's generation.
@@ -344,7 +347,7 @@
 	} else if c.ended || p.bad {
 		x.batches.limiter.Taken()
 	} else {
-		x.batches.limiter.Back(now, g.ask.Tokens, now-p.sent, a == lifecycle.AnswerCompleted)
+		x.batches.limiter.Back(now, g.ask.PromptTokens, now-p.sent, a == lifecycle.AnswerCompleted)
 	}
 	if c.ended {
 		x.loop.Later(x.pump)
@@ -378,7 +381,7 @@
 	inputs := p.inputs
 	x.loop.Later(func() { // never within the module's own call
 		for _, i := range inputs {
-			if problem := c.ask.Drop(i); problem != nil {
+			if problem := c.ask.DiscardInput(i); problem != nil {
 				c.fail(problem)
 				return
 			}
@@ -421,7 +424,7 @@
 	if c.ended || !c.whole || c.parts.Open() > 0 {
 		return
 	}
-	c.answer.Ask, c.answer.ID = c.ask, c.x.answerID(c.x.lastGen)
+	c.answer.Request, c.answer.ID = c.ask, c.x.answerID(c.x.lastGen)
 	c.x.Completed++
 	c.meter(lifecycle.AnswerCompleted)
 	c.end()
@@ -525,7 +528,7 @@
 		if c.ask.Kind == embeddings.Rerank {
 			name = "documents"
 		}
-		c.fail(&frontend.Problem{Status: 422, Type: "invalid_request_error", Param: fmt.Sprintf("%s[%d]", name, at), Code: "input_not_served", Never: true,
+		c.fail(&frontend.Problem{Status: 422, Type: "invalid_request_error", Param: fmt.Sprintf("%s[%d]", name, at), Code: "input_not_served", NoRetry: true,
 			Message: fmt.Sprintf("'%s[%d]' could not be read; the others could.", name, at)})
 		return
 	}
--- a/internal/dispatch/batches_test.go
+++ b/internal/dispatch/batches_test.go
@@ -298,7 +298,7 @@
 		h.serve = func(l *line) {
 			for _, t := range r.x.batches.turns {
 				for _, c := range t.calls {
-					most = max(most, c.ask.Kept)
+					most = max(most, c.ask.BufferedBytes)
 				}
 			}
 			embeds(l)
--- a/internal/dispatch/check.go
+++ b/internal/dispatch/check.go
@@ -58,7 +58,7 @@
 	if open := x.module.InFlight(); open.Attempts != legs || open.Requests > len(x.gens) {
 		return fmt.Errorf("the module has %d generations and %d legs out, the dispatcher %d and %d", open.Requests, open.Attempts, len(x.gens), legs)
 	}
-	if n := x.front.Open; n < 0 {
+	if n := x.front.OpenRequests; n < 0 {
 		return fmt.Errorf("%d requests are open", n)
 	}
 	return nil
--- a/internal/dispatch/dispatch.go
+++ b/internal/dispatch/dispatch.go
@@ -163,9 +163,9 @@
 	x := &Dispatcher{Deployment: d, loop: loop, post: post, gens: map[scheduler.RequestID]*gen{}, runs: map[*idempotency.Entry]*gen{},
 		products: map[string]scheduler.ClassID{},
 		hosts:    map[scheduler.EndpointID]endpoints.Entry{}, starts: map[scheduler.EndpointID]starttimes.Start{}}
-	x.engine = engine.New(loop, post.Name, post.Zone, engine.Limits{Connect: ms(d.Dispatching.ConnectMs),
-		Idle: ms(d.Dispatching.IdleMs), Silence: ms(d.Dispatching.SilenceMs), PerEndpoint: int(d.Dispatching.Connections),
-		Opening: int(d.Dispatching.Openings)})
+	x.engine = engine.New(loop, post.Name, post.Zone, engine.Limits{ConnectTimeout: ms(d.Dispatching.ConnectMs),
+		IdleTimeout: ms(d.Dispatching.IdleMs), StreamIdleTimeout: ms(d.Dispatching.SilenceMs), MaxPerEndpoint: int(d.Dispatching.Connections),
+		MaxOpening: int(d.Dispatching.Openings)})
 	for i, p := range d.Products {
 		x.products[p.Name] = scheduler.ClassID(i)
 	}
@@ -173,10 +173,10 @@
 	x.batches.limiter = batch.NewLimiter(int(x.batches.pb.FixedLimit))
 	bounds := http1.Usual
 	bounds.Head, bounds.Body = int(d.Doors.HeadMost), int(d.Doors.BodyMost)
-	patience := frontend.UsualPatience
-	patience.Message, patience.Stall, patience.Unsent = ms(d.Doors.MessageMs), ms(d.Doors.StallMs), int(d.Doors.UnsentMost)
+	patience := frontend.DefaultClientLimits
+	patience.MessageTimeout, patience.StallTimeout, patience.MaxUnsentBytes = ms(d.Doors.MessageMs), ms(d.Doors.StallMs), int(d.Doors.UnsentMost)
 	x.front = frontend.New(loop, x, x.routes(), bounds, patience)
-	x.front.MaxBufferedBodies = bodiesMost * bounds.Body
+	x.front.MaxBufferedBytes = bodiesMost * bounds.Body
 	if n := post.Descriptors; n > 0 {
 		x.front.MaxConnections = max((n-min(descriptorsKept, n/2))/2, 1)
 	}
@@ -209,9 +209,7 @@
 
 // routes are the client's APIs.
 func (x *Dispatcher) routes() map[string]frontend.Route {
-	all := map[string]frontend.Route{}
-	list, many, below, one := frontend.Models(x.Models)
-	all[list], all[below] = many, one
+	all := frontend.ModelRoutes(x.Models)
 	chatAt, r := chat.Route(func(digest string) bool { return x.directory.Public(digest) }, x.HandleChat)
 	all[chatAt] = r
 	all["/v1/embeddings"] = x.batchRoute(embeddings.Embeddings, pb.Product_EMBEDDING)
@@ -312,7 +310,7 @@
 		}
 		x.hosts[e.ID] = e
 		if e.Condition == "gone" {
-			x.engine.Forget(e.ID)
+			x.engine.RemoveEndpoint(e.ID)
 			delete(x.hosts, e.ID)
 			delete(x.starts, e.ID)
 		} else {
@@ -373,7 +371,7 @@
 func (x *Dispatcher) HandleChat(ask *chat.Request, who frontend.Identity, head *http1.Head, to *frontend.Response) *frontend.Problem {
 	product, known := x.products[ask.Model]
 	if !known {
-		return frontend.NoModel(ask.Model)
+		return frontend.ModelNotFound(ask.Model)
 	}
 	p := x.Products[product]
 	if p.Form != pb.Product_CHAT {
@@ -439,7 +437,7 @@
 
 // attach makes a reply one that the generation's answer goes to.
 func (x *Dispatcher) attach(g *gen, to *frontend.Response) {
-	to.SetFormat(&chat.Answer{ID: g.answerID, Model: g.ask.Model, Created: int64(x.loop.Now() / eventloop.Second), Ask: g.ask})
+	to.SetFormat(&chat.Answer{ID: g.answerID, Model: g.ask.Model, Created: int64(x.loop.Now() / eventloop.Second), Request: g.ask})
 	g.replies = append(g.replies, to)
 	to.OnDisconnect = func() { x.loop.Later(func() { x.clientLeft(g, to) }) } // never within the module's own call
 	to.OnDrained = func() { x.take(g, lifecycle.ClientCaughtUp) }
@@ -458,7 +456,7 @@
 func (x *Dispatcher) again(g *gen, space, key string, to *frontend.Response) (answered bool, problem *frontend.Problem) {
 	digest := sha256.Sum256([]byte(space + "\x00" + g.ask.Model + "\x00" + key))
 	shape := fmt.Sprint(g.ask.Stream, g.ask.IncludeUsage, g.ask.MaxTokens, " ")
-	request := xxhash.Sum64String(shape + string(g.ask.Rest))
+	request := xxhash.Sum64String(shape + string(g.ask.Passthrough))
 	verdict, entry := x.repeats.Begin(x.loop.Now(), idempotency.Key(digest[:16]), request)
 	if verdict != idempotency.New && verdict != idempotency.Full {
 		x.Repeats++
@@ -478,7 +476,7 @@
 		}
 		x.attach(first, to)
 		for _, data := range entry.Events {
-			to.Chunk(data)
+			to.WriteEvent(data)
 		}
 		if verdict == idempotency.Replay {
 			to.Complete()
@@ -488,7 +486,7 @@
 		return false, &frontend.Problem{Status: 422, Type: "invalid_request_error", Param: keyField, Code: "idempotency_key_reused",
 			Message: "The Idempotency-Key was used for another request."}
 	}
-	return false, &frontend.Problem{Status: 409, Type: "invalid_request_error", Param: keyField, Code: "already_ran", Never: true,
+	return false, &frontend.Problem{Status: 409, Type: "invalid_request_error", Param: keyField, Code: "already_ran", NoRetry: true,
 		Message: "The generation of this Idempotency-Key ran, or may have run, and is not run again; its answer is no longer here."}
 }
 
@@ -513,8 +511,8 @@
 	if len(g.replies) > 0 || g.repeat != nil && (g.State == lifecycle.Decoding || g.State == lifecycle.Streaming) {
 		x.take(g, lifecycle.ClientCaughtUp)      // it may have been the one that lagged
 		if len(g.replies) == 0 && g.alone == 0 { // nobody's request holds its body any more, and it is kept all the same
-			g.alone = len(g.ask.Rest)
-			x.front.Kept += g.alone
+			g.alone = len(g.ask.Passthrough)
+			x.front.BufferedBytes += g.alone
 		}
 		return
 	}
@@ -577,7 +575,7 @@
 	case lifecycle.StateFetched:
 		g.state, g.mayLie = "", nil
 	case lifecycle.NotifyStarted:
-		slo := x.place.Classes[g.product].SLO + scheduler.Micros(float64(x.place.Classes[g.product].SLOPer1000)*float64(g.ask.Tokens)/1000)
+		slo := x.place.Classes[g.product].SLO + scheduler.Micros(float64(x.place.Classes[g.product].SLOPer1000)*float64(g.ask.PromptTokens)/1000)
 		x.batches.limiter.Chat(now, now-g.taken, slo)
 		g.leg.Started()
 		if !g.ask.Stream {
@@ -678,7 +676,7 @@
 	if g.part != nil && g.final == 0 {
 		g.part.answered(g, lifecycle.Forget, 0) // taken back
 	}
-	x.front.Kept -= g.alone
+	x.front.BufferedBytes -= g.alone
 	g.alone = 0
 	x.remember(g, false) // where its client left before it was answered
 	x.paid(g)
@@ -712,10 +710,11 @@
 		x.carryPart(g, name, w, hear)
 		return
 	}
+	target := engine.Target{Endpoint: w.host, RequestID: name, ClientID: g.clientID, Timeout: w.allow}
 	if reads {
 		g.mayLie = append(g.mayLie, place{w.host, name})
 		x.intendEarly(g)
-		g.leg = x.engine.Prefill(w.host, name, g.clientID, g.ask, w.allow, hear)
+		g.leg = x.engine.Prefill(target, g.ask, hear)
 		return
 	}
 	g.ran, g.ranFirst = true, g.ran
@@ -733,7 +732,8 @@
 			})
 			return
 		}
-		g.leg = x.engine.Decode(w.host, name, g.clientID, g.ask, g.state, g.ask.MaxTokens, w.allow, hear)
+		request := engine.DecodeRequest{Chat: g.ask, KVParams: g.state, MaxTokens: g.ask.MaxTokens}
+		g.leg = x.engine.Decode(target, request, hear)
 	})
 	x.late(g, no)
 }
@@ -793,7 +793,7 @@
 	}
 	lags := false
 	for _, r := range g.replies {
-		lags = r.Chunk(data) || lags
+		lags = r.WriteEvent(data) || lags
 	}
 	if lags {
 		x.take(g, lifecycle.ClientLagging)
--- a/internal/dispatch/dispatch_test.go
+++ b/internal/dispatch/dispatch_test.go
@@ -430,8 +430,8 @@
 			t.Errorf("%s: finals %v, closed %v", name, call.finals, call.closed)
 		}
 	}
-	if r.x.Front().Open != 0 {
-		t.Errorf("%d requests open", r.x.Front().Open)
+	if r.x.Front().OpenRequests != 0 {
+		t.Errorf("%d requests open", r.x.Front().OpenRequests)
 	}
 }
 
@@ -471,7 +471,7 @@
 	for range 1000 {
 		r.w.Run(eventloop.Millisecond)
 		for _, h := range r.hosts {
-			most = max(most, r.x.engine.Opening(scheduler.EndpointID(h.id)))
+			most = max(most, r.x.engine.OpeningConnections(scheduler.EndpointID(h.id)))
 		}
 	}
 	r.w.Run(5 * eventloop.Second)
--- a/internal/dispatch/room_test.go
+++ b/internal/dispatch/room_test.go
@@ -267,7 +267,7 @@
 		r.told(e)
 	}
 	r.w.Run(120 * eventloop.Second)
-	if n := r.x.engine.Endpoints(); n != 2 || len(r.x.hosts) != 2 {
+	if n := r.x.engine.EndpointCount(); n != 2 || len(r.x.hosts) != 2 {
 		t.Errorf("%d hosts are known to the legs, %d to the dispatcher", n, len(r.x.hosts))
 	}
 	r.ends(r.ask("explain"), "streamed")
@@ -300,7 +300,7 @@
 				calls = append(calls, c)
 			}
 			r.w.Run(5 * eventloop.Millisecond)
-			most = max(most, r.x.front.Kept)
+			most = max(most, r.x.front.BufferedBytes)
 		}
 		r.w.Run(100 * eventloop.Millisecond)
 		if most > bound || most < bound/2 {
@@ -318,8 +318,8 @@
 			}
 		}
 		r.w.Run(15 * eventloop.Second)
-		if r.x.front.Kept != 0 {
-			t.Errorf("whole %v: %d bytes are counted at the end", whole, r.x.front.Kept)
+		if r.x.front.BufferedBytes != 0 {
+			t.Errorf("whole %v: %d bytes are counted at the end", whole, r.x.front.BufferedBytes)
 		}
 		r.told(r.hosts[1].entry("ready"))
 		r.ends(r.ask("explain"), "streamed")
@@ -368,8 +368,8 @@
 		t.Errorf("the last call: %v", f)
 	}
 	r.w.Run(10 * eventloop.Second)
-	if r.x.batches.answers != 0 || r.x.front.Kept != 0 || r.x.batches.calls != 0 {
-		t.Errorf("at the end %d bytes of answers, %d of bodies, %d calls", r.x.batches.answers, r.x.front.Kept, r.x.batches.calls)
+	if r.x.batches.answers != 0 || r.x.front.BufferedBytes != 0 || r.x.batches.calls != 0 {
+		t.Errorf("at the end %d bytes of answers, %d of bodies, %d calls", r.x.batches.answers, r.x.front.BufferedBytes, r.x.batches.calls)
 	}
 	for i, c := range calls {
 		if len(c.finals) != 1 {
@@ -430,12 +430,12 @@
 	r.w.Run(100 * eventloop.Millisecond)
 	r.far.Do(c.conn.Abort)
 	r.w.Run(100 * eventloop.Millisecond)
-	if r.x.front.Kept == 0 || r.x.OpenRequests() != 1 {
-		t.Errorf("%d bytes are counted, %d run", r.x.front.Kept, r.x.OpenRequests())
+	if r.x.front.BufferedBytes == 0 || r.x.OpenRequests() != 1 {
+		t.Errorf("%d bytes are counted, %d run", r.x.front.BufferedBytes, r.x.OpenRequests())
 	}
 	r.w.Run(2 * eventloop.Second)
-	if r.x.front.Kept != 0 || r.x.OpenRequests() != 0 {
-		t.Errorf("at the end %d bytes are counted, %d run", r.x.front.Kept, r.x.OpenRequests())
+	if r.x.front.BufferedBytes != 0 || r.x.OpenRequests() != 0 {
+		t.Errorf("at the end %d bytes are counted, %d run", r.x.front.BufferedBytes, r.x.OpenRequests())
 	}
 	r.ends(r.ask("review-post", "Idempotency-Key", "k"), "streamed") // its answer is kept
 }
--- a/internal/dispatch/stages_test.go
+++ b/internal/dispatch/stages_test.go
@@ -169,8 +169,8 @@
 		y.t.Errorf("at the end the hosts have %d jobs, %d states, %d tokens\n%s", jobs, states, tokens, strings.Join(y.fleet.Summary(), "\n"))
 	}
 	open := y.x.module.InFlight()
-	if open.Requests+open.Attempts+open.Held > 0 || open.PrefillTokens > 0.5 || y.x.OpenRequests() > 0 || y.x.front.Open != 0 {
-		y.t.Errorf("the module has %d generations, %d legs, %d held, %.0f tokens being read; the dispatcher %v, %d open", open.Requests, open.Attempts, open.Held, open.PrefillTokens, y.x.DescribeOpen(), y.x.front.Open)
+	if open.Requests+open.Attempts+open.Held > 0 || open.PrefillTokens > 0.5 || y.x.OpenRequests() > 0 || y.x.front.OpenRequests != 0 {
+		y.t.Errorf("the module has %d generations, %d legs, %d held, %.0f tokens being read; the dispatcher %v, %d open", open.Requests, open.Attempts, open.Held, open.PrefillTokens, y.x.DescribeOpen(), y.x.front.OpenRequests)
 	}
 	for _, h := range y.fleet.Hosts {
 		if out := y.x.engine.InFlight(h.Entry("ready").ID); out != 0 {
--- a/internal/dispatch/tenants.go
+++ b/internal/dispatch/tenants.go
@@ -180,7 +180,7 @@
 // Identify finds whose key it is.
 func (x *Dispatcher) Identify(key string) (frontend.Identity, bool) {
 	if s := x.static[sha256.Sum256([]byte(key))]; s != nil {
-		return frontend.Identity{Tenant: s.name, Space: s.space, Serves: true}, true
+		return frontend.Identity{Tenant: s.name, Space: s.space, Active: true}, true
 	}
 	t, k, known := x.directory.Authenticate(int64(x.loop.Now()/eventloop.Second), key)
 	if !known || !slices.Contains(k.Scopes, tenancy.ScopeChat) {
@@ -190,25 +190,25 @@
 	if s == nil || s.id != t.ID {
 		return frontend.Identity{}, false
 	}
-	return frontend.Identity{Tenant: s.name, Key: k.ID, Space: s.space, Serves: s.serves}, true
+	return frontend.Identity{Tenant: s.name, Key: k.ID, Space: s.space, Active: s.serves}, true
 }
 
 // admission takes a generation to its tenant's gate. It tells whether it goes to the module now; else it waits, or has
 // been answered.
 func (x *Dispatcher) admission(g *gen, who frontend.Identity, to *frontend.Response) (now bool, problem *frontend.Problem) {
 	s := x.seats[who.Tenant]
-	if s == nil || !who.Serves {
-		return false, &frontend.Problem{Status: 403, Type: "permission_error", Code: "tenant_suspended", Never: true,
+	if s == nil || !who.Active {
+		return false, &frontend.Problem{Status: 403, Type: "permission_error", Code: "tenant_suspended", NoRetry: true,
 			Message: "This account is suspended."}
 	}
 	g.seat = s
-	t, v := x.gate.Admit(x.loop.Now(), s.id, who.Key, g.ask.Model, g.ask.Tokens, g.ask.MaxTokens)
+	t, v := x.gate.Admit(x.loop.Now(), s.id, who.Key, g.ask.Model, g.ask.PromptTokens, g.ask.MaxTokens)
 	switch {
 	case v.Reason == tenancy.PromptTooLarge:
 		return false, &frontend.Problem{Status: 400, Type: "invalid_request_error", Param: "messages", Code: "prompt_too_large",
 			Message: "The prompt has more tokens than this account may ask for."}
 	case v.Reason == tenancy.NotServed:
-		return false, &frontend.Problem{Status: 403, Type: "permission_error", Code: "tenant_suspended", Never: true, Message: "This account is suspended."}
+		return false, &frontend.Problem{Status: 403, Type: "permission_error", Code: "tenant_suspended", NoRetry: true, Message: "This account is suspended."}
 	case v.Reason != tenancy.None:
 		x.OverQuota++
 		x.meter.Add(tenancy.Usage{Tenant: s.name, Product: g.ask.Model, Day: tenancy.Day(x.loop.Now()), Rejected: 1})
@@ -253,11 +253,11 @@
 	x.module.RequestArrived(x.loop.Now(), scheduler.Arrival{
 		ID:              g.id,
 		Session:         scheduler.SessionID(a.Session),
-		Prefix:          scheduler.PrefixID(a.Shared),
+		Prefix:          scheduler.PrefixID(a.SharedPrefix),
 		Class:           g.product,
 		Tenant:          g.seat.index,
-		PromptTokens:    float64(a.Tokens),
-		PrefixTokens:    float64(a.SharedTokens),
+		PromptTokens:    float64(a.PromptTokens),
+		PrefixTokens:    float64(a.SharedPrefixTokens),
 		MaxOutputTokens: float64(a.MaxTokens),
 		Deadline:        g.deadline,
 	})
@@ -291,7 +291,7 @@
 		u.Disconnected = 1
 	}
 	if g.tokens > 0 {
-		u.Prompt, u.Answer = uint64(g.ask.Tokens), uint64(g.tokens)
+		u.Prompt, u.Answer = uint64(g.ask.PromptTokens), uint64(g.tokens)
 		if g.prompt > 0 {
 			u.Prompt = uint64(g.prompt)
 		}
--- a/internal/embeddings/answer.go
+++ b/internal/embeddings/answer.go
@@ -100,7 +100,7 @@
 
 // Answer gives the pieces of the answer to a call, all of whose inputs have their results.
 type Answer struct {
-	Ask     *Request
+	Request *Request
 	ID      string
 	Vectors [][]byte  // by place among the ask's inputs
 	Scores  []float64 //
@@ -115,15 +115,15 @@
 // Next is the next piece.
 func (n *Answer) Next() (piece []byte, more bool) {
 	b := n.piece[:0]
-	total := len(n.Ask.Order)
-	if n.Ask.Kind == Rerank {
+	total := len(n.Request.Order)
+	if n.Request.Kind == Rerank {
 		if n.ranked == nil {
 			n.rank()
 		}
 		total = len(n.ranked)
 	}
 	if n.next == 0 {
-		if n.Ask.Kind == Rerank {
+		if n.Request.Kind == Rerank {
 			b = append(b, `{"id":`...)
 			b = appendString(b, n.ID)
 			b = append(b, `,"results":[`...)
@@ -139,7 +139,7 @@
 	}
 	if more = n.next < total; !more {
 		b = append(b, `],"model":`...)
-		b = appendString(b, n.Ask.Model)
+		b = appendString(b, n.Request.Model)
 		b = append(b, fmt.Sprintf(`,"usage":{"prompt_tokens":%d,"total_tokens":%d}}`, n.Tokens, n.Tokens)...)
 	}
 	n.piece = b
@@ -148,37 +148,37 @@
 
 // rank sorts documents by their scores, the best first; equal ones stay in the order in which they came.
 func (n *Answer) rank() {
-	n.ranked = make([]int32, len(n.Ask.Order))
+	n.ranked = make([]int32, len(n.Request.Order))
 	for i := range n.ranked {
 		n.ranked[i] = int32(i)
 	}
 	slices.SortStableFunc(n.ranked, func(a, b int32) int {
-		return cmp.Compare(n.Scores[n.Ask.Order[b]], n.Scores[n.Ask.Order[a]])
+		return cmp.Compare(n.Scores[n.Request.Order[b]], n.Scores[n.Request.Order[a]])
 	})
-	if top := n.Ask.TopN; top > 0 && top < len(n.ranked) {
+	if top := n.Request.TopN; top > 0 && top < len(n.ranked) {
 		n.ranked = n.ranked[:top]
 	}
 }
 
 func (n *Answer) one(b []byte, at int) []byte {
-	if n.Ask.Kind == Rerank {
+	if n.Request.Kind == Rerank {
 		i := n.ranked[at]
 		b = append(b, `{"index":`...)
 		b = strconv.AppendInt(b, int64(i), 10)
 		b = append(b, `,"relevance_score":`...)
-		b = strconv.AppendFloat(b, n.Scores[n.Ask.Order[i]], 'g', -1, 64)
-		if n.Ask.Documents {
+		b = strconv.AppendFloat(b, n.Scores[n.Request.Order[i]], 'g', -1, 64)
+		if n.Request.ReturnDocuments {
 			b = append(b, `,"document":{"text":`...)
-			b = appendString(b, n.Ask.Texts[n.Ask.Order[i]])
+			b = appendString(b, n.Request.Texts[n.Request.Order[i]])
 			b = append(b, '}')
 		}
 		return append(b, '}')
 	}
-	v := n.Vectors[n.Ask.Order[at]]
+	v := n.Vectors[n.Request.Order[at]]
 	b = append(b, `{"object":"embedding","index":`...)
 	b = strconv.AppendInt(b, int64(at), 10)
 	b = append(b, `,"embedding":`...)
-	if n.Ask.Base64 {
+	if n.Request.Base64 {
 		b = append(b, '"')
 		b = base64.StdEncoding.AppendEncode(b, v)
 		return append(b, '"', '}')
--- a/internal/embeddings/request.go
+++ b/internal/embeddings/request.go
@@ -28,12 +28,12 @@
 	Rerank
 )
 
-// Bounds are what a call is held to.
-type Bounds struct {
-	Inputs      int // of a call
-	InputTokens int // of one input
-	Body        int // bytes, also once it is decoded
-	Window      int // bytes of inputs that are kept at once
+// Limits are what a call is held to.
+type Limits struct {
+	MaxInputs      int // of a call
+	MaxInputTokens int // of one input
+	MaxBody        int // bytes, also once it is decoded
+	MaxBuffered    int // bytes of inputs that are kept at once
 }
 
 // Input is one text, or list of tokens, without repeats.
@@ -43,8 +43,8 @@
 	Key    vectors.Key
 }
 
-// Owner is what stands behind a call.
-type Owner interface {
+// Handler is what stands behind a call.
+type Handler interface {
 	// Begin is told once that all is known that a part needs; inputs may go out from now on.
 	Begin() *frontend.Problem
 	// Added tells of further inputs, or, with whole, that there will be none.
@@ -53,20 +53,20 @@
 
 // Request is what a client wants, as far as its body has come. It is the front's Sink.
 type Request struct {
-	Kind       Kind
-	Model      string
-	Base64     bool
-	Dimensions int // 0: as many as the model has
-	Query      string
-	TopN       int  // 0: all
-	Documents  bool // the documents are to be given back
-	Inputs     []Input
-	Order      []int32  // of each input as it came, its place among Inputs
-	Kept       int      // bytes of inputs that are kept
-	Texts      []string // of documents that are to be given back, by place among Inputs
-
-	bounds  Bounds
-	owner   Owner
+	Kind            Kind
+	Model           string
+	Base64          bool
+	Dimensions      int // 0: as many as the model has
+	Query           string
+	TopN            int  // 0: all
+	ReturnDocuments bool // the documents are to be given back
+	Inputs          []Input
+	Order           []int32  // of each input as it came, its place among Inputs
+	BufferedBytes   int      // bytes of inputs that are kept
+	Texts           []string // of documents that are to be given back, by place among Inputs
+
+	bounds  Limits
+	owner   Handler
 	to      *frontend.Response
 	scan    scanner
 	places  map[vectors.Key]int32
@@ -89,12 +89,12 @@
 const codedMost = 16 << 20
 
 // NewRequest makes one for a body in a coding, "" for none.
-func NewRequest(kind Kind, coding string, bounds Bounds, owner Owner, to *frontend.Response) *Request {
+func NewRequest(kind Kind, coding string, bounds Limits, owner Handler, to *frontend.Response) *Request {
 	a := &Request{Kind: kind, bounds: bounds, owner: owner, to: to, places: map[vectors.Key]int32{}, coding: strings.ToLower(coding), piece: make([]byte, 32<<10)}
 	if a.coding == "identity" {
 		a.coding = ""
 	}
-	a.scan = scanner{lists: []string{"input", "documents"}, most: min(bounds.InputTokens*16+1024, bounds.Body), member: a.member, element: a.element}
+	a.scan = scanner{lists: []string{"input", "documents"}, most: min(bounds.MaxInputTokens*16+1024, bounds.MaxBody), member: a.member, element: a.element}
 	return a
 }
 
@@ -119,16 +119,16 @@
 
 // grown: where much is kept the rest of the body waits, and what has come goes out, if all is known that it needs.
 func (a *Request) grown() *frontend.Problem {
-	if a.Kept <= a.bounds.Window/2 {
+	if a.BufferedBytes <= a.bounds.MaxBuffered/2 {
 		return nil
 	}
 	if !a.begun {
 		if a.Model == "" || a.Kind == Rerank && a.Query == "" {
-			if a.Kept <= a.bounds.Window {
+			if a.BufferedBytes <= a.bounds.MaxBuffered {
 				return nil
 			}
 			return &frontend.Problem{Status: 413, Type: "invalid_request_error", Code: "body_too_large", Message: fmt.Sprintf(
-				"Where the inputs have more than %d bytes, 'model' and what else is no input have to come before them.", a.bounds.Window)}
+				"Where the inputs have more than %d bytes, 'model' and what else is no input have to come before them.", a.bounds.MaxBuffered)}
 		}
 		if p := a.begin(); p != nil {
 			return p
@@ -137,13 +137,13 @@
 	if p := a.owner.Added(false); p != nil {
 		return p
 	}
-	a.to.Pause(a.Kept > a.bounds.Window)
+	a.to.PauseBody(a.BufferedBytes > a.bounds.MaxBuffered)
 	return nil
 }
 
 func (a *Request) begin() *frontend.Problem {
 	a.begun = true
-	if !a.Documents { // it can't be asked for any more
+	if !a.ReturnDocuments { // it can't be asked for any more
 		a.Texts = nil
 	}
 	return a.owner.Begin()
@@ -171,11 +171,11 @@
 			return a.undecodable()
 		}
 	}
-	for a.Kept <= a.bounds.Window {
+	for a.BufferedBytes <= a.bounds.MaxBuffered {
 		n, err := a.decoder.Read(a.piece)
-		if a.decoded += n; a.decoded > a.bounds.Body {
+		if a.decoded += n; a.decoded > a.bounds.MaxBody {
 			return &frontend.Problem{Status: 413, Type: "invalid_request_error", Code: "body_too_large",
-				Message: fmt.Sprintf("The body is larger than %d bytes once it is decoded.", a.bounds.Body)}
+				Message: fmt.Sprintf("The body is larger than %d bytes once it is decoded.", a.bounds.MaxBody)}
 		}
 		if p := a.take(a.piece[:n]); p != nil {
 			return p
@@ -239,18 +239,18 @@
 	return a.owner.Added(true)
 }
 
-// Drop lets go of an input that is not needed any more. It tells of a problem that shows in what is read on then.
-func (a *Request) Drop(i int) *frontend.Problem {
+// DiscardInput lets go of an input that is not needed any more. It tells of a problem that shows in what is read on then.
+func (a *Request) DiscardInput(i int) *frontend.Problem {
 	in := &a.Inputs[i]
-	a.Kept -= len(in.Raw)
+	a.BufferedBytes -= len(in.Raw)
 	in.Raw = nil
-	if a.over || a.Kept > a.bounds.Window/2 {
+	if a.over || a.BufferedBytes > a.bounds.MaxBuffered/2 {
 		return nil
 	}
 	if a.ended && a.coding != "" {
 		return a.decode()
 	}
-	a.to.Pause(false)
+	a.to.PauseBody(false)
 	return nil
 }
 
@@ -314,7 +314,7 @@
 		if !v.IsBool() {
 			return wrong("a boolean")
 		}
-		a.Documents = v.Bool()
+		a.ReturnDocuments = v.Bool()
 	case a.Kind == Rerank && name == "documents":
 		return wrong("an array")
 	case name == "user" && v.Type == gjson.String:
@@ -350,7 +350,7 @@
 		if !a.token(v) {
 			return frontend.Invalid("input", "invalid_value", "Invalid 'input': a token is an integer >= 0.")
 		}
-		if a.listed++; a.listed > a.bounds.InputTokens {
+		if a.listed++; a.listed > a.bounds.MaxInputTokens {
 			return a.tooManyTokens("input", a.listed)
 		}
 		a.tokens = append(append(a.tokens, raw...), ',')
@@ -392,12 +392,12 @@
 }
 
 func (a *Request) tooManyTokens(at string, n int) *frontend.Problem {
-	return frontend.Invalid(at, "input_too_long", "Invalid '%s': about %d tokens, and an input may have %d.", at, n, a.bounds.InputTokens)
+	return frontend.Invalid(at, "input_too_long", "Invalid '%s': about %d tokens, and an input may have %d.", at, n, a.bounds.MaxInputTokens)
 }
 
 // keepText keeps a document's text where it is to be given back; whether that is so may be said after it.
 func (a *Request) keepText(text string) {
-	if len(a.Texts) == len(a.Inputs) && (!a.begun || a.Documents) {
+	if len(a.Texts) == len(a.Inputs) && (!a.begun || a.ReturnDocuments) {
 		a.Texts = append(a.Texts, text)
 	}
 }
@@ -406,11 +406,11 @@
 	if a.listed > 0 {
 		return frontend.Invalid(at, "invalid_type", "Tokens and other inputs can't stand in one list.")
 	}
-	if tokens > a.bounds.InputTokens {
+	if tokens > a.bounds.MaxInputTokens {
 		return a.tooManyTokens(at, tokens)
 	}
-	if len(a.Order) >= a.bounds.Inputs {
-		return frontend.Invalid(at[:strings.IndexByte(at+"[", '[')], "array_above_max_length", "More than %d inputs are not taken in one call.", a.bounds.Inputs)
+	if len(a.Order) >= a.bounds.MaxInputs {
+		return frontend.Invalid(at[:strings.IndexByte(at+"[", '[')], "array_above_max_length", "More than %d inputs are not taken in one call.", a.bounds.MaxInputs)
 	}
 	digest := sha256.Sum256(raw)
 	key := vectors.Key(digest[:16])
@@ -419,7 +419,7 @@
 		place = int32(len(a.Inputs))
 		a.places[key] = place
 		a.Inputs = append(a.Inputs, Input{Raw: append([]byte(nil), raw...), Tokens: max(tokens, 1), Key: key})
-		a.Kept += len(raw)
+		a.BufferedBytes += len(raw)
 	} else if a.Kind == Rerank && len(a.Texts) > len(a.Inputs) {
 		a.Texts = a.Texts[:len(a.Inputs)]
 	}
@@ -437,8 +437,8 @@
 	return vectors.Key(h.Sum(nil)[:16])
 }
 
-// Part is the body of the request to a host for some inputs.
-func (a *Request) Part(inputs []int, dimensions int) (path string, body []byte) {
+// PartRequest is the body of the request to a host for some inputs.
+func (a *Request) PartRequest(inputs []int, dimensions int) (path string, body []byte) {
 	body = append(body, `{"model":`...)
 	body = appendString(body, a.Model)
 	if a.Kind == Rerank {
--- a/internal/engine/attempt.go
+++ b/internal/engine/attempt.go
@@ -17,13 +17,13 @@
 
 // Call is an attempt in whatever protocol over HTTP/1.1: what goes out, and how what comes back is read.
 type Call struct {
-	Request func(addr string, left eventloop.Micros) []byte // as it is when it leaves, with what is left of the time allowed
-	Answer  func(head *http1.Head, body []byte) Result      // what an answer means that is not streamed
-	Stream  Stream                                          // nil: none is expected
-	MaxBody int                                             // bytes of an answer that is not streamed
-	Release bool                                            // it lets go of something, and must not wait for attempts
-	// LeaveWithin, where it is above 0, is how long the call may take to leave, where that is less than the time for a connection.
-	LeaveWithin eventloop.Micros
+	BuildRequest    func(addr string, left eventloop.Micros) []byte // as it is when it leaves, with what is left of the time allowed
+	ReadResponse    func(head *http1.Head, body []byte) Result      // what an answer means that is not streamed
+	Stream          Stream                                          // nil: none is expected
+	MaxResponseBody int                                             // bytes of an answer that is not streamed
+	IsRelease       bool                                            // it lets go of something, and must not wait for attempts
+	// SendWithin, where it is above 0, is how long the call may take to leave, where that is less than the time for a connection.
+	SendWithin eventloop.Micros
 }
 
 // Stream reads the events of one streamed answer.
@@ -120,7 +120,7 @@
 func (l *Attempt) watch() {
 	l.allow.Stop()
 	l.heard = l.engine.loop.Now()
-	l.allow = l.engine.loop.After(l.engine.limits.Silence, l.silent)
+	l.allow = l.engine.loop.After(l.engine.limits.StreamIdleTimeout, l.silent)
 }
 
 func (l *Attempt) silent() {
@@ -128,8 +128,8 @@
 	switch {
 	case l.slow:
 		l.watch()
-	case quiet < l.engine.limits.Silence:
-		l.allow = l.engine.loop.After(l.engine.limits.Silence-quiet, l.silent)
+	case quiet < l.engine.limits.StreamIdleTimeout:
+		l.allow = l.engine.loop.After(l.engine.limits.StreamIdleTimeout-quiet, l.silent)
 	default:
 		l.end(l.broke(scheduler.ConnectionLost, "the stream fell silent"), true)
 	}
--- a/internal/engine/connection.go
+++ b/internal/engine/connection.go
@@ -190,7 +190,7 @@
 	h.idle = append(h.idle, t)
 	e.lastNo++
 	t.idleNo = e.lastNo
-	t.idleTimer = e.loop.After(e.limits.Idle, func() {
+	t.idleTimer = e.loop.After(e.limits.IdleTimeout, func() {
 		t.retire()
 		t.conn.Close()
 	})
--- a/internal/engine/engine.go
+++ b/internal/engine/engine.go
@@ -11,16 +11,16 @@
 
 // Limits are the terms on which connections to hosts are kept.
 type Limits struct {
-	Connect     eventloop.Micros // a connection not made by then counts as unreachable
-	Idle        eventloop.Micros // an unused connection is closed after it; hosts must keep them for longer
-	Silence     eventloop.Micros // a stream that has begun and brings nothing for so long counts as broken
-	PerEndpoint int              // connections to one host
-	Opening     int              // of these, those that may be opening at once; attempts beyond them wait, Connect at most
-	Total       int              // connections to all hosts, where it is above 0; before more are opened the one idle for longest is closed
+	ConnectTimeout    eventloop.Micros // a connection not made by then counts as unreachable
+	IdleTimeout       eventloop.Micros // an unused connection is closed after it; hosts must keep them for longer
+	StreamIdleTimeout eventloop.Micros // a stream that has begun and brings nothing for so long counts as broken
+	MaxPerEndpoint    int              // connections to one host
+	MaxOpening        int              // of these, those that may be opening at once; attempts beyond them wait, Connect at most
+	MaxTotal          int              // connections to all hosts, where it is above 0; before more are opened the one idle for longest is closed
 }
 
 const (
-	answerMost      = 1 << 20                     // bytes of a host's answer to a read, or of a refusal
+	maxResponseBody      = 1 << 20                     // bytes of a host's answer to a read, or of a refusal
 	eventMost       = 256 << 10                   // bytes of one streamed event
 	releaseTimeout  = 200 * eventloop.Millisecond // for the answer to one release
 	releasePause    = 60 * eventloop.Millisecond  // before it is tried again, doubled each time
@@ -95,9 +95,9 @@
 	h.idle = nil
 }
 
-// Forget closes what is idle to a host that is gone. It is dropped after a while: what it holds may still have to be let go of,
+// RemoveEndpoint closes what is idle to a host that is gone. It is dropped after a while: what it holds may still have to be let go of,
 // as a list may be wrong about a host that runs.
-func (e *Engine) Forget(id scheduler.EndpointID) {
+func (e *Engine) RemoveEndpoint(id scheduler.EndpointID) {
 	h := e.hosts[id]
 	if h == nil {
 		return
@@ -121,8 +121,8 @@
 	})
 }
 
-// Endpoints is how many hosts it has anything of.
-func (e *Engine) Endpoints() int { return len(e.hosts) }
+// EndpointCount is how many hosts it has anything of.
+func (e *Engine) EndpointCount() int { return len(e.hosts) }
 
 // Call sends one. It does not call back before it has returned. An attempt to a host without an address ends soon.
 func (e *Engine) Call(id scheduler.EndpointID, c Call, allow eventloop.Micros, hear Callbacks) *Attempt {
@@ -130,12 +130,12 @@
 }
 
 func (e *Engine) call(h *host, c Call, allow eventloop.Micros, hear Callbacks) *Attempt {
-	within := e.limits.Connect
-	if c.LeaveWithin > 0 {
-		within = min(within, c.LeaveWithin)
+	within := e.limits.ConnectTimeout
+	if c.SendWithin > 0 {
+		within = min(within, c.SendWithin)
 	}
-	l := &Attempt{engine: e, host: h, hear: hear, memory: scheduler.NoLoadReport, answer: c.Answer, stream: c.Stream, most: c.MaxBody,
-		isRelease: c.Release, events: sse.Parser{Most: eventMost}, asks: c.Request, due: e.loop.Now() + allow, leave: e.loop.Now() + within}
+	l := &Attempt{engine: e, host: h, hear: hear, memory: scheduler.NoLoadReport, answer: c.ReadResponse, stream: c.Stream, most: c.MaxResponseBody,
+		isRelease: c.IsRelease, events: sse.Parser{Most: eventMost}, asks: c.BuildRequest, due: e.loop.Now() + allow, leave: e.loop.Now() + within}
 	l.allow = e.loop.After(min(allow, within), l.late)
 	if l.host == nil || l.host.addr == "" {
 		e.loop.Later(func() { l.end(Result{Outcome: scheduler.Unreachable, Reason: "the host has no address"}, false) })
@@ -157,11 +157,11 @@
 		}
 		t.conn.Close()
 	}
-	most, dial := e.limits.PerEndpoint, e.loop.Dial
+	most, dial := e.limits.MaxPerEndpoint, e.loop.Dial
 	if l.isRelease {
 		most, dial = most+spareConnections, e.loop.DialSpare
 	}
-	if e.limits.Total > 0 && e.open >= e.limits.Total {
+	if e.limits.MaxTotal > 0 && e.open >= e.limits.MaxTotal {
 		e.makeRoom()
 	}
 	if h.open >= most {
@@ -170,7 +170,7 @@
 		})
 		return
 	}
-	if h.opening >= e.limits.Opening && !l.isRelease {
+	if h.opening >= e.limits.MaxOpening && !l.isRelease {
 		w := &waitingAttempt{attempt: l}
 		w.timer = e.loop.After(max(l.leave-now, 0), func() {
 			h.waiting = slices.DeleteFunc(h.waiting, func(o *waitingAttempt) bool { return o == w })
@@ -206,7 +206,7 @@
 
 // next serves attempts that wait, as far as connections allow now.
 func (e *Engine) next(h *host) {
-	for len(h.waiting) > 0 && (len(h.idle) > 0 || h.opening < e.limits.Opening && h.open < e.limits.PerEndpoint) {
+	for len(h.waiting) > 0 && (len(h.idle) > 0 || h.opening < e.limits.MaxOpening && h.open < e.limits.MaxPerEndpoint) {
 		w := h.waiting[0]
 		h.waiting = h.waiting[1:]
 		w.timer.Stop()
@@ -232,24 +232,24 @@
 	return h.open - len(h.idle)
 }
 
-// Opening is how many connections to a host are being opened.
-func (e *Engine) Opening(id scheduler.EndpointID) int {
+// OpeningConnections is how many connections to a host are being opened.
+func (e *Engine) OpeningConnections(id scheduler.EndpointID) int {
 	if h := e.hosts[id]; h != nil {
 		return h.opening
 	}
 	return 0
 }
 
-// Idle is how many connections to a host wait for an attempt.
-func (e *Engine) Idle(id scheduler.EndpointID) int {
+// IdleConnections is how many connections to a host wait for an attempt.
+func (e *Engine) IdleConnections(id scheduler.EndpointID) int {
 	if h := e.hosts[id]; h != nil && !h.gone {
 		return len(h.idle)
 	}
 	return 0
 }
 
-// LastHeard is when a host last said anything.
-func (e *Engine) LastHeard(id scheduler.EndpointID) eventloop.Micros {
+// LastReceived is when a host last said anything.
+func (e *Engine) LastReceived(id scheduler.EndpointID) eventloop.Micros {
 	if h := e.hosts[id]; h != nil {
 		return h.heard
 	}
@@ -259,11 +259,11 @@
 // Connections is how many there are to all hosts.
 func (e *Engine) Connections() int { return e.open }
 
-// ForgetOthers forgets all hosts but those that a whole list names.
-func (e *Engine) ForgetOthers(listed map[scheduler.EndpointID]bool) {
+// RetainEndpoints forgets all hosts but those that a whole list names.
+func (e *Engine) RetainEndpoints(listed map[scheduler.EndpointID]bool) {
 	for id := range e.hosts {
 		if !listed[id] {
-			e.Forget(id)
+			e.RemoveEndpoint(id)
 		}
 	}
 }
--- a/internal/engine/engine_test.go
+++ b/internal/engine/engine_test.go
@@ -29,9 +29,9 @@
 		}
 		var got []Result
 		own.Do(func() {
-			e := New(own, "d", "", Limits{Connect: eventloop.Second, Idle: eventloop.Second, PerEndpoint: 4, Opening: 4})
+			e := New(own, "d", "", Limits{ConnectTimeout: eventloop.Second, IdleTimeout: eventloop.Second, MaxPerEndpoint: 4, MaxOpening: 4})
 			e.SetAddress(1, ln.Addr())
-			e.Call(1, Call{Request: func(addr string, _ eventloop.Micros) []byte {
+			e.Call(1, Call{BuildRequest: func(addr string, _ eventloop.Micros) []byte {
 				return http1.AppendRequest(nil, "POST", "/", addr, make([]byte, size))
 			}},
 				300*eventloop.Millisecond, Callbacks{Ended: func(o Result) { got = append(got, o) }})
@@ -53,11 +53,11 @@
 		t.Fatal(err)
 	}
 	w.Block(own, far, 10*eventloop.Second)
-	e := New(own, "d", "", Limits{Connect: eventloop.Second, Idle: eventloop.Second, PerEndpoint: 4, Opening: 1})
+	e := New(own, "d", "", Limits{ConnectTimeout: eventloop.Second, IdleTimeout: eventloop.Second, MaxPerEndpoint: 4, MaxOpening: 1})
 	var took []eventloop.Micros
 	call := func() {
 		began := w.Now()
-		e.Call(1, Call{Request: func(addr string, _ eventloop.Micros) []byte { return http1.AppendRequest(nil, "POST", "/", addr, nil) }},
+		e.Call(1, Call{BuildRequest: func(addr string, _ eventloop.Micros) []byte { return http1.AppendRequest(nil, "POST", "/", addr, nil) }},
 			5*eventloop.Second, Callbacks{Ended: func(o Result) {
 				if took = append(took, w.Now()-began); o.Outcome != scheduler.Unreachable {
 					t.Errorf("it ended %d: %s", o.Outcome, o.Reason)
--- a/internal/engine/outcome.go
+++ b/internal/engine/outcome.go
@@ -14,6 +14,8 @@
 	"plumspindle/scheduler"
 )
 
+const statusOK = 200
+
 // Result is how an attempt came out.
 type Result struct {
 	Outcome       scheduler.Outcome
@@ -53,8 +55,8 @@
 	{422, "invalid_input", scheduler.NotSent, false},
 }
 
-// refused reads an answer that is not a success.
-func refused(status int, body []byte) Result {
+// readError reads an answer that is not a success.
+func readError(status int, body []byte) Result {
 	code := gjson.GetBytes(body, "error.code").String()
 	for _, r := range refusals {
 		if r.status == status && r.code == code && gjson.ValidBytes(body) {
@@ -64,8 +66,8 @@
 	return Result{Outcome: scheduler.Errored, Reason: "status " + strconv.Itoa(status)}
 }
 
-// readDone reads the answer to a read.
-func readDone(body []byte) Result {
+// readPrefill reads the answer to a read.
+func readPrefill(body []byte) Result {
 	params := gjson.GetBytes(body, "kv_transfer_params")
 	if !gjson.ValidBytes(body) || !params.IsObject() {
 		return Result{Outcome: scheduler.Errored, Reason: "a read without a state"}
--- a/internal/frontend/frontend.go
+++ b/internal/frontend/frontend.go
@@ -16,16 +16,16 @@
 	"plumspindle/internal/sse"
 )
 
-// Timeouts is how long the front waits for a client, and what it buffers for it.
-type Timeouts struct {
-	Message eventloop.Micros // for a request, from its first byte to its last
-	Idle    eventloop.Micros // for the next request
-	Stall   eventloop.Micros // for a client that reads nothing of what is sent
-	Unsent  int              // bytes of an answer kept for a slow client; past it the writer is slowed
+// ClientLimits is how long the front waits for a client, and what it buffers for it.
+type ClientLimits struct {
+	MessageTimeout eventloop.Micros // for a request, from its first byte to its last
+	IdleTimeout    eventloop.Micros // for the next request
+	StallTimeout   eventloop.Micros // for a client that reads nothing of what is sent
+	MaxUnsentBytes int              // bytes of an answer kept for a slow client; past it the writer is slowed
 }
 
-// UsualPatience suits clients near by.
-var UsualPatience = Timeouts{Message: 10 * eventloop.Second, Idle: 75 * eventloop.Second, Stall: 10 * eventloop.Second, Unsent: 64 << 10}
+// DefaultClientLimits suits clients near by.
+var DefaultClientLimits = ClientLimits{MessageTimeout: 10 * eventloop.Second, IdleTimeout: 75 * eventloop.Second, StallTimeout: 10 * eventloop.Second, MaxUnsentBytes: 64 << 10}
 
 // Service is what stands behind the front.
 type Service interface {
@@ -35,9 +35,9 @@
 
 // Route is one URL of an API.
 type Route struct {
-	Method string
-	Body   int // bytes that a body may have; 0: as the front's bounds say
-	Keeps  int // bytes of a body that are kept at once, however long it is; 0: all
+	Method      string
+	MaxBody     int // bytes that a body may have; 0: as the front's bounds say
+	MaxBuffered int // bytes of a body that are kept at once, however long it is; 0: all
 	// Begin takes a request whose head has come: either it gives what takes the body, or the request is refused. Once the
 	// body's end was taken without a problem exactly one final answer is owed on the reply.
 	Begin func(head *http1.Head, who Identity, to *Response) (Sink, *Problem)
@@ -51,15 +51,15 @@
 
 // BufferedBody is a Sink that needs all of a body at once.
 type BufferedBody struct {
-	body []byte
-	Do   func(body []byte) *Problem
+	body   []byte
+	Handle func(body []byte) *Problem
 }
 
 func (w *BufferedBody) Data(b []byte) *Problem { w.body = append(w.body, b...); return nil }
-func (w *BufferedBody) End() *Problem          { return w.Do(w.body) }
+func (w *BufferedBody) End() *Problem          { return w.Handle(w.body) }
 
-// IsJSON refuses what is not said to be JSON, and codings other than those that are taken.
-func IsJSON(head *http1.Head, codings ...string) *Problem {
+// RequireJSON refuses what is not said to be JSON, and codings other than those that are taken.
+func RequireJSON(head *http1.Head, codings ...string) *Problem {
 	if t := head.Get("Content-Type"); t != "" && !strings.HasPrefix(strings.ToLower(t), "application/json") {
 		return &Problem{Status: 415, Type: "invalid_request_error", Code: "unsupported_content_type", Message: "The content type must be application/json."}
 	}
@@ -81,7 +81,7 @@
 	Param   string
 	Code    string
 	Message string
-	Never   bool // no repeat can help: client libraries are told not to try
+	NoRetry bool // no repeat can help: client libraries are told not to try
 }
 
 func (p *Problem) Error() string { return p.Message }
@@ -109,7 +109,7 @@
 	Tenant string
 	Key    string // the key's id, never the key
 	Space  string
-	Serves bool // false: the tenant is known and not served now
+	Active bool // false: the tenant is known and not served now
 }
 
 // Server takes connections of clients.
@@ -118,29 +118,29 @@
 	service  Service
 	routes   map[string]Route
 	bounds   http1.Bounds
-	patience Timeouts
+	patience ClientLimits
 	clients  map[*client]bool
 	leaving  bool
 	lastNo   uint64
-	// Open is how many requests wait for their final answer.
-	Open int
+	// OpenRequests is how many requests wait for their final answer.
+	OpenRequests int
 	// MaxConnections, where it is above 0, is how many connections clients may have. Requests on more are throttled, and their connections
 	// closed; connections beyond an eighth more are not served at all. What hosts, the list's source and the administration are
 	// reached by must not run out because clients hold all there is.
 	MaxConnections int
-	// MaxBufferedBodies, where it is above 0, is how many bytes of bodies are kept at once, of requests that come or wait for their answer; one
+	// MaxBufferedBytes, where it is above 0, is how many bytes of bodies are kept at once, of requests that come or wait for their answer; one
 	// that would go beyond it is throttled, and nothing more of it is kept.
-	MaxBufferedBodies int
-	// Kept is how many are.
-	Kept int
+	MaxBufferedBytes int
+	// BufferedBytes is how many are.
+	BufferedBytes int
 }
 
 // New makes one; its Accept goes to Listen. Routes are by path; one that ends in a slash takes all paths below it.
-func New(loop eventloop.Loop, service Service, routes map[string]Route, bounds http1.Bounds, patience Timeouts) *Server {
+func New(loop eventloop.Loop, service Service, routes map[string]Route, bounds http1.Bounds, patience ClientLimits) *Server {
 	f := &Server{loop: loop, service: service, routes: routes, bounds: bounds, patience: patience, clients: map[*client]bool{}}
 	f.bounds.BodyOf = func(target string) int {
-		if r, some := f.route(target); some && r.Body > 0 {
-			return r.Body
+		if r, some := f.route(target); some && r.MaxBody > 0 {
+			return r.MaxBody
 		}
 		return bounds.Body
 	}
@@ -200,14 +200,14 @@
 	}
 	if f.MaxConnections > 0 && len(f.clients) >= f.MaxConnections+f.MaxConnections/8+1 {
 		c.over = true
-		c.conn.Write(Busy())
+		c.conn.Write(BusyResponse())
 		c.waits.For(c.front.loop, busyFor, func() { c.conn.Close() }) // what it sends is taken meanwhile, as a reset would overtake the answer
 		return
 	}
 	f.lastNo++
 	c.no, c.idle = f.lastNo, f.loop.Now()
 	f.clients[c] = true
-	c.waits.For(c.front.loop, c.front.patience.Idle, c.idleTimedOut)
+	c.waits.For(c.front.loop, c.front.patience.IdleTimeout, c.idleTimedOut)
 }
 
 // idleTimedOut closes a connection without a request, unless something has come that was not handed over yet: a request that was read
@@ -247,8 +247,8 @@
 	return oldest
 }
 
-// Busy is the answer to a connection that is not served for want of room; nothing has run.
-func Busy() []byte {
+// BusyResponse is the answer to a connection that is not served for want of room; nothing has run.
+func BusyResponse() []byte {
 	p := TooManyConnections()
 	return http1.AppendResponse(nil, p.Status, p.Body(), append(backFields(0), "Connection", "close", "Content-Type", "application/json")...)
 }
@@ -282,7 +282,7 @@
 
 func (c *client) awaitMessage() {
 	c.came = 0
-	c.waits.For(c.front.loop, c.front.patience.Message, func() {
+	c.waits.For(c.front.loop, c.front.patience.MessageTimeout, func() {
 		c.refused(&Problem{Status: 408, Type: "invalid_request_error", Code: "request_timeout", Message: "The request did not come in time."})
 	})
 }
@@ -304,7 +304,7 @@
 	if r := c.reply; r != nil && !r.taken {
 		r.free()
 		r.done, c.reply = true, nil // it is answered here, and nobody else was told of it
-		c.front.Open--
+		c.front.OpenRequests--
 	} else if r != nil {
 		c.reply.leave() // what was pipelined behind it is broken; its answer can't be told apart from the refusal's
 		c.conn.Abort()
@@ -312,7 +312,7 @@
 	}
 	c.send(p, "Connection", "close")
 	c.conn.Close()
-	c.waits.For(c.front.loop, c.front.patience.Stall, func() { c.conn.Abort() })
+	c.waits.For(c.front.loop, c.front.patience.StallTimeout, func() { c.conn.Abort() })
 }
 
 func (c *client) send(p *Problem, fields ...string) {
@@ -335,10 +335,10 @@
 func (c *client) Head(h *http1.Head) error {
 	c.head, c.sink, c.refuse = h, nil, nil
 	c.reply = &Response{client: c, stays: h.KeepAlive() && !c.front.leaving}
-	c.front.Open++
+	c.front.OpenRequests++
 	c.sink, c.refuse = c.front.begin(h, c.reply)
 	if r, some := c.front.route(h.Target); some {
-		c.reply.keeps = r.Keeps
+		c.reply.keeps = r.MaxBuffered
 	}
 	if strings.EqualFold(h.Get("Expect"), "100-continue") {
 		c.conn.Write([]byte("HTTP/1.1 100 Continue\r\n\r\n"))
@@ -359,7 +359,7 @@
 			to.OnDisconnect = nil
 		}
 		to.free()
-		to.Pause(false)
+		to.PauseBody(false)
 		c.sink = &deaf{func() { to.Reject(0) }}
 	default:
 		c.refuse = c.sink.Data(b)
@@ -416,13 +416,13 @@
 	return &Problem{Status: 405, Type: "invalid_request_error", Message: "Not allowed to " + strings.ToUpper(name) + " on this URL."}
 }
 
-// Models are the routes by which clients ask what is on offer.
-func Models(names func() []string) (path string, all Route, below string, one Route) {
+// ModelRoutes are the routes by which clients ask what is on offer.
+func ModelRoutes(names func() []string) map[string]Route {
 	entry := func(m string) map[string]any {
 		return map[string]any{"id": m, "object": "model", "created": 0, "owned_by": "plumspindle"}
 	}
-	all = Route{Method: "GET", Begin: func(_ *http1.Head, _ Identity, to *Response) (Sink, *Problem) {
-		return &BufferedBody{Do: func([]byte) *Problem {
+	all := Route{Method: "GET", Begin: func(_ *http1.Head, _ Identity, to *Response) (Sink, *Problem) {
+		return &BufferedBody{Handle: func([]byte) *Problem {
 			list := []any{}
 			for _, m := range names() {
 				list = append(list, entry(m))
@@ -432,23 +432,23 @@
 			return nil
 		}}, nil
 	}}
-	one = Route{Method: "GET", Begin: func(head *http1.Head, _ Identity, to *Response) (Sink, *Problem) {
+	one := Route{Method: "GET", Begin: func(head *http1.Head, _ Identity, to *Response) (Sink, *Problem) {
 		path, _, _ := strings.Cut(head.Target, "?")
 		name := path[strings.LastIndexByte(path, '/')+1:]
 		if !slices.Contains(names(), name) {
-			return nil, NoModel(name)
+			return nil, ModelNotFound(name)
 		}
-		return &BufferedBody{Do: func([]byte) *Problem {
+		return &BufferedBody{Handle: func([]byte) *Problem {
 			b, _ := json.Marshal(entry(name))
 			to.finish(200, b)
 			return nil
 		}}, nil
 	}}
-	return "/v1/models", all, "/v1/models/", one
+	return map[string]Route{"/v1/models": all, "/v1/models/": one}
 }
 
-// NoModel is the answer to a model that is not on offer.
-func NoModel(name string) *Problem {
+// ModelNotFound is the answer to a model that is not on offer.
+func ModelNotFound(name string) *Problem {
 	if len(name) > 60 {
 		name = name[:60]
 	}
@@ -479,7 +479,7 @@
 // next makes the connection ready for another request.
 func (c *client) next() {
 	c.reply, c.idle = nil, c.front.loop.Now()
-	c.waits.For(c.front.loop, c.front.patience.Idle, c.idleTimedOut)
+	c.waits.For(c.front.loop, c.front.patience.IdleTimeout, c.idleTimedOut)
 	c.conn.Pause(false)
 	c.check(c.parser.Resume(c))
 }
@@ -489,11 +489,11 @@
 // Format is what an API makes of a writer's events.
 type Format interface {
 	RequestID() string
-	Streams() bool               // the client is sent events, else one whole answer
-	Waits() bool                 // nothing of the answer has been shaped yet
-	Take(b, event []byte) []byte // appends what the client is sent for one event
-	Last(b []byte) []byte        // what it is sent at the end of a stream
-	Whole() []byte               // the whole answer
+	Streaming() bool                    // the client is sent events, else one whole answer
+	Unstarted() bool                    // nothing of the answer has been shaped yet
+	AppendEvent(b, event []byte) []byte // appends what the client is sent for one event
+	AppendEnd(b []byte) []byte          // what it is sent at the end of a stream
+	Object() []byte                     // the whole answer
 }
 
 // Response carries one final answer to the client, and nothing after it.
@@ -523,27 +523,27 @@
 	if r.keeps > 0 {
 		n = max(min(n, r.keeps-r.kept), 0)
 	}
-	if f.MaxBufferedBodies > 0 && f.Kept+n > f.MaxBufferedBodies {
+	if f.MaxBufferedBytes > 0 && f.BufferedBytes+n > f.MaxBufferedBytes {
 		return false
 	}
-	r.kept, f.Kept = r.kept+n, f.Kept+n
+	r.kept, f.BufferedBytes = r.kept+n, f.BufferedBytes+n
 	return true
 }
 
 // free: nothing of the body is kept any more.
 func (r *Response) free() {
-	r.client.front.Kept -= r.kept
+	r.client.front.BufferedBytes -= r.kept
 	r.kept = 0
 }
 
-// Begun tells that the first byte of a streamed answer has been sent.
-func (r *Response) Begun() bool { return r.begun }
+// Started tells that the first byte of a streamed answer has been sent.
+func (r *Response) Started() bool { return r.begun }
 
 // SetFormat says how the answer is to look; before the first chunk.
 func (r *Response) SetFormat(s Format) { r.shape = s }
 
-// Pause has the request's body wait, where what was read of it already is enough to go on with.
-func (r *Response) Pause(on bool) {
+// PauseBody has the request's body wait, where what was read of it already is enough to go on with.
+func (r *Response) PauseBody(on bool) {
 	c := r.client
 	if r.taken || r.done || r.paused == on {
 		return
@@ -567,7 +567,7 @@
 		return
 	}
 	r.client.refuse = p
-	r.Pause(false)
+	r.PauseBody(false)
 }
 
 // Stream is a long whole answer that is made piece by piece, as the client takes it.
@@ -579,7 +579,7 @@
 	r.begun = true
 	c.conn.Write(http1.AppendStreamHead(nil, 200, append(fields, "Content-Type", kind)...))
 	on := func() {
-		for !r.done && c.conn.Unsent() < c.front.patience.Unsent {
+		for !r.done && c.conn.Unsent() < c.front.patience.MaxUnsentBytes {
 			piece, more := next()
 			b := http1.AppendChunk(nil, piece)
 			if !more {
@@ -590,20 +590,20 @@
 			c.conn.Write(b)
 		}
 		if !r.done {
-			c.waits.For(c.front.loop, c.front.patience.Stall, func() { c.stalled() })
+			c.waits.For(c.front.loop, c.front.patience.StallTimeout, func() { c.stalled() })
 		}
 	}
 	r.OnDrained = on
 	on()
 }
 
-// Chunk hands on one usable event of a writer. It tells whether the client lags behind.
-func (r *Response) Chunk(data []byte) (lags bool) {
+// WriteEvent hands on one usable event of a writer. It tells whether the client lags behind.
+func (r *Response) WriteEvent(data []byte) (lags bool) {
 	if r.done {
 		return false
 	}
 	c := r.client
-	event := r.shape.Take(r.out[:0], data)
+	event := r.shape.AppendEvent(r.out[:0], data)
 	r.out = event
 	if len(event) == 0 {
 		return false
@@ -615,13 +615,13 @@
 	}
 	c.out = http1.AppendChunk(b, event)
 	c.conn.Write(c.out)
-	return c.waits.Lags(c.front.loop, c.conn, c.front.patience.Unsent, c.front.patience.Stall, c.stalled)
+	return c.waits.Lags(c.front.loop, c.conn, c.front.patience.MaxUnsentBytes, c.front.patience.StallTimeout, c.stalled)
 }
 
 // Heartbeat begins the stream, where it has not begun, and sends a comment that clients pass over. It tells whether there
 // is still something to wait for.
 func (r *Response) Heartbeat() bool {
-	if r.done || r.begun && !r.shape.Waits() {
+	if r.done || r.begun && !r.shape.Unstarted() {
 		return false
 	}
 	c := r.client
@@ -654,15 +654,15 @@
 	if r.done {
 		return
 	}
-	if !r.shape.Streams() {
-		r.finish(200, r.shape.Whole(), "x-request-id", r.shape.RequestID())
+	if !r.shape.Streaming() {
+		r.finish(200, r.shape.Object(), "x-request-id", r.shape.RequestID())
 		return
 	}
 	b := []byte(nil)
 	if !r.begun {
 		b = r.head(b)
 	}
-	b = http1.AppendChunk(b, r.shape.Last(nil))
+	b = http1.AppendChunk(b, r.shape.AppendEnd(nil))
 	r.client.conn.Write(http1.AppendLastChunk(b))
 	r.close()
 }
@@ -716,7 +716,7 @@
 	if p.Status == 401 {
 		fields = append(fields, "WWW-Authenticate", "Bearer")
 	}
-	if p.Never {
+	if p.NoRetry {
 		fields = append(fields, "x-should-retry", "false")
 	}
 	r.finish(p.Status, p.Body(), fields...)
@@ -739,7 +739,7 @@
 	c := r.client
 	r.free()
 	r.done = true
-	c.front.Open--
+	c.front.OpenRequests--
 	if r.stays && !c.front.leaving {
 		c.front.loop.Later(func() {
 			if c.reply == r && !c.over {
@@ -750,7 +750,7 @@
 	}
 	c.reply, c.over = nil, true
 	c.conn.Close()
-	c.waits.For(c.front.loop, c.front.patience.Stall, func() { c.conn.Abort() })
+	c.waits.For(c.front.loop, c.front.patience.StallTimeout, func() { c.conn.Abort() })
 }
 
 // leave: nobody waits for the answer any more.
@@ -760,7 +760,7 @@
 	}
 	r.free()
 	r.done = true
-	r.client.front.Open--
+	r.client.front.OpenRequests--
 	r.client.reply = nil
 	if r.OnDisconnect != nil {
 		r.OnDisconnect()
--- a/internal/platform/dispatcher.go
+++ b/internal/platform/dispatcher.go
@@ -104,7 +104,7 @@
 // either side; what is left is for releases, discovery and the poller.
 func upstreamLimits(t *settings.Settings, sockets int, idle eventloop.Micros) engine.Limits {
 	most := max(sockets*2/5, 8)
-	return engine.Limits{Connect: t.Connect, Idle: idle, Silence: streamSilence, PerEndpoint: most, Opening: max(most/4, 4), Total: most}
+	return engine.Limits{ConnectTimeout: t.Connect, IdleTimeout: idle, StreamIdleTimeout: streamSilence, MaxPerEndpoint: most, MaxOpening: max(most/4, 4), MaxTotal: most}
 }
 
 func clientLimits(sockets, memory int) server.Limits {
--- a/internal/platform/endpoints.go
+++ b/internal/platform/endpoints.go
@@ -27,11 +27,11 @@
 	d.module.EndpointUpdateEnded(d.loop.Now(), whole)
 	for _, e := range entries {
 		if e.Condition == scheduler.Removed {
-			d.upstream.Forget(e.ID)
+			d.upstream.RemoveEndpoint(e.ID)
 		}
 	}
 	if whole {
-		d.upstream.ForgetOthers(listed)
+		d.upstream.RetainEndpoints(listed)
 	}
 }
 
--- a/internal/platform/platform_test.go
+++ b/internal/platform/platform_test.go
@@ -687,7 +687,7 @@
 		}
 	}
 	r.w.Run(70 * eventloop.Second)
-	if n := r.x.upstream.Endpoints(); n > 4 {
+	if n := r.x.upstream.EndpointCount(); n > 4 {
 		t.Errorf("%d hosts are still known to the legs", n)
 	}
 	if n := r.x.server.Connections(); n > 0 {
--- a/internal/platform/upstream/release.go
+++ b/internal/platform/upstream/release.go
@@ -27,7 +27,7 @@
 func (l *Client) Release(id string, at scheduler.EndpointID, done func(bool)) {
 	l.Releases++
 	r := &release{client: l, id: id, done: done, began: l.loop.Now(), tried: map[scheduler.EndpointID]bool{}}
-	if now := l.loop.Now(); l.Idle(at) == 0 || now-l.LastHeard(at) > l.within {
+	if now := l.loop.Now(); l.IdleConnections(at) == 0 || now-l.LastReceived(at) > l.within {
 		at = l.other(r, at)
 	}
 	r.ask(at)
@@ -57,10 +57,10 @@
 		if !r.tried[h] {
 			at += 2
 		}
-		if l.Idle(h) > 0 {
+		if l.IdleConnections(h) > 0 {
 			at++
 		}
-		if heard := l.LastHeard(h); at > rank || at == rank && heard > spoke {
+		if heard := l.LastReceived(h); at > rank || at == rank && heard > spoke {
 			best, rank, spoke = h, at, heard
 		}
 	}
@@ -85,7 +85,7 @@
 		r.open[0].Cancel()
 		r.open = r.open[1:]
 	}
-	call := engine.Call{Release: true, MaxBody: maxAnswer, Answer: confirmed, Request: func(addr string, _ eventloop.Micros) []byte {
+	call := engine.Call{IsRelease: true, MaxResponseBody: maxAnswer, ReadResponse: confirmed, BuildRequest: func(addr string, _ eventloop.Micros) []byte {
 		return http1.AppendRequest(nil, "DELETE", "/v1/holds/"+r.id, addr, nil)
 	}}
 	var attempt *engine.Attempt
--- a/internal/platform/upstream/upstream.go
+++ b/internal/platform/upstream/upstream.go
@@ -54,12 +54,12 @@
 
 // Prefill sends a prompt to be read. It does not call back before it has returned.
 func (l *Client) Prefill(id scheduler.EndpointID, r Request, allow eventloop.Micros, hear engine.Callbacks) *engine.Attempt {
-	return l.Call(id, engine.Call{Request: r.to, Answer: prefillOutcome, MaxBody: maxAnswer, LeaveWithin: r.LeaveWithin}, allow, hear)
+	return l.Call(id, engine.Call{BuildRequest: r.to, ReadResponse: prefillOutcome, MaxResponseBody: maxAnswer, SendWithin: r.LeaveWithin}, allow, hear)
 }
 
 // Decode sends what is answered with a stream. It does not call back before it has returned.
 func (l *Client) Decode(id scheduler.EndpointID, r Request, allow eventloop.Micros, hear engine.Callbacks) *engine.Attempt {
-	return l.Call(id, engine.Call{Request: r.to, Answer: outcome, Stream: &events{}, MaxBody: maxAnswer, LeaveWithin: r.LeaveWithin}, allow, hear)
+	return l.Call(id, engine.Call{BuildRequest: r.to, ReadResponse: outcome, Stream: &events{}, MaxResponseBody: maxAnswer, SendWithin: r.LeaveWithin}, allow, hear)
 }
 
 func (r Request) to(addr string, left eventloop.Micros) []byte {
--- a/internal/platform/upstream/upstream_test.go
+++ b/internal/platform/upstream/upstream_test.go
@@ -99,7 +99,7 @@
 	for within, most := range map[eventloop.Micros]uint64{releaseTries - 1: 10, 500 * eventloop.Millisecond: 200} {
 		w := virtual.New(1)
 		loop := w.Loop("d")
-		e := engine.New(loop, "d", "", engine.Limits{Connect: eventloop.Second, Idle: eventloop.Second, PerEndpoint: 4, Opening: 4})
+		e := engine.New(loop, "d", "", engine.Limits{ConnectTimeout: eventloop.Second, IdleTimeout: eventloop.Second, MaxPerEndpoint: 4, MaxOpening: 4})
 		c := New(loop, e, within, func(bool) []scheduler.EndpointID { return []scheduler.EndpointID{1, 2} })
 		done := false
 		loop.Do(func() {
