--- a/internal/dispatch/tenants.go
+++ b/internal/dispatch/tenants.go
@@ -180,7 +180,7 @@
 // Identify finds whose key it is.
 func (x *Dispatcher) Identify(key string) (frontend.Identity, bool) {
 	if s := x.static[sha256.Sum256([]byte(key))]; s != nil {
-		return frontend.Identity{Tenant: s.name, Space: s.space, Serves: true}, true
+		return frontend.Identity{Tenant: s.name, Space: s.space, Active: true}, true
 	}
 	t, k, known := x.directory.Authenticate(int64(x.loop.Now()/eventloop.Second), key)
 	if !known || !slices.Contains(k.Scopes, tenancy.ScopeChat) {
@@ -190,15 +190,15 @@
 	if s == nil || s.id != t.ID {
 		return frontend.Identity{}, false
 	}
-	return frontend.Identity{Tenant: s.name, Key: k.ID, Space: s.space, Serves: s.serves}, true
+	return frontend.Identity{Tenant: s.name, Key: k.ID, Space: s.space, Active: s.serves}, true
 }
 
 // admission takes a generation to its tenant's gate. It tells whether it goes to the module now; else it waits, or has
 // been answered.
 func (x *Dispatcher) admission(g *gen, who frontend.Identity, to *frontend.Response) (now bool, problem *frontend.Problem) {
 	s := x.seats[who.Tenant]
-	if s == nil || !who.Serves {
-		return false, &frontend.Problem{Status: 403, Type: "permission_error", Code: "tenant_suspended", Never: true,
+	if s == nil || !who.Active {
+		return false, &frontend.Problem{Status: 403, Type: "permission_error", Code: "tenant_suspended", NoRetry: true,
 			Message: "This account is suspended."}
 	}
 	g.seat = s
@@ -206,7 +206,7 @@
 		Tenant:          s.id,
 		Key:             who.Key,
 		Product:         g.ask.Model,
-		PromptTokens:    g.ask.Tokens,
+		PromptTokens:    g.ask.PromptTokens,
 		MaxOutputTokens: g.ask.MaxTokens,
 	})
 	switch {
@@ -214,7 +214,7 @@
 		return false, &frontend.Problem{Status: 400, Type: "invalid_request_error", Param: "messages", Code: "prompt_too_large",
 			Message: "The prompt has more tokens than this account may ask for."}
 	case v.Reason == tenancy.NotServed:
-		return false, &frontend.Problem{Status: 403, Type: "permission_error", Code: "tenant_suspended", Never: true, Message: "This account is suspended."}
+		return false, &frontend.Problem{Status: 403, Type: "permission_error", Code: "tenant_suspended", NoRetry: true, Message: "This account is suspended."}
 	case v.Reason != tenancy.NotRejected:
 		x.OverQuota++
 		x.meter.Add(tenancy.Usage{Tenant: s.name, Product: g.ask.Model, Day: tenancy.Day(x.loop.Now()), Rejected: 1})
@@ -259,11 +259,11 @@
 	x.module.RequestArrived(x.loop.Now(), scheduler.Arrival{
 		ID:              g.id,
 		Session:         scheduler.SessionID(a.Session),
-		Prefix:          scheduler.PrefixID(a.Shared),
+		Prefix:          scheduler.PrefixID(a.SharedPrefix),
 		Class:           g.product,
 		Tenant:          g.seat.index,
-		PromptTokens:    float64(a.Tokens),
-		PrefixTokens:    float64(a.SharedTokens),
+		PromptTokens:    float64(a.PromptTokens),
+		PrefixTokens:    float64(a.SharedPrefixTokens),
 		MaxOutputTokens: float64(a.MaxTokens),
 		Deadline:        g.deadline,
 	})
@@ -297,7 +297,7 @@
 		u.Disconnected = 1
 	}
 	if g.tokens > 0 {
-		u.PromptTokens, u.OutputTokens = uint64(g.ask.Tokens), uint64(g.tokens)
+		u.PromptTokens, u.OutputTokens = uint64(g.ask.PromptTokens), uint64(g.tokens)
 		if g.prompt > 0 {
 			u.PromptTokens = uint64(g.prompt)
 		}
--- a/internal/platform/platform_test.go
+++ b/internal/platform/platform_test.go
@@ -687,7 +687,7 @@
 		}
 	}
 	r.world.Run(70 * eventloop.Second)
-	if n := r.dispatcher.upstream.Endpoints(); n > 4 {
+	if n := r.dispatcher.upstream.EndpointCount(); n > 4 {
 		t.Errorf("%d hosts are still known to the legs", n)
 	}
 	if n := r.dispatcher.server.Connections(); n > 0 {
