--- a/internal/admin/admin_test.go
+++ b/internal/admin/admin_test.go
@@ -90,7 +90,7 @@
 	y.at[i] = y.w.NewLoop(name)
 	var err error
 	y.at[i].Do(func() {
-		y.x[i], err = dispatch.Start(y.at[i], d, dispatch.Config{Name: name, Zone: d.Zones[i%2], Seed: int64(i + 1), Discovery: y.fleet.Roster.Addr,
+		y.x[i], err = dispatch.Start(y.at[i], d, dispatch.Config{Name: name, Zone: d.Zones[i%2], Seed: int64(i + 1), Discovery: y.fleet.Discovery.Addr,
 			Log: zerolog.Nop(), Tenants: y.addr, Secret: secret, CachedTenants: y.kept[i], CacheTenants: func(b []byte) { y.kept[i] = b }})
 		if err != nil {
 			return
--- a/internal/cli/batches.go
+++ b/internal/cli/batches.go
@@ -137,14 +137,14 @@
 		go func() {
 			defer func() { <-room; wg.Done() }()
 			play := &scenarios.Run{Script: script, Deployment: d, Dispatchers: 3, Seed: int64(seed + 1)}
-			v, left, _, err := play.Virtual(0)
+			v, left, _, err := play.RunVirtual(0)
 			mu.Lock()
 			defer mu.Unlock()
 			if err != nil {
 				failed = err
 				return
 			}
-			if !v.Kept() || left > 0 {
+			if !v.Passed() || left > 0 {
 				got.kept = false
 				got.broken = append(got.broken, fmt.Sprintf("%s, limit %d, seed %d, %d left over:\n%s", name, limit, seed+1, left, v.Text()))
 			}
@@ -152,12 +152,12 @@
 				for _, r := range v.Rows {
 					if p.Form == pb.Product_CHAT && r.Name == "product "+p.Name {
 						got.asked, got.inSLO = got.asked+r.Asked, got.inSLO+r.InSLO
-						got.first.Merge(r.First)
+						got.first.Merge(r.FirstToken)
 					}
 				}
 			}
-			for _, b := range play.Batches {
-				got.tokens, got.wrong = got.tokens+b.ReadTok, got.wrong+b.Wrong
+			for _, b := range play.BatchClients {
+				got.tokens, got.wrong = got.tokens+b.TokensRead, got.wrong+b.Wrong
 			}
 		}()
 	}
--- a/internal/cli/bench.go
+++ b/internal/cli/bench.go
@@ -107,7 +107,7 @@
 		return nil, err
 	}
 	defer logs.Close()
-	args := []string{"serve", "--deployment", file, "--roster", m.fleet.Roster.Addr, "--listen", "127.0.0.1:0",
+	args := []string{"serve", "--deployment", file, "--roster", m.fleet.Discovery.Addr, "--listen", "127.0.0.1:0",
 		"--ready-file", ready, "--seed", strconv.FormatInt(c.Seed, 10)}
 	if c.Intents {
 		args = append(args, "--state-dir", filepath.Join(m.dir, "state"))
@@ -248,7 +248,7 @@
 		chance := rand.New(rand.NewSource(c.Seed))
 		e := engine.New(m.asks, "bench", m.d.Zones[0], engine.Limits{ConnectTimeout: eventloop.Second, IdleTimeout: 20 * eventloop.Second, StreamIdleTimeout: 30 * eventloop.Second, MaxPerEndpoint: 8192, MaxOpening: 1000})
 		var readers, writers []scheduler.EndpointID
-		for _, h := range m.fleet.Hosts {
+		for _, h := range m.fleet.Endpoints {
 			id := scheduler.EndpointID(h.ID)
 			e.SetAddress(id, h.Addr)
 			if h.Kind() == "prefill" {
--- a/internal/cli/fairness.go
+++ b/internal/cli/fairness.go
@@ -110,11 +110,11 @@
 }
 
 func (o *outcome) add(v *audit.Verdict) {
-	o.kept = o.kept && v.Kept()
+	o.kept = o.kept && v.Passed()
 	for _, r := range v.Rows {
 		if r.Name == "tenant middle" || r.Name == "tenant south" {
 			o.asked, o.inSLO = o.asked+r.Asked, o.inSLO+r.InSLO
-			o.first.Merge(r.First)
+			o.first.Merge(r.FirstToken)
 		}
 	}
 }
@@ -130,14 +130,14 @@
 	}
 	play := &scenarios.Run{Script: script, Deployment: deployment.Standard(), Dispatchers: dispatchers, Seed: seed}
 	if !c.Sockets {
-		v, _, _, err := play.Virtual(0)
+		v, _, _, err := play.RunVirtual(0)
 		return v, err
 	}
 	if play.Binary, err = os.Executable(); err != nil {
 		return nil, err
 	}
 	v, err := play.Run(s.ctx)
-	if err == nil && !v.Kept() {
+	if err == nil && !v.Passed() {
 		fmt.Fprint(s.err, v.Text())
 	}
 	return v, err
--- a/internal/cli/program.go
+++ b/internal/cli/program.go
@@ -79,7 +79,7 @@
 	code := -1
 	k, err := kong.New(&c, kong.Name("plumspindle"), kong.Writers(out, errOut), kong.Exit(func(n int) { code = n }),
 		kong.Description("A router for language-model serving with reading and writing on separate engines."),
-		kong.UsageOnError(), kong.Vars{"days": strings.Join(scenarios.Names(), ", "), "troubles": strings.Join(scenarios.Kinds(), ", ")})
+		kong.UsageOnError(), kong.Vars{"days": strings.Join(scenarios.Names(), ", "), "troubles": strings.Join(scenarios.FaultKinds(), ", ")})
 	if err != nil {
 		fmt.Fprintln(errOut, err)
 		return 1
@@ -328,13 +328,13 @@
 		}
 	}
 	addr := ""
-	if fleet.Roster != nil {
-		addr = "http://" + fleet.Roster.Addr
+	if fleet.Discovery != nil {
+		addr = "http://" + fleet.Discovery.Addr
 	}
 	if err := scenarios.WriteReady(c.ReadyFile, scenarios.Ready{API: addr}); err != nil {
 		return err
 	}
-	for _, h := range fleet.Hosts {
+	for _, h := range fleet.Endpoints {
 		s.log.Info().Uint32("host", h.ID).Str("zone", h.Zone).Uint16("cell", h.Cell).Str("addr", h.Addr).Msg("stand-in host")
 	}
 	s.log.Info().Str("roster", addr).Msg("serving")
@@ -367,8 +367,8 @@
 		return err
 	}
 	defer loop.Stop()
-	var r *modelserver.Roster
-	loop.Do(func() { r, err = modelserver.NewRoster(loop, c.Listen, entries, nil) })
+	var r *modelserver.Discovery
+	loop.Do(func() { r, err = modelserver.NewDiscovery(loop, c.Listen, entries, nil) })
 	if err != nil {
 		return err
 	}
@@ -465,7 +465,7 @@
 		return err
 	}
 	defer loop.Stop()
-	serve := &serveCommand{Listen: c.Listen, Roster: fleet.Roster.Addr, Seed: c.Seed, Tenants: adminLn.Addr(), secret: secret[:]}
+	serve := &serveCommand{Listen: c.Listen, Roster: fleet.Discovery.Addr, Seed: c.Seed, Tenants: adminLn.Addr(), secret: secret[:]}
 	x, ln, err := serve.start(s, loop, d)
 	if err != nil {
 		return err
@@ -485,7 +485,7 @@
 	fmt.Fprintf(s.out, "Tenants: PLUMSPINDLE_ADMIN=http://%s PLUMSPINDLE_ADMIN_KEY=%s plumspindle tenant add NAME\n\n", adminLn.Addr(), operator)
 	fmt.Fprintf(s.out, "Serving at http://%s with %d stand-in hosts. Try:\n\ncurl -N http://%s/v1/chat/completions -H 'Authorization: Bearer %s' "+
 		"-H 'Content-Type: application/json' -d '{\"model\":\"explain\",\"stream\":true,\"max_tokens\":24,"+
-		"\"messages\":[{\"role\":\"user\",\"content\":\"Why did the build fail?\"}]}'\n\n", addr, len(fleet.Hosts), addr, keys[0])
+		"\"messages\":[{\"role\":\"user\",\"content\":\"Why did the build fail?\"}]}'\n\n", addr, len(fleet.Endpoints), addr, keys[0])
 	<-s.ctx.Done()
 	return leave(s, loop, x, ln, 30*time.Second)
 }
@@ -522,12 +522,12 @@
 		return err
 	}
 	play := &scenarios.Run{Script: script, Deployment: d, Dispatchers: c.Dispatchers, Seed: c.Seed, Binary: binary,
-		Record: c.Record, Progress: s.err, Keyed: c.Keyed, Intents: c.Intents}
+		RecordDir: c.Record, Progress: s.err, Keyed: c.Keyed, Intents: c.Intents}
 	var v *audit.Verdict
 	if c.Virtual {
 		var left int
 		var trace uint64
-		if v, left, trace, err = play.Virtual(c.Segment); err == nil {
+		if v, left, trace, err = play.RunVirtual(c.Segment); err == nil {
 			fmt.Fprintf(s.out, "in virtual time, trace %016x\n", trace)
 			if left > 0 {
 				err = fmt.Errorf("%d generations were left over in the dispatchers", left)
@@ -542,7 +542,7 @@
 	if err != nil {
 		return err
 	}
-	if !v.Kept() {
+	if !v.Passed() {
 		return errRules
 	}
 	return nil
@@ -554,12 +554,12 @@
 
 // Run judges the record.
 func (c *auditCommand) Run(s *surroundings) error {
-	v, err := scenarios.Again(c.Dir)
+	v, err := scenarios.JudgeRecorded(c.Dir)
 	if err != nil {
 		return err
 	}
 	fmt.Fprint(s.out, v.Text())
-	if !v.Kept() {
+	if !v.Passed() {
 		return errRules
 	}
 	return nil
--- a/internal/cli/restarts.go
+++ b/internal/cli/restarts.go
@@ -117,17 +117,17 @@
 		go func() {
 			defer func() { <-room; wg.Done() }()
 			play := &scenarios.Run{Script: script, Deployment: d, Dispatchers: c.Dispatchers, Seed: int64(seed + 1)}
-			v, left, err := play.Restart(eventloop.Micros(age.Microseconds()), share, discovery)
+			v, left, err := play.RunRestart(eventloop.Micros(age.Microseconds()), share, discovery)
 			mu.Lock()
 			defer mu.Unlock()
 			if err != nil {
 				failed = err
 				return
 			}
-			if !v.Kept() || left > 0 {
+			if !v.Passed() || left > 0 {
 				got.broken = append(got.broken, fmt.Sprintf("list of %v, %v replaced, discovery %v, seed %d, %d left over:\n%s", age, share, discovery, seed+1, left, v.Text()))
 			}
-			asked, in := play.InTime()
+			asked, in := play.WithinSLOBySecond()
 			for i := range asked {
 				got.asked[i], got.in[i] = got.asked[i]+asked[i], got.in[i]+in[i]
 			}
--- a/internal/cli/room_test.go
+++ b/internal/cli/room_test.go
@@ -24,7 +24,7 @@
 	ctx, cancel := context.WithTimeout(context.Background(), 2*time.Minute)
 	defer cancel()
 	var held sync.WaitGroup
-	p.Begun = func(addrs []string) {
+	p.OnLoadStarted = func(addrs []string) {
 		held.Go(func() { // clients that hold what they can get, while there is little
 			begun, tick := time.Now(), time.NewTicker(5*time.Millisecond)
 			defer tick.Stop()
@@ -52,14 +52,14 @@
 		t.Fatal(err)
 	}
 	t.Log(v.Text())
-	if !v.Kept() {
+	if !v.Passed() {
 		t.Error("a rule was broken")
 	}
-	asked, streamed := p.Streamed(9)
+	asked, streamed := p.CompletedInSecond(9)
 	if asked < 20 || streamed*10 < asked*9 {
 		t.Errorf("with room again %d of %d are streamed", streamed, asked)
 	}
-	if asked, streamed = p.Streamed(4); asked < 10 || streamed == asked {
+	if asked, streamed = p.CompletedInSecond(4); asked < 10 || streamed == asked {
 		t.Errorf("without room %d of %d are streamed: it did not bind", streamed, asked)
 	}
 }
--- a/internal/cli/sim.go
+++ b/internal/cli/sim.go
@@ -271,13 +271,13 @@
 		return err
 	}
 	if c.Trace != "" {
-		events := o.Play.Events()
+		events := o.Run.Events()
 		first := int64(0)
 		if len(events) > 0 {
 			first = events[0].At
 		}
 		for i, e := range events {
-			if e.Gen == c.Trace || "host:"+strconv.Itoa(int(e.Host)) == c.Trace || e.What == "trouble" || e.What == "killed" {
+			if e.Request == c.Trace || "host:"+strconv.Itoa(int(e.Endpoint)) == c.Trace || e.Type == "trouble" || e.Type == "killed" {
 				fmt.Fprintf(s.out, "%6d %10.3f ms  %s\n", i+1, float64(e.At-first)/1000, timeline(e))
 			}
 		}
@@ -294,14 +294,14 @@
 }
 
 func timeline(e record.Event) string {
-	text := fmt.Sprintf("%-9s", e.What)
-	for _, v := range [][2]string{{"generation", e.Gen}, {"leg", e.Leg}, {"dispatcher", e.Dispatcher}, {"kind", e.Kind}, {"how", e.How}} {
+	text := fmt.Sprintf("%-9s", e.Type)
+	for _, v := range [][2]string{{"generation", e.Request}, {"leg", e.Attempt}, {"dispatcher", e.Dispatcher}, {"kind", e.Kind}, {"how", e.Detail}} {
 		if v[1] != "" {
 			text += " " + v[0] + " " + v[1]
 		}
 	}
-	if e.Host > 0 {
-		text += fmt.Sprintf(" host %d", e.Host)
+	if e.Endpoint > 0 {
+		text += fmt.Sprintf(" host %d", e.Endpoint)
 	}
 	return text
 }
@@ -338,7 +338,7 @@
 	var reached lifecycle.Coverage
 	pairs := map[string]int{}
 	if err := each(from, to, 0, func(seed int64) error {
-		d := faultsearch.Draw(seed, faultsearch.Usual)
+		d := faultsearch.Draw(seed, faultsearch.DefaultSize)
 		o, err := faultsearch.Run(d, nil)
 		if err != nil {
 			return err
@@ -369,7 +369,7 @@
 			}
 		}
 	}
-	kinds := len(scenarios.Kinds())
+	kinds := len(scenarios.FaultKinds())
 	fmt.Fprintf(s.out, "%d of the path's %d cells reached; %d of %d pairs of troubles within a second played\n", got, cells, len(pairs), kinds*(kinds+1)/2)
 	return nil
 }
@@ -380,7 +380,7 @@
 	}
 	var troubles []*pb.Day_Trouble
 	if c.Trouble != "" {
-		if !slices.Contains(scenarios.Kinds(), c.Trouble) {
+		if !slices.Contains(scenarios.FaultKinds(), c.Trouble) {
 			return fmt.Errorf("sim: there is no trouble %q", c.Trouble)
 		}
 		troubles = append(troubles, &pb.Day_Trouble{Kind: c.Trouble, AtMs: 300, ForMs: 200, Share: 0.4, Factor: 0.5, Step: 30})
@@ -396,7 +396,7 @@
 		return err
 	}
 	fmt.Fprintf(s.out, "%d days in %.1f s, %d states told apart, %d choices not followed as their state was known; %d faults\n", o.Days,
-		time.Since(began).Seconds(), o.States, o.Cut, len(o.Faults))
+		time.Since(began).Seconds(), o.States, o.Pruned, len(o.Faults))
 	for _, f := range o.Faults[:min(len(o.Faults), 5)] {
 		fmt.Fprintln(s.out, f)
 	}
@@ -420,7 +420,7 @@
 	}
 	play := &scenarios.Run{Script: sc, Deployment: d, Dispatchers: c.Dispatchers, Seed: 1}
 	began := time.Now()
-	v, left, _, err := play.Virtual(0)
+	v, left, _, err := play.RunVirtual(0)
 	if err != nil {
 		return err
 	}
@@ -428,7 +428,7 @@
 	fmt.Fprint(s.out, v.Text())
 	fmt.Fprintf(s.out, "%d dispatchers, 54 hosts, %.0f generations a second for %d s: %.1f s, %.1f times as fast as real; %d steps, %.0f a second; %d left over\n",
 		c.Dispatchers, c.Rate, c.For, took, float64(c.For)/took, play.Steps, float64(play.Steps)/took, left)
-	if !v.Kept() || left > 0 {
+	if !v.Passed() || left > 0 {
 		return errRules
 	}
 	return nil
@@ -449,7 +449,7 @@
 			if over {
 				return nil
 			}
-			o, err := faultsearch.Run(faultsearch.Draw(seed, faultsearch.Usual), faultsearch.Mutants()[i])
+			o, err := faultsearch.Run(faultsearch.Draw(seed, faultsearch.DefaultSize), faultsearch.Mutants()[i])
 			if err != nil {
 				return err
 			}
@@ -470,7 +470,7 @@
 		}
 		fmt.Fprintf(s.out, "%2d %-46s seed %d: %.110s\n", i+1, p.Name, found, how)
 		if c.Small {
-			least, tried, err := faultsearch.Shrink(faultsearch.Draw(found, faultsearch.Usual), faultsearch.Mutants()[i], nil)
+			least, tried, err := faultsearch.Shrink(faultsearch.Draw(found, faultsearch.DefaultSize), faultsearch.Mutants()[i], nil)
 			if err != nil {
 				return err
 			}
--- a/internal/dispatch/stages_test.go
+++ b/internal/dispatch/stages_test.go
@@ -23,7 +23,7 @@
 type yard struct {
 	*rig
 	fleet *modelserver.Fleet
-	book  *record.Book
+	book  *record.Recorder
 }
 
 func newYard(t *testing.T, stops, cancels bool) *yard {
@@ -40,14 +40,14 @@
 	w := virtual.NewNetwork(1)
 	y := &yard{rig: &rig{t: t, w: w, loop: w.NewLoop("d"), far: w.NewLoop("far"), d: d}}
 	y.book, _ = record.Open("")
-	y.book.Add(record.Event{At: int64(w.Now()), What: "world", N: int64(w.Latency)})
+	y.book.Add(record.Event{At: int64(w.Now()), Type: "world", Count: int64(w.Latency)})
 	var err error
 	y.far.Do(func() { y.fleet, err = modelserver.Start(y.far, d, 1, "127.0.0.1:0", y.book) })
 	if err != nil {
 		t.Fatal(err)
 	}
 	y.loop.Do(func() {
-		y.x, err = Start(y.loop, d, Config{Name: "d", Zone: d.Zones[0], Seed: 1, Discovery: y.fleet.Roster.Addr, Log: zerolog.Nop()})
+		y.x, err = Start(y.loop, d, Config{Name: "d", Zone: d.Zones[0], Seed: 1, Discovery: y.fleet.Discovery.Addr, Log: zerolog.Nop()})
 		if err != nil {
 			return
 		}
@@ -74,7 +74,7 @@
 var stages = []stage{
 	{"held, as no writer fits", 1800, 300 * eventloop.Millisecond, "", false, func(y *yard) {
 		y.far.Do(func() {
-			for _, h := range y.fleet.Hosts {
+			for _, h := range y.fleet.Endpoints {
 				if h.Kind() == "decode" {
 					h.Drain(60*eventloop.Second, 0)
 				}
@@ -97,14 +97,14 @@
 	if limit > 0 {
 		fields = append(fields, "x-time-limit-ms", fmt.Sprint(limit/eventloop.Millisecond))
 	}
-	y.book.Add(record.Event{At: int64(y.w.Now()), What: "ask", Gen: id, Try: 1, Dispatcher: "d", Product: product, Value: float64(limit)})
+	y.book.Add(record.Event{At: int64(y.w.Now()), Type: "ask", Request: id, ClientAttempt: 1, Dispatcher: "d", Product: product, Value: float64(limit)})
 	return y.send(fmt.Sprintf(`{"model":%q,"stream":%v,"messages":[{"role":"user","content":%q}]}`, product, !whole, strings.Repeat("tell ", tokens*4/5)), fields...)
 }
 
 // ending is how it ends there. It tells which final answers are right for it, by effect; none where the client has left.
 type ending struct {
 	name string
-	do   func(y *yard, c *call, at *modelserver.Host)
+	do   func(y *yard, c *call, at *modelserver.Endpoint)
 	want func(s stage, effect pb.Product_Effect) []string
 }
 
@@ -120,14 +120,14 @@
 }
 
 var endings = []ending{
-	{"its client leaves", func(y *yard, c *call, _ *modelserver.Host) { y.far.Do(c.conn.Abort) }, func(stage, pb.Product_Effect) []string { return nil }},
+	{"its client leaves", func(y *yard, c *call, _ *modelserver.Endpoint) { y.far.Do(c.conn.Abort) }, func(stage, pb.Product_Effect) []string { return nil }},
 	{"its time limit", nil, endsBy},
-	{"its tenant is removed", func(y *yard, _ *call, _ *modelserver.Host) {
+	{"its tenant is removed", func(y *yard, _ *call, _ *modelserver.Endpoint) {
 		y.loop.Do(func() { y.x.leaveSeat(y.x.seats["one"], true) })
 	}, endsBy},
-	{"its host is lost", func(y *yard, _ *call, at *modelserver.Host) {
+	{"its host is lost", func(y *yard, _ *call, at *modelserver.Endpoint) {
 		if at == nil { // held: the reader is
-			at = y.fleet.Hosts[0]
+			at = y.fleet.Endpoints[0]
 		}
 		y.far.Do(func() { at.Crash(500 * eventloop.Millisecond) })
 	}, func(s stage, effect pb.Product_Effect) []string {
@@ -149,12 +149,12 @@
 		if len(c.finals) > 0 {
 			how = c.finals[0]
 		}
-		y.book.Add(record.Event{At: int64(y.w.Now()), What: "final", Gen: "g", Try: 1, Dispatcher: "d", Product: product, How: how, Exact: true, N: int64(len(c.text))})
+		y.book.Add(record.Event{At: int64(y.w.Now()), Type: "final", Request: "g", ClientAttempt: 1, Dispatcher: "d", Product: product, Detail: how, Exact: true, Count: int64(len(c.text))})
 	} else {
-		y.book.Add(record.Event{At: int64(y.w.Now()), What: "final", Gen: "g", Try: 1, Dispatcher: "d", Product: product, How: "terminated", N: 1})
+		y.book.Add(record.Event{At: int64(y.w.Now()), Type: "final", Request: "g", ClientAttempt: 1, Dispatcher: "d", Product: product, Detail: "terminated", Count: 1})
 	}
 	y.w.Run(eventloop.Second)
-	if jobs, states, tokens := y.fleet.Held(); y.d.Fleet.CancelStops && (jobs > 0 || states > 0 || tokens > 0) {
+	if jobs, states, tokens := y.fleet.Outstanding(); y.d.Fleet.CancelStops && (jobs > 0 || states > 0 || tokens > 0) {
 		y.t.Errorf("a second later the hosts have %d jobs, %d states, %d tokens\n%s", jobs, states, tokens, strings.Join(y.fleet.Summary(), "\n"))
 	}
 	y.w.Run(15 * eventloop.Second)
@@ -165,14 +165,14 @@
 	case !left && !slices.Contains(want, c.finals[0]):
 		y.t.Errorf("final answer %s, want %v; raw %.200q", c.finals[0], want, c.raw)
 	}
-	if jobs, states, tokens := y.fleet.Held(); jobs > 0 || states > 0 || tokens > 0 {
+	if jobs, states, tokens := y.fleet.Outstanding(); jobs > 0 || states > 0 || tokens > 0 {
 		y.t.Errorf("at the end the hosts have %d jobs, %d states, %d tokens\n%s", jobs, states, tokens, strings.Join(y.fleet.Summary(), "\n"))
 	}
 	open := y.x.module.InFlight()
 	if open.Requests+open.Attempts+open.Queued > 0 || open.PrefillTokens > 0.5 || y.x.OpenRequests() > 0 || y.x.front.OpenRequests != 0 {
 		y.t.Errorf("the module has %d generations, %d legs, %d held, %.0f tokens being read; the dispatcher %v, %d open", open.Requests, open.Attempts, open.Queued, open.PrefillTokens, y.x.DescribeOpen(), y.x.front.OpenRequests)
 	}
-	for _, h := range y.fleet.Hosts {
+	for _, h := range y.fleet.Endpoints {
 		if out := y.x.engine.InFlight(h.Entry("ready").ID); out != 0 {
 			y.t.Errorf("%d legs are out at host %d", out, h.ID)
 		}
@@ -181,16 +181,16 @@
 		y.t.Error(err)
 	}
 	events, _ := y.book.Close()
-	events = slices.DeleteFunc(events, func(e record.Event) bool { return e.Gen == "blocker" && e.What == "ask" })
+	events = slices.DeleteFunc(events, func(e record.Event) bool { return e.Request == "blocker" && e.Type == "ask" })
 	v := audit.Judge(y.d, events)
 	for i, r := range v.Rules {
-		for _, b := range r.Breaks {
+		for _, b := range r.Violations {
 			y.t.Errorf("rule %d: %s", i+1, b.Text)
 		}
 	}
 	for _, e := range events {
-		if e.What == "lease" {
-			y.t.Errorf("the state of leg %s was let go of by its host's lease alone", e.Leg)
+		if e.Type == "lease" {
+			y.t.Errorf("the state of leg %s was let go of by its host's lease alone", e.Attempt)
 		}
 	}
 }
@@ -251,8 +251,8 @@
 			events, _ := y.book.Close()
 			at := map[string]eventloop.Micros{"streamed": ended - y.w.Latency}
 			for _, e := range events {
-				if e.Gen == "g" && (e.What == "ran" || e.What == "answered" && e.How == "read") {
-					at[e.What] = eventloop.Micros(e.At) - began
+				if e.Request == "g" && (e.Type == "ran" || e.Type == "answered" && e.Detail == "read") {
+					at[e.Type] = eventloop.Micros(e.At) - began
 				}
 			}
 			for _, what := range []string{"answered", "ran", "streamed"} {
@@ -278,7 +278,7 @@
 							}
 							c := y.begin("g", product, 5000, whole, limit)
 							y.w.Run(stands)
-							y.book.Add(record.Event{At: int64(y.w.Now()), What: "away", Dispatcher: "d", How: "stands", N: int64(still)})
+							y.book.Add(record.Event{At: int64(y.w.Now()), Type: "away", Dispatcher: "d", Detail: "stands", Count: int64(still)})
 							y.virtual().Freeze(still)
 							y.w.Run(ends - stands)
 							if e.do != nil {
@@ -322,10 +322,10 @@
 	if !kept {
 		y.virtual().DescriptorLimit = 1
 	}
-	y.far.Do(y.fleet.Roster.Break)
+	y.far.Do(y.fleet.Discovery.ResetWatches)
 	y.w.Run(500 * eventloop.Millisecond)
 	heard := y.x.heard
-	y.far.Do(func() { y.fleet.Hosts[1].Drain(60*eventloop.Second, 0) })
+	y.far.Do(func() { y.fleet.Endpoints[1].Drain(60*eventloop.Second, 0) })
 	y.w.Run(2 * eventloop.Second)
 	if (y.x.heard != heard) != kept {
 		t.Fatalf("the source was heard: %v", !kept)
@@ -338,7 +338,7 @@
 		y.far.Do(m.conn.Abort)
 	}
 	y.w.Run(8 * eventloop.Second)
-	if e := y.x.hosts[y.fleet.Hosts[1].Entry("").ID]; y.x.heard == heard || e.Condition != "draining" {
+	if e := y.x.hosts[y.fleet.Endpoints[1].Entry("").ID]; y.x.heard == heard || e.Condition != "draining" {
 		t.Errorf("heard %d times, then %d; the host is %q", heard, y.x.heard, e.Condition)
 	}
 	c = y.begin("after", "review-post", 500, false, 0)
--- a/internal/faultsearch/faultsearch.go
+++ b/internal/faultsearch/faultsearch.go
@@ -33,8 +33,8 @@
 	Rate    float64
 }
 
-// Usual is the size of the standard world.
-var Usual = Size{Seconds: 7, Rate: 12}
+// DefaultSize is the size of the standard world.
+var DefaultSize = Size{Seconds: 7, Rate: 12}
 
 // Draw makes a day from a seed.
 func Draw(seed int64, size Size) *pb.Day {
@@ -99,11 +99,11 @@
 	Steps   int
 	Reached lifecycle.Coverage
 	Verdict *audit.Verdict
-	Play    *scenarios.Run
+	Run     *scenarios.Run
 }
 
-// Sort is what was broken first, without its numbers: two days that fail alike have it alike.
-func (o *Outcome) Sort() string {
+// FailureClass is what was broken first, without its numbers: two days that fail alike have it alike.
+func (o *Outcome) FailureClass() string {
 	if len(o.Faults) == 0 {
 		return ""
 	}
@@ -119,32 +119,32 @@
 	o := &Outcome{Day: d}
 	p := &scenarios.Run{Script: proto.Clone(d).(*pb.Day), Deployment: deployment.Standard(), Dispatchers: int(max(d.World.GetDispatchers(), 1)),
 		Seed: d.World.GetSeed(), Keyed: d.World.GetKeyed(), Intents: d.World.GetIntents(), Mutant: plant}
-	if plant != nil && plant.Play != nil {
-		plant.Play(p)
+	if plant != nil && plant.Run != nil {
+		plant.Run(p)
 	}
 	n := 0
-	p.Watch = func() {
+	p.AfterStep = func() {
 		if n++; n%checkEvery == 0 && len(o.Faults) == 0 {
 			if err := p.Check(); err != nil {
 				o.Faults = append(o.Faults, "own state: "+err.Error())
 			}
 		}
 	}
-	v, left, trace, err := p.Virtual(0)
+	v, left, trace, err := p.RunVirtual(0)
 	if err != nil {
 		return nil, fmt.Errorf("%s: %w", d.Name, err)
 	}
-	o.Verdict, o.Trace, o.Steps, o.Play = v, trace, p.Steps, p
+	o.Verdict, o.Trace, o.Steps, o.Run = v, trace, p.Steps, p
 	for i, r := range v.Rules {
-		if len(r.Breaks) > 0 {
-			b := r.Breaks[0]
-			o.Faults = append(o.Faults, fmt.Sprintf("rule %d: %s (generation %s, line %d; %d in all)", i+1, b.Text, b.Gen, b.Line, len(r.Breaks)))
+		if len(r.Violations) > 0 {
+			b := r.Violations[0]
+			o.Faults = append(o.Faults, fmt.Sprintf("rule %d: %s (generation %s, line %d; %d in all)", i+1, b.Text, b.Request, b.Line, len(r.Violations)))
 		}
 	}
 	if left > 0 {
 		o.Faults = append(o.Faults, fmt.Sprintf("left over: %d generations", left))
 	}
-	for _, b := range p.Batches {
+	for _, b := range p.BatchClients {
 		if b.Wrong > 0 {
 			o.Faults = append(o.Faults, fmt.Sprintf("wrong vectors: %d calls", b.Wrong))
 		}
@@ -176,7 +176,7 @@
 	if end+2500 > d.Seconds*1000 {
 		return ""
 	}
-	asked, streamed := p.Streamed(int(d.Seconds) - 1)
+	asked, streamed := p.CompletedInSecond(int(d.Seconds) - 1)
 	if asked >= 5 && streamed*5 < asked {
 		return fmt.Sprintf("service does not return: %d of %d streamed in the last second, %d ms after the last trouble", streamed, asked, d.Seconds*1000-end)
 	}
@@ -193,7 +193,7 @@
 	if err != nil {
 		return nil, 0, err
 	}
-	want := first.Sort()
+	want := first.FailureClass()
 	if want == "" {
 		return nil, 1, fmt.Errorf("%s does not fail", d.Name)
 	}
@@ -207,7 +207,7 @@
 		}
 		tried++
 		o, err := Run(next, plant)
-		if err != nil || o.Sort() != want {
+		if err != nil || o.FailureClass() != want {
 			return false
 		}
 		best = next
--- a/internal/faultsearch/faultsearch_test.go
+++ b/internal/faultsearch/faultsearch_test.go
@@ -34,7 +34,7 @@
 		n = 40
 	}
 	several(1, n, func(seed int64) {
-		o, err := Run(Draw(seed, Usual), nil)
+		o, err := Run(Draw(seed, DefaultSize), nil)
 		if err != nil {
 			t.Error(err)
 			return
@@ -45,7 +45,7 @@
 		if seed%10 > 0 {
 			return
 		}
-		if again, err := Run(Draw(seed, Usual), nil); err != nil || again.Trace != o.Trace || again.Steps != o.Steps {
+		if again, err := Run(Draw(seed, DefaultSize), nil); err != nil || again.Trace != o.Trace || again.Steps != o.Steps {
 			t.Errorf("seed %d: not the same twice (%v)", seed, err)
 		}
 	})
@@ -60,7 +60,7 @@
 			return // its seed is beyond what is played here; docs/simulation.md
 		}
 		for seed, tried := at[i], int64(0); tried <= 120; tried++ {
-			o, err := Run(Draw(seed, Usual), p)
+			o, err := Run(Draw(seed, DefaultSize), p)
 			if err != nil {
 				t.Error(err)
 				return
@@ -81,7 +81,7 @@
 		var found *Outcome
 		p := Mutants()[i]
 		for seed := int64(1); found == nil; seed++ {
-			o, err := Run(Draw(seed, Usual), p)
+			o, err := Run(Draw(seed, DefaultSize), p)
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -94,11 +94,11 @@
 			t.Fatal(err)
 		}
 		t.Logf("%s: %d troubles of %d after %d days", p.Name, len(least.Troubles), len(found.Day.Troubles), tried)
-		if o, err := Run(least, p); err != nil || o.Sort() != found.Sort() || len(least.Troubles) > 5 {
+		if o, err := Run(least, p); err != nil || o.FailureClass() != found.FailureClass() || len(least.Troubles) > 5 {
 			t.Errorf("%s: %d troubles, %v, %v", p.Name, len(least.Troubles), o, err)
 		}
 	}
-	if _, _, err := Shrink(Draw(1, Usual), nil, nil); err == nil {
+	if _, _, err := Shrink(Draw(1, DefaultSize), nil, nil); err == nil {
 		t.Error("a day that does not fail was shrunk")
 	}
 }
--- a/internal/faultsearch/interleavings.go
+++ b/internal/faultsearch/interleavings.go
@@ -17,7 +17,7 @@
 type Interleavings struct {
 	Days   int // played
 	States int // told apart
-	Cut    int // choices not followed, as their state had been met at that depth
+	Pruned int // choices not followed, as their state had been met at that depth
 	Faults []string
 }
 
@@ -59,7 +59,7 @@
 				fmt.Fprint(h, strings.Join(p.Summary(), "\n"))
 				state := fmt.Sprint(at, " ", h.Sum64())
 				if met[state] {
-					o.Cut++
+					o.Pruned++
 					depthNow = at // nothing deeper is tried otherwise
 				}
 				met[state] = true
@@ -67,14 +67,14 @@
 			at++
 			return eventloop.Micros(choices[at-1]) * late
 		}
-		v, left, _, err := p.Virtual(0)
+		v, left, _, err := p.RunVirtual(0)
 		if err != nil {
 			return o, err
 		}
 		o.Days++
 		for i, r := range v.Rules {
-			if len(r.Breaks) > 0 {
-				o.Faults = append(o.Faults, fmt.Sprintf("rule %d: %s (choices %v)", i+1, r.Breaks[0].Text, choices))
+			if len(r.Violations) > 0 {
+				o.Faults = append(o.Faults, fmt.Sprintf("rule %d: %s (choices %v)", i+1, r.Violations[0].Text, choices))
 			}
 		}
 		if left > 0 {
--- a/internal/faultsearch/mutants.go
+++ b/internal/faultsearch/mutants.go
@@ -224,7 +224,7 @@
 				}
 			}
 		}),
-		{Name: "intents are not kept", Play: func(p *scenarios.Run) { p.Intents = false }},
-		{Name: "the disk answers before it has written", Folder: func(f *virtual.Disk) { f.AcknowledgesEarly = true }},
+		{Name: "intents are not kept", Run: func(p *scenarios.Run) { p.Intents = false }},
+		{Name: "the disk answers before it has written", Disk: func(f *virtual.Disk) { f.AcknowledgesEarly = true }},
 	}
 }
--- a/internal/faultsearch/reject_test.go
+++ b/internal/faultsearch/reject_test.go
@@ -30,7 +30,7 @@
 	{5, "a state is never let go", 12, usualDay},
 }
 
-func usualDay(seed int64) *pb.Day { return Draw(seed, Usual) }
+func usualDay(seed int64) *pb.Day { return Draw(seed, DefaultSize) }
 
 // only tells whether a day broke one rule and nothing else.
 func only(o *Outcome, rule int) bool {
--- a/internal/testbed/audit/audit.go
+++ b/internal/testbed/audit/audit.go
@@ -15,40 +15,40 @@
 	"plumspindle/internal/testbed/record"
 )
 
-// Break is one breach of a rule: the line of the record that shows it, and whose it is.
-type Break struct {
-	Line int
-	Gen  string
-	Text string
+// Violation is one breach of a rule: the line of the record that shows it, and whose it is.
+type Violation struct {
+	Line    int
+	Request string
+	Text    string
 }
 
 // Rule is the verdict on one.
 type Rule struct {
-	Name    string
-	Checked int
-	Breaks  []Break
+	Name       string
+	Checked    int
+	Violations []Violation
 }
 
 // Row is the service of one product, or one tenant.
 type Row struct {
 	Name                                            string
-	Asked, Streamed, InSLO, Throttled, Failed, Lost int
-	Legs                                            int
-	First                                           *hdrhistogram.Histogram // µs to the first token
+	Asked, Completed, InSLO, Rejected, Failed, Lost int
+	Attempts                                        int
+	FirstToken                                      *hdrhistogram.Histogram // µs to the first token
 }
 
 // Verdict is all that is said of a day.
 type Verdict struct {
-	Rules    [5]Rule
-	Rows     []*Row
-	ColdMost float64 // the most of a cold host's budget that was used
-	Service  float64 // revenue in the SLO time, and late by its share, over revenue asked for
+	Rules            [5]Rule
+	Rows             []*Row
+	PeakSlowStartUse float64 // the most of a cold host's budget that was used
+	Service          float64 // revenue in the SLO time, and late by its share, over revenue asked for
 }
 
-// Kept tells that no rule was broken.
-func (v *Verdict) Kept() bool {
+// Passed tells that no rule was broken.
+func (v *Verdict) Passed() bool {
 	for _, r := range v.Rules {
-		if len(r.Breaks) > 0 {
+		if len(r.Violations) > 0 {
 			return false
 		}
 	}
@@ -120,7 +120,7 @@
 
 func (j *judge) fail(rule, line int, gen, format string, args ...any) {
 	r := &j.v.Rules[rule]
-	r.Breaks = append(r.Breaks, Break{line, gen, fmt.Sprintf(format, args...)})
+	r.Violations = append(r.Violations, Violation{line, gen, fmt.Sprintf(format, args...)})
 }
 
 // owner is the dispatcher's generation that a leg's name belongs to.
@@ -135,14 +135,14 @@
 func (j *judge) gather(events []record.Event) {
 	at := map[uint32][]*leg{}
 	for i, e := range events {
-		switch e.What {
+		switch e.Type {
 		case "world":
-			j.slack = 4*e.N + 2000
+			j.slack = 4*e.Count + 2000
 		case "away":
-			j.away[e.Dispatcher] = append(j.away[e.Dispatcher], away{e.At, e.At + e.N, e.How == "cut"})
+			j.away[e.Dispatcher] = append(j.away[e.Dispatcher], away{e.At, e.At + e.Count, e.Detail == "cut"})
 		case "refuse":
-			if _, before := j.refused[e.Leg]; !before && slices.Contains(proofs, e.How) {
-				j.refused[e.Leg] = e.At
+			if _, before := j.refused[e.Attempt]; !before && slices.Contains(proofs, e.Detail) {
+				j.refused[e.Attempt] = e.At
 			}
 		case "killed":
 			j.killed[e.Dispatcher] = append(j.killed[e.Dispatcher], e.At)
@@ -150,27 +150,27 @@
 				j.killed[place] = append(j.killed[place], e.At)
 			}
 		case "leg":
-			if l := j.byLeg[e.Leg]; l != nil {
-				j.fail(1, i+1, e.Gen, "leg %s was sent twice (first on line %d)", e.Leg, l.line)
+			if l := j.byLeg[e.Attempt]; l != nil {
+				j.fail(1, i+1, e.Request, "leg %s was sent twice (first on line %d)", e.Attempt, l.line)
 				continue
 			}
 			l := &leg{line: i + 1, event: e}
-			j.byLeg[e.Leg] = l
-			j.legs[owner(e.Leg)] = append(j.legs[owner(e.Leg)], l)
-			at[e.Host] = append(at[e.Host], l)
+			j.byLeg[e.Attempt] = l
+			j.legs[owner(e.Attempt)] = append(j.legs[owner(e.Attempt)], l)
+			at[e.Endpoint] = append(at[e.Endpoint], l)
 		case "quit", "answered", "left":
-			if l := j.byLeg[e.Leg]; l != nil && l.end == 0 {
+			if l := j.byLeg[e.Attempt]; l != nil && l.end == 0 {
 				l.end = e.At
 			}
 		case "down":
-			for _, l := range at[e.Host] {
+			for _, l := range at[e.Endpoint] {
 				if l.end == 0 {
 					l.end = e.At
 				}
 			}
-			at[e.Host] = nil
+			at[e.Endpoint] = nil
 		case "ran":
-			j.ran[e.Gen] = append(j.ran[e.Gen], i+1)
+			j.ran[e.Request] = append(j.ran[e.Request], i+1)
 		}
 	}
 }
@@ -241,8 +241,8 @@
 // answers is rule 1: one final answer for each try that a running dispatcher took, in time, nothing after.
 func (j *judge) answers(events []record.Event) {
 	for i, e := range events {
-		key := fmt.Sprintf("%s/%d", e.Gen, e.Try)
-		switch e.What {
+		key := fmt.Sprintf("%s/%d", e.Request, e.ClientAttempt)
+		switch e.Type {
 		case "ask":
 			if j.tries[key] == nil {
 				j.tries[key] = &tried{line: i + 1, at: e.At, allow: int64(e.Value), dispatcher: e.Dispatcher, product: e.Product}
@@ -251,31 +251,31 @@
 		case "final":
 			t := j.tries[key]
 			if t == nil {
-				j.fail(0, i+1, e.Gen, "an answer to what was never asked")
+				j.fail(0, i+1, e.Request, "an answer to what was never asked")
 				continue
 			}
 			if t.finals++; t.finals > 1 {
-				j.fail(0, i+1, e.Gen, "a second final answer (%s after %s) to try %d", e.How, t.how, e.Try)
+				j.fail(0, i+1, e.Request, "a second final answer (%s after %s) to try %d", e.Detail, t.how, e.ClientAttempt)
 				continue
 			}
-			t.how, t.final = e.How, e.At
+			t.how, t.final = e.Detail, e.At
 			switch {
-			case e.How == "streamed" && !e.Exact:
-				j.fail(0, i+1, e.Gen, "streamed, but not byte for byte what the writer gave")
-			case e.How != "streamed" && e.N == 0 && t.allow > 0 && e.At > t.at+t.allow+j.slack && !j.stood(e.Dispatcher, t.at) &&
+			case e.Detail == "streamed" && !e.Exact:
+				j.fail(0, i+1, e.Request, "streamed, but not byte for byte what the writer gave")
+			case e.Detail != "streamed" && e.Count == 0 && t.allow > 0 && e.At > t.at+t.allow+j.slack && !j.stood(e.Dispatcher, t.at) &&
 				!j.stood(e.Dispatcher, t.at+t.allow):
-				j.fail(0, i+1, e.Gen, "answered %d ms after the client's time (%s, try %d)", (e.At-t.at-t.allow)/1000, e.How, e.Try)
-			case e.How == "streamed" || e.How == "throttled" || e.How == "terminated":
-			case (e.How == "broken" || e.How == "gave_up") && j.wasKilled(place(e.Dispatcher), t.at, e.At):
-			case e.How == "gave_up" && (j.stood(e.Dispatcher, t.at) || j.stood(e.Dispatcher, e.At)):
+				j.fail(0, i+1, e.Request, "answered %d ms after the client's time (%s, try %d)", (e.At-t.at-t.allow)/1000, e.Detail, e.ClientAttempt)
+			case e.Detail == "streamed" || e.Detail == "throttled" || e.Detail == "terminated":
+			case (e.Detail == "broken" || e.Detail == "gave_up") && j.wasKilled(place(e.Dispatcher), t.at, e.At):
+			case e.Detail == "gave_up" && (j.stood(e.Dispatcher, t.at) || j.stood(e.Dispatcher, e.At)):
 				// It could not answer then; or took the request later than it came, and counts its client's time from there.
 			default:
-				j.fail(0, i+1, e.Gen, "no final answer to try %d: %s", e.Try, e.How)
+				j.fail(0, i+1, e.Request, "no final answer to try %d: %s", e.ClientAttempt, e.Detail)
 			}
 		case "after":
-			j.fail(0, i+1, e.Gen, "something came after the final answer (%s)", e.How)
+			j.fail(0, i+1, e.Request, "something came after the final answer (%s)", e.Detail)
 		case "malformed":
-			j.fail(0, i+1, e.Gen, "malformed: %s", e.How)
+			j.fail(0, i+1, e.Request, "malformed: %s", e.Detail)
 		}
 	}
 	for _, key := range j.order {
@@ -320,7 +320,7 @@
 		legs := j.legs[own]
 		for i, l := range legs[1:] {
 			if before := legs[i]; before.end == 0 || l.event.At < before.end-j.slack {
-				j.fail(1, l.line, l.event.Gen, "leg %s while %s was out", l.event.Leg, before.event.Leg)
+				j.fail(1, l.line, l.event.Request, "leg %s while %s was out", l.event.Attempt, before.event.Attempt)
 			}
 		}
 	}
@@ -332,16 +332,16 @@
 	legs := map[string][]*leg{} // by the client's generation
 	for _, own := range sortedKeys(j.legs) {
 		for _, l := range j.legs[own] {
-			if l.event.How == "write" {
-				legs[l.event.Gen] = append(legs[l.event.Gen], l)
+			if l.event.Detail == "write" {
+				legs[l.event.Request] = append(legs[l.event.Request], l)
 			}
 		}
 	}
 	for _, e := range events {
-		if e.What != "final" || e.How != "throttled" {
+		if e.Type != "final" || e.Detail != "throttled" {
 			continue
 		}
-		t := j.tries[fmt.Sprintf("%s/%d", e.Gen, e.Try)]
+		t := j.tries[fmt.Sprintf("%s/%d", e.Request, e.ClientAttempt)]
 		if t == nil {
 			continue
 		}
@@ -350,12 +350,12 @@
 			continue
 		}
 		j.v.Rules[1].Checked++
-		for _, l := range legs[e.Gen] {
+		for _, l := range legs[e.Request] {
 			if l.event.Dispatcher != e.Dispatcher || l.event.At < t.at || l.event.At > e.At {
 				continue
 			}
-			if at, said := j.refused[l.event.Leg]; !said || at > e.At+j.slack {
-				j.fail(1, l.line, e.Gen, "throttled (try %d) with leg %s at a host that had not refused it", e.Try, l.event.Leg)
+			if at, said := j.refused[l.event.Attempt]; !said || at > e.At+j.slack {
+				j.fail(1, l.line, e.Request, "throttled (try %d) with leg %s at a host that had not refused it", e.ClientAttempt, l.event.Attempt)
 			}
 		}
 	}
@@ -379,10 +379,10 @@
 		return false
 	}
 	for i, e := range events {
-		key := pair{e.Dispatcher, e.Host}
-		switch e.What {
+		key := pair{e.Dispatcher, e.Endpoint}
+		switch e.Type {
 		case "told":
-			if e.How == "ready" {
+			if e.Detail == "ready" {
 				delete(told, key)
 			} else if _, before := told[key]; !before {
 				told[key] = e
@@ -391,7 +391,7 @@
 			j.v.Rules[2].Checked++
 			t, bound := told[key]
 			if due := j.awayAt(e.Dispatcher, t.At) + grace; bound && e.At > due && !late(e.Dispatcher, due, e.At) {
-				j.fail(2, i+1, e.Gen, "sent to host %d, %d ms after %s was told that it is %s", e.Host, (e.At-t.At)/1000, e.Dispatcher, t.How)
+				j.fail(2, i+1, e.Request, "sent to host %d, %d ms after %s was told that it is %s", e.Endpoint, (e.At-t.At)/1000, e.Dispatcher, t.Detail)
 			}
 		}
 	}
@@ -406,36 +406,36 @@
 	}
 	started, all := map[uint32]int64{}, map[uint32][]came{}
 	for i, e := range events {
-		switch e.What {
+		switch e.Type {
 		case "up":
-			started[e.Host], all[e.Host] = e.N, nil
+			started[e.Endpoint], all[e.Endpoint] = e.Count, nil
 		case "leg":
-			age := e.At - started[e.Host]
+			age := e.At - started[e.Endpoint]
 			could := j.could(e.Kind, age)
-			if started[e.Host] == 0 || could == 0 {
+			if started[e.Endpoint] == 0 || could == 0 {
 				break
 			}
 			sum, span := e.Value, int64(j.d.Rules.FallMs)*1000
-			all[e.Host] = slices.DeleteFunc(all[e.Host], func(c came) bool { return c.at < e.At-span })
-			for _, c := range all[e.Host] {
+			all[e.Endpoint] = slices.DeleteFunc(all[e.Endpoint], func(c came) bool { return c.at < e.At-span })
+			for _, c := range all[e.Endpoint] {
 				sum += c.work
 			}
-			all[e.Host] = append(all[e.Host], came{e.At, e.Value})
+			all[e.Endpoint] = append(all[e.Endpoint], came{e.At, e.Value})
 			used := sum / (j.d.Rules.FallMultiple * could * float64(span) / 1e6)
 			j.v.Rules[3].Checked++
-			if n := len(all[e.Host]); used > 1 && n > 1 {
-				j.fail(3, i+1, e.Gen, "cold host %d was sent %.2f of what a sound one bears %d ms after its start, in %d legs", e.Host, used, age/1000, n)
+			if n := len(all[e.Endpoint]); used > 1 && n > 1 {
+				j.fail(3, i+1, e.Request, "cold host %d was sent %.2f of what a sound one bears %d ms after its start, in %d legs", e.Endpoint, used, age/1000, n)
 			}
 		case "cold":
 			j.v.Rules[3].Checked++
-			j.v.ColdMost = max(j.v.ColdMost, e.Value)
+			j.v.PeakSlowStartUse = max(j.v.PeakSlowStartUse, e.Value)
 			if e.Value > 1 {
-				j.fail(3, i+1, "", "cold host %d was sent %.2f of what it bears, in %d legs", e.Host, e.Value, e.N)
+				j.fail(3, i+1, "", "cold host %d was sent %.2f of what it bears, in %d legs", e.Endpoint, e.Value, e.Count)
 			}
 		case "misled":
-			j.fail(2, i+1, e.Gen, "chat was sent to host %d, which only embeds", e.Host)
+			j.fail(2, i+1, e.Request, "chat was sent to host %d, which only embeds", e.Endpoint)
 		case "fell":
-			j.fail(3, i+1, "", "cold host %d fell over", e.Host)
+			j.fail(3, i+1, "", "cold host %d fell over", e.Endpoint)
 		}
 	}
 }
@@ -481,7 +481,7 @@
 		}
 		// The stretches in which no leg was out, between the ends and the beginnings of the others.
 		free, longest := h.e.At, int64(0)
-		for _, l := range j.legs[owner(h.e.Leg)] {
+		for _, l := range j.legs[owner(h.e.Attempt)] {
 			end := l.end
 			if end == 0 {
 				end = to
@@ -492,29 +492,29 @@
 			}
 		}
 		if longest = max(longest, j.waited(h.e.Dispatcher, free, to)); longest > most {
-			j.fail(4, h.line, h.e.Gen, "the state of leg %s waited for %d ms with no leg out", h.e.Leg, longest/1000)
+			j.fail(4, h.line, h.e.Request, "the state of leg %s waited for %d ms with no leg out", h.e.Attempt, longest/1000)
 		}
 	}
 	for i, e := range events {
-		switch e.What {
+		switch e.Type {
 		case "hold":
-			holds[e.Leg] = held{i + 1, e}
-			if byHost[e.Host] == nil {
-				byHost[e.Host] = map[string]bool{}
+			holds[e.Attempt] = held{i + 1, e}
+			if byHost[e.Endpoint] == nil {
+				byHost[e.Endpoint] = map[string]bool{}
 			}
-			byHost[e.Host][e.Leg] = true
+			byHost[e.Endpoint][e.Attempt] = true
 		case "took", "released", "lease":
-			if h, some := holds[e.Leg]; some {
+			if h, some := holds[e.Attempt]; some {
 				close(h, e.At)
-				delete(holds, e.Leg)
-				delete(byHost[e.Host], e.Leg)
+				delete(holds, e.Attempt)
+				delete(byHost[e.Endpoint], e.Attempt)
 			}
 		case "down":
-			for name := range byHost[e.Host] {
+			for name := range byHost[e.Endpoint] {
 				close(holds[name], e.At)
 				delete(holds, name)
 			}
-			delete(byHost, e.Host)
+			delete(byHost, e.Endpoint)
 		}
 	}
 	end := events[len(events)-1].At
@@ -529,7 +529,7 @@
 	row := func(name string) *Row {
 		r := rows[name]
 		if r == nil {
-			r = &Row{Name: name, First: hdrhistogram.New(1, 60_000_000, 3)}
+			r = &Row{Name: name, FirstToken: hdrhistogram.New(1, 60_000_000, 3)}
 			rows[name] = r
 			j.v.Rows = append(j.v.Rows, r)
 		}
@@ -537,13 +537,13 @@
 	}
 	legs := map[string]int{}
 	for _, e := range events {
-		if e.What == "leg" {
-			legs[e.Gen]++
+		if e.Type == "leg" {
+			legs[e.Request]++
 		}
 	}
 	var earned, asked float64
 	for _, e := range events {
-		if e.What != "over" {
+		if e.Type != "over" {
 			continue
 		}
 		p := j.effects[e.Product]
@@ -554,16 +554,16 @@
 		asked += worth
 		for _, r := range []*Row{row("all"), row("product " + e.Product), row("tenant " + e.Tenant)} {
 			r.Asked++
-			r.Legs += legs[e.Gen]
-			switch e.How {
+			r.Attempts += legs[e.Request]
+			switch e.Detail {
 			case "streamed":
-				r.Streamed++
-				_ = r.First.RecordValue(max(e.N, 1))
+				r.Completed++
+				_ = r.FirstToken.RecordValue(max(e.Count, 1))
 				if e.Exact {
 					r.InSLO++
 				}
 			case "throttled":
-				r.Throttled++
+				r.Rejected++
 			case "terminated":
 				r.Failed++
 			default:
@@ -571,9 +571,9 @@
 			}
 		}
 		switch {
-		case e.How == "streamed" && e.Exact:
+		case e.Detail == "streamed" && e.Exact:
 			earned += worth
-		case e.How == "streamed" && p != nil:
+		case e.Detail == "streamed" && p != nil:
 			earned += worth * p.LateShare
 		}
 	}
@@ -590,23 +590,23 @@
 		"other", "p50 ms", "p99 ms", "legs")
 	for _, r := range v.Rows {
 		n := float64(max(r.Asked, 1))
-		fmt.Fprintf(&b, "%-24s %6d %9.3f %7.3f %9.3f %10.3f %6.3f %9.0f %9.0f %5.2f\n", r.Name, r.Asked, float64(r.Streamed)/n,
-			float64(r.InSLO)/n, float64(r.Throttled)/n, float64(r.Failed)/n, float64(r.Lost)/n,
-			float64(r.First.ValueAtQuantile(50))/1000, float64(r.First.ValueAtQuantile(99))/1000, float64(r.Legs)/n)
+		fmt.Fprintf(&b, "%-24s %6d %9.3f %7.3f %9.3f %10.3f %6.3f %9.0f %9.0f %5.2f\n", r.Name, r.Asked, float64(r.Completed)/n,
+			float64(r.InSLO)/n, float64(r.Rejected)/n, float64(r.Failed)/n, float64(r.Lost)/n,
+			float64(r.FirstToken.ValueAtQuantile(50))/1000, float64(r.FirstToken.ValueAtQuantile(99))/1000, float64(r.Attempts)/n)
 	}
-	fmt.Fprintf(&b, "service %.3f (revenue in its SLO time, late by its share, over revenue asked for); cold budget used at most %.2f\n", v.Service, v.ColdMost)
+	fmt.Fprintf(&b, "service %.3f (revenue in its SLO time, late by its share, over revenue asked for); cold budget used at most %.2f\n", v.Service, v.PeakSlowStartUse)
 	for i, r := range v.Rules {
-		if len(r.Breaks) == 0 {
+		if len(r.Violations) == 0 {
 			fmt.Fprintf(&b, "rule %d, %s: kept (%d checked)\n", i+1, r.Name, r.Checked)
 			continue
 		}
-		fmt.Fprintf(&b, "rule %d, %s: BROKEN %d times (%d checked)\n", i+1, r.Name, len(r.Breaks), r.Checked)
-		for k, x := range r.Breaks {
+		fmt.Fprintf(&b, "rule %d, %s: BROKEN %d times (%d checked)\n", i+1, r.Name, len(r.Violations), r.Checked)
+		for k, x := range r.Violations {
 			if k == breaksShown {
-				fmt.Fprintf(&b, "  and %d more\n", len(r.Breaks)-k)
+				fmt.Fprintf(&b, "  and %d more\n", len(r.Violations)-k)
 				break
 			}
-			fmt.Fprintf(&b, "  line %d, generation %s: %s\n", x.Line, x.Gen, x.Text)
+			fmt.Fprintf(&b, "  line %d, generation %s: %s\n", x.Line, x.Request, x.Text)
 		}
 	}
 	return b.String()
--- a/internal/testbed/audit/recorded_test.go
+++ b/internal/testbed/audit/recorded_test.go
@@ -53,8 +53,8 @@
 			faults++
 		}
 		for i, r := range v.Rules {
-			if (len(r.Breaks) > 0) != (i == want) || r.Checked == 0 {
-				t.Errorf("%s: rule %d: %d breaks, %d checked", path, i+1, len(r.Breaks), r.Checked)
+			if (len(r.Violations) > 0) != (i == want) || r.Checked == 0 {
+				t.Errorf("%s: rule %d: %d breaks, %d checked", path, i+1, len(r.Violations), r.Checked)
 			}
 		}
 	}
@@ -67,27 +67,27 @@
 // away for a moment does not excuse it afterwards.
 func TestExcuses(t *testing.T) {
 	leg := func(at int64, how, name string, host uint32) record.Event {
-		return record.Event{At: at * ms, What: "leg", Gen: "g1", Leg: name, Host: host, Dispatcher: "d1", Product: "review-post", How: how}
+		return record.Event{At: at * ms, Type: "leg", Request: "g1", Attempt: name, Endpoint: host, Dispatcher: "d1", Product: "review-post", Detail: how}
 	}
 	away := func(at, span int64, how string) record.Event {
-		return record.Event{At: at * ms, What: "away", Dispatcher: "d1", How: how, N: span * ms}
+		return record.Event{At: at * ms, Type: "away", Dispatcher: "d1", Detail: how, Count: span * ms}
 	}
 	// read is a review that was read and whose state waits; then what comes, and a throttling.
 	read := func(final int64, then ...record.Event) []record.Event {
-		then = append(then, record.Event{At: final * ms, What: "final", Gen: "g1", Try: 1, Dispatcher: "d1", How: "throttled"})
+		then = append(then, record.Event{At: final * ms, Type: "final", Request: "g1", ClientAttempt: 1, Dispatcher: "d1", Detail: "throttled"})
 		return append(slices.Clone(clean()[:5]), then...)
 	}
 	released := func(at int64) record.Event {
-		return record.Event{At: at * ms, What: "released", Leg: "d1-1-0", Host: 1}
+		return record.Event{At: at * ms, Type: "released", Attempt: "d1-1-0", Endpoint: 1}
 	}
-	answered := record.Event{At: 95 * ms, What: "answered", Leg: "d1-1-1", Host: 2}
+	answered := record.Event{At: 95 * ms, Type: "answered", Attempt: "d1-1-1", Endpoint: 2}
 	refuse := func(how string) record.Event {
-		return record.Event{At: 95 * ms, What: "refuse", Leg: "d1-1-1", Host: 2, How: how}
+		return record.Event{At: 95 * ms, Type: "refuse", Attempt: "d1-1-1", Endpoint: 2, Detail: how}
 	}
 	write := leg(92, "write", "d1-1-1", 2)
 	gaveUp := func(how string) []record.Event {
 		e := clean()
-		e[9].How = "gave_up"
+		e[9].Detail = "gave_up"
 		return slices.Insert(e, 5, away(91, 2000, how))
 	}
 	for _, c := range []struct {
@@ -104,22 +104,22 @@
 		}(), 1},
 		{"throttled with a write out", read(300, write, released(200)), 2},
 		{"throttled with a write out that runs afterwards", append(read(300, write, released(200)),
-			record.Event{At: 1000 * ms, What: "ran", Gen: "g1", Leg: "d1-1-1", Host: 2, Product: "review-post", How: "write"}), 2},
+			record.Event{At: 1000 * ms, Type: "ran", Request: "g1", Attempt: "d1-1-1", Endpoint: 2, Product: "review-post", Detail: "write"}), 2},
 		{"throttled after its write was refused", read(300, write, refuse("full"), answered, released(200)), 0},
 		{"throttled after its write failed", read(300, write, refuse("internal"), answered, released(200)), 2},
-		{"sent after a drain, long after it was away", []record.Event{{At: 0, What: "told", Dispatcher: "d1", Host: 1, How: "draining"}, away(10, 200, "stands"),
-			{At: 900 * ms, What: "ask", Gen: "g1", Try: 1, Dispatcher: "d1", Product: "review-post"}, leg(1000, "read", "d1-1-0", 1),
-			{At: 1100 * ms, What: "answered", Leg: "d1-1-0", Host: 1},
-			{At: 1200 * ms, What: "final", Gen: "g1", Try: 1, Dispatcher: "d1", How: "throttled"}}, 3},
+		{"sent after a drain, long after it was away", []record.Event{{At: 0, Type: "told", Dispatcher: "d1", Endpoint: 1, Detail: "draining"}, away(10, 200, "stands"),
+			{At: 900 * ms, Type: "ask", Request: "g1", ClientAttempt: 1, Dispatcher: "d1", Product: "review-post"}, leg(1000, "read", "d1-1-0", 1),
+			{At: 1100 * ms, Type: "answered", Attempt: "d1-1-0", Endpoint: 1},
+			{At: 1200 * ms, Type: "final", Request: "g1", ClientAttempt: 1, Dispatcher: "d1", Detail: "throttled"}}, 3},
 		{"pinned after it was away", read(4000, away(91, 1000, "cut"), released(3900)), 5},
 		{"let go of once it was back", read(1300, away(91, 1000, "cut"), released(1400)), 0},
-		{"a cold host overloaded, by its socket alone", []record.Event{{At: 0, What: "up", Host: 7, Kind: "prefill", N: 1},
-			{At: 1000 * ms, What: "leg", Gen: "a", Leg: "d1-8-0", Host: 7, Dispatcher: "d1", Kind: "prefill", How: "read", Value: 20000},
-			{At: 1100 * ms, What: "leg", Gen: "b", Leg: "d1-9-0", Host: 7, Dispatcher: "d1", Kind: "prefill", How: "read", Value: 20000}}, 4},
+		{"a cold host overloaded, by its socket alone", []record.Event{{At: 0, Type: "up", Endpoint: 7, Kind: "prefill", Count: 1},
+			{At: 1000 * ms, Type: "leg", Request: "a", Attempt: "d1-8-0", Endpoint: 7, Dispatcher: "d1", Kind: "prefill", Detail: "read", Value: 20000},
+			{At: 1100 * ms, Type: "leg", Request: "b", Attempt: "d1-9-0", Endpoint: 7, Dispatcher: "d1", Kind: "prefill", Detail: "read", Value: 20000}}, 4},
 	} {
 		v := Judge(deployment.Standard(), c.events)
 		for i, r := range v.Rules {
-			if (len(r.Breaks) > 0) != (i+1 == c.rule) {
+			if (len(r.Violations) > 0) != (i+1 == c.rule) {
 				t.Errorf("%s: want rule %d:\n%s", c.name, c.rule, v.Text())
 				break
 			}
--- a/internal/testbed/load/batch.go
+++ b/internal/testbed/load/batch.go
@@ -15,54 +15,54 @@
 	"plumspindle/internal/testbed/record"
 )
 
-// Batches are clients that ask for embeddings or rerankings, so many calls at once; each asks again when it was answered.
-type Batches struct {
-	Crowd   *Crowd
-	Product *pb.Product
-	Tenant  int
-	At      int // calls at once
-	Inputs  int // of a call
-	Tokens  int // of an input, about
-	Calls   int // in all; 0: until Stop
+// BatchClients are clients that ask for embeddings or rerankings, so many calls at once; each asks again when it was answered.
+type BatchClients struct {
+	Generator   *Generator
+	Product     *pb.Product
+	Tenant      int
+	Concurrency int // calls at once
+	Inputs      int // of a call
+	Tokens      int // of an input, about
+	Calls       int // in all; 0: until Stop
 
-	Open    int
-	Begun   int
-	Read    int // inputs that came back, each at its place
-	ReadTok int
-	Wrong   int
-	Finals  map[string]int
-	stopped bool
-	filler  string
+	Open       int
+	Started    int
+	InputsRead int // inputs that came back, each at its place
+	TokensRead int
+	Wrong      int
+	Outcomes   map[string]int
+	stopped    bool
+	filler     string
 }
 
 // Run begins.
-func (b *Batches) Run() {
-	b.Finals = map[string]int{}
-	b.filler = b.Crowd.words(b.Tokens)
-	for range b.At {
+func (b *BatchClients) Run() {
+	b.Outcomes = map[string]int{}
+	b.filler = b.Generator.words(b.Tokens)
+	for range b.Concurrency {
 		b.next()
 	}
 }
 
 // Stop has nothing more asked.
-func (b *Batches) Stop() { b.stopped = true }
+func (b *BatchClients) Stop() { b.stopped = true }
 
-func (b *Batches) next() {
-	if b.stopped || b.Calls > 0 && b.Begun >= b.Calls {
+func (b *BatchClients) next() {
+	if b.stopped || b.Calls > 0 && b.Started >= b.Calls {
 		return
 	}
-	b.Begun++
+	b.Started++
 	b.Open++
-	c := &batchCall{load: b, id: fmt.Sprintf("b%s%d", b.Product.Name, b.Begun)}
+	c := &batchCall{load: b, id: fmt.Sprintf("b%s%d", b.Product.Name, b.Started)}
 	for i := range b.Inputs {
 		c.inputs = append(c.inputs, strconv.Quote(fmt.Sprintf("%s %d %s", c.id, i, b.filler[:max(4*b.Tokens-len(c.id)-8, 1)])))
 	}
-	c.since = b.Crowd.loop.Now()
+	c.since = b.Generator.loop.Now()
 	c.try()
 }
 
 type batchCall struct {
-	load   *Batches
+	load   *BatchClients
 	id     string
 	inputs []string
 	since  eventloop.Micros
@@ -71,7 +71,7 @@
 
 func (c *batchCall) try() {
 	b := c.load
-	crowd := b.Crowd
+	crowd := b.Generator
 	left := c.since + eventloop.Micros(b.Product.TimeLimitMs)*eventloop.Millisecond - crowd.loop.Now()
 	var near []*Target
 	for _, t := range crowd.Targets {
@@ -99,15 +99,15 @@
 func (c *batchCall) over(how string) {
 	b := c.load
 	b.Open--
-	b.Finals[how]++
-	took := b.Crowd.loop.Now() - c.since
+	b.Outcomes[how]++
+	took := b.Generator.loop.Now() - c.since
 	if how == "streamed" {
-		b.Read += len(c.inputs)
-		b.ReadTok += len(c.inputs) * b.Tokens
+		b.InputsRead += len(c.inputs)
+		b.TokensRead += len(c.inputs) * b.Tokens
 	}
-	b.Crowd.book.Add(record.Event{At: int64(b.Crowd.loop.Now()), What: "over", Gen: c.id, How: how, Product: b.Product.Name,
-		Tenant: b.Crowd.d.Tenants[b.Tenant].Name, N: int64(took), Try: c.tries, Exact: how == "streamed"})
-	b.Crowd.loop.Defer(b.next)
+	b.Generator.book.Add(record.Event{At: int64(b.Generator.loop.Now()), Type: "over", Request: c.id, Detail: how, Product: b.Product.Name,
+		Tenant: b.Generator.d.Tenants[b.Tenant].Name, Count: int64(took), ClientAttempt: c.tries, Exact: how == "streamed"})
+	b.Generator.loop.Defer(b.next)
 }
 
 // batchTry is one request of a call.
@@ -131,8 +131,8 @@
 
 func (t *batchTry) note(what, how string) {
 	b := t.call.load
-	b.Crowd.book.Add(record.Event{At: int64(b.Crowd.loop.Now()), What: what, Gen: t.call.id, Try: t.no, Dispatcher: t.name, Product: b.Product.Name,
-		Tenant: b.Crowd.d.Tenants[b.Tenant].Name, How: how, Exact: t.exact, Value: float64(t.allow)})
+	b.Generator.book.Add(record.Event{At: int64(b.Generator.loop.Now()), Type: what, Request: t.call.id, ClientAttempt: t.no, Dispatcher: t.name, Product: b.Product.Name,
+		Tenant: b.Generator.d.Tenants[b.Tenant].Name, Detail: how, Exact: t.exact, Value: float64(t.allow)})
 }
 
 func (t *batchTry) Opened() {
@@ -140,7 +140,7 @@
 	t.note("ask", "")
 	t.conn.Write(t.request)
 	t.request = nil
-	t.timer = t.call.load.Crowd.loop.AfterFunc(t.allow, func() {
+	t.timer = t.call.load.Generator.loop.AfterFunc(t.allow, func() {
 		t.final("gave_up")
 		t.conn.Abort()
 	})
@@ -256,5 +256,5 @@
 			wait = eventloop.Micros(ms) * eventloop.Millisecond
 		}
 	}
-	t.call.load.Crowd.loop.AfterFunc(wait, t.call.try)
+	t.call.load.Generator.loop.AfterFunc(wait, t.call.try)
 }
--- a/internal/testbed/load/load.go
+++ b/internal/testbed/load/load.go
@@ -29,35 +29,35 @@
 	Alive            bool // as the front layer before it believes
 }
 
-// Crowd is all clients.
-type Crowd struct {
+// Generator is all clients.
+type Generator struct {
 	loop    eventloop.Loop
 	d       deployment.Deployment
 	rand    *rand.Rand
-	book    *record.Book
+	book    *record.Recorder
 	Targets []*Target
 	Keys    []string // by tenant
 
-	Rate       float64   // generations a second
-	Favour     []float64 // how much of the traffic each tenant has, against the others
-	Part       float64   // of its product's time limit that a client waits in all, at least; 1 at most
-	Open       int
-	Asked      int
-	nextID     int
-	stopped    bool
-	texts      map[string][]string
-	chat       []*pb.Product
-	sessions   [][]*session // by tenant
-	Keyed      bool         // what may not simply run again goes with an Idempotency-Key, always to the same dispatcher
-	WholeShare float64      // of the answers that are asked for in one piece
+	Rate            float64   // generations a second
+	TenantShares    []float64 // how much of the traffic each tenant has, against the others
+	MinPatience     float64   // of its product's time limit that a client waits in all, at least; 1 at most
+	Open            int
+	Asked           int
+	nextID          int
+	stopped         bool
+	texts           map[string][]string
+	chat            []*pb.Product
+	sessions        [][]*session // by tenant
+	Keyed           bool         // what may not simply run again goes with an Idempotency-Key, always to the same dispatcher
+	UnstreamedShare float64      // of the answers that are asked for in one piece
 }
 
 // New makes a crowd that does nothing until Run.
-func New(loop eventloop.Loop, d deployment.Deployment, seed int64, keys []string, targets []*Target, book *record.Book) *Crowd {
-	c := &Crowd{loop: loop, d: d, rand: rand.New(rand.NewSource(seed)), book: book, Targets: targets, Keys: keys,
-		Part: 0.5, texts: map[string][]string{}, WholeShare: 0.15}
+func New(loop eventloop.Loop, d deployment.Deployment, seed int64, keys []string, targets []*Target, book *record.Recorder) *Generator {
+	c := &Generator{loop: loop, d: d, rand: rand.New(rand.NewSource(seed)), book: book, Targets: targets, Keys: keys,
+		MinPatience: 0.5, texts: map[string][]string{}, UnstreamedShare: 0.15}
 	for range d.Tenants {
-		c.Favour = append(c.Favour, 1)
+		c.TenantShares = append(c.TenantShares, 1)
 		c.sessions = append(c.sessions, nil)
 	}
 	for _, p := range d.Products {
@@ -73,7 +73,7 @@
 }
 
 // words makes a text of some tokens.
-func (c *Crowd) words(tokens int) string {
+func (c *Generator) words(tokens int) string {
 	var b strings.Builder
 	for b.Len() < 4*tokens {
 		b.WriteString(strconv.FormatUint(uint64(c.rand.Uint32()), 36))
@@ -91,7 +91,7 @@
 }
 
 // Run asks until Stop.
-func (c *Crowd) Run() {
+func (c *Generator) Run() {
 	if c.stopped {
 		return
 	}
@@ -104,15 +104,15 @@
 }
 
 // Stop asks no more; what is out goes on.
-func (c *Crowd) Stop() { c.stopped = true }
+func (c *Generator) Stop() { c.stopped = true }
 
-func (c *Crowd) tenant() int {
+func (c *Generator) tenant() int {
 	sum := 0.0
-	for _, f := range c.Favour {
+	for _, f := range c.TenantShares {
 		sum += f
 	}
 	at := c.rand.Float64() * sum
-	for i, f := range c.Favour {
+	for i, f := range c.TenantShares {
 		if at -= f; at < 0 {
 			return i
 		}
@@ -121,7 +121,7 @@
 }
 
 // ask begins a generation: a session's next turn, or a new session's first.
-func (c *Crowd) ask() {
+func (c *Generator) ask() {
 	var s *session
 	tenant := c.tenant()
 	if own := c.sessions[tenant]; len(own) > 0 && c.rand.Float64() < 0.45 {
@@ -139,7 +139,7 @@
 	s.messages = append(s.messages, map[string]string{"role": "user", "content": c.words(80 + c.rand.Intn(400))})
 	c.nextID++
 	c.Asked++
-	g := &want{crowd: c, session: s, id: "g" + strconv.Itoa(c.nextID), since: c.loop.Now(), whole: c.rand.Float64() < c.WholeShare}
+	g := &want{crowd: c, session: s, id: "g" + strconv.Itoa(c.nextID), since: c.loop.Now(), whole: c.rand.Float64() < c.UnstreamedShare}
 	g.limit = eventloop.Micros(s.product.TimeLimitMs) * eventloop.Millisecond
 	g.most = int(s.product.MostTokens)
 	if g.whole {
@@ -151,7 +151,7 @@
 
 // want is one generation with its tries.
 type want struct {
-	crowd   *Crowd
+	crowd   *Generator
 	session *session
 	id      string
 	since   eventloop.Micros
@@ -184,7 +184,7 @@
 		return
 	}
 	g.tries++
-	allow := eventloop.Micros(float64(left) * (c.Part + (1-c.Part)*c.rand.Float64()))
+	allow := eventloop.Micros(float64(left) * (c.MinPatience + (1-c.MinPatience)*c.rand.Float64()))
 	target := near[c.rand.Intn(len(near))]
 	keyed := c.Keyed && g.session.product.Effect != pb.Product_IDEMPOTENT
 	if keyed {
@@ -218,8 +218,8 @@
 		prompt += len(m["content"]) / 4
 	}
 	slo := eventloop.Micros(p.SloMs)*eventloop.Millisecond + eventloop.Micros(float64(p.SloMsPer_1000Tokens)*float64(prompt))
-	e := record.Event{At: int64(c.loop.Now()), What: "over", Gen: g.id, How: how, Product: p.Name,
-		Tenant: c.d.Tenants[g.session.tenant].Name, N: int64(first), Try: g.tries}
+	e := record.Event{At: int64(c.loop.Now()), Type: "over", Request: g.id, Detail: how, Product: p.Name,
+		Tenant: c.d.Tenants[g.session.tenant].Name, Count: int64(first), ClientAttempt: g.tries}
 	e.Exact = how == "streamed" && first <= slo && pace <= eventloop.Micros(p.TokenSloMs)*eventloop.Millisecond
 	c.book.Add(e)
 	if s := g.session; how == "streamed" && s.turns > 1 {
@@ -256,8 +256,8 @@
 
 func (t *try) note(what, how string) {
 	c := t.want.crowd
-	c.book.Add(record.Event{At: int64(c.loop.Now()), What: what, Gen: t.want.id, Try: t.no, Dispatcher: t.name,
-		Product: t.want.session.product.Name, Tenant: c.d.Tenants[t.want.session.tenant].Name, How: how, N: int64(t.tokens),
+	c.book.Add(record.Event{At: int64(c.loop.Now()), Type: what, Request: t.want.id, ClientAttempt: t.no, Dispatcher: t.name,
+		Product: t.want.session.product.Name, Tenant: c.d.Tenants[t.want.session.tenant].Name, Detail: how, Count: int64(t.tokens),
 		Exact: t.exact, Value: float64(t.allow)})
 }
 
--- a/internal/testbed/modelserver/embed.go
+++ b/internal/testbed/modelserver/embed.go
@@ -37,7 +37,7 @@
 )
 
 // takeWhole begins a leg that is complete with its read.
-func (h *Host) takeWhole(c *hostConn, head *http1.Head, body []byte) {
+func (h *Endpoint) takeWhole(c *hostConn, head *http1.Head, body []byte) {
 	inputs := gjson.GetBytes(body, "input")
 	query := gjson.GetBytes(body, "query").String()
 	if head.Target == "/v1/rerank" {
@@ -97,7 +97,7 @@
 }
 
 // wholeDone answers a read that is all that was asked for.
-func (h *Host) wholeDone(j *job) {
+func (h *Endpoint) wholeDone(j *job) {
 	h.leave(j)
 	if !j.away {
 		j.conn.answer(200, j.whole())
--- a/internal/testbed/modelserver/fleet.go
+++ b/internal/testbed/modelserver/fleet.go
@@ -16,18 +16,18 @@
 
 // Fleet is a set of stand-in hosts on one loop, with their roster.
 type Fleet struct {
-	loop   eventloop.Loop
-	d      deployment.Deployment
-	rand   *rand.Rand
-	book   *record.Book
-	Hosts  []*Host
-	links  map[uint16]*eventloop.Micros // when the link out of a cell is next free
-	Roster *Roster
+	loop      eventloop.Loop
+	d         deployment.Deployment
+	rand      *rand.Rand
+	book      *record.Recorder
+	Endpoints []*Endpoint
+	links     map[uint16]*eventloop.Micros // when the link out of a cell is next free
+	Discovery *Discovery
 }
 
 // Start brings up the whole fleet of a deployment, warm, with its roster if that has an address; it is called within the
 // loop.
-func Start(loop eventloop.Loop, d deployment.Deployment, seed int64, rosterAddr string, book *record.Book) (*Fleet, error) {
+func Start(loop eventloop.Loop, d deployment.Deployment, seed int64, rosterAddr string, book *record.Recorder) (*Fleet, error) {
 	if d.Fleet == nil {
 		return nil, deployment.ErrNoFleet
 	}
@@ -42,8 +42,8 @@
 				if f.links[cell] == nil {
 					f.links[cell] = new(eventloop.Micros)
 				}
-				h := &Host{fleet: f, ID: id, Zone: zone, Cell: cell, group: g, kind: kindOf(d, g.Kind), slow: 1}
-				f.Hosts = append(f.Hosts, h)
+				h := &Endpoint{fleet: f, ID: id, Zone: zone, Cell: cell, group: g, kind: kindOf(d, g.Kind), slow: 1}
+				f.Endpoints = append(f.Endpoints, h)
 				if err := h.up(0); err != nil {
 					return nil, err
 				}
@@ -54,13 +54,13 @@
 		return f, nil
 	}
 	var err error
-	f.Roster, err = NewRoster(loop, rosterAddr, f.Entries(), book)
+	f.Discovery, err = NewDiscovery(loop, rosterAddr, f.Entries(), book)
 	return f, err
 }
 
 // Entries are all hosts' lines in the list.
 func (f *Fleet) Entries() (all []endpoints.Entry) {
-	for _, h := range f.Hosts {
+	for _, h := range f.Endpoints {
 		all = append(all, h.Entry("ready"))
 	}
 	return all
@@ -76,8 +76,8 @@
 }
 
 // Pick draws a share of the hosts of a kind, one at least; of all kinds if none is named.
-func (f *Fleet) Pick(kind string, share float64) (some []*Host) {
-	for _, h := range f.Hosts {
+func (f *Fleet) Pick(kind string, share float64) (some []*Endpoint) {
+	for _, h := range f.Endpoints {
 		if (kind == "" || h.kind.Name == kind) && h.alive {
 			some = append(some, h)
 		}
@@ -92,27 +92,27 @@
 	if share == 0 {
 		return nil
 	}
-	last := f.Hosts[len(f.Hosts)-1].ID
+	last := f.Endpoints[len(f.Endpoints)-1].ID
 	for _, old := range f.Pick("", share) {
 		old.Crash(0)
 		last += 1 + uint32(f.rand.Intn(7))
-		h := &Host{fleet: f, ID: last, Zone: old.Zone, Cell: old.Cell, group: old.group, kind: old.kind, slow: 1}
+		h := &Endpoint{fleet: f, ID: last, Zone: old.Zone, Cell: old.Cell, group: old.group, kind: old.kind, slow: 1}
 		if err := h.up(f.loop.Now()); err != nil {
 			return err
 		}
-		f.Hosts = append(f.Hosts, h)
+		f.Endpoints = append(f.Endpoints, h)
 		f.changed(h, "ready")
 	}
 	return nil
 }
 
-// Cut parts a zone from all others for a while: what crosses is neither answered nor read.
-func (f *Fleet) Cut(zone string, span eventloop.Micros) {
-	for _, h := range f.Hosts {
+// Partition parts a zone from all others for a while: what crosses is neither answered nor read.
+func (f *Fleet) Partition(zone string, span eventloop.Micros) {
+	for _, h := range f.Endpoints {
 		h.cut = zone
 	}
 	f.loop.AfterFunc(span, func() {
-		for _, h := range f.Hosts {
+		for _, h := range f.Endpoints {
 			h.cut = ""
 			h.thaw()
 		}
@@ -121,7 +121,7 @@
 
 // Summary is what each host has under way.
 func (f *Fleet) Summary() (lines []string) {
-	for _, h := range f.Hosts {
+	for _, h := range f.Endpoints {
 		line := fmt.Sprint(h.ID, h.alive, h.draining, h.frozen, h.hung, len(h.waiting), len(h.states))
 		for _, j := range h.running {
 			line += fmt.Sprint(" ", j.leg, j.toRead, j.sent, j.fetching)
@@ -133,10 +133,10 @@
 
 // Close ends all.
 func (f *Fleet) Close() {
-	if f.Roster != nil {
-		f.Roster.Close()
+	if f.Discovery != nil {
+		f.Discovery.Close()
 	}
-	for _, h := range f.Hosts {
+	for _, h := range f.Endpoints {
 		h.down()
 	}
 }
@@ -163,36 +163,36 @@
 	return 1 + int(h>>8)%max(most, 1)
 }
 
-func (f *Fleet) note(h *Host, what string, j *job) {
+func (f *Fleet) note(h *Endpoint, what string, j *job) {
 	if f.book == nil {
 		return
 	}
-	e := record.Event{At: int64(f.loop.Now()), What: what, Host: h.ID, Kind: h.kind.Name, Zone: h.Zone, Cell: h.Cell}
+	e := record.Event{At: int64(f.loop.Now()), Type: what, Endpoint: h.ID, Kind: h.kind.Name, Zone: h.Zone, Cell: h.Cell}
 	if j != nil {
-		e.Leg, e.Gen, e.Dispatcher, e.Product, e.N = j.leg, j.client, j.dispatcher, j.product, int64(j.prompt)
+		e.Attempt, e.Request, e.Dispatcher, e.Product, e.Count = j.leg, j.client, j.dispatcher, j.product, int64(j.prompt)
 		if j.reads {
-			e.How = "read"
+			e.Detail = "read"
 		} else {
-			e.How = "write"
+			e.Detail = "write"
 		}
 	}
 	switch what {
 	case "leg":
 		e.Value = j.work
 	case "refuse":
-		e.How = h.said
+		e.Detail = h.said
 	case "up":
-		e.N = int64(h.started)
+		e.Count = int64(h.started)
 	}
 	f.book.Add(e)
 }
 
 // Kind is the name of a host's kind.
-func (h *Host) Kind() string { return h.kind.Name }
+func (h *Endpoint) Kind() string { return h.kind.Name }
 
-// Held is what all hosts that live have for generations: jobs, states that wait to be fetched, tokens of memory.
-func (f *Fleet) Held() (jobs, states, tokens int) {
-	for _, h := range f.Hosts {
+// Outstanding is what all hosts that live have for generations: jobs, states that wait to be fetched, tokens of memory.
+func (f *Fleet) Outstanding() (jobs, states, tokens int) {
+	for _, h := range f.Endpoints {
 		if h.alive {
 			jobs, states, tokens = jobs+len(h.running)+len(h.waiting), states+len(h.states), tokens+h.used
 		}
@@ -201,8 +201,8 @@
 }
 
 // Stage tells where a client's generation stands, and at which host: waiting, reading, fetching or writing; read where its state waits.
-func (f *Fleet) Stage(client string) (stage string, at *Host) {
-	for _, h := range f.Hosts {
+func (f *Fleet) Stage(client string) (stage string, at *Endpoint) {
+	for _, h := range f.Endpoints {
 		if !h.alive {
 			continue
 		}
@@ -212,7 +212,7 @@
 			}
 		}
 	}
-	for _, h := range f.Hosts {
+	for _, h := range f.Endpoints {
 		for _, j := range h.waiting {
 			if j.client == client {
 				return "waiting", h
--- a/internal/testbed/modelserver/host.go
+++ b/internal/testbed/modelserver/host.go
@@ -17,8 +17,8 @@
 	"plumspindle/internal/testbed/record"
 )
 
-// Host is one stand-in.
-type Host struct {
+// Endpoint is one stand-in.
+type Endpoint struct {
 	fleet *Fleet
 	ID    uint32
 	Zone  string
@@ -88,7 +88,7 @@
 	job    *job
 }
 
-func (h *Host) up(started eventloop.Micros) error {
+func (h *Endpoint) up(started eventloop.Micros) error {
 	f := h.fleet
 	h.conns, h.states, h.gone, h.texts = map[*hostConn]int{}, map[string]*state{}, map[string]bool{}, map[uint64]int{}
 	h.running, h.waiting, h.used, h.came, h.portFree = nil, nil, 0, nil, 0
@@ -106,7 +106,7 @@
 	return nil
 }
 
-func (h *Host) down() {
+func (h *Endpoint) down() {
 	if !h.alive {
 		return
 	}
@@ -123,14 +123,14 @@
 }
 
 // inOrder are the connections in the order of their opening, so that nothing hangs on the order of a map.
-func (h *Host) inOrder() []*hostConn {
+func (h *Endpoint) inOrder() []*hostConn {
 	return slices.SortedFunc(maps.Keys(h.conns), func(a, b *hostConn) int { return h.conns[a] - h.conns[b] })
 }
 
 // --- Troubles ---
 
 // Crash kills the host; it comes back cold, or never if the span is 0.
-func (h *Host) Crash(back eventloop.Micros) {
+func (h *Endpoint) Crash(back eventloop.Micros) {
 	h.down()
 	h.fleet.changed(h, "gone")
 	if back > 0 {
@@ -142,20 +142,20 @@
 	}
 }
 
-// Vanish makes it silent, without a reset; then it comes back cold.
-func (h *Host) Vanish(span eventloop.Micros) {
+// Blackhole makes it silent, without a reset; then it comes back cold.
+func (h *Endpoint) Blackhole(span eventloop.Micros) {
 	h.frozen = true
 	h.fleet.loop.AfterFunc(span, func() { h.Crash(100 * eventloop.Millisecond) })
 }
 
 // Hang has it take work and do none, then start anew.
-func (h *Host) Hang(span eventloop.Micros) {
+func (h *Endpoint) Hang(span eventloop.Micros) {
 	h.hung = true
 	h.fleet.loop.AfterFunc(span, func() { h.Crash(100 * eventloop.Millisecond) })
 }
 
 // Pause freezes it; it goes on as if nothing had been.
-func (h *Host) Pause(span eventloop.Micros) {
+func (h *Endpoint) Pause(span eventloop.Micros) {
 	h.frozen = true
 	h.fleet.loop.AfterFunc(span, func() {
 		h.frozen = false
@@ -163,47 +163,47 @@
 	})
 }
 
-// Slow makes all that it does take so many times as long.
-func (h *Host) Slow(factor float64, span eventloop.Micros) {
+// SlowDown makes all that it does take so many times as long.
+func (h *Endpoint) SlowDown(factor float64, span eventloop.Micros) {
 	h.slow = factor
 	h.fleet.loop.AfterFunc(span, func() { h.slow = 1 })
 }
 
-// Err has it fail a share of its legs at once.
-func (h *Host) Err(share float64, span eventloop.Micros) {
+// FailAttempts has it fail a share of its legs at once.
+func (h *Endpoint) FailAttempts(share float64, span eventloop.Micros) {
 	h.errs = share
 	h.fleet.loop.AfterFunc(span, func() { h.errs = 0 })
 }
 
-// Full has it turn away one product for a while.
-func (h *Host) Full(product string, span eventloop.Micros) {
+// RejectProduct has it turn away one product for a while.
+func (h *Endpoint) RejectProduct(product string, span eventloop.Micros) {
 	h.full = product
 	h.fleet.loop.AfterFunc(span, func() { h.full = "" })
 }
 
-// Greet has new connections wait before they are served.
-func (h *Host) Greet(wait, span eventloop.Micros) {
+// DelayConnections has new connections wait before they are served.
+func (h *Endpoint) DelayConnections(wait, span eventloop.Micros) {
 	h.greets = wait
 	h.fleet.loop.AfterFunc(span, func() { h.greets = 0 })
 }
 
-// Report has its load reports be old ones.
-func (h *Host) Report(age, span eventloop.Micros) {
+// DelayLoadReports has its load reports be old ones.
+func (h *Endpoint) DelayLoadReports(age, span eventloop.Micros) {
 	h.stale = age
 	h.fleet.loop.AfterFunc(span, func() { h.stale = 0 })
 }
 
-// Flush makes it forget the texts that it kept.
-func (h *Host) Flush() { clear(h.texts) }
+// ClearPrefixCache makes it forget the texts that it kept.
+func (h *Endpoint) ClearPrefixCache() { clear(h.texts) }
 
 // Drain has it announced as draining, then replaced.
-func (h *Host) Drain(span, back eventloop.Micros) {
+func (h *Endpoint) Drain(span, back eventloop.Micros) {
 	h.draining = true
 	h.fleet.changed(h, "draining")
 	h.fleet.loop.AfterFunc(span, func() { h.Crash(back) })
 }
 
-func (h *Host) thaw() {
+func (h *Endpoint) thaw() {
 	if !h.alive || h.frozen {
 		return
 	}
@@ -224,7 +224,7 @@
 // --- Capacity ---
 
 // factor is the share of its capacity that it has now.
-func (h *Host) factor() float64 {
+func (h *Endpoint) factor() float64 {
 	v := 1 / h.slow
 	if age := h.fleet.loop.Now() - h.started; h.started > 0 {
 		r := h.fleet.d.Rules
@@ -237,7 +237,7 @@
 }
 
 // bear counts the work that reaches a cold host, whose budget any span of the stated length has.
-func (h *Host) bear(work float64) {
+func (h *Endpoint) bear(work float64) {
 	r := h.fleet.d.Rules
 	now := h.fleet.loop.Now()
 	if h.started == 0 || now-h.started >= eventloop.Micros(r.ColdMs)*eventloop.Millisecond {
@@ -257,7 +257,7 @@
 	used := sum / (r.FallMultiple * could * h.factor() * float64(r.FallMs) / 1000)
 	// One leg by itself is borne: the rule is about what all send together, kept up for a span.
 	if h.fleet.book != nil && len(h.came) > 1 {
-		h.fleet.book.Add(record.Event{At: int64(now), What: "cold", Host: h.ID, Value: used, N: int64(len(h.came))})
+		h.fleet.book.Add(record.Event{At: int64(now), Type: "cold", Endpoint: h.ID, Value: used, Count: int64(len(h.came))})
 	}
 	if used > 1 && len(h.came) > 1 {
 		h.fallen = true
@@ -268,7 +268,7 @@
 
 // --- Work ---
 
-func (h *Host) wake() {
+func (h *Endpoint) wake() {
 	if h.stepping || !h.alive || h.frozen || h.hung || len(h.running)+len(h.waiting) == 0 {
 		return
 	}
@@ -290,7 +290,7 @@
 }
 
 // step is one round of the batch: waiting work takes free slots, prompts are read on, each answer gets a token.
-func (h *Host) step(span eventloop.Micros) {
+func (h *Endpoint) step(span eventloop.Micros) {
 	if h.frozen || h.hung {
 		return
 	}
@@ -300,7 +300,7 @@
 }
 
 // admit lets waiting work into free slots and memory.
-func (h *Host) admit() {
+func (h *Endpoint) admit() {
 	for len(h.waiting) > 0 && len(h.running) < int(h.group.Slots) {
 		j := h.waiting[0]
 		if need := j.prompt + j.most/2; h.used > 0 && h.used+need > int(h.kind.MemoryTokens) {
@@ -316,7 +316,7 @@
 	}
 }
 
-func (h *Host) advance(budget float64) {
+func (h *Endpoint) advance(budget float64) {
 	for _, j := range slices.Clone(h.running) {
 		switch {
 		case j.away && h.fleet.d.Fleet.CancelStops:
@@ -342,7 +342,7 @@
 	}
 }
 
-func (h *Host) leave(j *job) {
+func (h *Endpoint) leave(j *job) {
 	if i := slices.Index(h.running, j); i >= 0 {
 		h.running = slices.Delete(h.running, i, i+1)
 		h.used -= j.prompt + j.most/2
@@ -351,7 +351,7 @@
 }
 
 // readDone ends a read: the state waits, in its slot's memory.
-func (h *Host) readDone(j *job) {
+func (h *Endpoint) readDone(j *job) {
 	if i := slices.Index(h.running, j); i >= 0 {
 		h.running = slices.Delete(h.running, i, i+1)
 	}
@@ -374,7 +374,7 @@
 }
 
 // release drops a state, however it comes to that.
-func (h *Host) release(leg, how string) bool {
+func (h *Endpoint) release(leg, how string) bool {
 	s := h.states[leg]
 	if s == nil {
 		return false
@@ -388,14 +388,14 @@
 }
 
 // fetch gets a state from the reader that holds it.
-func (h *Host) fetch(j *job) {
+func (h *Endpoint) fetch(j *job) {
 	j.fetching = true
 	mover := &mover{h: h, j: j, parser: http1.Parser{Response: true, Limits: http1.DefaultLimits}}
 	mover.conn = h.fleet.loop.Dial(j.fetchFrom, 500*eventloop.Millisecond, mover)
 }
 
 type mover struct {
-	h      *Host
+	h      *Endpoint
 	j      *job
 	conn   eventloop.Conn
 	parser http1.Parser
@@ -439,7 +439,7 @@
 }
 
 // serveState sends a state out, over its port and, to another cell, over the one link of this cell.
-func (h *Host) serveState(c *hostConn, leg, zone string, cell uint16) {
+func (h *Endpoint) serveState(c *hostConn, leg, zone string, cell uint16) {
 	s := h.states[leg]
 	if s == nil {
 		c.problem(404, "state_lost")
@@ -468,7 +468,7 @@
 }
 
 // token gives an answer its next one.
-func (h *Host) token(j *job) {
+func (h *Endpoint) token(j *job) {
 	if !j.ran {
 		j.ran = true
 		h.fleet.note(h, "ran", j)
@@ -506,7 +506,7 @@
 }
 
 // take begins a leg.
-func (h *Host) take(c *hostConn, head *http1.Head, body []byte) {
+func (h *Endpoint) take(c *hostConn, head *http1.Head, body []byte) {
 	messages := gjson.GetBytes(body, "messages")
 	params := gjson.GetBytes(body, "kv_transfer_params")
 	j := &job{conn: c, leg: head.Get("x-request-id"), client: head.Get("x-client-request-id"),
@@ -543,7 +543,7 @@
 	h.begin(j)
 }
 
-func (h *Host) begin(j *job) {
+func (h *Endpoint) begin(j *job) {
 	c := j.conn
 	switch {
 	case h.hung:
@@ -577,7 +577,7 @@
 // --- Connections ---
 
 type hostConn struct {
-	host   *Host
+	host   *Endpoint
 	conn   eventloop.Conn
 	parser http1.Parser
 	head   *http1.Head
--- a/internal/testbed/modelserver/roster.go
+++ b/internal/testbed/modelserver/roster.go
@@ -14,10 +14,10 @@
 	"plumspindle/scheduler"
 )
 
-// Roster pushes the list of hosts.
-type Roster struct {
+// Discovery pushes the list of hosts.
+type Discovery struct {
 	loop     eventloop.Loop
-	book     *record.Book
+	book     *record.Recorder
 	listener eventloop.Listener
 	epoch    string
 	version  uint64
@@ -28,9 +28,9 @@
 
 const heartbeat = 4 * eventloop.Second
 
-// NewRoster serves a list on an address.
-func NewRoster(loop eventloop.Loop, addr string, entries []endpoints.Entry, book *record.Book) (*Roster, error) {
-	r := &Roster{loop: loop, book: book, epoch: strconv.FormatInt(int64(loop.Now()), 36), version: 1, entries: map[scheduler.EndpointID]endpoints.Entry{}}
+// NewDiscovery serves a list on an address.
+func NewDiscovery(loop eventloop.Loop, addr string, entries []endpoints.Entry, book *record.Recorder) (*Discovery, error) {
+	r := &Discovery{loop: loop, book: book, epoch: strconv.FormatInt(int64(loop.Now()), 36), version: 1, entries: map[scheduler.EndpointID]endpoints.Entry{}}
 	for _, e := range entries {
 		r.entries[e.ID] = e
 	}
@@ -46,8 +46,8 @@
 	return r, nil
 }
 
-// Tell passes changes on to all that watch.
-func (r *Roster) Tell(changes ...endpoints.Entry) {
+// Publish passes changes on to all that watch.
+func (r *Discovery) Publish(changes ...endpoints.Entry) {
 	for _, e := range changes {
 		r.entries[e.ID] = e
 	}
@@ -58,7 +58,7 @@
 }
 
 // Replace takes a whole new list and tells what has changed by it.
-func (r *Roster) Replace(entries []endpoints.Entry) (changed int) {
+func (r *Discovery) Replace(entries []endpoints.Entry) (changed int) {
 	named := map[scheduler.EndpointID]bool{}
 	var changes []endpoints.Entry
 	for _, e := range entries {
@@ -74,12 +74,12 @@
 		}
 	}
 	if len(changes) > 0 {
-		r.Tell(changes...)
+		r.Publish(changes...)
 	}
 	return len(changes)
 }
 
-func (r *Roster) beat() {
+func (r *Discovery) beat() {
 	for _, w := range r.watchers {
 		w.conn.Write(http1.AppendChunk(nil, []byte(": here\n\n")))
 	}
@@ -87,16 +87,16 @@
 }
 
 // Close ends it.
-func (r *Roster) Close() { r.listener.Close() }
+func (r *Discovery) Close() { r.listener.Close() }
 
 // Entry is a host's line in the list.
-func (h *Host) Entry(condition string) endpoints.Entry {
+func (h *Endpoint) Entry(condition string) endpoints.Entry {
 	return endpoints.Entry{ID: scheduler.EndpointID(h.ID), Addr: h.Addr, Zone: h.Zone, Kind: h.kind.Name, Cell: h.Cell,
 		Condition: condition, StartedAt: int64(h.started)}
 }
 
 // changed tells of a host's new condition, after a while.
-func (f *Fleet) changed(h *Host, condition string) {
+func (f *Fleet) changed(h *Endpoint, condition string) {
 	e := h.Entry(condition)
 	f.loop.AfterFunc(eventloop.Micros(f.rand.Int63n(int64(f.d.Fleet.RosterLateMs)*1000+1)), func() {
 		if condition == "draining" && !h.alive {
@@ -105,14 +105,14 @@
 		if condition == "gone" && h.alive && h.started > 0 && e.StartedAt != int64(h.started) {
 			return // it is back already; its start is told by the change that follows
 		}
-		if f.Roster != nil {
-			f.Roster.Tell(e)
+		if f.Discovery != nil {
+			f.Discovery.Publish(e)
 		}
 	})
 }
 
 type watcher struct {
-	roster *Roster
+	roster *Discovery
 	conn   eventloop.Conn
 	parser http1.Parser
 	name   string
@@ -153,12 +153,12 @@
 	}
 	now := int64(w.roster.loop.Now())
 	for _, e := range l.Endpoints {
-		book.Add(record.Event{At: now, What: "told", Dispatcher: w.name, Host: uint32(e.ID), How: e.Condition})
+		book.Add(record.Event{At: now, Type: "told", Dispatcher: w.name, Endpoint: uint32(e.ID), Detail: e.Condition})
 	}
 }
 
-// Break resets the connections of all that watch, as a network does.
-func (r *Roster) Break() {
+// ResetWatches resets the connections of all that watch, as a network does.
+func (r *Discovery) ResetWatches() {
 	for _, w := range slices.Clone(r.watchers) {
 		w.conn.Abort()
 	}
--- a/internal/testbed/record/record.go
+++ b/internal/testbed/record/record.go
@@ -12,26 +12,26 @@
 
 // Event is one line. At is in microseconds of the laboratory's one clock.
 type Event struct {
-	At         int64   `json:"at"`
-	What       string  `json:"what"`
-	Gen        string  `json:"gen,omitempty"` // the client's id of the generation, the same for all its tries
-	Try        int     `json:"try,omitempty"` // counted from 1
-	Leg        string  `json:"leg,omitempty"`
-	Host       uint32  `json:"host,omitempty"`
-	Dispatcher string  `json:"dispatcher,omitempty"`
-	Product    string  `json:"product,omitempty"`
-	Tenant     string  `json:"tenant,omitempty"`
-	Kind       string  `json:"kind,omitempty"`
-	Zone       string  `json:"zone,omitempty"`
-	Cell       uint16  `json:"cell,omitempty"`
-	How        string  `json:"how,omitempty"`
-	N          int64   `json:"n,omitempty"`
-	Value      float64 `json:"value,omitempty"`
-	Exact      bool    `json:"exact,omitempty"`
+	At            int64   `json:"at"`
+	Type          string  `json:"what"`
+	Request       string  `json:"gen,omitempty"` // the client's id of the generation, the same for all its tries
+	ClientAttempt int     `json:"try,omitempty"` // counted from 1
+	Attempt       string  `json:"leg,omitempty"`
+	Endpoint      uint32  `json:"host,omitempty"`
+	Dispatcher    string  `json:"dispatcher,omitempty"`
+	Product       string  `json:"product,omitempty"`
+	Tenant        string  `json:"tenant,omitempty"`
+	Kind          string  `json:"kind,omitempty"`
+	Zone          string  `json:"zone,omitempty"`
+	Cell          uint16  `json:"cell,omitempty"`
+	Detail        string  `json:"how,omitempty"`
+	Count         int64   `json:"n,omitempty"`
+	Value         float64 `json:"value,omitempty"`
+	Exact         bool    `json:"exact,omitempty"`
 }
 
-// Book takes events from several loops.
-type Book struct {
+// Recorder takes events from several loops.
+type Recorder struct {
 	mu  sync.Mutex
 	w   *bufio.Writer
 	f   *os.File
@@ -40,8 +40,8 @@
 }
 
 // Open makes a book; with a path it is written there too.
-func Open(path string) (*Book, error) {
-	b := &Book{}
+func Open(path string) (*Recorder, error) {
+	b := &Recorder{}
 	if path != "" {
 		f, err := os.Create(path)
 		if err != nil {
@@ -54,7 +54,7 @@
 }
 
 // Add takes one event.
-func (b *Book) Add(e Event) {
+func (b *Recorder) Add(e Event) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.all = append(b.all, e)
@@ -64,7 +64,7 @@
 }
 
 // Close gives all events.
-func (b *Book) Close() ([]Event, error) {
+func (b *Recorder) Close() ([]Event, error) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if b.f == nil {
--- a/internal/testbed/scenarios/batch_test.go
+++ b/internal/testbed/scenarios/batch_test.go
@@ -27,17 +27,17 @@
 		d.Kinds = append(d.Kinds, &pb.Kind{Name: "embedder", Role: pb.Kind_EMBEDDER, MemoryTokens: 100000})
 		d.Fleet.Groups = append(d.Fleet.Groups, &pb.Fleet_Group{Kind: "embedder", HostsPerZone: 1, ReadTokensPerS: 18000, Slots: 8, Queue: 40, StepUs: 5000})
 		p := &Run{Script: script, Deployment: d, Dispatchers: 3, Seed: seed}
-		v, left, _, err := p.Virtual(0)
+		v, left, _, err := p.RunVirtual(0)
 		if err != nil {
 			t.Fatal(err)
 		}
-		if !v.Kept() || left > 0 {
+		if !v.Passed() || left > 0 {
 			t.Errorf("seed %d: %d left over\n%s", seed, left, v.Text())
 		}
-		for _, b := range p.Batches {
-			t.Logf("seed %d, %s: %d calls, %d inputs read, finals %v", seed, b.Product.Name, b.Begun, b.Read, b.Finals)
-			if b.Wrong > 0 || b.Read < 1000 {
-				t.Errorf("seed %d, %s: %d wrong answers, %d inputs read", seed, b.Product.Name, b.Wrong, b.Read)
+		for _, b := range p.BatchClients {
+			t.Logf("seed %d, %s: %d calls, %d inputs read, finals %v", seed, b.Product.Name, b.Started, b.InputsRead, b.Outcomes)
+			if b.Wrong > 0 || b.InputsRead < 1000 {
+				t.Errorf("seed %d, %s: %d wrong answers, %d inputs read", seed, b.Product.Name, b.Wrong, b.InputsRead)
 			}
 		}
 	}
--- a/internal/testbed/scenarios/flood_test.go
+++ b/internal/testbed/scenarios/flood_test.go
@@ -26,11 +26,11 @@
 		t.Fatal(err)
 	}
 	p := &Run{Script: script, Deployment: deployment.Standard(), Dispatchers: dispatchers, Seed: seed}
-	v, left, _, err := p.Virtual(0)
+	v, left, _, err := p.RunVirtual(0)
 	if err != nil {
 		t.Fatal(err)
 	}
-	if !v.Kept() || left > 0 {
+	if !v.Passed() || left > 0 {
 		t.Errorf("%d dispatchers, %v times: %d left over\n%s", dispatchers, factor, left, v.Text())
 	}
 	var others []*audit.Row
@@ -50,7 +50,7 @@
 		_, loud := flood(t, dispatchers, 10, 3)
 		for i, r := range loud {
 			was, is := float64(calm[i].InSLO)/float64(calm[i].Asked), float64(r.InSLO)/float64(r.Asked)
-			p0, p1 := calm[i].First.ValueAtQuantile(75), r.First.ValueAtQuantile(75)
+			p0, p1 := calm[i].FirstToken.ValueAtQuantile(75), r.FirstToken.ValueAtQuantile(75)
 			if is < 0.97*was || float64(p1) > 2*float64(p0) {
 				t.Errorf("%d dispatchers, %s: in SLO %.3f, was %.3f; p75 %d, was %d ms (%d asked)", dispatchers, r.Name, is, was, p1/1000, p0/1000, r.Asked)
 			}
@@ -65,12 +65,12 @@
 		t.Fatal(err)
 	}
 	p := &Run{Script: script, Deployment: deployment.Standard(), Dispatchers: 3, Seed: 8}
-	if _, _, _, err := p.Virtual(0); err != nil {
+	if _, _, _, err := p.RunVirtual(0); err != nil {
 		t.Fatal(err)
 	}
 	type sums struct{ streamed, throttled, terminated, tokens int64 }
 	said, seen := map[string]sums{}, map[string]sums{}
-	for _, u := range p.Used {
+	for _, u := range p.Usage {
 		s := said[u.Tenant+" "+u.Product]
 		s.streamed, s.throttled, s.terminated = s.streamed+int64(u.Completed), s.throttled+int64(u.Rejected), s.terminated+int64(u.Failed)
 		if u.Failed == 0 { // of a broken stream the client counts what it was sent, the writer what it wrote
@@ -80,15 +80,15 @@
 	}
 	broken := map[string]bool{}
 	for _, e := range p.events {
-		if e.What != "final" {
+		if e.Type != "final" {
 			continue
 		}
 		name := e.Tenant + " " + e.Product
 		s := seen[name]
-		switch e.How {
+		switch e.Detail {
 		case "streamed":
 			s.streamed++
-			s.tokens += e.N
+			s.tokens += e.Count
 		case "throttled":
 			s.throttled++
 		case "terminated":
@@ -126,14 +126,14 @@
 				t.Fatal(err)
 			}
 			p := &Run{Script: script, Deployment: deployment.Standard(), Dispatchers: 3, Seed: seed, Keyed: true, Intents: intents}
-			v, left, _, err := p.Virtual(600)
+			v, left, _, err := p.RunVirtual(600)
 			if err != nil {
 				t.Fatal(err)
 			}
 			for i, r := range v.Rules {
 				if i == 1 {
-					twice[intents] += len(r.Breaks)
-				} else if len(r.Breaks) > 0 {
+					twice[intents] += len(r.Violations)
+				} else if len(r.Violations) > 0 {
 					t.Errorf("intents %v, seed %d: %d left over\n%s", intents, seed, left, v.Text())
 				}
 			}
@@ -154,7 +154,7 @@
 		for seed := int64(1); seed <= 4; seed++ {
 			_, others := floodAt(t, 18, dispatchers, 1, seed)
 			for _, r := range others {
-				first.Merge(r.First)
+				first.Merge(r.FirstToken)
 			}
 		}
 		p99[dispatchers] = float64(first.ValueAtQuantile(99)) / 1000
--- a/internal/testbed/scenarios/restart.go
+++ b/internal/testbed/scenarios/restart.go
@@ -12,12 +12,12 @@
 	"plumspindle/internal/virtual"
 )
 
-// Restart plays one restart of all dispatchers in virtual time: they keep their lists, die together, and come back after a
+// RunRestart plays one restart of all dispatchers in virtual time: they keep their lists, die together, and come back after a
 // while in which a share of the hosts has been replaced by others elsewhere, with discovery answering or not. The script's
 // seconds and rate are those after the return.
-func (p *Run) Restart(away eventloop.Micros, replaced float64, discovery bool) (v *audit.Verdict, left int, err error) {
+func (p *Run) RunRestart(away eventloop.Micros, replaced float64, discovery bool) (v *audit.Verdict, left int, err error) {
 	text := p.prepare()
-	if p.book, err = openRecord(p.Record, text); err != nil {
+	if p.book, err = openRecord(p.RecordDir, text); err != nil {
 		return nil, 0, err
 	}
 	w := virtual.NewNetwork(p.Seed)
@@ -43,14 +43,14 @@
 		if len(l.kept) == 0 {
 			return nil, 0, errors.New("a dispatcher kept no list")
 		}
-		p.book.Add(record.Event{At: int64(w.Now()), What: "killed", Dispatcher: l.target.Name})
+		p.book.Add(record.Event{At: int64(w.Now()), Type: "killed", Dispatcher: l.target.Name})
 		l.loop.Kill()
 	}
 	w.Run(away / 2)
 	fleetAt.Do(func() {
 		err = p.fleet.Replace(replaced)
 		if !discovery {
-			p.fleet.Roster.Close()
+			p.fleet.Discovery.Close()
 		}
 	})
 	if err != nil {
@@ -81,22 +81,22 @@
 // Events are what clients and hosts saw on a played day.
 func (p *Run) Events() []record.Event { return p.events }
 
-// Streamed is how many generations were first asked for in one second of the day, and how many of them were streamed.
-func (p *Run) Streamed(second int) (asked, streamed int) {
+// CompletedInSecond is how many generations were first asked for in one second of the day, and how many of them were streamed.
+func (p *Run) CompletedInSecond(second int) (asked, streamed int) {
 	in, first := map[string]bool{}, int64(0)
 	for _, e := range p.events {
-		if e.What == "ask" && e.Try == 1 {
+		if e.Type == "ask" && e.ClientAttempt == 1 {
 			if first == 0 {
 				first = e.At
 			}
 			if (e.At-first)/1e6 == int64(second) {
-				in[e.Gen] = true
+				in[e.Request] = true
 			}
 		}
 	}
 	for _, e := range p.events {
-		if e.What == "over" && in[e.Gen] {
-			if asked++; e.How == "streamed" {
+		if e.Type == "over" && in[e.Request] {
+			if asked++; e.Detail == "streamed" {
 				streamed++
 			}
 		}
@@ -104,23 +104,23 @@
 	return asked, streamed
 }
 
-// InTime gives, for each second of a played day's load, how many generations were asked for and how many of them got their
+// WithinSLOBySecond gives, for each second of a played day's load, how many generations were asked for and how many of them got their
 // answer within the SLO time.
-func (p *Run) InTime() (asked, in []int) {
+func (p *Run) WithinSLOBySecond() (asked, in []int) {
 	at, first := map[string]int64{}, int64(0)
 	for _, e := range p.events {
-		if e.What == "ask" && e.Try == 1 {
+		if e.Type == "ask" && e.ClientAttempt == 1 {
 			if first == 0 {
 				first = e.At
 			}
-			at[e.Gen] = (e.At - first) / 1e6
+			at[e.Request] = (e.At - first) / 1e6
 		}
 	}
 	asked, in = make([]int, p.Script.Seconds+1), make([]int, p.Script.Seconds+1)
 	for _, e := range p.events {
-		if s, some := at[e.Gen]; e.What == "over" && some && int(s) < len(asked) {
+		if s, some := at[e.Request]; e.Type == "over" && some && int(s) < len(asked) {
 			asked[s]++
-			if e.How == "streamed" && e.Exact {
+			if e.Detail == "streamed" && e.Exact {
 				in[s]++
 			}
 		}
--- a/internal/testbed/scenarios/scenarios.go
+++ b/internal/testbed/scenarios/scenarios.go
@@ -62,35 +62,35 @@
 
 // Run is one playing of a day.
 type Run struct {
-	Script      *pb.Day
-	Deployment  deployment.Deployment
-	Dispatchers int
-	Seed        int64
-	Binary      string // of this program
-	Record      string // folder that is kept; empty: none is
-	Progress    io.Writer
-	Keyed       bool            // clients send Idempotency-Keys and repeat, at the same dispatcher, what was cut off
-	Intents     bool            // dispatchers keep intents across their lives
-	Used        []tenancy.Usage // what the dispatchers say was used, after a virtual day
-	Batches     []*load.Batches
-	Begun       func(addrs []string)    // over sockets: told where the dispatchers are, once the load has begun
-	Mutant      *Mutant                 // virtual days only, as what follows
-	Watch       func()                  // called after each step
-	Delay       func() eventloop.Micros // how much longer each piece is on its way, once the load has begun
-	Steps       int                     // of the world
-	Reached     []lifecycle.Coverage    // by each dispatcher's last life
+	Script        *pb.Day
+	Deployment    deployment.Deployment
+	Dispatchers   int
+	Seed          int64
+	Binary        string // of this program
+	RecordDir     string // folder that is kept; empty: none is
+	Progress      io.Writer
+	Keyed         bool            // clients send Idempotency-Keys and repeat, at the same dispatcher, what was cut off
+	Intents       bool            // dispatchers keep intents across their lives
+	Usage         []tenancy.Usage // what the dispatchers say was used, after a virtual day
+	BatchClients  []*load.BatchClients
+	OnLoadStarted func(addrs []string)    // over sockets: told where the dispatchers are, once the load has begun
+	Mutant        *Mutant                 // virtual days only, as what follows
+	AfterStep     func()                  // called after each step
+	Delay         func() eventloop.Micros // how much longer each piece is on its way, once the load has begun
+	Steps         int                     // of the world
+	Reached       []lifecycle.Coverage    // by each dispatcher's last life
 
 	world *virtual.Network
 	all   []*lives
 
 	dir     string
-	book    *record.Book
+	book    *record.Recorder
 	events  []record.Event
 	failed  error
 	fleetAt place
 	crowdAt place
 	fleet   *modelserver.Fleet
-	crowd   *load.Crowd
+	crowd   *load.Generator
 	servers []server
 	rand    *rand.Rand
 	keys    []string
@@ -151,7 +151,7 @@
 	if err := os.WriteFile(filepath.Join(p.dir, "deployment.textproto"), text, 0o600); err != nil {
 		return nil, err
 	}
-	if p.book, err = openRecord(p.Record, text); err != nil {
+	if p.book, err = openRecord(p.RecordDir, text); err != nil {
 		return nil, err
 	}
 	ctx, cancel := context.WithCancel(ctx)
@@ -198,7 +198,7 @@
 
 // openRecord begins a record in a folder, beside the deployment that it is judged by; with no folder it is kept in
 // memory only.
-func openRecord(dir string, text []byte) (*record.Book, error) {
+func openRecord(dir string, text []byte) (*record.Recorder, error) {
 	if dir == "" {
 		return record.Open("")
 	}
@@ -211,8 +211,8 @@
 	return record.Open(filepath.Join(dir, "record.ndjson"))
 }
 
-// Again judges a recorded day.
-func Again(dir string) (*audit.Verdict, error) {
+// JudgeRecorded judges a recorded day.
+func JudgeRecorded(dir string) (*audit.Verdict, error) {
 	d, err := deployment.Load(filepath.Join(dir, "deployment.textproto"))
 	if err != nil {
 		return nil, err
@@ -262,12 +262,12 @@
 		}
 	}
 	p.begin(ctx, targets)
-	if p.Begun != nil {
+	if p.OnLoadStarted != nil {
 		var addrs []string
 		for _, t := range targets {
 			addrs = append(addrs, t.Addr)
 		}
-		p.Begun(addrs)
+		p.OnLoadStarted(addrs)
 	}
 	if err := p.wait(ctx, time.Now()); err != nil {
 		return err
@@ -284,13 +284,13 @@
 	})
 	for _, b := range p.Script.Batches {
 		p.crowdAt.Do(func() {
-			l := &load.Batches{Crowd: p.crowd, Tenant: int(b.Tenant), At: int(b.AtOnce), Inputs: int(b.Inputs), Tokens: int(b.Tokens), Calls: int(b.Calls)}
+			l := &load.BatchClients{Generator: p.crowd, Tenant: int(b.Tenant), Concurrency: int(b.AtOnce), Inputs: int(b.Inputs), Tokens: int(b.Tokens), Calls: int(b.Calls)}
 			for _, product := range p.Deployment.Products {
 				if product.Name == b.Product {
 					l.Product = product
 				}
 			}
-			p.Batches = append(p.Batches, l)
+			p.BatchClients = append(p.BatchClients, l)
 			p.crowdAt.AfterFunc(eventloop.Micros(b.FromMs)*eventloop.Millisecond, l.Run)
 			if b.ForMs > 0 {
 				p.crowdAt.AfterFunc(eventloop.Micros(b.FromMs+b.ForMs)*eventloop.Millisecond, l.Stop)
@@ -306,7 +306,7 @@
 // stop: nothing more is asked.
 func (p *Run) stop() {
 	p.crowd.Stop()
-	for _, b := range p.Batches {
+	for _, b := range p.BatchClients {
 		b.Stop()
 	}
 }
@@ -314,7 +314,7 @@
 // open is what waits for its answer.
 func (p *Run) open() int {
 	n := p.crowd.Open
-	for _, b := range p.Batches {
+	for _, b := range p.BatchClients {
 		n += b.Open
 	}
 	return n
@@ -360,7 +360,7 @@
 	}
 	defer logs.Close()
 	args := []string{"serve", "--deployment", filepath.Join(p.dir, "deployment.textproto"),
-		"--roster", p.fleet.Roster.Addr, "--zone", pr.target.Zone, "--listen", pr.target.Addr, "--name", name,
+		"--roster", p.fleet.Discovery.Addr, "--zone", pr.target.Zone, "--listen", pr.target.Addr, "--name", name,
 		"--ready-file", ready, "--list-file", filepath.Join(p.dir, fmt.Sprintf("list%d", pr.no)),
 		"--seed", strconv.FormatInt(p.Seed*100+int64(pr.no*10+pr.lives), 10)}
 	if p.Intents {
@@ -401,7 +401,7 @@
 	p := pr.play
 	at := int64(p.fleetAt.Now())
 	_ = pr.cmd.Process.Kill()
-	p.book.Add(record.Event{At: at, What: "killed", Dispatcher: pr.target.Name})
+	p.book.Add(record.Event{At: at, Type: "killed", Dispatcher: pr.target.Name})
 	go func() {
 		<-pr.gone
 		select {
@@ -468,10 +468,10 @@
 
 // --- Troubles ---
 
-type effect func(p *Run, ctx context.Context, t *pb.Day_Trouble, span eventloop.Micros, picked []*modelserver.Host)
+type effect func(p *Run, ctx context.Context, t *pb.Day_Trouble, span eventloop.Micros, picked []*modelserver.Endpoint)
 
-func each(f func(h *modelserver.Host, t *pb.Day_Trouble, span eventloop.Micros)) effect {
-	return func(_ *Run, _ context.Context, t *pb.Day_Trouble, span eventloop.Micros, picked []*modelserver.Host) {
+func each(f func(h *modelserver.Endpoint, t *pb.Day_Trouble, span eventloop.Micros)) effect {
+	return func(_ *Run, _ context.Context, t *pb.Day_Trouble, span eventloop.Micros, picked []*modelserver.Endpoint) {
 		for _, h := range picked {
 			f(h, t, span)
 		}
@@ -479,8 +479,8 @@
 }
 
 // crowdChange alters what clients do, for a while.
-func crowdChange(change func(c *load.Crowd, t *pb.Day_Trouble) (undo func())) effect {
-	return func(p *Run, _ context.Context, t *pb.Day_Trouble, span eventloop.Micros, _ []*modelserver.Host) {
+func crowdChange(change func(c *load.Generator, t *pb.Day_Trouble) (undo func())) effect {
+	return func(p *Run, _ context.Context, t *pb.Day_Trouble, span eventloop.Micros, _ []*modelserver.Endpoint) {
 		p.crowdAt.Post(func() {
 			undo := change(p.crowd, t)
 			p.crowdAt.AfterFunc(span, undo)
@@ -489,70 +489,76 @@
 }
 
 var troubles = map[string]effect{
-	"crash":        each(func(h *modelserver.Host, _ *pb.Day_Trouble, span eventloop.Micros) { h.Crash(span) }),
-	"vanish":       each(func(h *modelserver.Host, _ *pb.Day_Trouble, span eventloop.Micros) { h.Vanish(span) }),
-	"hang":         each(func(h *modelserver.Host, _ *pb.Day_Trouble, span eventloop.Micros) { h.Hang(span) }),
-	"pauses":       each(func(h *modelserver.Host, _ *pb.Day_Trouble, span eventloop.Micros) { h.Pause(span) }),
-	"mass_restart": each(func(h *modelserver.Host, _ *pb.Day_Trouble, span eventloop.Micros) { h.Crash(span) }),
-	"flush":        each(func(h *modelserver.Host, _ *pb.Day_Trouble, _ eventloop.Micros) { h.Flush() }),
-	"drain":        each(func(h *modelserver.Host, _ *pb.Day_Trouble, span eventloop.Micros) { h.Drain(span, span) }),
-	"slow":         each(func(h *modelserver.Host, t *pb.Day_Trouble, span eventloop.Micros) { h.Slow(max(t.Factor, 1), span) }),
-	"neighbour":    each(func(h *modelserver.Host, t *pb.Day_Trouble, span eventloop.Micros) { h.Slow(max(t.Factor, 1), span) }),
-	"fast_errors":  each(func(h *modelserver.Host, t *pb.Day_Trouble, span eventloop.Micros) { h.Err(t.Factor, span) }),
-	"handshake_slow": each(func(h *modelserver.Host, t *pb.Day_Trouble, span eventloop.Micros) {
-		h.Greet(eventloop.Micros(t.Factor*float64(eventloop.Millisecond)), span)
+	"crash":        each(func(h *modelserver.Endpoint, _ *pb.Day_Trouble, span eventloop.Micros) { h.Crash(span) }),
+	"vanish":       each(func(h *modelserver.Endpoint, _ *pb.Day_Trouble, span eventloop.Micros) { h.Blackhole(span) }),
+	"hang":         each(func(h *modelserver.Endpoint, _ *pb.Day_Trouble, span eventloop.Micros) { h.Hang(span) }),
+	"pauses":       each(func(h *modelserver.Endpoint, _ *pb.Day_Trouble, span eventloop.Micros) { h.Pause(span) }),
+	"mass_restart": each(func(h *modelserver.Endpoint, _ *pb.Day_Trouble, span eventloop.Micros) { h.Crash(span) }),
+	"flush":        each(func(h *modelserver.Endpoint, _ *pb.Day_Trouble, _ eventloop.Micros) { h.ClearPrefixCache() }),
+	"drain":        each(func(h *modelserver.Endpoint, _ *pb.Day_Trouble, span eventloop.Micros) { h.Drain(span, span) }),
+	"slow": each(func(h *modelserver.Endpoint, t *pb.Day_Trouble, span eventloop.Micros) {
+		h.SlowDown(max(t.Factor, 1), span)
 	}),
-	"report_late": each(func(h *modelserver.Host, t *pb.Day_Trouble, span eventloop.Micros) {
-		h.Report(eventloop.Micros(t.Factor*float64(eventloop.Second)), span)
+	"neighbour": each(func(h *modelserver.Endpoint, t *pb.Day_Trouble, span eventloop.Micros) {
+		h.SlowDown(max(t.Factor, 1), span)
 	}),
-	"throttle": func(p *Run, _ context.Context, t *pb.Day_Trouble, span eventloop.Micros, picked []*modelserver.Host) {
+	"fast_errors": each(func(h *modelserver.Endpoint, t *pb.Day_Trouble, span eventloop.Micros) {
+		h.FailAttempts(t.Factor, span)
+	}),
+	"handshake_slow": each(func(h *modelserver.Endpoint, t *pb.Day_Trouble, span eventloop.Micros) {
+		h.DelayConnections(eventloop.Micros(t.Factor*float64(eventloop.Millisecond)), span)
+	}),
+	"report_late": each(func(h *modelserver.Endpoint, t *pb.Day_Trouble, span eventloop.Micros) {
+		h.DelayLoadReports(eventloop.Micros(t.Factor*float64(eventloop.Second)), span)
+	}),
+	"throttle": func(p *Run, _ context.Context, t *pb.Day_Trouble, span eventloop.Micros, picked []*modelserver.Endpoint) {
 		product := t.Product
 		if product == "" {
 			product = p.Deployment.Products[0].Name
 		}
 		for _, h := range picked {
-			h.Full(product, span)
+			h.RejectProduct(product, span)
 		}
 	},
-	"zone_cut": func(p *Run, _ context.Context, t *pb.Day_Trouble, span eventloop.Micros, _ []*modelserver.Host) {
+	"zone_cut": func(p *Run, _ context.Context, t *pb.Day_Trouble, span eventloop.Micros, _ []*modelserver.Endpoint) {
 		zone := t.Zone
 		if zone == "" {
 			zone = p.Deployment.Zones[len(p.Deployment.Zones)-1]
 		}
-		p.fleet.Cut(zone, span)
+		p.fleet.Partition(zone, span)
 	},
-	"balancer_crash": func(p *Run, ctx context.Context, t *pb.Day_Trouble, span eventloop.Micros, _ []*modelserver.Host) {
+	"balancer_crash": func(p *Run, ctx context.Context, t *pb.Day_Trouble, span eventloop.Micros, _ []*modelserver.Endpoint) {
 		n := max(int(t.Share*float64(len(p.servers))+0.5), 1)
 		for _, i := range p.rand.Perm(len(p.servers))[:min(n, len(p.servers))] {
 			p.servers[i].crash(ctx, span)
 		}
 	},
 	// Dispatchers have but a few descriptors beyond those that they have open.
-	"descriptors": func(p *Run, _ context.Context, t *pb.Day_Trouble, span eventloop.Micros, _ []*modelserver.Host) {
+	"descriptors": func(p *Run, _ context.Context, t *pb.Day_Trouble, span eventloop.Micros, _ []*modelserver.Endpoint) {
 		n := max(int(t.Share*float64(len(p.servers))+0.5), 1)
 		for _, i := range p.rand.Perm(len(p.servers))[:min(n, len(p.servers))] {
 			p.fleetAt.AfterFunc(span, p.servers[i].squeeze(int(t.Factor)))
 		}
 	},
-	"burst": crowdChange(func(c *load.Crowd, t *pb.Day_Trouble) func() {
+	"burst": crowdChange(func(c *load.Generator, t *pb.Day_Trouble) func() {
 		c.Rate *= max(t.Factor, 0.01)
 		return func() { c.Rate /= max(t.Factor, 0.01) }
 	}),
-	"tenant_burst": crowdChange(func(c *load.Crowd, t *pb.Day_Trouble) func() {
+	"tenant_burst": crowdChange(func(c *load.Generator, t *pb.Day_Trouble) func() {
 		before := c.Rate
-		own := c.Rate / float64(len(c.Favour))
-		c.Favour[0], c.Rate = max(t.Factor, 0.01), c.Rate+own*(t.Factor-1)
-		return func() { c.Favour[0], c.Rate = 1, before }
+		own := c.Rate / float64(len(c.TenantShares))
+		c.TenantShares[0], c.Rate = max(t.Factor, 0.01), c.Rate+own*(t.Factor-1)
+		return func() { c.TenantShares[0], c.Rate = 1, before }
 	}),
-	"give_up": crowdChange(func(c *load.Crowd, t *pb.Day_Trouble) func() {
-		before := c.Part
-		c.Part = max(t.Factor, 0.05)
-		return func() { c.Part = before }
+	"give_up": crowdChange(func(c *load.Generator, t *pb.Day_Trouble) func() {
+		before := c.MinPatience
+		c.MinPatience = max(t.Factor, 0.05)
+		return func() { c.MinPatience = before }
 	}),
 }
 
-// Kinds are the sorts of trouble that can be played.
-func Kinds() []string {
+// FaultKinds are the sorts of trouble that can be played.
+func FaultKinds() []string {
 	return slices.Sorted(func(yield func(string) bool) {
 		for k := range troubles {
 			if !yield(k) {
@@ -569,7 +575,7 @@
 
 // trouble begins one; it runs on the fleet's loop.
 func (p *Run) trouble(ctx context.Context, t *pb.Day_Trouble) {
-	p.book.Add(record.Event{At: int64(p.fleetAt.Now()), What: "trouble", Kind: t.Kind, How: t.String(), Value: t.Share})
+	p.book.Add(record.Event{At: int64(p.fleetAt.Now()), Type: "trouble", Kind: t.Kind, Detail: t.String(), Value: t.Share})
 	share := t.Share
 	if t.Kind == "neighbour" && share == 0 {
 		share = 0.25
@@ -638,7 +644,7 @@
 
 // ReadScript reads a day's text.
 func ReadScript(name string, text []byte) (*pb.Day, error) {
-	d, err := deployment.ReadDay(name, text, Kinds())
+	d, err := deployment.ReadDay(name, text, FaultKinds())
 	if err != nil {
 		return nil, err
 	}
--- a/internal/testbed/scenarios/scenarios_test.go
+++ b/internal/testbed/scenarios/scenarios_test.go
@@ -13,11 +13,11 @@
 		t.Fatal(err)
 	}
 	p := &Run{Script: script, Deployment: deployment.Standard(), Dispatchers: 3, Seed: seed}
-	v, left, trace, err := p.Virtual(segment)
+	v, left, trace, err := p.RunVirtual(segment)
 	if err != nil {
 		t.Fatal(err)
 	}
-	if !v.Kept() || left > 0 {
+	if !v.Passed() || left > 0 {
 		t.Errorf("day %s, seed %d: %d generations left over\n%s", name, seed, left, v.Text())
 	}
 	if v.Rows[0].Asked < 200 || v.Service < 0.2 {
--- a/internal/testbed/scenarios/virtual.go
+++ b/internal/testbed/scenarios/virtual.go
@@ -44,11 +44,11 @@
 	if p.Mutant != nil && p.Mutant.Loop != nil {
 		at = p.Mutant.Loop(l.loop)
 	}
-	post := dispatch.Config{Name: name, Mutation: p.Mutant.dispatcher(), Zone: l.target.Zone, Seed: p.Seed*100 + int64(l.no*10+l.n), Discovery: p.fleet.Roster.Addr,
+	post := dispatch.Config{Name: name, Mutation: p.Mutant.dispatcher(), Zone: l.target.Zone, Seed: p.Seed*100 + int64(l.no*10+l.n), Discovery: p.fleet.Discovery.Addr,
 		CachedEndpoints: [][]byte{l.kept}, CacheEndpoints: func(b []byte) { l.kept = b }, Log: zerolog.Nop()}
 	l.loop.Do(func() {
-		if p.Mutant != nil && p.Mutant.Folder != nil {
-			p.Mutant.Folder(l.folder)
+		if p.Mutant != nil && p.Mutant.Disk != nil {
+			p.Mutant.Disk(l.folder)
 		}
 		if p.Intents {
 			if post.Intents, err = store.Open(l.folder.AttachTo(l.loop), store.DefaultLimits); err != nil {
@@ -74,7 +74,7 @@
 		return
 	}
 	l.down = true
-	p.book.Add(record.Event{At: int64(l.world.Now()), What: "killed", Dispatcher: l.target.Name})
+	p.book.Add(record.Event{At: int64(l.world.Now()), Type: "killed", Dispatcher: l.target.Name})
 	l.loop.Kill()
 	p.fleetAt.AfterFunc(back, func() {
 		if err := l.start(); err != nil {
@@ -89,14 +89,14 @@
 	return func() { at.DescriptorLimit = 0 }
 }
 
-// Virtual plays the day in virtual time, in this one process: the dispatchers' own code, the same stand-ins, the
+// RunVirtual plays the day in virtual time, in this one process: the dispatchers' own code, the same stand-ins, the
 // same clients. It gives the verdict, what is left in the dispatchers, and the hash of all that happened.
-func (p *Run) Virtual(segment int) (v *audit.Verdict, left int, trace uint64, err error) {
+func (p *Run) RunVirtual(segment int) (v *audit.Verdict, left int, trace uint64, err error) {
 	text := p.prepare()
 	if err := p.fits(); err != nil {
 		return nil, 0, 0, err
 	}
-	if p.book, err = openRecord(p.Record, text); err != nil {
+	if p.book, err = openRecord(p.RecordDir, text); err != nil {
 		return nil, 0, 0, err
 	}
 	w := virtual.NewNetwork(p.Seed)
@@ -105,7 +105,7 @@
 		w.Latency, w.MaxSegment = max(eventloop.Micros(v.LatencyUs), 1), int(v.Segment)
 	}
 	p.world = w
-	p.book.Add(record.Event{At: int64(w.Now()), What: "world", N: int64(w.Latency)})
+	p.book.Add(record.Event{At: int64(w.Now()), Type: "world", Count: int64(w.Latency)})
 	fleetAt, crowdAt := w.NewLoop("fleet"), w.NewLoop("crowd")
 	p.fleetAt, p.crowdAt = fleetAt, crowdAt
 	fleetAt.Do(func() { p.fleet, err = modelserver.Start(fleetAt, p.Deployment, p.Seed, "127.0.0.1:0", p.book) })
@@ -126,7 +126,7 @@
 	}
 	w.Run(100 * eventloop.Millisecond)
 	p.all = all
-	w.AfterStep, w.ExtraLatency = p.Watch, p.Delay
+	w.AfterStep, w.ExtraLatency = p.AfterStep, p.Delay
 	p.begin(context.Background(), targets)
 	w.Run(eventloop.Micros(p.Script.Seconds) * eventloop.Second)
 	crowdAt.Do(p.stop)
@@ -135,7 +135,7 @@
 	p.Steps = w.Steps
 	for _, l := range all {
 		p.Reached = append(p.Reached, l.x.Coverage)
-		p.Used = append(p.Used, l.x.Usage()...)
+		p.Usage = append(p.Usage, l.x.Usage()...)
 		left += l.x.OpenRequests()
 		for _, line := range l.x.DescribeOpen() {
 			if p.Progress != nil {
@@ -180,8 +180,8 @@
 	Name       string
 	Dispatcher func() *dispatch.Mutation
 	Loop       func(*virtual.Loop) eventloop.Loop
-	Folder     func(*virtual.Disk)
-	Play       func(*Run)
+	Disk       func(*virtual.Disk)
+	Run        func(*Run)
 }
 
 func (t *Mutant) dispatcher() *dispatch.Mutation {
@@ -194,7 +194,7 @@
 // away notes that a dispatcher can't do what it owes for a while: it stands still, or is cut off from its hosts.
 func (l *lives) away(how string, span eventloop.Micros) {
 	l.back = max(l.back, l.world.Now()+span)
-	l.play.book.Add(record.Event{At: int64(l.world.Now()), What: "away", Dispatcher: l.target.Name, How: how, N: int64(span)})
+	l.play.book.Add(record.Event{At: int64(l.world.Now()), Type: "away", Dispatcher: l.target.Name, Detail: how, Count: int64(span)})
 }
 
 // picked are dispatchers drawn by chance, one at least.
--- a/internal/testbed/soak/audit.go
+++ b/internal/testbed/soak/audit.go
@@ -73,7 +73,7 @@
 		t.arrived = append(t.arrived, *e)
 	case Ran:
 		t.ran = append(t.ran, *e)
-	case HeldFrom:
+	case Reserved:
 		t.held = append(t.held, *e)
 	case Released:
 		t.released = append(t.released, *e)
@@ -137,11 +137,11 @@
 			continue
 		}
 		if after := time.Duration(e.Value-t.ran[0].Value) * time.Microsecond; t.sent.Class == "post" || after > repeatWindow {
-			a.found("repeated effect", "%s (%s) ran at %s, and %d ms later at %s", id, t.sent.Class, t.ran[0].Host, after.Milliseconds(), e.Host)
+			a.found("repeated effect", "%s (%s) ran at %s, and %d ms later at %s", id, t.sent.Class, t.ran[0].Endpoint, after.Milliseconds(), e.Endpoint)
 		}
 	}
 	if f := t.final; f != nil && f.Kind == Answered && f.Status == 503 && len(t.ran) > 0 {
-		a.found("repeated effect", "%s (%s) was rejected as safe to repeat and had run at %s", id, t.sent.Class, t.ran[0].Host)
+		a.found("repeated effect", "%s (%s) was rejected as safe to repeat and had run at %s", id, t.sent.Class, t.ran[0].Endpoint)
 	}
 }
 
@@ -149,10 +149,10 @@
 func (a *Audit) judgeClient(id string, t *trail) {
 	for _, e := range t.arrived {
 		if t.left != nil && e.At > t.left.At+(goneFor+slack).Microseconds() {
-			a.found("client gone", "%s arrived at %s %d ms after its client closed", id, e.Host, (e.At-t.left.At)/1000)
+			a.found("client gone", "%s arrived at %s %d ms after its client closed", id, e.Endpoint, (e.At-t.left.At)/1000)
 		}
 		if left := t.sent.Value + deadline.Microseconds() - e.At; e.Value > left+(toldSlack+slack).Microseconds()+a.heldBack(e.Dispatcher, e.At) {
-			a.found("time told", "%s told %s %d ms, %d ms are left", id, e.Host, e.Value/1000, left/1000)
+			a.found("time told", "%s told %s %d ms, %d ms are left", id, e.Endpoint, e.Value/1000, left/1000)
 		}
 	}
 }
@@ -160,7 +160,7 @@
 // heldBack is for how long a proxy may have kept what had left a dispatcher: it takes a connection at once that it carries on late.
 func (a *Audit) heldBack(dispatcher string, at int64) int64 {
 	held := slices.ContainsFunc(a.events, func(e Event) bool {
-		return e.Kind == Troubled && e.Text == lateText && e.Dispatcher == dispatcher && e.At <= at && e.At+e.Value+2*lateBy.Microseconds() >= at
+		return e.Kind == FaultBegan && e.Text == lateText && e.Dispatcher == dispatcher && e.At <= at && e.At+e.Value+2*lateBy.Microseconds() >= at
 	})
 	if held {
 		return lateBy.Microseconds()
@@ -180,26 +180,26 @@
 			}
 		}
 		latest := h.At + (letGoBy + heldSlack + slack).Microseconds()
-		if end > 0 && end <= latest || a.hostKilled(h.Host, h.At, latest) || a.killed(t.sent.Dispatcher, h.At-deadline.Microseconds(), latest) || a.cutOff(h.Dispatcher, h.At, latest) {
+		if end > 0 && end <= latest || a.hostKilled(h.Endpoint, h.At, latest) || a.killed(t.sent.Dispatcher, h.At-deadline.Microseconds(), latest) || a.cutOff(h.Dispatcher, h.At, latest) {
 			continue
 		}
 		if end == 0 {
-			a.found("held state", "%s (%s): what %s held was never used or released", id, t.sent.Class, h.Host)
+			a.found("held state", "%s (%s): what %s held was never used or released", id, t.sent.Class, h.Endpoint)
 		} else {
-			a.found("held state", "%s (%s): what %s held was used or released after %d ms", id, t.sent.Class, h.Host, (end-h.At)/1000)
+			a.found("held state", "%s (%s): what %s held was used or released after %d ms", id, t.sent.Class, h.Endpoint, (end-h.At)/1000)
 		}
 	}
 }
 
 // hostKilled tells whether a host was killed in a span; what it held is gone with it.
 func (a *Audit) hostKilled(host string, from, to int64) bool {
-	return slices.ContainsFunc(a.events, func(e Event) bool { return e.Kind == Killed && e.Host == host && e.At >= from && e.At <= to })
+	return slices.ContainsFunc(a.events, func(e Event) bool { return e.Kind == Killed && e.Endpoint == host && e.At >= from && e.At <= to })
 }
 
 // cutOff tells whether a dispatcher could reach no host in a part of a span: what is held can't be released then.
 func (a *Audit) cutOff(dispatcher string, from, to int64) bool {
 	return slices.ContainsFunc(a.events, func(e Event) bool {
-		return e.Kind == Troubled && e.Text == cutOffText && e.Dispatcher == dispatcher && e.At <= to && e.At+e.Value+slack.Microseconds() >= from
+		return e.Kind == FaultBegan && e.Text == cutOffText && e.Dispatcher == dispatcher && e.At <= to && e.At+e.Value+slack.Microseconds() >= from
 	})
 }
 
@@ -210,22 +210,22 @@
 	for _, e := range a.events {
 		switch e.Kind {
 		case Drained:
-			drained[e.Host] = e.At
-		case Told:
-			if at := [2]string{e.Host, e.Dispatcher}; told[at] == 0 {
+			drained[e.Endpoint] = e.At
+		case Notified:
+			if at := [2]string{e.Endpoint, e.Dispatcher}; told[at] == 0 {
 				told[at] = e.At
 			}
 		case Arrived:
-			at := drained[e.Host]
+			at := drained[e.Endpoint]
 			if at == 0 {
 				continue
 			}
 			known := at + drainTold.Microseconds() + a.away(at)
-			if heard := told[[2]string{e.Host, e.Dispatcher}]; heard > 0 {
+			if heard := told[[2]string{e.Endpoint, e.Dispatcher}]; heard > 0 {
 				known = min(known, heard)
 			}
 			if after := e.At - known; after > (drainGrace + slack).Microseconds() {
-				a.found("unwanted send", "%s arrived at %s %d ms after dispatcher %s was told of its drain", e.ID, e.Host, after/1000, e.Dispatcher)
+				a.found("unwanted send", "%s arrived at %s %d ms after dispatcher %s was told of its drain", e.ID, e.Endpoint, after/1000, e.Dispatcher)
 			}
 		}
 	}
@@ -234,7 +234,7 @@
 // away is for how long discovery told nothing from a moment on.
 func (a *Audit) away(at int64) (longest int64) {
 	for _, e := range a.events {
-		if e.Kind == Troubled && e.Text == discoverySilentText && e.At <= at+drainTold.Microseconds() && e.At+e.Value > at {
+		if e.Kind == FaultBegan && e.Text == discoverySilentText && e.At <= at+drainTold.Microseconds() && e.At+e.Value > at {
 			longest = max(longest, e.At+e.Value-at)
 		}
 	}
--- a/internal/testbed/soak/clients.go
+++ b/internal/testbed/soak/clients.go
@@ -30,7 +30,7 @@
 
 func runClients(r *role) (func(string, []string), error) {
 	k := &clients{role: r}
-	end := now() + r.Span.Microseconds()
+	end := now() + r.Duration.Microseconds()
 	for i := range workers {
 		go func() {
 			for now() < end {
--- a/internal/testbed/soak/discovery.go
+++ b/internal/testbed/soak/discovery.go
@@ -69,7 +69,7 @@
 
 func (d *discovery) told(w *watch, host string) {
 	if !w.mute && now() >= d.silent {
-		d.record.add(Event{Kind: Told, Host: host, Dispatcher: fmt.Sprint(w.dispatcher + 1)})
+		d.record.add(Event{Kind: Notified, Endpoint: host, Dispatcher: fmt.Sprint(w.dispatcher + 1)})
 	}
 }
 
--- a/internal/testbed/soak/host.go
+++ b/internal/testbed/soak/host.go
@@ -67,13 +67,13 @@
 	id := request.Header.Get("Req-Id")
 	if request.Method == http.MethodDelete {
 		id = strings.TrimPrefix(request.URL.Path, "/v1/holds/")
-		h.record.add(Event{Kind: Released, ID: id, Host: h.Name, Dispatcher: from})
+		h.record.add(Event{Kind: Released, ID: id, Endpoint: h.Name, Dispatcher: from})
 		h.hang()
 		return say(c, "HTTP/1.1 204 No Content\r\n\r\n")
 	}
 	left, _ := time.ParseDuration(strings.Replace(request.Header.Get("Req-Deadline"), "u", "us", 1))
 	arrivedAt := now()
-	h.record.add(Event{At: arrivedAt, Kind: Arrived, ID: id, Host: h.Name, Dispatcher: from, Value: left.Microseconds(), Text: h.Kind})
+	h.record.add(Event{At: arrivedAt, Kind: Arrived, ID: id, Endpoint: h.Name, Dispatcher: from, Value: left.Microseconds(), Text: h.Kind})
 	h.hang()
 	if now() < h.refuses.Load() || h.draw(50) == 0 {
 		return say(c, "HTTP/1.1 503 Service Unavailable\r\nSrv-Declined: 1\r\nContent-Length: 0\r\n\r\n")
@@ -120,7 +120,7 @@
 }
 
 func (h *host) prefill(c net.Conn, id, from string) bool {
-	h.record.add(Event{Kind: HeldFrom, ID: id, Host: h.Name, Dispatcher: from})
+	h.record.add(Event{Kind: Reserved, ID: id, Endpoint: h.Name, Dispatcher: from})
 	switch h.draw(60) {
 	case 0: // the prompt is read, and the answer lost
 		return reset(c)
@@ -131,7 +131,7 @@
 }
 
 func (h *host) decode(c net.Conn, id string, arrivedAt int64) bool {
-	h.record.add(Event{Kind: Ran, ID: id, Host: h.Name, Value: arrivedAt})
+	h.record.add(Event{Kind: Ran, ID: id, Endpoint: h.Name, Value: arrivedAt})
 	misbehaves := h.draw(80)
 	switch misbehaves {
 	case 0:
--- a/internal/testbed/soak/record.go
+++ b/internal/testbed/soak/record.go
@@ -21,7 +21,7 @@
 	// At a model host.
 	Arrived  Kind = "arrived"  // a request's last byte
 	Ran      Kind = "ran"      // its effects took place; Value is when it arrived, which is what a window for repeats counts from
-	HeldFrom Kind = "held"     // what a prefill left
+	Reserved Kind = "held"     // what a prefill left
 	Released Kind = "released" // by a release
 	// At a client.
 	Sent     Kind = "sent"     // a request's last byte
@@ -30,13 +30,13 @@
 	Lost     Kind = "lost"     // the connection ended without an answer, or none came in time
 	Left     Kind = "left"     // the client closed before its answer
 	// At discovery.
-	Told Kind = "told" // a drain was written to a dispatcher's watch
+	Notified Kind = "told" // a drain was written to a dispatcher's watch
 	// At the run's conductor.
-	Drained  Kind = "drained" // a host's drain was given to discovery
-	Stopped  Kind = "stopped" // a dispatcher was told to end
-	Killed   Kind = "killed"
-	Ended    Kind = "ended"
-	Troubled Kind = "troubled" // something else began; Value is for how long
+	Drained    Kind = "drained" // a host's drain was given to discovery
+	Stopped    Kind = "stopped" // a dispatcher was told to end
+	Killed     Kind = "killed"
+	Ended      Kind = "ended"
+	FaultBegan Kind = "troubled" // something else began; Value is for how long
 )
 
 // Event is one thing that a process saw.
@@ -45,7 +45,7 @@
 	Kind       Kind   `json:"kind"`
 	ID         string `json:"id,omitempty"`
 	Class      string `json:"class,omitempty"`
-	Host       string `json:"host,omitempty"`
+	Endpoint   string `json:"host,omitempty"`
 	Dispatcher string `json:"dispatcher,omitempty"`
 	Status     int    `json:"status,omitempty"`
 	Value      int64  `json:"value,omitempty"`
--- a/internal/testbed/soak/role.go
+++ b/internal/testbed/soak/role.go
@@ -20,13 +20,13 @@
 
 // Setup is what a stand-in is told.
 type Setup struct {
-	Name    string
-	Record  string // path
-	Seed    int64
-	Kind    string   // of a model host
-	Listen  []string // addresses
-	Targets []string // of a proxy: what stands behind each address; of clients: dispatchers
-	Span    time.Duration
+	Name     string
+	Record   string // path
+	Seed     int64
+	Kind     string   // of a model host
+	Listen   []string // addresses
+	Targets  []string // of a proxy: what stands behind each address; of clients: dispatchers
+	Duration time.Duration
 }
 
 // role is what the stand-ins share: a record, chance, and orders that come line by line on standard input.
--- a/internal/testbed/soak/run.go
+++ b/internal/testbed/soak/run.go
@@ -18,13 +18,13 @@
 
 // Plan is one run.
 type Plan struct {
-	Seed                               int64
-	Dispatchers, Prefills, Decodes     int
-	Clients                            int // processes
-	Span                               time.Duration
-	Pause                              time.Duration // between troubles, in the mean
-	Binary, Library, Folder            string
-	FaultsOfSystemCalls, ClocksStepped bool
+	Seed                           int64
+	Dispatchers, Prefills, Decodes int
+	Clients                        int // processes
+	Duration                       time.Duration
+	MeanFaultInterval              time.Duration // between troubles, in the mean
+	Binary, Library, Dir           string
+	SyscallFaults, ClockSteps      bool
 }
 
 // Report is what came of it.
@@ -32,7 +32,7 @@
 	Findings   []Finding
 	Requests   int
 	Processes  int
-	Troubles   map[string]int
+	Faults     map[string]int
 	Violations []string // lines of the dispatchers' own guards
 }
 
@@ -80,7 +80,7 @@
 // Run plays a plan and judges it.
 func (p Plan) Run() (*Report, error) {
 	r := &run{Plan: p, chance: rand.New(rand.NewSource(p.Seed)), block: 2 + os.Getpid()%250, drained: map[int]bool{}, started: map[int]int64{}}
-	r.report.Troubles = map[string]int{}
+	r.report.Faults = map[string]int{}
 	var err error
 	if r.record, err = newRecord(r.recordOf("conductor")); err != nil {
 		return nil, err
@@ -96,7 +96,7 @@
 }
 
 func (r *run) recordOf(name string) string {
-	path := filepath.Join(r.Folder, name+".jsonl")
+	path := filepath.Join(r.Dir, name+".jsonl")
 	r.records = append(r.records, path)
 	return path
 }
@@ -158,7 +158,7 @@
 	}
 	time.Sleep(time.Second) // for them to be ready
 	for k := range r.Clients {
-		if err := r.role("clients", fmt.Sprint("c", k), Setup{Targets: listens, Span: r.Span}, &r.clients); err != nil {
+		if err := r.role("clients", fmt.Sprint("c", k), Setup{Targets: listens, Duration: r.Duration}, &r.clients); err != nil {
 			return err
 		}
 	}
@@ -168,7 +168,7 @@
 
 // restartHost kills a host, and starts it anew: connections are reset, and what it held is gone.
 func (r *run) restartHost(h int) error {
-	r.record.add(Event{Kind: Killed, Host: fmt.Sprint("h", h)})
+	r.record.add(Event{Kind: Killed, Endpoint: fmt.Sprint("h", h)})
 	_ = r.hosts[h].cmd.Process.Kill()
 	<-r.hosts[h].ended
 	r.restarts++
@@ -189,7 +189,7 @@
 	entry := fmt.Sprintf(`{"id":"h%d","addr":"%%s:%d","zone":"west","kind":%q,"cell":0,"state":%q,"weight":1.0,"started_ms":%d}`,
 		host, 7000+host, r.kindOf(host), state, r.started[host])
 	if state == "DRAINING" {
-		r.record.add(Event{Kind: Drained, Host: fmt.Sprint("h", host)})
+		r.record.add(Event{Kind: Drained, Endpoint: fmt.Sprint("h", host)})
 	}
 	for _, a := range r.agents {
 		a.order("entry h%d %s %s", host, state, entry)
@@ -216,17 +216,17 @@
 }
 
 func (r *run) startDispatcher(number int) error {
-	logs, err := newStampedLog(filepath.Join(r.Folder, fmt.Sprintf("n%d.log", number)))
+	logs, err := newStampedLog(filepath.Join(r.Dir, fmt.Sprintf("n%d.log", number)))
 	if err != nil {
 		return err
 	}
-	d := &dispatcher{number: number, listen: r.address(dispatcherAddress, number, 7070), config: filepath.Join(r.Folder, fmt.Sprintf("n%d.json", number)), logs: logs}
+	d := &dispatcher{number: number, listen: r.address(dispatcherAddress, number, 7070), config: filepath.Join(r.Dir, fmt.Sprintf("n%d.json", number)), logs: logs}
 	r.dispatchers, r.discovery = append(r.dispatchers, d), append(r.discovery, 0)
-	if r.FaultsOfSystemCalls && number%2 == 0 {
+	if r.SyscallFaults && number%2 == 0 {
 		faults := syscallfaults.Faults{Seed: r.Seed + int64(number), Short: 30, Interrupted: 20, Errors: 5}
-		if r.ClocksStepped && number%4 == 0 {
+		if r.ClockSteps && number%4 == 0 {
 			steps := []time.Duration{-time.Hour, time.Hour, -3 * time.Second, 3 * time.Second}
-			faults.ClockStep, faults.ClockStepAfter = steps[r.chance.Intn(len(steps))], time.Duration(r.chance.Int63n(int64(r.Span)))
+			faults.ClockStep, faults.ClockStepAfter = steps[r.chance.Intn(len(steps))], time.Duration(r.chance.Int63n(int64(r.Duration)))
 		}
 		d.environment = faults.Environment(r.Library)
 	}
@@ -244,12 +244,12 @@
 
 // trouble draws what happens until the time is over; two or three overlap.
 func (r *run) trouble() {
-	for end := now() + r.Span.Microseconds(); now() < end; {
-		time.Sleep(r.Pause/2 + time.Duration(r.chance.Int63n(int64(r.Pause))))
+	for end := now() + r.Duration.Microseconds(); now() < end; {
+		time.Sleep(r.MeanFaultInterval/2 + time.Duration(r.chance.Int63n(int64(r.MeanFaultInterval))))
 		t := troubles[r.chance.Intn(len(troubles))]
 		lasts := time.Duration(200+r.chance.Intn(1800)) * time.Millisecond
 		if t.do(r, lasts) {
-			r.report.Troubles[t.name]++
+			r.report.Faults[t.name]++
 		}
 	}
 	r.stops.Wait()
@@ -257,7 +257,7 @@
 
 // begin notes a trouble for the audit.
 func (r *run) begin(e Event, lasts time.Duration) {
-	e.Kind, e.Value = Troubled, lasts.Microseconds()
+	e.Kind, e.Value = FaultBegan, lasts.Microseconds()
 	r.record.add(e)
 }
 
--- a/internal/testbed/soak/soak_test.go
+++ b/internal/testbed/soak/soak_test.go
@@ -62,8 +62,8 @@
 					t.Fatal(err)
 				}
 			}
-			plan := Plan{Seed: int64(seed), Pause: time.Duration(number("SOAK_PAUSE_MS", 350)) * time.Millisecond, Dispatchers: 6, Prefills: 6, Decodes: 8, Clients: 8, Span: time.Duration(number("SOAK_SECONDS", 8)) * time.Second,
-				Binary: binary, Library: library, Folder: folder, FaultsOfSystemCalls: true, ClocksStepped: true}
+			plan := Plan{Seed: int64(seed), MeanFaultInterval: time.Duration(number("SOAK_PAUSE_MS", 350)) * time.Millisecond, Dispatchers: 6, Prefills: 6, Decodes: 8, Clients: 8, Duration: time.Duration(number("SOAK_SECONDS", 8)) * time.Second,
+				Binary: binary, Library: library, Dir: folder, SyscallFaults: true, ClockSteps: true}
 			report, err := plan.Run()
 			if err != nil {
 				t.Fatal(err)
--- a/internal/testbed/soak/troubles.go
+++ b/internal/testbed/soak/troubles.go
@@ -157,7 +157,7 @@
 
 // String describes a report in a few lines.
 func (r *Report) String() string {
-	text := fmt.Sprintf("%d requests over %d processes, troubles %v", r.Requests, r.Processes, r.Troubles)
+	text := fmt.Sprintf("%d requests over %d processes, troubles %v", r.Requests, r.Processes, r.Faults)
 	for _, f := range r.Findings {
 		text += "\n  " + f.String()
 	}
