--- a/internal/cli/batches.go
+++ b/internal/cli/batches.go
@@ -1,166 +1,211 @@
 package cli
 
 import (
+	"errors"
 	"fmt"
+	"strconv"
 	"sync"
 
 	"github.com/HdrHistogram/hdrhistogram-go"
 	"gonum.org/v1/plot"
 	"gonum.org/v1/plot/plotter"
 	"gonum.org/v1/plot/plotutil"
-	"gonum.org/v1/plot/vg"
 
 	"plumspindle/internal/deployment"
 	"plumspindle/internal/deployment/pb"
+	"plumspindle/internal/testbed/audit"
 	"plumspindle/internal/testbed/scenarios"
 )
 
 type batchesCommand struct {
-	Rate   float64 `default:"12" help:"Generations of chat a second."`
-	AtOnce int     `default:"40" help:"Calls for embeddings that wait for their answer at any time."`
+	Rate   float64 `default:"12" help:"Chat requests a second."`
+	AtOnce int     `default:"40" help:"Calls for embeddings that are in flight at any time."`
 	Inputs int     `default:"50" help:"Inputs of a call."`
 	Tokens int     `default:"100" help:"Tokens of an input, about."`
-	For    int     `default:"20" help:"Seconds of a day."`
+	For    int     `default:"20" help:"Seconds of a run."`
 	Part   int     `default:"0" help:"Tokens of a part; 0: as usual."`
-	Seeds  int     `default:"4" help:"Days of each sort, put together."`
+	Seeds  int     `default:"4" help:"Runs of each sort, put together."`
 	Fixed  []int   `default:"1,8,64,1000" help:"Limits to compare with: parts at once for each dispatcher."`
 	Plot   string  `type:"path" help:"File, .svg or .png, for a plot of throughput against chat's p99."`
 }
 
-// batchGot is what days of one sort gave.
-type batchGot struct {
-	asked, inSLO, tokens, wrong int
-	first                       *hdrhistogram.Histogram
-	kept                        bool
-	broken                      []string
-}
+// Limits that are not a fixed number of parts.
+const (
+	noBatches   = -1
+	learntLimit = 0
+)
+
+const (
+	batchDispatchers = 3
+	idleRate         = 0.01 // chat requests a second that leave the endpoints to batches
+)
 
-var batchDays = []struct{ name, troubles string }{
+// batchScenario is a scenario that is run under each limit.
+type batchScenario struct{ name, faults string }
+
+var batchScenarios = []batchScenario{
 	{"quiet", ""},
 	{"slow host", `troubles { at_ms: 4000 kind: "slow" share: 0.25 factor: 4 for_ms: 12000 }`},
 	{"mass restart", `troubles { at_ms: 4000 kind: "mass_restart" share: 0.5 for_ms: 1000 }`},
 }
 
-// Run plays days of chat with a flood of batches, under limits that are learnt and fixed.
-func (c *batchesCommand) Run(s *surroundings) error {
+// batchSort is one sort of run that is compared with others.
+type batchSort struct {
+	scenario batchScenario
+	limit    int // parts at once for each dispatcher, noBatches or learntLimit
+}
+
+// batchResult is what runs of one sort gave.
+type batchResult struct {
+	asked, inSLO int // of chat
+	tokens       int // read for batches
+	misplaced    int // vectors that were not those of their inputs
+	firstToken   *hdrhistogram.Histogram
+	violations   []string
+}
+
+func (r *batchResult) passed() bool { return len(r.violations) == 0 && r.misplaced == 0 }
+
+func (r *batchResult) shareInSLO() float64 { return float64(r.inSLO) / float64(max(r.asked, 1)) }
+
+// Run runs chat with a flood of batches, under limits that are learnt and fixed.
+func (c *batchesCommand) Run(env *environment) error {
 	if c.Rate < 0 || c.AtOnce < 1 || c.Inputs < 1 || c.Tokens < 8 || c.For < 1 || c.Seeds < 1 {
-		return fmt.Errorf("batches: a number is too small")
-	}
-	d := deployment.Standard()
-	capacity := 0.0
-	for _, g := range d.Fleet.Groups {
-		if g.Kind == "prefill" {
-			capacity += g.ReadTokensPerS * float64(g.HostsPerZone) * float64(len(d.Zones))
-		}
+		return errors.New("batches: a number is too small")
 	}
-	p := plot.New()
-	p.Title.Text = "Chat's p99 to the first token against what batches read"
-	p.X.Label.Text, p.Y.Label.Text = "tokens read for batches, of the readers' capacity", "p99, ms"
+	env.printf("%d dispatchers, stand-in hosts in virtual time, %d days of each sort; chat %.0f generations a second; "+
+		"%d calls at once of %d inputs of %d tokens\n", batchDispatchers, c.Seeds, c.Rate, c.AtOnce, c.Inputs, c.Tokens)
+	env.printf("%-14s %-12s %9s %9s %9s %9s %12s %12s\n",
+		"day", "limit", "in SLO", "of none", "p99 ms", "of none", "tokens/s", "of capacity")
+	capacity := prefillCapacity(deployment.Standard())
 	var points []any
-	fmt.Fprintf(s.out, "3 dispatchers, stand-in hosts in virtual time, %d days of each sort; chat %.0f generations a second; %d calls at once of %d inputs of %d tokens\n",
-		c.Seeds, c.Rate, c.AtOnce, c.Inputs, c.Tokens)
-	fmt.Fprintf(s.out, "%-14s %-12s %9s %9s %9s %9s %12s %12s\n", "day", "limit", "in SLO", "of none", "p99 ms", "of none", "tokens/s", "of capacity")
-	kept := true
-	for _, day := range batchDays {
-		var none batchGot
-		for i, limit := range append([]int{-1, 0}, c.Fixed...) {
-			got, err := c.play(day.name, day.troubles, c.Rate, limit)
+	passed := true
+	for _, scenario := range batchScenarios {
+		var without *batchResult
+		for _, limit := range append([]int{noBatches, learntLimit}, c.Fixed...) {
+			sort := batchSort{scenario, limit}
+			result, err := c.runSort(sort, c.Rate)
 			if err != nil {
 				return err
 			}
-			kept = kept && got.kept && got.wrong == 0
-			for _, text := range got.broken {
-				fmt.Fprintln(s.err, text)
+			passed = passed && result.passed()
+			for _, violation := range result.violations {
+				env.reportf("%s\n", violation)
 			}
-			if i == 0 {
-				none = got
+			if limit == noBatches {
+				without = result
 			}
-			name := fmt.Sprint(limit)
-			switch limit {
-			case -1:
-				name = "no batches"
-			case 0:
-				name = "learnt"
-			}
-			share := func(g batchGot) float64 { return float64(g.inSLO) / float64(max(g.asked, 1)) }
-			p99 := func(g batchGot) float64 { return float64(g.first.ValueAtQuantile(99)) / 1000 }
-			rate := float64(got.tokens) / float64(c.For*c.Seeds)
-			fmt.Fprintf(s.out, "%-14s %-12s %9.3f %9.3f %9.0f %9.2f %12.0f %12.2f\n", day.name, name, share(got), share(got)/share(none), p99(got), p99(got)/p99(none),
-				rate, rate/capacity)
-			if limit >= 0 {
-				points = append(points, day.name+", "+name, plotter.XYs{{X: rate / capacity, Y: p99(got)}})
+			c.print(env, sort, result, without)
+			if limit != noBatches {
+				point := plotter.XYs{{X: c.tokensPerSecond(result) / capacity, Y: p99Millis(result.firstToken)}}
+				points = append(points, scenario.name+", "+limitName(limit), point)
 			}
 		}
 	}
-	idle, err := c.play("quiet", "", 0.01, 0)
+	idle, err := c.runSort(batchSort{batchScenarios[0], learntLimit}, idleRate)
 	if err != nil {
 		return err
 	}
-	rate := float64(idle.tokens) / float64(c.For*c.Seeds)
-	fmt.Fprintf(s.out, "chat idle, learnt: %.0f tokens a second, %.2f of the readers' capacity\n", rate, rate/capacity)
-	if c.Plot != "" {
-		if err := plotutil.AddScatters(p, points...); err != nil {
-			return fmt.Errorf("plot: %w", err)
-		}
-		p.Legend.Top, p.Legend.Left = true, true
-		if err := p.Save(20*vg.Centimeter, 14*vg.Centimeter, c.Plot); err != nil {
-			return fmt.Errorf("plot: %w", err)
-		}
+	rate := c.tokensPerSecond(idle)
+	env.printf("chat idle, learnt: %.0f tokens a second, %.2f of the readers' capacity\n", rate, rate/capacity)
+	if err := c.plot(points); err != nil {
+		return err
 	}
-	if !kept || !idle.kept || idle.wrong > 0 {
-		return errRules
+	if !passed || !idle.passed() {
+		return errRuleBroken
 	}
-	fmt.Fprintln(s.out, "all five rules kept, every vector at its place")
+	env.print("all five rules kept, every vector at its place", "\n")
 	return nil
 }
 
-// play puts days together; limit -1 has no batches, 0 learns.
-func (c *batchesCommand) play(name, troubles string, rate float64, limit int) (batchGot, error) {
-	got := batchGot{first: hdrhistogram.New(1, 60_000_000, 3), kept: true}
-	text := fmt.Sprintf("name: %q seconds: %d rate: %v %s", name, c.For, rate, troubles)
-	if limit >= 0 {
+// prefillCapacity is how many tokens a second the prefill endpoints read.
+func prefillCapacity(d deployment.Deployment) float64 {
+	capacity := 0.0
+	for _, group := range d.Fleet.Groups {
+		if group.Kind == "prefill" {
+			capacity += group.ReadTokensPerS * float64(group.HostsPerZone) * float64(len(d.Zones))
+		}
+	}
+	return capacity
+}
+
+func limitName(limit int) string {
+	switch limit {
+	case noBatches:
+		return "no batches"
+	case learntLimit:
+		return "learnt"
+	}
+	return strconv.Itoa(limit)
+}
+
+func (c *batchesCommand) tokensPerSecond(result *batchResult) float64 {
+	return float64(result.tokens) / float64(c.For*c.Seeds)
+}
+
+// print prints a line that compares with the result without batches.
+func (c *batchesCommand) print(env *environment, sort batchSort, result, without *batchResult) {
+	share, p99, rate := result.shareInSLO(), p99Millis(result.firstToken), c.tokensPerSecond(result)
+	env.printf("%-14s %-12s %9.3f %9.3f %9.0f %9.2f %12.0f %12.2f\n", sort.scenario.name, limitName(sort.limit), share,
+		share/without.shareInSLO(), p99, p99/p99Millis(without.firstToken), rate, rate/prefillCapacity(deployment.Standard()))
+}
+
+func (c *batchesCommand) plot(points []any) error {
+	p := plot.New()
+	p.Title.Text = "Chat's p99 to the first token against what batches read"
+	p.X.Label.Text, p.Y.Label.Text = "tokens read for batches, of the readers' capacity", "p99, ms"
+	p.Legend.Top, p.Legend.Left = true, true
+	return savePlot(c.Plot, p, plotSize{width: 20, height: 14}, plotutil.AddScatters, points)
+}
+
+// runSort runs the scenario under its limit, once for each seed.
+func (c *batchesCommand) runSort(sort batchSort, rate float64) (*batchResult, error) {
+	result := &batchResult{firstToken: newLatencyHistogram()}
+	text := fmt.Sprintf("name: %q seconds: %d rate: %v %s", sort.scenario.name, c.For, rate, sort.scenario.faults)
+	if sort.limit != noBatches {
 		text += fmt.Sprintf(` batches { product: "embed" at_once: %d inputs: %d tokens: %d }`, c.AtOnce, c.Inputs, c.Tokens)
 	}
 	var mu sync.Mutex
-	var wg sync.WaitGroup
-	var failed error
-	room := make(chan struct{}, 4)
+	var jobs []func() error
 	for seed := range c.Seeds {
-		script, err := scenarios.ReadScript(name, []byte(text))
-		if err != nil {
-			return got, err
-		}
-		d := deployment.Standard()
-		d.Batches = &pb.Batches{FixedLimit: uint32(max(limit, 0)), PartTokens: uint32(c.Part)}
-		wg.Add(1)
-		room <- struct{}{}
-		go func() {
-			defer func() { <-room; wg.Done() }()
-			play := &scenarios.Run{Script: script, Deployment: d, Dispatchers: 3, Seed: int64(seed + 1)}
-			v, left, _, err := play.RunVirtual(0)
-			mu.Lock()
-			defer mu.Unlock()
+		jobs = append(jobs, func() error {
+			script, err := scenarios.ReadScript(sort.scenario.name, []byte(text))
 			if err != nil {
-				failed = err
-				return
+				return err
 			}
-			if !v.Passed() || left > 0 {
-				got.kept = false
-				got.broken = append(got.broken, fmt.Sprintf("%s, limit %d, seed %d, %d left over:\n%s", name, limit, seed+1, left, v.Text()))
+			d := deployment.Standard()
+			d.Batches = &pb.Batches{FixedLimit: uint32(max(sort.limit, 0)), PartTokens: uint32(c.Part)}
+			run := &scenarios.Run{Script: script, Deployment: d, Dispatchers: batchDispatchers, Seed: int64(seed + 1)}
+			verdict, leftOver, _, err := run.RunVirtual(0)
+			if err != nil {
+				return err
 			}
-			for _, p := range d.Products {
-				for _, r := range v.Rows {
-					if p.Form == pb.Product_CHAT && r.Name == "product "+p.Name {
-						got.asked, got.inSLO = got.asked+r.Asked, got.inSLO+r.InSLO
-						got.first.Merge(r.FirstToken)
-					}
-				}
+			mu.Lock()
+			defer mu.Unlock()
+			if !verdict.Passed() || leftOver > 0 {
+				result.violations = append(result.violations, fmt.Sprintf("%s, limit %d, seed %d, %d left over:\n%s",
+					sort.scenario.name, sort.limit, seed+1, leftOver, verdict.Text()))
 			}
-			for _, b := range play.BatchClients {
-				got.tokens, got.wrong = got.tokens+b.TokensRead, got.wrong+b.Wrong
+			result.add(run, verdict)
+			return nil
+		})
+	}
+	return result, runParallel(parallelRuns, jobs)
+}
+
+// add adds what one run gave.
+func (r *batchResult) add(run *scenarios.Run, verdict *audit.Verdict) {
+	for _, product := range run.Deployment.Products {
+		for _, row := range verdict.Rows {
+			if product.Form == pb.Product_CHAT && row.Name == "product "+product.Name {
+				r.asked += row.Asked
+				r.inSLO += row.InSLO
+				r.firstToken.Merge(row.FirstToken)
 			}
-		}()
+		}
+	}
+	for _, clients := range run.BatchClients {
+		r.tokens += clients.TokensRead
+		r.misplaced += clients.Wrong
 	}
-	wg.Wait()
-	return got, failed
 }
--- /dev/null
+++ b/internal/cli/bench_target.go
@@ -0,0 +1,184 @@
+package cli
+
+import (
+	"bytes"
+	"context"
+	"crypto/sha256"
+	"encoding/hex"
+	"encoding/json"
+	"fmt"
+	"os"
+	"os/exec"
+	"path/filepath"
+	"strconv"
+	"strings"
+	"syscall"
+	"time"
+
+	"github.com/tidwall/gjson"
+
+	"plumspindle/internal/deployment"
+	"plumspindle/internal/deployment/pb"
+	"plumspindle/internal/sockets"
+	"plumspindle/internal/testbed/modelserver"
+	"plumspindle/internal/testbed/scenarios"
+)
+
+const (
+	benchKey           = "sk-bench"
+	benchStartTimeout  = 10 * time.Second
+	benchStartInterval = 10 * time.Millisecond
+	firstListPause     = 200 * time.Millisecond // for the first endpoint list to arrive
+	kernelTick         = 10 * time.Millisecond  // of the CPU time in /proc
+)
+
+// benchTarget is a dispatcher's process under measurement, with endpoints and clients of its own.
+type benchTarget struct {
+	deployment deployment.Deployment
+	dir        string
+	fleetLoop  *sockets.Loop
+	fleet      *modelserver.Fleet
+	clients    *sockets.Loop
+	process    *exec.Cmd
+	address    string
+	logPath    string
+}
+
+// finalLog is what the dispatcher logged at its end.
+type finalLog struct {
+	events, allocations, accepted float64
+}
+
+// startTarget starts a program's dispatcher, and all that it needs.
+func (c *benchCommand) startTarget(ctx context.Context, binary string, d deployment.Deployment) (_ *benchTarget,
+	err error) {
+	digest := sha256.Sum256([]byte(benchKey))
+	d.Tenants = []*pb.Tenant{{Name: "bench", KeySha256: []string{hex.EncodeToString(digest[:])}}}
+	t := &benchTarget{deployment: d}
+	defer func() {
+		if err != nil {
+			t.cleanUp()
+		}
+	}()
+	if t.dir, err = os.MkdirTemp("", "plumspindle-bench"); err != nil {
+		return nil, fmt.Errorf("bench: %w", err)
+	}
+	if t.fleetLoop, err = sockets.Start(); err != nil {
+		return nil, fmt.Errorf("bench: %w", err)
+	}
+	if t.fleet, err = startFleet(t.fleetLoop, d, c.Seed, anyLocalPort); err != nil {
+		return nil, fmt.Errorf("bench: %w", err)
+	}
+	if t.clients, err = sockets.Start(); err != nil {
+		return nil, fmt.Errorf("bench: %w", err)
+	}
+	if err = c.startProcess(ctx, t, binary); err != nil {
+		return nil, fmt.Errorf("bench: %w", err)
+	}
+	return t, nil
+}
+
+// startProcess starts the dispatcher and waits until it serves.
+func (c *benchCommand) startProcess(ctx context.Context, t *benchTarget, binary string) error {
+	deploymentPath, readyPath := filepath.Join(t.dir, "deployment.textproto"), filepath.Join(t.dir, "ready")
+	if err := os.WriteFile(deploymentPath, t.deployment.Text(), 0o600); err != nil {
+		return err
+	}
+	args := []string{"serve", "--deployment", deploymentPath, "--roster", t.fleet.Discovery.Addr, "--listen", anyLocalPort,
+		"--ready-file", readyPath, "--seed", strconv.FormatInt(c.Seed, 10)}
+	if c.Intents {
+		args = append(args, "--state-dir", filepath.Join(t.dir, "state"))
+	}
+	if c.Profile != "" {
+		args = append(args, "--profile", c.Profile)
+		c.Profile = "" // only the first dispatcher is profiled
+	}
+	t.logPath = filepath.Join(t.dir, "log")
+	logs, err := os.Create(t.logPath)
+	if err != nil {
+		return err
+	}
+	defer func() { _ = logs.Close() }() // the process has its own descriptor
+	process := exec.CommandContext(ctx, binary, args...)
+	process.Stdout, process.Stderr = logs, logs
+	if err := process.Start(); err != nil {
+		return err
+	}
+	t.process = process
+	var ready scenarios.Ready
+	if err := pollFor(ctx, benchStartTimeout, benchStartInterval, func() bool {
+		content, err := os.ReadFile(readyPath)
+		return err == nil && json.Unmarshal(content, &ready) == nil
+	}); err != nil {
+		text, _ := os.ReadFile(t.logPath)
+		return fmt.Errorf("the dispatcher was not ready: %w; its log:\n%s", err, text)
+	}
+	t.address = strings.TrimPrefix(ready.API, "http://")
+	return pause(ctx, firstListPause)
+}
+
+// close ends the dispatcher gracefully and returns what it logged at its end and its CPU time.
+func (t *benchTarget) close() (finalLog, time.Duration) {
+	_ = t.process.Process.Signal(syscall.SIGTERM)
+	_ = t.process.Wait()
+	cpu := t.process.ProcessState.UserTime() + t.process.ProcessState.SystemTime()
+	t.process = nil
+	text, _ := os.ReadFile(t.logPath)
+	lines := bytes.Split(bytes.TrimSpace(text), []byte("\n"))
+	last := gjson.ParseBytes(lines[len(lines)-1])
+	t.cleanUp()
+	return finalLog{events: last.Get("events").Float(), allocations: last.Get("allocations").Float(),
+		accepted: last.Get("taken").Float()}, cpu
+}
+
+// cleanUp ends all that was started and removes the files; it may be called again.
+func (t *benchTarget) cleanUp() {
+	if t.process != nil {
+		_ = t.process.Process.Kill()
+		_ = t.process.Wait()
+		t.process = nil
+	}
+	if t.clients != nil {
+		t.clients.Stop()
+		t.clients = nil
+	}
+	if t.fleetLoop != nil {
+		t.fleetLoop.Stop()
+		t.fleetLoop = nil
+	}
+	if t.dir != "" {
+		_ = os.RemoveAll(t.dir) // what is left in the folder for temporary files does no harm
+	}
+}
+
+// residentBytes is the process's resident memory.
+func (t *benchTarget) residentBytes() int64 {
+	text, err := os.ReadFile(fmt.Sprintf("/proc/%d/statm", t.process.Process.Pid))
+	if err != nil {
+		return 0
+	}
+	var total, pages int64
+	_, _ = fmt.Sscan(string(text), &total, &pages)
+	return pages * int64(os.Getpagesize())
+}
+
+// cpuTime is what the process has used, in the steps of the kernel's count.
+func (t *benchTarget) cpuTime() time.Duration {
+	const userField, systemField = 11, 12 // after the command's name
+	text, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", t.process.Process.Pid))
+	if err != nil {
+		return 0
+	}
+	fields := strings.Fields(string(text[bytes.LastIndexByte(text, ')')+1:]))
+	user, _ := strconv.Atoi(fields[userField])
+	system, _ := strconv.Atoi(fields[systemField])
+	return time.Duration(user+system) * kernelTick
+}
+
+// binary is the program under measurement.
+func (c *benchCommand) binary() (string, error) {
+	if c.Binary != "" {
+		return c.Binary, nil
+	}
+	return os.Executable()
+}
--- /dev/null
+++ b/internal/cli/hosts.go
@@ -0,0 +1,71 @@
+package cli
+
+import (
+	"context"
+	"encoding/json"
+	"fmt"
+
+	"plumspindle/internal/deployment"
+	"plumspindle/internal/endpoints"
+	"plumspindle/internal/sockets"
+	"plumspindle/internal/testbed/modelserver"
+	"plumspindle/internal/testbed/scenarios"
+)
+
+//nolint:lll // a struct tag is one line
+type hostsCommand struct {
+	Deployment string `type:"existingfile" help:"Deployment with a fleet; the built-in one if none is given."`
+	Roster     string `default:"127.0.0.1:8090" help:"Address that discovery listens on, loopback only; port 0 picks one. Empty: no discovery, for use with --list-out."`
+	ListOut    string `type:"path" help:"File that the endpoint list is written to, for a discovery service of its own."`
+	ReadyFile  string `help:"File that is written, as JSON, once all endpoints serve."`
+	Seed       int64  `help:"Seed of all random choices; drawn if 0."`
+}
+
+// Run runs the stand-in endpoints until the program is asked to stop.
+func (c *hostsCommand) Run(ctx context.Context, env *environment) error {
+	d, err := loadDeployment(c.Deployment)
+	if err != nil {
+		return err
+	}
+	loop, err := sockets.Start()
+	if err != nil {
+		return err
+	}
+	defer loop.Stop()
+	fleet, err := startFleet(loop, d, c.Seed, c.Roster)
+	if err != nil {
+		return err
+	}
+	if c.ListOut != "" {
+		list, err := json.Marshal(endpoints.Update{Complete: true, Endpoints: fleet.Entries()})
+		if err != nil {
+			return fmt.Errorf("endpoint list: %w", err)
+		}
+		if err := replaceFile(c.ListOut, list); err != nil {
+			return err
+		}
+	}
+	discovery := ""
+	if fleet.Discovery != nil {
+		discovery = "http://" + fleet.Discovery.Addr
+	}
+	if err := scenarios.WriteReady(c.ReadyFile, scenarios.Ready{API: discovery}); err != nil {
+		return err
+	}
+	for _, endpoint := range fleet.Endpoints {
+		env.log.Info().Uint32("endpoint", endpoint.ID).Str("zone", endpoint.Zone).Uint16("cell", endpoint.Cell).
+			Str("address", endpoint.Addr).Msg("stand-in endpoint")
+	}
+	env.log.Info().Str("discovery", discovery).Msg("serving")
+	<-ctx.Done()
+	loop.Do(fleet.Close)
+	return nil
+}
+
+// startFleet starts a deployment's stand-in endpoints, and their discovery if that has an address.
+func startFleet(loop *sockets.Loop, d deployment.Deployment, seed int64, discovery string) (*modelserver.Fleet, error) {
+	var fleet *modelserver.Fleet
+	var err error
+	loop.Do(func() { fleet, err = modelserver.Start(loop, d, seedOrRandom(seed), discovery, nil) })
+	return fleet, err
+}
--- a/internal/cli/logs.go
+++ b/internal/cli/logs.go
@@ -21,10 +21,11 @@
 // newLogWriter also keeps the program alive where the reader of its logs is gone, as by itself it would die of SIGPIPE.
 func newLogWriter(out io.Writer) logWriter {
 	signal.Ignore(syscall.SIGPIPE)
-	missed := func(lines int) {
-		fmt.Fprintf(out, "{\"level\":\"error\",\"message\":\"%d lines of the log were dropped\"}\n", lines)
+	dropped := func(lines int) {
+		_, _ = fmt.Fprintf(out, "{\"level\":\"error\",\"lines\":%d,\"message\":\"log lines dropped\"}\n", lines)
 	}
-	return logWriter{diode.NewWriter(struct{ io.Writer }{out}, logLines, 0, missed)} // without the Close that out may have
+	withoutClose := struct{ io.Writer }{out}
+	return logWriter{diode.NewWriter(withoutClose, logLines, 0, dropped)}
 }
 
 // flush writes what waits, for as long as that may take.
--- a/internal/cli/logs_test.go
+++ b/internal/cli/logs_test.go
@@ -16,16 +16,12 @@
 	"golang.org/x/sys/unix"
 )
 
-// TestLogsThatNobodyReads: a dispatcher serves on, and ends in good order, where whoever reads its logs stops to, or goes away.
-func TestLogsThatNobodyReads(t *testing.T) {
-	free, err := net.Listen("tcp", "127.0.0.1:0")
-	if err != nil {
-		t.Fatal(err)
-	}
-	listen := free.Addr().String()
-	free.Close()
+// A dispatcher goes on serving, and ends gracefully, where whoever reads its logs stops reading or goes away.
+func TestDispatcherServesWhenNobodyReadsItsLogs(t *testing.T) {
+	listen := freeAddress(t)
 	path := filepath.Join(t.TempDir(), "config.json")
-	text := fmt.Sprintf(`{"name":"n3","listen":%q,"discovery":"127.0.0.1:1","limits":{"cores":1,"memory_mb":64,"sockets":256},"settings":{}}`, listen)
+	text := fmt.Sprintf(`{"name":"n3","listen":%q,"discovery":"127.0.0.1:1",`+
+		`"limits":{"cores":1,"memory_mb":64,"sockets":256},"settings":{}}`, listen)
 	if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
 		t.Fatal(err)
 	}
@@ -41,7 +37,7 @@
 	if err := cmd.Start(); err != nil {
 		t.Fatal(err)
 	}
-	end.Close()
+	_ = end.Close()
 	ended := make(chan error, 1)
 	go func() { ended <- cmd.Wait() }()
 	t.Cleanup(func() { _ = cmd.Process.Kill() })
@@ -56,7 +52,7 @@
 	client := http.Client{Timeout: time.Second, Transport: &http.Transport{DisableKeepAlives: true}}
 	serves := func(when string) {
 		t.Helper()
-		for rounds, begun := 0, time.Now(); rounds < 100 || time.Since(begun) < 2*time.Second; rounds++ { // a line each
+		for rounds, began := 0, time.Now(); rounds < 100 || time.Since(began) < 2*time.Second; rounds++ { // a log line each
 			if err := cmd.Process.Signal(syscall.SIGHUP); err != nil {
 				t.Fatalf("%s: %v", when, err)
 			}
@@ -64,11 +60,11 @@
 			if err != nil {
 				t.Fatalf("%s: %v", when, err)
 			}
-			answer.Body.Close()
+			_ = answer.Body.Close()
 		}
 	}
 	serves("logs that are not read")
-	logs.Close()
+	_ = logs.Close()
 	serves("logs whose reader is gone")
 	if err := cmd.Process.Signal(syscall.SIGTERM); err != nil {
 		t.Fatal(err)
@@ -82,3 +78,14 @@
 		t.Error("it did not end")
 	}
 }
+
+// freeAddress is an address on loopback that nobody listens on.
+func freeAddress(t *testing.T) string {
+	t.Helper()
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer func() { _ = listener.Close() }()
+	return listener.Addr().String()
+}
--- a/internal/cli/program_test.go
+++ b/internal/cli/program_test.go
@@ -23,25 +23,39 @@
 	"plumspindle/internal/testbed/scenarios"
 )
 
+// binary is the program, built for the tests that run it as a process.
 var binary string
 
 func TestMain(m *testing.M) {
+	os.Exit(buildAndRun(m))
+}
+
+func buildAndRun(m *testing.M) int {
 	dir, err := os.MkdirTemp("", "plumspindle-test")
 	if err != nil {
 		panic(err)
 	}
+	defer func() { _ = os.RemoveAll(dir) }()
 	binary = filepath.Join(dir, "plumspindle")
 	if out, err := exec.Command("go", "build", "-o", binary, "plumspindle/cmd/plumspindle").CombinedOutput(); err != nil {
 		fmt.Fprintf(os.Stderr, "%s", out)
-		os.Exit(1)
+		return 1
 	}
-	code := m.Run()
-	os.RemoveAll(dir)
-	os.Exit(code)
+	return m.Run()
 }
 
-// up runs the whole path and ends it in good order.
-func up(t *testing.T) scenarios.Ready {
+// waitUntil waits for a condition that nothing signals, such as one of another process.
+func waitUntil(t *testing.T, timeout time.Duration, what string, condition func() bool) {
+	t.Helper()
+	ctx, cancel := context.WithTimeout(context.Background(), timeout)
+	defer cancel()
+	if err := pollUntil(ctx, time.Millisecond, condition); err != nil {
+		t.Fatalf("%s: not within %v", what, timeout)
+	}
+}
+
+// startAll runs the up command until the test ends, which checks that it ends gracefully.
+func startAll(t *testing.T) scenarios.Ready {
 	t.Helper()
 	file := filepath.Join(t.TempDir(), "ready")
 	var out bytes.Buffer
@@ -56,36 +70,53 @@
 			t.Errorf("up ended with %v\n%s", err, out.String())
 		}
 	})
-	deadline := time.Now().Add(20 * time.Second)
-	for time.Now().Before(deadline) {
-		var r scenarios.Ready
-		if b, err := os.ReadFile(file); err == nil && json.Unmarshal(b, &r) == nil && r.Key != "" {
-			return r
-		}
-		time.Sleep(5 * time.Millisecond) // waits for another process, which has nothing else to be heard by
-	}
-	t.Fatalf("not ready: %s", out.String())
-	return scenarios.Ready{}
+	var ready scenarios.Ready
+	waitUntil(t, 20*time.Second, "ready file", func() bool {
+		content, err := os.ReadFile(file)
+		return err == nil && json.Unmarshal(content, &ready) == nil && ready.Key != ""
+	})
+	return ready
+}
+
+func newClient(ready scenarios.Ready, key string) openai.Client {
+	return openai.NewClient(option.WithBaseURL(ready.API+"/v1/"), option.WithAPIKey(key), option.WithMaxRetries(0))
+}
+
+func chatParams(model string) openai.ChatCompletionNewParams {
+	return openai.ChatCompletionNewParams{Model: model, MaxCompletionTokens: openai.Int(20),
+		Messages: []openai.ChatCompletionMessageParamUnion{
+			openai.SystemMessage("You review."), openai.UserMessage("Is it good?")}}
 }
 
-// The official client library chats, streams and gets typed errors.
-func TestOfficialClient(t *testing.T) {
-	r := up(t)
+// The official client library chats, streams, embeds and gets typed errors.
+func TestOfficialClientChatsStreamsEmbedsAndGetsTypedErrors(t *testing.T) {
+	ready := startAll(t)
 	ctx, cancel := context.WithTimeout(context.Background(), 30*time.Second)
 	defer cancel()
-	client := openai.NewClient(option.WithBaseURL(r.API+"/v1/"), option.WithAPIKey(r.Key), option.WithMaxRetries(0))
-	ask := openai.ChatCompletionNewParams{Model: "review-post", MaxCompletionTokens: openai.Int(20),
-		Messages: []openai.ChatCompletionMessageParamUnion{openai.SystemMessage("You review."), openai.UserMessage("Is it good?")}}
-	whole, err := client.Chat.Completions.New(ctx, ask)
+	client := newClient(ready, ready.Key)
+	t.Run("answer in one piece", func(t *testing.T) { checkUnstreamedAnswer(ctx, t, client) })
+	t.Run("streamed answer", func(t *testing.T) { checkStreamedAnswer(ctx, t, client) })
+	t.Run("models", func(t *testing.T) { checkModels(ctx, t, client) })
+	t.Run("embeddings", func(t *testing.T) { checkEmbeddings(ctx, t, client) })
+	t.Run("errors", func(t *testing.T) { checkTypedErrors(ctx, t, client, newClient(ready, "sk-wrong")) })
+}
+
+func checkUnstreamedAnswer(ctx context.Context, t *testing.T, client openai.Client) {
+	answer, err := client.Chat.Completions.New(ctx, chatParams("review-post"))
 	if err != nil {
 		t.Fatal(err)
 	}
-	if whole.Choices[0].Message.Content == "" || whole.Choices[0].FinishReason != "stop" || whole.Usage.CompletionTokens == 0 ||
-		whole.Model != "review-post" || !strings.HasPrefix(whole.ID, "chatcmpl-") {
-		t.Errorf("whole answer: %s", whole.RawJSON())
+	choice := answer.Choices[0]
+	if choice.Message.Content == "" || choice.FinishReason != "stop" || answer.Usage.CompletionTokens == 0 ||
+		answer.Model != "review-post" || !strings.HasPrefix(answer.ID, "chatcmpl-") {
+		t.Errorf("answer: %s", answer.RawJSON())
 	}
-	ask.StreamOptions.IncludeUsage = openai.Bool(true)
-	stream := client.Chat.Completions.NewStreaming(ctx, ask)
+}
+
+func checkStreamedAnswer(ctx context.Context, t *testing.T, client openai.Client) {
+	params := chatParams("review-post")
+	params.StreamOptions.IncludeUsage = openai.Bool(true)
+	stream := client.Chat.Completions.NewStreaming(ctx, params)
 	sum := openai.ChatCompletionAccumulator{}
 	for stream.Next() {
 		if !sum.AddChunk(stream.Current()) {
@@ -95,91 +126,119 @@
 	if err := stream.Err(); err != nil {
 		t.Fatal(err)
 	}
-	if sum.Choices[0].Message.Content == "" || sum.Choices[0].Message.Role != "assistant" || sum.Usage.TotalTokens == 0 {
+	message := sum.Choices[0].Message
+	if message.Content == "" || message.Role != "assistant" || sum.Usage.TotalTokens == 0 {
 		t.Errorf("streamed answer: %+v", sum.ChatCompletion)
 	}
+}
+
+func checkModels(ctx context.Context, t *testing.T, client openai.Client) {
 	models, err := client.Models.List(ctx)
 	if err != nil || len(models.Data) != 5 {
 		t.Errorf("models: %v, %v", models, err)
 	}
-	if one, err := client.Models.Get(ctx, "explain"); err != nil || one.ID != "explain" {
-		t.Errorf("model: %v, %v", one, err)
+	if model, err := client.Models.Get(ctx, "explain"); err != nil || model.ID != "explain" {
+		t.Errorf("model: %v, %v", model, err)
 	}
-	for _, format := range []openai.EmbeddingNewParamsEncodingFormat{"", openai.EmbeddingNewParamsEncodingFormatFloat, openai.EmbeddingNewParamsEncodingFormatBase64} {
-		texts := make([]string, 300)
+}
+
+func checkEmbeddings(ctx context.Context, t *testing.T, client openai.Client) {
+	const inputs, distinct, dimensions = 300, 100, 32
+	for _, format := range []openai.EmbeddingNewParamsEncodingFormat{"",
+		openai.EmbeddingNewParamsEncodingFormatFloat, openai.EmbeddingNewParamsEncodingFormatBase64} {
+		texts := make([]string, inputs)
 		for i := range texts {
-			texts[i] = fmt.Sprintf("note %d", i%100)
+			texts[i] = fmt.Sprintf("note %d", i%distinct)
 		}
-		got, err := client.Embeddings.New(ctx, openai.EmbeddingNewParams{Model: "embed", EncodingFormat: format, Dimensions: openai.Int(32),
-			Input: openai.EmbeddingNewParamsInputUnion{OfArrayOfStrings: texts}})
-		if err != nil || len(got.Data) != 300 || got.Model != "embed" || got.Usage.TotalTokens == 0 {
+		got, err := client.Embeddings.New(ctx, openai.EmbeddingNewParams{Model: "embed", EncodingFormat: format,
+			Dimensions: openai.Int(dimensions), Input: openai.EmbeddingNewParamsInputUnion{OfArrayOfStrings: texts}})
+		if err != nil || len(got.Data) != inputs || got.Model != "embed" || got.Usage.TotalTokens == 0 {
 			t.Fatalf("embeddings, format %q: %v", format, err)
 		}
-		for i, e := range got.Data {
-			if e.Index != int64(i) || format != "base64" && (len(e.Embedding) != 32 || fmt.Sprint(e.Embedding) != fmt.Sprint(got.Data[i%100].Embedding)) {
-				t.Fatalf("embedding %d, format %q: index %d, %d numbers", i, format, e.Index, len(e.Embedding))
+		for i, vector := range got.Data {
+			same := fmt.Sprint(vector.Embedding) == fmt.Sprint(got.Data[i%distinct].Embedding)
+			if vector.Index != int64(i) || format != "base64" && (len(vector.Embedding) != dimensions || !same) {
+				t.Fatalf("embedding %d, format %q: index %d, %d numbers", i, format, vector.Index, len(vector.Embedding))
 			}
 		}
 	}
-	if _, err := client.Embeddings.New(ctx, openai.EmbeddingNewParams{Model: "embed", Input: openai.EmbeddingNewParamsInputUnion{OfString: openai.String("")}}); err == nil ||
-		!strings.Contains(err.Error(), "input[0]") {
+	_, err := client.Embeddings.New(ctx, openai.EmbeddingNewParams{Model: "embed",
+		Input: openai.EmbeddingNewParamsInputUnion{OfString: openai.String("")}})
+	if err == nil || !strings.Contains(err.Error(), "input[0]") {
 		t.Errorf("an empty input: %v", err)
 	}
-	ask.Model, ask.StreamOptions = "abacus", openai.ChatCompletionStreamOptionsParam{}
-	_, err = client.Chat.Completions.New(ctx, ask)
+}
+
+func checkTypedErrors(ctx context.Context, t *testing.T, client, unauthorised openai.Client) {
+	params := chatParams("abacus")
+	_, err := client.Chat.Completions.New(ctx, params)
 	var typed *openai.Error
 	if !errors.As(err, &typed) || typed.StatusCode != 404 || typed.Code != "model_not_found" || typed.Param != "model" {
 		t.Errorf("unknown model: %v", err)
 	}
-	other := openai.NewClient(option.WithBaseURL(r.API+"/v1/"), option.WithAPIKey("sk-wrong"), option.WithMaxRetries(0))
-	if _, err = other.Chat.Completions.New(ctx, ask); !errors.As(err, &typed) || typed.StatusCode != 401 || typed.Code != "invalid_api_key" {
+	_, err = unauthorised.Chat.Completions.New(ctx, params)
+	if !errors.As(err, &typed) || typed.StatusCode != 401 || typed.Code != "invalid_api_key" {
 		t.Errorf("wrong key: %v", err)
 	}
 }
 
 // Thousands of clients connect at once; each is answered, and so is one that comes after them.
-func TestFiveThousandClientsAtOnce(t *testing.T) {
-	r := up(t)
-	addr := strings.TrimPrefix(r.API, "http://")
-	const n = 5000
+func TestFiveThousandClientsAtOnceAreAllAnswered(t *testing.T) {
+	ready := startAll(t)
+	address := strings.TrimPrefix(ready.API, "http://")
+	const clients = 5000
 	var wg sync.WaitGroup
 	var mu sync.Mutex
 	statuses := map[string]int{}
-	for range n {
-		wg.Add(1)
-		go func() {
-			defer wg.Done()
-			status := "none"
-			c, err := net.DialTimeout("tcp", addr, 20*time.Second)
-			if err == nil {
-				defer c.Close()
-				_ = c.SetDeadline(time.Now().Add(30 * time.Second))
-				fmt.Fprintf(c, "GET /v1/models HTTP/1.1\r\nHost: x\r\nAuthorization: Bearer %s\r\nConnection: close\r\n\r\n", r.Key)
-				var b [12]byte
-				if _, err = c.Read(b[:]); err == nil {
-					status = string(b[9:])
-				}
-			}
+	for range clients {
+		wg.Go(func() {
+			status, err := statusOfOneCall(address, ready.Key)
 			if err != nil {
 				status = err.Error()
 			}
 			mu.Lock()
 			statuses[status]++
 			mu.Unlock()
-		}()
+		})
 	}
 	wg.Wait()
-	if statuses["200"] != n {
+	if statuses["200"] != clients {
 		t.Errorf("answers: %v", statuses)
 	}
-	if res, err := http.Get(r.API + "/v1/models"); err != nil || res.StatusCode != 401 {
-		t.Errorf("afterwards: %v, %v", res, err)
+	response, err := http.Get(ready.API + "/v1/models")
+	if err != nil {
+		t.Fatalf("afterwards: %v", err)
+	}
+	defer func() { _ = response.Body.Close() }()
+	if response.StatusCode != 401 {
+		t.Errorf("afterwards: %v", response)
 	}
 }
 
-// A short day over sockets, with a dispatcher killed and a host crashed; then the record is judged again, as it is and
-// doctored.
-func TestDayOverSocketsAndAudit(t *testing.T) {
+// statusOfOneCall lists the models on a connection of its own.
+func statusOfOneCall(address, key string) (string, error) {
+	conn, err := net.DialTimeout("tcp", address, 20*time.Second)
+	if err != nil {
+		return "", err
+	}
+	defer func() { _ = conn.Close() }()
+	if err := conn.SetDeadline(time.Now().Add(30 * time.Second)); err != nil {
+		return "", err
+	}
+	// A write that fails shows as a read that fails.
+	_, _ = fmt.Fprintf(conn, "GET /v1/models HTTP/1.1\r\nHost: x\r\n"+
+		"Authorization: Bearer %s\r\nConnection: close\r\n\r\n", key)
+	const statusAt, statusEnd = len("HTTP/1.1 "), len("HTTP/1.1 200")
+	var head [statusEnd]byte
+	if _, err := conn.Read(head[:]); err != nil {
+		return "", err
+	}
+	return string(head[statusAt:]), nil
+}
+
+// A short scenario over sockets, with a dispatcher killed and an endpoint crashed, passes its audit, and so does its
+// record.
+func TestScenarioOverSocketsPassesAudit(t *testing.T) {
 	dir := t.TempDir()
 	script := filepath.Join(dir, "short.textproto")
 	text := `name: "short" seconds: 5 rate: 25
@@ -197,17 +256,26 @@
 	if out, err := exec.Command(binary, "audit", record).CombinedOutput(); err != nil {
 		t.Errorf("audit: %v\n%s", err, out)
 	}
-	if out, err := exec.Command(binary, "day", filepath.Join(dir, "none")).CombinedOutput(); err == nil || bytes.Contains(out, []byte("panic")) {
-		t.Errorf("a day that does not exist: %v\n%s", err, out)
+	out, err = exec.Command(binary, "day", filepath.Join(dir, "none")).CombinedOutput()
+	if err == nil || bytes.Contains(out, []byte("panic")) {
+		t.Errorf("a scenario that does not exist: %v\n%s", err, out)
 	}
 }
 
-// Bad calls name what is wrong and do nothing.
-func TestBadCalls(t *testing.T) {
-	for _, args := range [][]string{{"serve"}, {"up", "--listen", "0.0.0.0:0"}, {"check", "no-such-file"}, {"day", "quiet", "--dispatchers", "0"}, {"audit", "."}} {
-		out, err := exec.Command(binary, args...).CombinedOutput()
-		if err == nil || len(out) == 0 || bytes.Contains(out, []byte("panic")) {
-			t.Errorf("%v: %v\n%s", args, err, out)
-		}
+// Bad arguments name what is wrong and do nothing.
+func TestBadArgumentsFailWithMessage(t *testing.T) {
+	for _, args := range [][]string{
+		{"serve"},
+		{"up", "--listen", "0.0.0.0:0"},
+		{"check", "no-such-file"},
+		{"day", "quiet", "--dispatchers", "0"},
+		{"audit", "."},
+	} {
+		t.Run(strings.Join(args, " "), func(t *testing.T) {
+			out, err := exec.Command(binary, args...).CombinedOutput()
+			if err == nil || len(out) == 0 || bytes.Contains(out, []byte("panic")) {
+				t.Errorf("%v: %v\n%s", args, err, out)
+			}
+		})
 	}
 }
--- a/internal/cli/restarts.go
+++ b/internal/cli/restarts.go
@@ -1,6 +1,7 @@
 package cli
 
 import (
+	"errors"
 	"fmt"
 	"strings"
 	"sync"
@@ -9,130 +10,158 @@
 	"gonum.org/v1/plot"
 	"gonum.org/v1/plot/plotter"
 	"gonum.org/v1/plot/plotutil"
-	"gonum.org/v1/plot/vg"
 
 	"plumspindle/internal/deployment"
 	"plumspindle/internal/eventloop"
 	"plumspindle/internal/testbed/scenarios"
 )
 
+//nolint:lll // a struct tag is one line
 type restartsCommand struct {
-	Ages        []time.Duration `default:"1s,1m,1h,24h" help:"How old the kept lists are when the dispatchers come back."`
-	Replaced    []float64       `default:"0,0.2,0.8" help:"Shares of the hosts that were replaced by others, elsewhere, meanwhile."`
+	Ages        []time.Duration `default:"1s,1m,1h,24h" help:"How old the cached lists are when the dispatchers come back."`
+	Replaced    []float64       `default:"0,0.2,0.8" help:"Shares of the endpoints that were replaced by others meanwhile."`
 	Dispatchers int             `default:"3" help:"Dispatchers, all of which restart together."`
 	Seeds       int             `default:"4" help:"Restarts of each sort, put together."`
-	Rate        float64         `default:"40" help:"Generations a second after the return."`
+	Rate        float64         `default:"40" help:"Requests a second after the return."`
 	For         int             `default:"30" help:"Seconds after the return that are looked at."`
 	Plot        string          `type:"path" help:"File, .svg or .png, for a plot of the service second by second."`
 }
 
-// restarted is what the clients got after restarts of one sort.
-type restarted struct {
-	asked, in []int
-	broken    []string
+const (
+	plottedReplacement = 0.2 // the share of replaced endpoints whose restarts are plotted
+	firstSeconds       = 5   // that are printed beside the whole time
+	roomyFleetFactor   = 3   // endpoints against the standard fleet's
+)
+
+// restartSort is one sort of restart that is compared with others.
+type restartSort struct {
+	age       time.Duration // of the cached lists
+	replaced  float64       // share of the endpoints
+	discovery bool          // whether it answers
+}
+
+// restartResult is what the clients got after restarts of one sort, by the second after the return.
+type restartResult struct {
+	asked, inSLO []int
+	violations   []string
+}
+
+// shareInSLO is that of some seconds.
+func (r *restartResult) shareInSLO(from, to int) float64 {
+	asked, inSLO := 0, 0
+	for second := from; second < to && second < len(r.asked); second++ {
+		asked += r.asked[second]
+		inSLO += r.inSLO[second]
+	}
+	return float64(inSLO) / float64(max(asked, 1))
 }
 
-func (r *restarted) share(from, to int) float64 {
-	asked, in := 0, 0
-	for s := from; s < to && s < len(r.asked); s++ {
-		asked, in = asked+r.asked[s], in+r.in[s]
+// curve is the service second by second.
+func (r *restartResult) curve(seconds int) plotter.XYs {
+	var points plotter.XYs
+	for second := range seconds {
+		points = append(points, plotter.XY{X: float64(second), Y: r.shareInSLO(second, second+1)})
 	}
-	return float64(in) / float64(max(asked, 1))
+	return points
 }
 
 // Run restarts all dispatchers at once in virtual time, with discovery up and down.
-func (c *restartsCommand) Run(s *surroundings) error {
+func (c *restartsCommand) Run(env *environment) error {
 	if c.For < 1 || c.Seeds < 1 || c.Dispatchers < 1 || c.Rate <= 0 {
-		return fmt.Errorf("restarts: the times, seeds, dispatchers and rate must be above 0")
+		return errors.New("restarts: the times, seeds, dispatchers and rate must be above 0")
 	}
-	p := plot.New()
-	p.Title.Text = "After all dispatchers restarted together without discovery; a fifth of the hosts were replaced"
-	p.X.Label.Text, p.Y.Label.Text = "s after the return", "share answered in the SLO time"
-	p.Y.Min, p.Y.Max = 0, 1
-	var lines []any
-	var broken []string
-	fmt.Fprintf(s.out, "%d dispatchers restart together, stand-in hosts in virtual time, %d restarts of each sort, %.0f generations a second;\n"+
-		"share answered in the SLO time, of those asked for in the first %d s (and in the first 5 s)\n", c.Dispatchers, c.Seeds, c.Rate, c.For)
-	fmt.Fprintf(s.out, "%-10s %-10s %20s %20s %10s\n", "list's age", "replaced", "discovery down", "discovery up", "down/up")
+	env.printf("%d dispatchers restart together, stand-in hosts in virtual time, %d restarts of each sort, "+
+		"%.0f generations a second;\n"+
+		"share answered in the SLO time, of those asked for in the first %d s (and in the first 5 s)\n",
+		c.Dispatchers, c.Seeds, c.Rate, c.For)
+	env.printf("%-10s %-10s %20s %20s %10s\n",
+		"list's age", "replaced", "discovery down", "discovery up", "down/up")
+	var curves []any
+	var violations []string
 	for _, age := range c.Ages {
 		for _, share := range c.Replaced {
-			var got [2]restarted
-			for i := range got {
-				if err := c.play(age, share, i == 1, &got[i]); err != nil {
-					return err
-				}
-				broken = append(broken, got[i].broken...)
+			down, err := c.runSort(restartSort{age: age, replaced: share, discovery: false})
+			if err != nil {
+				return err
 			}
-			down, up := got[0].share(0, c.For), got[1].share(0, c.For)
-			fmt.Fprintf(s.out, "%-10v %-10v %11.3f (%.3f)   %9.3f (%.3f)   %8.2f\n", age, share, down, got[0].share(0, 5), up, got[1].share(0, 5), down/max(up, 0.001))
-			if share != 0.2 {
+			up, err := c.runSort(restartSort{age: age, replaced: share, discovery: true})
+			if err != nil {
+				return err
+			}
+			violations = append(append(violations, down.violations...), up.violations...)
+			c.print(env, age, share, down, up)
+			if share != plottedReplacement {
 				continue
 			}
-			for i, name := range []string{"down", "up"} {
-				if i == 1 && age != c.Ages[len(c.Ages)-1] {
-					continue
-				}
-				var xy plotter.XYs
-				for t := range c.For {
-					xy = append(xy, plotter.XY{X: float64(t), Y: got[i].share(t, t+1)})
-				}
-				lines = append(lines, fmt.Sprintf("list of %v, discovery %s", age, name), xy)
+			curves = append(curves, fmt.Sprintf("list of %v, discovery down", age), down.curve(c.For))
+			if age == c.Ages[len(c.Ages)-1] {
+				curves = append(curves, fmt.Sprintf("list of %v, discovery up", age), up.curve(c.For))
 			}
 		}
 	}
-	if c.Plot != "" {
-		if err := plotutil.AddLines(p, lines...); err != nil {
-			return fmt.Errorf("plot: %w", err)
-		}
-		p.Legend.Top, p.Legend.Left = false, false
-		if err := p.Save(18*vg.Centimeter, 11*vg.Centimeter, c.Plot); err != nil {
-			return fmt.Errorf("plot: %w", err)
-		}
+	if err := c.plot(curves); err != nil {
+		return err
 	}
-	if len(broken) > 0 {
-		fmt.Fprintln(s.out, strings.Join(broken, "\n"))
-		return errRules
+	if len(violations) > 0 {
+		env.print(strings.Join(violations, "\n"), "\n")
+		return errRuleBroken
 	}
-	fmt.Fprintln(s.out, "all five rules kept in all of them, nothing left over")
+	env.print("all five rules kept in all of them, nothing left over", "\n")
 	return nil
 }
 
-func (c *restartsCommand) play(age time.Duration, share float64, discovery bool, got *restarted) error {
+func (c *restartsCommand) print(env *environment, age time.Duration, share float64, down, up *restartResult) {
+	shareDown, shareUp := down.shareInSLO(0, c.For), up.shareInSLO(0, c.For)
+	env.printf("%-10v %-10v %11.3f (%.3f)   %9.3f (%.3f)   %8.2f\n", age, share,
+		shareDown, down.shareInSLO(0, firstSeconds), shareUp, up.shareInSLO(0, firstSeconds), shareDown/max(shareUp, 0.001))
+}
+
+func (c *restartsCommand) plot(curves []any) error {
+	p := plot.New()
+	p.Title.Text = "After all dispatchers restarted together without discovery; a fifth of the hosts were replaced"
+	p.X.Label.Text, p.Y.Label.Text = "s after the return", "share answered in the SLO time"
+	p.Y.Min, p.Y.Max = 0, 1
+	return savePlot(c.Plot, p, plotSize{width: 18, height: 11}, plotutil.AddLines, curves)
+}
+
+// runSort runs the restarts of one sort, one for each seed.
+func (c *restartsCommand) runSort(sort restartSort) (*restartResult, error) {
+	result := &restartResult{asked: make([]int, c.For+1), inSLO: make([]int, c.For+1)}
 	var mu sync.Mutex
-	var wg sync.WaitGroup
-	var failed error
-	room := make(chan struct{}, 4)
-	got.asked, got.in = make([]int, c.For+1), make([]int, c.For+1)
+	var jobs []func() error
 	for seed := range c.Seeds {
-		script, err := scenarios.ReadScript("restart", []byte(fmt.Sprintf(`name: "restart" seconds: %d rate: %v`, c.For, c.Rate)))
-		if err != nil {
-			return err
-		}
-		d := deployment.Standard()
-		for _, g := range d.Fleet.Groups {
-			g.HostsPerZone *= 3
-		}
-		wg.Add(1)
-		room <- struct{}{}
-		go func() {
-			defer func() { <-room; wg.Done() }()
-			play := &scenarios.Run{Script: script, Deployment: d, Dispatchers: c.Dispatchers, Seed: int64(seed + 1)}
-			v, left, err := play.RunRestart(eventloop.Micros(age.Microseconds()), share, discovery)
-			mu.Lock()
-			defer mu.Unlock()
-			if err != nil {
-				failed = err
-				return
-			}
-			if !v.Passed() || left > 0 {
-				got.broken = append(got.broken, fmt.Sprintf("list of %v, %v replaced, discovery %v, seed %d, %d left over:\n%s", age, share, discovery, seed+1, left, v.Text()))
-			}
-			asked, in := play.WithinSLOBySecond()
-			for i := range asked {
-				got.asked[i], got.in[i] = got.asked[i]+asked[i], got.in[i]+in[i]
-			}
-		}()
+		jobs = append(jobs, func() error { return c.runOnce(sort, int64(seed+1), result, &mu) })
+	}
+	return result, runParallel(parallelRuns, jobs)
+}
+
+// runOnce adds one restart to the result, which the mutex guards.
+func (c *restartsCommand) runOnce(sort restartSort, seed int64, result *restartResult, mu *sync.Mutex) error {
+	text := fmt.Sprintf(`name: "restart" seconds: %d rate: %v`, c.For, c.Rate)
+	script, err := scenarios.ReadScript("restart", []byte(text))
+	if err != nil {
+		return err
+	}
+	d := deployment.Standard()
+	for _, group := range d.Fleet.Groups {
+		group.HostsPerZone *= roomyFleetFactor
 	}
-	wg.Wait()
-	return failed
+	run := &scenarios.Run{Script: script, Deployment: d, Dispatchers: c.Dispatchers, Seed: seed}
+	verdict, leftOver, err := run.RunRestart(eventloop.Micros(sort.age.Microseconds()), sort.replaced, sort.discovery)
+	if err != nil {
+		return err
+	}
+	mu.Lock()
+	defer mu.Unlock()
+	if !verdict.Passed() || leftOver > 0 {
+		result.violations = append(result.violations,
+			fmt.Sprintf("list of %v, %v replaced, discovery %v, seed %d, %d left over:\n%s",
+				sort.age, sort.replaced, sort.discovery, seed, leftOver, verdict.Text()))
+	}
+	asked, inSLO := run.WithinSLOBySecond()
+	for second := range asked {
+		result.asked[second] += asked[second]
+		result.inSLO[second] += inSLO[second]
+	}
+	return nil
 }
--- /dev/null
+++ b/internal/cli/sim_replay.go
@@ -0,0 +1,99 @@
+package cli
+
+import (
+	"fmt"
+	"os"
+	"strconv"
+
+	"plumspindle/internal/deployment/pb"
+	"plumspindle/internal/faultsearch"
+	"plumspindle/internal/testbed/record"
+)
+
+type simReplay struct {
+	drawnScenario
+	Trace string `help:"Request (as g17) or endpoint (as host:104) whose events are printed."`
+}
+
+// Run runs one scenario and prints its verdict.
+func (c *simReplay) Run(env *environment) error {
+	script, mutant, err := c.load()
+	if err != nil {
+		return err
+	}
+	outcome, err := faultsearch.Run(script, mutant)
+	if err != nil {
+		return err
+	}
+	if c.Trace != "" {
+		c.printEvents(env, outcome.Run.Events())
+	}
+	env.print(scriptText(script), outcome.Verdict.Text())
+	env.printf("%d steps, all that happened: %016x\n", outcome.Steps, outcome.Trace)
+	for _, fault := range outcome.Faults {
+		env.print(fault, "\n")
+	}
+	if len(outcome.Faults) > 0 {
+		return errRuleBroken
+	}
+	return nil
+}
+
+// printEvents prints the events of what --trace names, among the faults that were injected.
+func (c *simReplay) printEvents(env *environment, events []record.Event) {
+	if len(events) == 0 {
+		return
+	}
+	begin := events[0].At
+	for i, event := range events {
+		isFault := event.Type == "trouble" || event.Type == "killed"
+		if isFault || event.Request == c.Trace || "host:"+strconv.Itoa(int(event.Endpoint)) == c.Trace {
+			env.printf("%6d %10.3f ms  %s\n", i+1, float64(event.At-begin)/1000, eventText(event))
+		}
+	}
+}
+
+func eventText(event record.Event) string {
+	text := fmt.Sprintf("%-9s", event.Type)
+	for _, field := range []struct{ name, value string }{
+		{"generation", event.Request},
+		{"leg", event.Attempt},
+		{"dispatcher", event.Dispatcher},
+		{"kind", event.Kind},
+		{"how", event.Detail},
+	} {
+		if field.value != "" {
+			text += " " + field.name + " " + field.value
+		}
+	}
+	if event.Endpoint > 0 {
+		text += fmt.Sprintf(" host %d", event.Endpoint)
+	}
+	return text
+}
+
+type simShrink struct {
+	drawnScenario
+	Out string `type:"path" help:"File that the script is written to; it is printed otherwise."`
+}
+
+// Run reduces a scenario that fails.
+func (c *simShrink) Run(env *environment) error {
+	script, mutant, err := c.load()
+	if err != nil {
+		return err
+	}
+	least, tried, err := faultsearch.Shrink(script, mutant, func(tried int, script *pb.Day) {
+		env.reportf("%d tried: %d troubles, %d s, %.1f generations a second\n",
+			tried, len(script.Troubles), script.Seconds, script.Rate)
+	})
+	if err != nil {
+		return err
+	}
+	env.reportf("%d days were tried; %d troubles are left of %d\n", tried, len(least.Troubles), len(script.Troubles))
+	if c.Out != "" {
+		return os.WriteFile(c.Out, []byte(scriptText(least)), 0o644)
+	}
+	env.print(scriptText(least))
+	return nil
+}
--- a/internal/cli/store.go
+++ b/internal/cli/store.go
@@ -8,6 +8,7 @@
 	"plumspindle/internal/store"
 )
 
+//nolint:lll // a struct tag is one line
 type storeCommand struct {
 	Check   storeCheck   `cmd:"" help:"Recover a store as at a start, and say what is in it. A torn end is cut off, as a start would."`
 	Dump    storeDump    `cmd:"" help:"Print all keys and values, quoted, in order."`
@@ -27,59 +28,71 @@
 	}
 )
 
-// open opens a store whose disk answers on a channel.
-func openStore(dir string) (*store.Store, *store.Files, chan func(), error) {
+// diskTimeout is how long a disk may take for a snapshot.
+const diskTimeout = time.Minute
+
+// openedStore is a store outside an event loop: what its disk completes is run from a channel.
+type openedStore struct {
+	*store.Store
+	files  *store.Files
+	posted chan func()
+}
+
+func openStore(dir string) (*openedStore, error) {
 	posted := make(chan func(), 64)
-	files, err := store.OpenFiles(dir, func(f func()) { posted <- f })
+	files, err := store.OpenFiles(dir, func(completion func()) { posted <- completion })
 	if err != nil {
-		return nil, nil, nil, err
+		return nil, err
 	}
-	s, err := store.Open(files, store.DefaultLimits)
+	opened, err := store.Open(files, store.DefaultLimits)
 	if err != nil {
 		files.Close()
-		return nil, nil, nil, fmt.Errorf("%s: %w", dir, err)
+		return nil, fmt.Errorf("%s: %w", dir, err)
 	}
-	return s, files, posted, nil
+	return &openedStore{Store: opened, files: files, posted: posted}, nil
 }
 
-// Run of each does what its help says.
-func (c *storeCheck) Run(s *surroundings) error {
+// Run recovers the store.
+func (c *storeCheck) Run(env *environment) error {
 	began := time.Now()
-	st, files, _, err := openStore(c.Dir)
+	opened, err := openStore(c.Dir)
 	if err != nil {
 		return err
 	}
-	defer files.Close()
-	fmt.Fprintf(s.out, "%s: whole: %d keys, recovered in %v\n", c.Dir, st.Len(), time.Since(began).Round(time.Millisecond))
+	defer opened.files.Close()
+	took := time.Since(began).Round(time.Millisecond)
+	env.printf("%s: whole: %d keys, recovered in %v\n", c.Dir, opened.Len(), took)
 	return nil
 }
 
-func (c *storeDump) Run(s *surroundings) error {
-	st, files, _, err := openStore(c.Dir)
+// Run prints the keys and values.
+func (c *storeDump) Run(env *environment) error {
+	opened, err := openStore(c.Dir)
 	if err != nil {
 		return err
 	}
-	defer files.Close()
-	st.Scan(c.Prefix, func(key string, value []byte) bool {
-		_, err = fmt.Fprintf(s.out, "%q %q\n", key, value)
+	defer opened.files.Close()
+	opened.Scan(c.Prefix, func(key string, value []byte) bool {
+		_, err = fmt.Fprintf(env.stdout, "%q %q\n", key, value)
 		return err == nil
 	})
 	return err
 }
 
-func (c *storeCompact) Run(s *surroundings) error {
-	st, files, posted, err := openStore(c.Dir)
+// Run writes a snapshot.
+func (c *storeCompact) Run() error {
+	opened, err := openStore(c.Dir)
 	if err != nil {
 		return err
 	}
-	defer files.Close()
+	defer opened.files.Close()
 	done := false
-	st.Compact(func(e error) { done, err = true, e })
+	opened.Compact(func(failure error) { done, err = true, failure })
 	for !done {
 		select {
-		case f := <-posted:
-			f()
-		case <-time.After(time.Minute):
+		case completion := <-opened.posted:
+			completion()
+		case <-time.After(diskTimeout):
 			return errors.New("the disk did not answer")
 		}
 	}
--- /dev/null
+++ b/internal/cli/up.go
@@ -0,0 +1,121 @@
+package cli
+
+import (
+	"context"
+	crand "crypto/rand"
+	"crypto/sha256"
+	"encoding/hex"
+	"fmt"
+	"time"
+
+	"plumspindle/internal/admin"
+	"plumspindle/internal/deployment"
+	"plumspindle/internal/sockets"
+	"plumspindle/internal/testbed/scenarios"
+)
+
+//nolint:lll // a struct tag is one line
+type upCommand struct {
+	Listen    string `default:"127.0.0.1:8080" help:"Address for clients, loopback only; port 0 picks one."`
+	Admin     string `default:"127.0.0.1:0" help:"Address of the administration, loopback only; port 0 picks one."`
+	ReadyFile string `help:"File that is written, as JSON with both addresses and a key for each, once everything serves."`
+	Seed      int64  `help:"Seed of all random choices; drawn if 0."`
+}
+
+const (
+	anyLocalPort      = "127.0.0.1:0"
+	readyPollInterval = 2 * time.Millisecond
+)
+
+// localSecrets are drawn at each start: what keys are sealed with, and the keys of the one tenant and of the operator.
+type localSecrets struct {
+	sealing     [48]byte
+	tenantKey   string
+	operatorKey string
+}
+
+func newLocalSecrets() (*localSecrets, error) {
+	s := &localSecrets{}
+	if _, err := crand.Read(s.sealing[:]); err != nil {
+		return nil, fmt.Errorf("secret: %w", err)
+	}
+	s.tenantKey = "sk-local-" + hex.EncodeToString(s.sealing[30:])
+	s.operatorKey = "op-" + hex.EncodeToString(s.sealing[:9])
+	return s, nil
+}
+
+// Run runs administration, endpoints and a dispatcher until the program is asked to stop.
+func (c *upCommand) Run(ctx context.Context, env *environment) error {
+	d := deployment.Standard()
+	secrets, err := newLocalSecrets()
+	if err != nil {
+		return err
+	}
+	scenarios.Tenants(d, []string{"local"}, 0, func(int) string { return secrets.tenantKey })
+	adminLoop, err := sockets.Start()
+	if err != nil {
+		return err
+	}
+	defer adminLoop.Stop()
+	operator := admin.Staff{Name: "local", Role: admin.Operator, Digest: sha256.Sum256([]byte(secrets.operatorKey))}
+	adminListener, err := startAdmin(adminLoop, c.Admin, admin.Config{Secret: secrets.sealing[:],
+		Staff: []admin.Staff{operator}, Records: &admin.MemoryRecords{}, Random: crand.Reader, Log: env.log})
+	if err != nil {
+		return err
+	}
+	fleetLoop, err := sockets.Start()
+	if err != nil {
+		return err
+	}
+	defer fleetLoop.Stop()
+	fleet, err := startFleet(fleetLoop, d, c.Seed, anyLocalPort)
+	if err != nil {
+		return err
+	}
+	serve := &serveCommand{Listen: c.Listen, Roster: fleet.Discovery.Addr, Seed: c.Seed, Tenants: adminListener.Addr()}
+	process, err := serve.start(env.log, d, secrets.sealing[:])
+	if err != nil {
+		return err
+	}
+	defer process.close()
+	if !process.waitReady(ctx) {
+		return nil
+	}
+	ready := scenarios.Ready{API: "http://" + process.listener.Addr(), Key: secrets.tenantKey,
+		Admin: "http://" + adminListener.Addr(), AdminKey: secrets.operatorKey}
+	if err := scenarios.WriteReady(c.ReadyFile, ready); err != nil {
+		return err
+	}
+	printUsage(env, ready, len(fleet.Endpoints))
+	<-ctx.Done()
+	return process.shutDown(localShutdownTimeout)
+}
+
+// waitReady returns true once the dispatcher is ready, false if the context ended before.
+func (p *dispatcherProcess) waitReady(ctx context.Context) bool {
+	ticker := time.NewTicker(readyPollInterval)
+	defer ticker.Stop()
+	for {
+		ready := false
+		p.loop.Do(func() { ready = p.dispatcher.Ready() })
+		if ready {
+			return true
+		}
+		select {
+		case <-ctx.Done():
+			return false
+		case <-ticker.C:
+		}
+	}
+}
+
+// printUsage prints how the administration and the chat API are called.
+func printUsage(env *environment, ready scenarios.Ready, endpoints int) {
+	env.printf("Tenants: PLUMSPINDLE_ADMIN=%s PLUMSPINDLE_ADMIN_KEY=%s plumspindle tenant add NAME\n\n",
+		ready.Admin, ready.AdminKey)
+	env.printf("Serving at %s with %d stand-in hosts. Try:\n\n"+
+		"curl -N %s/v1/chat/completions -H 'Authorization: Bearer %s' "+
+		"-H 'Content-Type: application/json' -d '{\"model\":\"explain\",\"stream\":true,\"max_tokens\":24,"+
+		"\"messages\":[{\"role\":\"user\",\"content\":\"Why did the build fail?\"}]}'\n\n",
+		ready.API, endpoints, ready.API, ready.Key)
+}
