--- a/internal/dispatch/dispatch.go
+++ b/internal/dispatch/dispatch.go
@@ -197,9 +197,8 @@
 	if err := x.seatTenants(); err != nil {
 		return nil, err
 	}
-	x.list = endpoints.NewWatcher(loop, post.Seed, post.Discovery, post.Name)
-	x.list.OnUpdate = x.news
-	x.list.Log = func(line string) { post.Log.Warn().Msg(line) }
+	x.list = endpoints.NewWatcher(loop, endpoints.WatcherOptions{Address: post.Discovery, Dispatcher: post.Name, Seed: post.Seed,
+		OnUpdate: x.news, Log: post.Log})
 	x.begin()
 	if post.Discovery != "" {
 		x.list.Subscribe()
@@ -296,7 +295,7 @@
 	for _, e := range entries {
 		stamps = append(stamps, eventloop.Micros(e.StartedAt))
 	}
-	ahead := starttimes.ClockSkew(now, stamps...)
+	listing := starttimes.Listing{Now: now, Skew: starttimes.ClockSkew(now, stamps...), InService: x.heard > 1}
 	for _, e := range entries {
 		zone, kind := slices.Index(x.Zones, e.Zone), unknownKind
 		for i, k := range x.Kinds {
@@ -318,7 +317,7 @@
 		} else {
 			x.engine.SetAddress(e.ID, e.Addr)
 		}
-		start := starttimes.Next(x.starts[e.ID], eventloop.Micros(e.StartedAt), now, ahead, x.heard > 1)
+		start := starttimes.Next(x.starts[e.ID], eventloop.Micros(e.StartedAt), listing)
 		if e.Condition != "gone" {
 			x.starts[e.ID] = start
 		}
--- a/internal/dispatch/tenants.go
+++ b/internal/dispatch/tenants.go
@@ -71,24 +71,25 @@
 	if x.post.Tenants == "" {
 		return nil
 	}
-	c := subscribe.NewClient(x.loop, x.post.Seed+1, x.post.Tenants)
-	c.Name, c.Fields = "the administration", []string{"Authorization", "Bearer " + FeedToken(x.post.Secret), "x-dispatcher", x.post.Name}
-	c.Target = func() string {
-		return "/internal/v1/tenants?epoch=" + x.directory.Epoch + "&since=" + strconv.FormatUint(x.directory.Version, 10)
-	}
-	c.OnReset = func() { x.directory.Epoch, x.directory.Version = "", 0 }
-	c.OnMessage = func(data []byte) error {
-		if err := x.tenantNews(data); err != nil {
-			return err
-		}
-		if x.post.CacheTenants != nil {
-			x.post.CacheTenants(x.directory.Snapshot())
-		}
-		return nil
-	}
-	c.Log = func(line string) { x.post.Log.Warn().Msg(line) }
-	x.feed = c
-	c.Subscribe()
+	x.feed = subscribe.NewClient(x.loop, x.post.Seed+1, x.post.Tenants, subscribe.Options{
+		Source: "administration",
+		Header: []string{"Authorization", "Bearer " + FeedToken(x.post.Secret), "x-dispatcher", x.post.Name},
+		Target: func() string {
+			return "/internal/v1/tenants?epoch=" + x.directory.Epoch + "&since=" + strconv.FormatUint(x.directory.Version, 10)
+		},
+		OnReset: func() { x.directory.Epoch, x.directory.Version = "", 0 },
+		OnMessage: func(data []byte) error {
+			if err := x.tenantNews(data); err != nil {
+				return err
+			}
+			if x.post.CacheTenants != nil {
+				x.post.CacheTenants(x.directory.Snapshot())
+			}
+			return nil
+		},
+		Log: x.post.Log,
+	})
+	x.feed.Subscribe()
 	x.loop.After(reportEvery, x.report)
 	return nil
 }
@@ -319,7 +320,9 @@
 		x.post.Log.Error().Err(err).Msg("usage can't be reported")
 		return
 	}
-	subscribe.Post(x.loop, x.post.Tenants, "/internal/v1/usage", body, reportWithin, func(status int) {
+	request := subscribe.PostRequest{Address: x.post.Tenants, Target: "/internal/v1/usage",
+		Header: []string{"Authorization", "Bearer " + FeedToken(x.post.Secret)}, Body: body, Timeout: reportWithin}
+	subscribe.Post(x.loop, request, func(status int) {
 		if status == 200 {
 			x.meter.Acknowledge(r.Number)
 		}
@@ -334,5 +337,5 @@
 			return
 		}
 		x.loop.After(reportEvery, x.report)
-	}, "Authorization", "Bearer "+FeedToken(x.post.Secret))
+	})
 }
--- a/internal/endpoints/endpoints.go
+++ b/internal/endpoints/endpoints.go
@@ -1,104 +1,84 @@
-// Package endpoints follows the list of model hosts that discovery pushes: whole lists, changes to them, breaks.
-// Follower is the state machine, free of I/O; Client keeps a connection to the source for it.
+// Package endpoints follows the list of model endpoints that a discovery source pushes. Its job is to know the list at
+// one version: it applies complete lists and changes, rejects what is faulty or leaves a gap, and encodes the list for
+// a cache on disk. It owns the view and the subscription to the source. It relies on package subscribe for the
+// connection. It never decides what follows from a list, nor how far a cached one is trusted: that is package
+// endpointcache.
 package endpoints
 
 import (
-	"encoding/json"
+	"errors"
 	"fmt"
-	"maps"
-	"slices"
 
-	"plumspindle/internal/subscribe"
 	"plumspindle/scheduler"
 )
 
-// Entry is one line of the list.
+// The conditions of an entry, as the source and cached lists name them.
+const (
+	Ready    = "ready"    // takes new requests
+	Draining = "draining" // completes what it has
+	Gone     = "gone"     // no longer exists
+)
+
+var states = map[string]scheduler.EndpointState{
+	Ready:    scheduler.Ready,
+	Draining: scheduler.Draining,
+	Gone:     scheduler.Removed,
+}
+
+// Entry is one endpoint of the list.
 type Entry struct {
 	ID        scheduler.EndpointID `json:"id"`
 	Addr      string               `json:"addr"`
 	Zone      string               `json:"zone"`
 	Kind      string               `json:"kind"`
 	Cell      uint16               `json:"cell"`
-	Condition string               `json:"condition"` // ready, draining or gone
-	StartedAt int64                `json:"started_us,omitempty"`
+	Condition string               `json:"condition"`
+	StartedAt int64                `json:"started_us,omitempty"` // wall clock, in µs; 0: long ago
 }
 
-// Update is one message: the whole list, or what has changed since a version.
-type Update struct {
-	Epoch     string  `json:"epoch"` // of the source's own life; versions count within it
-	Version   uint64  `json:"version"`
-	Since     uint64  `json:"since,omitempty"`
-	Complete  bool    `json:"whole,omitempty"`
-	Endpoints []Entry `json:"hosts"`
-	SavedAt   int64   `json:"saved_us,omitempty"` // when it was kept; only in a kept list
-}
-
-var conditions = map[string]scheduler.EndpointState{"ready": scheduler.Ready, "draining": scheduler.Draining, "gone": scheduler.Removed}
+// State is the entry's condition in the scheduler's terms.
+func (e Entry) State() scheduler.EndpointState { return states[e.Condition] }
 
-// State is what an entry says of its host, in the module's terms.
-func (e Entry) State() scheduler.EndpointState { return conditions[e.Condition] }
+// Faults of an entry, which an *EntryError wraps.
+var (
+	ErrUnknownCondition = errors.New("unknown condition")
+	ErrNoAddress        = errors.New("no address")
+)
 
-// View knows the list as it was last told.
-type View struct {
-	Epoch     string
-	Version   uint64
-	Endpoints map[scheduler.EndpointID]Entry
+// EntryError names the entry of a list that can't be used.
+type EntryError struct {
+	Index int
+	ID    scheduler.EndpointID
+	Fault error
 }
 
-// Apply reads one message. It gives the entries to be passed on, and whether they are the whole list; none for a
-// message that tells nothing new. A faulty message changes nothing.
-func (f *View) Apply(data []byte) (news []Entry, whole bool, err error) {
-	var l Update
-	if err := json.Unmarshal(data, &l); err != nil {
-		return nil, false, fmt.Errorf("not a list: %w", err)
-	}
-	for i, e := range l.Endpoints {
-		if _, known := conditions[e.Condition]; !known {
-			return nil, false, fmt.Errorf("hosts[%d] (id %d): unknown condition %.20q", i, e.ID, e.Condition)
-		}
-		if e.Addr == "" && e.Condition != "gone" {
-			return nil, false, fmt.Errorf("hosts[%d] (id %d): no address", i, e.ID)
-		}
-	}
-	same := l.Epoch == f.Epoch
-	switch {
-	case same && l.Version < f.Version, same && !l.Complete && l.Version == f.Version:
-		return nil, false, nil // told late, what is known is newer
-	case !l.Complete && (!same || l.Since != f.Version):
-		return nil, false, &subscribe.GapError{Have: f.Version, Since: l.Since}
-	}
-	if l.Complete || f.Endpoints == nil {
-		f.Endpoints = make(map[scheduler.EndpointID]Entry, len(l.Endpoints))
-	}
-	for _, e := range l.Endpoints {
-		if e.Condition == "gone" {
-			delete(f.Endpoints, e.ID)
-		} else {
-			f.Endpoints[e.ID] = e
-		}
-	}
-	f.Epoch, f.Version = l.Epoch, l.Version
-	return l.Endpoints, l.Complete, nil
+func (e *EntryError) Error() string {
+	return fmt.Sprintf("hosts[%d] (id %d): %v", e.Index, e.ID, e.Fault)
 }
 
-// Snapshot is the list as it is known, for keeping.
-func (f *View) Snapshot(now int64) []byte {
-	l := Update{SavedAt: now, Epoch: f.Epoch, Version: f.Version, Complete: true, Endpoints: make([]Entry, 0, len(f.Endpoints))}
-	for _, id := range slices.Sorted(maps.Keys(f.Endpoints)) {
-		l.Endpoints = append(l.Endpoints, f.Endpoints[id])
+// Unwrap returns the fault.
+func (e *EntryError) Unwrap() error { return e.Fault }
+
+// validate checks all entries of a list; every error is an *EntryError.
+func validate(entries []Entry) error {
+	for i, e := range entries {
+		_, known := states[e.Condition]
+		switch {
+		case !known:
+			return &EntryError{Index: i, ID: e.ID, Fault: fmt.Errorf("%w %.20q", ErrUnknownCondition, e.Condition)}
+		case e.Addr == "" && e.Condition != Gone:
+			return &EntryError{Index: i, ID: e.ID, Fault: ErrNoAddress}
+		}
 	}
-	b, _ := json.Marshal(l)
-	return b
+	return nil
 }
 
-// Restore takes a kept list before the source was heard, and tells when it was kept. Its versions are not believed: the
-// source's first word is the whole list whatever was kept.
-func (f *View) Restore(kept []byte) (entries []Entry, saved int64, err error) {
-	entries, _, err = f.Apply(kept)
-	var l Update
-	if err == nil {
-		err = json.Unmarshal(kept, &l)
-	}
-	f.Epoch, f.Version = "", 0
-	return entries, l.SavedAt, err
+// Update is one message of the source, or a cached list.
+type Update struct {
+	Epoch     string  `json:"epoch"`           // the source's incarnation; versions count within it
+	Version   uint64  `json:"version"`         // that the list has with this update
+	Since     uint64  `json:"since,omitempty"` // the version that a change starts from
+	Complete  bool    `json:"whole,omitempty"` // the whole list; otherwise what has changed
+	Endpoints []Entry `json:"hosts"`
+	SavedAt   int64   `json:"saved_us,omitempty"` // when a cached list was written, in µs of the wall clock
 }
--- a/internal/platform/dispatcher.go
+++ b/internal/platform/dispatcher.go
@@ -81,14 +81,12 @@
 		recentIDs: [2]map[string]bool{{}, {}}, hosts: map[scheduler.EndpointID]discovery.Entry{}, startedAt: loop.Now()}
 	place := t.Scheduler
 	place.IdleTimeout /= 2 // connections are closed well before hosts do: what is written to one that is closed counts as lost
-	warn := func(line string) { config.Log.Warn().Msg(line) }
 	d.guard = d.newGuard(t.StateTimeout)
 	e := engine.New(loop, config.Name, "", upstreamLimits(t, config.Sockets, place.IdleTimeout))
-	d.upstream = upstream.New(loop, e, t.StateTimeout, d.listedHosts)
-	d.upstream.Log = warn
+	d.upstream = upstream.New(loop, e, upstream.Options{StateTimeout: t.StateTimeout, Endpoints: d.listedHosts, Log: config.Log})
 	d.server = server.New(loop, clientLimits(config.Sockets, config.Memory), d)
 	d.server.OnUnansweredClose = d.unansweredClose
-	d.discovery = discovery.New(loop, config.Seed, config.Discovery, d.updateHosts, warn)
+	d.discovery = discovery.New(loop, discovery.Options{Address: config.Discovery, Seed: config.Seed, OnUpdate: d.updateHosts, Log: config.Log})
 	d.module = scheduler.New(loop.Now(), config.Seed, place, d)
 	if len(config.Known) > 0 {
 		if err := d.discovery.ApplyCached(config.Known); err != nil {
--- a/internal/platform/upstream/release.go
+++ b/internal/platform/upstream/release.go
@@ -1,9 +1,9 @@
 package upstream
 
 import (
-	"fmt"
+	"errors"
+	"net/http"
 	"slices"
-	"strconv"
 
 	"plumspindle/internal/engine"
 	"plumspindle/internal/eventloop"
@@ -12,141 +12,159 @@
 )
 
 const (
-	// Tries of one release are spread over the time that it has, so that a host that can't be reached leaves time for others; so many are
-	// out at once at the most.
-	releaseTries = 6
-	// A KV state that could not be released in time is still worth freeing for so many times that time.
+	// releaseAttempts divides the state timeout into pauses between two attempts, so that an endpoint that can't be
+	// reached leaves time for others. It is also the most that are in flight for one release.
+	releaseAttempts = 6
+	// releasePatience times the state timeout is how long a release is tried: a KV state that could not be released in
+	// time is still worth freeing.
 	releasePatience = 10
-	// minRingPause is the least pause between tries.
-	minRingPause = eventloop.Millisecond
+	minReleasePause = eventloop.Millisecond
 )
 
-// Release has all that is held for a request released. Any host takes it, so one that can't be reached is no reason to wait: one
-// is asked that spoke lately and has a connection that waits, then the others in turn. done is called once, with whether a host has
-// confirmed it.
-func (l *Client) Release(id string, at scheduler.EndpointID, done func(bool)) {
-	l.Releases++
-	r := &release{client: l, id: id, done: done, began: l.loop.Now(), tried: map[scheduler.EndpointID]bool{}}
-	if now := l.loop.Now(); l.Idle(at) == 0 || now-l.LastHeard(at) > l.within {
-		at = l.other(r, at)
-	}
-	r.ask(at)
-}
+var errReleaseTimeout = errors.New("no endpoint confirmed the release")
 
-// release is one that is under way. A host that does not answer soon is not waited for: others are asked beside it, and the first that
-// confirms ends them all, as a connection may be slow to come up everywhere.
+// release is a release under way. An endpoint that does not respond soon is not waited for: others are asked beside it,
+// as connections may be slow to open everywhere, and the first confirmation ends all attempts.
 type release struct {
-	client *Client
-	id     string
-	began  eventloop.Micros
-	asked  scheduler.EndpointID // last
-	tried  map[scheduler.EndpointID]bool
-	wide   bool              // hosts that want nothing new are asked too, as none of the others has confirmed it
-	open   []*engine.Attempt // the oldest first
-	next   eventloop.Wait    // for the time to ask another
-	ended  bool
-	done   func(bool)
+	client   *Client
+	id       string
+	began    eventloop.Micros
+	last     scheduler.EndpointID // asked last
+	tried    map[scheduler.EndpointID]bool
+	askAll   bool // also endpoints that take no new requests, as none of the others has confirmed
+	attempts []*engine.Attempt
+	pause    eventloop.Wait // until the next attempt
+	ended    bool
+	done     func(confirmed bool)
 }
 
-// other is a host not tried yet, one with a connection that waits before all others, and of those the one that spoke last: where many
-// have fallen silent together their connections wait all the same, and a state has no time for one after the other.
-func (l *Client) other(r *release, usual scheduler.EndpointID) scheduler.EndpointID {
-	best, rank, spoke := usual, -1, eventloop.Micros(0)
-	for _, h := range l.hosts(r.wide) {
-		at := 0
-		if !r.tried[h] {
-			at += 2
-		}
-		if l.Idle(h) > 0 {
-			at++
-		}
-		if heard := l.LastHeard(h); at > rank || at == rank && heard > spoke {
-			best, rank, spoke = h, at, heard
+// Release frees all KV state that is reserved for a request, whichever endpoints have it: any endpoint takes a release.
+// The one given is asked first if it was heard from lately and a connection to it is idle. done is called once.
+func (c *Client) Release(id string, first scheduler.EndpointID, done func(confirmed bool)) {
+	c.Releases++
+	now := c.loop.Now()
+	r := &release{client: c, id: id, done: done, began: now, tried: map[scheduler.EndpointID]bool{}}
+	if c.Idle(first) == 0 || now-c.LastHeard(first) > c.options.StateTimeout {
+		first = r.next(first)
+	}
+	r.ask(first)
+}
+
+// next chooses an endpoint: one that was not tried before all others, then one with an idle connection, then the one
+// that was heard from last. Where many have fallen silent together their connections look idle all the same, and a KV
+// state can't wait for one after the other.
+func (r *release) next(fallback scheduler.EndpointID) scheduler.EndpointID {
+	best, bestRank, bestHeard := fallback, -1, eventloop.Micros(0)
+	for _, id := range r.client.options.Endpoints(r.askAll) {
+		rank := r.rank(id)
+		heard := r.client.LastHeard(id)
+		if rank > bestRank || rank == bestRank && heard > bestHeard {
+			best, bestRank, bestHeard = id, rank, heard
 		}
 	}
 	return best
 }
 
-// triedAll tells whether every host has been asked since the last pause.
+func (r *release) rank(id scheduler.EndpointID) (rank int) {
+	if !r.tried[id] {
+		rank += 2
+	}
+	if r.client.Idle(id) > 0 {
+		rank++
+	}
+	return rank
+}
+
+// triedAll reports whether every endpoint was asked since the last pause. Once all that take new requests were, the
+// others count too.
 func (r *release) triedAll() bool {
-	untried := func(h scheduler.EndpointID) bool { return !r.tried[h] }
-	if !r.wide && !slices.ContainsFunc(r.client.hosts(false), untried) {
-		r.wide = true
+	untried := func(id scheduler.EndpointID) bool { return !r.tried[id] }
+	endpoints := r.client.options.Endpoints
+	if !r.askAll && !slices.ContainsFunc(endpoints(false), untried) {
+		r.askAll = true
 	}
-	return !slices.ContainsFunc(r.client.hosts(r.wide), untried)
+	return !slices.ContainsFunc(endpoints(r.askAll), untried)
 }
 
-// ask sends one try, and another one soon if no answer comes.
-func (r *release) ask(at scheduler.EndpointID) {
-	l := r.client
-	l.ReleaseAttempts++
-	r.asked, r.tried[at] = at, true
-	if len(r.open) == releaseTries {
-		r.open[0].Cancel()
-		r.open = r.open[1:]
+// ask sends one attempt, and another one soon if there is no response. Where too many are in flight the oldest is
+// cancelled.
+func (r *release) ask(id scheduler.EndpointID) {
+	c := r.client
+	c.ReleaseAttempts++
+	r.last = id
+	r.tried[id] = true
+	if len(r.attempts) == releaseAttempts {
+		r.attempts[0].Cancel()
+		r.attempts = r.attempts[1:]
 	}
-	call := engine.Call{Release: true, MaxBody: maxAnswer, Answer: confirmed, Request: func(addr string, _ eventloop.Micros) []byte {
-		return http1.AppendRequest(nil, "DELETE", "/v1/holds/"+r.id, addr, nil)
-	}}
+	call := engine.Call{Release: true, MaxBody: maxResponse, Answer: releaseResult, Request: r.write}
 	var attempt *engine.Attempt
-	attempt = l.Call(at, call, l.within, engine.Callbacks{Ended: func(o engine.Result) { r.answered(attempt, o) }})
-	r.open = append(r.open, attempt)
-	r.next.For(l.loop, r.pause(), r.askNext)
+	attempt = c.Call(id, call, c.options.StateTimeout, engine.Callbacks{
+		Ended: func(result engine.Result) { r.attemptEnded(attempt, result) },
+	})
+	r.attempts = append(r.attempts, attempt)
+	r.pause.For(c.loop, r.pauseLength(), r.askNext)
 }
 
-// confirmed is what an answer to a release means.
-func confirmed(h *http1.Head, _ []byte) engine.Result {
-	if h.Status == 204 || h.Status == 200 {
+func (r *release) write(address string, _ eventloop.Micros) []byte {
+	return http1.AppendRequest(nil, "DELETE", "/v1/holds/"+r.id, address, nil)
+}
+
+// releaseResult is what the response to a release means.
+func releaseResult(head *http1.Head, _ []byte) engine.Result {
+	if head.Status == http.StatusNoContent || head.Status == http.StatusOK {
 		return engine.Result{Outcome: scheduler.PrefillDone}
 	}
-	return engine.Result{Outcome: scheduler.Errored, Reason: "status " + strconv.Itoa(h.Status)}
+	return engine.Result{Outcome: scheduler.Errored, Reason: statusReason(head)}
 }
 
-// pause is the time between two tries that are not answered.
-func (r *release) pause() eventloop.Micros { return max(r.client.within/releaseTries, minRingPause) }
+// pauseLength is the time between two attempts without a response.
+func (r *release) pauseLength() eventloop.Micros {
+	return max(r.client.options.StateTimeout/releaseAttempts, minReleasePause)
+}
 
 func (r *release) askNext() {
-	if r.client.loop.Now()-r.began > releasePatience*r.client.within {
-		r.end(false, "no host confirmed it")
+	if r.client.loop.Now()-r.began > releasePatience*r.client.options.StateTimeout {
+		r.end(errReleaseTimeout)
 		return
 	}
 	if r.triedAll() {
 		clear(r.tried)
 	}
-	r.ask(r.client.other(r, r.asked))
+	r.ask(r.next(r.last))
 }
 
-// answered takes the end of one try. Where it failed the next host is asked at once, but with a pause between the rounds: hosts that all
-// refuse must not be asked in a ring without one.
-func (r *release) answered(attempt *engine.Attempt, o engine.Result) {
+// attemptEnded takes the end of one attempt. After a failure the next endpoint is asked at once, but with a pause
+// between two rounds: endpoints that all refuse must not be asked in a loop without one.
+func (r *release) attemptEnded(attempt *engine.Attempt, result engine.Result) {
 	if r.ended {
 		return
 	}
-	r.open = slices.DeleteFunc(r.open, func(a *engine.Attempt) bool { return a == attempt })
+	r.attempts = slices.DeleteFunc(r.attempts, func(other *engine.Attempt) bool { return other == attempt })
 	switch {
-	case o.Outcome == scheduler.PrefillDone:
-		r.end(true, "")
+	case result.Outcome == scheduler.PrefillDone:
+		r.end(nil)
 	case r.triedAll():
 		clear(r.tried)
-		r.next.For(r.client.loop, r.pause(), r.askNext)
+		r.pause.For(r.client.loop, r.pauseLength(), r.askNext)
 	default:
 		r.askNext()
 	}
 }
 
-// end tells how it came out and gives up the tries that are still out.
-func (r *release) end(confirmed bool, why string) {
-	l := r.client
+// end cancels the attempts in flight and reports the result: nil if the release was confirmed.
+func (r *release) end(err error) {
+	c := r.client
 	r.ended = true
-	r.next.Over()
-	for _, a := range r.open {
-		a.Cancel()
+	r.pause.Over()
+	for _, attempt := range r.attempts {
+		attempt.Cancel()
 	}
-	if !confirmed {
-		l.Log(fmt.Sprintf("what is held for request %s could not be released: %s", r.id, why))
+	if err != nil {
+		c.options.Log.Warn().Str("request_id", r.id).Err(err).Msg("KV state not released")
 	}
-	if !confirmed || l.loop.Now()-r.began > l.within {
-		l.LateReleases++
+	if err != nil || c.loop.Now()-r.began > c.options.StateTimeout {
+		c.LateReleases++
 	}
-	r.done(confirmed)
+	r.done(err == nil)
 }
--- /dev/null
+++ b/internal/platform/upstream/response.go
@@ -0,0 +1,101 @@
+package upstream
+
+import (
+	"bytes"
+	"errors"
+	"fmt"
+	"net/http"
+	"strconv"
+
+	"github.com/tidwall/gjson"
+
+	"plumspindle/internal/engine"
+	"plumspindle/internal/http1"
+	"plumspindle/scheduler"
+)
+
+// declined are the statuses by which an endpoint states that it has not run the attempt. They prove that only together
+// with the header field that says so.
+var declined = map[int]engine.Result{
+	http.StatusServiceUnavailable: {Outcome: scheduler.NoCapacity, Reason: "rejected"},
+	http.StatusGatewayTimeout:     {Outcome: scheduler.NoCapacity, Reason: "rejected, as its deadline has passed"},
+	http.StatusGone:               {Outcome: scheduler.NoCapacity, StateMissing: true, Reason: "KV state missing"},
+}
+
+// prefillResult is what the response to a prefill means.
+func prefillResult(head *http1.Head, body []byte) engine.Result {
+	if head.Status != http.StatusAccepted {
+		return rejectionResult(head, body)
+	}
+	cached := 0
+	if gjson.ValidBytes(body) {
+		cached = cachedTokens(body, "cached_tokens")
+	}
+	return engine.Result{Outcome: scheduler.PrefillDone, CachedTokens: cached, Reason: "prefilled"}
+}
+
+// rejectionResult is what a response means that is neither a stream nor a completed prefill.
+func rejectionResult(head *http1.Head, _ []byte) engine.Result {
+	result, known := declined[head.Status]
+	if known && head.Get("Srv-Declined") == "1" {
+		return result
+	}
+	return engine.Result{Outcome: scheduler.Errored, Reason: statusReason(head)}
+}
+
+func statusReason(head *http1.Head) string { return "status " + strconv.Itoa(head.Status) }
+
+// cachedTokens reads a count from valid JSON; it is never negative.
+func cachedTokens(data []byte, path string) int { return int(max(gjson.GetBytes(data, path).Int(), 0)) }
+
+const (
+	lastEvent        = "[DONE]"
+	usageTokensField = "usage.prompt_tokens_details.cached_tokens"
+)
+
+var (
+	errAfterLast      = errors.New("an event after the last")
+	errMalformedEvent = errors.New("malformed event")
+	usageMark         = []byte(`"usage"`)
+)
+
+// responseStream implements engine.Stream: it validates the events of one response.
+type responseStream struct {
+	received     bool // some event was
+	complete     bool // the last event was received
+	cachedTokens int
+}
+
+// Event implements engine.Stream.
+func (s *responseStream) Event(data []byte) (pass bool, err error) {
+	switch {
+	case s.complete:
+		return false, errAfterLast
+	case string(data) == lastEvent:
+		s.complete = true
+	case !gjson.ValidBytes(data):
+		return false, fmt.Errorf("%w: %.40q", errMalformedEvent, data)
+	}
+	if bytes.Contains(data, usageMark) {
+		s.cachedTokens = cachedTokens(data, usageTokensField)
+	}
+	s.received = true
+	return true, nil
+}
+
+// Ended implements engine.Stream.
+func (s *responseStream) Ended() engine.Result {
+	if !s.received {
+		return engine.Result{Outcome: scheduler.Errored, Reason: "a stream without an event"}
+	}
+	return engine.Result{Outcome: scheduler.Completed, CachedTokens: s.cachedTokens, Reason: "completed"}
+}
+
+// Complete implements engine.Stream.
+func (s *responseStream) Complete() bool { return s.complete }
+
+// Broken implements engine.Stream. A stream without its last chunk is incomplete whatever its events say: the client
+// must not be led to believe otherwise.
+func (s *responseStream) Broken(outcome scheduler.Outcome, reason string) engine.Result {
+	return engine.Result{Outcome: outcome, Reason: reason}
+}
--- a/internal/platform/upstream/upstream_test.go
+++ b/internal/platform/upstream/upstream_test.go
@@ -1,6 +1,7 @@
 package upstream
 
 import (
+	"errors"
 	"testing"
 
 	"plumspindle/internal/engine"
@@ -10,18 +11,19 @@
 	"plumspindle/scheduler"
 )
 
-// TestOutcomes holds the platform's table of what comes back against the results of the simulator's wire: the same ending, and the
-// same word on whether the attempt has run. What no answer decides (connections, time) is played in package platform.
-func TestOutcomes(t *testing.T) {
-	said := []http1.Field{{Name: "Srv-Declined", Value: "1"}}
-	for _, c := range []struct {
-		status int
-		fields []http1.Field
-		body   string
-		read   bool
-		how    scheduler.Outcome
-		cached int
-		lost   bool // the state is gone
+// TestResponseResults compares the platform's table of responses with the results of the simulator's wire: the same
+// outcome, and the same knowledge of whether the attempt has run. What no response decides (connections, time) is
+// tested in package platform.
+func TestResponseResults(t *testing.T) {
+	declinedField := []http1.Field{{Name: "Srv-Declined", Value: "1"}}
+	for _, test := range []struct {
+		status  int
+		fields  []http1.Field
+		body    string
+		prefill bool
+		outcome scheduler.Outcome
+		cached  int
+		missing bool // the KV state
 	}{
 		{202, nil, `{"cached_tokens":4096}`, true, scheduler.PrefillDone, 4096, false},
 		{202, nil, `{"cached_tokens":-1}`, true, scheduler.PrefillDone, 0, false},
@@ -29,91 +31,115 @@
 		{202, nil, ``, false, scheduler.Errored, 0, false},
 		{200, nil, `{}`, true, scheduler.Errored, 0, false},
 		{500, nil, ``, true, scheduler.Errored, 0, false},
-		{500, said, ``, false, scheduler.Errored, 0, false},
-		{503, said, ``, true, scheduler.NoCapacity, 0, false},
-		{503, said, ``, false, scheduler.NoCapacity, 0, false},
-		{504, said, ``, false, scheduler.NoCapacity, 0, false},
-		{410, said, ``, false, scheduler.NoCapacity, 0, true},
+		{500, declinedField, ``, false, scheduler.Errored, 0, false},
+		{503, declinedField, ``, true, scheduler.NoCapacity, 0, false},
+		{503, declinedField, ``, false, scheduler.NoCapacity, 0, false},
+		{504, declinedField, ``, false, scheduler.NoCapacity, 0, false},
+		{410, declinedField, ``, false, scheduler.NoCapacity, 0, true},
 		{503, nil, ``, false, scheduler.Errored, 0, false},
 		{504, []http1.Field{{Name: "Srv-Declined", Value: "0"}}, ``, false, scheduler.Errored, 0, false},
 		{410, nil, ``, false, scheduler.Errored, 0, false},
-		{404, said, ``, false, scheduler.Errored, 0, false},
+		{404, declinedField, ``, false, scheduler.Errored, 0, false},
 	} {
-		judge := outcome
-		if c.read {
-			judge = prefillOutcome
+		interpret := rejectionResult
+		if test.prefill {
+			interpret = prefillResult
 		}
-		if o := judge(&http1.Head{Status: c.status, Fields: c.fields}, []byte(c.body)); o.Outcome != c.how || o.CachedTokens != c.cached || o.StateMissing != c.lost {
-			t.Errorf("%d %v %q: got %+v, want outcome %d, %d cached tokens, state missing %v", c.status, c.fields, c.body, o, c.how, c.cached, c.lost)
+		got := interpret(&http1.Head{Status: test.status, Fields: test.fields}, []byte(test.body))
+		if got.Outcome != test.outcome || got.CachedTokens != test.cached || got.StateMissing != test.missing {
+			t.Errorf("%d %v %q: got %+v, want outcome %d, %d cached tokens, state missing %v",
+				test.status, test.fields, test.body, got, test.outcome, test.cached, test.missing)
 		}
 	}
 }
 
-func TestEvents(t *testing.T) {
-	for _, c := range []struct {
-		events []string
-		bad    bool // one of them is no event
-		how    scheduler.Outcome
-		cached int
+func TestStreamResults(t *testing.T) {
+	for _, test := range []struct {
+		events  []string
+		fault   error // of one of the events
+		outcome scheduler.Outcome
+		cached  int
 	}{
-		{nil, false, scheduler.Errored, 0},
-		{[]string{`{"choices":[]}`}, false, scheduler.Completed, 0},
-		{[]string{`{"choices":[]}`, `{"usage":{"prompt_tokens_details":{"cached_tokens":7}}}`, `[DONE]`}, false, scheduler.Completed, 7},
-		{[]string{`{"choices":[]}`, `[DONE]`, `{"choices":[]}`}, true, scheduler.Completed, 0},
-		{[]string{`{"cho`}, true, scheduler.Errored, 0},
+		{nil, nil, scheduler.Errored, 0},
+		{[]string{`{"choices":[]}`}, nil, scheduler.Completed, 0},
+		{
+			[]string{`{"choices":[]}`, `{"usage":{"prompt_tokens_details":{"cached_tokens":7}}}`, `[DONE]`},
+			nil, scheduler.Completed, 7,
+		},
+		{[]string{`{"choices":[]}`, `[DONE]`, `{"choices":[]}`}, errAfterLast, scheduler.Completed, 0},
+		{[]string{`{"cho`}, errMalformedEvent, scheduler.Errored, 0},
 	} {
-		e, bad := &events{}, false
-		for _, data := range c.events {
-			pass, err := e.Event([]byte(data))
-			if bad = bad || err != nil; pass == (err != nil) {
+		stream := &responseStream{}
+		var fault error
+		for _, data := range test.events {
+			pass, err := stream.Event([]byte(data))
+			if pass == (err != nil) {
 				t.Errorf("%q: passed on %v with error %v", data, pass, err)
 			}
+			fault = errors.Join(fault, err)
 		}
-		if o := e.Ended(); bad != c.bad || o.Outcome != c.how || o.CachedTokens != c.cached || o.StateMissing {
-			t.Errorf("%q: %+v, bad %v", c.events, o, bad)
+		if !errors.Is(fault, test.fault) {
+			t.Errorf("%q: error %v, want %v", test.events, fault, test.fault)
 		}
-		if o := e.Broken(scheduler.ConnectionLost, ""); o.Outcome != scheduler.ConnectionLost { // what has no last chunk is never whole
-			t.Errorf("%q: broken, and yet %d", c.events, o.Outcome)
+		result := stream.Ended()
+		if result.Outcome != test.outcome || result.CachedTokens != test.cached || result.StateMissing {
+			t.Errorf("%q: %+v", test.events, result)
+		}
+		// Without its last chunk a stream is never complete.
+		if broken := stream.Broken(scheduler.ConnectionLost, ""); broken.Outcome != scheduler.ConnectionLost {
+			t.Errorf("%q: broken, and yet %d", test.events, broken.Outcome)
 		}
 	}
 }
 
-func FuzzAnswers(f *testing.F) {
+func FuzzResponses(f *testing.F) {
 	f.Add(202, `{"cached_tokens":4096}`, `{"choices":[]}`)
 	f.Add(503, `{`, `[DONE]`)
 	f.Fuzz(func(t *testing.T, status int, body, event string) {
-		for _, judge := range []func(*http1.Head, []byte) engine.Result{prefillOutcome, outcome} {
-			if o := judge(&http1.Head{Status: status}, []byte(body)); o.CachedTokens < 0 || o.StateMissing || o.Outcome == scheduler.NoCapacity || o.Outcome == scheduler.Completed {
-				t.Errorf("%d %q: %+v", status, body, o)
+		for _, interpret := range []func(*http1.Head, []byte) engine.Result{prefillResult, rejectionResult} {
+			got := interpret(&http1.Head{Status: status}, []byte(body))
+			if got.CachedTokens < 0 || got.StateMissing ||
+				got.Outcome == scheduler.NoCapacity || got.Outcome == scheduler.Completed {
+				t.Errorf("%d %q: %+v", status, body, got)
 			}
 		}
-		e := &events{}
-		if pass, err := e.Event([]byte(event)); pass == (err != nil) || e.kept < 0 {
+		stream := &responseStream{}
+		if pass, err := stream.Event([]byte(event)); pass == (err != nil) || stream.cachedTokens < 0 {
 			t.Errorf("%q: passed on %v with error %v", event, pass, err)
 		}
 	})
 }
 
-// TestReleaseRing: where every host refuses at once they are asked in turn, with a pause between the rounds, also where a try has no time.
-func TestReleaseRing(t *testing.T) {
-	for within, most := range map[eventloop.Micros]uint64{releaseTries - 1: 10, 500 * eventloop.Millisecond: 200} {
-		w := virtual.New(1)
-		loop := w.Loop("d")
-		e := engine.New(loop, "d", "", engine.Limits{Connect: eventloop.Second, Idle: eventloop.Second, PerEndpoint: 4, Opening: 4})
-		c := New(loop, e, within, func(bool) []scheduler.EndpointID { return []scheduler.EndpointID{1, 2} })
+// TestRefusedReleasePausesBetweenRounds: where every endpoint refuses at once they are asked in turn, with a pause
+// between two rounds, also where a release has next to no time.
+func TestRefusedReleasePausesBetweenRounds(t *testing.T) {
+	for timeout, mostAttempts := range map[eventloop.Micros]uint64{
+		releaseAttempts - 1:         10,
+		500 * eventloop.Millisecond: 200,
+	} {
+		world := virtual.New(1)
+		loop := world.Loop("d")
+		limits := engine.Limits{Connect: eventloop.Second, Idle: eventloop.Second, PerEndpoint: 4, Opening: 4}
+		connections := engine.New(loop, "d", "", limits)
+		client := New(loop, connections, Options{
+			StateTimeout: timeout,
+			Endpoints:    func(bool) []scheduler.EndpointID { return []scheduler.EndpointID{1, 2} },
+		})
+		began := world.Now()
 		done := false
 		loop.Do(func() {
-			e.SetAddress(1, "127.0.0.1:1")
-			e.SetAddress(2, "127.0.0.1:2")
-			c.Release("r", 1, func(bool) { done = true })
+			connections.SetAddress(1, "127.0.0.1:1")
+			connections.SetAddress(2, "127.0.0.1:2")
+			client.Release("r", 1, func(bool) { done = true })
 		})
-		w.Watch = func() {
-			if c.ReleaseAttempts > most {
-				t.Fatalf("%d µs: %d tries in %d µs", within, c.ReleaseAttempts, w.Now()-1_700_000_000*eventloop.Second)
+		world.Watch = func() {
+			if client.ReleaseAttempts > mostAttempts {
+				t.Fatalf("%d µs: %d attempts in %d µs", timeout, client.ReleaseAttempts, world.Now()-began)
 			}
 		}
-		if w.Run(10 * eventloop.Second); !done {
-			t.Errorf("%d µs: it goes on for ever", within)
+		world.Run(10 * eventloop.Second)
+		if !done {
+			t.Errorf("%d µs: the release never ends", timeout)
 		}
 	}
 }
--- /dev/null
+++ b/internal/subscribe/post.go
@@ -0,0 +1,87 @@
+package subscribe
+
+import (
+	"slices"
+
+	"plumspindle/internal/eventloop"
+	"plumspindle/internal/http1"
+)
+
+const statusOK = 200
+
+// PostRequest is a JSON message for a source.
+type PostRequest struct {
+	Address string
+	Target  string
+	Header  []string // further header fields, names and values in turn
+	Body    []byte
+	Timeout eventloop.Micros // until the response is complete, connecting included
+}
+
+// Post sends one message on a connection of its own. done is called once, with the status of the response; 0: there
+// was none in time.
+func Post(loop eventloop.Loop, request PostRequest, done func(status int)) {
+	header := slices.Concat(request.Header, []string{"Content-Type", "application/json", "Connection", "close"})
+	p := &post{
+		request:  http1.AppendRequest(nil, "POST", request.Target, request.Address, request.Body, header...),
+		response: http1.Parser{Response: true, Bounds: http1.Usual},
+		done:     done,
+	}
+	p.timeout = loop.After(request.Timeout, func() {
+		p.finish(0)
+		p.conn.Abort()
+	})
+	p.conn = loop.Dial(request.Address, connectTimeout, p)
+}
+
+// post is a message on its way.
+type post struct {
+	conn     eventloop.Conn
+	request  []byte
+	response http1.Parser
+	timeout  eventloop.Timer
+	status   int
+	done     func(status int) // nil once it was called
+}
+
+// Opened implements eventloop.Handler.
+func (p *post) Opened() { p.conn.Write(p.request) }
+
+// Drained implements eventloop.Handler.
+func (p *post) Drained() {}
+
+// Data implements eventloop.Handler.
+func (p *post) Data(data []byte) {
+	if p.response.Feed(data, p) != nil {
+		p.conn.Abort()
+	}
+}
+
+// Closed implements eventloop.Handler.
+func (p *post) Closed(error) { p.finish(0) }
+
+// Head implements http1.Events.
+func (p *post) Head(head *http1.Head) error {
+	p.status = head.Status
+	return nil
+}
+
+// Body implements http1.Events; only the status counts.
+func (p *post) Body([]byte) error { return nil }
+
+// End implements http1.Events.
+func (p *post) End() error {
+	p.finish(p.status)
+	p.conn.Close()
+	return nil
+}
+
+func (p *post) finish(status int) {
+	if p.done == nil {
+		return
+	}
+	done := p.done
+	p.done = nil
+	p.timeout.Stop()
+	done(status)
+}
