--- a/internal/dispatch/dispatch.go
+++ b/internal/dispatch/dispatch.go
@@ -31,6 +31,7 @@
 	"plumspindle/internal/http1"
 	"plumspindle/internal/idempotency"
 	"plumspindle/internal/lifecycle"
+	"plumspindle/internal/schedulerlog"
 	"plumspindle/internal/starttimes"
 	"plumspindle/internal/store"
 	"plumspindle/internal/subscribe"
@@ -163,20 +164,20 @@
 	x := &Dispatcher{Deployment: d, loop: loop, post: post, gens: map[scheduler.RequestID]*gen{}, runs: map[*idempotency.Entry]*gen{},
 		products: map[string]scheduler.ClassID{},
 		hosts:    map[scheduler.EndpointID]endpoints.Entry{}, starts: map[scheduler.EndpointID]starttimes.Start{}}
-	x.engine = engine.New(loop, post.Name, post.Zone, engine.Limits{Connect: ms(d.Dispatching.ConnectMs),
-		Idle: ms(d.Dispatching.IdleMs), Silence: ms(d.Dispatching.SilenceMs), PerEndpoint: int(d.Dispatching.Connections),
-		Opening: int(d.Dispatching.Openings)})
+	x.engine = engine.New(loop, post.Name, post.Zone, engine.Limits{ConnectTimeout: ms(d.Dispatching.ConnectMs),
+		IdleTimeout: ms(d.Dispatching.IdleMs), StreamIdleTimeout: ms(d.Dispatching.SilenceMs), MaxPerEndpoint: int(d.Dispatching.Connections),
+		MaxOpening: int(d.Dispatching.Openings)})
 	for i, p := range d.Products {
 		x.products[p.Name] = scheduler.ClassID(i)
 	}
 	x.batches.pb = d.Batch()
 	x.batches.limiter = batch.NewLimiter(int(x.batches.pb.FixedLimit))
-	bounds := http1.Usual
-	bounds.Head, bounds.Body = int(d.Doors.HeadMost), int(d.Doors.BodyMost)
-	patience := frontend.UsualPatience
-	patience.Message, patience.Stall, patience.Unsent = ms(d.Doors.MessageMs), ms(d.Doors.StallMs), int(d.Doors.UnsentMost)
+	bounds := http1.DefaultLimits
+	bounds.HeadBytes, bounds.BodyBytes = int(d.Doors.HeadMost), int(d.Doors.BodyMost)
+	patience := frontend.DefaultClientLimits
+	patience.MessageTimeout, patience.StallTimeout, patience.MaxUnsentBytes = ms(d.Doors.MessageMs), ms(d.Doors.StallMs), int(d.Doors.UnsentMost)
 	x.front = frontend.New(loop, x, x.routes(), bounds, patience)
-	x.front.MaxBufferedBodies = bodiesMost * bounds.Body
+	x.front.MaxBufferedBytes = bodiesMost * bounds.BodyBytes
 	if n := post.Descriptors; n > 0 {
 		x.front.MaxConnections = max((n-min(descriptorsKept, n/2))/2, 1)
 	}
@@ -208,10 +209,8 @@
 
 // routes are the client's APIs.
 func (x *Dispatcher) routes() map[string]frontend.Route {
-	all := map[string]frontend.Route{}
-	list, many, below, one := frontend.Models(x.Models)
-	all[list], all[below] = many, one
-	chatAt, r := chat.Route(func(digest string) bool { return x.directory.Public(digest) }, x.HandleChat)
+	all := frontend.ModelRoutes(x.Models)
+	chatAt, r := chat.Route(func(digest string) bool { return x.directory.IsPublicText(digest) }, x.HandleChat)
 	all[chatAt] = r
 	all["/v1/embeddings"] = x.batchRoute(embeddings.Embeddings, pb.Product_EMBEDDING)
 	all["/v1/rerank"] = x.batchRoute(embeddings.Rerank, pb.Product_RERANK)
@@ -282,7 +281,7 @@
 	x.believe(entries, whole)
 	if x.post.CacheEndpoints != nil && !x.keeping {
 		x.keeping = true
-		x.loop.After(keepEvery, func() {
+		x.loop.AfterFunc(keepEvery, func() {
 			x.keeping = false
 			x.post.CacheEndpoints(x.list.Snapshot(int64(x.loop.Now())))
 		})
@@ -311,7 +310,7 @@
 		}
 		x.hosts[e.ID] = e
 		if e.Condition == "gone" {
-			x.engine.Forget(e.ID)
+			x.engine.RemoveEndpoint(e.ID)
 			delete(x.hosts, e.ID)
 			delete(x.starts, e.ID)
 		} else {
@@ -372,7 +371,7 @@
 func (x *Dispatcher) HandleChat(ask *chat.Request, who frontend.Identity, head *http1.Head, to *frontend.Response) *frontend.Problem {
 	product, known := x.products[ask.Model]
 	if !known {
-		return frontend.NoModel(ask.Model)
+		return frontend.ModelNotFound(ask.Model)
 	}
 	p := x.Products[product]
 	if p.Form != pb.Product_CHAT {
@@ -438,15 +437,15 @@
 
 // attach makes a reply one that the generation's answer goes to.
 func (x *Dispatcher) attach(g *gen, to *frontend.Response) {
-	to.SetFormat(&chat.Answer{ID: g.answerID, Model: g.ask.Model, Created: int64(x.loop.Now() / eventloop.Second), Ask: g.ask})
+	to.SetFormat(&chat.Answer{ID: g.answerID, Model: g.ask.Model, Created: int64(x.loop.Now() / eventloop.Second), Request: g.ask})
 	g.replies = append(g.replies, to)
-	to.OnDisconnect = func() { x.loop.Later(func() { x.clientLeft(g, to) }) } // never within the module's own call
+	to.OnDisconnect = func() { x.loop.Defer(func() { x.clientLeft(g, to) }) } // never within the module's own call
 	to.OnDrained = func() { x.take(g, lifecycle.ClientCaughtUp) }
 }
 
 // heartbeat keeps a stream that has nothing to say yet from being taken for dead by what stands between.
 func (x *Dispatcher) heartbeat(g *gen, to *frontend.Response, every eventloop.Micros) {
-	g.beat = x.loop.After(every, func() {
+	g.beat = x.loop.AfterFunc(every, func() {
 		if to.Heartbeat() {
 			x.heartbeat(g, to, every)
 		}
@@ -457,7 +456,7 @@
 func (x *Dispatcher) again(g *gen, space, key string, to *frontend.Response) (answered bool, problem *frontend.Problem) {
 	digest := sha256.Sum256([]byte(space + "\x00" + g.ask.Model + "\x00" + key))
 	shape := fmt.Sprint(g.ask.Stream, g.ask.IncludeUsage, g.ask.MaxTokens, " ")
-	request := xxhash.Sum64String(shape + string(g.ask.Rest))
+	request := xxhash.Sum64String(shape + string(g.ask.Passthrough))
 	verdict, entry := x.repeats.Begin(x.loop.Now(), idempotency.Key(digest[:16]), request)
 	if verdict != idempotency.New && verdict != idempotency.Full {
 		x.Repeats++
@@ -477,7 +476,7 @@
 		}
 		x.attach(first, to)
 		for _, data := range entry.Events {
-			to.Chunk(data)
+			to.WriteEvent(data)
 		}
 		if verdict == idempotency.Replay {
 			to.Complete()
@@ -487,7 +486,7 @@
 		return false, &frontend.Problem{Status: 422, Type: "invalid_request_error", Param: keyField, Code: "idempotency_key_reused",
 			Message: "The Idempotency-Key was used for another request."}
 	}
-	return false, &frontend.Problem{Status: 409, Type: "invalid_request_error", Param: keyField, Code: "already_ran", Never: true,
+	return false, &frontend.Problem{Status: 409, Type: "invalid_request_error", Param: keyField, Code: "already_ran", NoRetry: true,
 		Message: "The generation of this Idempotency-Key ran, or may have run, and is not run again; its answer is no longer here."}
 }
 
@@ -512,8 +511,8 @@
 	if len(g.replies) > 0 || g.repeat != nil && (g.State == lifecycle.Decoding || g.State == lifecycle.Streaming) {
 		x.take(g, lifecycle.ClientCaughtUp)      // it may have been the one that lagged
 		if len(g.replies) == 0 && g.alone == 0 { // nobody's request holds its body any more, and it is kept all the same
-			g.alone = len(g.ask.Rest)
-			x.front.Kept += g.alone
+			g.alone = len(g.ask.Passthrough)
+			x.front.BufferedBytes += g.alone
 		}
 		return
 	}
@@ -557,7 +556,7 @@
 		}
 	case lifecycle.ReportCancelled:
 		no := g.legs
-		x.loop.Later(func() {
+		x.loop.Defer(func() {
 			if no == g.legs {
 				x.take(g, lifecycle.AttemptFailed, what{outcome: cancelled})
 			}
@@ -576,18 +575,18 @@
 	case lifecycle.StateFetched:
 		g.state, g.mayLie = "", nil
 	case lifecycle.NotifyStarted:
-		slo := x.place.Classes[g.product].SLO + scheduler.Micros(float64(x.place.Classes[g.product].SLOPer1000)*float64(g.ask.Tokens)/1000)
-		x.batches.limiter.Chat(now, now-g.taken, slo)
+		slo := x.place.Classes[g.product].SLO + scheduler.Micros(float64(x.place.Classes[g.product].SLOPer1000)*float64(g.ask.PromptTokens)/1000)
+		x.batches.limiter.ChatStarted(now, now-g.taken, slo)
 		g.leg.Started()
 		if !g.ask.Stream {
 			// The client of a whole answer has nothing yet, so its time goes on.
-			g.limit = x.loop.After(g.deadline-wholeGrace-now, func() {
+			g.limit = x.loop.AfterFunc(g.deadline-wholeGrace-now, func() {
 				x.take(g, lifecycle.DeadlineExceeded, what{why: "The answer was not whole within the client's time."})
 			})
 		}
 		x.gate.FirstToken(now, g.ticket, now-g.taken, slo)
 		x.module.AttemptStarted(now, g.id, g.legs-1)
-		x.loop.Later(x.turns)
+		x.loop.Defer(x.turns)
 	case lifecycle.NotifyEnded:
 		o := w.outcome
 		if o == (engine.Result{}) {
@@ -677,11 +676,11 @@
 	if g.part != nil && g.final == 0 {
 		g.part.answered(g, lifecycle.Forget, 0) // taken back
 	}
-	x.front.Kept -= g.alone
+	x.front.BufferedBytes -= g.alone
 	g.alone = 0
 	x.remember(g, false) // where its client left before it was answered
 	x.paid(g)
-	x.loop.Later(func() { // the module answers first and then lets go, in one call
+	x.loop.Defer(func() { // the module answers first and then lets go, in one call
 		delete(x.gens, g.id)
 		x.left()
 	})
@@ -711,10 +710,11 @@
 		x.carryPart(g, name, w, hear)
 		return
 	}
+	target := engine.Target{Endpoint: w.host, RequestID: name, ClientID: g.clientID, Timeout: w.allow}
 	if reads {
 		g.mayLie = append(g.mayLie, place{w.host, name})
 		x.intendEarly(g)
-		g.leg = x.engine.Prefill(w.host, name, g.clientID, g.ask, w.allow, hear)
+		g.leg = x.engine.Prefill(target, g.ask, hear)
 		return
 	}
 	g.ran, g.ranFirst = true, g.ran
@@ -725,14 +725,15 @@
 		}
 		if e, some := x.hosts[w.host]; !kept || some && e.State() != scheduler.Ready || !some {
 			// Not kept: it could run twice after a restart. Drained meanwhile: nothing new may go there.
-			x.loop.Later(func() { // never within the module's own call
+			x.loop.Defer(func() { // never within the module's own call
 				if no == g.legs-1 && g.State == lifecycle.Decoding {
 					x.ended(g, engine.Result{Outcome: scheduler.NotSent, MemoryUsage: scheduler.NoLoadReport, Reason: "not sent: its intent is not kept, or the host is going"})
 				}
 			})
 			return
 		}
-		g.leg = x.engine.Decode(w.host, name, g.clientID, g.ask, g.state, g.ask.MaxTokens, w.allow, hear)
+		request := engine.DecodeRequest{Chat: g.ask, KVParams: g.state, MaxTokens: g.ask.MaxTokens}
+		g.leg = x.engine.Decode(target, request, hear)
 	})
 	x.late(g, no)
 }
@@ -762,7 +763,7 @@
 			g.part.broken++
 		}
 		g.part.bad = g.part.bad || o.InvalidRequest
-		if g.part.bad || g.part.broken == batch.HostsMost { // no other host would do better; the call sees to what is the matter
+		if g.part.bad || g.part.broken == batch.MaxEndpoints { // no other host would do better; the call sees to what is the matter
 			x.take(g, lifecycle.ClientDisconnected)
 		}
 	}
@@ -792,7 +793,7 @@
 	}
 	lags := false
 	for _, r := range g.replies {
-		lags = r.Chunk(data) || lags
+		lags = r.WriteEvent(data) || lags
 	}
 	if lags {
 		x.take(g, lifecycle.ClientLagging)
@@ -862,13 +863,13 @@
 
 // SetTimer sets one of the module's two timers.
 func (x *Dispatcher) SetTimer(after scheduler.Micros, bell scheduler.TimerID) {
-	x.loop.After(after, func() {
+	x.loop.AfterFunc(after, func() {
 		x.module.TimerFired(x.loop.Now(), bell)
-		if bell == scheduler.PeriodicTimer && x.gate.Waiting() > 0 {
+		if bell == scheduler.PeriodicTimer && x.gate.QueueLength() > 0 {
 			x.turns()
 		}
 	})
 }
 
-// Log is the module's own line.
-func (x *Dispatcher) Log(line string) { x.post.Log.Info().Msg(line) }
+// Log writes the scheduler's events to the dispatcher's log.
+func (x *Dispatcher) Log(event scheduler.Event) { schedulerlog.Write(&x.post.Log, event) }
--- a/internal/platform/discovery/discovery_test.go
+++ b/internal/platform/discovery/discovery_test.go
@@ -19,7 +19,7 @@
 // TestEndpointIDFollowsFromNameAlone: an endpoint's ID is the same whenever it is first listed, and two names with one
 // hash stay two endpoints.
 func TestEndpointIDFollowsFromNameAlone(t *testing.T) {
-	loop := virtual.New(1).Loop("d")
+	loop := virtual.NewNetwork(1).NewLoop("d")
 	one, other := newWatcher(loop, nil), newWatcher(loop, nil)
 	for _, name := range []string{"s-1", "s-2", "s-5be2a07c"} {
 		one.EndpointID(name)
@@ -41,7 +41,7 @@
 
 func TestApplyReadsEntries(t *testing.T) {
 	var got []Entry
-	w := newWatcher(virtual.New(1).Loop("d"), func(entries []Entry, _ bool) { got = entries })
+	w := newWatcher(virtual.NewNetwork(1).NewLoop("d"), func(entries []Entry, _ bool) { got = entries })
 	err := w.Apply([]byte(`{"version":3,"full":true,"servers":[
 		{"id":"a","addr":"10.1.0.18:7070","zone":"w","kind":"m2","cell":3,"state":"SERVING","weight":1.0,
 			"started_ms":1699999999123},
@@ -74,7 +74,7 @@
 		"no JSON":    {`{"version":4`, func(err error) bool { return errors.Is(err, ErrMalformedList) }},
 	} {
 		t.Run(name, func(t *testing.T) {
-			w := newWatcher(virtual.New(1).Loop("d"), func([]Entry, bool) {})
+			w := newWatcher(virtual.NewNetwork(1).NewLoop("d"), func([]Entry, bool) {})
 			if err := w.Apply([]byte(`{"version":3,"full":true,"servers":[]}`)); err != nil {
 				t.Fatal(err)
 			}
@@ -107,8 +107,8 @@
 // clocks say by then, and counts once however often it is listed. At the beginning nothing but the clock tells how long
 // ago a start was.
 func TestRestartCountsFromNowWhateverTheWallClock(t *testing.T) {
-	loop := virtual.New(1).Loop("d")
-	loop.Step(1700000000 * eventloop.Second)
+	loop := virtual.NewNetwork(1).NewLoop("d")
+	loop.StepClock(1700000000 * eventloop.Second)
 	var got []Entry
 	w := newWatcher(loop, func(entries []Entry, _ bool) { got = entries })
 	version := 0
@@ -132,14 +132,14 @@
 		"an hour on":   hour,
 		"3 s back":     -3 * eventloop.Second,
 	} {
-		loop.Step(60 * eventloop.Second)
+		loop.StepClock(60 * eventloop.Second)
 		listedAt := loop.Now()
 		timestamp := listedAt + step - 200*eventloop.Millisecond
 		first := list(false, timestamp)
 		if listedAt-first > eventloop.Second || first > listedAt {
 			t.Errorf("%s: a start that is listed now was %d ms ago", name, (listedAt-first)/eventloop.Millisecond)
 		}
-		loop.Step(eventloop.Second)
+		loop.StepClock(eventloop.Second)
 		if at := list(true, timestamp); at != first {
 			t.Errorf("%s: listed again it has started %d ms later", name, (at-first)/eventloop.Millisecond)
 		}
@@ -150,7 +150,7 @@
 	f.Add(`{"version":3,"full":true,"servers":[{"id":"a","addr":"x","cell":3,"state":"SERVING","started_ms":9e99}]}`)
 	f.Add(`{"version":-1,"servers":[[],{},1,{"id":{}}]}`)
 	f.Fuzz(func(t *testing.T, message string) {
-		w := newWatcher(virtual.New(1).Loop("d"), func(entries []Entry, _ bool) {
+		w := newWatcher(virtual.NewNetwork(1).NewLoop("d"), func(entries []Entry, _ bool) {
 			for _, e := range entries {
 				if e.Name == "" || e.StartedAt < 0 {
 					t.Errorf("%+v", e)
--- a/internal/platform/upstream/release.go
+++ b/internal/platform/upstream/release.go
@@ -33,7 +33,7 @@
 	tried    map[scheduler.EndpointID]bool
 	askAll   bool // also endpoints that take no new requests, as none of the others has confirmed
 	attempts []*engine.Attempt
-	pause    eventloop.Wait // until the next attempt
+	pause    eventloop.Timeout // until the next attempt
 	ended    bool
 	done     func(confirmed bool)
 }
@@ -44,7 +44,7 @@
 	c.Releases++
 	now := c.loop.Now()
 	r := &release{client: c, id: id, done: done, began: now, tried: map[scheduler.EndpointID]bool{}}
-	if c.Idle(first) == 0 || now-c.LastHeard(first) > c.options.StateTimeout {
+	if c.IdleConnections(first) == 0 || now-c.LastReceived(first) > c.options.StateTimeout {
 		first = r.next(first)
 	}
 	r.ask(first)
@@ -57,7 +57,7 @@
 	best, bestRank, bestHeard := fallback, -1, eventloop.Micros(0)
 	for _, id := range r.client.options.Endpoints(r.askAll) {
 		rank := r.rank(id)
-		heard := r.client.LastHeard(id)
+		heard := r.client.LastReceived(id)
 		if rank > bestRank || rank == bestRank && heard > bestHeard {
 			best, bestRank, bestHeard = id, rank, heard
 		}
@@ -69,7 +69,7 @@
 	if !r.tried[id] {
 		rank += 2
 	}
-	if r.client.Idle(id) > 0 {
+	if r.client.IdleConnections(id) > 0 {
 		rank++
 	}
 	return rank
@@ -97,13 +97,18 @@
 		r.attempts[0].Cancel()
 		r.attempts = r.attempts[1:]
 	}
-	call := engine.Call{Release: true, MaxBody: maxResponse, Answer: releaseResult, Request: r.write}
+	call := engine.Call{
+		IsRelease:       true,
+		MaxResponseBody: maxResponse,
+		ReadResponse:    releaseResult,
+		BuildRequest:    r.write,
+	}
 	var attempt *engine.Attempt
 	attempt = c.Call(id, call, c.options.StateTimeout, engine.Callbacks{
 		Ended: func(result engine.Result) { r.attemptEnded(attempt, result) },
 	})
 	r.attempts = append(r.attempts, attempt)
-	r.pause.For(c.loop, r.pauseLength(), r.askNext)
+	r.pause.Set(c.loop, r.pauseLength(), r.askNext)
 }
 
 func (r *release) write(address string, _ eventloop.Micros) []byte {
@@ -146,7 +151,7 @@
 		r.end(nil)
 	case r.triedAll():
 		clear(r.tried)
-		r.pause.For(r.client.loop, r.pauseLength(), r.askNext)
+		r.pause.Set(r.client.loop, r.pauseLength(), r.askNext)
 	default:
 		r.askNext()
 	}
@@ -156,7 +161,7 @@
 func (r *release) end(err error) {
 	c := r.client
 	r.ended = true
-	r.pause.Over()
+	r.pause.Clear()
 	for _, attempt := range r.attempts {
 		attempt.Cancel()
 	}
--- a/internal/platform/upstream/upstream.go
+++ b/internal/platform/upstream/upstream.go
@@ -70,10 +70,10 @@
 	id scheduler.EndpointID, request Request, allowed eventloop.Micros, callbacks engine.Callbacks,
 ) *engine.Attempt {
 	call := engine.Call{
-		Request:     request.write,
-		Answer:      prefillResult,
-		MaxBody:     maxResponse,
-		LeaveWithin: request.SendTimeout,
+		BuildRequest:    request.write,
+		ReadResponse:    prefillResult,
+		MaxResponseBody: maxResponse,
+		SendWithin:      request.SendTimeout,
 	}
 	return c.Call(id, call, allowed, callbacks)
 }
@@ -84,11 +84,11 @@
 	id scheduler.EndpointID, request Request, allowed eventloop.Micros, callbacks engine.Callbacks,
 ) *engine.Attempt {
 	call := engine.Call{
-		Request:     request.write,
-		Answer:      rejectionResult,
-		Stream:      &responseStream{},
-		MaxBody:     maxResponse,
-		LeaveWithin: request.SendTimeout,
+		BuildRequest:    request.write,
+		ReadResponse:    rejectionResult,
+		Stream:          &responseStream{},
+		MaxResponseBody: maxResponse,
+		SendWithin:      request.SendTimeout,
 	}
 	return c.Call(id, call, allowed, callbacks)
 }
--- a/internal/platform/upstream/upstream_test.go
+++ b/internal/platform/upstream/upstream_test.go
@@ -117,9 +117,9 @@
 		releaseAttempts - 1:         10,
 		500 * eventloop.Millisecond: 200,
 	} {
-		world := virtual.New(1)
-		loop := world.Loop("d")
-		limits := engine.Limits{Connect: eventloop.Second, Idle: eventloop.Second, PerEndpoint: 4, Opening: 4}
+		world := virtual.NewNetwork(1)
+		loop := world.NewLoop("d")
+		limits := engine.Limits{ConnectTimeout: eventloop.Second, IdleTimeout: eventloop.Second, MaxPerEndpoint: 4, MaxOpening: 4}
 		connections := engine.New(loop, "d", "", limits)
 		client := New(loop, connections, Options{
 			StateTimeout: timeout,
@@ -132,7 +132,7 @@
 			connections.SetAddress(2, "127.0.0.1:2")
 			client.Release("r", 1, func(bool) { done = true })
 		})
-		world.Watch = func() {
+		world.AfterStep = func() {
 			if client.ReleaseAttempts > mostAttempts {
 				t.Fatalf("%d µs: %d attempts in %d µs", timeout, client.ReleaseAttempts, world.Now()-began)
 			}
--- a/internal/subscribe/client.go
+++ b/internal/subscribe/client.go
@@ -71,7 +71,7 @@
 
 	current    *connection   // nil while none is open
 	standby    []*connection // silent ones that stay open, the oldest first
-	retryTimer eventloop.Wait
+	retryTimer eventloop.Timeout
 	closed     bool
 }
 
@@ -110,7 +110,7 @@
 // Close ends the subscription for good.
 func (c *Client) Close() {
 	c.closed = true
-	c.retryTimer.Over()
+	c.retryTimer.Clear()
 	c.dropStandby(nil)
 	if c.current != nil {
 		c.current.conn.Close()
@@ -125,7 +125,7 @@
 	}
 	c.address = address
 	c.backoff.reset()
-	c.retryTimer.Over()
+	c.retryTimer.Clear()
 	if old := c.current; old != nil {
 		c.current = nil
 		c.toStandby(old)
@@ -174,7 +174,7 @@
 		}
 		c.current = connection
 	}
-	c.retryTimer.Over()
+	c.retryTimer.Clear()
 	c.dropStandby(connection)
 }
 
@@ -186,5 +186,5 @@
 	delay := c.backoff.delay()
 	c.options.Log.Warn().Str("source", c.options.Source).Err(cause).
 		Int64("retry_ms", int64(delay/eventloop.Millisecond)).Msg("subscription lost")
-	c.retryTimer.For(c.loop, delay, c.Subscribe)
+	c.retryTimer.Set(c.loop, delay, c.Subscribe)
 }
--- a/internal/subscribe/connection.go
+++ b/internal/subscribe/connection.go
@@ -14,17 +14,17 @@
 	conn       eventloop.Conn
 	response   http1.Parser
 	messages   messageParser
-	silence    eventloop.Wait // until the source has to send something
-	responded  bool           // the head of the response was received
-	delivered  bool           // a message of it was accepted
-	superseded bool           // its address was replaced; it counts until the new one has received something
-	dropped    bool           // nothing that it still receives counts
+	silence    eventloop.Timeout // until the source has to send something
+	responded  bool              // the head of the response was received
+	delivered  bool              // a message of it was accepted
+	superseded bool              // its address was replaced; it counts until the new one has received something
+	dropped    bool              // nothing that it still receives counts
 }
 
 func newConnection(client *Client) *connection {
 	return &connection{
 		client:   client,
-		response: http1.Parser{Response: true, Bounds: http1.Usual},
+		response: http1.Parser{Response: true, Limits: http1.DefaultLimits},
 		messages: newMessageParser(client.options.Format),
 	}
 }
@@ -32,16 +32,16 @@
 // open dials with a spare descriptor: a subscription has to come up also while clients occupy all others.
 func (c *connection) open() {
 	client := c.client
-	c.conn = client.loop.DialSpare(client.address, connectTimeout, c)
+	c.conn = client.loop.DialReserved(client.address, connectTimeout, c)
 	if client.options.ResponseTimeout > 0 {
-		c.silence.For(client.loop, client.options.ResponseTimeout, c.silent)
+		c.silence.Set(client.loop, client.options.ResponseTimeout, c.silent)
 	}
 }
 
 // drop ends a connection that does not count any more.
 func (c *connection) drop() {
 	c.dropped = true
-	c.silence.Over()
+	c.silence.Clear()
 	c.conn.Abort()
 }
 
@@ -70,7 +70,7 @@
 	header := append([]string{"Accept", "text/event-stream"}, client.options.Header...)
 	c.conn.Write(http1.AppendRequest(nil, "GET", client.options.Target(), client.address, nil, header...))
 	if client.options.ResponseTimeout == 0 {
-		c.silence.For(client.loop, client.options.SilenceTimeout, c.silent)
+		c.silence.Set(client.loop, client.options.SilenceTimeout, c.silent)
 	}
 }
 
@@ -86,14 +86,14 @@
 	if c.responded {
 		client.makeCurrent(c)
 	}
-	c.silence.For(client.loop, client.options.SilenceTimeout, c.silent)
+	c.silence.Set(client.loop, client.options.SilenceTimeout, c.silent)
 	if err := c.response.Feed(data, c); err != nil {
 		c.rejectMessage(err)
 		return
 	}
 	if since := c.messages.incompleteSince(); since > 0 { // a message that trickles in is given no further time
 		remaining := max(since+client.options.SilenceTimeout-client.loop.Now(), 0)
-		c.silence.For(client.loop, remaining, c.silent)
+		c.silence.Set(client.loop, remaining, c.silent)
 	}
 }
 
@@ -108,7 +108,7 @@
 	c.conn.Abort()
 }
 
-// Head implements http1.Events.
+// Head implements http1.Handler.
 func (c *connection) Head(head *http1.Head) error {
 	if head.Status != statusOK {
 		return &StatusError{Status: head.Status}
@@ -118,12 +118,12 @@
 	return nil
 }
 
-// Body implements http1.Events.
+// Body implements http1.Handler.
 func (c *connection) Body(data []byte) error {
 	return c.messages.feed(c.client.loop.Now(), data, c.deliver)
 }
 
-// End implements http1.Events: a subscription has no end.
+// End implements http1.Handler: a subscription has no end.
 func (c *connection) End() error { return errEnded }
 
 func (c *connection) deliver(message []byte) error {
@@ -138,7 +138,7 @@
 // Closed implements eventloop.Handler: the current connection is replaced, any other one forgotten.
 func (c *connection) Closed(cause error) {
 	client := c.client
-	c.silence.Over()
+	c.silence.Clear()
 	if c.dropped {
 		return
 	}
--- a/internal/subscribe/messages.go
+++ b/internal/subscribe/messages.go
@@ -25,7 +25,7 @@
 	if format == JSONObjects {
 		return &objectParser{}
 	}
-	return &eventParser{sse.Parser{Most: maxMessage}}
+	return &eventParser{sse.Parser{MaxEventBytes: maxMessage}}
 }
 
 // eventParser reads text/event-stream.
@@ -73,7 +73,7 @@
 	if p.depth > 0 {
 		p.buffered = append(p.buffered, data[start:]...)
 		if len(p.buffered) > maxMessage {
-			return sse.ErrTooLong
+			return sse.ErrEventTooLong
 		}
 	}
 	return nil
--- a/internal/subscribe/post.go
+++ b/internal/subscribe/post.go
@@ -24,10 +24,10 @@
 	header := slices.Concat(request.Header, []string{"Content-Type", "application/json", "Connection", "close"})
 	p := &post{
 		request:  http1.AppendRequest(nil, "POST", request.Target, request.Address, request.Body, header...),
-		response: http1.Parser{Response: true, Bounds: http1.Usual},
+		response: http1.Parser{Response: true, Limits: http1.DefaultLimits},
 		done:     done,
 	}
-	p.timeout = loop.After(request.Timeout, func() {
+	p.timeout = loop.AfterFunc(request.Timeout, func() {
 		p.finish(0)
 		p.conn.Abort()
 	})
@@ -60,16 +60,16 @@
 // Closed implements eventloop.Handler.
 func (p *post) Closed(error) { p.finish(0) }
 
-// Head implements http1.Events.
+// Head implements http1.Handler.
 func (p *post) Head(head *http1.Head) error {
 	p.status = head.Status
 	return nil
 }
 
-// Body implements http1.Events; only the status counts.
+// Body implements http1.Handler; only the status counts.
 func (p *post) Body([]byte) error { return nil }
 
-// End implements http1.Events.
+// End implements http1.Handler.
 func (p *post) End() error {
 	p.finish(p.status)
 	p.conn.Close()
