--- a/internal/store/bench_test.go
+++ b/internal/store/bench_test.go
@@ -5,45 +5,48 @@
 	"math/rand"
 	"runtime"
 	"slices"
-	"sync"
+	"strings"
 	"testing"
-	"time"
 
 	"github.com/google/btree"
 )
 
-// BenchmarkCommit is durable commits by so many writers that each wait for their own.
+// BenchmarkCommit measures durable commits by concurrent writers that each wait for their own.
 func BenchmarkCommit(b *testing.B) {
 	for _, writers := range []int{1, 16, 256} {
 		b.Run(fmt.Sprint(writers), func(b *testing.B) {
 			posted := make(chan func(), 4096)
-			f, err := OpenFiles(b.TempDir(), func(g func()) { posted <- g })
+			files, err := OpenFiles(b.TempDir(), func(answer func()) { posted <- answer })
 			if err != nil {
 				b.Fatal(err)
 			}
-			defer f.Close()
-			s, err := Open(f, DefaultLimits)
+			defer files.Close()
+			s, err := Open(files, DefaultLimits)
 			if err != nil {
 				b.Fatal(err)
 			}
-			left, out := b.N, 0
+			left, outstanding := b.N, 0
 			value := make([]byte, 100)
-			var next func(error)
-			next = func(error) {
-				out--
+			var done func(error)
+			commit := func() {
+				left--
+				outstanding++
+				op := Op{Key: fmt.Sprint("key", left%100000), Value: value}
+				if err := s.Commit([]Op{op}, nil, false, done); err != nil {
+					b.Fatal(err)
+				}
+			}
+			done = func(error) {
+				outstanding--
 				if left > 0 {
-					left--
-					out++
-					_ = s.Commit([]Op{{fmt.Sprint("key", left%100000), value}}, nil, false, next)
+					commit()
 				}
 			}
 			b.ResetTimer()
 			for range min(writers, b.N) {
-				left--
-				out++
-				_ = s.Commit([]Op{{fmt.Sprint("key", left%100000), value}}, nil, false, next)
+				commit()
 			}
-			for out > 0 {
+			for outstanding > 0 {
 				(<-posted)()
 			}
 			b.ReportMetric(float64(s.Stats.Records)/float64(max(s.Stats.GroupCommits, 1)), "records/sync")
@@ -52,169 +55,161 @@
 	}
 }
 
-// BenchmarkRecovery opens a store of so many records.
+// BenchmarkRecovery measures how long it takes to open a store.
 func BenchmarkRecovery(b *testing.B) {
-	for _, n := range []int{10_000, 1_000_000, 10_000_000} {
-		b.Run(fmt.Sprint(n), func(b *testing.B) {
-			m := newMemory()
-			bounds := DefaultLimits
-			bounds.MaxKeys, bounds.MaxBytes = 20_000_000, 4<<30
-			s, err := Open(m, bounds)
+	for _, records := range []int{10_000, 1_000_000, 10_000_000} {
+		b.Run(fmt.Sprint(records), func(b *testing.B) {
+			disk := newMemoryDisk()
+			limits := DefaultLimits
+			limits.MaxKeys, limits.MaxBytes = 20_000_000, 4<<30
+			s, err := Open(disk, limits)
 			if err != nil {
 				b.Fatal(err)
 			}
-			for i := range n {
-				_ = s.Commit([]Op{{fmt.Sprintf("key%09d", i), make([]byte, 50)}}, nil, true, nil)
-				m.out(1)
-				m.past = nil
+			for i := range records {
+				op := Op{Key: fmt.Sprintf("key%09d", i), Value: make([]byte, 50)}
+				if err := s.Commit([]Op{op}, nil, true, nil); err != nil {
+					b.Fatal(err)
+				}
+				disk.answer(1)
+				disk.history = nil
 			}
 			s.Flush()
-			for len(m.answer) > 0 {
-				m.out(100)
+			for len(disk.answers) > 0 {
+				disk.answer(100)
 			}
 			for b.Loop() {
-				back, err := Open(m, bounds)
-				if err != nil || back.Len() != n {
+				recovered, err := Open(disk, limits)
+				if err != nil || recovered.Len() != records {
 					b.Fatal(err)
 				}
 			}
-			b.ReportMetric(float64(n)*float64(b.N)/b.Elapsed().Seconds(), "records/s")
+			b.ReportMetric(float64(records)*float64(b.N)/b.Elapsed().Seconds(), "records/s")
 			b.ReportMetric(float64(s.Stats.BytesWritten)/float64(s.Stats.UserBytes), "written/user")
 		})
 	}
 }
 
-type item struct {
+const (
+	indexKeys     = 200_000
+	scanPrefix    = 4 // characters
+	snapshotEvery = 1000
+)
+
+type treeItem struct {
 	key   string
 	value []byte
 }
 
-// BenchmarkIndex sets random keys and scans prefixes, beside a plain map that is sorted for each scan and a registry's tree.
-func BenchmarkIndex(b *testing.B) {
-	const n = 200_000
-	chance := rand.New(rand.NewSource(1))
-	keys := make([]string, n)
+func randomKeys() []string {
+	random := rand.New(rand.NewSource(1))
+	keys := make([]string, indexKeys)
 	for i := range keys {
-		keys[i] = fmt.Sprintf("%08x", chance.Uint32())
+		keys[i] = fmt.Sprintf("%08x", random.Uint32())
 	}
-	value := make([]byte, 32)
-	b.Run("set/blocks", func(b *testing.B) {
-		x := &Index{}
+	return keys
+}
+
+func newTree() *btree.BTreeG[treeItem] {
+	return btree.NewG(64, func(a, b treeItem) bool { return a.key < b.key })
+}
+
+// BenchmarkIndexSet sets random keys, beside a plain map and a B-tree.
+func BenchmarkIndexSet(b *testing.B) {
+	keys, value := randomKeys(), make([]byte, 32)
+	b.Run("blocks", func(b *testing.B) {
+		index := &Index{}
 		for i := 0; b.Loop(); i++ {
-			x.Set(keys[i%n], value)
+			index.Set(keys[i%indexKeys], value)
 		}
 	})
-	b.Run("set/map", func(b *testing.B) {
-		x := map[string][]byte{}
+	b.Run("map", func(b *testing.B) {
+		plain := map[string][]byte{}
 		for i := 0; b.Loop(); i++ {
-			x[keys[i%n]] = value
+			plain[keys[i%indexKeys]] = value
 		}
 	})
-	tree := btree.NewG(64, func(a, b item) bool { return a.key < b.key })
-	b.Run("set/btree", func(b *testing.B) {
+	b.Run("btree", func(b *testing.B) {
+		tree := newTree()
 		for i := 0; b.Loop(); i++ {
-			tree.ReplaceOrInsert(item{keys[i%n], value})
+			tree.ReplaceOrInsert(treeItem{keys[i%indexKeys], value})
 		}
 	})
-	x, plain := &Index{}, map[string][]byte{}
-	for _, k := range keys {
-		x.Set(k, value)
-		plain[k] = value
-		tree.ReplaceOrInsert(item{k, value})
-	}
-	b.Run("scan/blocks", func(b *testing.B) {
-		for i := 0; b.Loop(); i++ {
-			x.Scan(keys[i%n][:4], func(string, []byte) bool { return true })
+	b.Run("blocks+snapshots", func(b *testing.B) {
+		index := &Index{}
+		for _, key := range keys {
+			index.Set(key, value)
 		}
-	})
-	b.Run("scan/map", func(b *testing.B) {
 		for i := 0; b.Loop(); i++ {
-			var some []string
-			for k := range plain {
-				if k[:4] == keys[i%n][:4] {
-					some = append(some, k)
-				}
+			if i%snapshotEvery == 0 {
+				index.Snapshot()
 			}
-			slices.Sort(some)
+			index.Set(keys[i%indexKeys], value)
 		}
 	})
-	b.Run("scan/btree", func(b *testing.B) {
+}
+
+// BenchmarkIndexScan scans prefixes, beside a plain map that is sorted for each scan and a B-tree.
+func BenchmarkIndexScan(b *testing.B) {
+	keys, value := randomKeys(), make([]byte, 32)
+	index, plain, tree := &Index{}, map[string][]byte{}, newTree()
+	for _, key := range keys {
+		index.Set(key, value)
+		plain[key] = value
+		tree.ReplaceOrInsert(treeItem{key, value})
+	}
+	b.Run("blocks", func(b *testing.B) {
 		for i := 0; b.Loop(); i++ {
-			from := keys[i%n][:4]
-			tree.AscendGreaterOrEqual(item{key: from}, func(x item) bool { return x.key[:4] == from })
+			index.Scan(keys[i%indexKeys][:scanPrefix], func(string, []byte) bool { return true })
 		}
 	})
-	b.Run("snapshot+set/blocks", func(b *testing.B) {
+	b.Run("map", func(b *testing.B) {
 		for i := 0; b.Loop(); i++ {
-			if i%1000 == 0 {
-				x.Snapshot()
+			prefix := keys[i%indexKeys][:scanPrefix]
+			var found []string
+			for key := range plain {
+				if strings.HasPrefix(key, prefix) {
+					found = append(found, key)
+				}
 			}
-			x.Set(keys[i%n], value)
+			slices.Sort(found)
 		}
 	})
-}
-
-// TestCompactionBlocksNoWrite commits beside snapshots of a large store and looks at the longest commit's call.
-func TestCompactionBlocksNoWrite(t *testing.T) {
-	var mu sync.Mutex
-	var todo []func()
-	f, err := OpenFiles(t.TempDir(), func(g func()) { mu.Lock(); todo = append(todo, g); mu.Unlock() })
-	if err != nil {
-		t.Fatal(err)
-	}
-	defer f.Close()
-	s, err := Open(f, DefaultLimits)
-	if err != nil {
-		t.Fatal(err)
-	}
-	for i := range 100_000 {
-		_ = s.Commit([]Op{{fmt.Sprint("key", i), make([]byte, 100)}}, nil, true, nil)
-	}
-	snapped := false
-	s.Compact(func(err error) { snapped = err == nil })
-	longest, n := time.Duration(0), 0
-	for deadline := time.Now().Add(20 * time.Second); !snapped && time.Now().Before(deadline); n++ {
-		began := time.Now()
-		_ = s.Commit([]Op{{fmt.Sprint("key", n%100_000), []byte("new")}}, nil, true, nil)
-		longest = max(longest, time.Since(began))
-		mu.Lock()
-		now := todo
-		todo = nil
-		mu.Unlock()
-		for _, g := range now {
-			g()
+	b.Run("btree", func(b *testing.B) {
+		for i := 0; b.Loop(); i++ {
+			prefix := keys[i%indexKeys][:scanPrefix]
+			tree.AscendGreaterOrEqual(treeItem{key: prefix}, func(item treeItem) bool {
+				return strings.HasPrefix(item.key, prefix)
+			})
 		}
-	}
-	if !snapped || longest > 100*time.Millisecond {
-		t.Errorf("snapshot %v, %d commits beside it, the longest took %v", snapped, n, longest)
-	}
-	t.Logf("%d commits beside a snapshot of 100,000 keys, the longest took %v", n, longest)
+	})
 }
 
-// BenchmarkRead reads keys at random, and tells the memory that a key of 12 bytes with a value of 32 takes beside its own bytes.
+// BenchmarkRead reads random keys, and reports the memory that a key of 12 bytes with a value of 32 takes beside its own
+// bytes.
 func BenchmarkRead(b *testing.B) {
-	const n = 1_000_000
-	memory := func() uint64 {
-		var m runtime.MemStats
+	const keys, keyBytes, valueBytes = 1_000_000, 12, 32
+	heapBytes := func() uint64 {
+		var stats runtime.MemStats
 		runtime.GC()
-		runtime.ReadMemStats(&m)
-		return m.HeapAlloc
+		runtime.ReadMemStats(&stats)
+		return stats.HeapAlloc
 	}
-	before := memory()
-	x := &Index{}
-	for i := range n {
-		x.Set(fmt.Sprintf("key%09d", i), make([]byte, 32))
-	}
-	beside := float64(memory()-before)/n - 12 - 32
-	chance := rand.New(rand.NewSource(1))
-	keys := make([]string, 4096)
+	before := heapBytes()
+	index := &Index{}
 	for i := range keys {
-		keys[i] = fmt.Sprintf("key%09d", chance.Intn(n))
+		index.Set(fmt.Sprintf("key%09d", i), make([]byte, valueBytes))
+	}
+	overhead := float64(heapBytes()-before)/keys - keyBytes - valueBytes
+	random := rand.New(rand.NewSource(1))
+	reads := make([]string, 4096)
+	for i := range reads {
+		reads[i] = fmt.Sprintf("key%09d", random.Intn(keys))
 	}
 	for i := 0; b.Loop(); i++ {
-		if _, some := x.Get(keys[i%len(keys)]); !some {
+		if _, found := index.Get(reads[i%len(reads)]); !found {
 			b.Fatal("lost")
 		}
 	}
-	b.ReportMetric(beside, "B_beside/key")
+	b.ReportMetric(overhead, "B_beside/key")
 }
--- a/internal/store/files.go
+++ b/internal/store/files.go
@@ -10,28 +10,35 @@
 	"syscall"
 )
 
-// Files is the Disk over a folder, with a lock against a second process. Its work is done by one goroutine, in order; post
-// hands the answers to the loop.
+const (
+	lockName      = "lock"
+	partialSuffix = ".part" // of a file that is being written
+)
+
+// Files is the Disk on a real folder. A lock file excludes a second process. One goroutine, which Close ends, carries out
+// the operations in order; their answers are posted to the event loop.
 type Files struct {
 	dir  string
 	lock *os.File
 	post func(func())
 
-	mu    sync.Mutex
-	todo  []func()
-	ready sync.Cond
-	ended bool
-	gone  chan struct{}
+	mutex   sync.Mutex // guards the next two
+	queue   []func()
+	closing bool
+	changed sync.Cond // the queue or closing
+	stopped chan struct{}
 
-	open map[string]*os.File // of the worker: the segment that is appended to
+	// The segment that is appended to stays open. Both are used by the goroutine only.
+	segment     *os.File
+	segmentName string
 }
 
-// OpenFiles locks a folder and makes it if there is none.
+// OpenFiles locks a folder, which it creates if necessary. post must run a function on the store's event loop.
 func OpenFiles(dir string, post func(func())) (*Files, error) {
 	if err := os.MkdirAll(dir, 0o700); err != nil {
 		return nil, fmt.Errorf("store: %w", err)
 	}
-	lock, err := os.OpenFile(filepath.Join(dir, "lock"), os.O_CREATE|os.O_RDWR, 0o600)
+	lock, err := os.OpenFile(filepath.Join(dir, lockName), os.O_CREATE|os.O_RDWR, 0o600)
 	if err != nil {
 		return nil, fmt.Errorf("store: %w", err)
 	}
@@ -39,128 +46,153 @@
 		lock.Close()
 		return nil, fmt.Errorf("store: %s is in use by another process", dir)
 	}
-	f := &Files{dir: dir, lock: lock, post: post, gone: make(chan struct{}), open: map[string]*os.File{}}
-	f.ready.L = &f.mu
-	go f.work()
+	f := &Files{dir: dir, lock: lock, post: post, stopped: make(chan struct{})}
+	f.changed.L = &f.mutex
+	go f.run()
 	return f, nil
 }
 
-// Close ends what was asked for and gives the folder back.
+// Close carries out the operations that were asked for, ends the goroutine and releases the folder.
 func (f *Files) Close() {
-	f.mu.Lock()
-	f.ended = true
-	f.ready.Signal()
-	f.mu.Unlock()
-	<-f.gone
+	f.mutex.Lock()
+	f.closing = true
+	f.changed.Signal()
+	f.mutex.Unlock()
+	<-f.stopped
 	f.lock.Close()
 }
 
-func (f *Files) work() {
-	defer close(f.gone)
+func (f *Files) run() {
+	defer close(f.stopped)
 	for {
-		f.mu.Lock()
-		for len(f.todo) == 0 && !f.ended {
-			f.ready.Wait()
-		}
-		todo := f.todo
-		f.todo = nil
-		f.mu.Unlock()
-		if len(todo) == 0 {
-			for _, o := range f.open {
-				o.Close()
-			}
+		operations := f.nextOperations()
+		if len(operations) == 0 {
+			f.closeSegment()
 			return
 		}
-		for _, do := range todo {
-			do()
+		for _, operation := range operations {
+			operation()
 		}
 	}
 }
 
-func (f *Files) do(what func() error, done func(error)) {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	f.todo = append(f.todo, func() {
-		err := what()
+// nextOperations waits for operations and takes all of them. There are none once the folder is being closed.
+func (f *Files) nextOperations() []func() {
+	f.mutex.Lock()
+	defer f.mutex.Unlock()
+	for len(f.queue) == 0 && !f.closing {
+		f.changed.Wait()
+	}
+	operations := f.queue
+	f.queue = nil
+	return operations
+}
+
+// enqueue has the goroutine carry out an operation and post its result.
+func (f *Files) enqueue(operation func() error, done func(error)) {
+	f.mutex.Lock()
+	defer f.mutex.Unlock()
+	f.queue = append(f.queue, func() {
+		err := operation()
 		f.post(func() { done(err) })
 	})
-	f.ready.Signal()
+	f.changed.Signal()
 }
 
-// List names the folder's files.
+// List returns the names of the folder's files.
 func (f *Files) List() ([]string, error) {
 	entries, err := os.ReadDir(f.dir)
 	var names []string
-	for _, e := range entries {
-		names = append(names, e.Name())
+	for _, entry := range entries {
+		names = append(names, entry.Name())
 	}
 	return names, err
 }
 
+// Read returns the content of a file.
 func (f *Files) Read(name string) ([]byte, error) { return os.ReadFile(filepath.Join(f.dir, name)) }
 
+// Truncate cuts a file to a size and syncs it.
 func (f *Files) Truncate(name string, size int64) error {
-	o, err := os.OpenFile(filepath.Join(f.dir, name), os.O_WRONLY, 0)
+	file, err := os.OpenFile(filepath.Join(f.dir, name), os.O_WRONLY, 0)
 	if err != nil {
 		return err
 	}
-	return errors.Join(o.Truncate(size), o.Sync(), o.Close())
+	return errors.Join(file.Truncate(size), file.Sync(), file.Close())
 }
 
-func (f *Files) syncDir() error {
-	d, err := os.Open(f.dir)
+// Append appends to a segment and syncs it.
+func (f *Files) Append(name string, data []byte, done func(error)) {
+	f.enqueue(func() error {
+		if err := f.openSegment(name); err != nil {
+			return err
+		}
+		if _, err := f.segment.Write(data); err != nil {
+			return err
+		}
+		return f.segment.Sync()
+	}, done)
+}
+
+// openSegment opens a file for appending, in place of the one before it.
+func (f *Files) openSegment(name string) error {
+	if f.segment != nil && f.segmentName == name {
+		return nil
+	}
+	f.closeSegment()
+	path := filepath.Join(f.dir, name)
+	file, err := os.OpenFile(path, os.O_CREATE|os.O_WRONLY|os.O_APPEND, 0o600)
 	if err != nil {
 		return err
 	}
-	return errors.Join(d.Sync(), d.Close())
+	f.segment, f.segmentName = file, name
+	return f.syncDir()
 }
 
-func (f *Files) Append(name string, b []byte, done func(error)) {
-	f.do(func() error {
-		o := f.open[name]
-		if o == nil {
-			for old, o := range f.open {
-				o.Close()
-				delete(f.open, old)
-			}
-			var err error
-			if o, err = os.OpenFile(filepath.Join(f.dir, name), os.O_CREATE|os.O_WRONLY|os.O_APPEND, 0o600); err != nil {
-				return err
-			}
-			f.open[name] = o
-			if err := f.syncDir(); err != nil {
-				return err
-			}
-		}
-		if _, err := o.Write(b); err != nil {
-			return err
-		}
-		return o.Sync()
-	}, done)
+func (f *Files) closeSegment() {
+	if f.segment != nil {
+		f.segment.Close() // each append was synced, so that nothing is lost here
+		f.segment = nil
+	}
 }
 
+// Write creates or replaces a file atomically and syncs it.
 func (f *Files) Write(name string, build func() []byte, done func(error)) {
-	f.do(func() error {
+	f.enqueue(func() error {
 		path := filepath.Join(f.dir, name)
-		part := path + ".part"
-		o, err := os.OpenFile(part, os.O_CREATE|os.O_WRONLY|os.O_TRUNC, 0o600)
-		if err != nil {
-			return err
-		}
-		_, err = o.Write(build())
-		if err = errors.Join(err, o.Sync(), o.Close()); err != nil {
-			_ = os.Remove(part) // half a file would hold the room that is missing
+		partial := path + partialSuffix
+		if err := writeSynced(partial, build()); err != nil {
+			_ = os.Remove(partial) // it would take up the space that is missing
 			return err
 		}
-		if err := os.Rename(part, path); err != nil {
+		if err := os.Rename(partial, path); err != nil {
 			return err
 		}
 		return f.syncDir()
 	}, done)
 }
 
+func writeSynced(path string, data []byte) error {
+	file, err := os.OpenFile(path, os.O_CREATE|os.O_WRONLY|os.O_TRUNC, 0o600)
+	if err != nil {
+		return err
+	}
+	_, err = file.Write(data)
+	return errors.Join(err, file.Sync(), file.Close())
+}
+
+// syncDir makes the names in the folder durable.
+func (f *Files) syncDir() error {
+	dir, err := os.Open(f.dir)
+	if err != nil {
+		return err
+	}
+	return errors.Join(dir.Sync(), dir.Close())
+}
+
+// Remove removes a file of the folder.
 func (f *Files) Remove(name string, done func(error)) {
-	f.do(func() error {
+	f.enqueue(func() error {
 		if strings.ContainsRune(name, '/') {
 			return fmt.Errorf("store: %q is not in the folder", name)
 		}
--- a/internal/store/history_test.go
+++ b/internal/store/history_test.go
@@ -13,207 +13,258 @@
 	"github.com/anishathalye/porcupine"
 )
 
-// Three keys are all that the clients of a history use; a transaction may change several.
-type image [3]string
-
-type step struct {
-	reads   bool
-	compare int // a key that must have the value old, or -1
-	old     string
-	sets    map[int]string // "" deletes
+const (
+	historyKeys     = 3 // all that the clients of a history use; a transaction may change several
+	historyClients  = 5
+	historyRestarts = 5
+	checkTimeout    = 20 * time.Second
+)
+
+func historyKey(i int) string { return fmt.Sprint("k", i) }
+
+// keyValues are the values of all keys; an absent key has an empty one.
+type keyValues [historyKeys]string
+
+const noCondition = -1
+
+// historyStep is what a client asks for: a read of all keys, or a transaction.
+type historyStep struct {
+	reads    bool
+	compared int // the key that must have the value expected; noCondition for none
+	expected string
+	sets     map[int]string // an empty value deletes
 }
 
-type seen struct {
+// outcome is what a client saw.
+type outcome struct {
 	unknown  bool // the process died, or the store failed, before it was answered
 	conflict bool
-	image    image
+	values   keyValues
 }
 
-// sequential is what a store is to be taken for: one step at a time, each whole; a step that was not answered has
-// happened or has not.
+// sequential is the model of a store: one step at a time, each as a whole; a step that was not answered has happened or
+// has not.
 var sequential = (&porcupine.NondeterministicModel{
-	Init: func() []any { return []any{image{}} },
+	Init: func() []any { return []any{keyValues{}} },
 	Step: func(state, input, output any) []any {
-		was, in, out := state.(image), input.(step), output.(seen)
-		holds := in.compare < 0 || was[in.compare] == in.old
-		next := was
-		for k, v := range in.sets {
-			next[k] = v
+		before, step, got := state.(keyValues), input.(historyStep), output.(outcome)
+		holds := step.compared == noCondition || before[step.compared] == step.expected
+		after := before
+		for key, value := range step.sets {
+			after[key] = value
 		}
 		switch {
-		case out.unknown && holds:
-			return []any{was, next}
-		case out.unknown:
-			return []any{was}
-		case in.reads && out.image != was, !in.reads && out.conflict == holds:
+		case got.unknown && holds:
+			return []any{before, after}
+		case got.unknown:
+			return []any{before}
+		case step.reads && got.values != before, !step.reads && got.conflict == holds:
 			return nil
-		case out.conflict:
-			return []any{was}
+		case got.conflict:
+			return []any{before}
 		}
-		return []any{next}
+		return []any{after}
 	},
 }).ToModel()
 
-// crash gives the disk as a power cut leaves it: what was answered is there, what was not is there up to some byte.
-func (m *memory) crash(before map[string][]byte, chance *rand.Rand) *memory {
-	torn := newMemory()
-	for name, b := range before {
-		torn.files[name] = b
-	}
-	through := m.told + chance.Intn(len(m.past)-m.told+1)
-	for i, o := range m.past {
-		if i < through {
-			o.to(torn.files, len(o.data))
-		} else if i == through && len(o.data) > 0 {
-			o.to(torn.files, chance.Intn(len(o.data)))
+// crash returns the disk as a power cut leaves it: what was answered is there; what was not is there up to some byte.
+func (m *memoryDisk) crash(before map[string][]byte, random *rand.Rand) *memoryDisk {
+	crashed := diskWith(before)
+	complete := m.succeeded + random.Intn(len(m.history)-m.succeeded+1)
+	for i, operation := range m.history {
+		if i < complete {
+			operation.applyTo(crashed.files, len(operation.data))
+		} else if i == complete && len(operation.data) > 0 {
+			operation.applyTo(crashed.files, random.Intn(len(operation.data)))
 		}
 	}
-	return torn
+	return crashed
 }
 
-// history plays clients against a store that dies now and then, and gives what they saw. With waits off, a client takes a
-// read for answered although what it read may not be durable yet.
-func history(t *testing.T, seed int64, waits bool) []porcupine.Operation {
-	chance := rand.New(rand.NewSource(seed))
-	var all []porcupine.Operation
-	at := int64(0)
-	m := newMemory()
-	for life := range 5 {
-		s, err := Open(m, small)
-		if err != nil {
-			t.Fatalf("seed %d, life %d: %v", seed, life, err)
+// clientSimulation plays clients against a store that crashes now and then.
+type clientSimulation struct {
+	t      *testing.T
+	seed   int64
+	random *rand.Rand
+	// awaitReads makes clients wait until what they read is durable.
+	awaitReads bool
+
+	time        int64
+	disk        *memoryDisk
+	store       *Store
+	outstanding map[int]*porcupine.Operation // by client
+	abandoned   []*porcupine.Operation       // their clients went on without an answer
+	history     []porcupine.Operation
+}
+
+// simulateClients returns what the clients of one simulation saw.
+func simulateClients(t *testing.T, seed int64, awaitReads bool) []porcupine.Operation {
+	t.Helper()
+	s := &clientSimulation{
+		t: t, seed: seed, random: rand.New(rand.NewSource(seed)), awaitReads: awaitReads, disk: newMemoryDisk(),
+	}
+	for range historyRestarts {
+		s.runUntilCrash()
+	}
+	return s.history
+}
+
+func (s *clientSimulation) runUntilCrash() {
+	s.t.Helper()
+	var err error
+	if s.store, err = Open(s.disk, smallLimits); err != nil {
+		s.t.Fatalf("seed %d: %v", s.seed, err)
+	}
+	before := maps.Clone(s.disk.files)
+	s.outstanding, s.abandoned = map[int]*porcupine.Operation{}, nil
+	for range 60 {
+		client := s.random.Intn(historyClients)
+		if s.random.Intn(3) == 0 || s.outstanding[client] != nil {
+			s.disk.answer(1)
+			continue
 		}
-		before := map[string][]byte{}
-		for name, b := range m.files {
-			before[name] = b
+		step := s.randomStep()
+		if s.run(client, step) {
+			s.failOrRepairDisk()
 		}
-		out := map[int]*porcupine.Operation{}
-		var cut []*porcupine.Operation
-		answered := func(client int, o *porcupine.Operation) func(error) {
-			return func(err error) {
-				if err == nil {
-					at++
-					o.Return = at
-					all = append(all, *o)
-					delete(out, client)
-				} // an error tells nothing: it counts as open until the process is gone
-			}
+	}
+	if s.random.Intn(3) == 0 {
+		s.store.Flush()
+	}
+	s.time++
+	s.abandonOutstanding()
+	for _, operation := range s.abandoned {
+		if !operation.Input.(historyStep).reads {
+			operation.Output, operation.Return = outcome{unknown: true}, s.time
+			s.history = append(s.history, *operation)
 		}
-		for range 60 {
-			client := chance.Intn(5)
-			if chance.Intn(3) == 0 || out[client] != nil {
-				m.out(1)
-				continue
-			}
-			in := step{compare: -1, sets: map[int]string{}}
-			var ops []Op
-			var conditions []Condition
-			switch chance.Intn(4) {
-			case 0:
-				in.reads = true
-			case 1:
-				in.compare = chance.Intn(3)
-				if v, some := s.Get(fmt.Sprint("k", in.compare)); some && chance.Intn(3) > 0 {
-					in.old = string(v)
-				}
-				conditions = []Condition{{Key: fmt.Sprint("k", in.compare)}}
-				if in.old != "" {
-					conditions[0].Value = []byte(in.old)
-				}
-				fallthrough
-			default:
-				for range 1 + chance.Intn(2) {
-					k, v := chance.Intn(3), fmt.Sprint(at)
-					if chance.Intn(4) == 0 {
-						v = ""
-					}
-					in.sets[k] = v
-				}
-				for k, v := range in.sets {
-					o := Op{Key: fmt.Sprint("k", k)}
-					if v != "" {
-						o.Value = []byte(v)
-					}
-					ops = append(ops, o)
-				}
-			}
-			at++
-			o := &porcupine.Operation{ClientId: client, Input: in, Call: at}
-			var got seen
-			for k := range got.image {
-				if v, some := s.Get(fmt.Sprint("k", k)); in.reads && some {
-					got.image[k] = string(v)
-				}
-			}
-			out[client] = o
-			if in.reads {
-				o.Output = got
-				if !waits {
-					answered(client, o)(nil)
-					continue
-				}
-			}
-			o.Output = got
-			err := s.Commit(ops, conditions, chance.Intn(4) == 0, answered(client, o))
-			if errors.Is(err, ErrConflict) {
-				o.Output = seen{conflict: true}
-				// What it was refused for may not be durable itself: the refusal is told behind it.
-				err = s.Commit(nil, nil, false, answered(client, o))
-			}
-			if err != nil && !errors.Is(err, ErrFailed) {
-				t.Fatalf("seed %d: %v", seed, err)
-			}
-			switch {
-			case chance.Intn(150) == 0:
-				m.fault = []error{syscall.ENOSPC, syscall.EIO}[chance.Intn(2)]
-			case s.Err() != nil && chance.Intn(5) == 0:
-				m.fault = nil                                          // there is room again
-				for _, client := range slices.Sorted(maps.Keys(out)) { // what has failed stays unanswered; its client goes on
-					cut = append(cut, out[client])
-					delete(out, client)
-				}
-				s.Repair(func(error) {})
-			}
+	}
+	s.time++
+	s.disk = s.disk.crash(before, s.random)
+}
+
+func (s *clientSimulation) randomStep() historyStep {
+	step := historyStep{compared: noCondition, sets: map[int]string{}}
+	switch s.random.Intn(4) {
+	case 0:
+		step.reads = true
+		return step
+	case 1:
+		step.compared = s.random.Intn(historyKeys)
+		if value, found := s.store.Get(historyKey(step.compared)); found && s.random.Intn(3) > 0 {
+			step.expected = string(value)
+		}
+	}
+	for range 1 + s.random.Intn(2) {
+		key, value := s.random.Intn(historyKeys), fmt.Sprint(s.time)
+		if s.random.Intn(4) == 0 {
+			value = ""
 		}
-		if chance.Intn(3) == 0 {
-			s.Flush()
+		step.sets[key] = value
+	}
+	return step
+}
+
+// run takes a client's step to the store. It reports false for a read that was answered at once.
+func (s *clientSimulation) run(client int, step historyStep) bool {
+	s.t.Helper()
+	s.time++
+	operation := &porcupine.Operation{ClientId: client, Input: step, Call: s.time}
+	s.outstanding[client] = operation
+	var got outcome
+	if step.reads {
+		for key := range got.values {
+			value, _ := s.store.Get(historyKey(key))
+			got.values[key] = string(value)
 		}
-		at++
-		for _, client := range slices.Sorted(maps.Keys(out)) {
-			cut = append(cut, out[client])
+	}
+	operation.Output = got
+	answered := func(err error) {
+		if err != nil {
+			return // it may have happened or not, and counts as outstanding until the process is gone
 		}
-		for _, o := range cut {
-			if !o.Input.(step).reads {
-				o.Output, o.Return = seen{unknown: true}, at
-				all = append(all, *o)
-			}
+		s.time++
+		operation.Return = s.time
+		s.history = append(s.history, *operation)
+		delete(s.outstanding, client)
+	}
+	if step.reads && !s.awaitReads {
+		answered(nil)
+		return false
+	}
+	ops, conditions := step.transaction()
+	err := s.store.Commit(ops, conditions, s.random.Intn(4) == 0, answered)
+	if errors.Is(err, ErrConflict) {
+		operation.Output = outcome{conflict: true}
+		// What it conflicts with may not be durable itself, so the client waits for that.
+		err = s.store.Commit(nil, nil, false, answered)
+	}
+	if err != nil && !errors.Is(err, ErrFailed) {
+		s.t.Fatalf("seed %d: %v", s.seed, err)
+	}
+	return true
+}
+
+func (step historyStep) transaction() (ops []Op, conditions []Condition) {
+	if step.compared != noCondition {
+		condition := Condition{Key: historyKey(step.compared)}
+		if step.expected != "" {
+			condition.Value = []byte(step.expected)
+		}
+		conditions = append(conditions, condition)
+	}
+	for key, value := range step.sets {
+		op := Op{Key: historyKey(key)}
+		if value != "" {
+			op.Value = []byte(value)
 		}
-		at++
-		m = m.crash(before, chance)
+		ops = append(ops, op)
+	}
+	return ops, conditions
+}
+
+// failOrRepairDisk makes the disk fail now and then, and repairs a store that has failed.
+func (s *clientSimulation) failOrRepairDisk() {
+	switch {
+	case s.random.Intn(150) == 0:
+		s.disk.fault = []error{syscall.ENOSPC, syscall.EIO}[s.random.Intn(2)]
+	case s.store.Err() != nil && s.random.Intn(5) == 0:
+		s.disk.fault = nil
+		s.abandonOutstanding()
+		s.store.Repair(func(error) {})
+	}
+}
+
+// abandonOutstanding lets all clients go on without an answer.
+func (s *clientSimulation) abandonOutstanding() {
+	for _, client := range slices.Sorted(maps.Keys(s.outstanding)) {
+		s.abandoned = append(s.abandoned, s.outstanding[client])
+		delete(s.outstanding, client)
 	}
-	return all
 }
 
-// Five clients at once, four crashes at any byte, full disks: what they saw is what a store would show that does one
-// thing at a time and forgets nothing that it has answered. The check can fail: where a client trusts a read before
-// what it read is durable, it does.
+// Five clients at once, crashes at any byte and full disks: what the clients saw is what a store would show that does one
+// step at a time and loses nothing that it has answered. The check can fail: it does where a client trusts a read before
+// what it read is durable.
 func TestConcurrentHistories(t *testing.T) {
-	seeds, steps, open := 400, 0, 0
+	const seeds = 400
+	steps, unanswered := 0, 0
 	for seed := range int64(seeds) {
-		all := history(t, seed, true)
-		steps += len(all)
-		for _, o := range all {
-			if o.Output.(seen).unknown {
-				open++
+		history := simulateClients(t, seed, true)
+		steps += len(history)
+		for _, operation := range history {
+			if operation.Output.(outcome).unknown {
+				unanswered++
 			}
 		}
-		if got := porcupine.CheckOperationsTimeout(sequential, all, 20*time.Second); got != porcupine.Ok {
-			t.Fatalf("seed %d: the history of %d steps is %v", seed, len(all), got)
+		if got := porcupine.CheckOperationsTimeout(sequential, history, checkTimeout); got != porcupine.Ok {
+			t.Fatalf("seed %d: the history of %d steps is %v", seed, len(history), got)
 		}
 	}
-	t.Logf("%d histories, %d steps, %d of them cut off", seeds, steps, open)
+	t.Logf("%d histories, %d steps, %d of them not answered", seeds, steps, unanswered)
 	for seed := range int64(200) {
-		if porcupine.CheckOperationsTimeout(sequential, history(t, seed, false), 20*time.Second) == porcupine.Illegal {
+		history := simulateClients(t, seed, false)
+		if porcupine.CheckOperationsTimeout(sequential, history, checkTimeout) == porcupine.Illegal {
 			return
 		}
 	}
--- a/internal/store/index.go
+++ b/internal/store/index.go
@@ -1,109 +1,123 @@
 package store
 
 import (
+	"math"
 	"slices"
 	"sort"
 	"strings"
 )
 
-// blockMost is how many keys a block holds before it is parted in two.
-const blockMost = 256
+// maxBlockKeys is how many keys a block has before it is split.
+const maxBlockKeys = 256
 
-// Index is an ordered map made for the store: one writer that inserts, replaces and deletes; readers that scan by prefix; and
-// snapshots that cost next to nothing to take and stay as they were. Keys lie in blocks of up to 256, in order; a snapshot
-// shares the blocks, and the writer copies a block only when it changes one that a snapshot may hold.
+// Index is an ordered map for one writer and any number of snapshots. Keys lie in blocks, in order. A snapshot shares the
+// blocks with the writer, so that it costs next to nothing to take; the writer copies a block before it changes one that
+// a snapshot may share.
 type Index struct {
-	blocks []*block
-	size   int
-	age    uint64 // of the last snapshot; blocks that are no younger are shared
-	shared bool   // the list of blocks is
+	blocks       []*block
+	size         int
+	version      uint64 // grows with each snapshot; blocks of this version and older are shared
+	sharedBlocks bool   // the slice of blocks itself is shared
 }
 
 type block struct {
-	keys   []string
-	values [][]byte
-	age    uint64
+	keys    []string
+	values  [][]byte
+	version uint64 // in which it was created
 }
 
-// Len is how many keys there are.
+// Len returns the number of keys.
 func (x *Index) Len() int { return x.size }
 
-// find is the block that a key belongs into.
-func (x *Index) find(key string) int {
-	i := sort.Search(len(x.blocks), func(i int) bool { return x.blocks[i].keys[0] > key })
-	return max(i-1, 0)
+// blockFor returns the position of the block that a key belongs into. There must be a block.
+func (x *Index) blockFor(key string) int {
+	after := sort.Search(len(x.blocks), func(i int) bool { return x.blocks[i].keys[0] > key })
+	return max(after-1, 0)
 }
 
-// Get is the value of a key.
+// Get returns the value of a key.
 func (x *Index) Get(key string) ([]byte, bool) {
 	if len(x.blocks) == 0 {
 		return nil, false
 	}
-	b := x.blocks[x.find(key)]
-	at, some := slices.BinarySearch(b.keys, key)
-	if !some {
+	b := x.blocks[x.blockFor(key)]
+	position, found := slices.BinarySearch(b.keys, key)
+	if !found {
 		return nil, false
 	}
-	return b.values[at], true
+	return b.values[position], true
 }
 
-// own makes a block one that may be changed.
-func (x *Index) own(i int) *block {
-	if x.shared {
+// writableBlock returns a block that no snapshot shares, a copy if necessary.
+func (x *Index) writableBlock(i int) *block {
+	if x.sharedBlocks {
 		x.blocks = slices.Clone(x.blocks)
-		x.shared = false
+		x.sharedBlocks = false
 	}
 	b := x.blocks[i]
-	if b.age <= x.age {
-		b = &block{slices.Clone(b.keys), slices.Clone(b.values), x.age + 1}
+	if b.version <= x.version {
+		b = x.newBlock(b.keys, b.values)
 		x.blocks[i] = b
 	}
 	return b
 }
 
-// Set puts a value; it tells whether the key is new.
-func (x *Index) Set(key string, value []byte) (fresh bool) {
+// newBlock returns a block with copies of keys and values that is not shared.
+func (x *Index) newBlock(keys []string, values [][]byte) *block {
+	return &block{keys: slices.Clone(keys), values: slices.Clone(values), version: x.version + 1}
+}
+
+// Set sets the value of a key and reports whether the key is new.
+func (x *Index) Set(key string, value []byte) (added bool) {
 	if len(x.blocks) == 0 {
-		x.blocks, x.shared = []*block{{[]string{key}, [][]byte{value}, x.age + 1}}, false
+		x.blocks = []*block{x.newBlock([]string{key}, [][]byte{value})}
+		x.sharedBlocks = false
 		x.size++
 		return true
 	}
-	i := x.find(key)
-	b := x.own(i)
-	at, some := slices.BinarySearch(b.keys, key)
-	if some {
-		b.values[at] = value
+	i := x.blockFor(key)
+	b := x.writableBlock(i)
+	position, found := slices.BinarySearch(b.keys, key)
+	if found {
+		b.values[position] = value
 		return false
 	}
-	b.keys = slices.Insert(b.keys, at, key)
-	b.values = slices.Insert(b.values, at, value)
+	b.keys = slices.Insert(b.keys, position, key)
+	b.values = slices.Insert(b.values, position, value)
 	x.size++
-	if len(b.keys) > blockMost {
-		half := len(b.keys) / 2
-		if at == len(b.keys)-1 {
-			half = len(b.keys) - 1 // keys that come in order fill their blocks
-		}
-		right := &block{slices.Clone(b.keys[half:]), slices.Clone(b.values[half:]), x.age + 1}
-		clear(b.values[half:])
-		b.keys, b.values = b.keys[:half], b.values[:half]
-		x.blocks = slices.Insert(x.blocks, i+1, right)
+	if len(b.keys) > maxBlockKeys {
+		x.split(i, position)
 	}
 	return true
 }
 
-// Delete takes a key out; it tells whether it was there.
+// split splits a block into two. The new key was inserted at a position of it: at the end, keys probably come in order,
+// and then all the others stay together, so that blocks become full.
+func (x *Index) split(i, inserted int) {
+	b := x.blocks[i]
+	middle := len(b.keys) / 2
+	if inserted == len(b.keys)-1 {
+		middle = inserted
+	}
+	right := x.newBlock(b.keys[middle:], b.values[middle:])
+	clear(b.values[middle:])
+	b.keys, b.values = b.keys[:middle], b.values[:middle]
+	x.blocks = slices.Insert(x.blocks, i+1, right)
+}
+
+// Delete deletes a key and reports whether it was there.
 func (x *Index) Delete(key string) bool {
 	if len(x.blocks) == 0 {
 		return false
 	}
-	i := x.find(key)
-	at, some := slices.BinarySearch(x.blocks[i].keys, key)
-	if !some {
+	i := x.blockFor(key)
+	position, found := slices.BinarySearch(x.blocks[i].keys, key)
+	if !found {
 		return false
 	}
-	b := x.own(i)
-	b.keys = slices.Delete(b.keys, at, at+1)
-	b.values = slices.Delete(b.values, at, at+1)
+	b := x.writableBlock(i)
+	b.keys = slices.Delete(b.keys, position, position+1)
+	b.values = slices.Delete(b.values, position, position+1)
 	x.size--
 	if len(b.keys) == 0 {
 		x.blocks = slices.Delete(x.blocks, i, i+1)
@@ -111,31 +125,31 @@
 	return true
 }
 
-// Snapshot is the index as it is now; the writer goes on.
+// Snapshot returns an immutable copy of the index as it is now.
 func (x *Index) Snapshot() *Index {
-	x.age++
-	x.shared = true
-	return &Index{blocks: x.blocks, size: x.size, age: ^uint64(0), shared: true}
+	x.version++
+	x.sharedBlocks = true
+	return &Index{blocks: x.blocks, size: x.size, version: math.MaxUint64, sharedBlocks: true}
 }
 
-// Scan calls each key that begins with a prefix, in order, until it is told to stop.
+// Scan calls each for every key with a prefix, in order, until it returns false.
 func (x *Index) Scan(prefix string, each func(key string, value []byte) bool) {
 	x.ScanFrom(prefix, prefix, each)
 }
 
-// ScanFrom begins at a key.
+// ScanFrom is a Scan that begins at a key.
 func (x *Index) ScanFrom(from, prefix string, each func(key string, value []byte) bool) {
 	if len(x.blocks) == 0 {
 		return
 	}
-	i := x.find(from)
-	at, _ := slices.BinarySearch(x.blocks[i].keys, from)
-	for ; i < len(x.blocks); i, at = i+1, 0 {
-		b := x.blocks[i]
-		for ; at < len(b.keys); at++ {
-			if !strings.HasPrefix(b.keys[at], prefix) || !each(b.keys[at], b.values[at]) {
+	first := x.blockFor(from)
+	position, _ := slices.BinarySearch(x.blocks[first].keys, from)
+	for _, b := range x.blocks[first:] {
+		for ; position < len(b.keys); position++ {
+			if !strings.HasPrefix(b.keys[position], prefix) || !each(b.keys[position], b.values[position]) {
 				return
 			}
 		}
+		position = 0
 	}
 }
--- /dev/null
+++ b/internal/store/memorydisk_test.go
@@ -0,0 +1,218 @@
+package store
+
+import (
+	"errors"
+	"fmt"
+	"maps"
+	"math/rand"
+	"slices"
+	"strings"
+	"testing"
+)
+
+// smallLimits make segments and snapshots come often.
+var smallLimits = Limits{MaxKeys: 1000, MaxBytes: 1 << 20, SegmentBytes: 1500, CompactAfterBytes: 4000}
+
+// allAnswers is more answers than a disk ever has outstanding here.
+const allAnswers = 1000
+
+var errNoSpace = errors.New("no space left on device")
+
+// memoryDisk is a Disk that records every operation, so that a crash at any byte of any of them can be simulated
+// afterwards. Answers wait until answer delivers them.
+type memoryDisk struct {
+	files     map[string][]byte
+	history   []diskOperation
+	answers   []func()
+	fault     error // of the operations from now on
+	tornBytes int   // what a failing append leaves written, at most
+	succeeded int   // operations whose success was answered
+}
+
+type operationKind string
+
+const (
+	appendOperation operationKind = "append"
+	writeOperation  operationKind = "write"
+	removeOperation operationKind = "remove"
+)
+
+type diskOperation struct {
+	kind operationKind
+	name string
+	data []byte
+}
+
+func newMemoryDisk() *memoryDisk { return &memoryDisk{files: map[string][]byte{}} }
+
+// diskWith returns a disk that holds files. It shares their data, which no operation changes in place.
+func diskWith(files map[string][]byte) *memoryDisk { return &memoryDisk{files: maps.Clone(files)} }
+
+func (m *memoryDisk) List() (names []string, err error) {
+	for name := range m.files {
+		names = append(names, name)
+	}
+	return names, nil
+}
+
+func (m *memoryDisk) Read(name string) ([]byte, error) {
+	data, found := m.files[name]
+	if !found {
+		return nil, errors.New("no such file")
+	}
+	return slices.Clone(data), nil
+}
+
+func (m *memoryDisk) Truncate(name string, size int64) error {
+	m.files[name] = m.files[name][:size]
+	return nil
+}
+
+func (m *memoryDisk) Append(name string, data []byte, done func(error)) {
+	m.do(diskOperation{kind: appendOperation, name: name, data: slices.Clone(data)}, done)
+}
+
+func (m *memoryDisk) Write(name string, build func() []byte, done func(error)) {
+	m.do(diskOperation{kind: writeOperation, name: name, data: build()}, done)
+}
+
+func (m *memoryDisk) Remove(name string, done func(error)) {
+	m.do(diskOperation{kind: removeOperation, name: name}, done)
+}
+
+func (m *memoryDisk) do(operation diskOperation, done func(error)) {
+	err := m.fault
+	if err == nil {
+		m.history = append(m.history, operation)
+		operation.applyTo(m.files, len(operation.data))
+	} else if size := min(m.tornBytes, len(operation.data)); operation.kind == appendOperation && size > 0 {
+		operation.applyTo(m.files, size)
+	}
+	m.answers = append(m.answers, func() {
+		if err == nil {
+			m.succeeded++
+		}
+		done(err)
+	})
+}
+
+// answer delivers up to count answers.
+func (m *memoryDisk) answer(count int) {
+	for ; count > 0 && len(m.answers) > 0; count-- {
+		deliver := m.answers[0]
+		m.answers = m.answers[1:]
+		deliver()
+	}
+}
+
+// applyTo carries out an operation on files as far as the first size bytes of it.
+func (o diskOperation) applyTo(files map[string][]byte, size int) {
+	switch o.kind {
+	case appendOperation:
+		files[o.name] = append(slices.Clone(files[o.name]), o.data[:size]...)
+	case writeOperation:
+		if size < len(o.data) {
+			files[o.name+partialSuffix] = o.data[:size]
+			return
+		}
+		delete(files, o.name+partialSuffix)
+		files[o.name] = o.data
+	case removeOperation:
+		delete(files, o.name)
+	}
+}
+
+// openStore opens the store of a disk with small limits.
+func openStore(t testing.TB, disk Disk) *Store {
+	t.Helper()
+	s, err := Open(disk, smallLimits)
+	if err != nil {
+		t.Fatal(err)
+	}
+	return s
+}
+
+// reopened returns the store that a start would recover now. The disk is left as it is.
+func reopened(t testing.TB, disk *memoryDisk) *Store {
+	t.Helper()
+	return openStore(t, diskWith(disk.files))
+}
+
+// put commits one key.
+func put(s *Store, key, value string, done func(error)) error {
+	return s.Commit([]Op{{Key: key, Value: []byte(value)}}, nil, false, done)
+}
+
+// contents returns all keys and values of a store.
+func contents(s *Store) string { return scanned(&s.index, "") }
+
+// scanned returns the keys with a prefix and their values.
+func scanned(index *Index, prefix string) string {
+	var text strings.Builder
+	index.Scan(prefix, func(key string, value []byte) bool {
+		fmt.Fprintf(&text, "%s=%s;", key, value)
+		return true
+	})
+	return text.String()
+}
+
+// randomRun is what runRandomChanges saw.
+type randomRun struct {
+	contents     []string // after each record; the first is that of an empty store
+	acknowledged []int    // for each operation of the disk, how many records had been acknowledged before it
+	submitted    []int    // and how many had been submitted
+}
+
+// runRandomChanges commits random records to a new store on a disk.
+func runRandomChanges(t testing.TB, disk *memoryDisk, records int, seed int64) randomRun {
+	t.Helper()
+	s := openStore(t, disk)
+	random := rand.New(rand.NewSource(seed))
+	run := randomRun{contents: []string{contents(s)}}
+	acknowledged := 0
+	noteOperations := func() {
+		for len(run.acknowledged) < len(disk.history) {
+			run.acknowledged = append(run.acknowledged, acknowledged)
+			run.submitted = append(run.submitted, len(run.contents)-1)
+		}
+	}
+	for record := 1; record <= records; record++ {
+		ops := randomOps(random, record)
+		lazy := random.Intn(5) == 0
+		err := s.Commit(ops, nil, lazy, func(err error) {
+			if err == nil {
+				acknowledged = record
+			}
+		})
+		if err != nil {
+			t.Fatal(err)
+		}
+		run.contents = append(run.contents, contents(s))
+		noteOperations() // those of the call above have this record in them
+		for random.Intn(3) == 0 && len(disk.answers) > 0 {
+			disk.answer(1)
+			noteOperations()
+		}
+	}
+	s.Flush()
+	for len(disk.answers) > 0 {
+		disk.answer(1)
+		noteOperations()
+	}
+	if acknowledged != records || s.Stats.Snapshots < 3 {
+		t.Fatalf("%d of %d acknowledged, %d snapshots", acknowledged, records, s.Stats.Snapshots)
+	}
+	return run
+}
+
+// randomOps returns changes of a few of 60 keys; a quarter of them are deletions.
+func randomOps(random *rand.Rand, record int) (ops []Op) {
+	for range 1 + random.Intn(3) {
+		op := Op{Key: fmt.Sprintf("k%02d\xff", random.Intn(60))}
+		if random.Intn(4) > 0 {
+			op.Value = fmt.Appendf(nil, "%d.%d", record-1, random.Intn(1000))
+		}
+		ops = append(ops, op)
+	}
+	return ops
+}
