--- a/internal/benchadapter/benchadapter.go
+++ b/internal/benchadapter/benchadapter.go
@@ -157,8 +157,8 @@
 			PromptTokens:    f32(e[50:]),
 			PrefixTokens:    f32(e[9:]),
 			MaxOutputTokens: f32(e[21:]),
-			DecodeTime:      settings.Micros(u64(e[34:])),
-			Deadline:        settings.Micros(u64(e[42:])),
+			DecodeTime:      settings.MicrosFromNanos(u64(e[34:])),
+			Deadline:        settings.MicrosFromNanos(u64(e[42:])),
 		})
 	case 40:
 		in.AttemptStarted(s.now, scheduler.RequestID(u64(e[1:])), scheduler.AttemptNo(binary.LittleEndian.Uint16(e[9:])))
@@ -196,9 +196,9 @@
 	if err != nil {
 		return err
 	}
-	in := &instance{stage: s, who: at, memoryAt: slices.Index(t.Report, "x0")}
+	in := &instance{stage: s, who: at, memoryAt: slices.Index(t.LoadReportFields, "x0")}
 	s.instances[at] = in
-	in.Scheduler = scheduler.New(s.now, int64(seed), t.Place, in)
+	in.Scheduler = scheduler.New(s.now, int64(seed), t.Scheduler, in)
 	return nil
 }
 
@@ -217,7 +217,7 @@
 			Kind:      scheduler.KindID(raw[5]),
 			Cell:      scheduler.CellID(binary.LittleEndian.Uint16(raw[6:])),
 			State:     conditions[raw[8]],
-			StartedAt: settings.Micros(u64(raw[13:])),
+			StartedAt: settings.MicrosFromNanos(u64(raw[13:])),
 		})
 	}
 	in.EndpointUpdateEnded(s.now, e[10] != 0)
@@ -280,13 +280,25 @@
 	binary.LittleEndian.PutUint64(r[9:], uint64(bell))
 }
 
-func (in *instance) Log(line string) {
+func (in *instance) Log(event scheduler.Event) {
+	line := describe(event)
 	r := in.record(90)
 	binary.LittleEndian.PutUint32(r[1:], uint32(len(in.stage.text)))
 	binary.LittleEndian.PutUint32(r[5:], uint32(len(line)))
 	in.stage.text = append(in.stage.text, line...)
 }
 
+// describe is the text of an event in the bench's log.
+func describe(event scheduler.Event) string {
+	switch e := event.(type) {
+	case scheduler.EndpointEjected:
+		return fmt.Sprintf("endpoint %d ejected for %d ms: %s", e.Endpoint, e.For/1000, e.Reason)
+	case scheduler.SendBlocked:
+		return fmt.Sprintf("send of request %d to endpoint %d blocked by guard: %s", e.Request, e.Endpoint, e.Rule)
+	}
+	return ""
+}
+
 // slice is what a tail field points at; each of its count items is size bytes.
 func slice(tail, field []byte, size uint64) ([]byte, error) {
 	from, count := uint64(u32(field)), uint64(u32(field[4:]))
