--- /dev/null
+++ b/internal/embeddings/golden_test.go
@@ -0,0 +1,263 @@
+package embeddings
+
+import (
+	"bytes"
+	"compress/gzip"
+	"encoding/base64"
+	"fmt"
+	"strings"
+	"testing"
+
+	"github.com/klauspost/compress/zstd"
+
+	"plumspindle/internal/frontend"
+	"plumspindle/internal/testbed/golden"
+)
+
+// recordingHandler notes what a Request reports.
+type recordingHandler struct{ out *bytes.Buffer }
+
+func (h recordingHandler) Begin() *frontend.Problem {
+	fmt.Fprintln(h.out, "begin")
+	return nil
+}
+
+func (h recordingHandler) Added(whole bool) *frontend.Problem {
+	fmt.Fprintf(h.out, "added, whole: %t\n", whole)
+	return nil
+}
+
+var testLimits = Limits{MaxInputs: 4, MaxInputTokens: 10, MaxBody: 4 << 10, MaxBuffered: 1 << 10}
+
+// parse feeds a body in pieces of some bytes.
+func parse(kind Kind, coding, body string, size int, out *bytes.Buffer) (*Request, *frontend.Problem) {
+	a := NewRequest(kind, coding, testLimits, recordingHandler{out}, nil)
+	return a, feed(a, body, size)
+}
+
+func feed(a *Request, body string, size int) *frontend.Problem {
+	defer a.Close()
+	for b := []byte(body); len(b) > 0; b = b[min(size, len(b)):] {
+		if p := a.Data(b[:min(size, len(b))]); p != nil {
+			return p
+		}
+	}
+	return a.End()
+}
+
+var bodies = []struct {
+	kind       Kind
+	name, body string
+}{
+	{Embeddings, "one text", `{"model":"m","input":"Hello"}`},
+	{Embeddings, "texts with repeats", `{"model":"m","input":["a","b","a","\u0061"]}`},
+	{Embeddings, "tokens", `{"model":"m","input":[1,2,3]}`},
+	{Embeddings, "lists of tokens", `{"model":"m","input":[[1,2],[3]]}`},
+	{Embeddings, "all members", `{"model":"m","user":"u","dimensions":3,"encoding_format":"base64","input":["a"]}`},
+	{Embeddings, "members behind the inputs", `{"input":["a"],"encoding_format":"float","model":"m"}`},
+	{Embeddings, "nulls", `{"model":"m","user":null,"dimensions":null,"encoding_format":null,"input":"a"}`},
+	{Embeddings, "not JSON", `{"model":"m","input":["a" "b"]}`},
+	{Embeddings, "not whole", `{"model":"m","input":["a"`},
+	{Embeddings, "not an object", `["a"]`},
+	{Embeddings, "more behind it", `{"model":"m","input":"a"} x`},
+	{Embeddings, "given twice", `{"model":"m","model":"m"}`},
+	{Embeddings, "a long name", `{"` + strings.Repeat("n", 300) + `":1}`},
+	{Embeddings, "a long value", `{"model":"` + strings.Repeat("m", 2000) + `"}`},
+	{Embeddings, "no model", `{"input":"a"}`},
+	{Embeddings, "empty model", `{"model":"","input":"a"}`},
+	{Embeddings, "null model", `{"model":null,"input":"a"}`},
+	{Embeddings, "model of a wrong type", `{"model":1,"input":"a"}`},
+	{Embeddings, "no input", `{"model":"m"}`},
+	{Embeddings, "null input", `{"model":"m","input":null}`},
+	{Embeddings, "number as input", `{"model":"m","input":1}`},
+	{Embeddings, "object as input", `{"model":"m","input":{"text":"a"}}`},
+	{Embeddings, "empty list", `{"model":"m","input":[]}`},
+	{Embeddings, "empty text", `{"model":"m","input":["a",""]}`},
+	{Embeddings, "empty inner list", `{"model":"m","input":[[]]}`},
+	{Embeddings, "a negative token", `{"model":"m","input":[1,-2]}`},
+	{Embeddings, "a broken token", `{"model":"m","input":[[1.5]]}`},
+	{Embeddings, "a token among texts", `{"model":"m","input":["a",1]}`},
+	{Embeddings, "a text among tokens", `{"model":"m","input":[1,"a"]}`},
+	{Embeddings, "true among texts", `{"model":"m","input":["a",true]}`},
+	{Embeddings, "too many inputs", `{"model":"m","input":["a","b","c","d","e"]}`},
+	{Embeddings, "a long text", `{"model":"m","input":["` + strings.Repeat("a", 41) + `"]}`},
+	{Embeddings, "many tokens", `{"model":"m","input":[1,2,3,4,5,6,7,8,9,10,11]}`},
+	{Embeddings, "many tokens in a list", `{"model":"m","input":[[1,2,3,4,5,6,7,8,9,10,11]]}`},
+	{Embeddings, "unknown member", `{"model":"m","top_n":1}`},
+	{Embeddings, "documents", `{"model":"m","documents":["a"]}`},
+	{Embeddings, "unknown format", `{"model":"m","encoding_format":"int8"}`},
+	{Embeddings, "format of a wrong type", `{"model":"m","encoding_format":1}`},
+	{Embeddings, "no dimensions", `{"model":"m","dimensions":0}`},
+	{Embeddings, "dimensions of a wrong type", `{"model":"m","dimensions":"3"}`},
+	{Embeddings, "broken dimensions", `{"model":"m","dimensions":1.5}`},
+	{Rerank, "texts", `{"model":"m","query":"q","documents":["a","b","a"]}`},
+	{Rerank, "objects", `{"model":"m","query":"q","documents":[{"text":"a"},{"text":"b","x":1}]}`},
+	{Rerank, "all rerank members", `{"model":"m","query":"q","top_n":2,"return_documents":true,"user":"u","documents":["b","a","c","b"]}`},
+	{Rerank, "documents first", `{"documents":["","a"],"return_documents":true,"query":"q","model":"m"}`},
+	{Rerank, "documents not returned", `{"documents":["a"],"return_documents":false,"query":"q","model":"m"}`},
+	{Rerank, "no query", `{"model":"m","documents":["a"]}`},
+	{Rerank, "empty query", `{"model":"m","query":"","documents":["a"]}`},
+	{Rerank, "null query", `{"model":"m","query":null,"documents":["a"]}`},
+	{Rerank, "no documents", `{"model":"m","query":"q"}`},
+	{Rerank, "text as documents", `{"model":"m","query":"q","documents":"a"}`},
+	{Rerank, "null documents", `{"model":"m","query":"q","documents":null}`},
+	{Rerank, "object without a text", `{"model":"m","query":"q","documents":[{"x":1}]}`},
+	{Rerank, "tokens as documents", `{"model":"m","query":"q","documents":[1]}`},
+	{Rerank, "input", `{"model":"m","query":"q","input":["a"]}`},
+	{Rerank, "zero top_n", `{"model":"m","query":"q","top_n":0}`},
+	{Rerank, "return_documents of a wrong type", `{"model":"m","query":"q","return_documents":1}`},
+}
+
+// TestRequestForms compares what each body is read as, in one piece and byte by byte, and what goes to an endpoint for it, with
+// a golden file.
+func TestRequestForms(t *testing.T) {
+	var out bytes.Buffer
+	for _, c := range bodies {
+		fmt.Fprintf(&out, "== %s\n", c.name)
+		var whole, pieces bytes.Buffer
+		a, p := parse(c.kind, "", c.body, len(c.body), &whole)
+		_, q := parse(c.kind, "", c.body, 1, &pieces)
+		if whole.String() != pieces.String() || fmt.Sprint(p) != fmt.Sprint(q) {
+			t.Errorf("%s: read as %q (%v), byte by byte as %q (%v)", c.name, whole.String(), p, pieces.String(), q)
+		}
+		out.Write(whole.Bytes())
+		if p != nil {
+			fmt.Fprintf(&out, "%d %s\n", p.Status, p.Body())
+			continue
+		}
+		var all []int
+		for i, input := range a.Inputs {
+			all = append(all, i)
+			fmt.Fprintf(&out, "input %s, %d tokens, key %x, cache key %x\n", input.Raw, input.Tokens, input.Key, a.CacheKey(i, 3))
+		}
+		path, body := a.PartRequest(all, 3)
+		fmt.Fprintf(&out, "order %d, texts %q, %d bytes buffered, %d tokens\n%s %s\n", a.Order, a.Texts, a.BufferedBytes, a.Tokens(all), path, body)
+	}
+	golden.Compare(t, out.Bytes())
+}
+
+// TestLargeBodyBeginsEarly: past half of the buffer a call begins with what has come, if all is known that a part needs.
+func TestLargeBodyBeginsEarly(t *testing.T) {
+	limits := Limits{MaxInputs: 9, MaxInputTokens: 10, MaxBody: 4 << 10, MaxBuffered: 40}
+	inputs := `["aaaaaaaaaa","bbbbbbbbbb"]`
+	cases := []struct {
+		kind       Kind
+		name, body string
+	}{
+		{Embeddings, "model first", `{"model":"m","input":` + inputs + `}`},
+		{Embeddings, "format behind the inputs", `{"model":"m","input":` + inputs + `,"user":"u","encoding_format":"base64"}`},
+		{Embeddings, "dimensions behind the inputs", `{"model":"m","input":` + inputs + `,"dimensions":3}`},
+		{Embeddings, "model behind few inputs", `{"input":` + inputs + `,"model":"m"}`},
+		{Embeddings, "model behind many inputs", `{"input":["aaaaaaaaaa","bbbbbbbbbb","cccccccccc","dddddddddd"],"model":"m"}`},
+		{Rerank, "query first", `{"model":"m","query":"q","documents":` + inputs + `,"top_n":1}`},
+		{Rerank, "return_documents behind the documents", `{"model":"m","query":"q","documents":` + inputs + `,"return_documents":true}`},
+		{Rerank, "query behind many documents", `{"model":"m","documents":["aaaaaaaaaa","bbbbbbbbbb","cccccccccc","dddddddddd"],"query":"q"}`},
+	}
+	var out bytes.Buffer
+	for _, c := range cases {
+		fmt.Fprintf(&out, "== %s\n", c.name)
+		a := NewRequest(c.kind, "", limits, recordingHandler{&out}, &frontend.Response{})
+		if p := feed(a, c.body, 1); p != nil {
+			fmt.Fprintf(&out, "%d %s\n", p.Status, p.Body())
+			continue
+		}
+		fmt.Fprintf(&out, "order %d, texts %q\n", a.Order, a.Texts)
+	}
+	golden.Compare(t, out.Bytes())
+}
+
+func TestEncodedBodies(t *testing.T) {
+	plain := `{"model":"m","input":["a","b"]}`
+	var zipped bytes.Buffer
+	z := gzip.NewWriter(&zipped)
+	_, _ = z.Write([]byte(plain))
+	_ = z.Close()
+	zstandard, err := zstd.NewWriter(nil)
+	if err != nil {
+		t.Fatal(err)
+	}
+	t.Cleanup(func() { _ = zstandard.Close() })
+	large := append(bytes.Repeat([]byte(" "), testLimits.MaxBody), plain...)
+	cases := []struct{ name, coding, body string }{
+		{"identity", "identity", plain},
+		{"gzip", "GZIP", zipped.String()},
+		{"zstd", "zstd", string(zstandard.EncodeAll([]byte(plain), nil))},
+		{"gzip that is none", "gzip", plain},
+		{"zstd that is none", "zstd", plain},
+		{"cut gzip", "gzip", zipped.String()[:zipped.Len()-9]},
+		{"large once decoded", "zstd", string(zstandard.EncodeAll(large, nil))},
+	}
+	var out bytes.Buffer
+	for _, c := range cases {
+		fmt.Fprintf(&out, "== %s\n", c.name)
+		a, p := parse(Embeddings, c.coding, c.body, 7, &out)
+		if p != nil {
+			fmt.Fprintf(&out, "%d %s\n", p.Status, p.Body())
+			continue
+		}
+		fmt.Fprintf(&out, "order %d\n", a.Order)
+	}
+	golden.Compare(t, out.Bytes())
+}
+
+// TestAnswerForms compares the answers to calls with a golden file.
+func TestAnswerForms(t *testing.T) {
+	vectors := [][]byte{{0, 0, 128, 63, 0, 0, 0, 192}, {0, 0, 0, 0, 205, 204, 204, 61}}
+	embed := Request{Model: `m"`, Order: []int32{0, 1, 0}}
+	encoded := embed
+	encoded.Base64 = true
+	rerank := Request{Kind: Rerank, Model: "m", Order: []int32{0, 1, 0}, Texts: []string{"<a>", "b"}}
+	top := rerank
+	top.TopN, top.ReturnDocuments = 2, true
+	var out bytes.Buffer
+	for _, request := range []*Request{&embed, &encoded, &rerank, &top, {}, {Kind: Rerank}} {
+		answer := Answer{Request: request, ID: "id", Vectors: vectors, Scores: []float64{-0.5, 1e-9}, Tokens: 12}
+		for more := true; more; {
+			var piece []byte
+			piece, more = answer.Next()
+			out.Write(piece)
+		}
+		out.WriteByte('\n')
+	}
+	many := Request{Model: "m", Order: make([]int32, 4000)}
+	answer := Answer{Request: &many, Vectors: vectors}
+	for more := true; more; {
+		var piece []byte
+		piece, more = answer.Next()
+		fmt.Fprintf(&out, "a piece of %d bytes\n", len(piece))
+	}
+	golden.Compare(t, out.Bytes())
+}
+
+// TestReadPartRefusesWhole: a host's answer is taken only if each input has exactly one good result.
+func TestReadPartRefusesWhole(t *testing.T) {
+	vector := base64.StdEncoding.EncodeToString(make([]byte, 8))
+	cases := []struct {
+		kind Kind
+		body string
+		good bool
+	}{
+		{Embeddings, `{"usage":{"prompt_tokens":7},"data":[{"index":1,"embedding":[1,2]},{"index":0,"embedding":"` + vector + `"}]}`, true},
+		{Embeddings, `{"data":[{"index":0,"embedding":[1,2]}]}`, false},
+		{Embeddings, `{"data":[{"index":0,"embedding":[1,2]},{"index":0,"embedding":[1,2]}]}`, false},
+		{Embeddings, `{"data":[{"index":0,"embedding":[1,2]},{"index":2,"embedding":[1,2]}]}`, false},
+		{Embeddings, `{"data":[{"index":0,"embedding":[1,2]},{"index":0.5,"embedding":[1,2]}]}`, false},
+		{Embeddings, `{"data":[{"index":0,"embedding":[1,2]},{"index":1,"embedding":[1]}]}`, false},
+		{Embeddings, `{"data":[{"index":0,"embedding":[1,2]},{"index":1,"embedding":[1,"2"]}]}`, false},
+		{Embeddings, `{"data":[{"index":0,"embedding":[1,2]},{"index":1,"embedding":[1,1e60]}]}`, false},
+		{Embeddings, `{"data":[{"index":0,"embedding":[1,2]},{"index":1,"embedding":"!"}]}`, false},
+		{Embeddings, `{"data":[{"index":0,"embedding":[1,2]},{"index":1}]}`, false},
+		{Embeddings, `{"data":{}}`, false},
+		{Embeddings, `{"data":[`, false},
+		{Rerank, `{"results":[{"index":0,"relevance_score":0.5},{"index":1,"relevance_score":-1}]}`, true},
+		{Rerank, `{"results":[{"index":0,"relevance_score":0.5},{"index":1,"relevance_score":"1"}]}`, false},
+		{Rerank, `{"results":[{"index":0,"relevance_score":0.5},{"index":1,"relevance_score":1e999}]}`, false},
+		{Rerank, `{"data":[{"index":0,"embedding":[1,2]},{"index":1,"embedding":[1,2]}]}`, false},
+	}
+	for _, c := range cases {
+		request := Request{Kind: c.kind}
+		if _, err := request.ReadPart([]byte(c.body), 2, 2); (err == nil) != c.good {
+			t.Errorf("%s: %v, want it taken: %t", c.body, err, c.good)
+		}
+	}
+}
--- a/internal/engine/engine.go
+++ b/internal/engine/engine.go
@@ -20,7 +20,7 @@
 }
 
 const (
-	maxResponseBody      = 1 << 20                     // bytes of a host's answer to a read, or of a refusal
+	maxResponseBody = 1 << 20                     // bytes of a host's answer to a read, or of a refusal
 	eventMost       = 256 << 10                   // bytes of one streamed event
 	releaseTimeout  = 200 * eventloop.Millisecond // for the answer to one release
 	releasePause    = 60 * eventloop.Millisecond  // before it is tried again, doubled each time
--- a/internal/engine/openai.go
+++ b/internal/engine/openai.go
@@ -148,7 +148,9 @@
 // notChunkError is an event that is not a completion chunk.
 type notChunkError struct{ event string }
 
-func (e *notChunkError) Error() string { return fmt.Sprintf("event is not a completion chunk: %.60q", e.event) }
+func (e *notChunkError) Error() string {
+	return fmt.Sprintf("event is not a completion chunk: %.60q", e.event)
+}
 
 // completionStream reads the events of a streamed chat completion.
 type completionStream struct {
--- /dev/null
+++ b/internal/frontend/wire_test.go
@@ -0,0 +1,260 @@
+package frontend
+
+import (
+	"strings"
+	"testing"
+
+	"plumspindle/internal/eventloop"
+	"plumspindle/internal/http1"
+	"plumspindle/internal/testbed/golden"
+	"plumspindle/internal/virtual"
+)
+
+// keyService knows one key.
+type keyService struct{}
+
+func (keyService) Identify(key string) (Identity, bool) {
+	return Identity{Tenant: "tenant", Key: "id", Space: "space", Active: true}, key == "good"
+}
+
+// textFormat streams events as they are.
+type textFormat struct {
+	stream bool
+	sent   int
+}
+
+func (f *textFormat) RequestID() string { return "answer-1" }
+func (f *textFormat) Streaming() bool   { return f.stream }
+func (f *textFormat) Unstarted() bool   { return f.sent == 0 }
+func (f *textFormat) Object() []byte    { return []byte(`{"whole":true}`) }
+func (f *textFormat) AppendEvent(b, event []byte) []byte {
+	f.sent++
+	return append(b, event...)
+}
+func (f *textFormat) AppendEnd(b []byte) []byte { return append(b, "data: [DONE]\n\n"...) }
+
+// recorder is a client's side of a connection; what it received is followed by a mark once the connection has ended.
+type recorder struct {
+	onOpened func()
+	received []byte
+}
+
+func (r *recorder) Opened()       { r.onOpened() }
+func (r *recorder) Data(b []byte) { r.received = append(r.received, b...) }
+func (r *recorder) Drained()      {}
+func (r *recorder) Closed(error)  { r.received = append(r.received, "<closed>"...) }
+
+// rig is a server with routes that answer in every way that a Response knows.
+type rig struct {
+	world  *virtual.World
+	server *Server
+	client *virtual.Loop
+	addr   string
+	// disconnects counts the requests whose client was reported as gone.
+	disconnects int
+}
+
+func newRig(t *testing.T, configure func(s *Server)) *rig {
+	t.Helper()
+	y := &rig{world: virtual.New(1)}
+	loop := y.world.Loop("server")
+	y.client = y.world.Loop("client")
+	loop.Do(func() {
+		routes := ModelRoutes(func() []string { return []string{"first", `sec"ond`} })
+		routes["/v1/answer"] = Route{Method: "POST", MaxBody: 2 << 20, Begin: y.begin}
+		routes["/v1/buffered"] = Route{Method: "POST", MaxBuffered: 8, Begin: y.begin}
+		y.server = New(loop, keyService{}, routes, http1.Usual, DefaultClientLimits)
+		if configure != nil {
+			configure(y.server)
+		}
+		listener, err := loop.Listen("127.0.0.1:0", y.server.Accept)
+		if err != nil {
+			t.Fatal(err)
+		}
+		y.addr = listener.Addr()
+	})
+	return y
+}
+
+// begin answers as the body says.
+func (y *rig) begin(head *http1.Head, _ Identity, response *Response) (Sink, *Problem) {
+	if p := RequireJSON(head, "gzip"); p != nil {
+		return nil, p
+	}
+	response.OnDisconnect = func() { y.disconnects++ }
+	return &BufferedBody{Handle: func(body []byte) *Problem {
+		events := &textFormat{stream: true}
+		switch string(body) {
+		case "object":
+			response.SetFormat(&textFormat{})
+			response.Complete()
+		case "stream":
+			response.SetFormat(events)
+			response.Heartbeat()
+			response.WriteEvent([]byte("data: one\n\n"))
+			response.WriteEvent([]byte("data: two\n\n"))
+			response.Heartbeat()
+			response.Complete()
+		case "empty stream":
+			response.SetFormat(events)
+			response.Complete()
+		case "broken stream":
+			response.SetFormat(events)
+			response.WriteEvent([]byte("data: one\n\n"))
+			response.Fail(false, "The stream broke.")
+		case "pieces":
+			pieces := []string{"a", "bc", ""}
+			response.Stream("text/plain", func() ([]byte, bool) {
+				piece := pieces[0]
+				pieces = pieces[1:]
+				return []byte(piece), len(pieces) > 0
+			}, "x-request-id", "answer-2")
+		case "reject":
+			response.Reject(0)
+		case "reject later":
+			response.Reject(1234567)
+		case "over quota":
+			response.RejectOverQuota("too many", 3*eventloop.Second)
+		case "fail":
+			response.Fail(true, "It failed.")
+		case "error":
+			response.Error(&Problem{Status: 422, Type: "invalid_request_error", Code: "input_not_served", NoRetry: true, Message: "<No & no>."})
+		case "wait": // until the client disconnects or the test ends
+		default:
+			return Invalid("body", "invalid_value", "Invalid %q.", body)
+		}
+		return nil
+	}}, nil
+}
+
+// connect opens a connection that sends parts 10 ms apart.
+func (y *rig) connect(parts ...string) (*recorder, eventloop.Conn) {
+	r := &recorder{}
+	var conn eventloop.Conn
+	y.client.Do(func() {
+		conn = y.client.Dial(y.addr, eventloop.Second, r)
+		r.onOpened = func() {
+			for i, part := range parts {
+				y.client.After(eventloop.Micros(i)*10*eventloop.Millisecond, func() { conn.Write([]byte(part)) })
+			}
+		}
+	})
+	return r, conn
+}
+
+// exchange sends parts 10 ms apart on a connection of its own and returns all that comes back within the span.
+func (y *rig) exchange(span eventloop.Micros, parts ...string) []byte {
+	r, _ := y.connect(parts...)
+	y.world.Run(span)
+	return r.received
+}
+
+func post(path, body string, fields ...string) string {
+	return string(http1.AppendRequest(nil, "POST", path, "host", []byte(body),
+		append([]string{"Authorization", "Bearer good"}, fields...)...))
+}
+
+// TestWireForm compares all that a client receives, byte for byte, with golden files.
+func TestWireForm(t *testing.T) {
+	get := func(target, key string) string {
+		return string(http1.AppendRequest(nil, "GET", target, "host", nil, "Authorization", key))
+	}
+	cases := map[string][]string{
+		"models":              {get("/v1/models", "Bearer good")},
+		"one model":           {get("/v1/models/first?x=1", "Bearer good")},
+		"unknown model":       {get("/v1/models/"+strings.Repeat("x", 70), "Bearer good")},
+		"no key":              {get("/v1/models", "")},
+		"wrong key":           {get("/v1/models", "Bearer bad")},
+		"not a bearer":        {get("/v1/models", "Basic good")},
+		"unknown URL":         {get("/v1/other?x", "Bearer good")},
+		"outside of the APIs": {get("/metrics", "")},
+		"wrong method":        {get("/v1/answer", "Bearer good")},
+		"wrong content type":  {post("/v1/answer", "object", "Content-Type", "text/plain")},
+		"wrong coding":        {post("/v1/answer", "object", "Content-Encoding", "br")},
+		"invalid parameter":   {post("/v1/answer", "nothing known")},
+		"object":              {post("/v1/answer", "object")},
+		"object then close":   {post("/v1/answer", "object", "Connection", "close")},
+		"stream":              {post("/v1/answer", "stream")},
+		"empty stream":        {post("/v1/answer", "empty stream")},
+		"broken stream":       {post("/v1/answer", "broken stream")},
+		"pieces":              {post("/v1/answer", "pieces")},
+		"reject":              {post("/v1/answer", "reject")},
+		"reject later":        {post("/v1/answer", "reject later")},
+		"over quota":          {post("/v1/answer", "over quota")},
+		"fail":                {post("/v1/answer", "fail")},
+		"error":               {post("/v1/answer", "error")},
+		"pipelined":           {post("/v1/answer", "object") + post("/v1/answer", "fail") + post("/v1/answer", "stream")},
+		"expects continue":    {post("/v1/answer", "object", "Expect", "100-continue")},
+		"cut anywhere":        strings.SplitAfter(post("/v1/answer", "object"), "e"),
+		"malformed":           {"what is this\r\n\r\n"},
+		"malformed behind":    {post("/v1/answer", "object") + "what is this\r\n\r\n"},
+		"body too large":      {"POST /v1/answer HTTP/1.1\r\nHost: h\r\nAuthorization: Bearer good\r\nContent-Length: 9999999\r\n\r\n"},
+		"body that stalls":    {"POST /v1/answer HTTP/1.1\r\nHost: h\r\nAuthorization: Bearer good\r\nContent-Length: 6\r\n\r\nobj"},
+		"idle":                {},
+	}
+	for name, parts := range cases {
+		t.Run(name, func(t *testing.T) {
+			y := newRig(t, nil)
+			got := y.exchange(2*DefaultClientLimits.IdleTimeout, parts...)
+			if y.server.OpenRequests != 0 {
+				t.Errorf("%d requests are open at the end", y.server.OpenRequests)
+			}
+			if y.server.BufferedBytes != 0 {
+				t.Errorf("%d bytes are buffered at the end", y.server.BufferedBytes)
+			}
+			golden.Compare(t, got)
+		})
+	}
+}
+
+// TestWireFormUnderLimits compares what clients receive where connections, buffers or the shutdown bound them.
+func TestWireFormUnderLimits(t *testing.T) {
+	t.Run("shutdown", func(t *testing.T) {
+		y := newRig(t, nil)
+		y.client.After(5*eventloop.Millisecond, y.server.Shutdown)
+		golden.Compare(t, y.exchange(eventloop.Second, post("/v1/answer", "object"), post("/v1/answer", "object")))
+	})
+	t.Run("request over the connection limit", func(t *testing.T) {
+		y := newRig(t, func(s *Server) { s.MaxConnections = 1 })
+		y.exchange(10*eventloop.Millisecond, post("/v1/answer", "wait"))
+		golden.Compare(t, y.exchange(eventloop.Second, post("/v1/answer", "object")))
+	})
+	t.Run("connection over the connection limit", func(t *testing.T) {
+		y := newRig(t, func(s *Server) { s.MaxConnections = 1 })
+		for range 2 {
+			y.exchange(10*eventloop.Millisecond, post("/v1/answer", "wait"))
+		}
+		golden.Compare(t, y.exchange(eventloop.Second, post("/v1/answer", "object")))
+	})
+	t.Run("idle connection evicted", func(t *testing.T) {
+		y := newRig(t, func(s *Server) { s.MaxConnections = 1 })
+		y.exchange(2 * eventloop.Second)
+		golden.Compare(t, y.exchange(eventloop.Second, post("/v1/answer", "object")))
+	})
+	t.Run("body over the buffer limit", func(t *testing.T) {
+		y := newRig(t, func(s *Server) { s.MaxBufferedBytes = 4 })
+		golden.Compare(t, y.exchange(eventloop.Second, post("/v1/answer", "object")))
+		if y.disconnects != 1 {
+			t.Errorf("%d requests were reported as disconnected, want 1", y.disconnects)
+		}
+	})
+	t.Run("body within the buffer share of its route", func(t *testing.T) {
+		y := newRig(t, func(s *Server) { s.MaxBufferedBytes = 8 })
+		golden.Compare(t, y.exchange(eventloop.Second, post("/v1/buffered", "over quota")))
+	})
+}
+
+// TestDisconnectIsReportedOnce: a client that goes away before its final answer is reported, and nothing stays counted.
+func TestDisconnectIsReportedOnce(t *testing.T) {
+	y := newRig(t, nil)
+	_, conn := y.connect(post("/v1/answer", "wait"))
+	y.world.Run(eventloop.Second)
+	if y.server.OpenRequests != 1 || y.server.BufferedBytes != len("wait") {
+		t.Fatalf("%d requests open, %d bytes buffered", y.server.OpenRequests, y.server.BufferedBytes)
+	}
+	y.client.Do(conn.Abort)
+	y.world.Run(eventloop.Second)
+	if y.server.OpenRequests != 0 || y.server.BufferedBytes != 0 || y.disconnects != 1 {
+		t.Errorf("%d requests open, %d bytes buffered, %d disconnects reported", y.server.OpenRequests, y.server.BufferedBytes, y.disconnects)
+	}
+}
