--- a/internal/engine/attempt.go
+++ b/internal/engine/attempt.go
@@ -9,191 +9,172 @@
 	"plumspindle/scheduler"
 )
 
-// Callbacks is told what becomes of an attempt: Event for each usable event of a write, then Ended once.
-type Callbacks struct {
-	Event func(data []byte)
-	Ended func(Result)
-}
-
-// Call is an attempt in whatever protocol over HTTP/1.1: what goes out, and how what comes back is read.
-type Call struct {
-	BuildRequest    func(addr string, left eventloop.Micros) []byte // as it is when it leaves, with what is left of the time allowed
-	ReadResponse    func(head *http1.Head, body []byte) Result      // what an answer means that is not streamed
-	Stream          Stream                                          // nil: none is expected
-	MaxResponseBody int                                             // bytes of an answer that is not streamed
-	IsRelease       bool                                            // it lets go of something, and must not wait for attempts
-	// SendWithin, where it is above 0, is how long the call may take to leave, where that is less than the time for a connection.
-	SendWithin eventloop.Micros
-}
-
-// Stream reads the events of one streamed answer.
-type Stream interface {
-	// Event judges one; an error ends the attempt.
-	Event(data []byte) (pass bool, err error)
-	// Ended is what the stream came to when its body was complete.
-	Ended() Result
-	// Complete tells whether its last event has come; a body that goes on until its connection ends shows no other end.
-	Complete() bool
-	// Broken is what it came to where it ended in a way it should not have.
-	Broken(how scheduler.Outcome, why string) Result
-}
-
-// Attempt is one send that is out.
+// Attempt is one request to an endpoint. Its owner hears of its end by Callbacks.Ended, or ends it by Cancel.
 type Attempt struct {
-	engine     *Engine
-	host       *host
-	connection *connection
-	hear       Callbacks
-	answer     func(head *http1.Head, body []byte) Result
-	stream     Stream
-	most       int // bytes of an answer that is not streamed
-	asks       func(addr string, left eventloop.Micros) []byte
-	due        eventloop.Micros // when the time allowed is over
-	leave      eventloop.Micros // when it has to have left
-	allow      eventloop.Timer
-	ended      bool
-	left       bool // its last byte had, when it ended
-	pending    bool // and was not known to have reached its host then
-
-	started   bool
-	slow      bool             // its client lags, and it is not read
-	heard     eventloop.Micros // when its stream last brought something
-	isRelease bool             // it tells the host to let go, and must not wait for attempts
-	room      int              // connections that were closed for it
-
-	// What the answer has told so far.
-	head   *http1.Head
-	body   []byte
-	events sse.Parser
-	memory float64
-}
-
-// late ends an attempt whose time is over. What was never handed to the network whole can't have run; and it is taken back once it should
-// have left, for want of a connection or because its host does not read it: whether it might still be sent, as a repeat in its window,
-// was looked at when it was ordered.
-func (l *Attempt) late() {
-	now := l.engine.loop.Now()
+	engine       *Engine
+	endpoint     *endpoint
+	call         Call
+	callbacks    Callbacks
+	connection   *connection      // nil while it has none
+	deadline     eventloop.Micros // of the first event, or of a response that is not streamed
+	sendDeadline eventloop.Micros // by which its last byte has to have left
+	timer        eventloop.Timer  // for the deadlines, and once started for a stream that falls silent
+	evictions    int              // idle connections that were closed for it
+
+	ended       bool
+	sent        bool // once ended: its last byte had left this process
+	undelivered bool // once ended: its last byte was not known to have reached the endpoint
+
+	readingPaused bool
+	lastReceived  eventloop.Micros // when a started stream last brought anything
+
+	// What of the response has come.
+	head        *http1.Head
+	body        []byte
+	events      sse.Parser
+	memoryUsage float64
+}
+
+// timeout ends an attempt whose deadline has passed. What has not left whole cannot have run, and is taken back once
+// the time to send is over, for want of a connection or because the endpoint does not read: whether it may still be
+// sent was decided when the attempt was ordered.
+func (a *Attempt) timeout() {
+	now := a.engine.loop.Now()
 	switch {
-	case l.Unsent():
-		l.end(Result{Outcome: scheduler.Unreachable, Reason: "not sent in the time allowed"}, true)
-	case now < l.due:
-		l.allow = l.engine.loop.After(l.due-now, l.late)
+	case a.Unsent():
+		a.abort(Result{Outcome: scheduler.Unreachable, Reason: "not sent within its time"})
+	case now < a.deadline:
+		a.timer = a.engine.loop.After(a.deadline-now, a.timeout)
 	default:
-		l.end(Result{Outcome: scheduler.TimedOut, Reason: "not in the time allowed"}, true)
+		a.abort(Result{Outcome: scheduler.TimedOut, Reason: "no response within its time"})
 	}
 }
 
-// Unsent tells that the attempt's last byte has not left this process, so that no host can have begun it.
-func (l *Attempt) Unsent() bool {
-	if l.ended {
-		return !l.left
+// Unsent reports whether the attempt's last byte has not left this process, so that no endpoint can have begun it.
+func (a *Attempt) Unsent() bool {
+	if a.ended {
+		return !a.sent
 	}
-	return l.connection == nil || !l.connection.sent || l.connection.conn.Unsent() > 0
+	return a.connection == nil || !a.connection.written || a.connection.conn.Unsent() > 0
 }
 
-// Undelivered tells that the attempt's last byte is not known to have reached its host.
-func (l *Attempt) Undelivered() bool {
-	if l.ended {
-		return l.pending
+// Undelivered reports whether the attempt's last byte is not known to have reached its endpoint.
+func (a *Attempt) Undelivered() bool {
+	if a.ended {
+		return a.undelivered
 	}
-	return l.connection == nil || l.Unsent() || l.connection.conn.Undelivered()
+	return a.connection == nil || a.Unsent() || a.connection.conn.Undelivered()
 }
 
-// Cancel quits waiting for an attempt: the connection is closed, which is how a host is told. Nothing more is heard
-// of it.
-func (l *Attempt) Cancel() {
-	if !l.ended {
-		l.left, l.pending = !l.Unsent(), l.Undelivered()
-		l.ended = true
-		l.allow.Stop()
-		l.drop()
+// Cancel ends an attempt without a callback. The connection is reset, by which the endpoint learns of it.
+func (a *Attempt) Cancel() {
+	if !a.ended {
+		a.sent, a.undelivered = !a.Unsent(), a.Undelivered()
+		a.ended = true
+		a.timer.Stop()
+		a.dropConnection()
 	}
 }
 
-// Started frees the attempt from its time-out, which counts only until the first token. From now on the stream has
-// to go on: a silent peer is never heard to close.
-func (l *Attempt) Started() {
-	l.started = true
-	l.watch()
-}
+// Started lifts the attempt's deadline, which counts until the first token. From now on the stream may not fall silent
+// for longer than Limits.StreamIdleTimeout: a peer that is gone never closes its connection.
+func (a *Attempt) Started() { a.restartSilenceTimer() }
 
-func (l *Attempt) watch() {
-	l.allow.Stop()
-	l.heard = l.engine.loop.Now()
-	l.allow = l.engine.loop.After(l.engine.limits.StreamIdleTimeout, l.silent)
+func (a *Attempt) restartSilenceTimer() {
+	a.timer.Stop()
+	a.lastReceived = a.engine.loop.Now()
+	a.timer = a.engine.loop.After(a.engine.limits.StreamIdleTimeout, a.checkSilence)
 }
 
-func (l *Attempt) silent() {
-	quiet := l.engine.loop.Now() - l.heard
+func (a *Attempt) checkSilence() {
+	silence := a.engine.loop.Now() - a.lastReceived
+	limit := a.engine.limits.StreamIdleTimeout
 	switch {
-	case l.slow:
-		l.watch()
-	case quiet < l.engine.limits.StreamIdleTimeout:
-		l.allow = l.engine.loop.After(l.engine.limits.StreamIdleTimeout-quiet, l.silent)
+	case a.readingPaused:
+		a.restartSilenceTimer()
+	case silence < limit:
+		a.timer = a.engine.loop.After(limit-silence, a.checkSilence)
 	default:
-		l.end(l.broke(scheduler.ConnectionLost, "the stream fell silent"), true)
+		a.abort(a.brokenResult(scheduler.ConnectionLost, "stream fell silent"))
 	}
 }
 
-// PauseReading stops or resumes the reading of a stream whose client lags.
-func (l *Attempt) PauseReading(on bool) {
-	if l.connection != nil && !l.ended && l.slow != on {
-		l.slow = on
-		l.heard = l.engine.loop.Now()
-		l.connection.conn.Pause(on)
+// PauseReading stops or resumes the reading of a stream, for a client that lags.
+func (a *Attempt) PauseReading(on bool) {
+	if a.connection != nil && !a.ended && a.readingPaused != on {
+		a.readingPaused = on
+		a.lastReceived = a.engine.loop.Now()
+		a.connection.conn.Pause(on)
 	}
 }
 
-func (l *Attempt) drop() {
-	if t := l.connection; t != nil {
-		l.connection = nil
-		t.attempt = nil
-		t.conn.Abort()
+func (a *Attempt) dropConnection() {
+	if conn := a.connection; conn != nil {
+		a.connection = nil
+		conn.attempt = nil
+		conn.conn.Abort()
 	}
 }
 
-// end reports the outcome once; broken tells that the connection can carry nothing more.
-func (l *Attempt) end(o Result, broken bool) {
-	if l.ended {
+// finish reports the result, once.
+func (a *Attempt) finish(result Result) { a.end(result, false) }
+
+// abort reports the result, once, and resets the connection, which can carry nothing more.
+func (a *Attempt) abort(result Result) { a.end(result, true) }
+
+func (a *Attempt) end(result Result, reset bool) {
+	if a.ended {
 		return
 	}
-	l.pending = l.connection != nil && l.Undelivered()
-	l.left = l.left || !l.Unsent()
-	l.ended = true
-	o.Undelivered = l.pending
-	l.allow.Stop()
-	if broken {
-		o.ClosedLocally = true
-		l.drop()
+	a.undelivered = a.connection != nil && a.Undelivered()
+	a.sent = a.sent || !a.Unsent()
+	a.ended = true
+	result.Undelivered = a.undelivered
+	a.timer.Stop()
+	if reset {
+		result.ClosedLocally = true
+		a.dropConnection()
 	}
-	if o.MemoryUsage == 0 {
-		o.MemoryUsage = l.memory
+	if result.MemoryUsage == 0 {
+		result.MemoryUsage = a.memoryUsage
 	}
-	l.hear.Ended(o)
+	a.callbacks.Ended(result)
 }
 
-// broke is the outcome of an answer that ended in a way it should not have.
-func (l *Attempt) broke(how scheduler.Outcome, why string) Result {
-	if l.stream != nil {
-		return l.stream.Broken(how, why)
+// brokenResult returns the result of a response that ended early.
+func (a *Attempt) brokenResult(outcome scheduler.Outcome, reason string) Result {
+	if a.call.Stream != nil {
+		return a.call.Stream.Broken(outcome, reason)
 	}
-	return Result{Outcome: how, Reason: why}
+	return Result{Outcome: outcome, Reason: reason}
 }
 
-// event takes one of the writer's.
-func (l *Attempt) event(data []byte) error {
-	if l.ended {
+// receiveEvent takes one event of a streamed response.
+func (a *Attempt) receiveEvent(data []byte) error {
+	if a.ended {
 		return nil
 	}
-	l.heard = l.engine.loop.Now()
-	pass, err := l.stream.Event(data)
+	a.lastReceived = a.engine.loop.Now()
+	pass, err := a.call.Stream.Event(data)
 	if err == nil && pass {
-		l.hear.Event(data)
+		a.callbacks.Event(data)
 	}
 	return err
 }
 
-// streams tells whether the answer is a stream of events.
-func (l *Attempt) streams() bool {
-	return l.head.Status == 200 && strings.HasPrefix(l.head.Get("Content-Type"), "text/event-stream")
+// receiveBody takes bytes of the response's body.
+func (a *Attempt) receiveBody(data []byte) error {
+	if a.streamed() {
+		return a.events.Feed(data, a.receiveEvent)
+	}
+	if a.body = append(a.body, data...); len(a.body) > a.call.MaxResponseBody {
+		return errResponseTooLong
+	}
+	return nil
+}
+
+// streamed reports whether the response is a stream of events.
+func (a *Attempt) streamed() bool {
+	return a.call.Stream != nil && a.head.Status == statusOK &&
+		strings.HasPrefix(a.head.Get("Content-Type"), "text/event-stream")
 }
--- a/internal/engine/connection.go
+++ b/internal/engine/connection.go
@@ -10,189 +10,216 @@
 	"plumspindle/scheduler"
 )
 
-// connection is one connection to a host; it carries one attempt at a time.
+// restTime is how long a connection is not used after a response: an endpoint may send a second one some milliseconds
+// late, which would be taken for that of the next attempt.
+const restTime = 15 * eventloop.Millisecond
+
+var (
+	errUnrequested     = errors.New("response to no request")
+	errResponseTooLong = errors.New("response is too long")
+)
+
+// connection is one connection to an endpoint; it carries one attempt at a time.
 type connection struct {
-	engine    *Engine
-	host      *host
-	addr      string
-	conn      eventloop.Conn
-	parser    http1.Parser
-	attempt   *Attempt
-	sent      bool // the attempt was handed to the network
-	up        bool
-	down      bool
-	last      bool // the host closes after this answer
-	ended     bool // an answer without any other end may be complete with the connection's
-	idleTimer eventloop.Timer
-	idleNo    uint64 // in the order in which connections fell idle
-	carried   int    // attempts before this one
-	idleAt    eventloop.Micros
-	idled     eventloop.Micros // for how long it was idle before this attempt
+	engine   *Engine
+	endpoint *endpoint
+	addr     string
+	conn     eventloop.Conn
+	parser   http1.Parser
+	attempt  *Attempt // nil: none
+	written  bool     // the attempt's bytes were handed to conn
+
+	opened      bool
+	closed      bool
+	closesAfter bool // the endpoint closes it after this response
+	bodyCut     bool // the response's body ended with the connection
+
+	idleTimer    eventloop.Timer
+	idleOrder    uint64 // connections idle for longer have smaller ones
+	idleSince    eventloop.Micros
+	idleDuration eventloop.Micros // before this attempt
+	attempts     int              // carried before this one
 }
 
-func (t *connection) take(l *Attempt) {
-	t.attempt, l.connection = l, t
-	t.idled = t.engine.loop.Now() - t.idleAt
-	t.write()
+// carry sends an attempt.
+func (c *connection) carry(attempt *Attempt) {
+	c.attempt, attempt.connection = attempt, c
+	c.idleDuration = c.engine.loop.Now() - c.idleSince
+	c.write()
 }
 
-// write hands the attempt to the network. What it says of its time is as it is now, not as it was before a connection was there.
-func (t *connection) write() {
-	t.sent = true
-	t.conn.Write(t.attempt.asks(t.addr, max(t.attempt.due-t.engine.loop.Now(), 0)))
+// write hands the attempt's bytes to the network. They are built only now, as they may state the time that is left.
+func (c *connection) write() {
+	c.written = true
+	remaining := max(c.attempt.deadline-c.engine.loop.Now(), 0)
+	c.conn.Write(c.attempt.call.BuildRequest(c.addr, remaining))
 }
 
-func (t *connection) Opened() {
-	t.up = true
-	t.host.opening--
-	defer t.engine.next(t.host)
-	if t.attempt != nil {
-		t.write()
+// Opened implements eventloop.Handler.
+func (c *connection) Opened() {
+	c.opened = true
+	c.endpoint.opening--
+	defer c.engine.startQueued(c.endpoint)
+	if c.attempt != nil {
+		c.write()
 		return
 	}
-	t.conn.Close()
+	c.conn.Close()
 }
 
-func (t *connection) Drained() {}
+// Drained implements eventloop.Handler.
+func (c *connection) Drained() {}
 
-func (t *connection) Data(b []byte) {
-	t.host.heard = t.engine.loop.Now()
-	if t.attempt == nil {
-		t.retire() // a host that speaks unasked can't be trusted with the next answer
-		t.conn.Abort()
+// Data implements eventloop.Handler.
+func (c *connection) Data(data []byte) {
+	c.endpoint.lastReceived = c.engine.loop.Now()
+	if c.attempt == nil {
+		c.leaveIdle() // what comes unrequested must not be taken for the next attempt's response
+		c.conn.Abort()
 		return
 	}
-	if t.attempt.Unsent() { // whatever it is, it is no answer to what has not left
-		t.attempt.end(Result{Outcome: scheduler.Unreachable, Reason: "the host spoke before the request had left"}, true)
+	if c.attempt.Unsent() { // whatever it is, it is no response to what has not left
+		c.attempt.abort(Result{Outcome: scheduler.Unreachable, Reason: "response before the request had left"})
 		return
 	}
-	if err := t.parser.Feed(b, t); err != nil && t.attempt != nil {
-		t.attempt.end(t.attempt.broke(scheduler.Errored, err.Error()), true)
+	if err := c.parser.Feed(data, c); err != nil && c.attempt != nil {
+		c.attempt.abort(c.attempt.brokenResult(scheduler.Errored, err.Error()))
 	}
 }
 
-// retire takes an idle connection out of use.
-func (t *connection) retire() {
-	if at := slices.Index(t.host.idle, t); at >= 0 {
-		t.host.idle = slices.Delete(t.host.idle, at, at+1)
-		t.idleTimer.Stop()
+// Closed implements eventloop.Handler.
+func (c *connection) Closed(cause error) {
+	c.closed = true
+	c.endpoint.open--
+	c.engine.open--
+	if !c.opened {
+		c.endpoint.opening--
+	}
+	c.leaveIdle()
+	defer c.engine.startQueued(c.endpoint)
+	switch {
+	case c.attempt == nil:
+	case !c.written || c.conn.Unsent() > 0:
+		c.closedBeforeSent(cause)
+	default:
+		c.closedAfterSent(cause)
 	}
 }
 
-func (t *connection) Closed(cause error) {
-	t.down = true
-	t.host.open--
-	t.engine.open--
-	if !t.up {
-		t.host.opening--
-	}
-	t.retire()
-	defer t.engine.next(t.host)
-	l := t.attempt
-	if l == nil {
-		return
-	}
-	if !t.sent || t.conn.Unsent() > 0 {
-		t.attempt, l.connection = nil, nil
-		if e := t.engine; errors.Is(cause, eventloop.ErrNoDescriptors) && l.room < roomTries && e.makeRoom() {
-			l.room++
-			e.loop.After(roomPause, func() { // the descriptor is free by then
-				if !l.ended {
-					e.carry(l)
-				}
-			})
-			return
-		}
-		l.end(Result{Outcome: scheduler.Unreachable, Reason: cause.Error()}, false)
+func (c *connection) closedBeforeSent(cause error) {
+	attempt := c.release()
+	if errors.Is(cause, eventloop.ErrNoDescriptors) && c.engine.startAfterEviction(attempt) {
 		return
 	}
-	l.left, t.ended = true, true
-	err := t.parser.Close(t)
-	if t.attempt == nil {
+	attempt.finish(Result{Outcome: scheduler.Unreachable, Reason: cause.Error()})
+}
+
+func (c *connection) closedAfterSent(cause error) {
+	c.attempt.sent, c.bodyCut = true, true
+	err := c.parser.Close(c)
+	if c.attempt == nil { // its response was complete with the connection's end
 		return
 	}
-	t.attempt, l.connection = nil, nil
-	why := "the connection broke"
-	if err != nil && t.parser.Idle() {
-		why = "no answer came"
+	attempt := c.release()
+	reason := "connection broke"
+	if err != nil && c.parser.Idle() {
+		reason = "no response came"
 	}
-	l.end(l.broke(scheduler.ConnectionLost, fmt.Sprintf("%s: %v; leg %d on it, after %d ms idle", why, cause, t.carried+1, t.idled/eventloop.Millisecond)), false)
+	reason = fmt.Sprintf("%s: %v (attempt %d on the connection, %d ms idle before)",
+		reason, cause, c.attempts+1, c.idleDuration/eventloop.Millisecond)
+	attempt.finish(attempt.brokenResult(scheduler.ConnectionLost, reason))
 }
 
-var errUnasked = errors.New("an answer that nobody asked for")
+// release parts the connection and its attempt.
+func (c *connection) release() *Attempt {
+	attempt := c.attempt
+	c.attempt, attempt.connection = nil, nil
+	return attempt
+}
 
-// Head, Body and End are the parser's events.
-func (t *connection) Head(h *http1.Head) error {
-	l := t.attempt
-	if l == nil {
-		return errUnasked
+// Head implements http1.Events.
+func (c *connection) Head(head *http1.Head) error {
+	if c.attempt == nil {
+		return errUnrequested
 	}
-	l.head, t.last = h, !h.KeepAlive()
-	l.memory = memory(h)
+	c.attempt.head, c.closesAfter = head, !head.KeepAlive()
+	c.attempt.memoryUsage = memoryUsage(head)
 	return nil
 }
 
-func (t *connection) Body(b []byte) error {
-	l := t.attempt
-	if l == nil {
-		return errUnasked
-	}
-	if l.stream == nil || !l.streams() {
-		if l.body = append(l.body, b...); len(l.body) > l.most {
-			return errors.New("the answer is too long")
-		}
-		return nil
+// Body implements http1.Events.
+func (c *connection) Body(data []byte) error {
+	if c.attempt == nil {
+		return errUnrequested
 	}
-	return l.events.Feed(b, l.event)
+	return c.attempt.receiveBody(data)
 }
 
-func (t *connection) End() error {
-	l := t.attempt
-	if l == nil {
-		return errUnasked
-	}
-	var o Result
+// End implements http1.Events.
+func (c *connection) End() error {
+	if c.attempt == nil {
+		return errUnrequested
+	}
+	result := c.readResult()
+	attempt := c.release()
+	attempt.sent = true
+	c.conn.Pause(false)
 	switch {
-	case l.stream == nil || !l.streams():
-		o = l.answer(l.head, l.body)
-	case t.ended && !l.stream.Complete():
-		o = l.stream.Broken(scheduler.ConnectionLost, "the connection ended before the stream's last event")
+	case c.parser.More() > 0: // what follows a response must not be taken for the next one
+		c.conn.Abort()
+	case c.closesAfter || c.closed || c.outdated():
+		c.conn.Close()
 	default:
-		o = l.stream.Ended()
+		c.attempts++
+		c.idleSince = c.engine.loop.Now()
+		c.engine.loop.After(restTime, c.becomeIdle)
 	}
-	t.attempt, l.connection, l.left = nil, nil, true
-	t.conn.Pause(false)
+	c.engine.startQueued(c.endpoint)
+	attempt.finish(result)
+	return nil
+}
+
+// readResult returns the result of a response that has come to its end.
+func (c *connection) readResult() Result {
+	attempt := c.attempt
+	stream := attempt.call.Stream
 	switch {
-	case t.parser.More() > 0: // what is behind an answer must not be taken for the next one
-		t.conn.Abort()
-	case t.last || t.down || t.addr != t.host.addr || t.host.gone:
-		t.conn.Close()
+	case !attempt.streamed():
+		return attempt.call.ReadResponse(attempt.head, attempt.body)
+	case c.bodyCut && !stream.Complete():
+		return stream.Broken(scheduler.ConnectionLost, "connection ended before the stream's last event")
 	default:
-		t.carried++
-		t.idleAt = t.engine.loop.Now()
-		t.engine.loop.After(restFor, t.wait)
+		return stream.Ended()
 	}
-	t.engine.next(t.host)
-	l.end(o, false)
-	return nil
 }
 
-// wait makes a connection usable for another attempt.
-func (t *connection) wait() {
-	h, e := t.host, t.engine
-	if t.down {
+// outdated reports whether the endpoint is reached elsewhere now, or is gone.
+func (c *connection) outdated() bool { return c.addr != c.endpoint.addr || c.endpoint.removed }
+
+// becomeIdle makes a connection usable for another attempt.
+func (c *connection) becomeIdle() {
+	engine := c.engine
+	if c.closed {
 		return
 	}
-	if t.addr != h.addr || h.gone {
-		t.conn.Close()
+	if c.outdated() {
+		c.conn.Close()
 		return
 	}
-	h.idle = append(h.idle, t)
-	e.lastNo++
-	t.idleNo = e.lastNo
-	t.idleTimer = e.loop.After(e.limits.IdleTimeout, func() {
-		t.retire()
-		t.conn.Close()
+	c.endpoint.idle = append(c.endpoint.idle, c)
+	engine.idleCount++
+	c.idleOrder = engine.idleCount
+	c.idleTimer = engine.loop.After(engine.limits.IdleTimeout, func() {
+		c.leaveIdle()
+		c.conn.Close()
 	})
-	e.next(h)
+	engine.startQueued(c.endpoint)
+}
+
+// leaveIdle takes a connection from the idle ones, where it is one.
+func (c *connection) leaveIdle() {
+	if at := slices.Index(c.endpoint.idle, c); at >= 0 {
+		c.endpoint.idle = slices.Delete(c.endpoint.idle, at, at+1)
+		c.idleTimer.Stop()
+	}
 }
--- a/internal/engine/engine_test.go
+++ b/internal/engine/engine_test.go
@@ -1,6 +1,7 @@
 package engine
 
 import (
+	"fmt"
 	"testing"
 
 	"plumspindle/internal/eventloop"
@@ -9,66 +10,103 @@
 	"plumspindle/scheduler"
 )
 
-// deaf takes in what its window holds.
-type deaf struct{}
+// silentEndpoint takes in what its window holds and answers nothing.
+type silentEndpoint struct{}
 
-func (deaf) Opened()      {}
-func (deaf) Data([]byte)  {}
-func (deaf) Drained()     {}
-func (deaf) Closed(error) {}
+func (silentEndpoint) Opened()      {}
+func (silentEndpoint) Data([]byte)  {}
+func (silentEndpoint) Drained()     {}
+func (silentEndpoint) Closed(error) {}
 
-// TestTimeIsOver: an attempt whose last byte never left can't have run; one that left whole may have.
-func TestTimeIsOver(t *testing.T) {
-	for size, want := range map[int]scheduler.Outcome{100 << 10: scheduler.Unreachable, 1 << 10: scheduler.TimedOut} {
-		w := virtual.New(1)
-		w.Window = 16 << 10
-		far, own := w.Loop("far"), w.Loop("own")
-		ln, err := far.Listen("127.0.0.1:0", func(c eventloop.Conn) eventloop.Handler { c.Pause(true); return deaf{} })
-		if err != nil {
-			t.Fatal(err)
-		}
-		var got []Result
-		own.Do(func() {
-			e := New(own, "d", "", Limits{ConnectTimeout: eventloop.Second, IdleTimeout: eventloop.Second, MaxPerEndpoint: 4, MaxOpening: 4})
-			e.SetAddress(1, ln.Addr())
-			e.Call(1, Call{BuildRequest: func(addr string, _ eventloop.Micros) []byte {
-				return http1.AppendRequest(nil, "POST", "/", addr, make([]byte, size))
-			}},
-				300*eventloop.Millisecond, Callbacks{Ended: func(o Result) { got = append(got, o) }})
-		})
-		w.Run(2 * eventloop.Second)
-		if len(got) != 1 || got[0].Outcome != want {
-			t.Errorf("%d bytes: %+v, want one ending %d", size, got, want)
-		}
+func testLimits(maxOpening int) Limits {
+	return Limits{
+		ConnectTimeout:    eventloop.Second,
+		IdleTimeout:       eventloop.Second,
+		StreamIdleTimeout: eventloop.Second,
+		MaxPerEndpoint:    4,
+		MaxOpening:        maxOpening,
 	}
 }
 
-// TestLeavesInTime: an attempt that waited for its turn to open a connection has the rest of the time for one, not all of it anew: whether it
-// may still be sent was looked at when it was ordered.
-func TestLeavesInTime(t *testing.T) {
-	w := virtual.New(1)
-	far, own := w.Loop("far"), w.Loop("own")
-	ln, err := far.Listen("127.0.0.1:0", func(c eventloop.Conn) eventloop.Handler { return deaf{} })
+// listen starts an endpoint that does not read where paused.
+func listen(t *testing.T, loop *virtual.Loop, paused bool) (addr string) {
+	t.Helper()
+	listener, err := loop.Listen("127.0.0.1:0", func(c eventloop.Conn) eventloop.Handler {
+		c.Pause(paused)
+		return silentEndpoint{}
+	})
 	if err != nil {
 		t.Fatal(err)
 	}
-	w.Block(own, far, 10*eventloop.Second)
-	e := New(own, "d", "", Limits{ConnectTimeout: eventloop.Second, IdleTimeout: eventloop.Second, MaxPerEndpoint: 4, MaxOpening: 1})
+	return listener.Addr()
+}
+
+// post returns a call that sends a body of a size.
+func post(size int) Call {
+	return Call{BuildRequest: func(addr string, _ eventloop.Micros) []byte {
+		return http1.AppendRequest(nil, "POST", "/", addr, make([]byte, size))
+	}}
+}
+
+// TestTimeoutOutcomeTellsWhetherTheRequestLeft: an attempt whose last byte never left cannot have run; one that left
+// whole may have.
+func TestTimeoutOutcomeTellsWhetherTheRequestLeft(t *testing.T) {
+	const window = 16 << 10
+	cases := []struct {
+		size int
+		want scheduler.Outcome
+	}{
+		{100 << 10, scheduler.Unreachable},
+		{1 << 10, scheduler.TimedOut},
+	}
+	for _, c := range cases {
+		t.Run(fmt.Sprintf("%d bytes", c.size), func(t *testing.T) {
+			world := virtual.New(1)
+			world.Window = window
+			far, own := world.Loop("endpoint"), world.Loop("dispatcher")
+			addr := listen(t, far, true)
+			var results []Result
+			own.Do(func() {
+				e := New(own, "d", "", testLimits(4))
+				e.SetAddress(1, addr)
+				e.Call(1, post(c.size), 300*eventloop.Millisecond, Callbacks{
+					Ended: func(result Result) { results = append(results, result) },
+				})
+			})
+			world.Run(2 * eventloop.Second)
+			if len(results) != 1 || results[0].Outcome != c.want {
+				t.Errorf("ended as %+v, want once with outcome %d", results, c.want)
+			}
+		})
+	}
+}
+
+// TestQueuedAttemptKeepsItsSendDeadline: an attempt that queued for a connection has the rest of its time to send, not
+// all of it anew, as whether it may still be sent was decided when it was ordered.
+func TestQueuedAttemptKeepsItsSendDeadline(t *testing.T) {
+	world := virtual.New(1)
+	far, own := world.Loop("endpoint"), world.Loop("dispatcher")
+	addr := listen(t, far, false)
+	world.Block(own, far, 10*eventloop.Second)
+	e := New(own, "d", "", testLimits(1))
 	var took []eventloop.Micros
 	call := func() {
-		began := w.Now()
-		e.Call(1, Call{BuildRequest: func(addr string, _ eventloop.Micros) []byte { return http1.AppendRequest(nil, "POST", "/", addr, nil) }},
-			5*eventloop.Second, Callbacks{Ended: func(o Result) {
-				if took = append(took, w.Now()-began); o.Outcome != scheduler.Unreachable {
-					t.Errorf("it ended %d: %s", o.Outcome, o.Reason)
-				}
-			}})
+		began := world.Now()
+		e.Call(1, post(0), 5*eventloop.Second, Callbacks{Ended: func(result Result) {
+			took = append(took, world.Now()-began)
+			if result.Outcome != scheduler.Unreachable {
+				t.Errorf("ended with outcome %d: %s", result.Outcome, result.Reason)
+			}
+		}})
 	}
-	own.Do(func() { e.SetAddress(1, ln.Addr()); call() })
-	w.Run(500 * eventloop.Millisecond)
+	own.Do(func() {
+		e.SetAddress(1, addr)
+		call()
+	})
+	world.Run(500 * eventloop.Millisecond)
 	own.Do(call)
-	w.Run(4 * eventloop.Second)
+	world.Run(4 * eventloop.Second)
 	if len(took) != 2 || took[1] > eventloop.Second+eventloop.Millisecond {
-		t.Errorf("the legs took %v", took)
+		t.Errorf("the attempts took %v, want two and the second at most a second", took)
 	}
 }
--- a/internal/engine/openai.go
+++ b/internal/engine/openai.go
@@ -17,7 +17,8 @@
 	completionsPath = "/v1/chat/completions"
 
 	// prefillMembers ask an endpoint to compute the KV cache of a prompt and to keep it for a decode endpoint.
-	prefillMembers = `"stream":false,"max_tokens":1,"kv_transfer_params":{"do_remote_decode":true,"do_remote_prefill":false}`
+	prefillMembers = `"stream":false,"max_tokens":1,` +
+		`"kv_transfer_params":{"do_remote_decode":true,"do_remote_prefill":false}`
 	// streamMembers ask for a streamed completion with its usage; the token limit follows.
 	streamMembers = `"stream":true,"stream_options":{"include_usage":true},"max_tokens":`
 )
--- a/internal/engine/release.go
+++ b/internal/engine/release.go
@@ -9,67 +9,110 @@
 	"plumspindle/scheduler"
 )
 
-// Release has a host drop whatever it holds for some attempts. It may have a connection and a descriptor beyond those that attempts may use,
-// as a state must not be pinned by want of either. Where it may not have arrived it is tried again, with all else that the host is
-// owed in one request, for as long as a host keeps by its own lease what nobody asks for.
-func (e *Engine) Release(id scheduler.EndpointID, names []string) {
-	h := e.hosts[id]
-	if h == nil || len(names) == 0 {
+const (
+	releasePath = "/v1/kv/release"
+
+	releaseTimeout  = 200 * eventloop.Millisecond // of one release request
+	minReleasePause = 60 * eventloop.Millisecond  // before a release is retried, doubled each time
+	maxReleasePause = 240 * eventloop.Millisecond
+	// releaseRetryFor is how long a release is retried. An endpoint that stays unreachable for longer drops the state by
+	// its own lease.
+	releaseRetryFor = 10 * eventloop.Second
+	maxReleaseBatch = 256 // attempts in one release request
+)
+
+// pendingRelease is an attempt whose state an endpoint has not confirmed to have released.
+type pendingRelease struct {
+	requestID string
+	expires   eventloop.Micros
+}
+
+// releaseQueue holds the releases that one endpoint has not confirmed.
+type releaseQueue struct {
+	pending   []pendingRelease
+	scheduled bool             // a retry is scheduled or under way
+	pause     eventloop.Micros // before the next retry
+}
+
+// Release has an endpoint drop whatever it holds for some attempts, given by their request ids. Releases may use
+// connections and descriptors beyond those of attempts, as lack of either must not pin a state. One that is not
+// confirmed is retried, together with all others that the endpoint has not confirmed.
+func (e *Engine) Release(id scheduler.EndpointID, requestIDs []string) {
+	ep := e.endpoints[id]
+	if ep == nil || len(requestIDs) == 0 {
 		return
 	}
-	e.letGo(h, names, releaseTimeout, func(arrived bool) {
-		if !arrived {
-			for _, name := range names {
-				h.owed = append(h.owed, owed{name, e.loop.Now() + releaseFor})
-			}
-			e.owe(h)
+	e.sendRelease(ep, requestIDs, releaseTimeout, func(confirmed bool) {
+		if confirmed {
+			return
 		}
+		expires := e.loop.Now() + releaseRetryFor
+		for _, requestID := range requestIDs {
+			ep.releases.pending = append(ep.releases.pending, pendingRelease{requestID, expires})
+		}
+		e.scheduleReleases(ep)
 	})
 }
 
-// owed is an attempt that a host has not been told to let go of.
-type owed struct {
-	name  string
-	until eventloop.Micros
+// scheduleReleases retries an endpoint's pending releases after a pause, which grows while they fail.
+func (e *Engine) scheduleReleases(ep *endpoint) {
+	releases := &ep.releases
+	if releases.scheduled || len(releases.pending) == 0 {
+		return
+	}
+	releases.scheduled = true
+	e.loop.After(max(releases.pause, minReleasePause), func() { e.retryReleases(ep) })
 }
 
-// owe tells a host again after a pause, which grows while it can't be reached.
-func (e *Engine) owe(h *host) {
-	if h.owing || len(h.owed) == 0 {
+func (e *Engine) retryReleases(ep *endpoint) {
+	releases := &ep.releases
+	batch := releases.nextBatch(e.loop.Now())
+	if len(batch) == 0 {
+		releases.scheduled, releases.pause = false, 0
 		return
 	}
-	h.owing = true
-	e.loop.After(max(h.pause, releasePause), func() {
-		now := e.loop.Now()
-		h.owed = slices.DeleteFunc(h.owed, func(o owed) bool { return o.until < now })
-		n := min(len(h.owed), maxReleaseBatch)
-		if n == 0 {
-			h.owing, h.pause = false, 0
-			return
-		}
-		var names []string
-		for _, o := range h.owed[:n] {
-			names = append(names, o.name)
+	// A connection may be slow to come up: each retry gets more time than the one before.
+	timeout := releaseTimeout + 2*releases.pause
+	e.sendRelease(ep, batch, timeout, func(confirmed bool) {
+		releases.scheduled = false
+		releases.pause = min(max(2*releases.pause, minReleasePause), maxReleasePause)
+		if confirmed {
+			releases.pending = slices.Delete(releases.pending, 0, len(batch))
+			releases.pause = 0
 		}
-		e.letGo(h, names, releaseTimeout+2*h.pause, func(arrived bool) { // a connection may be slow to come up
-			h.owing = false
-			if h.pause = min(max(2*h.pause, releasePause), maxReleasePause); arrived {
-				h.owed, h.pause = slices.Delete(h.owed, 0, n), 0
-			}
-			e.owe(h)
-		})
+		e.scheduleReleases(ep)
 	})
 }
 
-func (e *Engine) letGo(h *host, names []string, within eventloop.Micros, done func(arrived bool)) {
-	answer := func(head *http1.Head, _ []byte) Result {
-		if head.Status == 200 {
-			return Result{Outcome: scheduler.PrefillDone}
-		}
-		return Result{Outcome: scheduler.Errored}
+// nextBatch drops expired releases and returns the request ids of the first ones pending.
+func (q *releaseQueue) nextBatch(now eventloop.Micros) (requestIDs []string) {
+	q.pending = slices.DeleteFunc(q.pending, func(release pendingRelease) bool { return release.expires < now })
+	for _, release := range q.pending[:min(len(q.pending), maxReleaseBatch)] {
+		requestIDs = append(requestIDs, release.requestID)
 	}
-	e.call(h, Call{IsRelease: true, MaxResponseBody: maxResponseBody, ReadResponse: answer, BuildRequest: func(addr string, _ eventloop.Micros) []byte {
-		return http1.AppendRequest(nil, "POST", "/v1/kv/release", addr, []byte(`{"request_ids":["`+strings.Join(names, `","`)+`"]}`),
-			"Content-Type", "application/json", "x-dispatcher", e.name, "x-zone", e.zone)
-	}}, within, Callbacks{Ended: func(o Result) { done(o.Outcome == scheduler.PrefillDone) }})
+	return requestIDs
+}
+
+// sendRelease makes one release request; done is called with whether the endpoint confirmed it.
+func (e *Engine) sendRelease(ep *endpoint, requestIDs []string, timeout eventloop.Micros, done func(confirmed bool)) {
+	body := []byte(`{"request_ids":["` + strings.Join(requestIDs, `","`) + `"]}`)
+	call := Call{
+		IsRelease:       true,
+		MaxResponseBody: maxResponseBody,
+		BuildRequest: func(addr string, _ eventloop.Micros) []byte {
+			return http1.AppendRequest(nil, "POST", releasePath, addr, body,
+				"Content-Type", "application/json",
+				"x-dispatcher", e.name,
+				"x-zone", e.zone)
+		},
+		ReadResponse: func(head *http1.Head, _ []byte) Result {
+			if head.Status == statusOK {
+				return Result{Outcome: scheduler.PrefillDone}
+			}
+			return Result{Outcome: scheduler.Errored}
+		},
+	}
+	e.call(ep, call, timeout, Callbacks{
+		Ended: func(result Result) { done(result.Outcome == scheduler.PrefillDone) },
+	})
 }
--- a/internal/engine/wire_test.go
+++ b/internal/engine/wire_test.go
@@ -46,15 +46,16 @@
 		t.Fatal(err)
 	}
 	var out strings.Builder
-	limits := Limits{ConnectTimeout: eventloop.Second, IdleTimeout: eventloop.Second, StreamIdleTimeout: eventloop.Second, MaxPerEndpoint: 4, MaxOpening: 4}
-	e := New(own, "dispatcher-1", "zone-1", limits)
+	e := New(own, "dispatcher-1", "zone-1", testLimits(4))
 	own.Do(func() {
 		e.SetAddress(1, listener.Addr())
 		start(e, Callbacks{
 			Event: func(data []byte) { fmt.Fprintf(&out, "event %s\n", data) },
 			Ended: func(r Result) {
-				fmt.Fprintf(&out, "outcome %d, cached %d, missing %t, memory %v, state %q, locally %t, undelivered %t, invalid %t\n",
-					r.Outcome, r.CachedTokens, r.StateMissing, r.MemoryUsage, r.State, r.ClosedLocally, r.Undelivered, r.InvalidRequest)
+				fmt.Fprintf(&out, "outcome %d, cached %d, missing %t, memory %v, state %q, ",
+					r.Outcome, r.CachedTokens, r.StateMissing, r.MemoryUsage, r.State)
+				fmt.Fprintf(&out, "locally %t, undelivered %t, invalid %t\n",
+					r.ClosedLocally, r.Undelivered, r.InvalidRequest)
 			},
 		})
 	})
@@ -87,13 +88,24 @@
 		e.Decode(target, DecodeRequest{Chat: &chat.Request{}, MaxTokens: 1}, callbacks)
 	}
 	prefillOnly := func(e *Engine, callbacks Callbacks) {
-		e.PrefillOnly(target, PrefillOnlyRequest{Path: "/v1/embeddings", Body: []byte(`{"input":"a"}`), MaxResponseBody: 64, ReadResponse: func(body []byte) Result {
+		read := func(body []byte) Result {
 			return Result{Outcome: scheduler.PrefillDone, MemoryUsage: 7, Reason: string(body)}
-		}}, callbacks)
+		}
+		e.PrefillOnly(target, PrefillOnlyRequest{
+			Path:            "/v1/embeddings",
+			Body:            []byte(`{"input":"a"}`),
+			MaxResponseBody: 64,
+			ReadResponse:    read,
+		}, callbacks)
 	}
 	release := func(e *Engine, _ Callbacks) { e.Release(1, []string{"a", "b"}) }
 	const content = `{"choices":[{"delta":{"content":"a"}}]}`
 	const finish = `{"choices":[{"delta":{},"finish_reason":"stop"}]}`
+	const prefilled = `{"kv_transfer_params":{"at": 1},"usage":{"prompt_tokens_details":{"cached_tokens":3}}}`
+	const untilClose = "HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\n\r\n"
+	full := response(429, `{"error":{"code":"full"}}`,
+		"endpoint-load-metrics", `JSON {"named_metrics":{"kv_cache_usage_perc":1}}`)
+	overload := response(503, ``, "endpoint-load-metrics", "TEXT named_metrics.kv_cache_usage_perc=1.5")
 	text := []string{"endpoint-load-metrics", "TEXT named_metrics.x=1, named_metrics.kv_cache_usage_perc=0.25"}
 	cases := []struct {
 		name     string
@@ -101,16 +113,16 @@
 		closes   bool
 		start    func(e *Engine, callbacks Callbacks)
 	}{
-		{"prefill", response(200, `{"kv_transfer_params":{"at": 1},"usage":{"prompt_tokens_details":{"cached_tokens":3}}}`, text...), false, prefill},
+		{"prefill", response(200, prefilled, text...), false, prefill},
 		{"prefill without a state", response(200, `{"kv_transfer_params":null}`), false, prefill},
 		{"prefill, not JSON", response(200, `{"kv_transfer_params":{}`), false, prefill},
-		{"full", response(429, `{"error":{"code":"full"}}`, "endpoint-load-metrics", `JSON {"named_metrics":{"kv_cache_usage_perc":1}}`), false, prefill},
+		{"full", full, false, prefill},
 		{"draining", response(503, `{"error":{"code":"draining"}}`), false, prefill},
 		{"state lost", response(409, `{"error":{"code":"state_lost"}}`), false, decode},
 		{"invalid input", response(422, `{"error":{"code":"invalid_input"}}`), false, prefillOnly},
 		{"code with another status", response(500, `{"error":{"code":"full"}}`), false, prefill},
 		{"refusal, not JSON", response(429, `{"error":{"code":"full"}`), false, prefill},
-		{"load out of range", response(503, ``, "endpoint-load-metrics", "TEXT named_metrics.kv_cache_usage_perc=1.5"), false, prefill},
+		{"load out of range", overload, false, prefill},
 		{"load in an unknown form", response(503, ``, "endpoint-load-metrics", "BIN 1"), false, prefill},
 		{"decode", stream(content, finish, "[DONE]") + "0\r\n\r\n", false, decode},
 		{"decode that prefills itself", stream(content, finish, "[DONE]") + "0\r\n\r\n", false, plainDecode},
@@ -122,8 +134,8 @@
 		{"event that is no chunk", stream("hello"), false, decode},
 		{"broken stream", stream(content), true, decode},
 		{"broken stream that had finished", stream(content, finish), true, decode},
-		{"stream until the connection's end", "HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\n\r\ndata: " + finish + "\n\ndata: [DONE]\n\n", true, decode},
-		{"cut stream until the connection's end", "HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\n\r\ndata: " + content + "\n\n", true, decode},
+		{"stream until the connection's end", untilClose + "data: " + finish + "\n\ndata: [DONE]\n\n", true, decode},
+		{"cut stream until the connection's end", untilClose + "data: " + content + "\n\n", true, decode},
 		{"malformed response", "what is this\r\n\r\n", false, decode},
 		{"no response", "", true, decode},
 		{"response in time", "", false, decode},
