--- a/internal/engine/attempt.go
+++ b/internal/engine/attempt.go
@@ -44,7 +44,7 @@
 	case a.Unsent():
 		a.abort(Result{Outcome: scheduler.Unreachable, Reason: "not sent within its time"})
 	case now < a.deadline:
-		a.timer = a.engine.loop.After(a.deadline-now, a.timeout)
+		a.timer = a.engine.loop.AfterFunc(a.deadline-now, a.timeout)
 	default:
 		a.abort(Result{Outcome: scheduler.TimedOut, Reason: "no response within its time"})
 	}
@@ -83,7 +83,7 @@
 func (a *Attempt) restartSilenceTimer() {
 	a.timer.Stop()
 	a.lastReceived = a.engine.loop.Now()
-	a.timer = a.engine.loop.After(a.engine.limits.StreamIdleTimeout, a.checkSilence)
+	a.timer = a.engine.loop.AfterFunc(a.engine.limits.StreamIdleTimeout, a.checkSilence)
 }
 
 func (a *Attempt) checkSilence() {
@@ -93,7 +93,7 @@
 	case a.readingPaused:
 		a.restartSilenceTimer()
 	case silence < limit:
-		a.timer = a.engine.loop.After(limit-silence, a.checkSilence)
+		a.timer = a.engine.loop.AfterFunc(limit-silence, a.checkSilence)
 	default:
 		a.abort(a.brokenResult(scheduler.ConnectionLost, "stream fell silent"))
 	}
--- a/internal/engine/call.go
+++ b/internal/engine/call.go
@@ -63,11 +63,11 @@
 		call:         call,
 		callbacks:    callbacks,
 		memoryUsage:  scheduler.NoLoadReport,
-		events:       sse.Parser{Most: maxEvent},
+		events:       sse.Parser{MaxEventBytes: maxEvent},
 		deadline:     e.loop.Now() + timeout,
 		sendDeadline: e.loop.Now() + sendWithin,
 	}
-	attempt.timer = e.loop.After(min(timeout, sendWithin), attempt.timeout)
+	attempt.timer = e.loop.AfterFunc(min(timeout, sendWithin), attempt.timeout)
 	if ep == nil || ep.addr == "" {
 		e.failLater(attempt, "endpoint has no address")
 		return attempt
@@ -78,5 +78,5 @@
 
 // failLater ends an attempt as unreachable, after the call that is under way.
 func (e *Engine) failLater(attempt *Attempt, reason string) {
-	e.loop.Later(func() { attempt.finish(Result{Outcome: scheduler.Unreachable, Reason: reason}) })
+	e.loop.Defer(func() { attempt.finish(Result{Outcome: scheduler.Unreachable, Reason: reason}) })
 }
--- a/internal/engine/connection.go
+++ b/internal/engine/connection.go
@@ -137,7 +137,7 @@
 	return attempt
 }
 
-// Head implements http1.Events.
+// Head implements http1.Handler.
 func (c *connection) Head(head *http1.Head) error {
 	if c.attempt == nil {
 		return errUnrequested
@@ -147,7 +147,7 @@
 	return nil
 }
 
-// Body implements http1.Events.
+// Body implements http1.Handler.
 func (c *connection) Body(data []byte) error {
 	if c.attempt == nil {
 		return errUnrequested
@@ -155,7 +155,7 @@
 	return c.attempt.receiveBody(data)
 }
 
-// End implements http1.Events.
+// End implements http1.Handler.
 func (c *connection) End() error {
 	if c.attempt == nil {
 		return errUnrequested
@@ -165,14 +165,14 @@
 	attempt.sent = true
 	c.conn.Pause(false)
 	switch {
-	case c.parser.More() > 0: // what follows a response must not be taken for the next one
+	case c.parser.Pipelined() > 0: // what follows a response must not be taken for the next one
 		c.conn.Abort()
 	case c.closesAfter || c.closed || c.outdated():
 		c.conn.Close()
 	default:
 		c.attempts++
 		c.idleSince = c.engine.loop.Now()
-		c.engine.loop.After(restTime, c.becomeIdle)
+		c.engine.loop.AfterFunc(restTime, c.becomeIdle)
 	}
 	c.engine.startQueued(c.endpoint)
 	attempt.finish(result)
@@ -209,7 +209,7 @@
 	c.endpoint.idle = append(c.endpoint.idle, c)
 	engine.idleCount++
 	c.idleOrder = engine.idleCount
-	c.idleTimer = engine.loop.After(engine.limits.IdleTimeout, func() {
+	c.idleTimer = engine.loop.AfterFunc(engine.limits.IdleTimeout, func() {
 		c.leaveIdle()
 		c.conn.Close()
 	})
--- a/internal/engine/endpoint.go
+++ b/internal/engine/endpoint.go
@@ -59,7 +59,7 @@
 }
 
 func (e *Engine) forgetLater(id scheduler.EndpointID, ep *endpoint) {
-	e.loop.After(forgetDelay, func() {
+	e.loop.AfterFunc(forgetDelay, func() {
 		switch {
 		case !ep.removed || e.endpoints[id] != ep:
 		case ep.open > 0 || len(ep.queued) > 0 || len(ep.releases.pending) > 0:
--- a/internal/engine/engine_test.go
+++ b/internal/engine/engine_test.go
@@ -61,9 +61,9 @@
 	}
 	for _, c := range cases {
 		t.Run(fmt.Sprintf("%d bytes", c.size), func(t *testing.T) {
-			world := virtual.New(1)
-			world.Window = window
-			far, own := world.Loop("endpoint"), world.Loop("dispatcher")
+			network := virtual.NewNetwork(1)
+			network.ReceiveWindow = window
+			far, own := network.NewLoop("endpoint"), network.NewLoop("dispatcher")
 			addr := listen(t, far, true)
 			var results []Result
 			own.Do(func() {
@@ -73,7 +73,7 @@
 					Ended: func(result Result) { results = append(results, result) },
 				})
 			})
-			world.Run(2 * eventloop.Second)
+			network.Run(2 * eventloop.Second)
 			if len(results) != 1 || results[0].Outcome != c.want {
 				t.Errorf("ended as %+v, want once with outcome %d", results, c.want)
 			}
@@ -84,16 +84,16 @@
 // TestQueuedAttemptKeepsItsSendDeadline: an attempt that queued for a connection has the rest of its time to send, not
 // all of it anew, as whether it may still be sent was decided when it was ordered.
 func TestQueuedAttemptKeepsItsSendDeadline(t *testing.T) {
-	world := virtual.New(1)
-	far, own := world.Loop("endpoint"), world.Loop("dispatcher")
+	network := virtual.NewNetwork(1)
+	far, own := network.NewLoop("endpoint"), network.NewLoop("dispatcher")
 	addr := listen(t, far, false)
-	world.Block(own, far, 10*eventloop.Second)
+	network.Block(own, far, 10*eventloop.Second)
 	e := New(own, "d", "", testLimits(1))
 	var took []eventloop.Micros
 	call := func() {
-		began := world.Now()
+		began := network.Now()
 		e.Call(1, post(0), 5*eventloop.Second, Callbacks{Ended: func(result Result) {
-			took = append(took, world.Now()-began)
+			took = append(took, network.Now()-began)
 			if result.Outcome != scheduler.Unreachable {
 				t.Errorf("ended with outcome %d: %s", result.Outcome, result.Reason)
 			}
@@ -103,9 +103,9 @@
 		e.SetAddress(1, addr)
 		call()
 	})
-	world.Run(500 * eventloop.Millisecond)
+	network.Run(500 * eventloop.Millisecond)
 	own.Do(call)
-	world.Run(4 * eventloop.Second)
+	network.Run(4 * eventloop.Second)
 	if len(took) != 2 || took[1] > eventloop.Second+eventloop.Millisecond {
 		t.Errorf("the attempts took %v, want two and the second at most a second", took)
 	}
--- a/internal/engine/pool.go
+++ b/internal/engine/pool.go
@@ -17,7 +17,7 @@
 	evictionDelay = eventloop.Millisecond
 )
 
-// dialFunc opens a connection; it is one of the loop's Dial and DialSpare.
+// dialFunc opens a connection; it is one of the loop's Dial and DialReserved.
 type dialFunc func(addr string, within eventloop.Micros, handler eventloop.Handler) eventloop.Conn
 
 // queuedAttempt is an attempt that waits for a connection. After a restart all waiting requests arrive at once, and an
@@ -35,7 +35,7 @@
 	ep := attempt.endpoint
 	maxOpen, dial := e.limits.MaxPerEndpoint, e.loop.Dial
 	if attempt.call.IsRelease {
-		maxOpen, dial = maxOpen+spareReleaseConnections, e.loop.DialSpare
+		maxOpen, dial = maxOpen+spareReleaseConnections, e.loop.DialReserved
 	}
 	if e.limits.MaxTotal > 0 && e.open >= e.limits.MaxTotal {
 		e.evictOldestIdle()
@@ -57,7 +57,7 @@
 	for count := len(ep.idle); count > 0; count = len(ep.idle) {
 		conn := ep.idle[count-1]
 		conn.leaveIdle()
-		if conn.conn.Quiet() {
+		if conn.conn.Idle() {
 			conn.carry(attempt)
 			return true
 		}
@@ -70,7 +70,7 @@
 func (e *Engine) queue(attempt *Attempt) {
 	ep := attempt.endpoint
 	entry := &queuedAttempt{attempt: attempt}
-	entry.timer = e.loop.After(max(attempt.sendDeadline-e.loop.Now(), 0), func() {
+	entry.timer = e.loop.AfterFunc(max(attempt.sendDeadline-e.loop.Now(), 0), func() {
 		ep.queued = slices.DeleteFunc(ep.queued, func(other *queuedAttempt) bool { return other == entry })
 		attempt.finish(Result{
 			Outcome: scheduler.Unreachable,
@@ -90,7 +90,7 @@
 		engine:   e,
 		endpoint: ep,
 		addr:     ep.addr,
-		parser:   http1.Parser{Response: true, Bounds: http1.Usual},
+		parser:   http1.Parser{Response: true, Limits: http1.DefaultLimits},
 		attempt:  attempt,
 	}
 	attempt.connection = conn
@@ -138,7 +138,7 @@
 		return false
 	}
 	attempt.evictions++
-	e.loop.After(evictionDelay, func() {
+	e.loop.AfterFunc(evictionDelay, func() {
 		if !attempt.ended {
 			e.start(attempt)
 		}
--- a/internal/engine/release.go
+++ b/internal/engine/release.go
@@ -61,7 +61,7 @@
 		return
 	}
 	releases.scheduled = true
-	e.loop.After(max(releases.pause, minReleasePause), func() { e.retryReleases(ep) })
+	e.loop.AfterFunc(max(releases.pause, minReleasePause), func() { e.retryReleases(ep) })
 }
 
 func (e *Engine) retryReleases(ep *endpoint) {
--- a/internal/engine/wire_test.go
+++ b/internal/engine/wire_test.go
@@ -34,10 +34,10 @@
 }
 
 // attemptOnce runs one attempt against an endpoint and describes what was sent and how it came out.
-func attemptOnce(t *testing.T, response string, closes bool, start func(e *Engine, callbacks Callbacks)) string {
+func attemptOnce(t *testing.T, response string, closes bool, start startFunc) string {
 	t.Helper()
-	world := virtual.New(1)
-	far, own := world.Loop("endpoint"), world.Loop("dispatcher")
+	network := virtual.NewNetwork(1)
+	far, own := network.NewLoop("endpoint"), network.NewLoop("dispatcher")
 	var received bytes.Buffer
 	listener, err := far.Listen("127.0.0.1:0", func(c eventloop.Conn) eventloop.Handler {
 		return &responder{conn: c, received: &received, response: response, close: closes}
@@ -59,7 +59,7 @@
 			},
 		})
 	})
-	world.Run(5 * eventloop.Second)
+	network.Run(5 * eventloop.Second)
 	return "sent " + received.String() + "\n" + out.String()
 }
 
@@ -77,28 +77,43 @@
 
 var target = Target{Endpoint: 1, RequestID: "dispatcher-1-7-0", ClientID: "client-7", Timeout: 2 * eventloop.Second}
 
-// TestAttemptsOnTheWire compares what each kind of attempt sends, and what it comes out as, with golden files.
-func TestAttemptsOnTheWire(t *testing.T) {
-	request := &chat.Request{CacheSalt: `s"`, Passthrough: []byte(`"model":"m","messages":[]`)}
-	prefill := func(e *Engine, callbacks Callbacks) { e.Prefill(target, request, callbacks) }
-	decode := func(e *Engine, callbacks Callbacks) {
-		e.Decode(target, DecodeRequest{Chat: request, KVParams: `{"at":1}`, MaxTokens: 40}, callbacks)
-	}
-	plainDecode := func(e *Engine, callbacks Callbacks) {
-		e.Decode(target, DecodeRequest{Chat: &chat.Request{}, MaxTokens: 1}, callbacks)
-	}
-	prefillOnly := func(e *Engine, callbacks Callbacks) {
-		read := func(body []byte) Result {
+// startFunc starts one kind of attempt.
+type startFunc func(e *Engine, callbacks Callbacks)
+
+var request = &chat.Request{CacheSalt: `s"`, Passthrough: []byte(`"model":"m","messages":[]`)}
+
+func prefill(e *Engine, callbacks Callbacks) { e.Prefill(target, request, callbacks) }
+
+func decode(e *Engine, callbacks Callbacks) {
+	e.Decode(target, DecodeRequest{Chat: request, KVParams: `{"at":1}`, MaxTokens: 40}, callbacks)
+}
+
+func plainDecode(e *Engine, callbacks Callbacks) {
+	e.Decode(target, DecodeRequest{Chat: &chat.Request{}, MaxTokens: 1}, callbacks)
+}
+
+func prefillOnly(e *Engine, callbacks Callbacks) {
+	e.PrefillOnly(target, PrefillOnlyRequest{
+		Path:            "/v1/embeddings",
+		Body:            []byte(`{"input":"a"}`),
+		MaxResponseBody: 64,
+		ReadResponse: func(body []byte) Result {
 			return Result{Outcome: scheduler.PrefillDone, MemoryUsage: 7, Reason: string(body)}
-		}
-		e.PrefillOnly(target, PrefillOnlyRequest{
-			Path:            "/v1/embeddings",
-			Body:            []byte(`{"input":"a"}`),
-			MaxResponseBody: 64,
-			ReadResponse:    read,
-		}, callbacks)
-	}
-	release := func(e *Engine, _ Callbacks) { e.Release(1, []string{"a", "b"}) }
+		},
+	}, callbacks)
+}
+
+func release(e *Engine, _ Callbacks) { e.Release(1, []string{"a", "b"}) }
+
+// attemptCase is one way in which an endpoint may respond; it closes the connection behind the response where closes is set.
+type attemptCase struct {
+	name     string
+	response string
+	closes   bool
+	start    startFunc
+}
+
+func attemptCases() []attemptCase {
 	const content = `{"choices":[{"delta":{"content":"a"}}]}`
 	const finish = `{"choices":[{"delta":{},"finish_reason":"stop"}]}`
 	const prefilled = `{"kv_transfer_params":{"at": 1},"usage":{"prompt_tokens_details":{"cached_tokens":3}}}`
@@ -107,12 +122,7 @@
 		"endpoint-load-metrics", `JSON {"named_metrics":{"kv_cache_usage_perc":1}}`)
 	overload := response(503, ``, "endpoint-load-metrics", "TEXT named_metrics.kv_cache_usage_perc=1.5")
 	text := []string{"endpoint-load-metrics", "TEXT named_metrics.x=1, named_metrics.kv_cache_usage_perc=0.25"}
-	cases := []struct {
-		name     string
-		response string
-		closes   bool
-		start    func(e *Engine, callbacks Callbacks)
-	}{
+	return []attemptCase{
 		{"prefill", response(200, prefilled, text...), false, prefill},
 		{"prefill without a state", response(200, `{"kv_transfer_params":null}`), false, prefill},
 		{"prefill, not JSON", response(200, `{"kv_transfer_params":{}`), false, prefill},
@@ -144,8 +154,12 @@
 		{"release", response(200, "{}"), false, release},
 		{"release, not confirmed", response(500, "{}"), false, release},
 	}
+}
+
+// TestAttemptsOnTheWire compares what each kind of attempt sends, and what it comes out as, with golden files.
+func TestAttemptsOnTheWire(t *testing.T) {
 	var out strings.Builder
-	for _, c := range cases {
+	for _, c := range attemptCases() {
 		fmt.Fprintf(&out, "== %s\n%s", c.name, attemptOnce(t, c.response, c.closes, c.start))
 	}
 	golden.Compare(t, []byte(out.String()))
--- a/internal/frontend/wire_test.go
+++ b/internal/frontend/wire_test.go
@@ -46,24 +46,24 @@
 
 // rig is a server with routes that answer in every way that a Response knows.
 type rig struct {
-	world  *virtual.World
-	server *Server
-	client *virtual.Loop
-	addr   string
+	network *virtual.Network
+	server  *Server
+	client  *virtual.Loop
+	addr    string
 	// disconnects counts the requests whose client was reported as gone.
 	disconnects int
 }
 
 func newRig(t *testing.T, configure func(s *Server)) *rig {
 	t.Helper()
-	y := &rig{world: virtual.New(1)}
-	loop := y.world.Loop("server")
-	y.client = y.world.Loop("client")
+	y := &rig{network: virtual.NewNetwork(1)}
+	loop := y.network.NewLoop("server")
+	y.client = y.network.NewLoop("client")
 	loop.Do(func() {
 		routes := ModelRoutes(func() []string { return []string{"first", `sec"ond`} })
 		routes["/v1/answer"] = Route{Method: "POST", MaxBody: 2 << 20, Begin: y.begin}
 		routes["/v1/buffered"] = Route{Method: "POST", MaxBuffered: 8, Begin: y.begin}
-		y.server = New(loop, keyService{}, routes, http1.Usual, DefaultClientLimits)
+		y.server = New(loop, keyService{}, routes, http1.DefaultLimits, DefaultClientLimits)
 		if configure != nil {
 			configure(y.server)
 		}
@@ -135,7 +135,7 @@
 		conn = y.client.Dial(y.addr, eventloop.Second, r)
 		r.onOpened = func() {
 			for i, part := range parts {
-				y.client.After(eventloop.Micros(i)*10*eventloop.Millisecond, func() { conn.Write([]byte(part)) })
+				y.client.AfterFunc(eventloop.Micros(i)*10*eventloop.Millisecond, func() { conn.Write([]byte(part)) })
 			}
 		}
 	})
@@ -145,7 +145,7 @@
 // exchange sends parts 10 ms apart on a connection of its own and returns all that comes back within the span.
 func (y *rig) exchange(span eventloop.Micros, parts ...string) []byte {
 	r, _ := y.connect(parts...)
-	y.world.Run(span)
+	y.network.Run(span)
 	return r.received
 }
 
@@ -211,7 +211,7 @@
 func TestWireFormUnderLimits(t *testing.T) {
 	t.Run("shutdown", func(t *testing.T) {
 		y := newRig(t, nil)
-		y.client.After(5*eventloop.Millisecond, y.server.Shutdown)
+		y.client.AfterFunc(5*eventloop.Millisecond, y.server.Shutdown)
 		golden.Compare(t, y.exchange(eventloop.Second, post("/v1/answer", "object"), post("/v1/answer", "object")))
 	})
 	t.Run("request over the connection limit", func(t *testing.T) {
@@ -248,12 +248,12 @@
 func TestDisconnectIsReportedOnce(t *testing.T) {
 	y := newRig(t, nil)
 	_, conn := y.connect(post("/v1/answer", "wait"))
-	y.world.Run(eventloop.Second)
+	y.network.Run(eventloop.Second)
 	if y.server.OpenRequests != 1 || y.server.BufferedBytes != len("wait") {
 		t.Fatalf("%d requests open, %d bytes buffered", y.server.OpenRequests, y.server.BufferedBytes)
 	}
 	y.client.Do(conn.Abort)
-	y.world.Run(eventloop.Second)
+	y.network.Run(eventloop.Second)
 	if y.server.OpenRequests != 0 || y.server.BufferedBytes != 0 || y.disconnects != 1 {
 		t.Errorf("%d requests open, %d bytes buffered, %d disconnects reported", y.server.OpenRequests, y.server.BufferedBytes, y.disconnects)
 	}
--- a/scheduler/guard.go
+++ b/scheduler/guard.go
@@ -1,30 +1,28 @@
 package scheduler
 
-import "fmt"
+// Violations is how many attempts the guard stopped because they would have broken a rule. It stays 0 unless a decision is
+// wrong.
+func (s *Scheduler) Violations() int { return s.violations }
 
-// Violations is how many attempts were refused in the last moment because they would have broken a rule. It
-// stays 0 unless a decision is wrong.
-func (d *Scheduler) Violations() int { return d.violations }
-
-// refuse looks at an attempt once more where it is sent, whatever chose it: the rules on repeats, on hosts
-// that want nothing new and on cold hosts bind on every path.
-func (d *Scheduler) refuse(g *request, h *host) bool {
-	why := ""
+// blocked checks an attempt once more where it is sent, whatever chose it: the rules on retries, on endpoints that are not
+// ready and on those that are warming up bind on every path.
+func (s *Scheduler) blocked(req *request, ep *endpoint) bool {
+	var rule Rule
 	switch {
-	case g.out != nil:
-		why = "an attempt is out"
-	case g.answered:
-		why = "it is answered"
-	case !h.ready:
-		why = "the host wants nothing new"
-	case !d.mayRepeat(g, h):
-		why = "a repeat there could do harm"
-	case !d.bears(h):
-		why = "the host is cold and bears no more"
+	case req.out != nil:
+		rule = SingleAttempt
+	case req.answered:
+		rule = NotAnswered
+	case !ep.ready:
+		rule = EndpointReady
+	case !s.mayRepeat(req, ep):
+		rule = SafeRetry
+	case !s.bears(ep):
+		rule = WarmUpProtected
 	default:
 		return false
 	}
-	d.violations++
-	d.orders.Log(fmt.Sprintf("rule kept in the last moment: request %d to host %d: %s", g.id, h.id, why))
+	s.violations++
+	s.executor.Log(SendBlocked{Request: req.id, Endpoint: ep.id, Rule: rule})
 	return true
 }
