--- a/internal/dispatch/batches.go
+++ b/internal/dispatch/batches.go
@@ -498,7 +498,7 @@
 	c.x.Failed++
 	c.meter(lifecycle.AnswerFailed)
 	c.end()
-	c.to.Error(p)
+	c.to.SendProblem(p)
 }
 
 // crowded: the answers of all calls together would take more memory than they may.
@@ -506,7 +506,7 @@
 	c.x.Rejected++
 	c.meter(lifecycle.AnswerRejected)
 	c.end()
-	c.to.Error(&frontend.Problem{Status: 429, Type: "rate_limit_error", Code: "throttled", Message: "The service is busy. Please try again."})
+	c.to.SendProblem(&frontend.Problem{Status: 429, Type: "rate_limit_error", Code: "throttled", Message: "The service is busy. Please try again."})
 }
 
 // late: its client's time is up.
--- a/internal/engine/wire_test.go
+++ b/internal/engine/wire_test.go
@@ -105,7 +105,7 @@
 
 func release(e *Engine, _ Callbacks) { e.Release(1, []string{"a", "b"}) }
 
-// attemptCase is one way in which an endpoint may respond; it closes the connection behind the response where closes is set.
+// attemptCase is one way in which an endpoint may respond; where closes is set it closes the connection afterwards.
 type attemptCase struct {
 	name     string
 	response string
--- /dev/null
+++ b/internal/frontend/body.go
@@ -0,0 +1,96 @@
+package frontend
+
+import (
+	"slices"
+	"strings"
+
+	"plumspindle/internal/http1"
+)
+
+// Sink takes one request's body as it arrives.
+type Sink interface {
+	Data(data []byte) *Problem
+	End() *Problem
+}
+
+// BufferedBody is a Sink that collects the body and hands it over as a whole.
+type BufferedBody struct {
+	body   []byte
+	Handle func(body []byte) *Problem
+}
+
+// Data implements Sink.
+func (b *BufferedBody) Data(data []byte) *Problem {
+	b.body = append(b.body, data...)
+	return nil
+}
+
+// End implements Sink.
+func (b *BufferedBody) End() *Problem { return b.Handle(b.body) }
+
+// discardingSink is a Sink for a body that is not looked at.
+type discardingSink struct{ end func() }
+
+func (d *discardingSink) Data([]byte) *Problem { return nil }
+
+func (d *discardingSink) End() *Problem {
+	d.end()
+	return nil
+}
+
+func isDiscarding(sink Sink) bool {
+	_, is := sink.(*discardingSink)
+	return is
+}
+
+// RequireJSON refuses a body whose content type is not JSON, or whose encoding is not one of those given.
+func RequireJSON(head *http1.Head, encodings ...string) *Problem {
+	contentType := strings.ToLower(head.Get("Content-Type"))
+	if contentType != "" && !strings.HasPrefix(contentType, "application/json") {
+		return unsupported("unsupported_content_type", "The content type must be application/json.")
+	}
+	encoding := strings.ToLower(head.Get("Content-Encoding"))
+	if encoding == "" || encoding == "identity" || slices.Contains(encodings, encoding) {
+		return nil
+	}
+	message := "Coded bodies are not taken."
+	if len(encodings) > 0 {
+		message = "Bodies are taken plain or coded as " + strings.Join(encodings, " or ") + "."
+	}
+	return unsupported("unsupported_content_encoding", message)
+}
+
+// reserve counts bytes of the body as buffered, if the server's limit admits them.
+func (r *Response) reserve(size int) bool {
+	server := r.connection.server
+	if r.maxBuffered > 0 {
+		size = max(min(size, r.maxBuffered-r.buffered), 0)
+	}
+	if server.MaxBufferedBytes > 0 && server.BufferedBytes+size > server.MaxBufferedBytes {
+		return false
+	}
+	r.buffered += size
+	server.BufferedBytes += size
+	return true
+}
+
+// releaseBuffer counts nothing of the body as buffered any more.
+func (r *Response) releaseBuffer() {
+	r.connection.server.BufferedBytes -= r.buffered
+	r.buffered = 0
+}
+
+// PauseBody stops or resumes the reading of the request's body, for a Sink that has enough to go on with.
+func (r *Response) PauseBody(on bool) {
+	c := r.connection
+	if r.received || r.done || r.bodyPaused == on {
+		return
+	}
+	r.bodyPaused = on
+	c.conn.Pause(on)
+	if on {
+		c.timeout.Clear()
+	} else {
+		c.awaitMessage()
+	}
+}
--- /dev/null
+++ b/internal/frontend/errors.go
@@ -0,0 +1,197 @@
+package frontend
+
+import (
+	"encoding/json"
+	"fmt"
+	"strconv"
+	"strings"
+
+	"plumspindle/internal/eventloop"
+	"plumspindle/internal/http1"
+)
+
+// Types of errors, as clients see them.
+const (
+	typeInvalidRequest = "invalid_request_error"
+	typeRateLimit      = "rate_limit_error"
+	typeServer         = "server_error"
+)
+
+// Fields of responses to requests that may, or must not, be repeated.
+const (
+	fieldRetryAfter   = "Retry-After"
+	fieldRetryAfterMs = "retry-after-ms"
+	fieldShouldRetry  = "x-should-retry"
+)
+
+// Problem is why a request can't be carried out, as the client sees it. It is an error.
+type Problem struct {
+	Status  int
+	Type    string
+	Param   string // the parameter at fault, if there is one
+	Code    string
+	Message string
+	NoRetry bool // no retry can help, and client libraries are told not to try
+}
+
+// Error implements error.
+func (p *Problem) Error() string { return p.Message }
+
+// errorBody and errorObject are the public API's error object, their members in alphabetical order.
+type errorBody struct {
+	Error errorObject `json:"error"`
+}
+
+type errorObject struct {
+	Code    *string `json:"code"`
+	Message string  `json:"message"`
+	Param   *string `json:"param"`
+	Type    string  `json:"type"`
+}
+
+// Body returns the public API's error object.
+func (p *Problem) Body() []byte {
+	return mustMarshal(errorBody{errorObject{
+		Code:    nullIfEmpty(p.Code),
+		Message: p.Message,
+		Param:   nullIfEmpty(p.Param),
+		Type:    p.Type,
+	}})
+}
+
+func nullIfEmpty(text string) *string {
+	if text == "" {
+		return nil
+	}
+	return &text
+}
+
+// mustMarshal returns JSON of a value that always has one.
+func mustMarshal(value any) []byte {
+	text, err := json.Marshal(value)
+	if err != nil {
+		panic(fmt.Errorf("marshal %T: %w", value, err))
+	}
+	return text
+}
+
+// Invalid returns the problem of a request whose parameter is no good.
+func Invalid(param, code, format string, args ...any) *Problem {
+	return &Problem{
+		Status:  400,
+		Type:    typeInvalidRequest,
+		Param:   param,
+		Code:    code,
+		Message: fmt.Sprintf(format, args...),
+	}
+}
+
+// TooManyConnections returns the problem of a request that is rejected for lack of capacity; nothing of it has run.
+func TooManyConnections() *Problem {
+	return &Problem{
+		Status:  429,
+		Type:    typeRateLimit,
+		Code:    "throttled",
+		Message: "The service is busy; nothing was run. Please try again.",
+	}
+}
+
+// ModelNotFound returns the problem of a request for a model that is not on offer.
+func ModelNotFound(name string) *Problem {
+	if len(name) > maxNameInError {
+		name = name[:maxNameInError]
+	}
+	return &Problem{
+		Status:  404,
+		Type:    typeInvalidRequest,
+		Param:   "model",
+		Code:    "model_not_found",
+		Message: "The model '" + name + "' does not exist or you do not have access to it.",
+	}
+}
+
+func overQuota(reason string) *Problem {
+	return &Problem{
+		Status:  429,
+		Type:    typeRateLimit,
+		Code:    "rate_limit_exceeded",
+		Message: "Rate limit reached: " + reason + ".",
+	}
+}
+
+func failed(message string) *Problem {
+	return &Problem{Status: 503, Type: typeServer, Code: "terminated", Message: message}
+}
+
+func missingKey() *Problem {
+	return &Problem{Status: 401, Type: typeInvalidRequest, Message: "You didn't provide an API key."}
+}
+
+func unknownKey() *Problem {
+	return &Problem{
+		Status:  401,
+		Type:    typeInvalidRequest,
+		Code:    "invalid_api_key",
+		Message: "Incorrect API key provided.",
+	}
+}
+
+func unknownURL(method, path string) *Problem {
+	return &Problem{
+		Status:  404,
+		Type:    typeInvalidRequest,
+		Code:    "unknown_url",
+		Message: "Unknown request URL: " + method + " " + path + ".",
+	}
+}
+
+func methodNotAllowed(method string) *Problem {
+	return &Problem{
+		Status:  405,
+		Type:    typeInvalidRequest,
+		Message: "Not allowed to " + strings.ToUpper(method) + " on this URL.",
+	}
+}
+
+func requestTimeout() *Problem {
+	return &Problem{
+		Status:  408,
+		Type:    typeInvalidRequest,
+		Code:    "request_timeout",
+		Message: "The request did not come in time.",
+	}
+}
+
+func malformed(err *http1.ProtocolError) *Problem {
+	return &Problem{
+		Status:  err.Status,
+		Type:    typeInvalidRequest,
+		Message: "The request can't be read: " + err.Reason + ".",
+	}
+}
+
+func unsupported(code, message string) *Problem {
+	return &Problem{Status: 415, Type: typeInvalidRequest, Code: code, Message: message}
+}
+
+// BusyResponse returns the response to a connection that is not served for lack of capacity; nothing has run.
+func BusyResponse() []byte {
+	problem := TooManyConnections()
+	fields := append(retryFields(0), "Connection", "close", "Content-Type", "application/json")
+	return http1.AppendResponse(nil, problem.Status, problem.Body(), fields...)
+}
+
+// retryFields returns the fields that say when to come again, in whole units rounded up.
+func retryFields(after eventloop.Micros) []string {
+	if after <= 0 {
+		after = defaultRetryAfter
+	}
+	return []string{
+		fieldRetryAfter, ceilDivide(after, eventloop.Second),
+		fieldRetryAfterMs, ceilDivide(after, eventloop.Millisecond),
+	}
+}
+
+func ceilDivide(span, unit eventloop.Micros) string {
+	return strconv.FormatInt(int64((span+unit-1)/unit), 10)
+}
--- /dev/null
+++ b/internal/frontend/models.go
@@ -0,0 +1,61 @@
+package frontend
+
+import (
+	"slices"
+	"strings"
+
+	"plumspindle/internal/http1"
+)
+
+const (
+	modelsPath = "/v1/models"
+	modelOwner = "plumspindle"
+)
+
+// modelObject and modelList are the public API's objects, their members in alphabetical order.
+type modelObject struct {
+	Created int64  `json:"created"`
+	ID      string `json:"id"`
+	Object  string `json:"object"`
+	OwnedBy string `json:"owned_by"`
+}
+
+type modelList struct {
+	Data   []modelObject `json:"data"`
+	Object string        `json:"object"`
+}
+
+func newModelObject(name string) modelObject {
+	return modelObject{ID: name, Object: "model", OwnedBy: modelOwner}
+}
+
+// ModelRoutes returns the routes by which clients list the models on offer and ask for one of them.
+func ModelRoutes(names func() []string) map[string]Route {
+	return map[string]Route{
+		modelsPath: {Method: "GET", Begin: func(_ *http1.Head, _ Identity, response *Response) (Sink, *Problem) {
+			return &BufferedBody{Handle: func([]byte) *Problem {
+				response.finish(200, listModels(names()))
+				return nil
+			}}, nil
+		}},
+		modelsPath + "/": {Method: "GET", Begin: func(head *http1.Head, _ Identity, response *Response) (Sink, *Problem) {
+			path := pathOf(head.Target)
+			name := path[strings.LastIndexByte(path, '/')+1:]
+			if !slices.Contains(names(), name) {
+				return nil, ModelNotFound(name)
+			}
+			return &BufferedBody{Handle: func([]byte) *Problem {
+				response.finish(200, mustMarshal(newModelObject(name)))
+				return nil
+			}}, nil
+		}},
+	}
+}
+
+func listModels(names []string) []byte {
+	list := modelList{Data: []modelObject{}, Object: "list"}
+	for _, name := range names {
+		list.Data = append(list.Data, newModelObject(name))
+	}
+	return mustMarshal(list)
+}
--- a/internal/frontend/wire_test.go
+++ b/internal/frontend/wire_test.go
@@ -118,7 +118,13 @@
 		case "fail":
 			response.Fail(true, "It failed.")
 		case "error":
-			response.Error(&Problem{Status: 422, Type: "invalid_request_error", Code: "input_not_served", NoRetry: true, Message: "<No & no>."})
+			response.SendProblem(&Problem{
+				Status:  422,
+				Type:    typeInvalidRequest,
+				Code:    "input_not_served",
+				NoRetry: true,
+				Message: "<No & no>.",
+			})
 		case "wait": // until the client disconnects or the test ends
 		default:
 			return Invalid("body", "invalid_value", "Invalid %q.", body)
@@ -154,6 +160,9 @@
 		append([]string{"Authorization", "Bearer good"}, fields...)...))
 }
 
+// postHead is the head of a request without its last fields.
+const postHead = "POST /v1/answer HTTP/1.1\r\nHost: h\r\nAuthorization: Bearer good\r\n"
+
 // TestWireForm compares all that a client receives, byte for byte, with golden files.
 func TestWireForm(t *testing.T) {
 	get := func(target, key string) string {
@@ -188,8 +197,8 @@
 		"cut anywhere":        strings.SplitAfter(post("/v1/answer", "object"), "e"),
 		"malformed":           {"what is this\r\n\r\n"},
 		"malformed behind":    {post("/v1/answer", "object") + "what is this\r\n\r\n"},
-		"body too large":      {"POST /v1/answer HTTP/1.1\r\nHost: h\r\nAuthorization: Bearer good\r\nContent-Length: 9999999\r\n\r\n"},
-		"body that stalls":    {"POST /v1/answer HTTP/1.1\r\nHost: h\r\nAuthorization: Bearer good\r\nContent-Length: 6\r\n\r\nobj"},
+		"body too large":      {postHead + "Content-Length: 9999999\r\n\r\n"},
+		"body that stalls":    {postHead + "Content-Length: 6\r\n\r\nobj"},
 		"idle":                {},
 	}
 	for name, parts := range cases {
@@ -255,6 +264,7 @@
 	y.client.Do(conn.Abort)
 	y.network.Run(eventloop.Second)
 	if y.server.OpenRequests != 0 || y.server.BufferedBytes != 0 || y.disconnects != 1 {
-		t.Errorf("%d requests open, %d bytes buffered, %d disconnects reported", y.server.OpenRequests, y.server.BufferedBytes, y.disconnects)
+		t.Errorf("%d requests open, %d bytes buffered, %d disconnects reported",
+			y.server.OpenRequests, y.server.BufferedBytes, y.disconnects)
 	}
 }
