--- a/scheduler/api.go
+++ b/scheduler/api.go
@@ -19,15 +19,23 @@
 	AttemptNo  uint16
 )
 
-// Executor is what a dispatcher may ask of the world around it. Calls are carried out in their order.
+// Executor carries out what a scheduler orders, in the order of the calls.
 type Executor interface {
-	Send(request RequestID, host EndpointID, allow Micros)
+	// Send makes the request's next attempt at an endpoint, which times out after a while.
+	Send(request RequestID, endpoint EndpointID, timeout Micros)
+	// Reject gives the final answer of a request that its client may send again.
 	Reject(request RequestID, retryAfter Micros)
+	// Fail gives the final answer of a request that failed.
 	Fail(request RequestID)
+	// Cancel stops an attempt, whose end is reported all the same.
 	Cancel(request RequestID, attempt AttemptNo)
+	// Release has the prefill endpoints drop the request's state.
 	Release(request RequestID)
+	// WatchEndpoints asks for the endpoint list.
 	WatchEndpoints()
-	SetTimer(after Micros, bell TimerID)
+	// SetTimer has TimerFired called once after a while; earlier calls stay in force.
+	SetTimer(after Micros, timer TimerID)
+	// Log takes an event for the log.
 	Log(event Event)
 }
 
@@ -35,21 +43,23 @@
 type TimerID uint64
 
 const (
-	PeriodicTimer TimerID = 1 // the one periodic timer
-	DeadlineTimer TimerID = 2 // the earliest of the ordered due times
+	PeriodicTimer TimerID = 1 // the tick
+	DeadlineTimer TimerID = 2 // the earliest due time
 )
 
-// Role is what a kind of model host can do.
+// Role is what a kind of endpoint can do.
 type Role uint8
 
 const (
 	Prefill Role = iota
 	Decode
 	Mixed
-	Embedder // reads what is complete with its read, and nothing else
+	Embedder // serves prefill-only requests, and nothing else
+
+	roleCount = iota
 )
 
-// Effect says what a repeat of a product's request would do.
+// Effect says what sending a request of a class twice would do.
 type Effect uint8
 
 const (
@@ -58,7 +68,7 @@
 	NonIdempotent
 )
 
-// Group names the model hosts that drop each other's repeats of a deduplicated request.
+// Group names the endpoints that recognize each other's repeats of a deduplicated request.
 type Group uint8
 
 const (
@@ -67,7 +77,7 @@
 	SameCell
 )
 
-// EndpointState is what the list of model hosts says of one.
+// EndpointState is what the endpoint list says of an endpoint.
 type EndpointState uint8
 
 const (
@@ -76,12 +86,12 @@
 	Removed
 )
 
-// Outcome is how an attempt came out.
+// Outcome is how an attempt ended.
 type Outcome uint8
 
 const (
 	Completed   Outcome = iota
-	PrefillDone         // the prompt is read and its state waits at the reader
+	PrefillDone         // the prompt is prefilled and its state waits at the prefill endpoint
 	Errored
 	NoCapacity
 	TimedOut
@@ -91,12 +101,12 @@
 	NotSent
 )
 
-// KnownNotRun tells whether an ending proves that the attempt had no effect.
-func (e Outcome) KnownNotRun() bool {
-	return e == NoCapacity || e == Unreachable || e == NotSent || e == PrefillDone
+// KnownNotRun reports whether an outcome proves that the attempt had no effect.
+func (o Outcome) KnownNotRun() bool {
+	return o == NoCapacity || o == Unreachable || o == NotSent || o == PrefillDone
 }
 
-// NoLoadReport stands for the reported memory share of an outcome that came without one.
+// NoLoadReport stands for the memory usage of a result that came without a load report.
 const NoLoadReport = -1.0
 
 // Class is what the deployment promises for one class of requests.
@@ -105,28 +115,28 @@
 	Revenue, LateRevenueShare         float64
 	Effect                            Effect
 	Group                             Group
-	PrefillOnly                       bool // a request is complete with its read; it must be idempotent
+	PrefillOnly                       bool // a request is complete with its prefill; it must be idempotent
 }
 
-// Kind is one sort of machine.
+// Kind is one kind of endpoint.
 type Kind struct {
 	Role   Role
 	Memory float64 // tokens
 }
 
-// Config is what an instance is told at its start about the place it serves in.
+// Config describes the deployment that an instance serves in.
 type Config struct {
 	Dispatchers     int
-	Zone            ZoneID // that this dispatcher stands in
+	Zone            ZoneID // of this dispatcher
 	Classes         []Class
 	Kinds           []Kind
-	Quotas          []float64 // requests a second inside each tenant's share, over all dispatchers
+	Quotas          []float64 // requests a second inside each tenant's quota, over all dispatchers
 	OverQuotaWeight float64
 	DecodePrefills  bool
 	MaxAttempts     int
 	CancelAllowed   bool
 	MaxRetryAfter   Micros
-	WatchOnDemand   bool // the list of hosts comes only to those that ask
+	WatchOnDemand   bool // the endpoint list comes only to those that ask
 	TickInterval    Micros
 	IdleTimeout     Micros // an unused connection is closed after it
 	ConnectTimeout  Micros // an attempt that has not left by then, for want of a connection, never does
@@ -163,13 +173,13 @@
 // AttemptResult is how an attempt ended.
 type AttemptResult struct {
 	Outcome       Outcome
-	CachedTokens  int     // of the prompt, those the prefill server had cached; with PrefillDone only
-	StateMissing  bool    // the decode server found no state to fetch; with NoCapacity and ConnectionLost only
+	CachedTokens  int     // of the prompt, those the prefill endpoint had cached; with PrefillDone only
+	StateMissing  bool    // the decode endpoint found no state to fetch; with NoCapacity and ConnectionLost only
 	RequestClosed bool    // the client has its final answer, or has left
 	MemoryUsage   float64 // share of the endpoint's memory that is taken, or NoLoadReport
 }
 
-// InFlight is what a scheduler has under way.
+// InFlight is what a scheduler has in flight.
 type InFlight struct {
 	Requests      int
 	Attempts      int
--- /dev/null
+++ b/scheduler/attempt.go
@@ -0,0 +1,158 @@
+package scheduler
+
+import "slices"
+
+// attempt is one send of a request to an endpoint.
+type attempt struct {
+	number        AttemptNo
+	request       *request
+	endpoint      *endpoint
+	sentAt        Micros
+	prefillTokens float64 // of the prompt that are still to be prefilled there
+	tokensAhead   float64 // of other requests that were to be prefilled before it
+	memoryTokens  float64 // that its answer is expected to take
+	decodes       bool
+	started       bool
+	lateAt        Micros // when a start is late
+	crossesCells  bool   // its state comes out of another cell,
+	stateCell     CellID // this one
+	cancelled     bool   // by us
+	newConnection bool   // sent without an open connection to the endpoint
+	onResult      func(AttemptResult)
+}
+
+// send makes an attempt, unless the guard stops it or its time is up; onResult gets its result.
+func (s *Scheduler) send(req *request, ep *endpoint, prefillTokens float64, onResult func(AttemptResult)) {
+	switch {
+	case req.attemptsSent >= s.MaxAttempts:
+		s.rejectOrFail(req, AttemptsExhausted)
+		return
+	case req.deadline <= s.now:
+		s.rejectOrFail(req, DeadlineReached)
+		return
+	case s.blocked(req, ep):
+		s.rejectOrFail(req, RuleViolation)
+		return
+	}
+	att := &attempt{
+		number:        AttemptNo(req.attemptsSent),
+		request:       req,
+		endpoint:      ep,
+		sentAt:        s.now,
+		prefillTokens: prefillTokens,
+		tokensAhead:   ep.load.unprefilledTokens,
+		memoryTokens:  req.memoryTokens(),
+		decodes:       ep.role != Prefill,
+		lateAt:        s.now + req.sloTimeShare(lateStartShare),
+		newConnection: !s.hasConnection(ep),
+		onResult:      onResult,
+	}
+	if req.stateAt != nil {
+		att.crossesCells, att.stateCell = req.stateAt.cell != ep.cell, req.stateAt.cell
+	}
+	s.track(att)
+	s.spendSlowStart(ep, req.class)
+	s.executor.Send(req.id, ep.id, s.attemptTimeout(att))
+}
+
+// currentAttempt is the request's attempt in flight, if it is the one of this number; late and unknown events find none.
+func (s *Scheduler) currentAttempt(id RequestID, number AttemptNo) *attempt {
+	if req := s.requests[id]; req != nil && req.attempt != nil && req.attempt.number == number {
+		return req.attempt
+	}
+	return nil
+}
+
+// prefillFinished notes that an attempt's prompt is prefilled, or never will be, and nobody waits for its first token.
+func (att *attempt) prefillFinished() {
+	ep := att.endpoint
+	ep.load.unprefilledTokens = max(ep.load.unprefilledTokens-att.prefillTokens, 0)
+	att.prefillTokens = 0
+	ep.pending = slices.DeleteFunc(ep.pending, func(other *attempt) bool { return other == att })
+}
+
+// AttemptStarted notes that the answer streams; the client receives it, and no deadline counts any more.
+func (s *Scheduler) AttemptStarted(now Micros, id RequestID, number AttemptNo) {
+	s.now = now
+	att := s.currentAttempt(id, number)
+	if att == nil {
+		return
+	}
+	if att.prefillTokens == 0 {
+		blend(&s.estimates.firstTokenLatency, float64(now-att.sentAt), latencyWeight)
+	}
+	s.recordHandover(att)
+	att.started, att.request.stateAt = true, nil
+	s.timers.due.Drop(att.request.deadlineTimer)
+	att.prefillFinished()
+	ep := att.endpoint
+	ep.outlier.recordSuccess()
+	ep.outlier.lastHeard = now
+	switch {
+	case now <= att.lateAt:
+		ep.memory.timelyStartAt = now
+		if att.crossesCells {
+			delete(s.links.lastLateAt, att.stateCell)
+		}
+	case lateByLink(att):
+		s.links.lastLateAt[att.stateCell] = now
+	default:
+		s.cutReservationLimit(ep)
+	}
+}
+
+// AttemptEnded learns from an attempt's result and takes its request on.
+func (s *Scheduler) AttemptEnded(now Micros, id RequestID, number AttemptNo, res AttemptResult) {
+	s.now = now
+	att := s.currentAttempt(id, number)
+	if att == nil {
+		return
+	}
+	prefillTokens := att.prefillTokens
+	s.untrack(att)
+	s.recordUsage(att.endpoint, res.MemoryUsage)
+	if !att.started && (res.Outcome == TimedOut || res.Outcome == Cancelled) {
+		s.recordHandover(att)
+	}
+	s.recordConnection(att, res.Outcome)
+	s.recordOutcome(att, res)
+	if res.Outcome == PrefillDone {
+		s.recordPrefill(att, prefillTokens, float64(res.CachedTokens))
+	}
+	s.attemptResolved(att, res)
+	s.placeQueued(false)
+	s.armDeadlineTimer()
+}
+
+// attemptResolved takes the request of an attempt that has ended on, by its result.
+func (s *Scheduler) attemptResolved(att *attempt, res AttemptResult) {
+	req := att.request
+	if att.decodes && req.mayHaveRun == nil && !res.Outcome.KnownNotRun() {
+		req.mayHaveRun = att
+	}
+	switch {
+	case res.RequestClosed || req.answered:
+		req.answered = true
+		if !att.decodes && !s.Classes[req.class].PrefillOnly {
+			req.stateAt = att.endpoint // a prefill that was cut off may have ended too, and a release costs nothing
+		}
+		s.finish(req)
+	case att.started:
+		// It ended without closing, as when our cancel crossed its start: the client still needs an answer.
+		s.rejectOrFail(req, StreamEndedEarly)
+	default:
+		att.onResult(res)
+	}
+}
+
+// recordConnection learns how often new connections fail.
+func (s *Scheduler) recordConnection(att *attempt, outcome Outcome) {
+	if !att.newConnection {
+		return
+	}
+	failed := 0.0
+	if outcome == Unreachable {
+		failed = 1
+	}
+	s.connectFailures.record(s.now, 0, failed)
+}
--- a/scheduler/cost_test.go
+++ b/scheduler/cost_test.go
@@ -66,8 +66,8 @@
 	config.Classes = append(config.Classes, Class{SLO: sec, TokenSLO: 50 * ms, Revenue: 6, LateRevenueShare: 0.2, Effect: NonIdempotent})
 	t.scheduler = New(t.now, 1, config, t)
 	t.updateEndpoints(Ready)
-	for _, ep := range t.scheduler.endpoints { // each has done something lately
-		ep.completedTokens, ep.completedAt, ep.lastHeard, ep.prefillTokens, ep.prefillSeconds = 9000, t.now, t.now, 20000, 1
+	for _, ep := range t.scheduler.endpoints.all { // each has done something lately
+		ep.slowStart.completedTokens, ep.slowStart.completedAt, ep.outlier.lastHeard, ep.prefillRate.tokens, ep.prefillRate.seconds = 9000, t.now, t.now, 20000, 1
 	}
 	for range costInFlight * scale {
 		id := t.arrive(0)
@@ -88,9 +88,9 @@
 
 // blockDecode has no writer fit any more, so that what comes is held.
 func (t *costFleet) blockDecode(on bool) {
-	for _, ep := range t.scheduler.endpoints {
-		if ep.noCapacityUntil = 0; on && ep.role == Decode {
-			ep.noCapacityUntil = t.now + 3600*sec
+	for _, ep := range t.scheduler.endpoints.all {
+		if ep.memory.noCapacityUntil = 0; on && ep.role == Decode {
+			ep.memory.noCapacityUntil = t.now + 3600*sec
 		}
 	}
 }
@@ -155,8 +155,8 @@
 			}
 			var ids, flying [batch]RequestID
 			if jammed { // some are written while others are held
-				held := t.scheduler.queued
-				t.scheduler.queued = nil
+				held := t.scheduler.queue.requests
+				t.scheduler.queue.requests = nil
 				t.blockDecode(false)
 				for i := range flying {
 					flying[i] = t.arrive(0)
@@ -164,11 +164,11 @@
 					t.startAnswer(flying[i])
 				}
 				t.blockDecode(true)
-				t.scheduler.queued = held
+				t.scheduler.queue.requests = held
 			}
 			if name == ", links late" {
-				for _, ep := range t.scheduler.endpoints {
-					t.scheduler.links[ep.cell] = t.now
+				for _, ep := range t.scheduler.endpoints.all {
+					t.scheduler.links.lastLateAt[ep.cell] = t.now
 				}
 			}
 			note("arrival", batch, func(i int) { ids[i] = t.arrive(0) })
--- a/scheduler/decide_test.go
+++ b/scheduler/decide_test.go
@@ -53,8 +53,8 @@
 		t.Fatal("read while the only writer keeps an answer waiting")
 	}
 	sim.startAnswer(req)
-	if ep := sim.scheduler.byID[11]; sim.scheduler.reservationLimit(ep) >= ep.reservedTokens {
-		t.Errorf("cap %v with %v held when an answer began late", sim.scheduler.reservationLimit(ep), ep.reservedTokens)
+	if ep := sim.scheduler.endpoints.byID[11]; sim.scheduler.reservationLimit(ep) >= ep.load.reservedTokens {
+		t.Errorf("cap %v with %v held when an answer began late", sim.scheduler.reservationLimit(ep), ep.load.reservedTokens)
 	}
 	sim.endAttempt(req, Completed, 0)
 	sim.advance(sec)
@@ -80,12 +80,12 @@
 	sim.advance(20 * ms)
 	sim.startAnswer(near)
 	sim.advance(300 * ms)
-	writer, req := sim.scheduler.byID[11], &request{arrivedAt: sim.now, sloAt: sim.now + sec}
-	if sim.scheduler.stalled(writer) || !sim.scheduler.linkCongested(0, req, sim.scheduler.congestedCells()) || sim.scheduler.linkCongested(1, req, sim.scheduler.congestedCells()) {
+	writer, req := sim.scheduler.endpoints.byID[11], &request{arrivedAt: sim.now, sloAt: sim.now + sec}
+	if sim.scheduler.startOverdue(writer) || !sim.scheduler.linkCongested(0, req, sim.scheduler.congestedCells()) || sim.scheduler.linkCongested(1, req, sim.scheduler.congestedCells()) {
 		t.Error("the late state is not put down to its cell's link")
 	}
 	sim.startAnswer(far)
-	if _, late := sim.scheduler.links[0]; !late || writer.limitCutAt != 0 {
+	if _, late := sim.scheduler.links.lastLateAt[0]; !late || writer.memory.limitCutAt != 0 {
 		t.Error("the writer was blamed for its late start")
 	}
 }
@@ -157,7 +157,7 @@
 	req := sim.prefilled(1, 3000)
 	quiet := req.inFlight().endpoint
 	sim.advance(600 * ms)
-	if sim.scheduler.byID[quiet.id].failureScore == 0 {
+	if sim.scheduler.endpoints.byID[quiet.id].outlier.failureScore == 0 {
 		t.Error("the silent writer does not rest")
 	}
 	if sim.cancelled(1) {
@@ -173,7 +173,7 @@
 func TestOnlyMixedHostIsDead(t *testing.T) {
 	sim := newFleetSim(t, testConfig(Idempotent), 1)
 	sim.addEndpoints(1, 0, 1, 2)
-	sim.scheduler.recordFailure(sim.scheduler.byID[21], AttemptFailed)
+	sim.scheduler.recordFailure(sim.scheduler.endpoints.byID[21], AttemptFailed)
 	for id := RequestID(1); id < 5; id++ {
 		if req := sim.arrive(id, 0, 1000, 6*sec); req.inFlight() != nil && req.inFlight().endpoint.id == 21 {
 			t.Error("sent to the host that looks ill while others do not")
@@ -197,7 +197,7 @@
 func TestAllIllMeansNone(t *testing.T) {
 	sim := newFleetSim(t, testConfig(Idempotent), 1)
 	sim.addEndpoints(2, 0, 1)
-	for _, ep := range sim.scheduler.endpoints {
+	for _, ep := range sim.scheduler.endpoints.all {
 		sim.scheduler.recordFailure(ep, AttemptFailed)
 	}
 	if sim.arrive(1, 0, 1000, 4*sec).inFlight() == nil {
@@ -260,7 +260,7 @@
 	sim := newFleetSim(t, testConfig(Idempotent), 1)
 	sim.addEndpoints(1, 0, 1)
 	sim.prefilled(1, 4000)
-	ep := sim.scheduler.endpoints[0]
+	ep := sim.scheduler.endpoints.all[0]
 	if req := sim.arrive(4, 0, 4000, 6*sec); sim.scheduler.tokensToPrefill(ep, sim.scheduler.requests[4]) != 2000 {
 		t.Errorf("expects to read %v of a known text", sim.scheduler.tokensToPrefill(ep, sim.scheduler.requests[4]))
 	} else {
@@ -280,16 +280,16 @@
 		sim := newFleetSim(t, testConfig(Idempotent), 1)
 		sim.addEndpoints(4, 0)
 		sim.updateEndpoints(&simEndpoint{id: 11, kind: 1})
-		sim.scheduler.byID[11].limit, sim.scheduler.byID[11].limitCutAt = 9000, sim.now
+		sim.scheduler.endpoints.byID[11].memory.limit, sim.scheduler.endpoints.byID[11].memory.limitCutAt = 9000, sim.now
 		if cold {
 			sim.updateEndpoints(&simEndpoint{id: 11, kind: 1, startedAt: sim.now})
-			sim.scheduler.byID[11].creditAt = sim.now // its part may begin at once
+			sim.scheduler.endpoints.byID[11].slowStart.creditAt = sim.now // its part may begin at once
 		}
 		for i := range 4 {
 			sim.arrive(RequestID(i+1), 0, 4000, 6*sec)
 		}
-		if len(sim.scheduler.queued) != want {
-			t.Errorf("cold %v: %d of 4 held, want %d", cold, len(sim.scheduler.queued), want)
+		if len(sim.scheduler.queue.requests) != want {
+			t.Errorf("cold %v: %d of 4 held, want %d", cold, len(sim.scheduler.queue.requests), want)
 		}
 	}
 }
@@ -321,22 +321,22 @@
 			cell := CellID(chance.Intn(5))
 			sim.updateEndpoints(&simEndpoint{id: EndpointID(i + 1), kind: KindID(chance.Intn(3)), zone: ZoneID(cell / 2), cell: cell})
 		}
-		for _, ep := range sim.scheduler.endpoints {
-			ep.streams, ep.reservedTokens, ep.reportedUsage, ep.reportedAt = chance.Intn(5), float64(chance.Intn(150000)), -1, sim.now
+		for _, ep := range sim.scheduler.endpoints.all {
+			ep.load.streams, ep.load.reservedTokens, ep.memory.reportedUsage, ep.memory.reportedAt = chance.Intn(5), float64(chance.Intn(150000)), -1, sim.now
 			if chance.Intn(3) == 0 {
-				ep.reportedUsage = chance.Float64()
+				ep.memory.reportedUsage = chance.Float64()
 			}
-			ep.reservedAtReport = ep.reservedTokens
+			ep.memory.reservedAtReport = ep.load.reservedTokens
 		}
 		req := &request{promptTokens: 2000, answerTokens: 100, sloAt: sim.now + sec, arrivedAt: sim.now}
 		for cell := range CellID(5) {
-			if sim.scheduler.links[cell] = sim.now; chance.Intn(2) == 0 {
-				delete(sim.scheduler.links, cell)
+			if sim.scheduler.links.lastLateAt[cell] = sim.now; chance.Intn(2) == 0 {
+				delete(sim.scheduler.links.lastLateAt, cell)
 			}
 		}
 		takes := slices.Clone(sim.scheduler.cellsAcceptingState(req))
-		for _, r := range sim.scheduler.endpoints {
-			if _, jammed := sim.scheduler.links[r.cell]; r.role != Prefill || !jammed {
+		for _, r := range sim.scheduler.endpoints.all {
+			if _, jammed := sim.scheduler.links.lastLateAt[r.cell]; r.role != Prefill || !jammed {
 				continue
 			}
 			asked, fits := sim.scheduler.pickDecode(req, r)
@@ -367,17 +367,17 @@
 		sim.now += 2 * sec
 		sim.updateEndpoints(next, old)
 		delete(sim.endpoints, old.id)
-		most = max(most, len(sim.scheduler.endpoints))
+		most = max(most, len(sim.scheduler.endpoints.all))
 	}
-	if most > 400 || len(sim.scheduler.byID) != len(sim.scheduler.endpoints) {
-		t.Errorf("%d hosts are kept, %d by id", most, len(sim.scheduler.byID))
+	if most > 400 || len(sim.scheduler.endpoints.byID) != len(sim.scheduler.endpoints.all) {
+		t.Errorf("%d hosts are kept, %d by id", most, len(sim.scheduler.endpoints.byID))
 	}
-	ep := sim.scheduler.endpoints[len(sim.scheduler.endpoints)-1]
+	ep := sim.scheduler.endpoints.all[len(sim.scheduler.endpoints.all)-1]
 	sim.now += 7200 * sec // with no list
 	sim.updateEndpoints(&simEndpoint{id: ep.id, kind: ep.kind, state: Draining})
 	sim.now += 60 * sec
 	sim.updateEndpoints(&simEndpoint{id: ep.id, kind: ep.kind, startedAt: ep.startedAt})
-	if sim.scheduler.byID[ep.id] != ep || !ep.ready {
+	if sim.scheduler.endpoints.byID[ep.id] != ep || !ep.ready {
 		t.Error("one that came back is not known any more")
 	}
 }
@@ -405,7 +405,7 @@
 		}
 		homes[zone] = home.id
 		next := sim.arrive(4, 0, 2000, 6*sec).inFlight().endpoint
-		common := sim.scheduler.affinityEndpoint(sim.scheduler.requests[4], 1, []*endpoint{sim.scheduler.byID[1], sim.scheduler.byID[2], sim.scheduler.byID[3], sim.scheduler.byID[4]})
+		common := sim.scheduler.affinityEndpoint(sim.scheduler.requests[4], 1, []*endpoint{sim.scheduler.endpoints.byID[1], sim.scheduler.endpoints.byID[2], sim.scheduler.endpoints.byID[3], sim.scheduler.endpoints.byID[4]})
 		if common.id != home.id && next.id != common.id {
 			t.Errorf("with its home busy it is read at %d and not at %d", next.id, common.id)
 		}
@@ -419,7 +419,7 @@
 	for i := range 10 {
 		req := sim.prefilled(RequestID(i+1), 4000)
 		if ep := req.inFlight().endpoint; ep.zone == 1 {
-			t.Fatalf("the %dth left its zone, with %v and %v held of 140000 near", i+1, sim.scheduler.byID[11].reservedTokens, sim.scheduler.byID[12].reservedTokens)
+			t.Fatalf("the %dth left its zone, with %v and %v held of 140000 near", i+1, sim.scheduler.endpoints.byID[11].load.reservedTokens, sim.scheduler.endpoints.byID[12].load.reservedTokens)
 		}
 		sim.startAnswer(req)
 	}
@@ -441,7 +441,7 @@
 	}
 	// Dead ones that the list still names do not make it look small.
 	for _, id := range []EndpointID{11, 12} {
-		sim.scheduler.byID[id].failureScore = 1
+		sim.scheduler.endpoints.byID[id].outlier.failureScore = 1
 	}
 	sim.advance(5 * sec)
 	if sim.scheduler.warmThroughput[Decode] < before {
@@ -454,9 +454,9 @@
 	sim := newFleetSim(t, testConfig(Idempotent), 1)
 	sim.addEndpoints(2, 0, 1)
 	req := sim.prefilled(1, 2000)
-	ep := sim.scheduler.byID[req.inFlight().endpoint.id]
-	if sim.endAttempt(req, NoCapacity, 1); ep.lastHeard != 0 || ep.noCapacityUntil != 0 {
-		t.Errorf("heard at %d, full until %d", ep.lastHeard, ep.noCapacityUntil)
+	ep := sim.scheduler.endpoints.byID[req.inFlight().endpoint.id]
+	if sim.endAttempt(req, NoCapacity, 1); ep.outlier.lastHeard != 0 || ep.memory.noCapacityUntil != 0 {
+		t.Errorf("heard at %d, full until %d", ep.outlier.lastHeard, ep.memory.noCapacityUntil)
 	}
 }
 
@@ -464,10 +464,10 @@
 func TestHomeThatNeverKeptForgetsNothing(t *testing.T) {
 	sim := newFleetSim(t, testConfig(Idempotent), 1)
 	sim.updateEndpoints(&simEndpoint{id: 1}, &simEndpoint{id: 11, kind: 1})
-	sim.scheduler.byID[1].cachedPrefixes[77] = true
+	sim.scheduler.endpoints.byID[1].cachedPrefixes[77] = true
 	req := sim.arriveWithPrefix(1, 0, 5, 6000, 5000, 6*sec)
 	sim.endAttempt(req, PrefillDone, 0)
-	if !sim.scheduler.byID[1].cachedPrefixes[77] || !sim.scheduler.byID[1].cachedPrefixes[5] {
-		t.Errorf("known texts: %v", sim.scheduler.byID[1].cachedPrefixes)
+	if !sim.scheduler.endpoints.byID[1].cachedPrefixes[77] || !sim.scheduler.endpoints.byID[1].cachedPrefixes[5] {
+		t.Errorf("known texts: %v", sim.scheduler.endpoints.byID[1].cachedPrefixes)
 	}
 }
--- /dev/null
+++ b/scheduler/decode_placement.go
@@ -0,0 +1,154 @@
+package scheduler
+
+import "slices"
+
+const (
+	loadMargin     = 2.0 // streams above the median load at which a decode endpoint no longer fits
+	memoryCeiling  = 0.9 // memory usage above which a decode endpoint does not fit, where usage is reported
+	nearFactor     = 1.3 // times the mean usage of the decode endpoints in other cells that a near one may have, and
+	nearMargin     = 0.1 // this share more;
+	nearAlwaysFits = 0.6 // this share it may have however empty the others are
+)
+
+// placementTier orders the decode endpoints for one decision: those of the lowest tier that has any are compared.
+type placementTier int
+
+const (
+	tierSameCell placementTier = iota // as the prefill endpoint
+	tierSameZone
+	tierAnywhere
+	tierOverLimits
+	tierNone
+)
+
+// sendToDecode sends a request to where its answer is made, which fetches the state or prefills so many tokens itself.
+func (s *Scheduler) sendToDecode(req *request, ep *endpoint, prefillTokens float64) {
+	s.send(req, ep, prefillTokens, func(res AttemptResult) { s.decodeEnded(req, ep, res) })
+}
+
+// decode sends the prefilled state to a decode endpoint now: a state may not wait, so limits give way where none fits.
+func (s *Scheduler) decode(req *request) {
+	if ep, _ := s.pickDecode(req, req.stateAt); ep != nil && req.attemptsSent < s.MaxAttempts {
+		s.sendToDecode(req, ep, 0)
+		return
+	}
+	s.releaseState(req)
+	req.tried = nil
+	s.place(req)
+}
+
+// decodeEnded takes a request on from an attempt at a decode endpoint that did not answer it.
+func (s *Scheduler) decodeEnded(req *request, ep *endpoint, res AttemptResult) {
+	if res.StateMissing && (res.Outcome == NoCapacity || res.Outcome == ConnectionLost) {
+		s.releaseState(req)
+	}
+	if res.Outcome != NoCapacity || !res.StateMissing { // else the endpoint is not at fault, and may be the only one
+		req.tried = append(req.tried, ep)
+	}
+	switch {
+	case !s.mayRetry(req, nil):
+		s.rejectOrFail(req, MayHaveRun)
+	case req.stateAt != nil:
+		s.decode(req)
+	default:
+		s.place(req)
+	}
+}
+
+// decodeCandidates are the candidates for a decode; without any decode endpoint, mixed endpoints are.
+func (s *Scheduler) decodeCandidates(req *request) []*endpoint {
+	if endpoints := s.candidates(req, Decode); len(endpoints) > 0 {
+		return endpoints
+	}
+	return s.candidates(req, Mixed)
+}
+
+// pickDecode is the least filled decode endpoint that fits, in the prefill endpoint's cell, else its zone, else anywhere; if
+// none fits, the least filled past the limits. It reports whether the one it returns fits.
+func (s *Scheduler) pickDecode(req *request, prefill *endpoint) (*endpoint, bool) {
+	defer s.scratch.release(s.scratch.mark())
+	endpoints := s.decodeCandidates(req)
+	if prefill != nil && s.linkCongested(prefill.cell, req, s.congestedCells()) {
+		outside := func(ep *endpoint) bool { return ep.cell != prefill.cell }
+		if slices.ContainsFunc(endpoints, func(ep *endpoint) bool { return !outside(ep) }) {
+			endpoints = slices.DeleteFunc(endpoints, outside)
+		}
+	}
+	if len(endpoints) == 0 {
+		return nil, false
+	}
+	lowest := s.setTiers(req, endpoints, prefill)
+	endpoints = slices.DeleteFunc(endpoints, func(ep *endpoint) bool { return ep.tier != lowest })
+	return s.lowestCost(s.sample(endpoints), s.memoryUsage), lowest < tierOverLimits
+}
+
+// setTiers puts each endpoint in its tier and returns the lowest tier that has any.
+func (s *Scheduler) setTiers(req *request, endpoints []*endpoint, prefill *endpoint) placementTier {
+	medianLoad := median(s.loads(endpoints))
+	nearLimit := s.nearUsageLimit(endpoints, prefill)
+	lowest := tierNone
+	for _, ep := range endpoints {
+		ep.tier = tierSameCell
+		switch {
+		case !s.fits(ep, req, medianLoad):
+			ep.tier = tierOverLimits
+		case prefill == nil || ep.zone != prefill.zone || s.memoryUsage(ep) > nearLimit:
+			ep.tier = tierAnywhere
+		case ep.cell != prefill.cell && s.Dispatchers <= dispatchersPerChoice*len(endpoints):
+			ep.tier = tierSameZone // many dispatchers would all overfill a cell's few endpoints, and none of them see it
+		}
+		lowest = min(lowest, ep.tier)
+	}
+	return lowest
+}
+
+// nearUsageLimit is the memory usage up to which decode endpoints near the prefill endpoint are preferred: where most of them
+// stand in one cell, they are themselves the median, and would fill up while the others are idle.
+func (s *Scheduler) nearUsageLimit(endpoints []*endpoint, prefill *endpoint) float64 {
+	outside := s.scratch.numbers[:0]
+	for _, ep := range endpoints {
+		if prefill != nil && ep.cell != prefill.cell {
+			outside = append(outside, s.memoryUsage(ep))
+		}
+	}
+	s.scratch.numbers = outside
+	return max(nearFactor*mean(outside)+nearMargin, nearAlwaysFits)
+}
+
+// fits reports whether a decode endpoint can take the request without being overfilled or overloaded.
+func (s *Scheduler) fits(ep *endpoint, req *request, medianLoad float64) bool {
+	if s.currentLoad(ep) > medianLoad+loadMargin || s.now < ep.memory.noCapacityUntil || s.startOverdue(ep) {
+		return false
+	}
+	adds := req.memoryTokens()
+	if ep.load.reservedTokens+adds >= s.reservationLimit(ep) {
+		return false
+	}
+	return !s.usageReported(ep) || s.memoryUsage(ep)+adds/s.memoryTokens(ep) < memoryCeiling
+}
+
+// decodeCapacityAvailable reports whether a decode endpoint fits, and enough of their capacity is left beside the requests
+// that are being prefilled.
+func (s *Scheduler) decodeCapacityAvailable(req *request) bool {
+	_, fits := s.pickDecode(req, nil)
+	return fits && s.capacityBesidePrefills(req)
+}
+
+// capacityBesidePrefills compares what is being prefilled with what the decode endpoints that fit may still take: a prefill
+// that was started must be decoded somewhere, so without this the first free place would start a whole burst of prefills. An
+// endpoint that is warming up takes one more.
+func (s *Scheduler) capacityBesidePrefills(req *request) bool {
+	adds := req.memoryTokens()
+	left := -s.prefilling - adds
+	defer s.scratch.release(s.scratch.mark())
+	endpoints := s.candidates(req, Decode, Mixed)
+	medianLoad := median(s.loads(endpoints))
+	for _, ep := range endpoints {
+		if s.warmingUp(ep) {
+			left += adds
+		} else if s.fits(ep, req, medianLoad) {
+			left += max(s.reservationLimit(ep)-ep.load.reservedTokens, 0)
+		}
+	}
+	return left >= 0 || s.prefilling == 0
+}
--- a/scheduler/guard.go
+++ b/scheduler/guard.go
@@ -9,15 +9,15 @@
 func (s *Scheduler) blocked(req *request, ep *endpoint) bool {
 	var rule Rule
 	switch {
-	case req.out != nil:
+	case req.attempt != nil:
 		rule = SingleAttempt
 	case req.answered:
 		rule = NotAnswered
 	case !ep.ready:
 		rule = EndpointReady
-	case !s.mayRepeat(req, ep):
+	case !s.mayRetry(req, ep):
 		rule = SafeRetry
-	case !s.bears(ep):
+	case !s.slowStartAllows(ep):
 		rule = WarmUpProtected
 	default:
 		return false
--- a/scheduler/many_test.go
+++ b/scheduler/many_test.go
@@ -43,7 +43,7 @@
 	}
 	rate := float64(warm) / 2 / 14.4 // answers a second at each of the two warm hosts
 	// Warm hosts could do more than they were sent: the module takes coldShare of what they were seen to do.
-	allowed := ws[0].config.OverloadFactor * ws[0].config.SlowStartFactor * slowStartShare * rate * secs(ws[0].config.OverloadWindow)
+	allowed := ws[0].config.OverloadFactor * ws[0].config.SlowStartFactor * slowStartShare * rate * seconds(ws[0].config.OverloadWindow)
 	for from := start; from < start+2*sec; from += 100 * ms {
 		n := 0.0
 		for _, at := range sent {
@@ -77,8 +77,8 @@
 func TestReportsDrawNoRush(t *testing.T) {
 	at := map[EndpointID]int{}
 	for _, sim := range hundredDispatchers(t, func(sim *fleetSim) { sim.addEndpoints(5, 0, 1) }) {
-		for i, ep := range sim.scheduler.endpoints[5:] {
-			sim.scheduler.recordMemoryReport(ep, 0.2+0.01*float64(i))
+		for i, ep := range sim.scheduler.endpoints.all[5:] {
+			sim.scheduler.recordUsage(ep, 0.2+0.01*float64(i))
 		}
 		at[sim.prefilled(1, 2000).inFlight().endpoint.id]++
 	}
@@ -93,19 +93,19 @@
 	homes := map[SessionID]EndpointID{}
 	for _, sim := range hundredDispatchers(t, func(sim *fleetSim) { sim.addEndpoints(9, 0, 1) })[:5] {
 		for range 60 {
-			sim.scheduler.countPrefix(7)
-			sim.scheduler.countPrefix(8)
+			sim.scheduler.prefixes.count(7)
+			sim.scheduler.prefixes.count(8)
 		}
 		for s := range SessionID(12) {
-			ep := sim.scheduler.affinityEndpoint(&request{prefix: 7, session: s}, 7, sim.scheduler.endpoints[:9:9])
+			ep := sim.scheduler.affinityEndpoint(&request{prefix: 7, session: s}, 7, sim.scheduler.endpoints.all[:9:9])
 			if was := homes[s]; was != 0 && was != ep.id {
 				t.Errorf("session %d is at home at %d and %d", s, was, ep.id)
 			}
 			homes[s] = ep.id
 		}
-		sim.scheduler.requestCounts[9], sim.scheduler.arrivals = 1, 121
-		if sim.scheduler.affinityEndpoint(&request{prefix: 9, session: 1}, 9, sim.scheduler.endpoints[:9:9]) !=
-			sim.scheduler.affinityEndpoint(&request{prefix: 9, session: 2}, 9, sim.scheduler.endpoints[:9:9]) {
+		sim.scheduler.prefixes.requestCounts[9], sim.scheduler.prefixes.requests = 1, 121
+		if sim.scheduler.affinityEndpoint(&request{prefix: 9, session: 1}, 9, sim.scheduler.endpoints.all[:9:9]) !=
+			sim.scheduler.affinityEndpoint(&request{prefix: 9, session: 2}, 9, sim.scheduler.endpoints.all[:9:9]) {
 			t.Error("a rare prefix has two homes")
 		}
 	}
@@ -125,7 +125,7 @@
 	})[0]
 	req := sim.arrive(1, 0, 2000, 6*sec)
 	cell := req.inFlight().endpoint.cell
-	sim.scheduler.handoverDelay[cell] = decayingMean{1.5, sim.now}
+	sim.scheduler.links.handoverDelay[cell] = decayingMean{1.5, sim.now}
 	if ep := sim.arrive(4, 0, 2000, 6*sec).inFlight().endpoint; ep.cell == cell {
 		t.Error("read again in the cell whose states begin late")
 	}
@@ -224,8 +224,8 @@
 	home := sim.arriveWithPrefix(1, 0, 7, 6000, 5000, 6*sec).inFlight().endpoint
 	sim.endAttempt(sim.requests[1], PrefillDone, 5000)
 	sim.startAnswer(sim.requests[1])
-	clear(sim.scheduler.byID[home.id].cachedPrefixes)
-	for _, ep := range sim.scheduler.endpoints {
+	clear(sim.scheduler.endpoints.byID[home.id].cachedPrefixes)
+	for _, ep := range sim.scheduler.endpoints.all {
 		if ep.role == Prefill && ep.id != home.id {
 			ep.cachedPrefixes[7] = true
 		}
@@ -247,7 +247,7 @@
 		sim.endAttempt(req, Completed, 0)
 	}
 	req := sim.arriveWithPrefix(99, 0, 99, 6000, 5000, 6*sec)
-	if read := sim.scheduler.tokensToPrefill(sim.scheduler.byID[req.inFlight().endpoint.id], sim.scheduler.requests[99]); read < 5800 {
+	if read := sim.scheduler.tokensToPrefill(sim.scheduler.endpoints.byID[req.inFlight().endpoint.id], sim.scheduler.requests[99]); read < 5800 {
 		t.Errorf("a home is still taken to need %v of 6000", read)
 	}
 }
@@ -329,7 +329,7 @@
 			got := within(sent, from)
 			// What it can do at the span's end, if warm hosts do what they can.
 			now := config.SlowStartFactor + (1-config.SlowStartFactor)*float64(from+config.OverloadWindow-start)/float64(config.WarmUp)
-			allowed := config.OverloadFactor * min(now, 1) * perS / warmHosts * secs(config.OverloadWindow)
+			allowed := config.OverloadFactor * min(now, 1) * perS / warmHosts * seconds(config.OverloadWindow)
 			if got > allowed+2*math.Sqrt(allowed)+2 {
 				t.Fatalf("%d dispatchers: %v legs in a span from %d ms, %.1f allowed", n, got, (from-start)/ms, allowed)
 			}
--- a/scheduler/reason.go
+++ b/scheduler/reason.go
@@ -4,21 +4,23 @@
 type Reason uint8
 
 const (
-	DeadlineReached   Reason = iota // its time limit is reached
+	DeadlineReached   Reason = iota // its deadline is reached
 	AttemptsExhausted               // its attempts are used up
 	TooLate                         // it can't be in time any more, and others can
 	MayHaveRun                      // an attempt may have run, and a repeat could do harm
 	UnknownClass                    // its class is not one of the deployment's
-	Withdrawn                       // whoever hosts the scheduler asked for it
+	Withdrawn                       // whoever runs the scheduler asked for it
 	RuleViolation                   // the attempt that was chosen would have broken a rule
-	StreamEndedEarly                // an answer had begun, and ended without its client's having it
+	StreamEndedEarly                // an answer had begun, and ended before it was complete
 )
 
-var reasonNames = [...]string{"no time left", "no attempts left", "too late", "may have run", "no such class", "withdrawn", "send refused", "closed behind"}
+var reasonNames = [...]string{
+	"no time left", "no attempts left", "too late", "may have run", "no such class", "withdrawn", "send refused", "closed behind",
+}
 
 func (r Reason) String() string { return reasonNames[r] }
 
-// Explainer is implemented by Orders that want to know why a request is rejected or failed; it is told just before.
+// Explainer is implemented by an Executor that wants the reason of a final answer. It is called just before Reject or Fail.
 type Explainer interface {
 	Explain(request RequestID, why Reason)
 }
--- a/scheduler/rules_test.go
+++ b/scheduler/rules_test.go
@@ -119,8 +119,8 @@
 		}
 		sim.endAttempt(req, PrefillDone, 0)
 		sim.advance(sec)
-		if len(req.answers) > 0 || len(sim.scheduler.requests) > 0 || sim.scheduler.prefillTokens != 0 {
-			t.Errorf("hosts %v: %v, %d gens left, %v under way", c.kinds, req.answers, len(sim.scheduler.requests), sim.scheduler.prefillTokens)
+		if len(req.answers) > 0 || len(sim.scheduler.requests) > 0 || sim.scheduler.prefilling != 0 {
+			t.Errorf("hosts %v: %v, %d gens left, %v under way", c.kinds, req.answers, len(sim.scheduler.requests), sim.scheduler.prefilling)
 		}
 	}
 }
--- /dev/null
+++ b/scheduler/slow_start.go
@@ -0,0 +1,97 @@
+package scheduler
+
+import "math"
+
+const (
+	slowStartShare = 1.2 // of the overload rule's part; warm endpoints are seen to do much less than they could
+
+	// Of the rule's multiple of what the warming endpoint itself was seen to do, from so many mean requests lately on.
+	provenShare    = 0.9
+	provenRequests = 2.0
+
+	unknownRequests = 4.0 // mean requests in a window of the rule that any warming endpoint gets from all dispatchers together
+	throughputTime  = 5.0 // seconds over which completed work is counted
+)
+
+// slowStart protects an endpoint whose process has just started.
+type slowStart struct {
+	completedTokens float64 // lately, decaying
+	completedAt     Micros  // up to when they have decayed
+	credit          float64 // tokens that may still be sent to it while it is warming up, if not negative
+	creditAt        Micros  // when the credit was last refilled; 0 if it was not begun
+}
+
+func (w *slowStart) decay(now Micros) {
+	w.completedTokens *= math.Exp(-seconds(now-w.completedAt) / throughputTime)
+	w.completedAt = now
+}
+
+// recordCompleted counts a prefill or an answer that was completed.
+func (w *slowStart) recordCompleted(now Micros, tokens float64) {
+	w.decay(now)
+	w.completedTokens += tokens
+}
+
+func (s *Scheduler) warmingUp(ep *endpoint) bool {
+	return ep.startedAt > 0 && s.now-ep.startedAt < s.WarmUp
+}
+
+// measureWarmThroughput learns what warm endpoints of each role lately did. It runs at each tick, not only while endpoints are
+// warming up, and keeps the last figure: where all of a role start together no warm one is left to go by, and what was not
+// seen before would let next to nothing through. Endpoints that look faulty do not count: dead ones that the list still
+// names would make the others' work look small.
+func (s *Scheduler) measureWarmThroughput() {
+	var sum, count [roleCount]float64
+	s.examined += uint64(len(s.endpoints.all))
+	for _, ep := range s.endpoints.all {
+		if ep.ready && ep.outlier.failureScore == 0 && !s.warmingUp(ep) {
+			ep.slowStart.decay(s.now)
+			sum[ep.role] += ep.slowStart.completedTokens / throughputTime
+			count[ep.role]++
+		}
+	}
+	for role := range count {
+		if count[role] > 0 {
+			s.warmThroughput[role] = sum[role] / count[role]
+		}
+	}
+}
+
+// slowStartAllows reports whether an endpoint can take one more attempt; only one that is warming up may not. All dispatchers
+// are taken to send alike, so each keeps to what the overload rule leaves of the work that warm endpoints of the role were
+// seen to do for it, and the warming one itself.
+func (s *Scheduler) slowStartAllows(ep *endpoint) bool {
+	if !s.warmingUp(ep) {
+		return true
+	}
+	w := &ep.slowStart
+	w.decay(s.now)
+	requestTokens := s.estimates.largestMeanRequest()
+	rate := s.slowStartRate(ep, requestTokens)
+	// Each dispatcher begins its part at a random phase, so that a part of less than one request is shared out by chance:
+	// otherwise all would send their first request at once.
+	if w.creditAt == 0 {
+		w.credit, w.creditAt = -requestTokens*s.rand.Float64(), s.now
+	}
+	w.credit = min(w.credit+rate*seconds(s.now-w.creditAt), 0)
+	w.creditAt = s.now
+	return w.credit >= 0
+}
+
+// slowStartRate is the tokens a second that this dispatcher may send to a warming endpoint.
+func (s *Scheduler) slowStartRate(ep *endpoint, requestTokens float64) float64 {
+	rate := s.OverloadFactor * slowStartShare * s.SlowStartFactor * s.warmThroughput[ep.role]
+	// One answer is no measure: where each dispatcher sees few, those that saw one would all take it for many.
+	if ep.slowStart.completedTokens > provenRequests*requestTokens {
+		rate = max(rate, s.OverloadFactor*provenShare*ep.slowStart.completedTokens/throughputTime)
+	}
+	// Where nothing is known, as after a restart: one mean request in each window of the rule, and no more than
+	// unknownRequests of them from all dispatchers together.
+	window := max(seconds(s.OverloadWindow), 1)
+	return max(rate, requestTokens/window*min(1, unknownRequests/float64(max(s.Dispatchers, 1))))
+}
+
+// spendSlowStart charges an attempt that is sent.
+func (s *Scheduler) spendSlowStart(ep *endpoint, class ClassID) {
+	ep.slowStart.credit -= max(s.estimates.requestTokens[class], 1)
+}
--- /dev/null
+++ b/scheduler/units.go
@@ -0,0 +1,44 @@
+package scheduler
+
+import "slices"
+
+const (
+	ms  Micros = 1000
+	sec        = 1000 * ms
+)
+
+func seconds(t Micros) float64 { return float64(t) / float64(sec) }
+
+// median sorts the values.
+func median(values []float64) float64 {
+	if len(values) == 0 {
+		return 0
+	}
+	slices.Sort(values)
+	return values[len(values)/2]
+}
+
+func mean(values []float64) (mean float64) {
+	for _, v := range values {
+		mean += v / float64(len(values))
+	}
+	return mean
+}
+
+// blend moves a running mean towards a new value by its weight; the first value is taken as it is.
+func blend(mean *float64, value, weight float64) {
+	if *mean == 0 {
+		*mean = value
+		return
+	}
+	*mean += weight * (value - *mean)
+}
+
+// mixBits spreads ids evenly over 64 bits, alike in every scheduler (the finalizer of SplitMix64).
+func mixBits(x uint64) uint64 {
+	x ^= x >> 30
+	x *= 0xbf58476d1ce4e5b9
+	x ^= x >> 27
+	x *= 0x94d049bb133111eb
+	return x ^ x>>31
+}
--- a/scheduler/world_test.go
+++ b/scheduler/world_test.go
@@ -328,12 +328,12 @@
 			}
 		}
 	}
-	if len(sim.scheduler.requests)+len(sim.scheduler.queued)-sim.scheduler.removed > 0 || sim.scheduler.prefillTokens > 0.5 {
-		sim.t.Fatalf("left over: %d gens, %d held, %v tokens under way", len(sim.scheduler.requests), len(sim.scheduler.queued), sim.scheduler.prefillTokens)
+	if len(sim.scheduler.requests)+len(sim.scheduler.queue.requests)-sim.scheduler.queue.removed > 0 || sim.scheduler.prefilling > 0.5 {
+		sim.t.Fatalf("left over: %d gens, %d held, %v tokens under way", len(sim.scheduler.requests), len(sim.scheduler.queue.requests), sim.scheduler.prefilling)
 	}
-	for _, ep := range sim.scheduler.endpoints {
-		if len(ep.pending) > 0 || ep.streams != 0 || ep.reservedTokens > 0.5 {
-			sim.t.Fatalf("host %d keeps %d legs, %d streams, %v tokens", ep.id, len(ep.pending), ep.streams, ep.reservedTokens)
+	for _, ep := range sim.scheduler.endpoints.all {
+		if len(ep.pending) > 0 || ep.load.streams != 0 || ep.load.reservedTokens > 0.5 {
+			sim.t.Fatalf("host %d keeps %d legs, %d streams, %v tokens", ep.id, len(ep.pending), ep.load.streams, ep.load.reservedTokens)
 		}
 	}
 }
