--- a/internal/faultsearch/faultsearch_test.go
+++ b/internal/faultsearch/faultsearch_test.go
@@ -4,130 +4,158 @@
 	"fmt"
 	"os"
 	"path/filepath"
-	"sync"
 	"testing"
 
+	"golang.org/x/sync/errgroup"
+
 	"plumspindle/internal/deployment/pb"
 	"plumspindle/internal/testbed/scenarios"
 )
 
-// several does something for each of some seeds, four at once.
-func several(from, to int64, do func(seed int64)) {
-	var wg sync.WaitGroup
-	room := make(chan struct{}, 4)
-	for seed := from; seed <= to; seed++ {
-		wg.Add(1)
-		room <- struct{}{}
-		go func() {
-			defer func() { <-room; wg.Done() }()
-			do(seed)
-		}()
+// parallelRuns is how many scenarios a test runs at once.
+const parallelRuns = 4
+
+// forEach calls a check for each number of a range, several at once.
+func forEach(first, last int64, check func(number int64)) {
+	var group errgroup.Group
+	group.SetLimit(parallelRuns)
+	for number := first; number <= last; number++ {
+		group.Go(func() error {
+			check(number)
+			return nil
+		})
 	}
-	wg.Wait()
+	_ = group.Wait() // checks report to their test
 }
 
-// Days drawn from seeds keep the rules, their dispatchers' own state is what it should be after any step, nothing is left over,
-// service returns; and each is the same when it is played again beside others.
-func TestSeeds(t *testing.T) {
-	n := int64(120)
+// Scenarios drawn from seeds keep the rules, their dispatchers' own state is sound after any step, nothing is left over
+// and service returns; and each is the same when it is run again beside others.
+func TestDrawnScenariosKeepTheRulesAndRepeat(t *testing.T) {
+	seeds := int64(120)
 	if testing.Short() {
-		n = 40
+		seeds = 40
 	}
-	several(1, n, func(seed int64) {
-		o, err := Run(Draw(seed, DefaultSize), nil)
+	const repeatedSeeds = 10 // one of so many is run twice
+	forEach(1, seeds, func(seed int64) {
+		outcome, err := Run(Draw(seed, DefaultSize), nil)
 		if err != nil {
 			t.Error(err)
 			return
 		}
-		for _, f := range o.Faults {
-			t.Errorf("seed %d: %s (plumspindle sim replay %d)", seed, f, seed)
+		for _, fault := range outcome.Faults {
+			t.Errorf("seed %d: %s (plumspindle sim replay %d)", seed, fault, seed)
 		}
-		if seed%10 > 0 {
+		if seed%repeatedSeeds > 0 {
 			return
 		}
-		if again, err := Run(Draw(seed, DefaultSize), nil); err != nil || again.Trace != o.Trace || again.Steps != o.Steps {
+		again, err := Run(Draw(seed, DefaultSize), nil)
+		if err != nil || again.Trace != outcome.Trace || again.Steps != outcome.Steps {
 			t.Errorf("seed %d: not the same twice (%v)", seed, err)
 		}
 	})
 }
 
-// Each planted fault is found. The seed where a search from 1 on found it is tried first; a change of the program may have moved it.
-func TestPlantsAreFound(t *testing.T) {
-	at := []int64{5, 5, 5, 18, 32, 0, 5, 1, 1, 0, 68, 32, 0, 65, 30, 0, 149, 1, 1, 1, 39, 2}
-	several(0, int64(len(Mutants())-1), func(i int64) {
-		p := Mutants()[i]
-		if int(i) >= len(at) || at[i] == 0 {
-			return // its seed is beyond what is played here; docs/simulation.md
+// Each mutant is found. The seed where a search from 1 on found it is tried first; a change of the program may have
+// moved it.
+func TestMutantsAreFound(t *testing.T) {
+	const maxRuns = 120
+	// 0: its seed is beyond what is run here (docs/simulation.md).
+	knownSeeds := []int64{5, 5, 5, 18, 32, 0, 5, 1, 1, 0, 68, 32, 0, 65, 30, 0, 149, 1, 1, 1, 39, 2}
+	forEach(0, int64(len(Mutants())-1), func(index int64) {
+		mutant := Mutants()[index]
+		if int(index) >= len(knownSeeds) || knownSeeds[index] == 0 {
+			return
 		}
-		for seed, tried := at[i], int64(0); tried <= 120; tried++ {
-			o, err := Run(Draw(seed, DefaultSize), p)
+		for seed, tried := knownSeeds[index], int64(0); tried <= maxRuns; tried++ {
+			outcome, err := Run(Draw(seed, DefaultSize), mutant)
 			if err != nil {
 				t.Error(err)
 				return
 			}
-			if len(o.Faults) > 0 {
-				t.Logf("%s: seed %d: %s", p.Name, seed, o.Faults[0])
+			if len(outcome.Faults) > 0 {
+				t.Logf("%s: seed %d: %s", mutant.Name, seed, outcome.Faults[0])
 				return
 			}
 			seed = tried + 1
 		}
-		t.Errorf("%s: not found within 120 seeds", p.Name)
+		t.Errorf("%s: not found within %d seeds", mutant.Name, maxRuns)
 	})
 }
 
-// A planted fault's day comes down to few troubles, and fails as before.
-func TestShrink(t *testing.T) {
-	for _, i := range []int{2, 8} {
-		var found *Outcome
-		p := Mutants()[i]
-		for seed := int64(1); found == nil; seed++ {
-			o, err := Run(Draw(seed, DefaultSize), p)
-			if err != nil {
-				t.Fatal(err)
-			}
-			if len(o.Faults) > 0 {
-				found = o
-			}
-		}
-		least, tried, err := Shrink(found.Day, p, nil)
+// firstFailure is the outcome of the first seed that finds a mutant.
+func firstFailure(t *testing.T, mutant *scenarios.Mutant) *Outcome {
+	t.Helper()
+	for seed := int64(1); ; seed++ {
+		outcome, err := Run(Draw(seed, DefaultSize), mutant)
 		if err != nil {
 			t.Fatal(err)
 		}
-		t.Logf("%s: %d troubles of %d after %d days", p.Name, len(least.Troubles), len(found.Day.Troubles), tried)
-		if o, err := Run(least, p); err != nil || o.FailureClass() != found.FailureClass() || len(least.Troubles) > 5 {
-			t.Errorf("%s: %d troubles, %v, %v", p.Name, len(least.Troubles), o, err)
+		if len(outcome.Faults) > 0 {
+			return outcome
 		}
 	}
+}
+
+// A mutant's scenario is reduced to few faults, and fails as before.
+func TestShrinkLeavesFewFaultsAndTheSameFailure(t *testing.T) {
+	const maxFaultsLeft = 5
+	for _, index := range []int{2, 8} {
+		mutant := Mutants()[index]
+		t.Run(mutant.Name, func(t *testing.T) {
+			found := firstFailure(t, mutant)
+			least, runs, err := Shrink(found.Day, mutant, nil)
+			if err != nil {
+				t.Fatal(err)
+			}
+			t.Logf("%d faults of %d after %d runs", len(least.Troubles), len(found.Day.Troubles), runs)
+			outcome, err := Run(least, mutant)
+			if err != nil {
+				t.Fatal(err)
+			}
+			if outcome.FailureClass() != found.FailureClass() || len(least.Troubles) > maxFaultsLeft {
+				t.Errorf("%d faults, %v", len(least.Troubles), outcome.Faults)
+			}
+		})
+	}
+}
+
+func TestShrinkRefusesScenarioThatPasses(t *testing.T) {
 	if _, _, err := Shrink(Draw(1, DefaultSize), nil, nil); err == nil {
-		t.Error("a day that does not fail was shrunk")
+		t.Error("a scenario that does not fail was shrunk")
 	}
 }
 
-// Scripts that failed once are played for good: one file each.
-func TestScripts(t *testing.T) {
+// Scripts that failed once are run for good: one file each.
+func TestScriptsThatOnceFailedPass(t *testing.T) {
 	files, err := filepath.Glob("testdata/*.day.textproto")
 	if err != nil || len(files) == 0 {
 		t.Fatal(files, err)
 	}
-	for _, f := range files {
-		b, err := os.ReadFile(f)
-		if err != nil {
-			t.Fatal(err)
-		}
-		d, err := scenarios.ReadScript(f, b)
-		if err != nil {
-			t.Fatal(err)
-		}
-		o, err := Run(d, nil)
-		if err != nil {
-			t.Fatal(err)
-		}
-		for _, fault := range o.Faults {
-			t.Errorf("%s: %s", f, fault)
-		}
+	for _, file := range files {
+		t.Run(filepath.Base(file), func(t *testing.T) {
+			text, err := os.ReadFile(file)
+			if err != nil {
+				t.Fatal(err)
+			}
+			script, err := scenarios.ReadScript(file, text)
+			if err != nil {
+				t.Fatal(err)
+			}
+			outcome, err := Run(script, nil)
+			if err != nil {
+				t.Fatal(err)
+			}
+			for _, fault := range outcome.Faults {
+				t.Error(fault)
+			}
+		})
 	}
-	if _, err := scenarios.ReadScript("x", []byte(`name: "x" seconds: 1 rate: 1 troubles { kind: "locusts" }`)); err == nil {
-		t.Error("an unknown trouble was taken")
+}
+
+func TestUnknownKindOfFaultIsRefused(t *testing.T) {
+	text := `name: "x" seconds: 1 rate: 1 troubles { kind: "locusts" }`
+	if _, err := scenarios.ReadScript("x", []byte(text)); err == nil {
+		t.Error("an unknown kind of fault was accepted")
 	}
 }
 
@@ -136,34 +164,41 @@
 	// Output: true
 }
 
-// A dispatcher dies between any two things that happen while a keyed generation is read, written down and sent: nothing that may
-// not run twice does.
-func TestKillAtEveryStep(t *testing.T) {
-	several(0, 119, func(step int64) {
-		d := Draw(1, Size{Seconds: 4, Rate: 10})
-		d.Name, d.Batches, d.Rate = fmt.Sprint("kill at ", step), nil, 10
-		d.World = &pb.World{Seed: 6, Dispatchers: 1, LatencyUs: 300, Keyed: true, Intents: true}
-		d.Troubles = []*pb.Day_Trouble{{Kind: "kill_at", AtMs: 700, ForMs: 300, Step: uint32(step * 3)}}
-		o, err := Run(d, nil)
+// A dispatcher dies between any two things that happen while a request with an idempotency key is prefilled, recorded
+// and sent: nothing that may not run twice does.
+func TestKillAtEveryStepRunsNothingTwice(t *testing.T) {
+	const stepsBetweenKills = 3
+	forEach(0, 119, func(number int64) {
+		step := number * stepsBetweenKills
+		script := Draw(1, Size{Seconds: 4, Rate: 10})
+		script.Name, script.Batches, script.Rate = fmt.Sprint("kill at ", number), nil, 10
+		script.World = &pb.World{Seed: 6, Dispatchers: 1, LatencyUs: 300, Keyed: true, Intents: true}
+		script.Troubles = []*pb.Day_Trouble{{Kind: "kill_at", AtMs: 700, ForMs: 300, Step: uint32(step)}}
+		outcome, err := Run(script, nil)
 		if err != nil {
 			t.Error(err)
 			return
 		}
-		for _, f := range o.Faults {
-			t.Errorf("step %d: %s", step*3, f)
+		for _, fault := range outcome.Faults {
+			t.Errorf("step %d: %s", step, fault)
 		}
 	})
 }
 
-// A small world in all orders of its first deliveries, with and without a host that dies.
-func TestOrders(t *testing.T) {
-	for _, troubles := range [][]*pb.Day_Trouble{nil, {{Kind: "crash", AtMs: 60, ForMs: 200, Share: 0.3}}} {
-		o, err := Explore(9, 4000, troubles, nil)
-		if err != nil {
-			t.Fatal(err)
-		}
-		if len(o.Faults) > 0 || o.States < 10 {
-			t.Errorf("%d days, %d states, faults %v", o.Days, o.States, o.Faults)
-		}
+// A small world keeps the rules in all orders of its first deliveries, with and without an endpoint that dies.
+func TestAllOrdersOfDeliveryKeepTheRules(t *testing.T) {
+	for name, faults := range map[string][]*pb.Day_Trouble{
+		"no fault":         nil,
+		"an endpoint dies": {{Kind: "crash", AtMs: 60, ForMs: 200, Share: 0.3}},
+	} {
+		t.Run(name, func(t *testing.T) {
+			result, err := Explore(9, 4000, faults, nil)
+			if err != nil {
+				t.Fatal(err)
+			}
+			if len(result.Faults) > 0 || result.States < 10 {
+				t.Errorf("%d runs, %d states, faults %v", result.Days, result.States, result.Faults)
+			}
+		})
 	}
 }
