--- a/scheduler/api.go
+++ b/scheduler/api.go
@@ -5,18 +5,28 @@
 // Micros is a time or a span in whole microseconds, on the clock that the caller hands in.
 type Micros = timerqueue.Micros
 
-// The ids carry no meaning beyond equality; each kind is a type of its own so that none passes for another.
+// Ids carry no meaning beyond equality. Each kind of id is a type of its own so that none passes for another.
 type (
-	RequestID  uint64
+	// RequestID names a client's request.
+	RequestID uint64
+	// EndpointID names a model server.
 	EndpointID uint32
-	SessionID  uint64
-	PrefixID   uint64
-	TenantID   uint16
-	ClassID    uint8
-	ZoneID     uint8
-	KindID     uint8
-	CellID     uint16
-	AttemptNo  uint16
+	// SessionID names the requests of one conversation.
+	SessionID uint64
+	// PrefixID names a prefix that prompts share.
+	PrefixID uint64
+	// TenantID is a tenant's place in Config.Quotas.
+	TenantID uint16
+	// ClassID is a request class's place in Config.Classes.
+	ClassID uint8
+	// ZoneID names a zone.
+	ZoneID uint8
+	// KindID is an endpoint kind's place in Config.Kinds.
+	KindID uint8
+	// CellID names a cell: endpoints with fast links between them.
+	CellID uint16
+	// AttemptNo counts the attempts of one request from zero.
+	AttemptNo uint16
 )
 
 // Executor carries out what a scheduler orders, in the order of the calls.
@@ -42,6 +52,7 @@
 // TimerID tells the two timers of an instance apart.
 type TimerID uint64
 
+// The timers.
 const (
 	PeriodicTimer TimerID = 1 // the tick
 	DeadlineTimer TimerID = 2 // the earliest due time
@@ -50,11 +61,12 @@
 // Role is what a kind of endpoint can do.
 type Role uint8
 
+// The roles.
 const (
-	Prefill Role = iota
-	Decode
-	Mixed
-	Embedder // serves prefill-only requests, and nothing else
+	Prefill  Role = iota // reads prompts and keeps their state until it is fetched
+	Decode               // fetches a state and generates the answer
+	Mixed                // does both
+	Embedder             // serves prefill-only requests, and nothing else
 
 	roleCount = iota
 )
@@ -62,33 +74,37 @@
 // Effect says what sending a request of a class twice would do.
 type Effect uint8
 
+// The effects.
 const (
-	Idempotent Effect = iota
-	Deduplicated
-	NonIdempotent
+	Idempotent    Effect = iota // nothing
+	Deduplicated                // nothing at the endpoints of its group, within a window
+	NonIdempotent               // its effect would happen twice
 )
 
-// Group names the endpoints that recognize each other's repeats of a deduplicated request.
+// Group names the endpoints that recognise each other's repeats of a deduplicated request.
 type Group uint8
 
+// The groups.
 const (
 	AllEndpoints Group = iota
-	SameZone
+	SameZone           // as the first attempt
 	SameCell
 )
 
 // EndpointState is what the endpoint list says of an endpoint.
 type EndpointState uint8
 
+// The states.
 const (
-	Ready EndpointState = iota
-	Draining
+	Ready    EndpointState = iota
+	Draining               // it finishes what it has and wants nothing new
 	Removed
 )
 
 // Outcome is how an attempt ended.
 type Outcome uint8
 
+// The outcomes.
 const (
 	Completed   Outcome = iota
 	PrefillDone         // the prompt is prefilled and its state waits at the prefill endpoint
@@ -111,11 +127,15 @@
 
 // Class is what the deployment promises for one class of requests.
 type Class struct {
-	SLO, SLOPer1000, TokenSLO, Window Micros
-	Revenue, LateRevenueShare         float64
-	Effect                            Effect
-	Group                             Group
-	PrefillOnly                       bool // a request is complete with its prefill; it must be idempotent
+	SLO              Micros // to the first token
+	SLOPer1000       Micros // added for each 1,000 tokens of the prompt
+	TokenSLO         Micros // for each further token
+	Window           Micros // in which the repeats of a deduplicated request are recognised
+	Revenue          float64
+	LateRevenueShare float64 // of the revenue, that a late answer still earns
+	Effect           Effect
+	Group            Group
+	PrefillOnly      bool // a request is complete with its prefill; it must be idempotent
 }
 
 // Kind is one kind of endpoint.
@@ -131,19 +151,21 @@
 	Classes         []Class
 	Kinds           []Kind
 	Quotas          []float64 // requests a second inside each tenant's quota, over all dispatchers
-	OverQuotaWeight float64
-	DecodePrefills  bool
-	MaxAttempts     int
+	OverQuotaWeight float64   // of the value of a request beyond its tenant's quota
+	DecodePrefills  bool      // decode endpoints can prefill what they decode
+	MaxAttempts     int       // for one request
 	CancelAllowed   bool
 	MaxRetryAfter   Micros
-	WatchOnDemand   bool // the endpoint list comes only to those that ask
-	TickInterval    Micros
-	IdleTimeout     Micros // an unused connection is closed after it
-	ConnectTimeout  Micros // an attempt that has not left by then, for want of a connection, never does
-	WarmUp          Micros
-	SlowStartFactor float64
-	OverloadWindow  Micros
-	OverloadFactor  float64
+	WatchOnDemand   bool    // the endpoint list comes only to those that ask
+	TickInterval    Micros  // of the caller: it reports events at its ticks
+	IdleTimeout     Micros  // an unused connection is closed after it
+	ConnectTimeout  Micros  // an attempt that has not left by then, for want of a connection, never does
+	WarmUp          Micros  // of an endpoint whose process has just started
+	SlowStartFactor float64 // of its throughput when warm that such an endpoint has at its start
+
+	// An endpoint is overloaded by more than the factor times what it can do within the window.
+	OverloadWindow Micros
+	OverloadFactor float64
 }
 
 // Arrival is a client's request as the scheduler gets to know it. The counts are tokens.
--- a/scheduler/attempt.go
+++ b/scheduler/attempt.go
@@ -55,7 +55,8 @@
 	s.executor.Send(req.id, ep.id, s.attemptTimeout(att))
 }
 
-// currentAttempt is the request's attempt in flight, if it is the one of this number; late and unknown events find none.
+// currentAttempt is the request's attempt in flight, if it is the one of this number; late and unknown events find
+// none.
 func (s *Scheduler) currentAttempt(id RequestID, number AttemptNo) *attempt {
 	if req := s.requests[id]; req != nil && req.attempt != nil && req.attempt.number == number {
 		return req.attempt
@@ -79,7 +80,7 @@
 		return
 	}
 	if att.prefillTokens == 0 {
-		blend(&s.estimates.firstTokenLatency, float64(now-att.sentAt), latencyWeight)
+		blend(&s.estimates.firstTokenLatency, float64(now-att.sentAt))
 	}
 	s.recordHandover(att)
 	att.started, att.request.stateAt = true, nil
--- a/scheduler/candidates.go
+++ b/scheduler/candidates.go
@@ -26,9 +26,9 @@
 // release gives back the lists that were made since the mark: one decision makes several, and none outlives it.
 func (s *scratch) release(mark int) { s.endpoints = s.endpoints[:mark] }
 
-// candidates are the endpoints of some roles that the request may be sent to now. Where none of them is acceptable, health
-// is ignored: when all look faulty, the cause is more likely the network or this dispatcher. What binds (readiness, safe
-// retries, slow start) binds all the same.
+// candidates are the endpoints of some roles that the request may be sent to now. Where none of them is acceptable,
+// health is ignored: when all look faulty, the cause is more likely the network or this dispatcher. What binds
+// (readiness, safe retries, slow start) binds all the same.
 func (s *Scheduler) candidates(req *request, roles ...Role) []*endpoint {
 	from := s.scratch.mark()
 	s.examined += uint64(len(s.endpoints.all))
@@ -50,16 +50,16 @@
 	return s.preferConnected(found)
 }
 
-// replaceableCandidates are the candidates of some roles where others could serve the request too: a dead endpoint that is
-// the only one of its role must not draw every request for want of a better one.
+// replaceableCandidates are the candidates of some roles where others could serve the request too: a dead endpoint
+// that is the only one of its role must not draw every request for want of a better one.
 func (s *Scheduler) replaceableCandidates(req *request, roles ...Role) []*endpoint {
 	all := s.candidates(req, Prefill, Decode, Mixed)
 	return slices.DeleteFunc(all, func(ep *endpoint) bool { return !slices.Contains(roles, ep.role) })
 }
 
-// preferConnected leaves the endpoints that this dispatcher has a connection to, and all of a role where it has none, while
-// new connections often fail: they are slow to set up, or the endpoints accept no more. Many dispatchers with many
-// endpoints open connections all the time.
+// preferConnected leaves the endpoints that this dispatcher has a connection to, and all of a role where it has none,
+// while new connections often fail: they are slow to set up, or the endpoints accept no more. Many dispatchers with
+// many endpoints open connections all the time.
 func (s *Scheduler) preferConnected(endpoints []*endpoint) []*endpoint {
 	if s.connectFailures.valueAt(s.now, 0) < connectFailureLimit {
 		return endpoints
@@ -76,8 +76,8 @@
 	return ep.outlier.lastHeard > 0 && s.now-ep.outlier.lastHeard < s.IdleTimeout
 }
 
-// sample takes some of the endpoints at random where there are many dispatchers: all of them get the same load reports and
-// know little else, and would all send to the endpoint that was last reported the least filled.
+// sample takes some of the endpoints at random where there are many dispatchers: all of them get the same load
+// reports and know little else, and would all send to the endpoint that was last reported the least filled.
 func (s *Scheduler) sample(endpoints []*endpoint) []*endpoint {
 	n := max(2, len(endpoints)*dispatchersPerChoice/max(s.Dispatchers, 1))
 	if n >= len(endpoints) {
@@ -87,8 +87,8 @@
 	return endpoints[:n]
 }
 
-// lowestCost is the endpoint of the lowest cost below infinity. The search starts at random, because after a restart all
-// costs are equal and the requests must not all go to the same endpoint.
+// lowestCost is the endpoint of the lowest cost below infinity. The search starts at random, because after a restart
+// all costs are equal and the requests must not all go to the same endpoint.
 func (s *Scheduler) lowestCost(endpoints []*endpoint, cost func(*endpoint) float64) (best *endpoint) {
 	if len(endpoints) == 0 {
 		return nil
--- a/scheduler/cost_test.go
+++ b/scheduler/cost_test.go
@@ -30,7 +30,8 @@
 func (s *sendRecorder) SetTimer(Micros, TimerID)       {}
 func (s *sendRecorder) Log(Event)                      {}
 
-// costFleet is one instance in a fleet of the grown size, or a multiple of it: readers, writers, dispatchers and what is under way.
+// costFleet is one instance in a fleet of the grown size, or a multiple of it: readers, writers, dispatchers and what
+// is under way.
 type costFleet struct {
 	*sendRecorder
 	scheduler *Scheduler
--- a/scheduler/decide_test.go
+++ b/scheduler/decide_test.go
@@ -294,8 +294,8 @@
 	}
 }
 
-// The only writer finds no state: it is not to blame, and what is read anew is written there. (It once counted as tried, and the
-// request was held until its time limit.)
+// The only writer finds no state: it is not to blame, and what is read anew is written there. (It once counted as
+// tried, and the request was held until its time limit.)
 func TestStateLostIsNotTheWritersFault(t *testing.T) {
 	sim := newFleetSim(t, testConfig(Idempotent), 1)
 	sim.addEndpoints(1, 0, 1)
@@ -311,7 +311,8 @@
 	}
 }
 
-// Which cells' writers take a state is found by one walk for all readers; it must say what asking for each reader's writer said.
+// Which cells' writers take a state is found by one walk for all readers; it must say what asking for each reader's
+// writer said.
 func TestCellsThatTake(t *testing.T) {
 	both := map[bool]int{}
 	for seed := range int64(300) {
@@ -352,8 +353,8 @@
 	}
 }
 
-// Hosts are replaced for months: what is gone is forgotten, and what a decision looks at does not grow. One that drains and comes
-// back before that is known as before.
+// Hosts are replaced for months: what is gone is forgotten, and what a decision looks at does not grow. One that
+// drains and comes back before that is known as before.
 func TestReplacedHostsAreForgotten(t *testing.T) {
 	sim := newFleetSim(t, testConfig(Idempotent), 1)
 	sim.addEndpoints(3, 0, 1)
@@ -382,8 +383,8 @@
 	}
 }
 
-// A prefix is read in its dispatcher's own zone, at the same reader by all dispatchers there; where that one is busy it is read at
-// the home of all zones, which keeps the text too, before any other reader.
+// A prefix is read in its dispatcher's own zone, at the same reader by all dispatchers there; where that one is busy
+// it is read at the home of all zones, which keeps the text too, before any other reader.
 func TestHomeInTheOwnZone(t *testing.T) {
 	homes := map[ZoneID]EndpointID{}
 	for seed := range int64(8) {
@@ -412,7 +413,8 @@
 	}
 }
 
-// On an easy day nothing is gained by passing over near writers, whose states need no link: they are passed over once they hold much.
+// On an easy day nothing is gained by passing over near writers, whose states need no link: they are passed over once
+// they hold much.
 func TestNearWritersWhileLittleIsHeld(t *testing.T) {
 	sim := newFleetSim(t, testConfig(Idempotent), 1)
 	sim.updateEndpoints(&simEndpoint{id: 1, kind: 0}, &simEndpoint{id: 11, kind: 1}, &simEndpoint{id: 12, kind: 1}, &simEndpoint{id: 13, kind: 1, zone: 1, cell: 1})
@@ -425,7 +427,8 @@
 	}
 }
 
-// What warm hosts do has to be known before all of a role come back cold at once: with the first cold host it is too late to look.
+// What warm hosts do has to be known before all of a role come back cold at once: with the first cold host it is too
+// late to look.
 func TestWarmIsSeenBeforeAnyIsCold(t *testing.T) {
 	sim := newFleetSim(t, testConfig(Idempotent), 1)
 	sim.addEndpoints(2, 0, 1)
@@ -460,7 +463,8 @@
 	}
 }
 
-// A home that turns out not to keep a text that only others had read there has forgotten nothing that this dispatcher knows of.
+// A home that turns out not to keep a text that only others had read there has forgotten nothing that this dispatcher
+// knows of.
 func TestHomeThatNeverKeptForgetsNothing(t *testing.T) {
 	sim := newFleetSim(t, testConfig(Idempotent), 1)
 	sim.updateEndpoints(&simEndpoint{id: 1}, &simEndpoint{id: 11, kind: 1})
--- a/scheduler/decode_memory.go
+++ b/scheduler/decode_memory.go
@@ -9,7 +9,8 @@
 	noCapacityPause = 150 * ms // that an endpoint gets nothing after it had no capacity
 	reportMaxAge    = 5 * sec  // of a load report that is still relied on
 
-	// A first token that takes longer than this share of the SLO time is late: the endpoint, or the link to it, is overloaded.
+	// A first token that takes longer than this share of the SLO time is late: the endpoint, or the link to it, is
+	// overloaded.
 	lateStartShare = 0.25
 
 	limitCut         = 0.8 // of what was reserved when an answer began late may be reserved next,
@@ -44,21 +45,23 @@
 	return ep.memory.reportedUsage >= 0 && s.now-ep.memory.reportedAt < reportMaxAge
 }
 
-// memoryUsage is the share of an endpoint's memory that is taken: the last report and what this dispatcher has added since,
-// never under its own reservations; or without a report its own reservations alone, taken to be an even part of the whole.
+// memoryUsage is the share of an endpoint's memory that is taken: the last report and what this dispatcher has added
+// since, never under its own reservations; or without a report its own reservations alone, taken to be an even part
+// of the whole.
 func (s *Scheduler) memoryUsage(ep *endpoint) float64 {
 	size := s.memoryTokens(ep)
 	if s.usageReported(ep) {
-		return max(ep.memory.reportedUsage+(ep.load.reservedTokens-ep.memory.reservedAtReport)/size, ep.load.reservedTokens/size)
+		addedSince := ep.load.reservedTokens - ep.memory.reservedAtReport
+		return max(ep.memory.reportedUsage+addedSince/size, ep.load.reservedTokens/size)
 	}
 	s.updateLoadMeans(ep)
 	return (ep.load.reservedTokens + ep.load.meanReservedTokens*float64(s.otherDispatchers())) / size
 }
 
-// reservationLimit is what this dispatcher may reserve at a decode endpoint, in tokens, whatever is reported of it. How much
-// others reserve there is not known and changes when a zone is cut off or a dispatcher dies, so the limit is learned: cut
-// when answers begin late, because then the memory has run out and answers are preempted and prefilled again; grown again
-// with time.
+// reservationLimit is what this dispatcher may reserve at a decode endpoint, in tokens, whatever is reported of it.
+// How much others reserve there is not known and changes when a zone is cut off or a dispatcher dies, so the limit is
+// learned: cut when answers begin late, because then the memory has run out and answers are preempted and prefilled
+// again; grown again with time.
 func (s *Scheduler) reservationLimit(ep *endpoint) float64 {
 	if ep.memory.limitCutAt == 0 {
 		return math.Inf(1)
@@ -75,9 +78,9 @@
 	}
 }
 
-// startOverdue reports whether an answer is late to begin at this endpoint, so its memory, slots or decode rate are used up,
-// whoever uses them. It stands in for the memory ceiling where no usage is reported, and in overload it keeps requests in
-// this dispatcher's queue instead of in the endpoints' queues, where they would all be late.
+// startOverdue reports whether an answer is late to begin at this endpoint, so its memory, slots or decode rate are
+// used up, whoever uses them. It stands in for the memory ceiling where no usage is reported, and in overload it
+// keeps requests in this dispatcher's queue instead of in the endpoints' queues, where they would all be late.
 func (s *Scheduler) startOverdue(ep *endpoint) bool {
 	return slices.ContainsFunc(ep.pending, func(att *attempt) bool {
 		return att.decodes && s.now > att.lateAt && !lateByLink(att)
--- a/scheduler/decode_placement.go
+++ b/scheduler/decode_placement.go
@@ -63,8 +63,8 @@
 	return s.candidates(req, Mixed)
 }
 
-// pickDecode is the least filled decode endpoint that fits, in the prefill endpoint's cell, else its zone, else anywhere; if
-// none fits, the least filled past the limits. It reports whether the one it returns fits.
+// pickDecode is the least filled decode endpoint that fits, in the prefill endpoint's cell, else its zone, else
+// anywhere; if none fits, the least filled past the limits. It reports whether the one it returns fits.
 func (s *Scheduler) pickDecode(req *request, prefill *endpoint) (*endpoint, bool) {
 	defer s.scratch.release(s.scratch.mark())
 	endpoints := s.decodeCandidates(req)
@@ -102,8 +102,8 @@
 	return lowest
 }
 
-// nearUsageLimit is the memory usage up to which decode endpoints near the prefill endpoint are preferred: where most of them
-// stand in one cell, they are themselves the median, and would fill up while the others are idle.
+// nearUsageLimit is the memory usage up to which decode endpoints near the prefill endpoint are preferred: where most
+// of them stand in one cell, they are themselves the median, and would fill up while the others are idle.
 func (s *Scheduler) nearUsageLimit(endpoints []*endpoint, prefill *endpoint) float64 {
 	outside := s.scratch.numbers[:0]
 	for _, ep := range endpoints {
@@ -127,16 +127,16 @@
 	return !s.usageReported(ep) || s.memoryUsage(ep)+adds/s.memoryTokens(ep) < memoryCeiling
 }
 
-// decodeCapacityAvailable reports whether a decode endpoint fits, and enough of their capacity is left beside the requests
-// that are being prefilled.
+// decodeCapacityAvailable reports whether a decode endpoint fits, and enough of their capacity is left beside the
+// requests that are being prefilled.
 func (s *Scheduler) decodeCapacityAvailable(req *request) bool {
 	_, fits := s.pickDecode(req, nil)
 	return fits && s.capacityBesidePrefills(req)
 }
 
-// capacityBesidePrefills compares what is being prefilled with what the decode endpoints that fit may still take: a prefill
-// that was started must be decoded somewhere, so without this the first free place would start a whole burst of prefills. An
-// endpoint that is warming up takes one more.
+// capacityBesidePrefills compares what is being prefilled with what the decode endpoints that fit may still take: a
+// prefill that was started must be decoded somewhere, so without this the first free place would start a whole burst
+// of prefills. An endpoint that is warming up takes one more.
 func (s *Scheduler) capacityBesidePrefills(req *request) bool {
 	adds := req.memoryTokens()
 	left := -s.prefilling - adds
--- a/scheduler/endpoint_list.go
+++ b/scheduler/endpoint_list.go
@@ -65,7 +65,8 @@
 	}
 }
 
-// processRestarted drops what was learned of the old process: its cache is gone, and its failures say nothing of the new one.
+// processRestarted drops what was learned of the old process: its cache is gone, and its failures say nothing of the
+// new one.
 func (ep *endpoint) processRestarted() {
 	ep.outlier = outlierState{}
 	ep.slowStart = slowStart{}
@@ -74,8 +75,8 @@
 	clear(ep.cachedPrefixes)
 }
 
-// EndpointUpdateEnded closes a list. An endpoint that a complete list leaves out is gone, and forgotten after a while: where
-// endpoints are replaced under new ids for months, a decision must not look at all that there ever were.
+// EndpointUpdateEnded closes a list. An endpoint that a complete list leaves out is gone, and forgotten after a
+// while: where endpoints are replaced under new ids for months, a decision must not look at all that there ever were.
 func (s *Scheduler) EndpointUpdateEnded(now Micros, complete bool) {
 	s.now = now
 	s.endpoints.all = slices.DeleteFunc(s.endpoints.all, func(ep *endpoint) bool {
@@ -98,8 +99,8 @@
 	s.armDeadlineTimer()
 }
 
-// EndpointWatchFailed asks for the list again after a random pause, so that instances that were cut off together do not all
-// ask at once.
+// EndpointWatchFailed asks for the list again after a random pause, so that instances that were cut off together do
+// not all ask at once.
 func (s *Scheduler) EndpointWatchFailed(now Micros) {
 	s.now = now
 	if s.WatchOnDemand {
--- a/scheduler/endpoint_load.go
+++ b/scheduler/endpoint_load.go
@@ -44,8 +44,8 @@
 	att.request.attempt = nil
 }
 
-// currentLoad is an endpoint's streams as one dispatcher's even part; those of the other dispatchers are taken to be this
-// one's mean.
+// currentLoad is an endpoint's streams as one dispatcher's even part; those of the other dispatchers are taken to be
+// this one's mean.
 func (s *Scheduler) currentLoad(ep *endpoint) float64 {
 	s.updateLoadMeans(ep)
 	others := float64(s.otherDispatchers())
@@ -61,8 +61,9 @@
 	return s.scratch.numbers
 }
 
-// updateLoadMeans averages what this dispatcher has at an endpoint, over the longer the more dispatchers there are, because
-// each of them sends there the more seldom: what is there now says next to nothing of what the others have there.
+// updateLoadMeans averages what this dispatcher has at an endpoint, over the longer the more dispatchers there are,
+// because each of them sends there the more seldom: what is there now says next to nothing of what the others have
+// there.
 func (s *Scheduler) updateLoadMeans(ep *endpoint) {
 	load := &ep.load
 	gap, others := s.now-load.meanAt, s.otherDispatchers()
--- a/scheduler/estimates.go
+++ b/scheduler/estimates.go
@@ -3,7 +3,7 @@
 import "math"
 
 const (
-	latencyWeight = 0.1 // weight of one attempt in the typical latencies, and of one request in its class's mean size
+	runningWeight = 0.1 // weight of one observation in a running mean
 
 	initialPrefillLatency    = 150 * ms
 	initialFirstTokenLatency = 100 * ms
@@ -50,6 +50,15 @@
 	return largest
 }
 
+// blend moves a running mean towards a new value; the first value is taken as it is.
+func blend(mean *float64, value float64) {
+	if *mean == 0 {
+		*mean = value
+		return
+	}
+	*mean += runningWeight * (value - *mean)
+}
+
 // prefillRate is how fast an endpoint was seen to prefill.
 type prefillRate struct {
 	tokens, seconds float64
--- a/scheduler/event.go
+++ b/scheduler/event.go
@@ -1,7 +1,7 @@
 package scheduler
 
-// Event is something that an operator may want to find in the log. Its types are EndpointEjected and SendBlocked; whoever
-// runs the scheduler chooses their wording.
+// Event is something that an operator may want to find in the log. Its types are EndpointEjected and SendBlocked;
+// whoever runs the scheduler chooses their wording.
 type Event interface{ event() }
 
 // EndpointEjected reports that an endpoint gets no attempts for a while because it looks faulty.
@@ -14,6 +14,7 @@
 // EjectionReason is what made an endpoint look faulty.
 type EjectionReason uint8
 
+// The reasons for an ejection.
 const (
 	AttemptFailed   EjectionReason = iota // an attempt ended in an error or lost its connection
 	AttemptTimedOut                       // an attempt timed out and nothing else came from the endpoint meanwhile
@@ -34,6 +35,7 @@
 // Rule is a rule that the guard checks before each send.
 type Rule uint8
 
+// The rules that the guard checks.
 const (
 	SingleAttempt   Rule = iota // a request has one attempt in flight at most
 	NotAnswered                 // a request with its final answer is not sent again
@@ -42,8 +44,10 @@
 	WarmUpProtected             // an endpoint that is warming up gets no more than its part
 )
 
-var ruleNames = [...]string{"an attempt is in flight", "already answered", "endpoint not ready", "retry could repeat an effect",
-	"endpoint is warming up"}
+var ruleNames = [...]string{
+	"an attempt is in flight", "already answered", "endpoint not ready", "retry could repeat an effect",
+	"endpoint is warming up",
+}
 
 func (r Rule) String() string { return ruleNames[r] }
 
--- a/scheduler/final_answer.go
+++ b/scheduler/final_answer.go
@@ -25,8 +25,8 @@
 	s.finish(req)
 }
 
-// mayReject reports whether the client can come again without harm. An attempt that is still in flight is not known to have
-// done nothing, be it a prefill.
+// mayReject reports whether the client can come again without harm. An attempt that is still in flight is not known
+// to have done nothing, be it a prefill.
 func (s *Scheduler) mayReject(req *request) bool {
 	return s.Classes[req.class].Effect == Idempotent || req.mayHaveRun == nil && req.attempt == nil
 }
@@ -49,8 +49,9 @@
 	delete(s.requests, req.id)
 }
 
-// releaseState has the prefill endpoint drop the request's state. It does so too where a decode endpoint found none: only a
-// new prefill helps then, but a prefill endpoint that is merely cut off from that decode endpoint still holds the state.
+// releaseState has the prefill endpoint drop the request's state. It does so too where a decode endpoint found none:
+// only a new prefill helps then, but a prefill endpoint that is merely cut off from that decode endpoint still holds
+// the state.
 func (s *Scheduler) releaseState(req *request) {
 	if req.stateAt != nil {
 		s.executor.Release(req.id)
--- a/scheduler/guard.go
+++ b/scheduler/guard.go
@@ -1,11 +1,11 @@
 package scheduler
 
-// Violations is how many attempts the guard stopped because they would have broken a rule. It stays 0 unless a decision is
-// wrong.
+// Violations is how many attempts the guard stopped because they would have broken a rule. It stays 0 unless a
+// decision is wrong.
 func (s *Scheduler) Violations() int { return s.violations }
 
-// blocked checks an attempt once more where it is sent, whatever chose it: the rules on retries, on endpoints that are not
-// ready and on those that are warming up bind on every path.
+// blocked checks an attempt once more where it is sent, whatever chose it: the rules on retries, on endpoints that
+// are not ready and on those that are warming up bind on every path.
 func (s *Scheduler) blocked(req *request, ep *endpoint) bool {
 	var rule Rule
 	switch {
--- a/scheduler/hold_queue.go
+++ b/scheduler/hold_queue.go
@@ -41,9 +41,10 @@
 	}
 }
 
-// placeQueued tries the queue again: the most valuable requests first, and among equals the newest, which have the most time
-// left; by the earliest SLO time all would barely miss it. What can't be in time any more yields at once to what can. It
-// stops when several find no place, and a long queue is put in order only at a tick: a flood must not cost its square.
+// placeQueued tries the queue again: the most valuable requests first, and among equals the newest, which have the
+// most time left; by the earliest SLO time all would barely miss it. What can't be in time any more yields at once to
+// what can. It stops when several find no place, and a long queue is put in order only at a tick: a flood must not
+// cost its square.
 func (s *Scheduler) placeQueued(tick bool) {
 	q := &s.queue
 	q.compact()
--- a/scheduler/many_test.go
+++ b/scheduler/many_test.go
@@ -146,9 +146,10 @@
 	}
 }
 
-// Dispatchers that have seen next to nothing, as each of three hundred for most of a day, agree on where a text is read: who takes the
-// few that it saw for all of the traffic gives each of them homes of its own, and all of them read it anew. That a home keeps what
-// others had read there is what makes it the place to go to, also before one that this dispatcher happened to read at.
+// Dispatchers that have seen next to nothing, as each of three hundred for most of a day, agree on where a text is
+// read: who takes the few that it saw for all of the traffic gives each of them homes of its own, and all of them
+// read it anew. That a home keeps what others had read there is what makes it the place to go to, also before one
+// that this dispatcher happened to read at.
 func TestFewGenerationsAgreeOnHomes(t *testing.T) {
 	at := map[PrefixID]map[EndpointID]int{}
 	n := 0
@@ -183,8 +184,8 @@
 	}
 }
 
-// A text in a third of all traffic is read at many readers, by dispatchers that have each seen a dozen requests: at one home in a
-// zone of twenty it would keep that one busy six times over.
+// A text in a third of all traffic is read at many readers, by dispatchers that have each seen a dozen requests: at
+// one home in a zone of twenty it would keep that one busy six times over.
 func TestPopularTextHasHomesEarly(t *testing.T) {
 	at, n := map[EndpointID]int{}, 0
 	for i, sim := range hundredDispatchers(t, func(sim *fleetSim) {
@@ -269,9 +270,9 @@
 	}
 }
 
-// Whatever the number of dispatchers that share nothing, and however unevenly the traffic falls on them, a host that has just started
-// gets no more than the rule's part of what warm hosts do and the chance that the users allow beside it: N + 2 root of N + 2 in any span.
-// A floor of one request each would be three hundred.
+// Whatever the number of dispatchers that share nothing, and however unevenly the traffic falls on them, a host that
+// has just started gets no more than the rule's part of what warm hosts do and the chance that the users allow beside
+// it: N + 2 root of N + 2 in any span. A floor of one request each would be three hundred.
 func TestSumAtOneColdHost(t *testing.T) {
 	const perS, warmHosts = 40.0, 4
 	for _, n := range []int{3, 30, 300} {
@@ -340,8 +341,8 @@
 	}
 }
 
-// A cell's few writers do not take all that is read beside them where many dispatchers send, of which none sees that they are full; few
-// dispatchers keep to the cell.
+// A cell's few writers do not take all that is read beside them where many dispatchers send, of which none sees that
+// they are full; few dispatchers keep to the cell.
 func TestManySpreadOverTheZone(t *testing.T) {
 	fill := func(sim *fleetSim) {
 		sim.updateEndpoints(&simEndpoint{id: 1}, &simEndpoint{id: 11, kind: 1}, &simEndpoint{id: 12, kind: 1})
--- a/scheduler/outlier_ejection.go
+++ b/scheduler/outlier_ejection.go
@@ -24,8 +24,8 @@
 	lastHeard    Micros // when the endpoint last replied; 0 if never, or since a connection failed
 }
 
-// acceptable reports whether an endpoint is neither ejected nor under suspicion. One that has come back from an ejection
-// recovers by one attempt at a time, with requests that may run again.
+// acceptable reports whether an endpoint is neither ejected nor under suspicion. One that has come back from an
+// ejection recovers by one attempt at a time, with requests that may run again.
 func (s *Scheduler) acceptable(ep *endpoint, req *request) bool {
 	mayTry := len(ep.pending) == 0 && s.Classes[req.class].Effect == Idempotent
 	return s.now >= ep.outlier.ejectedUntil && (ep.outlier.failureScore == 0 || mayTry)
@@ -62,9 +62,9 @@
 	}
 }
 
-// recordFailure ejects an endpoint, longer each time. It guards against an endpoint that fails quickly: that one frees its
-// counted memory at once, would look the emptiest and draw every request. It also works against a dead endpoint that the
-// list still names, a cut network and an endpoint out of connections.
+// recordFailure ejects an endpoint, longer each time. It guards against an endpoint that fails quickly: that one
+// frees its counted memory at once, would look the emptiest and draw every request. It also works against a dead
+// endpoint that the list still names, a cut network and an endpoint out of connections.
 func (s *Scheduler) recordFailure(ep *endpoint, reason EjectionReason) {
 	o := &ep.outlier
 	if s.now < o.ejectedUntil {
@@ -75,10 +75,10 @@
 	s.executor.Log(EndpointEjected{Endpoint: ep.id, Reason: reason, For: o.ejectedUntil - s.now})
 }
 
-// detectSilentEndpoints finds endpoints with replies pending that say nothing, long before attempts time out. Such an endpoint
-// is ejected at first; when it stays silent, what may be sent elsewhere is cancelled. It guards against endpoints that hang
-// or vanish. It can hurt where an endpoint is merely overloaded, as what is cancelled loses its place there: so the limit
-// follows the typical latency.
+// detectSilentEndpoints finds endpoints with replies pending that say nothing, long before attempts time out. Such an
+// endpoint is ejected at first; when it stays silent, what may be sent elsewhere is cancelled. It guards against
+// endpoints that hang or vanish. It can hurt where an endpoint is merely overloaded, as what is cancelled loses its
+// place there: so the limit follows the typical latency.
 func (s *Scheduler) detectSilentEndpoints() {
 	for _, ep := range s.endpoints.all {
 		i := slices.IndexFunc(ep.pending, func(att *attempt) bool { return !att.cancelled })
--- a/scheduler/prefill_placement.go
+++ b/scheduler/prefill_placement.go
@@ -45,9 +45,9 @@
 	s.queue.add(req)
 }
 
-// mayPrefill reports whether a request may be sent to its prefill endpoint now. Past some wait the endpoints' queues only
-// make all requests late, and what goes elsewhere than to its affinity endpoint is prefilled in full: a request in our own
-// queue can still be put in order, and given up when it is too late.
+// mayPrefill reports whether a request may be sent to its prefill endpoint now. Past some wait the endpoints' queues
+// only make all requests late, and what goes elsewhere than to its affinity endpoint is prefilled in full: a request
+// in our own queue can still be put in order, and given up when it is too late.
 func (s *Scheduler) mayPrefill(req *request, ep *endpoint, wait float64) bool {
 	prefillOnly := s.Classes[req.class].PrefillOnly
 	longest := queuedShare * seconds(req.sloAt-req.arrivedAt)
@@ -72,12 +72,13 @@
 	s.place(req)
 }
 
-// pickPrefill is an affinity endpoint of the prefix unless those are busy, else the prefill endpoint with the least work.
-// Endpoints whose states no decode endpoint could take in time are left out.
+// pickPrefill is an affinity endpoint of the prefix unless those are busy, else the prefill endpoint with the least
+// work. Endpoints whose states no decode endpoint could take in time are left out.
 func (s *Scheduler) pickPrefill(req *request) *endpoint {
 	defer s.scratch.release(s.scratch.mark())
 	if s.Classes[req.class].PrefillOnly { // it leaves no state to be taken, nor a prefix worth caching
-		return s.lowestCost(s.candidates(req, Prefill, Embedder), func(ep *endpoint) float64 { return s.prefillWait(ep, req) })
+		endpoints := s.candidates(req, Prefill, Embedder)
+		return s.lowestCost(endpoints, func(ep *endpoint) float64 { return s.prefillWait(ep, req) })
 	}
 	endpoints := s.withoutBlockedCells(req, s.candidates(req, Prefill))
 	affinity := s.affinityEndpoints(req, endpoints)
@@ -93,7 +94,8 @@
 	return least
 }
 
-// withoutBlockedCells leaves out the endpoints behind a congested link, unless a decode endpoint in their own cell fits.
+// withoutBlockedCells leaves out the endpoints behind a congested link, unless a decode endpoint in their own cell
+// fits.
 func (s *Scheduler) withoutBlockedCells(req *request, endpoints []*endpoint) []*endpoint {
 	congested := s.congestedCells()
 	var accepting []CellID
@@ -110,8 +112,8 @@
 	})
 }
 
-// cellsAcceptingState are the cells, in order, with a decode endpoint that fits among the cell's own, which are all that a
-// state behind a congested link may go to. One search finds them for all prefill endpoints.
+// cellsAcceptingState are the cells, in order, with a decode endpoint that fits among the cell's own, which are all
+// that a state behind a congested link may go to. One search finds them for all prefill endpoints.
 func (s *Scheduler) cellsAcceptingState(req *request) []CellID {
 	defer s.scratch.release(s.scratch.mark())
 	endpoints, accepting := s.decodeCandidates(req), s.scratch.cells[:0]
@@ -131,7 +133,8 @@
 	return accepting
 }
 
-// prefillWait is the seconds until an endpoint would have prefilled the request, by its own rate and this dispatcher's counts.
+// prefillWait is the seconds until an endpoint would have prefilled the request, by its own rate and this
+// dispatcher's counts.
 func (s *Scheduler) prefillWait(ep *endpoint, req *request) float64 {
 	return (ep.load.unprefilledTokens + s.tokensToPrefill(ep, req)) / ep.prefillRate.tokensPerSecond()
 }
--- a/scheduler/prefix_affinity.go
+++ b/scheduler/prefix_affinity.go
@@ -21,7 +21,8 @@
 	requests      float64
 	pairs         float64 // pairs of requests with the same prefix
 
-	// Share of its prefix that an affinity endpoint turned out to have cached though this dispatcher had not prefilled it there.
+	// Share of its prefix that an affinity endpoint turned out to have cached though this dispatcher had not prefilled
+	// it there.
 	cachedShare float64
 }
 
@@ -47,19 +48,20 @@
 	}
 }
 
-// share estimates a prefix's part of the whole traffic. A dispatcher that has seen little must not take the one prefix that it
-// saw for all of it: each dispatcher would prefill each prefix at affinity endpoints of its own. So only requests beyond
-// the first count, among some more requests that are taken to be as alike as any two of those seen were; but not for a
-// prefix that would have been seen more often by now if its traffic were like that.
+// share estimates a prefix's part of the whole traffic. A dispatcher that has seen little must not take the one
+// prefix that it saw for all of it: each dispatcher would prefill each prefix at affinity endpoints of its own. So
+// only requests beyond the first count, among some more requests that are taken to be as alike as any two of those
+// seen were; but not for a prefix that would have been seen more often by now if its traffic were like that.
 func (p *prefixStats) share(prefix PrefixID) float64 {
 	others := max(p.requests-1, 0)
 	alike := p.pairs / (p.requests*others/2 + priorRequests)
 	return (max(p.requestCounts[prefix]-1, 0) + priorRequests*alike*math.Exp(-others*alike)) / (others + priorRequests)
 }
 
-// affinityEndpoints are where a prefix, or a session without one, is prefilled first: one endpoint in the dispatcher's own
-// zone and one among all. The own zone's goes first, as links between zones are long and charged for. Where it is busy, the
-// one among all goes before the least-loaded endpoint, which may not have the prefix cached.
+// affinityEndpoints are where a prefix, or a session without one, is prefilled first: one endpoint in the
+// dispatcher's own zone and one among all. The own zone's goes first, as links between zones are long and charged
+// for. Where it is busy, the one among all goes before the least-loaded endpoint, which may not have the prefix
+// cached.
 func (s *Scheduler) affinityEndpoints(req *request, endpoints []*endpoint) [2]*endpoint {
 	key := cmp.Or(uint64(req.prefix), uint64(req.session))
 	req.affinity = [2]*endpoint{}
@@ -79,9 +81,9 @@
 	return req.affinity
 }
 
-// affinityEndpoint is the prefix's endpoint by rendezvous hashing, alike at all dispatchers. A prefix that makes up much of
-// the traffic has further ones, shared out by session: many dispatchers that each see little would learn too late that one
-// endpoint can't prefill it all.
+// affinityEndpoint is the prefix's endpoint by rendezvous hashing, alike at all dispatchers. A prefix that makes up
+// much of the traffic has further ones, shared out by session: many dispatchers that each see little would learn too
+// late that one endpoint can't prefill it all.
 func (s *Scheduler) affinityEndpoint(req *request, key uint64, endpoints []*endpoint) *endpoint {
 	count := 1
 	if req.prefix != 0 {
@@ -103,8 +105,8 @@
 }
 
 // tokensToPrefill is what of a prompt the endpoint has likely not cached. An affinity endpoint caches what the other
-// dispatchers send there, which this one has not seen: taken to have nothing cached, it would look slower than any endpoint
-// that happened to prefill the prefix once, and each dispatcher would have affinity endpoints of its own.
+// dispatchers send there, which this one has not seen: taken to have nothing cached, it would look slower than any
+// endpoint that happened to prefill the prefix once, and each dispatcher would have affinity endpoints of its own.
 func (s *Scheduler) tokensToPrefill(ep *endpoint, req *request) float64 {
 	switch {
 	case ep.cachedPrefixes[req.prefix]:
@@ -119,11 +121,11 @@
 // expected, the endpoint has evicted, and likely more than this prefix.
 func (s *Scheduler) recordPrefill(att *attempt, prefillTokens, cachedTokens float64) {
 	ep, req := att.endpoint, att.request
-	blend(&s.estimates.prefillLatency, float64(s.now-att.sentAt), latencyWeight)
+	blend(&s.estimates.prefillLatency, float64(s.now-att.sentAt))
 	ep.prefillRate.record(att.tokensAhead+max(req.promptTokens-cachedTokens, 1), seconds(s.now-att.sentAt))
 	expected := ep.cachedPrefixes[req.prefix]
 	if !expected && req.prefixTokens > 0 && req.hasAffinity(ep) {
-		blend(&s.prefixes.cachedShare, min(cachedTokens/req.prefixTokens, 1), latencyWeight)
+		blend(&s.prefixes.cachedShare, min(cachedTokens/req.prefixTokens, 1))
 	}
 	evicted := expected && cachedTokens < (req.promptTokens-prefillTokens)/2
 	if evicted || len(ep.cachedPrefixes) > maxCachedPrefixes {
--- a/scheduler/reason.go
+++ b/scheduler/reason.go
@@ -3,6 +3,7 @@
 // Reason is why a request got its final answer from the scheduler.
 type Reason uint8
 
+// The reasons; their texts are in the log.
 const (
 	DeadlineReached   Reason = iota // its deadline is reached
 	AttemptsExhausted               // its attempts are used up
@@ -15,12 +16,14 @@
 )
 
 var reasonNames = [...]string{
-	"no time left", "no attempts left", "too late", "may have run", "no such class", "withdrawn", "send refused", "closed behind",
+	"no time left", "no attempts left", "too late", "may have run", "no such class", "withdrawn",
+	"send refused", "closed behind",
 }
 
 func (r Reason) String() string { return reasonNames[r] }
 
-// Explainer is implemented by an Executor that wants the reason of a final answer. It is called just before Reject or Fail.
+// Explainer is implemented by an Executor that wants the reason of a final answer. It is called just before Reject or
+// Fail.
 type Explainer interface {
 	Explain(request RequestID, why Reason)
 }
--- a/scheduler/request.go
+++ b/scheduler/request.go
@@ -62,7 +62,7 @@
 	}
 	req.sloAt = now + class.SLO + Micros(float64(class.SLOPer1000)*req.promptTokens/1000)
 	s.prefixes.count(req.prefix)
-	blend(&s.estimates.requestTokens[req.class], req.memoryTokens(), latencyWeight)
+	blend(&s.estimates.requestTokens[req.class], req.memoryTokens())
 	req.overQuota = s.quotas.take(int(arrival.Tenant))
 	// Two ticks early: an answer given at the deadline itself would reach the client after it has hung up.
 	answerBy := req.deadline - 2*s.TickInterval - ms
--- a/scheduler/retries.go
+++ b/scheduler/retries.go
@@ -28,14 +28,15 @@
 	return ep.cell == first.cell
 }
 
-// attemptTimeout is enough for what is typical, but where another endpoint could still serve the request, not the whole of
-// the time that is left, so that an endpoint that stalls leaves time for the other.
+// attemptTimeout is enough for what is typical, but where another endpoint could still serve the request, not the
+// whole of the time that is left, so that an endpoint that stalls leaves time for the other.
 func (s *Scheduler) attemptTimeout(att *attempt) Micros {
 	left := att.request.deadline - s.now
 	if att.decodes && s.Classes[att.request.class].Effect != Idempotent {
 		return left
 	}
-	prefill := timeoutPrefillFactor * float64(sec) * (att.tokensAhead + att.prefillTokens) / att.endpoint.prefillRate.tokensPerSecond()
+	work := att.tokensAhead + att.prefillTokens
+	prefill := timeoutPrefillFactor * float64(sec) * work / att.endpoint.prefillRate.tokensPerSecond()
 	enough := Micros(timeoutLatencyFactor*s.estimates.typicalLatency(att)+prefill) + timeoutMargin
 	return min(left, max(enough, left/timeoutShare))
 }
--- a/scheduler/rules_test.go
+++ b/scheduler/rules_test.go
@@ -92,8 +92,8 @@
 	}
 }
 
-// What is complete with its read needs no writer, leaves no state, and is not sent where chat alone is answered; and hosts
-// that only embed are never sent chat, even where they are all that is left.
+// What is complete with its read needs no writer, leaves no state, and is not sent where chat alone is answered; and
+// hosts that only embed are never sent chat, even where they are all that is left.
 func TestReadOnly(t *testing.T) {
 	config := testConfig(Idempotent)
 	config.Classes = append(config.Classes, Class{SLO: sec, Revenue: 1, PrefillOnly: true})
--- a/scheduler/scheduler.go
+++ b/scheduler/scheduler.go
@@ -1,14 +1,14 @@
-// Package scheduler decides where the requests of one dispatcher go: which prefill endpoint reads a prompt, which decode
-// endpoint answers it, what waits in the queue, what is retried and what gets which final answer.
+// Package scheduler decides where the requests of one dispatcher go: which prefill endpoint reads a prompt, which
+// decode endpoint answers it, what waits in the queue, what is retried and what gets which final answer.
 //
 // Its caller reports each event by one method call with the time now (RequestArrived, AttemptStarted, AttemptEnded,
 // ClientDisconnected, RequestWithdrawn, QuotaChanged, EndpointUpdated and EndpointUpdateEnded, EndpointWatchFailed,
-// TimerFired) and carries out what the scheduler orders through Executor before that call returns. The package owns the
-// state of one instance. It reads no clock, does no input or output, starts no goroutine and is not safe for concurrent
-// use: the same events and seed give the same orders.
+// TimerFired) and carries out what the scheduler orders through Executor before that call returns. The package owns
+// the state of one instance. It reads no clock, does no input or output, starts no goroutine and is not safe for
+// concurrent use: the same events and seed give the same orders.
 //
-// A request is placed when it arrives (or queued until a decode endpoint fits), prefilled at an affinity endpoint of its
-// prefix, decoded at the least filled decode endpoint that fits, and ends when its answer is complete.
+// A request is placed when it arrives (or queued until a decode endpoint fits), prefilled at an affinity endpoint of
+// its prefix, decoded at the least filled decode endpoint that fits, and ends when its answer is complete.
 package scheduler
 
 import (
--- a/scheduler/slow_start.go
+++ b/scheduler/slow_start.go
@@ -9,8 +9,10 @@
 	provenShare    = 0.9
 	provenRequests = 2.0
 
-	unknownRequests = 4.0 // mean requests in a window of the rule that any warming endpoint gets from all dispatchers together
-	throughputTime  = 5.0 // seconds over which completed work is counted
+	// Mean requests in a window of the rule that any warming endpoint gets from all dispatchers together.
+	unknownRequests = 4.0
+
+	throughputTime = 5.0 // seconds over which completed work is counted
 )
 
 // slowStart protects an endpoint whose process has just started.
@@ -36,10 +38,10 @@
 	return ep.startedAt > 0 && s.now-ep.startedAt < s.WarmUp
 }
 
-// measureWarmThroughput learns what warm endpoints of each role lately did. It runs at each tick, not only while endpoints are
-// warming up, and keeps the last figure: where all of a role start together no warm one is left to go by, and what was not
-// seen before would let next to nothing through. Endpoints that look faulty do not count: dead ones that the list still
-// names would make the others' work look small.
+// measureWarmThroughput learns what warm endpoints of each role lately did. It runs at each tick, not only while
+// endpoints are warming up, and keeps the last figure: where all of a role start together no warm one is left to go
+// by, and what was not seen before would let next to nothing through. Endpoints that look faulty do not count: dead
+// ones that the list still names would make the others' work look small.
 func (s *Scheduler) measureWarmThroughput() {
 	var sum, count [roleCount]float64
 	s.examined += uint64(len(s.endpoints.all))
@@ -57,9 +59,9 @@
 	}
 }
 
-// slowStartAllows reports whether an endpoint can take one more attempt; only one that is warming up may not. All dispatchers
-// are taken to send alike, so each keeps to what the overload rule leaves of the work that warm endpoints of the role were
-// seen to do for it, and the warming one itself.
+// slowStartAllows reports whether an endpoint can take one more attempt; only one that is warming up may not. All
+// dispatchers are taken to send alike, so each keeps to what the overload rule leaves of the work that warm endpoints
+// of the role were seen to do for it, and the warming one itself.
 func (s *Scheduler) slowStartAllows(ep *endpoint) bool {
 	if !s.warmingUp(ep) {
 		return true
--- a/scheduler/units.go
+++ b/scheduler/units.go
@@ -25,15 +25,6 @@
 	return mean
 }
 
-// blend moves a running mean towards a new value by its weight; the first value is taken as it is.
-func blend(mean *float64, value, weight float64) {
-	if *mean == 0 {
-		*mean = value
-		return
-	}
-	*mean += weight * (value - *mean)
-}
-
 // mixBits spreads ids evenly over 64 bits, alike in every scheduler (the finalizer of SplitMix64).
 func mixBits(x uint64) uint64 {
 	x ^= x >> 30
