--- a/cmd/benchadapter/main.go
+++ b/cmd/benchadapter/main.go
@@ -1,4 +1,4 @@
-// Command benchadapter lets the decision module play on the simulator's wire, over standard input and output.
+// Command benchadapter runs the scheduler on the bench simulator's wire, over standard input and output.
 package main
 
 import (
--- /dev/null
+++ b/internal/benchadapter/actions.go
@@ -0,0 +1,98 @@
+package benchadapter
+
+import (
+	"encoding/binary"
+	"fmt"
+
+	"plumspindle/scheduler"
+)
+
+const microsPerMilli = 1000
+
+// instance is one scheduler and its Executor, which writes orders as actions of the reply.
+type instance struct {
+	*scheduler.Scheduler
+	adapter     *adapter
+	id          uint32
+	memoryValue int // index of the memory share in a load report; negative if it has none
+}
+
+// appendAction opens the next action of this instance. Where the last one was another instance's, an action that
+// names this one goes before it.
+func (in *instance) appendAction(code byte) []byte {
+	a := in.adapter
+	if !a.named || a.instance != in.id {
+		a.named, a.instance = true, in.id
+		binary.LittleEndian.PutUint32(a.appendAction(actionInstance)[actionInstanceID:], in.id)
+	}
+	return a.appendAction(code)
+}
+
+func (a *adapter) appendAction(code byte) []byte {
+	a.actions = append(a.actions, make([]byte, actionSize)...)
+	action := a.actions[len(a.actions)-actionSize:]
+	action[0] = code
+	return action
+}
+
+func (in *instance) appendRequestAction(code byte, request scheduler.RequestID) []byte {
+	action := in.appendAction(code)
+	binary.LittleEndian.PutUint64(action[actionRequest:], uint64(request))
+	return action
+}
+
+// Send implements scheduler.Executor.
+func (in *instance) Send(request scheduler.RequestID, endpoint scheduler.EndpointID, timeout scheduler.Micros) {
+	action := in.appendRequestAction(actionSend, request)
+	binary.LittleEndian.PutUint32(action[sendEndpoint:], uint32(endpoint))
+	binary.LittleEndian.PutUint64(action[sendTimeout:], nanos(timeout))
+}
+
+// Reject implements scheduler.Executor.
+func (in *instance) Reject(request scheduler.RequestID, retryAfter scheduler.Micros) {
+	action := in.appendRequestAction(actionReject, request)
+	binary.LittleEndian.PutUint64(action[rejectRetryAfter:], nanos(retryAfter))
+}
+
+// Fail implements scheduler.Executor.
+func (in *instance) Fail(request scheduler.RequestID) { in.appendRequestAction(actionFail, request) }
+
+// Cancel implements scheduler.Executor.
+func (in *instance) Cancel(request scheduler.RequestID, attempt scheduler.AttemptNo) {
+	action := in.appendRequestAction(actionCancel, request)
+	binary.LittleEndian.PutUint16(action[cancelAttempt:], uint16(attempt))
+}
+
+// Release implements scheduler.Executor.
+func (in *instance) Release(request scheduler.RequestID) {
+	in.appendRequestAction(actionRelease, request)
+}
+
+// WatchEndpoints implements scheduler.Executor.
+func (in *instance) WatchEndpoints() { in.appendAction(actionWatch)[watchOn] = 1 }
+
+// SetTimer implements scheduler.Executor.
+func (in *instance) SetTimer(after scheduler.Micros, timer scheduler.TimerID) {
+	action := in.appendAction(actionSetTimer)
+	binary.LittleEndian.PutUint64(action[setTimerAfter:], nanos(after))
+	binary.LittleEndian.PutUint64(action[setTimerID:], uint64(timer))
+}
+
+// Log implements scheduler.Executor: the event's text goes behind the actions.
+func (in *instance) Log(event scheduler.Event) {
+	text, action := describe(event), in.appendAction(actionLog)
+	binary.LittleEndian.PutUint32(action[logOffset:], uint32(len(in.adapter.text)))
+	binary.LittleEndian.PutUint32(action[logLength:], uint32(len(text)))
+	in.adapter.text = append(in.adapter.text, text...)
+}
+
+// describe is the text of an event in the bench's log.
+func describe(event scheduler.Event) string {
+	switch e := event.(type) {
+	case scheduler.EndpointEjected:
+		return fmt.Sprintf("endpoint %d ejected for %d ms: %s", e.Endpoint, e.For/microsPerMilli, e.Reason)
+	case scheduler.SendBlocked:
+		return fmt.Sprintf("send of request %d to endpoint %d blocked by guard: %s", e.Request, e.Endpoint, e.Rule)
+	}
+	return ""
+}
--- /dev/null
+++ b/internal/benchadapter/wire.go
@@ -0,0 +1,201 @@
+package benchadapter
+
+import (
+	"encoding/binary"
+	"fmt"
+	"math"
+
+	"plumspindle/scheduler"
+)
+
+// All numbers on the wire are little-endian, and times are in nanoseconds. Offsets count from the start of the part
+// that they name; a record's first byte is its code.
+const (
+	nanosPerMicro = 1000
+
+	frameHeaderSize = 8
+	frameSequence   = 0
+	frameLength     = 4
+	maxFrameLength  = 1 << 30 // a longer frame can only be a broken length
+
+	bodyHeaderSize = 12
+	bodyClock      = 0
+	bodyEventCount = 8
+
+	replyHeaderSize  = 12
+	replySequence    = 0
+	replyActionCount = 4
+	replyLength      = 8
+
+	eventSize  = 64
+	actionSize = 24
+)
+
+// Codes of the events.
+const (
+	eventAttach         = 10
+	eventListUpdate     = 20
+	eventRequest        = 30
+	eventAttemptStarted = 40
+	eventAttemptEnded   = 50
+	eventDisconnect     = 60
+	eventTimer          = 70
+	eventProbeResult    = 80
+	eventPeerMessage    = 90
+	eventDetach         = 100
+	eventReservation    = 110
+	eventEndpointList   = 120
+	eventInstance       = 130
+)
+
+// Offsets of the events' fields. A tail field is an offset into the frame's tail and a count of items.
+const (
+	instanceID = 1
+
+	attachSeed     = 1
+	attachSettings = 9 // tail field
+
+	updateList  = 9
+	updateScope = 10
+
+	requestID              = 1
+	requestPrefixTokens    = 9
+	requestSession         = 13
+	requestMaxOutputTokens = 21
+	requestPrefix          = 26
+	requestDecodeTime      = 34
+	requestDeadline        = 42
+	requestPromptTokens    = 50
+	requestTenant          = 54
+	requestClass           = 56
+
+	startedRequest = 1
+	startedAttempt = 9
+
+	endedRequest    = 1
+	endedDetail     = 9 // cached tokens, or detailStateMissing
+	endedClosed     = 13
+	endedOutcome    = 18
+	endedAttempt    = 27
+	endedLoadReport = 29 // a count of values, then the values
+
+	disconnectRequest = 1
+	timerID           = 1
+	probeOutcome      = 5
+
+	listNumber  = 1
+	listEntries = 2 // tail field
+)
+
+const (
+	detailStateMissing  = 1
+	maxLoadReportValues = 4
+	loadReportValueSize = 4
+)
+
+// Scopes of a list update.
+const (
+	scopePartial = 0
+	scopeFailed  = 3 // the list could not be had
+)
+
+// Offsets of an endpoint list's entry.
+const (
+	listCount = 16
+
+	entrySize      = 21
+	entryEndpoint  = 0
+	entryZone      = 4
+	entryKind      = 5
+	entryCell      = 6
+	entryState     = 8
+	entryStartedAt = 13
+)
+
+// Codes of the actions.
+const (
+	actionSend     = 10
+	actionReject   = 20
+	actionFail     = 30
+	actionCancel   = 40
+	actionSetTimer = 50
+	actionLog      = 90
+	actionWatch    = 110
+	actionRelease  = 150
+	actionInstance = 160
+)
+
+// Offsets of the actions' fields.
+const (
+	actionRequest    = 1 // of those that name a request
+	actionInstanceID = 1
+
+	sendEndpoint     = 9
+	sendTimeout      = 13
+	rejectRetryAfter = 9
+	cancelAttempt    = 9
+
+	setTimerAfter = 1
+	setTimerID    = 9
+
+	logOffset = 1
+	logLength = 5
+
+	watchOn = 1
+)
+
+var outcomes = map[byte]scheduler.Outcome{
+	0:  scheduler.Completed,
+	1:  scheduler.Cancelled,
+	4:  scheduler.TimedOut,
+	8:  scheduler.NoCapacity,
+	9:  scheduler.NotSent,
+	10: scheduler.ConnectionLost,
+	13: scheduler.Errored,
+	14: scheduler.Unreachable,
+	77: scheduler.PrefillDone,
+}
+
+var endpointStates = map[byte]scheduler.EndpointState{
+	0: scheduler.Draining,
+	1: scheduler.Removed,
+	3: scheduler.Ready,
+}
+
+// record reads the fields of a fixed part of a frame by their offsets.
+type record []byte
+
+func (r record) code() byte               { return r[0] }
+func (r record) byte(offset int) byte     { return r[offset] }
+func (r record) uint16(offset int) uint16 { return binary.LittleEndian.Uint16(r[offset:]) }
+func (r record) uint32(offset int) uint32 { return binary.LittleEndian.Uint32(r[offset:]) }
+func (r record) uint64(offset int) uint64 { return binary.LittleEndian.Uint64(r[offset:]) }
+
+// float takes what is not a number, or not above zero, as absent.
+func (r record) float(offset int) float64 {
+	v := float64(math.Float32frombits(r.uint32(offset)))
+	if !(v > 0) || math.IsInf(v, 0) {
+		return 0
+	}
+	return v
+}
+
+// outcome reads an outcome's code.
+func (r record) outcome(offset int) (scheduler.Outcome, error) {
+	outcome, known := outcomes[r.byte(offset)]
+	if !known {
+		return 0, &UnknownValueError{Field: "outcome", Value: r.byte(offset)}
+	}
+	return outcome, nil
+}
+
+// tail is the part of the frame's tail that a tail field refers to, whose items are of one size.
+func (r record) tail(offset int, tail []byte, itemSize uint64) ([]byte, error) {
+	from, count := uint64(r.uint32(offset)), uint64(r.uint32(offset+4))
+	if from+count*itemSize > uint64(len(tail)) {
+		return nil, fmt.Errorf("%w (%d items at %d)", ErrTailOverflow, count, from)
+	}
+	return tail[from : from+count*itemSize], nil
+}
+
+func nanos(t scheduler.Micros) uint64 { return uint64(max(t, 0)) * nanosPerMicro }
--- a/internal/schedulerlog/schedulerlog.go
+++ b/internal/schedulerlog/schedulerlog.go
@@ -1,5 +1,5 @@
-// Package schedulerlog writes the scheduler's events to a structured log, alike in every program that runs a scheduler. It
-// relies on zerolog, keeps nothing, and never decides anything.
+// Package schedulerlog writes the scheduler's events to a structured log, alike in every program that runs a
+// scheduler. It relies on zerolog, keeps nothing, and never decides anything.
 package schedulerlog
 
 import (
