--- a/scheduler/api.go
+++ b/scheduler/api.go
@@ -49,7 +49,7 @@
 	Log(event Event)
 }
 
-// TimerID tells the two timers of an instance apart.
+// TimerID names one of the two timers of an instance.
 type TimerID uint64
 
 // The timers.
--- a/scheduler/prefill_placement.go
+++ b/scheduler/prefill_placement.go
@@ -11,7 +11,7 @@
 	affinityFactor   = 2.0  // times the least wait that an affinity endpoint may have,
 	affinityWait     = 0.05 // and these seconds: on an idle fleet any work at all would be more than twice none
 	queuedShare      = 0.3  // of the SLO time; a prefill that would take longer waits in the queue, not at its endpoint
-	prefillOnlyWait  = 0.02 // seconds of work ahead of a prefill-only request, above which it waits in the queue
+	prefillOnlyWait  = 0.02 // seconds of other work before a prefill-only request, above which it waits in the queue
 	mixedLoadFactor  = 1.3  // times the decode endpoints' mean load, up to which mixed endpoints take whole requests
 	minAttemptsToRun = 2    // a prefill and a decode
 )
--- a/scheduler/timerqueue/timerqueue.go
+++ b/scheduler/timerqueue/timerqueue.go
@@ -1,4 +1,5 @@
-// Package timerqueue keeps the due times of one instance in order: by time, then by the order of their setting.
+// Package timerqueue keeps due times in order: by time, then by the order in which they were set. It reads no clock and
+// starts nothing: whoever owns a queue runs what is due.
 package timerqueue
 
 import "container/heap"
@@ -6,80 +7,85 @@
 // Micros is a time or a span in whole microseconds.
 type Micros int64
 
-// Item is one thing that falls due.
+// Item is one call that falls due.
 type Item struct {
-	at    Micros
-	seq   uint64
-	place int
-	run   func()
+	at       Micros
+	sequence uint64
+	index    int // in the heap; negative once it has run or was dropped
+	run      func()
 }
 
-// Queue is the ordered structure. Its zero value is ready for use.
+// Queue is an ordered queue of calls. Its zero value is ready for use.
 type Queue struct {
-	items order
-	seq   uint64
+	items    itemHeap
+	sequence uint64
 }
 
 // Set has run called at the first Run that is not before at.
-func (t *Queue) Set(at Micros, run func()) *Item {
-	t.seq++
-	it := &Item{at: at, seq: t.seq, run: run}
-	heap.Push(&t.items, it)
-	return it
+func (q *Queue) Set(at Micros, run func()) *Item {
+	q.sequence++
+	item := &Item{at: at, sequence: q.sequence, run: run}
+	heap.Push(&q.items, item)
+	return item
 }
 
 // Drop takes an item back; one that has run or was dropped, or nil, is left alone.
-func (t *Queue) Drop(it *Item) {
-	if it != nil && it.place >= 0 {
-		heap.Remove(&t.items, it.place)
+func (q *Queue) Drop(item *Item) {
+	if item != nil && item.index >= 0 {
+		heap.Remove(&q.items, item.index)
 	}
 }
 
-// Next tells the earliest due time, and whether there is any.
-func (t *Queue) Next() (Micros, bool) {
-	if len(t.items) == 0 {
+// Next is the earliest due time, and whether there is any.
+func (q *Queue) Next() (Micros, bool) {
+	if len(q.items) == 0 {
 		return 0, false
 	}
-	return t.items[0].at, true
+	return q.items[0].at, true
 }
 
-// RunOne calls the earliest, if there is any.
-func (t *Queue) RunOne() {
-	if len(t.items) > 0 {
-		heap.Pop(&t.items).(*Item).run()
+// RunOne calls the earliest item, if there is any.
+func (q *Queue) RunOne() {
+	if len(q.items) > 0 {
+		heap.Pop(&q.items).(*Item).run()
 	}
 }
 
 // Run calls all that is due by now, in order, also what these calls add.
-func (t *Queue) Run(now Micros) {
-	for len(t.items) > 0 && t.items[0].at <= now {
-		t.RunOne()
+func (q *Queue) Run(now Micros) {
+	for len(q.items) > 0 && q.items[0].at <= now {
+		q.RunOne()
 	}
 }
 
-type order []*Item
+// itemHeap implements heap.Interface.
+type itemHeap []*Item
 
-func (o order) Len() int { return len(o) }
-func (o order) Less(i, j int) bool {
-	if o[i].at != o[j].at {
-		return o[i].at < o[j].at
+func (h itemHeap) Len() int { return len(h) }
+
+func (h itemHeap) Less(i, j int) bool {
+	if h[i].at != h[j].at {
+		return h[i].at < h[j].at
 	}
-	return o[i].seq < o[j].seq
+	return h[i].sequence < h[j].sequence
 }
-func (o order) Swap(i, j int) {
-	o[i], o[j] = o[j], o[i]
-	o[i].place, o[j].place = i, j
+
+func (h itemHeap) Swap(i, j int) {
+	h[i], h[j] = h[j], h[i]
+	h[i].index, h[j].index = i, j
 }
-func (o *order) Push(x any) {
-	it := x.(*Item)
-	it.place = len(*o)
-	*o = append(*o, it)
+
+func (h *itemHeap) Push(x any) {
+	item := x.(*Item)
+	item.index = len(*h)
+	*h = append(*h, item)
 }
-func (o *order) Pop() any {
-	last := len(*o) - 1
-	it := (*o)[last]
-	(*o)[last] = nil
-	*o = (*o)[:last]
-	it.place = -1
-	return it
+
+func (h *itemHeap) Pop() any {
+	last := len(*h) - 1
+	item := (*h)[last]
+	(*h)[last] = nil
+	*h = (*h)[:last]
+	item.index = -1
+	return item
 }
