--- /dev/null
+++ b/internal/testbed/scenarios/mutant.go
@@ -0,0 +1,39 @@
+package scenarios
+
+import (
+	"plumspindle/internal/dispatch"
+	"plumspindle/internal/eventloop"
+	"plumspindle/internal/virtual"
+)
+
+// Mutant is a fault that is injected into the program itself, to see that it is found. What is nil stays as it is.
+type Mutant struct {
+	Name       string
+	Dispatcher func() *dispatch.Mutation
+	Loop       func(*virtual.Loop) eventloop.Loop
+	Disk       func(*virtual.Disk)
+	Run        func(*Run)
+}
+
+// mutation is the mutant's change to a dispatcher; a nil mutant has none.
+func (m *Mutant) mutation() *dispatch.Mutation {
+	if m == nil || m.Dispatcher == nil {
+		return nil
+	}
+	return m.Dispatcher()
+}
+
+// loop is the event loop that a dispatcher runs on.
+func (m *Mutant) loop(real *virtual.Loop) eventloop.Loop {
+	if m == nil || m.Loop == nil {
+		return real
+	}
+	return m.Loop(real)
+}
+
+// changeDisk changes a dispatcher's disk.
+func (m *Mutant) changeDisk(disk *virtual.Disk) {
+	if m != nil && m.Disk != nil {
+		m.Disk(disk)
+	}
+}
--- /dev/null
+++ b/internal/testbed/scenarios/process.go
@@ -0,0 +1,189 @@
+package scenarios
+
+import (
+	"context"
+	"encoding/json"
+	"errors"
+	"fmt"
+	"os"
+	"os/exec"
+	"path/filepath"
+	"strconv"
+	"strings"
+	"syscall"
+	"time"
+
+	"golang.org/x/sys/unix"
+
+	"plumspindle/internal/eventloop"
+	"plumspindle/internal/testbed/load"
+	"plumspindle/internal/testbed/record"
+)
+
+const (
+	startTimeout      = 15 * time.Second
+	startPollInterval = 10 * time.Millisecond
+	stopTimeout       = 20 * time.Second
+	quotedLogBytes    = 2000
+
+	exitCodeOfSignal = -1 // as os.ProcessState reports a process that a signal ended
+)
+
+// process is one dispatcher as a process of its own, over all its incarnations. Its fields belong to the fleet's loop
+// once the load has begun.
+type process struct {
+	run          *Run
+	target       *load.Target
+	number       int // from 1
+	incarnations int
+	command      *exec.Cmd
+	exited       chan struct{} // closed once the current process is gone
+}
+
+// start starts the next incarnation, at the address that it had before if it had one, and waits until it serves.
+func (d *process) start(ctx context.Context) error {
+	d.incarnations++
+	name := fmt.Sprintf("d%d.%d", d.number, d.incarnations)
+	readyPath, logPath := d.path(name+".ready"), d.path(name+".log")
+	logs, err := os.Create(logPath)
+	if err != nil {
+		return fmt.Errorf("dispatcher %s: %w", name, err)
+	}
+	defer func() { _ = logs.Close() }() // the process has its own descriptor
+	d.command = exec.CommandContext(ctx, d.run.Binary, d.arguments(name, readyPath)...)
+	d.command.Stdout, d.command.Stderr = logs, logs
+	if err := d.command.Start(); err != nil {
+		return fmt.Errorf("dispatcher %s: %w", name, err)
+	}
+	d.exited = make(chan struct{})
+	go func(command *exec.Cmd, exited chan struct{}) {
+		_ = command.Wait() // its exit code is read from the process's state
+		close(exited)
+	}(d.command, d.exited)
+	ready, err := d.waitReady(readyPath, logPath)
+	if err != nil {
+		return fmt.Errorf("dispatcher %s %w", name, err)
+	}
+	d.target.Addr, d.target.Name = strings.TrimPrefix(ready.API, "http://"), name
+	return nil
+}
+
+func (d *process) path(name string) string { return filepath.Join(d.run.sockets.dir, name) }
+
+func (d *process) arguments(name, readyPath string) []string {
+	p := d.run
+	seed := p.Seed*100 + int64(d.number*10+d.incarnations)
+	args := []string{"serve", "--deployment", d.path(deploymentFile),
+		"--roster", p.fleet.Discovery.Addr, "--zone", d.target.Zone, "--listen", d.target.Addr, "--name", name,
+		"--ready-file", readyPath, "--list-file", d.path(fmt.Sprintf("list%d", d.number)),
+		"--seed", strconv.FormatInt(seed, 10)}
+	if p.Intents {
+		args = append(args, "--state-dir", d.path(fmt.Sprintf("state%d", d.number)))
+	}
+	return args
+}
+
+func (d *process) waitReady(readyPath, logPath string) (ready Ready, err error) {
+	ticker := time.NewTicker(startPollInterval)
+	defer ticker.Stop()
+	deadline := time.NewTimer(startTimeout)
+	defer deadline.Stop()
+	for {
+		if content, err := os.ReadFile(readyPath); err == nil {
+			if err := json.Unmarshal(content, &ready); err != nil {
+				return ready, fmt.Errorf("wrote no ready file: %w", err)
+			}
+			return ready, nil
+		}
+		select {
+		case <-d.exited:
+			text, _ := os.ReadFile(logPath)
+			return ready, fmt.Errorf("ended at its start: %s", text)
+		case <-deadline.C:
+			return ready, fmt.Errorf("was not ready within %v", startTimeout)
+		case <-ticker.C:
+		}
+	}
+}
+
+// crash kills the process outright and brings it back after a while.
+func (d *process) crash(ctx context.Context, back eventloop.Micros) {
+	p, name, exited := d.run, d.target.Name, d.exited
+	recordKilled := func() {
+		p.recorder.Add(record.Event{At: int64(p.fleetLoop.Now()), Type: "killed", Dispatcher: name})
+	}
+	recordKilled()
+	_ = d.command.Process.Kill() // it may have ended already
+	p.sockets.restarts.Go(func() {
+		<-exited
+		recordKilled() // on a busy machine a process outlives the signal by more than the audit's slack
+		select {
+		case <-ctx.Done():
+		case <-p.sockets.ended:
+		case <-time.After(time.Duration(back) * time.Microsecond):
+			d.restart(ctx)
+		}
+	})
+}
+
+// restart starts the next incarnation. Clients use its name only once it serves.
+func (d *process) restart(ctx context.Context) {
+	p := d.run
+	target := *d.target
+	next := &process{run: p, number: d.number, incarnations: d.incarnations, target: &target}
+	if err := next.start(ctx); err != nil {
+		p.report("%v", err)
+		return
+	}
+	p.clientLoop.Do(func() { *d.target = target })
+	p.fleetLoop.Do(func() { d.command, d.exited, d.incarnations = next.command, next.exited, next.incarnations })
+}
+
+func (d *process) limitDescriptors(spare int) (undo func()) {
+	pid := d.command.Process.Pid
+	open, err := os.ReadDir(fmt.Sprintf("/proc/%d/fd", pid))
+	var before unix.Rlimit
+	if err != nil || unix.Prlimit(pid, unix.RLIMIT_NOFILE, nil, &before) != nil {
+		return func() {} // it has just died
+	}
+	limit := unix.Rlimit{Cur: min(uint64(len(open)+spare), before.Max), Max: before.Max}
+	_ = unix.Prlimit(pid, unix.RLIMIT_NOFILE, &limit, nil) // a process that has died has no limit
+	return func() { _ = unix.Prlimit(pid, unix.RLIMIT_NOFILE, &before, nil) }
+}
+
+// stopProcesses ends the dispatchers gracefully.
+func (p *Run) stopProcesses() error {
+	close(p.sockets.ended)
+	var stopping []process
+	p.fleetLoop.Do(func() {
+		for _, dispatcher := range p.sockets.processes {
+			if dispatcher.exited != nil {
+				stopping = append(stopping, *dispatcher)
+			}
+		}
+	})
+	for _, dispatcher := range stopping {
+		_ = dispatcher.command.Process.Signal(syscall.SIGTERM) // it may have ended already
+	}
+	var failures []error
+	for _, dispatcher := range stopping {
+		failures = append(failures, dispatcher.waitStopped())
+	}
+	return errors.Join(failures...)
+}
+
+// waitStopped waits for a process that was told to end, and checks how it did.
+func (d *process) waitStopped() error {
+	select {
+	case <-d.exited:
+	case <-time.After(stopTimeout):
+		_ = d.command.Process.Kill()
+		return fmt.Errorf("dispatcher %s did not end when told to", d.target.Name)
+	}
+	code := d.command.ProcessState.ExitCode()
+	if code == 0 || code == exitCodeOfSignal {
+		return nil
+	}
+	text, _ := os.ReadFile(d.path(d.target.Name + ".log"))
+	return fmt.Errorf("dispatcher %s ended with %d: %s", d.target.Name, code, text[max(len(text)-quotedLogBytes, 0):])
+}
--- /dev/null
+++ b/internal/testbed/scenarios/results.go
@@ -0,0 +1,56 @@
+package scenarios
+
+import "plumspindle/internal/testbed/record"
+
+// Events are what clients and endpoints saw.
+func (p *Run) Events() []record.Event { return p.events }
+
+// firstAskSeconds is the second of the load in which each request was first sent, by its id.
+func (p *Run) firstAskSeconds() map[string]int {
+	seconds, begin := map[string]int{}, int64(0)
+	for _, event := range p.events {
+		if event.Type != "ask" || event.ClientAttempt != 1 {
+			continue
+		}
+		if begin == 0 {
+			begin = event.At
+		}
+		seconds[event.Request] = int((event.At - begin) / 1e6)
+	}
+	return seconds
+}
+
+// CompletedInSecond is how many requests were first sent in one second of the load, and how many of them were
+// completed.
+func (p *Run) CompletedInSecond(second int) (asked, completed int) {
+	seconds := p.firstAskSeconds()
+	for _, event := range p.events {
+		askedIn, known := seconds[event.Request]
+		if event.Type != "over" || !known || askedIn != second {
+			continue
+		}
+		asked++
+		if event.Detail == "streamed" {
+			completed++
+		}
+	}
+	return asked, completed
+}
+
+// WithinSLOBySecond is, for each second of the load, how many requests were first sent in it and how many of them got
+// their answer within the SLO time.
+func (p *Run) WithinSLOBySecond() (asked, inSLO []int) {
+	seconds := p.firstAskSeconds()
+	asked, inSLO = make([]int, p.Script.Seconds+1), make([]int, p.Script.Seconds+1)
+	for _, event := range p.events {
+		second, known := seconds[event.Request]
+		if event.Type != "over" || !known || second >= len(asked) {
+			continue
+		}
+		asked[second]++
+		if event.Detail == "streamed" && event.Exact {
+			inSLO[second]++
+		}
+	}
+	return asked, inSLO
+}
--- a/internal/testbed/scenarios/scenarios_test.go
+++ b/internal/testbed/scenarios/scenarios_test.go
@@ -4,42 +4,65 @@
 	"testing"
 
 	"plumspindle/internal/deployment"
+	"plumspindle/internal/deployment/pb"
+	"plumspindle/internal/testbed/audit"
 )
 
-func virtualDay(t *testing.T, name string, seed int64, segment int) uint64 {
+func parseScript(t *testing.T, text string) *pb.Day {
 	t.Helper()
-	script, err := Find(name)
+	script, err := ReadScript(t.Name(), []byte(text))
 	if err != nil {
 		t.Fatal(err)
 	}
-	p := &Run{Script: script, Deployment: deployment.Standard(), Dispatchers: 3, Seed: seed}
-	v, left, trace, err := p.RunVirtual(segment)
+	return script
+}
+
+// runCleanly runs a scenario in virtual time; every rule has to be kept and nothing left over.
+func runCleanly(t *testing.T, run *Run, segment int) (verdict *audit.Verdict, trace uint64) {
+	t.Helper()
+	verdict, leftOver, trace, err := run.RunVirtual(segment)
 	if err != nil {
 		t.Fatal(err)
 	}
-	if !v.Passed() || left > 0 {
-		t.Errorf("day %s, seed %d: %d generations left over\n%s", name, seed, left, v.Text())
+	if !verdict.Passed() || leftOver > 0 {
+		t.Errorf("scenario %s, seed %d, %d dispatchers: %d requests left over\n%s",
+			run.Script.Name, run.Seed, run.Dispatchers, leftOver, verdict.Text())
+	}
+	return verdict, trace
+}
+
+// runBuiltin runs a built-in scenario, which must give the audit something to judge by, and returns the hash of the
+// run.
+func runBuiltin(t *testing.T, name string, seed int64, segment int) uint64 {
+	t.Helper()
+	const minAsked, minService = 200, 0.2
+	script, err := Find(name)
+	if err != nil {
+		t.Fatal(err)
 	}
-	if v.Rows[0].Asked < 200 || v.Service < 0.2 {
-		t.Errorf("day %s, seed %d: nothing to judge by\n%s", name, seed, v.Text())
+	run := &Run{Script: script, Deployment: deployment.Standard(), Dispatchers: 3, Seed: seed}
+	verdict, trace := runCleanly(t, run, segment)
+	if verdict.Rows[0].Asked < minAsked || verdict.Service < minService {
+		t.Errorf("scenario %s, seed %d: nothing to judge by\n%s", name, seed, verdict.Text())
 	}
 	return trace
 }
 
-// Each built-in day, in virtual time: every rule kept, nothing left over.
-func TestDaysKeepTheRules(t *testing.T) {
+// Each built-in scenario, in virtual time: every rule kept, nothing left over.
+func TestBuiltinScenariosKeepTheRules(t *testing.T) {
 	for _, name := range Names() {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			virtualDay(t, name, 1, 0)
-			virtualDay(t, name, 2, 700)
+			runBuiltin(t, name, 1, 0)
+			runBuiltin(t, name, 2, 700)
 		})
 	}
 }
 
-// The same seed gives the same day, to the last arrival.
-func TestSameSeedSameDay(t *testing.T) {
-	if a, b := virtualDay(t, "bad", 5, 300), virtualDay(t, "bad", 5, 300); a != b {
-		t.Errorf("two runs of one seed differ: %x, %x", a, b)
+// The same seed is the same run, to the last arrival.
+func TestSameSeedIsTheSameRun(t *testing.T) {
+	first, second := runBuiltin(t, badBuiltin, 5, 300), runBuiltin(t, badBuiltin, 5, 300)
+	if first != second {
+		t.Errorf("two runs of one seed differ: %x, %x", first, second)
 	}
 }
--- /dev/null
+++ b/internal/testbed/scenarios/virtualdispatcher.go
@@ -0,0 +1,103 @@
+package scenarios
+
+import (
+	"context"
+	"errors"
+	"fmt"
+
+	"github.com/rs/zerolog"
+
+	"plumspindle/internal/dispatch"
+	"plumspindle/internal/eventloop"
+	"plumspindle/internal/store"
+	"plumspindle/internal/testbed/load"
+	"plumspindle/internal/testbed/record"
+	"plumspindle/internal/virtual"
+)
+
+// virtualDispatcher is one dispatcher in virtual time, over all its incarnations.
+type virtualDispatcher struct {
+	run              *Run
+	target           *load.Target
+	number           int // from 1
+	incarnations     int
+	loop             *virtual.Loop // of the current incarnation
+	dispatcher       *dispatch.Dispatcher
+	cachedEndpoints  []byte
+	clockSkew        eventloop.Micros
+	disk             *virtual.Disk
+	down             bool
+	unavailableUntil eventloop.Micros // it can do nothing before this
+}
+
+// start starts the next incarnation.
+func (d *virtualDispatcher) start() (err error) {
+	p := d.run
+	d.incarnations++
+	d.down = false
+	name := fmt.Sprintf("d%d.%d", d.number, d.incarnations)
+	d.loop = p.world.network.NewLoop(name)
+	d.loop.StepClock(d.clockSkew)
+	loop := p.Mutant.loop(d.loop)
+	config := dispatch.Config{Name: name, Zone: d.target.Zone, Seed: p.Seed*100 + int64(d.number*10+d.incarnations),
+		Mutation: p.Mutant.mutation(), Discovery: p.fleet.Discovery.Addr, Log: zerolog.Nop(),
+		CachedEndpoints: [][]byte{d.cachedEndpoints},
+		CacheEndpoints:  func(list []byte) { d.cachedEndpoints = list }}
+	d.loop.Do(func() {
+		p.Mutant.changeDisk(d.disk)
+		if p.Intents {
+			if config.Intents, err = store.Open(d.disk.AttachTo(d.loop), store.DefaultLimits); err != nil {
+				return
+			}
+		}
+		if d.dispatcher, err = dispatch.Start(loop, p.Deployment, config); err != nil {
+			return
+		}
+		var listener eventloop.Listener
+		if listener, err = loop.Listen(d.target.Addr, d.dispatcher.Front().Accept); err != nil {
+			return
+		}
+		d.target.Addr, d.target.Name = listener.Addr(), name
+	})
+	return err
+}
+
+// kill ends the current incarnation outright.
+func (d *virtualDispatcher) kill() {
+	d.run.recorder.Add(record.Event{At: int64(d.run.world.network.Now()), Type: "killed", Dispatcher: d.target.Name})
+	d.loop.Kill()
+}
+
+func (d *virtualDispatcher) crash(_ context.Context, back eventloop.Micros) {
+	if d.down {
+		return
+	}
+	d.down = true
+	d.kill()
+	world := d.run.world
+	d.run.fleetLoop.AfterFunc(back, func() {
+		if err := d.start(); err != nil {
+			world.failure = errors.Join(world.failure, fmt.Errorf("dispatcher %d did not come back: %w", d.number, err))
+		}
+	})
+}
+
+func (d *virtualDispatcher) limitDescriptors(spare int) (undo func()) {
+	loop := d.loop
+	loop.DescriptorLimit = loop.OpenConnections() + spare
+	return func() { loop.DescriptorLimit = 0 }
+}
+
+// Why a dispatcher can't act, as the record has it.
+const (
+	frozen      = "stands"
+	partitioned = "cut"
+)
+
+// markUnavailable records that the dispatcher can't meet its obligations for a while.
+func (d *virtualDispatcher) markUnavailable(why string, duration eventloop.Micros) {
+	now := d.run.world.network.Now()
+	d.unavailableUntil = max(d.unavailableUntil, now+duration)
+	d.run.recorder.Add(record.Event{At: int64(now), Type: "away", Dispatcher: d.target.Name, Detail: why,
+		Count: int64(duration)})
+}
