--- a/internal/platform/guard/guard.go
+++ b/internal/platform/guard/guard.go
@@ -1,7 +1,12 @@
-// Package guard holds a dispatcher to its rules while it runs. It keeps a ledger of its own for each request, apart from the scheduler's, and
-// is asked in the one place where each thing is done: an attempt is sent or repeated, an answer is given, a connection is closed, what is
-// held is released, requests begin to be taken. What would break a rule is counted, reported with its ids and, where that is possible, not
-// done. It decides nothing else, and has no clock.
+// Package guard checks a dispatcher against its promises while it runs.
+//
+// It keeps a ledger for each request, independent of the scheduler's own records, and is consulted where each thing is
+// done: an attempt is sent or written, a response is given, a connection is closed, a KV state is released, requests
+// begin to be accepted. It owns these ledgers and the counts of violations. What would break a rule is counted,
+// reported with its ids and, where that is possible, prevented.
+//
+// It relies on its caller for the time and for calling it in the order of events. It never schedules anything, never
+// reads a clock and decides nothing beyond refusing an attempt.
 package guard
 
 import (
@@ -10,46 +15,62 @@
 	"plumspindle/internal/eventloop"
 )
 
+// ViolationMessage is the log message of each violation. Whoever reads logs of dispatchers searches for it.
+const ViolationMessage = "rule violation"
+
 // Rule is one of the promises that are checked.
 type Rule uint8
 
+// The rules.
 const (
 	OneAnswer          Rule = iota // a request gets exactly one final answer, in time
-	RepeatedEffect                 // no effect twice, and no promise that a repeat is harmless where it may not be
-	ConcurrentAttempts             // never two attempts of a request out
-	EndpointNotReady               // nothing new to a host that drains or is gone
-	ClientDisconnected             // no attempt begins after its client has closed
-	DeadlineOverstated             // a host is not told more time than the client has left
-	StateLease                     // what a host holds is used or released in time
+	RepeatedEffect                 // no effect twice, and no response that says a retry is safe where it may not be
+	ConcurrentAttempts             // never two attempts of a request in flight
+	EndpointNotReady               // nothing new to an endpoint that drains or is gone
+	ClientDisconnected             // no attempt begins after its client has disconnected
+	DeadlineOverstated             // an endpoint is not given more time than the client has left
+	StateLease                     // a KV state is fetched or released within its lease
 	UnansweredClose                // no connection is closed over a request that was read
-	NotServing                     // no request is taken before discovery was heard, or passed on after the shutdown
+	NotServing                     // no request is accepted before discovery was heard, or forwarded after the shutdown
 	ruleCount
 )
 
-var ruleNames = [ruleCount]string{"one answer", "repeated effect", "two attempts", "unwanted send", "client gone", "time told", "held state", "unanswered close", "early start"}
+var ruleNames = [ruleCount]string{
+	OneAnswer:          "one answer",
+	RepeatedEffect:     "repeated effect",
+	ConcurrentAttempts: "concurrent attempts",
+	EndpointNotReady:   "endpoint not ready",
+	ClientDisconnected: "client disconnected",
+	DeadlineOverstated: "deadline overstated",
+	StateLease:         "state lease",
+	UnansweredClose:    "unanswered close",
+	NotServing:         "not serving",
+}
 
+// String is the rule's name in logs.
 func (r Rule) String() string { return ruleNames[r] }
 
-// Violation is one thing that broke a rule, or would have.
+// Violation is one event that broke a rule, or would have.
 type Violation struct {
 	Rule      Rule
-	RequestID string // the client's id for it
-	Endpoint  string
+	RequestID string // as the client gave it
+	Endpoint  string // name; empty where none is concerned
 	Detail    string
 	Prevented bool
 }
 
-func (v Violation) Error() string { return fmt.Sprintf("%s: %s", v.Rule, v.Detail) }
+// Error implements error.
+func (v *Violation) Error() string { return fmt.Sprintf("%s: %s", v.Rule, v.Detail) }
 
-// Limits are the terms that the rules are checked by.
+// Limits are the tolerances that the rules are checked with.
 type Limits struct {
 	AnswerSlack     eventloop.Micros // for a final answer after its deadline
-	DisconnectSlack eventloop.Micros // for an attempt after its client's close
-	DeadlineSlack   eventloop.Micros // for the time that a host is told
-	StateLease      eventloop.Micros // what is held is used or released by then
+	DisconnectSlack eventloop.Micros // for an attempt after its client's disconnect
+	DeadlineSlack   eventloop.Micros // for the time that an endpoint is given
+	StateLease      eventloop.Micros // within which a KV state is fetched or released
 }
 
-// Guard counts what breaks rules.
+// Guard counts violations.
 type Guard struct {
 	limits Limits
 	report func(Violation)
@@ -59,18 +80,18 @@
 // New makes a guard that reports each violation.
 func New(limits Limits, report func(Violation)) *Guard { return &Guard{limits: limits, report: report} }
 
-// Violations is how many there were, of all rules.
-func (g *Guard) Violations() (all uint64) {
+// Violations is how many there were of all rules.
+func (g *Guard) Violations() (total uint64) {
 	for _, n := range g.counts {
-		all += n
+		total += n
 	}
-	return all
+	return total
 }
 
 // Count is how many there were of one rule.
 func (g *Guard) Count(rule Rule) uint64 { return g.counts[rule] }
 
-// Violated counts and reports one.
+// Violated counts and reports a violation.
 func (g *Guard) Violated(v Violation) {
 	g.counts[v.Rule]++
 	g.report(v)
--- a/internal/platform/guard/request.go
+++ b/internal/platform/guard/request.go
@@ -6,21 +6,22 @@
 	"plumspindle/internal/eventloop"
 )
 
-// RetryPolicy is what a request's class lets be done again.
+// RetryPolicy is whether a request of a class may be run again.
 type RetryPolicy uint8
 
+// The retry policies.
 const (
 	RetryAlways       RetryPolicy = iota // the class is idempotent
-	RetryWithinWindow                    // its hosts drop repeats in their group for a while
+	RetryWithinWindow                    // endpoints of one group drop duplicates for a while
 	RetryNever
 )
 
-// Endpoint is a model host as an attempt meets it.
+// Endpoint is the target of an attempt as the dispatcher knows it at the moment.
 type Endpoint struct {
 	Name       string
-	Group      string // hosts of one group drop each other's repeats; "" where a class has no groups
-	Ready      bool   // it is listed, and wants new requests
-	HasEffects bool   // an attempt there has the effects of the request; one that only reads the prompt has none
+	Group      string // endpoints of one group drop each other's duplicates; "" where a class has no groups
+	Ready      bool   // it is listed, and accepts new requests
+	HasEffects bool   // an attempt there has the effects of the request; a prefill has none
 }
 
 // Terms are what a request is bound by.
@@ -31,75 +32,95 @@
 	Deadline    eventloop.Micros
 }
 
+// sentAttempt is an attempt in the ledger.
+type sentAttempt struct {
+	endpoint Endpoint
+	sentAt   eventloop.Micros
+}
+
 // Request is the ledger of one request.
 type Request struct {
 	guard          *Guard
 	terms          Terms
-	inFlight       *Endpoint // of the attempt that is out
-	sentAt         eventloop.Micros
-	mayHaveRun     *Endpoint // of the first attempt that may have had effects
-	mayHaveRunAt   eventloop.Micros
+	inFlight       *sentAttempt
+	mayHaveRun     *sentAttempt // the first attempt that may have had effects
 	answered       bool
-	disconnectedAt eventloop.Micros // when its client closed; 0: it has not
-	leasedAt       eventloop.Micros // since when something may be held, or waits on; 0: nothing is
+	disconnectedAt eventloop.Micros // when its client disconnected; 0: it has not
+	leasedAt       eventloop.Micros // since when an endpoint may hold a KV state for it; 0: none does
 }
 
 // Begin opens a request's ledger.
 func (g *Guard) Begin(terms Terms) *Request { return &Request{guard: g, terms: terms} }
 
-func (r *Request) violated(rule Rule, host *Endpoint, prevented bool, format string, args ...any) *Violation {
-	v := Violation{Rule: rule, RequestID: r.terms.RequestID, Detail: fmt.Sprintf(format, args...), Prevented: prevented}
-	if host != nil {
-		v.Endpoint = host.Name
-	}
-	r.guard.Violated(v)
-	return &v
-}
-
-// Send is asked before an attempt is handed to the network; one that it objects to must not be made.
-func (r *Request) Send(now eventloop.Micros, host Endpoint) *Violation {
+// Send is called before an attempt is handed to the network; where it returns an error, always a *Violation, the
+// attempt must not be made.
+func (r *Request) Send(now eventloop.Micros, endpoint Endpoint) error {
 	if r.inFlight != nil {
-		return r.violated(ConcurrentAttempts, &host, true, "the attempt to %s is out since %d us", r.inFlight.Name, now-r.sentAt)
+		return r.prevented(ConcurrentAttempts, &endpoint, "the attempt to %s is in flight since %d us",
+			r.inFlight.endpoint.Name, now-r.inFlight.sentAt)
 	}
-	if v := r.checkSend(now, host, true); v != nil {
-		return v
+	if b := r.checkSend(now, endpoint); b != nil {
+		return r.prevented(b.rule, &endpoint, "%s", b.detail)
 	}
-	r.inFlight, r.sentAt = &host, now
+	r.inFlight = &sentAttempt{endpoint: endpoint, sentAt: now}
 	return nil
 }
 
-// Written checks an attempt again in the moment in which it is written, and what it tells its host of the time.
-func (r *Request) Written(now eventloop.Micros, host Endpoint, told eventloop.Micros) {
-	r.checkSend(now, host, false)
-	if left := r.terms.Deadline - now; told > max(left, 0)+r.guard.limits.DeadlineSlack {
-		r.violated(DeadlineOverstated, &host, false, "told %d us, %d us are left", told, left)
+// Written checks an attempt again at the moment in which it is written, and the time that it gives its endpoint.
+func (r *Request) Written(now eventloop.Micros, endpoint Endpoint, timeout eventloop.Micros) {
+	if b := r.checkSend(now, endpoint); b != nil {
+		r.violated(b.rule, &endpoint, "%s", b.detail)
 	}
+	if left := r.terms.Deadline - now; timeout > max(left, 0)+r.guard.limits.DeadlineSlack {
+		r.violated(DeadlineOverstated, &endpoint, "given %d us, %d us are left", timeout, left)
+	}
+}
+
+// breach is a rule that an attempt would break, and how.
+type breach struct {
+	rule   Rule
+	detail string
 }
 
-func (r *Request) checkSend(now eventloop.Micros, host Endpoint, prevents bool) *Violation {
+// checkSend is the rule that an attempt begun now would break, or nil.
+func (r *Request) checkSend(now eventloop.Micros, endpoint Endpoint) *breach {
 	switch {
 	case r.answered:
-		return r.violated(OneAnswer, &host, prevents, "an attempt after the final answer")
+		return &breach{OneAnswer, "an attempt after the final answer"}
 	case r.disconnectedAt > 0 && now-r.disconnectedAt > r.guard.limits.DisconnectSlack:
-		return r.violated(ClientDisconnected, &host, prevents, "an attempt %d us after its client closed", now-r.disconnectedAt)
-	case !host.Ready:
-		return r.violated(EndpointNotReady, &host, prevents, "the host drains or is gone")
-	case r.mayHaveRun == nil || !host.HasEffects || r.terms.Retry == RetryAlways:
+		return &breach{ClientDisconnected,
+			fmt.Sprintf("an attempt %d us after its client disconnected", now-r.disconnectedAt)}
+	case !endpoint.Ready:
+		return &breach{EndpointNotReady, "the endpoint drains or is gone"}
+	}
+	return r.checkRetry(now, endpoint)
+}
+
+// checkRetry is the breach of an attempt that repeats one that may have had effects, or nil.
+func (r *Request) checkRetry(now eventloop.Micros, endpoint Endpoint) *breach {
+	earlier := r.mayHaveRun
+	if earlier == nil || !endpoint.HasEffects || r.terms.Retry == RetryAlways {
 		return nil
-	case r.terms.Retry == RetryNever:
-		return r.violated(RepeatedEffect, &host, prevents, "the attempt to %s may have run", r.mayHaveRun.Name)
-	case now-r.mayHaveRunAt > r.terms.RetryWindow:
-		return r.violated(RepeatedEffect, &host, prevents, "%d us after the attempt to %s, the window is %d us", now-r.mayHaveRunAt, r.mayHaveRun.Name, r.terms.RetryWindow)
-	case r.mayHaveRun.Group != host.Group:
-		return r.violated(RepeatedEffect, &host, prevents, "the attempt to %s may have run in group %q, this is %q", r.mayHaveRun.Name, r.mayHaveRun.Group, host.Group)
+	}
+	name, group := earlier.endpoint.Name, earlier.endpoint.Group
+	if r.terms.Retry == RetryNever {
+		return &breach{RepeatedEffect, fmt.Sprintf("the attempt to %s may have run", name)}
+	}
+	if elapsed := now - earlier.sentAt; elapsed > r.terms.RetryWindow {
+		return &breach{RepeatedEffect, fmt.Sprintf("%d us after the attempt to %s, the window is %d us",
+			elapsed, name, r.terms.RetryWindow)}
+	}
+	if group != endpoint.Group {
+		return &breach{RepeatedEffect, fmt.Sprintf("the attempt to %s may have run in group %q, this is %q",
+			name, group, endpoint.Group)}
 	}
 	return nil
 }
 
-// AttemptEnded notes that the attempt that was out is over, and whether it may have run.
+// AttemptEnded notes that the attempt in flight is over, and whether it may have run.
 func (r *Request) AttemptEnded(mayHaveRun bool) {
-	if r.inFlight != nil && r.inFlight.HasEffects && mayHaveRun && r.mayHaveRun == nil {
-		r.mayHaveRun, r.mayHaveRunAt = r.inFlight, r.sentAt
+	if r.inFlight != nil && r.inFlight.endpoint.HasEffects && mayHaveRun && r.mayHaveRun == nil {
+		r.mayHaveRun = r.inFlight
 	}
 	r.inFlight = nil
 }
@@ -107,24 +128,28 @@
 // Answer is a final answer.
 type Answer uint8
 
+// The final answers.
 const (
-	Completed Answer = iota // a stream, whole
-	Rejected                // with the promise that a repeat is harmless
+	Completed Answer = iota // a complete stream
+	Rejected                // with the promise that a retry is safe
 	Failed
 	Broken // a stream that had begun in time
 )
 
 // Answered checks a final answer as it is given.
 func (r *Request) Answered(now eventloop.Micros, answer Answer) {
+	idempotent := r.terms.Retry == RetryAlways
 	switch {
 	case r.answered:
-		r.violated(OneAnswer, nil, false, "a second final answer")
+		r.violated(OneAnswer, nil, "a second final answer")
 	case answer != Completed && answer != Broken && now > r.terms.Deadline+r.guard.limits.AnswerSlack:
-		r.violated(OneAnswer, nil, false, "answered %d us after its deadline", now-r.terms.Deadline)
-	case answer == Rejected && r.terms.Retry != RetryAlways && r.mayHaveRun != nil:
-		r.violated(RepeatedEffect, r.mayHaveRun, false, "rejected as safe to repeat, and the attempt to %s may have run", r.mayHaveRun.Name)
-	case answer == Rejected && r.terms.Retry != RetryAlways && r.inFlight != nil:
-		r.violated(RepeatedEffect, r.inFlight, false, "rejected as safe to repeat, and the attempt to %s is out", r.inFlight.Name)
+		r.violated(OneAnswer, nil, "answered %d us after its deadline", now-r.terms.Deadline)
+	case answer == Rejected && !idempotent && r.mayHaveRun != nil:
+		target := &r.mayHaveRun.endpoint
+		r.violated(RepeatedEffect, target, "rejected as safe to retry, and the attempt to %s may have run", target.Name)
+	case answer == Rejected && !idempotent && r.inFlight != nil:
+		target := &r.inFlight.endpoint
+		r.violated(RepeatedEffect, target, "rejected as safe to retry, and the attempt to %s is in flight", target.Name)
 	}
 	r.answered = true
 }
@@ -136,26 +161,45 @@
 	}
 }
 
-// LeaseStarted notes that a host may hold something for the request, from now on.
+// LeaseStarted notes that an endpoint may hold a KV state for the request from now on.
 func (r *Request) LeaseStarted(now eventloop.Micros) { r.leasedAt = now }
 
-// LeaseTaken notes that what was held has been taken.
+// LeaseTaken notes that the state has been fetched.
 func (r *Request) LeaseTaken() { r.leasedAt = 0 }
 
-// LeaseReleased checks that what was held was let go of in time, or taken.
+// LeaseReleased checks that the state was released within its lease.
 func (r *Request) LeaseReleased(now eventloop.Micros) {
-	if held := now - r.leasedAt; r.leasedAt > 0 && held > r.guard.limits.StateLease {
-		r.violated(StateLease, nil, false, "released after %d us", held)
+	if elapsed := now - r.leasedAt; r.leasedAt > 0 && elapsed > r.guard.limits.StateLease {
+		r.violated(StateLease, nil, "released after %d us", elapsed)
 	}
 	r.leasedAt = 0
 }
 
-// Closed is told when nothing is kept of the request any more.
+// Closed checks the ledger when the dispatcher forgets the request.
 func (r *Request) Closed() {
 	if !r.answered && r.disconnectedAt == 0 {
-		r.violated(OneAnswer, nil, false, "no final answer was given")
+		r.violated(OneAnswer, nil, "no final answer was given")
 	}
 	if r.inFlight != nil {
-		r.violated(ConcurrentAttempts, r.inFlight, false, "its attempt is still out")
+		r.violated(ConcurrentAttempts, &r.inFlight.endpoint, "its attempt is still in flight")
+	}
+}
+
+// violated reports what has broken a rule.
+func (r *Request) violated(rule Rule, endpoint *Endpoint, format string, args ...any) {
+	_ = r.report(Violation{Rule: rule, Detail: fmt.Sprintf(format, args...)}, endpoint)
+}
+
+// prevented reports what would have broken a rule and is not done.
+func (r *Request) prevented(rule Rule, endpoint *Endpoint, format string, args ...any) error {
+	return r.report(Violation{Rule: rule, Detail: fmt.Sprintf(format, args...), Prevented: true}, endpoint)
+}
+
+func (r *Request) report(v Violation, endpoint *Endpoint) *Violation {
+	v.RequestID = r.terms.RequestID
+	if endpoint != nil {
+		v.Endpoint = endpoint.Name
 	}
+	r.guard.Violated(v)
+	return &v
 }
--- a/internal/platform/server/close.go
+++ b/internal/platform/server/close.go
@@ -3,36 +3,41 @@
 // CloseReason is why a client's connection was closed.
 type CloseReason uint8
 
+// The reasons for a close.
 const (
 	ClosedByClient   CloseReason = iota // its client closed it, or the network did
-	AfterResponse                       // its last answer said so
+	AfterResponse                       // its last response said so
 	IdleTimeout                         // no request came in time
 	Evicted                             // it made way for another
 	BadInput                            // what came can't be read, or did not come in time
 	StreamBroken                        // its stream ended before its end
 	ClientStalled                       // its client read nothing for too long
-	PipelineOverflow                    // its client sent more ahead than is kept
+	PipelineOverflow                    // its client pipelined more than is read
 	closeReasonCount
 )
 
-var closeReasonNames = [closeReasonCount]string{"by its client", "after its answer", "idle", "evicted", "bad input", "its stream broke",
-	"its client reads nothing", "too much sent ahead"}
+var closeReasonNames = [closeReasonCount]string{
+	ClosedByClient:   "closed by client",
+	AfterResponse:    "after response",
+	IdleTimeout:      "idle timeout",
+	Evicted:          "evicted",
+	BadInput:         "bad input",
+	StreamBroken:     "stream broken",
+	ClientStalled:    "client stalled",
+	PipelineOverflow: "pipeline overflow",
+}
 
+// String is the reason's name in logs.
 func (r CloseReason) String() string { return closeReasonNames[r] }
 
-// Closed counts connections by why they were closed.
-type Closed [closeReasonCount]uint64
+// CloseCounts counts closed connections by reason.
+type CloseCounts [closeReasonCount]uint64
 
-// reportUnanswered reports a request that was read and will not be answered, as its connection is closed from here.
-func (c *connection) reportUnanswered(why CloseReason) {
-	report := c.server.OnUnansweredClose
-	if report == nil {
-		return
-	}
-	if c.response != nil && !c.response.started {
-		report(c.response.id, why.String())
-	}
-	if len(c.pipelined) > 0 && why == PipelineOverflow { // behind a stream that broke nothing can be answered
-		report("", why.String()+", with what was sent ahead")
+// Each calls visit for each reason that has a count.
+func (c *CloseCounts) Each(visit func(CloseReason, uint64)) {
+	for reason, n := range c {
+		if n > 0 {
+			visit(CloseReason(reason), n)
+		}
 	}
 }
--- a/internal/platform/server/connection.go
+++ b/internal/platform/server/connection.go
@@ -2,9 +2,7 @@
 
 import (
 	"container/list"
-	"errors"
 	"net/http"
-	"strings"
 
 	"plumspindle/internal/eventloop"
 	"plumspindle/internal/http1"
@@ -16,9 +14,9 @@
 const (
 	idle              connectionState = iota // waits for a request's first byte
 	reading                                  // a request is coming in
-	answering                                // its answer is owed
+	answering                                // its response is pending
 	throttled                                // the client sent what can't be used, and is not served for a while
-	rejectingOverflow                        // requests that were sent ahead and not kept are answered
+	rejectingOverflow                        // pipelined requests that were not buffered are answered
 	closing                                  // nothing more is read
 )
 
@@ -31,25 +29,27 @@
 	idleElement *list.Element  // its place among the server's idle connections
 	hadRequest  bool           // a request has begun on it
 
-	parser      http1.Parser
-	head        *http1.Head
-	request     *Request
-	rejection   *Rejection
-	body        []byte
-	receivedAt  eventloop.Micros // the first byte of the request
-	keepAlive   bool             // the request lets others follow it
-	pipelined   []byte           // what came behind the request that is being answered
-	pipelinedAt eventloop.Micros // when that began to come
-	overflow    *overflow        // what came ahead and was not kept; nil: all was
+	parser   http1.Parser
+	incoming incoming
+	pipeline pipeline
+	response *Response
 
-	overflowTimed bool // for the rest of a request that is not kept
+	buffer []byte // scratch
+	event  []byte // scratch
+}
 
-	response *Response
-	buffer   []byte // scratch
-	event    []byte // scratch
+// incoming is the request that is coming in.
+type incoming struct {
+	head       *http1.Head
+	readiness  bool       // it asks whether the server is ready
+	request    *Request   // nil: it is rejected, or asks for readiness
+	rejection  *Rejection // nil: nothing speaks against it so far
+	body       []byte
+	receivedAt eventloop.Micros // its first byte
+	keepAlive  bool             // it lets others follow it
 }
 
-// --- Time spent idle ---
+// --- Idle time ---
 
 // becomeIdle waits for a request's first byte.
 func (c *connection) becomeIdle(within eventloop.Micros) {
@@ -60,7 +60,7 @@
 	c.wait.For(c.server.loop, within, c.idleTimedOut)
 }
 
-// leaveIdle takes the connection out of the server's order.
+// leaveIdle takes the connection out of the server's list of idle ones.
 func (c *connection) leaveIdle() {
 	if c.idleElement != nil {
 		c.server.idleConnections.Remove(c.idleElement)
@@ -68,13 +68,21 @@
 	}
 }
 
-// closeIdle closes a connection without a request, unless something has come that was not handed over yet: a request that was read
-// must not meet a close.
-func (c *connection) closeIdle(why CloseReason) bool {
+// awaitNextRequest becomes idle behind a request.
+func (c *connection) awaitNextRequest() {
+	c.becomeIdle(c.server.limits.IdleTimeout)
+	if c.server.stopped {
+		c.idleTimedOut()
+	}
+}
+
+// closeIdle closes a connection without a request, unless something has come that was not handed over yet: a request
+// that was read must not meet a close. It reports whether the connection is being closed.
+func (c *connection) closeIdle(reason CloseReason) bool {
 	if !c.conn.CloseIfQuiet() {
 		return false
 	}
-	c.becomeClosing(why)
+	c.becomeClosing(reason)
 	return true
 }
 
@@ -87,12 +95,12 @@
 // --- Closing ---
 
 // becomeClosing reads nothing more. What is written still goes out, for as long as the client takes any of it.
-func (c *connection) becomeClosing(why CloseReason) {
+func (c *connection) becomeClosing(reason CloseReason) {
 	c.leaveIdle()
 	if c.state != closing {
-		c.server.Closed[why]++
-		if why != ClosedByClient {
-			c.reportUnanswered(why)
+		c.server.Closed[reason]++
+		if reason != ClosedByClient {
+			c.reportUnanswered(reason)
 		}
 	}
 	c.dropPipelined()
@@ -104,32 +112,39 @@
 }
 
 // close closes once all is sent.
-func (c *connection) close(why CloseReason) {
-	c.becomeClosing(why)
+func (c *connection) close(reason CloseReason) {
+	c.becomeClosing(reason)
 	c.conn.Close()
 }
 
-// abort resets the connection. A request that is being answered is left, as by its client.
-func (c *connection) abort(why CloseReason) {
-	c.becomeClosing(why)
+// abort resets the connection. A request that is being answered is abandoned, as by its client.
+func (c *connection) abort(reason CloseReason) {
+	c.becomeClosing(reason)
 	if c.response != nil {
 		c.response.abandon()
 	}
 	c.conn.Abort()
 }
 
-// Closed implements eventloop.Handler.
-func (c *connection) Closed(error) {
-	c.becomeClosing(ClosedByClient)
-	c.wait.Over()
-	delete(c.server.connections, c)
-	c.dropRequest()
-	if c.response != nil {
-		c.response.abandon()
+// abortStalled resets the connection of a client that reads nothing.
+func (c *connection) abortStalled() { c.abort(ClientStalled) }
+
+// reportUnanswered reports a request that was read and will not be answered, as its connection is closed from here.
+func (c *connection) reportUnanswered(reason CloseReason) {
+	report := c.server.OnUnansweredClose
+	if report == nil {
+		return
+	}
+	if c.response != nil && !c.response.started {
+		report(c.response.id, reason.String())
+	}
+	// Behind a stream that broke nothing can be answered.
+	if len(c.pipeline.buffered) > 0 && reason == PipelineOverflow {
+		report("", reason.String()+", with pipelined requests")
 	}
 }
 
-// --- Input ---
+// --- Events of the connection ---
 
 // Opened implements eventloop.Handler.
 func (c *connection) Opened() {
@@ -140,259 +155,111 @@
 	}
 	s.Evicted++
 	if !s.evict(c) {
-		c.reject(&Rejection{http.StatusServiceUnavailable, "no connection is left for it"}, Evicted)
+		c.reject(unavailable("no connection is left for it"), Evicted)
 	}
 }
 
 // Data implements eventloop.Handler.
-func (c *connection) Data(b []byte) {
+func (c *connection) Data(data []byte) {
 	switch c.state {
 	case closing:
 	case answering, throttled:
-		c.readPipelined(b)
+		c.readPipelined(data)
 	case rejectingOverflow:
-		c.readOverflow(b)
+		c.readOverflow(data)
 	case idle:
 		c.beginRequest(c.server.loop.Now())
-		c.feed(b)
+		c.feed(data)
 	case reading:
-		c.feed(b)
+		c.feed(data)
 	}
 }
 
-// beginRequest waits for a whole request from its first byte; bytes that trickle in buy no further time.
-func (c *connection) beginRequest(at eventloop.Micros) {
-	c.leaveIdle()
-	c.state, c.hadRequest = reading, true
-	c.receivedAt = at
-	c.wait.For(c.server.loop, c.server.limits.RequestTimeout, c.requestTimedOut)
-}
-
-func (c *connection) requestTimedOut() {
-	c.server.TimedOut++
-	c.reject(&Rejection{http.StatusRequestTimeout, "the request did not come in time"}, BadInput)
-}
-
-// feed reads on in the request that is coming in.
-func (c *connection) feed(b []byte) {
-	if err := c.parser.Feed(b, c); err != nil {
-		c.malformed(err)
-		return
-	}
-	rest := c.parser.TakeWaiting()
-	switch {
-	case len(rest) == 0 || c.state == closing:
-	case c.overflow != nil: // it was kept before
-		c.bufferPipelined(rest)
-	default:
-		c.readPipelined(rest)
-	}
-}
-
-func (c *connection) malformed(err error) {
-	status := http.StatusBadRequest
-	var fault *http1.Fault
-	if errors.As(err, &fault) {
-		status = fault.Status
-	}
-	c.reject(&Rejection{status, err.Error()}, BadInput)
-}
-
-// readPipelined keeps what comes while a request is being answered.
-func (c *connection) readPipelined(b []byte) {
-	s := c.server
-	if len(c.pipelined) == 0 {
-		c.pipelinedAt = s.loop.Now()
-	}
-	n := len(c.pipelined) + len(b)
-	switch {
-	case c.overflow != nil:
-		c.overflow.feed(b)
-	case n > maxPipelinedBodies*s.limits.BodyBytes || n > minPipelinedBytes && s.bufferedBytes+len(b) > s.limits.BufferedBytes/2:
-		c.startOverflow(b)
-	default:
-		c.bufferPipelined(b)
-	}
-	if c.overflow != nil && c.overflow.bytesRead > maxOverflowBytes {
-		s.Rejected++
-		c.abort(PipelineOverflow)
-	}
-}
-
-func (c *connection) bufferPipelined(b []byte) {
-	c.pipelined = append(c.pipelined, b...)
-	c.server.bufferedBytes += len(b)
-}
-
-func (c *connection) dropPipelined() {
-	c.server.bufferedBytes -= len(c.pipelined)
-	c.pipelined = nil
-}
-
-// next makes the connection ready for another request.
-func (c *connection) next() {
-	if c.state == closing {
+// Drained implements eventloop.Handler.
+func (c *connection) Drained() {
+	if c.state == rejectingOverflow {
+		c.wait.Over()
+		c.pipeline.overflowTimed = false
+		c.rejectOverflow()
 		return
 	}
-	c.response = nil
-	_ = c.parser.Resume(c) // nothing waits in it
-	if len(c.pipelined) > 0 {
-		b := c.pipelined
-		c.dropPipelined()
-		c.beginRequest(c.pipelinedAt)
-		c.feed(b)
+	if c.response == nil || c.state != answering {
 		return
 	}
-	if c.overflow != nil {
-		c.state = rejectingOverflow
-		c.rejectOverflow()
-		return
+	c.wait.Over()
+	if c.response.OnWritable != nil {
+		c.response.OnWritable()
 	}
-	c.awaitNextRequest()
 }
 
-// --- A request ---
-
-// Head implements http1.Events.
-func (c *connection) Head(h *http1.Head) error {
-	c.head = h
-	c.request, c.rejection = parseRequest(h)
-	if c.request != nil {
-		c.request.ReceivedAt = c.receivedAt
-	}
-	if c.rejection == nil && strings.EqualFold(h.Get("Expect"), "100-continue") {
-		c.conn.Write([]byte("HTTP/1.1 100 Continue\r\n\r\n"))
-	}
-	if c.rejection == nil && h.Length > 0 && c.request != nil {
-		c.reserveBody(int(h.Length))
+// Closed implements eventloop.Handler.
+func (c *connection) Closed(error) {
+	c.becomeClosing(ClosedByClient)
+	c.wait.Over()
+	delete(c.server.connections, c)
+	c.dropRequest()
+	if c.response != nil {
+		c.response.abandon()
 	}
-	return nil
 }
 
-// reserveBody makes room for a body; without any, nothing of it is kept and the request is rejected.
-func (c *connection) reserveBody(n int) {
-	s := c.server
-	if n <= cap(c.body) {
-		return
-	}
-	if s.bufferedBytes+n-cap(c.body) > s.limits.BufferedBytes {
-		s.bufferedBytes -= cap(c.body)
-		c.body, c.rejection = nil, &Rejection{http.StatusServiceUnavailable, "no room is left for the request"}
-		return
-	}
-	grown := make([]byte, len(c.body), n)
-	copy(grown, c.body)
-	s.bufferedBytes += cap(grown) - cap(c.body)
-	c.body = grown
-}
+// --- Responses without a stream ---
 
-// Body implements http1.Events.
-func (c *connection) Body(b []byte) error {
-	if c.rejection != nil || c.request == nil {
-		return nil
-	}
-	if n := len(c.body) + len(b); n > cap(c.body) {
-		c.reserveBody(max(2*cap(c.body), n, 4<<10))
-	}
-	if c.rejection == nil {
-		c.body = append(c.body, b...)
+// rejectAndKeep answers a request that can't be used but whose end is known, so that others may follow it.
+func (c *connection) rejectAndKeep(r *Rejection) {
+	c.dropRequest()
+	c.server.Rejected++
+	if c.writeResponse(shortResponse{status: r.Status, text: r.Reason}, c.staysOpen(), AfterResponse) {
+		c.state = throttled
+		c.wait.For(c.server.loop, throttleTime, c.next)
 	}
-	return nil
 }
 
-// End implements http1.Events.
-func (c *connection) End() error {
-	c.parser.Hold()
-	c.wait.Over()
-	c.keepAlive = c.head.KeepAlive()
-	if c.request == nil && c.rejection == nil {
-		c.answerReadiness()
-		return nil
-	}
-	if c.rejection == nil {
-		c.rejection = checkBody(c.body)
-	}
-	if c.rejection == nil && c.server.stopped {
-		c.rejection = &Rejection{http.StatusServiceUnavailable, "the dispatcher is shutting down"}
-	}
-	if c.rejection == nil {
-		c.rejection = c.handle()
-	}
-	if c.rejection != nil {
-		c.rejectAndKeep(c.rejection)
+// reject answers what can't be read and closes, as the next request can't be found behind it.
+func (c *connection) reject(r *Rejection, reason CloseReason) {
+	if c.state == closing {
+		return
 	}
-	return nil
-}
-
-// staysOpen tells whether another request may follow the answer that is written now. While the server drains only what has been sent
-// ahead may.
-func (c *connection) staysOpen() bool {
-	return c.keepAlive && (!c.server.draining || len(c.pipelined) > 0 || c.overflow != nil || c.parser.More() > 0)
+	c.server.Rejected++
+	c.dropRequest()
+	c.writeResponse(shortResponse{status: r.Status, text: r.Reason}, false, reason)
 }
 
 // answerReadiness answers whether there is anything to serve with.
 func (c *connection) answerReadiness() {
-	status, text := http.StatusOK, "ready"
+	response := shortResponse{status: http.StatusOK, text: "ready"}
 	if c.server.stopped || !c.server.handler.Ready() {
-		status, text = http.StatusServiceUnavailable, "no model host is known yet"
+		response = shortResponse{status: http.StatusServiceUnavailable, text: "no model host is known yet"}
 	}
 	c.dropRequest()
-	if c.writeResponse(status, text, c.staysOpen(), AfterResponse) {
+	if c.writeResponse(response, c.staysOpen(), AfterResponse) {
 		c.state = answering
 		c.server.loop.Later(c.next)
 	}
 }
 
-// handle passes the request on.
-func (c *connection) handle() *Rejection {
-	response := &Response{connection: c, id: c.request.ID, bodyBytes: cap(c.body)}
-	request := c.request
-	request.Body = c.body
-	c.head, c.request, c.body = nil, nil, nil
-	c.state, c.response = answering, response
-	rejection := c.server.handler.Handle(request, response)
-	if rejection != nil {
-		response.finish()
-		c.response = nil
-	}
-	return rejection
-}
-
-// dropRequest gives back what is kept of a request.
-func (c *connection) dropRequest() {
-	c.server.bufferedBytes -= cap(c.body)
-	c.head, c.request, c.body, c.rejection = nil, nil, nil, nil
-}
-
-// rejectAndKeep answers a request that can't be used but whose end is known, so that others may follow it.
-func (c *connection) rejectAndKeep(r *Rejection) {
-	c.dropRequest()
-	c.server.Rejected++
-	if c.writeResponse(r.Status, r.Reason, c.staysOpen(), AfterResponse) {
-		c.state = throttled
-		c.wait.For(c.server.loop, throttleTime, c.next)
-	}
+// staysOpen reports whether another request may follow the response that is written now. While the server drains only
+// what is pipelined may.
+func (c *connection) staysOpen() bool {
+	return c.incoming.keepAlive && (!c.server.draining || c.pipeline.pending() || c.parser.More() > 0)
 }
 
-// reject answers what can't be read and closes, as what follows can't be told apart any more.
-func (c *connection) reject(r *Rejection, why CloseReason) {
-	if c.state == closing {
-		return
-	}
-	c.server.Rejected++
-	c.dropRequest()
-	c.writeResponse(r.Status, r.Reason, false, why)
+// shortResponse is a response that is written as one piece.
+type shortResponse struct {
+	status int
+	text   string
+	fields []string // name and value in turn
 }
 
-// writeResponse writes a whole answer, and closes the connection unless it stays open; it tells whether it does.
-func (c *connection) writeResponse(status int, text string, staysOpen bool, why CloseReason, fields ...string) bool {
-	fields = append(fields, "Content-Type", "text/plain")
+// writeResponse writes a response, and closes the connection unless it stays open; it returns whether it does.
+func (c *connection) writeResponse(r shortResponse, staysOpen bool, reason CloseReason) bool {
+	fields := append(r.fields, "Content-Type", "text/plain")
 	if !staysOpen {
 		fields = append(fields, "Connection", "close")
 	}
-	c.conn.Write(http1.AppendResponse(nil, status, []byte(text+"\n"), fields...))
+	c.conn.Write(http1.AppendResponse(nil, r.status, []byte(r.text+"\n"), fields...))
 	if !staysOpen {
-		c.close(why)
+		c.close(reason)
 	}
 	return staysOpen
 }
--- /dev/null
+++ b/internal/platform/server/receive.go
@@ -0,0 +1,180 @@
+package server
+
+import (
+	"errors"
+	"net/http"
+	"strings"
+
+	"plumspindle/internal/eventloop"
+	"plumspindle/internal/http1"
+)
+
+// minBodyBytes is the least memory that is taken for a body that comes in chunks.
+const minBodyBytes = 4 << 10
+
+// beginRequest waits for a complete request from its first byte; bytes that trickle in buy no further time.
+func (c *connection) beginRequest(at eventloop.Micros) {
+	c.leaveIdle()
+	c.state, c.hadRequest = reading, true
+	c.incoming.receivedAt = at
+	c.wait.For(c.server.loop, c.server.limits.RequestTimeout, c.requestTimedOut)
+}
+
+func (c *connection) requestTimedOut() {
+	c.server.TimedOut++
+	c.reject(&Rejection{Status: http.StatusRequestTimeout, Reason: "the request did not come in time"}, BadInput)
+}
+
+// feed reads on in the request that is coming in.
+func (c *connection) feed(data []byte) {
+	if err := c.parser.Feed(data, c); err != nil {
+		c.malformed(err)
+		return
+	}
+	rest := c.parser.TakeWaiting()
+	switch {
+	case len(rest) == 0 || c.state == closing:
+	case c.pipeline.overflow != nil: // it was buffered before
+		c.bufferPipelined(rest)
+	default:
+		c.readPipelined(rest)
+	}
+}
+
+func (c *connection) malformed(err error) {
+	status := http.StatusBadRequest
+	var fault *http1.Fault
+	if errors.As(err, &fault) {
+		status = fault.Status
+	}
+	c.reject(&Rejection{Status: status, Reason: err.Error()}, BadInput)
+}
+
+// Head implements http1.Events.
+func (c *connection) Head(h *http1.Head) error {
+	in := &c.incoming
+	in.head = h
+	if in.readiness = asksReadiness(h); !in.readiness {
+		in.request, in.rejection = parseRequest(h)
+	}
+	if in.rejection != nil {
+		return nil
+	}
+	if strings.EqualFold(h.Get("Expect"), "100-continue") {
+		c.conn.Write([]byte("HTTP/1.1 100 Continue\r\n\r\n"))
+	}
+	if in.request == nil {
+		return nil
+	}
+	in.request.ReceivedAt = in.receivedAt
+	if h.Length > 0 {
+		c.reserveBody(int(h.Length))
+	}
+	return nil
+}
+
+// reserveBody takes memory for a body; where too little is left, nothing of it is buffered and the request is rejected.
+func (c *connection) reserveBody(size int) {
+	s, in := c.server, &c.incoming
+	if size <= cap(in.body) {
+		return
+	}
+	if s.bufferedBytes+size-cap(in.body) > s.limits.BufferedBytes {
+		s.bufferedBytes -= cap(in.body)
+		in.body, in.rejection = nil, unavailable("no room is left for the request")
+		return
+	}
+	grown := make([]byte, len(in.body), size)
+	copy(grown, in.body)
+	s.bufferedBytes += cap(grown) - cap(in.body)
+	in.body = grown
+}
+
+// Body implements http1.Events.
+func (c *connection) Body(data []byte) error {
+	in := &c.incoming
+	if in.rejection != nil || in.request == nil {
+		return nil
+	}
+	if size := len(in.body) + len(data); size > cap(in.body) {
+		c.reserveBody(max(2*cap(in.body), size, minBodyBytes))
+	}
+	if in.rejection == nil {
+		in.body = append(in.body, data...)
+	}
+	return nil
+}
+
+// End implements http1.Events.
+func (c *connection) End() error {
+	in := &c.incoming
+	c.parser.Hold()
+	c.wait.Over()
+	in.keepAlive = in.head.KeepAlive()
+	if in.readiness {
+		c.answerReadiness()
+		return nil
+	}
+	if rejection := c.accept(); rejection != nil {
+		c.rejectAndKeep(rejection)
+	}
+	return nil
+}
+
+// accept judges a request that is complete and passes it on, or says why not.
+func (c *connection) accept() *Rejection {
+	if c.incoming.rejection != nil {
+		return c.incoming.rejection
+	}
+	if rejection := checkBody(c.incoming.body); rejection != nil {
+		return rejection
+	}
+	if c.server.stopped {
+		return unavailable("the dispatcher is shutting down")
+	}
+	return c.handle()
+}
+
+// handle passes the request on.
+func (c *connection) handle() *Rejection {
+	in := &c.incoming
+	request, response := in.request, &Response{connection: c, id: in.request.ID, bodyBytes: cap(in.body)}
+	request.Body = in.body
+	in.head, in.request, in.body = nil, nil, nil
+	c.state, c.response = answering, response
+	rejection := c.server.handler.Handle(request, response)
+	if rejection != nil {
+		response.finish()
+		c.response = nil
+	}
+	return rejection
+}
+
+// dropRequest releases what is buffered of a request.
+func (c *connection) dropRequest() {
+	in := &c.incoming
+	c.server.bufferedBytes -= cap(in.body)
+	in.head, in.request, in.body, in.rejection = nil, nil, nil, nil
+}
+
+// next makes the connection ready for another request.
+func (c *connection) next() {
+	if c.state == closing {
+		return
+	}
+	c.response = nil
+	_ = c.parser.Resume(c) // nothing waits in it
+	if len(c.pipeline.buffered) > 0 {
+		data := c.pipeline.buffered
+		c.dropPipelined()
+		c.beginRequest(c.pipeline.receivedAt)
+		c.feed(data)
+		return
+	}
+	if c.pipeline.overflow != nil {
+		c.state = rejectingOverflow
+		c.rejectOverflow()
+		return
+	}
+	c.awaitNextRequest()
+}
--- a/internal/platform/server/response.go
+++ b/internal/platform/server/response.go
@@ -9,29 +9,30 @@
 	"plumspindle/internal/sse"
 )
 
-// Response carries the one final answer to a request, and lets nothing through after it.
+// Response carries the one final response to a request, and lets nothing through after it.
 type Response struct {
 	connection *connection
-	id         string
-	bodyBytes  int  // bytes of the request's body
-	started    bool // its head has been written
-	staysOpen  bool // which says that another request may follow
+	id         string // the request's
+	bodyBytes  int    // of the request's body
+	started    bool   // its head has been written
+	staysOpen  bool   // which says that another request may follow
 	done       bool
-	// OnDisconnect is called once when the client goes away before its answer's end, OnWritable when one that lagged has caught up.
+	// OnDisconnect is called once when the client goes away before the response's end.
 	OnDisconnect func()
-	OnWritable   func()
+	// OnWritable is called when a client that lagged has caught up.
+	OnWritable func()
 }
 
-// Disconnected tells whether the client has closed its connection, also where that was not told yet.
+// Disconnected reports whether the client has closed its connection, also where that was not handed over yet.
 func (r *Response) Disconnected() bool { return r.done || r.connection.conn.HungUp() }
 
-// finish tells that nothing is owed, or kept, any more.
+// finish notes that nothing more follows, and releases what is buffered of the request.
 func (r *Response) finish() {
 	r.done = true
 	r.connection.server.bufferedBytes -= r.bodyBytes
 }
 
-// WriteEvent hands on one event, unchanged. It tells whether the client lags behind.
+// WriteEvent forwards one event, unchanged, and reports whether the client lags behind.
 func (r *Response) WriteEvent(data []byte) (lags bool) {
 	if r.done {
 		return false
@@ -39,90 +40,82 @@
 	c := r.connection
 	b := c.buffer[:0]
 	if !r.started {
-		r.started = true
-		fields := []string{"Content-Type", "text/event-stream", "Cache-Control", "no-cache"}
-		if r.staysOpen = c.staysOpen(); !r.staysOpen {
-			fields = append(fields, "Connection", "close")
-		}
-		b = http1.AppendStreamHead(b, http.StatusOK, fields...)
+		b = r.appendHead(b)
 	}
 	c.event = sse.Append(c.event[:0], data)
 	c.buffer = http1.AppendChunk(b, c.event)
 	c.conn.Write(c.buffer)
 	limits := &c.server.limits
-	return c.wait.Lags(c.server.loop, c.conn, limits.UnsentBytes, limits.StallTimeout, func() { c.abort(ClientStalled) })
+	return c.wait.Lags(c.server.loop, c.conn, limits.UnsentBytes, limits.StallTimeout, c.abortStalled)
 }
 
-// Drained implements eventloop.Handler.
-func (c *connection) Drained() {
-	if c.state == rejectingOverflow {
-		c.wait.Over()
-		c.overflowTimed = false
-		c.rejectOverflow()
-		return
-	}
-	if c.response == nil || c.state != answering {
-		return
-	}
-	c.wait.Over()
-	if c.response.OnWritable != nil {
-		c.response.OnWritable()
+// appendHead starts the stream.
+func (r *Response) appendHead(b []byte) []byte {
+	r.started = true
+	r.staysOpen = r.connection.staysOpen()
+	fields := []string{"Content-Type", "text/event-stream", "Cache-Control", "no-cache"}
+	if !r.staysOpen {
+		fields = append(fields, "Connection", "close")
 	}
+	return http1.AppendStreamHead(b, http.StatusOK, fields...)
 }
 
-// Complete ends a stream that is whole.
+// Complete ends a stream that is complete.
 func (r *Response) Complete() {
 	if !r.done {
 		r.connection.conn.Write(http1.AppendLastChunk(nil))
-		r.close(AfterResponse)
+		r.end(AfterResponse)
 	}
 }
 
-// Break ends a stream that is not whole: the connection is closed without the last chunk.
+// Break ends a stream that is not complete: the connection is closed without the last chunk.
 func (r *Response) Break() {
 	if !r.done {
 		r.staysOpen = false
-		r.close(StreamBroken)
+		r.end(StreamBroken)
 	}
 }
 
-// Reject says that the request may come again without harm, after a while if one is given.
+// Reject says that the request may be sent again safely, after a while if one is given.
 func (r *Response) Reject(retryAfter eventloop.Micros) {
-	var fields []string
+	response := shortResponse{status: http.StatusServiceUnavailable, text: "nothing was run; please try again"}
 	if retryAfter > 0 {
-		fields = []string{"Retry-After", seconds(retryAfter)}
+		response.fields = []string{"Retry-After", seconds(retryAfter)}
 	}
-	r.answer(http.StatusServiceUnavailable, "nothing was run; please try again", fields...)
+	r.answer(response)
 }
 
-// Fail says that the request failed, with no word on what it did.
-func (r *Response) Fail() { r.answer(http.StatusInternalServerError, "the generation failed") }
+// Fail says that the request failed, and does not say what it did.
+func (r *Response) Fail() {
+	r.answer(shortResponse{status: http.StatusInternalServerError, text: "the generation failed"})
+}
 
-func (r *Response) answer(status int, text string, fields ...string) {
+func (r *Response) answer(response shortResponse) {
 	if r.done || r.started {
 		return
 	}
 	c := r.connection
 	r.finish()
 	c.response = nil
-	if c.writeResponse(status, text, c.staysOpen(), AfterResponse, fields...) {
+	if c.writeResponse(response, c.staysOpen(), AfterResponse) {
 		c.server.loop.Later(c.next)
 	}
 }
 
-func (r *Response) close(why CloseReason) {
+// end is behind the last byte of a stream.
+func (r *Response) end(reason CloseReason) {
 	c := r.connection
 	r.finish()
 	c.response = nil
 	if !r.staysOpen {
-		c.close(why)
+		c.close(reason)
 		return
 	}
 	c.wait.Over()
 	c.server.loop.Later(c.next)
 }
 
-// abandon tells that nobody waits for the answer any more.
+// abandon ends the response where nobody waits for it any more.
 func (r *Response) abandon() {
 	if r.done {
 		return
--- a/internal/platform/server/server.go
+++ b/internal/platform/server/server.go
@@ -1,10 +1,13 @@
-// Package server takes the platform's clients over HTTP/1.1: it reads requests, rejects what can't be read or could do harm, and
-// gives each request that it passes on exactly one final answer. It relies on package http1 for parsing and on an event loop for
-// connections. It never decides what becomes of a request; its Handler does.
+// Package server serves the platform's clients over HTTP/1.1: it reads requests, rejects what can't be read or could do
+// harm, and gives each request that it passes on exactly one final response.
+//
+// It owns the clients' connections, the bytes buffered for them and their time-outs. It relies on package http1 for
+// parsing and on an event loop for connections. It never decides what becomes of a request; its Handler does.
 package server
 
 import (
 	"container/list"
+	"net/http"
 
 	"plumspindle/internal/eventloop"
 	"plumspindle/internal/http1"
@@ -12,75 +15,90 @@
 
 // Limits are what clients may take.
 type Limits struct {
-	HeadBytes      int              // bytes of a request's head
-	BodyBytes      int              // bytes of a request's body
-	Connections    int              // that are not being closed
-	BufferedBytes  int              // bytes of request bodies, and of what is sent ahead, over all connections
-	UnsentBytes    int              // bytes of a stream that are kept for a slow client; past it its model host is slowed
-	RequestTimeout eventloop.Micros // for a request, from the connection's beginning or the request's first byte to its last
+	HeadBytes     int // of a request's head
+	BodyBytes     int // of a request's body
+	Connections   int // that are not being closed
+	BufferedBytes int // request bodies and pipelined requests, over all connections
+	UnsentBytes   int // of a stream that are buffered for a slow client; past it its endpoint is slowed
+
+	RequestTimeout eventloop.Micros // from the connection's opening or the request's first byte to its last
 	IdleTimeout    eventloop.Micros // for the next request on a connection
 	StallTimeout   eventloop.Micros // for a client that reads nothing of what it is sent
 }
 
-// DefaultLimits are those that do not depend on the dispatcher's size. A connection that brings nothing readable is owed an end
-// within 3 s.
-var DefaultLimits = Limits{HeadBytes: 16 << 10, BodyBytes: 256 << 10, RequestTimeout: 2 * eventloop.Second, IdleTimeout: 10 * eventloop.Second, StallTimeout: 20 * eventloop.Second}
+// DefaultLimits are those that do not depend on the dispatcher's size. The platform asks that a connection that brings
+// nothing readable is ended within 3 s.
+var DefaultLimits = Limits{
+	HeadBytes:      16 << 10,
+	BodyBytes:      256 << 10,
+	RequestTimeout: 2 * eventloop.Second,
+	IdleTimeout:    10 * eventloop.Second,
+	StallTimeout:   20 * eventloop.Second,
+}
 
 const (
-	// A client that sent what can't be used is not served again for so long: one that repeats it at once would take the time of all.
+	// A client that sent what can't be used is not served again for so long: one that repeats it at once would take
+	// the time of all.
 	throttleTime = 100 * eventloop.Millisecond
 	// An idle connection on which something has just come is not closed; it is looked at again after this.
 	busyIdleRetry = 50 * eventloop.Millisecond
-	maxFields     = 100
-	// What is kept of what one connection sends ahead while its request is being answered, in bodies; requests past it are rejected in
-	// their turn. Reading on, rather than leaving it in the socket, is what lets the client's end be heard.
-	maxPipelinedBodies = 4
-	// So much of it is taken also where half of Limits.Buffered is used up; the other half is for requests.
-	minPipelinedBytes = 16 << 10
+	// maxFields bounds the fields of a request's head.
+	maxFields = 100
 )
 
-// Handler is what stands behind the server.
+// Handler decides what becomes of requests.
 type Handler interface {
-	// Ready tells whether there is anything to serve with.
+	// Ready reports whether there is anything to serve with.
 	Ready() bool
-	// Handle takes a request, or says why not.
+	// Handle takes a request and answers it through the response, or returns why it does not take it.
 	Handle(*Request, *Response) *Rejection
 }
 
-// Rejection is the answer to a request that is not passed on.
+// Rejection is the response to a request that is not passed on.
 type Rejection struct {
 	Status int
-	Reason string
+	Reason string // the response's body
+}
+
+func badRequest(reason string) *Rejection {
+	return &Rejection{Status: http.StatusBadRequest, Reason: reason}
 }
 
-// Counts are what the server has seen: requests rejected, connections that made way for others, and those that brought no request in time.
+func unavailable(reason string) *Rejection {
+	return &Rejection{Status: http.StatusServiceUnavailable, Reason: reason}
+}
+
+// Counts are what the server has done since its start.
 type Counts struct {
-	Rejected, Evicted, TimedOut uint64
-	Closed                      Closed
+	Rejected uint64 // requests
+	Evicted  uint64 // connections that made way for others
+	TimedOut uint64 // connections that brought no request in time
+	Closed   CloseCounts
 }
 
-// Server takes connections.
+// Server accepts and serves connections.
 type Server struct {
 	loop            eventloop.Loop
 	handler         Handler
 	limits          Limits
 	connections     map[*connection]bool // until they are closed
 	openCount       int                  // of these, those that are not being closed
-	idleConnections list.List            // of *connection without a request, the one that has waited longest first
+	idleConnections list.List            // of *connection, the one that has waited longest first
 	bufferedBytes   int
-	draining        bool // connections end with their next answer
+	draining        bool // connections end with their next response
 	stopped         bool // nothing more is passed on
-	// OnUnansweredClose, where it is set, is told of each connection that is closed from here over a request that was read.
-	OnUnansweredClose func(id, why string)
+	// OnUnansweredClose, where it is set, is called for each connection that is closed from here over a request that
+	// was read.
+	OnUnansweredClose func(requestID, reason string)
 	Counts
 }
 
-// New makes a server; its Accept goes to Listen.
+// New makes a server; its Accept goes to the loop's Listen.
 func New(loop eventloop.Loop, limits Limits, handler Handler) *Server {
 	return &Server{loop: loop, limits: limits, handler: handler, connections: map[*connection]bool{}}
 }
 
-// Accept is for the listener.
+// Accept makes the handler of a connection that was accepted.
 func (s *Server) Accept(conn eventloop.Conn) eventloop.Handler {
 	c := &connection{server: s, conn: conn}
 	c.parser.Bounds = http1.Bounds{Head: s.limits.HeadBytes, Fields: maxFields, Body: s.limits.BodyBytes}
@@ -89,29 +107,41 @@
 	return c
 }
 
-// Drain has connections end with their next answer; requests are still passed on.
+// Drain has connections end with their next response; requests are still passed on.
 func (s *Server) Drain() { s.draining = true }
 
-// Shutdown passes no request on from now on: one whose last byte has not been read yet is rejected, as a try elsewhere is harmless.
-// Connections that wait for a request are closed, but for new ones, whose first request is on its way; those with one after it.
+// Shutdown passes no request on from now on: one whose last byte has not been read yet is rejected, as a retry
+// elsewhere is safe. Idle connections are closed, but for new ones, whose first request is on its way; those after it.
 func (s *Server) Shutdown() {
 	s.draining, s.stopped = true, true
+	s.closeIdle(func(c *connection) bool { return c.hadRequest })
+}
+
+// CloseIdle closes all connections without a request, unless something has just come on one.
+func (s *Server) CloseIdle() {
+	s.closeIdle(func(*connection) bool { return true })
+}
+
+// closeIdle closes the idle connections that are chosen.
+func (s *Server) closeIdle(chosen func(*connection) bool) {
 	for e := s.idleConnections.Front(); e != nil; {
 		c := e.Value.(*connection)
-		e = e.Next()
-		if c.hadRequest {
+		e = e.Next() // before c leaves the list
+		if chosen(c) {
 			c.idleTimedOut()
 		}
 	}
 }
 
-// CloseIdle closes all connections without a request, unless something has just come on one.
-func (s *Server) CloseIdle() {
-	for e := s.idleConnections.Front(); e != nil; {
-		c := e.Value.(*connection)
-		e = e.Next()
-		c.idleTimedOut()
+// evict closes the connection that has waited longest for a request, so that another may be taken, and reports whether
+// there was one. A client that has something to say says it at once.
+func (s *Server) evict(newest *connection) bool {
+	for e := s.idleConnections.Front(); e != nil; e = e.Next() {
+		if c := e.Value.(*connection); c != newest && c.closeIdle(Evicted) {
+			return true
+		}
 	}
+	return false
 }
 
 // Connections is how many there are, with those that are being closed.
@@ -120,12 +150,12 @@
 // Open is how many of them are not being closed.
 func (s *Server) Open() int { return s.openCount }
 
-// Active is how many connections bring a request or wait for an answer's end.
+// Active is how many connections bring a request or wait for a response's end.
 func (s *Server) Active() int {
 	return s.inState(reading) + s.inState(answering) + s.inState(rejectingOverflow)
 }
 
-// Answering is how many connections wait for an answer's end.
+// Answering is how many connections wait for a response's end.
 func (s *Server) Answering() int { return s.inState(answering) }
 
 func (s *Server) inState(state connectionState) (n int) {
@@ -137,24 +167,13 @@
 	return n
 }
 
-// Buffered is how many bytes are held of requests that come or wait.
+// Buffered is how many bytes are buffered of requests.
 func (s *Server) Buffered() int { return s.bufferedBytes }
 
-// Unsent is how many bytes are kept for the client that lags most.
+// Unsent is how many bytes are buffered for the client that lags most.
 func (s *Server) Unsent() (most int) {
 	for c := range s.connections {
 		most = max(most, c.conn.Unsent())
 	}
 	return most
 }
-
-// evict closes the connection that has waited longest for a request, so that another may be taken. A client that has something to say
-// says it at once.
-func (s *Server) evict(newest *connection) bool {
-	for e := s.idleConnections.Front(); e != nil; e = e.Next() {
-		if c := e.Value.(*connection); c != newest && c.closeIdle(Evicted) {
-			return true
-		}
-	}
-	return false
-}
--- a/internal/platform/server/streams_test.go
+++ b/internal/platform/server/streams_test.go
@@ -16,8 +16,9 @@
 	"plumspindle/internal/sockets"
 )
 
-// BenchmarkManyStreams measures how long events take from their writing to the client, over loopback, with many streams open and some
-// clients that read nothing for a moment. Events are due each 50 ms on each stream; those of a client that paused count from its return.
+// BenchmarkManyStreams measures how long events take from their writing to the client, over loopback, with many
+// streams open and some clients that read nothing for a moment. Events are due each 50 ms on each stream; those of a
+// client that paused count from its return.
 func BenchmarkManyStreams(b *testing.B) {
 	for _, streams := range []int{100, 1000, 4000} {
 		b.Run(fmt.Sprint(streams), func(b *testing.B) { measureStreams(b, streams) })
@@ -47,7 +48,7 @@
 			resume = func() <-chan bool { return resumeAfter(loop, pause) }
 		}
 		clients.Go(func() {
-			defer c.Close()
+			defer func() { _ = c.Close() }()
 			own := readDelays(c, resume)
 			mu.Lock()
 			delays = append(delays, own...)
@@ -85,14 +86,14 @@
 	loop.After(every, func() { writeEvents(loop, r, every, left-1, padding) })
 }
 
-// resumeAfter tells, by the loop's clock, when a pause is over.
+// resumeAfter closes the channel, by the loop's clock, when a pause is over.
 func resumeAfter(loop *sockets.Loop, pause eventloop.Micros) <-chan bool {
 	over := make(chan bool)
 	loop.Post(func() { loop.After(pause, func() { close(over) }) })
 	return over
 }
 
-// readDelays reads a stream to its end; one with a resume reads nothing in its midst until that tells it to.
+// readDelays reads a stream to its end; one with a resume reads nothing in its midst until that is closed.
 func readDelays(c net.Conn, resume func() <-chan bool) (delays []time.Duration) {
 	var back time.Time
 	lines := bufio.NewScanner(c)
