--- a/internal/platform/attempt.go
+++ b/internal/platform/attempt.go
@@ -8,200 +8,210 @@
 	"plumspindle/scheduler"
 )
 
-// cancelDelivery is for how long an attempt that is given up is still out: until its host sees its connection closed, which takes a way
-// through the network, between zones at the most. Nothing else is done for its request for so long.
+// cancelDelivery is for how long an attempt that is cancelled still counts as in flight: until its endpoint sees the
+// connection closed, which takes one way through the network, between zones at the most. Nothing else is done for its
+// request for so long.
 const cancelDelivery = 20 * eventloop.Millisecond
 
+// Why attempts ended, for logs. Package upstream has the reasons that endpoints give.
+const (
+	reasonCancelled          = "cancelled"
+	reasonCancelledUnsent    = "cancelled before it was sent"
+	reasonClientDisconnected = "client disconnected"
+	reasonEndpointNotReady   = "endpoint not ready"
+	reasonReleaseTooLate     = "release took too long"
+	reasonLeaseExpired       = "lease expired before the connection was up"
+	reasonLeaseExpiredSilent = "lease expired on a silent connection"
+)
+
+// attempt is the request's attempt in flight, or its last one.
+type attempt struct {
+	count      scheduler.AttemptNo // ordered so far
+	inFlight   *engine.Attempt     // nil: none has been handed to the network, or it has ended
+	endpoint   scheduler.EndpointID
+	orderedAt  eventloop.Micros
+	prefill    bool
+	cancelling bool // it was cancelled, and its endpoint may not have seen that yet
+	started    bool // its stream has, and the client has it
+}
+
+// number is that of the last attempt.
+func (a *attempt) number() scheduler.AttemptNo { return a.count - 1 }
+
+// newResult is the result of an attempt that brought no load report.
+func newResult(outcome scheduler.Outcome, reason string) engine.Result {
+	return engine.Result{Outcome: outcome, MemoryUsage: scheduler.NoLoadReport, Reason: reason}
+}
+
 // Send implements scheduler.Orders: it makes an attempt.
-func (d *Dispatcher) Send(id scheduler.RequestID, host scheduler.EndpointID, allow scheduler.Micros) {
+func (d *Dispatcher) Send(id scheduler.RequestID, endpoint scheduler.EndpointID, timeout scheduler.Micros) {
 	r := d.requests[id]
 	if r == nil {
 		return
 	}
-	no := r.attempts
-	r.attempts++
+	a := &r.attempt
+	a.count++
+	a.endpoint, a.orderedAt, a.started = endpoint, d.loop.Now(), false
+	a.prefill = d.role(endpoint) == scheduler.Prefill
+	number := a.number()
 	d.Attempts++
-	r.endpoint, r.sentAt, r.prefill, r.started = host, d.loop.Now(), d.role(host) == scheduler.Prefill, false
-	if r.leased && !r.releasing && (r.prefill || r.unconfirmed) { // it does not take what is held, and what it leaves must not go with that
+	// A prefill does not fetch the state that is held, and what it leaves must not be released with that.
+	if r.lease.active && !r.lease.releasing && (a.prefill || r.lease.unconfirmed) {
 		d.release(r)
 	}
-	send := func() { d.startAttempt(r, no, allow) }
-	if r.releasing {
-		r.deferred = func() { d.afterRelease(r, no, send) }
+	if r.lease.releasing {
+		r.lease.waiting = func() { d.startAfterRelease(r, number, timeout) }
 		return
 	}
-	send()
+	d.startAttempt(r, number, timeout)
 }
 
-// startAttempt hands the attempt to the network. The times that it may take, and may take to leave, count from when it was ordered: whether
-// it may still be sent, as a repeat in its window, was looked at then.
-func (d *Dispatcher) startAttempt(r *request, no scheduler.AttemptNo, allow eventloop.Micros) {
-	if r.response.Disconnected() { // its news may be late, as after the process was held up
+// startAttempt hands the attempt to the network. Its time-outs count from when it was ordered: whether it may still be
+// sent, as a retry within its window, was checked then.
+func (d *Dispatcher) startAttempt(r *request, number scheduler.AttemptNo, timeout eventloop.Micros) {
+	// The disconnect may not have been handed over yet, as after the process was suspended.
+	if r.client.response.Disconnected() {
 		d.loop.Later(func() {
 			d.clientDisconnected(r)
-			d.attemptEnded(r, no, engine.Result{Outcome: scheduler.NotSent, MemoryUsage: scheduler.NoLoadReport, Reason: "its client has left"})
+			d.attemptEnded(r, number, newResult(scheduler.NotSent, reasonClientDisconnected))
 		})
 		return
 	}
-	host := d.guardEndpoint(r)
-	if v := r.ledger.Send(d.loop.Now(), host); v != nil { // never within the module's own call
-		d.loop.Later(func() {
-			d.attemptEnded(r, no, engine.Result{Outcome: scheduler.NotSent, MemoryUsage: scheduler.NoLoadReport, Reason: "the guard: " + v.Error()})
+	if err := r.ledger.Send(d.loop.Now(), d.guardEndpoint(r)); err != nil {
+		d.loop.Later(func() { // never within the scheduler's own call
+			d.attemptEnded(r, number, newResult(scheduler.NotSent, err.Error()))
 		})
 		return
 	}
-	hear := engine.Callbacks{
-		Event: func(data []byte) { d.streamEvent(r, no, data) },
-		Ended: func(o engine.Result) { d.attemptEnded(r, no, o) },
-	}
-	waited := d.loop.Now() - r.sentAt
-	out := upstream.Request{ID: r.client.ID, Target: r.client.Target, Fields: r.client.Fields, Body: r.client.Body,
-		LeaveWithin: max(d.settings.Connect-waited, 1), OnLeave: func(told eventloop.Micros) { d.attemptWritten(r, no, told) }}
-	allow = max(allow-waited, 0)
-	if r.prefill {
-		r.attempt = d.upstream.Prefill(r.endpoint, out, allow, hear)
+	callbacks := engine.Callbacks{
+		Event: func(data []byte) { d.streamEvent(r, number, data) },
+		Ended: func(result engine.Result) { d.attemptEnded(r, number, result) },
+	}
+	waited := d.loop.Now() - r.attempt.orderedAt
+	out := upstream.Request{
+		ID:          r.client.ID,
+		Target:      r.client.Target,
+		Fields:      r.client.Fields,
+		Body:        r.client.Body,
+		LeaveWithin: max(d.settings.Connect-waited, 1),
+		OnLeave:     func(left eventloop.Micros) { d.attemptWritten(r, number, left) },
+	}
+	timeout = max(timeout-waited, 0)
+	if r.attempt.prefill {
+		r.attempt.inFlight = d.upstream.Prefill(r.attempt.endpoint, out, timeout, callbacks)
 	} else {
-		r.attempt = d.upstream.Decode(r.endpoint, out, allow, hear)
+		r.attempt.inFlight = d.upstream.Decode(r.attempt.endpoint, out, timeout, callbacks)
 	}
 }
 
-// afterRelease sends an attempt that had to wait, unless its host has begun to go meanwhile, or the time for a repeat may be over,
-// which was looked at when it was ordered.
-func (d *Dispatcher) afterRelease(r *request, no scheduler.AttemptNo, send func()) {
-	why := "the host is going"
-	if d.isReady(r.endpoint) {
-		if d.loop.Now()-r.sentAt <= d.settings.Connect {
-			send()
-			return
-		}
-		why = "what was held was released too late"
+// startAfterRelease starts an attempt that waited for a release, unless its endpoint has begun to drain meanwhile, or
+// the time for a retry may be over, which was checked when it was ordered.
+func (d *Dispatcher) startAfterRelease(r *request, number scheduler.AttemptNo, timeout eventloop.Micros) {
+	switch {
+	case !d.isReady(r.attempt.endpoint):
+		d.attemptEnded(r, number, newResult(scheduler.NotSent, reasonEndpointNotReady))
+	case d.loop.Now()-r.attempt.orderedAt > d.settings.Connect:
+		d.attemptEnded(r, number, newResult(scheduler.NotSent, reasonReleaseTooLate))
+	default:
+		d.startAttempt(r, number, timeout)
 	}
-	d.attemptEnded(r, no, engine.Result{Outcome: scheduler.NotSent, MemoryUsage: scheduler.NoLoadReport, Reason: why})
 }
 
-// streamEvent passes an event on to the client.
-func (d *Dispatcher) streamEvent(r *request, no scheduler.AttemptNo, data []byte) {
-	if no != r.attempts-1 || r.attempt == nil || r.answered {
+// streamEvent forwards an event to the client.
+func (d *Dispatcher) streamEvent(r *request, number scheduler.AttemptNo, data []byte) {
+	if number != r.attempt.number() || r.attempt.inFlight == nil || r.client.answered {
 		return
 	}
-	if !r.started {
-		d.streamStarted(r, no)
-		if r.answered {
+	if !r.attempt.started {
+		d.streamStarted(r)
+		if r.client.answered {
 			return
 		}
 	}
-	if r.response.WriteEvent(data) {
-		r.attempt.PauseReading(true)
+	if r.client.response.WriteEvent(data) {
+		r.attempt.inFlight.PauseReading(true)
 	}
 }
 
-func (d *Dispatcher) streamStarted(r *request, no scheduler.AttemptNo) {
-	r.started, r.leased = true, false
-	r.lease.Over()
+// streamStarted takes the first event as proof that the endpoint has fetched the KV state.
+func (d *Dispatcher) streamStarted(r *request) {
+	r.attempt.started, r.lease.active = true, false
+	r.lease.expiry.Over()
 	r.ledger.LeaseTaken()
-	r.attempt.Started()
-	now := d.loop.Now()
-	if e := d.config.Log.Debug(); e.Enabled() {
-		e.Str("id", r.client.ID).Int("attempt", int(no)).Str("host", d.endpoints[r.endpoint].Name).Int64("took", int64(now-r.sentAt)).
-			Int64("after", int64(now-r.client.ReceivedAt)).Msg("first event")
+	r.attempt.inFlight.Started()
+	if e := d.debugAttempt(r); e.Enabled() {
+		e.Int64("duration_us", int64(d.loop.Now()-r.attempt.orderedAt)).Msg("stream started")
 	}
-	d.scheduler.AttemptStarted(now, r.id, no)
+	d.scheduler.AttemptStarted(d.loop.Now(), r.id, r.attempt.number())
 }
 
 // attemptEnded takes the end of an attempt.
-func (d *Dispatcher) attemptEnded(r *request, no scheduler.AttemptNo, o engine.Result) {
-	if no != r.attempts-1 {
+func (d *Dispatcher) attemptEnded(r *request, number scheduler.AttemptNo, result engine.Result) {
+	a := &r.attempt
+	if number != a.number() {
 		return
 	}
-	if o.ClosedLocally && !r.started && !r.cancelling && o.Outcome != scheduler.Unreachable {
-		r.cancelling = true
-		d.loop.After(cancelDelivery, func() { d.attemptEnded(r, no, o) })
+	if result.ClosedLocally && !a.started && !a.cancelling && result.Outcome != scheduler.Unreachable {
+		a.cancelling = true
+		d.loop.After(cancelDelivery, func() { d.attemptEnded(r, number, result) })
 		return
 	}
-	r.attempt, r.cancelling = nil, false
-	r.ledger.AttemptEnded(!o.Outcome.KnownNotRun())
-	d.Outcomes[o.Outcome]++
-	d.logOutcome(r, no, o)
-	d.updateLease(r, o)
-	if r.started && !r.answered {
-		d.endStream(r, o.Outcome)
+	a.inFlight, a.cancelling = nil, false
+	r.ledger.AttemptEnded(!result.Outcome.KnownNotRun())
+	d.Outcomes[result.Outcome]++
+	d.logResult(r, &result)
+	d.updateLease(r, &result)
+	if a.started && !r.client.answered {
+		d.endStream(r, result.Outcome)
 	}
-	d.scheduler.AttemptEnded(d.loop.Now(), r.id, no, o.ForScheduler(r.answered))
+	d.scheduler.AttemptEnded(d.loop.Now(), r.id, number, result.ForScheduler(r.client.answered))
 	d.finishIfIdle(r)
 }
 
-func (d *Dispatcher) logOutcome(r *request, no scheduler.AttemptNo, o engine.Result) {
-	e := d.config.Log.Debug()
-	if !e.Enabled() {
-		return
-	}
-	e.Str("id", r.client.ID).Int("attempt", int(no)).Str("host", d.endpoints[r.endpoint].Name).Bool("prefill", r.prefill).Bool("started", r.started).
-		Int("outcome", int(o.Outcome)).Int("cached_tokens", o.CachedTokens).Bool("state_missing", o.StateMissing).Bool("undelivered", o.Undelivered).Float64("prompt", r.client.PromptTokens).Int64("took", int64(d.loop.Now()-r.sentAt)).
-		Int64("waited", int64(r.sentAt-r.client.ReceivedAt)).Str("class", r.client.Class).Str("prefix", r.client.Prefix).
-		Str("why", o.Reason).Msg("attempt ended")
-}
-
-// updateLease notes what a host may hold for the request after an attempt.
-func (d *Dispatcher) updateLease(r *request, o engine.Result) {
-	switch o.Outcome {
-	case scheduler.Unreachable, scheduler.NotSent: // and what is held has waited on
-	case scheduler.NoCapacity:
-		if r.leased { // the attempt that was to take it was out until now
-			d.startLease(r)
-		}
-	default:
-		// Also a prefill attempt that broke or was given up may have ended well; a decode attempt that did may have left what it was to take.
-		switch {
-		case r.prefill:
-			r.leaseEndpoint, r.unconfirmed = r.endpoint, o.Outcome != scheduler.PrefillDone
-			d.startLease(r)
-		case r.leased && o.Undelivered: // it was not out, and what is held has waited on
-			d.scheduleLeaseExpiry(r)
-		case r.leased:
-			d.startLease(r)
-		}
-	}
-}
-
 // endStream gives the client the end of its stream.
-func (d *Dispatcher) endStream(r *request, how scheduler.Outcome) {
-	r.answered = true
-	if how == scheduler.Completed {
+func (d *Dispatcher) endStream(r *request, outcome scheduler.Outcome) {
+	r.client.answered = true
+	if outcome == scheduler.Completed {
 		d.Completed++
 		r.ledger.Answered(d.loop.Now(), guard.Completed)
-		r.response.Complete()
+		r.client.response.Complete()
 		return
 	}
 	d.Broken++
 	r.ledger.Answered(d.loop.Now(), guard.Broken)
-	r.response.Break()
+	r.client.response.Break()
 }
 
-// Cancel implements scheduler.Orders: it gives an attempt up. That it was cancelled is told after the module's call; one that never left
-// is known not to have run.
-func (d *Dispatcher) Cancel(id scheduler.RequestID, no scheduler.AttemptNo) {
+// Cancel implements scheduler.Orders: it cancels an attempt. The scheduler hears of that after the call that is under
+// way; an attempt that was never written is known not to have run.
+func (d *Dispatcher) Cancel(id scheduler.RequestID, number scheduler.AttemptNo) {
 	r := d.requests[id]
-	if r == nil || no != r.attempts-1 || r.started || r.cancelling || r.attempt == nil && r.deferred == nil {
+	if r == nil || number != r.attempt.number() || r.attempt.started || r.attempt.cancelling {
+		return
+	}
+	if r.attempt.inFlight == nil && r.lease.waiting == nil {
 		return
 	}
-	o := engine.Result{Outcome: scheduler.Cancelled, ClosedLocally: true, MemoryUsage: scheduler.NoLoadReport, Reason: "given up"}
-	if r.attempt == nil || r.attempt.Unsent() {
-		o = engine.Result{Outcome: scheduler.NotSent, MemoryUsage: scheduler.NoLoadReport, Reason: "given up before it left"}
+	result := newResult(scheduler.Cancelled, reasonCancelled)
+	result.ClosedLocally = true
+	if r.attempt.inFlight == nil || r.attempt.inFlight.Unsent() {
+		result = newResult(scheduler.NotSent, reasonCancelledUnsent)
 	}
-	d.cancelAttempt(r, o)
+	d.cancelAttempt(r, result)
 }
 
-// cancelAttempt ends the attempt that is out, or that waits to be; that is told after the call that is under way.
-func (d *Dispatcher) cancelAttempt(r *request, o engine.Result) {
-	attempt, no := r.attempt, r.attempts-1
-	if attempt != nil {
-		attempt.Cancel()
-		o.Undelivered = attempt.Undelivered()
-	}
-	r.deferred = nil
+// cancelAttempt ends the attempt that is in flight, or that waits for a release; its result comes after the call that is
+// under way.
+func (d *Dispatcher) cancelAttempt(r *request, result engine.Result) {
+	inFlight, number := r.attempt.inFlight, r.attempt.number()
+	if inFlight != nil {
+		inFlight.Cancel()
+		result.Undelivered = inFlight.Undelivered()
+	}
+	r.lease.waiting = nil
 	d.loop.Later(func() {
-		if no == r.attempts-1 && r.attempt == attempt {
-			d.attemptEnded(r, no, o)
+		if number == r.attempt.number() && r.attempt.inFlight == inFlight {
+			d.attemptEnded(r, number, result)
 		}
 	})
 }
--- a/internal/platform/crossings_test.go
+++ b/internal/platform/crossings_test.go
@@ -268,7 +268,7 @@
 		t.Errorf("the scheduler refused %d of its own sends", n)
 	}
 	if n := len(r.dispatcher.requests); n > 0 {
-		t.Errorf("%d requests are left: %s", n, r.dispatcher.Summary())
+		t.Errorf("%d requests are left: %+v", n, r.dispatcher.Summary())
 	}
 }
 
--- a/internal/platform/dispatcher.go
+++ b/internal/platform/dispatcher.go
@@ -1,11 +1,12 @@
-// Package platform hosts the decision module on the users' platform, as package dispatch does for the chat API: it tells the module
-// what happens and does what it orders. Clients come by package server, attempts go by package upstream, the list of model hosts comes
-// by package discovery. It runs on one event loop, and decides nothing itself.
+// Package platform runs the scheduler on the users' platform, as package dispatch does for the chat API.
+//
+// It reports events to the scheduler and executes its orders. It owns the requests from their acceptance to their last
+// byte: the client's response, the attempt in flight, the lease of the KV state that an endpoint may hold, and the
+// guard's ledger. Clients come by package server, attempts go by package upstream, the endpoint list comes by package
+// discovery. Everything runs on one event loop. It never decides where or whether an attempt is made.
 package platform
 
 import (
-	"fmt"
-
 	"github.com/rs/zerolog"
 
 	"plumspindle/internal/engine"
@@ -18,13 +19,13 @@
 	"plumspindle/scheduler"
 )
 
-// Config is where a dispatcher stands, and what it may use.
+// Config is a dispatcher's identity, its deployment's settings and the resources that it may use.
 type Config struct {
 	Name      string
 	Discovery string // address
 	Seed      int64
 	Settings  *settings.Settings
-	Known     []byte // the list as it was last known, in discovery's form; empty: none
+	Known     []byte // the endpoint list as it was last known, in discovery's form; empty: none
 	Sockets   int    // descriptors
 	Memory    int    // bytes
 	Log       zerolog.Logger
@@ -33,58 +34,71 @@
 const (
 	// A stream that has begun and brings nothing for so long is broken: a client may not be left waiting for 5 s.
 	streamSilence = 4200 * eventloop.Millisecond
-	// The agent on this machine tells what it has at once; without a word of it for so long, what was known before will do.
+	// The discovery agent on this machine sends what it has at once; where it sends nothing for so long, the list that
+	// was known before is used.
 	discoveryTimeout = eventloop.Second
-	// A dispatcher that knows no host to serve with says that it is ready all the same after so long: it rejects requests with a time to
-	// come back, where a process that is never ready counts as one that did not start.
+	discoveryPoll    = 10 * eventloop.Millisecond
+	// A dispatcher that knows no endpoint to serve with says that it is ready all the same after so long: it rejects
+	// requests with a Retry-After, where a process that is never ready counts as one that did not start.
 	readyWithoutEndpoints = 5 * eventloop.Second
-	discoveryPoll         = 10 * eventloop.Millisecond
-	unknownKind           = 255
 )
 
-// Counts are what the dispatcher has done since its start.
-type Counts struct {
-	Accepted, Completed, Broken, Rejected, Failed, ClientDisconnects, Attempts uint64
-	Outcomes                                                                   [9]uint64 // by scheduler.Ending
-	Reasons                                                                    [8]uint64 // of rejections and failures, by scheduler.Reason
-}
+// Bounds of what is derived from the resources in Config.
+const (
+	minConnections = 8 // on either side
+	minConnecting  = 4
+	minUnsentBytes = 8 << 10
+	maxUnsentBytes = 64 << 10
+)
 
 // Dispatcher serves the clients of one process.
 type Dispatcher struct {
-	loop              eventloop.Loop
-	config            Config
-	settings          *settings.Settings
-	scheduler         *scheduler.Scheduler
-	upstream          *upstream.Client
-	server            *server.Server
-	discovery         *discovery.Watch
-	guard             *guard.Guard
-	requests          map[scheduler.RequestID]*request
-	lastRequest       scheduler.RequestID
-	activeIDs         map[string]bool
-	recentIDs         [2]map[string]bool // of requests that were answered a while ago
-	endpoints         map[scheduler.EndpointID]discovery.Entry
-	ready             []scheduler.EndpointID // that want new requests, in order
+	loop      eventloop.Loop
+	config    Config
+	settings  *settings.Settings
+	scheduler *scheduler.Scheduler
+	upstream  *upstream.Client
+	server    *server.Server
+	discovery *discovery.Watch
+	guard     *guard.Guard
+
+	requests    map[scheduler.RequestID]*request
+	lastRequest scheduler.RequestID
+	activeIDs   map[string]bool
+	recentIDs   [2]map[string]bool // of requests that were answered a while ago
+
+	endpoints map[scheduler.EndpointID]discovery.Entry
+	ready     []scheduler.EndpointID // that accept new requests, in order
+
 	startedAt         eventloop.Micros
-	discoveryWasReady bool // discovery has spoken since, or had its chance to
+	discoveryWasReady bool
 	shuttingDown      bool
-	lastActiveAt      eventloop.Micros // while it is shutting down
-	// OnViolation, where it is set, is told what the guard reports.
+	lastActiveAt      eventloop.Micros // while it is shutting down; 0: requests are accepted
+
+	// OnViolation, where it is set, is called with each violation that the guard reports.
 	OnViolation func(guard.Violation)
 	Counts
 }
 
 // Start makes a dispatcher on a loop; Server's Accept takes its clients.
 func Start(loop eventloop.Loop, config Config) *Dispatcher {
-	t := config.Settings
-	d := &Dispatcher{loop: loop, config: config, settings: t, requests: map[scheduler.RequestID]*request{}, activeIDs: map[string]bool{},
-		recentIDs: [2]map[string]bool{{}, {}}, endpoints: map[scheduler.EndpointID]discovery.Entry{}, startedAt: loop.Now()}
-	place := t.Place
-	place.IdleTimeout /= 2 // connections are closed well before hosts do: what is written to one that is closed counts as lost
+	d := &Dispatcher{
+		loop:      loop,
+		config:    config,
+		settings:  config.Settings,
+		requests:  map[scheduler.RequestID]*request{},
+		activeIDs: map[string]bool{},
+		recentIDs: [2]map[string]bool{{}, {}},
+		endpoints: map[scheduler.EndpointID]discovery.Entry{},
+		startedAt: loop.Now(),
+	}
+	place := d.settings.Place
+	// Connections are closed well before endpoints do: what is written to one that is closed counts as lost.
+	place.IdleTimeout /= 2
 	warn := func(line string) { config.Log.Warn().Msg(line) }
-	d.guard = d.newGuard(t.ReleaseWithin)
-	e := engine.New(loop, config.Name, "", upstreamLimits(t, config.Sockets, place.IdleTimeout))
-	d.upstream = upstream.New(loop, e, t.ReleaseWithin, d.releaseTargets)
+	d.guard = d.newGuard()
+	e := engine.New(loop, config.Name, "", upstreamLimits(d.settings, config.Sockets, place.IdleTimeout))
+	d.upstream = upstream.New(loop, e, d.settings.ReleaseWithin, d.releaseTargets)
 	d.upstream.Log = warn
 	d.server = server.New(loop, clientLimits(config.Sockets, config.Memory), d)
 	d.server.OnUnansweredClose = d.reportUnansweredClose
@@ -92,43 +106,55 @@
 	d.scheduler = scheduler.New(loop.Now(), config.Seed, place, d)
 	if len(config.Known) > 0 {
 		if err := d.discovery.TakeKnown(config.Known); err != nil {
-			config.Log.Warn().Err(err).Msg("the known list is not used")
+			config.Log.Warn().Err(err).Msg("known endpoint list ignored")
 		}
 	}
 	d.discovery.Begin()
-	d.forgetIDs()
+	d.expireIDs()
 	return d
 }
 
-// upstreamLimits are the terms of connections to hosts. Clients may hold about half of the descriptors, and each request needs one on
-// either side; what is left is for releases, discovery and the poller.
-func upstreamLimits(t *settings.Settings, sockets int, idle eventloop.Micros) engine.Limits {
-	most := max(sockets*2/5, 8)
-	return engine.Limits{Connect: t.Connect, Idle: idle, Silence: streamSilence, PerEndpoint: most, Opening: max(most/4, 4), Total: most}
+// upstreamLimits are the limits of connections to endpoints. Clients may use about half of the descriptors, and each
+// request needs one on either side; what is left is for releases, discovery and the poller.
+func upstreamLimits(s *settings.Settings, sockets int, idle eventloop.Micros) engine.Limits {
+	total := max(sockets*2/5, minConnections)
+	return engine.Limits{
+		Connect:     s.Connect,
+		Idle:        idle,
+		Silence:     streamSilence,
+		PerEndpoint: total,
+		Opening:     max(total/4, minConnecting),
+		Total:       total,
+	}
 }
 
 func clientLimits(sockets, memory int) server.Limits {
 	limits := server.DefaultLimits
-	limits.Connections = max(sockets/2, 8)
+	limits.Connections = max(sockets/2, minConnections)
 	limits.BufferedBytes = max(memory/8, 2*limits.BodyBytes)
-	limits.UnsentBytes = min(max(memory/4/limits.Connections, 8<<10), 64<<10)
+	limits.UnsentBytes = min(max(memory/4/limits.Connections, minUnsentBytes), maxUnsentBytes)
 	return limits
 }
 
 // Server is the clients' side.
 func (d *Dispatcher) Server() *server.Server { return d.server }
 
-// MoveDiscovery has discovery asked at another address.
+// Guard checks the dispatcher against its rules.
+func (d *Dispatcher) Guard() *guard.Guard { return d.guard }
+
+// MoveDiscovery watches discovery at another address.
 func (d *Dispatcher) MoveDiscovery(address string) { d.discovery.Move(address) }
 
-// discoveryReady tells whether discovery speaks, or has had its chance to. What discovery has counts as told from the first moment, and what
-// was known before may name hosts that are gone.
+// discoveryReady reports whether discovery has spoken, or has had its chance to. What discovery has counts as known
+// from the first moment, and what was known before may name endpoints that are gone.
 func (d *Dispatcher) discoveryReady() bool {
-	d.discoveryWasReady = d.discoveryWasReady || d.discovery.Up() || d.loop.Now()-d.startedAt >= discoveryTimeout
+	timedOut := d.loop.Now()-d.startedAt >= discoveryTimeout
+	d.discoveryWasReady = d.discoveryWasReady || d.discovery.Up() || timedOut
 	return d.discoveryWasReady
 }
 
-// WhenDiscoveryReady calls do once discovery speaks, or has had its chance to: until then no request should be taken.
+// WhenDiscoveryReady calls do once discovery has spoken, or has had its chance to: until then no request should be
+// accepted.
 func (d *Dispatcher) WhenDiscoveryReady(do func()) {
 	if d.discoveryReady() {
 		do()
@@ -137,7 +163,7 @@
 	d.loop.After(discoveryPoll, func() { d.WhenDiscoveryReady(do) })
 }
 
-// Ready implements server.Handler: it tells whether there is a host for prefill and one to decode.
+// Ready implements server.Handler: it reports whether requests can be served, or at least rejected.
 func (d *Dispatcher) Ready() bool {
 	if !d.discoveryReady() {
 		return false
@@ -145,6 +171,7 @@
 	return d.canServe() || d.loop.Now()-d.startedAt >= readyWithoutEndpoints
 }
 
+// canServe reports whether there is an endpoint for prefill and one to decode.
 func (d *Dispatcher) canServe() bool {
 	var prefill, decode bool
 	for _, id := range d.ready {
@@ -159,17 +186,3 @@
 	}
 	return prefill && decode
 }
-
-// Summary describes the dispatcher in a few numbers, for logs.
-func (d *Dispatcher) Summary() string {
-	open := d.scheduler.InFlight()
-	return fmt.Sprintf("requests %d, attempts %d, held %d; connections: clients %d, hosts %d; unsent %d at most, buffered %d; "+
-		"accepted %d, completed %d, broken %d, rejected %d, failed %d, clients gone %d, attempts %d, outcomes %v; "+
-		"releases %d in %d tries, late %d; bad requests %d, evicted %d, timed out %d; hosts ready %d, list heard %d; "+
-		"closed %v; answered for %v; violations %d, refused sends %d",
-		open.Requests, open.Attempts, open.Held, d.server.Connections(), d.upstream.Connections(), d.server.Unsent(), d.server.Buffered(),
-		d.Accepted, d.Completed, d.Broken, d.Rejected, d.Failed, d.ClientDisconnects, d.Attempts, d.Outcomes,
-		d.upstream.Releases, d.upstream.Tries, d.upstream.Late,
-		d.server.Rejected, d.server.Evicted, d.server.TimedOut, len(d.ready), d.discovery.Heard,
-		d.server.Closed, d.Reasons, d.guard.Violations(), d.scheduler.Violations())
-}
--- a/internal/platform/endpoints.go
+++ b/internal/platform/endpoints.go
@@ -4,13 +4,15 @@
 	"maps"
 	"slices"
 
-	"plumspindle/internal/engine"
 	"plumspindle/internal/platform/discovery"
 	"plumspindle/scheduler"
 )
 
-// updateEndpoints takes a list of hosts, or what has changed in it.
-func (d *Dispatcher) updateEndpoints(entries []discovery.Entry, whole bool) {
+// unknownKind stands for a kind or zone that the settings do not name; the scheduler sends nothing there.
+const unknownKind = 255
+
+// updateEndpoints takes an endpoint list, or what has changed in it.
+func (d *Dispatcher) updateEndpoints(entries []discovery.Entry, full bool) {
 	d.discoveryReady() // by this, if discovery speaks
 	listed := map[scheduler.EndpointID]bool{}
 	for _, e := range entries {
@@ -18,19 +20,19 @@
 		d.updateEndpoint(e)
 	}
 	for id := range d.endpoints {
-		if whole && !listed[id] {
+		if full && !listed[id] {
 			delete(d.endpoints, id)
 		}
 	}
 	d.updateReady()
 	d.cancelUnsentToUnready()
-	d.scheduler.EndpointUpdateEnded(d.loop.Now(), whole)
+	d.scheduler.EndpointUpdateEnded(d.loop.Now(), full)
 	for _, e := range entries {
 		if e.Condition == scheduler.Removed {
 			d.upstream.Forget(e.ID)
 		}
 	}
-	if whole {
+	if full {
 		d.upstream.ForgetOthers(listed)
 	}
 }
@@ -38,8 +40,8 @@
 func (d *Dispatcher) updateEndpoint(e discovery.Entry) {
 	zone, kind := slices.Index(d.settings.Zones, e.Zone), slices.Index(d.settings.Kinds, e.Kind)
 	if zone < 0 || kind < 0 || kind >= len(d.settings.Place.Kinds) {
-		d.config.Log.Warn().Str("host", e.Name).Str("zone", e.Zone).Str("kind", e.Kind).
-			Msg("a host of a zone or kind that the settings do not name; nothing is sent there")
+		d.config.Log.Warn().Str("endpoint", e.Name).Str("zone", e.Zone).Str("kind", e.Kind).
+			Msg("endpoint of unknown zone or kind not used")
 		zone, kind = max(zone, 0), unknownKind
 	}
 	if e.Condition == scheduler.Removed {
@@ -48,14 +50,21 @@
 		d.endpoints[e.ID] = e
 		d.upstream.SetAddress(e.ID, e.Addr)
 	}
-	d.config.Log.Debug().Str("host", e.Name).Uint32("number", uint32(e.ID)).Str("addr", e.Addr).Str("kind", e.Kind).Str("zone", e.Zone).
-		Uint16("cell", uint16(e.Cell)).Int("condition", int(e.Condition)).Int64("started", int64(e.Started)).Msg("listed")
+	d.config.Log.Debug().Str("endpoint", e.Name).Uint32("endpoint_id", uint32(e.ID)).Str("address", e.Addr).
+		Str("kind", e.Kind).Str("zone", e.Zone).Uint16("cell", uint16(e.Cell)).Int("state", int(e.Condition)).
+		Int64("started_us", int64(e.Started)).Msg("endpoint updated")
 	now := d.loop.Now()
-	d.scheduler.EndpointUpdated(now, scheduler.EndpointStatus{ID: e.ID, Zone: scheduler.ZoneID(zone), Kind: scheduler.KindID(kind), Cell: e.Cell,
-		State: e.Condition, StartedAt: min(e.Started, now)})
+	d.scheduler.EndpointUpdated(now, scheduler.EndpointStatus{
+		ID:        e.ID,
+		Zone:      scheduler.ZoneID(zone),
+		Kind:      scheduler.KindID(kind),
+		Cell:      e.Cell,
+		State:     e.Condition,
+		StartedAt: min(e.Started, now),
+	})
 }
 
-// releaseTargets are those that want new requests, or all that are listed, in order.
+// releaseTargets are the endpoints that accept new requests, or all that are listed, in order.
 func (d *Dispatcher) releaseTargets(all bool) []scheduler.EndpointID {
 	if !all {
 		return d.ready
@@ -63,7 +72,7 @@
 	return slices.Sorted(maps.Keys(d.endpoints))
 }
 
-// isReady tells whether a host wants new requests.
+// isReady reports whether an endpoint accepts new requests.
 func (d *Dispatcher) isReady(id scheduler.EndpointID) bool {
 	_, found := slices.BinarySearch(d.ready, id)
 	return found
@@ -79,18 +88,22 @@
 	slices.Sort(d.ready)
 }
 
-// cancelUnsentToUnready takes back what has not left yet to hosts that want nothing new: a connection that opens only now must not carry it.
+// cancelUnsentToUnready cancels what has not been written yet to endpoints that accept nothing new: a connection that
+// opens only now must not carry it.
 func (d *Dispatcher) cancelUnsentToUnready() {
 	for _, r := range d.requestsByID() {
-		if r.attempt != nil && r.attempt.Unsent() && !d.isReady(r.endpoint) {
-			d.cancelAttempt(r, engine.Result{Outcome: scheduler.Unreachable, MemoryUsage: scheduler.NoLoadReport, Reason: "the host is going"})
+		inFlight := r.attempt.inFlight
+		if inFlight != nil && inFlight.Unsent() && !d.isReady(r.attempt.endpoint) {
+			d.cancelAttempt(r, newResult(scheduler.Unreachable, reasonEndpointNotReady))
 		}
 	}
 }
 
+// role is what an endpoint does; one of unknown kind counts as a decode endpoint.
 func (d *Dispatcher) role(id scheduler.EndpointID) scheduler.Role {
-	if k := slices.Index(d.settings.Kinds, d.endpoints[id].Kind); k >= 0 && k < len(d.settings.Place.Kinds) {
-		return d.settings.Place.Kinds[k].Role
+	kind := slices.Index(d.settings.Kinds, d.endpoints[id].Kind)
+	if kind >= 0 && kind < len(d.settings.Place.Kinds) {
+		return d.settings.Place.Kinds[kind].Role
 	}
 	return scheduler.Decode
 }
--- a/internal/platform/executor.go
+++ b/internal/platform/executor.go
@@ -5,38 +5,39 @@
 	"plumspindle/scheduler"
 )
 
-// Reject implements scheduler.Orders: the final answer of a request that may come again.
+// Reject implements scheduler.Orders: the final answer of a request that may be sent again.
 func (d *Dispatcher) Reject(id scheduler.RequestID, retryAfter scheduler.Micros) {
-	if r := d.requests[id]; r != nil && !r.answered {
-		r.answered = true
+	if r := d.requests[id]; r != nil && !r.client.answered {
+		r.client.answered = true
 		d.Rejected++
 		r.ledger.Answered(d.loop.Now(), guard.Rejected)
-		r.response.Reject(retryAfter)
-		d.afterAnswer(r, "rejected")
+		r.client.response.Reject(retryAfter)
+		d.afterAnswer(r, "request rejected")
 	}
 }
 
 // Fail implements scheduler.Orders: the final answer of a request that failed.
 func (d *Dispatcher) Fail(id scheduler.RequestID) {
-	if r := d.requests[id]; r != nil && !r.answered {
-		r.answered = true
+	if r := d.requests[id]; r != nil && !r.client.answered {
+		r.client.answered = true
 		d.Failed++
 		r.ledger.Answered(d.loop.Now(), guard.Failed)
-		r.response.Fail()
-		d.afterAnswer(r, "failed")
+		r.client.response.Fail()
+		d.afterAnswer(r, "request failed")
 	}
 }
 
 // Explain implements scheduler.Explainer.
-func (d *Dispatcher) Explain(id scheduler.RequestID, why scheduler.Reason) {
+func (d *Dispatcher) Explain(id scheduler.RequestID, reason scheduler.Reason) {
 	if r := d.requests[id]; r != nil {
-		r.reason = why
+		r.client.reason = reason
 	}
 }
 
-func (d *Dispatcher) afterAnswer(r *request, how string) {
-	d.Reasons[r.reason]++
-	d.logState(r, how).Str("class", r.client.Class).Stringer("why", r.reason).Int("attempts", int(r.attempts)).Msg("request")
+func (d *Dispatcher) afterAnswer(r *request, message string) {
+	d.Reasons[r.client.reason]++
+	d.debugRequest(r).Str("class", r.client.Class).Stringer("reason", r.client.reason).
+		Int("attempts", int(r.attempt.count)).Msg(message)
 	d.cancelUnsent(r)
 	d.loop.Later(func() { d.finishIfIdle(r) })
 }
@@ -44,9 +45,9 @@
 // WatchEndpoints implements scheduler.Orders; the list comes by itself here.
 func (d *Dispatcher) WatchEndpoints() {}
 
-// SetTimer implements scheduler.Orders: it sets one of the module's two timers.
-func (d *Dispatcher) SetTimer(after scheduler.Micros, bell scheduler.TimerID) {
-	d.loop.After(after, func() { d.scheduler.TimerFired(d.loop.Now(), bell) })
+// SetTimer implements scheduler.Orders: it sets one of the scheduler's two timers.
+func (d *Dispatcher) SetTimer(after scheduler.Micros, timer scheduler.TimerID) {
+	d.loop.After(after, func() { d.scheduler.TimerFired(d.loop.Now(), timer) })
 }
 
 // Log implements scheduler.Orders.
--- a/internal/platform/fleet_test.go
+++ b/internal/platform/fleet_test.go
@@ -193,7 +193,7 @@
 				l.endpoint.loop.After(span, answer)
 			}
 		}
-		var last *client
+		var last *testClient
 		for i := range 6 {
 			last = r.sendRequest("post")
 			r.waitFor(eventloop.Second, "an answer", func() bool { return len(last.statuses) > 0 || last.closed })
@@ -295,7 +295,7 @@
 		r.remote.Do(c.conn.Abort)
 		r.world.Run(100 * eventloop.Millisecond)
 		for _, g := range r.dispatcher.requests {
-			if !g.answered {
+			if !g.client.answered {
 				t.Error("its going was not seen")
 			}
 		}
@@ -364,16 +364,16 @@
 // never left: news that its host goes, a cancel, the end of its state's time.
 func TestCancelledTwice(t *testing.T) {
 	for name, meanwhile := range map[string]func(r *harness, g *request){
-		"cancel":  func(r *harness, g *request) { r.dispatcher.Cancel(g.id, g.attempts-1) },
+		"cancel":  func(r *harness, g *request) { r.dispatcher.Cancel(g.id, g.attempt.number()) },
 		"drain":   func(r *harness, g *request) { r.dispatcher.ready = nil; r.dispatcher.cancelUnsentToUnready() },
-		"expired": func(r *harness, g *request) { g.leased = true; r.dispatcher.leaseExpired(g) },
+		"expired": func(r *harness, g *request) { g.lease.active = true; r.dispatcher.leaseExpired(g) },
 	} {
 		r := newHarness(t, 256, usualEndpoints...)
 		serveAll(r.decodeEndpoints(), func(*endpointConn) {})
 		r.sendRequest("post")
 		closing := func() *request {
 			for _, g := range r.dispatcher.requests {
-				if g.cancelling {
+				if g.attempt.cancelling {
 					return g
 				}
 			}
@@ -382,14 +382,14 @@
 		r.waitFor(eventloop.Second, "the write", func() bool { return r.dispatcher.Attempts == 2 })
 		r.world.Run(100 * eventloop.Millisecond)
 		for _, g := range r.dispatcher.requests { // as its time runs out
-			r.loop.Do(func() { r.dispatcher.Cancel(g.id, g.attempts-1) })
+			r.loop.Do(func() { r.dispatcher.Cancel(g.id, g.attempt.number()) })
 		}
 		g := closing()
 		if g == nil {
 			t.Fatal("no leg is being given up")
 		}
 		r.loop.Do(func() { meanwhile(r, g) })
-		if r.world.Run(cancelDelivery - 2*eventloop.Millisecond); !g.cancelling {
+		if r.world.Run(cancelDelivery - 2*eventloop.Millisecond); !g.attempt.cancelling {
 			t.Errorf("%s: it was taken for over at once", name)
 		}
 		r.world.Run(2 * cancelDelivery)
--- a/internal/platform/launch/run.go
+++ b/internal/platform/launch/run.go
@@ -173,7 +173,7 @@
 		}
 	}
 	p.dispatcher.Shutdown(closeListener, func() {
-		p.log.Info().Msg("left; " + p.dispatcher.Summary())
+		p.log.Info().EmbedObject(p.dispatcher.Summary()).Msg("stopped")
 		p.end(nil)
 	})
 }
@@ -189,6 +189,6 @@
 }
 
 func (p *process) logSummary() {
-	p.log.Info().Msg(p.dispatcher.Summary())
+	p.log.Info().EmbedObject(p.dispatcher.Summary()).Msg("status")
 	p.loop.After(summaryEvery, p.logSummary)
 }
--- /dev/null
+++ b/internal/platform/lease.go
@@ -0,0 +1,117 @@
+package platform
+
+import (
+	"plumspindle/internal/engine"
+	"plumspindle/internal/eventloop"
+	"plumspindle/scheduler"
+)
+
+// leaseShare is the part of the time in which a KV state has to be fetched or released after which an attempt that has
+// no connection yet does not get it any more: by the rule the state waits at its endpoint, and its release needs a part
+// too.
+const leaseShare = 0.6
+
+// deliveryConfirmTime is how long the other side's machine may take to confirm what has just been sent.
+const deliveryConfirmTime = 30 * eventloop.Millisecond
+
+// lease is that of the KV state that an endpoint may hold for a request.
+type lease struct {
+	active      bool
+	unconfirmed bool                 // the prefill that may have left the state was not answered
+	endpoint    scheduler.EndpointID // the likely one
+	expiry      eventloop.Wait
+	expiresAt   eventloop.Micros
+	confirming  bool   // whether an attempt has reached its endpoint is looked at once more
+	releasing   bool   // the state is being released
+	waiting     func() // starts the attempt that waits for the release, which would take what that attempt leaves
+}
+
+// updateLease notes what an endpoint may hold for the request after an attempt.
+func (d *Dispatcher) updateLease(r *request, result *engine.Result) {
+	switch result.Outcome {
+	case scheduler.Unreachable, scheduler.NotSent: // the lease has run on
+		return
+	case scheduler.NoCapacity:
+		if r.lease.active { // the attempt that was to fetch the state was in flight until now
+			d.startLease(r)
+		}
+		return
+	}
+	// Also a prefill that broke or was cancelled may have ended well; a decode attempt that did may have left the state.
+	switch {
+	case r.attempt.prefill:
+		r.lease.endpoint, r.lease.unconfirmed = r.attempt.endpoint, result.Outcome != scheduler.PrefillDone
+		d.startLease(r)
+	case r.lease.active && result.Undelivered: // it did not reach its endpoint, and the lease has run on
+		d.scheduleLeaseExpiry(r)
+	case r.lease.active:
+		d.startLease(r)
+	}
+}
+
+// startLease notes that an endpoint may hold a state for the request from now on, for as long as a state may wait.
+func (d *Dispatcher) startLease(r *request) {
+	r.lease.active = true
+	r.ledger.LeaseStarted(d.loop.Now())
+	r.lease.expiresAt = d.loop.Now() + eventloop.Micros(leaseShare*float64(d.settings.ReleaseWithin))
+	d.scheduleLeaseExpiry(r)
+}
+
+func (d *Dispatcher) scheduleLeaseExpiry(r *request) {
+	r.lease.confirming = false
+	left := max(r.lease.expiresAt-d.loop.Now(), 0)
+	r.lease.expiry.For(d.loop, left, func() { d.leaseExpired(r) })
+}
+
+// leaseExpired ends a lease that has run on while connections failed to come up or were silent. An attempt that has
+// reached its endpoint by now fetches the state; one that has not is cancelled, and to a decode attempt the state is
+// missing.
+func (d *Dispatcher) leaseExpired(r *request) {
+	inFlight, number := r.attempt.inFlight, r.attempt.number()
+	if !r.lease.active || r.lease.releasing || r.attempt.cancelling || inFlight == nil || !inFlight.Undelivered() {
+		return
+	}
+	unsent := inFlight.Unsent()
+	if !unsent && !r.lease.confirming { // it may have been sent only now
+		r.lease.confirming = true
+		r.lease.expiry.For(d.loop, deliveryConfirmTime, func() { d.leaseExpired(r) })
+		return
+	}
+	result := newResult(scheduler.NoCapacity, reasonLeaseExpired)
+	switch {
+	case !unsent: // it may arrive, or have arrived, all the same
+		result = newResult(scheduler.ConnectionLost, reasonLeaseExpiredSilent)
+		result.ClosedLocally, result.StateMissing = true, true
+	case r.attempt.prefill:
+		result.Outcome = scheduler.NotSent
+	default:
+		result.StateMissing = true
+	}
+	inFlight.Cancel()
+	d.release(r)
+	d.attemptEnded(r, number, result)
+}
+
+// release has all that endpoints hold for the request released, and then starts the attempt that waits for that.
+func (d *Dispatcher) release(r *request) {
+	r.lease.active, r.lease.releasing = false, true
+	r.lease.expiry.Over()
+	d.debugRequest(r).Str("endpoint", d.endpoints[r.lease.endpoint].Name).Msg("releasing state")
+	d.upstream.Release(r.client.ID, r.lease.endpoint, func(bool) {
+		r.lease.releasing = false
+		r.ledger.LeaseReleased(d.loop.Now())
+		if start := r.lease.waiting; start != nil {
+			r.lease.waiting = nil
+			start()
+		}
+		d.finishIfIdle(r)
+	})
+}
+
+// Release implements scheduler.Orders: what is held is released now; an attempt that follows waits for that.
+func (d *Dispatcher) Release(id scheduler.RequestID) {
+	r := d.requests[id]
+	if r != nil && r.lease.active && !r.lease.releasing && r.attempt.inFlight == nil {
+		d.release(r)
+	}
+}
--- /dev/null
+++ b/internal/platform/ledger.go
@@ -0,0 +1,97 @@
+package platform
+
+import (
+	"strconv"
+
+	"plumspindle/internal/eventloop"
+	"plumspindle/internal/platform/guard"
+	"plumspindle/internal/platform/server"
+	"plumspindle/scheduler"
+)
+
+// What the rules allow beyond the times themselves.
+const (
+	answerSlack     = 500 * eventloop.Millisecond
+	disconnectSlack = 100 * eventloop.Millisecond
+	// The platform allows 150 ms, of which a process that is suspended needs most.
+	deadlineSlack = 10 * eventloop.Millisecond
+	leaseSlack    = 300 * eventloop.Millisecond
+)
+
+// maxLoggedViolations are logged with their ids; the rest are only counted.
+const maxLoggedViolations = 200
+
+func (d *Dispatcher) newGuard() *guard.Guard {
+	limits := guard.Limits{
+		AnswerSlack:     answerSlack,
+		DisconnectSlack: disconnectSlack,
+		DeadlineSlack:   deadlineSlack,
+		StateLease:      d.settings.ReleaseWithin + leaseSlack,
+	}
+	logged := 0
+	return guard.New(limits, func(v guard.Violation) {
+		if logged < maxLoggedViolations {
+			logged++
+			d.logViolation(&v)
+		}
+		if d.OnViolation != nil {
+			d.OnViolation(v)
+		}
+	})
+}
+
+var retryPolicies = map[scheduler.Effect]guard.RetryPolicy{
+	scheduler.Idempotent:    guard.RetryAlways,
+	scheduler.Deduplicated:  guard.RetryWithinWindow,
+	scheduler.NonIdempotent: guard.RetryNever,
+}
+
+// openLedger opens the guard's ledger of a request that is accepted.
+func (d *Dispatcher) openLedger(accepted *server.Request, class scheduler.ClassID) *guard.Request {
+	if !d.discoveryReady() {
+		d.reportNotServing(accepted.ID, "accepted before discovery was heard")
+	}
+	if d.lastActiveAt > 0 {
+		d.reportNotServing(accepted.ID, "accepted after the shutdown")
+	}
+	c := &d.settings.Place.Classes[class]
+	return d.guard.Begin(guard.Terms{
+		RequestID:   accepted.ID,
+		Retry:       retryPolicies[c.Effect],
+		RetryWindow: c.Window,
+		Deadline:    accepted.ReceivedAt + accepted.Timeout,
+	})
+}
+
+func (d *Dispatcher) reportNotServing(requestID, detail string) {
+	d.guard.Violated(guard.Violation{Rule: guard.NotServing, RequestID: requestID, Detail: detail})
+}
+
+// guardEndpoint is the endpoint of the attempt that is ordered, as it is known now.
+func (d *Dispatcher) guardEndpoint(r *request) guard.Endpoint {
+	listed := d.endpoints[r.attempt.endpoint]
+	endpoint := guard.Endpoint{
+		Name:       listed.Name,
+		Ready:      d.isReady(r.attempt.endpoint),
+		HasEffects: !r.attempt.prefill,
+	}
+	switch d.settings.Place.Classes[r.class].Group {
+	case scheduler.SameZone:
+		endpoint.Group = listed.Zone
+	case scheduler.SameCell:
+		endpoint.Group = strconv.Itoa(int(listed.Cell))
+	}
+	return endpoint
+}
+
+// attemptWritten checks the attempt that is written now, with the time that it gives its endpoint.
+func (d *Dispatcher) attemptWritten(r *request, number scheduler.AttemptNo, timeout eventloop.Micros) {
+	if number == r.attempt.number() {
+		r.ledger.Written(d.loop.Now(), d.guardEndpoint(r), timeout)
+	}
+}
+
+// reportUnansweredClose takes a connection that the server closes over a request that it has read.
+func (d *Dispatcher) reportUnansweredClose(requestID, reason string) {
+	d.guard.Violated(guard.Violation{Rule: guard.UnansweredClose, RequestID: requestID, Detail: reason})
+}
--- a/internal/platform/order_test.go
+++ b/internal/platform/order_test.go
@@ -10,7 +10,7 @@
 
 // visitor is one client of TestAnyOrder, and what it may expect.
 type visitor struct {
-	*client
+	*testClient
 	id       string
 	left     bool
 	requests int // requests that it sent on its connection
@@ -66,7 +66,7 @@
 		v.check(t)
 	}
 	if n := len(r.dispatcher.requests); n > 0 {
-		t.Errorf("%d requests are left: %s", n, r.dispatcher.Summary())
+		t.Errorf("%d requests are left: %+v", n, r.dispatcher.Summary())
 	}
 }
 
@@ -83,7 +83,7 @@
 		watch.classes[id] = c
 		text += r.requestText(c.name, "Req-Id", id, "Req-Key", randomName(chance), "Req-Deadline", fmt.Sprintf("%du", c.deadline))
 	}
-	v.client = r.connect(text)
+	v.testClient = r.connect(text)
 	switch chance.Intn(6) {
 	case 0:
 		r.remote.After(eventloop.Micros(chance.Int63n(int64(eventloop.Second))), func() {
--- a/internal/platform/platform_test.go
+++ b/internal/platform/platform_test.go
@@ -14,11 +14,11 @@
 
 var usualEndpoints = []string{"prefill", "prefill", "decode", "decode"}
 
-func (r *harness) prefillEndpoints() []*endpoint { return r.endpoints[:2] }
-func (r *harness) decodeEndpoints() []*endpoint  { return r.endpoints[2:] }
+func (r *harness) prefillEndpoints() []*fakeEndpoint { return r.endpoints[:2] }
+func (r *harness) decodeEndpoints() []*fakeEndpoint  { return r.endpoints[2:] }
 
 // serveAll sets what hosts do.
-func serveAll(hosts []*endpoint, serve func(*endpointConn)) {
+func serveAll(hosts []*fakeEndpoint, serve func(*endpointConn)) {
 	for _, h := range hosts {
 		h.serve = serve
 	}
@@ -221,7 +221,7 @@
 		serveDecode(l)
 	})
 	r.world.Watch = func() { // it is over once the host has answered it
-		if r.releases() > 0 && r.dispatcher.upstream.Releases > 0 && !slices.Contains(order, "release") && !slices.ContainsFunc(r.dispatcher.requestsByID(), func(g *request) bool { return g.releasing }) {
+		if r.releases() > 0 && r.dispatcher.upstream.Releases > 0 && !slices.Contains(order, "release") && !slices.ContainsFunc(r.dispatcher.requestsByID(), func(g *request) bool { return g.lease.releasing }) {
 			order = append(order, "release")
 		}
 	}
@@ -248,7 +248,7 @@
 	c := r.sendRequest("post")
 	waits := func() *request {
 		for _, g := range r.dispatcher.requestsByID() {
-			if g.deferred != nil {
+			if g.lease.waiting != nil {
 				return g
 			}
 		}
@@ -256,7 +256,7 @@
 	}
 	r.waitFor(eventloop.Second, "a read that waits", func() bool { return waits() != nil })
 	for _, h := range r.prefillEndpoints() {
-		if r.dispatcher.discovery.Number(h.id) == waits().endpoint {
+		if r.dispatcher.discovery.Number(h.id) == waits().attempt.endpoint {
 			before := h.count("POST")
 			r.agent.update(false, h.entry("DRAINING"))
 			if got := r.finalStatus(c); got != 200 || h.count("POST") != before {
@@ -351,7 +351,7 @@
 func TestIdleConnectionsDoNotStarveOthers(t *testing.T) {
 	r := newHarness(t, 64, usualEndpoints...)
 	r.loop.Descriptors = 64
-	var silent []*client
+	var silent []*testClient
 	for i := 0; i < 300; i++ {
 		silent = append(silent, r.connect(""))
 		if i%10 == 0 {
@@ -666,7 +666,7 @@
 	if !shut || done || !idle.closed {
 		t.Errorf("after 0.6 s: shut %v, done %v, idle connection closed %v", shut, done, idle.closed)
 	}
-	for _, c := range []*client{first, second} {
+	for _, c := range []*testClient{first, second} {
 		if got := r.finalStatus(c); got != 200 || !c.closed {
 			t.Errorf("answered %d, closed %v", got, c.closed)
 		}
--- a/internal/platform/races_test.go
+++ b/internal/platform/races_test.go
@@ -169,7 +169,7 @@
 // TestOlderList: a list of an older version does not take back that a host drains, is gone or has started anew.
 func TestOlderList(t *testing.T) {
 	r := newHarness(t, 256, usualEndpoints...)
-	started := func(h *endpoint, ms int64) string {
+	started := func(h *fakeEndpoint, ms int64) string {
 		return strings.Replace(h.entry("SERVING"), `"started_ms":0`, fmt.Sprintf(`"started_ms":%d`, ms), 1)
 	}
 	now := int64(r.world.Now() / eventloop.Millisecond)
@@ -244,23 +244,23 @@
 // after the close was heard.
 func TestEventsInOnePollRound(t *testing.T) {
 	const pause = 50 * eventloop.Millisecond
-	for name, arrive := range map[string]func(r *harness, c *client, l *endpointConn){
-		"the close, then the first event": func(r *harness, c *client, l *endpointConn) {
+	for name, arrive := range map[string]func(r *harness, c *testClient, l *endpointConn){
+		"the close, then the first event": func(r *harness, c *testClient, l *endpointConn) {
 			r.remote.Do(c.conn.Abort)
 			r.world.Run(5 * eventloop.Millisecond)
 			l.stream(wordEvent)
 		},
-		"the first event, then the close": func(r *harness, c *client, l *endpointConn) {
+		"the first event, then the close": func(r *harness, c *testClient, l *endpointConn) {
 			l.stream(wordEvent)
 			r.world.Run(5 * eventloop.Millisecond)
 			r.remote.Do(c.conn.Abort)
 		},
-		"the close, then a refusal": func(r *harness, c *client, l *endpointConn) {
+		"the close, then a refusal": func(r *harness, c *testClient, l *endpointConn) {
 			r.remote.Do(c.conn.Abort)
 			r.world.Run(5 * eventloop.Millisecond)
 			l.answer(503, "", "Srv-Declined", "1")
 		},
-		"the close, then the host's end": func(r *harness, c *client, l *endpointConn) {
+		"the close, then the host's end": func(r *harness, c *testClient, l *endpointConn) {
 			r.remote.Do(c.conn.Abort)
 			r.world.Run(5 * eventloop.Millisecond)
 			l.conn.Abort()
--- a/internal/platform/request.go
+++ b/internal/platform/request.go
@@ -9,87 +9,93 @@
 
 	"github.com/cespare/xxhash/v2"
 
-	"plumspindle/internal/engine"
 	"plumspindle/internal/eventloop"
 	"plumspindle/internal/platform/guard"
 	"plumspindle/internal/platform/server"
 	"plumspindle/scheduler"
 )
 
-// An id is not taken again for so long after its answer: a copy of an open request may come when that has just ended.
-const recentIDTime = 10 * eventloop.Second
+const (
+	// An id is not accepted again for so long after its request's answer: a duplicate of an open request may come when
+	// that has just ended.
+	recentIDTime = 10 * eventloop.Second
+	// bytesPerToken estimates a prompt's length where the client does not give it.
+	bytesPerToken = 4
+)
 
-// request is what the dispatcher keeps of a client's request: what the module does not know, and nothing that it does.
+// request is what the dispatcher records of a client's request: what the scheduler does not know, and nothing that it
+// does.
 type request struct {
-	id       scheduler.RequestID
-	class    scheduler.ClassID
-	client   *server.Request
+	id      scheduler.RequestID
+	class   scheduler.ClassID
+	client  client
+	attempt attempt
+	lease   lease
+	ledger  *guard.Request
+}
+
+// client is the client's side of a request.
+type client struct {
+	*server.Request
 	response *server.Response
 	answered bool // or nobody waits any more
 	reason   scheduler.Reason
-	ledger   *guard.Request
-
-	// The attempt that is out.
-	attempts   scheduler.AttemptNo // made so far
-	attempt    *engine.Attempt
-	endpoint   scheduler.EndpointID
-	sentAt     eventloop.Micros // when it was ordered
-	prefill    bool
-	cancelling bool // it is given up, and its host may not have seen it yet
-	started    bool // its stream has, and the client has it
-
-	// The KV state that a host may hold for the request.
-	leased        bool
-	unconfirmed   bool                 // the prefill that may have left it was not answered
-	leaseEndpoint scheduler.EndpointID // the likely one
-	lease         eventloop.Wait
-	leaseEnd      eventloop.Micros
-	confirming    bool   // whether a call has reached its host is looked at once more
-	releasing     bool   // it is being released
-	deferred      func() // the attempt that waits for it, as the release would take what that attempt leaves
 }
 
 // Handle implements server.Handler.
-func (d *Dispatcher) Handle(client *server.Request, response *server.Response) *server.Rejection {
-	class := slices.Index(d.settings.Classes, client.Class)
+func (d *Dispatcher) Handle(accepted *server.Request, response *server.Response) *server.Rejection {
+	class := slices.Index(d.settings.Classes, accepted.Class)
 	if class < 0 {
-		return &server.Rejection{Status: http.StatusBadRequest, Reason: fmt.Sprintf("unknown kind of request %.40q", client.Class)}
+		reason := fmt.Sprintf("unknown kind of request %.40q", accepted.Class)
+		return &server.Rejection{Status: http.StatusBadRequest, Reason: reason}
 	}
-	if d.activeIDs[client.ID] || d.recentIDs[0][client.ID] || d.recentIDs[1][client.ID] {
+	if d.isDuplicate(accepted.ID) {
 		return &server.Rejection{Status: http.StatusConflict, Reason: "the id is that of another request"}
 	}
-	tenant := max(slices.Index(d.settings.Tenants, client.Tenant), 0)
-	if client.PromptTokens == 0 {
-		client.PromptTokens = float64(len(client.Body)) / 4
+	if accepted.PromptTokens == 0 {
+		accepted.PromptTokens = float64(len(accepted.Body)) / bytesPerToken
 	}
 	d.lastRequest++
 	d.Accepted++
-	r := &request{id: d.lastRequest, class: scheduler.ClassID(class), client: client, response: response, ledger: d.openLedger(client, scheduler.ClassID(class))}
-	d.logState(r, "accepted").Str("class", client.Class).Int64("allowed", int64(client.Timeout)).Msg("request")
+	r := &request{
+		id:     d.lastRequest,
+		class:  scheduler.ClassID(class),
+		client: client{Request: accepted, response: response},
+		ledger: d.openLedger(accepted, scheduler.ClassID(class)),
+	}
+	d.debugRequest(r).Str("class", accepted.Class).Int64("timeout_us", int64(accepted.Timeout)).Msg("request accepted")
 	d.requests[r.id] = r
-	d.activeIDs[client.ID] = true
-	response.OnDisconnect = func() { d.loop.Later(func() { d.clientDisconnected(r) }) } // never within the module's own call
+	d.activeIDs[accepted.ID] = true
+	response.OnDisconnect = func() {
+		d.loop.Later(func() { d.clientDisconnected(r) }) // never within the scheduler's own call
+	}
 	response.OnWritable = func() {
-		if r.attempt != nil {
-			r.attempt.PauseReading(false)
+		if r.attempt.inFlight != nil {
+			r.attempt.inFlight.PauseReading(false)
 		}
 	}
-	d.scheduler.RequestArrived(d.loop.Now(), scheduler.Arrival{
-		ID:              r.id,
-		Session:         scheduler.SessionID(hashName(client.Session)),
-		Prefix:          scheduler.PrefixID(hashName(client.Prefix)),
-		Class:           scheduler.ClassID(class),
-		Tenant:          scheduler.TenantID(tenant),
-		PromptTokens:    client.PromptTokens,
-		PrefixTokens:    client.PrefixTokens,
-		MaxOutputTokens: client.MaxOutputTokens,
-		Deadline:        client.ReceivedAt + client.Timeout,
-	})
+	d.scheduler.RequestArrived(d.loop.Now(), d.arrival(r))
 	d.finishIfIdle(r)
 	return nil
 }
 
-// hashName makes a number of a session's or a prefix's id, alike at every dispatcher; none is 0.
+// arrival is the request in the scheduler's terms.
+func (d *Dispatcher) arrival(r *request) scheduler.Arrival {
+	tenant := max(slices.Index(d.settings.Tenants, r.client.Tenant), 0)
+	return scheduler.Arrival{
+		ID:              r.id,
+		Session:         scheduler.SessionID(hashName(r.client.Session)),
+		Prefix:          scheduler.PrefixID(hashName(r.client.Prefix)),
+		Class:           r.class,
+		Tenant:          scheduler.TenantID(tenant),
+		PromptTokens:    r.client.PromptTokens,
+		PrefixTokens:    r.client.PrefixTokens,
+		MaxOutputTokens: r.client.MaxOutputTokens,
+		Deadline:        r.client.ReceivedAt + r.client.Timeout,
+	}
+}
+
+// hashName makes a number of a session's or a prefix's id, alike at every dispatcher; only an empty id's is 0.
 func hashName(id string) uint64 {
 	if id == "" {
 		return 0
@@ -99,17 +105,18 @@
 
 // clientDisconnected ends what is done for a request that nobody waits for.
 func (d *Dispatcher) clientDisconnected(r *request) {
-	if r.answered {
+	if r.client.answered {
 		return
 	}
-	r.answered = true
+	r.client.answered = true
 	d.ClientDisconnects++
 	r.ledger.ClientDisconnected(d.loop.Now())
-	d.logState(r, "its client left").Bool("started", r.started).Int("attempts", int(r.attempts)).Msg("request")
-	if r.started {
-		attempt, no := r.attempt, r.attempts-1
-		attempt.Cancel()
-		d.attemptEnded(r, no, engine.Result{Outcome: scheduler.Cancelled, MemoryUsage: scheduler.NoLoadReport, Reason: "its client left"})
+	d.debugRequest(r).Bool("started", r.attempt.started).Int("attempts", int(r.attempt.count)).
+		Msg("client disconnected")
+	if r.attempt.started {
+		inFlight, number := r.attempt.inFlight, r.attempt.number()
+		inFlight.Cancel()
+		d.attemptEnded(r, number, newResult(scheduler.Cancelled, reasonClientDisconnected))
 		return
 	}
 	d.scheduler.ClientDisconnected(d.loop.Now(), r.id)
@@ -117,25 +124,26 @@
 	d.finishIfIdle(r)
 }
 
-// cancelUnsent takes an attempt back that has not begun and must not, as nobody waits for it any more. That is no cancellation, and done also
-// where the settings allow none.
+// cancelUnsent cancels an attempt that has not been written and must not be, as nobody waits for it any more. That is
+// done also where the settings allow no cancellation.
 func (d *Dispatcher) cancelUnsent(r *request) {
-	if r.deferred != nil || r.attempt != nil && r.attempt.Unsent() {
-		d.Cancel(r.id, r.attempts-1)
+	unsent := r.attempt.inFlight != nil && r.attempt.inFlight.Unsent()
+	if unsent || r.lease.waiting != nil {
+		d.Cancel(r.id, r.attempt.number())
 	}
 }
 
-// finishIfIdle sees, after each of the module's calls, to what no order comes for: nothing stays held for a request without an attempt that
-// is out, and one that is over is forgotten.
+// finishIfIdle does, after each of the scheduler's calls, what no order comes for: a request without an attempt in
+// flight has its KV state released, and one that is answered is forgotten.
 func (d *Dispatcher) finishIfIdle(r *request) {
-	if r.attempt != nil || r.deferred != nil || r.releasing || d.requests[r.id] != r {
+	if r.attempt.inFlight != nil || r.lease.waiting != nil || r.lease.releasing || d.requests[r.id] != r {
 		return
 	}
-	if r.leased {
+	if r.lease.active {
 		d.release(r)
 		return
 	}
-	if r.answered {
+	if r.client.answered {
 		r.ledger.Closed()
 		delete(d.requests, r.id)
 		delete(d.activeIDs, r.client.ID)
@@ -143,13 +151,19 @@
 	}
 }
 
-// forgetIDs drops the ids of requests that were answered a while ago.
-func (d *Dispatcher) forgetIDs() {
+// isDuplicate reports whether an id is that of a request that is open, or was a while ago.
+func (d *Dispatcher) isDuplicate(id string) bool {
+	return d.activeIDs[id] || d.recentIDs[0][id] || d.recentIDs[1][id]
+}
+
+// expireIDs drops the ids of requests that were answered a while ago, again and again.
+func (d *Dispatcher) expireIDs() {
 	d.recentIDs[1], d.recentIDs[0] = d.recentIDs[0], map[string]bool{}
-	d.loop.After(recentIDTime, d.forgetIDs)
+	d.loop.After(recentIDTime, d.expireIDs)
 }
 
-// requestsByID are the requests, so that nothing depends on the order of a map.
+// requestsByID are the requests in order, so that nothing depends on the order of a map.
 func (d *Dispatcher) requestsByID() []*request {
-	return slices.SortedFunc(maps.Values(d.requests), func(a, b *request) int { return cmp.Compare(a.id, b.id) })
+	byID := func(a, b *request) int { return cmp.Compare(a.id, b.id) }
+	return slices.SortedFunc(maps.Values(d.requests), byID)
 }
--- a/internal/platform/rig_test.go
+++ b/internal/platform/rig_test.go
@@ -35,7 +35,7 @@
 	address    string
 	listener   eventloop.Listener
 	agent      *discoveryAgent
-	endpoints  []*endpoint
+	endpoints  []*fakeEndpoint
 	sent       int
 
 	violations []guard.Violation
@@ -79,7 +79,7 @@
 
 // --- Model hosts ---
 
-type endpoint struct {
+type fakeEndpoint struct {
 	harness      *harness
 	loop         *virtual.Loop
 	id           string
@@ -97,7 +97,7 @@
 }
 
 type endpointConn struct {
-	endpoint *endpoint
+	endpoint *fakeEndpoint
 	conn     eventloop.Conn
 	parser   http1.Parser
 	head     *http1.Head
@@ -106,8 +106,8 @@
 	mute     bool
 }
 
-func (r *harness) addEndpoint(id, kind string) *endpoint {
-	h := &endpoint{harness: r, loop: r.world.Loop(id), id: id, kind: kind, zone: "west", serve: servePrefill}
+func (r *harness) addEndpoint(id, kind string) *fakeEndpoint {
+	h := &fakeEndpoint{harness: r, loop: r.world.Loop(id), id: id, kind: kind, zone: "west", serve: servePrefill}
 	if kind != "prefill" {
 		h.serve = serveDecode
 	}
@@ -116,7 +116,7 @@
 	return h
 }
 
-func (h *endpoint) listen(addr string) {
+func (h *fakeEndpoint) listen(addr string) {
 	h.listener, _ = h.loop.Listen(addr, func(c eventloop.Conn) eventloop.Handler {
 		h.opened++
 		l := &endpointConn{endpoint: h, conn: c, parser: http1.Parser{Bounds: http1.Usual}}
@@ -126,12 +126,12 @@
 	h.addr = h.listener.Addr()
 }
 
-func (h *endpoint) entry(state string) string {
+func (h *fakeEndpoint) entry(state string) string {
 	return fmt.Sprintf(`{"id":%q,"addr":%q,"zone":%q,"kind":%q,"cell":0,"state":%q,"weight":1.0,"started_ms":0}`, h.id, h.addr, h.zone, h.kind, state)
 }
 
 // count is how many requests of a method the host has had.
-func (h *endpoint) count(method string) (n int) {
+func (h *fakeEndpoint) count(method string) (n int) {
 	for _, head := range h.received {
 		if head.Method == method {
 			n++
@@ -216,7 +216,7 @@
 func (a *discoveryAgent) listen(addr string) {
 	a.listener, _ = a.harness.remote.Listen(addr, func(c eventloop.Conn) eventloop.Handler {
 		l := &endpointConn{conn: c, parser: http1.Parser{Bounds: http1.Usual}}
-		l.endpoint = &endpoint{harness: a.harness, serve: func(l *endpointConn) {
+		l.endpoint = &fakeEndpoint{harness: a.harness, serve: func(l *endpointConn) {
 			a.targets = append(a.targets, l.head.Target)
 			a.watches = append(a.watches, l)
 			if !a.silent {
@@ -263,7 +263,7 @@
 
 // --- Clients ---
 
-type client struct {
+type testClient struct {
 	conn        eventloop.Conn
 	input       string
 	parser      http1.Parser
@@ -277,31 +277,31 @@
 	harness     *harness
 }
 
-func (c *client) Opened() {
+func (c *testClient) Opened() {
 	c.opened = true
 	c.conn.Write([]byte(c.input))
 }
 
-func (c *client) Drained()                 {}
-func (c *client) Data(b []byte)            { _ = c.parser.Feed(b, c) }
-func (c *client) Closed(error)             { c.closed = true }
-func (c *client) Head(h *http1.Head) error { c.head = h; return nil }
+func (c *testClient) Drained()                 {}
+func (c *testClient) Data(b []byte)            { _ = c.parser.Feed(b, c) }
+func (c *testClient) Closed(error)             { c.closed = true }
+func (c *testClient) Head(h *http1.Head) error { c.head = h; return nil }
 
-func (c *client) Body(b []byte) error {
+func (c *testClient) Body(b []byte) error {
 	if c.head.Status != 200 {
 		return nil
 	}
 	return c.eventParser.Feed(b, func(data []byte) error { c.events = append(c.events, string(data)); return nil })
 }
 
-func (c *client) End() error {
+func (c *testClient) End() error {
 	c.statuses, c.answeredAt = append(c.statuses, c.head.Status), c.harness.world.Now()
 	return nil
 }
 
 // connect opens a connection and sends some bytes.
-func (r *harness) connect(sends string) *client {
-	c := &client{harness: r, input: sends, parser: http1.Parser{Response: true, Bounds: http1.Usual}, eventParser: sse.Parser{Most: 1 << 20}}
+func (r *harness) connect(sends string) *testClient {
+	c := &testClient{harness: r, input: sends, parser: http1.Parser{Response: true, Bounds: http1.Usual}, eventParser: sse.Parser{Most: 1 << 20}}
 	r.remote.Do(func() { c.conn = r.remote.Dial(r.address, eventloop.Second, c) })
 	return c
 }
@@ -332,7 +332,7 @@
 	return text + fmt.Sprintf("Content-Length: %d\r\n\r\n%s", len(body), body)
 }
 
-func (r *harness) sendRequest(product string, change ...string) *client {
+func (r *harness) sendRequest(product string, change ...string) *testClient {
 	return r.connect(r.requestText(product, change...))
 }
 
@@ -340,12 +340,12 @@
 func (r *harness) waitFor(span eventloop.Micros, what string, holds func() bool) {
 	r.t.Helper()
 	if !r.world.Until(span, holds) {
-		r.t.Fatalf("not in %d ms: %s\n%s", span/eventloop.Millisecond, what, r.dispatcher.Summary())
+		r.t.Fatalf("not in %d ms: %s\n%+v", span/eventloop.Millisecond, what, r.dispatcher.Summary())
 	}
 }
 
 // finalStatus waits for the answer's end and gives its status, 0 for a connection that was closed without.
-func (r *harness) finalStatus(c *client) int {
+func (r *harness) finalStatus(c *testClient) int {
 	r.t.Helper()
 	r.waitFor(20*eventloop.Second, "a final answer", func() bool { return c.closed || len(c.statuses) > 0 })
 	r.world.Run(50 * eventloop.Millisecond)
@@ -377,13 +377,13 @@
 	r.t.Helper()
 	r.world.Run(eventloop.Second)
 	if r.dispatcher.guard.Violations() > 0 || r.dispatcher.scheduler.Violations() > 0 {
-		r.t.Errorf("the guard counts violations: %s; %v", r.dispatcher.Summary(), r.violations)
+		r.t.Errorf("the guard counts violations: %+v; %v", r.dispatcher.Summary(), r.violations)
 	}
 	open := r.dispatcher.scheduler.InFlight()
 	if len(r.dispatcher.requests) != 0 || open.Requests != 0 || open.Attempts != 0 || r.dispatcher.server.Answering() != 0 {
-		r.t.Errorf("something is left: %s", r.dispatcher.Summary())
+		r.t.Errorf("something is left: %+v", r.dispatcher.Summary())
 	}
 	if !r.world.Until(server.DefaultLimits.RequestTimeout, func() bool { return r.dispatcher.server.Active() == 0 }) { // half a request waits for so long
-		r.t.Errorf("half a request is left: %s", r.dispatcher.Summary())
+		r.t.Errorf("half a request is left: %+v", r.dispatcher.Summary())
 	}
 }
--- a/internal/platform/settings_test.go
+++ b/internal/platform/settings_test.go
@@ -126,7 +126,7 @@
 				}
 			}
 			if served < 10 {
-				t.Errorf("%d of 40 were served: %s", served, r.dispatcher.Summary())
+				t.Errorf("%d of 40 were served: %+v", served, r.dispatcher.Summary())
 			}
 			r.requireIdle()
 		})
@@ -141,7 +141,7 @@
 	ranAt          map[string]eventloop.Micros    // when the first attempt that may have had an effect arrived
 	prefill        string                         // the kind whose attempts have none
 	disconnectedAt map[string]eventloop.Micros    // when a client closed its connection
-	drainedAt      map[*endpoint]eventloop.Micros // when that was told
+	drainedAt      map[*fakeEndpoint]eventloop.Micros // when that was told
 }
 
 // What a close or a change of the list may take to be known: the way through the network and the loop's own pauses.
@@ -152,11 +152,11 @@
 
 func newAuditor(t *testing.T, p deployment) *auditor {
 	return &auditor{t: t, classes: map[string]class{}, inFlight: map[string]*endpointConn{}, ranAt: map[string]eventloop.Micros{}, prefill: p.kinds[0],
-		disconnectedAt: map[string]eventloop.Micros{}, drainedAt: map[*endpoint]eventloop.Micros{}}
+		disconnectedAt: map[string]eventloop.Micros{}, drainedAt: map[*fakeEndpoint]eventloop.Micros{}}
 }
 
 // watch puts itself before what a host does, which goes wrong by chance.
-func (e *auditor) watch(h *endpoint, chance *rand.Rand) {
+func (e *auditor) watch(h *fakeEndpoint, chance *rand.Rand) {
 	usual := h.serve
 	faults := []func(*endpointConn){
 		func(l *endpointConn) { l.answer(500, "") },
--- a/internal/platform/shutdown.go
+++ b/internal/platform/shutdown.go
@@ -3,14 +3,16 @@
 import "plumspindle/internal/eventloop"
 
 const (
-	// After SIGTERM new connections keep coming for so long, and clients go on using those that they have.
+	// After SIGTERM new connections come for so long, and clients go on using those that they have.
 	drainTime = 500 * eventloop.Millisecond
-	// Clients close their connections once they have their answers; one that does not is waited for so long after the last answer.
+	// Clients close their connections once they have their answers; one that does not is closed so long after the last
+	// answer.
 	idleCloseTime = 500 * eventloop.Millisecond
 	shutdownPoll  = 25 * eventloop.Millisecond
 )
 
-// Shutdown takes requests for a short while more, answers all that was taken, and then calls done. A second call changes nothing.
+// Shutdown accepts requests for a short while more, answers all that were accepted, and then calls done. A second call
+// changes nothing.
 func (d *Dispatcher) Shutdown(closeListener, done func()) {
 	if d.shuttingDown {
 		return
@@ -25,8 +27,8 @@
 	})
 }
 
-// awaitIdle looks again and again until nothing is owed any more: no answer, no release, no byte of an answer that a slow client has not
-// taken, and no connection on which a request may be on its way.
+// awaitIdle looks again and again until nothing is pending: no answer, no release, no byte of an answer that a slow
+// client has not taken, and no connection on which a request may be on its way.
 func (d *Dispatcher) awaitIdle(done func()) {
 	d.loop.After(shutdownPoll, func() {
 		now := d.loop.Now()
--- /dev/null
+++ b/internal/platform/summary.go
@@ -0,0 +1,110 @@
+package platform
+
+import (
+	"github.com/rs/zerolog"
+
+	"plumspindle/internal/platform/server"
+	"plumspindle/internal/platform/upstream"
+	"plumspindle/scheduler"
+)
+
+// OutcomeCounts counts attempts by how they came out.
+type OutcomeCounts [scheduler.OutcomeCount]uint64
+
+// ReasonCounts counts rejected and failed requests by why.
+type ReasonCounts [scheduler.ReasonCount]uint64
+
+// Counts are what the dispatcher has done since its start.
+type Counts struct {
+	Accepted          uint64 // requests
+	Completed         uint64 // streams that reached their end
+	Broken            uint64 // streams that had begun and did not
+	Rejected          uint64
+	Failed            uint64
+	ClientDisconnects uint64
+	Attempts          uint64
+	Outcomes          OutcomeCounts // of attempts
+	Reasons           ReasonCounts  // of rejections and failures
+}
+
+// Summary is what the dispatcher has open and has done, for logs.
+type Summary struct {
+	InFlight            scheduler.InFlight
+	ClientConnections   int
+	EndpointConnections int
+	UnsentBytes         int // of the client that lags most
+	BufferedBytes       int
+	ReadyEndpoints      int
+	ListUpdates         uint64
+	Counts              Counts
+	Releases            upstream.Counts
+	Server              server.Counts
+	Violations          uint64 // of the guard's rules
+	BlockedSends        int    // by the scheduler itself
+}
+
+// Summary describes the dispatcher at the moment.
+func (d *Dispatcher) Summary() Summary {
+	return Summary{
+		InFlight:            d.scheduler.InFlight(),
+		ClientConnections:   d.server.Connections(),
+		EndpointConnections: d.upstream.Connections(),
+		UnsentBytes:         d.server.Unsent(),
+		BufferedBytes:       d.server.Buffered(),
+		ReadyEndpoints:      len(d.ready),
+		ListUpdates:         d.discovery.Heard,
+		Counts:              d.Counts,
+		Releases:            d.upstream.Counts,
+		Server:              d.server.Counts,
+		Violations:          d.guard.Violations(),
+		BlockedSends:        d.scheduler.Violations(),
+	}
+}
+
+// MarshalZerologObject implements zerolog.LogObjectMarshaler.
+func (s Summary) MarshalZerologObject(e *zerolog.Event) {
+	e.Int("requests", s.InFlight.Requests).
+		Int("attempts", s.InFlight.Attempts).
+		Int("queued", s.InFlight.Held).
+		Int("client_connections", s.ClientConnections).
+		Int("endpoint_connections", s.EndpointConnections).
+		Int("unsent_bytes", s.UnsentBytes).
+		Int("buffered_bytes", s.BufferedBytes).
+		Int("ready_endpoints", s.ReadyEndpoints).
+		Uint64("list_updates", s.ListUpdates).
+		Uint64("violations", s.Violations).
+		Int("blocked_sends", s.BlockedSends)
+	s.Counts.marshal(e)
+	e.Uint64("releases", s.Releases.Releases).
+		Uint64("release_tries", s.Releases.Tries).
+		Uint64("late_releases", s.Releases.Late).
+		Uint64("bad_requests", s.Server.Rejected).
+		Uint64("evicted_connections", s.Server.Evicted).
+		Uint64("timed_out_connections", s.Server.TimedOut)
+	e.Dict("closed_connections", countsByName(s.Server.Closed[:], func(i int) string {
+		return server.CloseReason(i).String()
+	}))
+}
+
+func (c *Counts) marshal(e *zerolog.Event) {
+	e.Uint64("accepted", c.Accepted).
+		Uint64("completed", c.Completed).
+		Uint64("broken", c.Broken).
+		Uint64("rejected", c.Rejected).
+		Uint64("failed", c.Failed).
+		Uint64("client_disconnects", c.ClientDisconnects).
+		Uint64("attempts_made", c.Attempts)
+	e.Dict("outcomes", countsByName(c.Outcomes[:], func(i int) string { return scheduler.Outcome(i).String() }))
+	e.Dict("reasons", countsByName(c.Reasons[:], func(i int) string { return scheduler.Reason(i).String() }))
+}
+
+// countsByName has a key for each count above 0.
+func countsByName(counts []uint64, name func(int) string) *zerolog.Event {
+	dict := zerolog.Dict()
+	for i, n := range counts {
+		if n > 0 {
+			dict.Uint64(name(i), n)
+		}
+	}
+	return dict
+}
--- a/internal/testbed/soak/run.go
+++ b/internal/testbed/soak/run.go
@@ -12,6 +12,7 @@
 	"syscall"
 	"time"
 
+	"plumspindle/internal/platform/guard"
 	"plumspindle/internal/testbed/syscallfaults"
 )
 
@@ -351,7 +352,8 @@
 	return nil
 }
 
-// readLog reads what a dispatcher's own guard reports. That what is held could not be released while no host could be reached is no fault.
+// readLog reads what a dispatcher's own guard reports. That a KV state could not be released while no endpoint could be
+// reached is no fault.
 func (r *run) readLog(d *dispatcher, audit *Audit) error {
 	f, err := os.Open(d.logs.file.Name())
 	if err != nil {
@@ -362,11 +364,11 @@
 	for lines.Buffer(nil, 1<<20); lines.Scan(); {
 		stamp, text, _ := strings.Cut(lines.Text(), " ")
 		at, _ := strconv.ParseInt(stamp, 10, 64)
-		held := strings.Contains(text, `"held state"`)
-		if held && audit.cutOff(fmt.Sprint(d.number+1), at-(letGoBy+heldSlack+slack).Microseconds(), at) {
+		leaseOverrun := strings.Contains(text, strconv.Quote(guard.StateLease.String()))
+		if leaseOverrun && audit.cutOff(fmt.Sprint(d.number+1), at-(letGoBy+heldSlack+slack).Microseconds(), at) {
 			continue
 		}
-		if strings.Contains(text, "a rule would be broken") || strings.Contains(text, "rule kept in the last moment") {
+		if strings.Contains(text, guard.ViolationMessage) || strings.Contains(text, "rule kept in the last moment") {
 			r.report.Violations = append(r.report.Violations, fmt.Sprintf("n%d: %s", d.number, text))
 		}
 		if strings.HasPrefix(text, "panic:") || strings.HasPrefix(text, "fatal error:") {
--- /dev/null
+++ b/scheduler/names.go
@@ -0,0 +1,22 @@
+package scheduler
+
+// Sizes of tables by outcome and by reason.
+const (
+	OutcomeCount = int(NotSent) + 1
+	ReasonCount  = int(StreamEndedEarly) + 1
+)
+
+var outcomeNames = [OutcomeCount]string{
+	Completed:      "completed",
+	PrefillDone:    "prefill_done",
+	Errored:        "errored",
+	NoCapacity:     "no_capacity",
+	TimedOut:       "timed_out",
+	Unreachable:    "unreachable",
+	ConnectionLost: "connection_lost",
+	Cancelled:      "cancelled",
+	NotSent:        "not_sent",
+}
+
+// String is the outcome's name in logs.
+func (e Outcome) String() string { return outcomeNames[e] }
