--- a/internal/admin/admin_test.go
+++ b/internal/admin/admin_test.go
@@ -28,9 +28,9 @@
 // town is an administration, two dispatchers that follow it, and stand-in hosts, in virtual time.
 type town struct {
 	t       *testing.T
-	w       *virtual.World
+	w       *virtual.Network
 	adminAt *virtual.Loop
-	a       *Admin
+	a       *Server
 	addr    string
 	records *MemoryRecords
 	far     *virtual.Loop
@@ -43,8 +43,8 @@
 
 func newTown(t *testing.T, dispatchers int) *town {
 	t.Helper()
-	w := virtual.New(3)
-	y := &town{t: t, w: w, records: &MemoryRecords{}, far: w.Loop("far")}
+	w := virtual.NewNetwork(3)
+	y := &town{t: t, w: w, records: &MemoryRecords{}, far: w.NewLoop("far")}
 	y.startAdmin()
 	d := deployment.Standard()
 	d.Dispatching.Dispatchers = uint32(dispatchers)
@@ -52,7 +52,7 @@
 		p.TimeLimitMs = 8000
 	}
 	var err error
-	fleetAt := w.Loop("fleet")
+	fleetAt := w.NewLoop("fleet")
 	fleetAt.Do(func() { y.fleet, err = modelserver.Start(fleetAt, d, 1, "127.0.0.1:0", nil) })
 	if err != nil {
 		t.Fatal(err)
@@ -66,7 +66,7 @@
 }
 
 func (y *town) startAdmin() {
-	y.adminAt = y.w.Loop("admin")
+	y.adminAt = y.w.NewLoop("admin")
 	addr := y.addr
 	if addr == "" {
 		addr = "127.0.0.1:0"
@@ -74,7 +74,7 @@
 	var err error
 	y.adminAt.Do(func() {
 		staff := []Staff{{"ann", Operator, sha256.Sum256([]byte("op"))}, {"vic", Viewer, sha256.Sum256([]byte("view"))}}
-		if y.a, err = Start(y.adminAt, secret, staff, y.records, rand.New(rand.NewSource(9)), zerolog.Nop()); err == nil {
+		if y.a, err = Start(y.adminAt, Config{Secret: secret, Staff: staff, Records: y.records, Random: rand.New(rand.NewSource(9)), Log: zerolog.Nop()}); err == nil {
 			ln, e := y.adminAt.Listen(addr, y.a.Accept)
 			if err = e; e == nil {
 				y.addr = ln.Addr()
@@ -87,7 +87,7 @@
 }
 
 func (y *town) startDispatcher(i int, d deployment.Deployment, name string) {
-	y.at[i] = y.w.Loop(name)
+	y.at[i] = y.w.NewLoop(name)
 	var err error
 	y.at[i].Do(func() {
 		y.x[i], err = dispatch.Start(y.at[i], d, dispatch.Config{Name: name, Zone: d.Zones[i%2], Seed: int64(i + 1), Discovery: y.fleet.Roster.Addr,
@@ -116,7 +116,7 @@
 	tokens  int
 	first   eventloop.Micros
 	began   eventloop.Micros
-	w       *virtual.World
+	w       *virtual.Network
 	finals  []string
 	closed  bool
 }
@@ -153,7 +153,7 @@
 }
 
 func (y *town) send(addr, method, target, key, body string, fields ...string) *call {
-	c := &call{w: y.w, began: y.w.Now(), parser: http1.Parser{Response: true, Bounds: http1.Usual}, events: sse.Parser{Most: 1 << 20}}
+	c := &call{w: y.w, began: y.w.Now(), parser: http1.Parser{Response: true, Limits: http1.DefaultLimits}, events: sse.Parser{MaxEventBytes: 1 << 20}}
 	c.request = http1.AppendRequest(nil, method, target, addr, []byte(body), append(fields, "Authorization", "Bearer "+key, "Content-Type",
 		"application/json", "Connection", "close")...)
 	y.far.Do(func() { c.conn = y.far.Dial(addr, eventloop.Second, c) })
@@ -164,7 +164,7 @@
 func (y *town) admin(key, method, path, body string, fields ...string) (int, gjson.Result, string) {
 	y.t.Helper()
 	c := y.send(y.addr, method, "/admin/v1/"+path, key, body, fields...)
-	if !y.w.Until(5*eventloop.Second, func() bool { return len(c.finals) > 0 }) {
+	if !y.w.RunUntil(5*eventloop.Second, func() bool { return len(c.finals) > 0 }) {
 		y.t.Fatalf("%s %s: no answer", method, path)
 	}
 	y.w.Run(20 * eventloop.Millisecond)
@@ -195,7 +195,7 @@
 
 func (y *town) finals(c *call, want string) {
 	y.t.Helper()
-	y.w.Until(40*eventloop.Second, func() bool { return len(c.finals) > 0 })
+	y.w.RunUntil(40*eventloop.Second, func() bool { return len(c.finals) > 0 })
 	if fmt.Sprint(c.finals) != "["+want+"]" {
 		y.t.Errorf("finals %v, want %s; %s", c.finals, want, c.body)
 	}
@@ -217,7 +217,7 @@
 	}
 	second, _ := y.must(201, "POST", "tenants/bahari/keys", `{"label":"next"}`)
 	running := y.ask(0, key, "explain")
-	y.w.Until(5*eventloop.Second, func() bool { return running.tokens > 0 })
+	y.w.RunUntil(5*eventloop.Second, func() bool { return running.tokens > 0 })
 	y.must(200, "DELETE", "tenants/bahari/keys/"+got.Get("keys.0.id").String(), "")
 	y.finals(y.ask(0, key, "explain"), "401")
 	y.finals(y.ask(0, second.Get("key").String(), "explain"), "streamed")
@@ -303,9 +303,9 @@
 	y.must(200, "PATCH", "tenants/a", `{"limits":{"per_s":6}}`, "If-Match", etag)
 	y.must(412, "PATCH", "tenants/a", `{"limits":{"per_s":7}}`, "If-Match", etag)
 	y.must(200, "PATCH", "tenants/a?dry_run=true", `{"limits":{"per_s":8}}`)
-	y.records.Refuse = errors.New("disk full")
+	y.records.SaveError = errors.New("disk full")
 	y.must(500, "PATCH", "tenants/a", `{"limits":{"per_s":9}}`)
-	y.records.Refuse = nil
+	y.records.SaveError = nil
 	if got, _ := y.must(200, "GET", "tenants/a", ""); got.Get("limits.per_s").Num != 6 {
 		t.Errorf("limits: %s", got.Raw)
 	}
@@ -429,7 +429,7 @@
 		}
 	}
 	l := tenancy.NewUsageLedger()
-	l.Add(0, &tenancy.UsageReport{Dispatcher: "d1", Number: 7, Used: []tenancy.Usage{{Tenant: "a", Product: "explain", Day: "2026-01-01", Completed: 4}}})
+	l.Add(0, &tenancy.UsageReport{Dispatcher: "d1", Number: 7, Usage: []tenancy.Usage{{Tenant: "a", Product: "explain", Day: "2026-01-01", Completed: 4}}})
 	old, _ := json.Marshal(kept{g, l, map[string]string{"a\x00k1": "id1"}})
 	write := func(name, text string) {
 		t.Helper()
@@ -443,7 +443,7 @@
 	}
 	write("tenants.json", string(old))
 	write("changes.ndjson", `{"who":"ann"}`+"\n"+`{"who":"bob"}`+"\n"+`{"who":"cut o`)
-	w := virtual.New(1)
+	w := virtual.NewNetwork(1)
 	for round := range 3 {
 		k, err := OpenStoredRecords(dir)
 		if err != nil {
@@ -452,13 +452,13 @@
 		if _, err := OpenStoredRecords(dir); err == nil || !strings.Contains(err.Error(), "in use") {
 			t.Errorf("a second process: %v", err)
 		}
-		a, err := Start(w.Loop("x"), secret, nil, k, rand.New(rand.NewSource(1)), zerolog.Nop())
+		a, err := Start(w.NewLoop("x"), Config{Secret: secret, Records: k, Random: rand.New(rand.NewSource(1)), Log: zerolog.Nop()})
 		if err != nil {
 			t.Fatal(err)
 		}
 		id, _ := k.Get(madeKey + "a\x00k1")
 		if a.registry.Epoch != "e1" || a.registry.Version != 2+uint64(round) || a.registry.Tenants["b"].Limits.PerS != 3 || a.changes != 2+uint64(round) ||
-			a.ledger.Numbers["d1"] != 7 || len(a.ledger.Of("a")) != 1 || a.ledger.Of("a")[0].Completed != 4 || string(id) != "id1" {
+			a.ledger.Numbers["d1"] != 7 || len(a.ledger.UsageOf("a")) != 1 || a.ledger.UsageOf("a")[0].Completed != 4 || string(id) != "id1" {
 			t.Errorf("round %d: %+v, %d changes, %+v, %q", round, a.registry, a.changes, a.ledger, id)
 		}
 		r := &request{query: map[string]string{}, who: caller{name: "ann"}, path: []string{"tenants", "a"}}
@@ -484,21 +484,21 @@
 // A report that could not be kept comes again and counts then, and once.
 func TestReportThatWasNotKept(t *testing.T) {
 	records := &MemoryRecords{}
-	w := virtual.New(1)
-	a, err := Start(w.Loop("x"), secret, nil, records, rand.New(rand.NewSource(1)), zerolog.Nop())
+	w := virtual.NewNetwork(1)
+	a, err := Start(w.NewLoop("x"), Config{Secret: secret, Records: records, Random: rand.New(rand.NewSource(1)), Log: zerolog.Nop()})
 	if err != nil {
 		t.Fatal(err)
 	}
-	report, _ := json.Marshal(tenancy.UsageReport{Dispatcher: "d1", Number: 1, Used: []tenancy.Usage{{Tenant: "a", Product: "p", Day: "d", Accepted: 3}, {Tenant: "a", Product: "p", Day: "d", Accepted: 2}}})
+	report, _ := json.Marshal(tenancy.UsageReport{Dispatcher: "d1", Number: 1, Usage: []tenancy.Usage{{Tenant: "a", Product: "p", Day: "d", Accepted: 3}, {Tenant: "a", Product: "p", Day: "d", Accepted: 2}}})
 	for i, want := range []int{500, 200, 200} {
-		if records.Refuse = nil; i == 0 {
-			records.Refuse = errors.New("disk full")
+		if records.SaveError = nil; i == 0 {
+			records.SaveError = errors.New("disk full")
 		}
 		if got := a.takeReport(report); got.status != want {
 			t.Errorf("time %d: %+v", i, got)
 		}
-		again, err := Start(w.Loop("y"), secret, nil, records, rand.New(rand.NewSource(1)), zerolog.Nop())
-		if used := again.ledger.Of(""); err != nil || i == 0 && len(used) > 0 || i > 0 && (len(used) != 1 || used[0].Accepted != 5) {
+		again, err := Start(w.NewLoop("y"), Config{Secret: secret, Records: records, Random: rand.New(rand.NewSource(1)), Log: zerolog.Nop()})
+		if used := again.ledger.UsageOf(""); err != nil || i == 0 && len(used) > 0 || i > 0 && (len(used) != 1 || used[0].Accepted != 5) {
 			t.Errorf("time %d: kept: %+v %v", i, used, err)
 		}
 	}
@@ -521,7 +521,7 @@
 		}
 	}
 	for _, bad := range []string{"", "operator x", "king x " + strings.Repeat("0", 64), "viewer x 12"} {
-		if _, err := ReadStaff(bad); err == nil {
+		if _, err := ParseStaff(bad); err == nil {
 			t.Errorf("staff %q was taken", bad)
 		}
 	}
@@ -600,7 +600,7 @@
 			calls = append(calls, out{y.send(y.api[i], "GET", "/v1/models", keys[who], ""), -1, []string{"200"}})
 		}
 		if len(calls) == 200 {
-			y.w.Until(10*eventloop.Second, func() bool {
+			y.w.RunUntil(10*eventloop.Second, func() bool {
 				for _, o := range calls {
 					if len(o.c.finals) == 0 {
 						return false
--- a/internal/dispatch/check.go
+++ b/internal/dispatch/check.go
@@ -52,13 +52,13 @@
 			parts++
 		}
 	}
-	if out := x.batches.limiter.Out(); out != parts {
+	if out := x.batches.limiter.InFlight(); out != parts {
 		return fmt.Errorf("%d parts are out, and %d are counted", parts, out)
 	}
 	if open := x.module.InFlight(); open.Attempts != legs || open.Requests > len(x.gens) {
 		return fmt.Errorf("the module has %d generations and %d legs out, the dispatcher %d and %d", open.Requests, open.Attempts, len(x.gens), legs)
 	}
-	if n := x.front.Open; n < 0 {
+	if n := x.front.OpenRequests; n < 0 {
 		return fmt.Errorf("%d requests are open", n)
 	}
 	return nil
--- a/internal/engine/engine_test.go
+++ b/internal/engine/engine_test.go
@@ -20,18 +20,18 @@
 // TestTimeIsOver: an attempt whose last byte never left can't have run; one that left whole may have.
 func TestTimeIsOver(t *testing.T) {
 	for size, want := range map[int]scheduler.Outcome{100 << 10: scheduler.Unreachable, 1 << 10: scheduler.TimedOut} {
-		w := virtual.New(1)
-		w.Window = 16 << 10
-		far, own := w.Loop("far"), w.Loop("own")
+		w := virtual.NewNetwork(1)
+		w.ReceiveWindow = 16 << 10
+		far, own := w.NewLoop("far"), w.NewLoop("own")
 		ln, err := far.Listen("127.0.0.1:0", func(c eventloop.Conn) eventloop.Handler { c.Pause(true); return deaf{} })
 		if err != nil {
 			t.Fatal(err)
 		}
 		var got []Result
 		own.Do(func() {
-			e := New(own, "d", "", Limits{Connect: eventloop.Second, Idle: eventloop.Second, PerEndpoint: 4, Opening: 4})
+			e := New(own, "d", "", Limits{ConnectTimeout: eventloop.Second, IdleTimeout: eventloop.Second, MaxPerEndpoint: 4, MaxOpening: 4})
 			e.SetAddress(1, ln.Addr())
-			e.Call(1, Call{Request: func(addr string, _ eventloop.Micros) []byte {
+			e.Call(1, Call{BuildRequest: func(addr string, _ eventloop.Micros) []byte {
 				return http1.AppendRequest(nil, "POST", "/", addr, make([]byte, size))
 			}},
 				300*eventloop.Millisecond, Callbacks{Ended: func(o Result) { got = append(got, o) }})
@@ -46,18 +46,18 @@
 // TestLeavesInTime: an attempt that waited for its turn to open a connection has the rest of the time for one, not all of it anew: whether it
 // may still be sent was looked at when it was ordered.
 func TestLeavesInTime(t *testing.T) {
-	w := virtual.New(1)
-	far, own := w.Loop("far"), w.Loop("own")
+	w := virtual.NewNetwork(1)
+	far, own := w.NewLoop("far"), w.NewLoop("own")
 	ln, err := far.Listen("127.0.0.1:0", func(c eventloop.Conn) eventloop.Handler { return deaf{} })
 	if err != nil {
 		t.Fatal(err)
 	}
 	w.Block(own, far, 10*eventloop.Second)
-	e := New(own, "d", "", Limits{Connect: eventloop.Second, Idle: eventloop.Second, PerEndpoint: 4, Opening: 1})
+	e := New(own, "d", "", Limits{ConnectTimeout: eventloop.Second, IdleTimeout: eventloop.Second, MaxPerEndpoint: 4, MaxOpening: 1})
 	var took []eventloop.Micros
 	call := func() {
 		began := w.Now()
-		e.Call(1, Call{Request: func(addr string, _ eventloop.Micros) []byte { return http1.AppendRequest(nil, "POST", "/", addr, nil) }},
+		e.Call(1, Call{BuildRequest: func(addr string, _ eventloop.Micros) []byte { return http1.AppendRequest(nil, "POST", "/", addr, nil) }},
 			5*eventloop.Second, Callbacks{Ended: func(o Result) {
 				if took = append(took, w.Now()-began); o.Outcome != scheduler.Unreachable {
 					t.Errorf("it ended %d: %s", o.Outcome, o.Reason)
--- a/internal/platform/attempt.go
+++ b/internal/platform/attempt.go
@@ -43,7 +43,7 @@
 	return engine.Result{Outcome: outcome, MemoryUsage: scheduler.NoLoadReport, Reason: reason}
 }
 
-// Send implements scheduler.Orders: it makes an attempt.
+// Send implements scheduler.Executor: it makes an attempt.
 func (d *Dispatcher) Send(id scheduler.RequestID, endpoint scheduler.EndpointID, timeout scheduler.Micros) {
 	r := d.requests[id]
 	if r == nil {
@@ -71,14 +71,14 @@
 func (d *Dispatcher) startAttempt(r *request, number scheduler.AttemptNo, timeout eventloop.Micros) {
 	// The disconnect may not have been handed over yet, as after the process was suspended.
 	if r.client.response.Disconnected() {
-		d.loop.Later(func() {
+		d.loop.Defer(func() {
 			d.clientDisconnected(r)
 			d.attemptEnded(r, number, newResult(scheduler.NotSent, reasonClientDisconnected))
 		})
 		return
 	}
 	if err := r.ledger.Send(d.loop.Now(), d.guardEndpoint(r)); err != nil {
-		d.loop.Later(func() { // never within the scheduler's own call
+		d.loop.Defer(func() { // never within the scheduler's own call
 			d.attemptEnded(r, number, newResult(scheduler.NotSent, err.Error()))
 		})
 		return
@@ -93,8 +93,8 @@
 		Target:      r.client.Target,
 		Fields:      r.client.Fields,
 		Body:        r.client.Body,
-		LeaveWithin: max(d.settings.Connect-waited, 1),
-		OnLeave:     func(left eventloop.Micros) { d.attemptWritten(r, number, left) },
+		SendTimeout: max(d.settings.ConnectTimeout-waited, 1),
+		OnSend:      func(left eventloop.Micros) { d.attemptWritten(r, number, left) },
 	}
 	timeout = max(timeout-waited, 0)
 	if r.attempt.prefill {
@@ -110,7 +110,7 @@
 	switch {
 	case !d.isReady(r.attempt.endpoint):
 		d.attemptEnded(r, number, newResult(scheduler.NotSent, reasonEndpointNotReady))
-	case d.loop.Now()-r.attempt.orderedAt > d.settings.Connect:
+	case d.loop.Now()-r.attempt.orderedAt > d.settings.ConnectTimeout:
 		d.attemptEnded(r, number, newResult(scheduler.NotSent, reasonReleaseTooLate))
 	default:
 		d.startAttempt(r, number, timeout)
@@ -136,7 +136,7 @@
 // streamStarted takes the first event as proof that the endpoint has fetched the KV state.
 func (d *Dispatcher) streamStarted(r *request) {
 	r.attempt.started, r.lease.active = true, false
-	r.lease.expiry.Over()
+	r.lease.expiry.Clear()
 	r.ledger.LeaseTaken()
 	r.attempt.inFlight.Started()
 	if e := d.debugAttempt(r); e.Enabled() {
@@ -153,7 +153,7 @@
 	}
 	if result.ClosedLocally && !a.started && !a.cancelling && result.Outcome != scheduler.Unreachable {
 		a.cancelling = true
-		d.loop.After(cancelDelivery, func() { d.attemptEnded(r, number, result) })
+		d.loop.AfterFunc(cancelDelivery, func() { d.attemptEnded(r, number, result) })
 		return
 	}
 	a.inFlight, a.cancelling = nil, false
@@ -182,7 +182,7 @@
 	r.client.response.Break()
 }
 
-// Cancel implements scheduler.Orders: it cancels an attempt. The scheduler hears of that after the call that is under
+// Cancel implements scheduler.Executor: it cancels an attempt. The scheduler hears of that after the call that is under
 // way; an attempt that was never written is known not to have run.
 func (d *Dispatcher) Cancel(id scheduler.RequestID, number scheduler.AttemptNo) {
 	r := d.requests[id]
@@ -209,7 +209,7 @@
 		result.Undelivered = inFlight.Undelivered()
 	}
 	r.lease.waiting = nil
-	d.loop.Later(func() {
+	d.loop.Defer(func() {
 		if number == r.attempt.number() && r.attempt.inFlight == inFlight {
 			d.attemptEnded(r, number, result)
 		}
--- a/internal/platform/crossings_test.go
+++ b/internal/platform/crossings_test.go
@@ -25,7 +25,7 @@
 			l.conn.Abort()
 		case 2: // where the state is gone: it is released, and the next attempt waits for that
 			r.agent.update(false, r.endpoints[0].entry("DRAINING"), r.endpoints[1].entry("DRAINING")) // so that a decode host reads the prompt too
-			l.endpoint.loop.After(2*r.world.Latency, func() { l.answer(410, "", "Srv-Declined", "1", "Connection", "close") })
+			l.endpoint.loop.AfterFunc(2*r.world.Latency, func() { l.answer(410, "", "Srv-Declined", "1", "Connection", "close") })
 		default:
 			if late := r.world.Now() - first; late > window+r.world.Latency { // it left after the window
 				t.Errorf("a repeat arrived %d ms after the first attempt", late/eventloop.Millisecond)
@@ -75,7 +75,7 @@
 				for _, e := range test.events {
 					l.conn.Write(sse.Append(nil, []byte(e)))
 				}
-				l.endpoint.loop.After(50*eventloop.Millisecond, func() { test.end(l.conn) })
+				l.endpoint.loop.AfterFunc(50*eventloop.Millisecond, func() { test.end(l.conn) })
 			})
 			c := r.sendRequest("post")
 			r.waitFor(5*eventloop.Second, "the end", func() bool { return c.closed || len(c.statuses) > 0 })
@@ -96,13 +96,13 @@
 		c := r.connect("")
 		r.world.Run(10 * eventloop.Millisecond)
 		ended := r.shutDown()
-		r.remote.After(after, func() {
+		r.remote.AfterFunc(after, func() {
 			if !c.closed {
 				c.conn.Write([]byte(r.requestText("explain")))
 			}
 		})
 		clean := true
-		r.world.Watch = func() {
+		r.world.AfterStep = func() {
 			if *ended && r.dispatcher.Server().Open() > 0 { // the process ends, and resets what is open
 				clean = false
 			}
@@ -194,10 +194,10 @@
 	r.waitFor(eventloop.Second, "two refusals", func() bool { return declined == 2 })
 	c := r.sendRequest("post") // the hosts are not asked again for a moment
 	r.world.Run(5 * eventloop.Millisecond)
-	r.world.Heard = 400 * eventloop.Millisecond
+	r.world.DeliveryDelay = 400 * eventloop.Millisecond
 	r.remote.Do(c.conn.Abort)
 	r.world.Run(390 * eventloop.Millisecond)
-	r.world.Heard = 0
+	r.world.DeliveryDelay = 0
 	r.remote.Do(first.conn.Abort)
 	r.world.Run(eventloop.Second)
 	if declined > 2 {
@@ -219,13 +219,13 @@
 	p := randomDeployment(chance)
 	r, watch := p.harness(t, chance)
 	watch.t = &testing.T{} // what arrives after a silence is no fault of the dispatcher's
-	r.world.Heard = eventloop.Micros(chance.Intn(2000))
-	r.world.Delay = func() eventloop.Micros { return eventloop.Micros(chance.Intn(3000)) }
+	r.world.DeliveryDelay = eventloop.Micros(chance.Intn(2000))
+	r.world.ExtraLatency = func() eventloop.Micros { return eventloop.Micros(chance.Intn(3000)) }
 	during := func(most eventloop.Micros) eventloop.Micros { return eventloop.Micros(chance.Int63n(int64(most))) }
 	const day = 6 * eventloop.Second
 	var visitors []*visitor
 	for i := range 60 {
-		r.remote.After(during(day), func() { visitors = append(visitors, r.visit(p, watch, chance, i)) })
+		r.remote.AfterFunc(during(day), func() { visitors = append(visitors, r.visit(p, watch, chance, i)) })
 	}
 	troubles := []func(){
 		func() {
@@ -235,8 +235,8 @@
 			r.world.Block(r.endpoints[chance.Intn(len(r.endpoints))].loop, r.loop, during(eventloop.Second))
 		},
 		func() {
-			r.loop.Descriptors = r.loop.Open() + chance.Intn(4)
-			r.remote.After(during(eventloop.Second), func() { r.loop.Descriptors = 0 })
+			r.loop.DescriptorLimit = r.loop.OpenConnections() + chance.Intn(4)
+			r.remote.AfterFunc(during(eventloop.Second), func() { r.loop.DescriptorLimit = 0 })
 		},
 		func() {
 			for _, l := range r.agent.watches {
@@ -252,7 +252,7 @@
 		},
 	}
 	for range 12 {
-		r.remote.After(during(day), troubles[chance.Intn(len(troubles))])
+		r.remote.AfterFunc(during(day), troubles[chance.Intn(len(troubles))])
 	}
 	r.world.Run(during(day + eventloop.Second))
 	ended := r.shutDown()
--- a/internal/platform/dispatcher.go
+++ b/internal/platform/dispatcher.go
@@ -59,7 +59,7 @@
 	scheduler *scheduler.Scheduler
 	upstream  *upstream.Client
 	server    *server.Server
-	discovery *discovery.Watch
+	discovery *discovery.Watcher
 	guard     *guard.Guard
 
 	requests    map[scheduler.RequestID]*request
@@ -92,24 +92,24 @@
 		endpoints: map[scheduler.EndpointID]discovery.Entry{},
 		startedAt: loop.Now(),
 	}
-	place := d.settings.Place
+	place := d.settings.Scheduler
 	// Connections are closed well before endpoints do: what is written to one that is closed counts as lost.
 	place.IdleTimeout /= 2
 	warn := func(line string) { config.Log.Warn().Msg(line) }
 	d.guard = d.newGuard()
 	e := engine.New(loop, config.Name, "", upstreamLimits(d.settings, config.Sockets, place.IdleTimeout))
-	d.upstream = upstream.New(loop, e, d.settings.ReleaseWithin, d.releaseTargets)
+	d.upstream = upstream.New(loop, e, d.settings.StateTimeout, d.releaseTargets)
 	d.upstream.Log = warn
 	d.server = server.New(loop, clientLimits(config.Sockets, config.Memory), d)
 	d.server.OnUnansweredClose = d.reportUnansweredClose
 	d.discovery = discovery.New(loop, config.Seed, config.Discovery, d.updateEndpoints, warn)
 	d.scheduler = scheduler.New(loop.Now(), config.Seed, place, d)
 	if len(config.Known) > 0 {
-		if err := d.discovery.TakeKnown(config.Known); err != nil {
+		if err := d.discovery.ApplyCached(config.Known); err != nil {
 			config.Log.Warn().Err(err).Msg("known endpoint list ignored")
 		}
 	}
-	d.discovery.Begin()
+	d.discovery.Start()
 	d.expireIDs()
 	return d
 }
@@ -119,12 +119,12 @@
 func upstreamLimits(s *settings.Settings, sockets int, idle eventloop.Micros) engine.Limits {
 	total := max(sockets*2/5, minConnections)
 	return engine.Limits{
-		Connect:     s.Connect,
-		Idle:        idle,
-		Silence:     streamSilence,
-		PerEndpoint: total,
-		Opening:     max(total/4, minConnecting),
-		Total:       total,
+		ConnectTimeout:    s.ConnectTimeout,
+		IdleTimeout:       idle,
+		StreamIdleTimeout: streamSilence,
+		MaxPerEndpoint:    total,
+		MaxOpening:        max(total/4, minConnecting),
+		MaxTotal:          total,
 	}
 }
 
@@ -143,13 +143,13 @@
 func (d *Dispatcher) Guard() *guard.Guard { return d.guard }
 
 // MoveDiscovery watches discovery at another address.
-func (d *Dispatcher) MoveDiscovery(address string) { d.discovery.Move(address) }
+func (d *Dispatcher) MoveDiscovery(address string) { d.discovery.SetAddress(address) }
 
 // discoveryReady reports whether discovery has spoken, or has had its chance to. What discovery has counts as known
 // from the first moment, and what was known before may name endpoints that are gone.
 func (d *Dispatcher) discoveryReady() bool {
 	timedOut := d.loop.Now()-d.startedAt >= discoveryTimeout
-	d.discoveryWasReady = d.discoveryWasReady || d.discovery.Up() || timedOut
+	d.discoveryWasReady = d.discoveryWasReady || d.discovery.Connected() || timedOut
 	return d.discoveryWasReady
 }
 
@@ -160,7 +160,7 @@
 		do()
 		return
 	}
-	d.loop.After(discoveryPoll, func() { d.WhenDiscoveryReady(do) })
+	d.loop.AfterFunc(discoveryPoll, func() { d.WhenDiscoveryReady(do) })
 }
 
 // Ready implements server.Handler: it reports whether requests can be served, or at least rejected.
--- a/internal/platform/endpoints.go
+++ b/internal/platform/endpoints.go
@@ -28,39 +28,39 @@
 	d.cancelUnsentToUnready()
 	d.scheduler.EndpointUpdateEnded(d.loop.Now(), full)
 	for _, e := range entries {
-		if e.Condition == scheduler.Removed {
-			d.upstream.Forget(e.ID)
+		if e.State == scheduler.Removed {
+			d.upstream.RemoveEndpoint(e.ID)
 		}
 	}
 	if full {
-		d.upstream.ForgetOthers(listed)
+		d.upstream.RetainEndpoints(listed)
 	}
 }
 
 func (d *Dispatcher) updateEndpoint(e discovery.Entry) {
 	zone, kind := slices.Index(d.settings.Zones, e.Zone), slices.Index(d.settings.Kinds, e.Kind)
-	if zone < 0 || kind < 0 || kind >= len(d.settings.Place.Kinds) {
+	if zone < 0 || kind < 0 || kind >= len(d.settings.Scheduler.Kinds) {
 		d.config.Log.Warn().Str("endpoint", e.Name).Str("zone", e.Zone).Str("kind", e.Kind).
 			Msg("endpoint of unknown zone or kind not used")
 		zone, kind = max(zone, 0), unknownKind
 	}
-	if e.Condition == scheduler.Removed {
+	if e.State == scheduler.Removed {
 		delete(d.endpoints, e.ID)
 	} else {
 		d.endpoints[e.ID] = e
 		d.upstream.SetAddress(e.ID, e.Addr)
 	}
 	d.config.Log.Debug().Str("endpoint", e.Name).Uint32("endpoint_id", uint32(e.ID)).Str("address", e.Addr).
-		Str("kind", e.Kind).Str("zone", e.Zone).Uint16("cell", uint16(e.Cell)).Int("state", int(e.Condition)).
-		Int64("started_us", int64(e.Started)).Msg("endpoint updated")
+		Str("kind", e.Kind).Str("zone", e.Zone).Uint16("cell", uint16(e.Cell)).Int("state", int(e.State)).
+		Int64("started_us", int64(e.StartedAt)).Msg("endpoint updated")
 	now := d.loop.Now()
 	d.scheduler.EndpointUpdated(now, scheduler.EndpointStatus{
 		ID:        e.ID,
 		Zone:      scheduler.ZoneID(zone),
 		Kind:      scheduler.KindID(kind),
 		Cell:      e.Cell,
-		State:     e.Condition,
-		StartedAt: min(e.Started, now),
+		State:     e.State,
+		StartedAt: min(e.StartedAt, now),
 	})
 }
 
@@ -81,7 +81,7 @@
 func (d *Dispatcher) updateReady() {
 	d.ready = d.ready[:0]
 	for id, e := range d.endpoints {
-		if e.Condition == scheduler.Ready {
+		if e.State == scheduler.Ready {
 			d.ready = append(d.ready, id)
 		}
 	}
@@ -102,8 +102,8 @@
 // role is what an endpoint does; one of unknown kind counts as a decode endpoint.
 func (d *Dispatcher) role(id scheduler.EndpointID) scheduler.Role {
 	kind := slices.Index(d.settings.Kinds, d.endpoints[id].Kind)
-	if kind >= 0 && kind < len(d.settings.Place.Kinds) {
-		return d.settings.Place.Kinds[kind].Role
+	if kind >= 0 && kind < len(d.settings.Scheduler.Kinds) {
+		return d.settings.Scheduler.Kinds[kind].Role
 	}
 	return scheduler.Decode
 }
--- a/internal/platform/executor.go
+++ b/internal/platform/executor.go
@@ -2,10 +2,11 @@
 
 import (
 	"plumspindle/internal/platform/guard"
+	"plumspindle/internal/schedulerlog"
 	"plumspindle/scheduler"
 )
 
-// Reject implements scheduler.Orders: the final answer of a request that may be sent again.
+// Reject implements scheduler.Executor: the final answer of a request that may be sent again.
 func (d *Dispatcher) Reject(id scheduler.RequestID, retryAfter scheduler.Micros) {
 	if r := d.requests[id]; r != nil && !r.client.answered {
 		r.client.answered = true
@@ -16,7 +17,7 @@
 	}
 }
 
-// Fail implements scheduler.Orders: the final answer of a request that failed.
+// Fail implements scheduler.Executor: the final answer of a request that failed.
 func (d *Dispatcher) Fail(id scheduler.RequestID) {
 	if r := d.requests[id]; r != nil && !r.client.answered {
 		r.client.answered = true
@@ -39,16 +40,16 @@
 	d.debugRequest(r).Str("class", r.client.Class).Stringer("reason", r.client.reason).
 		Int("attempts", int(r.attempt.count)).Msg(message)
 	d.cancelUnsent(r)
-	d.loop.Later(func() { d.finishIfIdle(r) })
+	d.loop.Defer(func() { d.finishIfIdle(r) })
 }
 
-// WatchEndpoints implements scheduler.Orders; the list comes by itself here.
+// WatchEndpoints implements scheduler.Executor; the list comes by itself here.
 func (d *Dispatcher) WatchEndpoints() {}
 
-// SetTimer implements scheduler.Orders: it sets one of the scheduler's two timers.
+// SetTimer implements scheduler.Executor: it sets one of the scheduler's two timers.
 func (d *Dispatcher) SetTimer(after scheduler.Micros, timer scheduler.TimerID) {
-	d.loop.After(after, func() { d.scheduler.TimerFired(d.loop.Now(), timer) })
+	d.loop.AfterFunc(after, func() { d.scheduler.TimerFired(d.loop.Now(), timer) })
 }
 
-// Log implements scheduler.Orders.
-func (d *Dispatcher) Log(line string) { d.config.Log.Info().Msg(line) }
+// Log implements scheduler.Executor.
+func (d *Dispatcher) Log(event scheduler.Event) { schedulerlog.Write(&d.config.Log, event) }
--- a/internal/platform/fleet_test.go
+++ b/internal/platform/fleet_test.go
@@ -37,8 +37,8 @@
 			if len(r.dispatcher.ready) != 2 {
 				t.Errorf("silent from %d ms: %d hosts are ready %d ms later", at/eventloop.Millisecond, len(r.dispatcher.ready), (r.world.Now()-began)/eventloop.Millisecond)
 			}
-			if r.world.Run(10 * eventloop.Second); !r.agent.watches[0].closed || r.remote.Open() > 1 {
-				t.Errorf("%d watches are open", r.remote.Open())
+			if r.world.Run(10 * eventloop.Second); !r.agent.watches[0].closed || r.remote.OpenConnections() > 1 {
+				t.Errorf("%d watches are open", r.remote.OpenConnections())
 			}
 		}
 	}
@@ -52,7 +52,7 @@
 			r := newHarness(t, 256, usualEndpoints...)
 			r.agent.silent, r.agent.watches[0].mute = true, true
 			r.world.Run(away * eventloop.Millisecond)
-			if n := r.remote.Open(); n > 3 {
+			if n := r.remote.OpenConnections(); n > 3 {
 				t.Errorf("%d watches are open", n)
 			}
 			l := r.agent.watches[0]
@@ -91,7 +91,7 @@
 func TestIndentedList(t *testing.T) {
 	for _, most := range []int{0, 1, 7} {
 		r := newHarness(t, 256, usualEndpoints...)
-		r.world.Segment = most
+		r.world.MaxSegment = most
 		indented := func(entries ...string) string {
 			return "\r\n{\n  \"version\": 9,\n  \"full\": true,\n  \"note\": \"} \\\" ]\",\n  \"servers\": [\n    " + strings.Join(entries, ",\n    ") + "\n  ]\n}\n\n"
 		}
@@ -165,7 +165,7 @@
 			for _, o := range r.decodeEndpoints() {
 				r.world.Block(r.loop, o.loop, 3*eventloop.Second)
 			}
-			h.loop.After(400*eventloop.Millisecond, func() { l.answer(503, "", "Srv-Declined", "1"); refused = true })
+			h.loop.AfterFunc(400*eventloop.Millisecond, func() { l.answer(503, "", "Srv-Declined", "1"); refused = true })
 		}
 	}
 	c := r.sendRequest("explain")
@@ -190,7 +190,7 @@
 			text := own()
 			answer := func() { l.stream(text, stopEvent, usageEvent, "[DONE]"); l.endStream() }
 			if answer(); n == 1 {
-				l.endpoint.loop.After(span, answer)
+				l.endpoint.loop.AfterFunc(span, answer)
 			}
 		}
 		var last *testClient
@@ -337,7 +337,7 @@
 				usual(l)
 			}
 		}
-		r.world.Delay = func() eventloop.Micros { return eventloop.Micros(chance.Intn(8000)) }
+		r.world.ExtraLatency = func() eventloop.Micros { return eventloop.Micros(chance.Intn(8000)) }
 		for i := range 60 {
 			product, limit := "post", "1500m"
 			if i%2 > 0 {
@@ -349,7 +349,7 @@
 			c := r.sendRequest(product, "Req-Key", strconv.Itoa(i), "Req-Extra", "prompt_len=512,max_out=80", "Req-Deadline", limit)
 			r.finalStatus(c)
 		}
-		r.world.Delay = nil
+		r.world.ExtraLatency = nil
 		if overtaken > 0 {
 			t.Errorf("may cancel %s: %d legs overtook the close of the one before", may, overtaken)
 		}
--- a/internal/platform/lease.go
+++ b/internal/platform/lease.go
@@ -19,7 +19,7 @@
 	active      bool
 	unconfirmed bool                 // the prefill that may have left the state was not answered
 	endpoint    scheduler.EndpointID // the likely one
-	expiry      eventloop.Wait
+	expiry      eventloop.Timeout
 	expiresAt   eventloop.Micros
 	confirming  bool   // whether an attempt has reached its endpoint is looked at once more
 	releasing   bool   // the state is being released
@@ -53,14 +53,14 @@
 func (d *Dispatcher) startLease(r *request) {
 	r.lease.active = true
 	r.ledger.LeaseStarted(d.loop.Now())
-	r.lease.expiresAt = d.loop.Now() + eventloop.Micros(leaseShare*float64(d.settings.ReleaseWithin))
+	r.lease.expiresAt = d.loop.Now() + eventloop.Micros(leaseShare*float64(d.settings.StateTimeout))
 	d.scheduleLeaseExpiry(r)
 }
 
 func (d *Dispatcher) scheduleLeaseExpiry(r *request) {
 	r.lease.confirming = false
 	left := max(r.lease.expiresAt-d.loop.Now(), 0)
-	r.lease.expiry.For(d.loop, left, func() { d.leaseExpired(r) })
+	r.lease.expiry.Set(d.loop, left, func() { d.leaseExpired(r) })
 }
 
 // leaseExpired ends a lease that has run on while connections failed to come up or were silent. An attempt that has
@@ -74,7 +74,7 @@
 	unsent := inFlight.Unsent()
 	if !unsent && !r.lease.confirming { // it may have been sent only now
 		r.lease.confirming = true
-		r.lease.expiry.For(d.loop, deliveryConfirmTime, func() { d.leaseExpired(r) })
+		r.lease.expiry.Set(d.loop, deliveryConfirmTime, func() { d.leaseExpired(r) })
 		return
 	}
 	result := newResult(scheduler.NoCapacity, reasonLeaseExpired)
@@ -95,7 +95,7 @@
 // release has all that endpoints hold for the request released, and then starts the attempt that waits for that.
 func (d *Dispatcher) release(r *request) {
 	r.lease.active, r.lease.releasing = false, true
-	r.lease.expiry.Over()
+	r.lease.expiry.Clear()
 	d.debugRequest(r).Str("endpoint", d.endpoints[r.lease.endpoint].Name).Msg("releasing state")
 	d.upstream.Release(r.client.ID, r.lease.endpoint, func(bool) {
 		r.lease.releasing = false
@@ -108,7 +108,7 @@
 	})
 }
 
-// Release implements scheduler.Orders: what is held is released now; an attempt that follows waits for that.
+// Release implements scheduler.Executor: what is held is released now; an attempt that follows waits for that.
 func (d *Dispatcher) Release(id scheduler.RequestID) {
 	r := d.requests[id]
 	if r != nil && r.lease.active && !r.lease.releasing && r.attempt.inFlight == nil {
--- a/internal/platform/ledger.go
+++ b/internal/platform/ledger.go
@@ -26,7 +26,7 @@
 		AnswerSlack:     answerSlack,
 		DisconnectSlack: disconnectSlack,
 		DeadlineSlack:   deadlineSlack,
-		StateLease:      d.settings.ReleaseWithin + leaseSlack,
+		StateLease:      d.settings.StateTimeout + leaseSlack,
 	}
 	logged := 0
 	return guard.New(limits, func(v guard.Violation) {
@@ -54,7 +54,7 @@
 	if d.lastActiveAt > 0 {
 		d.reportNotServing(accepted.ID, "accepted after the shutdown")
 	}
-	c := &d.settings.Place.Classes[class]
+	c := &d.settings.Scheduler.Classes[class]
 	return d.guard.Begin(guard.Terms{
 		RequestID:   accepted.ID,
 		Retry:       retryPolicies[c.Effect],
@@ -75,7 +75,7 @@
 		Ready:      d.isReady(r.attempt.endpoint),
 		HasEffects: !r.attempt.prefill,
 	}
-	switch d.settings.Place.Classes[r.class].Group {
+	switch d.settings.Scheduler.Classes[r.class].Group {
 	case scheduler.SameZone:
 		endpoint.Group = listed.Zone
 	case scheduler.SameCell:
--- a/internal/platform/loopback_test.go
+++ b/internal/platform/loopback_test.go
@@ -129,7 +129,7 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(r.loop.Stop)
-	r.loop.SendBuffer = 4 << 10
+	r.loop.SendBufferSize = 4 << 10
 	told, err := settings.Parse([]byte(testSettings))
 	if err != nil {
 		t.Fatal(err)
@@ -354,7 +354,7 @@
 		fmt.Sprintf(`{"version":8,"full":true,"servers":[%s,%s,%s]}`, prefill.entry("SERVING"), leaves.entry("SERVING"), stays.entry("SERVING")))
 	for end := time.Now().Add(10 * time.Second); time.Now().Before(end); { // until both are heard
 		heard := uint64(0)
-		r.loop.Do(func() { heard = r.dispatcher.discovery.Heard })
+		r.loop.Do(func() { heard = r.dispatcher.discovery.Updates })
 		if heard == 3 {
 			break
 		}
--- a/internal/platform/order_test.go
+++ b/internal/platform/order_test.go
@@ -29,26 +29,26 @@
 	chance := rand.New(rand.NewSource(seed))
 	p := randomDeployment(chance)
 	r, watch := p.harness(t, chance)
-	r.world.Heard = eventloop.Micros(chance.Intn(2000))
-	r.world.Delay = func() eventloop.Micros { return eventloop.Micros(chance.Intn(3000)) }
+	r.world.DeliveryDelay = eventloop.Micros(chance.Intn(2000))
+	r.world.ExtraLatency = func() eventloop.Micros { return eventloop.Micros(chance.Intn(3000)) }
 	during := func(most eventloop.Micros) eventloop.Micros { return eventloop.Micros(chance.Int63n(int64(most))) }
 	const day = 6 * eventloop.Second
 	var visitors []*visitor
 	for i := range 60 {
-		r.remote.After(during(day), func() { visitors = append(visitors, r.visit(p, watch, chance, i)) })
+		r.remote.AfterFunc(during(day), func() { visitors = append(visitors, r.visit(p, watch, chance, i)) })
 	}
 	for range 4 {
 		h := r.endpoints[chance.Intn(len(r.endpoints))]
 		switch chance.Intn(3) {
 		case 0:
-			r.remote.After(during(day), func() {
+			r.remote.AfterFunc(during(day), func() {
 				r.agent.update(false, h.entry("DRAINING"))
 				watch.drainedAt[h] = r.world.Now()
 			})
 		case 1:
-			r.remote.After(during(day), func() { r.loop.Freeze(during(100 * eventloop.Millisecond)) })
+			r.remote.AfterFunc(during(day), func() { r.loop.Freeze(during(100 * eventloop.Millisecond)) })
 		default:
-			r.remote.After(during(day), func() {
+			r.remote.AfterFunc(during(day), func() {
 				for _, l := range h.connections {
 					if chance.Intn(2) == 0 {
 						h.loop.Do(l.conn.Abort)
@@ -86,7 +86,7 @@
 	v.testClient = r.connect(text)
 	switch chance.Intn(6) {
 	case 0:
-		r.remote.After(eventloop.Micros(chance.Int63n(int64(eventloop.Second))), func() {
+		r.remote.AfterFunc(eventloop.Micros(chance.Int63n(int64(eventloop.Second))), func() {
 			v.left = true
 			watch.disconnectedAt[v.id] = r.world.Now()
 			if chance.Intn(2) == 0 {
@@ -97,9 +97,9 @@
 		})
 	case 1:
 		span := eventloop.Micros(chance.Int63n(int64(eventloop.Second)))
-		r.remote.After(eventloop.Micros(chance.Intn(20000)), func() {
+		r.remote.AfterFunc(eventloop.Micros(chance.Intn(20000)), func() {
 			v.conn.Pause(true)
-			r.remote.After(span, func() { v.conn.Pause(false) })
+			r.remote.AfterFunc(span, func() { v.conn.Pause(false) })
 		})
 	}
 	return v
--- a/internal/platform/platform_test.go
+++ b/internal/platform/platform_test.go
@@ -220,7 +220,7 @@
 		}
 		serveDecode(l)
 	})
-	r.world.Watch = func() { // it is over once the host has answered it
+	r.world.AfterStep = func() { // it is over once the host has answered it
 		if r.releases() > 0 && r.dispatcher.upstream.Releases > 0 && !slices.Contains(order, "release") && !slices.ContainsFunc(r.dispatcher.requestsByID(), func(g *request) bool { return g.lease.releasing }) {
 			order = append(order, "release")
 		}
@@ -256,7 +256,7 @@
 	}
 	r.waitFor(eventloop.Second, "a read that waits", func() bool { return waits() != nil })
 	for _, h := range r.prefillEndpoints() {
-		if r.dispatcher.discovery.Number(h.id) == waits().attempt.endpoint {
+		if r.dispatcher.discovery.EndpointID(h.id) == waits().attempt.endpoint {
 			before := h.count("POST")
 			r.agent.update(false, h.entry("DRAINING"))
 			if got := r.finalStatus(c); got != 200 || h.count("POST") != before {
@@ -350,7 +350,7 @@
 // TestIdleConnectionsDoNotStarveOthers: connections that say nothing, and requests sent again as soon as they are turned away, do not keep others out.
 func TestIdleConnectionsDoNotStarveOthers(t *testing.T) {
 	r := newHarness(t, 64, usualEndpoints...)
-	r.loop.Descriptors = 64
+	r.loop.DescriptorLimit = 64
 	var silent []*testClient
 	for i := 0; i < 300; i++ {
 		silent = append(silent, r.connect(""))
@@ -359,8 +359,8 @@
 				t.Fatalf("after %d silent ones: answered %d", i, got)
 			}
 		}
-		if r.loop.Open() > 64 {
-			t.Fatalf("%d descriptors", r.loop.Open())
+		if r.loop.OpenConnections() > 64 {
+			t.Fatalf("%d descriptors", r.loop.OpenConnections())
 		}
 	}
 	r.world.Run(3 * eventloop.Second)
@@ -418,16 +418,16 @@
 // TestBrokenBeforeLastByteHasNotRun: what was not written whole can't have run, so that a side-effecting generation is tried elsewhere.
 func TestBrokenBeforeLastByteHasNotRun(t *testing.T) {
 	r := newHarness(t, 256, usualEndpoints...)
-	r.world.Window = 16 << 10
+	r.world.ReceiveWindow = 16 << 10
 	deaf := true
 	for _, h := range r.decodeEndpoints() {
 		h.listener.Close()
 		ln, err := h.loop.Listen(h.addr, func(c eventloop.Conn) eventloop.Handler {
-			l := &endpointConn{endpoint: h, conn: c, parser: http1.Parser{Bounds: http1.Usual}}
+			l := &endpointConn{endpoint: h, conn: c, parser: http1.Parser{Limits: http1.DefaultLimits}}
 			if deaf { // it takes in what its window holds, reads nothing, and breaks
 				deaf = false
 				c.Pause(true)
-				h.loop.After(50*eventloop.Millisecond, c.Abort)
+				h.loop.AfterFunc(50*eventloop.Millisecond, c.Abort)
 			}
 			return l
 		})
@@ -446,7 +446,7 @@
 		h.listener.Close()
 		h.listener, _ = h.loop.Listen(h.addr, func(c eventloop.Conn) eventloop.Handler {
 			c.Pause(true)
-			return &endpointConn{endpoint: h, conn: c, parser: http1.Parser{Bounds: http1.Usual}}
+			return &endpointConn{endpoint: h, conn: c, parser: http1.Parser{Limits: http1.DefaultLimits}}
 		})
 	}
 	r.world.Run(20 * eventloop.Second)
@@ -466,7 +466,7 @@
 func TestBytesCutAnywhere(t *testing.T) {
 	for _, most := range []int{1, 3, 50} {
 		r := newHarness(t, 256, usualEndpoints...)
-		r.world.Segment = most
+		r.world.MaxSegment = most
 		r.agent.update(true, r.endpoints[0].entry("SERVING"), r.endpoints[2].entry("SERVING"))
 		r.world.Run(eventloop.Second)
 		if len(r.dispatcher.ready) != 2 {
@@ -540,7 +540,7 @@
 	}
 	// A request is on its way up, and so is, behind it, the end of the connection that it would be sent on.
 	r.finalStatus(r.sendRequest("post"))
-	r.world.Heard = 5 * eventloop.Millisecond
+	r.world.DeliveryDelay = 5 * eventloop.Millisecond
 	r.world.Run(20 * eventloop.Millisecond)
 	c := r.sendRequest("post")
 	r.world.Run(3 * eventloop.Millisecond)
@@ -635,7 +635,7 @@
 // TestSlowClient: what is kept for one that does not read is bounded, its host is slowed, and all arrives once it reads.
 func TestSlowClient(t *testing.T) {
 	r := newHarness(t, 256, "prefill", "decode")
-	r.world.Window = 4 << 10
+	r.world.ReceiveWindow = 4 << 10
 	const many = 2000
 	r.endpoints[1].serve = serveLongStream(many)
 	c := r.sendRequest("explain")
@@ -654,7 +654,7 @@
 // TestGracefulShutdown: on SIGTERM what still comes for a short while is taken, all is answered, and then the dispatcher ends.
 func TestGracefulShutdown(t *testing.T) {
 	r := newHarness(t, 256, usualEndpoints...)
-	serveAll(r.decodeEndpoints(), func(l *endpointConn) { l.endpoint.loop.After(2*eventloop.Second, func() { serveDecode(l) }) })
+	serveAll(r.decodeEndpoints(), func(l *endpointConn) { l.endpoint.loop.AfterFunc(2*eventloop.Second, func() { serveDecode(l) }) })
 	idle := r.connect("GET /up HTTP/1.1\r\n\r\n")
 	first := r.sendRequest("post")
 	r.world.Run(100 * eventloop.Millisecond)
@@ -687,7 +687,7 @@
 		}
 	}
 	r.world.Run(70 * eventloop.Second)
-	if n := r.dispatcher.upstream.Endpoints(); n > 4 {
+	if n := r.dispatcher.upstream.EndpointCount(); n > 4 {
 		t.Errorf("%d hosts are still known to the legs", n)
 	}
 	if n := r.dispatcher.server.Connections(); n > 0 {
--- a/internal/platform/races_test.go
+++ b/internal/platform/races_test.go
@@ -45,7 +45,7 @@
 	met := 0
 	serveAll(r.decodeEndpoints(), func(l *endpointConn) {
 		if met++; met == 1 {
-			l.endpoint.loop.After(800*eventloop.Millisecond, func() { serveDecode(l) })
+			l.endpoint.loop.AfterFunc(800*eventloop.Millisecond, func() { serveDecode(l) })
 		} // the second never is answered
 	})
 	began := r.world.Now()
@@ -93,16 +93,16 @@
 // taken for the answer.
 func TestAnswerBeforeRequestIsSent(t *testing.T) {
 	r := newHarness(t, 256, usualEndpoints...)
-	r.world.Window = 16 << 10
+	r.world.ReceiveWindow = 16 << 10
 	hasty := true
 	for _, h := range r.decodeEndpoints() {
 		h.listener.Close()
 		h.listener, _ = h.loop.Listen(h.addr, func(c eventloop.Conn) eventloop.Handler {
-			l := &endpointConn{endpoint: h, conn: c, parser: http1.Parser{Bounds: http1.Usual}}
+			l := &endpointConn{endpoint: h, conn: c, parser: http1.Parser{Limits: http1.DefaultLimits}}
 			if hasty { // it takes in what its window holds, reads nothing, and answers all the same
 				hasty = false
 				c.Pause(true)
-				h.loop.After(10*eventloop.Millisecond, func() { l.stream(`{"choices":[]}`); l.endStream() })
+				h.loop.AfterFunc(10*eventloop.Millisecond, func() { l.stream(`{"choices":[]}`); l.endStream() })
 			}
 			return l
 		})
@@ -118,7 +118,7 @@
 // side effects, and a repeat can't arrive after its window.
 func TestEndpointThatDoesNotRead(t *testing.T) {
 	r := newHarness(t, 256, usualEndpoints...)
-	r.world.Window = 16 << 10
+	r.world.ReceiveWindow = 16 << 10
 	var deaf eventloop.Conn
 	for _, h := range r.decodeEndpoints() {
 		h.listener.Close()
@@ -127,7 +127,7 @@
 				deaf = c
 				c.Pause(true)
 			}
-			return &endpointConn{endpoint: h, conn: c, parser: http1.Parser{Bounds: http1.Usual}}
+			return &endpointConn{endpoint: h, conn: c, parser: http1.Parser{Limits: http1.DefaultLimits}}
 		})
 	}
 	began := r.world.Now()
@@ -151,7 +151,7 @@
 		trickle = func() {
 			if !r.agent.watches[0].closed {
 				r.agent.watches[0].conn.Write(http1.AppendChunk(nil, []byte("{ ")[:1+int(min(r.world.Now()-began, 1))]))
-				r.remote.After(every*eventloop.Millisecond, trickle)
+				r.remote.AfterFunc(every*eventloop.Millisecond, trickle)
 			}
 		}
 		r.remote.Do(trickle)
@@ -160,7 +160,7 @@
 			t.Errorf("a byte each %d ms: another watch after %d ms", every, took/eventloop.Millisecond)
 		}
 		r.world.Run(10 * eventloop.Second)
-		if n := r.remote.Open(); n != 1 {
+		if n := r.remote.OpenConnections(); n != 1 {
 			t.Errorf("%d watches are open", n)
 		}
 	}
@@ -181,8 +181,8 @@
 	if len(r.dispatcher.ready) != 2 {
 		t.Errorf("%d hosts are ready", len(r.dispatcher.ready))
 	}
-	if e := r.dispatcher.endpoints[r.dispatcher.discovery.Number(r.endpoints[3].id)]; e.Started != eventloop.Micros(now)*eventloop.Millisecond {
-		t.Errorf("it started at %d", e.Started)
+	if e := r.dispatcher.endpoints[r.dispatcher.discovery.EndpointID(r.endpoints[3].id)]; e.StartedAt != eventloop.Micros(now)*eventloop.Millisecond {
+		t.Errorf("it started at %d", e.StartedAt)
 	}
 	// A newer one does, and so does an older one that names a new process.
 	r.agent.update(true, r.endpoints[0].entry("SERVING"), r.endpoints[1].entry("SERVING"), started(r.endpoints[2], now+1), r.endpoints[3].entry("SERVING"))
@@ -305,7 +305,7 @@
 // TestSlowClientDisconnects: the end of a client is heard while its stream is slowed for it.
 func TestSlowClientDisconnects(t *testing.T) {
 	r := newHarness(t, 256, "prefill", "decode")
-	r.world.Window = 4 << 10
+	r.world.ReceiveWindow = 4 << 10
 	var out *endpointConn
 	r.endpoints[1].serve = func(l *endpointConn) {
 		out = l
--- a/internal/platform/request.go
+++ b/internal/platform/request.go
@@ -67,7 +67,7 @@
 	d.requests[r.id] = r
 	d.activeIDs[accepted.ID] = true
 	response.OnDisconnect = func() {
-		d.loop.Later(func() { d.clientDisconnected(r) }) // never within the scheduler's own call
+		d.loop.Defer(func() { d.clientDisconnected(r) }) // never within the scheduler's own call
 	}
 	response.OnWritable = func() {
 		if r.attempt.inFlight != nil {
@@ -159,7 +159,7 @@
 // expireIDs drops the ids of requests that were answered a while ago, again and again.
 func (d *Dispatcher) expireIDs() {
 	d.recentIDs[1], d.recentIDs[0] = d.recentIDs[0], map[string]bool{}
-	d.loop.After(recentIDTime, d.expireIDs)
+	d.loop.AfterFunc(recentIDTime, d.expireIDs)
 }
 
 // requestsByID are the requests in order, so that nothing depends on the order of a map.
--- a/internal/platform/rig_test.go
+++ b/internal/platform/rig_test.go
@@ -28,7 +28,7 @@
 // harness is one dispatcher in virtual time, with stand-ins of model hosts and discovery that do what a test scripts.
 type harness struct {
 	t          *testing.T
-	world      *virtual.World
+	world      *virtual.Network
 	loop       *virtual.Loop // the dispatcher's
 	remote     *virtual.Loop // clients and discovery
 	dispatcher *Dispatcher
@@ -48,8 +48,8 @@
 
 func newHarnessWith(t *testing.T, rawSettings string, sockets int, hosts ...string) *harness {
 	t.Helper()
-	w := virtual.New(1)
-	r := &harness{t: t, world: w, loop: w.Loop("d"), remote: w.Loop("far")}
+	w := virtual.NewNetwork(1)
+	r := &harness{t: t, world: w, loop: w.NewLoop("d"), remote: w.NewLoop("far")}
 	for i, kind := range hosts {
 		r.addEndpoint(fmt.Sprintf("s-%d", i), kind)
 	}
@@ -107,7 +107,7 @@
 }
 
 func (r *harness) addEndpoint(id, kind string) *fakeEndpoint {
-	h := &fakeEndpoint{harness: r, loop: r.world.Loop(id), id: id, kind: kind, zone: "west", serve: servePrefill}
+	h := &fakeEndpoint{harness: r, loop: r.world.NewLoop(id), id: id, kind: kind, zone: "west", serve: servePrefill}
 	if kind != "prefill" {
 		h.serve = serveDecode
 	}
@@ -119,7 +119,7 @@
 func (h *fakeEndpoint) listen(addr string) {
 	h.listener, _ = h.loop.Listen(addr, func(c eventloop.Conn) eventloop.Handler {
 		h.opened++
-		l := &endpointConn{endpoint: h, conn: c, parser: http1.Parser{Bounds: http1.Usual}}
+		l := &endpointConn{endpoint: h, conn: c, parser: http1.Parser{Limits: http1.DefaultLimits}}
 		h.connections = append(h.connections, l)
 		return l
 	})
@@ -151,7 +151,7 @@
 	l.endpoint.received = append(l.endpoint.received, l.head)
 	l.endpoint.bodies = append(l.endpoint.bodies, string(l.body))
 	if l.head.Method == "DELETE" {
-		l.endpoint.loop.After(l.endpoint.releaseDelay, func() {
+		l.endpoint.loop.AfterFunc(l.endpoint.releaseDelay, func() {
 			l.answer(204, "")
 			if l.endpoint.onReleased != nil {
 				l.endpoint.onReleased()
@@ -215,7 +215,7 @@
 
 func (a *discoveryAgent) listen(addr string) {
 	a.listener, _ = a.harness.remote.Listen(addr, func(c eventloop.Conn) eventloop.Handler {
-		l := &endpointConn{conn: c, parser: http1.Parser{Bounds: http1.Usual}}
+		l := &endpointConn{conn: c, parser: http1.Parser{Limits: http1.DefaultLimits}}
 		l.endpoint = &fakeEndpoint{harness: a.harness, serve: func(l *endpointConn) {
 			a.targets = append(a.targets, l.head.Target)
 			a.watches = append(a.watches, l)
@@ -241,7 +241,7 @@
 func (a *discoveryAgent) heartbeat(l *endpointConn) {
 	if !l.closed && !l.mute {
 		l.conn.Write(http1.AppendChunk(nil, []byte("\n")))
-		a.harness.remote.After(2*eventloop.Second, func() { a.heartbeat(l) })
+		a.harness.remote.AfterFunc(2*eventloop.Second, func() { a.heartbeat(l) })
 	}
 }
 
@@ -301,7 +301,7 @@
 
 // connect opens a connection and sends some bytes.
 func (r *harness) connect(sends string) *testClient {
-	c := &testClient{harness: r, input: sends, parser: http1.Parser{Response: true, Bounds: http1.Usual}, eventParser: sse.Parser{Most: 1 << 20}}
+	c := &testClient{harness: r, input: sends, parser: http1.Parser{Response: true, Limits: http1.DefaultLimits}, eventParser: sse.Parser{MaxEventBytes: 1 << 20}}
 	r.remote.Do(func() { c.conn = r.remote.Dial(r.address, eventloop.Second, c) })
 	return c
 }
@@ -339,7 +339,7 @@
 // waitFor lets time pass until something holds, and fails the test if it does not in time.
 func (r *harness) waitFor(span eventloop.Micros, what string, holds func() bool) {
 	r.t.Helper()
-	if !r.world.Until(span, holds) {
+	if !r.world.RunUntil(span, holds) {
 		r.t.Fatalf("not in %d ms: %s\n%+v", span/eventloop.Millisecond, what, r.dispatcher.Summary())
 	}
 }
@@ -383,7 +383,7 @@
 	if len(r.dispatcher.requests) != 0 || open.Requests != 0 || open.Attempts != 0 || r.dispatcher.server.Answering() != 0 {
 		r.t.Errorf("something is left: %+v", r.dispatcher.Summary())
 	}
-	if !r.world.Until(server.DefaultLimits.RequestTimeout, func() bool { return r.dispatcher.server.Active() == 0 }) { // half a request waits for so long
+	if !r.world.RunUntil(server.DefaultLimits.RequestTimeout, func() bool { return r.dispatcher.server.Active() == 0 }) { // half a request waits for so long
 		r.t.Errorf("half a request is left: %+v", r.dispatcher.Summary())
 	}
 }
--- a/internal/platform/server/connection.go
+++ b/internal/platform/server/connection.go
@@ -25,9 +25,9 @@
 	server      *Server
 	conn        eventloop.Conn
 	state       connectionState
-	wait        eventloop.Wait // the one time-out that counts in this state
-	idleElement *list.Element  // its place among the server's idle connections
-	hadRequest  bool           // a request has begun on it
+	wait        eventloop.Timeout // the one time-out that counts in this state
+	idleElement *list.Element     // its place among the server's idle connections
+	hadRequest  bool              // a request has begun on it
 
 	parser   http1.Parser
 	incoming incoming
@@ -57,7 +57,7 @@
 	if c.idleElement == nil {
 		c.idleElement = c.server.idleConnections.PushBack(c)
 	}
-	c.wait.For(c.server.loop, within, c.idleTimedOut)
+	c.wait.Set(c.server.loop, within, c.idleTimedOut)
 }
 
 // leaveIdle takes the connection out of the server's list of idle ones.
@@ -79,7 +79,7 @@
 // closeIdle closes a connection without a request, unless something has come that was not handed over yet: a request
 // that was read must not meet a close. It reports whether the connection is being closed.
 func (c *connection) closeIdle(reason CloseReason) bool {
-	if !c.conn.CloseIfQuiet() {
+	if !c.conn.CloseIfIdle() {
 		return false
 	}
 	c.becomeClosing(reason)
@@ -88,7 +88,7 @@
 
 func (c *connection) idleTimedOut() {
 	if !c.closeIdle(IdleTimeout) {
-		c.wait.For(c.server.loop, busyIdleRetry, c.idleTimedOut)
+		c.wait.Set(c.server.loop, busyIdleRetry, c.idleTimedOut)
 	}
 }
 
@@ -108,7 +108,7 @@
 		c.state = closing
 		c.server.openCount--
 	}
-	c.wait.For(c.server.loop, c.server.limits.StallTimeout, c.conn.Abort)
+	c.wait.Set(c.server.loop, c.server.limits.StallTimeout, c.conn.Abort)
 }
 
 // close closes once all is sent.
@@ -178,7 +178,7 @@
 // Drained implements eventloop.Handler.
 func (c *connection) Drained() {
 	if c.state == rejectingOverflow {
-		c.wait.Over()
+		c.wait.Clear()
 		c.pipeline.overflowTimed = false
 		c.rejectOverflow()
 		return
@@ -186,7 +186,7 @@
 	if c.response == nil || c.state != answering {
 		return
 	}
-	c.wait.Over()
+	c.wait.Clear()
 	if c.response.OnWritable != nil {
 		c.response.OnWritable()
 	}
@@ -195,7 +195,7 @@
 // Closed implements eventloop.Handler.
 func (c *connection) Closed(error) {
 	c.becomeClosing(ClosedByClient)
-	c.wait.Over()
+	c.wait.Clear()
 	delete(c.server.connections, c)
 	c.dropRequest()
 	if c.response != nil {
@@ -211,7 +211,7 @@
 	c.server.Rejected++
 	if c.writeResponse(shortResponse{status: r.Status, text: r.Reason}, c.staysOpen(), AfterResponse) {
 		c.state = throttled
-		c.wait.For(c.server.loop, throttleTime, c.next)
+		c.wait.Set(c.server.loop, throttleTime, c.next)
 	}
 }
 
@@ -234,14 +234,14 @@
 	c.dropRequest()
 	if c.writeResponse(response, c.staysOpen(), AfterResponse) {
 		c.state = answering
-		c.server.loop.Later(c.next)
+		c.server.loop.Defer(c.next)
 	}
 }
 
 // staysOpen reports whether another request may follow the response that is written now. While the server drains only
 // what is pipelined may.
 func (c *connection) staysOpen() bool {
-	return c.incoming.keepAlive && (!c.server.draining || c.pipeline.pending() || c.parser.More() > 0)
+	return c.incoming.keepAlive && (!c.server.draining || c.pipeline.pending() || c.parser.Pipelined() > 0)
 }
 
 // shortResponse is a response that is written as one piece.
--- a/internal/platform/server/harness_test.go
+++ b/internal/platform/server/harness_test.go
@@ -46,7 +46,7 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(loop.Stop)
-	loop.TakeIn = 8 << 10
+	loop.ReadBufferLimit = 8 << 10
 	handler.handled = make(chan string, maxReported)
 	handler.disconnected = make(chan string, maxReported)
 	handler.waiting = make(chan *Response, maxReported)
@@ -122,7 +122,7 @@
 // hasUnreadInput reports whether something has come that was not handed over.
 func (s *Server) hasUnreadInput() bool {
 	for c := range s.connections {
-		if !c.conn.Quiet() {
+		if !c.conn.Idle() {
 			return true
 		}
 	}
--- a/internal/platform/server/pipeline.go
+++ b/internal/platform/server/pipeline.go
@@ -65,7 +65,7 @@
 // startOverflow stops buffering: the requests that are complete stay, and what follows is only parsed.
 func (c *connection) startOverflow(data []byte) {
 	p := &c.pipeline
-	p.overflow = newOverflow(c.parser.Bounds)
+	p.overflow = newOverflow(c.parser.Limits)
 	p.overflow.feed(p.buffered)
 	c.server.bufferedBytes -= len(p.buffered) - p.overflow.completeBytes
 	p.buffered = p.buffered[:p.overflow.completeBytes]
@@ -80,7 +80,7 @@
 	p.overflow.feed(data)
 	if p.overflow.pending > before { // the one that was waited for has come
 		p.overflowTimed = false
-		c.wait.Over()
+		c.wait.Clear()
 	}
 	if p.overflow.bytesRead > maxOverflowBytes {
 		c.abort(PipelineOverflow)
@@ -93,7 +93,7 @@
 func (c *connection) rejectOverflow() {
 	s, p := c.server, &c.pipeline
 	for p.overflow.pending > 0 {
-		if c.wait.Lags(s.loop, c.conn, s.limits.UnsentBytes, s.limits.StallTimeout, c.abortStalled) {
+		if c.wait.LimitUnsent(s.loop, c.conn, s.limits.UnsentBytes, s.limits.StallTimeout, c.abortStalled) {
 			return
 		}
 		p.overflow.pending--
@@ -110,11 +110,11 @@
 	case p.overflow.partial():
 		if c.conn.Unsent() == 0 && !p.overflowTimed {
 			p.overflowTimed = true
-			c.wait.For(s.loop, s.limits.RequestTimeout, c.requestTimedOut)
+			c.wait.Set(s.loop, s.limits.RequestTimeout, c.requestTimedOut)
 		}
 	default:
 		p.overflow, p.overflowTimed = nil, false
-		c.wait.Over()
+		c.wait.Clear()
 		c.awaitNextRequest()
 	}
 }
@@ -130,8 +130,8 @@
 	err           error
 }
 
-func newOverflow(bounds http1.Bounds) *overflow {
-	return &overflow{parser: http1.Parser{Bounds: bounds}}
+func newOverflow(limits http1.Limits) *overflow {
+	return &overflow{parser: http1.Parser{Limits: limits}}
 }
 
 // feed follows the next bytes.
@@ -142,21 +142,21 @@
 	}
 }
 
-// Head implements http1.Events.
+// Head implements http1.Handler.
 func (o *overflow) Head(h *http1.Head) error {
 	o.lastRequest = !h.KeepAlive()
 	return nil
 }
 
-// Body implements http1.Events.
+// Body implements http1.Handler.
 func (o *overflow) Body([]byte) error { return nil }
 
-// End implements http1.Events.
+// End implements http1.Handler.
 func (o *overflow) End() error {
 	o.pending++
-	o.completeBytes = o.bytesRead - o.parser.More()
+	o.completeBytes = o.bytesRead - o.parser.Pipelined()
 	if o.lastRequest {
-		o.parser.Hold()
+		o.parser.Pause()
 	}
 	return nil
 }
--- a/internal/platform/server/receive.go
+++ b/internal/platform/server/receive.go
@@ -17,7 +17,7 @@
 	c.leaveIdle()
 	c.state, c.hadRequest = reading, true
 	c.incoming.receivedAt = at
-	c.wait.For(c.server.loop, c.server.limits.RequestTimeout, c.requestTimedOut)
+	c.wait.Set(c.server.loop, c.server.limits.RequestTimeout, c.requestTimedOut)
 }
 
 func (c *connection) requestTimedOut() {
@@ -31,7 +31,7 @@
 		c.malformed(err)
 		return
 	}
-	rest := c.parser.TakeWaiting()
+	rest := c.parser.TakeBuffered()
 	switch {
 	case len(rest) == 0 || c.state == closing:
 	case c.pipeline.overflow != nil: // it was buffered before
@@ -43,14 +43,14 @@
 
 func (c *connection) malformed(err error) {
 	status := http.StatusBadRequest
-	var fault *http1.Fault
-	if errors.As(err, &fault) {
-		status = fault.Status
+	var protocolError *http1.ProtocolError
+	if errors.As(err, &protocolError) {
+		status = protocolError.Status
 	}
 	c.reject(&Rejection{Status: status, Reason: err.Error()}, BadInput)
 }
 
-// Head implements http1.Events.
+// Head implements http1.Handler.
 func (c *connection) Head(h *http1.Head) error {
 	in := &c.incoming
 	in.head = h
@@ -67,8 +67,8 @@
 		return nil
 	}
 	in.request.ReceivedAt = in.receivedAt
-	if h.Length > 0 {
-		c.reserveBody(int(h.Length))
+	if h.ContentLength > 0 {
+		c.reserveBody(int(h.ContentLength))
 	}
 	return nil
 }
@@ -90,7 +90,7 @@
 	in.body = grown
 }
 
-// Body implements http1.Events.
+// Body implements http1.Handler.
 func (c *connection) Body(data []byte) error {
 	in := &c.incoming
 	if in.rejection != nil || in.request == nil {
@@ -105,11 +105,11 @@
 	return nil
 }
 
-// End implements http1.Events.
+// End implements http1.Handler.
 func (c *connection) End() error {
 	in := &c.incoming
-	c.parser.Hold()
-	c.wait.Over()
+	c.parser.Pause()
+	c.wait.Clear()
 	in.keepAlive = in.head.KeepAlive()
 	if in.readiness {
 		c.answerReadiness()
--- a/internal/platform/server/response.go
+++ b/internal/platform/server/response.go
@@ -24,7 +24,7 @@
 }
 
 // Disconnected reports whether the client has closed its connection, also where that was not handed over yet.
-func (r *Response) Disconnected() bool { return r.done || r.connection.conn.HungUp() }
+func (r *Response) Disconnected() bool { return r.done || r.connection.conn.PeerClosed() }
 
 // finish notes that nothing more follows, and releases what is buffered of the request.
 func (r *Response) finish() {
@@ -46,7 +46,7 @@
 	c.buffer = http1.AppendChunk(b, c.event)
 	c.conn.Write(c.buffer)
 	limits := &c.server.limits
-	return c.wait.Lags(c.server.loop, c.conn, limits.UnsentBytes, limits.StallTimeout, c.abortStalled)
+	return c.wait.LimitUnsent(c.server.loop, c.conn, limits.UnsentBytes, limits.StallTimeout, c.abortStalled)
 }
 
 // appendHead starts the stream.
@@ -98,7 +98,7 @@
 	r.finish()
 	c.response = nil
 	if c.writeResponse(response, c.staysOpen(), AfterResponse) {
-		c.server.loop.Later(c.next)
+		c.server.loop.Defer(c.next)
 	}
 }
 
@@ -111,8 +111,8 @@
 		c.close(reason)
 		return
 	}
-	c.wait.Over()
-	c.server.loop.Later(c.next)
+	c.wait.Clear()
+	c.server.loop.Defer(c.next)
 }
 
 // abandon ends the response where nobody waits for it any more.
--- a/internal/platform/server/server.go
+++ b/internal/platform/server/server.go
@@ -101,7 +101,7 @@
 // Accept makes the handler of a connection that was accepted.
 func (s *Server) Accept(conn eventloop.Conn) eventloop.Handler {
 	c := &connection{server: s, conn: conn}
-	c.parser.Bounds = http1.Bounds{Head: s.limits.HeadBytes, Fields: maxFields, Body: s.limits.BodyBytes}
+	c.parser.Limits = http1.Limits{HeadBytes: s.limits.HeadBytes, FieldCount: maxFields, BodyBytes: s.limits.BodyBytes}
 	s.connections[c] = true // from now on, so that the process does not end before it is heard
 	s.openCount++
 	return c
--- a/internal/platform/settings_test.go
+++ b/internal/platform/settings_test.go
@@ -138,9 +138,9 @@
 	t              *testing.T
 	classes        map[string]class
 	inFlight       map[string]*endpointConn
-	ranAt          map[string]eventloop.Micros    // when the first attempt that may have had an effect arrived
-	prefill        string                         // the kind whose attempts have none
-	disconnectedAt map[string]eventloop.Micros    // when a client closed its connection
+	ranAt          map[string]eventloop.Micros        // when the first attempt that may have had an effect arrived
+	prefill        string                             // the kind whose attempts have none
+	disconnectedAt map[string]eventloop.Micros        // when a client closed its connection
 	drainedAt      map[*fakeEndpoint]eventloop.Micros // when that was told
 }
 
--- a/internal/platform/shutdown.go
+++ b/internal/platform/shutdown.go
@@ -19,7 +19,7 @@
 	}
 	d.shuttingDown = true
 	d.server.Drain()
-	d.loop.After(drainTime, func() {
+	d.loop.AfterFunc(drainTime, func() {
 		closeListener()
 		d.server.Shutdown()
 		d.lastActiveAt = d.loop.Now()
@@ -30,7 +30,7 @@
 // awaitIdle looks again and again until nothing is pending: no answer, no release, no byte of an answer that a slow
 // client has not taken, and no connection on which a request may be on its way.
 func (d *Dispatcher) awaitIdle(done func()) {
-	d.loop.After(shutdownPoll, func() {
+	d.loop.AfterFunc(shutdownPoll, func() {
 		now := d.loop.Now()
 		if len(d.requests) > 0 || d.server.Active() > 0 || d.server.Unsent() > 0 {
 			d.lastActiveAt = now
--- a/internal/platform/shutdown_test.go
+++ b/internal/platform/shutdown_test.go
@@ -31,7 +31,7 @@
 			r := newHarness(t, 64, usualEndpoints...)
 			c := r.connect("GET /up HTTP/1.1\r\n\r\n")
 			r.world.Run(10 * eventloop.Millisecond)
-			r.world.Heard = 5 * eventloop.Millisecond // what has arrived is not handed over yet
+			r.world.DeliveryDelay = 5 * eventloop.Millisecond // what has arrived is not handed over yet
 			r.remote.Do(func() { c.conn.Write([]byte(r.requestText("explain"))) })
 			r.world.Run(eventloop.Millisecond)
 			r.loop.Do(func() { closes(r) })
@@ -51,7 +51,7 @@
 		c := r.connect("GET /up HTTP/1.1\r\n\r\n")
 		r.waitFor(eventloop.Second, "the first answer", func() bool { return len(c.statuses) == 1 })
 		r.world.Run(9990 * eventloop.Millisecond)
-		r.world.Heard = 20 * eventloop.Millisecond
+		r.world.DeliveryDelay = 20 * eventloop.Millisecond
 		r.world.Run(before)
 		r.remote.Do(func() { c.conn.Write([]byte(r.requestText("explain"))) })
 		r.waitFor(5*eventloop.Second, "an answer", func() bool { return len(c.statuses) > 1 || c.closed })
@@ -83,7 +83,7 @@
 // it rejected.
 func TestPipelinedRequestsAtShutdown(t *testing.T) {
 	r := newHarness(t, 256, usualEndpoints...)
-	serveAll(r.decodeEndpoints(), func(l *endpointConn) { l.endpoint.loop.After(300*eventloop.Millisecond, func() { serveDecode(l) }) })
+	serveAll(r.decodeEndpoints(), func(l *endpointConn) { l.endpoint.loop.AfterFunc(300*eventloop.Millisecond, func() { serveDecode(l) }) })
 	var text strings.Builder
 	for range 5 {
 		text.WriteString(r.requestText("explain"))
@@ -102,7 +102,7 @@
 // ends.
 func TestSlowClientAtShutdown(t *testing.T) {
 	r := newHarness(t, 256, "prefill", "decode")
-	r.world.Window = 4 << 10
+	r.world.ReceiveWindow = 4 << 10
 	const many = 200
 	r.endpoints[1].serve = serveLongStream(many)
 	c := r.sendRequest("explain")
@@ -124,7 +124,7 @@
 // TestShutdownTwice: a second signal neither shortens nor repeats anything.
 func TestShutdownTwice(t *testing.T) {
 	r := newHarness(t, 256, usualEndpoints...)
-	serveAll(r.decodeEndpoints(), func(l *endpointConn) { l.endpoint.loop.After(2*eventloop.Second, func() { serveDecode(l) }) })
+	serveAll(r.decodeEndpoints(), func(l *endpointConn) { l.endpoint.loop.AfterFunc(2*eventloop.Second, func() { serveDecode(l) }) })
 	c := r.sendRequest("post")
 	r.world.Run(100 * eventloop.Millisecond)
 	first := r.shutDown()
--- a/internal/platform/summary.go
+++ b/internal/platform/summary.go
@@ -52,7 +52,7 @@
 		UnsentBytes:         d.server.Unsent(),
 		BufferedBytes:       d.server.Buffered(),
 		ReadyEndpoints:      len(d.ready),
-		ListUpdates:         d.discovery.Heard,
+		ListUpdates:         d.discovery.Updates,
 		Counts:              d.Counts,
 		Releases:            d.upstream.Counts,
 		Server:              d.server.Counts,
@@ -65,7 +65,7 @@
 func (s Summary) MarshalZerologObject(e *zerolog.Event) {
 	e.Int("requests", s.InFlight.Requests).
 		Int("attempts", s.InFlight.Attempts).
-		Int("queued", s.InFlight.Held).
+		Int("queued", s.InFlight.Queued).
 		Int("client_connections", s.ClientConnections).
 		Int("endpoint_connections", s.EndpointConnections).
 		Int("unsent_bytes", s.UnsentBytes).
@@ -76,8 +76,8 @@
 		Int("blocked_sends", s.BlockedSends)
 	s.Counts.marshal(e)
 	e.Uint64("releases", s.Releases.Releases).
-		Uint64("release_tries", s.Releases.Tries).
-		Uint64("late_releases", s.Releases.Late).
+		Uint64("release_tries", s.Releases.ReleaseAttempts).
+		Uint64("late_releases", s.Releases.LateReleases).
 		Uint64("bad_requests", s.Server.Rejected).
 		Uint64("evicted_connections", s.Server.Evicted).
 		Uint64("timed_out_connections", s.Server.TimedOut)
--- a/internal/testbed/soak/run.go
+++ b/internal/testbed/soak/run.go
@@ -13,6 +13,7 @@
 	"time"
 
 	"plumspindle/internal/platform/guard"
+	"plumspindle/internal/schedulerlog"
 	"plumspindle/internal/testbed/syscallfaults"
 )
 
@@ -368,7 +369,7 @@
 		if leaseOverrun && audit.cutOff(fmt.Sprint(d.number+1), at-(letGoBy+heldSlack+slack).Microseconds(), at) {
 			continue
 		}
-		if strings.Contains(text, guard.ViolationMessage) || strings.Contains(text, "rule kept in the last moment") {
+		if strings.Contains(text, guard.ViolationMessage) || strings.Contains(text, schedulerlog.SendBlocked) {
 			r.report.Violations = append(r.report.Violations, fmt.Sprintf("n%d: %s", d.number, text))
 		}
 		if strings.HasPrefix(text, "panic:") || strings.HasPrefix(text, "fatal error:") {
