--- a/internal/platform/dispatcher.go
+++ b/internal/platform/dispatcher.go
@@ -95,14 +95,21 @@
 	place := d.settings.Scheduler
 	// Connections are closed well before endpoints do: what is written to one that is closed counts as lost.
 	place.IdleTimeout /= 2
-	warn := func(line string) { config.Log.Warn().Msg(line) }
 	d.guard = d.newGuard()
 	e := engine.New(loop, config.Name, "", upstreamLimits(d.settings, config.Sockets, place.IdleTimeout))
-	d.upstream = upstream.New(loop, e, d.settings.StateTimeout, d.releaseTargets)
-	d.upstream.Log = warn
+	d.upstream = upstream.New(loop, e, upstream.Options{
+		StateTimeout: d.settings.StateTimeout,
+		Endpoints:    d.releaseTargets,
+		Log:          config.Log,
+	})
 	d.server = server.New(loop, clientLimits(config.Sockets, config.Memory), d)
 	d.server.OnUnansweredClose = d.reportUnansweredClose
-	d.discovery = discovery.New(loop, config.Seed, config.Discovery, d.updateEndpoints, warn)
+	d.discovery = discovery.New(loop, discovery.Options{
+		Address:  config.Discovery,
+		Seed:     config.Seed,
+		OnUpdate: d.updateEndpoints,
+		Log:      config.Log,
+	})
 	d.scheduler = scheduler.New(loop.Now(), config.Seed, place, d)
 	if len(config.Known) > 0 {
 		if err := d.discovery.ApplyCached(config.Known); err != nil {
