--- a/internal/chat/answer.go
+++ b/internal/chat/answer.go
@@ -2,6 +2,7 @@
 
 import (
 	"encoding/json"
+	"fmt"
 	"strconv"
 
 	"github.com/tidwall/gjson"
@@ -9,56 +10,76 @@
 	"plumspindle/internal/sse"
 )
 
-// Answer shapes what a writer streams into what the client asked for: chunks of its own, or one whole object.
+const (
+	chunkObject      = "chat.completion.chunk"
+	completionObject = "chat.completion"
+
+	// lastEvent ends a streamed answer.
+	lastEvent = "[DONE]"
+	// maxToolCalls bounds the calls of one answer; those with a higher index are dropped.
+	maxToolCalls = 128
+)
+
+// Answer turns the events of a decode endpoint into what the client asked for: chunks, or one object.
 type Answer struct {
 	ID      string
 	Model   string
 	Created int64 // seconds since 1970
 	Request *Request
 
-	CompletionTokens int    // chunks of content so far, about a token each
-	FinishReason     string // the reason that the writer gave for the end
+	CompletionTokens int    // chunks with content so far, each about a token
+	FinishReason     string // as the endpoint gave it; empty until then
 
+	started bool // a chunk was appended
 	usage   string
 	content []byte
 	refusal []byte
 	calls   []toolCall
 	scratch []byte
-	roled   bool
+}
+
+// message is the message of an answer that is not streamed, its members in alphabetical order.
+type message struct {
+	Content   *string    `json:"content"`
+	Refusal   *string    `json:"refusal"`
+	Role      string     `json:"role"`
+	ToolCalls []toolCall `json:"tool_calls,omitempty"`
 }
 
 type toolCall struct {
-	ID       string `json:"id"`
-	Type     string `json:"type"`
-	Function struct {
-		Name      string `json:"name"`
-		Arguments string `json:"arguments"`
-	} `json:"function"`
+	ID       string       `json:"id"`
+	Type     string       `json:"type"`
+	Function toolFunction `json:"function"`
+}
+
+type toolFunction struct {
+	Name      string `json:"name"`
+	Arguments string `json:"arguments"`
 }
 
-// RequestID is the id that the client is told.
+// IsChunk reports whether an endpoint's event is a chunk of an answer.
+func IsChunk(event []byte) bool {
+	return gjson.ValidBytes(event) && gjson.GetBytes(event, "choices").IsArray()
+}
+
+// RequestID returns the id that the client sees.
 func (a *Answer) RequestID() string { return a.ID }
 
-// Streaming tells whether the answer is streamed.
+// Streaming reports whether the answer is streamed.
 func (a *Answer) Streaming() bool { return a.Request.Stream }
 
-// Unstarted tells whether nothing of the answer has been sent yet.
-func (a *Answer) Unstarted() bool { return !a.roled }
-
-// Usable tells whether a writer's event is a chunk of an answer at all.
-func Usable(data []byte) bool {
-	return gjson.ValidBytes(data) && gjson.GetBytes(data, "choices").IsArray()
-}
+// Unstarted reports whether no chunk of the answer has been appended yet.
+func (a *Answer) Unstarted() bool { return !a.started }
 
-// AppendEvent appends to b what the client is sent for one of the writer's events, which must be usable; nothing for a
-// whole answer, which Whole gives at the end.
-func (a *Answer) AppendEvent(b, data []byte) []byte {
-	if u := gjson.GetBytes(data, "usage"); u.IsObject() {
-		a.usage = u.Raw
+// AppendEvent appends to out what the client is sent for an endpoint's event, which must be a chunk. For an answer that
+// is not streamed that is nothing: Object gives all of it at the end.
+func (a *Answer) AppendEvent(out, event []byte) []byte {
+	if usage := gjson.GetBytes(event, "usage"); usage.IsObject() {
+		a.usage = usage.Raw
 	}
-	choice := gjson.GetBytes(data, "choices.0")
+	choice := gjson.GetBytes(event, "choices.0")
 	if !choice.Exists() {
-		return b
+		return out
 	}
 	delta := choice.Get("delta")
 	if reason := choice.Get("finish_reason"); reason.Type == gjson.String {
@@ -68,27 +89,20 @@
 		a.CompletionTokens++
 	}
 	if !a.Request.Stream {
-		a.keep(delta)
-		return b
-	}
-	raw := delta.Raw
-	if raw == "" {
-		raw = "{}"
-	}
-	if !a.roled {
-		a.roled = true
-		if !delta.Get("role").Exists() {
-			if raw = `{"role":"assistant"}`; delta.Raw != "" && len(delta.Raw) > 2 {
-				raw = `{"role":"assistant",` + delta.Raw[1:]
-			}
-		}
-	}
-	out := a.open(a.scratch[:0], "chat.completion.chunk")
+		a.collect(delta)
+		return out
+	}
+	a.scratch = a.appendChunk(a.scratch[:0], delta, choice.Get("logprobs"))
+	return sse.Append(out, a.scratch)
+}
+
+func (a *Answer) appendChunk(out []byte, delta, logprobs gjson.Result) []byte {
+	out = a.appendHead(out, chunkObject)
 	out = append(out, `"choices":[{"index":0,"delta":`...)
-	out = append(out, raw...)
-	if lp := choice.Get("logprobs"); lp.IsObject() {
+	out = append(out, a.deltaWithRole(delta)...)
+	if logprobs.IsObject() {
 		out = append(out, `,"logprobs":`...)
-		out = append(out, lp.Raw...)
+		out = append(out, logprobs.Raw...)
 	}
 	out = append(out, `,"finish_reason":`...)
 	if a.FinishReason == "" {
@@ -96,40 +110,47 @@
 	} else {
 		out = strconv.AppendQuote(out, a.FinishReason)
 	}
-	out = append(out, '}', ']')
+	out = append(out, "}]"...)
 	if a.Request.IncludeUsage {
 		out = append(out, `,"usage":null`...)
 	}
-	out = append(out, '}')
-	a.scratch = out
-	return sse.Append(b, out)
+	return append(out, '}')
+}
+
+// deltaWithRole returns a delta as JSON; the first one states the role, which not all endpoints do.
+func (a *Answer) deltaWithRole(delta gjson.Result) string {
+	const empty = "{}"
+	first := !a.started
+	a.started = true
+	switch {
+	case first && len(delta.Raw) <= len(empty):
+		return `{"role":"assistant"}`
+	case first && !delta.Get("role").Exists():
+		return `{"role":"assistant",` + delta.Raw[1:]
+	case delta.Raw == "":
+		return empty
+	}
+	return delta.Raw
 }
 
-// AppendEnd appends the end of a streamed answer: the usage where it was asked for, and the closing mark.
-func (a *Answer) AppendEnd(b []byte) []byte {
+// AppendEnd appends the end of a streamed answer: its usage, where the client asked for it, and the last event.
+func (a *Answer) AppendEnd(out []byte) []byte {
 	if a.Request.IncludeUsage {
-		out := a.open(a.scratch[:0], "chat.completion.chunk")
-		out = append(out, `"choices":[],"usage":`...)
-		out = append(out, a.Usage()...)
-		b = sse.Append(b, append(out, '}'))
+		chunk := a.appendHead(a.scratch[:0], chunkObject)
+		chunk = append(chunk, `"choices":[],"usage":`...)
+		chunk = append(chunk, a.Usage()...)
+		out = sse.Append(out, append(chunk, '}'))
 	}
-	return sse.Append(b, []byte("[DONE]"))
+	return sse.Append(out, []byte(lastEvent))
 }
 
-// Object is a whole answer's object.
+// Object returns the answer that is not streamed.
 func (a *Answer) Object() []byte {
-	message := map[string]any{"role": "assistant", "content": string(a.content), "refusal": nil}
-	if len(a.refusal) > 0 {
-		message["refusal"] = string(a.refusal)
+	text, err := json.Marshal(a.message())
+	if err != nil {
+		panic(fmt.Errorf("marshal message: %w", err)) // strings only: there is no value without a JSON form
 	}
-	if len(a.calls) > 0 {
-		message["tool_calls"] = a.calls
-		if len(a.content) == 0 {
-			message["content"] = nil
-		}
-	}
-	text, _ := json.Marshal(message)
-	out := a.open(nil, "chat.completion")
+	out := a.appendHead(nil, completionObject)
 	out = append(out, `"choices":[{"index":0,"message":`...)
 	out = append(out, text...)
 	out = append(out, `,"logprobs":null,"finish_reason":`...)
@@ -139,43 +160,65 @@
 	return append(out, '}')
 }
 
-// Usage is what the writer counted, or, where it was lost before it told, what was counted here.
+// message returns the message of what was collected; one that only calls tools has no content.
+func (a *Answer) message() message {
+	m := message{Role: "assistant", ToolCalls: a.calls}
+	if len(a.content) > 0 || len(a.calls) == 0 {
+		content := string(a.content)
+		m.Content = &content
+	}
+	if len(a.refusal) > 0 {
+		refusal := string(a.refusal)
+		m.Refusal = &refusal
+	}
+	return m
+}
+
+// Usage returns the usage as JSON: what the endpoint counted, or an estimate where it was lost before it said.
 func (a *Answer) Usage() string {
 	if a.usage != "" {
 		return a.usage
 	}
-	p, c := strconv.Itoa(a.Request.PromptTokens), strconv.Itoa(a.CompletionTokens)
-	return `{"prompt_tokens":` + p + `,"completion_tokens":` + c + `,"total_tokens":` + strconv.Itoa(a.Request.PromptTokens+a.CompletionTokens) + `}`
+	prompt, completion := a.Request.PromptTokens, a.CompletionTokens
+	return fmt.Sprintf(`{"prompt_tokens":%d,"completion_tokens":%d,"total_tokens":%d}`,
+		prompt, completion, prompt+completion)
 }
 
-func (a *Answer) open(b []byte, object string) []byte {
-	b = append(b, `{"id":"`...)
-	b = append(b, a.ID...)
-	b = append(b, `","object":"`...)
-	b = append(b, object...)
-	b = append(b, `","created":`...)
-	b = strconv.AppendInt(b, a.Created, 10)
-	b = append(b, `,"model":`...)
-	b = strconv.AppendQuote(b, a.Model)
-	return append(b, ',')
+// appendHead appends the members that all of the API's objects begin with.
+func (a *Answer) appendHead(out []byte, object string) []byte {
+	out = append(out, `{"id":"`...)
+	out = append(out, a.ID...)
+	out = append(out, `","object":"`...)
+	out = append(out, object...)
+	out = append(out, `","created":`...)
+	out = strconv.AppendInt(out, a.Created, 10)
+	out = append(out, `,"model":`...)
+	out = strconv.AppendQuote(out, a.Model)
+	return append(out, ',')
 }
 
-func (a *Answer) keep(delta gjson.Result) {
+// collect gathers a delta of an answer that is not streamed.
+func (a *Answer) collect(delta gjson.Result) {
 	a.content = append(a.content, delta.Get("content").String()...)
 	a.refusal = append(a.refusal, delta.Get("refusal").String()...)
-	for _, call := range delta.Get("tool_calls").Array() {
-		at := int(call.Get("index").Int())
-		if at < 0 || at > 127 {
-			continue
-		}
-		for len(a.calls) <= at {
-			a.calls = append(a.calls, toolCall{Type: "function"})
-		}
-		c := &a.calls[at]
-		if id := call.Get("id"); id.Exists() {
-			c.ID = id.String()
-		}
-		c.Function.Name += call.Get("function.name").String()
-		c.Function.Arguments += call.Get("function.arguments").String()
+	for _, part := range delta.Get("tool_calls").Array() {
+		a.collectCall(part)
+	}
+}
+
+// collectCall adds a part of a tool call, which comes in pieces like the content.
+func (a *Answer) collectCall(part gjson.Result) {
+	index := int(part.Get("index").Int())
+	if index < 0 || index >= maxToolCalls {
+		return
+	}
+	for len(a.calls) <= index {
+		a.calls = append(a.calls, toolCall{Type: "function"})
+	}
+	call := &a.calls[index]
+	if id := part.Get("id"); id.Exists() {
+		call.ID = id.String()
 	}
+	call.Function.Name += part.Get("function.name").String()
+	call.Function.Arguments += part.Get("function.arguments").String()
 }
--- a/internal/chat/golden_test.go
+++ b/internal/chat/golden_test.go
@@ -12,17 +12,27 @@
 // bodies are requests of clients, by what is peculiar about them.
 var bodies = []struct{ name, body string }{
 	{"plain", `{"model":"m","messages":[{"role":"user","content":"Hello"}]}`},
-	{"system and user", `{"model":"m","messages":[{"role":"system","content":"Be brief."},{"role":"user","content":"Hello"}]}`},
-	{"developer and parts", `{"model":"m","messages":[{"role":"developer","content":[{"type":"text","text":"Be "},{"type":"text","text":"brief."}]},{"role":"user","content":"Hello"}]}`},
-	{"a shared text", `{"model":"m","messages":[{"role":"system","content":"public text"},{"role":"user","content":"Hello"}]}`},
-	{"two leading messages", `{"model":"m","messages":[{"role":"system","content":"a"},{"role":"developer","content":"b"},{"role":"user","content":"c"},{"role":"system","content":"d"}]}`},
-	{"a longer conversation", `{"model":"m","messages":[{"role":"user","content":"Hello"},{"role":"assistant","content":"Yes?"},{"role":"user","content":"What?"}]}`},
-	{"tool calls", `{"model":"m","messages":[{"role":"user","content":"Hello"},{"role":"assistant","tool_calls":[{"id":"c","type":"function","function":{"name":"f","arguments":"{}"}}]},{"role":"tool","content":"1"}]}`},
+	{"system and user", `{"model":"m","messages":[{"role":"system","content":"Be brief."},{"role":"user",` +
+		`"content":"Hello"}]}`},
+	{"developer and parts", `{"model":"m","messages":[{"role":"developer","content":[{"type":"text","text":"Be "},` +
+		`{"type":"text","text":"brief."}]},{"role":"user","content":"Hello"}]}`},
+	{"a shared text", `{"model":"m","messages":[{"role":"system","content":"public text"},{"role":"user",` +
+		`"content":"Hello"}]}`},
+	{"two leading messages", `{"model":"m","messages":[{"role":"system","content":"a"},{"role":"developer",` +
+		`"content":"b"},{"role":"user","content":"c"},{"role":"system","content":"d"}]}`},
+	{"a longer conversation", `{"model":"m","messages":[{"role":"user","content":"Hello"},{"role":"assistant",` +
+		`"content":"Yes?"},{"role":"user","content":"What?"}]}`},
+	{"tool calls", `{"model":"m","messages":[{"role":"user","content":"Hello"},{"role":"assistant",` +
+		`"tool_calls":[{"id":"c","type":"function","function":{"name":"f","arguments":"{}"}}]},{"role":"tool",` +
+		`"content":"1"}]}`},
 	{"a refusal", `{"model":"m","messages":[{"role":"assistant","content":[{"type":"refusal","refusal":"No."}]}]}`},
 	{"a cache key", `{"model":"m","prompt_cache_key":"k","messages":[{"role":"user","content":"Hello"}]}`},
-	{"stream with usage", `{"model":"m","stream":true,"stream_options":{"include_usage":true},"max_tokens":7,"temperature":0.5,"messages":[{"role":"user","content":"Hello"}]}`},
-	{"both limits", `{"model":"m","max_completion_tokens":5,"max_tokens":7,"messages":[{"role":"user","content":"Hello"}]}`},
-	{"nulls", `{"model":"m","stream":null,"max_tokens":null,"n":null,"audio":null,"messages":[{"role":"user","content":"Hello"}]}`},
+	{"stream with usage", `{"model":"m","stream":true,"stream_options":{"include_usage":true},"max_tokens":7,` +
+		`"temperature":0.5,"messages":[{"role":"user","content":"Hello"}]}`},
+	{"both limits", `{"model":"m","max_completion_tokens":5,"max_tokens":7,"messages":[{"role":"user",` +
+		`"content":"Hello"}]}`},
+	{"nulls", `{"model":"m","stream":null,"max_tokens":null,"n":null,"audio":null,"messages":[{"role":"user",` +
+		`"content":"Hello"}]}`},
 	{"escapes", `{"m\u006fdel":"m\u0041","messages":[{"role":"user","content":"\u00e9\n\ud83d\ude00"}],"x":{"y":[1, 2]}}`},
 	{"not JSON", `{"model":`},
 	{"not an object", `[1]`},
@@ -50,7 +60,8 @@
 	{"salt", `{"model":"m","cache_salt":"x"}`},
 	{"unknown role", `{"model":"m","messages":[{"role":"user","content":"Hello"},{"role":"nobody","content":"Hello"}]}`},
 	{"message that is no object", `{"model":"m","messages":["Hello"]}`},
-	{"image part", `{"model":"m","messages":[{"role":"user","content":[{"type":"text","text":"a"},{"type":"image_url"}]}]}`},
+	{"image part", `{"model":"m","messages":[{"role":"user","content":[{"type":"text","text":"a"},` +
+		`{"type":"image_url"}]}]}`},
 	{"content of a wrong type", `{"model":"m","messages":[{"role":"user","content":1}]}`},
 	{"no content", `{"model":"m","messages":[{"role":"user"}]}`},
 	{"null content", `{"model":"m","messages":[{"role":"user","content":null}]}`},
@@ -105,10 +116,12 @@
 	}},
 	{"no delta", []string{`{"choices":[{"finish_reason":"stop"}]}`, `{"choices":[{}]}`}},
 	{"empty delta", []string{`{"choices":[{"delta":{}}]}`}},
-	{"refusal", []string{`{"choices":[{"delta":{"refusal":"No"}}]}`, `{"choices":[{"delta":{"refusal":"."},"finish_reason":"stop"}]}`}},
+	{"refusal", []string{`{"choices":[{"delta":{"refusal":"No"}}]}`, `{"choices":[{"delta":{"refusal":"."},` +
+		`"finish_reason":"stop"}]}`}},
 	{"tool calls", []string{
 		`{"choices":[{"delta":{"tool_calls":[{"index":1,"id":"b","function":{"name":"g","arguments":"{"}}]}}]}`,
-		`{"choices":[{"delta":{"tool_calls":[{"index":0,"id":"a","function":{"name":"f"}},{"index":1,"function":{"arguments":"}"}}]}}]}`,
+		`{"choices":[{"delta":{"tool_calls":[{"index":0,"id":"a","function":{"name":"f"}},{"index":1,` +
+			`"function":{"arguments":"}"}}]}}]}`,
 		`{"choices":[{"delta":{"tool_calls":[{"index":128,"id":"c"},{"index":-1,"id":"d"}]},"finish_reason":"tool_calls"}]}`,
 	}},
 	{"text and tool calls", []string{`{"choices":[{"delta":{"content":"x","tool_calls":[{"index":0,"id":"a"}]}}]}`}},
@@ -127,7 +140,7 @@
 			a := &Answer{ID: "id", Model: `m"`, Created: 77, Request: request}
 			fmt.Fprintf(&out, "== %s, streamed: %t, with usage: %t\n", c.name, a.Streaming(), request.IncludeUsage)
 			for _, event := range c.events {
-				if !Usable([]byte(event)) {
+				if !IsChunk([]byte(event)) {
 					t.Errorf("%s: not usable: %s", c.name, event)
 				}
 				out.Write(a.AppendEvent(nil, []byte(event)))
@@ -152,7 +165,7 @@
 		`[DONE]`:                  false,
 		``:                        false,
 	} {
-		if got := Usable([]byte(event)); got != want {
+		if got := IsChunk([]byte(event)); got != want {
 			t.Errorf("Usable(%q) = %t, want %t", event, got, want)
 		}
 	}
--- /dev/null
+++ b/internal/chat/members.go
@@ -0,0 +1,126 @@
+package chat
+
+import (
+	"strings"
+
+	"github.com/tidwall/gjson"
+
+	"plumspindle/internal/frontend"
+)
+
+// memberReader reads one member that is not null, or refuses it.
+type memberReader func(p *parser, name string, value gjson.Result) *frontend.Problem
+
+// memberReaders are for the members that the router understands; all others pass through unread.
+var memberReaders = map[string]memberReader{
+	"model":                 readModel,
+	"messages":              readMessages,
+	"prompt_cache_key":      readCacheKey,
+	"stream":                readStream,
+	"stream_options":        readStreamOptions,
+	"max_tokens":            readMaxTokens,
+	"max_completion_tokens": readMaxTokens,
+	"n":                     readChoices,
+	"modalities":            readModalities,
+	"audio":                 refuseAudio,
+	"kv_transfer_params":    refuseUnknown,
+	"cache_salt":            refuseUnknown,
+}
+
+// readMember reads a member. Null means that it is not given, which only required ones may not be.
+func (p *parser) readMember(name string, value gjson.Result) *frontend.Problem {
+	if value.Type == gjson.Null {
+		if name == "model" || name == "messages" {
+			return wrongType(name, "a value", value)
+		}
+		return nil
+	}
+	if read := memberReaders[name]; read != nil {
+		return read(p, name, value)
+	}
+	return nil
+}
+
+func wrongType(name, want string, value gjson.Result) *frontend.Problem {
+	return frontend.Invalid(name, "invalid_type", "Invalid type for '%s': expected %s, but got %s instead.", name, want,
+		strings.ToLower(value.Type.String()))
+}
+
+func readModel(p *parser, name string, value gjson.Result) *frontend.Problem {
+	if value.Type != gjson.String {
+		return wrongType(name, "a string", value)
+	}
+	p.request.Model = value.String()
+	return nil
+}
+
+func readMessages(p *parser, name string, value gjson.Result) *frontend.Problem {
+	if !value.IsArray() {
+		return wrongType(name, "an array", value)
+	}
+	p.messages = value
+	return nil
+}
+
+func readCacheKey(p *parser, name string, value gjson.Result) *frontend.Problem {
+	if value.Type != gjson.String {
+		return wrongType(name, "a string", value)
+	}
+	p.cacheKey = value.String()
+	return nil
+}
+
+func readStream(p *parser, name string, value gjson.Result) *frontend.Problem {
+	if !value.IsBool() {
+		return wrongType(name, "a boolean", value)
+	}
+	p.request.Stream = value.Bool()
+	return nil
+}
+
+func readStreamOptions(p *parser, name string, value gjson.Result) *frontend.Problem {
+	if !value.IsObject() {
+		return wrongType(name, "an object", value)
+	}
+	p.request.IncludeUsage = value.Get("include_usage").Bool()
+	return nil
+}
+
+// readMaxTokens reads either name of the limit; max_completion_tokens, the newer one, counts where both are given.
+func readMaxTokens(p *parser, name string, value gjson.Result) *frontend.Problem {
+	if value.Type != gjson.Number || value.Num != float64(int(value.Num)) {
+		return wrongType(name, "an integer", value)
+	}
+	if value.Num < 1 {
+		return frontend.Invalid(name, "integer_below_min_value", "Invalid '%s': expected a value >= 1.", name)
+	}
+	if p.request.MaxTokens == 0 || name == "max_completion_tokens" {
+		p.request.MaxTokens = int(value.Num)
+	}
+	return nil
+}
+
+func readChoices(_ *parser, name string, value gjson.Result) *frontend.Problem {
+	if value.Num != 1 {
+		return frontend.Invalid(name, "unsupported_value", "Only one answer a request is served: 'n' must be 1.")
+	}
+	return nil
+}
+
+func readModalities(_ *parser, name string, value gjson.Result) *frontend.Problem {
+	for _, modality := range value.Array() {
+		if modality.String() != "text" {
+			return frontend.Invalid(name, "unsupported_value", "Only the modality 'text' is served.")
+		}
+	}
+	return nil
+}
+
+func refuseAudio(_ *parser, name string, _ gjson.Result) *frontend.Problem {
+	return frontend.Invalid(name, "unsupported_parameter", "Audio is not served.")
+}
+
+// refuseUnknown refuses members that only the router may state: they are not part of the public API.
+func refuseUnknown(_ *parser, name string, _ gjson.Result) *frontend.Problem {
+	return frontend.Invalid(name, "unknown_parameter", "Unknown parameter: '%s'.", name)
+}
--- a/internal/dispatch/dispatch.go
+++ b/internal/dispatch/dispatch.go
@@ -211,8 +211,7 @@
 // routes are the client's APIs.
 func (x *Dispatcher) routes() map[string]frontend.Route {
 	all := frontend.ModelRoutes(x.Models)
-	chatAt, r := chat.Route(func(digest string) bool { return x.directory.IsPublicText(digest) }, x.HandleChat)
-	all[chatAt] = r
+	all[chat.Path] = chat.Route(func(digest string) bool { return x.directory.IsPublicText(digest) }, x.HandleChat)
 	all["/v1/embeddings"] = x.batchRoute(embeddings.Embeddings, pb.Product_EMBEDDING)
 	all["/v1/rerank"] = x.batchRoute(embeddings.Rerank, pb.Product_RERANK)
 	return all
--- a/internal/embeddings/golden_test.go
+++ b/internal/embeddings/golden_test.go
@@ -92,7 +92,8 @@
 	{Embeddings, "broken dimensions", `{"model":"m","dimensions":1.5}`},
 	{Rerank, "texts", `{"model":"m","query":"q","documents":["a","b","a"]}`},
 	{Rerank, "objects", `{"model":"m","query":"q","documents":[{"text":"a"},{"text":"b","x":1}]}`},
-	{Rerank, "all rerank members", `{"model":"m","query":"q","top_n":2,"return_documents":true,"user":"u","documents":["b","a","c","b"]}`},
+	{Rerank, "all rerank members", `{"model":"m","query":"q","top_n":2,"return_documents":true,"user":"u",` +
+		`"documents":["b","a","c","b"]}`},
 	{Rerank, "documents first", `{"documents":["","a"],"return_documents":true,"query":"q","model":"m"}`},
 	{Rerank, "documents not returned", `{"documents":["a"],"return_documents":false,"query":"q","model":"m"}`},
 	{Rerank, "no query", `{"model":"m","documents":["a"]}`},
@@ -145,13 +146,16 @@
 		name, body string
 	}{
 		{Embeddings, "model first", `{"model":"m","input":` + inputs + `}`},
-		{Embeddings, "format behind the inputs", `{"model":"m","input":` + inputs + `,"user":"u","encoding_format":"base64"}`},
+		{Embeddings, "format behind the inputs", `{"model":"m","input":` + inputs +
+			`,"user":"u","encoding_format":"base64"}`},
 		{Embeddings, "dimensions behind the inputs", `{"model":"m","input":` + inputs + `,"dimensions":3}`},
 		{Embeddings, "model behind few inputs", `{"input":` + inputs + `,"model":"m"}`},
-		{Embeddings, "model behind many inputs", `{"input":["aaaaaaaaaa","bbbbbbbbbb","cccccccccc","dddddddddd"],"model":"m"}`},
+		{Embeddings, "model behind many inputs", `{"input":["aaaaaaaaaa","bbbbbbbbbb","cccccccccc","dddddddddd"],` +
+			`"model":"m"}`},
 		{Rerank, "query first", `{"model":"m","query":"q","documents":` + inputs + `,"top_n":1}`},
 		{Rerank, "return_documents behind the documents", `{"model":"m","query":"q","documents":` + inputs + `,"return_documents":true}`},
-		{Rerank, "query behind many documents", `{"model":"m","documents":["aaaaaaaaaa","bbbbbbbbbb","cccccccccc","dddddddddd"],"query":"q"}`},
+		{Rerank, "query behind many documents", `{"model":"m","documents":["aaaaaaaaaa","bbbbbbbbbb","cccccccccc",` +
+			`"dddddddddd"],"query":"q"}`},
 	}
 	var out bytes.Buffer
 	for _, c := range cases {
--- a/internal/engine/openai.go
+++ b/internal/engine/openai.go
@@ -14,8 +14,6 @@
 )
 
 const (
-	completionsPath = "/v1/chat/completions"
-
 	// prefillMembers ask an endpoint to compute the KV cache of a prompt and to keep it for a decode endpoint.
 	prefillMembers = `"stream":false,"max_tokens":1,` +
 		`"kv_transfer_params":{"do_remote_decode":true,"do_remote_prefill":false}`
@@ -125,7 +123,7 @@
 			body = append(body, request.Passthrough...)
 		}
 		body = append(body, '}')
-		return e.appendPost(target, completionsPath, addr, body)
+		return e.appendPost(target, chat.Path, addr, body)
 	}
 }
 
@@ -170,7 +168,7 @@
 			return false, errNoFinishReason
 		}
 		return false, nil
-	case !chat.Usable(data):
+	case !chat.IsChunk(data):
 		return false, &notChunkError{event: string(data)}
 	}
 	if gjson.GetBytes(data, "choices.0.finish_reason").Type == gjson.String {
--- a/internal/frontend/server.go
+++ b/internal/frontend/server.go
@@ -2,9 +2,9 @@
 // limits, error objects, and exactly one final answer to each request.
 //
 // It owns the connections of clients and the count of their requests and buffered bodies. An API is a Route, which
-// reads its requests and answers them on a Response; whose key a request carries is found by a Service. It relies on package
-// eventloop for time and sockets and on package http1 for the messages, and runs on a single loop: none of its methods
-// may be called from elsewhere. It never decides where a request runs, nor whether a tenant's limits admit it.
+// reads its requests and answers them on a Response; whose key a request carries is found by a Service. It relies on
+// package eventloop for time and sockets and on package http1 for the messages, and runs on a single loop: none of its
+// methods may be called from elsewhere. It never decides where a request runs, nor whether a tenant's limits admit it.
 package frontend
 
 import (
