--- a/internal/dispatch/batches.go
+++ b/internal/dispatch/batches.go
@@ -78,7 +78,7 @@
 	call   *batchCall
 	no     batch.PartID
 	inputs []int
-	result embeddings.Result
+	result embeddings.PartResult
 	sent   eventloop.Micros // to the module
 	queued bool
 	broken int  // hosts that failed on it
@@ -150,8 +150,8 @@
 	return nil
 }
 
-// Added: further inputs have come, or all have.
-func (c *batchCall) Added(whole bool) *frontend.Problem {
+// InputsAdded: further inputs have come, or all have.
+func (c *batchCall) InputsAdded(whole bool) *frontend.Problem {
 	if c.ended {
 		return nil
 	}
@@ -174,7 +174,7 @@
 			if c.cached(c.parted) {
 				break
 			}
-			tokens = append(tokens, c.ask.Tokens([]int{c.parted}))
+			tokens = append(tokens, c.ask.CountTokens([]int{c.parted}))
 		}
 		c.parts.Add(from, tokens, b)
 		for c.parted < n && c.cached(c.parted) {
@@ -267,7 +267,7 @@
 func (c *batchCall) send(now eventloop.Micros) {
 	x, s := c.x, c.home.seat
 	no, inputs := c.parts.SendNext()
-	tokens := c.ask.Tokens(inputs)
+	tokens := c.ask.CountTokens(inputs)
 	t, v := x.gate.Admit(now, tenancy.AdmissionRequest{Tenant: s.id, Key: c.who.Key, Product: c.ask.Model, PromptTokens: tokens})
 	if v.Reason != tenancy.NotRejected {
 		x.OverQuota++
@@ -320,7 +320,7 @@
 func (x *Dispatcher) carryPart(g *gen, name string, w what, hear engine.Callbacks) {
 	p := g.part
 	c := p.call
-	to, body := c.ask.PartRequest(p.inputs, c.dimensions)
+	to, body := c.ask.BuildPart(p.inputs, c.dimensions)
 	inputs := len(p.inputs)
 	target := engine.Target{Endpoint: w.host, RequestID: name, ClientID: g.clientID, Timeout: w.allow}
 	read := func(body []byte) engine.Result {
--- a/internal/embeddings/golden_test.go
+++ b/internal/embeddings/golden_test.go
@@ -22,7 +22,7 @@
 	return nil
 }
 
-func (h recordingHandler) Added(whole bool) *frontend.Problem {
+func (h recordingHandler) InputsAdded(whole bool) *frontend.Problem {
 	fmt.Fprintf(h.out, "added, whole: %t\n", whole)
 	return nil
 }
@@ -109,8 +109,8 @@
 	{Rerank, "return_documents of a wrong type", `{"model":"m","query":"q","return_documents":1}`},
 }
 
-// TestRequestForms compares what each body is read as, in one piece and byte by byte, and what goes to an endpoint for it, with
-// a golden file.
+// TestRequestForms compares what each body is read as, in one piece and byte by byte, and what goes to an endpoint for
+// it, with a golden file.
 func TestRequestForms(t *testing.T) {
 	var out bytes.Buffer
 	for _, c := range bodies {
@@ -129,15 +129,18 @@
 		var all []int
 		for i, input := range a.Inputs {
 			all = append(all, i)
-			fmt.Fprintf(&out, "input %s, %d tokens, key %x, cache key %x\n", input.Raw, input.Tokens, input.Key, a.CacheKey(i, 3))
+			fmt.Fprintf(&out, "input %s, %d tokens, key %x, cache key %x\n",
+				input.Raw, input.Tokens, input.Key, a.CacheKey(i, 3))
 		}
-		path, body := a.PartRequest(all, 3)
-		fmt.Fprintf(&out, "order %d, texts %q, %d bytes buffered, %d tokens\n%s %s\n", a.Order, a.Texts, a.BufferedBytes, a.Tokens(all), path, body)
+		path, body := a.BuildPart(all, 3)
+		fmt.Fprintf(&out, "order %d, texts %q, %d bytes buffered, %d tokens\n%s %s\n",
+			a.Order, a.Texts, a.BufferedBytes, a.CountTokens(all), path, body)
 	}
 	golden.Compare(t, out.Bytes())
 }
 
-// TestLargeBodyBeginsEarly: past half of the buffer a call begins with what has come, if all is known that a part needs.
+// TestLargeBodyBeginsEarly: past half of the buffer a call begins with what has come, if all is known that a part
+// needs.
 func TestLargeBodyBeginsEarly(t *testing.T) {
 	limits := Limits{MaxInputs: 9, MaxInputTokens: 10, MaxBody: 4 << 10, MaxBuffered: 40}
 	inputs := `["aaaaaaaaaa","bbbbbbbbbb"]`
@@ -153,7 +156,8 @@
 		{Embeddings, "model behind many inputs", `{"input":["aaaaaaaaaa","bbbbbbbbbb","cccccccccc","dddddddddd"],` +
 			`"model":"m"}`},
 		{Rerank, "query first", `{"model":"m","query":"q","documents":` + inputs + `,"top_n":1}`},
-		{Rerank, "return_documents behind the documents", `{"model":"m","query":"q","documents":` + inputs + `,"return_documents":true}`},
+		{Rerank, "return_documents behind the documents",
+			`{"model":"m","query":"q","documents":` + inputs + `,"return_documents":true}`},
 		{Rerank, "query behind many documents", `{"model":"m","documents":["aaaaaaaaaa","bbbbbbbbbb","cccccccccc",` +
 			`"dddddddddd"],"query":"q"}`},
 	}
@@ -209,7 +213,7 @@
 	vectors := [][]byte{{0, 0, 128, 63, 0, 0, 0, 192}, {0, 0, 0, 0, 205, 204, 204, 61}}
 	embed := Request{Model: `m"`, Order: []int32{0, 1, 0}}
 	encoded := embed
-	encoded.Base64 = true
+	encoded.EncodeBase64 = true
 	rerank := Request{Kind: Rerank, Model: "m", Order: []int32{0, 1, 0}, Texts: []string{"<a>", "b"}}
 	top := rerank
 	top.TopN, top.ReturnDocuments = 2, true
@@ -241,7 +245,8 @@
 		body string
 		good bool
 	}{
-		{Embeddings, `{"usage":{"prompt_tokens":7},"data":[{"index":1,"embedding":[1,2]},{"index":0,"embedding":"` + vector + `"}]}`, true},
+		{Embeddings, `{"usage":{"prompt_tokens":7},"data":[{"index":1,"embedding":[1,2]},` +
+			`{"index":0,"embedding":"` + vector + `"}]}`, true},
 		{Embeddings, `{"data":[{"index":0,"embedding":[1,2]}]}`, false},
 		{Embeddings, `{"data":[{"index":0,"embedding":[1,2]},{"index":0,"embedding":[1,2]}]}`, false},
 		{Embeddings, `{"data":[{"index":0,"embedding":[1,2]},{"index":2,"embedding":[1,2]}]}`, false},
--- /dev/null
+++ b/internal/embeddings/members.go
@@ -0,0 +1,154 @@
+package embeddings
+
+import (
+	"strings"
+
+	"github.com/tidwall/gjson"
+
+	"plumspindle/internal/frontend"
+)
+
+// member is one member of a body that is not one of the lists' elements.
+type member struct {
+	name  string
+	raw   []byte // as it is written
+	value gjson.Result
+}
+
+// memberReader reads one member, or refuses it.
+type memberReader func(r *Request, m member) *frontend.Problem
+
+// memberReaders are for the members that an API knows; all others are refused.
+var memberReaders = map[Kind]map[string]memberReader{
+	Embeddings: {
+		"model":           readModel,
+		"user":            readUser,
+		"input":           readSingleInput,
+		"encoding_format": readEncodingFormat,
+		"dimensions":      readDimensions,
+	},
+	Rerank: {
+		"model":            readModel,
+		"user":             readUser,
+		"query":            readQuery,
+		"top_n":            readTopN,
+		"return_documents": readReturnDocuments,
+		"documents":        refuseSingleDocument,
+	},
+}
+
+// readMember reads one member. Null means that it is not given, which those that say what is to be read may not be.
+func (r *Request) readMember(name string, raw []byte) *frontend.Problem {
+	m := member{name: name, raw: raw, value: gjson.ParseBytes(raw)}
+	if m.value.Type == gjson.Null && !essential(name) {
+		return nil
+	}
+	if r.begun && !allowedLate(name) {
+		return frontend.Invalid(name, "parameter_too_late",
+			"In a body of this size '%s' has to come before the inputs.", name)
+	}
+	if read := memberReaders[r.Kind][name]; read != nil {
+		return read(r, m)
+	}
+	return unknownParameter(name)
+}
+
+func essential(name string) bool {
+	switch name {
+	case "model", "input", "query", "documents":
+		return true
+	}
+	return false
+}
+
+// allowedLate reports whether a member may come after parts have been sent, which it does not bear upon.
+func allowedLate(name string) bool {
+	switch name {
+	case "user", "top_n", "encoding_format":
+		return true
+	}
+	return false
+}
+
+func unknownParameter(name string) *frontend.Problem {
+	return frontend.Invalid(name, "unknown_parameter", "Unknown parameter: '%.60s'.", name)
+}
+
+func (m member) wrongType(want string) *frontend.Problem {
+	return frontend.Invalid(m.name, "invalid_type", "Invalid type for '%s': expected %s, but got %s instead.",
+		m.name, want, strings.ToLower(m.value.Type.String()))
+}
+
+// text returns the value of a member that must be a string and not empty.
+func (m member) text() (string, *frontend.Problem) {
+	if m.value.Type != gjson.String || m.value.Str == "" {
+		return "", m.wrongType("a string")
+	}
+	return m.value.String(), nil
+}
+
+// count returns the value of a member that must be an integer above 0.
+func (m member) count() (int, *frontend.Problem) {
+	if m.value.Type != gjson.Number || m.value.Num != float64(int(m.value.Num)) {
+		return 0, m.wrongType("an integer")
+	}
+	if m.value.Num < 1 {
+		return 0, frontend.Invalid(m.name, "integer_below_min_value", "Invalid '%s': expected a value >= 1.", m.name)
+	}
+	return int(m.value.Num), nil
+}
+
+func readModel(r *Request, m member) (problem *frontend.Problem) {
+	r.Model, problem = m.text()
+	return problem
+}
+
+func readUser(_ *Request, m member) *frontend.Problem {
+	if m.value.Type != gjson.String {
+		return unknownParameter(m.name)
+	}
+	return nil
+}
+
+func readSingleInput(r *Request, m member) *frontend.Problem {
+	if m.value.Type != gjson.String {
+		return m.wrongType("a string or an array")
+	}
+	return r.readElement(m.name, m.raw)
+}
+
+func readEncodingFormat(r *Request, m member) *frontend.Problem {
+	format := m.value.String()
+	if format != "float" && format != "base64" {
+		return frontend.Invalid(m.name, "invalid_value",
+			"Invalid value: '%.40s'. Supported values are: float, base64.", format)
+	}
+	r.EncodeBase64 = format == "base64"
+	return nil
+}
+
+func readDimensions(r *Request, m member) (problem *frontend.Problem) {
+	r.Dimensions, problem = m.count()
+	return problem
+}
+
+func readQuery(r *Request, m member) (problem *frontend.Problem) {
+	r.Query, problem = m.text()
+	return problem
+}
+
+func readTopN(r *Request, m member) (problem *frontend.Problem) {
+	r.TopN, problem = m.count()
+	return problem
+}
+
+func readReturnDocuments(r *Request, m member) *frontend.Problem {
+	if !m.value.IsBool() {
+		return m.wrongType("a boolean")
+	}
+	r.ReturnDocuments = m.value.Bool()
+	return nil
+}
+
+// refuseSingleDocument refuses documents that are no list; a list's elements are read one by one.
+func refuseSingleDocument(_ *Request, m member) *frontend.Problem { return m.wrongType("an array") }
--- /dev/null
+++ b/internal/embeddings/part.go
@@ -0,0 +1,152 @@
+package embeddings
+
+import (
+	"encoding/base64"
+	"encoding/binary"
+	"errors"
+	"fmt"
+	"math"
+
+	"github.com/tidwall/gjson"
+)
+
+// bytesPerDimension is the size of a 32-bit float.
+const bytesPerDimension = 4
+
+// Why an endpoint's response to a part is not taken.
+var (
+	errNotJSON        = errors.New("response is not JSON")
+	errNoResults      = errors.New("no list of results")
+	errResultCount    = errors.New("not one result for each input")
+	errResultIndex    = errors.New("index is none of the part's, or comes twice")
+	errNotScore       = errors.New("relevance score is not a number")
+	errNoVector       = errors.New("no vector")
+	errVectorEncoding = errors.New("vector is not base64")
+	errVectorSize     = errors.New("vector has not the dimensions asked for")
+	errNotNumber      = errors.New("vector has an element that is not a number")
+)
+
+// PartResult is what an endpoint returned for a part.
+type PartResult struct {
+	Vectors [][]byte  // little-endian 32-bit floats, in the order of the part's inputs
+	Scores  []float64 // in that order
+	Tokens  int       // as the endpoint counted
+}
+
+// ReadPart reads an endpoint's response to a part of so many inputs. It is refused as a whole unless each input has
+// exactly one vector, or score, of the right size whose numbers are all numbers: a wrong vector is worse than none, as
+// nobody would notice.
+func (r *Request) ReadPart(body []byte, inputs, dimensions int) (PartResult, error) {
+	if !gjson.ValidBytes(body) {
+		return PartResult{}, errNotJSON
+	}
+	p := partReader{kind: r.Kind, dimensions: dimensions, seen: make([]bool, inputs)}
+	p.result.Tokens = int(gjson.GetBytes(body, "usage.prompt_tokens").Int())
+	list := "data"
+	if r.Kind == Rerank {
+		list = "results"
+		p.result.Scores = make([]float64, inputs)
+	} else {
+		p.result.Vectors = make([][]byte, inputs)
+	}
+	if err := p.readAll(gjson.GetBytes(body, list)); err != nil {
+		return PartResult{}, err
+	}
+	return p.result, nil
+}
+
+// partReader reads the results for one part.
+type partReader struct {
+	kind       Kind
+	dimensions int
+	result     PartResult
+	seen       []bool // by input
+	count      int    // of results so far
+}
+
+func (p *partReader) readAll(list gjson.Result) (err error) {
+	if !list.IsArray() {
+		return errNoResults
+	}
+	list.ForEach(func(_, item gjson.Result) bool {
+		err = p.read(item)
+		return err == nil
+	})
+	if err == nil && p.count != len(p.seen) {
+		return fmt.Errorf("%w: %d for %d", errResultCount, p.count, len(p.seen))
+	}
+	return err
+}
+
+// read reads the result for one input.
+func (p *partReader) read(item gjson.Result) (err error) {
+	index := item.Get("index")
+	at := int(index.Num)
+	if index.Type != gjson.Number || at < 0 || at >= len(p.seen) || float64(at) != index.Num || p.seen[at] {
+		return fmt.Errorf("%w: %.20s", errResultIndex, index.Raw)
+	}
+	p.seen[at] = true
+	p.count++
+	if p.kind == Rerank {
+		p.result.Scores[at], err = readScore(item.Get("relevance_score"))
+	} else {
+		p.result.Vectors[at], err = readVector(item.Get("embedding"), p.dimensions)
+	}
+	if err != nil {
+		return fmt.Errorf("result %d: %w", at, err)
+	}
+	return nil
+}
+
+func readScore(score gjson.Result) (float64, error) {
+	if score.Type != gjson.Number || math.IsInf(score.Num, 0) || math.IsNaN(score.Num) {
+		return 0, fmt.Errorf("%w: %.20q", errNotScore, score.Raw)
+	}
+	return score.Num, nil
+}
+
+// readVector reads a vector in either form that endpoints may answer with.
+func readVector(value gjson.Result, dimensions int) (vector []byte, err error) {
+	switch {
+	case value.Type == gjson.String:
+		vector, err = base64.StdEncoding.DecodeString(value.Str)
+		if err != nil {
+			return nil, errVectorEncoding
+		}
+	case value.IsArray():
+		vector, err = readNumbers(value)
+		if err != nil {
+			return nil, err
+		}
+	default:
+		return nil, errNoVector
+	}
+	if len(vector) != bytesPerDimension*dimensions {
+		return nil, fmt.Errorf("%w: %d bytes for %d dimensions", errVectorSize, len(vector), dimensions)
+	}
+	for i := 0; i < len(vector); i += bytesPerDimension {
+		number := float64(floatAt(vector, i))
+		if math.IsNaN(number) || math.IsInf(number, 0) {
+			return nil, errNotNumber
+		}
+	}
+	return vector, nil
+}
+
+// readNumbers reads a vector that is given as a list of numbers.
+func readNumbers(list gjson.Result) (vector []byte, err error) {
+	list.ForEach(func(_, number gjson.Result) bool {
+		if number.Type != gjson.Number {
+			err = errNotNumber
+			return false
+		}
+		vector = binary.LittleEndian.AppendUint32(vector, math.Float32bits(float32(number.Num)))
+		return true
+	})
+	return vector, err
+}
+
+// floatAt returns the element of a vector that begins at an offset.
+func floatAt(vector []byte, offset int) float32 {
+	return math.Float32frombits(binary.LittleEndian.Uint32(vector[offset:]))
+}
--- a/internal/frontend/errors.go
+++ b/internal/frontend/errors.go
@@ -110,6 +110,16 @@
 	}
 }
 
+// BodyTooLarge returns the problem of a request whose body, or what of it must be buffered, is too large.
+func BodyTooLarge(format string, args ...any) *Problem {
+	return &Problem{
+		Status:  413,
+		Type:    typeInvalidRequest,
+		Code:    "body_too_large",
+		Message: fmt.Sprintf(format, args...),
+	}
+}
+
 func overQuota(reason string) *Problem {
 	return &Problem{
 		Status:  429,
