--- a/internal/chat/conversation.go
+++ b/internal/chat/conversation.go
@@ -46,7 +46,7 @@
 		return problem == nil
 	})
 	if problem == nil && c.count == 0 {
-		return frontend.Invalid("messages", "empty_array", "Invalid 'messages': empty array.")
+		return frontend.EmptyArray("messages")
 	}
 	return problem
 }
--- a/internal/chat/members.go
+++ b/internal/chat/members.go
@@ -42,8 +42,7 @@
 }
 
 func wrongType(name, want string, value gjson.Result) *frontend.Problem {
-	return frontend.Invalid(name, "invalid_type", "Invalid type for '%s': expected %s, but got %s instead.", name, want,
-		strings.ToLower(value.Type.String()))
+	return frontend.WrongType(name, want, strings.ToLower(value.Type.String()))
 }
 
 func readModel(p *parser, name string, value gjson.Result) *frontend.Problem {
@@ -92,7 +91,7 @@
 		return wrongType(name, "an integer", value)
 	}
 	if value.Num < 1 {
-		return frontend.Invalid(name, "integer_below_min_value", "Invalid '%s': expected a value >= 1.", name)
+		return frontend.BelowOne(name)
 	}
 	if p.request.MaxTokens == 0 || name == "max_completion_tokens" {
 		p.request.MaxTokens = int(value.Num)
@@ -122,5 +121,5 @@
 
 // refuseUnknown refuses members that only the router may state: they are not part of the public API.
 func refuseUnknown(_ *parser, name string, _ gjson.Result) *frontend.Problem {
-	return frontend.Invalid(name, "unknown_parameter", "Unknown parameter: '%s'.", name)
+	return frontend.UnknownParameter(name)
 }
--- a/internal/chat/request.go
+++ b/internal/chat/request.go
@@ -58,11 +58,11 @@
 
 func parseObject(body []byte) (gjson.Result, *frontend.Problem) {
 	if !gjson.ValidBytes(body) {
-		return gjson.Result{}, frontend.Invalid("", "invalid_json", "The body is not valid JSON.")
+		return gjson.Result{}, frontend.InvalidJSON()
 	}
 	root := gjson.ParseBytes(body)
 	if !root.IsObject() {
-		return gjson.Result{}, frontend.Invalid("", "invalid_json", "The body must be a JSON object.")
+		return gjson.Result{}, frontend.NotAnObject()
 	}
 	return root, nil
 }
@@ -80,7 +80,7 @@
 	root.ForEach(func(key, value gjson.Result) bool {
 		name := key.String()
 		if p.seen[name] {
-			problem = frontend.Invalid(name, "duplicate_parameter", "The parameter %q is given twice.", name)
+			problem = frontend.DuplicateParameter(name)
 			return false
 		}
 		p.seen[name] = true
@@ -107,15 +107,11 @@
 func (p *parser) checkRequired() *frontend.Problem {
 	switch {
 	case p.request.Model == "":
-		return missing("model")
+		return frontend.MissingParameter("model")
 	case !p.seen["messages"]:
-		return missing("messages")
+		return frontend.MissingParameter("messages")
 	case p.seen["stream_options"] && !p.request.Stream:
 		return frontend.Invalid("stream_options", "", "'stream_options' is only allowed when 'stream' is true.")
 	}
 	return nil
 }
-
-func missing(name string) *frontend.Problem {
-	return frontend.Invalid(name, "missing_required_parameter", "Missing required parameter: '%s'.", name)
-}
--- a/internal/embeddings/golden_test.go
+++ b/internal/embeddings/golden_test.go
@@ -22,8 +22,8 @@
 	return nil
 }
 
-func (h recordingHandler) InputsAdded(whole bool) *frontend.Problem {
-	fmt.Fprintf(h.out, "added, whole: %t\n", whole)
+func (h recordingHandler) InputsAdded(last bool) *frontend.Problem {
+	fmt.Fprintf(h.out, "added, whole: %t\n", last)
 	return nil
 }
 
@@ -237,8 +237,8 @@
 	golden.Compare(t, out.Bytes())
 }
 
-// TestReadPartRefusesWhole: a host's answer is taken only if each input has exactly one good result.
-func TestReadPartRefusesWhole(t *testing.T) {
+// TestReadPartTakesOnlyCompleteResponses: a response is taken only if each input has exactly one good result.
+func TestReadPartTakesOnlyCompleteResponses(t *testing.T) {
 	vector := base64.StdEncoding.EncodeToString(make([]byte, 8))
 	cases := []struct {
 		kind Kind
--- a/internal/embeddings/inputs.go
+++ b/internal/embeddings/inputs.go
@@ -38,7 +38,7 @@
 // readElement reads one of the inputs.
 func (r *Request) readElement(name string, raw []byte) *frontend.Problem {
 	if name != r.Kind.list() {
-		return unknownParameter(name)
+		return frontend.UnknownParameter(name)
 	}
 	path := fmt.Sprintf("%s[%d]", name, len(r.Order))
 	if r.Kind == Rerank {
@@ -91,7 +91,7 @@
 		}
 	}
 	if len(tokens) == 0 {
-		return frontend.Invalid(path, "empty_array", "Invalid '%s': empty array.", path)
+		return frontend.EmptyArray(path)
 	}
 	return r.add(path, raw, len(tokens))
 }
--- a/internal/embeddings/members.go
+++ b/internal/embeddings/members.go
@@ -50,7 +50,7 @@
 	if read := memberReaders[r.Kind][name]; read != nil {
 		return read(r, m)
 	}
-	return unknownParameter(name)
+	return frontend.UnknownParameter(name)
 }
 
 func essential(name string) bool {
@@ -70,13 +70,8 @@
 	return false
 }
 
-func unknownParameter(name string) *frontend.Problem {
-	return frontend.Invalid(name, "unknown_parameter", "Unknown parameter: '%.60s'.", name)
-}
-
 func (m member) wrongType(want string) *frontend.Problem {
-	return frontend.Invalid(m.name, "invalid_type", "Invalid type for '%s': expected %s, but got %s instead.",
-		m.name, want, strings.ToLower(m.value.Type.String()))
+	return frontend.WrongType(m.name, want, strings.ToLower(m.value.Type.String()))
 }
 
 // text returns the value of a member that must be a string and not empty.
@@ -93,7 +88,7 @@
 		return 0, m.wrongType("an integer")
 	}
 	if m.value.Num < 1 {
-		return 0, frontend.Invalid(m.name, "integer_below_min_value", "Invalid '%s': expected a value >= 1.", m.name)
+		return 0, frontend.BelowOne(m.name)
 	}
 	return int(m.value.Num), nil
 }
@@ -105,7 +100,7 @@
 
 func readUser(_ *Request, m member) *frontend.Problem {
 	if m.value.Type != gjson.String {
-		return unknownParameter(m.name)
+		return frontend.UnknownParameter(m.name)
 	}
 	return nil
 }
--- a/internal/embeddings/request.go
+++ b/internal/embeddings/request.go
@@ -119,8 +119,8 @@
 	}
 }
 
-// DiscardInput drops an input that is not needed any more. Where that makes room for more of the body, reading goes on;
-// the problem is one that shows in there.
+// DiscardInput drops an input that is not needed any more. Where more of the body may be buffered then,
+// reading goes on; the problem is one that shows in there.
 func (r *Request) DiscardInput(i int) *frontend.Problem {
 	input := &r.Inputs[i]
 	r.BufferedBytes -= len(input.Raw)
@@ -229,17 +229,13 @@
 	list := r.Kind.list()
 	switch {
 	case r.Model == "":
-		return missing("model")
+		return frontend.MissingParameter("model")
 	case r.Kind == Rerank && !r.scanner.seen["query"]:
-		return missing("query")
+		return frontend.MissingParameter("query")
 	case !r.scanner.seen[list]:
-		return missing(list)
+		return frontend.MissingParameter(list)
 	case len(r.Order) == 0:
-		return frontend.Invalid(list, "empty_array", "Invalid '%s': empty array.", list)
+		return frontend.EmptyArray(list)
 	}
 	return nil
 }
-
-func missing(name string) *frontend.Problem {
-	return frontend.Invalid(name, "missing_required_parameter", "Missing required parameter: '%s'.", name)
-}
--- a/internal/embeddings/scanner.go
+++ b/internal/embeddings/scanner.go
@@ -57,10 +57,6 @@
 	scalarValue    // a number or a word
 )
 
-func invalidJSON() *frontend.Problem {
-	return frontend.Invalid("", "invalid_json", "The body is not valid JSON.")
-}
-
 func isSpace(c byte) bool { return c == ' ' || c == '\t' || c == '\n' || c == '\r' }
 
 // feed takes the next bytes. Nothing may follow a problem.
@@ -99,13 +95,13 @@
 	case expectComma:
 		return s.passComma(c)
 	default:
-		return invalidJSON()
+		return frontend.InvalidJSON()
 	}
 }
 
 func (s *scanner) beginObject(c byte) *frontend.Problem {
 	if c != '{' {
-		return frontend.Invalid("", "invalid_json", "The body must be a JSON object.")
+		return frontend.NotAnObject()
 	}
 	s.state = expectName
 	return nil
@@ -118,7 +114,7 @@
 	case c == '}' && !s.hasMember:
 		s.state = expectEnd
 	default:
-		return invalidJSON()
+		return frontend.InvalidJSON()
 	}
 	return nil
 }
@@ -131,11 +127,11 @@
 		return nil
 	}
 	if !gjson.ValidBytes(s.value) {
-		return invalidJSON()
+		return frontend.InvalidJSON()
 	}
 	s.name, s.state, s.hasMember = gjson.ParseBytes(s.value).String(), expectColon, true
 	if s.seen[s.name] {
-		return frontend.Invalid(s.name, "duplicate_parameter", "The parameter %q is given twice.", s.name)
+		return frontend.DuplicateParameter(s.name)
 	}
 	if s.seen == nil {
 		s.seen = map[string]bool{}
@@ -146,7 +142,7 @@
 
 func (s *scanner) passColon(c byte) *frontend.Problem {
 	if c != ':' {
-		return invalidJSON()
+		return frontend.InvalidJSON()
 	}
 	s.state = expectValue
 	return nil
@@ -163,7 +159,7 @@
 	case c == '}' && !s.inList:
 		s.state = expectEnd
 	default:
-		return invalidJSON()
+		return frontend.InvalidJSON()
 	}
 	return nil
 }
@@ -178,7 +174,7 @@
 		s.inList, s.state = false, expectComma
 		return nil
 	case c == ',' || c == ']' || c == '}' || c == ':':
-		return invalidJSON()
+		return frontend.InvalidJSON()
 	}
 	s.state, s.value = inValue, append(s.value[:0], c)
 	s.kind, s.depth, s.inString, s.escaped = scalarValue, 0, false, false
@@ -250,7 +246,7 @@
 // endValue hands over a value.
 func (s *scanner) endValue() *frontend.Problem {
 	if !gjson.ValidBytes(s.value) {
-		return invalidJSON()
+		return frontend.InvalidJSON()
 	}
 	s.state = expectComma
 	if s.inList {
@@ -269,7 +265,7 @@
 // close checks that the object has ended with the body.
 func (s *scanner) close() *frontend.Problem {
 	if s.state != expectEnd {
-		return invalidJSON()
+		return frontend.InvalidJSON()
 	}
 	return nil
 }
--- a/internal/engine/attempt.go
+++ b/internal/engine/attempt.go
@@ -9,7 +9,7 @@
 	"plumspindle/scheduler"
 )
 
-// Attempt is one request to an endpoint. Its owner hears of its end by Callbacks.Ended, or ends it by Cancel.
+// Attempt is one request to an endpoint. Its end is reported by Callbacks.Ended, unless Cancel ends it.
 type Attempt struct {
 	engine       *Engine
 	endpoint     *endpoint
@@ -35,9 +35,9 @@
 	memoryUsage float64
 }
 
-// timeout ends an attempt whose deadline has passed. What has not left whole cannot have run, and is taken back once
-// the time to send is over, for want of a connection or because the endpoint does not read: whether it may still be
-// sent was decided when the attempt was ordered.
+// timeout ends an attempt whose deadline has passed. One whose last byte has not left cannot have run, and is taken
+// back once the time to send is over, for want of a connection or because the endpoint does not read: whether it may
+// still be sent was decided when the attempt was ordered.
 func (a *Attempt) timeout() {
 	now := a.engine.loop.Now()
 	switch {
--- a/internal/frontend/connection.go
+++ b/internal/frontend/connection.go
@@ -113,14 +113,14 @@
 	}
 }
 
-// refuse answers a request that can't be read and closes the connection, as what follows can't be told apart any more.
+// refuse answers a request that can't be read and closes the connection, as it can't be parsed any further.
 func (c *connection) refuse(problem *Problem) {
 	if c.closing {
 		return
 	}
 	c.closing = true
 	if response := c.response; response != nil {
-		if response.received { // the answer to it could not be told apart from that to what is broken behind it
+		if response.received { // two answers could not be told apart by the client
 			response.disconnect()
 			c.conn.Abort()
 			return
@@ -172,7 +172,7 @@
 // shedBody rejects a request whose body exceeds what may be buffered; the rest of it is discarded.
 func (c *connection) shedBody() {
 	response := c.response
-	if response.OnDisconnect != nil { // the sink has begun with the request and hears that nobody waits for it
+	if response.OnDisconnect != nil { // the route has begun with the request
 		response.OnDisconnect()
 		response.OnDisconnect = nil
 	}
--- a/internal/frontend/errors.go
+++ b/internal/frontend/errors.go
@@ -31,7 +31,7 @@
 	Param   string // the parameter at fault, if there is one
 	Code    string
 	Message string
-	NoRetry bool // no retry can help, and client libraries are told not to try
+	NoRetry bool // no retry can help, and client libraries learn not to try
 }
 
 // Error implements error.
@@ -75,17 +75,6 @@
 	return text
 }
 
-// Invalid returns the problem of a request whose parameter is no good.
-func Invalid(param, code, format string, args ...any) *Problem {
-	return &Problem{
-		Status:  400,
-		Type:    typeInvalidRequest,
-		Param:   param,
-		Code:    code,
-		Message: fmt.Sprintf(format, args...),
-	}
-}
-
 // TooManyConnections returns the problem of a request that is rejected for lack of capacity; nothing of it has run.
 func TooManyConnections() *Problem {
 	return &Problem{
--- a/internal/frontend/response.go
+++ b/internal/frontend/response.go
@@ -12,7 +12,7 @@
 type Response struct {
 	connection  *connection
 	keepAlive   bool // the connection stays open after the answer
-	received    bool // the request has arrived as a whole
+	received    bool // the request has arrived to its end
 	started     bool // a streamed answer's first byte has been sent
 	done        bool
 	buffered    int // bytes of the request's body
@@ -75,7 +75,7 @@
 	r.end(TooManyConnections(), retryFields(retryAfter)...)
 }
 
-// Fail gives the final answer to a request that failed. The client is told whether it may retry, as common client
+// Fail gives the final answer to a request that failed. The client learns whether it may retry, as common client
 // libraries retry a 5xx by themselves.
 func (r *Response) Fail(retryable bool, message string) {
 	r.end(failed(message), fieldShouldRetry, strconv.FormatBool(retryable))
@@ -149,7 +149,7 @@
 	}
 }
 
-// abandon ends a request that its route need not hear of any more.
+// abandon ends a request without a callback.
 func (r *Response) abandon() {
 	r.settle()
 	r.connection.response = nil
