--- /dev/null
+++ b/internal/settings/sections.go
@@ -0,0 +1,136 @@
+package settings
+
+import (
+	"cmp"
+
+	"github.com/tidwall/gjson"
+
+	"plumspindle/scheduler"
+)
+
+// The values that some keys may have.
+var (
+	roles = map[string]scheduler.Role{
+		"read":  scheduler.Prefill,
+		"write": scheduler.Decode,
+		"both":  scheduler.Mixed,
+	}
+	effects = map[string]scheduler.Effect{
+		"read_like":       scheduler.Idempotent,
+		"idempotency_key": scheduler.Deduplicated,
+		"non_idempotent":  scheduler.NonIdempotent,
+	}
+	groups = map[string]scheduler.Group{
+		"all":  scheduler.AllEndpoints,
+		"zone": scheduler.SameZone,
+		"cell": scheduler.SameCell,
+	}
+)
+
+// Lists whose elements errors name.
+const (
+	classesKey = "request_classes"
+	rolesKey   = "duty_by_kind"
+)
+
+// parseScheduler reads all of the scheduler's configuration but its classes, kinds and quotas.
+func parseScheduler(root gjson.Result) scheduler.Config {
+	config := scheduler.Config{
+		Dispatchers:     int(root.Get("group_size").Int()),
+		Zone:            scheduler.ZoneID(root.Get("zone").Uint()),
+		OverQuotaWeight: root.Get("over_share_worth").Float(),
+		DecodePrefills:  root.Get("domain.local_read").Bool(),
+		MaxAttempts:     int(root.Get("limits.send_cap").Int()),
+		CancelAllowed:   root.Get("limits.may_cancel").Bool(),
+		WatchOnDemand:   root.Get("discovery").String() == "on_request",
+		TickInterval:    parseSpan(root, "tick"),
+		IdleTimeout:     cmp.Or(parseSpan(root, "limits.conn_idle"), defaultIdleTimeout),
+		ConnectTimeout:  cmp.Or(parseSpan(root, "limits.connect_timeout"), defaultConnectTimeout),
+		WarmUp:          parseSpan(root, "obligations.cold"),
+		SlowStartFactor: root.Get("obligations.cold_from").Float(),
+		OverloadWindow:  parseSpan(root, "obligations.fall"),
+		OverloadFactor:  root.Get("obligations.fall_multiple").Float(),
+	}
+	if root.Get("limits.retry_after").Bool() {
+		config.MaxRetryAfter = parseSpan(root, "limits.max_retry_after")
+	}
+	return config
+}
+
+// parseClasses reads the request classes. Two of their latency objectives stand in lists of their own, which may be
+// shorter.
+func (s *Settings) parseClasses(root gjson.Result) error {
+	microsPer1000Tokens := root.Get("domain.aim_us_per_1000_prompt_tokens").Array()
+	nanosPerToken := root.Get("domain.token_aim").Array()
+	for i, element := range root.Get(classesKey).Array() {
+		class, err := parseClass(i, element)
+		if err != nil {
+			return err
+		}
+		if i < len(microsPer1000Tokens) {
+			class.SLOPer1000 = scheduler.Micros(microsPer1000Tokens[i].Float())
+		}
+		if i < len(nanosPerToken) {
+			class.TokenSLO = MicrosFromNanos(nanosPerToken[i].Uint())
+		}
+		s.Scheduler.Classes = append(s.Scheduler.Classes, class)
+		s.Classes = append(s.Classes, element.Get("name").String())
+	}
+	return nil
+}
+
+func parseClass(index int, element gjson.Result) (scheduler.Class, error) {
+	effectName, groupName := element.Get("repeat").String(), element.Get("group").String()
+	effect, known := effects[effectName]
+	if !known {
+		return scheduler.Class{}, unknownValue(classesKey, index, "repeat", effectName)
+	}
+	group, known := groups[groupName]
+	if !known && effect == scheduler.Deduplicated {
+		return scheduler.Class{}, unknownValue(classesKey, index, "group", groupName)
+	}
+	return scheduler.Class{
+		SLO:              parseSpan(element, "aim"),
+		Window:           parseSpan(element, "window"),
+		Effect:           effect,
+		Group:            group,
+		Revenue:          element.Get("points").Float(),
+		LateRevenueShare: element.Get("late_share").Float(),
+	}, nil
+}
+
+// parseKinds reads the role of each kind of endpoint, and its memory where that is given.
+func (s *Settings) parseKinds(root gjson.Result) error {
+	memory := root.Get("domain.kv_tokens").Array()
+	for i, element := range root.Get("domain." + rolesKey).Array() {
+		role, known := roles[element.String()]
+		if !known {
+			return unknownValue(rolesKey, i, "duty", element.String())
+		}
+		kind := scheduler.Kind{Role: role}
+		if i < len(memory) {
+			kind.Memory = memory[i].Float()
+		}
+		s.Scheduler.Kinds = append(s.Scheduler.Kinds, kind)
+	}
+	return nil
+}
+
+func (s *Settings) parseTenants(root gjson.Result) {
+	for _, element := range root.Get("projects").Array() {
+		s.Scheduler.Quotas = append(s.Scheduler.Quotas, element.Get("quota_per_s").Float())
+		s.Tenants = append(s.Tenants, element.Get("name").String())
+	}
+}
+
+func parseNames(list gjson.Result) (names []string) {
+	for _, element := range list.Array() {
+		names = append(names, element.String())
+	}
+	return names
+}
+
+// parseSpan reads a span that is given in nanoseconds.
+func parseSpan(parent gjson.Result, path string) scheduler.Micros {
+	return MicrosFromNanos(parent.Get(path).Uint())
+}
