--- a/internal/endpointcache/endpointcache.go
+++ b/internal/endpointcache/endpointcache.go
@@ -1,5 +1,7 @@
-// Package endpointcache decides how far a list of hosts is believed that did not come from discovery just now: one that was kept on
-// disk, and one from discovery that suddenly leaves most of the fleet out. It is free of I/O.
+// Package endpointcache decides how far a list of endpoints is trusted that may be out of date: a cached one that a
+// process starts with, and one from discovery that suddenly leaves most endpoints out. Its job is the policy: freshness
+// levels, the staged roll-in of an old list, and the delay of removals. It is free of I/O and owns no state; it never
+// sees the network or the disk.
 package endpointcache
 
 import (
@@ -14,87 +16,102 @@
 const (
 	millisecond Micros = 1000
 	second             = 1000 * millisecond
+	hour               = 3600 * second
 
-	freshFor  = 30 * second       // a list this young is used as it is
-	staleFor  = 6 * 3600 * second // one this old is used with all care; an older one on trial
-	waveEvery = 700 * millisecond // a part of an old list is tried each
-	waves     = 4                 // so many parts
-	lossShare = 0.5               // of the hosts known ready; a list that leaves more out is doubted
-	doubtPart = 0.6               // of the drain grace, for which that is
+	freshAge = 30 * second // up to this age a list is used as it is
+	staleAge = 6 * hour    // up to this age its endpoints are treated with care; beyond it they are rolled in by stages
+
+	batchInterval = 700 * millisecond // between two stages of a roll-in
+	batchCount    = 4
+
+	// A complete list that leaves out more than this part of the ready endpoints is doubted.
+	suspiciousLoss = 0.5
+	// The part of the drain grace for which that is doubted.
+	doubtShare = 0.6
 )
 
-// Freshness is how far a kept list is believed.
+// Freshness is how far a cached list is trusted.
 type Freshness uint8
 
 const (
-	Fresh Freshness = iota // as it is
-	Stale                  // each host may have restarted since, or be gone: as if it had just started
-	Old                    // the same, and only a part of the hosts at a time
+	// Fresh lists are used as they are.
+	Fresh Freshness = iota
+	// Stale lists may name endpoints that have restarted or are gone: all are treated as just started.
+	Stale
+	// Old lists are treated like stale ones, and only a part of their endpoints is used at a time.
+	Old
 )
 
-var names = [...]string{"fresh", "stale", "old"}
+var freshnessNames = [...]string{Fresh: "fresh", Stale: "stale", Old: "old"}
 
-func (t Freshness) String() string { return names[t] }
+func (f Freshness) String() string { return freshnessNames[f] }
 
-// FreshnessOf tells how far a list that was kept at a time is believed now. A time that lies ahead, or none, says nothing about
-// its age; such a list is taken to be stale.
-func FreshnessOf(now, kept Micros) Freshness {
-	switch age := now - kept; {
-	case kept <= 0 || age < 0:
+// FreshnessOf returns how far a list that was saved at a time is trusted now. A time in the future, or none, says
+// nothing of the list's age; such a list counts as stale.
+func FreshnessOf(now, savedAt Micros) Freshness {
+	age := now - savedAt
+	switch {
+	case savedAt <= 0 || age < 0:
 		return Stale
-	case age <= freshFor:
+	case age <= freshAge:
 		return Fresh
-	case age <= staleFor:
+	case age <= staleAge:
 		return Stale
 	}
 	return Old
 }
 
-// Endpoint is what of a host matters here.
+// Endpoint is what matters here of an entry.
 type Endpoint struct {
 	ID        uint32
-	Group     string // hosts of one group can stand in for each other: one zone and kind
+	Group     string // endpoints of one group, as of one zone and kind, can replace each other
 	StartedAt Micros
 }
 
-// Batch is a part of a list and how long after the start it is used.
+// Batch is one stage of a roll-in.
 type Batch struct {
-	Delay     Micros
+	Delay     Micros // after the start of the process
 	Endpoints []Endpoint
 }
 
-// Plan parts a kept list into waves. Each of an old one has its part of every group, so that there are readers and writers
-// from the first on; hosts that are dead cost failed connections, and a whole fleet of them would cost all of them at once.
-func Plan(now Micros, trust Freshness, hosts []Endpoint) []Batch {
-	if trust == Fresh {
-		return []Batch{{0, hosts}}
+// Plan divides a cached list into batches. Each batch of an old list has its part of every group, so that prefill and
+// decode endpoints are there from the first one on. Endpoints that no longer exist cost failed connections, and the
+// batches spread these.
+func Plan(now Micros, freshness Freshness, endpoints []Endpoint) []Batch {
+	if freshness == Fresh {
+		return []Batch{{Endpoints: endpoints}}
 	}
-	careful := slices.Clone(hosts)
-	for i := range careful {
-		careful[i].StartedAt = now
+	justStarted := slices.Clone(endpoints)
+	for i := range justStarted {
+		justStarted[i].StartedAt = now
 	}
-	if trust == Stale {
-		return []Batch{{0, careful}}
+	if freshness == Stale {
+		return []Batch{{Endpoints: justStarted}}
 	}
-	parts := make([]Batch, waves)
-	seen := map[string]int{}
-	for i := range parts {
-		parts[i].Delay = Micros(i) * waveEvery
+	return divide(justStarted)
+}
+
+// divide deals the endpoints of each group to the batches in turn; empty batches are left out.
+func divide(endpoints []Endpoint) []Batch {
+	batches := make([]Batch, batchCount)
+	for i := range batches {
+		batches[i].Delay = Micros(i) * batchInterval
 	}
-	for _, h := range careful {
-		n := seen[h.Group] % waves
-		seen[h.Group]++
-		parts[n].Endpoints = append(parts[n].Endpoints, h)
+	dealt := map[string]int{} // by group
+	for _, endpoint := range endpoints {
+		batch := &batches[dealt[endpoint.Group]%batchCount]
+		batch.Endpoints = append(batch.Endpoints, endpoint)
+		dealt[endpoint.Group]++
 	}
-	return slices.DeleteFunc(parts, func(w Batch) bool { return len(w.Endpoints) == 0 })
+	return slices.DeleteFunc(batches, func(batch Batch) bool { return len(batch.Endpoints) == 0 })
 }
 
-// RemovalDelay tells for how long it is not believed that hosts are gone because a whole list leaves them out: discovery that has
-// just restarted knows none yet. What a list says of a host by name is believed at once, and the doubt ends within the
-// drain grace, so that nothing new goes to a host later than that after it was left out.
-func RemovalDelay(ready, missing int, grace Micros) Micros {
-	if ready < 2 || float64(missing) <= lossShare*float64(ready) {
+// RemovalDelay returns for how long endpoints that a complete list leaves out are still used: discovery that has just
+// restarted may not know them yet. What a list says of an endpoint by name takes effect at once. The delay ends within
+// the drain grace, so that nothing new goes to an endpoint later than that after it was left out.
+func RemovalDelay(ready, missing int, drainGrace Micros) Micros {
+	if ready < 2 || float64(missing) <= suspiciousLoss*float64(ready) {
 		return 0
 	}
-	return Micros(doubtPart * float64(grace))
+	return Micros(doubtShare * float64(drainGrace))
 }
--- a/internal/endpointcache/endpointcache_test.go
+++ b/internal/endpointcache/endpointcache_test.go
@@ -5,52 +5,76 @@
 	"testing"
 )
 
-func TestWeigh(t *testing.T) {
+func TestFreshnessOf(t *testing.T) {
 	now := 1_000_000 * second
-	for age, want := range map[Micros]Freshness{0: Fresh, second: Fresh, 60 * second: Stale, 3600 * second: Stale, 24 * 3600 * second: Old,
-		-3600 * second: Stale, now: Stale, now + 5: Stale} {
+	for age, want := range map[Micros]Freshness{
+		0:           Fresh,
+		second:      Fresh,
+		60 * second: Stale,
+		hour:        Stale,
+		24 * hour:   Old,
+		-hour:       Stale,
+		now:         Stale,
+		now + 5:     Stale,
+	} {
 		if got := FreshnessOf(now, now-age); got != want {
 			t.Errorf("age %d s: %v, want %v", age/second, got, want)
 		}
 	}
 }
 
-func TestPlan(t *testing.T) {
-	var hosts []Endpoint
+// TestPlanUsesEachEndpointOnce: every batch has endpoints of all groups, and only those of a fresh list keep their
+// start times.
+func TestPlanUsesEachEndpointOnce(t *testing.T) {
+	const (
+		now        = Micros(1000)
+		startedAt  = Micros(5)
+		groupCount = 4
+	)
+	var endpoints []Endpoint
 	for i := range 23 {
-		hosts = append(hosts, Endpoint{ID: uint32(i), Group: fmt.Sprint("g", i%4), StartedAt: 5})
+		endpoints = append(endpoints, Endpoint{ID: uint32(i), Group: fmt.Sprint("g", i%groupCount), StartedAt: startedAt})
 	}
-	for _, trust := range []Freshness{Fresh, Stale, Old} {
-		seen := map[uint32]int{}
-		for n, w := range Plan(1000, trust, hosts) {
+	for freshness, test := range map[Freshness]struct {
+		startedAt   Micros
+		mostAtATime int
+	}{
+		Fresh: {startedAt, len(endpoints)},
+		Stale: {now, len(endpoints)},
+		Old:   {now, 8},
+	} {
+		used := map[uint32]int{}
+		for i, batch := range Plan(now, freshness, endpoints) {
 			groups := map[string]bool{}
-			for _, h := range w.Endpoints {
-				seen[h.ID]++
-				groups[h.Group] = true
-				if want := map[bool]Micros{true: 5, false: 1000}[trust == Fresh]; h.StartedAt != want {
-					t.Errorf("%v: started %d", trust, h.StartedAt)
+			for _, endpoint := range batch.Endpoints {
+				used[endpoint.ID]++
+				groups[endpoint.Group] = true
+				if endpoint.StartedAt != test.startedAt {
+					t.Errorf("%v: started %d, want %d", freshness, endpoint.StartedAt, test.startedAt)
 				}
 			}
-			if len(groups) != 4 {
-				t.Errorf("%v: wave %d has %d groups of 4", trust, n, len(groups))
+			if len(groups) != groupCount {
+				t.Errorf("%v: batch %d has %d groups of %d", freshness, i, len(groups), groupCount)
 			}
-			if trust == Old && len(w.Endpoints) > 8 || w.Delay != Micros(n)*waveEvery {
-				t.Errorf("%v: wave %d has %d hosts after %d", trust, n, len(w.Endpoints), w.Delay)
+			if len(batch.Endpoints) > test.mostAtATime || batch.Delay != Micros(i)*batchInterval {
+				t.Errorf("%v: batch %d has %d endpoints after %d", freshness, i, len(batch.Endpoints), batch.Delay)
 			}
 		}
-		if len(seen) != len(hosts) {
-			t.Errorf("%v: %d hosts of %d", trust, len(seen), len(hosts))
+		for _, endpoint := range endpoints {
+			if used[endpoint.ID] != 1 {
+				t.Errorf("%v: endpoint %d is in %d batches", freshness, endpoint.ID, used[endpoint.ID])
+			}
 		}
 	}
 }
 
-func TestDoubtEndsWithinTheGrace(t *testing.T) {
+func TestRemovalDelayEndsWithinDrainGrace(t *testing.T) {
 	grace := 250 * millisecond
 	for ready := range 20 {
 		for missing := range ready + 1 {
-			d := RemovalDelay(ready, missing, grace)
-			if d >= grace || (d > 0) != (ready >= 2 && 2*missing > ready) {
-				t.Errorf("%d of %d missing: doubted for %d", missing, ready, d)
+			delay := RemovalDelay(ready, missing, grace)
+			if delay >= grace || (delay > 0) != (ready >= 2 && 2*missing > ready) {
+				t.Errorf("%d of %d missing: delayed for %d", missing, ready, delay)
 			}
 		}
 	}
--- a/internal/endpoints/cached_list_test.go
+++ b/internal/endpoints/cached_list_test.go
@@ -8,22 +8,52 @@
 	"plumspindle/internal/endpoints"
 )
 
-// keptEntries are the hosts of both kept lists in testdata.
-var keptEntries = []endpoints.Entry{
-	{ID: 105, Addr: "127.0.0.1:45973", Zone: "west", Kind: "prefill", Cell: 0, Condition: "ready", StartedAt: 1796213769732894},
-	{ID: 112, Addr: "127.0.0.1:33841", Zone: "west", Kind: "prefill", Cell: 1, Condition: "draining", StartedAt: 1796213768732894},
-	{ID: 115, Addr: "127.0.0.1:38505", Zone: "west", Kind: "decode", Cell: 0, Condition: "ready", StartedAt: 1796213767732894},
-	{ID: 116, Addr: "127.0.0.1:40857", Zone: "west", Kind: "decode", Cell: 1, Condition: "ready", StartedAt: 1796213766732894},
-	{ID: 119, Addr: "127.0.0.1:37299", Zone: "west", Kind: "mixed", Cell: 0, Condition: "ready", StartedAt: 1796213765732894},
-	{ID: 121, Addr: "127.0.0.1:39313", Zone: "east", Kind: "prefill", Cell: 2, Condition: "ready", StartedAt: 1796213764732894},
-	{ID: 124, Addr: "127.0.0.1:45735", Zone: "east", Kind: "prefill", Cell: 3, Condition: "ready", StartedAt: 1796213763732894},
-	{ID: 129, Addr: "127.0.0.1:41297", Zone: "east", Kind: "decode", Cell: 2, Condition: "ready", StartedAt: 1796213762732894},
-	{ID: 132, Addr: "127.0.0.1:32901", Zone: "east", Kind: "decode", Cell: 3, Condition: "ready", StartedAt: 1796213761732894},
-	{ID: 135, Addr: "127.0.0.1:42167", Zone: "east", Kind: "mixed", Cell: 1, Condition: "ready", StartedAt: 1796213760732894},
+// cachedEntries are those of both cached lists in testdata.
+var cachedEntries = []endpoints.Entry{
+	{
+		ID: 105, Addr: "127.0.0.1:45973", Zone: "west", Kind: "prefill",
+		Cell: 0, Condition: "ready", StartedAt: 1796213769732894,
+	},
+	{
+		ID: 112, Addr: "127.0.0.1:33841", Zone: "west", Kind: "prefill",
+		Cell: 1, Condition: "draining", StartedAt: 1796213768732894,
+	},
+	{
+		ID: 115, Addr: "127.0.0.1:38505", Zone: "west", Kind: "decode",
+		Cell: 0, Condition: "ready", StartedAt: 1796213767732894,
+	},
+	{
+		ID: 116, Addr: "127.0.0.1:40857", Zone: "west", Kind: "decode",
+		Cell: 1, Condition: "ready", StartedAt: 1796213766732894,
+	},
+	{
+		ID: 119, Addr: "127.0.0.1:37299", Zone: "west", Kind: "mixed",
+		Cell: 0, Condition: "ready", StartedAt: 1796213765732894,
+	},
+	{
+		ID: 121, Addr: "127.0.0.1:39313", Zone: "east", Kind: "prefill",
+		Cell: 2, Condition: "ready", StartedAt: 1796213764732894,
+	},
+	{
+		ID: 124, Addr: "127.0.0.1:45735", Zone: "east", Kind: "prefill",
+		Cell: 3, Condition: "ready", StartedAt: 1796213763732894,
+	},
+	{
+		ID: 129, Addr: "127.0.0.1:41297", Zone: "east", Kind: "decode",
+		Cell: 2, Condition: "ready", StartedAt: 1796213762732894,
+	},
+	{
+		ID: 132, Addr: "127.0.0.1:32901", Zone: "east", Kind: "decode",
+		Cell: 3, Condition: "ready", StartedAt: 1796213761732894,
+	},
+	{
+		ID: 135, Addr: "127.0.0.1:42167", Zone: "east", Kind: "mixed",
+		Cell: 1, Condition: "ready", StartedAt: 1796213760732894,
+	},
 }
 
-// Both lists that an earlier version kept, the newest and the one before it, are read with every field of every host, and are
-// written as they were.
+// TestReadsHostListsOfEarlierVersion: both lists that an earlier version cached, the newest and the one before it, are
+// read with every field of every endpoint, and are written as they were.
 func TestReadsHostListsOfEarlierVersion(t *testing.T) {
 	for _, c := range []struct {
 		file  string
@@ -33,30 +63,30 @@
 		{"kept-hosts.json.1", 1796217377653035},
 	} {
 		t.Run(c.file, func(t *testing.T) {
-			kept, err := os.ReadFile("testdata/" + c.file)
+			cached, err := os.ReadFile("testdata/" + c.file)
 			if err != nil {
 				t.Fatal(err)
 			}
 			var restored endpoints.View
-			entries, saved, err := restored.Restore(kept)
+			entries, saved, err := restored.Restore(cached)
 			if err != nil {
 				t.Fatal(err)
 			}
-			if !slices.Equal(entries, keptEntries) {
-				t.Errorf("read:\n%+v\nstored:\n%+v", entries, keptEntries)
+			if !slices.Equal(entries, cachedEntries) {
+				t.Errorf("read:\n%+v\nstored:\n%+v", entries, cachedEntries)
 			}
 			if saved != c.saved {
-				t.Errorf("kept at %d, read %d", c.saved, saved)
+				t.Errorf("saved at %d, read %d", c.saved, saved)
 			}
 			if restored.Epoch != "" || restored.Version != 0 {
-				t.Errorf("epoch %q, version %d of a kept list are believed", restored.Epoch, restored.Version)
+				t.Errorf("epoch %q, version %d of a cached list count as known", restored.Epoch, restored.Version)
 			}
 			var followed endpoints.View
-			if _, whole, err := followed.Apply(kept); err != nil || !whole {
-				t.Fatalf("whole %v: %v", whole, err)
+			if _, complete, err := followed.Apply(cached); err != nil || !complete {
+				t.Fatalf("complete %v: %v", complete, err)
 			}
-			if written := followed.Snapshot(c.saved); string(written) != string(kept) {
-				t.Errorf("written:\n%s\nstored:\n%s", written, kept)
+			if written := followed.Snapshot(c.saved); string(written) != string(cached) {
+				t.Errorf("written:\n%s\nstored:\n%s", written, cached)
 			}
 		})
 	}
--- a/internal/platform/discovery/entry.go
+++ b/internal/platform/discovery/entry.go
@@ -67,8 +67,8 @@
 	return eventloop.Micros(millis) * eventloop.Millisecond
 }
 
-// parseEntry reads what an entry says by itself: all but ID and start. An unknown state counts as draining, as it is not
-// known to serve; stateKnown is false then.
+// parseEntry reads what an entry says by itself: all but ID and start. An unknown state counts as draining, as the
+// endpoint is not known to serve; stateKnown is false then.
 func parseEntry(server gjson.Result) (entry Entry, stateKnown bool, err error) {
 	name := server.Get("id").String()
 	if name == "" {
--- a/internal/platform/launch/config.go
+++ b/internal/platform/launch/config.go
@@ -1,8 +1,6 @@
-// Package launch starts a dispatcher as the users' platform lays down: environment, configuration file, limits and signals.
 package launch
 
 import (
-	"errors"
 	"fmt"
 	"net"
 	"os"
@@ -15,95 +13,149 @@
 	"plumspindle/internal/settings"
 )
 
-// maxConfig is how many bytes a configuration may have.
-const maxConfig = 64 << 20
+const (
+	configVariable = "BALANCER_CONFIG"
 
-// Environment is what the platform tells a dispatcher at its start.
-type Environment struct {
+	megabyte = 1 << 20
+	// maxConfigFile is how many bytes a configuration file may have.
+	maxConfigFile = 64 * megabyte
+
+	// Limits where the configuration gives none.
+	defaultMemory  = 2048 * megabyte
+	defaultSockets = 1024
+)
+
+// Config is what the platform tells a dispatcher at its start.
+type Config struct {
 	platform.Config
-	Listen string
-	Cores  float64
+	Listen string  // address for clients
+	Cores  float64 // 0: no limit is given
 }
 
-// Read takes the environment and the file that it names; every fault names its place.
-func Read(getenv func(string) string) (*Environment, error) {
-	path := getenv("BALANCER_CONFIG")
+// Load reads the configuration file that the environment names. A faulty file is a *ConfigError, and its text is one
+// line with place and fault.
+func Load(getenv func(string) string) (*Config, error) {
+	path := getenv(configVariable)
 	if path == "" {
-		return nil, errors.New("the variable BALANCER_CONFIG is not set")
+		return nil, ErrNoConfigVariable
 	}
 	info, err := os.Stat(path)
 	if err != nil {
-		return nil, fmt.Errorf("BALANCER_CONFIG: %w", err)
+		return nil, &ConfigError{Place: configVariable, Fault: err}
 	}
-	if info.Size() > maxConfig {
-		return nil, fmt.Errorf("%s: %d bytes are too many for a configuration", path, info.Size())
+	if info.Size() > maxConfigFile {
+		return nil, &ConfigError{Place: path, Fault: fmt.Errorf("%d bytes are %w", info.Size(), ErrTooLarge)}
 	}
 	raw, err := os.ReadFile(path)
 	if err != nil {
-		return nil, fmt.Errorf("BALANCER_CONFIG: %w", err)
+		return nil, &ConfigError{Place: configVariable, Fault: err}
 	}
-	e, err := Parse(raw, getenv)
+	config, err := Parse(raw, getenv)
 	if err != nil {
-		return nil, fmt.Errorf("%s: %w", path, err)
+		return nil, &ConfigError{Place: path, Fault: err}
 	}
-	return e, nil
+	return config, nil
 }
 
-// Parse takes a configuration's text. What it does not say, the environment may.
-func Parse(raw []byte, getenv func(string) string) (*Environment, error) {
-	if !gjson.ValidBytes(raw) || !gjson.ParseBytes(raw).IsObject() {
-		return nil, errors.New("not a JSON object")
-	}
-	get := gjson.ParseBytes(raw).Get
-	e := &Environment{Cores: get("limits.cores").Float()}
-	for _, f := range []struct {
-		to       *string
-		key, env string
-		address  bool
-	}{{&e.Name, "name", "BALANCER_NAME", false}, {&e.Listen, "listen", "BALANCER_LISTEN", true}, {&e.Discovery, "discovery", "BALANCER_DISCOVERY", true}} {
-		if *f.to = get(f.key).String(); *f.to == "" {
-			*f.to = getenv(f.env)
+// Parse decodes the text of a configuration file. The environment stands in for a name or address that it leaves out.
+func Parse(raw []byte, getenv func(string) string) (*Config, error) {
+	root := gjson.ParseBytes(raw)
+	if !gjson.ValidBytes(raw) || !root.IsObject() {
+		return nil, ErrNotObject
+	}
+	config := &Config{}
+	for _, parse := range []func() error{
+		func() error { return config.parseNames(root, getenv) },
+		func() error { return config.parseLimits(root.Get("limits")) },
+		func() error { return config.parseSettings(root.Get("settings")) },
+	} {
+		if err := parse(); err != nil {
+			return nil, err
 		}
-		if *f.to == "" {
-			return nil, fmt.Errorf("%s: missing, and the variable %s is not set", f.key, f.env)
+	}
+	config.Seed = parseSeed(root.Get("seed").String(), config.Name)
+	if known := root.Get("known"); known.IsObject() {
+		config.Known = []byte(known.Raw)
+	}
+	return config, nil
+}
+
+// parseNames reads the dispatcher's name and the addresses.
+func (c *Config) parseNames(root gjson.Result, getenv func(string) string) error {
+	for _, field := range []struct {
+		value         *string
+		key, variable string
+		isAddress     bool
+	}{
+		{&c.Name, "name", "BALANCER_NAME", false},
+		{&c.Listen, "listen", "BALANCER_LISTEN", true},
+		{&c.Discovery, "discovery", "BALANCER_DISCOVERY", true},
+	} {
+		value := root.Get(field.key).String()
+		if value == "" {
+			value = getenv(field.variable)
 		}
-		if !f.address {
-			continue
+		if value == "" {
+			fault := fmt.Errorf("%w, and the variable %s is not set", ErrMissing, field.variable)
+			return &ConfigError{Place: field.key, Fault: fault}
 		}
-		if _, port, err := net.SplitHostPort(*f.to); err != nil {
-			return nil, fmt.Errorf("%s: %w", f.key, err)
-		} else if n, err := strconv.ParseUint(port, 10, 16); err != nil || n == 0 {
-			return nil, fmt.Errorf("%s: %q names no port", f.key, *f.to)
+		if field.isAddress {
+			if err := checkAddress(value); err != nil {
+				return &ConfigError{Place: field.key, Fault: err}
+			}
 		}
+		*field.value = value
 	}
-	seed := get("seed").String()
-	if n, err := strconv.ParseUint(seed, 16, 64); err == nil {
-		e.Seed = int64(n)
-	} else {
-		e.Seed = int64(xxhash.Sum64String(seed + e.Name))
+	return nil
+}
+
+func checkAddress(address string) error {
+	_, port, err := net.SplitHostPort(address)
+	if err != nil {
+		return err
 	}
-	e.Memory, e.Sockets = int(get("limits.memory_mb").Int())<<20, int(get("limits.sockets").Int())
-	if e.Memory < 0 || e.Sockets < 0 || e.Cores < 0 {
-		return nil, errors.New("limits: below zero")
+	number, err := strconv.ParseUint(port, 10, 16)
+	if err != nil || number == 0 {
+		return fmt.Errorf("%q %w", address, ErrNoPort)
 	}
-	e.Memory, e.Sockets = orElse(e.Memory, 2048<<20), orElse(e.Sockets, 1024)
-	rawSettings := get("settings")
-	if !rawSettings.Exists() {
-		return nil, errors.New("settings: missing")
+	return nil
+}
+
+func (c *Config) parseLimits(limits gjson.Result) error {
+	memory := limits.Get("memory_mb").Int()
+	sockets := limits.Get("sockets").Int()
+	c.Cores = limits.Get("cores").Float()
+	c.Memory = int(memory) * megabyte
+	c.Sockets = int(sockets)
+	if c.Memory < 0 || c.Sockets < 0 || c.Cores < 0 {
+		return &ConfigError{Place: "limits", Fault: ErrNegative}
 	}
-	var err error
-	if e.Settings, err = settings.Parse([]byte(rawSettings.Raw)); err != nil {
-		return nil, fmt.Errorf("settings: %w", err)
+	if c.Memory == 0 {
+		c.Memory = defaultMemory
 	}
-	if known := get("known"); known.IsObject() {
-		e.Known = []byte(known.Raw)
+	if c.Sockets == 0 {
+		c.Sockets = defaultSockets
 	}
-	return e, nil
+	return nil
 }
 
-func orElse(n, usual int) int {
-	if n > 0 {
-		return n
+func (c *Config) parseSettings(section gjson.Result) error {
+	if !section.Exists() {
+		return &ConfigError{Place: "settings", Fault: ErrMissing}
+	}
+	parsed, err := settings.Parse([]byte(section.Raw))
+	if err != nil {
+		return &ConfigError{Place: "settings", Fault: err}
+	}
+	c.Settings = parsed
+	return nil
+}
+
+// parseSeed reads a hexadecimal seed. From any other text one is derived that differs between dispatchers.
+func parseSeed(text, name string) int64 {
+	seed, err := strconv.ParseUint(text, 16, 64)
+	if err != nil {
+		seed = xxhash.Sum64String(text + name)
 	}
-	return usual
+	return int64(seed)
 }
--- a/internal/platform/launch/descriptors_test.go
+++ b/internal/platform/launch/descriptors_test.go
@@ -7,7 +7,6 @@
 	"net"
 	"os"
 	"os/exec"
-	"path/filepath"
 	"strings"
 	"syscall"
 	"testing"
@@ -18,9 +17,12 @@
 	"plumspindle/internal/testbed/syscallfaults"
 )
 
+// dispatcherVariable makes the test binary a dispatcher.
+const dispatcherVariable = "PLUMSPINDLE_DISPATCHER"
+
 // TestMain is also the dispatcher that runs as a process of its own, where a test has something done to the process.
 func TestMain(m *testing.M) {
-	if os.Getenv("PLUMSPINDLE_DISPATCHER") == "" {
+	if os.Getenv(dispatcherVariable) == "" {
 		os.Exit(m.Run())
 	}
 	if err := Run(zerolog.New(os.Stderr), os.Getenv); err != nil {
@@ -29,69 +31,55 @@
 	}
 }
 
-// watched is discovery at one address: it tells of each watch that is opened, and keeps it.
-type watched struct {
+// watchedAgent is discovery at one address: it hands over each watch that is opened, and keeps it open.
+type watchedAgent struct {
 	address string
 	opened  chan net.Conn
 }
 
-func newWatched(t *testing.T) *watched {
+func newWatchedAgent(t *testing.T) *watchedAgent {
 	t.Helper()
-	ln, err := net.Listen("tcp", "127.0.0.1:0")
-	if err != nil {
-		t.Fatal(err)
-	}
-	t.Cleanup(func() { ln.Close() })
-	w := &watched{address: ln.Addr().String(), opened: make(chan net.Conn, 100)}
+	listener := listenTCP(t)
+	a := &watchedAgent{address: listener.Addr().String(), opened: make(chan net.Conn, 100)}
 	go func() {
 		for {
-			c, err := ln.Accept()
+			conn, err := listener.Accept()
 			if err != nil {
 				return
 			}
-			t.Cleanup(func() { c.Close() })
-			go func() {
-				if _, err := bufio.NewReader(c).ReadString('\n'); err != nil {
-					return
-				}
-				_, _ = io.WriteString(c, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n1\r\n\n\r\n")
-				w.opened <- c
-			}()
+			t.Cleanup(func() { _ = conn.Close() })
+			go a.respond(conn)
 		}
 	}()
-	return w
+	return a
+}
+
+func (a *watchedAgent) respond(conn net.Conn) {
+	if _, err := bufio.NewReader(conn).ReadString('\n'); err != nil {
+		return
+	}
+	_, _ = io.WriteString(conn, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n1\r\n\n\r\n")
+	a.opened <- conn
 }
 
-func (w *watched) await(t *testing.T, what string) net.Conn {
+// await waits for the next watch; what discovery has counts as known after that time.
+func (a *watchedAgent) await(t *testing.T, what string) net.Conn {
 	t.Helper()
+	const limit = 6 * time.Second
 	select {
-	case c := <-w.opened:
-		return c
-	case <-time.After(6 * time.Second): // what discovery has counts as told by then
-		t.Fatalf("not in 6 s: %s", what)
+	case conn := <-a.opened:
+		return conn
+	case <-time.After(limit):
+		t.Fatalf("not in %v: %s", limit, what)
 		return nil
 	}
 }
 
-// TestDiscoveryWithoutDescriptors: a dispatcher whose clients hold all descriptors goes on hearing what discovery has to tell: it reads a
-// new configuration, follows it, and opens a watch anew that was reset.
-func TestDiscoveryWithoutDescriptors(t *testing.T) {
-	before, after := newWatched(t), newWatched(t)
-	free, err := net.Listen("tcp", "127.0.0.1:0")
-	if err != nil {
-		t.Fatal(err)
-	}
-	listen := free.Addr().String()
-	free.Close()
-	path := filepath.Join(t.TempDir(), "config.json")
-	write := func(text string) {
-		if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
-			t.Fatal(err)
-		}
-	}
-	write(config(listen, before.address, ""))
+// startDispatcher runs a dispatcher as a process of its own until the test ends.
+func startDispatcher(t *testing.T, file *configFile) *os.Process {
+	t.Helper()
 	child := exec.Command(os.Args[0])
-	child.Env = append(os.Environ(), "PLUMSPINDLE_DISPATCHER=1", "BALANCER_CONFIG="+path)
+	child.Env = append(os.Environ(), dispatcherVariable+"=1", configVariable+"="+file.path)
 	var logged strings.Builder
 	child.Stderr = &logged
 	if err := child.Start(); err != nil {
@@ -104,34 +92,48 @@
 			t.Log(logged.String())
 		}
 	})
-	before.await(t, "the first watch")
-	for end := time.Now().Add(10 * time.Second); ; { // until it listens, and has all descriptors that it needs
-		c, err := net.Dial("tcp", listen)
-		if err == nil {
-			defer c.Close()
-			break
-		}
-		if time.Now().After(end) {
-			t.Fatal(err)
-		}
+	return child.Process
+}
+
+// connect opens a client's connection and keeps it until the test ends.
+func connect(t *testing.T, address string) error {
+	t.Helper()
+	conn, err := net.Dial("tcp", address)
+	if err != nil {
+		return err
 	}
-	if err := syscallfaults.NoDescriptors(child.Process.Pid); err != nil {
+	t.Cleanup(func() { _ = conn.Close() })
+	return nil
+}
+
+// TestFollowsDiscoveryWithoutFreeDescriptors: a dispatcher whose clients occupy all descriptors still hears what
+// discovery has: it reads a new configuration, follows it, and opens a watch anew that was reset.
+func TestFollowsDiscoveryWithoutFreeDescriptors(t *testing.T) {
+	before, after := newWatchedAgent(t), newWatchedAgent(t)
+	listen := freeAddress(t)
+	file := newConfigFile(t, configText(listen, before.address, ""))
+	process := startDispatcher(t, file)
+	before.await(t, "the first watch")
+	// Until it listens, and has all descriptors that it needs.
+	eventually(t, "a connection", func() bool { return connect(t, listen) == nil })
+	if err := syscallfaults.NoDescriptors(process.Pid); err != nil {
 		t.Fatal(err)
 	}
-	for range 20 { // they wait for a descriptor, and take any that is let go of
-		c, err := net.Dial("tcp", listen)
-		if err != nil {
+	const clients = 20 // they wait for a descriptor, and take any that becomes free
+	for range clients {
+		if err := connect(t, listen); err != nil {
 			t.Fatal(err)
 		}
-		defer c.Close()
 	}
-	write(config(listen, after.address, ""))
-	if err := child.Process.Signal(syscall.SIGHUP); err != nil {
+	file.write(t, configText(listen, after.address, ""))
+	if err := process.Signal(syscall.SIGHUP); err != nil {
 		t.Fatal(err)
 	}
 	watch := after.await(t, "the watch at the new address")
 	for range 3 {
-		watch.Close()
+		if err := watch.Close(); err != nil {
+			t.Fatal(err)
+		}
 		watch = after.await(t, "the watch that was reset")
 	}
 }
--- /dev/null
+++ b/internal/platform/launch/reload.go
@@ -0,0 +1,41 @@
+package launch
+
+import "plumspindle/internal/eventloop"
+
+// A configuration file that can't be read for the moment is read again, so often: what discovery sends counts as known
+// 4 s after SIGHUP.
+const (
+	reloadPause       = 100 * eventloop.Millisecond
+	maxReloadAttempts = 30
+)
+
+// reload takes discovery's address from the configuration file as it is now; attempts were made before. The file is
+// read with a spare descriptor, and again after a transient error: without it no endpoint would be known to drain once
+// the old address falls silent.
+func (p *process) reload(attempts int) {
+	var config *Config
+	err := p.loop.WithReservedDescriptor(func() (err error) {
+		config, err = Load(p.getenv)
+		return err
+	})
+	switch {
+	case err == nil:
+		p.log.Info().Str("discovery", config.Discovery).Msg("configuration reloaded")
+		p.loop.Post(func() { p.dispatcher.MoveDiscovery(config.Discovery) })
+	case transient(err) && attempts < maxReloadAttempts:
+		p.log.Warn().Err(err).Int("attempt", attempts+1).Msg("configuration not readable")
+		p.loop.Post(func() {
+			p.loop.AfterFunc(reloadPause, func() { p.requestReload(attempts + 1) })
+		})
+	default:
+		p.log.Error().Err(err).Msg("configuration rejected")
+	}
+}
+
+// requestReload asks Run's goroutine for another attempt, unless one is due anyway.
+func (p *process) requestReload(attempts int) {
+	select {
+	case p.reloads <- attempts:
+	default:
+	}
+}
--- a/internal/platform/upstream/upstream.go
+++ b/internal/platform/upstream/upstream.go
@@ -1,7 +1,7 @@
-// Package upstream carries attempts to the platform's endpoints. Its job is the platform's protocol: it writes requests,
-// interprets what each response means for the scheduler, and releases the KV state that endpoints reserve for a
-// request. It owns the releases under way. It relies on package engine for connections and on http1 for messages. It
-// never decides which endpoint an attempt goes to.
+// Package upstream carries attempts to the platform's endpoints. Its job is the platform's protocol: it writes
+// requests, interprets what each response means for the scheduler, and releases the KV state that endpoints reserve
+// for a request. It owns the releases under way. It relies on package engine for connections and on http1 for messages.
+// It never decides which endpoint an attempt goes to.
 package upstream
 
 import (
--- a/internal/platform/upstream/upstream_test.go
+++ b/internal/platform/upstream/upstream_test.go
@@ -119,7 +119,12 @@
 	} {
 		world := virtual.NewNetwork(1)
 		loop := world.NewLoop("d")
-		limits := engine.Limits{ConnectTimeout: eventloop.Second, IdleTimeout: eventloop.Second, MaxPerEndpoint: 4, MaxOpening: 4}
+		limits := engine.Limits{
+			ConnectTimeout: eventloop.Second,
+			IdleTimeout:    eventloop.Second,
+			MaxPerEndpoint: 4,
+			MaxOpening:     4,
+		}
 		connections := engine.New(loop, "d", "", limits)
 		client := New(loop, connections, Options{
 			StateTimeout: timeout,
