--- a/internal/platform/discovery/discovery_test.go
+++ b/internal/platform/discovery/discovery_test.go
@@ -104,7 +104,7 @@
 }
 
 // TestRestartCountsFromNowWhateverTheWallClock: a start that is listed in service was a moment ago, whatever the wall
-// clocks say by then, and counts once however often it is listed. At the beginning nothing but the clock tells how long
+// clocks say by then, and counts once however often it is listed. At the beginning nothing but the clock says how long
 // ago a start was.
 func TestRestartCountsFromNowWhateverTheWallClock(t *testing.T) {
 	loop := virtual.NewNetwork(1).NewLoop("d")
--- a/internal/platform/launch/config.go
+++ b/internal/platform/launch/config.go
@@ -25,7 +25,7 @@
 	defaultSockets = 1024
 )
 
-// Config is what the platform tells a dispatcher at its start.
+// Config is what the platform gives a dispatcher at its start.
 type Config struct {
 	platform.Config
 	Listen string  // address for clients
@@ -64,14 +64,14 @@
 		return nil, ErrNotObject
 	}
 	config := &Config{}
-	for _, parse := range []func() error{
-		func() error { return config.parseNames(root, getenv) },
-		func() error { return config.parseLimits(root.Get("limits")) },
-		func() error { return config.parseSettings(root.Get("settings")) },
-	} {
-		if err := parse(); err != nil {
-			return nil, err
-		}
+	if err := config.parseNames(root, getenv); err != nil {
+		return nil, err
+	}
+	if err := config.parseLimits(root.Get("limits")); err != nil {
+		return nil, err
+	}
+	if err := config.parseSettings(root.Get("settings")); err != nil {
+		return nil, err
 	}
 	config.Seed = parseSeed(root.Get("seed").String(), config.Name)
 	if known := root.Get("known"); known.IsObject() {
--- a/internal/platform/upstream/release.go
+++ b/internal/platform/upstream/release.go
@@ -23,15 +23,15 @@
 
 var errReleaseTimeout = errors.New("no endpoint confirmed the release")
 
-// release is a release under way. An endpoint that does not respond soon is not waited for: others are asked beside it,
-// as connections may be slow to open everywhere, and the first confirmation ends all attempts.
+// release is a release under way. An endpoint that does not respond soon is not waited for: further attempts go to
+// others beside it, as connections may be slow to open everywhere, and the first confirmation ends them all.
 type release struct {
 	client   *Client
 	id       string
 	began    eventloop.Micros
-	last     scheduler.EndpointID // asked last
+	last     scheduler.EndpointID // of the latest attempt
 	tried    map[scheduler.EndpointID]bool
-	askAll   bool // also endpoints that take no new requests, as none of the others has confirmed
+	useAll   bool // also endpoints that take no new requests, as none of the others has confirmed
 	attempts []*engine.Attempt
 	pause    eventloop.Timeout // until the next attempt
 	ended    bool
@@ -39,7 +39,7 @@
 }
 
 // Release frees all KV state that is reserved for a request, whichever endpoints have it: any endpoint takes a release.
-// The one given is asked first if it was heard from lately and a connection to it is idle. done is called once.
+// The one given comes first if it has sent something lately and a connection to it is idle. done is called once.
 func (c *Client) Release(id string, first scheduler.EndpointID, done func(confirmed bool)) {
 	c.Releases++
 	now := c.loop.Now()
@@ -47,19 +47,19 @@
 	if c.IdleConnections(first) == 0 || now-c.LastReceived(first) > c.options.StateTimeout {
 		first = r.next(first)
 	}
-	r.ask(first)
+	r.send(first)
 }
 
 // next chooses an endpoint: one that was not tried before all others, then one with an idle connection, then the one
-// that was heard from last. Where many have fallen silent together their connections look idle all the same, and a KV
-// state can't wait for one after the other.
+// that has sent something last. Where many have fallen silent together their connections look idle all the same, and a
+// KV state can't wait for one after the other.
 func (r *release) next(fallback scheduler.EndpointID) scheduler.EndpointID {
-	best, bestRank, bestHeard := fallback, -1, eventloop.Micros(0)
-	for _, id := range r.client.options.Endpoints(r.askAll) {
+	best, bestRank, bestReceived := fallback, -1, eventloop.Micros(0)
+	for _, id := range r.client.options.Endpoints(r.useAll) {
 		rank := r.rank(id)
-		heard := r.client.LastReceived(id)
-		if rank > bestRank || rank == bestRank && heard > bestHeard {
-			best, bestRank, bestHeard = id, rank, heard
+		received := r.client.LastReceived(id)
+		if rank > bestRank || rank == bestRank && received > bestReceived {
+			best, bestRank, bestReceived = id, rank, received
 		}
 	}
 	return best
@@ -75,20 +75,20 @@
 	return rank
 }
 
-// triedAll reports whether every endpoint was asked since the last pause. Once all that take new requests were, the
+// triedAll reports whether every endpoint had an attempt since the last pause. Once all that take new requests had, the
 // others count too.
 func (r *release) triedAll() bool {
 	untried := func(id scheduler.EndpointID) bool { return !r.tried[id] }
 	endpoints := r.client.options.Endpoints
-	if !r.askAll && !slices.ContainsFunc(endpoints(false), untried) {
-		r.askAll = true
+	if !r.useAll && !slices.ContainsFunc(endpoints(false), untried) {
+		r.useAll = true
 	}
-	return !slices.ContainsFunc(endpoints(r.askAll), untried)
+	return !slices.ContainsFunc(endpoints(r.useAll), untried)
 }
 
-// ask sends one attempt, and another one soon if there is no response. Where too many are in flight the oldest is
-// cancelled.
-func (r *release) ask(id scheduler.EndpointID) {
+// send starts one attempt, and has another one follow soon if there is no response. Where too many are in flight the
+// oldest is cancelled.
+func (r *release) send(id scheduler.EndpointID) {
 	c := r.client
 	c.ReleaseAttempts++
 	r.last = id
@@ -108,7 +108,7 @@
 		Ended: func(result engine.Result) { r.attemptEnded(attempt, result) },
 	})
 	r.attempts = append(r.attempts, attempt)
-	r.pause.Set(c.loop, r.pauseLength(), r.askNext)
+	r.pause.Set(c.loop, r.pauseLength(), r.sendNext)
 }
 
 func (r *release) write(address string, _ eventloop.Micros) []byte {
@@ -128,7 +128,7 @@
 	return max(r.client.options.StateTimeout/releaseAttempts, minReleasePause)
 }
 
-func (r *release) askNext() {
+func (r *release) sendNext() {
 	if r.client.loop.Now()-r.began > releasePatience*r.client.options.StateTimeout {
 		r.end(errReleaseTimeout)
 		return
@@ -136,11 +136,11 @@
 	if r.triedAll() {
 		clear(r.tried)
 	}
-	r.ask(r.next(r.last))
+	r.send(r.next(r.last))
 }
 
-// attemptEnded takes the end of one attempt. After a failure the next endpoint is asked at once, but with a pause
-// between two rounds: endpoints that all refuse must not be asked in a loop without one.
+// attemptEnded takes the end of one attempt. After a failure the next one follows at once, but with a pause between
+// two rounds: endpoints that all refuse must not be called in a loop without one.
 func (r *release) attemptEnded(attempt *engine.Attempt, result engine.Result) {
 	if r.ended {
 		return
@@ -151,9 +151,9 @@
 		r.end(nil)
 	case r.triedAll():
 		clear(r.tried)
-		r.pause.Set(r.client.loop, r.pauseLength(), r.askNext)
+		r.pause.Set(r.client.loop, r.pauseLength(), r.sendNext)
 	default:
-		r.askNext()
+		r.sendNext()
 	}
 }
 
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -34,8 +34,8 @@
 	LoadReportFields []string         // names of the values of a load report
 }
 
-// Parse decodes settings. Unknown keys are ignored. A value that can't be used is an *Error; text that is no JSON object
-// is ErrNotObject.
+// Parse decodes settings. Unknown keys are ignored. A value that can't be used is an *Error; text that is no JSON
+// object is ErrNotObject.
 func Parse(raw []byte) (*Settings, error) {
 	root := gjson.ParseBytes(raw)
 	if !gjson.ValidBytes(raw) || !root.IsObject() {
--- a/internal/starttimes/starttimes.go
+++ b/internal/starttimes/starttimes.go
@@ -1,6 +1,6 @@
-// Package starttimes tells when endpoints started, on the clock of the event loop. Its job is the correction for clock
-// skew: lists carry timestamps of wall clocks, which may be stepped by seconds or an hour while the program runs, but
-// what counts from a start, as an endpoint's slow start does, counts real time. It is free of I/O and owns no state; it
+// Package starttimes computes when endpoints started, on the clock of the event loop. Its job is the correction for
+// clock skew: lists carry timestamps of wall clocks, which may be stepped by seconds or an hour while the program runs,
+// but what counts from a start, as an endpoint's slow start does, counts real time. It is free of I/O and owns no state; it
 // never reads a clock itself.
 package starttimes
 
@@ -24,7 +24,7 @@
 
 // Next returns the start of an endpoint that is listed with a timestamp, given the start known before. In service a
 // timestamp is only compared: where it has changed the endpoint has restarted, and counts as started now, however old
-// the timestamp looks. In the first list of a process nothing but the timestamp tells how long ago the start was.
+// the timestamp looks. In the first list of a process nothing but the timestamp says how long ago the start was.
 func Next(previous Start, timestamp eventloop.Micros, listing Listing) Start {
 	switch {
 	case timestamp <= 0:
