--- a/internal/starttimes/starttimes.go
+++ b/internal/starttimes/starttimes.go
@@ -1,7 +1,7 @@
 // Package starttimes computes when endpoints started, on the clock of the event loop. Its job is the correction for
 // clock skew: lists carry timestamps of wall clocks, which may be stepped by seconds or an hour while the program runs,
-// but what counts from a start, as an endpoint's slow start does, counts real time. It is free of I/O and owns no state; it
-// never reads a clock itself.
+// but what counts from a start, as an endpoint's slow start does, counts real time. It is free of I/O and owns no
+// state; it never reads a clock itself.
 package starttimes
 
 import "plumspindle/internal/eventloop"
