--- a/internal/platform/dispatcher.go
+++ b/internal/platform/dispatcher.go
@@ -146,9 +146,6 @@
 // Server is the clients' side.
 func (d *Dispatcher) Server() *server.Server { return d.server }
 
-// Guard checks the dispatcher against its rules.
-func (d *Dispatcher) Guard() *guard.Guard { return d.guard }
-
 // MoveDiscovery watches discovery at another address.
 func (d *Dispatcher) MoveDiscovery(address string) { d.discovery.SetAddress(address) }
 
--- a/internal/platform/server/close.go
+++ b/internal/platform/server/close.go
@@ -32,12 +32,3 @@
 
 // CloseCounts counts closed connections by reason.
 type CloseCounts [closeReasonCount]uint64
-
-// Each calls visit for each reason that has a count.
-func (c *CloseCounts) Each(visit func(CloseReason, uint64)) {
-	for reason, n := range c {
-		if n > 0 {
-			visit(CloseReason(reason), n)
-		}
-	}
-}
