--- a/internal/platform/dispatcher.go
+++ b/internal/platform/dispatcher.go
@@ -75,8 +75,8 @@
 	shuttingDown      bool
 	lastActiveAt      eventloop.Micros // while it is shutting down; 0: requests are accepted
 
-	// OnViolation, where it is set, is called with each violation that the guard reports.
-	OnViolation func(guard.Violation)
+	// onViolation, where it is set, is called with each violation that the guard reports.
+	onViolation func(guard.Violation)
 	Counts
 }
 
--- a/internal/platform/guard/guard.go
+++ b/internal/platform/guard/guard.go
@@ -88,9 +88,6 @@
 	return total
 }
 
-// Count is how many there were of one rule.
-func (g *Guard) Count(rule Rule) uint64 { return g.counts[rule] }
-
 // Violated counts and reports a violation.
 func (g *Guard) Violated(v Violation) {
 	g.counts[v.Rule]++
--- a/internal/platform/guard/guard_test.go
+++ b/internal/platform/guard/guard_test.go
@@ -60,9 +60,9 @@
 	g := New(limits, func(Violation) { reported++ })
 	terms := Terms{RequestID: "1", Retry: test.retry, RetryWindow: 100 * ms, Deadline: 1000 * ms}
 	test.play(ledger{g.Begin(terms)})
-	violated := g.Count(rule) > 0
+	violated := g.counts[rule] > 0
 	if violated != test.violated || g.Violations() != uint64(reported) || !test.violated && reported > 0 {
-		t.Errorf("%d violations of %q, %d in total, %d reported", g.Count(rule), rule, g.Violations(), reported)
+		t.Errorf("%d violations of %q, %d in total, %d reported", g.counts[rule], rule, g.Violations(), reported)
 	}
 }
 
--- a/internal/platform/ledger.go
+++ b/internal/platform/ledger.go
@@ -34,8 +34,8 @@
 			logged++
 			d.logViolation(&v)
 		}
-		if d.OnViolation != nil {
-			d.OnViolation(v)
+		if d.onViolation != nil {
+			d.onViolation(v)
 		}
 	})
 }
--- a/internal/platform/testenv_test.go
+++ b/internal/platform/testenv_test.go
@@ -114,7 +114,7 @@
 		}
 		env.address, env.listener = ln.Addr(), ln
 	})
-	env.dispatcher.OnViolation = func(v guard.Violation) { env.violations = append(env.violations, v) }
+	env.dispatcher.onViolation = func(v guard.Violation) { env.violations = append(env.violations, v) }
 	env.network.Run(20 * eventloop.Millisecond)
 	return env
 }
--- a/scheduler/names.go
+++ b/scheduler/names.go
@@ -19,4 +19,4 @@
 }
 
 // String is the outcome's name in logs.
-func (e Outcome) String() string { return outcomeNames[e] }
+func (o Outcome) String() string { return outcomeNames[o] }
