--- a/internal/platform/dispatcher.go
+++ b/internal/platform/dispatcher.go
@@ -75,8 +75,8 @@
 	shuttingDown      bool
 	lastActiveAt      eventloop.Micros // while it is shutting down; 0: requests are accepted
 
-	// OnViolation, where it is set, is called with each violation that the guard reports.
-	OnViolation func(guard.Violation)
+	// onViolation, where it is set, is called with each violation that the guard reports.
+	onViolation func(guard.Violation)
 	Counts
 }
 
@@ -146,9 +146,6 @@
 // Server is the clients' side.
 func (d *Dispatcher) Server() *server.Server { return d.server }
 
-// Guard checks the dispatcher against its rules.
-func (d *Dispatcher) Guard() *guard.Guard { return d.guard }
-
 // MoveDiscovery watches discovery at another address.
 func (d *Dispatcher) MoveDiscovery(address string) { d.discovery.SetAddress(address) }
 
