--- a/internal/chat/members.go
+++ b/internal/chat/members.go
@@ -8,11 +8,11 @@
 	"plumspindle/internal/frontend"
 )
 
-// memberReader reads one member that is not null, or refuses it.
-type memberReader func(p *parser, name string, value gjson.Result) *frontend.Problem
+// memberParser reads one member that is not null, or refuses it.
+type memberParser func(p *parser, name string, value gjson.Result) *frontend.Problem
 
-// memberReaders are for the members that the router understands; all others pass through unread.
-var memberReaders = map[string]memberReader{
+// memberParsers are for the members that the router understands; all others pass through unread.
+var memberParsers = map[string]memberParser{
 	"model":                 readModel,
 	"messages":              readMessages,
 	"prompt_cache_key":      readCacheKey,
@@ -35,7 +35,7 @@
 		}
 		return nil
 	}
-	if read := memberReaders[name]; read != nil {
+	if read := memberParsers[name]; read != nil {
 		return read(p, name, value)
 	}
 	return nil
--- a/internal/embeddings/decoder.go
+++ b/internal/embeddings/decoder.go
@@ -23,7 +23,7 @@
 type decoder struct {
 	encoding     string
 	encoded      []byte
-	reader       io.Reader // nil: not open
+	plain        io.Reader // nil: not open
 	decodedBytes int
 	buffer       []byte
 }
@@ -47,37 +47,40 @@
 
 // open begins the decoding, where it has not begun.
 func (d *decoder) open() *frontend.Problem {
-	if d.reader != nil {
+	if d.plain != nil {
 		return nil
 	}
-	var err error
-	source := bytes.NewReader(d.encoded)
-	if d.encoding == "gzip" {
-		d.reader, err = gzip.NewReader(source)
-	} else {
-		d.reader, err = zstd.NewReader(source, zstd.WithDecoderConcurrency(1), zstd.WithDecoderMaxMemory(maxDecoderMemory))
-	}
+	plain, err := openEncoding(d.encoding, bytes.NewReader(d.encoded))
 	if err != nil {
 		return d.malformed()
 	}
+	d.plain = plain
 	d.buffer = make([]byte, decodeBuffer)
 	return nil
 }
 
+// openEncoding returns the plain form of what a source holds in an encoding.
+func openEncoding(encoding string, source io.Reader) (io.Reader, error) {
+	if encoding == "gzip" {
+		return gzip.NewReader(source)
+	}
+	return zstd.NewReader(source, zstd.WithDecoderConcurrency(1), zstd.WithDecoderMaxMemory(maxDecoderMemory))
+}
+
 // read returns the next bytes of the plain body, which are valid until the next call; io.EOF comes with the last of
 // them.
 func (d *decoder) read() ([]byte, error) {
-	size, err := d.reader.Read(d.buffer)
+	size, err := d.plain.Read(d.buffer)
 	d.decodedBytes += size
 	return d.buffer[:size], err
 }
 
 // close ends the decoding and drops the encoded body.
 func (d *decoder) close() {
-	if reader, ok := d.reader.(*zstd.Decoder); ok {
-		reader.Close()
+	if decoder, ok := d.plain.(*zstd.Decoder); ok {
+		decoder.Close()
 	}
-	d.reader, d.encoded = nil, nil
+	d.plain, d.encoded = nil, nil
 }
 
 func (d *decoder) malformed() *frontend.Problem {
--- a/internal/embeddings/members.go
+++ b/internal/embeddings/members.go
@@ -15,11 +15,11 @@
 	value gjson.Result
 }
 
-// memberReader reads one member, or refuses it.
-type memberReader func(r *Request, m member) *frontend.Problem
+// memberParser reads one member, or refuses it.
+type memberParser func(r *Request, m member) *frontend.Problem
 
-// memberReaders are for the members that an API knows; all others are refused.
-var memberReaders = map[Kind]map[string]memberReader{
+// memberParsers are for the members that an API knows; all others are refused.
+var memberParsers = map[Kind]map[string]memberParser{
 	Embeddings: {
 		"model":           readModel,
 		"user":            readUser,
@@ -47,7 +47,7 @@
 		return frontend.Invalid(name, "parameter_too_late",
 			"In a body of this size '%s' has to come before the inputs.", name)
 	}
-	if read := memberReaders[r.Kind][name]; read != nil {
+	if read := memberParsers[r.Kind][name]; read != nil {
 		return read(r, m)
 	}
 	return frontend.UnknownParameter(name)
--- a/internal/embeddings/part.go
+++ b/internal/embeddings/part.go
@@ -40,7 +40,7 @@
 	if !gjson.ValidBytes(body) {
 		return PartResult{}, errNotJSON
 	}
-	p := partReader{kind: r.Kind, dimensions: dimensions, seen: make([]bool, inputs)}
+	p := partParser{kind: r.Kind, dimensions: dimensions, seen: make([]bool, inputs)}
 	p.result.Tokens = int(gjson.GetBytes(body, "usage.prompt_tokens").Int())
 	list := "data"
 	if r.Kind == Rerank {
@@ -55,8 +55,8 @@
 	return p.result, nil
 }
 
-// partReader reads the results for one part.
-type partReader struct {
+// partParser reads the results for one part.
+type partParser struct {
 	kind       Kind
 	dimensions int
 	result     PartResult
@@ -64,7 +64,7 @@
 	count      int    // of results so far
 }
 
-func (p *partReader) readAll(list gjson.Result) (err error) {
+func (p *partParser) readAll(list gjson.Result) (err error) {
 	if !list.IsArray() {
 		return errNoResults
 	}
@@ -79,7 +79,7 @@
 }
 
 // read reads the result for one input.
-func (p *partReader) read(item gjson.Result) (err error) {
+func (p *partParser) read(item gjson.Result) (err error) {
 	index := item.Get("index")
 	at := int(index.Num)
 	if index.Type != gjson.Number || at < 0 || at >= len(p.seen) || float64(at) != index.Num || p.seen[at] {
