--- a/internal/store/bench_test.go
+++ b/internal/store/bench_test.go
@@ -185,8 +185,8 @@
 	})
 }
 
-// BenchmarkRead reads random keys, and reports the memory that a key of 12 bytes with a value of 32 takes beside its own
-// bytes.
+// BenchmarkRead reads random keys, and reports the memory that a key of 12 bytes with a value of 32 takes
+// beside its own bytes.
 func BenchmarkRead(b *testing.B) {
 	const keys, keyBytes, valueBytes = 1_000_000, 12, 32
 	heapBytes := func() uint64 {
--- a/internal/store/files.go
+++ b/internal/store/files.go
@@ -15,8 +15,8 @@
 	partialSuffix = ".part" // of a file that is being written
 )
 
-// Files is the Disk on a real folder. A lock file excludes a second process. One goroutine, which Close ends, carries out
-// the operations in order; their answers are posted to the event loop.
+// Files is the Disk on a real folder. A lock file excludes a second process. One goroutine, which Close ends,
+// carries out the operations in order; their answers are posted to the event loop.
 type Files struct {
 	dir  string
 	lock *os.File
@@ -43,7 +43,7 @@
 		return nil, fmt.Errorf("store: %w", err)
 	}
 	if err := syscall.Flock(int(lock.Fd()), syscall.LOCK_EX|syscall.LOCK_NB); err != nil {
-		lock.Close()
+		_ = lock.Close()
 		return nil, fmt.Errorf("store: %s is in use by another process", dir)
 	}
 	f := &Files{dir: dir, lock: lock, post: post, stopped: make(chan struct{})}
@@ -59,7 +59,7 @@
 	f.changed.Signal()
 	f.mutex.Unlock()
 	<-f.stopped
-	f.lock.Close()
+	_ = f.lock.Close() // the file is empty
 }
 
 func (f *Files) run() {
@@ -151,7 +151,7 @@
 
 func (f *Files) closeSegment() {
 	if f.segment != nil {
-		f.segment.Close() // each append was synced, so that nothing is lost here
+		_ = f.segment.Close() // each append was synced, so that nothing is lost here
 		f.segment = nil
 	}
 }
--- a/internal/store/files_test.go
+++ b/internal/store/files_test.go
@@ -102,9 +102,9 @@
 // fullDiskDir names the folder of the process that TestFilesOnFullDisk starts.
 const fullDiskDir = "PLUMSPINDLE_FULL_DISK_DIR"
 
-// In a process of its own whose files may not grow, writes come out short and fail, as does the snapshot of a repair,
-// which leaves no partial file to take up space. Once files may grow again the store goes on, and a start finds what was
-// acknowledged and nothing that was rejected.
+// In a process of its own whose files may not grow, writes come out short and fail, as does the snapshot of a
+// repair, which leaves no partial file to take up space. Once files may grow again the store goes on, and a
+// start finds what was acknowledged and nothing that was rejected.
 func TestFilesOnFullDisk(t *testing.T) {
 	if dir := os.Getenv(fullDiskDir); dir != "" {
 		runOnFullDisk(t, dir)
--- a/internal/store/history_test.go
+++ b/internal/store/history_test.go
@@ -42,8 +42,8 @@
 	values   keyValues
 }
 
-// sequential is the model of a store: one step at a time, each as a whole; a step that was not answered has happened or
-// has not.
+// sequential is the model of a store: one step at a time, each as a whole; a step that was not answered has
+// happened or has not.
 var sequential = (&porcupine.NondeterministicModel{
 	Init: func() []any { return []any{keyValues{}} },
 	Step: func(state, input, output any) []any {
@@ -67,7 +67,8 @@
 	},
 }).ToModel()
 
-// crash returns the disk as a power cut leaves it: what was answered is there; what was not is there up to some byte.
+// crash returns the disk as a power cut leaves it: what was answered is there; what was not is there up to
+// some byte.
 func (m *memoryDisk) crash(before map[string][]byte, random *rand.Rand) *memoryDisk {
 	crashed := diskWith(before)
 	complete := m.succeeded + random.Intn(len(m.history)-m.succeeded+1)
@@ -243,9 +244,9 @@
 	}
 }
 
-// Five clients at once, crashes at any byte and full disks: what the clients saw is what a store would show that does one
-// step at a time and loses nothing that it has answered. The check can fail: it does where a client trusts a read before
-// what it read is durable.
+// Five clients at once, crashes at any byte and full disks: what the clients saw is what a store would show
+// that does one step at a time and loses nothing that it has answered. The check can fail: it does where a
+// client trusts a read before what it read is durable.
 func TestConcurrentHistories(t *testing.T) {
 	const seeds = 400
 	steps, unanswered := 0, 0
--- a/internal/store/index.go
+++ b/internal/store/index.go
@@ -10,9 +10,9 @@
 // maxBlockKeys is how many keys a block has before it is split.
 const maxBlockKeys = 256
 
-// Index is an ordered map for one writer and any number of snapshots. Keys lie in blocks, in order. A snapshot shares the
-// blocks with the writer, so that it costs next to nothing to take; the writer copies a block before it changes one that
-// a snapshot may share.
+// Index is an ordered map for one writer and any number of snapshots. Keys lie in blocks, in order. A
+// snapshot shares the blocks with the writer, so that it costs next to nothing to take; the writer copies a
+// block before it changes one that a snapshot may share.
 type Index struct {
 	blocks       []*block
 	size         int
@@ -91,8 +91,8 @@
 	return true
 }
 
-// split splits a block into two. The new key was inserted at a position of it: at the end, keys probably come in order,
-// and then all the others stay together, so that blocks become full.
+// split splits a block into two. The new key was inserted at a position of it: at the end, keys probably come
+// in order, and then all the others stay together, so that blocks become full.
 func (x *Index) split(i, inserted int) {
 	b := x.blocks[i]
 	middle := len(b.keys) / 2
--- a/internal/store/log.go
+++ b/internal/store/log.go
@@ -52,8 +52,8 @@
 	s.compactIfLarge()
 }
 
-// fail takes the store out of service. It takes back all changes that are not durable, so that nobody continues from
-// rejected ones, and notifies those who wait for them.
+// fail takes the store out of service. It takes back all changes that are not durable, so that nobody
+// continues from rejected ones, and notifies those who wait for them.
 func (s *Store) fail(cause error, waiting []func(error)) {
 	s.err = cause
 	for _, op := range slices.Backward(s.undo) {
@@ -68,9 +68,10 @@
 	}
 }
 
-// Repair takes a store that has failed back into service if its disk accepts writes again. It writes what is durable as a
-// snapshot, and then drops the log that ended in the failure, with its possibly torn end. The old log is not written to
-// again: a sync that succeeds after a failed one does not mean that the data is there.
+// Repair takes a store that has failed back into service if its disk accepts writes again. It writes what is
+// durable as a snapshot, and then drops the log that ended in the failure, with its possibly torn end. The
+// old log is not written to again: a sync that succeeds after a failed one does not mean that the data is
+// there.
 //
 // If it fails it may be called again. The caller sees to the backoff, as the store has no clock.
 func (s *Store) Repair(done func(error)) {
--- a/internal/store/record.go
+++ b/internal/store/record.go
@@ -17,8 +17,8 @@
 	maxRecordBytes    = 64 << 20
 )
 
-// appendRecord appends a payload as a record. The checksum covers the length too, so that a damaged length is not taken
-// for that of another record.
+// appendRecord appends a payload as a record. The checksum covers the length too, so that a damaged length is
+// not taken for that of another record.
 func appendRecord(data, payload []byte) []byte {
 	var header [recordHeaderBytes]byte
 	length := uint32(len(payload))
--- a/internal/store/recovery.go
+++ b/internal/store/recovery.go
@@ -21,8 +21,8 @@
 func segmentName(number uint64) string  { return fmt.Sprintf("%s%016x", segmentPrefix, number) }
 func snapshotName(number uint64) string { return fmt.Sprintf("%s%016x", snapshotPrefix, number) }
 
-// fileNumber returns the number in the name of a segment or snapshot. ok is false for any other file, such as a partial
-// one that a crash left behind.
+// fileNumber returns the number in the name of a segment or snapshot. ok is false for any other file, such as
+// a partial one that a crash left behind.
 func fileNumber(name, prefix string) (number uint64, ok bool) {
 	digits, found := strings.CutPrefix(name, prefix)
 	if !found || len(digits) != numberDigits {
@@ -32,8 +32,9 @@
 	return number, err == nil
 }
 
-// Open recovers the store of a folder. A record that was being written when the process died, at the very end of the log,
-// is cut off, as it was never acknowledged. Any other damage is a *CorruptError, and then no file is changed.
+// Open recovers the store of a folder. A record that was being written when the process died, at the very end
+// of the log, is cut off, as it was never acknowledged. Any other damage is a *CorruptError, and then no file
+// is changed.
 func Open(disk Disk, limits Limits) (*Store, error) {
 	s := &Store{disk: disk, limits: limits}
 	names, err := disk.List()
@@ -171,8 +172,8 @@
 	return nil
 }
 
-// laterRecordIn reports whether a complete later record follows somewhere in data. Then what can't be read is not a torn
-// end but damage, as what follows it was acknowledged.
+// laterRecordIn reports whether a complete later record follows somewhere in data. Then what can't be read is
+// not a torn end but damage, as what follows it was acknowledged.
 func (s *Store) laterRecordIn(data []byte) bool {
 	for offset := 1; offset+recordHeaderBytes <= len(data); offset++ {
 		payload, _, ok := readRecord(data[offset:])
--- a/internal/store/recovery_test.go
+++ b/internal/store/recovery_test.go
@@ -6,8 +6,9 @@
 	"testing"
 )
 
-// The files are cut at every byte of everything that was ever written, in appends, snapshots, renames and removals. What
-// is recovered is what the records say up to some point; no acknowledged record is missing, and none is there in part.
+// The files are cut at every byte of everything that was ever written, in appends, snapshots, renames and
+// removals. What is recovered is what the records say up to some point; no acknowledged record is missing,
+// and none is there in part.
 func TestRecoveryAfterCrashAtEveryByte(t *testing.T) {
 	disk := newMemoryDisk()
 	run := runRandomChanges(t, disk, 2000, 1)
@@ -53,8 +54,8 @@
 	return acknowledged && found && string(value) == "v"
 }
 
-// A bit that is flipped anywhere is found, or it is in the last record of the log, which then counts as torn. Nothing is
-// ever returned that was not written.
+// A bit that is flipped anywhere is found, or it is in the last record of the log, which then counts as torn.
+// Nothing is ever returned that was not written.
 func TestRecoveryDetectsFlippedBits(t *testing.T) {
 	disk := newMemoryDisk()
 	run := runRandomChanges(t, disk, 400, 2)
@@ -116,7 +117,8 @@
 			"the store is corrupt: log-0000000000000001: unknown format",
 		},
 		"missing segment": {
-			segmentName(3), intact, CorruptError{File: segmentName(3), Offset: wholeFile, Reason: segmentName(2) + " is missing"},
+			segmentName(3), intact,
+			CorruptError{File: segmentName(3), Offset: wholeFile, Reason: segmentName(2) + " is missing"},
 			"the store is corrupt: log-0000000000000003: log-0000000000000002 is missing",
 		},
 	} {
--- a/internal/store/repair_test.go
+++ b/internal/store/repair_test.go
@@ -7,8 +7,8 @@
 	"testing"
 )
 
-// After a write that failed nothing is acknowledged any more and nothing is retried. What was acknowledged before is there
-// after a restart.
+// After a write that failed nothing is acknowledged any more and nothing is retried. What was acknowledged
+// before is there after a restart.
 func TestNothingIsAcknowledgedAfterDiskFailure(t *testing.T) {
 	for round := range 60 {
 		disk := newMemoryDisk()
@@ -46,9 +46,9 @@
 	}
 }
 
-// A disk fails again and again, with writes cut short, and recovers each time. Nothing that was acknowledged is lost, what
-// was rejected is not there, the store accepts writes again without being reopened, and a start finds the same, whatever
-// the torn end of the log holds.
+// A disk fails again and again, with writes cut short, and recovers each time. Nothing that was acknowledged
+// is lost, what was rejected is not there, the store accepts writes again without being reopened, and a start
+// finds the same, whatever the torn end of the log holds.
 func TestRepairsOnceDiskAcceptsWrites(t *testing.T) {
 	for seed := range int64(60) {
 		disk := newMemoryDisk()
@@ -144,8 +144,8 @@
 	}
 }
 
-// restart recovers the store in place of a repair. What was rejected may be there or not; what was acknowledged is, unless
-// a rejected write replaced it.
+// restart recovers the store in place of a repair. What was rejected may be there or not; what was
+// acknowledged is, unless a rejected write replaced it.
 func (r *repairRun) restart() {
 	r.t.Helper()
 	r.store = openStore(r.t, r.disk)
--- a/internal/store/snapshot.go
+++ b/internal/store/snapshot.go
@@ -9,7 +9,8 @@
 // snapshotBatchOps is how many keys a record of a snapshot has at most.
 const snapshotBatchOps = 512
 
-// liveBytesFactor keeps a large store from writing snapshots too often: the log must have outgrown the live data by it.
+// liveBytesFactor keeps a large store from writing snapshots too often: the log must have outgrown the live
+// data by it.
 const liveBytesFactor = 2
 
 // compactIfLarge starts a snapshot if the log has outgrown its limit and the live data.
@@ -20,8 +21,9 @@
 	}
 }
 
-// Compact writes a snapshot now and removes the log segments that it covers. Writes continue meanwhile, into a segment of
-// their own. If it fails the log is still complete without it; only space is lost until the next one. done may be nil.
+// Compact writes a snapshot now and removes the log segments that it covers. Writes continue meanwhile, into
+// a segment of their own. If it fails the log is still complete without it; only space is lost until the next
+// one. done may be nil.
 func (s *Store) Compact(done func(error)) {
 	if done == nil {
 		done = func(error) {}
@@ -79,8 +81,8 @@
 	return nil
 }
 
-// encodeSnapshot returns the content of a snapshot file: all keys in order, and a last batch by which recovery knows that
-// the file is complete.
+// encodeSnapshot returns the content of a snapshot file: all keys in order, and a last batch by which
+// recovery knows that the file is complete.
 func encodeSnapshot(index *Index, seq uint64) []byte {
 	data := []byte(fileHeader)
 	batch := &pb.Batch{}
--- a/internal/store/store.go
+++ b/internal/store/store.go
@@ -1,11 +1,13 @@
 // Package store is an embedded key-value store for what must survive a restart.
 //
-// Its job is to lose no acknowledged write and to return no torn one. It owns the files of one folder: an append-only log
-// of checksummed records, and snapshots that shorten the log. It also owns an ordered index of all keys in memory, which
-// every read is answered from. Writes that arrive while an append is under way are grouped into the next one.
+// Its job is to lose no acknowledged write and to return no torn one. It owns the files of one folder: an
+// append-only log of checksummed records, and snapshots that shorten the log. It also owns an ordered index
+// of all keys in memory, which every read is answered from. Writes that arrive while an append is under way
+// are grouped into the next one.
 //
-// A Store is a state machine over a Disk, without a clock or goroutines of its own. It relies on its caller to make all
-// calls, and to deliver the disk's answers, on one event loop. Files is the Disk on a real folder.
+// A Store is a state machine over a Disk, without a clock or goroutines of its own. It relies on its caller
+// to make all calls, and to deliver the disk's answers, on one event loop. Files is the Disk on a real
+// folder.
 //
 // It never repeats a write to a file that has failed, never changes files that it can't read, and never applies a
 // transaction in part.
--- a/internal/store/transaction.go
+++ b/internal/store/transaction.go
@@ -21,14 +21,14 @@
 	Value []byte
 }
 
-// Commit submits a transaction: all of its changes are made, or none, if all conditions hold. Reads see the changes at
-// once. done may be nil; it is called once they are durable. An error given to done means that they were taken back, and
-// may be there or not after a restart.
+// Commit submits a transaction: all of its changes are made, or none, if all conditions hold. Reads see the
+// changes at once. done may be nil; it is called once they are durable. An error given to done means that
+// they were taken back, and may be there or not after a restart.
 //
 // With lazy the changes are written together with the next transaction that is not lazy, or by Flush.
 //
-// An error that is returned rejects the transaction: nothing was changed, and done is not called. It is ErrConflict,
-// ErrFull or ErrFailed.
+// An error that is returned rejects the transaction: nothing was changed, and done is not called. It is
+// ErrConflict, ErrFull or ErrFailed.
 func (s *Store) Commit(ops []Op, conditions []Condition, lazy bool, done func(error)) error {
 	if s.err != nil {
 		return ErrFailed
