--- /dev/null
+++ b/internal/admin/changes.go
@@ -0,0 +1,111 @@
+package admin
+
+import (
+	"encoding/json"
+	"net/http"
+	"strconv"
+	"strings"
+
+	"plumspindle/internal/store"
+	"plumspindle/internal/tenancy"
+)
+
+// auditEntry is one line of the audit log. The order of its members is that of the records of earlier versions.
+type auditEntry struct {
+	At      int64  `json:"at_s"`
+	Path    string `json:"path"`
+	Role    Role   `json:"role"`
+	Version uint64 `json:"version"` // of the registry after the change
+	What    string `json:"what"`
+	Who     string `json:"who"`
+}
+
+// change makes a change for a call: on a copy of the registry, which takes the registry's place once the change is
+// durable. A dry run, and a call that changes nothing, end before that.
+func (s *Server) change(
+	r *request, what string, change func(*tenancy.Registry) (response, error),
+) response {
+	next := s.registry.Clone()
+	result, err := change(next)
+	if err != nil {
+		return failed(err)
+	}
+	if r.dryRun() || next.Version == s.registry.Version {
+		return result
+	}
+	entry := auditEntry{
+		At:      s.now(),
+		Path:    strings.Join(r.path, "/"),
+		Role:    r.who.role,
+		Version: next.Version,
+		What:    what,
+		Who:     r.who.name,
+	}
+	ops := changedRecords(s.registry, next)
+	ops = append(ops, store.Op{Key: auditRecord(s.changes), Value: encode(entry)})
+	ops = append(ops, r.extraOps...)
+	if err := s.records.Save(ops); err != nil {
+		s.log.Error().Err(err).Str("tenant", r.tenant).Str("change", what).Msg("change not saved")
+		return notSaved("the change could not be kept and was not made")
+	}
+	s.changes++
+	s.replaceRegistry(next)
+	return result
+}
+
+// notSaved is the answer to a call that was rejected because the records can't be written.
+func notSaved(message string) response {
+	return errorResponse(http.StatusInternalServerError, "not_kept", "", message)
+}
+
+// replaceRegistry makes a changed copy of the registry the one that counts, and notifies the followers.
+func (s *Server) replaceRegistry(next *tenancy.Registry) {
+	before := s.registry
+	s.registry = next
+	s.notifyFollowers(before)
+}
+
+// completeRemovals completes the removals of tenants of which nothing runs at any live dispatcher.
+func (s *Server) completeRemovals() {
+	for _, name := range s.registry.Names() {
+		removing := s.registry.Tenants[name].State == tenancy.StateRemoving
+		if !removing || !s.ledger.RemovedEverywhere(s.loop.Now(), name) {
+			continue
+		}
+		next := s.registry.Clone()
+		next.CompleteRemoval(s.now(), name)
+		ops := changedRecords(s.registry, next)
+		// The name may belong to another tenant one day, which must not find these keys.
+		prefix := createdKeyRecord(name, "")
+		s.records.ScanFrom(prefix, prefix, func(key string, _ []byte) bool {
+			ops = append(ops, store.Op{Key: key})
+			return true
+		})
+		if err := s.records.Save(ops); err != nil {
+			s.log.Error().Err(err).Str("tenant", name).Msg("completed removal not saved")
+			return
+		}
+		s.replaceRegistry(next)
+		s.ledger.ForgetRemoval(name)
+	}
+}
+
+// auditPage is a page of the audit log.
+type auditPage struct {
+	Changes   []json.RawMessage `json:"changes"`
+	NextAfter uint64            `json:"next_after"` // 0 on the last page
+}
+
+func (s *Server) getAuditLog(r *request) response {
+	first, _ := strconv.ParseUint(r.query["after"], 10, 64) // from the beginning if it is not a number
+	size := r.pageSize()
+	page := auditPage{Changes: []json.RawMessage{}}
+	s.records.ScanFrom(auditRecord(first), auditPrefix, func(_ string, entry []byte) bool {
+		page.Changes = append(page.Changes, entry)
+		return len(page.Changes) < size
+	})
+	if end := first + uint64(len(page.Changes)); end < s.changes {
+		page.NextAfter = end
+	}
+	return okResponse(page)
+}
--- /dev/null
+++ b/internal/admin/connection.go
@@ -0,0 +1,158 @@
+package admin
+
+import (
+	"encoding/json"
+	"errors"
+	"net/http"
+	"strconv"
+	"strings"
+
+	"plumspindle/internal/eventloop"
+	"plumspindle/internal/http1"
+)
+
+const (
+	maxHeadBytes   = 16 << 10
+	maxHeadFields  = 64
+	maxBodyBytes   = 1 << 20
+	idleTimeout    = 60 * eventloop.Second
+	requestTimeout = 10 * eventloop.Second // from the first byte of a request to its last
+)
+
+const (
+	apiPrefix      = "/admin/v1/"
+	internalPrefix = "/internal/v1/" // for dispatchers
+	metricsPath    = "/metrics"
+)
+
+// connection is one client's. It handles the requests in turn; one that follows the updates gets nothing else.
+type connection struct {
+	server    *Server
+	conn      eventloop.Conn
+	parser    http1.Parser
+	head      *http1.Head
+	body      []byte
+	timer     eventloop.Timer
+	closed    bool
+	following bool
+}
+
+// Accept handles a new connection of the listener.
+func (s *Server) Accept(conn eventloop.Conn) eventloop.Handler {
+	limits := http1.Limits{HeadBytes: maxHeadBytes, FieldCount: maxHeadFields, BodyBytes: maxBodyBytes}
+	return &connection{server: s, conn: conn, parser: http1.Parser{Limits: limits}}
+}
+
+// Opened is called once the connection is open.
+func (c *connection) Opened() { c.abortAfter(idleTimeout) }
+
+// Drained is called when all data were sent. A lagging follower is found by what is not sent yet.
+func (c *connection) Drained() {}
+
+// Closed is called once the connection is closed.
+func (c *connection) Closed(error) {
+	c.closed = true
+	c.timer.Stop()
+	c.server.removeFollower(c)
+}
+
+// abortAfter replaces the timeout of the connection.
+func (c *connection) abortAfter(timeout eventloop.Micros) {
+	if c.timer != nil {
+		c.timer.Stop()
+	}
+	c.timer = c.server.loop.AfterFunc(timeout, c.conn.Abort)
+}
+
+// Data is called with what the client sends.
+func (c *connection) Data(data []byte) {
+	if c.closed || c.following {
+		return
+	}
+	if c.parser.Idle() {
+		c.abortAfter(requestTimeout)
+	}
+	var fault *http1.ProtocolError
+	if err := c.parser.Feed(data, c); errors.As(err, &fault) {
+		c.closed = true
+		c.send(errorResponse(fault.Status, "malformed", "", fault.Reason), "Connection", "close")
+		c.conn.Close()
+	}
+}
+
+// Head is called with the head of a request.
+func (c *connection) Head(head *http1.Head) error {
+	c.head, c.body = head, nil
+	return nil
+}
+
+// Body is called with a part of its body.
+func (c *connection) Body(data []byte) error {
+	c.body = append(c.body, data...)
+	return nil
+}
+
+// End is called at the end of a request.
+func (c *connection) End() error {
+	c.abortAfter(idleTimeout)
+	keepAlive := c.head.KeepAlive()
+	target, query, _ := strings.Cut(c.head.Target, "?")
+	r := &request{method: c.head.Method, head: c.head, body: c.body, query: parseQuery(query)}
+	token, _ := strings.CutPrefix(c.head.Get("Authorization"), "Bearer ")
+	if path, ok := strings.CutPrefix(target, internalPrefix); ok {
+		c.handleDispatcher(r, path, token)
+		if c.following {
+			return nil
+		}
+	} else {
+		c.send(c.server.handleAPI(r, target, token))
+	}
+	if !keepAlive {
+		c.closed = true
+		c.conn.Close()
+	}
+	return nil
+}
+
+// handleDispatcher handles a request of a dispatcher.
+func (c *connection) handleDispatcher(r *request, path, token string) {
+	switch {
+	case !c.server.isDispatcher(token):
+		c.send(errorResponse(http.StatusUnauthorized, "unauthorized", "", "this is for dispatchers"))
+	case path == "tenants":
+		c.follow(r)
+	case path == "usage" && r.method == http.MethodPost:
+		c.send(c.server.addReport(r.body))
+	default:
+		c.send(errorResponse(http.StatusNotFound, "unknown_url", "", "unknown URL"))
+	}
+}
+
+// handleAPI returns the answer to a request of operators or tenants.
+func (s *Server) handleAPI(r *request, target, token string) response {
+	path, isAPI := strings.CutPrefix(target, apiPrefix)
+	if !isAPI && target != metricsPath {
+		return errorResponse(http.StatusNotFound, "unknown_url", "", "unknown URL")
+	}
+	r.path = strings.Split(strings.Trim(path, "/"), "/")
+	who, known := s.identify(token)
+	if !known {
+		return errorResponse(http.StatusUnauthorized, "unauthorized", "", "no valid key was given")
+	}
+	r.who = who
+	return s.route(r)
+}
+
+// send sends a response, with further header fields as pairs of names and values.
+func (c *connection) send(r response, fields ...string) {
+	body, contentType := r.text, r.contentType
+	if r.text == nil {
+		body, _ = json.Marshal(r.body) // only types that can always be encoded
+		contentType = "application/json"
+	}
+	if r.etag != 0 {
+		fields = append(fields, "ETag", strconv.Quote(strconv.FormatUint(r.etag, 10)))
+	}
+	fields = append(fields, "Content-Type", contentType, "Cache-Control", "no-store")
+	c.conn.Write(http1.AppendResponse(nil, r.status, body, fields...))
+}
--- /dev/null
+++ b/internal/admin/environment_test.go
@@ -0,0 +1,278 @@
+package admin
+
+import (
+	"crypto/sha256"
+	"fmt"
+	"math/rand"
+	"net/http"
+	"strings"
+	"testing"
+
+	"github.com/rs/zerolog"
+	"github.com/tidwall/gjson"
+
+	"plumspindle/internal/deployment"
+	"plumspindle/internal/dispatch"
+	"plumspindle/internal/eventloop"
+	"plumspindle/internal/http1"
+	"plumspindle/internal/sse"
+	"plumspindle/internal/testbed/modelserver"
+	"plumspindle/internal/virtual"
+)
+
+var secret = []byte("0123456789abcdef0123456789abcdef")
+
+// Keys of the staff.
+const (
+	operatorKey = "op"
+	viewerKey   = "view"
+)
+
+const (
+	anyPort       = "127.0.0.1:0"
+	callTimeout   = 5 * eventloop.Second
+	answerTimeout = 40 * eventloop.Second
+)
+
+// Outcomes of a chat request that was begun; otherwise it is the status.
+const (
+	completed = "streamed"
+	failedMid = "terminated"
+)
+
+func deterministicRandom(seed int64) *rand.Rand { return rand.New(rand.NewSource(seed)) }
+
+// environment is an administration, dispatchers that follow it, and model servers, in virtual time.
+type environment struct {
+	t           *testing.T
+	network     *virtual.Network
+	server      *Server
+	serverLoop  *virtual.Loop
+	serverAddr  string
+	records     *MemoryRecords
+	clientLoop  *virtual.Loop
+	fleet       *modelserver.Fleet
+	dispatchers []*testDispatcher
+}
+
+type testDispatcher struct {
+	*dispatch.Dispatcher
+	loop          *virtual.Loop
+	addr          string
+	cachedTenants []byte
+}
+
+func newEnvironment(t *testing.T, dispatchers int) *environment {
+	t.Helper()
+	network := virtual.NewNetwork(3)
+	e := &environment{
+		t: t, network: network, records: &MemoryRecords{}, serverAddr: anyPort, clientLoop: network.NewLoop("far"),
+	}
+	e.startServer()
+	d := deployment.Standard()
+	d.Dispatching.Dispatchers = uint32(dispatchers)
+	for _, product := range d.Products {
+		product.TimeLimitMs = 8000
+	}
+	var err error
+	fleetLoop := network.NewLoop("fleet")
+	fleetLoop.Do(func() { e.fleet, err = modelserver.Start(fleetLoop, d, 1, anyPort, nil) })
+	if err != nil {
+		t.Fatal(err)
+	}
+	for i := range dispatchers {
+		e.dispatchers = append(e.dispatchers, &testDispatcher{addr: anyPort})
+		e.startDispatcher(i, d, fmt.Sprintf("d%d", i))
+	}
+	network.Run(200 * eventloop.Millisecond)
+	return e
+}
+
+// startServer starts the administration, again at its address and from its records.
+func (e *environment) startServer() {
+	e.t.Helper()
+	e.serverLoop = e.network.NewLoop("admin")
+	config := Config{
+		Secret: secret,
+		Staff: []Staff{
+			{Name: "ann", Role: Operator, Digest: sha256.Sum256([]byte(operatorKey))},
+			{Name: "vic", Role: Viewer, Digest: sha256.Sum256([]byte(viewerKey))},
+		},
+		Records: e.records,
+		Random:  deterministicRandom(9),
+		Log:     zerolog.Nop(),
+	}
+	var err error
+	e.serverLoop.Do(func() {
+		if e.server, err = Start(e.serverLoop, config); err != nil {
+			return
+		}
+		var listener eventloop.Listener
+		if listener, err = e.serverLoop.Listen(e.serverAddr, e.server.Accept); err == nil {
+			e.serverAddr = listener.Addr()
+		}
+	})
+	if err != nil {
+		e.t.Fatal(err)
+	}
+}
+
+// startDispatcher starts a dispatcher, again at its address and with the tenants that it has cached.
+func (e *environment) startDispatcher(i int, d deployment.Deployment, name string) {
+	e.t.Helper()
+	x := e.dispatchers[i]
+	x.loop = e.network.NewLoop(name)
+	config := dispatch.Config{
+		Name:          name,
+		Zone:          d.Zones[i%2],
+		Seed:          int64(i + 1),
+		Discovery:     e.fleet.Roster.Addr,
+		Log:           zerolog.Nop(),
+		Tenants:       e.serverAddr,
+		Secret:        secret,
+		CachedTenants: x.cachedTenants,
+		CacheTenants:  func(tenants []byte) { x.cachedTenants = tenants },
+	}
+	var err error
+	x.loop.Do(func() {
+		if x.Dispatcher, err = dispatch.Start(x.loop, d, config); err != nil {
+			return
+		}
+		var listener eventloop.Listener
+		if listener, err = x.loop.Listen(x.addr, x.Front().Accept); err == nil {
+			x.addr = listener.Addr()
+		}
+	})
+	if err != nil {
+		e.t.Fatal(err)
+	}
+}
+
+// clientRequest is one HTTP request of a client.
+type clientRequest struct {
+	addr, method, target, key, body string
+	fields                          []string // of the head: names and values
+}
+
+// clientCall is one HTTP request on a connection of its own, and its answer.
+type clientCall struct {
+	network  *virtual.Network
+	conn     eventloop.Conn
+	request  []byte
+	parser   http1.Parser
+	events   sse.Parser
+	head     *http1.Head
+	body     []byte
+	tokens   int
+	sentAt   eventloop.Micros
+	firstAt  eventloop.Micros // when its first token came
+	outcomes []string         // of which there must be one
+}
+
+func (c *clientCall) Opened()          { c.conn.Write(c.request) }
+func (c *clientCall) Drained()         {}
+func (c *clientCall) Closed(error)     {}
+func (c *clientCall) Data(data []byte) { _ = c.parser.Feed(data, c) }
+
+func (c *clientCall) Head(head *http1.Head) error {
+	c.head = head
+	return nil
+}
+
+func (c *clientCall) Body(data []byte) error {
+	if !strings.HasPrefix(c.head.Get("Content-Type"), "text/event-stream") {
+		c.body = append(c.body, data...)
+		return nil
+	}
+	return c.events.Feed(data, func(event []byte) error {
+		switch {
+		case string(event) == "[DONE]":
+			c.outcomes = append(c.outcomes, completed)
+		case gjson.GetBytes(event, "error").Exists():
+			c.outcomes = append(c.outcomes, failedMid)
+		default:
+			c.tokens++
+			if c.tokens == 1 {
+				c.firstAt = c.network.Now()
+			}
+		}
+		return nil
+	})
+}
+
+func (c *clientCall) End() error {
+	if c.head.Status != http.StatusOK || len(c.body) > 0 {
+		c.outcomes = append(c.outcomes, fmt.Sprint(c.head.Status))
+	}
+	return nil
+}
+
+func (c *clientCall) answered() bool { return len(c.outcomes) > 0 }
+
+// send sends a request and does not wait for its answer.
+func (e *environment) send(r clientRequest) *clientCall {
+	c := &clientCall{
+		network: e.network,
+		sentAt:  e.network.Now(),
+		parser:  http1.Parser{Response: true, Limits: http1.DefaultLimits},
+		events:  sse.Parser{MaxEventBytes: 1 << 20},
+	}
+	fields := append(r.fields, "Authorization", "Bearer "+r.key, "Content-Type", "application/json", "Connection", "close")
+	c.request = http1.AppendRequest(nil, r.method, r.target, r.addr, []byte(r.body), fields...)
+	e.clientLoop.Do(func() { c.conn = e.clientLoop.Dial(r.addr, eventloop.Second, c) })
+	return c
+}
+
+// call makes one call to the administration, with a path below the prefix of the API or a whole one.
+func (e *environment) call(key, method, path, body string, fields ...string) *clientCall {
+	e.t.Helper()
+	if !strings.HasPrefix(path, "/") {
+		path = apiPrefix + path
+	}
+	c := e.send(clientRequest{addr: e.serverAddr, method: method, target: path, key: key, body: body, fields: fields})
+	if !e.network.RunUntil(callTimeout, c.answered) {
+		e.t.Fatalf("%s %s: no answer", method, path)
+	}
+	e.network.Run(20 * eventloop.Millisecond)
+	return c
+}
+
+// must makes an operator's call, which must have a status, and returns the body of the answer.
+func (e *environment) must(status int, method, path, body string, fields ...string) gjson.Result {
+	e.t.Helper()
+	c := e.call(operatorKey, method, path, body, fields...)
+	if c.head.Status != status {
+		e.t.Fatalf("%s %s: status %d, want %d: %s", method, path, c.head.Status, status, c.body)
+	}
+	return gjson.ParseBytes(c.body)
+}
+
+// addTenant adds a tenant and returns a key of it.
+func (e *environment) addTenant(name, limits string) string {
+	e.t.Helper()
+	e.must(201, "POST", "tenants", fmt.Sprintf(`{"name":%q,"limits":%s}`, name, limits))
+	return e.must(201, "POST", "tenants/"+name+"/keys", `{"label":"test"}`).Get("key").String()
+}
+
+// chat sends a chat request to a dispatcher.
+func (e *environment) chat(dispatcher int, key, product string) *clientCall {
+	body := fmt.Sprintf(`{"model":%q,"stream":true,"max_tokens":400,`+
+		`"messages":[{"role":"system","content":"you explain"},{"role":"user","content":"why?"}]}`, product)
+	return e.sendChat(dispatcher, key, body)
+}
+
+func (e *environment) sendChat(dispatcher int, key, body string, fields ...string) *clientCall {
+	return e.send(clientRequest{
+		addr: e.dispatchers[dispatcher].addr, method: "POST", target: "/v1/chat/completions",
+		key: key, body: body, fields: fields,
+	})
+}
+
+// expect waits for the outcome of a call, which must be the only one.
+func (e *environment) expect(c *clientCall, want string) {
+	e.t.Helper()
+	e.network.RunUntil(answerTimeout, c.answered)
+	if len(c.outcomes) != 1 || c.outcomes[0] != want {
+		e.t.Errorf("outcomes %v, want %s; %s", c.outcomes, want, c.body)
+	}
+}
--- /dev/null
+++ b/internal/admin/feed_test.go
@@ -0,0 +1,41 @@
+package admin
+
+import (
+	"fmt"
+	"testing"
+
+	"plumspindle/internal/dispatch"
+	"plumspindle/internal/eventloop"
+	"plumspindle/internal/http1"
+	"plumspindle/internal/sse"
+	"plumspindle/internal/tenancy"
+)
+
+// What is buffered for a follower that reads nothing is bounded: it is cut off, and gets a complete update
+// when it comes back.
+func TestFollowerThatReadsNothingIsCutOff(t *testing.T) {
+	e := newEnvironment(t, 1)
+	follower := &clientCall{
+		network: e.network,
+		parser:  http1.Parser{Response: true, Limits: http1.DefaultLimits},
+		events:  sse.Parser{MaxEventBytes: 64 << 20},
+	}
+	follower.request = http1.AppendRequest(nil, "GET", internalPrefix+"tenants?epoch=&since=0", e.serverAddr, nil,
+		"Authorization", "Bearer "+dispatch.FeedToken(secret))
+	e.clientLoop.Do(func() { follower.conn = e.clientLoop.Dial(e.serverAddr, eventloop.Second, follower) })
+	e.network.Run(100 * eventloop.Millisecond)
+	e.clientLoop.Do(func() { follower.conn.Pause(true) })
+	buffered := 0
+	for i := range 400 {
+		e.serverLoop.Do(func() { e.server.route(createTenantRequest(fmt.Sprint("t", i))) })
+		// As when all followers need a complete update.
+		e.serverLoop.Do(func() { e.server.notifyFollowers(tenancy.NewRegistry("")) })
+		for _, f := range e.server.followers {
+			buffered = max(buffered, f.conn.Unsent())
+		}
+		e.network.Run(10 * eventloop.Millisecond)
+	}
+	if buffered > 2*maxUnsentBytes || len(e.server.followers) != 1 {
+		t.Errorf("%d bytes are buffered for one that reads nothing; %d followers", buffered, len(e.server.followers))
+	}
+}
--- /dev/null
+++ b/internal/admin/routes_test.go
@@ -0,0 +1,51 @@
+package admin
+
+import (
+	"encoding/json"
+	"strings"
+	"testing"
+
+	"github.com/tidwall/gjson"
+
+	"plumspindle/internal/tenancy"
+)
+
+// The description that is served names each route and limit, and no other route.
+func TestOpenAPIDescribesRoutes(t *testing.T) {
+	e := newEnvironment(t, 1)
+	e.addTenant("a", `{}`)
+	document := e.must(200, "GET", "openapi.json", "")
+	described := 0
+	document.Get("paths").ForEach(func(path, operations gjson.Result) bool {
+		operations.ForEach(func(method, _ gjson.Result) bool {
+			described++
+			target := strings.NewReplacer("{name}", "a", "{id}", "x").Replace(strings.TrimPrefix(path.String(), "/"))
+			c := e.call(operatorKey, strings.ToUpper(method.String()), target+"?dry_run=true", `{"name":"x"}`)
+			if gjson.GetBytes(c.body, "error.code").String() == "unknown_url" || c.head.Status >= 500 {
+				t.Errorf("%s %s: %d %s", method, path, c.head.Status, c.body)
+			}
+			return true
+		})
+		return true
+	})
+	const withoutMetrics = 1
+	if described != 16 || described != len(routes)-withoutMetrics {
+		t.Errorf("%d of %d routes are described", described, len(routes)-withoutMetrics)
+	}
+	properties := document.Get("components.schemas.Limits.properties")
+	if fields := properties.Map(); len(fields) != 8 {
+		t.Errorf("%d limits are described", len(fields))
+	}
+	limits, err := json.Marshal(tenancy.Limits{
+		SharePerS: 1, Weight: 1, PerS: 1, TokensPerS: 1, BurstS: 1, Concurrent: 1, LargestPrompt: 1, Waiting: 1,
+	})
+	if err != nil {
+		t.Fatal(err)
+	}
+	gjson.ParseBytes(limits).ForEach(func(name, _ gjson.Result) bool {
+		if !properties.Get(name.String()).Exists() {
+			t.Errorf("the limit %s is not described", name)
+		}
+		return true
+	})
+}
--- a/internal/admin/stored_test.go
+++ b/internal/admin/stored_test.go
@@ -92,7 +92,7 @@
 	if err != nil {
 		a.t.Fatal(err)
 	}
-	a.t.Cleanup(func() { response.Body.Close() })
+	a.t.Cleanup(func() { _ = response.Body.Close() })
 	return response
 }
 
@@ -107,7 +107,8 @@
 	return response.StatusCode, decoded(a.t, text)
 }
 
-// feed is the first event that a dispatcher is sent that knows a version: what has changed since, with the seals of keys.
+// feed is the first event that a dispatcher is sent that knows a version: what has changed since, with the
+// seals of keys.
 func (a api) feed(epoch string, since int) any {
 	a.t.Helper()
 	path := fmt.Sprintf("/internal/v1/tenants?epoch=%s&since=%d", epoch, since)
@@ -163,8 +164,9 @@
 	t.Errorf("%s: got:\n%s\nwant:\n%s", what, gotText, wantText)
 }
 
-// Both forms of records, the store and the files of before it, are read whole: tenants with limits and keys, usage, the log of changes,
-// public texts, what dispatchers are told, also after a second start. A report that counted does not count again, a later one does.
+// Both forms of records, the store and the files of before it, are read completely: tenants with limits and keys,
+// usage, the log of changes, public texts, the update for dispatchers, also after a second start. A report
+// that counted does not count again, a later one does.
 func TestReadsRecordsOfEarlierVersion(t *testing.T) {
 	for _, fixture := range []string{"records-v1", "records-before-store"} {
 		t.Run(fixture, func(t *testing.T) {
@@ -192,7 +194,8 @@
 	}
 }
 
-// keysFit: keys with the scope of the administration open it as far as they did, and a repeated creation names the key made.
+// keysFit: keys with the scope of the administration open it as far as they did, and a repeated creation
+// names the key made.
 func keysFit(t *testing.T, a api, keys map[string]string) {
 	t.Helper()
 	for name, want := range map[string]int{
@@ -208,21 +211,31 @@
 			t.Errorf("key %q: status %d, want %d: %v", name, status, want, got)
 		}
 	}
-	for tenant, test := range map[string]struct{ repeat, key string }{"bahari": {"make-ci", keys["bahari ci"]}, "mto": {"make-mto", keys["mto"]}} {
-		status, got := a.call(operatorKey, "POST", "/admin/v1/tenants/"+tenant+"/keys", "", "Idempotency-Key", test.repeat)
-		same(t, "repeated creation for "+tenant, got, map[string]any{"id": strings.Split(test.key, "-")[1], "note": "made before; a key is shown once"})
+	for tenant, test := range map[string]struct{ idempotencyKey, key string }{
+		"bahari": {"make-ci", keys["bahari ci"]},
+		"mto":    {"make-mto", keys["mto"]},
+	} {
+		path := "/admin/v1/tenants/" + tenant + "/keys"
+		status, got := a.call(operatorKey, "POST", path, "", "Idempotency-Key", test.idempotencyKey)
+		id := strings.Split(test.key, "-")[1]
+		same(t, "repeated creation for "+tenant, got, map[string]any{"id": id, "note": "made before; a key is shown once"})
 		if status != 200 {
 			t.Errorf("repeated creation for %s: status %d", tenant, status)
 		}
 	}
 }
 
-// dispatchersMissNothing: a dispatcher that knew an earlier version is told of each tenant that has changed since; a new tenant gets
-// an id that none had.
-func dispatchersMissNothing(t *testing.T, a api, whole any) {
+// dispatchersMissNothing: a dispatcher that knew an earlier version gets each tenant that has changed
+// since; a new tenant gets an id that none had.
+func dispatchersMissNothing(t *testing.T, a api, complete any) {
 	t.Helper()
-	epoch := whole.(map[string]any)["epoch"].(string)
-	for since, want := range map[int][]string{7: {"bahari", "kwale", "mto"}, 8: {"bahari", "mto"}, 11: {"bahari", "mto"}, 12: {"bahari"}} {
+	epoch := complete.(map[string]any)["epoch"].(string)
+	for since, want := range map[int][]string{
+		7:  {"bahari", "kwale", "mto"},
+		8:  {"bahari", "mto"},
+		11: {"bahari", "mto"},
+		12: {"bahari"},
+	} {
 		var names []string
 		for _, tenant := range a.feed(epoch, since).(map[string]any)["tenants"].([]any) {
 			names = append(names, tenant.(map[string]any)["name"].(string))
@@ -243,7 +256,8 @@
 	t.Helper()
 	report := func(dispatcher string, number int) {
 		t.Helper()
-		body := fmt.Sprintf(`{"dispatcher":%q,"number":%d,"used":[{"tenant":"later","product":"explain","day":"2026-01-04","taken":1}]}`, dispatcher, number)
+		body := fmt.Sprintf(`{"dispatcher":%q,"number":%d,"used":[`+
+			`{"tenant":"later","product":"explain","day":"2026-01-04","taken":1}]}`, dispatcher, number)
 		if status, got := a.call(dispatch.FeedToken([]byte(testSecret)), "POST", "/internal/v1/usage", body); status != 200 {
 			t.Errorf("report %d of %s: status %d: %v", number, dispatcher, status, got)
 		}
@@ -315,7 +329,8 @@
 	}
 }
 
-// A removal that an earlier version had begun is ended, as nothing of the tenant runs anywhere: its limits and keys are gone, its usage stays.
+// A removal that an earlier version had begun is ended, as nothing of the tenant runs anywhere: its limits
+// and keys are dropped, its usage stays.
 func TestEndsRemovalBegunByEarlierVersion(t *testing.T) {
 	const fixture = "records-v1-removing"
 	golden := answers(t, fixture)
@@ -326,7 +341,7 @@
 	a := serve(t, copiedRecords(t, fixture))
 	_, got := a.call(operatorKey, "GET", "/admin/v1/tenants/lamu", "")
 	tenant := got.(map[string]any)
-	if gone, some := tenant["removed_s"].(float64); !some || gone <= 0 {
+	if removedAt, found := tenant["removed_s"].(float64); !found || removedAt <= 0 {
 		t.Errorf("removed at %v", tenant["removed_s"])
 	}
 	delete(tenant, "removed_s")
--- /dev/null
+++ b/internal/admin/tenants.go
@@ -0,0 +1,161 @@
+package admin
+
+import (
+	"crypto/sha256"
+	"encoding/hex"
+	"fmt"
+	"net/http"
+	"slices"
+
+	"plumspindle/internal/tenancy"
+)
+
+// redacted returns a copy of a tenant without the MACs of its keys.
+func redacted(t *tenancy.Tenant) tenancy.Tenant {
+	shown := *t
+	shown.Keys = slices.Clone(t.Keys)
+	for i := range shown.Keys {
+		shown.Keys[i].MAC = ""
+	}
+	return shown
+}
+
+func tenantResponse(status int, t *tenancy.Tenant) response {
+	return response{status: status, body: redacted(t), etag: t.Version}
+}
+
+func noSuchTenant() response {
+	return errorResponse(http.StatusNotFound, tenancy.CodeNoTenant, "", "there is no such tenant")
+}
+
+// tenantList is a page of tenants. The order of its members is part of the API, as with all bodies.
+type tenantList struct {
+	NextAfter string           `json:"next_after"` // empty on the last page
+	Tenants   []tenancy.Tenant `json:"tenants"`
+}
+
+func (s *Server) listTenants(r *request) response {
+	after, size := r.query["after"], r.pageSize()
+	page := tenantList{Tenants: []tenancy.Tenant{}}
+	for _, name := range s.registry.Names() {
+		if name <= after {
+			continue
+		}
+		if len(page.Tenants) == size {
+			page.NextAfter = page.Tenants[size-1].Name
+			break
+		}
+		page.Tenants = append(page.Tenants, redacted(s.registry.Tenants[name]))
+	}
+	return okResponse(page)
+}
+
+func (s *Server) getTenant(r *request) response {
+	t := s.registry.Tenants[r.tenant]
+	if t == nil {
+		return noSuchTenant()
+	}
+	return tenantResponse(http.StatusOK, t)
+}
+
+// The types of request bodies have no names, as the names would appear in the messages about malformed bodies.
+
+func (s *Server) createTenant(r *request) response {
+	var body struct {
+		Name     string                    `json:"name"`
+		Limits   tenancy.Limits            `json:"limits"`
+		Products map[string]tenancy.Limits `json:"products"`
+	}
+	if err := r.decode(&body); err != nil {
+		return failed(err)
+	}
+	return s.change(r, "tenant created", func(registry *tenancy.Registry) (response, error) {
+		t, created, err := registry.Create(s.now(), body.Name, body.Limits, body.Products)
+		if err != nil {
+			return response{}, err
+		}
+		if created {
+			return tenantResponse(http.StatusCreated, t), nil
+		}
+		return tenantResponse(http.StatusOK, t), nil
+	})
+}
+
+// changeTenant makes a change that is answered with the changed tenant.
+func (s *Server) changeTenant(
+	r *request, what string, change func(*tenancy.Registry) (*tenancy.Tenant, error),
+) response {
+	return s.change(r, what, func(registry *tenancy.Registry) (response, error) {
+		t, err := change(registry)
+		if err != nil {
+			return response{}, err
+		}
+		return tenantResponse(http.StatusOK, t), nil
+	})
+}
+
+func (s *Server) changeLimits(r *request) response {
+	var body struct {
+		Limits   *tenancy.Limits           `json:"limits"`
+		Products map[string]tenancy.Limits `json:"products"`
+	}
+	if err := r.decode(&body); err != nil {
+		return failed(err)
+	}
+	return s.changeTenant(r, "limits changed", func(registry *tenancy.Registry) (*tenancy.Tenant, error) {
+		return registry.SetLimits(r.tenant, r.version, body.Limits, body.Products)
+	})
+}
+
+func (s *Server) suspendTenant(r *request) response { return s.setServing(r, "suspend", false) }
+
+func (s *Server) resumeTenant(r *request) response { return s.setServing(r, "resume", true) }
+
+func (s *Server) setServing(r *request, what string, serving bool) response {
+	return s.changeTenant(r, what, func(registry *tenancy.Registry) (*tenancy.Tenant, error) {
+		return registry.SetServing(r.tenant, r.version, serving)
+	})
+}
+
+func (s *Server) removeTenant(r *request) response {
+	policy := tenancy.RemovalPolicy(r.query["policy"])
+	if policy == "" {
+		policy = tenancy.RemovalFinish
+	}
+	what := "removal: " + string(policy)
+	result := s.changeTenant(r, what, func(registry *tenancy.Registry) (*tenancy.Tenant, error) {
+		return registry.Remove(r.tenant, r.version, policy)
+	})
+	s.loop.Defer(s.completeRemovals) // perhaps nothing of it runs
+	return result
+}
+
+// publicTexts is the body of both calls for them.
+type publicTexts struct {
+	SHA256 []string `json:"sha256"`
+}
+
+func (s *Server) getPublicTexts(*request) response {
+	return okResponse(publicTexts{s.registry.PublicTexts})
+}
+
+func (s *Server) setPublicTexts(r *request) response {
+	var body struct {
+		SHA256 []string `json:"sha256"`
+	}
+	if err := r.decode(&body); err != nil {
+		return failed(err)
+	}
+	for i, digest := range body.SHA256 {
+		raw, err := hex.DecodeString(digest)
+		if err != nil || len(raw) != sha256.Size {
+			field := fmt.Sprintf("sha256[%d]", i)
+			return errorResponse(http.StatusUnprocessableEntity, "invalid_digest", field, "must be 64 hexadecimal digits")
+		}
+	}
+	return s.change(r, "public texts set", func(registry *tenancy.Registry) (response, error) {
+		registry.PublicTexts = body.SHA256
+		registry.Version++
+		return okResponse(publicTexts(body)), nil
+	})
+}
--- a/internal/tenancy/cached_tenants_test.go
+++ b/internal/tenancy/cached_tenants_test.go
@@ -8,18 +8,18 @@
 	"plumspindle/internal/tenancy"
 )
 
-// testSecret is what the kept tenants in testdata were sealed with; it is for tests only.
+// testSecret is what the keys of the tenants in testdata were made with; it is for tests only.
 const testSecret = "test-secret-of-the-fixtures-not-for-use-anywhere"
 
-// limitsFrom are the limits that the fixture was made with: each has a value of its own.
+// limitsFrom returns the limits that the fixture was made with: each has a value of its own.
 func limitsFrom(n int) tenancy.Limits {
 	f := float64(n)
 	return tenancy.Limits{SharePerS: f + 0.5, Weight: f + 0.25, PerS: f + 10, TokensPerS: f*1000 + 1, BurstS: f + 0.75,
 		Concurrent: n + 2, LargestPrompt: n*100 + 3, Waiting: n + 4}
 }
 
-// keptTenants are the tenants in testdata.
-func keptTenants() []*tenancy.Tenant {
+// cachedTenants returns the tenants in testdata.
+func cachedTenants() []*tenancy.Tenant {
 	return []*tenancy.Tenant{
 		{
 			ID: 1, Name: "bahari", State: tenancy.StateActive, Version: 5, Limits: limitsFrom(6), CreatedAt: 1796217369,
@@ -27,36 +27,39 @@
 			Keys: []tenancy.KeyRecord{
 				{
 					ID: "433b2215375e", MAC: "fda8b58512522541f7a49438d0b6cb42717d6905ced63c81753f091483abcafd", Label: "ci",
-					Scopes: []string{tenancy.ScopeChat, tenancy.ScopeAdmin}, CreatedAt: 1796217369, ExpiresAt: 4102444800, Limits: limitsFrom(4),
+					Scopes:    []tenancy.Scope{tenancy.ScopeChat, tenancy.ScopeAdmin},
+					CreatedAt: 1796217369, ExpiresAt: 4102444800, Limits: limitsFrom(4),
 				},
 				{
 					ID: "0a194ac022a6", MAC: "4c8f5ccf73ebd7c21829f440f5c27b296a65b019ea485a00c51a42f7ab191a16", Label: "lost",
-					Scopes: []string{tenancy.ScopeChat, tenancy.ScopeAdmin}, CreatedAt: 1796217369, RevokedAt: 1796217369,
+					Scopes: []tenancy.Scope{tenancy.ScopeChat, tenancy.ScopeAdmin}, CreatedAt: 1796217369, RevokedAt: 1796217369,
 				},
 			},
 		},
 		{
-			ID: 3, Name: "mto", State: tenancy.StateSuspended, Version: 3, Limits: tenancy.Limits{SharePerS: 7}, CreatedAt: 1796217369,
+			ID: 3, Name: "mto", State: tenancy.StateSuspended, Version: 3, Limits: tenancy.Limits{SharePerS: 7},
+			CreatedAt: 1796217369,
 			Keys: []tenancy.KeyRecord{{
 				ID: "b1b125e2c5f1", MAC: "f4efbb017516ed4f97d5b0832839eac7b2c38ae1e2197ed2f4d59dfb430fedd0", Label: "chat only",
-				Scopes: []string{tenancy.ScopeChat}, CreatedAt: 1796217369,
+				Scopes: []tenancy.Scope{tenancy.ScopeChat}, CreatedAt: 1796217369,
 			}},
 		},
 	}
 }
 
-// The tenants that an earlier version's dispatcher kept are read with every field, their keys fit, and the file is written as it was.
-func TestReadsKeptTenantsOfEarlierVersion(t *testing.T) {
-	kept, err := os.ReadFile("testdata/kept-tenants.json")
+// The tenants that an earlier version's dispatcher cached are read with every field, their keys fit, and the
+// file is written as it was.
+func TestReadsCachedTenantsOfEarlierVersion(t *testing.T) {
+	cached, err := os.ReadFile("testdata/kept-tenants.json")
 	if err != nil {
 		t.Fatal(err)
 	}
 	directory := tenancy.NewDirectory([]byte(testSecret))
-	tenants, err := directory.Apply(kept)
+	tenants, err := directory.Apply(cached)
 	if err != nil {
 		t.Fatal(err)
 	}
-	if want := keptTenants(); !reflect.DeepEqual(tenants, want) {
+	if want := cachedTenants(); !reflect.DeepEqual(tenants, want) {
 		t.Errorf("read %d tenants of %d", len(tenants), len(want))
 		for i := range min(len(tenants), len(want)) {
 			t.Errorf("read:\n%+v\nstored:\n%+v", *tenants[i], *want[i])
@@ -73,8 +76,8 @@
 			t.Errorf("the public text %s is not known", digest)
 		}
 	}
-	if written := directory.Snapshot(); string(written) != string(kept) {
-		t.Errorf("written:\n%s\nstored:\n%s", written, kept)
+	if written := directory.Snapshot(); string(written) != string(cached) {
+		t.Errorf("written:\n%s\nstored:\n%s", written, cached)
 	}
 	for _, c := range []struct{ key, tenant string }{
 		{"sk-433b2215375e-31e05a059c05c6aa3f069f4d416662dadbb7a6fb07ff3a67", "bahari"},
--- /dev/null
+++ b/internal/tenancy/directory.go
@@ -0,0 +1,143 @@
+package tenancy
+
+import (
+	"encoding/json"
+	"errors"
+	"fmt"
+	"maps"
+	"slices"
+
+	"plumspindle/internal/subscribe"
+)
+
+// Directory is a dispatcher's copy of the registry. It shares no memory with it.
+type Directory struct {
+	Epoch   string
+	Version uint64
+
+	secret      []byte
+	tenants     map[string]*Tenant // by name
+	keys        map[string]keyOwner
+	publicTexts map[string]bool
+}
+
+type keyOwner struct {
+	tenant *Tenant
+	key    KeyRecord
+}
+
+// NewDirectory returns an empty directory. The secret is that which the registry's keys were made with.
+func NewDirectory(secret []byte) *Directory {
+	return &Directory{
+		secret:      secret,
+		tenants:     map[string]*Tenant{},
+		keys:        map[string]keyOwner{},
+		publicTexts: map[string]bool{},
+	}
+}
+
+// Apply applies an encoded Update. It returns the tenants that have changed; those that are missing in a complete
+// update are among them as removed. A stale update changes nothing. One that leaves out versions is a
+// *subscribe.GapError.
+func (d *Directory) Apply(data []byte) (changed []*Tenant, err error) {
+	var u Update
+	if err := json.Unmarshal(data, &u); err != nil {
+		return nil, fmt.Errorf("decode the tenants' update: %w", err)
+	}
+	sameEpoch := u.Epoch == d.Epoch
+	if sameEpoch && (u.Version < d.Version || u.Version == d.Version && !u.Complete) {
+		return nil, nil
+	}
+	if !u.Complete && (!sameEpoch || u.Since != d.Version) {
+		return nil, &subscribe.GapError{Have: d.Version, Since: u.Since}
+	}
+	for _, t := range u.Tenants {
+		if t == nil || t.Name == "" {
+			return nil, errors.New("a tenant without a name")
+		}
+	}
+	if u.Complete {
+		u.Tenants = append(u.Tenants, d.missingIn(u.Tenants)...)
+	}
+	for _, t := range u.Tenants {
+		changed = append(changed, d.replace(t)...)
+	}
+	clear(d.publicTexts)
+	for _, digest := range u.PublicTexts {
+		d.publicTexts[digest] = true
+	}
+	d.Epoch, d.Version = u.Epoch, u.Version
+	return changed, nil
+}
+
+// missingIn returns the known tenants that a complete list does not have, as removed ones.
+func (d *Directory) missingIn(listed []*Tenant) (removed []*Tenant) {
+	names := map[string]bool{}
+	for _, t := range listed {
+		names[t.Name] = true
+	}
+	for _, name := range slices.Sorted(maps.Keys(d.tenants)) {
+		if names[name] {
+			continue
+		}
+		t := *d.tenants[name]
+		t.State, t.Keys = StateRemoved, nil
+		removed = append(removed, &t)
+	}
+	return removed
+}
+
+// replace puts a tenant in the place of what was known under its name. It returns the tenants that have
+// changed: if the name belonged to another tenant, that one is stopped first.
+func (d *Directory) replace(t *Tenant) (changed []*Tenant) {
+	if old := d.tenants[t.Name]; old != nil {
+		if old.ID != t.ID {
+			stopped := *old
+			stopped.State, stopped.Removal, stopped.Keys = StateRemoving, RemovalStop, nil
+			changed = append(changed, &stopped)
+		}
+		for _, key := range old.Keys {
+			delete(d.keys, key.ID)
+		}
+	}
+	if t.State == StateRemoved {
+		delete(d.tenants, t.Name)
+	} else {
+		d.tenants[t.Name] = t
+		for _, key := range t.Keys {
+			d.keys[key.ID] = keyOwner{t, key}
+		}
+	}
+	return append(changed, t)
+}
+
+// IsPublicText reports whether the operator lets tenants share a text, which is given by its digest.
+func (d *Directory) IsPublicText(digest string) bool { return d.publicTexts[digest] }
+
+// Authenticate returns the tenant and the record of a key. An unknown key leaves nothing behind.
+func (d *Directory) Authenticate(now int64, text string) (*Tenant, *KeyRecord, bool) {
+	id, ok := KeyID(text)
+	if !ok {
+		return nil, nil, false
+	}
+	owner, found := d.keys[id]
+	if !found || !owner.key.Matches(d.secret, text, now) {
+		return nil, nil, false
+	}
+	return owner.tenant, &owner.key, true
+}
+
+// Snapshot returns the directory as an encoded complete Update, for a cache that outlives the process.
+func (d *Directory) Snapshot() []byte {
+	u := Update{
+		Epoch:       d.Epoch,
+		Version:     d.Version,
+		Complete:    true,
+		PublicTexts: slices.Sorted(maps.Keys(d.publicTexts)),
+	}
+	for _, name := range slices.Sorted(maps.Keys(d.tenants)) {
+		u.Tenants = append(u.Tenants, d.tenants[name])
+	}
+	encoded, _ := json.Marshal(u) // its fields can always be encoded, as limits are finite
+	return encoded
+}
--- /dev/null
+++ b/internal/tenancy/directory_test.go
@@ -0,0 +1,135 @@
+package tenancy
+
+import (
+	"encoding/json"
+	"errors"
+	"fmt"
+	"math/rand"
+	"testing"
+
+	"pgregory.net/rapid"
+)
+
+// A key is valid only as a whole, in time and unrevoked; nothing of an unknown one stays. A follower that
+// missed updates or gets them twice ends with what the registry says.
+func TestDirectoryFollowsRegistry(t *testing.T) {
+	rapid.Check(t, func(t *rapid.T) {
+		secret := []byte("0123456789abcdef0123456789abcdef")
+		f := &follower{
+			t: t, secret: secret, registry: NewRegistry("e"), directory: NewDirectory(secret),
+			random: rand.New(rand.NewSource(rapid.Int64().Draw(t, "seed"))), keys: map[string]string{},
+		}
+		for f.now = 1000; f.now < 1060; f.now++ {
+			f.changeRegistry()
+			if rapid.IntRange(0, 2).Draw(t, "follow") == 0 {
+				f.follow()
+				f.checkKeys()
+			}
+		}
+	})
+}
+
+// follower is a directory that follows a registry.
+type follower struct {
+	t         *rapid.T
+	now       int64
+	secret    []byte
+	registry  *Registry
+	directory *Directory
+	random    *rand.Rand
+	keys      map[string]string // tenants' names by the texts of their keys
+}
+
+// changeRegistry makes one random change, which may be rejected.
+func (f *follower) changeRegistry() {
+	name := fmt.Sprintf("t%d", rapid.IntRange(0, 3).Draw(f.t, "tenant"))
+	switch rapid.IntRange(0, 6).Draw(f.t, "change") {
+	case 0:
+		_, _, _ = f.registry.Create(f.now, name, Limits{}, nil)
+	case 1:
+		f.issueKey(name)
+	case 2:
+		if tenant := f.registry.Tenants[name]; tenant != nil && len(tenant.Keys) > 0 {
+			_, _ = f.registry.RevokeKey(f.now, name, 0, tenant.Keys[0].ID, 0)
+		}
+	case 3:
+		_, _ = f.registry.SetServing(name, 0, rapid.Bool().Draw(f.t, "serving"))
+	case 4:
+		_, _ = f.registry.Remove(name, 0, RemovalFinish)
+	case 5:
+		f.registry.CompleteRemoval(f.now, name)
+	}
+}
+
+func (f *follower) issueKey(name string) {
+	random := make([]byte, KeyRandomBytes)
+	f.random.Read(random)
+	request := KeyRequest{Secret: f.secret, Random: random}
+	if rapid.Bool().Draw(f.t, "expires") {
+		request.ExpiresAt = f.now + 5
+	}
+	if key, err := f.registry.IssueKey(f.now, name, 0, request); err == nil {
+		f.keys[key.Text] = name
+	}
+}
+
+// follow applies what has changed, sometimes twice.
+func (f *follower) follow() {
+	update := f.registry.UpdateSince(f.directory.Epoch, f.directory.Version)
+	encoded, err := json.Marshal(update)
+	if err != nil {
+		f.t.Fatal(err)
+	}
+	if _, err := f.directory.Apply(encoded); err != nil {
+		f.t.Fatal(err)
+	}
+	if !rapid.Bool().Draw(f.t, "twice") {
+		return
+	}
+	if changed, err := f.directory.Apply(encoded); err != nil || len(changed) > 0 && !update.Complete {
+		f.t.Fatalf("applied twice: %v, %d changes", err, len(changed))
+	}
+}
+
+// checkKeys compares the directory's verdict on each key with the registry's record of it.
+func (f *follower) checkKeys() {
+	for text, name := range f.keys {
+		tenant := f.registry.Tenants[name]
+		id, _ := KeyID(text)
+		want := false
+		for _, key := range tenant.Keys {
+			if key.ID == id {
+				want = key.RevokedAt == 0 && (key.ExpiresAt == 0 || f.now < key.ExpiresAt)
+			}
+		}
+		got, _, known := f.directory.Authenticate(f.now, text)
+		if known != want || known && got.Name != name {
+			f.t.Fatalf("a key of %s (%s): known %v, want %v", name, tenant.State, known, want)
+		}
+		if _, _, known := f.directory.Authenticate(f.now, text[:len(text)-1]+"x"); known {
+			f.t.Fatal("a key with a wrong last digit is known")
+		}
+	}
+}
+
+// Errors of changes are distinguished by their codes.
+func TestChangeErrorsMatchByCode(t *testing.T) {
+	registry := NewRegistry("e")
+	if _, _, err := registry.Create(1, "a", Limits{}, nil); err != nil {
+		t.Fatal(err)
+	}
+	for code, change := range map[ErrorCode]func() error{
+		CodeInvalidName:     func() error { _, _, err := registry.Create(1, "A", Limits{}, nil); return err },
+		CodeInvalidLimit:    func() error { _, _, err := registry.Create(1, "b", Limits{PerS: -1}, nil); return err },
+		CodeExists:          func() error { _, _, err := registry.Create(1, "a", Limits{PerS: 1}, nil); return err },
+		CodeNoTenant:        func() error { _, err := registry.SetServing("b", 0, true); return err },
+		CodeVersionMismatch: func() error { _, err := registry.SetServing("a", 9, true); return err },
+		CodeInvalidPolicy:   func() error { _, err := registry.Remove("a", 0, "later"); return err },
+		CodeNoKey:           func() error { _, err := registry.RevokeKey(1, "a", 0, "none", 0); return err },
+	} {
+		err := change()
+		if !errors.Is(err, &ChangeError{Code: code}) || errors.Is(err, &ChangeError{Code: "another"}) {
+			t.Errorf("%s: got %v", code, err)
+		}
+	}
+}
--- /dev/null
+++ b/internal/tenancy/errors.go
@@ -0,0 +1,55 @@
+package tenancy
+
+import (
+	"fmt"
+	"net/http"
+)
+
+// ErrorCode names the kind of a ChangeError. It is part of the administration's API.
+type ErrorCode string
+
+// Codes of a ChangeError.
+const (
+	CodeInvalidName     ErrorCode = "invalid_name"
+	CodeInvalidLimit    ErrorCode = "invalid_limit"
+	CodeInvalidPolicy   ErrorCode = "invalid_policy"
+	CodeInvalidScope    ErrorCode = "invalid_scope"
+	CodeInvalidExpiry   ErrorCode = "invalid_expiry"
+	CodeNameReserved    ErrorCode = "name_resting" // the name of a tenant that was removed a short time ago
+	CodeExists          ErrorCode = "exists"
+	CodeNoTenant        ErrorCode = "no_tenant"
+	CodeNoKey           ErrorCode = "no_key"
+	CodeVersionMismatch ErrorCode = "changed_meanwhile"
+	CodeRemoved         ErrorCode = "removed"
+	CodeNoRandom        ErrorCode = "no_random"
+)
+
+// ChangeError says why a change of the registry is rejected. Two of them match (errors.Is) if their codes are
+// equal.
+type ChangeError struct {
+	Status int // of the HTTP response
+	Code   ErrorCode
+	Field  string // of the request that is at fault; may be empty
+	Reason string // for people
+}
+
+// Error returns the reason.
+func (e *ChangeError) Error() string { return e.Reason }
+
+// Is reports whether target is a ChangeError of the same code.
+func (e *ChangeError) Is(target error) bool {
+	other, ok := target.(*ChangeError)
+	return ok && other.Code == e.Code
+}
+
+func invalid(code ErrorCode, field, format string, args ...any) *ChangeError {
+	return &ChangeError{http.StatusUnprocessableEntity, code, field, fmt.Sprintf(format, args...)}
+}
+
+func conflict(code ErrorCode, field, format string, args ...any) *ChangeError {
+	return &ChangeError{http.StatusConflict, code, field, fmt.Sprintf(format, args...)}
+}
+
+func notFound(code ErrorCode, format string, args ...any) *ChangeError {
+	return &ChangeError{http.StatusNotFound, code, "", fmt.Sprintf(format, args...)}
+}
--- a/internal/tenancy/fairqueue.go
+++ b/internal/tenancy/fairqueue.go
@@ -1,154 +1,164 @@
 package tenancy
 
-// FairQueue hands out turns among tenants that wait, by weight: a deficit round robin (Shreedhar and Varghese). Every
-// operation takes the same time however many tenants there are, as no order among them is kept: those that wait stand in a
-// ring, and each gains on its turn what its weight gives it. A tenant that waits for nothing keeps nothing.
+const (
+	// maxRounds bounds how many rounds the most expensive item waits for, so that a turn does not cost more rounds the
+	// more expensive it is.
+	maxRounds = 32
+	minWeight = 0.01
+	// minCompaction is how many served items a tenant's queue has at its front before their memory is reused.
+	minCompaction = 64
+)
+
+// FairQueue gives turns to queued tenants by weight. It is a deficit round robin (Shreedhar and Varghese):
+// tenants with queued items stand in a ring, and each gains credit on its turn in proportion to its weight.
+// An operation takes the same time however many tenants there are, as no order among them is maintained. A
+// tenant without queued items has no credit.
 type FairQueue[T any] struct {
-	lines map[ID]*turn[T]
-	head  *turn[T] // whose turn it is
-	size  int
-	// Quantum is what a weight of 1 gains on one turn. It should be near the usual cost, so that most turns serve one.
-	Quantum float64
+	tenants map[ID]*tenantQueue[T]
+	current *tenantQueue[T] // whose turn it is
+	size    int
+	quantum float64
 }
 
-const turnsMost = 32
-
-// turn is one tenant in the ring.
-type turn[T any] struct {
+// tenantQueue is one tenant in the ring.
+type tenantQueue[T any] struct {
 	id         ID
 	weight     float64
-	deficit    float64
-	queue      []waiting[T]
-	first      int // of the queue that is still there
-	next, prev *turn[T]
-	fresh      bool // it has not yet gained on this visit
+	credit     float64
+	credited   bool // on its current turn
+	items      []queuedItem[T]
+	first      int // position of the first item that was not served
+	next, prev *tenantQueue[T]
 }
 
-type waiting[T any] struct {
-	item T
-	cost float64
-	gone bool
+type queuedItem[T any] struct {
+	item    T
+	cost    float64
+	removed bool
 }
 
-// NewFairQueue makes one.
+func (t *tenantQueue[T]) length() int { return len(t.items) - t.first }
+
+// NewFairQueue returns an empty queue. The quantum is what a weight of 1 gains on one turn. It should be near
+// the usual cost, so that most turns serve one item.
 func NewFairQueue[T any](quantum float64) *FairQueue[T] {
-	return &FairQueue[T]{lines: map[ID]*turn[T]{}, Quantum: quantum}
+	return &FairQueue[T]{tenants: map[ID]*tenantQueue[T]{}, quantum: quantum}
 }
 
-// Len is how many wait; Of how many of one tenant do.
+// Len returns the number of queued items.
 func (f *FairQueue[T]) Len() int { return f.size }
 
-// LenOf is how many of a tenant's stand in its line, those dropped and not yet passed over included.
+// LenOf returns the number of one tenant's queued items. It includes removed ones that still have a place.
 func (f *FairQueue[T]) LenOf(id ID) int {
-	if t := f.lines[id]; t != nil {
-		return len(t.queue) - t.first
+	if t := f.tenants[id]; t != nil {
+		return t.length()
 	}
 	return 0
 }
 
-// Add puts something at the end of its tenant's line.
+// Add puts an item at the end of its tenant's queue.
 func (f *FairQueue[T]) Add(id ID, weight float64, item T, cost float64) {
-	t := f.lines[id]
+	t := f.tenants[id]
 	if t == nil {
-		t = &turn[T]{id: id}
-		f.lines[id] = t
-	}
-	t.weight = max(weight, 0.01)
-	if len(t.queue) == t.first {
-		t.queue, t.first, t.deficit, t.fresh = t.queue[:0], 0, 0, true
+		t = &tenantQueue[T]{id: id}
+		f.tenants[id] = t
 		f.link(t)
 	}
-	// What costs very much goes after so many turns all the same: a turn must not cost the more rounds the dearer it is.
-	t.queue = append(t.queue, waiting[T]{item, min(cost, turnsMost*t.weight*f.Quantum), false})
+	t.weight = max(weight, minWeight)
+	t.items = append(t.items, queuedItem[T]{item: item, cost: min(cost, maxRounds*t.weight*f.quantum)})
 	f.size++
 }
 
-// link puts a tenant in front of whose turn it is, so that it comes last.
-func (f *FairQueue[T]) link(t *turn[T]) {
-	if f.head == nil {
-		f.head, t.next, t.prev = t, t, t
+// link makes a tenant the last in the ring.
+func (f *FairQueue[T]) link(t *tenantQueue[T]) {
+	if f.current == nil {
+		f.current, t.next, t.prev = t, t, t
 		return
 	}
-	t.next, t.prev = f.head, f.head.prev
+	t.next, t.prev = f.current, f.current.prev
 	t.prev.next, t.next.prev = t, t
 }
 
-func (f *FairQueue[T]) unlink(t *turn[T]) {
+// unlink takes a tenant without items out of the ring.
+func (f *FairQueue[T]) unlink(t *tenantQueue[T]) {
 	if t.next == t {
-		f.head = nil
+		f.current = nil
 	} else {
 		t.prev.next, t.next.prev = t.next, t.prev
-		if f.head == t {
-			f.head = t.next
+		if f.current == t {
+			f.current = t.next
 		}
 	}
 	t.next, t.prev = nil, nil
-	delete(f.lines, t.id)
+	delete(f.tenants, t.id)
 }
 
-// Next gives who is next, among those whose items may go now; may is asked once for each item at the head of its line
-// that could be served. A tenant whose head may not go loses its turn, not its place.
-func (f *FairQueue[T]) Next(may func(T) bool) (item T, some bool) {
-	refused := 0
-	for f.head != nil && refused < len(f.lines) {
-		t := f.head
-		if t.fresh {
-			t.deficit += t.weight * f.Quantum
-			t.fresh = false
+// Next takes out the next item, among those that may go now. mayGo is called for each first item of a tenant
+// that could be served; a tenant whose first item may not go loses its turn, not its place.
+func (f *FairQueue[T]) Next(mayGo func(T) bool) (item T, found bool) {
+	for blocked := 0; f.current != nil && blocked < len(f.tenants); {
+		t := f.current
+		if !t.credited {
+			t.credit += t.weight * f.quantum
+			t.credited = true
 		}
-		w := &t.queue[t.first]
+		first := &t.items[t.first]
 		switch {
-		case w.gone:
-			f.pop(t)
-			continue
-		case w.cost > t.deficit:
-			f.pass(t)
-			continue
-		case !may(w.item):
-			refused++
-			t.deficit = min(t.deficit, w.cost) // what can't be used is not saved up
-			f.pass(t)
-			continue
+		case first.removed:
+			f.dropFirst(t)
+		case first.cost > t.credit:
+			f.nextTurn()
+		case !mayGo(first.item):
+			blocked++
+			t.credit = min(t.credit, first.cost) // credit that can't be used is not saved up
+			f.nextTurn()
+		default:
+			item = first.item
+			t.credit -= first.cost
+			f.size--
+			f.dropFirst(t)
+			return item, true
 		}
-		item, t.deficit = w.item, t.deficit-w.cost
-		f.size--
-		f.pop(t)
-		return item, true
 	}
 	return item, false
 }
 
-func (f *FairQueue[T]) pass(t *turn[T]) {
-	t.fresh = true
-	f.head = t.next
+func (f *FairQueue[T]) nextTurn() {
+	f.current.credited = false
+	f.current = f.current.next
 }
 
-func (f *FairQueue[T]) pop(t *turn[T]) {
-	t.queue[t.first] = waiting[T]{}
+// dropFirst drops the first item of a tenant, and the tenant with its last one.
+func (f *FairQueue[T]) dropFirst(t *tenantQueue[T]) {
+	t.items[t.first] = queuedItem[T]{}
 	t.first++
-	if t.first == len(t.queue) {
+	switch {
+	case t.length() == 0:
 		f.unlink(t)
-	} else if t.first > 64 && t.first > len(t.queue)/2 {
-		t.queue = append(t.queue[:0], t.queue[t.first:]...)
+	case t.first > minCompaction && t.first > len(t.items)/2:
+		t.items = append(t.items[:0], t.items[t.first:]...)
 		t.first = 0
 	}
 }
 
-// Remove takes out what matches, of one tenant; its place in the line is passed over when its turn comes.
-func (f *FairQueue[T]) Remove(id ID, is func(T) bool) bool {
-	t := f.lines[id]
+// Remove removes the first item of a tenant that matches, and reports whether there was one. The item may keep its
+// place in the queue until that is its turn.
+func (f *FairQueue[T]) Remove(id ID, matches func(T) bool) bool {
+	t := f.tenants[id]
 	if t == nil {
 		return false
 	}
-	for i := t.first; i < len(t.queue); i++ {
-		if w := &t.queue[i]; !w.gone && is(w.item) {
-			w.gone = true
-			f.size--
-			for t.next != nil && t.first < len(t.queue) && t.queue[t.first].gone {
-				f.pop(t)
-			}
-			return true
+	for i := t.first; i < len(t.items); i++ {
+		queued := &t.items[i]
+		if queued.removed || !matches(queued.item) {
+			continue
+		}
+		queued.removed = true
+		f.size--
+		for t.length() > 0 && t.items[t.first].removed {
+			f.dropFirst(t)
 		}
+		return true
 	}
 	return false
 }
--- /dev/null
+++ b/internal/tenancy/ledger.go
@@ -0,0 +1,96 @@
+package tenancy
+
+import (
+	"maps"
+	"slices"
+)
+
+// dispatcherTimeout is how long a dispatcher that reports nothing still counts as one that may serve.
+const dispatcherTimeout = 10 * second
+
+// UsageLedger is the sum of all reports, at the administration.
+type UsageLedger struct {
+	Sums    map[string]Usage  `json:"sums"`    // by their keys
+	Numbers map[string]uint64 `json:"numbers"` // of the last report of each dispatcher
+
+	lastReport map[string]Micros          // by dispatcher
+	ended      map[string]map[string]bool // by removed tenant: the dispatchers at which nothing of it runs
+}
+
+// NewUsageLedger returns an empty ledger.
+func NewUsageLedger() *UsageLedger {
+	return &UsageLedger{
+		Sums:       map[string]Usage{},
+		Numbers:    map[string]uint64{},
+		lastReport: map[string]Micros{},
+		ended:      map[string]map[string]bool{},
+	}
+}
+
+// counted reports whether a report was added before.
+func (l *UsageLedger) counted(r *UsageReport) bool { return r.Number <= l.Numbers[r.Dispatcher] }
+
+// Preview returns the sums that a report changes, as they will be; none if it was added before.
+func (l *UsageLedger) Preview(r *UsageReport) []Usage {
+	if l.counted(r) {
+		return nil
+	}
+	sums := map[string]Usage{}
+	for _, u := range r.Usage {
+		key := u.Key()
+		sum, found := sums[key]
+		if !found {
+			sum = l.Sums[key]
+		}
+		sum.Tenant, sum.Product, sum.Day = u.Tenant, u.Product, u.Day
+		sum.Add(u)
+		sums[key] = sum
+	}
+	all := slices.Collect(maps.Values(sums))
+	sortUsage(all)
+	return all
+}
+
+// Add adds a report. One that was added before counts as a heartbeat only.
+func (l *UsageLedger) Add(now Micros, r *UsageReport) {
+	l.lastReport[r.Dispatcher] = now
+	for _, tenant := range r.RemovedTenants {
+		if l.ended[tenant] == nil {
+			l.ended[tenant] = map[string]bool{}
+		}
+		l.ended[tenant][r.Dispatcher] = true
+	}
+	if l.counted(r) {
+		return
+	}
+	for _, sum := range l.Preview(r) {
+		l.Sums[sum.Key()] = sum
+	}
+	l.Numbers[r.Dispatcher] = r.Number
+}
+
+// RemovedEverywhere reports whether each live dispatcher has reported that nothing of a removed tenant runs there.
+func (l *UsageLedger) RemovedEverywhere(now Micros, tenant string) bool {
+	maps.DeleteFunc(l.lastReport, func(_ string, at Micros) bool { return now-at > dispatcherTimeout })
+	for dispatcher := range l.lastReport {
+		if !l.ended[tenant][dispatcher] {
+			return false
+		}
+	}
+	return true
+}
+
+// ForgetRemoval drops what dispatchers reported of a removed tenant, once its removal is complete.
+func (l *UsageLedger) ForgetRemoval(tenant string) { delete(l.ended, tenant) }
+
+// UsageOf returns what a tenant used, by day and product; that of all tenants for an empty name.
+func (l *UsageLedger) UsageOf(tenant string) []Usage {
+	all := []Usage{}
+	for _, u := range l.Sums {
+		if tenant == "" || u.Tenant == tenant {
+			all = append(all, u)
+		}
+	}
+	sortUsage(all)
+	return all
+}
--- a/internal/tenancy/registry.go
+++ b/internal/tenancy/registry.go
@@ -1,172 +1,113 @@
 package tenancy
 
 import (
-	"crypto/hmac"
-	"crypto/sha256"
-	"encoding/hex"
 	"encoding/json"
 	"fmt"
 	"maps"
+	"net/http"
 	"reflect"
 	"slices"
-	"strings"
-
-	"plumspindle/internal/subscribe"
 )
 
+// State is a stage of a tenant's life.
+type State string
+
 // States of a tenant.
 const (
-	StateActive    = "active"
-	StateSuspended = "suspended" // nothing new; what runs goes on
-	StateRemoving  = "removing"  // it is gone for its clients; what runs goes on, or is stopped
-	StateRemoved   = "removed"   // nothing of it is left but its name and what it has used
+	StateActive    State = "active"
+	StateSuspended State = "suspended" // new requests are rejected; running ones go on
+	StateRemoving  State = "removing"  // keys are invalid; running requests go on or are stopped, by the policy
+	StateRemoved   State = "removed"   // only its name and its usage are left
 )
 
-// Policies of removal.
-const (
-	RemovalFinish = "finish" // what runs goes on to its end
-	RemovalStop   = "stop"   // what runs is given its one final answer now
-)
+// RemovalPolicy says what becomes of the running requests of a tenant that is removed.
+type RemovalPolicy string
 
-// Scopes of a key.
+// Policies of removal.
 const (
-	ScopeChat  = "chat"  // generations
-	ScopeAdmin = "admin" // the tenant's own page of the administration
+	RemovalFinish RemovalPolicy = "finish" // they run to their ends
+	RemovalStop   RemovalPolicy = "stop"   // they are ended at once
 )
 
-// Tenant is one customer, as it is kept and as it is shown.
+// Tenant is one customer, as it is stored and as it is shown. Times are in seconds since 1970.
 type Tenant struct {
 	ID        ID                `json:"id"`
 	Name      string            `json:"name"`
-	State     string            `json:"state"`
-	Version   uint64            `json:"version"` // of this record; it changes with each change
+	State     State             `json:"state"`
+	Version   uint64            `json:"version"` // grows with each change of the tenant
 	Limits    Limits            `json:"limits"`
 	Products  map[string]Limits `json:"products,omitempty"`
 	Keys      []KeyRecord       `json:"keys,omitempty"`
 	CreatedAt int64             `json:"created_s"`
-	Removal   string            `json:"removal,omitempty"`
+	Removal   RemovalPolicy     `json:"removal,omitempty"`
 	RemovedAt int64             `json:"removed_s,omitempty"`
 }
 
-// KeyRecord is what is kept of a key: never the key itself.
-type KeyRecord struct {
-	ID        string   `json:"id"`
-	MAC       string   `json:"mac,omitempty"`
-	Label     string   `json:"label,omitempty"`
-	Scopes    []string `json:"scopes"`
-	CreatedAt int64    `json:"created_s"`
-	ExpiresAt int64    `json:"expires_s,omitempty"` // 0 = never
-	RevokedAt int64    `json:"revoked_s,omitempty"`
-	Limits    Limits   `json:"limits"`
-}
+// removed reports whether the tenant can't be changed any more.
+func (t *Tenant) removed() bool { return t.State == StateRemoving || t.State == StateRemoved }
 
-// ChangeError is a change that can't be made.
-type ChangeError struct {
-	Status int
-	Code   string
-	Field  string
-	Reason string
-}
-
-func (f *ChangeError) Error() string { return f.Reason }
-
-func refuse(status int, code, field, format string, args ...any) *ChangeError {
-	return &ChangeError{status, code, field, fmt.Sprintf(format, args...)}
-}
-
-// NameReuseDelay is how long the name of a removed tenant can't be taken again, s: what is still on its way under that name
-// must not be taken for another's.
-const NameReuseDelay = 24 * 3600
+// nameReuseDelay is how many seconds the name of a removed tenant can't be used again: what is still on its
+// way under that name must not be taken for another's.
+const nameReuseDelay = 24 * 3600
 
-// Registry is all tenants. Version counts its changes; followers ask for what has changed since one.
+// Registry is the record of all tenants. Its version counts the changes; followers ask for what has changed
+// since one.
 type Registry struct {
-	Epoch       string             `json:"epoch"`
+	Epoch       string             `json:"epoch"` // another one means that versions can't be compared
 	Version     uint64             `json:"version"`
 	LastID      ID                 `json:"last_id"`
-	Tenants     map[string]*Tenant `json:"tenants"`
-	PublicTexts []string           `json:"public_texts,omitempty"` // digests of shared texts that tenants may share
-	// ChangedIn is the registry's version at each tenant's last change.
-	ChangedIn map[string]uint64 `json:"changed"`
+	Tenants     map[string]*Tenant `json:"tenants"` // by name
+	PublicTexts []string           `json:"public_texts,omitempty"`
+	ChangedIn   map[string]uint64  `json:"changed"` // the registry's version at each tenant's last change
 }
 
-// NewRegistry makes an empty one.
+// NewRegistry returns an empty registry.
 func NewRegistry(epoch string) *Registry {
 	return &Registry{Epoch: epoch, Tenants: map[string]*Tenant{}, ChangedIn: map[string]uint64{}}
 }
 
-// Load reads a kept one.
-func Load(kept []byte) (*Registry, error) {
-	r := NewRegistry("")
-	if err := json.Unmarshal(kept, r); err != nil {
-		return nil, fmt.Errorf("tenants' records: %w", err)
-	}
-	if r.Epoch == "" || r.Tenants == nil || r.ChangedIn == nil {
-		return nil, fmt.Errorf("tenants' records: not a whole registry")
-	}
-	return r, nil
-}
-
-// Clone is for dry runs and for changes that may fail half way.
+// Clone returns a deep copy, for dry runs and for changes that may fail half way.
 func (r *Registry) Clone() *Registry {
-	b, _ := json.Marshal(r)
-	c, err := Load(b)
-	if err != nil {
-		return NewRegistry(r.Epoch)
-	}
-	return c
+	clone := NewRegistry("")
+	encoded, _ := json.Marshal(r) // its fields can always be encoded, as limits are finite
+	_ = json.Unmarshal(encoded, clone)
+	return clone
 }
 
-func (r *Registry) touch(t *Tenant) {
+// Names returns the names of all tenants in order.
+func (r *Registry) Names() []string { return slices.Sorted(maps.Keys(r.Tenants)) }
+
+// changed notes a change of a tenant.
+func (r *Registry) changed(t *Tenant) {
 	r.Version++
 	t.Version++
 	r.ChangedIn[t.Name] = r.Version
 }
 
-func nameFault(name string) *ChangeError {
-	if len(name) < 1 || len(name) > 63 {
-		return refuse(422, "invalid_name", "name", "a name has 1 to 63 characters")
-	}
-	for _, c := range name {
-		if !(c >= 'a' && c <= 'z' || c >= '0' && c <= '9' || c == '-') {
-			return refuse(422, "invalid_name", "name", "a name has small letters, digits and hyphens, not %q", c)
-		}
-	}
-	return nil
-}
-
-func (l Limits) fault(field string) *ChangeError {
-	for name, v := range map[string]float64{"share_per_s": l.SharePerS, "weight": l.Weight, "per_s": l.PerS, "tokens_per_s": l.TokensPerS,
-		"burst_s": l.BurstS, "concurrent": float64(l.Concurrent), "largest_prompt": float64(l.LargestPrompt), "waiting": float64(l.Waiting)} {
-		if !(v >= 0 && v <= 1e9) {
-			return refuse(422, "invalid_limit", field+"."+name, "must be from 0 to 1000000000")
-		}
-	}
-	return nil
-}
-
-// Create adds a tenant. The same creation again, as after an answer that was lost, changes nothing.
-func (r *Registry) Create(now int64, name string, limits Limits, products map[string]Limits) (t *Tenant, made bool, fault *ChangeError) {
-	if fault := nameFault(name); fault != nil {
-		return nil, false, fault
+// Create adds a tenant. The same creation again, as after an answer that was lost, changes nothing. An error is a
+// *ChangeError, as with all changes.
+func (r *Registry) Create(now int64, name string, limits Limits, products map[string]Limits) (
+	t *Tenant, created bool, err error,
+) {
+	if err := checkName(name); err != nil {
+		return nil, false, err
 	}
-	if fault := limits.fault("limits"); fault != nil {
-		return nil, false, fault
-	}
-	for p, l := range products {
-		if fault := l.fault("products." + p); fault != nil {
-			return nil, false, fault
-		}
+	if err := checkLimits(&limits, products); err != nil {
+		return nil, false, err
 	}
 	old := r.Tenants[name]
-	switch {
-	case old == nil:
-	case old.State == StateRemoved && now-old.RemovedAt >= NameReuseDelay:
-	case old.State == StateRemoved || old.State == StateRemoving:
-		return nil, false, refuse(409, "name_resting", "name", "the name was a removed tenant's and rests for %d hours", NameReuseDelay/3600)
-	case old.Limits == limits && len(old.Products) == len(products) && (len(products) == 0 || reflect.DeepEqual(old.Products, products)):
-		return old, false, nil
-	default:
-		return nil, false, refuse(409, "exists", "name", "there is a tenant %q", name)
+	if old != nil {
+		reusable := old.State == StateRemoved && now-old.RemovedAt >= nameReuseDelay
+		switch {
+		case reusable:
+		case old.removed():
+			return nil, false, conflict(CodeNameReserved, "name",
+				"the name was a removed tenant's and rests for %d hours", nameReuseDelay/3600)
+		case old.Limits == limits && equalProducts(old.Products, products):
+			return old, false, nil
+		default:
+			return nil, false, conflict(CodeExists, "name", "there is a tenant %q", name)
+		}
 	}
 	r.LastID++
 	t = &Tenant{ID: r.LastID, Name: name, State: StateActive, Limits: limits, Products: products, CreatedAt: now}
@@ -174,40 +115,47 @@
 		t.Version = old.Version
 	}
 	r.Tenants[name] = t
-	r.touch(t)
+	r.changed(t)
 	return t, true, nil
 }
 
-// find looks a tenant up for a change that was made against a version of it; 0 is any.
-func (r *Registry) find(name string, version uint64) (*Tenant, *ChangeError) {
+func equalProducts(a, b map[string]Limits) bool {
+	return len(a) == 0 && len(b) == 0 || reflect.DeepEqual(a, b)
+}
+
+// find returns a tenant for a change that was made against a version of it; 0 is any version.
+func (r *Registry) find(name string, version uint64) (*Tenant, error) {
 	t := r.Tenants[name]
-	switch {
-	case t == nil:
-		return nil, refuse(404, "no_tenant", "", "there is no tenant %q", name)
-	case version != 0 && version != t.Version:
-		return nil, refuse(412, "changed_meanwhile", "", "the tenant was changed meanwhile: it has version %d, not %d", t.Version, version)
+	if t == nil {
+		return nil, notFound(CodeNoTenant, "there is no tenant %q", name)
+	}
+	if version != 0 && version != t.Version {
+		reason := fmt.Sprintf("the tenant was changed meanwhile: it has version %d, not %d", t.Version, version)
+		return nil, &ChangeError{http.StatusPreconditionFailed, CodeVersionMismatch, "", reason}
 	}
 	return t, nil
 }
 
-// SetLimits sets limits.
-func (r *Registry) SetLimits(name string, version uint64, limits *Limits, products map[string]Limits) (*Tenant, *ChangeError) {
-	t, fault := r.find(name, version)
-	if fault != nil {
-		return nil, fault
+// findServing is find for changes that a removed tenant can't have.
+func (r *Registry) findServing(name string, version uint64) (*Tenant, error) {
+	t, err := r.find(name, version)
+	if err != nil {
+		return nil, err
 	}
-	if t.State == StateRemoving || t.State == StateRemoved {
-		return nil, refuse(409, "removed", "", "the tenant is %s", t.State)
+	if t.removed() {
+		return nil, conflict(CodeRemoved, "", "the tenant is %s", t.State)
 	}
-	if limits != nil {
-		if fault := limits.fault("limits"); fault != nil {
-			return nil, fault
-		}
+	return t, nil
+}
+
+// SetLimits replaces a tenant's limits and those of its products; nil leaves them as they are.
+func (r *Registry) SetLimits(name string, version uint64, limits *Limits, products map[string]Limits) (*Tenant, error) {
+	t, err := r.findServing(name, version)
+	if err != nil {
+		return nil, err
 	}
-	for p, l := range products {
-		if fault := l.fault("products." + p); fault != nil {
-			return nil, fault
-		}
+	if err := checkLimits(limits, products); err != nil {
+		return nil, err
 	}
 	if limits != nil {
 		t.Limits = *limits
@@ -215,250 +163,53 @@
 	if products != nil {
 		t.Products = products
 	}
-	r.touch(t)
+	r.changed(t)
 	return t, nil
 }
 
-// SetServing suspends a tenant, or takes it into service again.
-func (r *Registry) SetServing(name string, version uint64, on bool) (*Tenant, *ChangeError) {
-	t, fault := r.find(name, version)
-	if fault != nil {
-		return nil, fault
+// SetServing suspends a tenant or takes it back into service.
+func (r *Registry) SetServing(name string, version uint64, serving bool) (*Tenant, error) {
+	t, err := r.findServing(name, version)
+	if err != nil {
+		return nil, err
 	}
-	want := map[bool]string{true: StateActive, false: StateSuspended}[on]
-	if t.State == StateRemoving || t.State == StateRemoved {
-		return nil, refuse(409, "removed", "", "the tenant is %s", t.State)
+	state := StateSuspended
+	if serving {
+		state = StateActive
 	}
-	if t.State != want {
-		t.State = want
-		r.touch(t)
+	if t.State != state {
+		t.State = state
+		r.changed(t)
 	}
 	return t, nil
 }
 
-// Remove begins a tenant's end. All of its keys are worth nothing from now on.
-func (r *Registry) Remove(name string, version uint64, policy string) (*Tenant, *ChangeError) {
-	t, fault := r.find(name, version)
-	if fault != nil {
-		return nil, fault
+// Remove begins the removal of a tenant. All of its keys are invalid from now on.
+func (r *Registry) Remove(name string, version uint64, policy RemovalPolicy) (*Tenant, error) {
+	t, err := r.find(name, version)
+	if err != nil {
+		return nil, err
 	}
 	if policy != RemovalFinish && policy != RemovalStop {
-		return nil, refuse(422, "invalid_policy", "policy", "must be %q or %q", RemovalFinish, RemovalStop)
+		return nil, invalid(CodeInvalidPolicy, "policy", "must be %q or %q", RemovalFinish, RemovalStop)
 	}
-	switch {
-	case t.State == StateRemoved, t.State == StateRemoving && (t.Removal == policy || policy == RemovalFinish):
+	// A removal can be made stricter while it is under way, not milder.
+	underWay := t.State == StateRemoving && (t.Removal == policy || policy == RemovalFinish)
+	if t.State == StateRemoved || underWay {
 		return t, nil
 	}
 	t.State, t.Removal, t.Keys = StateRemoving, policy, nil
-	r.touch(t)
+	r.changed(t)
 	return t, nil
 }
 
-// CompleteRemoval tells that nothing of a tenant runs any more: its data go, its name rests.
+// CompleteRemoval drops the data of a tenant that is being removed, once nothing of it runs any more. Its
+// name stays reserved for a while.
 func (r *Registry) CompleteRemoval(now int64, name string) {
-	if t := r.Tenants[name]; t != nil && t.State == StateRemoving {
-		t.State, t.RemovedAt, t.Limits, t.Products = StateRemoved, now, Limits{}, nil
-		r.touch(t)
-	}
-}
-
-// IssueKey is a new key for a tenant; text is the key itself, which is never seen again.
-func (r *Registry) IssueKey(now int64, name string, version uint64, secret, random []byte, label string, scopes []string, expires int64,
-	limits Limits) (text string, k *KeyRecord, t *Tenant, fault *ChangeError) {
-	t, fault = r.find(name, version)
-	if fault != nil {
-		return "", nil, nil, fault
-	}
-	if t.State != StateActive && t.State != StateSuspended {
-		return "", nil, nil, refuse(409, "removed", "", "the tenant is %s", t.State)
-	}
-	if len(scopes) == 0 {
-		scopes = []string{ScopeChat}
-	}
-	for _, s := range scopes {
-		if s != ScopeChat && s != ScopeAdmin {
-			return "", nil, nil, refuse(422, "invalid_scope", "scopes", "there is no scope %q; there are %s and %s", s, ScopeChat, ScopeAdmin)
-		}
-	}
-	if expires != 0 && expires <= now {
-		return "", nil, nil, refuse(422, "invalid_expiry", "expires_s", "lies in the past")
-	}
-	if fault := limits.fault("limits"); fault != nil {
-		return "", nil, nil, fault
-	}
-	if len(random) < 30 {
-		return "", nil, nil, refuse(500, "no_random", "", "too little randomness")
-	}
-	id := hex.EncodeToString(random[:6])
-	text = "sk-" + id + "-" + hex.EncodeToString(random[6:30])
-	k = &KeyRecord{ID: id, MAC: seal(secret, text), Label: label, Scopes: scopes, CreatedAt: now, ExpiresAt: expires, Limits: limits}
-	t.Keys = append(t.Keys, *k)
-	r.touch(t)
-	return text, k, t, nil
-}
-
-// RevokeKey ends a key at once, or at a time, so that a new one can overlap with it.
-func (r *Registry) RevokeKey(now int64, name string, version uint64, id string, at int64) (*Tenant, *ChangeError) {
-	t, fault := r.find(name, version)
-	if fault != nil {
-		return nil, fault
-	}
-	for i := range t.Keys {
-		k := &t.Keys[i]
-		if k.ID != id {
-			continue
-		}
-		if at > now {
-			k.ExpiresAt = at
-		} else if k.RevokedAt == 0 {
-			k.RevokedAt = now
-		}
-		r.touch(t)
-		return t, nil
-	}
-	return nil, refuse(404, "no_key", "", "the tenant has no key %q", id)
-}
-
-// Names are all tenants in order.
-func (r *Registry) Names() []string { return slices.Sorted(maps.Keys(r.Tenants)) }
-
-// seal is what a key is kept as: an HMAC with the server's secret. The keys are random and long, so that a slow hash
-// would add nothing but its cost on the path.
-func seal(secret []byte, key string) string {
-	m := hmac.New(sha256.New, secret)
-	m.Write([]byte(key))
-	return hex.EncodeToString(m.Sum(nil))
-}
-
-// --- What followers are told ---
-
-// Update is one message to those that follow the registry: all of it, or what has changed since a version.
-type Update struct {
-	Epoch       string    `json:"epoch"`
-	Version     uint64    `json:"version"`
-	Since       uint64    `json:"since,omitempty"`
-	Complete    bool      `json:"whole,omitempty"`
-	Tenants     []*Tenant `json:"tenants"`
-	PublicTexts []string  `json:"public_texts"`
-}
-
-// UpdateSince is what a follower of a version has missed; all, where it followed another epoch.
-func (r *Registry) UpdateSince(epoch string, version uint64) Update {
-	n := Update{Epoch: r.Epoch, Version: r.Version, Since: version, PublicTexts: r.PublicTexts, Complete: epoch != r.Epoch || version == 0 || version > r.Version}
-	for _, name := range r.Names() {
-		if t := r.Tenants[name]; n.Complete && t.State != StateRemoved || !n.Complete && r.ChangedIn[name] > version {
-			n.Tenants = append(n.Tenants, t)
-		}
-	}
-	return n
-}
-
-// Directory is a dispatcher's copy: who a key is, and what has to change at the gate. It shares nothing with the registry.
-type Directory struct {
-	Epoch   string
-	Version uint64
-	secret  []byte
-	tenants map[string]*Tenant
-	keys    map[string]known
-	public  map[string]bool
-}
-
-type known struct {
-	tenant *Tenant
-	key    KeyRecord
-}
-
-// NewDirectory makes an empty one.
-func NewDirectory(secret []byte) *Directory {
-	return &Directory{secret: secret, tenants: map[string]*Tenant{}, keys: map[string]known{}, public: map[string]bool{}}
-}
-
-// Apply reads one message. It gives the tenants that have changed, those that are gone from a whole list as removed.
-func (d *Directory) Apply(data []byte) (changed []*Tenant, err error) {
-	var n Update
-	if err := json.Unmarshal(data, &n); err != nil {
-		return nil, fmt.Errorf("not the tenants' news: %w", err)
-	}
-	same := n.Epoch == d.Epoch
-	switch {
-	case same && n.Version < d.Version, same && !n.Complete && n.Version == d.Version:
-		return nil, nil
-	case !n.Complete && (!same || n.Since != d.Version):
-		return nil, &subscribe.GapError{Have: d.Version, Since: n.Since}
-	}
-	named := map[string]bool{}
-	for _, t := range n.Tenants {
-		if t == nil || t.Name == "" {
-			return nil, fmt.Errorf("a tenant without a name")
-		}
-		named[t.Name] = true
-	}
-	if n.Complete {
-		for _, name := range slices.Sorted(maps.Keys(d.tenants)) {
-			if !named[name] {
-				gone := *d.tenants[name]
-				gone.State, gone.Keys = StateRemoved, nil
-				n.Tenants = append(n.Tenants, &gone)
-			}
-		}
-	}
-	for _, t := range n.Tenants {
-		if old := d.tenants[t.Name]; old != nil {
-			if old.ID != t.ID {
-				end := *old
-				end.State, end.Removal, end.Keys = StateRemoving, RemovalStop, nil
-				changed = append(changed, &end) // the name is another's now
-			}
-			for _, k := range old.Keys {
-				delete(d.keys, k.ID)
-			}
-		}
-		if t.State == StateRemoved {
-			delete(d.tenants, t.Name)
-		} else {
-			d.tenants[t.Name] = t
-			for _, k := range t.Keys {
-				d.keys[k.ID] = known{t, k}
-			}
-		}
-		changed = append(changed, t)
-	}
-	clear(d.public)
-	for _, p := range n.PublicTexts {
-		d.public[p] = true
-	}
-	d.Epoch, d.Version = n.Epoch, n.Version
-	return changed, nil
-}
-
-// IsPublicText tells whether the operator lets tenants share a text, by its digest.
-func (d *Directory) IsPublicText(digest string) bool { return d.public[digest] }
-
-// Authenticate finds the tenant and the key record of a key's text. It takes the same time for a key that is nearly right as
-// for one that is not; an unknown one costs a look-up and leaves nothing.
-func (d *Directory) Authenticate(now int64, text string) (*Tenant, *KeyRecord, bool) {
-	id, _, ok := strings.Cut(strings.TrimPrefix(text, "sk-"), "-")
-	if !ok || !strings.HasPrefix(text, "sk-") {
-		return nil, nil, false
-	}
-	k, some := d.keys[id]
-	if !some || !k.key.Matches(d.secret, text, now) {
-		return nil, nil, false
-	}
-	return k.tenant, &k.key, true
-}
-
-// Matches tells whether a text is this key, and the key is worth something now.
-func (k *KeyRecord) Matches(secret []byte, text string, now int64) bool {
-	return hmac.Equal([]byte(k.MAC), []byte(seal(secret, text))) && k.RevokedAt == 0 && (k.ExpiresAt == 0 || now < k.ExpiresAt)
-}
-
-// Snapshot is the directory as it is known, for keeping.
-func (d *Directory) Snapshot() []byte {
-	n := Update{Epoch: d.Epoch, Version: d.Version, Complete: true, PublicTexts: slices.Sorted(maps.Keys(d.public))}
-	for _, name := range slices.Sorted(maps.Keys(d.tenants)) {
-		n.Tenants = append(n.Tenants, d.tenants[name])
+	t := r.Tenants[name]
+	if t == nil || t.State != StateRemoving {
+		return
 	}
-	b, _ := json.Marshal(n)
-	return b
+	t.State, t.RemovedAt, t.Limits, t.Products = StateRemoved, now, Limits{}, nil
+	r.changed(t)
 }
