--- a/internal/admin/environment_test.go
+++ b/internal/admin/environment_test.go
@@ -126,7 +126,7 @@
 		Name:          name,
 		Zone:          d.Zones[i%2],
 		Seed:          int64(i + 1),
-		Discovery:     e.fleet.Roster.Addr,
+		Discovery:     e.fleet.Discovery.Addr,
 		Log:           zerolog.Nop(),
 		Tenants:       e.serverAddr,
 		Secret:        secret,
