--- a/internal/cli/sim_replay.go
+++ b/internal/cli/sim_replay.go
@@ -46,7 +46,7 @@
 	}
 	begin := events[0].At
 	for i, event := range events {
-		isFault := event.Type == "trouble" || event.Type == "killed"
+		isFault := event.Type == record.FaultInjected || event.Type == record.DispatcherKilled
 		if isFault || event.Request == c.Trace || "host:"+strconv.Itoa(int(event.Endpoint)) == c.Trace {
 			env.printf("%6d %10.3f ms  %s\n", i+1, float64(event.At-begin)/1000, eventText(event))
 		}
--- a/internal/dispatch/stages_test.go
+++ b/internal/dispatch/stages_test.go
@@ -40,7 +40,7 @@
 	w := virtual.NewNetwork(1)
 	y := &yard{rig: &rig{t: t, w: w, loop: w.NewLoop("d"), far: w.NewLoop("far"), d: d}}
 	y.book, _ = record.Open("")
-	y.book.Add(record.Event{At: int64(w.Now()), Type: "world", Count: int64(w.Latency)})
+	y.book.Add(record.Event{At: int64(w.Now()), Type: record.NetworkLatency, Count: int64(w.Latency)})
 	var err error
 	y.far.Do(func() { y.fleet, err = modelserver.Start(y.far, d, 1, "127.0.0.1:0", y.book) })
 	if err != nil {
@@ -97,7 +97,7 @@
 	if limit > 0 {
 		fields = append(fields, "x-time-limit-ms", fmt.Sprint(limit/eventloop.Millisecond))
 	}
-	y.book.Add(record.Event{At: int64(y.w.Now()), Type: "ask", Request: id, ClientAttempt: 1, Dispatcher: "d", Product: product, Value: float64(limit)})
+	y.book.Add(record.Event{At: int64(y.w.Now()), Type: record.RequestSent, Request: id, ClientAttempt: 1, Dispatcher: "d", Product: product, Value: float64(limit)})
 	return y.send(fmt.Sprintf(`{"model":%q,"stream":%v,"messages":[{"role":"user","content":%q}]}`, product, !whole, strings.Repeat("tell ", tokens*4/5)), fields...)
 }
 
@@ -149,9 +149,9 @@
 		if len(c.finals) > 0 {
 			how = c.finals[0]
 		}
-		y.book.Add(record.Event{At: int64(y.w.Now()), Type: "final", Request: "g", ClientAttempt: 1, Dispatcher: "d", Product: product, Detail: how, Exact: true, Count: int64(len(c.text))})
+		y.book.Add(record.Event{At: int64(y.w.Now()), Type: record.FinalAnswer, Request: "g", ClientAttempt: 1, Dispatcher: "d", Product: product, Detail: how, Exact: true, Count: int64(len(c.text))})
 	} else {
-		y.book.Add(record.Event{At: int64(y.w.Now()), Type: "final", Request: "g", ClientAttempt: 1, Dispatcher: "d", Product: product, Detail: "terminated", Count: 1})
+		y.book.Add(record.Event{At: int64(y.w.Now()), Type: record.FinalAnswer, Request: "g", ClientAttempt: 1, Dispatcher: "d", Product: product, Detail: record.Failed, Count: 1})
 	}
 	y.w.Run(eventloop.Second)
 	if jobs, states, tokens := y.fleet.Outstanding(); y.d.Fleet.CancelStops && (jobs > 0 || states > 0 || tokens > 0) {
@@ -181,7 +181,7 @@
 		y.t.Error(err)
 	}
 	events, _ := y.book.Close()
-	events = slices.DeleteFunc(events, func(e record.Event) bool { return e.Request == "blocker" && e.Type == "ask" })
+	events = slices.DeleteFunc(events, func(e record.Event) bool { return e.Request == "blocker" && e.Type == record.RequestSent })
 	v := audit.Judge(y.d, events)
 	for i, r := range v.Rules {
 		for _, b := range r.Violations {
@@ -189,7 +189,7 @@
 		}
 	}
 	for _, e := range events {
-		if e.Type == "lease" {
+		if e.Type == record.StateLeaseExpired {
 			y.t.Errorf("the state of leg %s was let go of by its host's lease alone", e.Attempt)
 		}
 	}
@@ -251,8 +251,8 @@
 			events, _ := y.book.Close()
 			at := map[string]eventloop.Micros{"streamed": ended - y.w.Latency}
 			for _, e := range events {
-				if e.Request == "g" && (e.Type == "ran" || e.Type == "answered" && e.Detail == "read") {
-					at[e.Type] = eventloop.Micros(e.At) - began
+				if e.Request == "g" && (e.Type == record.AttemptRan || e.Type == record.AttemptAnswered && e.Detail == "read") {
+					at[string(e.Type)] = eventloop.Micros(e.At) - began
 				}
 			}
 			for _, what := range []string{"answered", "ran", "streamed"} {
@@ -278,7 +278,7 @@
 							}
 							c := y.begin("g", product, 5000, whole, limit)
 							y.w.Run(stands)
-							y.book.Add(record.Event{At: int64(y.w.Now()), Type: "away", Dispatcher: "d", Detail: "stands", Count: int64(still)})
+							y.book.Add(record.Event{At: int64(y.w.Now()), Type: record.DispatcherUnavailable, Dispatcher: "d", Detail: "stands", Count: int64(still)})
 							y.virtual().Freeze(still)
 							y.w.Run(ends - stands)
 							if e.do != nil {
--- a/internal/testbed/audit/audit.go
+++ b/internal/testbed/audit/audit.go
@@ -136,20 +136,20 @@
 	at := map[uint32][]*leg{}
 	for i, e := range events {
 		switch e.Type {
-		case "world":
+		case record.NetworkLatency:
 			j.slack = 4*e.Count + 2000
-		case "away":
-			j.away[e.Dispatcher] = append(j.away[e.Dispatcher], away{e.At, e.At + e.Count, e.Detail == "cut"})
-		case "refuse":
+		case record.DispatcherUnavailable:
+			j.away[e.Dispatcher] = append(j.away[e.Dispatcher], away{e.At, e.At + e.Count, e.Detail == record.Partitioned})
+		case record.AttemptRefused:
 			if _, before := j.refused[e.Attempt]; !before && slices.Contains(proofs, e.Detail) {
 				j.refused[e.Attempt] = e.At
 			}
-		case "killed":
+		case record.DispatcherKilled:
 			j.killed[e.Dispatcher] = append(j.killed[e.Dispatcher], e.At)
 			if place, _, lives := strings.Cut(e.Dispatcher, "."); lives {
 				j.killed[place] = append(j.killed[place], e.At)
 			}
-		case "leg":
+		case record.AttemptArrived:
 			if l := j.byLeg[e.Attempt]; l != nil {
 				j.fail(1, i+1, e.Request, "leg %s was sent twice (first on line %d)", e.Attempt, l.line)
 				continue
@@ -158,18 +158,18 @@
 			j.byLeg[e.Attempt] = l
 			j.legs[owner(e.Attempt)] = append(j.legs[owner(e.Attempt)], l)
 			at[e.Endpoint] = append(at[e.Endpoint], l)
-		case "quit", "answered", "left":
+		case record.ConnectionLost, record.AttemptAnswered, record.AttemptLeft:
 			if l := j.byLeg[e.Attempt]; l != nil && l.end == 0 {
 				l.end = e.At
 			}
-		case "down":
+		case record.EndpointDown:
 			for _, l := range at[e.Endpoint] {
 				if l.end == 0 {
 					l.end = e.At
 				}
 			}
 			at[e.Endpoint] = nil
-		case "ran":
+		case record.AttemptRan:
 			j.ran[e.Request] = append(j.ran[e.Request], i+1)
 		}
 	}
@@ -243,12 +243,12 @@
 	for i, e := range events {
 		key := fmt.Sprintf("%s/%d", e.Request, e.ClientAttempt)
 		switch e.Type {
-		case "ask":
+		case record.RequestSent:
 			if j.tries[key] == nil {
 				j.tries[key] = &tried{line: i + 1, at: e.At, allow: int64(e.Value), dispatcher: e.Dispatcher, product: e.Product}
 				j.order = append(j.order, key)
 			}
-		case "final":
+		case record.FinalAnswer:
 			t := j.tries[key]
 			if t == nil {
 				j.fail(0, i+1, e.Request, "an answer to what was never asked")
@@ -260,21 +260,21 @@
 			}
 			t.how, t.final = e.Detail, e.At
 			switch {
-			case e.Detail == "streamed" && !e.Exact:
+			case e.Detail == record.Completed && !e.Exact:
 				j.fail(0, i+1, e.Request, "streamed, but not byte for byte what the writer gave")
-			case e.Detail != "streamed" && e.Count == 0 && t.allow > 0 && e.At > t.at+t.allow+j.slack && !j.stood(e.Dispatcher, t.at) &&
+			case e.Detail != record.Completed && e.Count == 0 && t.allow > 0 && e.At > t.at+t.allow+j.slack && !j.stood(e.Dispatcher, t.at) &&
 				!j.stood(e.Dispatcher, t.at+t.allow):
 				j.fail(0, i+1, e.Request, "answered %d ms after the client's time (%s, try %d)", (e.At-t.at-t.allow)/1000, e.Detail, e.ClientAttempt)
-			case e.Detail == "streamed" || e.Detail == "throttled" || e.Detail == "terminated":
-			case (e.Detail == "broken" || e.Detail == "gave_up") && j.wasKilled(place(e.Dispatcher), t.at, e.At):
-			case e.Detail == "gave_up" && (j.stood(e.Dispatcher, t.at) || j.stood(e.Dispatcher, e.At)):
+			case e.Detail == record.Completed || e.Detail == record.Rejected || e.Detail == record.Failed:
+			case (e.Detail == record.Broken || e.Detail == record.GaveUp) && j.wasKilled(place(e.Dispatcher), t.at, e.At):
+			case e.Detail == record.GaveUp && (j.stood(e.Dispatcher, t.at) || j.stood(e.Dispatcher, e.At)):
 				// It could not answer then; or took the request later than it came, and counts its client's time from there.
 			default:
 				j.fail(0, i+1, e.Request, "no final answer to try %d: %s", e.ClientAttempt, e.Detail)
 			}
-		case "after":
+		case record.BytesAfterFinal:
 			j.fail(0, i+1, e.Request, "something came after the final answer (%s)", e.Detail)
-		case "malformed":
+		case record.MalformedAnswer:
 			j.fail(0, i+1, e.Request, "malformed: %s", e.Detail)
 		}
 	}
@@ -310,7 +310,7 @@
 			continue
 		}
 		for n := 1; n <= 9; n++ {
-			if t := j.tries[fmt.Sprintf("%s/%d", gen, n)]; t != nil && t.how == "throttled" && t.final+j.slack > first.At && t.at < first.At {
+			if t := j.tries[fmt.Sprintf("%s/%d", gen, n)]; t != nil && t.how == record.Rejected && t.final+j.slack > first.At && t.at < first.At {
 				j.fail(1, lines[0], gen, "throttled (try %d), though it ran", n)
 			}
 		}
@@ -332,13 +332,13 @@
 	legs := map[string][]*leg{} // by the client's generation
 	for _, own := range sortedKeys(j.legs) {
 		for _, l := range j.legs[own] {
-			if l.event.Detail == "write" {
+			if l.event.Detail == record.Decode {
 				legs[l.event.Request] = append(legs[l.event.Request], l)
 			}
 		}
 	}
 	for _, e := range events {
-		if e.Type != "final" || e.Detail != "throttled" {
+		if e.Type != record.FinalAnswer || e.Detail != record.Rejected {
 			continue
 		}
 		t := j.tries[fmt.Sprintf("%s/%d", e.Request, e.ClientAttempt)]
@@ -381,13 +381,13 @@
 	for i, e := range events {
 		key := pair{e.Dispatcher, e.Endpoint}
 		switch e.Type {
-		case "told":
+		case record.UpdateDelivered:
 			if e.Detail == "ready" {
 				delete(told, key)
 			} else if _, before := told[key]; !before {
 				told[key] = e
 			}
-		case "leg":
+		case record.AttemptArrived:
 			j.v.Rules[2].Checked++
 			t, bound := told[key]
 			if due := j.awayAt(e.Dispatcher, t.At) + grace; bound && e.At > due && !late(e.Dispatcher, due, e.At) {
@@ -407,9 +407,9 @@
 	started, all := map[uint32]int64{}, map[uint32][]came{}
 	for i, e := range events {
 		switch e.Type {
-		case "up":
+		case record.EndpointUp:
 			started[e.Endpoint], all[e.Endpoint] = e.Count, nil
-		case "leg":
+		case record.AttemptArrived:
 			age := e.At - started[e.Endpoint]
 			could := j.could(e.Kind, age)
 			if started[e.Endpoint] == 0 || could == 0 {
@@ -426,15 +426,15 @@
 			if n := len(all[e.Endpoint]); used > 1 && n > 1 {
 				j.fail(3, i+1, e.Request, "cold host %d was sent %.2f of what a sound one bears %d ms after its start, in %d legs", e.Endpoint, used, age/1000, n)
 			}
-		case "cold":
+		case record.SlowStartLoad:
 			j.v.Rules[3].Checked++
 			j.v.PeakSlowStartUse = max(j.v.PeakSlowStartUse, e.Value)
 			if e.Value > 1 {
 				j.fail(3, i+1, "", "cold host %d was sent %.2f of what it bears, in %d legs", e.Endpoint, e.Value, e.Count)
 			}
-		case "misled":
+		case record.ChatAtEmbedder:
 			j.fail(2, i+1, e.Request, "chat was sent to host %d, which only embeds", e.Endpoint)
-		case "fell":
+		case record.EndpointOverloaded:
 			j.fail(3, i+1, "", "cold host %d fell over", e.Endpoint)
 		}
 	}
@@ -497,19 +497,19 @@
 	}
 	for i, e := range events {
 		switch e.Type {
-		case "hold":
+		case record.StatePinned:
 			holds[e.Attempt] = held{i + 1, e}
 			if byHost[e.Endpoint] == nil {
 				byHost[e.Endpoint] = map[string]bool{}
 			}
 			byHost[e.Endpoint][e.Attempt] = true
-		case "took", "released", "lease":
+		case record.StateFetched, record.StateReleased, record.StateLeaseExpired:
 			if h, some := holds[e.Attempt]; some {
 				close(h, e.At)
 				delete(holds, e.Attempt)
 				delete(byHost[e.Endpoint], e.Attempt)
 			}
-		case "down":
+		case record.EndpointDown:
 			for name := range byHost[e.Endpoint] {
 				close(holds[name], e.At)
 				delete(holds, name)
@@ -537,13 +537,13 @@
 	}
 	legs := map[string]int{}
 	for _, e := range events {
-		if e.Type == "leg" {
+		if e.Type == record.AttemptArrived {
 			legs[e.Request]++
 		}
 	}
 	var earned, asked float64
 	for _, e := range events {
-		if e.Type != "over" {
+		if e.Type != record.RequestOver {
 			continue
 		}
 		p := j.effects[e.Product]
@@ -556,24 +556,24 @@
 			r.Asked++
 			r.Attempts += legs[e.Request]
 			switch e.Detail {
-			case "streamed":
+			case record.Completed:
 				r.Completed++
 				_ = r.FirstToken.RecordValue(max(e.Count, 1))
 				if e.Exact {
 					r.InSLO++
 				}
-			case "throttled":
+			case record.Rejected:
 				r.Rejected++
-			case "terminated":
+			case record.Failed:
 				r.Failed++
 			default:
 				r.Lost++
 			}
 		}
 		switch {
-		case e.Detail == "streamed" && e.Exact:
+		case e.Detail == record.Completed && e.Exact:
 			earned += worth
-		case e.Detail == "streamed" && p != nil:
+		case e.Detail == record.Completed && p != nil:
 			earned += worth * p.LateShare
 		}
 	}
--- a/internal/testbed/audit/recorded_test.go
+++ b/internal/testbed/audit/recorded_test.go
@@ -67,22 +67,22 @@
 // away for a moment does not excuse it afterwards.
 func TestExcuses(t *testing.T) {
 	leg := func(at int64, how, name string, host uint32) record.Event {
-		return record.Event{At: at * ms, Type: "leg", Request: "g1", Attempt: name, Endpoint: host, Dispatcher: "d1", Product: "review-post", Detail: how}
+		return record.Event{At: at * ms, Type: record.AttemptArrived, Request: "g1", Attempt: name, Endpoint: host, Dispatcher: "d1", Product: "review-post", Detail: how}
 	}
 	away := func(at, span int64, how string) record.Event {
-		return record.Event{At: at * ms, Type: "away", Dispatcher: "d1", Detail: how, Count: span * ms}
+		return record.Event{At: at * ms, Type: record.DispatcherUnavailable, Dispatcher: "d1", Detail: how, Count: span * ms}
 	}
 	// read is a review that was read and whose state waits; then what comes, and a throttling.
 	read := func(final int64, then ...record.Event) []record.Event {
-		then = append(then, record.Event{At: final * ms, Type: "final", Request: "g1", ClientAttempt: 1, Dispatcher: "d1", Detail: "throttled"})
+		then = append(then, record.Event{At: final * ms, Type: record.FinalAnswer, Request: "g1", ClientAttempt: 1, Dispatcher: "d1", Detail: record.Rejected})
 		return append(slices.Clone(clean()[:5]), then...)
 	}
 	released := func(at int64) record.Event {
-		return record.Event{At: at * ms, Type: "released", Attempt: "d1-1-0", Endpoint: 1}
+		return record.Event{At: at * ms, Type: record.StateReleased, Attempt: "d1-1-0", Endpoint: 1}
 	}
-	answered := record.Event{At: 95 * ms, Type: "answered", Attempt: "d1-1-1", Endpoint: 2}
+	answered := record.Event{At: 95 * ms, Type: record.AttemptAnswered, Attempt: "d1-1-1", Endpoint: 2}
 	refuse := func(how string) record.Event {
-		return record.Event{At: 95 * ms, Type: "refuse", Attempt: "d1-1-1", Endpoint: 2, Detail: how}
+		return record.Event{At: 95 * ms, Type: record.AttemptRefused, Attempt: "d1-1-1", Endpoint: 2, Detail: how}
 	}
 	write := leg(92, "write", "d1-1-1", 2)
 	gaveUp := func(how string) []record.Event {
@@ -104,18 +104,18 @@
 		}(), 1},
 		{"throttled with a write out", read(300, write, released(200)), 2},
 		{"throttled with a write out that runs afterwards", append(read(300, write, released(200)),
-			record.Event{At: 1000 * ms, Type: "ran", Request: "g1", Attempt: "d1-1-1", Endpoint: 2, Product: "review-post", Detail: "write"}), 2},
+			record.Event{At: 1000 * ms, Type: record.AttemptRan, Request: "g1", Attempt: "d1-1-1", Endpoint: 2, Product: "review-post", Detail: record.Decode}), 2},
 		{"throttled after its write was refused", read(300, write, refuse("full"), answered, released(200)), 0},
 		{"throttled after its write failed", read(300, write, refuse("internal"), answered, released(200)), 2},
-		{"sent after a drain, long after it was away", []record.Event{{At: 0, Type: "told", Dispatcher: "d1", Endpoint: 1, Detail: "draining"}, away(10, 200, "stands"),
-			{At: 900 * ms, Type: "ask", Request: "g1", ClientAttempt: 1, Dispatcher: "d1", Product: "review-post"}, leg(1000, "read", "d1-1-0", 1),
-			{At: 1100 * ms, Type: "answered", Attempt: "d1-1-0", Endpoint: 1},
-			{At: 1200 * ms, Type: "final", Request: "g1", ClientAttempt: 1, Dispatcher: "d1", Detail: "throttled"}}, 3},
+		{"sent after a drain, long after it was away", []record.Event{{At: 0, Type: record.UpdateDelivered, Dispatcher: "d1", Endpoint: 1, Detail: "draining"}, away(10, 200, "stands"),
+			{At: 900 * ms, Type: record.RequestSent, Request: "g1", ClientAttempt: 1, Dispatcher: "d1", Product: "review-post"}, leg(1000, "read", "d1-1-0", 1),
+			{At: 1100 * ms, Type: record.AttemptAnswered, Attempt: "d1-1-0", Endpoint: 1},
+			{At: 1200 * ms, Type: record.FinalAnswer, Request: "g1", ClientAttempt: 1, Dispatcher: "d1", Detail: record.Rejected}}, 3},
 		{"pinned after it was away", read(4000, away(91, 1000, "cut"), released(3900)), 5},
 		{"let go of once it was back", read(1300, away(91, 1000, "cut"), released(1400)), 0},
-		{"a cold host overloaded, by its socket alone", []record.Event{{At: 0, Type: "up", Endpoint: 7, Kind: "prefill", Count: 1},
-			{At: 1000 * ms, Type: "leg", Request: "a", Attempt: "d1-8-0", Endpoint: 7, Dispatcher: "d1", Kind: "prefill", Detail: "read", Value: 20000},
-			{At: 1100 * ms, Type: "leg", Request: "b", Attempt: "d1-9-0", Endpoint: 7, Dispatcher: "d1", Kind: "prefill", Detail: "read", Value: 20000}}, 4},
+		{"a cold host overloaded, by its socket alone", []record.Event{{At: 0, Type: record.EndpointUp, Endpoint: 7, Kind: "prefill", Count: 1},
+			{At: 1000 * ms, Type: record.AttemptArrived, Request: "a", Attempt: "d1-8-0", Endpoint: 7, Dispatcher: "d1", Kind: "prefill", Detail: record.Prefill, Value: 20000},
+			{At: 1100 * ms, Type: record.AttemptArrived, Request: "b", Attempt: "d1-9-0", Endpoint: 7, Dispatcher: "d1", Kind: "prefill", Detail: record.Prefill, Value: 20000}}, 4},
 	} {
 		v := Judge(deployment.Standard(), c.events)
 		for i, r := range v.Rules {
--- a/internal/testbed/load/batch.go
+++ b/internal/testbed/load/batch.go
@@ -80,7 +80,7 @@
 		}
 	}
 	if left < 50*eventloop.Millisecond || len(near) == 0 || c.tries >= 2*triesMost {
-		c.over("unserved")
+		c.over(record.Unserved)
 		return
 	}
 	c.tries++
@@ -101,12 +101,12 @@
 	b.Open--
 	b.Outcomes[how]++
 	took := b.Generator.loop.Now() - c.since
-	if how == "streamed" {
+	if how == record.Completed {
 		b.InputsRead += len(c.inputs)
 		b.TokensRead += len(c.inputs) * b.Tokens
 	}
-	b.Generator.book.Add(record.Event{At: int64(b.Generator.loop.Now()), Type: "over", Request: c.id, Detail: how, Product: b.Product.Name,
-		Tenant: b.Generator.d.Tenants[b.Tenant].Name, Count: int64(took), ClientAttempt: c.tries, Exact: how == "streamed"})
+	b.Generator.book.Add(record.Event{At: int64(b.Generator.loop.Now()), Type: record.RequestOver, Request: c.id, Detail: how, Product: b.Product.Name,
+		Tenant: b.Generator.d.Tenants[b.Tenant].Name, Count: int64(took), ClientAttempt: c.tries, Exact: how == record.Completed})
 	b.Generator.loop.Defer(b.next)
 }
 
@@ -129,7 +129,7 @@
 	cause   string
 }
 
-func (t *batchTry) note(what, how string) {
+func (t *batchTry) note(what record.EventType, how string) {
 	b := t.call.load
 	b.Generator.book.Add(record.Event{At: int64(b.Generator.loop.Now()), Type: what, Request: t.call.id, ClientAttempt: t.no, Dispatcher: t.name, Product: b.Product.Name,
 		Tenant: b.Generator.d.Tenants[b.Tenant].Name, Detail: how, Exact: t.exact, Value: float64(t.allow)})
@@ -137,11 +137,11 @@
 
 func (t *batchTry) Opened() {
 	t.sent = true
-	t.note("ask", "")
+	t.note(record.RequestSent, "")
 	t.conn.Write(t.request)
 	t.request = nil
 	t.timer = t.call.load.Generator.loop.AfterFunc(t.allow, func() {
-		t.final("gave_up")
+		t.final(record.GaveUp)
 		t.conn.Abort()
 	})
 }
@@ -149,19 +149,19 @@
 func (t *batchTry) Drained() {}
 func (t *batchTry) Data(b []byte) {
 	if t.whole {
-		t.note("after", "bytes")
+		t.note(record.BytesAfterFinal, "bytes")
 		return
 	}
 	if err := t.parser.Feed(b, t); err != nil && !t.ended {
 		t.cause = err.Error()
-		t.final("malformed")
+		t.final(record.Malformed)
 		t.conn.Abort()
 	}
 }
 func (t *batchTry) Head(h *http1.Head) error { t.head = h; return nil }
 func (t *batchTry) Body(b []byte) error {
 	if t.ended {
-		t.note("after", "bytes")
+		t.note(record.BytesAfterFinal, "bytes")
 	}
 	t.body = append(t.body, b...)
 	return nil
@@ -178,11 +178,11 @@
 			t.call.load.Wrong++
 		}
 		t.exact = t.cause == ""
-		t.final("streamed")
+		t.final(record.Completed)
 	case t.head.Status == 429:
-		t.final("throttled")
+		t.final(record.Rejected)
 	case t.head.Status >= 500 || t.head.Status == 422:
-		t.final("terminated")
+		t.final(record.Failed)
 	default:
 		return fmt.Errorf("status %d: %.120s", t.head.Status, t.body)
 	}
@@ -228,9 +228,9 @@
 	switch {
 	case t.ended:
 	case !t.sent:
-		t.final("unreached")
+		t.final(record.Unreached)
 	default:
-		t.final("broken")
+		t.final(record.Broken)
 	}
 }
 
@@ -241,12 +241,12 @@
 		t.timer.Stop()
 	}
 	if t.sent {
-		t.note("final", how)
+		t.note(record.FinalAnswer, how)
 	}
 	if t.cause != "" {
-		t.note("malformed", t.cause)
+		t.note(record.MalformedAnswer, t.cause)
 	}
-	if how == "streamed" {
+	if how == record.Completed {
 		t.call.over(how)
 		return
 	}
--- a/internal/testbed/load/load.go
+++ b/internal/testbed/load/load.go
@@ -180,7 +180,7 @@
 		}
 	}
 	if left < 50*eventloop.Millisecond || len(near) == 0 {
-		g.over("unserved", 0, 0)
+		g.over(record.Unserved, 0, 0)
 		return
 	}
 	g.tries++
@@ -218,11 +218,11 @@
 		prompt += len(m["content"]) / 4
 	}
 	slo := eventloop.Micros(p.SloMs)*eventloop.Millisecond + eventloop.Micros(float64(p.SloMsPer_1000Tokens)*float64(prompt))
-	e := record.Event{At: int64(c.loop.Now()), Type: "over", Request: g.id, Detail: how, Product: p.Name,
+	e := record.Event{At: int64(c.loop.Now()), Type: record.RequestOver, Request: g.id, Detail: how, Product: p.Name,
 		Tenant: c.d.Tenants[g.session.tenant].Name, Count: int64(first), ClientAttempt: g.tries}
-	e.Exact = how == "streamed" && first <= slo && pace <= eventloop.Micros(p.TokenSloMs)*eventloop.Millisecond
+	e.Exact = how == record.Completed && first <= slo && pace <= eventloop.Micros(p.TokenSloMs)*eventloop.Millisecond
 	c.book.Add(e)
-	if s := g.session; how == "streamed" && s.turns > 1 {
+	if s := g.session; how == record.Completed && s.turns > 1 {
 		s.turns--
 		s.messages = append(s.messages, map[string]string{"role": "assistant", "content": "noted"})
 		c.sessions[s.tenant] = append(c.sessions[s.tenant], s)
@@ -254,7 +254,7 @@
 	broken  string
 }
 
-func (t *try) note(what, how string) {
+func (t *try) note(what record.EventType, how string) {
 	c := t.want.crowd
 	c.book.Add(record.Event{At: int64(c.loop.Now()), Type: what, Request: t.want.id, ClientAttempt: t.no, Dispatcher: t.name,
 		Product: t.want.session.product.Name, Tenant: c.d.Tenants[t.want.session.tenant].Name, Detail: how, Count: int64(t.tokens),
@@ -263,11 +263,11 @@
 
 func (t *try) Opened() {
 	t.sent = true
-	t.note("ask", "")
+	t.note(record.RequestSent, "")
 	t.conn.Write(t.request)
 	t.timer = t.want.crowd.loop.AfterFunc(t.allow, func() {
 		if t.first == 0 || t.want.whole {
-			t.final("gave_up")
+			t.final(record.GaveUp)
 			t.conn.Abort()
 		}
 	})
@@ -277,12 +277,12 @@
 
 func (t *try) Data(b []byte) {
 	if t.whole {
-		t.note("after", "bytes") // the message has ended, and with it all that may come
+		t.note(record.BytesAfterFinal, "bytes") // the message has ended, and with it all that may come
 		return
 	}
 	if err := t.parser.Feed(b, t); err != nil && !t.ended {
 		t.broken = err.Error()
-		t.final("malformed")
+		t.final(record.Malformed)
 		t.conn.Abort()
 	}
 }
@@ -294,7 +294,7 @@
 		return t.events.Feed(b, t.event)
 	}
 	if t.ended {
-		t.note("after", "bytes")
+		t.note(record.BytesAfterFinal, "bytes")
 	}
 	t.body = append(t.body, b...)
 	return nil
@@ -304,12 +304,12 @@
 	now := t.want.crowd.loop.Now()
 	switch {
 	case t.ended:
-		t.note("after", "event")
+		t.note(record.BytesAfterFinal, "event")
 	case string(data) == "[DONE]":
 		t.exact = t.exact && t.tokens == modelserver.AnswerLength(t.want.id, t.want.most)
-		t.final("streamed")
+		t.final(record.Completed)
 	case gjson.GetBytes(data, "error").Exists():
-		t.final("terminated")
+		t.final(record.Failed)
 	default:
 		delta := gjson.GetBytes(data, "choices.0.delta.content")
 		if !delta.Exists() {
@@ -343,13 +343,13 @@
 		t.last = t.first
 		t.exact = gjson.GetBytes(t.body, "choices.0.message.content").String() == all.String() &&
 			gjson.GetBytes(t.body, "usage.completion_tokens").Int() == int64(n)
-		t.final("streamed")
+		t.final(record.Completed)
 	case t.head.Status == 429:
-		t.final("throttled")
+		t.final(record.Rejected)
 	case t.head.Status == 409 && gjson.GetBytes(t.body, "error.code").String() == "already_ran":
-		t.final("terminated")
+		t.final(record.Failed)
 	case t.head.Status >= 500 && gjson.GetBytes(t.body, "error.message").Exists():
-		t.final("terminated")
+		t.final(record.Failed)
 	case t.head.Status == 200:
 		return errors.New("a stream without its last event")
 	default:
@@ -363,9 +363,9 @@
 	switch {
 	case t.ended:
 	case !t.sent:
-		t.final("unreached")
+		t.final(record.Unreached)
 	default:
-		t.final("broken")
+		t.final(record.Broken)
 	}
 }
 
@@ -376,13 +376,13 @@
 		t.timer.Stop()
 	}
 	if t.sent {
-		t.note("final", how)
+		t.note(record.FinalAnswer, how)
 	}
 	if t.broken != "" {
-		t.note("malformed", t.broken)
+		t.note(record.MalformedAnswer, t.broken)
 	}
 	g, c := t.want, t.want.crowd
-	if how == "streamed" {
+	if how == record.Completed {
 		pace := eventloop.Micros(0)
 		if t.tokens > 1 && !g.whole {
 			pace = (t.last - t.first) / eventloop.Micros(t.tokens-1)
@@ -392,11 +392,11 @@
 			// What a whole answer took before its first token isn't seen; the time of the rest is taken off at the stated pace.
 			first = max(first-eventloop.Micros(t.tokens)*eventloop.Micros(g.session.product.TokenSloMs)*eventloop.Millisecond, 1)
 		}
-		g.over("streamed", first, pace)
+		g.over(record.Completed, first, pace)
 		return
 	}
-	harmless := how == "throttled" || how == "unreached"
-	if g.session.product.Effect == pb.Product_IDEMPOTENT || c.Keyed && how == "broken" {
+	harmless := how == record.Rejected || how == record.Unreached
+	if g.session.product.Effect == pb.Product_IDEMPOTENT || c.Keyed && how == record.Broken {
 		harmless = true
 	}
 	if !harmless || g.tries >= triesMost {
--- a/internal/testbed/modelserver/embed.go
+++ b/internal/testbed/modelserver/embed.go
@@ -11,6 +11,7 @@
 	"github.com/tidwall/gjson"
 
 	"plumspindle/internal/http1"
+	"plumspindle/internal/testbed/record"
 )
 
 // Vector is the one that any host gives for an input, as JSON, so that its place and identity can be checked end to end.
@@ -83,7 +84,7 @@
 		return b
 	}
 	j.work = float64(j.prompt)
-	h.fleet.note(h, "leg", j)
+	h.fleet.note(h, record.AttemptArrived, j)
 	h.bear(j.work)
 	c.job = j
 	if !h.alive {
--- a/internal/testbed/modelserver/fleet.go
+++ b/internal/testbed/modelserver/fleet.go
@@ -163,7 +163,7 @@
 	return 1 + int(h>>8)%max(most, 1)
 }
 
-func (f *Fleet) note(h *Endpoint, what string, j *job) {
+func (f *Fleet) note(h *Endpoint, what record.EventType, j *job) {
 	if f.book == nil {
 		return
 	}
@@ -171,17 +171,17 @@
 	if j != nil {
 		e.Attempt, e.Request, e.Dispatcher, e.Product, e.Count = j.leg, j.client, j.dispatcher, j.product, int64(j.prompt)
 		if j.reads {
-			e.Detail = "read"
+			e.Detail = record.Prefill
 		} else {
-			e.Detail = "write"
+			e.Detail = record.Decode
 		}
 	}
 	switch what {
-	case "leg":
+	case record.AttemptArrived:
 		e.Value = j.work
-	case "refuse":
+	case record.AttemptRefused:
 		e.Detail = h.said
-	case "up":
+	case record.EndpointUp:
 		e.Count = int64(h.started)
 	}
 	f.book.Add(e)
--- a/internal/testbed/modelserver/host.go
+++ b/internal/testbed/modelserver/host.go
@@ -102,7 +102,7 @@
 		return fmt.Errorf("host %d: %w", h.ID, err)
 	}
 	h.listener, h.Addr = listener, listener.Addr()
-	f.note(h, "up", nil)
+	f.note(h, record.EndpointUp, nil)
 	return nil
 }
 
@@ -119,7 +119,7 @@
 		s.lease.Stop()
 	}
 	h.running, h.waiting, h.stepping = nil, nil, false
-	h.fleet.note(h, "down", nil)
+	h.fleet.note(h, record.EndpointDown, nil)
 }
 
 // inOrder are the connections in the order of their opening, so that nothing hangs on the order of a map.
@@ -257,11 +257,11 @@
 	used := sum / (r.FallMultiple * could * h.factor() * float64(r.FallMs) / 1000)
 	// One leg by itself is borne: the rule is about what all send together, kept up for a span.
 	if h.fleet.book != nil && len(h.came) > 1 {
-		h.fleet.book.Add(record.Event{At: int64(now), Type: "cold", Endpoint: h.ID, Value: used, Count: int64(len(h.came))})
+		h.fleet.book.Add(record.Event{At: int64(now), Type: record.SlowStartLoad, Endpoint: h.ID, Value: used, Count: int64(len(h.came))})
 	}
 	if used > 1 && len(h.came) > 1 {
 		h.fallen = true
-		h.fleet.note(h, "fell", nil)
+		h.fleet.note(h, record.EndpointOverloaded, nil)
 		h.Crash(0)
 	}
 }
@@ -347,7 +347,7 @@
 		h.running = slices.Delete(h.running, i, i+1)
 		h.used -= j.prompt + j.most/2
 	}
-	h.fleet.note(h, "left", j)
+	h.fleet.note(h, record.AttemptLeft, j)
 }
 
 // readDone ends a read: the state waits, in its slot's memory.
@@ -358,12 +358,12 @@
 	need := j.prompt + j.most/2
 	if j.away || h.gone[j.leg] {
 		h.used -= need
-		h.fleet.note(h, "left", j)
+		h.fleet.note(h, record.AttemptLeft, j)
 		return
 	}
-	h.fleet.note(h, "hold", j)
+	h.fleet.note(h, record.StatePinned, j)
 	s := &state{tokens: j.prompt, job: j}
-	s.lease = h.fleet.loop.AfterFunc(eventloop.Micros(h.fleet.d.Fleet.LeaseMs)*eventloop.Millisecond, func() { h.release(j.leg, "lease") })
+	s.lease = h.fleet.loop.AfterFunc(eventloop.Micros(h.fleet.d.Fleet.LeaseMs)*eventloop.Millisecond, func() { h.release(j.leg, record.StateLeaseExpired) })
 	h.states[j.leg] = s
 	params := fmt.Sprintf(`{"do_remote_decode":false,"do_remote_prefill":true,"remote_engine_id":"%d","remote_block_ids":[%d],`+
 		`"remote_request_id":%q,"remote_addr":%q,"tokens":%d}`, h.ID, j.prompt/16, j.leg, h.Addr, j.prompt)
@@ -374,7 +374,7 @@
 }
 
 // release drops a state, however it comes to that.
-func (h *Endpoint) release(leg, how string) bool {
+func (h *Endpoint) release(leg string, how record.EventType) bool {
 	s := h.states[leg]
 	if s == nil {
 		return false
@@ -459,7 +459,7 @@
 		if !h.alive || c.away() {
 			return
 		}
-		if h.release(leg, "took") {
+		if h.release(leg, record.StateFetched) {
 			c.answer(200, []byte(`{"tokens":`+strconv.Itoa(s.tokens)+`}`))
 		} else {
 			c.problem(404, "state_lost")
@@ -471,7 +471,7 @@
 func (h *Endpoint) token(j *job) {
 	if !j.ran {
 		j.ran = true
-		h.fleet.note(h, "ran", j)
+		h.fleet.note(h, record.AttemptRan, j)
 	}
 	chunk := func(delta, finish string) {
 		j.out = sse.Append(j.out, []byte(fmt.Sprintf(`{"id":%q,"object":"chat.completion.chunk","created":0,"model":%q,`+
@@ -530,7 +530,7 @@
 			j.work += float64(j.most) / 2
 		}
 	}
-	h.fleet.note(h, "leg", j)
+	h.fleet.note(h, record.AttemptArrived, j)
 	h.bear(j.work)
 	c.job = j
 	if !h.alive {
@@ -553,7 +553,7 @@
 	case h.full != "" && h.full == j.product, len(h.waiting) >= int(h.group.Queue):
 		c.problem(429, "full")
 	case j.whole == nil && h.kind.Role == pb.Kind_EMBEDDER:
-		h.fleet.note(h, "misled", j) // chat is never to come here
+		h.fleet.note(h, record.ChatAtEmbedder, j) // chat is never to come here
 		c.problem(500, "internal")
 	case j.fails == 500:
 		c.problem(500, "internal")
@@ -564,7 +564,7 @@
 	case h.errs > 0 && h.fleet.rand.Float64() < h.errs:
 		if !j.reads {
 			j.ran = true
-			h.fleet.note(h, "ran", j) // it may have taken effect before it failed
+			h.fleet.note(h, record.AttemptRan, j) // it may have taken effect before it failed
 		}
 		c.problem(500, "internal")
 	default:
@@ -612,7 +612,7 @@
 	}
 	h := c.host
 	j.away = true
-	h.fleet.note(h, "quit", j)
+	h.fleet.note(h, record.ConnectionLost, j)
 	if i := slices.Index(h.waiting, j); i >= 0 {
 		h.waiting = slices.Delete(h.waiting, i, i+1)
 	} else if j.fetching {
@@ -639,7 +639,7 @@
 	if head.Target == "/v1/kv/release" {
 		// Also while frozen or cut off: the record is of what came over the socket, and when.
 		for _, id := range gjson.GetBytes(body, "request_ids").Array() {
-			if !h.release(id.String(), "released") {
+			if !h.release(id.String(), record.StateReleased) {
 				h.gone[id.String()] = true
 			}
 		}
@@ -702,7 +702,7 @@
 	if j := c.job; j != nil {
 		// A leg is out until its answer is on the network.
 		told := func() {
-			c.host.fleet.note(c.host, "answered", j)
+			c.host.fleet.note(c.host, record.AttemptAnswered, j)
 			c.job = nil
 		}
 		if c.parted() {
@@ -716,7 +716,7 @@
 
 func (c *hostConn) problem(status int, code string) {
 	c.host.said = code
-	c.host.fleet.note(c.host, "refuse", c.job)
+	c.host.fleet.note(c.host, record.AttemptRefused, c.job)
 	c.answer(status, []byte(`{"error":{"message":"`+code+`","type":"server_error","param":null,"code":"`+code+`"}}`))
 }
 
--- a/internal/testbed/modelserver/roster.go
+++ b/internal/testbed/modelserver/roster.go
@@ -153,7 +153,7 @@
 	}
 	now := int64(w.roster.loop.Now())
 	for _, e := range l.Endpoints {
-		book.Add(record.Event{At: now, Type: "told", Dispatcher: w.name, Endpoint: uint32(e.ID), Detail: e.Condition})
+		book.Add(record.Event{At: now, Type: record.UpdateDelivered, Dispatcher: w.name, Endpoint: uint32(e.ID), Detail: e.Condition})
 	}
 }
 
--- a/internal/testbed/scenarios/faults.go
+++ b/internal/testbed/scenarios/faults.go
@@ -152,7 +152,7 @@
 
 // inject begins a fault; it runs on the fleet's loop.
 func (p *Run) inject(ctx context.Context, fault *pb.Day_Trouble) {
-	p.recorder.Add(record.Event{At: int64(p.fleetLoop.Now()), Type: "trouble", Kind: fault.Kind,
+	p.recorder.Add(record.Event{At: int64(p.fleetLoop.Now()), Type: record.FaultInjected, Kind: fault.Kind,
 		Detail: fault.String(), Value: fault.Share})
 	i := injection{run: p, fault: fault, duration: eventloop.Micros(fault.ForMs) * eventloop.Millisecond}
 	if inject := virtualInjectors[fault.Kind]; inject != nil {
--- a/internal/testbed/scenarios/process.go
+++ b/internal/testbed/scenarios/process.go
@@ -110,7 +110,7 @@
 func (d *process) crash(ctx context.Context, back eventloop.Micros) {
 	p, name, exited := d.run, d.target.Name, d.exited
 	recordKilled := func() {
-		p.recorder.Add(record.Event{At: int64(p.fleetLoop.Now()), Type: "killed", Dispatcher: name})
+		p.recorder.Add(record.Event{At: int64(p.fleetLoop.Now()), Type: record.DispatcherKilled, Dispatcher: name})
 	}
 	recordKilled()
 	_ = d.command.Process.Kill() // it may have ended already
--- a/internal/testbed/scenarios/results.go
+++ b/internal/testbed/scenarios/results.go
@@ -9,7 +9,7 @@
 func (p *Run) firstAskSeconds() map[string]int {
 	seconds, begin := map[string]int{}, int64(0)
 	for _, event := range p.events {
-		if event.Type != "ask" || event.ClientAttempt != 1 {
+		if event.Type != record.RequestSent || event.ClientAttempt != 1 {
 			continue
 		}
 		if begin == 0 {
@@ -26,11 +26,11 @@
 	seconds := p.firstAskSeconds()
 	for _, event := range p.events {
 		askedIn, known := seconds[event.Request]
-		if event.Type != "over" || !known || askedIn != second {
+		if event.Type != record.RequestOver || !known || askedIn != second {
 			continue
 		}
 		asked++
-		if event.Detail == "streamed" {
+		if event.Detail == record.Completed {
 			completed++
 		}
 	}
@@ -44,11 +44,11 @@
 	asked, inSLO = make([]int, p.Script.Seconds+1), make([]int, p.Script.Seconds+1)
 	for _, event := range p.events {
 		second, known := seconds[event.Request]
-		if event.Type != "over" || !known || second >= len(asked) {
+		if event.Type != record.RequestOver || !known || second >= len(asked) {
 			continue
 		}
 		asked[second]++
-		if event.Detail == "streamed" && event.Exact {
+		if event.Detail == record.Completed && event.Exact {
 			inSLO[second]++
 		}
 	}
--- a/internal/testbed/scenarios/tenants_test.go
+++ b/internal/testbed/scenarios/tenants_test.go
@@ -8,6 +8,7 @@
 
 	"plumspindle/internal/deployment"
 	"plumspindle/internal/testbed/audit"
+	"plumspindle/internal/testbed/record"
 )
 
 // floodScenario is one in which the first of three tenants sends so many times its usual traffic, or, with factor 1,
@@ -77,18 +78,18 @@
 func observedUsage(run *Run) (observed map[string]usageSums, broken map[string]bool) {
 	observed, broken = map[string]usageSums{}, map[string]bool{}
 	for _, event := range run.events {
-		if event.Type != "final" {
+		if event.Type != record.FinalAnswer {
 			continue
 		}
 		name := event.Tenant + " " + event.Product
 		sums := observed[name]
 		switch event.Detail {
-		case "streamed":
+		case record.Completed:
 			sums.completed++
 			sums.tokens += event.Count
-		case "throttled":
+		case record.Rejected:
 			sums.rejected++
-		case "terminated":
+		case record.Failed:
 			sums.failed++
 			broken[name] = true
 		}
--- a/internal/testbed/scenarios/virtual.go
+++ b/internal/testbed/scenarios/virtual.go
@@ -37,7 +37,7 @@
 	if world := p.Script.World; world != nil {
 		network.Latency, network.MaxSegment = max(eventloop.Micros(world.LatencyUs), 1), int(world.Segment)
 	}
-	p.recorder.Add(record.Event{At: int64(network.Now()), Type: "world", Count: int64(network.Latency)})
+	p.recorder.Add(record.Event{At: int64(network.Now()), Type: record.NetworkLatency, Count: int64(network.Latency)})
 	if err := p.startWorld(network); err != nil {
 		return nil, 0, 0, err
 	}
--- a/internal/testbed/scenarios/virtualdispatcher.go
+++ b/internal/testbed/scenarios/virtualdispatcher.go
@@ -64,7 +64,7 @@
 
 // kill ends the current incarnation outright.
 func (d *virtualDispatcher) kill() {
-	d.run.recorder.Add(record.Event{At: int64(d.run.world.network.Now()), Type: "killed", Dispatcher: d.target.Name})
+	d.run.recorder.Add(record.Event{At: int64(d.run.world.network.Now()), Type: record.DispatcherKilled, Dispatcher: d.target.Name})
 	d.loop.Kill()
 }
 
@@ -88,16 +88,10 @@
 	return func() { loop.DescriptorLimit = 0 }
 }
 
-// Why a dispatcher can't act, as the record has it.
-const (
-	frozen      = "stands"
-	partitioned = "cut"
-)
-
 // markUnavailable records that the dispatcher can't meet its obligations for a while.
 func (d *virtualDispatcher) markUnavailable(why string, duration eventloop.Micros) {
 	now := d.run.world.network.Now()
 	d.unavailableUntil = max(d.unavailableUntil, now+duration)
-	d.run.recorder.Add(record.Event{At: int64(now), Type: "away", Dispatcher: d.target.Name, Detail: why,
+	d.run.recorder.Add(record.Event{At: int64(now), Type: record.DispatcherUnavailable, Dispatcher: d.target.Name, Detail: why,
 		Count: int64(duration)})
 }
--- a/internal/testbed/scenarios/virtualfaults.go
+++ b/internal/testbed/scenarios/virtualfaults.go
@@ -5,6 +5,7 @@
 	"errors"
 
 	"plumspindle/internal/eventloop"
+	"plumspindle/internal/testbed/record"
 	"plumspindle/internal/virtual"
 )
 
@@ -44,7 +45,7 @@
 
 func freezeDispatchers(i injection) {
 	for _, dispatcher := range i.dispatchers(i.fault.Share) {
-		dispatcher.markUnavailable(frozen, i.duration)
+		dispatcher.markUnavailable(record.Frozen, i.duration)
 		dispatcher.loop.Freeze(i.duration)
 	}
 }
@@ -54,7 +55,7 @@
 	endpoints, _ := i.run.fleetLoop.(*virtual.Loop)
 	network := i.run.world.network
 	for index, dispatcher := range i.dispatchers(i.fault.Share) {
-		dispatcher.markUnavailable(partitioned, i.duration)
+		dispatcher.markUnavailable(record.Partitioned, i.duration)
 		if index%2 == 0 {
 			network.Block(endpoints, dispatcher.loop, i.duration)
 		} else {
