--- a/internal/platform/dispatcher.go
+++ b/internal/platform/dispatcher.go
@@ -113,7 +113,7 @@
 	d.scheduler = scheduler.New(loop.Now(), config.Seed, place, d)
 	if len(config.Known) > 0 {
 		if err := d.discovery.ApplyCached(config.Known); err != nil {
-			config.Log.Warn().Err(err).Msg("known endpoint list ignored")
+			config.Log.Warn().Err(err).Msg("cached endpoint list unreadable")
 		}
 	}
 	d.discovery.Start()
--- a/internal/platform/endpoints.go
+++ b/internal/platform/endpoints.go
@@ -38,12 +38,7 @@
 }
 
 func (d *Dispatcher) updateEndpoint(e discovery.Entry) {
-	zone, kind := slices.Index(d.settings.Zones, e.Zone), slices.Index(d.settings.Kinds, e.Kind)
-	if zone < 0 || kind < 0 || kind >= len(d.settings.Scheduler.Kinds) {
-		d.config.Log.Warn().Str("endpoint", e.Name).Str("zone", e.Zone).Str("kind", e.Kind).
-			Msg("endpoint of unknown zone or kind not used")
-		zone, kind = max(zone, 0), unknownKind
-	}
+	zone, kind := d.zoneAndKind(&e)
 	if e.State == scheduler.Removed {
 		delete(d.endpoints, e.ID)
 	} else {
@@ -64,6 +59,20 @@
 	})
 }
 
+// zoneAndKind are an endpoint's places in the settings; where those do not name one of them, the kind is unknownKind.
+func (d *Dispatcher) zoneAndKind(e *discovery.Entry) (zone, kind int) {
+	zone, kind = slices.Index(d.settings.Zones, e.Zone), slices.Index(d.settings.Kinds, e.Kind)
+	if zone < 0 {
+		d.config.Log.Warn().Str("endpoint", e.Name).Str("zone", e.Zone).Msg("endpoint in an unknown zone")
+		return 0, unknownKind
+	}
+	if kind < 0 || kind >= len(d.settings.Scheduler.Kinds) {
+		d.config.Log.Warn().Str("endpoint", e.Name).Str("kind", e.Kind).Msg("endpoint of an unknown kind")
+		return zone, unknownKind
+	}
+	return zone, kind
+}
+
 // releaseTargets are the endpoints that accept new requests, or all that are listed, in order.
 func (d *Dispatcher) releaseTargets(all bool) []scheduler.EndpointID {
 	if !all {
