--- a/internal/embeddings/golden_test.go
+++ b/internal/embeddings/golden_test.go
@@ -22,8 +22,8 @@
 	return nil
 }
 
-func (h recordingHandler) Added(whole bool) *frontend.Problem {
-	fmt.Fprintf(h.out, "added, whole: %t\n", whole)
+func (h recordingHandler) InputsAdded(last bool) *frontend.Problem {
+	fmt.Fprintf(h.out, "added, whole: %t\n", last)
 	return nil
 }
 
@@ -92,7 +92,8 @@
 	{Embeddings, "broken dimensions", `{"model":"m","dimensions":1.5}`},
 	{Rerank, "texts", `{"model":"m","query":"q","documents":["a","b","a"]}`},
 	{Rerank, "objects", `{"model":"m","query":"q","documents":[{"text":"a"},{"text":"b","x":1}]}`},
-	{Rerank, "all rerank members", `{"model":"m","query":"q","top_n":2,"return_documents":true,"user":"u","documents":["b","a","c","b"]}`},
+	{Rerank, "all rerank members", `{"model":"m","query":"q","top_n":2,"return_documents":true,"user":"u",` +
+		`"documents":["b","a","c","b"]}`},
 	{Rerank, "documents first", `{"documents":["","a"],"return_documents":true,"query":"q","model":"m"}`},
 	{Rerank, "documents not returned", `{"documents":["a"],"return_documents":false,"query":"q","model":"m"}`},
 	{Rerank, "no query", `{"model":"m","documents":["a"]}`},
@@ -108,8 +109,8 @@
 	{Rerank, "return_documents of a wrong type", `{"model":"m","query":"q","return_documents":1}`},
 }
 
-// TestRequestForms compares what each body is read as, in one piece and byte by byte, and what goes to an endpoint for it, with
-// a golden file.
+// TestRequestForms compares what each body is read as, in one piece and byte by byte, and what goes to an endpoint for
+// it, with a golden file.
 func TestRequestForms(t *testing.T) {
 	var out bytes.Buffer
 	for _, c := range bodies {
@@ -128,15 +129,18 @@
 		var all []int
 		for i, input := range a.Inputs {
 			all = append(all, i)
-			fmt.Fprintf(&out, "input %s, %d tokens, key %x, cache key %x\n", input.Raw, input.Tokens, input.Key, a.CacheKey(i, 3))
+			fmt.Fprintf(&out, "input %s, %d tokens, key %x, cache key %x\n",
+				input.Raw, input.Tokens, input.Key, a.CacheKey(i, 3))
 		}
-		path, body := a.PartRequest(all, 3)
-		fmt.Fprintf(&out, "order %d, texts %q, %d bytes buffered, %d tokens\n%s %s\n", a.Order, a.Texts, a.BufferedBytes, a.Tokens(all), path, body)
+		path, body := a.BuildPart(all, 3)
+		fmt.Fprintf(&out, "order %d, texts %q, %d bytes buffered, %d tokens\n%s %s\n",
+			a.Order, a.Texts, a.BufferedBytes, a.CountTokens(all), path, body)
 	}
 	golden.Compare(t, out.Bytes())
 }
 
-// TestLargeBodyBeginsEarly: past half of the buffer a call begins with what has come, if all is known that a part needs.
+// TestLargeBodyBeginsEarly: past half of the buffer a call begins with what has come, if all is known that a part
+// needs.
 func TestLargeBodyBeginsEarly(t *testing.T) {
 	limits := Limits{MaxInputs: 9, MaxInputTokens: 10, MaxBody: 4 << 10, MaxBuffered: 40}
 	inputs := `["aaaaaaaaaa","bbbbbbbbbb"]`
@@ -145,13 +149,17 @@
 		name, body string
 	}{
 		{Embeddings, "model first", `{"model":"m","input":` + inputs + `}`},
-		{Embeddings, "format behind the inputs", `{"model":"m","input":` + inputs + `,"user":"u","encoding_format":"base64"}`},
+		{Embeddings, "format behind the inputs", `{"model":"m","input":` + inputs +
+			`,"user":"u","encoding_format":"base64"}`},
 		{Embeddings, "dimensions behind the inputs", `{"model":"m","input":` + inputs + `,"dimensions":3}`},
 		{Embeddings, "model behind few inputs", `{"input":` + inputs + `,"model":"m"}`},
-		{Embeddings, "model behind many inputs", `{"input":["aaaaaaaaaa","bbbbbbbbbb","cccccccccc","dddddddddd"],"model":"m"}`},
+		{Embeddings, "model behind many inputs", `{"input":["aaaaaaaaaa","bbbbbbbbbb","cccccccccc","dddddddddd"],` +
+			`"model":"m"}`},
 		{Rerank, "query first", `{"model":"m","query":"q","documents":` + inputs + `,"top_n":1}`},
-		{Rerank, "return_documents behind the documents", `{"model":"m","query":"q","documents":` + inputs + `,"return_documents":true}`},
-		{Rerank, "query behind many documents", `{"model":"m","documents":["aaaaaaaaaa","bbbbbbbbbb","cccccccccc","dddddddddd"],"query":"q"}`},
+		{Rerank, "return_documents behind the documents",
+			`{"model":"m","query":"q","documents":` + inputs + `,"return_documents":true}`},
+		{Rerank, "query behind many documents", `{"model":"m","documents":["aaaaaaaaaa","bbbbbbbbbb","cccccccccc",` +
+			`"dddddddddd"],"query":"q"}`},
 	}
 	var out bytes.Buffer
 	for _, c := range cases {
@@ -205,7 +213,7 @@
 	vectors := [][]byte{{0, 0, 128, 63, 0, 0, 0, 192}, {0, 0, 0, 0, 205, 204, 204, 61}}
 	embed := Request{Model: `m"`, Order: []int32{0, 1, 0}}
 	encoded := embed
-	encoded.Base64 = true
+	encoded.EncodeBase64 = true
 	rerank := Request{Kind: Rerank, Model: "m", Order: []int32{0, 1, 0}, Texts: []string{"<a>", "b"}}
 	top := rerank
 	top.TopN, top.ReturnDocuments = 2, true
@@ -229,15 +237,16 @@
 	golden.Compare(t, out.Bytes())
 }
 
-// TestReadPartRefusesWhole: a host's answer is taken only if each input has exactly one good result.
-func TestReadPartRefusesWhole(t *testing.T) {
+// TestReadPartTakesOnlyCompleteResponses: a response is taken only if each input has exactly one good result.
+func TestReadPartTakesOnlyCompleteResponses(t *testing.T) {
 	vector := base64.StdEncoding.EncodeToString(make([]byte, 8))
 	cases := []struct {
 		kind Kind
 		body string
 		good bool
 	}{
-		{Embeddings, `{"usage":{"prompt_tokens":7},"data":[{"index":1,"embedding":[1,2]},{"index":0,"embedding":"` + vector + `"}]}`, true},
+		{Embeddings, `{"usage":{"prompt_tokens":7},"data":[{"index":1,"embedding":[1,2]},` +
+			`{"index":0,"embedding":"` + vector + `"}]}`, true},
 		{Embeddings, `{"data":[{"index":0,"embedding":[1,2]}]}`, false},
 		{Embeddings, `{"data":[{"index":0,"embedding":[1,2]},{"index":0,"embedding":[1,2]}]}`, false},
 		{Embeddings, `{"data":[{"index":0,"embedding":[1,2]},{"index":2,"embedding":[1,2]}]}`, false},
