--- a/internal/store/index.go
+++ b/internal/store/index.go
@@ -10,9 +10,8 @@
 // maxBlockKeys is how many keys a block has before it is split.
 const maxBlockKeys = 256
 
-// Index is an ordered map for one writer and any number of snapshots. Keys lie in blocks, in order. A
-// snapshot shares the blocks with the writer, so that it costs next to nothing to take; the writer copies a
-// block before it changes one that a snapshot may share.
+// Index is an ordered map that can be copied at next to no cost. Keys lie in blocks, in order. A snapshot shares
+// the blocks with the index that it was taken of, which copies a block before it changes one that is shared.
 type Index struct {
 	blocks       []*block
 	size         int
--- a/internal/store/store.go
+++ b/internal/store/store.go
@@ -116,9 +116,6 @@
 	s.index.ScanFrom(from, prefix, each)
 }
 
-// Snapshot returns an immutable copy of the index as it is now.
-func (s *Store) Snapshot() *Index { return s.index.Snapshot() }
-
 // Len returns the number of keys.
 func (s *Store) Len() int { return s.index.Len() }
 
--- a/internal/tenancy/admission.go
+++ b/internal/tenancy/admission.go
@@ -72,9 +72,6 @@
 // QueueLength returns the number of queued requests.
 func (a *AdmissionController) QueueLength() int { return a.queue.Len() }
 
-// Window returns how many requests of surplus may be admitted at once.
-func (a *AdmissionController) Window() float64 { return a.surplus.size }
-
 // Admit decides what becomes of one more request. The ticket is nil if it is rejected; else the caller must
 // Release it.
 func (a *AdmissionController) Admit(now Micros, r AdmissionRequest) (*Ticket, Decision) {
--- a/internal/tenancy/window.go
+++ b/internal/tenancy/window.go
@@ -46,7 +46,7 @@
 	at     Micros
 }
 
-// noteInShare notes an arrival. The last two tenants are enough to tell whether another than a given one asks.
+// noteInShare notes an arrival. The last two tenants are enough to know whether another than a given one asks.
 func (w *surplusWindow) noteInShare(now Micros, tenant *tenantAccount) {
 	if w.inShare[0].tenant != tenant {
 		w.inShare[1] = w.inShare[0]
