--- a/scheduler/fleet_sim_test.go
+++ b/scheduler/fleet_sim_test.go
@@ -47,6 +47,7 @@
 	requests  map[RequestID]*simRequest
 	order     []RequestID // of the requests' arrival
 	log       []string    // of the orders
+	events    []Event     // for the log
 }
 
 type simTimer struct {
@@ -252,7 +253,7 @@
 }
 
 func (sim *fleetSim) WatchEndpoints() { sim.record("watch endpoints") }
-func (sim *fleetSim) Log(Event)       {}
+func (sim *fleetSim) Log(event Event) { sim.events = append(sim.events, event) }
 func (sim *fleetSim) SetTimer(after Micros, timer TimerID) {
 	if after <= 0 {
 		sim.t.Fatalf("a timer set for after %d", after)
