--- a/internal/frontend/errors.go
+++ b/internal/frontend/errors.go
@@ -31,7 +31,7 @@
 	Param   string // the parameter at fault, if there is one
 	Code    string
 	Message string
-	NoRetry bool // no retry can help, and client libraries are told not to try
+	NoRetry bool // no retry can help, and client libraries learn not to try
 }
 
 // Error implements error.
@@ -75,17 +75,6 @@
 	return text
 }
 
-// Invalid returns the problem of a request whose parameter is no good.
-func Invalid(param, code, format string, args ...any) *Problem {
-	return &Problem{
-		Status:  400,
-		Type:    typeInvalidRequest,
-		Param:   param,
-		Code:    code,
-		Message: fmt.Sprintf(format, args...),
-	}
-}
-
 // TooManyConnections returns the problem of a request that is rejected for lack of capacity; nothing of it has run.
 func TooManyConnections() *Problem {
 	return &Problem{
@@ -110,6 +99,16 @@
 	}
 }
 
+// BodyTooLarge returns the problem of a request whose body, or what of it must be buffered, is too large.
+func BodyTooLarge(format string, args ...any) *Problem {
+	return &Problem{
+		Status:  413,
+		Type:    typeInvalidRequest,
+		Code:    "body_too_large",
+		Message: fmt.Sprintf(format, args...),
+	}
+}
+
 func overQuota(reason string) *Problem {
 	return &Problem{
 		Status:  429,
