--- /dev/null
+++ b/internal/testbed/modelserver/conn.go
@@ -0,0 +1,216 @@
+package modelserver
+
+import (
+	"net/http"
+	"slices"
+	"strconv"
+	"strings"
+
+	"github.com/tidwall/gjson"
+
+	"plumspindle/internal/eventloop"
+	"plumspindle/internal/http1"
+	"plumspindle/internal/testbed/record"
+)
+
+const (
+	chatPath    = "/v1/chat/completions"
+	statePath   = "/v1/kv/" // followed by the attempt that the state is of
+	releasePath = "/v1/kv/release"
+
+	loadReportHeader = "endpoint-load-metrics"
+)
+
+// endpointConn is a connection of a dispatcher, or of another endpoint, to an endpoint.
+type endpointConn struct {
+	endpoint  *Endpoint
+	conn      eventloop.Conn
+	parser    http1.Parser
+	head      *http1.Head
+	body      []byte
+	attempt   *attempt // in flight
+	zone      string   // of whoever is at the other end
+	deferred  []func() // to be done once the endpoint can act and the network is whole
+	unsent    []byte   // what was written while partitioned; the network brings it once it can
+	closed    bool
+	streaming bool
+}
+
+// Opened counts the connection, and has it wait where the endpoint is slow to accept.
+func (c *endpointConn) Opened() {
+	e := c.endpoint
+	if !e.alive {
+		return
+	}
+	e.lastConn++
+	e.conns[c] = e.lastConn
+	if e.connectDelay > 0 {
+		c.conn.Pause(true)
+		e.fleet.loop.AfterFunc(e.connectDelay, func() { c.conn.Pause(false) })
+	}
+}
+
+// Drained is not needed: answers are small.
+func (c *endpointConn) Drained() {}
+
+// Closed abandons the attempt in flight.
+func (c *endpointConn) Closed(error) {
+	c.closed = true
+	e, a := c.endpoint, c.attempt
+	delete(e.conns, c)
+	if a == nil {
+		return
+	}
+	a.abandoned = true
+	e.fleet.record(e, record.ConnectionLost, a)
+	if i := slices.Index(e.queued, a); i >= 0 {
+		e.queued = slices.Delete(e.queued, i, i+1)
+	} else if a.fetching {
+		e.finish(a)
+	}
+}
+
+// Data parses requests.
+func (c *endpointConn) Data(data []byte) {
+	if c.parser.Feed(data, c) != nil {
+		c.conn.Abort()
+	}
+}
+
+// Head begins a request.
+func (c *endpointConn) Head(head *http1.Head) error { c.head, c.body = head, nil; return nil }
+
+// Body collects a request's body.
+func (c *endpointConn) Body(data []byte) error { c.body = append(c.body, data...); return nil }
+
+// End serves a request, or has it wait until the endpoint can act.
+func (c *endpointConn) End() error {
+	e := c.endpoint
+	if !e.alive {
+		return nil
+	}
+	head, body := c.head, c.body
+	c.zone = head.Get("x-zone")
+	switch head.Target {
+	case releasePath:
+		c.releaseStates(body) // also while frozen or partitioned: the record is of what came over the socket, and when
+	case chatPath:
+		e.acceptChat(c, head, body)
+	case embeddingsPath, rerankPath:
+		e.acceptBatch(c, head, body)
+	default:
+		serve := func() { c.serveOther(head) }
+		if e.frozen || c.partitioned() {
+			c.deferred = append(c.deferred, serve)
+			return nil
+		}
+		serve()
+	}
+	return nil
+}
+
+func (c *endpointConn) releaseStates(body []byte) {
+	for _, id := range gjson.GetBytes(body, "request_ids").Array() {
+		if !c.endpoint.release(id.String(), record.StateReleased) {
+			c.endpoint.releasedEarly[id.String()] = true
+		}
+	}
+	c.answer(http.StatusOK, []byte("{}"))
+}
+
+func (c *endpointConn) serveOther(head *http1.Head) {
+	attemptID, isState := strings.CutPrefix(head.Target, statePath)
+	if !isState {
+		c.fail(http.StatusNotFound, errorUnknown)
+		return
+	}
+	cell, _ := strconv.Atoi(head.Get("x-cell")) // the first where none is named
+	c.endpoint.serveState(c, attemptID, uint16(cell))
+}
+
+// loadReport is the endpoint's load as it is sent with each answer; a slow endpoint sends old ones.
+func (c *endpointConn) loadReport() string {
+	e := c.endpoint
+	now := e.fleet.loop.Now()
+	if e.lastReport != "" && now-e.reportedAt < e.reportAge {
+		return e.lastReport
+	}
+	usage := min(float64(e.usedMemory)/float64(e.kind.MemoryTokens), 1)
+	e.reportedAt = now
+	e.lastReport = "TEXT named_metrics.kv_cache_usage_perc=" + strconv.FormatFloat(usage, 'f', 3, 64)
+	return e.lastReport
+}
+
+// partitioned is true while the network brings nothing across.
+func (c *endpointConn) partitioned() bool {
+	e := c.endpoint
+	return e.partitionedZone != "" && (e.partitionedZone == c.zone) != (e.partitionedZone == e.Zone)
+}
+
+func (c *endpointConn) write(data []byte) {
+	if c.partitioned() {
+		c.unsent = append(c.unsent, data...)
+	} else {
+		c.conn.Write(data)
+	}
+}
+
+// answer answers a request. Its attempt is in flight until the answer is on the network.
+func (c *endpointConn) answer(status int, body []byte) {
+	e := c.endpoint
+	if c.closed || !e.alive {
+		return
+	}
+	if a := c.attempt; a != nil {
+		answered := func() {
+			e.fleet.record(e, record.AttemptAnswered, a)
+			c.attempt = nil
+		}
+		if c.partitioned() {
+			c.deferred = append(c.deferred, answered)
+		} else {
+			answered()
+		}
+	}
+	c.write(http1.AppendResponse(nil, status, body,
+		"Content-Type", "application/json", loadReportHeader, c.loadReport()))
+}
+
+// fail answers with an error.
+func (c *endpointConn) fail(status int, code string) {
+	c.endpoint.lastError = code
+	c.endpoint.fleet.record(c.endpoint, record.AttemptRefused, c.attempt)
+	c.answer(status, []byte(`{"error":{"message":"`+code+`","type":"server_error","param":null,"code":"`+code+`"}}`))
+}
+
+// writeEvents writes events of a streamed answer.
+func (c *endpointConn) writeEvents(events []byte, last bool) {
+	if c.closed || !c.endpoint.alive {
+		return
+	}
+	var data []byte
+	if !c.streaming {
+		c.streaming = true
+		data = http1.AppendStreamHead(data, http.StatusOK,
+			"Content-Type", "text/event-stream", loadReportHeader, c.loadReport())
+	}
+	data = http1.AppendChunk(data, events)
+	if last {
+		data = http1.AppendLastChunk(data)
+		c.attempt, c.streaming = nil, false
+	}
+	c.write(data)
+}
+
+// resume does what was deferred, as far as the network is whole.
+func (c *endpointConn) resume() {
+	if len(c.unsent) > 0 {
+		c.conn.Write(c.unsent)
+		c.unsent = nil
+	}
+	for len(c.deferred) > 0 && !c.closed {
+		next := c.deferred[0]
+		c.deferred = c.deferred[1:]
+		next()
+	}
+}
--- a/internal/testbed/modelserver/fleet.go
+++ b/internal/testbed/modelserver/fleet.go
@@ -1,234 +1,195 @@
-// Package modelserver are the laboratory's stand-ins: model hosts that read and write by the brief's model, and the
-// roster that lists them. They compute nothing; they take the time, slots and memory that the real ones would.
+// Package modelserver has the stand-ins of the test bed: model endpoints that prefill and decode, and the discovery
+// service that lists them. They compute nothing; they take the time, slots and memory that real ones would.
+//
+// It owns the endpoints' queues, batches, memory, pinned states and faults. It relies on the event loop for time and
+// connections, real or virtual, and on a record to which it reports what it sees. It never calls a dispatcher.
 package modelserver
 
 import (
-	"fmt"
 	"math/rand"
-	"strconv"
 
 	"plumspindle/internal/deployment"
 	"plumspindle/internal/deployment/pb"
 	"plumspindle/internal/endpoints"
 	"plumspindle/internal/eventloop"
 	"plumspindle/internal/testbed/record"
+	"plumspindle/scheduler"
 )
 
-// Fleet is a set of stand-in hosts on one loop, with their roster.
+const (
+	anyLocalPort = "127.0.0.1:0"
+	firstID      = 100 // below the endpoints' ids
+	maxIDGap     = 7   // between two ids, which carry no meaning
+)
+
+// Fleet is a set of stand-in endpoints on one loop, with their discovery.
 type Fleet struct {
-	loop      eventloop.Loop
-	d         deployment.Deployment
-	rand      *rand.Rand
-	book      *record.Recorder
 	Endpoints []*Endpoint
-	links     map[uint16]*eventloop.Micros // when the link out of a cell is next free
-	Discovery *Discovery
+	Discovery *Discovery // nil: there is none
+
+	loop       eventloop.Loop
+	deployment deployment.Deployment
+	random     *rand.Rand
+	recorder   *record.Recorder             // nil: nothing is recorded
+	linkFreeAt map[uint16]*eventloop.Micros // for the next state out of a cell
+	lastID     uint32
 }
 
-// Start brings up the whole fleet of a deployment, warm, with its roster if that has an address; it is called within the
+// Start starts the whole fleet of a deployment, warm, with its discovery if that has an address. It is called on the
 // loop.
-func Start(loop eventloop.Loop, d deployment.Deployment, seed int64, rosterAddr string, book *record.Recorder) (*Fleet, error) {
+func Start(loop eventloop.Loop, d deployment.Deployment, seed int64, discoveryAddress string,
+	recorder *record.Recorder) (
+	*Fleet, error) {
 	if d.Fleet == nil {
 		return nil, deployment.ErrNoFleet
 	}
-	f := &Fleet{loop: loop, d: d, rand: rand.New(rand.NewSource(seed)), book: book, links: map[uint16]*eventloop.Micros{}}
-	id := uint32(100)
-	for z, zone := range d.Zones {
-		cells := int(d.Fleet.CellsPerZone)
-		for _, g := range d.Fleet.Groups {
-			for i := range int(g.HostsPerZone) {
-				id += 1 + uint32(f.rand.Intn(7)) // ids carry no meaning
-				cell := uint16(z*cells + i%cells)
-				if f.links[cell] == nil {
-					f.links[cell] = new(eventloop.Micros)
-				}
-				h := &Endpoint{fleet: f, ID: id, Zone: zone, Cell: cell, group: g, kind: kindOf(d, g.Kind), slow: 1}
-				f.Endpoints = append(f.Endpoints, h)
-				if err := h.up(0); err != nil {
+	f := &Fleet{loop: loop, deployment: d, random: rand.New(rand.NewSource(seed)), recorder: recorder,
+		linkFreeAt: map[uint16]*eventloop.Micros{}, lastID: firstID}
+	for zoneIndex, zone := range d.Zones {
+		for _, group := range d.Fleet.Groups {
+			for i := range int(group.HostsPerZone) {
+				cells := int(d.Fleet.CellsPerZone)
+				cell := uint16(zoneIndex*cells + i%cells)
+				e := &Endpoint{Zone: zone, Cell: cell, group: group, kind: kindOf(d, group.Kind)}
+				if err := f.add(e, 0); err != nil {
 					return nil, err
 				}
 			}
 		}
 	}
-	if rosterAddr == "" {
+	if discoveryAddress == "" {
 		return f, nil
 	}
 	var err error
-	f.Discovery, err = NewDiscovery(loop, rosterAddr, f.Entries(), book)
+	f.Discovery, err = NewDiscovery(loop, discoveryAddress, f.Entries(), recorder)
 	return f, err
 }
 
-// Entries are all hosts' lines in the list.
-func (f *Fleet) Entries() (all []endpoints.Entry) {
-	for _, h := range f.Endpoints {
-		all = append(all, h.Entry("ready"))
-	}
-	return all
-}
-
 func kindOf(d deployment.Deployment, name string) *pb.Kind {
-	for _, k := range d.Kinds {
-		if k.Name == name {
-			return k
+	for _, kind := range d.Kinds {
+		if kind.Name == name {
+			return kind
 		}
 	}
 	return nil
 }
 
-// Pick draws a share of the hosts of a kind, one at least; of all kinds if none is named.
-func (f *Fleet) Pick(kind string, share float64) (some []*Endpoint) {
-	for _, h := range f.Endpoints {
-		if (kind == "" || h.kind.Name == kind) && h.alive {
-			some = append(some, h)
-		}
+// add starts an endpoint with an id of its own.
+func (f *Fleet) add(e *Endpoint, startedAt eventloop.Micros) error {
+	f.lastID += 1 + uint32(f.random.Intn(maxIDGap))
+	e.fleet, e.ID, e.slowFactor = f, f.lastID, 1
+	if f.linkFreeAt[e.Cell] == nil {
+		f.linkFreeAt[e.Cell] = new(eventloop.Micros)
 	}
-	f.rand.Shuffle(len(some), func(i, j int) { some[i], some[j] = some[j], some[i] })
-	n := int(share*float64(len(some)) + 0.5)
-	return some[:min(max(n, 1), len(some))]
+	f.Endpoints = append(f.Endpoints, e)
+	return e.start(startedAt)
 }
 
-// Replace ends a share of the hosts and has as many others, with ids and addresses of their own, take their places.
-func (f *Fleet) Replace(share float64) error {
-	if share == 0 {
-		return nil
+// Close stops discovery and all endpoints.
+func (f *Fleet) Close() {
+	if f.Discovery != nil {
+		f.Discovery.Close()
 	}
-	last := f.Endpoints[len(f.Endpoints)-1].ID
-	for _, old := range f.Pick("", share) {
-		old.Crash(0)
-		last += 1 + uint32(f.rand.Intn(7))
-		h := &Endpoint{fleet: f, ID: last, Zone: old.Zone, Cell: old.Cell, group: old.group, kind: old.kind, slow: 1}
-		if err := h.up(f.loop.Now()); err != nil {
-			return err
-		}
-		f.Endpoints = append(f.Endpoints, h)
-		f.changed(h, "ready")
+	for _, e := range f.Endpoints {
+		e.stop()
 	}
-	return nil
 }
 
-// Partition parts a zone from all others for a while: what crosses is neither answered nor read.
-func (f *Fleet) Partition(zone string, span eventloop.Micros) {
-	for _, h := range f.Endpoints {
-		h.cut = zone
+// Entries are all endpoints' entries in the endpoint list.
+func (f *Fleet) Entries() (entries []endpoints.Entry) {
+	for _, e := range f.Endpoints {
+		entries = append(entries, e.Entry("ready"))
 	}
-	f.loop.AfterFunc(span, func() {
-		for _, h := range f.Endpoints {
-			h.cut = ""
-			h.thaw()
-		}
-	})
+	return entries
+}
+
+// Entry is an endpoint's entry in the endpoint list.
+func (e *Endpoint) Entry(condition string) endpoints.Entry {
+	return endpoints.Entry{ID: scheduler.EndpointID(e.ID), Addr: e.Addr, Zone: e.Zone, Kind: e.kind.Name, Cell: e.Cell,
+		Condition: condition, StartedAt: int64(e.startedAt)}
 }
 
-// Summary is what each host has under way.
-func (f *Fleet) Summary() (lines []string) {
-	for _, h := range f.Endpoints {
-		line := fmt.Sprint(h.ID, h.alive, h.draining, h.frozen, h.hung, len(h.waiting), len(h.states))
-		for _, j := range h.running {
-			line += fmt.Sprint(" ", j.leg, j.toRead, j.sent, j.fetching)
+// announce publishes an endpoint's new condition, after a random delay.
+func (f *Fleet) announce(e *Endpoint, condition string) {
+	entry := e.Entry(condition)
+	maxDelay := int64(f.deployment.Fleet.RosterLateMs) * int64(eventloop.Millisecond)
+	f.loop.AfterFunc(eventloop.Micros(f.random.Int63n(maxDelay+1)), func() {
+		if condition == "draining" && !e.alive {
+			return
 		}
-		lines = append(lines, line)
-	}
-	return lines
+		restarted := e.alive && e.startedAt > 0 && entry.StartedAt != int64(e.startedAt)
+		if condition == "gone" && restarted {
+			return // its start is announced by the change that follows
+		}
+		if f.Discovery != nil {
+			f.Discovery.Publish(entry)
+		}
+	})
 }
 
-// Close ends all.
-func (f *Fleet) Close() {
-	if f.Discovery != nil {
-		f.Discovery.Close()
-	}
-	for _, h := range f.Endpoints {
-		h.down()
+// Pick draws a share of the endpoints of a kind, one at least; of all kinds if none is named.
+func (f *Fleet) Pick(kind string, share float64) []*Endpoint {
+	var candidates []*Endpoint
+	for _, e := range f.Endpoints {
+		if (kind == "" || e.kind.Name == kind) && e.alive {
+			candidates = append(candidates, e)
+		}
 	}
+	f.random.Shuffle(len(candidates), func(i, j int) { candidates[i], candidates[j] = candidates[j], candidates[i] })
+	count := int(share*float64(len(candidates)) + 0.5)
+	return candidates[:min(max(count, 1), len(candidates))]
 }
 
-// TokenText is the i-th token that any writer gives for a generation, so that a client can check each byte.
-func TokenText(client string, i int) string {
-	h := uint32(2166136261)
-	for k := range len(client) {
-		h = (h ^ uint32(client[k])) * 16777619
+// Replace stops a share of the endpoints for good and starts as many others, with ids and addresses of their own.
+func (f *Fleet) Replace(share float64) error {
+	if share == 0 {
+		return nil
 	}
-	h = (h ^ uint32(i)) * 16777619
-	if h%13 == 0 {
-		return " é" + strconv.FormatUint(uint64(h%997), 36)
+	for _, old := range f.Pick("", share) {
+		old.Crash(0)
+		e := &Endpoint{Zone: old.Zone, Cell: old.Cell, group: old.group, kind: old.kind}
+		if err := f.add(e, f.loop.Now()); err != nil {
+			return err
+		}
+		f.announce(e, "ready")
 	}
-	return " " + strconv.FormatUint(uint64(h%99991), 36)
+	return nil
 }
 
-// AnswerLength is how many tokens the answer of a generation has.
-func AnswerLength(client string, most int) int {
-	h := uint32(97)
-	for k := range len(client) {
-		h = (h ^ uint32(client[k])) * 16777619
+// Partition cuts a zone off from all others for a while: what crosses is neither answered nor read.
+func (f *Fleet) Partition(zone string, duration eventloop.Micros) {
+	for _, e := range f.Endpoints {
+		e.partitionedZone = zone
 	}
-	return 1 + int(h>>8)%max(most, 1)
+	f.loop.AfterFunc(duration, func() {
+		for _, e := range f.Endpoints {
+			e.partitionedZone = ""
+			e.resume()
+		}
+	})
 }
 
-func (f *Fleet) note(h *Endpoint, what record.EventType, j *job) {
-	if f.book == nil {
+// record records what happened at an endpoint, to an attempt or, where that is nil, to the endpoint itself.
+func (f *Fleet) record(e *Endpoint, eventType record.EventType, a *attempt) {
+	if f.recorder == nil {
 		return
 	}
-	e := record.Event{At: int64(f.loop.Now()), Type: what, Endpoint: h.ID, Kind: h.kind.Name, Zone: h.Zone, Cell: h.Cell}
-	if j != nil {
-		e.Attempt, e.Request, e.Dispatcher, e.Product, e.Count = j.leg, j.client, j.dispatcher, j.product, int64(j.prompt)
-		if j.reads {
-			e.Detail = record.Prefill
-		} else {
-			e.Detail = record.Decode
+	event := record.Event{At: int64(f.loop.Now()), Type: eventType, Endpoint: e.ID, Kind: e.kind.Name,
+		Zone: e.Zone, Cell: e.Cell}
+	if a != nil {
+		event.Attempt, event.Request, event.Dispatcher = a.id, a.clientID, a.dispatcher
+		event.Product, event.Count, event.Detail = a.product, int64(a.promptTokens), record.Decode
+		if a.prefillOnly {
+			event.Detail = record.Prefill
 		}
 	}
-	switch what {
+	switch eventType {
 	case record.AttemptArrived:
-		e.Value = j.work
+		event.Value = a.work
 	case record.AttemptRefused:
-		e.Detail = h.said
+		event.Detail = e.lastError
 	case record.EndpointUp:
-		e.Count = int64(h.started)
-	}
-	f.book.Add(e)
-}
-
-// Kind is the name of a host's kind.
-func (h *Endpoint) Kind() string { return h.kind.Name }
-
-// Outstanding is what all hosts that live have for generations: jobs, states that wait to be fetched, tokens of memory.
-func (f *Fleet) Outstanding() (jobs, states, tokens int) {
-	for _, h := range f.Endpoints {
-		if h.alive {
-			jobs, states, tokens = jobs+len(h.running)+len(h.waiting), states+len(h.states), tokens+h.used
-		}
-	}
-	return jobs, states, tokens
-}
-
-// Stage tells where a client's generation stands, and at which host: waiting, reading, fetching or writing; read where its state waits.
-func (f *Fleet) Stage(client string) (stage string, at *Endpoint) {
-	for _, h := range f.Endpoints {
-		if !h.alive {
-			continue
-		}
-		for _, s := range h.states {
-			if s.job.client == client {
-				stage, at = "read", h
-			}
-		}
-	}
-	for _, h := range f.Endpoints {
-		for _, j := range h.waiting {
-			if j.client == client {
-				return "waiting", h
-			}
-		}
-		for _, j := range h.running {
-			switch {
-			case j.client != client:
-			case j.fetching:
-				return "fetching", h
-			case j.toRead > 0:
-				return "reading", h
-			default:
-				return "writing", h
-			}
-		}
+		event.Count = int64(e.startedAt)
 	}
-	return stage, at
+	f.recorder.Add(event)
 }
--- /dev/null
+++ b/internal/testbed/modelserver/kvstate.go
@@ -0,0 +1,162 @@
+package modelserver
+
+import (
+	"fmt"
+	"net/http"
+	"slices"
+	"strconv"
+
+	"plumspindle/internal/eventloop"
+	"plumspindle/internal/http1"
+	"plumspindle/internal/testbed/record"
+)
+
+const (
+	tokensPerBlock      = 16 // of a state
+	fetchConnectTimeout = 500 * eventloop.Millisecond
+
+	transferFormat = `{"do_remote_decode":false,"do_remote_prefill":true,"remote_engine_id":"%d",` +
+		`"remote_block_ids":[%d],"remote_request_id":%q,"remote_addr":%q,"tokens":%d}`
+	prefilledFormat = `{"id":%q,"object":"chat.completion","created":0,"model":%q,"choices":[{"index":0,` +
+		`"message":{"role":"assistant","content":""},"finish_reason":"length"}],"usage":{"prompt_tokens":%d,` +
+		`"completion_tokens":1,"total_tokens":%d,"prompt_tokens_details":{"cached_tokens":%d}},"kv_transfer_params":%s}`
+)
+
+// pinnedState is what a prefill left. It takes memory until a decode endpoint fetches it, it is released or its lease
+// expires.
+type pinnedState struct {
+	tokens  int
+	lease   eventloop.Timer
+	attempt *attempt
+}
+
+// finishPrefill ends a prefill: its state is pinned.
+func (e *Endpoint) finishPrefill(a *attempt) {
+	if i := slices.Index(e.running, a); i >= 0 {
+		e.running = slices.Delete(e.running, i, i+1)
+	}
+	if a.abandoned || e.releasedEarly[a.id] {
+		e.usedMemory -= a.memoryNeeded()
+		e.fleet.record(e, record.AttemptLeft, a)
+		return
+	}
+	e.fleet.record(e, record.StatePinned, a)
+	state := &pinnedState{tokens: a.promptTokens, attempt: a}
+	leaseTime := eventloop.Micros(e.fleet.deployment.Fleet.LeaseMs) * eventloop.Millisecond
+	state.lease = e.fleet.loop.AfterFunc(leaseTime, func() { e.release(a.id, record.StateLeaseExpired) })
+	e.states[a.id] = state
+	transfer := fmt.Sprintf(transferFormat, e.ID, a.promptTokens/tokensPerBlock, a.id, e.Addr, a.promptTokens)
+	a.conn.answer(http.StatusOK, fmt.Appendf(nil, prefilledFormat,
+		a.id, a.product, a.promptTokens, a.promptTokens+1, a.cachedTokens, transfer))
+}
+
+// release drops an attempt's state, whatever the reason; it returns false where there is none.
+func (e *Endpoint) release(attemptID string, reason record.EventType) bool {
+	state := e.states[attemptID]
+	if state == nil {
+		return false
+	}
+	state.lease.Stop()
+	delete(e.states, attemptID)
+	e.usedMemory -= state.attempt.memoryNeeded()
+	e.fleet.record(e, reason, state.attempt)
+	e.wake()
+	return true
+}
+
+// serveState sends a state to another endpoint, over this endpoint's port and, to another cell, over the one link of
+// this cell.
+func (e *Endpoint) serveState(conn *endpointConn, attemptID string, cell uint16) {
+	state := e.states[attemptID]
+	if state == nil {
+		conn.fail(http.StatusNotFound, errorStateLost)
+		return
+	}
+	fleet := e.fleet
+	freeAt, rate := &e.portFreeAt, fleet.deployment.Fleet.CellTokensPerS
+	if cell != e.Cell {
+		freeAt, rate = fleet.linkFreeAt[e.Cell], fleet.deployment.Fleet.LinkTokensPerS
+		if conn.zone != e.Zone {
+			rate /= fleet.deployment.Fleet.FarFactor
+		}
+	}
+	now := fleet.loop.Now()
+	*freeAt = max(*freeAt, now) + eventloop.Micros(float64(state.tokens)/rate*1e6)
+	fleet.loop.AfterFunc(*freeAt-now, func() {
+		if !e.alive || conn.closed {
+			return
+		}
+		if e.release(attemptID, record.StateFetched) {
+			conn.answer(http.StatusOK, []byte(`{"tokens":`+strconv.Itoa(state.tokens)+`}`))
+		} else {
+			conn.fail(http.StatusNotFound, errorStateLost)
+		}
+	})
+}
+
+// stateFetch is the connection on which an endpoint fetches the state of a prefill.
+type stateFetch struct {
+	endpoint *Endpoint
+	attempt  *attempt
+	conn     eventloop.Conn
+	parser   http1.Parser
+	status   int
+	done     bool
+}
+
+// fetchState fetches the state that an attempt decodes from.
+func (e *Endpoint) fetchState(a *attempt) {
+	a.fetching = true
+	fetch := &stateFetch{endpoint: e, attempt: a, parser: http1.Parser{Response: true, Limits: http1.DefaultLimits}}
+	fetch.conn = e.fleet.loop.Dial(a.fetchFrom, fetchConnectTimeout, fetch)
+}
+
+// Opened sends the request.
+func (f *stateFetch) Opened() {
+	f.conn.Write(http1.AppendRequest(nil, http.MethodGet, statePath+f.attempt.fetchAttempt, f.attempt.fetchFrom, nil,
+		"x-zone", f.endpoint.Zone, "x-cell", strconv.Itoa(int(f.endpoint.Cell))))
+}
+
+// Drained is not needed: the request is written at once.
+func (f *stateFetch) Drained() {}
+
+// Data parses the answer.
+func (f *stateFetch) Data(data []byte) {
+	if f.parser.Feed(data, f) != nil {
+		f.conn.Abort()
+	}
+}
+
+// Head takes the status.
+func (f *stateFetch) Head(head *http1.Head) error { f.status = head.Status; return nil }
+
+// Body drops the answer's body.
+func (f *stateFetch) Body([]byte) error { return nil }
+
+// End ends the fetch.
+func (f *stateFetch) End() error { f.finish(); f.conn.Close(); return nil }
+
+// Closed ends a fetch that was not answered.
+func (f *stateFetch) Closed(error) { f.finish() }
+
+// finish lets the attempt decode, or fails it where the state was not there.
+func (f *stateFetch) finish() {
+	e, a := f.endpoint, f.attempt
+	if f.done {
+		return
+	}
+	f.done = true
+	if !slices.Contains(e.running, a) {
+		return
+	}
+	a.fetching = false
+	if f.status != http.StatusOK {
+		e.finish(a)
+		a.conn.fail(http.StatusConflict, errorStateLost)
+		return
+	}
+	if !e.frozen && !e.hung {
+		e.emitToken(a) // the first token comes with the state
+	}
+	e.wake()
+}
