--- a/internal/deployment/deployment.go
+++ b/internal/deployment/deployment.go
@@ -26,22 +26,22 @@
 // Deployment is the schema's message, found to be without fault.
 type Deployment struct{ *pb.Deployment }
 
-// Fault is one thing that is wrong with a text.
-type Fault struct {
+// FieldError is one thing that is wrong with a text.
+type FieldError struct {
 	Line   int
 	Field  string
 	Reason string
 }
 
-// Faults are all that are wrong with one text.
-type Faults struct {
-	Name string
-	All  []Fault
+// InvalidError are all that are wrong with one text.
+type InvalidError struct {
+	Name   string
+	Fields []FieldError
 }
 
-func (f *Faults) Error() string {
+func (f *InvalidError) Error() string {
 	var lines []string
-	for _, one := range f.All {
+	for _, one := range f.Fields {
 		lines = append(lines, fmt.Sprintf("%s:%d: %s: %s", f.Name, one.Line, one.Field, one.Reason))
 	}
 	return strings.Join(lines, "\n")
@@ -70,12 +70,12 @@
 
 // reading collects the faults of one text, and where each field stands in it.
 type reading struct {
-	faults []Fault
+	faults []FieldError
 	lines  map[string]int
 }
 
 func (r *reading) fault(line int, field, format string, args ...any) {
-	r.faults = append(r.faults, Fault{line, field, fmt.Sprintf(format, args...)})
+	r.faults = append(r.faults, FieldError{line, field, fmt.Sprintf(format, args...)})
 }
 
 // wrong is a fault of a field that may be missing from the text; then its place is that of what it belongs to.
@@ -101,8 +101,8 @@
 	return Deployment{m}, read(name, text, m, func(r *reading) { r.check(m) })
 }
 
-// ReadDay reads a day's script in the same way; kinds are the sorts of trouble that can be played.
-func ReadDay(name string, text []byte, kinds []string) (*pb.Day, error) {
+// ReadScenario reads a day's script in the same way; kinds are the sorts of trouble that can be played.
+func ReadScenario(name string, text []byte, kinds []string) (*pb.Day, error) {
 	m := &pb.Day{}
 	return m, read(name, text, m, func(r *reading) {
 		if m.Seconds == 0 || m.Seconds > 86400 {
@@ -138,7 +138,7 @@
 		}
 	}
 	if len(r.faults) > 0 {
-		return &Faults{name, r.faults}
+		return &InvalidError{name, r.faults}
 	}
 	return nil
 }
@@ -394,8 +394,8 @@
 
 func micros(ms uint32) scheduler.Micros { return scheduler.Micros(ms) * 1000 }
 
-// Module is what the decision module is handed of it.
-func (d Deployment) Module() scheduler.Config {
+// SchedulerConfig is what the decision module is handed of it.
+func (d Deployment) SchedulerConfig() scheduler.Config {
 	place := scheduler.Config{
 		Dispatchers: int(d.Dispatching.Dispatchers), OverQuotaWeight: d.Rules.OverShareWorth,
 		DecodePrefills: d.Dispatching.WritersRead, MaxAttempts: int(d.Dispatching.LegLimit), CancelAllowed: d.Dispatching.MayCancel,
@@ -432,8 +432,8 @@
 // ErrNoFleet is for what needs the stand-in fleet.
 var ErrNoFleet = errors.New("the deployment describes no stand-in fleet (field fleet)")
 
-// Batch is what calls with many inputs are held to, with what is not stated filled in.
-func (d Deployment) Batch() *pb.Batches {
+// BatchLimits is what calls with many inputs are held to, with what is not stated filled in.
+func (d Deployment) BatchLimits() *pb.Batches {
 	b := &pb.Batches{}
 	if d.Batches != nil {
 		b = proto.Clone(d.Batches).(*pb.Batches)
--- a/internal/deployment/deployment_test.go
+++ b/internal/deployment/deployment_test.go
@@ -12,8 +12,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if len(again.Module().Classes) != 5 || again.Module().Kinds[1].Memory != 140000 {
-		t.Fatalf("lost on the way: %+v", again.Module())
+	if len(again.SchedulerConfig().Classes) != 5 || again.SchedulerConfig().Kinds[1].Memory != 140000 {
+		t.Fatalf("lost on the way: %+v", again.SchedulerConfig())
 	}
 }
 
@@ -27,19 +27,19 @@
 		"cold_from: 0.25", "cold_from: 0.25\n  cold_from: 0.5",
 	).Replace(string(standard))
 	_, err := Read("x", []byte(text))
-	var faults *Faults
+	var faults *InvalidError
 	if !errors.As(err, &faults) {
 		t.Fatalf("got %v", err)
 	}
 	want := []string{"products[1].slo_ms", "products[2].revenu", "kinds[1].role", "rules.cold_from"}
-	for i, f := range faults.All {
+	for i, f := range faults.Fields {
 		if i >= len(want) || f.Field != want[i] || !strings.Contains(strings.Split(text, "\n")[f.Line-1],
 			f.Field[strings.LastIndex(f.Field, ".")+1:]) {
 			t.Errorf("fault %d: %+v", i, f)
 		}
 	}
-	if len(faults.All) != len(want) {
-		t.Errorf("%d faults, want %d:\n%v", len(faults.All), len(want), err)
+	if len(faults.Fields) != len(want) {
+		t.Errorf("%d faults, want %d:\n%v", len(faults.Fields), len(want), err)
 	}
 	secret := "sk-not-a-digest"
 	text = strings.Replace(string(standard), `zones: "east"`, `zones: "west"`, 1) +
--- a/internal/dispatch/dispatch.go
+++ b/internal/dispatch/dispatch.go
@@ -169,7 +169,7 @@
 	for i, p := range d.Products {
 		x.products[p.Name] = scheduler.ClassID(i)
 	}
-	x.batches.pb = d.Batch()
+	x.batches.pb = d.BatchLimits()
 	x.batches.limiter = batch.NewLimiter(int(x.batches.pb.FixedLimit))
 	bounds := http1.Usual
 	bounds.Head, bounds.Body = int(d.Doors.HeadMost), int(d.Doors.BodyMost)
@@ -182,7 +182,7 @@
 	}
 	x.repeats = idempotency.NewCache(int(d.Doors.RememberMost), int(d.Doors.RememberBytes), answerKept)
 	x.recall()
-	x.place = d.Module()
+	x.place = d.SchedulerConfig()
 	x.place.Quotas = nil // told tenant by tenant, as they come
 	x.place.Zone = scheduler.ZoneID(slices.Index(d.Zones, post.Zone))
 	var orders scheduler.Executor = x
@@ -789,7 +789,7 @@
 		}
 	}
 	if g.repeat != nil {
-		x.repeats.Event(g.repeat, data)
+		x.repeats.AddEvent(g.repeat, data)
 	}
 	lags := false
 	for _, r := range g.replies {
--- a/internal/dispatch/intent.go
+++ b/internal/dispatch/intent.go
@@ -55,7 +55,7 @@
 	for _, i := range all {
 		x.repeats.Restore(i.key, i.request, i.until, i.window)
 	}
-	x.repeats.OnForget = func(k idempotency.Key) {
+	x.repeats.OnExpire = func(k idempotency.Key) {
 		_ = x.post.Intents.Commit([]store.Op{{Key: intentPrefix + string(k[:])}}, nil, true, nil) // one kept too long does no harm
 	}
 	x.post.Log.Info().Int("keys", len(all)).Msg("remembering what may have run before")
--- a/internal/idempotency/idempotency.go
+++ b/internal/idempotency/idempotency.go
@@ -42,8 +42,8 @@
 	entries                     map[Key]*Entry
 	lines                       []*line // one for each length of window, each in the order of its ends
 	bytes                       int
-	// OnForget is told of each key that is remembered no more.
-	OnForget func(Key)
+	// OnExpire is told of each key that is remembered no more.
+	OnExpire func(Key)
 	answers  []*Entry // whole answers, oldest first, whose events go first when bytes run short
 }
 
@@ -86,9 +86,9 @@
 	return AlreadyRan, nil
 }
 
-// Event keeps one more event of a running answer, while the bounds let it. Room is made by dropping the answers that
+// AddEvent keeps one more event of a running answer, while the bounds let it. Room is made by dropping the answers that
 // ended first, never by dropping a key.
-func (b *Cache) Event(e *Entry, data []byte) {
+func (b *Cache) AddEvent(e *Entry, data []byte) {
 	if !e.whole || e.gone {
 		return
 	}
@@ -149,8 +149,8 @@
 	b.drop(e)
 	e.gone = true
 	delete(b.entries, e.key)
-	if b.OnForget != nil {
-		b.OnForget(e.key)
+	if b.OnExpire != nil {
+		b.OnExpire(e.key)
 	}
 }
 
--- a/internal/idempotency/idempotency_test.go
+++ b/internal/idempotency/idempotency_test.go
@@ -68,7 +68,7 @@
 				if m != nil && !m.ended {
 					text := fmt.Sprint(rapid.IntRange(0, 99999).Draw(t, "text"))
 					m.all += text
-					b.Event(m.entry, []byte(text))
+					b.AddEvent(m.entry, []byte(text))
 				}
 			case 3:
 				if m != nil && !m.ended {
@@ -97,7 +97,7 @@
 			t.Fatalf("key %d got %d", i, v)
 		}
 		if e != nil {
-			b.Event(e, make([]byte, 500))
+			b.AddEvent(e, make([]byte, 500))
 			b.End(Micros(i), e, true, true, 10000)
 		}
 	}
--- a/internal/testbed/scenarios/scenarios.go
+++ b/internal/testbed/scenarios/scenarios.go
@@ -638,7 +638,7 @@
 
 // ReadScript reads a day's text.
 func ReadScript(name string, text []byte) (*pb.Day, error) {
-	d, err := deployment.ReadDay(name, text, Kinds())
+	d, err := deployment.ReadScenario(name, text, Kinds())
 	if err != nil {
 		return nil, err
 	}
