--- a/internal/admin/admin_test.go
+++ b/internal/admin/admin_test.go
@@ -95,7 +95,7 @@
 		if err != nil {
 			return
 		}
-		ln, e := y.at[i].Listen(y.api[i], y.x[i].Front().Accept)
+		ln, e := y.at[i].Listen(y.api[i], y.x[i].Frontend().Accept)
 		if err = e; e == nil {
 			y.api[i] = ln.Addr()
 		}
@@ -284,7 +284,7 @@
 		y.finals(stays, "streamed")
 		for i, x := range y.x {
 			if x.OpenRequests() != 0 {
-				t.Errorf("%s: dispatcher %d: %v", policy, i, x.DescribeOpen())
+				t.Errorf("%s: dispatcher %d: %v", policy, i, x.DescribeOpenRequests())
 			}
 		}
 		if got, _ := y.must(200, "GET", "tenants/going", ""); got.Get("state").String() != "removed" {
--- a/internal/cli/program.go
+++ b/internal/cli/program.go
@@ -264,7 +264,7 @@
 		if x, err = dispatch.Start(loop, d, post); err != nil {
 			return
 		}
-		ln, err = loop.Listen(c.Listen, x.Front().Accept)
+		ln, err = loop.Listen(c.Listen, x.Frontend().Accept)
 	})
 	return x, ln, err
 }
@@ -276,13 +276,13 @@
 		ln.Close()
 		x.Shutdown(func() { close(done) })
 	})
-	var counts dispatch.Counts
+	var counts dispatch.Counters
 	var running int
 	select {
 	case <-done:
 	case <-time.After(within):
 	}
-	loop.Do(func() { counts, running = x.Counts, x.OpenRequests() })
+	loop.Do(func() { counts, running = x.Counters, x.OpenRequests() })
 	var mem runtime.MemStats
 	runtime.ReadMemStats(&mem)
 	s.log.Info().Uint64("events", counts.Events).Uint64("allocations", mem.Mallocs).Uint64("taken", counts.Accepted).Uint64("streamed", counts.Completed).Uint64("throttled", counts.Rejected).
--- a/internal/dispatch/batches.go
+++ b/internal/dispatch/batches.go
@@ -20,26 +20,26 @@
 )
 
 const (
-	partAnswer  = 32 << 20 // bytes of a host's answer to a part
-	cachesMost  = 64       // tenants' caches at once; the one that was not used for longest makes way
-	batchMargin = 20 * eventloop.Millisecond
-	answersMost = 256 << 20 // bytes that the answers of all calls that run may have
+	partAnswer          = 32 << 20 // bytes of a host's answer to a part
+	cachesMost          = 64       // tenants' caches at once; the one that was not used for longest makes way
+	batchMargin         = 20 * eventloop.Millisecond
+	maxBatchAnswerBytes = 256 << 20 // bytes that the answers of all calls that run may have
 )
 
-// batches is all calls with many inputs of one dispatcher. Their parts are generations like any other; which of them goes
+// batchManager is all calls with many inputs of one dispatcher. Their parts are generations like any other; which of them goes
 // next, and how many may be out, is package batch's.
-type batches struct {
-	pb      *pb.Batches
-	limiter *batch.Limiter
-	turns   []*batcher // tenants that have calls, the next one first
-	calls   int
-	caches  []*tenantCache // the one used last comes last
-	answers int            // bytes that the answers of all calls that run are going to have
+type batchManager struct {
+	limits      *pb.Batches
+	limiter     *batch.Limiter
+	tenants     []*tenantBatches // tenants that have calls, the next one first
+	openCalls   int
+	caches      []*tenantCache // the one used last comes last
+	answerBytes int            // bytes that the answers of all calls that run are going to have
 }
 
-// batcher is one tenant's calls; they take turns too.
-type batcher struct {
-	seat   *seat
+// tenantBatches is one tenant's calls; they take turns too.
+type tenantBatches struct {
+	seat   *tenantSlot
 	calls  []*batchCall
 	queued int
 }
@@ -52,7 +52,7 @@
 // batchCall is one client's.
 type batchCall struct {
 	x          *Dispatcher
-	ask        *embeddings.Request
+	request    *embeddings.Request
 	who        frontend.Identity
 	to         *frontend.Response
 	clientID   string
@@ -65,16 +65,16 @@
 	parts      *batch.Call
 	parted     int // inputs that are in parts
 	whole      bool
-	home       *batcher
-	out        map[batch.PartNo]*gen
+	home       *tenantBatches
+	out        map[batch.PartNo]*request
 	answer     embeddings.Answer
 	cache      *vectors.Cache
 	ended      bool
 	answers    int // bytes that its answer is going to have
 }
 
-// part ties a generation to the call that it is a part of.
-type part struct {
+// batchPart ties a generation to the call that it is a part of.
+type batchPart struct {
 	call   *batchCall
 	no     batch.PartNo
 	inputs []int
@@ -87,7 +87,7 @@
 
 // batchRoute is one of the APIs whose answers are complete with the read.
 func (x *Dispatcher) batchRoute(kind embeddings.Kind, form pb.Product_Form) frontend.Route {
-	b := x.batches.pb
+	b := x.batches.limits
 	bounds := embeddings.Bounds{Inputs: int(b.InputsMost), InputTokens: int(b.InputTokensMost), Body: int(b.BodyMost), Window: int(b.Window)}
 	if kind == embeddings.Rerank {
 		bounds.Inputs = int(b.DocumentsMost)
@@ -100,17 +100,17 @@
 		if p != nil {
 			return nil, p
 		}
-		c := &batchCall{x: x, who: who, to: to, form: form, clientID: head.Get("x-client-request-id"), deadline: limit, out: map[batch.PartNo]*gen{}}
-		c.ask = embeddings.NewRequest(kind, head.Get("Content-Encoding"), bounds, c, to)
+		c := &batchCall{x: x, who: who, to: to, form: form, clientID: head.Get("x-client-request-id"), deadline: limit, out: map[batch.PartNo]*request{}}
+		c.request = embeddings.NewRequest(kind, head.Get("Content-Encoding"), bounds, c, to)
 		to.OnDisconnect = func() { x.loop.Later(c.left) }
-		return c.ask, nil
+		return c.request, nil
 	}}
 }
 
 // Begin: all is known that a part needs.
 func (c *batchCall) Begin() *frontend.Problem {
-	x, a := c.x, c.ask
-	product, known := x.products[a.Model]
+	x, a := c.x, c.request
+	product, known := x.classes[a.Model]
 	if !known {
 		return frontend.NoModel(a.Model)
 	}
@@ -124,11 +124,11 @@
 		}
 		c.dimensions = a.Dimensions
 	}
-	s := x.seats[c.who.Tenant]
+	s := x.tenantSlots[c.who.Tenant]
 	if s == nil || !c.who.Serves {
 		return &frontend.Problem{Status: 403, Type: "permission_error", Code: "tenant_suspended", Never: true, Message: "This account is suspended."}
 	}
-	if x.batches.calls >= int(x.Doors.OpenMost) {
+	if x.batches.openCalls >= int(x.Doors.OpenMost) {
 		x.Shed++
 		return frontend.TooManyConnections()
 	}
@@ -140,10 +140,10 @@
 	c.product, c.deadline = product, now+span
 	c.limit = x.loop.After(max(span-batchMargin, 0), c.late)
 	c.parts = batch.NewCall(nil, batch.Bounds{})
-	if x.batches.pb.Cache > 0 && c.form == pb.Product_EMBEDDING {
-		c.cache = x.cacheOf(c.who.Space, c.dimensions)
+	if x.batches.limits.Cache > 0 && c.form == pb.Product_EMBEDDING {
+		c.cache = x.vectorCache(c.who.Space, c.dimensions)
 	}
-	x.batches.calls++
+	x.batches.openCalls++
 	x.Accepted++
 	c.home = x.batches.of(s)
 	c.home.calls = append(c.home.calls, c)
@@ -156,16 +156,16 @@
 		return nil
 	}
 	c.whole = c.whole || whole
-	n := len(c.ask.Inputs)
+	n := len(c.request.Inputs)
 	need := 4 * c.dimensions * (n - len(c.answer.Vectors))
-	if c.x.batches.answers+need > answersMost {
+	if c.x.batches.answerBytes+need > maxBatchAnswerBytes {
 		c.crowded()
 		return nil
 	}
-	c.x.batches.answers, c.answers = c.x.batches.answers+need, c.answers+need
+	c.x.batches.answerBytes, c.answers = c.x.batches.answerBytes+need, c.answers+need
 	c.answer.Vectors = append(c.answer.Vectors, make([][]byte, n-len(c.answer.Vectors))...)
 	c.answer.Scores = append(c.answer.Scores, make([]float64, n-len(c.answer.Scores))...)
-	b := batch.Bounds{Tokens: int(c.x.batches.pb.PartTokens), Inputs: int(c.x.batches.pb.PartInputs)}
+	b := batch.Bounds{Tokens: int(c.x.batches.limits.PartTokens), Inputs: int(c.x.batches.limits.PartInputs)}
 	for c.parted < n {
 		// What is cached is there already; what is not goes out, neighbours together.
 		from := c.parted
@@ -174,7 +174,7 @@
 			if c.cached(c.parted) {
 				break
 			}
-			tokens = append(tokens, c.ask.Tokens([]int{c.parted}))
+			tokens = append(tokens, c.request.Tokens([]int{c.parted}))
 		}
 		c.parts.Add(from, tokens, b)
 		for c.parted < n && c.cached(c.parted) {
@@ -193,11 +193,11 @@
 	if c.answer.Vectors[i] != nil {
 		return true
 	}
-	v, some := c.cache.Get(c.ask.CacheKey(i, c.dimensions))
+	v, some := c.cache.Get(c.request.CacheKey(i, c.dimensions))
 	if some {
 		c.answer.Vectors[i] = slices.Clone(v)
 		c.x.loop.Later(func() { // it may read on in the body, and this is called while its inputs are parted
-			if p := c.ask.Drop(i); p != nil {
+			if p := c.request.Drop(i); p != nil {
 				c.fail(p)
 			}
 		})
@@ -205,8 +205,8 @@
 	return some
 }
 
-// cacheOf is a tenant's own cache for vectors of a size; no two tenants share one.
-func (x *Dispatcher) cacheOf(space string, dimensions int) *vectors.Cache {
+// vectorCache is a tenant's own cache for vectors of a size; no two tenants share one.
+func (x *Dispatcher) vectorCache(space string, dimensions int) *vectors.Cache {
 	b := &x.batches
 	name := strconv.Itoa(dimensions) + " " + space
 	at := slices.IndexFunc(b.caches, func(t *tenantCache) bool { return t.name == name })
@@ -218,20 +218,20 @@
 		if len(b.caches) >= cachesMost {
 			b.caches = slices.Delete(b.caches, 0, 1)
 		}
-		t = &tenantCache{name, vectors.New(4*dimensions, int(b.pb.Cache))}
+		t = &tenantCache{name, vectors.New(4*dimensions, int(b.limits.Cache))}
 	}
 	b.caches = append(b.caches, t)
 	return t.Cache
 }
 
-func (b *batches) of(s *seat) *batcher {
-	for _, t := range b.turns {
+func (b *batchManager) of(s *tenantSlot) *tenantBatches {
+	for _, t := range b.tenants {
 		if t.seat == s {
 			return t
 		}
 	}
-	t := &batcher{seat: s}
-	b.turns = append(b.turns, t)
+	t := &tenantBatches{seat: s}
+	b.tenants = append(b.tenants, t)
 	return t
 }
 
@@ -239,9 +239,9 @@
 func (x *Dispatcher) pump() {
 	b := &x.batches
 	now := x.loop.Now()
-	for idle := 0; idle < len(b.turns) && b.limiter.May(); {
-		t := b.turns[0]
-		b.turns = append(b.turns[1:], t)
+	for idle := 0; idle < len(b.tenants) && b.limiter.May(); {
+		t := b.tenants[0]
+		b.tenants = append(b.tenants[1:], t)
 		c := t.next(now)
 		if c == nil || t.queued >= batch.QueuedMost {
 			idle++
@@ -252,7 +252,7 @@
 	}
 }
 
-func (t *batcher) next(now eventloop.Micros) *batchCall {
+func (t *tenantBatches) next(now eventloop.Micros) *batchCall {
 	for range t.calls {
 		c := t.calls[0]
 		t.calls = append(t.calls[1:], c)
@@ -267,8 +267,8 @@
 func (c *batchCall) send(now eventloop.Micros) {
 	x, s := c.x, c.home.seat
 	no, inputs := c.parts.Send()
-	tokens := c.ask.Tokens(inputs)
-	t, v := x.gate.Admit(now, s.id, c.who.Key, c.ask.Model, tokens, 0)
+	tokens := c.request.Tokens(inputs)
+	t, v := x.admission.Admit(now, s.id, c.who.Key, c.request.Model, tokens, 0)
 	if v.Reason != tenancy.None {
 		x.OverQuota++
 		after := v.RetryAfter
@@ -284,11 +284,11 @@
 		c.back(no, batch.Busy, after)
 		return
 	}
-	x.lastGen++
-	g := &gen{id: x.lastGen, ask: &chat.Request{Model: c.ask.Model, Tokens: tokens}, product: c.product, deadline: c.deadline, taken: now, clientID: c.clientID,
-		ticket: t, seat: s, part: &part{call: c, no: no, inputs: inputs, sent: now}}
+	x.lastRequestID++
+	g := &request{id: x.lastRequestID, ask: &chat.Request{Model: c.request.Model, Tokens: tokens}, product: c.product, deadline: c.deadline, taken: now, clientID: c.clientID,
+		ticket: t, seat: s, part: &batchPart{call: c, no: no, inputs: inputs, sent: now}}
 	t.Owner = g
-	x.gens[g.id] = g
+	x.requests[g.id] = g
 	c.out[no] = g
 	if v.Admitted {
 		x.batches.limiter.Sent()
@@ -307,7 +307,7 @@
 }
 
 // admitted: a part's turn at the gate has come.
-func (p *part) admitted(now eventloop.Micros) {
+func (p *batchPart) admitted(now eventloop.Micros) {
 	if p.queued {
 		p.queued = false
 		p.call.home.queued--
@@ -317,13 +317,13 @@
 }
 
 // carryPart makes a part's leg.
-func (x *Dispatcher) carryPart(g *gen, name string, w what, hear engine.Callbacks) {
+func (x *Dispatcher) carryPart(g *request, name string, w eventDetails, hear engine.Callbacks) {
 	p := g.part
 	c := p.call
-	to, body := c.ask.Part(p.inputs, c.dimensions)
+	to, body := c.request.Part(p.inputs, c.dimensions)
 	inputs := len(p.inputs)
-	g.leg = x.engine.PrefillOnly(w.host, name, g.clientID, to, body, partAnswer, w.allow, func(body []byte) engine.Result {
-		r, err := c.ask.ReadPart(body, inputs, c.dimensions)
+	g.leg = x.engine.PrefillOnly(w.endpoint, name, g.clientID, to, body, partAnswer, w.timeout, func(body []byte) engine.Result {
+		r, err := c.request.ReadPart(body, inputs, c.dimensions)
 		if err != nil {
 			return engine.Result{Outcome: scheduler.Errored, Reason: "an answer that is not what was asked for: " + err.Error()}
 		}
@@ -333,7 +333,7 @@
 }
 
 // answered takes the final answer of a part's generation.
-func (p *part) answered(g *gen, a lifecycle.Action, comeBack eventloop.Micros) {
+func (p *batchPart) answered(g *request, a lifecycle.Action, comeBack eventloop.Micros) {
 	c := p.call
 	x := c.x
 	now := x.loop.Now()
@@ -366,19 +366,19 @@
 	g.tokens = 0
 	c.answer.Tokens += g.prompt
 	for n, i := range p.inputs {
-		if c.ask.Kind == embeddings.Rerank {
+		if c.request.Kind == embeddings.Rerank {
 			c.answer.Scores[i] = p.result.Scores[n]
 		} else {
 			c.answer.Vectors[i] = p.result.Vectors[n]
 			if c.cache != nil {
-				c.cache.Put(c.ask.CacheKey(i, c.dimensions), p.result.Vectors[n])
+				c.cache.Put(c.request.CacheKey(i, c.dimensions), p.result.Vectors[n])
 			}
 		}
 	}
 	inputs := p.inputs
 	x.loop.Later(func() { // never within the module's own call
 		for _, i := range inputs {
-			if problem := c.ask.Drop(i); problem != nil {
+			if problem := c.request.Drop(i); problem != nil {
 				c.fail(problem)
 				return
 			}
@@ -421,7 +421,7 @@
 	if c.ended || !c.whole || c.parts.Open() > 0 {
 		return
 	}
-	c.answer.Ask, c.answer.ID = c.ask, c.x.answerID(c.x.lastGen)
+	c.answer.Ask, c.answer.ID = c.request, c.x.answerID(c.x.lastRequestID)
 	c.x.Completed++
 	c.meter(lifecycle.AnswerCompleted)
 	c.end()
@@ -432,7 +432,7 @@
 func (c *batchCall) end() {
 	x := c.x
 	c.ended = true
-	c.ask.Close()
+	c.request.Close()
 	if c.home == nil {
 		return
 	}
@@ -444,10 +444,10 @@
 	}
 	c.home.calls = slices.DeleteFunc(c.home.calls, func(o *batchCall) bool { return o == c })
 	if len(c.home.calls) == 0 {
-		x.batches.turns = slices.DeleteFunc(x.batches.turns, func(t *batcher) bool { return t == c.home })
+		x.batches.tenants = slices.DeleteFunc(x.batches.tenants, func(t *tenantBatches) bool { return t == c.home })
 	}
-	x.batches.calls--
-	x.batches.answers -= c.answers
+	x.batches.openCalls--
+	x.batches.answerBytes -= c.answers
 	var out []batch.PartNo
 	for no := range c.out {
 		out = append(out, no)
@@ -455,14 +455,14 @@
 	slices.Sort(out)
 	for _, no := range out {
 		if g := c.out[no]; g != nil {
-			x.take(g, lifecycle.ClientDisconnected)
+			x.fire(g, lifecycle.ClientDisconnected)
 		}
 	}
-	x.loop.Later(x.left)
+	x.loop.Later(x.finishShutdown)
 }
 
 func (c *batchCall) meter(final lifecycle.Action) {
-	u := tenancy.Usage{Tenant: c.who.Tenant, Product: c.ask.Model, Day: tenancy.Day(c.x.loop.Now()), Accepted: 1}
+	u := tenancy.Usage{Tenant: c.who.Tenant, Product: c.request.Model, Day: tenancy.Day(c.x.loop.Now()), Accepted: 1}
 	switch final {
 	case lifecycle.AnswerCompleted:
 		u.Completed = 1
@@ -473,7 +473,7 @@
 	default:
 		u.Disconnected = 1
 	}
-	c.x.meter.Add(u)
+	c.x.usage.Add(u)
 }
 
 // left: its client waits no more.
@@ -520,9 +520,9 @@
 		return
 	}
 	if i := c.parts.Blame; i >= 0 {
-		at := slices.Index(c.ask.Order, int32(i))
+		at := slices.Index(c.request.Order, int32(i))
 		name := "input"
-		if c.ask.Kind == embeddings.Rerank {
+		if c.request.Kind == embeddings.Rerank {
 			name = "documents"
 		}
 		c.fail(&frontend.Problem{Status: 422, Type: "invalid_request_error", Param: fmt.Sprintf("%s[%d]", name, at), Code: "input_not_served", Never: true,
--- a/internal/dispatch/batches_test.go
+++ b/internal/dispatch/batches_test.go
@@ -24,8 +24,8 @@
 	"plumspindle/internal/testbed/modelserver"
 )
 
-// embeds answers a part as every host should.
-func embeds(l *line) {
+// answerEmbeddings answers a part as every host should.
+func answerEmbeddings(l *fakeConn) {
 	list := []any{}
 	gjson.GetBytes(l.body, "input").ForEach(func(_, v gjson.Result) bool {
 		list = append(list, map[string]any{"index": len(list), "embedding": base64.StdEncoding.EncodeToString(modelserver.Vector(v.Raw, int(gjson.GetBytes(l.body, "dimensions").Int())))})
@@ -35,29 +35,29 @@
 	l.answer(200, string(b))
 }
 
-func batchRig(t *testing.T, change func(d deployment.Deployment), names ...string) *rig {
-	r := newRig(t, change, names...)
-	for _, h := range r.hosts {
-		h.serve = embeds
+func newBatchHarness(t *testing.T, change func(d deployment.Deployment), names ...string) *harness {
+	r := newHarness(t, change, names...)
+	for _, h := range r.endpoints {
+		h.serve = answerEmbeddings
 	}
 	return r
 }
 
 // post sends a whole body to a URL.
-func (r *rig) post(path string, body []byte, fields ...string) *call {
-	c := &call{r: r, parser: http1.Parser{Response: true, Bounds: http1.Usual}, events: sse.Parser{Most: 1 << 20}}
+func (r *harness) post(path string, body []byte, fields ...string) *clientCall {
+	c := &clientCall{harness: r, parser: http1.Parser{Response: true, Bounds: http1.Usual}, events: sse.Parser{Most: 1 << 20}}
 	c.request = http1.AppendRequest(nil, "POST", path, r.addr, body, append([]string{
 		"Authorization", "Bearer " + key, "Content-Type", "application/json"}, fields...)...)
-	r.far.Do(func() { c.conn = r.far.Dial(r.addr, eventloop.Second, c) })
+	r.remote.Do(func() { c.conn = r.remote.Dial(r.addr, eventloop.Second, c) })
 	return c
 }
 
-func body(inputs []string, more string) []byte {
+func embeddingsBody(inputs []string, more string) []byte {
 	b, _ := json.Marshal(inputs)
 	return []byte(`{"model":"embed"` + more + `,"input":` + string(b) + `}`)
 }
 
-func texts(n int) (all []string) {
+func inputTexts(n int) (all []string) {
 	for i := range n {
 		all = append(all, fmt.Sprintf("text %d of the collection, with some words that make it a little longer", i))
 	}
@@ -65,24 +65,24 @@
 }
 
 // dechunk is the body of a chunked answer.
-func (c *call) dechunk(t *testing.T) []byte {
+func (c *clientCall) dechunk(t *testing.T) []byte {
 	t.Helper()
-	got := &bodyOf{}
+	got := &bodyCollector{}
 	p := http1.Parser{Response: true, Bounds: http1.Usual}
 	if err := p.Feed(c.raw, got); err != nil {
 		t.Fatal(err)
 	}
-	return got.b
+	return got.body
 }
 
-type bodyOf struct{ b []byte }
+type bodyCollector struct{ body []byte }
 
-func (g *bodyOf) Head(*http1.Head) error { return nil }
-func (g *bodyOf) Body(b []byte) error    { g.b = append(g.b, b...); return nil }
-func (g *bodyOf) End() error             { return nil }
+func (g *bodyCollector) Head(*http1.Head) error { return nil }
+func (g *bodyCollector) Body(b []byte) error    { g.body = append(g.body, b...); return nil }
+func (g *bodyCollector) End() error             { return nil }
 
-// vectors holds an answer against what each input's vector has to be.
-func (c *call) vectors(t *testing.T, inputs []string, dimensions int) {
+// expectVectors holds an answer against what each input's vector has to be.
+func (c *clientCall) expectVectors(t *testing.T, inputs []string, dimensions int) {
 	t.Helper()
 	b := c.dechunk(t)
 	data := gjson.GetBytes(b, "data").Array()
@@ -121,83 +121,83 @@
 // A call is parted, read at several hosts that answer in any order, and joined in its own; repeats inside it are read once;
 // both formats, fewer dimensions, token lists and coded bodies.
 func TestBatchIsJoinedInOrder(t *testing.T) {
-	r := batchRig(t, nil, "prefill west", "prefill west", "prefill east", "decode west")
+	r := newBatchHarness(t, nil, "prefill west", "prefill west", "prefill east", "decode west")
 	chance := rand.New(rand.NewSource(4))
 	asked := 0
-	for _, h := range r.hosts {
-		h.serve = func(l *line) {
+	for _, h := range r.endpoints {
+		h.serve = func(l *fakeConn) {
 			copied := *l
 			asked += len(gjson.GetBytes(l.body, "input").Array())
-			r.far.After(eventloop.Micros(chance.Intn(40_000)), func() { embeds(&copied) })
+			r.remote.After(eventloop.Micros(chance.Intn(40_000)), func() { answerEmbeddings(&copied) })
 		}
 	}
-	inputs := append(texts(300), texts(40)...)
-	c := r.post("/v1/embeddings", body(inputs, `,"encoding_format":"base64"`))
-	r.ends(c, "streamed")
-	c.vectors(t, inputs, 256)
+	inputs := append(inputTexts(300), inputTexts(40)...)
+	c := r.post("/v1/embeddings", embeddingsBody(inputs, `,"encoding_format":"base64"`))
+	r.expectFinal(c, "streamed")
+	c.expectVectors(t, inputs, 256)
 	if asked != 300 {
 		t.Errorf("%d inputs were read; 300 differ", asked)
 	}
-	c = r.post("/v1/embeddings", body(inputs[:5], `,"dimensions":64`))
-	r.ends(c, "streamed")
-	c.vectors(t, inputs[:5], 64)
+	c = r.post("/v1/embeddings", embeddingsBody(inputs[:5], `,"dimensions":64`))
+	r.expectFinal(c, "streamed")
+	c.expectVectors(t, inputs[:5], 64)
 	c = r.post("/v1/embeddings", []byte(`{"input":[5,6,7],"model":"embed"}`))
-	r.ends(c, "streamed")
+	r.expectFinal(c, "streamed")
 	if n := gjson.GetBytes(c.dechunk(t), "data.#").Int(); n != 1 {
 		t.Errorf("a list of tokens gave %d vectors", n)
 	}
-	plain := body(inputs, "")
+	plain := embeddingsBody(inputs, "")
 	var zipped bytes.Buffer
 	z := gzip.NewWriter(&zipped)
 	_, _ = z.Write(plain)
 	_ = z.Close()
 	c = r.post("/v1/embeddings", zipped.Bytes(), "Content-Encoding", "gzip")
-	r.ends(c, "streamed")
-	c.vectors(t, inputs, 256)
+	r.expectFinal(c, "streamed")
+	c.expectVectors(t, inputs, 256)
 	enc, _ := zstd.NewWriter(nil)
 	c = r.post("/v1/embeddings", enc.EncodeAll(plain, nil), "Content-Encoding", "zstd")
-	r.ends(c, "streamed")
-	c.vectors(t, inputs, 256)
+	r.expectFinal(c, "streamed")
+	c.expectVectors(t, inputs, 256)
 }
 
 // One host dies with parts on it, another sends vectors that are none, a third falls silent for a while: single parts go out again,
 // the hosts are blamed, and the call is whole.
-func TestBatchThroughBadHosts(t *testing.T) {
-	r := batchRig(t, func(d deployment.Deployment) { d.Batches = &pb.Batches{PartInputs: 4} }, "prefill west", "prefill west", "prefill east", "prefill east", "decode west")
+func TestBatchCompletesDespiteBadEndpoints(t *testing.T) {
+	r := newBatchHarness(t, func(d deployment.Deployment) { d.Batches = &pb.Batches{PartInputs: 4} }, "prefill west", "prefill west", "prefill east", "prefill east", "decode west")
 	bad := []string{`{"data":[]}`, `{"data":[{"index":0,"embedding":"AAAAAA=="}]}`, `{"data":[{"index":0,"embedding":[NaN]}]}`, `{"data":{}}`, "no", `{"data":[{"index":7,"embedding":""}]}`,
 		`{"data":[{"index":0,"embedding":"` + strings.Repeat("AADAfw==", 1) + `"}]}`}
 	n, first := 0, 0
-	r.hosts[1].serve = func(l *line) { n++; l.answer(200, bad[n%len(bad)]) }
-	r.hosts[2].serve = func(l *line) {
+	r.endpoints[1].serve = func(l *fakeConn) { n++; l.answer(200, bad[n%len(bad)]) }
+	r.endpoints[2].serve = func(l *fakeConn) {
 		if first++; first > 3 {
-			embeds(l)
+			answerEmbeddings(l)
 		}
 	}
-	inputs := texts(400)
-	c := r.post("/v1/embeddings", body(inputs, ""))
-	r.w.Run(60 * eventloop.Millisecond)
-	r.far.Do(func() { // the first host dies
-		r.hosts[0].ln.Close()
-		for l := range r.hosts[0].conns {
+	inputs := inputTexts(400)
+	c := r.post("/v1/embeddings", embeddingsBody(inputs, ""))
+	r.world.Run(60 * eventloop.Millisecond)
+	r.remote.Do(func() { // the first host dies
+		r.endpoints[0].listener.Close()
+		for l := range r.endpoints[0].conns {
 			l.conn.Abort()
 		}
 	})
-	r.ends(c, "streamed")
-	c.vectors(t, inputs, 256)
+	r.expectFinal(c, "streamed")
+	c.expectVectors(t, inputs, 256)
 	if n == 0 || n > 60 {
 		t.Errorf("a host whose vectors are none was asked %d times", n)
 	}
 }
 
 // One input that always fails is found and named; the call fails with it, at once where a host says that it is no good.
-func TestPoisonousInput(t *testing.T) {
+func TestFailingInputIsNamed(t *testing.T) {
 	for _, how := range []string{"fails", "is no good"} {
-		r := batchRig(t, nil, "prefill west", "prefill west", "prefill east", "decode west")
-		for _, h := range r.hosts {
-			h.serve = func(l *line) {
+		r := newBatchHarness(t, nil, "prefill west", "prefill west", "prefill east", "decode west")
+		for _, h := range r.endpoints {
+			h.serve = func(l *fakeConn) {
 				switch {
 				case !bytes.Contains(l.body, []byte("poison")):
-					embeds(l)
+					answerEmbeddings(l)
 				case how == "fails":
 					l.answer(500, `{"error":{"message":"x"}}`)
 				default:
@@ -205,10 +205,10 @@
 				}
 			}
 		}
-		inputs := texts(64)
+		inputs := inputTexts(64)
 		inputs[37] = "poison"
-		c := r.post("/v1/embeddings", body(inputs, ""))
-		r.ends(c, "422")
+		c := r.post("/v1/embeddings", embeddingsBody(inputs, ""))
+		r.expectFinal(c, "422")
 		if at := gjson.GetBytes(c.dechunk(t), "error.param").Str; at != "input[37]" {
 			t.Errorf("%s: blamed %q: %s", how, at, c.raw)
 		}
@@ -216,110 +216,110 @@
 }
 
 // A client that leaves in mid-batch leaves nothing; one whose time is up with parts missing gets one answer in time.
-func TestBatchEndsEarly(t *testing.T) {
-	r := batchRig(t, nil, "prefill west", "prefill west", "decode west")
+func TestBatchEndingEarlyLeavesNothing(t *testing.T) {
+	r := newBatchHarness(t, nil, "prefill west", "prefill west", "decode west")
 	held := 0
-	for _, h := range r.hosts {
-		h.serve = func(l *line) {
+	for _, h := range r.endpoints {
+		h.serve = func(l *fakeConn) {
 			if held++; held < 10 {
-				embeds(l)
+				answerEmbeddings(l)
 			}
 		}
 	}
-	c := r.post("/v1/embeddings", body(texts(2000), ""))
-	r.until(5*eventloop.Second, func() bool { return held > 10 })
-	r.far.Do(c.conn.Abort)
-	r.w.Run(eventloop.Second)
-	r.idle()
-	if r.x.batches.calls != 0 || len(r.x.batches.turns) != 0 || r.x.batches.limiter.Out() != 0 {
-		t.Errorf("left: %d calls, %d tenants, %d parts out", r.x.batches.calls, len(r.x.batches.turns), r.x.batches.limiter.Out())
-	}
-	began := r.far.Now()
-	c = r.post("/v1/embeddings", body(texts(100), ""), "x-time-limit-ms", "700")
-	r.until(5*eventloop.Second, func() bool { return len(c.finals) > 0 })
-	if took := r.far.Now() - began; took > 700*eventloop.Millisecond || took < 600*eventloop.Millisecond {
+	c := r.post("/v1/embeddings", embeddingsBody(inputTexts(2000), ""))
+	r.runUntil(5*eventloop.Second, func() bool { return held > 10 })
+	r.remote.Do(c.conn.Abort)
+	r.world.Run(eventloop.Second)
+	r.expectIdle()
+	if r.dispatcher.batches.openCalls != 0 || len(r.dispatcher.batches.tenants) != 0 || r.dispatcher.batches.limiter.Out() != 0 {
+		t.Errorf("left: %d calls, %d tenants, %d parts out", r.dispatcher.batches.openCalls, len(r.dispatcher.batches.tenants), r.dispatcher.batches.limiter.Out())
+	}
+	began := r.remote.Now()
+	c = r.post("/v1/embeddings", embeddingsBody(inputTexts(100), ""), "x-time-limit-ms", "700")
+	r.runUntil(5*eventloop.Second, func() bool { return len(c.finals) > 0 })
+	if took := r.remote.Now() - began; took > 700*eventloop.Millisecond || took < 600*eventloop.Millisecond {
 		t.Errorf("the answer came after %d ms", took/eventloop.Millisecond)
 	}
-	r.ends(c, "terminated")
+	r.expectFinal(c, "terminated")
 }
 
 // A thousand small calls beside a huge one: the huge one does not stand before them.
-func TestSmallCallsBesideAHugeOne(t *testing.T) {
-	r := batchRig(t, nil, "prefill west", "prefill west", "prefill east", "decode west")
-	for _, h := range r.hosts {
-		h.serve = func(l *line) {
+func TestHugeBatchDoesNotDelaySmallOnes(t *testing.T) {
+	r := newBatchHarness(t, nil, "prefill west", "prefill west", "prefill east", "decode west")
+	for _, h := range r.endpoints {
+		h.serve = func(l *fakeConn) {
 			copied := *l
-			r.far.After(4*eventloop.Millisecond, func() { embeds(&copied) })
+			r.remote.After(4*eventloop.Millisecond, func() { answerEmbeddings(&copied) })
 		}
 	}
-	long := texts(2048)
+	long := inputTexts(2048)
 	for i := range long {
 		long[i] += strings.Repeat(" long", 150)
 	}
-	huge := r.post("/v1/embeddings", body(long, ""))
-	r.w.Run(100 * eventloop.Millisecond)
-	var small []*call
-	began, last := r.far.Now(), eventloop.Micros(0)
+	huge := r.post("/v1/embeddings", embeddingsBody(long, ""))
+	r.world.Run(100 * eventloop.Millisecond)
+	var small []*clientCall
+	began, last := r.remote.Now(), eventloop.Micros(0)
 	for i := range 1000 {
-		small = append(small, r.post("/v1/embeddings", body([]string{fmt.Sprint("small ", i)}, "")))
+		small = append(small, r.post("/v1/embeddings", embeddingsBody([]string{fmt.Sprint("small ", i)}, "")))
 	}
-	r.until(60*eventloop.Second, func() bool {
+	r.runUntil(60*eventloop.Second, func() bool {
 		for _, c := range small {
 			if len(c.finals) == 0 {
 				return false
 			}
 		}
-		last = r.far.Now()
+		last = r.remote.Now()
 		return true
 	})
 	if len(huge.finals) > 0 {
 		t.Error("the huge call was over before the small ones")
 	}
 	t.Logf("a thousand small calls took %d ms beside the huge one", (last-began)/eventloop.Millisecond)
-	r.until(60*eventloop.Second, func() bool { return len(huge.finals) > 0 })
+	r.runUntil(60*eventloop.Second, func() bool { return len(huge.finals) > 0 })
 	for _, c := range append(small, huge) {
 		if len(c.finals) != 1 || c.finals[0] != "streamed" {
 			t.Fatalf("finals %v: %.200q", c.finals, c.raw)
 		}
 	}
-	r.w.Run(eventloop.Second)
-	r.idle()
+	r.world.Run(eventloop.Second)
+	r.expectIdle()
 }
 
 // A body far larger than what is kept: its inputs go out while it comes, and what is kept of it stays within the bound.
-func TestBodyLargerThanTheWindow(t *testing.T) {
-	r := batchRig(t, func(d deployment.Deployment) { d.Batches = &pb.Batches{Window: 256 << 10, PartTokens: 4096} }, "prefill west", "prefill west", "prefill east", "decode west")
-	inputs := texts(1500)
+func TestBatchBodyLargerThanItsWindow(t *testing.T) {
+	r := newBatchHarness(t, func(d deployment.Deployment) { d.Batches = &pb.Batches{Window: 256 << 10, PartTokens: 4096} }, "prefill west", "prefill west", "prefill east", "decode west")
+	inputs := inputTexts(1500)
 	for i := range inputs {
 		inputs[i] += strings.Repeat(" long", 800)
 	}
 	most := 0
-	for _, h := range r.hosts {
-		h.serve = func(l *line) {
-			for _, t := range r.x.batches.turns {
+	for _, h := range r.endpoints {
+		h.serve = func(l *fakeConn) {
+			for _, t := range r.dispatcher.batches.tenants {
 				for _, c := range t.calls {
-					most = max(most, c.ask.Kept)
+					most = max(most, c.request.Kept)
 				}
 			}
-			embeds(l)
+			answerEmbeddings(l)
 		}
 	}
-	c := r.post("/v1/embeddings", body(inputs, ""))
-	r.ends(c, "streamed")
-	c.vectors(t, inputs, 256)
+	c := r.post("/v1/embeddings", embeddingsBody(inputs, ""))
+	r.expectFinal(c, "streamed")
+	c.expectVectors(t, inputs, 256)
 	if most > 512<<10 || most == 0 {
 		t.Errorf("%d bytes of inputs were kept, of %d that came", most, len(c.request))
 	}
 	late, _ := json.Marshal(inputs)
 	c = r.post("/v1/embeddings", []byte(`{"input":`+string(late)+`,"model":"embed"}`))
-	r.ends(c, "413") // nothing can go out before the model is known, and all of it is more than is kept
-	c = r.post("/v1/embeddings", body(append(inputs, "x"), `,"dimensions":900`))
-	r.ends(c, "400")
+	r.expectFinal(c, "413") // nothing can go out before the model is known, and all of it is more than is kept
+	c = r.post("/v1/embeddings", embeddingsBody(append(inputs, "x"), `,"dimensions":900`))
+	r.expectFinal(c, "400")
 }
 
 // What a call is refused for: each fault with its parameter.
-func TestBatchRefusals(t *testing.T) {
-	r := batchRig(t, func(d deployment.Deployment) { d.Batches = &pb.Batches{InputsMost: 3, InputTokensMost: 50} }, "prefill west", "decode west")
+func TestInvalidBatchesAreRejected(t *testing.T) {
+	r := newBatchHarness(t, func(d deployment.Deployment) { d.Batches = &pb.Batches{InputsMost: 3, InputTokensMost: 50} }, "prefill west", "decode west")
 	for _, c := range []struct{ path, body, want, param string }{
 		{"embeddings", `{"model":"embed"}`, "400", "input"},
 		{"embeddings", `{"model":"embed","input":[]}`, "400", "input"},
@@ -346,22 +346,22 @@
 		{"chat/completions", `{"model":"embed","messages":[{"role":"user","content":"a"}]}`, "400", "model"},
 	} {
 		got := r.post("/v1/"+c.path, []byte(c.body))
-		r.ends(got, c.want)
+		r.expectFinal(got, c.want)
 		if p := gjson.GetBytes(got.dechunk(t), "error.param").Str; p != c.param {
 			t.Errorf("%s %.80s: parameter %q, want %q: %s", c.path, c.body, p, c.param, got.dechunk(t))
 		}
 	}
 	got := r.post("/v1/embeddings", []byte("not gzip"), "Content-Encoding", "gzip")
-	r.ends(got, "400")
+	r.expectFinal(got, "400")
 	got = r.post("/v1/embeddings", []byte("x"), "Content-Encoding", "br")
-	r.ends(got, "415")
+	r.expectFinal(got, "415")
 }
 
 // Documents come back sorted, the best first, equal ones in the order in which they came, with their true places and texts.
-func TestRerank(t *testing.T) {
-	r := batchRig(t, func(d deployment.Deployment) { d.Batches = &pb.Batches{PartInputs: 3} }, "prefill west", "prefill west", "decode west")
-	for _, h := range r.hosts {
-		h.serve = func(l *line) {
+func TestRerankSortsDocuments(t *testing.T) {
+	r := newBatchHarness(t, func(d deployment.Deployment) { d.Batches = &pb.Batches{PartInputs: 3} }, "prefill west", "prefill west", "decode west")
+	for _, h := range r.endpoints {
+		h.serve = func(l *fakeConn) {
 			list := []any{}
 			gjson.GetBytes(l.body, "documents").ForEach(func(_, v gjson.Result) bool {
 				list = append(list, map[string]any{"index": len(list), "relevance_score": float64(len(v.Str) % 4)})
@@ -372,7 +372,7 @@
 		}
 	}
 	c := r.post("/v1/rerank", []byte(`{"model":"rank","query":"q","top_n":6,"return_documents":true,"documents":["aaa",{"text":"b"},"cc","dddd","eee","f","aaa","gg"]}`))
-	r.ends(c, "streamed")
+	r.expectFinal(c, "streamed")
 	var order []string
 	for _, v := range gjson.GetBytes(c.dechunk(t), "results").Array() {
 		order = append(order, fmt.Sprint(v.Get("index").Int(), v.Get("document.text").Str, v.Get("relevance_score").Num))
@@ -383,65 +383,65 @@
 }
 
 // A tenant's vectors are kept for itself alone.
-func TestVectorCache(t *testing.T) {
-	r := batchRig(t, func(d deployment.Deployment) { d.Batches = &pb.Batches{Cache: 1 << 20} }, "prefill west", "decode west")
-	inputs := texts(50)
+func TestVectorCacheIsPerTenant(t *testing.T) {
+	r := newBatchHarness(t, func(d deployment.Deployment) { d.Batches = &pb.Batches{Cache: 1 << 20} }, "prefill west", "decode west")
+	inputs := inputTexts(50)
 	for range 3 {
-		c := r.post("/v1/embeddings", body(inputs, ""))
-		r.ends(c, "streamed")
-		c.vectors(t, inputs, 256)
+		c := r.post("/v1/embeddings", embeddingsBody(inputs, ""))
+		r.expectFinal(c, "streamed")
+		c.expectVectors(t, inputs, 256)
 	}
 	legs := 0
-	for _, h := range r.hosts {
+	for _, h := range r.endpoints {
 		legs += len(h.seen)
 	}
 	if legs > 8 {
 		t.Errorf("%d legs for 50 inputs that were asked for three times", legs)
 	}
 	for _, dimensions := range []int{64, 256} { // another size is another vector
-		c := r.post("/v1/embeddings", body(inputs[:2], fmt.Sprintf(`,"dimensions":%d`, dimensions)))
-		r.ends(c, "streamed")
-		c.vectors(t, inputs[:2], dimensions)
+		c := r.post("/v1/embeddings", embeddingsBody(inputs[:2], fmt.Sprintf(`,"dimensions":%d`, dimensions)))
+		r.expectFinal(c, "streamed")
+		c.expectVectors(t, inputs[:2], dimensions)
 	}
-	if a, b := r.x.cacheOf("1-a", 256), r.x.cacheOf("2-b", 256); a == b {
+	if a, b := r.dispatcher.vectorCache("1-a", 256), r.dispatcher.vectorCache("2-b", 256); a == b {
 		t.Error("two tenants share a cache")
 	}
 }
 
 // Where a leg can't be taken back its read ends after its client has left: both cells of the path's table that chat never reaches.
-func TestReadEndsAfterItsClientLeft(t *testing.T) {
-	r := batchRig(t, func(d deployment.Deployment) { d.Dispatching.MayCancel = false }, "prefill west", "decode west")
-	for _, h := range r.hosts {
-		h.serve = func(l *line) {
+func TestPrefillOnlyCompletesAfterClientDisconnect(t *testing.T) {
+	r := newBatchHarness(t, func(d deployment.Deployment) { d.Dispatching.MayCancel = false }, "prefill west", "decode west")
+	for _, h := range r.endpoints {
+		h.serve = func(l *fakeConn) {
 			copied := *l
-			r.far.After(100*eventloop.Millisecond, func() { embeds(&copied) })
+			r.remote.After(100*eventloop.Millisecond, func() { answerEmbeddings(&copied) })
 		}
 	}
-	r.ends(r.post("/v1/embeddings", body(texts(3), "")), "streamed")
-	c := r.post("/v1/embeddings", body(texts(3), ""))
-	r.w.Run(50 * eventloop.Millisecond)
-	r.far.Do(c.conn.Abort)
-	r.w.Run(eventloop.Second)
-	r.idle()
-	if n, m := r.x.Coverage[lifecycle.Prefilling][lifecycle.PrefillOnlyCompleted], r.x.Coverage[lifecycle.Closing][lifecycle.PrefillOnlyCompleted]; n == 0 || m == 0 {
+	r.expectFinal(r.post("/v1/embeddings", embeddingsBody(inputTexts(3), "")), "streamed")
+	c := r.post("/v1/embeddings", embeddingsBody(inputTexts(3), ""))
+	r.world.Run(50 * eventloop.Millisecond)
+	r.remote.Do(c.conn.Abort)
+	r.world.Run(eventloop.Second)
+	r.expectIdle()
+	if n, m := r.dispatcher.Coverage[lifecycle.Prefilling][lifecycle.PrefillOnlyCompleted], r.dispatcher.Coverage[lifecycle.Closing][lifecycle.PrefillOnlyCompleted]; n == 0 || m == 0 {
 		t.Errorf("reached %d times while it was read, %d after its client left", n, m)
 	}
 }
 
 // Vectors that are kept make room for more of a coded body while its inputs are parted; none is passed over for that.
-func TestKeptVectorsInACodedBody(t *testing.T) {
-	r := batchRig(t, func(d deployment.Deployment) { d.Batches = &pb.Batches{Cache: 4 << 20, Window: 16 << 10} }, "prefill west", "decode west")
-	inputs := texts(900)
+func TestCachedVectorsInACompressedBody(t *testing.T) {
+	r := newBatchHarness(t, func(d deployment.Deployment) { d.Batches = &pb.Batches{Cache: 4 << 20, Window: 16 << 10} }, "prefill west", "decode west")
+	inputs := inputTexts(900)
 	for i := range inputs {
 		inputs[i] += strings.Repeat(" long", 40)
 	}
 	for _, n := range []int{600, 900} { // the first ones are kept when all are asked for
 		var zipped bytes.Buffer
 		z := gzip.NewWriter(&zipped)
-		_, _ = z.Write(body(inputs[:n], ""))
+		_, _ = z.Write(embeddingsBody(inputs[:n], ""))
 		_ = z.Close()
 		c := r.post("/v1/embeddings", zipped.Bytes(), "Content-Encoding", "gzip")
-		r.ends(c, "streamed")
-		c.vectors(t, inputs[:n], 256)
+		r.expectFinal(c, "streamed")
+		c.expectVectors(t, inputs[:n], 256)
 	}
 }
--- a/internal/dispatch/boot.go
+++ b/internal/dispatch/boot.go
@@ -10,13 +10,13 @@
 // begin starts with the list that was kept, as far as its age lets it be believed.
 func (x *Dispatcher) begin() {
 	now := x.loop.Now()
-	for i, kept := range x.post.CachedEndpoints {
+	for i, kept := range x.config.CachedEndpoints {
 		if len(kept) == 0 {
 			continue
 		}
-		entries, saved, err := x.list.Restore(kept)
+		entries, saved, err := x.endpointWatch.Restore(kept)
 		if err != nil {
-			x.post.Log.Error().Err(err).Int("list", i).Msg("a kept list can't be read; the one before it is tried")
+			x.config.Log.Error().Err(err).Int("list", i).Msg("a kept list can't be read; the one before it is tried")
 			continue
 		}
 		byID := map[uint32]endpoints.Entry{}
@@ -26,7 +26,7 @@
 			hosts = append(hosts, endpointcache.Endpoint{ID: uint32(e.ID), Group: e.Zone + "/" + e.Kind, Started: eventloop.Micros(e.Started)})
 		}
 		trust := endpointcache.Assess(now, eventloop.Micros(saved))
-		x.post.Log.Info().Int("hosts", len(hosts)).Str("trust", trust.String()).Int64("age_ms", int64((now-eventloop.Micros(saved))/eventloop.Millisecond)).
+		x.config.Log.Info().Int("hosts", len(hosts)).Str("trust", trust.String()).Int64("age_ms", int64((now-eventloop.Micros(saved))/eventloop.Millisecond)).
 			Msg("starting with a kept list")
 		for _, w := range endpointcache.Plan(now, trust, hosts) {
 			var wave []endpoints.Entry
@@ -36,12 +36,12 @@
 				wave = append(wave, e)
 			}
 			if w.After == 0 {
-				x.tell(wave, false)
+				x.applyEndpoints(wave, false)
 				continue
 			}
 			x.loop.After(w.After, func() {
-				if x.heard == 0 { // discovery is still away
-					x.tell(wave, false)
+				if x.endpointUpdates == 0 { // discovery is still away
+					x.applyEndpoints(wave, false)
 				}
 			})
 		}
@@ -49,11 +49,11 @@
 	}
 }
 
-// believe passes news of discovery on. That hosts are gone because a list leaves them out, and most of them at once, is
+// confirmRemovals passes news of discovery on. That hosts are gone because a list leaves them out, and most of them at once, is
 // doubted for a moment; what it says by name never is.
-func (x *Dispatcher) believe(entries []endpoints.Entry, whole bool) {
+func (x *Dispatcher) confirmRemovals(entries []endpoints.Entry, whole bool) {
 	if !whole {
-		x.tell(entries, false)
+		x.applyEndpoints(entries, false)
 		return
 	}
 	named := map[scheduler.EndpointID]bool{}
@@ -62,7 +62,7 @@
 	}
 	var missing []endpoints.Entry
 	ready := 0
-	for _, e := range x.hosts {
+	for _, e := range x.endpoints {
 		if e.State() != scheduler.Ready {
 			continue
 		}
@@ -74,23 +74,23 @@
 	}
 	doubt := endpointcache.RemovalDelay(ready, len(missing), eventloop.Micros(x.Rules.DrainGraceMs)*eventloop.Millisecond)
 	if doubt == 0 {
-		x.tell(entries, true)
+		x.applyEndpoints(entries, true)
 		return
 	}
-	x.post.Log.Warn().Int("ready", ready).Int("missing", len(missing)).Msg("discovery leaves most hosts out; that is doubted for a moment")
-	x.tell(entries, false)
-	at := x.heard
+	x.config.Log.Warn().Int("ready", ready).Int("missing", len(missing)).Msg("discovery leaves most hosts out; that is doubted for a moment")
+	x.applyEndpoints(entries, false)
+	at := x.endpointUpdates
 	x.loop.After(doubt, func() {
-		if x.heard == at { // nothing else was heard: it is so
-			x.tell(entries, true)
+		if x.endpointUpdates == at { // nothing else was heard: it is so
+			x.applyEndpoints(entries, true)
 			return
 		}
 		var gone []endpoints.Entry
 		for _, e := range missing {
-			if now, some := x.list.Hosts[e.ID]; !some || now.State() != scheduler.Ready {
+			if now, some := x.endpointWatch.Hosts[e.ID]; !some || now.State() != scheduler.Ready {
 				gone = append(gone, e)
 			}
 		}
-		x.tell(gone, false)
+		x.applyEndpoints(gone, false)
 	})
 }
--- a/internal/dispatch/check.go
+++ b/internal/dispatch/check.go
@@ -19,12 +19,12 @@
 // overdue is how long after its time a generation may still be waiting: the loop's own work, and whole answers' grace.
 const overdue = 100 * eventloop.Millisecond
 
-// Check tells whether the dispatcher's own state is what it should be, between any two things that happen: each generation's
+// CheckInvariants tells whether the dispatcher's own state is what it should be, between any two things that happen: each generation's
 // fields fit where it stands, none has outlived its client's time unanswered, and what is counted is what there is.
-func (x *Dispatcher) Check() error {
+func (x *Dispatcher) CheckInvariants() error {
 	now := x.loop.Now()
 	parts, legs := 0, 0
-	for id, g := range x.gens {
+	for id, g := range x.requests {
 		fault := ""
 		switch {
 		case g.id != id:
@@ -39,7 +39,7 @@
 			fault = "without a ticket of its tenant"
 		case g.State != lifecycle.Streaming && !g.Answered() && now > g.deadline+overdue && g.beginsBy(now):
 			fault = fmt.Sprintf("unanswered %d ms after its client's time", (now-g.deadline)/eventloop.Millisecond)
-		case int(g.legs) > x.place.MaxAttempts:
+		case int(g.legs) > x.schedulerConfig.MaxAttempts:
 			fault = "more legs than there may be"
 		}
 		if fault != "" {
@@ -55,16 +55,16 @@
 	if out := x.batches.limiter.Out(); out != parts {
 		return fmt.Errorf("%d parts are out, and %d are counted", parts, out)
 	}
-	if open := x.module.InFlight(); open.Attempts != legs || open.Requests > len(x.gens) {
-		return fmt.Errorf("the module has %d generations and %d legs out, the dispatcher %d and %d", open.Requests, open.Attempts, len(x.gens), legs)
+	if open := x.scheduler.InFlight(); open.Attempts != legs || open.Requests > len(x.requests) {
+		return fmt.Errorf("the module has %d generations and %d legs out, the dispatcher %d and %d", open.Requests, open.Attempts, len(x.requests), legs)
 	}
-	if n := x.front.Open; n < 0 {
+	if n := x.frontend.Open; n < 0 {
 		return fmt.Errorf("%d requests are open", n)
 	}
 	return nil
 }
 
 // beginsBy: a clock that was set on makes what came before look late; only what was taken in this clock's time is judged.
-func (g *gen) beginsBy(now eventloop.Micros) bool {
+func (g *request) beginsBy(now eventloop.Micros) bool {
 	return now-g.taken < 2*(g.deadline-g.taken)+eventloop.Second
 }
--- a/internal/dispatch/client_test.go
+++ b/internal/dispatch/client_test.go
@@ -12,24 +12,24 @@
 
 // The official client library repeats some errors by itself. With its settings as they come, through every break, a
 // side-effecting generation is never written a second time, unless the first writer has said that it did not run it.
-func TestOfficialClientsRetries(t *testing.T) {
+func TestOfficialClientNeverRepeatsADecode(t *testing.T) {
 	proofs := map[string]bool{"full": true, "draining": true, "state lost": true}
-	for _, b := range breaks {
+	for _, b := range decodeFailures {
 		for _, stream := range []bool{false, true} {
 			t.Run(b.name, func(t *testing.T) {
 				t.Parallel()
-				r := socketRig(t, "prefill west", "decode west", "decode west")
+				r := newSocketHarness(t, "prefill west", "decode west", "decode west")
 				first, done := true, 0
-				r.far.Do(func() {
-					for _, h := range r.hosts[1:] {
-						h.serve = func(l *line) {
+				r.remote.Do(func() {
+					for _, h := range r.endpoints[1:] {
+						h.serve = func(l *fakeConn) {
 							if first {
 								first = false
 								b.serve(l)
 								return
 							}
 							done++
-							write(l)
+							answerDecode(l)
 						}
 					}
 				})
@@ -53,12 +53,12 @@
 						text = a.Choices[0].Message.Content
 					}
 				}
-				r.far.Do(func() {
+				r.remote.Do(func() {
 					if done > 0 && !proofs[b.name] || done > 1 {
 						t.Errorf("stream %v: written again %d times; the client has %q, %v", stream, done, text, err)
 					}
 				})
-				if err == nil && text != whole {
+				if err == nil && text != completeText {
 					t.Errorf("stream %v: no error, and %q", stream, text)
 				}
 				if want := b.sideEffect == "streamed"; (err == nil) != want {
--- a/internal/dispatch/dispatch.go
+++ b/internal/dispatch/dispatch.go
@@ -63,17 +63,17 @@
 const (
 	// bodies of the largest size that clients may have kept at once, in all. Each leg sends its generation's again, so that the
 	// memory that goes with them is a few times as much.
-	bodiesMost = 64
-	answerKept = 256 << 10        // bytes of one answer that are kept for repeats
-	keepEvery  = eventloop.Second // the list is kept at most this often
+	maxBufferedBodies = 64
+	answerKept        = 256 << 10        // bytes of one answer that are kept for repeats
+	keepEvery         = eventloop.Second // the list is kept at most this often
 	// descriptors that are for neither clients nor legs: the list's source, the administration, files, the poller. Of the rest
 	// clients may have half, as each generation needs one on either side.
 	descriptorsKept = 64
 	unknownKind     = 255 // a kind that the deployment does not name; the module sends nothing there
 )
 
-// Counts are what the dispatcher has done since its start.
-type Counts struct {
+// Counters are what the dispatcher has done since its start.
+type Counters struct {
 	Accepted, Completed, Rejected, Failed, Disconnected, Shed uint64
 	OverQuota                                                 uint64 // by their tenants' limits; not taken
 	Attempts, Events                                          uint64
@@ -83,42 +83,42 @@
 
 // Dispatcher is one.
 type Dispatcher struct {
-	batches batches
+	batches batchManager
 	deployment.Deployment
-	loop     eventloop.Loop
-	post     Config
-	module   *scheduler.Scheduler
-	place    scheduler.Config
-	engine   *engine.Engine
-	list     *endpoints.Watch
-	front    *frontend.Server
-	gens     map[scheduler.RequestID]*gen
-	lastGen  scheduler.RequestID
-	products map[string]scheduler.ClassID
-
-	gate      *tenancy.AdmissionController
-	directory *tenancy.Directory
-	meter     *tenancy.UsageMeter
-	feed      *subscribe.Client
-	seats     map[string]*seat
-	static    map[[sha256.Size]byte]*seat
-	free      []scheduler.TenantID
-	seatsMade scheduler.TenantID
-	reported  func() // what to do once the last report has been taken, at the end
-
-	hosts   map[scheduler.EndpointID]endpoints.Entry
-	keeping bool
-	heard   uint64 // lists and changes that came from discovery
-	starts  map[scheduler.EndpointID]starttimes.Start
-	repeats *idempotency.Cache
-	runs    map[*idempotency.Entry]*gen // generations with a key that are not answered yet
-	leaving func()                      // what to do once nothing runs any more
-	healing bool                        // the record of intents has failed, and is tried again
-	Counts
-}
-
-// gen is what the dispatcher keeps of a generation: what the module does not know, and nothing that it does.
-type gen struct {
+	loop            eventloop.Loop
+	config          Config
+	scheduler       *scheduler.Scheduler
+	schedulerConfig scheduler.Config
+	engine          *engine.Engine
+	endpointWatch   *endpoints.Watch
+	frontend        *frontend.Server
+	requests        map[scheduler.RequestID]*request
+	lastRequestID   scheduler.RequestID
+	classes         map[string]scheduler.ClassID
+
+	admission     *tenancy.AdmissionController
+	directory     *tenancy.Directory
+	usage         *tenancy.UsageMeter
+	tenantFeed    *subscribe.Client
+	tenantSlots   map[string]*tenantSlot
+	staticKeys    map[[sha256.Size]byte]*tenantSlot
+	freeTenantIDs []scheduler.TenantID
+	nextTenantID  scheduler.TenantID
+	onReported    func() // what to do once the last report has been taken, at the end
+
+	endpoints         map[scheduler.EndpointID]endpoints.Entry
+	cacheScheduled    bool
+	endpointUpdates   uint64 // lists and changes that came from discovery
+	startTimes        map[scheduler.EndpointID]starttimes.Start
+	idempotencyCache  *idempotency.Cache
+	runningByKey      map[*idempotency.Entry]*request // generations with a key that are not answered yet
+	onDrained         func()                          // what to do once nothing runs any more
+	recoveringIntents bool                            // the record of intents has failed, and is tried again
+	Counters
+}
+
+// request is what the dispatcher keeps of a generation: what the module does not know, and nothing that it does.
+type request struct {
 	lifecycle.Machine
 	id       scheduler.RequestID
 	ask      *chat.Request
@@ -129,27 +129,27 @@
 	legs     scheduler.AttemptNo // sent so far
 	leg      *engine.Attempt     // the last one
 	host     scheduler.EndpointID
-	state    string  // where the read state lies, as its reader told
-	mayLie   []place // legs at readers that may have left a state
-	tokens   int     // events relayed
+	state    string          // where the read state lies, as its reader told
+	mayLie   []stateLocation // legs at readers that may have left a state
+	tokens   int             // events relayed
 	limit    eventloop.Timer
 	beat     eventloop.Timer
 	deadline eventloop.Micros
 	repeat   *idempotency.Entry // where it came with a key that counts
 	ran      bool               // some write of it may have run
 	ranFirst bool               // one before the last
-	intent   intent
-	alone    int   // bytes of its body, where it goes on without a client
-	part     *part // of a call with many inputs; nil: it is chat
-	seat     *seat
+	intent   intentRecord
+	alone    int        // bytes of its body, where it goes on without a client
+	part     *batchPart // of a call with many inputs; nil: it is chat
+	seat     *tenantSlot
 	ticket   *tenancy.Ticket
 	taken    eventloop.Micros
 	prompt   int              // tokens, as its writer counted them
 	final    lifecycle.Action // the answer that was given; 0 for none
 }
 
-// place is a leg at a host that may hold something for it.
-type place struct {
+// stateLocation is a leg at a host that may hold something for it.
+type stateLocation struct {
 	host scheduler.EndpointID
 	name string
 }
@@ -160,49 +160,49 @@
 		return nil, fmt.Errorf("the deployment has no zone %q", post.Zone)
 	}
 	ms := func(v uint32) eventloop.Micros { return eventloop.Micros(v) * eventloop.Millisecond }
-	x := &Dispatcher{Deployment: d, loop: loop, post: post, gens: map[scheduler.RequestID]*gen{}, runs: map[*idempotency.Entry]*gen{},
-		products: map[string]scheduler.ClassID{},
-		hosts:    map[scheduler.EndpointID]endpoints.Entry{}, starts: map[scheduler.EndpointID]starttimes.Start{}}
+	x := &Dispatcher{Deployment: d, loop: loop, config: post, requests: map[scheduler.RequestID]*request{}, runningByKey: map[*idempotency.Entry]*request{},
+		classes:   map[string]scheduler.ClassID{},
+		endpoints: map[scheduler.EndpointID]endpoints.Entry{}, startTimes: map[scheduler.EndpointID]starttimes.Start{}}
 	x.engine = engine.New(loop, post.Name, post.Zone, engine.Limits{Connect: ms(d.Dispatching.ConnectMs),
 		Idle: ms(d.Dispatching.IdleMs), Silence: ms(d.Dispatching.SilenceMs), PerEndpoint: int(d.Dispatching.Connections),
 		Opening: int(d.Dispatching.Openings)})
 	for i, p := range d.Products {
-		x.products[p.Name] = scheduler.ClassID(i)
+		x.classes[p.Name] = scheduler.ClassID(i)
 	}
-	x.batches.pb = d.BatchLimits()
-	x.batches.limiter = batch.NewLimiter(int(x.batches.pb.FixedLimit))
+	x.batches.limits = d.BatchLimits()
+	x.batches.limiter = batch.NewLimiter(int(x.batches.limits.FixedLimit))
 	bounds := http1.Usual
 	bounds.Head, bounds.Body = int(d.Doors.HeadMost), int(d.Doors.BodyMost)
 	patience := frontend.UsualPatience
 	patience.Message, patience.Stall, patience.Unsent = ms(d.Doors.MessageMs), ms(d.Doors.StallMs), int(d.Doors.UnsentMost)
-	x.front = frontend.New(loop, x, x.routes(), bounds, patience)
-	x.front.MaxBufferedBodies = bodiesMost * bounds.Body
+	x.frontend = frontend.New(loop, x, x.routes(), bounds, patience)
+	x.frontend.MaxBufferedBodies = maxBufferedBodies * bounds.Body
 	if n := post.Descriptors; n > 0 {
-		x.front.MaxConnections = max((n-min(descriptorsKept, n/2))/2, 1)
+		x.frontend.MaxConnections = max((n-min(descriptorsKept, n/2))/2, 1)
 	}
-	x.repeats = idempotency.NewCache(int(d.Doors.RememberMost), int(d.Doors.RememberBytes), answerKept)
+	x.idempotencyCache = idempotency.NewCache(int(d.Doors.RememberMost), int(d.Doors.RememberBytes), answerKept)
 	x.recall()
-	x.place = d.SchedulerConfig()
-	x.place.Quotas = nil // told tenant by tenant, as they come
-	x.place.Zone = scheduler.ZoneID(slices.Index(d.Zones, post.Zone))
+	x.schedulerConfig = d.SchedulerConfig()
+	x.schedulerConfig.Quotas = nil // told tenant by tenant, as they come
+	x.schedulerConfig.Zone = scheduler.ZoneID(slices.Index(d.Zones, post.Zone))
 	var orders scheduler.Executor = x
-	place := x.place
+	place := x.schedulerConfig
 	if t := post.Mutation; t != nil && t.Config != nil {
 		t.Config(&place)
 	}
 	if t := post.Mutation; t != nil && t.Executor != nil {
 		orders = t.Executor(x)
 	}
-	x.module = scheduler.New(loop.Now(), post.Seed, place, orders)
+	x.scheduler = scheduler.New(loop.Now(), post.Seed, place, orders)
 	if err := x.seatTenants(); err != nil {
 		return nil, err
 	}
-	x.list = endpoints.NewWatch(loop, post.Seed, post.Discovery, post.Name)
-	x.list.OnUpdate = x.news
-	x.list.Log = func(line string) { post.Log.Warn().Msg(line) }
+	x.endpointWatch = endpoints.NewWatch(loop, post.Seed, post.Discovery, post.Name)
+	x.endpointWatch.OnUpdate = x.endpointsUpdated
+	x.endpointWatch.Log = func(line string) { post.Log.Warn().Msg(line) }
 	x.begin()
 	if post.Discovery != "" {
-		x.list.Subscribe()
+		x.endpointWatch.Subscribe()
 	}
 	return x, nil
 }
@@ -219,40 +219,40 @@
 	return all
 }
 
-// Front is the client's side.
-func (x *Dispatcher) Front() *frontend.Server { return x.front }
+// Frontend is the client's side.
+func (x *Dispatcher) Frontend() *frontend.Server { return x.frontend }
 
 // Shutdown takes nothing new and calls done once nothing runs any more.
 func (x *Dispatcher) Shutdown(done func()) {
-	x.leaving = done
-	x.front.Shutdown()
-	x.list.Close()
-	if x.feed != nil {
-		x.feed.Close()
+	x.onDrained = done
+	x.frontend.Shutdown()
+	x.endpointWatch.Close()
+	if x.tenantFeed != nil {
+		x.tenantFeed.Close()
 	}
-	x.left()
+	x.finishShutdown()
 }
 
-func (x *Dispatcher) left() {
-	if x.leaving != nil && len(x.gens) == 0 && x.batches.calls == 0 {
-		done := x.leaving
-		x.leaving = nil
+func (x *Dispatcher) finishShutdown() {
+	if x.onDrained != nil && len(x.requests) == 0 && x.batches.openCalls == 0 {
+		done := x.onDrained
+		x.onDrained = nil
 		x.engine.Close()
-		if x.post.Intents != nil {
-			x.post.Intents.Flush()
+		if x.config.Intents != nil {
+			x.config.Intents.Flush()
 		}
-		if x.post.Tenants == "" {
+		if x.config.Tenants == "" {
 			done()
 			return
 		}
-		x.reported = done
+		x.onReported = done
 		x.report() // what was used since the last one
 	}
 }
 
 // Ready tells that some host is known that may be sent to.
 func (x *Dispatcher) Ready() bool {
-	for _, e := range x.hosts {
+	for _, e := range x.endpoints {
 		if e.State() == scheduler.Ready {
 			return true
 		}
@@ -261,11 +261,11 @@
 }
 
 // OpenRequests is how many generations are taken and not yet let go of.
-func (x *Dispatcher) OpenRequests() int { return len(x.gens) }
+func (x *Dispatcher) OpenRequests() int { return len(x.requests) }
 
-// DescribeOpen describes what still runs, for those who wonder why it does.
-func (x *Dispatcher) DescribeOpen() (lines []string) {
-	for id, g := range x.gens {
+// DescribeOpenRequests describes what still runs, for those who wonder why it does.
+func (x *Dispatcher) DescribeOpenRequests() (lines []string) {
+	for id, g := range x.requests {
 		lines = append(lines, fmt.Sprintf("generation %d (%s): %v, legs %d, last at host %d, %d clients", id, g.clientID, g.State, g.legs, g.host,
 			len(g.replies)))
 	}
@@ -275,22 +275,22 @@
 
 // --- The list ---
 
-func (x *Dispatcher) news(entries []endpoints.Entry, whole bool) {
-	if t := x.post.Mutation; t != nil && t.EndpointUpdate != nil {
+func (x *Dispatcher) endpointsUpdated(entries []endpoints.Entry, whole bool) {
+	if t := x.config.Mutation; t != nil && t.EndpointUpdate != nil {
 		entries = t.EndpointUpdate(entries)
 	}
-	x.heard++
-	x.believe(entries, whole)
-	if x.post.CacheEndpoints != nil && !x.keeping {
-		x.keeping = true
+	x.endpointUpdates++
+	x.confirmRemovals(entries, whole)
+	if x.config.CacheEndpoints != nil && !x.cacheScheduled {
+		x.cacheScheduled = true
 		x.loop.After(keepEvery, func() {
-			x.keeping = false
-			x.post.CacheEndpoints(x.list.Snapshot(int64(x.loop.Now())))
+			x.cacheScheduled = false
+			x.config.CacheEndpoints(x.endpointWatch.Snapshot(int64(x.loop.Now())))
 		})
 	}
 }
 
-func (x *Dispatcher) tell(entries []endpoints.Entry, whole bool) {
+func (x *Dispatcher) applyEndpoints(entries []endpoints.Entry, whole bool) {
 	now := x.loop.Now()
 	var stamps []eventloop.Micros
 	for _, e := range entries {
@@ -305,34 +305,34 @@
 			}
 		}
 		if zone < 0 {
-			x.post.Log.Warn().Uint32("host", uint32(e.ID)).Str("zone", e.Zone).Msg("a host in a zone that the deployment does not name; nothing is sent there")
+			x.config.Log.Warn().Uint32("host", uint32(e.ID)).Str("zone", e.Zone).Msg("a host in a zone that the deployment does not name; nothing is sent there")
 			kind, zone = unknownKind, 0
 		} else if kind == unknownKind {
-			x.post.Log.Warn().Uint32("host", uint32(e.ID)).Str("kind", e.Kind).Msg("a host of a kind that the deployment does not name; nothing is sent there")
+			x.config.Log.Warn().Uint32("host", uint32(e.ID)).Str("kind", e.Kind).Msg("a host of a kind that the deployment does not name; nothing is sent there")
 		}
-		x.hosts[e.ID] = e
+		x.endpoints[e.ID] = e
 		if e.Condition == "gone" {
 			x.engine.Forget(e.ID)
-			delete(x.hosts, e.ID)
-			delete(x.starts, e.ID)
+			delete(x.endpoints, e.ID)
+			delete(x.startTimes, e.ID)
 		} else {
 			x.engine.SetAddress(e.ID, e.Addr)
 		}
-		start := starttimes.Next(x.starts[e.ID], eventloop.Micros(e.Started), now, ahead, x.heard > 1)
+		start := starttimes.Next(x.startTimes[e.ID], eventloop.Micros(e.Started), now, ahead, x.endpointUpdates > 1)
 		if e.Condition != "gone" {
-			x.starts[e.ID] = start
+			x.startTimes[e.ID] = start
 		}
-		x.module.EndpointUpdated(now, scheduler.EndpointStatus{ID: e.ID, Zone: scheduler.ZoneID(zone), Kind: scheduler.KindID(kind),
+		x.scheduler.EndpointUpdated(now, scheduler.EndpointStatus{ID: e.ID, Zone: scheduler.ZoneID(zone), Kind: scheduler.KindID(kind),
 			Cell: scheduler.CellID(e.Cell), State: e.State(), StartedAt: start.At})
 	}
-	x.module.EndpointUpdateEnded(now, whole)
+	x.scheduler.EndpointUpdateEnded(now, whole)
 	readers := 0
-	for id, e := range x.hosts {
+	for id, e := range x.endpoints {
 		if e.State() == scheduler.Ready && x.role(id) != scheduler.Decode {
 			readers++
 		}
 	}
-	x.gate.SetPrefillEndpoints(readers)
+	x.admission.SetPrefillEndpoints(readers)
 	x.turns()
 }
 
@@ -371,7 +371,7 @@
 
 // HandleChat takes a generation.
 func (x *Dispatcher) HandleChat(ask *chat.Request, who frontend.Identity, head *http1.Head, to *frontend.Response) *frontend.Problem {
-	product, known := x.products[ask.Model]
+	product, known := x.classes[ask.Model]
 	if !known {
 		return frontend.NoModel(ask.Model)
 	}
@@ -392,7 +392,7 @@
 	if limit > 0 {
 		deadline = min(deadline, now+limit)
 	}
-	if len(x.gens) >= int(x.Doors.OpenMost) {
+	if len(x.requests) >= int(x.Doors.OpenMost) {
 		x.Shed++
 		to.Reject(0)
 		return nil
@@ -400,7 +400,7 @@
 	if ask.MaxTokens == 0 {
 		ask.MaxTokens = int(p.MostTokens)
 	}
-	g := &gen{id: x.lastGen + 1, ask: ask, product: product, deadline: deadline, taken: now, clientID: head.Get("x-client-request-id")}
+	g := &request{id: x.lastRequestID + 1, ask: ask, product: product, deadline: deadline, taken: now, clientID: head.Get("x-client-request-id")}
 	g.answerID = x.answerID(g.id)
 	if key := head.Get(keyField); key != "" && p.Effect != pb.Product_IDEMPOTENT {
 		if len(key) > keyMost {
@@ -411,18 +411,18 @@
 			return problem
 		}
 	}
-	pass, problem := x.admission(g, who, to)
+	pass, problem := x.admit(g, who, to)
 	if g.ticket == nil {
 		if g.repeat != nil {
-			x.repeats.End(now, g.repeat, false, false, 0)
+			x.idempotencyCache.End(now, g.repeat, false, false, 0)
 		}
 		return problem
 	}
-	x.lastGen++
+	x.lastRequestID++
 	x.Accepted++
-	x.gens[g.id] = g
+	x.requests[g.id] = g
 	if g.repeat != nil {
-		x.runs[g.repeat] = g
+		x.runningByKey[g.repeat] = g
 	}
 	x.attach(g, to)
 	if beat > 0 && ask.Stream {
@@ -438,15 +438,15 @@
 }
 
 // attach makes a reply one that the generation's answer goes to.
-func (x *Dispatcher) attach(g *gen, to *frontend.Response) {
+func (x *Dispatcher) attach(g *request, to *frontend.Response) {
 	to.SetFormat(&chat.Answer{ID: g.answerID, Model: g.ask.Model, Created: int64(x.loop.Now() / eventloop.Second), Ask: g.ask})
 	g.replies = append(g.replies, to)
 	to.OnDisconnect = func() { x.loop.Later(func() { x.clientLeft(g, to) }) } // never within the module's own call
-	to.OnDrained = func() { x.take(g, lifecycle.ClientCaughtUp) }
+	to.OnDrained = func() { x.fire(g, lifecycle.ClientCaughtUp) }
 }
 
 // heartbeat keeps a stream that has nothing to say yet from being taken for dead by what stands between.
-func (x *Dispatcher) heartbeat(g *gen, to *frontend.Response, every eventloop.Micros) {
+func (x *Dispatcher) heartbeat(g *request, to *frontend.Response, every eventloop.Micros) {
 	g.beat = x.loop.After(every, func() {
 		if to.Heartbeat() {
 			x.heartbeat(g, to, every)
@@ -455,11 +455,11 @@
 }
 
 // again finds what a request with a key is answered with, where it is not to run.
-func (x *Dispatcher) again(g *gen, space, key string, to *frontend.Response) (answered bool, problem *frontend.Problem) {
+func (x *Dispatcher) again(g *request, space, key string, to *frontend.Response) (answered bool, problem *frontend.Problem) {
 	digest := sha256.Sum256([]byte(space + "\x00" + g.ask.Model + "\x00" + key))
 	shape := fmt.Sprint(g.ask.Stream, g.ask.IncludeUsage, g.ask.MaxTokens, " ")
 	request := xxhash.Sum64String(shape + string(g.ask.Rest))
-	verdict, entry := x.repeats.Begin(x.loop.Now(), idempotency.Key(digest[:16]), request)
+	verdict, entry := x.idempotencyCache.Begin(x.loop.Now(), idempotency.Key(digest[:16]), request)
 	if verdict != idempotency.New && verdict != idempotency.Full {
 		x.Repeats++
 	}
@@ -472,7 +472,7 @@
 		to.Reject(0)
 		return true, nil
 	case idempotency.Join, idempotency.Replay:
-		first := x.runs[entry]
+		first := x.runningByKey[entry]
 		if first == nil {
 			first = g // it has ended; its answer is shaped anew
 		}
@@ -495,15 +495,15 @@
 // answerID names an answer; it tells nothing of how many there were, nor of whose.
 func (x *Dispatcher) answerID(id scheduler.RequestID) string {
 	var b [16]byte
-	binary.LittleEndian.PutUint64(b[:], uint64(x.post.Seed))
+	binary.LittleEndian.PutUint64(b[:], uint64(x.config.Seed))
 	binary.LittleEndian.PutUint64(b[8:], uint64(id))
-	digest := sha256.Sum256(append([]byte(x.post.Name), b[:]...))
+	digest := sha256.Sum256(append([]byte(x.config.Name), b[:]...))
 	return "chatcmpl-" + hex.EncodeToString(digest[:14])
 }
 
 // clientLeft: this client waits no more. What has a key and may be running goes on without it, as its client can only
 // ask for it again: it is not run a second time.
-func (x *Dispatcher) clientLeft(g *gen, to *frontend.Response) {
+func (x *Dispatcher) clientLeft(g *request, to *frontend.Response) {
 	at := slices.Index(g.replies, to)
 	if at < 0 {
 		return
@@ -511,43 +511,43 @@
 	g.replies = slices.Delete(g.replies, at, at+1)
 	x.Disconnected++
 	if len(g.replies) > 0 || g.repeat != nil && (g.State == lifecycle.Decoding || g.State == lifecycle.Streaming) {
-		x.take(g, lifecycle.ClientCaughtUp)      // it may have been the one that lagged
+		x.fire(g, lifecycle.ClientCaughtUp)      // it may have been the one that lagged
 		if len(g.replies) == 0 && g.alone == 0 { // nobody's request holds its body any more, and it is kept all the same
 			g.alone = len(g.ask.Rest)
-			x.front.Kept += g.alone
+			x.frontend.Kept += g.alone
 		}
 		return
 	}
-	x.take(g, lifecycle.ClientDisconnected)
+	x.fire(g, lifecycle.ClientDisconnected)
 }
 
 // --- The path ---
 
-// what goes with an event.
-type what struct {
-	host     scheduler.EndpointID
-	allow    scheduler.Micros
-	comeBack scheduler.Micros
-	outcome  engine.Result
-	data     []byte
-	why      string
+// eventDetails goes with an event.
+type eventDetails struct {
+	endpoint   scheduler.EndpointID
+	timeout    scheduler.Micros
+	retryAfter scheduler.Micros
+	result     engine.Result
+	data       []byte
+	reason     string
 }
 
 // cancelled is the outcome of a leg that was closed on this side; its host is not to blame.
 var cancelled = engine.Result{Outcome: scheduler.Cancelled, MemoryUsage: scheduler.NoLoadReport, Reason: "closed on this side"}
 
-// take moves a generation on by the table of package path, and does what that says.
-func (x *Dispatcher) take(g *gen, e lifecycle.Event, with ...what) {
-	var w what
+// fire moves a generation on by the table of package path, and does what that says.
+func (x *Dispatcher) fire(g *request, e lifecycle.Event, with ...eventDetails) {
+	var w eventDetails
 	if len(with) > 0 {
 		w = with[0]
 	}
 	for _, a := range g.Fire(e, &x.Coverage) {
-		x.do(g, a, w)
+		x.perform(g, a, w)
 	}
 }
 
-func (x *Dispatcher) do(g *gen, a lifecycle.Action, w what) {
+func (x *Dispatcher) perform(g *request, a lifecycle.Action, w eventDetails) {
 	now := x.loop.Now()
 	switch a {
 	case lifecycle.StartPrefill, lifecycle.StartDecode:
@@ -560,7 +560,7 @@
 		no := g.legs
 		x.loop.Later(func() {
 			if no == g.legs {
-				x.take(g, lifecycle.AttemptFailed, what{outcome: cancelled})
+				x.fire(g, lifecycle.AttemptFailed, eventDetails{result: cancelled})
 			}
 		})
 	case lifecycle.ReleaseAttempt:
@@ -577,39 +577,39 @@
 	case lifecycle.StateFetched:
 		g.state, g.mayLie = "", nil
 	case lifecycle.NotifyStarted:
-		slo := x.place.Classes[g.product].SLO + scheduler.Micros(float64(x.place.Classes[g.product].SLOPer1000)*float64(g.ask.Tokens)/1000)
+		slo := x.schedulerConfig.Classes[g.product].SLO + scheduler.Micros(float64(x.schedulerConfig.Classes[g.product].SLOPer1000)*float64(g.ask.Tokens)/1000)
 		x.batches.limiter.Chat(now, now-g.taken, slo)
 		g.leg.Started()
 		if !g.ask.Stream {
 			// The client of a whole answer has nothing yet, so its time goes on.
-			g.limit = x.loop.After(g.deadline-wholeGrace-now, func() {
-				x.take(g, lifecycle.DeadlineExceeded, what{why: "The answer was not whole within the client's time."})
+			g.limit = x.loop.After(g.deadline-unstreamedGrace-now, func() {
+				x.fire(g, lifecycle.DeadlineExceeded, eventDetails{reason: "The answer was not whole within the client's time."})
 			})
 		}
-		x.gate.FirstToken(now, g.ticket, now-g.taken, slo)
-		x.module.AttemptStarted(now, g.id, g.legs-1)
+		x.admission.FirstToken(now, g.ticket, now-g.taken, slo)
+		x.scheduler.AttemptStarted(now, g.id, g.legs-1)
 		x.loop.Later(x.turns)
 	case lifecycle.NotifyEnded:
-		o := w.outcome
+		o := w.result
 		if o == (engine.Result{}) {
 			o = cancelled
 		}
-		x.module.AttemptEnded(now, g.id, g.legs-1, o.ForScheduler(g.Answered()))
+		x.scheduler.AttemptEnded(now, g.id, g.legs-1, o.ForScheduler(g.Answered()))
 	case lifecycle.NotifyArrived:
 		if g.part != nil {
 			g.part.admitted(now)
 		}
 		x.arrived(g)
 	case lifecycle.NotifyWithdrawn:
-		x.module.RequestWithdrawn(now, g.id)
+		x.scheduler.RequestWithdrawn(now, g.id)
 	case lifecycle.NotifyDisconnected:
-		x.module.ClientDisconnected(now, g.id)
+		x.scheduler.ClientDisconnected(now, g.id)
 	case lifecycle.ForwardEvent:
 		x.relay(g, w.data)
 	case lifecycle.AnswerCompleted, lifecycle.AnswerRejected, lifecycle.AnswerFailed:
 		g.final = a
 		if g.part != nil {
-			g.part.answered(g, a, w.comeBack)
+			g.part.answered(g, a, w.retryAfter)
 			return
 		}
 		x.answerAs(g, a, w)
@@ -623,20 +623,20 @@
 }
 
 // answerAs gives the one final answer.
-func (x *Dispatcher) answerAs(g *gen, a lifecycle.Action, w what) {
+func (x *Dispatcher) answerAs(g *request, a lifecycle.Action, w eventDetails) {
 	switch a {
 	case lifecycle.AnswerCompleted:
 		x.Completed++
-		x.note(g, "streamed", w.why)
+		x.note(g, "streamed", w.reason)
 		x.answer(g, true, func(r *frontend.Response) { r.Complete() })
 	case lifecycle.AnswerRejected:
 		x.Rejected++
-		x.note(g, "throttled", w.why)
-		x.answer(g, false, func(r *frontend.Response) { r.Reject(w.comeBack) })
+		x.note(g, "throttled", w.reason)
+		x.answer(g, false, func(r *frontend.Response) { r.Reject(w.retryAfter) })
 	default:
 		x.Failed++
-		why, again := w.why, x.Products[g.product].Effect == pb.Product_IDEMPOTENT
-		if g.tokens > 0 && w.outcome.Reason != "" {
+		why, again := w.reason, x.Products[g.product].Effect == pb.Product_IDEMPOTENT
+		if g.tokens > 0 && w.result.Reason != "" {
 			why = "The stream broke after " + strconv.Itoa(g.tokens) + " tokens."
 		}
 		if !again {
@@ -648,7 +648,7 @@
 }
 
 // answer gives the final answer to all that wait for it, and has it remembered.
-func (x *Dispatcher) answer(g *gen, good bool, give func(*frontend.Response)) {
+func (x *Dispatcher) answer(g *request, good bool, give func(*frontend.Response)) {
 	for _, r := range g.replies {
 		give(r)
 	}
@@ -656,20 +656,20 @@
 	x.remember(g, good)
 }
 
-func (x *Dispatcher) remember(g *gen, good bool) {
+func (x *Dispatcher) remember(g *request, good bool) {
 	if g.repeat == nil {
 		return
 	}
 	window := x.window(g)
-	x.repeats.End(x.loop.Now(), g.repeat, good, good || g.ran, window)
-	if x.runs[g.repeat] == g {
-		delete(x.runs, g.repeat)
+	x.idempotencyCache.End(x.loop.Now(), g.repeat, good, good || g.ran, window)
+	if x.runningByKey[g.repeat] == g {
+		delete(x.runningByKey, g.repeat)
 		x.keepEnd(g.repeat, window)
 	}
 }
 
 // forget: nothing of the generation is left.
-func (x *Dispatcher) forget(g *gen) {
+func (x *Dispatcher) forget(g *request) {
 	for _, t := range []eventloop.Timer{g.limit, g.beat} {
 		if t != nil {
 			t.Stop()
@@ -678,28 +678,28 @@
 	if g.part != nil && g.final == 0 {
 		g.part.answered(g, lifecycle.Forget, 0) // taken back
 	}
-	x.front.Kept -= g.alone
+	x.frontend.Kept -= g.alone
 	g.alone = 0
 	x.remember(g, false) // where its client left before it was answered
 	x.paid(g)
 	x.loop.Later(func() { // the module answers first and then lets go, in one call
-		delete(x.gens, g.id)
-		x.left()
+		delete(x.requests, g.id)
+		x.finishShutdown()
 	})
 }
 
 // carry makes a leg.
-func (x *Dispatcher) carry(g *gen, reads bool, w what) {
+func (x *Dispatcher) carry(g *request, reads bool, w eventDetails) {
 	no := g.legs
 	g.legs++
 	x.Attempts++
-	g.host = w.host
+	g.host = w.endpoint
 	name := x.engine.AttemptName(g.id, no)
 	hear := engine.Callbacks{
 		Event: func(data []byte) {
 			if no == g.legs-1 {
 				x.Events++
-				x.take(g, lifecycle.EventReceived, what{data: data})
+				x.fire(g, lifecycle.EventReceived, eventDetails{data: data})
 			}
 		},
 		Ended: func(o engine.Result) {
@@ -713,9 +713,9 @@
 		return
 	}
 	if reads {
-		g.mayLie = append(g.mayLie, place{w.host, name})
+		g.mayLie = append(g.mayLie, stateLocation{w.endpoint, name})
 		x.intendEarly(g)
-		g.leg = x.engine.Prefill(w.host, name, g.clientID, g.ask, w.allow, hear)
+		g.leg = x.engine.Prefill(w.endpoint, name, g.clientID, g.ask, w.timeout, hear)
 		return
 	}
 	g.ran, g.ranFirst = true, g.ran
@@ -724,7 +724,7 @@
 		if no != g.legs-1 || g.State != lifecycle.Decoding {
 			return // taken back, or answered, meanwhile
 		}
-		if e, some := x.hosts[w.host]; !kept || some && e.State() != scheduler.Ready || !some {
+		if e, some := x.endpoints[w.endpoint]; !kept || some && e.State() != scheduler.Ready || !some {
 			// Not kept: it could run twice after a restart. Drained meanwhile: nothing new may go there.
 			x.loop.Later(func() { // never within the module's own call
 				if no == g.legs-1 && g.State == lifecycle.Decoding {
@@ -733,13 +733,13 @@
 			})
 			return
 		}
-		g.leg = x.engine.Decode(w.host, name, g.clientID, g.ask, g.state, g.ask.MaxTokens, w.allow, hear)
+		g.leg = x.engine.Decode(w.endpoint, name, g.clientID, g.ask, g.state, g.ask.MaxTokens, w.timeout, hear)
 	})
 	x.late(g, no)
 }
 
 // ended takes the end of a leg.
-func (x *Dispatcher) ended(g *gen, o engine.Result) {
+func (x *Dispatcher) ended(g *request, o engine.Result) {
 	e := lifecycle.AttemptFailed
 	switch o.Outcome {
 	case scheduler.PrefillDone:
@@ -764,23 +764,23 @@
 		}
 		g.part.bad = g.part.bad || o.InvalidRequest
 		if g.part.bad || g.part.broken == batch.HostsMost { // no other host would do better; the call sees to what is the matter
-			x.take(g, lifecycle.ClientDisconnected)
+			x.fire(g, lifecycle.ClientDisconnected)
 		}
 	}
 	if o.Outcome != scheduler.Completed && o.Outcome != scheduler.PrefillDone {
-		x.post.Log.Debug().Uint64("gen", uint64(g.id)).Int("leg", int(g.legs)-1).Uint32("host", uint32(g.host)).
+		x.config.Log.Debug().Uint64("gen", uint64(g.id)).Int("leg", int(g.legs)-1).Uint32("host", uint32(g.host)).
 			Int("ending", int(o.Outcome)).Str("why", o.Reason).Msg("leg ended")
 	}
-	x.take(g, e, what{outcome: o})
+	x.fire(g, e, eventDetails{result: o})
 	if len(g.replies) == 0 && g.part == nil && (g.State == lifecycle.Pending || g.State == lifecycle.Prefilling) {
-		x.take(g, lifecycle.ClientDisconnected) // its client left while it was written, and it is not: what has not run need not go on
+		x.fire(g, lifecycle.ClientDisconnected) // its client left while it was written, and it is not: what has not run need not go on
 	}
 }
 
 var usageMark = []byte(`"usage":{`)
 
 // relay hands one event on to all that wait, and keeps it for those that may come.
-func (x *Dispatcher) relay(g *gen, data []byte) {
+func (x *Dispatcher) relay(g *request, data []byte) {
 	g.tokens++
 	if bytes.Contains(data, usageMark) {
 		if n := gjson.GetBytes(data, "usage.prompt_tokens").Int(); n > 0 {
@@ -789,22 +789,22 @@
 		}
 	}
 	if g.repeat != nil {
-		x.repeats.AddEvent(g.repeat, data)
+		x.idempotencyCache.AddEvent(g.repeat, data)
 	}
 	lags := false
 	for _, r := range g.replies {
 		lags = r.Chunk(data) || lags
 	}
 	if lags {
-		x.take(g, lifecycle.ClientLagging)
+		x.fire(g, lifecycle.ClientLagging)
 	}
 }
 
-// wholeGrace is how long before a client's limit a whole answer that is still being written is given up.
-const wholeGrace = 20 * eventloop.Millisecond
+// unstreamedGrace is how long before a client's limit a whole answer that is still being written is given up.
+const unstreamedGrace = 20 * eventloop.Millisecond
 
-func (x *Dispatcher) note(g *gen, how, why string) {
-	x.post.Log.Debug().Uint64("gen", uint64(g.id)).Str("client", g.clientID).Str("product", g.ask.Model).
+func (x *Dispatcher) note(g *request, how, why string) {
+	x.config.Log.Debug().Uint64("gen", uint64(g.id)).Str("client", g.clientID).Str("product", g.ask.Model).
 		Str("final", how).Int("legs", int(g.legs)).Str("why", why).Msg("answered")
 }
 
@@ -812,19 +812,19 @@
 
 // Send makes a leg.
 func (x *Dispatcher) Send(id scheduler.RequestID, host scheduler.EndpointID, allow scheduler.Micros) {
-	if g := x.gens[id]; g != nil {
+	if g := x.requests[id]; g != nil {
 		e := lifecycle.DecodeOrdered
 		if x.role(host) == scheduler.Prefill || g.part != nil {
 			e = lifecycle.PrefillOrdered
 		}
-		x.take(g, e, what{host: host, allow: allow})
+		x.fire(g, e, eventDetails{endpoint: host, timeout: allow})
 	}
 }
 
 func (x *Dispatcher) role(id scheduler.EndpointID) scheduler.Role {
 	for i, k := range x.Kinds {
-		if k.Name == x.hosts[id].Kind {
-			return x.place.Kinds[i].Role
+		if k.Name == x.endpoints[id].Kind {
+			return x.schedulerConfig.Kinds[i].Role
 		}
 	}
 	return scheduler.Decode
@@ -832,44 +832,44 @@
 
 // Reject is the final answer of a generation that may come again.
 func (x *Dispatcher) Reject(id scheduler.RequestID, comeBackIn scheduler.Micros) {
-	if g := x.gens[id]; g != nil {
-		x.take(g, lifecycle.RejectOrdered, what{comeBack: comeBackIn})
+	if g := x.requests[id]; g != nil {
+		x.fire(g, lifecycle.RejectOrdered, eventDetails{retryAfter: comeBackIn})
 	}
 }
 
 // Fail is the final answer of a generation that failed.
 func (x *Dispatcher) Fail(id scheduler.RequestID) {
-	if g := x.gens[id]; g != nil {
-		x.take(g, lifecycle.FailOrdered, what{why: "The generation failed."})
+	if g := x.requests[id]; g != nil {
+		x.fire(g, lifecycle.FailOrdered, eventDetails{reason: "The generation failed."})
 	}
 }
 
 // Cancel quits waiting for a leg. That it was cancelled is told after the module's call.
 func (x *Dispatcher) Cancel(id scheduler.RequestID, no scheduler.AttemptNo) {
-	if g := x.gens[id]; g != nil && no == g.legs-1 {
-		x.take(g, lifecycle.CancelOrdered)
+	if g := x.requests[id]; g != nil && no == g.legs-1 {
+		x.fire(g, lifecycle.CancelOrdered)
 	}
 }
 
 // Release has every reader that may hold something for the generation drop it.
 func (x *Dispatcher) Release(id scheduler.RequestID) {
-	if g := x.gens[id]; g != nil {
-		x.take(g, lifecycle.ReleaseOrdered)
+	if g := x.requests[id]; g != nil {
+		x.fire(g, lifecycle.ReleaseOrdered)
 	}
 }
 
 // WatchEndpoints asks for the list of hosts.
-func (x *Dispatcher) WatchEndpoints() { x.list.Subscribe() }
+func (x *Dispatcher) WatchEndpoints() { x.endpointWatch.Subscribe() }
 
 // SetTimer sets one of the module's two timers.
 func (x *Dispatcher) SetTimer(after scheduler.Micros, bell scheduler.TimerID) {
 	x.loop.After(after, func() {
-		x.module.TimerFired(x.loop.Now(), bell)
-		if bell == scheduler.PeriodicTimer && x.gate.Waiting() > 0 {
+		x.scheduler.TimerFired(x.loop.Now(), bell)
+		if bell == scheduler.PeriodicTimer && x.admission.Waiting() > 0 {
 			x.turns()
 		}
 	})
 }
 
 // Log is the module's own line.
-func (x *Dispatcher) Log(line string) { x.post.Log.Info().Msg(line) }
+func (x *Dispatcher) Log(line string) { x.config.Log.Info().Msg(line) }
--- a/internal/dispatch/dispatch_test.go
+++ b/internal/dispatch/dispatch_test.go
@@ -15,86 +15,92 @@
 	"github.com/rs/zerolog"
 )
 
-const whole = "Lamu é"
+const completeText = "Lamu é"
 
-func cut(l *line)   { l.conn.Close() }
-func reset(l *line) { l.conn.Abort() }
+func closeConn(l *fakeConn) { l.conn.Close() }
+func abortConn(l *fakeConn) { l.conn.Abort() }
 
-// breaks are the ways in which the first write goes wrong, and what a client of each sort of product is owed. The
+// decodeFailures are the ways in which the first write goes wrong, and what a client of each sort of product is owed. The
 // second write, where one is allowed, goes well.
-var breaks = []struct {
+var decodeFailures = []struct {
 	name                   string
-	serve                  func(l *line)
+	serve                  func(l *fakeConn)
 	idempotent, sideEffect string
 }{
-	{"closed before a token", cut, "streamed", "terminated"},
-	{"reset before a token", reset, "streamed", "terminated"},
-	{"head, then closed", func(l *line) { l.stream(); cut(l) }, "streamed", "terminated"},
-	{"closed after a token", func(l *line) { l.stream(event("Lamu ", "")); cut(l) }, "terminated", "terminated"},
-	{"reset after a token", func(l *line) { l.stream(event("Lamu ", "")); l.s.rig.far.After(5000, func() { reset(l) }) },
+	{"closed before a token", closeConn, "streamed", "terminated"},
+	{"reset before a token", abortConn, "streamed", "terminated"},
+	{"head, then closed", func(l *fakeConn) { l.stream(); closeConn(l) }, "streamed", "terminated"},
+	{"closed after a token", func(l *fakeConn) { l.stream(chunkEvent("Lamu ", "")); closeConn(l) }, "terminated", "terminated"},
+	{"reset after a token", func(l *fakeConn) {
+		l.stream(chunkEvent("Lamu ", ""))
+		l.endpoint.harness.remote.After(5000, func() { abortConn(l) })
+	},
 		"terminated", "terminated"},
-	{"closed inside an event", func(l *line) { l.stream(event("Lamu ", ""), event("é", "stop")[:20]); cut(l) }, "terminated", "terminated"},
-	{"closed inside a character", func(l *line) {
-		e := event("é", "stop")
-		l.stream(event("Lamu ", ""), e[:strings.Index(e, "é")+1])
-		cut(l)
+	{"closed inside an event", func(l *fakeConn) { l.stream(chunkEvent("Lamu ", ""), chunkEvent("é", "stop")[:20]); closeConn(l) }, "terminated", "terminated"},
+	{"closed inside a character", func(l *fakeConn) {
+		e := chunkEvent("é", "stop")
+		l.stream(chunkEvent("Lamu ", ""), e[:strings.Index(e, "é")+1])
+		closeConn(l)
 	}, "terminated", "terminated"},
-	{"closed after the last token", func(l *line) { l.stream(event("Lamu ", ""), event("é", "stop")); cut(l) }, "streamed", "streamed"},
-	{"closed after [DONE]", func(l *line) { l.stream(event("Lamu ", ""), event("é", "stop"), "data: [DONE]\n\n"); cut(l) },
+	{"closed after the last token", func(l *fakeConn) { l.stream(chunkEvent("Lamu ", ""), chunkEvent("é", "stop")); closeConn(l) }, "streamed", "streamed"},
+	{"closed after [DONE]", func(l *fakeConn) {
+		l.stream(chunkEvent("Lamu ", ""), chunkEvent("é", "stop"), "data: [DONE]\n\n")
+		closeConn(l)
+	},
 		"streamed", "streamed"},
-	{"silent", func(*line) {}, "streamed", "terminated"},
-	{"silent after a token", func(l *line) { l.stream(event("Lamu ", "")) }, "terminated", "terminated"},
-	{"an error", func(l *line) { l.answer(500, `{"error":{"code":"internal"}}`) }, "streamed", "terminated"},
-	{"full", func(l *line) { l.answer(429, `{"error":{"code":"full"}}`) }, "streamed", "streamed"},
-	{"full, with another status", func(l *line) { l.answer(500, `{"error":{"code":"full"}}`) }, "streamed", "terminated"},
-	{"draining", func(l *line) { l.answer(503, `{"error":{"code":"draining"}}`) }, "streamed", "streamed"},
-	{"state lost", func(l *line) { l.answer(409, `{"error":{"code":"state_lost"}}`) }, "streamed", "streamed"},
-	{"not HTTP", func(l *line) { l.conn.Write([]byte("PONG\r\n\r\n")) }, "streamed", "terminated"},
-	{"two lengths", func(l *line) {
+	{"silent", func(*fakeConn) {}, "streamed", "terminated"},
+	{"silent after a token", func(l *fakeConn) { l.stream(chunkEvent("Lamu ", "")) }, "terminated", "terminated"},
+	{"an error", func(l *fakeConn) { l.answer(500, `{"error":{"code":"internal"}}`) }, "streamed", "terminated"},
+	{"full", func(l *fakeConn) { l.answer(429, `{"error":{"code":"full"}}`) }, "streamed", "streamed"},
+	{"full, with another status", func(l *fakeConn) { l.answer(500, `{"error":{"code":"full"}}`) }, "streamed", "terminated"},
+	{"draining", func(l *fakeConn) { l.answer(503, `{"error":{"code":"draining"}}`) }, "streamed", "streamed"},
+	{"state lost", func(l *fakeConn) { l.answer(409, `{"error":{"code":"state_lost"}}`) }, "streamed", "streamed"},
+	{"not HTTP", func(l *fakeConn) { l.conn.Write([]byte("PONG\r\n\r\n")) }, "streamed", "terminated"},
+	{"two lengths", func(l *fakeConn) {
 		l.conn.Write([]byte("HTTP/1.1 200 OK\r\nContent-Length: 5\r\nContent-Length: 6\r\n\r\nhello"))
 	}, "streamed", "terminated"},
-	{"shorter than its length", func(l *line) {
+	{"shorter than its length", func(l *fakeConn) {
 		l.conn.Write([]byte("HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\nContent-Length: 500\r\n\r\n"))
-		cut(l)
+		closeConn(l)
 	}, "streamed", "terminated"},
-	{"two answers", func(l *line) { write(l); write(l) }, "streamed", "streamed"},
-	{"an event after the last", func(l *line) {
-		l.stream(event("Lamu ", ""), event("é", "stop"), "data: [DONE]\n\n", event("x", ""))
+	{"two answers", func(l *fakeConn) { answerDecode(l); answerDecode(l) }, "streamed", "streamed"},
+	{"an event after the last", func(l *fakeConn) {
+		l.stream(chunkEvent("Lamu ", ""), chunkEvent("é", "stop"), "data: [DONE]\n\n", chunkEvent("x", ""))
 		l.conn.Write(http1.AppendLastChunk(nil))
 	}, "streamed", "streamed"},
-	{"an event that is no chunk", func(l *line) { l.stream("data: {\"x\":1}\n\n") }, "streamed", "terminated"},
-	{"one byte at a time", func(l *line) {
+	{"an event that is no chunk", func(l *fakeConn) { l.stream("data: {\"x\":1}\n\n") }, "streamed", "terminated"},
+	{"one byte at a time", func(l *fakeConn) {
 		b := http1.AppendStreamHead(nil, 200, "Content-Type", "text/event-stream")
-		b = http1.AppendChunk(b, []byte(event("Lamu ", "")+event("é", "stop")+"data: [DONE]\n\n"))
+		b = http1.AppendChunk(b, []byte(chunkEvent("Lamu ", "")+chunkEvent("é", "stop")+"data: [DONE]\n\n"))
 		for i, c := range http1.AppendLastChunk(b) {
-			l.s.rig.far.After(eventloop.Micros(i*100), func() { l.conn.Write([]byte{c}) })
+			l.endpoint.harness.remote.After(eventloop.Micros(i*100), func() { l.conn.Write([]byte{c}) })
 		}
 	}, "streamed", "streamed"},
 }
 
 // Whatever a writer does, the client has one final answer, nothing comes after it, nothing is left out, and a
 // side-effecting generation is written again only where the first writer has said that it did not run it.
-func TestWriterBreaks(t *testing.T) {
-	for _, b := range breaks {
+func TestDecodeEndpointFailures(t *testing.T) {
+	for _, b := range decodeFailures {
 		for _, product := range []string{"explain", "review-post"} {
 			t.Run(b.name+"/"+product, func(t *testing.T) {
-				writerBreaks(t, newRig(t, nil, "prefill west", "decode west", "decode west"), b.serve, product, b.idempotent, b.sideEffect)
+				testDecodeFailure(t, newHarness(t, nil, "prefill west", "decode west", "decode west"), b.serve, product, b.idempotent, b.sideEffect)
 			})
 			t.Run("sockets/"+b.name+"/"+product, func(t *testing.T) {
 				t.Parallel()
-				writerBreaks(t, socketRig(t, "prefill west", "decode west", "decode west"), b.serve, product, b.idempotent, b.sideEffect)
+				testDecodeFailure(t, newSocketHarness(t, "prefill west", "decode west", "decode west"), b.serve, product, b.idempotent, b.sideEffect)
 			})
 		}
 	}
 }
 
-func writerBreaks(t *testing.T, r *rig, serve func(*line), product, idempotent, sideEffect string) {
+func testDecodeFailure(t *testing.T, r *harness, serve func(*fakeConn), product, idempotent, sideEffect string) {
 	first := true
-	r.far.Do(func() {
-		for _, h := range r.hosts[1:] {
-			h.serve = func(l *line) {
+	r.remote.Do(func() {
+		for _, h := range r.endpoints[1:] {
+			h.serve = func(l *fakeConn) {
 				if !first {
-					write(l)
+					answerDecode(l)
 					return
 				}
 				first = false
@@ -107,12 +113,12 @@
 		want = sideEffect
 	}
 	c := r.ask(product)
-	r.ends(c, want)
-	r.far.Do(func() {
-		if want == "streamed" && c.text != whole {
+	r.expectFinal(c, want)
+	r.remote.Do(func() {
+		if want == "streamed" && c.text != completeText {
 			t.Errorf("the client was sent %q", c.text)
 		}
-		if writes := r.hosts[1].legs() + r.hosts[2].legs(); want == "terminated" && writes != 1 {
+		if writes := r.endpoints[1].attempts() + r.endpoints[2].attempts(); want == "terminated" && writes != 1 {
 			t.Errorf("written %d times", writes)
 		}
 		if c.head == nil {
@@ -126,25 +132,25 @@
 }
 
 // A reader that fails has had no effect: any product is read again elsewhere, and what may lie there is let go.
-func TestReaderBreaks(t *testing.T) {
-	for name, serve := range map[string]func(l *line){"closed": cut, "reset": reset, "silent": func(*line) {},
-		"no state": func(l *line) { l.answer(200, `{"choices":[]}`) }, "full": func(l *line) { l.answer(429, `{"error":{"code":"full"}}`) }} {
+func TestPrefillEndpointFailureIsRetried(t *testing.T) {
+	for name, serve := range map[string]func(l *fakeConn){"closed": closeConn, "reset": abortConn, "silent": func(*fakeConn) {},
+		"no state": func(l *fakeConn) { l.answer(200, `{"choices":[]}`) }, "full": func(l *fakeConn) { l.answer(429, `{"error":{"code":"full"}}`) }} {
 		t.Run(name, func(t *testing.T) {
-			r := newRig(t, nil, "prefill west", "prefill west", "decode west")
-			var broken *script
-			for _, h := range r.hosts[:2] {
-				h.serve = func(l *line) {
+			r := newHarness(t, nil, "prefill west", "prefill west", "decode west")
+			var broken *fakeEndpoint
+			for _, h := range r.endpoints[:2] {
+				h.serve = func(l *fakeConn) {
 					if broken == nil {
-						broken = l.s
+						broken = l.endpoint
 					}
-					if broken == l.s {
+					if broken == l.endpoint {
 						serve(l)
 					} else {
-						read(l)
+						answerPrefill(l)
 					}
 				}
 			}
-			r.ends(r.ask("review-post"), "streamed")
+			r.expectFinal(r.ask("review-post"), "streamed")
 			if name != "full" && broken.releases() == 0 {
 				t.Error("what the broken read may have left was not let go")
 			}
@@ -153,58 +159,58 @@
 }
 
 // The reader dies while its state waits: the writer finds nothing to fetch, and the prompt is read anew.
-func TestReaderDiesWithTheState(t *testing.T) {
-	r := newRig(t, nil, "prefill west", "prefill west", "decode west", "decode west")
-	var died *script
-	r.hosts[2].serve = func(l *line) {
+func TestPrefillIsRepeatedWhenItsStateIsLost(t *testing.T) {
+	r := newHarness(t, nil, "prefill west", "prefill west", "decode west", "decode west")
+	var died *fakeEndpoint
+	r.endpoints[2].serve = func(l *fakeConn) {
 		if died == nil {
-			for _, h := range r.hosts[:2] {
-				if h.legs() > 0 {
+			for _, h := range r.endpoints[:2] {
+				if h.attempts() > 0 {
 					died = h
-					h.ln.Close()
+					h.listener.Close()
 				}
 			}
 			l.answer(409, `{"error":{"code":"state_lost"}}`)
 			return
 		}
-		write(l)
+		answerDecode(l)
 	}
-	r.hosts[3].serve = r.hosts[2].serve
-	r.ends(r.ask("review-post"), "streamed")
-	if died == nil || died.legs() != 1 {
+	r.endpoints[3].serve = r.endpoints[2].serve
+	r.expectFinal(r.ask("review-post"), "streamed")
+	if died == nil || died.attempts() != 1 {
 		t.Error("the reader that died was not the first, or was asked again")
 	}
 }
 
 // A client may leave in any state: its leg is closed, its state let go, nothing is left.
-func TestClientLeaves(t *testing.T) {
-	silent := func(*line) {}
+func TestClientDisconnectLeavesNothing(t *testing.T) {
+	silent := func(*fakeConn) {}
 	for _, when := range []string{"held", "reading", "waiting for the writer", "streaming"} {
 		t.Run(when, func(t *testing.T) {
-			r := newRig(t, nil, "prefill west", "decode west")
+			r := newHarness(t, nil, "prefill west", "decode west")
 			switch when {
 			case "held":
-				r.told(r.hosts[1].entry("gone"))
+				r.updateEndpoints(r.endpoints[1].entry("gone"))
 			case "reading":
-				r.hosts[0].serve = silent
+				r.endpoints[0].serve = silent
 			case "waiting for the writer":
-				r.hosts[1].serve = silent
+				r.endpoints[1].serve = silent
 			case "streaming":
-				r.hosts[1].serve = func(l *line) { l.stream(event("Lamu ", "")) }
+				r.endpoints[1].serve = func(l *fakeConn) { l.stream(chunkEvent("Lamu ", "")) }
 			}
 			c := r.ask("explain")
-			r.w.Run(100 * eventloop.Millisecond)
-			if r.x.OpenRequests() != 1 {
+			r.world.Run(100 * eventloop.Millisecond)
+			if r.dispatcher.OpenRequests() != 1 {
 				t.Fatalf("it is not %s", when)
 			}
-			r.far.Do(c.conn.Abort)
-			r.w.Run(100 * eventloop.Millisecond)
-			r.idle()
-			if (when == "reading" || when == "waiting for the writer") && r.hosts[0].releases() == 0 {
+			r.remote.Do(c.conn.Abort)
+			r.world.Run(100 * eventloop.Millisecond)
+			r.expectIdle()
+			if (when == "reading" || when == "waiting for the writer") && r.endpoints[0].releases() == 0 {
 				t.Error("its state was not let go")
 			}
-			if r.x.Disconnected != 1 {
-				t.Errorf("left: %d", r.x.Disconnected)
+			if r.dispatcher.Disconnected != 1 {
+				t.Errorf("left: %d", r.dispatcher.Disconnected)
 			}
 		})
 	}
@@ -212,16 +218,16 @@
 
 // A client that does not read slows its writer only, within a bound, and is ended after a while; another's
 // stream goes on meanwhile.
-func TestClientThatDoesNotRead(t *testing.T) {
-	r := newRig(t, nil, "prefill west", "decode west")
+func TestLaggingClientSlowsOnlyItsOwnStream(t *testing.T) {
+	r := newHarness(t, nil, "prefill west", "decode west")
 	long := strings.Repeat("x", 8<<10)
 	sent := 0
-	r.hosts[1].serve = func(l *line) {
-		if l.s.legs() > 1 {
-			write(l)
+	r.endpoints[1].serve = func(l *fakeConn) {
+		if l.endpoint.attempts() > 1 {
+			answerDecode(l)
 			return
 		}
-		l.stream(event("Lamu ", ""))
+		l.stream(chunkEvent("Lamu ", ""))
 		var more func()
 		more = func() {
 			if l.closed {
@@ -229,51 +235,51 @@
 			}
 			if l.conn.Unsent() == 0 {
 				sent += len(long)
-				l.conn.Write(http1.AppendChunk(nil, []byte(event(long, ""))))
+				l.conn.Write(http1.AppendChunk(nil, []byte(chunkEvent(long, ""))))
 			}
-			r.far.After(2000, more)
+			r.remote.After(2000, more)
 		}
 		more()
 	}
 	c := r.ask("explain")
-	r.w.Run(20 * eventloop.Millisecond)
-	r.far.Do(func() { c.conn.Pause(true) })
-	r.w.Run(3 * eventloop.Second)
-	if most := 3*r.w.Window + int(r.d.Doors.UnsentMost); sent > most {
+	r.world.Run(20 * eventloop.Millisecond)
+	r.remote.Do(func() { c.conn.Pause(true) })
+	r.world.Run(3 * eventloop.Second)
+	if most := 3*r.world.Window + int(r.deployment.Doors.UnsentMost); sent > most {
 		t.Errorf("%d bytes were taken from the writer, more than %d", sent, most)
 	}
-	r.w.Run(200 * eventloop.Millisecond)
+	r.world.Run(200 * eventloop.Millisecond)
 	other := r.ask("explain")
-	r.w.Run(300 * eventloop.Millisecond)
-	if other.text != whole {
+	r.world.Run(300 * eventloop.Millisecond)
+	if other.text != completeText {
 		t.Errorf("the other client was sent %q", other.text)
 	}
-	r.w.Run(15 * eventloop.Second)
-	r.idle()
+	r.world.Run(15 * eventloop.Second)
+	r.expectIdle()
 }
 
 // News of a drain between the read and the write: the writer that drains gets nothing.
-func TestDrainBetweenReadAndWrite(t *testing.T) {
-	r := newRig(t, nil, "prefill west", "decode west", "decode west")
-	r.hosts[0].serve = func(l *line) {
-		r.told(r.hosts[1].entry("draining"))
-		read(l)
+func TestDrainBetweenPrefillAndDecode(t *testing.T) {
+	r := newHarness(t, nil, "prefill west", "decode west", "decode west")
+	r.endpoints[0].serve = func(l *fakeConn) {
+		r.updateEndpoints(r.endpoints[1].entry("draining"))
+		answerPrefill(l)
 	}
 	for range 6 {
-		r.ends(r.ask("review-post"), "streamed")
+		r.expectFinal(r.ask("review-post"), "streamed")
 	}
-	if n := r.hosts[1].legs(); n != 0 {
+	if n := r.endpoints[1].attempts(); n != 0 {
 		t.Errorf("the draining writer got %d legs", n)
 	}
 }
 
 // A list that names kinds, zones and conditions that are not known: those hosts get nothing, the others work.
-func TestUnknownKinds(t *testing.T) {
-	r := newRig(t, nil, "prefill west", "decode west", "abacus west", "decode moon")
+func TestEndpointsOfUnknownKindOrZoneGetNothing(t *testing.T) {
+	r := newHarness(t, nil, "prefill west", "decode west", "abacus west", "decode moon")
 	for range 4 {
-		r.ends(r.ask("explain"), "streamed")
+		r.expectFinal(r.ask("explain"), "streamed")
 	}
-	if r.hosts[2].legs()+r.hosts[3].legs() != 0 {
+	if r.endpoints[2].attempts()+r.endpoints[3].attempts() != 0 {
 		t.Error("a host of an unknown kind or zone was sent something")
 	}
 	f := endpoints.View{}
@@ -285,23 +291,23 @@
 }
 
 // Two endings in one turn of the loop: the client leaves while its writer's last bytes wait to be read.
-func TestBothSidesEndInOneTurn(t *testing.T) {
+func TestClientAndEndpointEndInOneTurn(t *testing.T) {
 	for _, frozen := range []bool{false, true} {
-		r := newRig(t, nil, "prefill west", "decode west")
-		var l1 *line
-		r.hosts[1].serve = func(l *line) { l1 = l; l.stream(event("Lamu ", "")) }
+		r := newHarness(t, nil, "prefill west", "decode west")
+		var l1 *fakeConn
+		r.endpoints[1].serve = func(l *fakeConn) { l1 = l; l.stream(chunkEvent("Lamu ", "")) }
 		c := r.ask("review-post")
-		r.w.Run(20 * eventloop.Millisecond)
+		r.world.Run(20 * eventloop.Millisecond)
 		if frozen {
 			r.virtual().Freeze(300 * eventloop.Millisecond) // all of it is found at once when the dispatcher wakes
 		}
-		r.far.Do(func() {
-			l1.conn.Write(http1.AppendChunk(nil, []byte(event("é", "stop")+"data: [DONE]\n\n")))
+		r.remote.Do(func() {
+			l1.conn.Write(http1.AppendChunk(nil, []byte(chunkEvent("é", "stop")+"data: [DONE]\n\n")))
 			l1.conn.Close()
 			c.conn.Abort()
 		})
-		r.w.Run(eventloop.Second)
-		r.idle()
+		r.world.Run(eventloop.Second)
+		r.expectIdle()
 		if len(c.finals) > 1 {
 			t.Errorf("finals %v", c.finals)
 		}
@@ -309,62 +315,62 @@
 }
 
 // With no host at all a generation is held, then throttled in time, whatever its product: nothing ran.
-func TestNoHosts(t *testing.T) {
+func TestRejectsInTimeWithoutEndpoints(t *testing.T) {
 	for _, product := range []string{"explain", "build-note", "review-post"} {
-		r := newRig(t, nil)
-		began := r.w.Now()
+		r := newHarness(t, nil)
+		began := r.world.Now()
 		c := r.ask(product, "x-time-limit-ms", "700")
-		r.ends(c, "throttled")
-		if took := r.w.Now() - began; took > 700*eventloop.Millisecond+eventloop.Second || c.head.Get("Retry-After") == "" {
+		r.expectFinal(c, "throttled")
+		if took := r.world.Now() - began; took > 700*eventloop.Millisecond+eventloop.Second || c.head.Get("Retry-After") == "" {
 			t.Errorf("%v, Retry-After %q", took, c.head.Get("Retry-After"))
 		}
 	}
 }
 
 // A whole answer that is not whole within the client's time is terminated within it.
-func TestWholeAnswerOutOfTime(t *testing.T) {
-	r := newRig(t, nil, "prefill west", "decode west")
-	r.hosts[1].serve = func(l *line) { l.stream(event("Lamu ", "")) }
-	began := r.w.Now()
+func TestUnstreamedAnswerFailsAtItsDeadline(t *testing.T) {
+	r := newHarness(t, nil, "prefill west", "decode west")
+	r.endpoints[1].serve = func(l *fakeConn) { l.stream(chunkEvent("Lamu ", "")) }
+	began := r.world.Now()
 	c := r.send(`{"model":"explain","messages":[{"role":"user","content":"why?"}]}`, "x-time-limit-ms", "900")
-	r.w.Until(5*eventloop.Second, func() bool { return len(c.finals) > 0 })
-	if took := r.w.Now() - began; took > 900*eventloop.Millisecond {
+	r.world.Until(5*eventloop.Second, func() bool { return len(c.finals) > 0 })
+	if took := r.world.Now() - began; took > 900*eventloop.Millisecond {
 		t.Errorf("answered after %d ms", took/eventloop.Millisecond)
 	}
-	r.ends(c, "terminated")
+	r.expectFinal(c, "terminated")
 }
 
 // The dispatcher wakes from a freeze with a client's time gone: no second answer, no leg to a host that drains.
-func TestFrozenDispatcher(t *testing.T) {
-	r := newRig(t, nil, "prefill west", "decode west", "decode west")
-	r.hosts[0].serve = func(l *line) { r.far.After(50*eventloop.Millisecond, func() { read(l) }) }
+func TestFrozenDispatcherAnswersOnce(t *testing.T) {
+	r := newHarness(t, nil, "prefill west", "decode west", "decode west")
+	r.endpoints[0].serve = func(l *fakeConn) { r.remote.After(50*eventloop.Millisecond, func() { answerPrefill(l) }) }
 	c := r.ask("review-post")
-	r.w.Run(20 * eventloop.Millisecond)
+	r.world.Run(20 * eventloop.Millisecond)
 	r.virtual().Freeze(6 * eventloop.Second)
-	r.told(r.hosts[1].entry("draining"))
-	r.w.Run(10 * eventloop.Second)
-	r.idle()
+	r.updateEndpoints(r.endpoints[1].entry("draining"))
+	r.world.Run(10 * eventloop.Second)
+	r.expectIdle()
 	if len(c.finals) != 1 {
 		t.Errorf("finals %v", c.finals)
 	}
-	if n := r.hosts[1].legs(); n > 0 {
+	if n := r.endpoints[1].attempts(); n > 0 {
 		t.Errorf("%d legs to the draining host", n)
 	}
 }
 
 // Connections to hosts run out of descriptors: the legs are unreachable, not lost, and service returns.
-func TestDescriptorsExhausted(t *testing.T) {
-	r := newRig(t, nil, "prefill west", "decode west")
+func TestServiceReturnsAfterDescriptorsRunOut(t *testing.T) {
+	r := newHarness(t, nil, "prefill west", "decode west")
 	c := r.ask("explain")
-	r.ends(c, "streamed")
+	r.expectFinal(c, "streamed")
 	r.virtual().Descriptors = 5 // its own client, two idle trunks, and what is kept back
-	var calls []*call
+	var calls []*clientCall
 	for range 8 {
 		calls = append(calls, r.ask("review-post"))
 	}
-	r.w.Run(10 * eventloop.Second)
+	r.world.Run(10 * eventloop.Second)
 	r.virtual().Descriptors = 0
-	r.ends(r.ask("review-post"), "streamed")
+	r.expectFinal(r.ask("review-post"), "streamed")
 	for i, c := range calls {
 		if len(c.finals) > 1 || !c.closed && len(c.finals) == 0 {
 			t.Errorf("call %d: finals %v", i, c.finals)
@@ -374,7 +380,7 @@
 
 // Malformed requests get the specified status and an error object; the dispatcher goes on.
 func TestBadRequests(t *testing.T) {
-	r := newRig(t, func(d deployment.Deployment) { d.Doors.BodyMost = 2000 }, "prefill west", "decode west")
+	r := newHarness(t, func(d deployment.Deployment) { d.Doors.BodyMost = 2000 }, "prefill west", "decode west")
 	ok := `"messages":[{"role":"user","content":"a"}]`
 	for body, want := range map[string]string{
 		`{`:                                 "400",
@@ -395,53 +401,53 @@
 		`{"model":"explain","stream":true,"messages":[{"role":"user","content":[{"type":"text","text":"a"}]}],"seed":1}`: "streamed",
 	} {
 		c := r.send(body)
-		r.ends(c, want)
+		r.expectFinal(c, want)
 		if want != "streamed" && !strings.Contains(string(c.raw), `"error":{`) {
 			t.Errorf("%.60s: no error object: %.200q", body, c.raw)
 		}
 	}
 	c := r.send(`{"model":"explain",`+ok+`}`, "Authorization", "Bearer sk-other")
 	c.request = []byte(strings.Replace(string(c.request), "Authorization: Bearer "+key+"\r\n", "", 1))
-	r.ends(c, "401")
+	r.expectFinal(c, "401")
 }
 
 // A head that trickles in, one that never ends, and many fields: answered, closed, and bounded.
 func TestSlowAndEndlessHeads(t *testing.T) {
-	r := newRig(t, nil)
+	r := newHarness(t, nil)
 	for name, c := range map[string]struct {
-		send func(c *call)
+		send func(c *clientCall)
 		want string
 	}{
-		"trickle": {func(c *call) {
+		"trickle": {func(c *clientCall) {
 			for i := range 100 {
-				r.far.After(eventloop.Micros(i)*eventloop.Second, func() { c.conn.Write([]byte("X-Very: slow\r\n")) })
+				r.remote.After(eventloop.Micros(i)*eventloop.Second, func() { c.conn.Write([]byte("X-Very: slow\r\n")) })
 			}
 		}, "408"},
-		"endless": {func(c *call) { c.conn.Write([]byte("x-a: " + strings.Repeat("b", 100<<10))) }, "431"},
-		"fields":  {func(c *call) { c.conn.Write([]byte(strings.Repeat("a: b\r\n", 200) + "\r\n")) }, "431"},
-		"both":    {func(c *call) { c.conn.Write([]byte("Content-Length: 3\r\nTransfer-Encoding: chunked\r\n\r\n")) }, "400"},
+		"endless": {func(c *clientCall) { c.conn.Write([]byte("x-a: " + strings.Repeat("b", 100<<10))) }, "431"},
+		"fields":  {func(c *clientCall) { c.conn.Write([]byte(strings.Repeat("a: b\r\n", 200) + "\r\n")) }, "431"},
+		"both":    {func(c *clientCall) { c.conn.Write([]byte("Content-Length: 3\r\nTransfer-Encoding: chunked\r\n\r\n")) }, "400"},
 	} {
-		call := &call{r: r, parser: http1.Parser{Response: true, Bounds: http1.Usual}, request: []byte("POST /v1/chat/completions HTTP/1.1\r\n")}
-		r.far.Do(func() { call.conn = r.far.Dial(r.addr, eventloop.Second, call) })
-		r.w.Run(10 * eventloop.Millisecond)
-		r.far.Do(func() { c.send(call) })
-		r.w.Run(40 * eventloop.Second)
+		call := &clientCall{harness: r, parser: http1.Parser{Response: true, Bounds: http1.Usual}, request: []byte("POST /v1/chat/completions HTTP/1.1\r\n")}
+		r.remote.Do(func() { call.conn = r.remote.Dial(r.addr, eventloop.Second, call) })
+		r.world.Run(10 * eventloop.Millisecond)
+		r.remote.Do(func() { c.send(call) })
+		r.world.Run(40 * eventloop.Second)
 		if fmt.Sprint(call.finals) != "["+c.want+"]" && !(c.want == "408" && len(call.finals) == 1) || !call.closed {
 			t.Errorf("%s: finals %v, closed %v", name, call.finals, call.closed)
 		}
 	}
-	if r.x.Front().Open != 0 {
-		t.Errorf("%d requests open", r.x.Front().Open)
+	if r.dispatcher.Frontend().Open != 0 {
+		t.Errorf("%d requests open", r.dispatcher.Frontend().Open)
 	}
 }
 
 // A restarted dispatcher starts with its kept list; without one it holds and throttles.
-func TestRestartWithKeptList(t *testing.T) {
-	r := newRig(t, nil, "prefill west", "decode west")
+func TestCachedEndpointListIsRestored(t *testing.T) {
+	r := newHarness(t, nil, "prefill west", "decode west")
 	var kept []byte
-	r.x.post.CacheEndpoints = func(b []byte) { kept = b }
-	r.told(r.hosts[1].entry("ready"))
-	r.w.Run(2 * eventloop.Second)
+	r.dispatcher.config.CacheEndpoints = func(b []byte) { kept = b }
+	r.updateEndpoints(r.endpoints[1].entry("ready"))
+	r.world.Run(2 * eventloop.Second)
 	f := endpoints.View{}
 	entries, _, err := f.Restore(kept)
 	if err != nil || len(entries) == 0 || f.Version != 0 {
@@ -454,27 +460,27 @@
 
 // A hundred generations at once to hosts that this dispatcher has no connection to yet: few connections open at a
 // time, each carries one leg at a time, and all generations are streamed.
-func TestConnectionsOpenOneAfterAnother(t *testing.T) {
-	r := newRig(t, func(d deployment.Deployment) { d.Dispatching.Openings, d.Dispatching.ConnectMs = 4, 1000 }, "prefill west", "decode west")
-	r.w.Latency = 5 * eventloop.Millisecond
-	for _, h := range r.hosts {
+func TestLimitsOpeningConnections(t *testing.T) {
+	r := newHarness(t, func(d deployment.Deployment) { d.Dispatching.Openings, d.Dispatching.ConnectMs = 4, 1000 }, "prefill west", "decode west")
+	r.world.Latency = 5 * eventloop.Millisecond
+	for _, h := range r.endpoints {
 		good := h.serve
-		h.serve = func(l *line) {
-			r.far.After(30*eventloop.Millisecond, func() { good(l) })
+		h.serve = func(l *fakeConn) {
+			r.remote.After(30*eventloop.Millisecond, func() { good(l) })
 		}
 	}
-	var calls []*call
+	var calls []*clientCall
 	for range 100 {
 		calls = append(calls, r.ask("explain"))
 	}
 	most := 0
 	for range 1000 {
-		r.w.Run(eventloop.Millisecond)
-		for _, h := range r.hosts {
-			most = max(most, r.x.engine.Opening(scheduler.EndpointID(h.id)))
+		r.world.Run(eventloop.Millisecond)
+		for _, h := range r.endpoints {
+			most = max(most, r.dispatcher.engine.Opening(scheduler.EndpointID(h.id)))
 		}
 	}
-	r.w.Run(5 * eventloop.Second)
+	r.world.Run(5 * eventloop.Second)
 	for i, c := range calls {
 		if fmt.Sprint(c.finals) != "[streamed]" {
 			t.Fatalf("call %d: %v", i, c.finals)
@@ -483,29 +489,29 @@
 	if most > 4 || most < 2 {
 		t.Errorf("%d connections were opening at once", most)
 	}
-	r.idle()
+	r.expectIdle()
 }
 
 // A dispatcher told to end, with a stream running and a client on a connection that is kept: the stream ends well, nothing
 // new is taken, and then it is done.
-func TestLeaveWithStreamsRunning(t *testing.T) {
-	r := newRig(t, nil, "prefill west", "decode west")
-	var l1 *line
-	r.hosts[1].serve = func(l *line) { l1 = l; l.stream(event("Lamu ", "")) }
+func TestShutdownCompletesRunningStreams(t *testing.T) {
+	r := newHarness(t, nil, "prefill west", "decode west")
+	var l1 *fakeConn
+	r.endpoints[1].serve = func(l *fakeConn) { l1 = l; l.stream(chunkEvent("Lamu ", "")) }
 	c := r.ask("review-post")
-	r.w.Run(50 * eventloop.Millisecond)
+	r.world.Run(50 * eventloop.Millisecond)
 	done := false
-	r.loop.Do(func() { r.x.Shutdown(func() { done = true }) })
+	r.loop.Do(func() { r.dispatcher.Shutdown(func() { done = true }) })
 	late := r.ask("explain")
-	r.w.Run(50 * eventloop.Millisecond)
+	r.world.Run(50 * eventloop.Millisecond)
 	if done || len(late.finals) > 0 || !late.closed {
 		t.Errorf("done %v; the late one: finals %v, closed %v", done, late.finals, late.closed)
 	}
-	r.far.Do(func() {
-		l1.conn.Write(http1.AppendLastChunk(http1.AppendChunk(nil, []byte(event("é", "stop")+"data: [DONE]\n\n"))))
+	r.remote.Do(func() {
+		l1.conn.Write(http1.AppendLastChunk(http1.AppendChunk(nil, []byte(chunkEvent("é", "stop")+"data: [DONE]\n\n"))))
 	})
-	r.ends(c, "streamed")
-	if !done || !c.closed || c.text != whole {
+	r.expectFinal(c, "streamed")
+	if !done || !c.closed || c.text != completeText {
 		t.Errorf("done %v, closed %v, text %q", done, c.closed, c.text)
 	}
 }
@@ -520,31 +526,31 @@
 		served int // of 60 generations in the first six seconds: so many at least,
 		most   int // and so many at most, legs to one host
 	}{{"fresh", eventloop.Second, false, 60, 60}, {"stale", 3600 * eventloop.Second, false, 5, 25}, {"old", 48 * 3600 * eventloop.Second, false, 3, 25}, {"torn", eventloop.Second, true, 60, 60}} {
-		r := newRig(t, nil, "prefill west", "prefill west", "prefill west", "prefill west", "decode west", "decode west", "decode west", "decode west")
+		r := newHarness(t, nil, "prefill west", "prefill west", "prefill west", "prefill west", "decode west", "decode west", "decode west", "decode west")
 		list := r.list
-		list.Saved = int64(r.w.Now() - c.age)
+		list.Saved = int64(r.world.Now() - c.age)
 		kept, _ := json.Marshal(list)
 		lists := [][]byte{kept}
 		if c.torn {
 			lists = [][]byte{kept[:len(kept)/2], kept}
 		}
-		loop := r.w.Loop("d.2")
+		loop := r.world.Loop("d.2")
 		r.loop = loop
 		loop.Do(func() {
-			x, err := Start(loop, r.d, Config{Name: "d.2", Zone: "west", Seed: 5, CachedEndpoints: lists, Log: zerolog.Nop()})
+			x, err := Start(loop, r.deployment, Config{Name: "d.2", Zone: "west", Seed: 5, CachedEndpoints: lists, Log: zerolog.Nop()})
 			if err != nil {
 				t.Fatal(err)
 			}
-			ln, err := loop.Listen("127.0.0.1:0", x.Front().Accept)
+			ln, err := loop.Listen("127.0.0.1:0", x.Frontend().Accept)
 			if err != nil {
 				t.Fatal(err)
 			}
-			r.x, r.addr = x, ln.Addr()
+			r.dispatcher, r.addr = x, ln.Addr()
 		})
-		var calls []*call
+		var calls []*clientCall
 		for range 60 {
 			calls = append(calls, r.ask("explain"))
-			r.w.Run(100 * eventloop.Millisecond)
+			r.world.Run(100 * eventloop.Millisecond)
 		}
 		streamed, most, hosts := 0, 0, 0
 		for _, c := range calls {
@@ -552,9 +558,9 @@
 				streamed++
 			}
 		}
-		for _, h := range r.hosts {
-			most = max(most, h.legs())
-			if h.legs() > 0 {
+		for _, h := range r.endpoints {
+			most = max(most, h.attempts())
+			if h.attempts() > 0 {
 				hosts++
 			}
 		}
@@ -562,49 +568,51 @@
 		if streamed < c.served || most > c.most {
 			t.Errorf("%s: %d of 60 streamed in six seconds, %d legs at one host, %d hosts used", c.name, streamed, most, hosts)
 		}
-		r.w.Run(20 * eventloop.Second)
+		r.world.Run(20 * eventloop.Second)
 		for i, c := range calls {
 			if len(c.finals) != 1 {
 				t.Errorf("call %d: finals %v", i, c.finals)
 			}
 		}
-		r.ends(r.ask("explain"), "streamed") // it is warm by then, without discovery
+		r.expectFinal(r.ask("explain"), "streamed") // it is warm by then, without discovery
 	}
-	r := newRig(t, nil, "prefill west", "decode west")
-	for _, h := range r.hosts {
-		h.ln.Close()
+	r := newHarness(t, nil, "prefill west", "decode west")
+	for _, h := range r.endpoints {
+		h.listener.Close()
 	}
-	r.ends(r.ask("review-post", "x-time-limit-ms", "800"), "throttled")
-	for _, h := range r.hosts {
-		h.up()
+	r.expectFinal(r.ask("review-post", "x-time-limit-ms", "800"), "throttled")
+	for _, h := range r.endpoints {
+		h.listen()
 	}
-	r.loop.Do(func() { r.x.news([]endpoints.Entry{r.hosts[0].entry("ready"), r.hosts[1].entry("ready")}, true) })
-	r.w.Run(8 * eventloop.Second)
-	r.ends(r.ask("explain"), "streamed")
+	r.loop.Do(func() {
+		r.dispatcher.endpointsUpdated([]endpoints.Entry{r.endpoints[0].entry("ready"), r.endpoints[1].entry("ready")}, true)
+	})
+	r.world.Run(8 * eventloop.Second)
+	r.expectFinal(r.ask("explain"), "streamed")
 }
 
 // Discovery comes back empty and then whole within the grace: nobody notices. It stays empty: believed within the grace.
 // A drain by name is believed at once in any case.
-func TestDiscoveryFlaps(t *testing.T) {
+func TestMassRemovalIsConfirmedBeforeItCounts(t *testing.T) {
 	for _, back := range []bool{true, false} {
-		r := newRig(t, nil, "prefill west", "decode west", "decode west")
-		r.ends(r.ask("explain"), "streamed")
-		r.loop.Do(func() { r.x.news([]endpoints.Entry{r.hosts[1].entry("draining")}, true) })
-		drained := r.hosts[1].legs()
-		r.w.Run(50 * eventloop.Millisecond)
+		r := newHarness(t, nil, "prefill west", "decode west", "decode west")
+		r.expectFinal(r.ask("explain"), "streamed")
+		r.loop.Do(func() { r.dispatcher.endpointsUpdated([]endpoints.Entry{r.endpoints[1].entry("draining")}, true) })
+		drained := r.endpoints[1].attempts()
+		r.world.Run(50 * eventloop.Millisecond)
 		c := r.ask("review-post")
-		r.w.Run(50 * eventloop.Millisecond)
-		if len(c.finals) != 1 || c.finals[0] != "streamed" || r.hosts[1].legs() != drained {
-			t.Errorf("within the doubt: %v; %d legs to the one that drains", c.finals, r.hosts[1].legs()-drained)
+		r.world.Run(50 * eventloop.Millisecond)
+		if len(c.finals) != 1 || c.finals[0] != "streamed" || r.endpoints[1].attempts() != drained {
+			t.Errorf("within the doubt: %v; %d legs to the one that drains", c.finals, r.endpoints[1].attempts()-drained)
 		}
 		if back {
 			r.loop.Do(func() {
-				r.x.list.Hosts = map[scheduler.EndpointID]endpoints.Entry{1: r.hosts[0].entry("ready"), 3: r.hosts[2].entry("ready")}
-				r.x.news([]endpoints.Entry{r.hosts[0].entry("ready"), r.hosts[2].entry("ready")}, true)
+				r.dispatcher.endpointWatch.Hosts = map[scheduler.EndpointID]endpoints.Entry{1: r.endpoints[0].entry("ready"), 3: r.endpoints[2].entry("ready")}
+				r.dispatcher.endpointsUpdated([]endpoints.Entry{r.endpoints[0].entry("ready"), r.endpoints[2].entry("ready")}, true)
 			})
 		}
-		r.w.Run(100 * eventloop.Millisecond) // 200 ms after the list: still within the grace of 250
+		r.world.Run(100 * eventloop.Millisecond) // 200 ms after the list: still within the grace of 250
 		want := map[bool]string{true: "streamed", false: "throttled"}[back]
-		r.ends(r.ask("review-post", "x-time-limit-ms", "600"), want)
+		r.expectFinal(r.ask("review-post", "x-time-limit-ms", "600"), want)
 	}
 }
--- a/internal/dispatch/intent.go
+++ b/internal/dispatch/intent.go
@@ -29,7 +29,7 @@
 
 // recall reads what an earlier life kept. What was running when it died may have run; it is remembered from now on.
 func (x *Dispatcher) recall() {
-	if x.post.Intents == nil {
+	if x.config.Intents == nil {
 		return
 	}
 	type past struct {
@@ -39,7 +39,7 @@
 	}
 	var all []past
 	now := x.loop.Now()
-	x.post.Intents.Scan(intentPrefix, func(key string, v []byte) bool {
+	x.config.Intents.Scan(intentPrefix, func(key string, v []byte) bool {
 		if len(v) != intentLen || len(key) != len(intentPrefix)+len(idempotency.Key{}) {
 			return true
 		}
@@ -53,45 +53,45 @@
 	})
 	slices.SortStableFunc(all, func(a, b past) int { return int(a.until - b.until) })
 	for _, i := range all {
-		x.repeats.Restore(i.key, i.request, i.until, i.window)
+		x.idempotencyCache.Restore(i.key, i.request, i.until, i.window)
 	}
-	x.repeats.OnExpire = func(k idempotency.Key) {
-		_ = x.post.Intents.Commit([]store.Op{{Key: intentPrefix + string(k[:])}}, nil, true, nil) // one kept too long does no harm
+	x.idempotencyCache.OnExpire = func(k idempotency.Key) {
+		_ = x.config.Intents.Commit([]store.Op{{Key: intentPrefix + string(k[:])}}, nil, true, nil) // one kept too long does no harm
 	}
-	x.post.Log.Info().Int("keys", len(all)).Msg("remembering what may have run before")
+	x.config.Log.Info().Int("keys", len(all)).Msg("remembering what may have run before")
 }
 
 // window is how long a generation's key is remembered after its end.
-func (x *Dispatcher) window(g *gen) eventloop.Micros {
+func (x *Dispatcher) window(g *request) eventloop.Micros {
 	if p := x.Products[g.product]; p.Effect == pb.Product_DEDUPLICATED {
 		return eventloop.Micros(p.WindowMs) * eventloop.Millisecond
 	}
 	return eventloop.Micros(x.Doors.RememberMs) * eventloop.Millisecond
 }
 
-// An intent of one generation. With a read it is written down as the read goes out, so that the disk works while the host
+// An intentRecord of one generation. With a read it is written down as the read goes out, so that the disk works while the host
 // does; what died in between is then taken to have run although it had not. Before the write it costs the sync's time.
-type intent struct {
+type intentRecord struct {
 	asked, kept bool
 	then        func(kept bool) // a write that waits for it
 }
 
 // intends tells whether a generation's product asks for a record, and when.
-func (x *Dispatcher) intends(g *gen, when pb.Product_Intent) bool {
-	return g.repeat != nil && x.post.Intents != nil && x.Products[g.product].Intent == when
+func (x *Dispatcher) intends(g *request, when pb.Product_Intent) bool {
+	return g.repeat != nil && x.config.Intents != nil && x.Products[g.product].Intent == when
 }
 
 // intendEarly begins to write the record as the read goes out.
-func (x *Dispatcher) intendEarly(g *gen) {
+func (x *Dispatcher) intendEarly(g *request) {
 	if x.intends(g, pb.Product_WITH_READ) && !g.intent.asked {
 		x.record(g)
 	}
 }
 
 // intend goes on once it is kept that a generation may run from now on: kept tells whether it is certain that it was.
-func (x *Dispatcher) intend(g *gen, then func(kept bool)) {
+func (x *Dispatcher) intend(g *request, then func(kept bool)) {
 	switch {
-	case x.intends(g, pb.Product_NO_RECORD), g.repeat == nil, x.post.Intents == nil, g.intent.kept:
+	case x.intends(g, pb.Product_NO_RECORD), g.repeat == nil, x.config.Intents == nil, g.intent.kept:
 		then(true)
 		return
 	case g.intent.then != nil: // a later leg waits in place of one that was taken back
@@ -101,7 +101,7 @@
 	g.intent.then = then
 }
 
-func (x *Dispatcher) record(g *gen) {
+func (x *Dispatcher) record(g *request) {
 	g.intent.asked = true
 	answered := func(err error) {
 		g.intent.asked, g.intent.kept = err == nil, err == nil
@@ -111,14 +111,14 @@
 		}
 	}
 	key := g.repeat.Key()
-	err := x.post.Intents.Commit([]store.Op{{Key: intentPrefix + string(key[:]), Value: intentValue(g.repeat.Request(), 0, x.window(g))}}, nil, false, func(err error) {
+	err := x.config.Intents.Commit([]store.Op{{Key: intentPrefix + string(key[:]), Value: intentValue(g.repeat.Request(), 0, x.window(g))}}, nil, false, func(err error) {
 		if err != nil {
 			x.heal()
 		}
 		answered(err)
 	})
 	if err != nil {
-		x.post.Log.Error().Err(err).Msg("an intent can't be kept; the generation is not run")
+		x.config.Log.Error().Err(err).Msg("an intent can't be kept; the generation is not run")
 		x.heal()
 		x.loop.Later(func() { answered(err) })
 	}
@@ -129,20 +129,20 @@
 
 // heal has the record of intents taken into service again once the disk takes writes, without a restart.
 func (x *Dispatcher) heal() {
-	if x.healing || x.post.Intents.Failed() == nil {
+	if x.recoveringIntents || x.config.Intents.Failed() == nil {
 		return
 	}
-	x.healing = true
-	x.post.Log.Error().Err(x.post.Intents.Failed()).Msg("the record of intents has failed; keyed generations are not run until it takes writes again")
+	x.recoveringIntents = true
+	x.config.Log.Error().Err(x.config.Intents.Failed()).Msg("the record of intents has failed; keyed generations are not run until it takes writes again")
 	var try func()
 	try = func() {
-		x.post.Intents.Heal(func(err error) {
+		x.config.Intents.Heal(func(err error) {
 			if err != nil {
 				x.loop.After(healEvery, try)
 				return
 			}
-			x.healing = false
-			x.post.Log.Info().Msg("the record of intents takes writes again")
+			x.recoveringIntents = false
+			x.config.Log.Info().Msg("the record of intents takes writes again")
 		})
 	}
 	x.loop.After(healEvery, try)
@@ -150,7 +150,7 @@
 
 // late bounds how long a write may wait for its record while its state waits at the reader: a disk that stalls would else pin
 // it there with no leg out. The state is let go of, as it is where a writer finds none, and the module reads again or gives up.
-func (x *Dispatcher) late(g *gen, no scheduler.AttemptNo) {
+func (x *Dispatcher) late(g *request, no scheduler.AttemptNo) {
 	if g.intent.then == nil {
 		return
 	}
@@ -164,13 +164,13 @@
 
 // keepEnd keeps when a key is to be forgotten. It is written with the next group: lost, the key is remembered for longer.
 func (x *Dispatcher) keepEnd(e *idempotency.Entry, window eventloop.Micros) {
-	if x.post.Intents == nil {
+	if x.config.Intents == nil {
 		return
 	}
 	if e.Until() == 0 { // nothing ran, and the key is free: a crash now is not to say otherwise
-		x.post.Intents.Flush()
+		x.config.Intents.Flush()
 		return
 	}
 	key := e.Key()
-	_ = x.post.Intents.Commit([]store.Op{{Key: intentPrefix + string(key[:]), Value: intentValue(e.Request(), e.Until(), window)}}, nil, true, nil)
+	_ = x.config.Intents.Commit([]store.Op{{Key: intentPrefix + string(key[:]), Value: intentValue(e.Request(), e.Until(), window)}}, nil, true, nil)
 }
--- a/internal/dispatch/path_test.go
+++ b/internal/dispatch/path_test.go
@@ -17,10 +17,10 @@
 	"github.com/rs/zerolog"
 )
 
-// fate is what the storm's hosts were seen to do for one client's generation.
-type fate struct {
+// requestFate is what the storm's hosts were seen to do for one client's generation.
+type requestFate struct {
 	product string
-	call    *call
+	call    *clientCall
 	left    bool
 	ran     int // writes that were not refused in words
 }
@@ -29,7 +29,7 @@
 // final answers at the clients' sockets.
 func storm(t *testing.T, n int, seed int64, change func(d deployment.Deployment)) *Dispatcher {
 	chance := rand.New(rand.NewSource(seed))
-	r := newRig(t, func(d deployment.Deployment) {
+	r := newHarness(t, func(d deployment.Deployment) {
 		d.Dispatching.SilenceMs = 400
 		d.Doors.UnsentMost, d.Doors.StallMs = 2000, 1500
 		for _, p := range d.Products {
@@ -37,20 +37,20 @@
 		}
 		change(d)
 	}, "prefill west", "prefill west", "prefill east", "decode west", "decode west", "decode east", "decode east", "mixed west")
-	r.w.Segment, r.w.Window = 900, 4<<10
-	fates := map[string]*fate{}
-	readBreaks := []func(*line){cut, reset, func(*line) {}, func(l *line) { l.answer(500, `{}`) }, func(l *line) { l.answer(429, `{"error":{"code":"full"}}`) },
-		func(l *line) {
-			r.far.After(eventloop.Micros(chance.Intn(900))*eventloop.Millisecond, func() { read(l) })
+	r.world.Segment, r.world.Window = 900, 4<<10
+	fates := map[string]*requestFate{}
+	readBreaks := []func(*fakeConn){closeConn, abortConn, func(*fakeConn) {}, func(l *fakeConn) { l.answer(500, `{}`) }, func(l *fakeConn) { l.answer(429, `{"error":{"code":"full"}}`) },
+		func(l *fakeConn) {
+			r.remote.After(eventloop.Micros(chance.Intn(900))*eventloop.Millisecond, func() { answerPrefill(l) })
 		},
-		func(l *line) {
-			r.far.After(eventloop.Micros(chance.Intn(900))*eventloop.Millisecond, func() { l.answer(429, `{"error":{"code":"full"}}`) })
+		func(l *fakeConn) {
+			r.remote.After(eventloop.Micros(chance.Intn(900))*eventloop.Millisecond, func() { l.answer(429, `{"error":{"code":"full"}}`) })
 		}}
-	var hung *script // takes all and answers nothing, for some seconds
+	var hung *fakeEndpoint // takes all and answers nothing, for some seconds
 	proofs := map[string]bool{"full": true, "draining": true, "state lost": true}
-	for _, h := range r.hosts {
-		h.serve = func(l *line) {
-			if l.s == hung {
+	for _, h := range r.endpoints {
+		h.serve = func(l *fakeConn) {
+			if l.endpoint == hung {
 				if f := fates[l.head.Get("x-client-request-id")]; !strings.Contains(string(l.body), "do_remote_decode") {
 					f.ran++
 				}
@@ -60,40 +60,40 @@
 				if chance.Intn(6) == 0 {
 					readBreaks[chance.Intn(len(readBreaks))](l)
 				} else {
-					r.far.After(eventloop.Micros(chance.Intn(30_000)), func() { read(l) })
+					r.remote.After(eventloop.Micros(chance.Intn(30_000)), func() { answerPrefill(l) })
 				}
 				return
 			}
 			f := fates[l.head.Get("x-client-request-id")]
 			switch chance.Intn(10) {
 			case 0, 1:
-				b := breaks[chance.Intn(len(breaks))]
+				b := decodeFailures[chance.Intn(len(decodeFailures))]
 				if !proofs[b.name] {
 					f.ran++
 				}
 				b.serve(l)
 			case 2: // late, perhaps too late
 				f.ran++
-				r.far.After(eventloop.Micros(chance.Intn(900))*eventloop.Millisecond, func() { write(l) })
+				r.remote.After(eventloop.Micros(chance.Intn(900))*eventloop.Millisecond, func() { answerDecode(l) })
 			case 3: // long, so that a client can leave, lag, or run out of time in it
 				f.ran++
-				l.stream(event("Lamu ", ""))
+				l.stream(chunkEvent("Lamu ", ""))
 				parts := chance.Intn(40)
 				for i := range parts {
-					r.far.After(eventloop.Micros(i*20)*eventloop.Millisecond, func() { l.conn.Write(http1.AppendChunk(nil, []byte(event(strings.Repeat("\u2063", 400), "")))) })
+					r.remote.After(eventloop.Micros(i*20)*eventloop.Millisecond, func() { l.conn.Write(http1.AppendChunk(nil, []byte(chunkEvent(strings.Repeat("\u2063", 400), "")))) })
 				}
-				r.far.After(eventloop.Micros(parts*20)*eventloop.Millisecond, func() {
-					l.conn.Write(http1.AppendLastChunk(http1.AppendChunk(nil, []byte(event("é", "stop")+"data: [DONE]\n\n"))))
+				r.remote.After(eventloop.Micros(parts*20)*eventloop.Millisecond, func() {
+					l.conn.Write(http1.AppendLastChunk(http1.AppendChunk(nil, []byte(chunkEvent("é", "stop")+"data: [DONE]\n\n"))))
 				})
 			default:
 				f.ran++
-				write(l)
+				answerDecode(l)
 			}
 		}
 	}
 	products := []string{"explain", "build-note", "review-post"}
 	for i := range n {
-		f := &fate{product: products[chance.Intn(3)]}
+		f := &requestFate{product: products[chance.Intn(3)]}
 		id := fmt.Sprintf("s%d", i)
 		fates[id] = f
 		stream := chance.Intn(5) > 0
@@ -108,64 +108,64 @@
 		f.call = r.send(body, fields...)
 		switch chance.Intn(12) {
 		case 0:
-			r.far.After(eventloop.Micros(chance.Intn(500_000)), func() {
+			r.remote.After(eventloop.Micros(chance.Intn(500_000)), func() {
 				if len(f.call.finals) == 0 {
 					f.left = true
 					f.call.conn.Abort()
 				}
 			})
 		case 1:
-			r.far.After(eventloop.Micros(chance.Intn(60_000)), func() { f.call.conn.Pause(true) })
-			r.far.After(eventloop.Micros(60_000+chance.Intn(400_000)), func() { f.call.conn.Pause(false) })
+			r.remote.After(eventloop.Micros(chance.Intn(60_000)), func() { f.call.conn.Pause(true) })
+			r.remote.After(eventloop.Micros(60_000+chance.Intn(400_000)), func() { f.call.conn.Pause(false) })
 		}
 		if chance.Intn(100) == 0 { // as where a tenant is removed
-			if g := r.x.gens[scheduler.RequestID(int(r.x.lastGen)-chance.Intn(12))]; g != nil {
-				r.loop.Do(func() { r.x.take(g, lifecycle.TenantStopped, what{why: "The tenant was removed."}) })
+			if g := r.dispatcher.requests[scheduler.RequestID(int(r.dispatcher.lastRequestID)-chance.Intn(12))]; g != nil {
+				r.loop.Do(func() { r.dispatcher.fire(g, lifecycle.TenantStopped, eventDetails{reason: "The tenant was removed."}) })
 			}
 		}
 		if chance.Intn(700) == 0 {
-			hung = r.hosts[chance.Intn(len(r.hosts))]
-			r.far.After(3*eventloop.Second, func() { hung = nil })
+			hung = r.endpoints[chance.Intn(len(r.endpoints))]
+			r.remote.After(3*eventloop.Second, func() { hung = nil })
 		}
 		if chance.Intn(500) == 0 {
-			h := r.hosts[chance.Intn(len(r.hosts))]
-			r.told(h.entry("draining"))
-			r.far.After(300*eventloop.Millisecond, func() { r.told(h.entry("ready")) })
+			h := r.endpoints[chance.Intn(len(r.endpoints))]
+			r.updateEndpoints(h.entry("draining"))
+			r.remote.After(300*eventloop.Millisecond, func() { r.updateEndpoints(h.entry("ready")) })
 		}
-		r.w.Run(eventloop.Micros(chance.Intn(9_000)))
+		r.world.Run(eventloop.Micros(chance.Intn(9_000)))
 	}
-	r.w.Run(30 * eventloop.Second)
-	r.idle()
+	r.world.Run(30 * eventloop.Second)
+	r.expectIdle()
 	bad := 0
 	for id, f := range fates {
 		finals := len(f.call.finals)
-		wrong := finals != 1 && !(f.left && finals == 0) || f.call.after > 0
+		wrong := finals != 1 && !(f.left && finals == 0) || f.call.eventsAfterFinal > 0
 		if finals == 1 && f.call.finals[0] == "streamed" {
 			text := strings.ReplaceAll(f.call.text, "\u2063", "")
-			wrong = wrong || f.call.head.Get("Content-Type") != "application/json" && text != whole
+			wrong = wrong || f.call.head.Get("Content-Type") != "application/json" && text != completeText
 		}
 		wrong = wrong || f.product == "review-post" && f.ran > 1
 		if wrong {
 			if bad++; bad < 10 {
 				t.Errorf("%s (%s): finals %v, after %d, left %v, ran %d, closed %v, %d bytes, last %.120q", id, f.product, f.call.finals,
-					f.call.after, f.left, f.ran, f.call.closed, len(f.call.raw), f.call.raw[max(0, len(f.call.raw)-120):])
+					f.call.eventsAfterFinal, f.left, f.ran, f.call.closed, len(f.call.raw), f.call.raw[max(0, len(f.call.raw)-120):])
 			}
 		}
 	}
 	if bad > 0 {
 		t.Errorf("%d of %d wrong", bad, n)
 	}
-	for _, h := range r.hosts {
-		if r.x.engine.InFlight(h.entry("ready").ID) != 0 {
+	for _, h := range r.endpoints {
+		if r.dispatcher.engine.InFlight(h.entry("ready").ID) != 0 {
 			t.Errorf("legs left out at host %d", h.id)
 		}
 	}
-	return r.x
+	return r.dispatcher
 }
 
 // Twenty thousand generations under breaks: one final answer each, byte for byte where it is streamed, no
 // side-effecting one run twice, nothing left, and every cell of the path's table reached.
-func TestTwentyThousandGenerations(t *testing.T) {
+func TestTwentyThousandRequestsThroughFailures(t *testing.T) {
 	var all lifecycle.Coverage
 	for i, x := range []*Dispatcher{
 		storm(t, 6000, 1, func(d deployment.Deployment) { d.Tenants[0].QuotaPerS = 60 }),
@@ -197,47 +197,47 @@
 
 // A repeat with the key of a running generation joins it, from its first token; of a streamed one it is sent the same
 // answer; of one that may have run and was lost it is told so. Nothing is run twice.
-func TestIdempotencyKey(t *testing.T) {
+func TestIdempotencyKeyJoinsAndReplays(t *testing.T) {
 	for _, product := range []string{"build-note", "review-post"} {
-		r := newRig(t, nil, "prefill west", "decode west", "decode west")
-		var l1 *line
-		for _, h := range r.hosts[1:] {
-			h.serve = func(l *line) { l1 = l; l.stream(event("Lamu ", "")) }
+		r := newHarness(t, nil, "prefill west", "decode west", "decode west")
+		var l1 *fakeConn
+		for _, h := range r.endpoints[1:] {
+			h.serve = func(l *fakeConn) { l1 = l; l.stream(chunkEvent("Lamu ", "")) }
 		}
-		writes := func() int { return r.hosts[1].legs() + r.hosts[2].legs() }
+		writes := func() int { return r.endpoints[1].attempts() + r.endpoints[2].attempts() }
 		first := r.ask(product, "Idempotency-Key", "k")
-		r.w.Run(50 * eventloop.Millisecond)
+		r.world.Run(50 * eventloop.Millisecond)
 		second := r.ask(product, "Idempotency-Key", "k")
-		r.w.Run(50 * eventloop.Millisecond)
-		r.far.Do(first.conn.Abort) // the generation goes on for the other
-		r.w.Run(50 * eventloop.Millisecond)
-		r.far.Do(second.conn.Abort) // and for one that may come
-		r.w.Run(50 * eventloop.Millisecond)
+		r.world.Run(50 * eventloop.Millisecond)
+		r.remote.Do(first.conn.Abort) // the generation goes on for the other
+		r.world.Run(50 * eventloop.Millisecond)
+		r.remote.Do(second.conn.Abort) // and for one that may come
+		r.world.Run(50 * eventloop.Millisecond)
 		third := r.ask(product, "Idempotency-Key", "k")
-		r.w.Run(50 * eventloop.Millisecond)
-		r.far.Do(func() {
-			l1.conn.Write(http1.AppendLastChunk(http1.AppendChunk(nil, []byte(event("é", "stop")+"data: [DONE]\n\n"))))
+		r.world.Run(50 * eventloop.Millisecond)
+		r.remote.Do(func() {
+			l1.conn.Write(http1.AppendLastChunk(http1.AppendChunk(nil, []byte(chunkEvent("é", "stop")+"data: [DONE]\n\n"))))
 		})
-		r.ends(third, "streamed")
+		r.expectFinal(third, "streamed")
 		fourth := r.ask(product, "Idempotency-Key", "k")
-		r.ends(fourth, "streamed")
-		if second.text != "Lamu " || third.text != whole || fourth.text != whole || writes() != 1 {
+		r.expectFinal(fourth, "streamed")
+		if second.text != "Lamu " || third.text != completeText || fourth.text != completeText || writes() != 1 {
 			t.Errorf("%s: texts %q, %q, %q; written %d times", product, second.text, third.text, fourth.text, writes())
 		}
-		r.ends(r.send(`{"model":"`+product+`","stream":true,"messages":[{"role":"user","content":"other"}]}`, "Idempotency-Key", "k"), "422")
-		r.hosts[0].serve = func(l *line) { r.far.After(100*eventloop.Millisecond, func() { read(l) }) }
-		r.hosts[1].serve, r.hosts[2].serve = write, write
+		r.expectFinal(r.send(`{"model":"`+product+`","stream":true,"messages":[{"role":"user","content":"other"}]}`, "Idempotency-Key", "k"), "422")
+		r.endpoints[0].serve = func(l *fakeConn) { r.remote.After(100*eventloop.Millisecond, func() { answerPrefill(l) }) }
+		r.endpoints[1].serve, r.endpoints[2].serve = answerDecode, answerDecode
 		early := r.ask(product, "Idempotency-Key", "m")
-		r.w.Run(10 * eventloop.Millisecond)
+		r.world.Run(10 * eventloop.Millisecond)
 		joined := r.ask(product, "Idempotency-Key", "m") // while the prompt is still read
-		r.ends(joined, "streamed")
-		r.ends(early, "streamed")
-		r.hosts[1].serve, r.hosts[2].serve = reset, reset
+		r.expectFinal(joined, "streamed")
+		r.expectFinal(early, "streamed")
+		r.endpoints[1].serve, r.endpoints[2].serve = abortConn, abortConn
 		lost := r.ask("review-post", "Idempotency-Key", "l")
-		r.ends(lost, "terminated")
+		r.expectFinal(lost, "terminated")
 		before := writes()
 		again := r.ask("review-post", "Idempotency-Key", "l")
-		r.ends(again, "409")
+		r.expectFinal(again, "409")
 		if again.head.Get("x-should-retry") != "false" || writes() != before {
 			t.Errorf("a lost one: x-should-retry %q, %d more writes", again.head.Get("x-should-retry"), writes()-before)
 		}
@@ -245,72 +245,72 @@
 }
 
 // What was throttled did not run, so its key is free; so is that of an idempotent product, which needs none.
-func TestKeyOfWhatDidNotRun(t *testing.T) {
-	r := newRig(t, nil, "prefill west", "decode west")
-	r.told(r.hosts[1].entry("gone"))
-	r.ends(r.ask("review-post", "Idempotency-Key", "k", "x-time-limit-ms", "300"), "throttled")
-	r.told(r.hosts[1].entry("ready"))
-	r.ends(r.ask("review-post", "Idempotency-Key", "k"), "streamed")
-	r.ends(r.ask("explain", "Idempotency-Key", "k"), "streamed")
-	r.ends(r.ask("explain", "Idempotency-Key", "k"), "streamed")
-	if n := r.hosts[1].legs(); n != 3 {
+func TestIdempotencyKeyIsFreeIfNothingRan(t *testing.T) {
+	r := newHarness(t, nil, "prefill west", "decode west")
+	r.updateEndpoints(r.endpoints[1].entry("gone"))
+	r.expectFinal(r.ask("review-post", "Idempotency-Key", "k", "x-time-limit-ms", "300"), "throttled")
+	r.updateEndpoints(r.endpoints[1].entry("ready"))
+	r.expectFinal(r.ask("review-post", "Idempotency-Key", "k"), "streamed")
+	r.expectFinal(r.ask("explain", "Idempotency-Key", "k"), "streamed")
+	r.expectFinal(r.ask("explain", "Idempotency-Key", "k"), "streamed")
+	if n := r.endpoints[1].attempts(); n != 3 {
 		t.Errorf("written %d times", n)
 	}
-	r.ends(r.ask("review-post", "Idempotency-Key", strings.Repeat("k", 300)), "400")
+	r.expectFinal(r.ask("review-post", "Idempotency-Key", strings.Repeat("k", 300)), "400")
 }
 
 // Comments keep a held stream alive; the answer, or the throttling as an event, follows them.
 func TestHeartbeat(t *testing.T) {
-	r := newRig(t, nil, "prefill west", "decode west")
-	r.told(r.hosts[1].entry("gone"))
+	r := newHarness(t, nil, "prefill west", "decode west")
+	r.updateEndpoints(r.endpoints[1].entry("gone"))
 	c := r.ask("explain", "x-heartbeat-ms", "250")
-	r.w.Run(1100 * eventloop.Millisecond)
+	r.world.Run(1100 * eventloop.Millisecond)
 	if n := strings.Count(string(c.raw), ": waiting"); n != 4 {
 		t.Errorf("%d comments", n)
 	}
-	r.told(r.hosts[1].entry("ready"))
-	r.ends(c, "streamed")
-	if c.text != whole {
+	r.updateEndpoints(r.endpoints[1].entry("ready"))
+	r.expectFinal(c, "streamed")
+	if c.text != completeText {
 		t.Errorf("text %q", c.text)
 	}
-	r.told(r.hosts[1].entry("gone"))
+	r.updateEndpoints(r.endpoints[1].entry("gone"))
 	c = r.ask("explain", "x-heartbeat-ms", "250")
-	r.ends(c, "terminated") // an error event
+	r.expectFinal(c, "terminated") // an error event
 	if !strings.Contains(string(c.raw), `"code":"throttled"`) || strings.Contains(string(c.raw), "[DONE]") || !c.closed {
 		t.Errorf("raw %.300q", c.raw)
 	}
 }
 
-// instant is a Disk in memory that answers after the call.
-type instant struct {
+// memoryDisk is a Disk in memory that answers after the call.
+type memoryDisk struct {
 	loop  eventloop.Loop
 	files map[string][]byte
 	fails bool
 }
 
-func (d *instant) List() (names []string, err error) {
+func (d *memoryDisk) List() (names []string, err error) {
 	for n := range d.files {
 		names = append(names, n)
 	}
 	return names, nil
 }
-func (d *instant) Read(name string) ([]byte, error) { return d.files[name], nil }
-func (d *instant) Truncate(name string, size int64) error {
+func (d *memoryDisk) Read(name string) ([]byte, error) { return d.files[name], nil }
+func (d *memoryDisk) Truncate(name string, size int64) error {
 	d.files[name] = d.files[name][:size]
 	return nil
 }
-func (d *instant) Remove(name string, done func(error)) { delete(d.files, name); d.tell(done) }
-func (d *instant) Append(name string, b []byte, done func(error)) {
+func (d *memoryDisk) Remove(name string, done func(error)) { delete(d.files, name); d.finish(done) }
+func (d *memoryDisk) Append(name string, b []byte, done func(error)) {
 	if !d.fails {
 		d.files[name] = append(d.files[name], b...)
 	}
-	d.tell(done)
+	d.finish(done)
 }
-func (d *instant) Write(name string, build func() []byte, done func(error)) {
+func (d *memoryDisk) Write(name string, build func() []byte, done func(error)) {
 	d.files[name] = build()
-	d.tell(done)
+	d.finish(done)
 }
-func (d *instant) tell(done func(error)) {
+func (d *memoryDisk) finish(done func(error)) {
 	var err error
 	if d.fails {
 		err = errors.New("no space left on device")
@@ -322,12 +322,12 @@
 // repeat; without the record of intents it does.
 func TestIntentSurvivesAKill(t *testing.T) {
 	for _, keeps := range []bool{false, true} {
-		r := newRig(t, nil, "prefill west", "decode west", "decode west")
-		disk := &instant{loop: r.far, files: map[string][]byte{}}
+		r := newHarness(t, nil, "prefill west", "decode west", "decode west")
+		disk := &memoryDisk{loop: r.remote, files: map[string][]byte{}}
 		life := func(name string) {
-			loop := r.w.Loop(name)
+			loop := r.world.Loop(name)
 			r.loop, disk.loop = loop, loop
-			post := Config{Name: name, Zone: "west", Seed: 1, CachedEndpoints: [][]byte{r.kept}, Log: zerolog.Nop()}
+			post := Config{Name: name, Zone: "west", Seed: 1, CachedEndpoints: [][]byte{r.cachedList}, Log: zerolog.Nop()}
 			loop.Do(func() {
 				var err error
 				if keeps {
@@ -335,10 +335,10 @@
 						t.Fatal(err)
 					}
 				}
-				if r.x, err = Start(loop, r.d, post); err != nil {
+				if r.dispatcher, err = Start(loop, r.deployment, post); err != nil {
 					t.Fatal(err)
 				}
-				ln, err := loop.Listen("127.0.0.1:0", r.x.Front().Accept)
+				ln, err := loop.Listen("127.0.0.1:0", r.dispatcher.Frontend().Accept)
 				if err != nil {
 					t.Fatal(err)
 				}
@@ -346,36 +346,36 @@
 			})
 		}
 		life("d.1")
-		for _, h := range r.hosts[1:] {
-			h.serve = func(l *line) { l.stream(event("Lamu ", "")) }
+		for _, h := range r.endpoints[1:] {
+			h.serve = func(l *fakeConn) { l.stream(chunkEvent("Lamu ", "")) }
 		}
-		writes := func() int { return r.hosts[1].legs() + r.hosts[2].legs() }
+		writes := func() int { return r.endpoints[1].attempts() + r.endpoints[2].attempts() }
 		r.ask("review-post", "Idempotency-Key", "k")
-		r.w.Run(200 * eventloop.Millisecond)
+		r.world.Run(200 * eventloop.Millisecond)
 		if writes() != 1 {
 			t.Fatalf("keeps %v: written %d times", keeps, writes())
 		}
 		r.virtual().Kill()
 		life("d.2")
-		for _, h := range r.hosts[1:] {
-			h.serve = write
+		for _, h := range r.endpoints[1:] {
+			h.serve = answerDecode
 		}
 		if keeps {
-			r.ends(r.ask("review-post", "Idempotency-Key", "k"), "409")
+			r.expectFinal(r.ask("review-post", "Idempotency-Key", "k"), "409")
 		} else {
-			r.ends(r.ask("review-post", "Idempotency-Key", "k"), "streamed")
+			r.expectFinal(r.ask("review-post", "Idempotency-Key", "k"), "streamed")
 		}
 		if twice := writes() == 2; twice == keeps {
 			t.Errorf("keeps %v: written %d times", keeps, writes())
 		}
-		r.ends(r.ask("review-post", "Idempotency-Key", "other"), "streamed")
+		r.expectFinal(r.ask("review-post", "Idempotency-Key", "other"), "streamed")
 		if !keeps {
 			continue
 		}
 		before := writes()
 		disk.fails = true // what can't be kept is not run, and may come again
-		r.ends(r.ask("review-post", "Idempotency-Key", "third"), "throttled")
-		r.ends(r.ask("review-post"), "streamed")
+		r.expectFinal(r.ask("review-post", "Idempotency-Key", "third"), "throttled")
+		r.expectFinal(r.ask("review-post"), "streamed")
 		if writes() != before+1 {
 			t.Errorf("written %d times more", writes()-before)
 		}
@@ -384,18 +384,18 @@
 
 // The client of a keyed generation leaves while it is being written, and the writer then says that it has not run it: nobody waits,
 // and nothing of it is left to wait for. Its key is free.
-func TestRefusedAfterItsClientLeft(t *testing.T) {
-	r := newRig(t, nil, "prefill west", "decode west")
-	r.hosts[1].serve = func(l *line) {
-		r.far.After(100*eventloop.Millisecond, func() { l.answer(429, `{"error":{"code":"full"}}`) })
+func TestRejectedDecodeAfterClientDisconnect(t *testing.T) {
+	r := newHarness(t, nil, "prefill west", "decode west")
+	r.endpoints[1].serve = func(l *fakeConn) {
+		r.remote.After(100*eventloop.Millisecond, func() { l.answer(429, `{"error":{"code":"full"}}`) })
 	}
 	c := r.ask("review-post", "Idempotency-Key", "k")
-	r.w.Run(50 * eventloop.Millisecond)
-	r.far.Do(c.conn.Abort)
-	r.w.Run(100 * eventloop.Millisecond)
-	if err := r.x.Check(); err != nil || r.x.OpenRequests() > 0 || r.hosts[0].releases() != 1 {
-		t.Errorf("%v; left %v; %d releases", err, r.x.DescribeOpen(), r.hosts[0].releases())
+	r.world.Run(50 * eventloop.Millisecond)
+	r.remote.Do(c.conn.Abort)
+	r.world.Run(100 * eventloop.Millisecond)
+	if err := r.dispatcher.CheckInvariants(); err != nil || r.dispatcher.OpenRequests() > 0 || r.endpoints[0].releases() != 1 {
+		t.Errorf("%v; left %v; %d releases", err, r.dispatcher.DescribeOpenRequests(), r.endpoints[0].releases())
 	}
-	r.hosts[1].serve = write
-	r.ends(r.ask("review-post", "Idempotency-Key", "k"), "streamed")
+	r.endpoints[1].serve = answerDecode
+	r.expectFinal(r.ask("review-post", "Idempotency-Key", "k"), "streamed")
 }
--- a/internal/dispatch/rig_test.go
+++ b/internal/dispatch/rig_test.go
@@ -25,72 +25,72 @@
 
 const key = "sk-test"
 
-// rig is one dispatcher in virtual time, with hosts that do what a test scripts.
-type rig struct {
-	t     *testing.T
-	w     *virtual.World // none over sockets
-	loop  either
-	far   either // of hosts and clients
-	d     deployment.Deployment
-	x     *Dispatcher
-	addr  string
-	hosts []*script
-	list  endpoints.Update
-	kept  []byte // the list, as it is kept
+// harness is one dispatcher in virtual time, with hosts that do what a test scripts.
+type harness struct {
+	t          *testing.T
+	world      *virtual.World // none over sockets
+	loop       testLoop
+	remote     testLoop // of hosts and clients
+	deployment deployment.Deployment
+	dispatcher *Dispatcher
+	addr       string
+	endpoints  []*fakeEndpoint
+	list       endpoints.Update
+	cachedList []byte // the list, as it is kept
 }
 
-// either is a loop of either seam.
-type either interface {
+// testLoop is a loop of either seam.
+type testLoop interface {
 	eventloop.Loop
 	Do(f func())
 }
 
-// script is one host; serve is called for each request.
-type script struct {
-	rig   *rig
-	id    uint32
-	kind  string
-	zone  string
-	ln    eventloop.Listener
-	serve func(c *line)
-	seen  []*line
-	conns map[*line]bool
+// fakeEndpoint is one host; serve is called for each request.
+type fakeEndpoint struct {
+	harness  *harness
+	id       uint32
+	kind     string
+	zone     string
+	listener eventloop.Listener
+	serve    func(c *fakeConn)
+	seen     []*fakeConn
+	conns    map[*fakeConn]bool
 }
 
-// line is one connection to a script, and the request that it is about.
-type line struct {
-	s      *script
-	conn   eventloop.Conn
-	parser http1.Parser
-	head   *http1.Head
-	body   []byte
-	closed bool
-	target string
+// fakeConn is one connection to a script, and the request that it is about.
+type fakeConn struct {
+	endpoint *fakeEndpoint
+	conn     eventloop.Conn
+	parser   http1.Parser
+	head     *http1.Head
+	body     []byte
+	closed   bool
+	target   string
 }
 
-func (l *line) Opened()                  {}
-func (l *line) Drained()                 {}
-func (l *line) Data(b []byte)            { _ = l.parser.Feed(b, l) }
-func (l *line) Closed(error)             { l.closed = true }
-func (l *line) Head(h *http1.Head) error { l.head, l.body = h, nil; return nil }
-func (l *line) Body(b []byte) error      { l.body = append(l.body, b...); return nil }
-func (l *line) answer(st int, body string) {
+func (l *fakeConn) Opened()                  {}
+func (l *fakeConn) Drained()                 {}
+func (l *fakeConn) Data(b []byte)            { _ = l.parser.Feed(b, l) }
+func (l *fakeConn) Closed(error)             { l.closed = true }
+func (l *fakeConn) Head(h *http1.Head) error { l.head, l.body = h, nil; return nil }
+func (l *fakeConn) Body(b []byte) error      { l.body = append(l.body, b...); return nil }
+func (l *fakeConn) answer(st int, body string) {
 	l.conn.Write(http1.AppendResponse(nil, st, []byte(body), "Content-Type", "application/json"))
 }
 
-func (l *line) End() error {
-	seen := &line{s: l.s, conn: l.conn, head: l.head, body: l.body, target: l.head.Target}
-	l.s.seen = append(l.s.seen, seen)
+func (l *fakeConn) End() error {
+	seen := &fakeConn{endpoint: l.endpoint, conn: l.conn, head: l.head, body: l.body, target: l.head.Target}
+	l.endpoint.seen = append(l.endpoint.seen, seen)
 	if l.head.Target == "/v1/kv/release" {
 		l.answer(200, "{}")
 		return nil
 	}
-	l.s.serve(l)
+	l.endpoint.serve(l)
 	return nil
 }
 
-// legs counts the requests for work that a host has seen; releases those to let go.
-func (s *script) legs() (n int) {
+// attempts counts the requests for work that a host has seen; releases those to let go.
+func (s *fakeEndpoint) attempts() (n int) {
 	for _, l := range s.seen {
 		if l.target == "/v1/chat/completions" {
 			n++
@@ -99,15 +99,15 @@
 	return n
 }
 
-func (s *script) releases() int { return len(s.seen) - s.legs() }
+func (s *fakeEndpoint) releases() int { return len(s.seen) - s.attempts() }
 
-// read answers a read at once.
-func read(l *line) {
+// answerPrefill answers a read at once.
+func answerPrefill(l *fakeConn) {
 	l.answer(200, fmt.Sprintf(`{"choices":[],"usage":{"prompt_tokens_details":{"cached_tokens":3}},"kv_transfer_params":{"remote_request_id":%q}}`,
 		l.head.Get("x-request-id")))
 }
 
-func event(text, finish string) string {
+func chunkEvent(text, finish string) string {
 	f := "null"
 	if finish != "" {
 		f = `"` + finish + `"`
@@ -117,7 +117,7 @@
 }
 
 // stream answers with a head and some chunks.
-func (l *line) stream(chunks ...string) {
+func (l *fakeConn) stream(chunks ...string) {
 	b := http1.AppendStreamHead(nil, 200, "Content-Type", "text/event-stream")
 	for _, c := range chunks {
 		b = http1.AppendChunk(b, []byte(c))
@@ -125,14 +125,14 @@
 	l.conn.Write(b)
 }
 
-// write answers a write well.
-func write(l *line) {
-	l.stream(event("Lamu ", ""), event("é", "stop"), "data: [DONE]\n\n")
+// answerDecode answers a write well.
+func answerDecode(l *fakeConn) {
+	l.stream(chunkEvent("Lamu ", ""), chunkEvent("é", "stop"), "data: [DONE]\n\n")
 	l.conn.Write(http1.AppendLastChunk(nil))
 }
 
-// newRig makes a dispatcher with a list of hosts like "prefill west".
-func newRig(t *testing.T, change func(d deployment.Deployment), hosts ...string) *rig {
+// newHarness makes a dispatcher with a list of hosts like "prefill west".
+func newHarness(t *testing.T, change func(d deployment.Deployment), hosts ...string) *harness {
 	t.Helper()
 	d := deployment.Standard()
 	digest := sha256.Sum256([]byte(key))
@@ -141,13 +141,13 @@
 		change(d)
 	}
 	w := virtual.New(1)
-	r := &rig{t: t, w: w, loop: w.Loop("d"), far: w.Loop("far"), d: d}
-	r.bring(hosts)
+	r := &harness{t: t, world: w, loop: w.Loop("d"), remote: w.Loop("far"), deployment: d}
+	r.start(hosts)
 	return r
 }
 
-// socketRig is the same over real sockets, with clients and streams of less patience.
-func socketRig(t *testing.T, hosts ...string) *rig {
+// newSocketHarness is the same over real sockets, with clients and streams of less patience.
+func newSocketHarness(t *testing.T, hosts ...string) *harness {
 	t.Helper()
 	d := deployment.Standard()
 	d.Dispatching.SilenceMs = 300
@@ -164,33 +164,33 @@
 		}
 		t.Cleanup(loops[i].Stop)
 	}
-	r := &rig{t: t, loop: loops[0], far: loops[1], d: d}
-	r.bring(hosts)
+	r := &harness{t: t, loop: loops[0], remote: loops[1], deployment: d}
+	r.start(hosts)
 	return r
 }
 
-// bring brings up the hosts and the dispatcher.
-func (r *rig) bring(hosts []string) {
+// start brings up the hosts and the dispatcher.
+func (r *harness) start(hosts []string) {
 	r.t.Helper()
-	r.list = endpoints.Update{Epoch: "e", Version: 1, Complete: true, Saved: int64(r.far.Now())}
+	r.list = endpoints.Update{Epoch: "e", Version: 1, Complete: true, Saved: int64(r.remote.Now())}
 	for i, h := range hosts {
 		kind, zone, _ := strings.Cut(h, " ")
-		s := &script{rig: r, id: uint32(i + 1), kind: kind, zone: zone, serve: read}
+		s := &fakeEndpoint{harness: r, id: uint32(i + 1), kind: kind, zone: zone, serve: answerPrefill}
 		if kind != "prefill" {
-			s.serve = write
+			s.serve = answerDecode
 		}
-		r.far.Do(s.up)
-		r.hosts = append(r.hosts, s)
+		r.remote.Do(s.listen)
+		r.endpoints = append(r.endpoints, s)
 		r.list.Hosts = append(r.list.Hosts, s.entry("ready"))
 	}
-	r.kept, _ = json.Marshal(r.list)
+	r.cachedList, _ = json.Marshal(r.list)
 	var err error
 	r.loop.Do(func() {
-		r.x, err = Start(r.loop, r.d, Config{Name: "d", Zone: "west", Seed: 1, CachedEndpoints: [][]byte{r.kept}, Log: zerolog.Nop()})
+		r.dispatcher, err = Start(r.loop, r.deployment, Config{Name: "d", Zone: "west", Seed: 1, CachedEndpoints: [][]byte{r.cachedList}, Log: zerolog.Nop()})
 		if err != nil {
 			return
 		}
-		ln, e := r.loop.Listen("127.0.0.1:0", r.x.Front().Accept)
+		ln, e := r.loop.Listen("127.0.0.1:0", r.dispatcher.Frontend().Accept)
 		r.addr, err = ln.Addr(), e
 	})
 	if err != nil {
@@ -198,69 +198,69 @@
 	}
 }
 
-// until lets time pass until something holds of the hosts and clients.
-func (r *rig) until(span eventloop.Micros, holds func() bool) bool {
-	if r.w != nil {
-		return r.w.Until(span, holds)
+// runUntil lets time pass until something holds of the hosts and clients.
+func (r *harness) runUntil(span eventloop.Micros, holds func() bool) bool {
+	if r.world != nil {
+		return r.world.Until(span, holds)
 	}
-	for end := r.far.Now() + span; ; {
+	for end := r.remote.Now() + span; ; {
 		var held bool
-		r.far.Do(func() { held = holds() })
-		if held || r.far.Now() > end {
+		r.remote.Do(func() { held = holds() })
+		if held || r.remote.Now() > end {
 			return held
 		}
 		time.Sleep(time.Millisecond) // real sockets take real time
 	}
 }
 
-func (s *script) up() {
-	s.ln, _ = s.rig.far.Listen("127.0.0.1:0", func(c eventloop.Conn) eventloop.Handler {
-		return &line{s: s, conn: c, parser: http1.Parser{Bounds: http1.Usual}}
+func (s *fakeEndpoint) listen() {
+	s.listener, _ = s.harness.remote.Listen("127.0.0.1:0", func(c eventloop.Conn) eventloop.Handler {
+		return &fakeConn{endpoint: s, conn: c, parser: http1.Parser{Bounds: http1.Usual}}
 	})
 }
 
-func (s *script) entry(condition string) endpoints.Entry {
-	return endpoints.Entry{ID: scheduler.EndpointID(s.id), Addr: s.ln.Addr(), Zone: s.zone, Kind: s.kind, Condition: condition}
+func (s *fakeEndpoint) entry(condition string) endpoints.Entry {
+	return endpoints.Entry{ID: scheduler.EndpointID(s.id), Addr: s.listener.Addr(), Zone: s.zone, Kind: s.kind, Condition: condition}
 }
 
-// told passes a change of the list to the dispatcher.
-func (r *rig) told(entries ...endpoints.Entry) {
-	r.loop.Do(func() { r.x.news(entries, false) })
+// updateEndpoints passes a change of the list to the dispatcher.
+func (r *harness) updateEndpoints(entries ...endpoints.Entry) {
+	r.loop.Do(func() { r.dispatcher.endpointsUpdated(entries, false) })
 }
 
-// call is one client's request and all that came back.
-type call struct {
-	r       *rig
-	conn    eventloop.Conn
-	request []byte
-	parser  http1.Parser
-	events  sse.Parser
-	head    *http1.Head
-	raw     []byte
-	text    string
-	finals  []string
-	after   int
-	closed  bool
+// clientCall is one client's request and all that came back.
+type clientCall struct {
+	harness          *harness
+	conn             eventloop.Conn
+	request          []byte
+	parser           http1.Parser
+	events           sse.Parser
+	head             *http1.Head
+	raw              []byte
+	text             string
+	finals           []string
+	eventsAfterFinal int
+	closed           bool
 }
 
-func (c *call) Opened()                  { c.conn.Write(c.request) }
-func (c *call) Drained()                 {}
-func (c *call) Closed(error)             { c.closed = true }
-func (c *call) Head(h *http1.Head) error { c.head = h; return nil }
-func (c *call) Data(b []byte) {
+func (c *clientCall) Opened()                  { c.conn.Write(c.request) }
+func (c *clientCall) Drained()                 {}
+func (c *clientCall) Closed(error)             { c.closed = true }
+func (c *clientCall) Head(h *http1.Head) error { c.head = h; return nil }
+func (c *clientCall) Data(b []byte) {
 	c.raw = append(c.raw, b...)
 	if err := c.parser.Feed(b, c); err != nil {
 		c.finals = append(c.finals, "malformed")
 	}
 }
 
-func (c *call) Body(b []byte) error {
+func (c *clientCall) Body(b []byte) error {
 	if c.head.Status != 200 || c.head.Get("Content-Type") == "application/json" {
 		return nil
 	}
 	return c.events.Feed(b, func(data []byte) error {
 		if len(c.finals) > 0 {
-			c.after++
+			c.eventsAfterFinal++
 		}
 		switch {
 		case string(data) == "[DONE]":
@@ -274,7 +274,7 @@
 	})
 }
 
-func (c *call) End() error {
+func (c *clientCall) End() error {
 	switch {
 	case c.head.Status == 429:
 		c.finals = append(c.finals, "throttled")
@@ -288,46 +288,46 @@
 	return nil
 }
 
-func (r *rig) ask(product string, fields ...string) *call {
+func (r *harness) ask(product string, fields ...string) *clientCall {
 	body := fmt.Sprintf(`{"model":%q,"stream":true,"messages":[{"role":"user","content":"why?"}]}`, product)
 	return r.send(body, fields...)
 }
 
-func (r *rig) send(body string, fields ...string) *call {
-	c := &call{r: r, parser: http1.Parser{Response: true, Bounds: http1.Usual}, events: sse.Parser{Most: 1 << 20}}
+func (r *harness) send(body string, fields ...string) *clientCall {
+	c := &clientCall{harness: r, parser: http1.Parser{Response: true, Bounds: http1.Usual}, events: sse.Parser{Most: 1 << 20}}
 	c.request = http1.AppendRequest(nil, "POST", "/v1/chat/completions", r.addr, []byte(body), append([]string{
 		"Authorization", "Bearer " + key, "Content-Type", "application/json"}, fields...)...)
-	r.far.Do(func() { c.conn = r.far.Dial(r.addr, eventloop.Second, c) })
+	r.remote.Do(func() { c.conn = r.remote.Dial(r.addr, eventloop.Second, c) })
 	return c
 }
 
 // virtual is a rig's loop as one of the world's.
-func (r *rig) virtual() *virtual.Loop { return r.loop.(*virtual.Loop) }
+func (r *harness) virtual() *virtual.Loop { return r.loop.(*virtual.Loop) }
 
-// ends waits for the final answer, and checks that it is the one and that nothing remains.
-func (r *rig) ends(c *call, want string) {
+// expectFinal waits for the final answer, and checks that it is the one and that nothing remains.
+func (r *harness) expectFinal(c *clientCall, want string) {
 	r.t.Helper()
-	r.until(30*eventloop.Second, func() bool { return len(c.finals) > 0 })
-	if r.w != nil {
-		r.w.Run(eventloop.Second)
+	r.runUntil(30*eventloop.Second, func() bool { return len(c.finals) > 0 })
+	if r.world != nil {
+		r.world.Run(eventloop.Second)
 	} else {
-		r.until(2*eventloop.Second, func() bool {
+		r.runUntil(2*eventloop.Second, func() bool {
 			running := 0
-			r.loop.Do(func() { running = r.x.OpenRequests() })
+			r.loop.Do(func() { running = r.dispatcher.OpenRequests() })
 			return running == 0
 		})
 	}
-	if len(c.finals) != 1 || c.finals[0] != want || c.after > 0 {
-		r.t.Errorf("final answers %v (%d events after), want %s; raw %.300q", c.finals, c.after, want, c.raw)
+	if len(c.finals) != 1 || c.finals[0] != want || c.eventsAfterFinal > 0 {
+		r.t.Errorf("final answers %v (%d events after), want %s; raw %.300q", c.finals, c.eventsAfterFinal, want, c.raw)
 	}
-	r.idle()
+	r.expectIdle()
 }
 
-func (r *rig) idle() {
+func (r *harness) expectIdle() {
 	r.t.Helper()
 	r.loop.Do(func() {
-		if r.x.OpenRequests() != 0 {
-			r.t.Errorf("left over: %v", r.x.DescribeOpen())
+		if r.dispatcher.OpenRequests() != 0 {
+			r.t.Errorf("left over: %v", r.dispatcher.DescribeOpenRequests())
 		}
 	})
 }
--- a/internal/dispatch/stages_test.go
+++ b/internal/dispatch/stages_test.go
@@ -19,14 +19,14 @@
 	"plumspindle/internal/virtual"
 )
 
-// yard is a dispatcher with the laboratory's own hosts, one reader and two writers, and a record of what they and the client see.
-type yard struct {
-	*rig
-	fleet *modelserver.Fleet
-	book  *record.Book
+// fleetHarness is a dispatcher with the laboratory's own hosts, one reader and two writers, and a record of what they and the client see.
+type fleetHarness struct {
+	*harness
+	fleet    *modelserver.Fleet
+	recorder *record.Book
 }
 
-func newYard(t *testing.T, stops, cancels bool) *yard {
+func newFleetHarness(t *testing.T, stops, cancels bool) *fleetHarness {
 	t.Helper()
 	d := deployment.Standard()
 	d.Zones, d.Kinds = d.Zones[:1], d.Kinds[:2]
@@ -38,20 +38,20 @@
 	digest := sha256.Sum256([]byte(key))
 	d.Tenants = []*pb.Tenant{{Name: "one", KeySha256: []string{hex.EncodeToString(digest[:])}}}
 	w := virtual.New(1)
-	y := &yard{rig: &rig{t: t, w: w, loop: w.Loop("d"), far: w.Loop("far"), d: d}}
-	y.book, _ = record.Open("")
-	y.book.Add(record.Event{At: int64(w.Now()), What: "world", N: int64(w.Latency)})
+	y := &fleetHarness{harness: &harness{t: t, world: w, loop: w.Loop("d"), remote: w.Loop("far"), deployment: d}}
+	y.recorder, _ = record.Open("")
+	y.recorder.Add(record.Event{At: int64(w.Now()), What: "world", N: int64(w.Latency)})
 	var err error
-	y.far.Do(func() { y.fleet, err = modelserver.Start(y.far, d, 1, "127.0.0.1:0", y.book) })
+	y.remote.Do(func() { y.fleet, err = modelserver.Start(y.remote, d, 1, "127.0.0.1:0", y.recorder) })
 	if err != nil {
 		t.Fatal(err)
 	}
 	y.loop.Do(func() {
-		y.x, err = Start(y.loop, d, Config{Name: "d", Zone: d.Zones[0], Seed: 1, Discovery: y.fleet.Roster.Addr, Log: zerolog.Nop()})
+		y.dispatcher, err = Start(y.loop, d, Config{Name: "d", Zone: d.Zones[0], Seed: 1, Discovery: y.fleet.Roster.Addr, Log: zerolog.Nop()})
 		if err != nil {
 			return
 		}
-		ln, e := y.loop.Listen("127.0.0.1:0", y.x.Front().Accept)
+		ln, e := y.loop.Listen("127.0.0.1:0", y.dispatcher.Frontend().Accept)
 		y.addr, err = ln.Addr(), e
 	})
 	if err != nil {
@@ -68,43 +68,43 @@
 	after  eventloop.Micros
 	seen   string // where the hosts have it by then
 	whole  bool   // its answer is asked for in one piece, as only that has a time limit once it is being written
-	before func(y *yard)
+	before func(y *fleetHarness)
 }
 
 var stages = []stage{
-	{"held, as no writer fits", 1800, 300 * eventloop.Millisecond, "", false, func(y *yard) {
-		y.far.Do(func() {
+	{"held, as no writer fits", 1800, 300 * eventloop.Millisecond, "", false, func(y *fleetHarness) {
+		y.remote.Do(func() {
 			for _, h := range y.fleet.Hosts {
 				if h.Kind() == "decode" {
 					h.Drain(60*eventloop.Second, 0)
 				}
 			}
 		})
-		y.w.Run(100 * eventloop.Millisecond)
+		y.world.Run(100 * eventloop.Millisecond)
 	}},
-	{"waiting for a reader", 1800, 50 * eventloop.Millisecond, "waiting", false, func(y *yard) {
-		y.begin("blocker", "explain", 1800, false, 0)
-		y.w.Run(10 * eventloop.Millisecond)
+	{"waiting for a reader", 1800, 50 * eventloop.Millisecond, "waiting", false, func(y *fleetHarness) {
+		y.askRecorded("blocker", "explain", 1800, false, 0)
+		y.world.Run(10 * eventloop.Millisecond)
 	}},
 	{"being read", 5000, 150 * eventloop.Millisecond, "reading", false, nil},
 	{"its state on its way", 5000, 530 * eventloop.Millisecond, "fetching", false, nil},
 	{"being written", 5000, 1100 * eventloop.Millisecond, "writing", true, nil},
 }
 
-// begin asks for a generation and has what its client sees recorded.
-func (y *yard) begin(id, product string, tokens int, whole bool, limit eventloop.Micros) *call {
+// askRecorded asks for a generation and has what its client sees recorded.
+func (y *fleetHarness) askRecorded(id, product string, tokens int, whole bool, limit eventloop.Micros) *clientCall {
 	fields := []string{"x-client-request-id", id}
 	if limit > 0 {
 		fields = append(fields, "x-time-limit-ms", fmt.Sprint(limit/eventloop.Millisecond))
 	}
-	y.book.Add(record.Event{At: int64(y.w.Now()), What: "ask", Gen: id, Try: 1, Dispatcher: "d", Product: product, Value: float64(limit)})
+	y.recorder.Add(record.Event{At: int64(y.world.Now()), What: "ask", Gen: id, Try: 1, Dispatcher: "d", Product: product, Value: float64(limit)})
 	return y.send(fmt.Sprintf(`{"model":%q,"stream":%v,"messages":[{"role":"user","content":%q}]}`, product, !whole, strings.Repeat("tell ", tokens*4/5)), fields...)
 }
 
 // ending is how it ends there. It tells which final answers are right for it, by effect; none where the client has left.
 type ending struct {
 	name string
-	do   func(y *yard, c *call, at *modelserver.Host)
+	do   func(y *fleetHarness, c *clientCall, at *modelserver.Host)
 	want func(s stage, effect pb.Product_Effect) []string
 }
 
@@ -120,16 +120,16 @@
 }
 
 var endings = []ending{
-	{"its client leaves", func(y *yard, c *call, _ *modelserver.Host) { y.far.Do(c.conn.Abort) }, func(stage, pb.Product_Effect) []string { return nil }},
+	{"its client leaves", func(y *fleetHarness, c *clientCall, _ *modelserver.Host) { y.remote.Do(c.conn.Abort) }, func(stage, pb.Product_Effect) []string { return nil }},
 	{"its time limit", nil, endsBy},
-	{"its tenant is removed", func(y *yard, _ *call, _ *modelserver.Host) {
-		y.loop.Do(func() { y.x.leaveSeat(y.x.seats["one"], true) })
+	{"its tenant is removed", func(y *fleetHarness, _ *clientCall, _ *modelserver.Host) {
+		y.loop.Do(func() { y.dispatcher.removeTenant(y.dispatcher.tenantSlots["one"], true) })
 	}, endsBy},
-	{"its host is lost", func(y *yard, _ *call, at *modelserver.Host) {
+	{"its host is lost", func(y *fleetHarness, _ *clientCall, at *modelserver.Host) {
 		if at == nil { // held: the reader is
 			at = y.fleet.Hosts[0]
 		}
-		y.far.Do(func() { at.Crash(500 * eventloop.Millisecond) })
+		y.remote.Do(func() { at.Crash(500 * eventloop.Millisecond) })
 	}, func(s stage, effect pb.Product_Effect) []string {
 		switch {
 		case s.whole, s.seen == "fetching" && effect == pb.Product_SIDE_EFFECTING:
@@ -139,50 +139,50 @@
 	}},
 }
 
-// judge ends a cell: one final answer or none, as it should be; no rule broken; nothing left at the dispatcher, in the module or
+// expectCleanEnd ends a cell: one final answer or none, as it should be; no rule broken; nothing left at the dispatcher, in the module or
 // at the hosts.
-func (y *yard) judge(c *call, product string, want []string, left bool) {
+func (y *fleetHarness) expectCleanEnd(c *clientCall, product string, want []string, left bool) {
 	y.t.Helper()
 	if !left {
-		y.until(8*eventloop.Second, func() bool { return len(c.finals) > 0 })
+		y.runUntil(8*eventloop.Second, func() bool { return len(c.finals) > 0 })
 		how := "gave_up"
 		if len(c.finals) > 0 {
 			how = c.finals[0]
 		}
-		y.book.Add(record.Event{At: int64(y.w.Now()), What: "final", Gen: "g", Try: 1, Dispatcher: "d", Product: product, How: how, Exact: true, N: int64(len(c.text))})
+		y.recorder.Add(record.Event{At: int64(y.world.Now()), What: "final", Gen: "g", Try: 1, Dispatcher: "d", Product: product, How: how, Exact: true, N: int64(len(c.text))})
 	} else {
-		y.book.Add(record.Event{At: int64(y.w.Now()), What: "final", Gen: "g", Try: 1, Dispatcher: "d", Product: product, How: "terminated", N: 1})
+		y.recorder.Add(record.Event{At: int64(y.world.Now()), What: "final", Gen: "g", Try: 1, Dispatcher: "d", Product: product, How: "terminated", N: 1})
 	}
-	y.w.Run(eventloop.Second)
-	if jobs, states, tokens := y.fleet.Held(); y.d.Fleet.CancelStops && (jobs > 0 || states > 0 || tokens > 0) {
+	y.world.Run(eventloop.Second)
+	if jobs, states, tokens := y.fleet.Held(); y.deployment.Fleet.CancelStops && (jobs > 0 || states > 0 || tokens > 0) {
 		y.t.Errorf("a second later the hosts have %d jobs, %d states, %d tokens\n%s", jobs, states, tokens, strings.Join(y.fleet.Summary(), "\n"))
 	}
-	y.w.Run(15 * eventloop.Second)
+	y.world.Run(15 * eventloop.Second)
 	n := len(c.finals)
 	switch {
-	case left && n > 0, !left && n != 1, c.after > 0:
-		y.t.Errorf("final answers %v, %d events after; left: %v", c.finals, c.after, left)
+	case left && n > 0, !left && n != 1, c.eventsAfterFinal > 0:
+		y.t.Errorf("final answers %v, %d events after; left: %v", c.finals, c.eventsAfterFinal, left)
 	case !left && !slices.Contains(want, c.finals[0]):
 		y.t.Errorf("final answer %s, want %v; raw %.200q", c.finals[0], want, c.raw)
 	}
 	if jobs, states, tokens := y.fleet.Held(); jobs > 0 || states > 0 || tokens > 0 {
 		y.t.Errorf("at the end the hosts have %d jobs, %d states, %d tokens\n%s", jobs, states, tokens, strings.Join(y.fleet.Summary(), "\n"))
 	}
-	open := y.x.module.InFlight()
-	if open.Requests+open.Attempts+open.Held > 0 || open.PrefillTokens > 0.5 || y.x.OpenRequests() > 0 || y.x.front.Open != 0 {
-		y.t.Errorf("the module has %d generations, %d legs, %d held, %.0f tokens being read; the dispatcher %v, %d open", open.Requests, open.Attempts, open.Held, open.PrefillTokens, y.x.DescribeOpen(), y.x.front.Open)
+	open := y.dispatcher.scheduler.InFlight()
+	if open.Requests+open.Attempts+open.Held > 0 || open.PrefillTokens > 0.5 || y.dispatcher.OpenRequests() > 0 || y.dispatcher.frontend.Open != 0 {
+		y.t.Errorf("the module has %d generations, %d legs, %d held, %.0f tokens being read; the dispatcher %v, %d open", open.Requests, open.Attempts, open.Held, open.PrefillTokens, y.dispatcher.DescribeOpenRequests(), y.dispatcher.frontend.Open)
 	}
 	for _, h := range y.fleet.Hosts {
-		if out := y.x.engine.InFlight(h.Entry("ready").ID); out != 0 {
+		if out := y.dispatcher.engine.InFlight(h.Entry("ready").ID); out != 0 {
 			y.t.Errorf("%d legs are out at host %d", out, h.ID)
 		}
 	}
-	if err := y.x.Check(); err != nil {
+	if err := y.dispatcher.CheckInvariants(); err != nil {
 		y.t.Error(err)
 	}
-	events, _ := y.book.Close()
+	events, _ := y.recorder.Close()
 	events = slices.DeleteFunc(events, func(e record.Event) bool { return e.Gen == "blocker" && e.What == "ask" })
-	v := audit.Judge(y.d, events)
+	v := audit.Judge(y.deployment, events)
 	for i, r := range v.Rules {
 		for _, b := range r.Breaks {
 			y.t.Errorf("rule %d: %s", i+1, b.Text)
@@ -205,7 +205,7 @@
 				for _, product := range []string{"explain", "build-note", "review-post"} {
 					cells++
 					t.Run(fmt.Sprintf("%s/%s/%s/stops %v, cancels %v", s.name, e.name, product, mode.stops, mode.cancels), func(t *testing.T) {
-						y := newYard(t, mode.stops, mode.cancels)
+						y := newFleetHarness(t, mode.stops, mode.cancels)
 						if s.before != nil {
 							s.before(y)
 						}
@@ -213,11 +213,11 @@
 						if e.do == nil {
 							limit = s.after + 10*eventloop.Millisecond
 							if s.whole {
-								limit += wholeGrace + 20*eventloop.Millisecond
+								limit += unstreamedGrace + 20*eventloop.Millisecond
 							}
 						}
-						c := y.begin("g", product, s.tokens, s.whole, limit)
-						y.w.Run(s.after)
+						c := y.askRecorded("g", product, s.tokens, s.whole, limit)
+						y.world.Run(s.after)
 						seen, at := y.fleet.Stage("g")
 						if seen != s.seen {
 							t.Fatalf("after %d ms it is %q", s.after/eventloop.Millisecond, seen)
@@ -225,8 +225,8 @@
 						if e.do != nil {
 							e.do(y, c, at)
 						}
-						effect := y.d.Products[slices.IndexFunc(y.d.Products, func(p *pb.Product) bool { return p.Name == product })].Effect
-						y.judge(c, product, e.want(s, effect), e.name == "its client leaves")
+						effect := y.deployment.Products[slices.IndexFunc(y.deployment.Products, func(p *pb.Product) bool { return p.Name == product })].Effect
+						y.expectCleanEnd(c, product, e.want(s, effect), e.name == "its client leaves")
 					})
 				}
 			}
@@ -243,13 +243,13 @@
 	for _, product := range []string{"explain", "build-note", "review-post"} {
 		for _, whole := range []bool{false, true} {
 			// When things happen is seen on a day on which nothing ends early.
-			y := newYard(t, true, true)
-			began := y.w.Now()
-			c := y.begin("g", product, 5000, whole, 0)
-			y.until(20*eventloop.Second, func() bool { return len(c.finals) > 0 })
-			ended := y.w.Now() - began
-			events, _ := y.book.Close()
-			at := map[string]eventloop.Micros{"streamed": ended - y.w.Latency}
+			y := newFleetHarness(t, true, true)
+			began := y.world.Now()
+			c := y.askRecorded("g", product, 5000, whole, 0)
+			y.runUntil(20*eventloop.Second, func() bool { return len(c.finals) > 0 })
+			ended := y.world.Now() - began
+			events, _ := y.recorder.Close()
+			at := map[string]eventloop.Micros{"streamed": ended - y.world.Latency}
 			for _, e := range events {
 				if e.Gen == "g" && (e.What == "ran" || e.What == "answered" && e.How == "read") {
 					at[e.What] = eventloop.Micros(e.At) - began
@@ -263,7 +263,7 @@
 						}
 						cells++
 						t.Run(fmt.Sprintf("%s, whole %v/%s/%s/the end first: %v", product, whole, what, e.name, first), func(t *testing.T) {
-							y := newYard(t, true, true)
+							y := newFleetHarness(t, true, true)
 							stands := at[what] - 20*eventloop.Millisecond
 							ends := at[what] + 20*eventloop.Millisecond
 							if first {
@@ -273,18 +273,18 @@
 							if e.do == nil {
 								limit = ends + 9*eventloop.Millisecond // the module gives up so much earlier
 								if what == "streamed" {
-									limit = ends + wholeGrace
+									limit = ends + unstreamedGrace
 								}
 							}
-							c := y.begin("g", product, 5000, whole, limit)
-							y.w.Run(stands)
-							y.book.Add(record.Event{At: int64(y.w.Now()), What: "away", Dispatcher: "d", How: "stands", N: int64(still)})
+							c := y.askRecorded("g", product, 5000, whole, limit)
+							y.world.Run(stands)
+							y.recorder.Add(record.Event{At: int64(y.world.Now()), What: "away", Dispatcher: "d", How: "stands", N: int64(still)})
 							y.virtual().Freeze(still)
-							y.w.Run(ends - stands)
+							y.world.Run(ends - stands)
 							if e.do != nil {
 								e.do(y, c, nil)
 							}
-							y.judge(c, product, []string{"streamed", "throttled", "terminated"}, e.name == "its client leaves")
+							y.expectCleanEnd(c, product, []string{"streamed", "throttled", "terminated"}, e.name == "its client leaves")
 						})
 					}
 				}
@@ -297,37 +297,37 @@
 // The subscription to the list's source breaks while clients take each descriptor that is given back: it is heard all the same, by one that
 // is kept back. Where not even that is left, the list known is served from, and once there is room the source is heard again, without a
 // restart, with what it told meanwhile.
-func TestListIsHeardAgainOnceThereIsRoom(t *testing.T) {
+func TestEndpointWatchReconnectsOnceDescriptorsAreFree(t *testing.T) {
 	for _, kept := range []bool{true, false} {
-		t.Run(fmt.Sprintf("kept back %v", kept), func(t *testing.T) { listWithoutRoom(t, kept) })
+		t.Run(fmt.Sprintf("kept back %v", kept), func(t *testing.T) { testEndpointWatchWithoutDescriptors(t, kept) })
 	}
 }
 
-func listWithoutRoom(t *testing.T, kept bool) {
-	y := newYard(t, true, true)
-	c := y.begin("warm", "explain", 500, false, 0)
-	y.until(5*eventloop.Second, func() bool { return len(c.finals) > 0 })
-	var mutes []*mute
+func testEndpointWatchWithoutDescriptors(t *testing.T, kept bool) {
+	y := newFleetHarness(t, true, true)
+	c := y.askRecorded("warm", "explain", 500, false, 0)
+	y.runUntil(5*eventloop.Second, func() bool { return len(c.finals) > 0 })
+	var mutes []*silentClient
 	y.virtual().Descriptors = y.virtual().Open() + 2
 	for i := range 6000 {
-		y.far.Do(func() {
-			y.far.After(eventloop.Micros(i)*500, func() {
-				m := &mute{}
-				m.conn = y.far.Dial(y.addr, eventloop.Second, m)
+		y.remote.Do(func() {
+			y.remote.After(eventloop.Micros(i)*500, func() {
+				m := &silentClient{}
+				m.conn = y.remote.Dial(y.addr, eventloop.Second, m)
 				mutes = append(mutes, m)
 			})
 		})
 	}
-	y.w.Run(10 * eventloop.Millisecond)
+	y.world.Run(10 * eventloop.Millisecond)
 	if !kept {
 		y.virtual().Descriptors = 1
 	}
-	y.far.Do(y.fleet.Roster.Break)
-	y.w.Run(500 * eventloop.Millisecond)
-	heard := y.x.heard
-	y.far.Do(func() { y.fleet.Hosts[1].Drain(60*eventloop.Second, 0) })
-	y.w.Run(2 * eventloop.Second)
-	if (y.x.heard != heard) != kept {
+	y.remote.Do(y.fleet.Roster.Break)
+	y.world.Run(500 * eventloop.Millisecond)
+	heard := y.dispatcher.endpointUpdates
+	y.remote.Do(func() { y.fleet.Hosts[1].Drain(60*eventloop.Second, 0) })
+	y.world.Run(2 * eventloop.Second)
+	if (y.dispatcher.endpointUpdates != heard) != kept {
 		t.Fatalf("the source was heard: %v", !kept)
 	}
 	if kept {
@@ -335,14 +335,14 @@
 	}
 	y.virtual().Descriptors = 0
 	for _, m := range mutes {
-		y.far.Do(m.conn.Abort)
+		y.remote.Do(m.conn.Abort)
 	}
-	y.w.Run(8 * eventloop.Second)
-	if e := y.x.hosts[y.fleet.Hosts[1].Entry("").ID]; y.x.heard == heard || e.Condition != "draining" {
-		t.Errorf("heard %d times, then %d; the host is %q", heard, y.x.heard, e.Condition)
+	y.world.Run(8 * eventloop.Second)
+	if e := y.dispatcher.endpoints[y.fleet.Hosts[1].Entry("").ID]; y.dispatcher.endpointUpdates == heard || e.Condition != "draining" {
+		t.Errorf("heard %d times, then %d; the host is %q", heard, y.dispatcher.endpointUpdates, e.Condition)
 	}
-	c = y.begin("after", "review-post", 500, false, 0)
-	y.until(5*eventloop.Second, func() bool { return len(c.finals) > 0 })
+	c = y.askRecorded("after", "review-post", 500, false, 0)
+	y.runUntil(5*eventloop.Second, func() bool { return len(c.finals) > 0 })
 	if len(c.finals) != 1 || c.finals[0] != "streamed" {
 		t.Errorf("afterwards: %v", c.finals)
 	}
--- a/internal/dispatch/stored_intents_test.go
+++ b/internal/dispatch/stored_intents_test.go
@@ -44,14 +44,14 @@
 }
 
 // storedDisk is a copy in memory of the folder in testdata.
-func storedDisk(t *testing.T, loop eventloop.Loop) *instant {
+func storedDisk(t *testing.T, loop eventloop.Loop) *memoryDisk {
 	t.Helper()
 	const folder = "testdata/intents-v1"
 	files, err := os.ReadDir(folder)
 	if err != nil {
 		t.Fatal(err)
 	}
-	disk := &instant{loop: loop, files: map[string][]byte{}}
+	disk := &memoryDisk{loop: loop, files: map[string][]byte{}}
 	for _, f := range files {
 		if disk.files[f.Name()], err = os.ReadFile(folder + "/" + f.Name()); err != nil {
 			t.Fatal(err)
@@ -61,10 +61,10 @@
 }
 
 // startFromStored starts a dispatcher from the folder in testdata, at a time.
-func startFromStored(t *testing.T, at eventloop.Micros) *rig {
+func startFromStored(t *testing.T, at eventloop.Micros) *harness {
 	t.Helper()
-	r := newRig(t, nil, "prefill west", "decode west")
-	loop := r.w.Loop("d.stored")
+	r := newHarness(t, nil, "prefill west", "decode west")
+	loop := r.world.Loop("d.stored")
 	loop.Step(at - loop.Now())
 	r.loop = loop
 	r.list.Saved = int64(at)
@@ -77,11 +77,11 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		r.x, err = Start(loop, r.d, Config{Name: "d.stored", Zone: "west", Seed: 1, CachedEndpoints: [][]byte{list}, Intents: intents, Log: zerolog.Nop()})
+		r.dispatcher, err = Start(loop, r.deployment, Config{Name: "d.stored", Zone: "west", Seed: 1, CachedEndpoints: [][]byte{list}, Intents: intents, Log: zerolog.Nop()})
 		if err != nil {
 			t.Fatal(err)
 		}
-		ln, err := loop.Listen("127.0.0.1:0", r.x.Front().Accept)
+		ln, err := loop.Listen("127.0.0.1:0", r.dispatcher.Frontend().Accept)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -110,7 +110,7 @@
 			} {
 				r := startFromStored(t, intentsKilled)
 				r.virtual().Step(ask.at - r.virtual().Now())
-				r.ends(r.send(s.body(ask.tokens), "Idempotency-Key", ask.key), ask.want)
+				r.expectFinal(r.send(s.body(ask.tokens), "Idempotency-Key", ask.key), ask.want)
 			}
 		})
 	}
@@ -123,6 +123,6 @@
 			continue
 		}
 		r := startFromStored(t, s.until+1)
-		r.ends(r.send(s.body(s.tokens), "Idempotency-Key", s.key), "streamed")
+		r.expectFinal(r.send(s.body(s.tokens), "Idempotency-Key", s.key), "streamed")
 	}
 }
--- a/internal/dispatch/tenants.go
+++ b/internal/dispatch/tenants.go
@@ -27,8 +27,8 @@
 	reportWithin = 3 * eventloop.Second
 )
 
-// seat is a tenant's place in this dispatcher.
-type seat struct {
+// tenantSlot is a tenant's place in this dispatcher.
+type tenantSlot struct {
 	id     tenancy.ID
 	name   string
 	space  string
@@ -47,10 +47,10 @@
 
 // seatTenants gives the deployment's own tenants their places, and begins to follow the administration's.
 func (x *Dispatcher) seatTenants() error {
-	x.seats, x.static = map[string]*seat{}, map[[sha256.Size]byte]*seat{}
-	x.gate = tenancy.NewAdmissionController(int(x.Dispatching.Dispatchers))
-	x.directory = tenancy.NewDirectory(x.post.Secret)
-	x.meter = tenancy.NewUsageMeter()
+	x.tenantSlots, x.staticKeys = map[string]*tenantSlot{}, map[[sha256.Size]byte]*tenantSlot{}
+	x.admission = tenancy.NewAdmissionController(int(x.Dispatching.Dispatchers))
+	x.directory = tenancy.NewDirectory(x.config.Secret)
+	x.usage = tenancy.NewUsageMeter()
 	for i, t := range x.Tenants {
 		s := x.sit(t.Name, staticIDs+tenancy.ID(i))
 		x.allow(s, tenancy.Limits{SharePerS: t.QuotaPerS}, nil, nil, true)
@@ -59,20 +59,20 @@
 			if err != nil || len(raw) != sha256.Size {
 				return fmt.Errorf("tenant %s: a key's digest is malformed", t.Name)
 			}
-			x.static[[sha256.Size]byte(raw)] = s
+			x.staticKeys[[sha256.Size]byte(raw)] = s
 		}
 	}
-	if len(x.post.CachedTenants) > 0 {
-		if err := x.tenantNews(x.post.CachedTenants); err != nil {
-			x.post.Log.Error().Err(err).Msg("the kept tenants can't be read; starting without them")
+	if len(x.config.CachedTenants) > 0 {
+		if err := x.tenantNews(x.config.CachedTenants); err != nil {
+			x.config.Log.Error().Err(err).Msg("the kept tenants can't be read; starting without them")
 		}
 		x.directory.Epoch, x.directory.Version = "", 0 // the source's first word is all of them
 	}
-	if x.post.Tenants == "" {
+	if x.config.Tenants == "" {
 		return nil
 	}
-	c := subscribe.NewClient(x.loop, x.post.Seed+1, x.post.Tenants)
-	c.Name, c.Fields = "the administration", []string{"Authorization", "Bearer " + FeedToken(x.post.Secret), "x-dispatcher", x.post.Name}
+	c := subscribe.NewClient(x.loop, x.config.Seed+1, x.config.Tenants)
+	c.Name, c.Fields = "the administration", []string{"Authorization", "Bearer " + FeedToken(x.config.Secret), "x-dispatcher", x.config.Name}
 	c.Target = func() string {
 		return "/internal/v1/tenants?epoch=" + x.directory.Epoch + "&since=" + strconv.FormatUint(x.directory.Version, 10)
 	}
@@ -81,40 +81,40 @@
 		if err := x.tenantNews(data); err != nil {
 			return err
 		}
-		if x.post.CacheTenants != nil {
-			x.post.CacheTenants(x.directory.Snapshot())
+		if x.config.CacheTenants != nil {
+			x.config.CacheTenants(x.directory.Snapshot())
 		}
 		return nil
 	}
-	c.Log = func(line string) { x.post.Log.Warn().Msg(line) }
-	x.feed = c
+	c.Log = func(line string) { x.config.Log.Warn().Msg(line) }
+	x.tenantFeed = c
 	c.Subscribe()
 	x.loop.After(reportEvery, x.report)
 	return nil
 }
 
 // sit gives a tenant a place; those that were given back are used again, so that the module's table does not grow.
-func (x *Dispatcher) sit(name string, id tenancy.ID) *seat {
-	s := &seat{id: id, name: name, space: fmt.Sprintf("%d-%s", id, name)}
-	if n := len(x.free); n > 0 {
-		s.index = x.free[n-1]
-		x.free = x.free[:n-1]
+func (x *Dispatcher) sit(name string, id tenancy.ID) *tenantSlot {
+	s := &tenantSlot{id: id, name: name, space: fmt.Sprintf("%d-%s", id, name)}
+	if n := len(x.freeTenantIDs); n > 0 {
+		s.index = x.freeTenantIDs[n-1]
+		x.freeTenantIDs = x.freeTenantIDs[:n-1]
 	} else {
-		s.index = x.seatsMade
-		x.seatsMade++
+		s.index = x.nextTenantID
+		x.nextTenantID++
 	}
-	x.seats[name] = s
+	x.tenantSlots[name] = s
 	return s
 }
 
-func (x *Dispatcher) allow(s *seat, l tenancy.Limits, keys, products map[string]tenancy.Limits, serves bool) {
+func (x *Dispatcher) allow(s *tenantSlot, l tenancy.Limits, keys, products map[string]tenancy.Limits, serves bool) {
 	s.limits, s.serves = l, serves
-	x.gate.SetTenant(s.id, l, keys, products, serves)
+	x.admission.SetTenant(s.id, l, keys, products, serves)
 	share := l.SharePerS
 	if share == 0 {
 		share = unlimited
 	}
-	x.module.QuotaChanged(x.loop.Now(), s.index, share)
+	x.scheduler.QuotaChanged(x.loop.Now(), s.index, share)
 }
 
 // tenantNews takes what the administration says.
@@ -124,21 +124,21 @@
 		return err
 	}
 	for _, t := range changed {
-		s := x.seats[t.Name]
+		s := x.tenantSlots[t.Name]
 		if s != nil && s.id != t.ID {
 			if s.id >= staticIDs {
-				x.post.Log.Error().Str("tenant", t.Name).Msg("the deployment names this tenant itself; the administration's is not served here")
+				x.config.Log.Error().Str("tenant", t.Name).Msg("the deployment names this tenant itself; the administration's is not served here")
 				continue
 			}
-			x.leaveSeat(s, t.Policy == tenancy.Abort || t.State != tenancy.Removing)
+			x.removeTenant(s, t.Policy == tenancy.Abort || t.State != tenancy.Removing)
 			s = nil
 		}
 		if t.State == tenancy.Removing || t.State == tenancy.Removed {
 			if s == nil {
-				x.meter.TenantEnded(t.Name)
+				x.usage.TenantEnded(t.Name)
 				continue
 			}
-			x.leaveSeat(s, t.Policy == tenancy.Abort || t.State == tenancy.Removed)
+			x.removeTenant(s, t.Policy == tenancy.Abort || t.State == tenancy.Removed)
 			continue
 		}
 		if s == nil {
@@ -153,56 +153,56 @@
 	return nil
 }
 
-// leaveSeat: a tenant is removed. What runs of it goes on, or is stopped; the place is given back once nothing does.
-func (x *Dispatcher) leaveSeat(s *seat, stop bool) {
+// removeTenant: a tenant is removed. What runs of it goes on, or is stopped; the place is given back once nothing does.
+func (x *Dispatcher) removeTenant(s *tenantSlot, stop bool) {
 	s.going, s.serves = true, false
-	if x.seats[s.name] == s {
-		x.gate.SetTenant(s.id, s.limits, nil, nil, false)
+	if x.tenantSlots[s.name] == s {
+		x.admission.SetTenant(s.id, s.limits, nil, nil, false)
 	}
 	if stop {
-		for _, t := range x.gate.Tickets(s.id) {
-			x.take(t.Owner.(*gen), lifecycle.TenantStopped, what{why: "The tenant was removed."})
+		for _, t := range x.admission.Tickets(s.id) {
+			x.fire(t.Owner.(*request), lifecycle.TenantStopped, eventDetails{reason: "The tenant was removed."})
 		}
 	}
 	x.emptySeat(s)
 }
 
-func (x *Dispatcher) emptySeat(s *seat) {
-	if !s.going || x.seats[s.name] != s || !x.gate.Forget(s.id) {
+func (x *Dispatcher) emptySeat(s *tenantSlot) {
+	if !s.going || x.tenantSlots[s.name] != s || !x.admission.Forget(s.id) {
 		return
 	}
-	delete(x.seats, s.name)
-	x.module.QuotaChanged(x.loop.Now(), s.index, 0)
-	x.free = append(x.free, s.index)
-	x.meter.TenantEnded(s.name)
+	delete(x.tenantSlots, s.name)
+	x.scheduler.QuotaChanged(x.loop.Now(), s.index, 0)
+	x.freeTenantIDs = append(x.freeTenantIDs, s.index)
+	x.usage.TenantEnded(s.name)
 }
 
 // Identify finds whose key it is.
 func (x *Dispatcher) Identify(key string) (frontend.Identity, bool) {
-	if s := x.static[sha256.Sum256([]byte(key))]; s != nil {
+	if s := x.staticKeys[sha256.Sum256([]byte(key))]; s != nil {
 		return frontend.Identity{Tenant: s.name, Space: s.space, Serves: true}, true
 	}
 	t, k, known := x.directory.Authenticate(int64(x.loop.Now()/eventloop.Second), key)
 	if !known || !slices.Contains(k.Scopes, tenancy.ScopeChat) {
 		return frontend.Identity{}, false
 	}
-	s := x.seats[t.Name]
+	s := x.tenantSlots[t.Name]
 	if s == nil || s.id != t.ID {
 		return frontend.Identity{}, false
 	}
 	return frontend.Identity{Tenant: s.name, Key: k.ID, Space: s.space, Serves: s.serves}, true
 }
 
-// admission takes a generation to its tenant's gate. It tells whether it goes to the module now; else it waits, or has
+// admit takes a generation to its tenant's gate. It tells whether it goes to the module now; else it waits, or has
 // been answered.
-func (x *Dispatcher) admission(g *gen, who frontend.Identity, to *frontend.Response) (now bool, problem *frontend.Problem) {
-	s := x.seats[who.Tenant]
+func (x *Dispatcher) admit(g *request, who frontend.Identity, to *frontend.Response) (now bool, problem *frontend.Problem) {
+	s := x.tenantSlots[who.Tenant]
 	if s == nil || !who.Serves {
 		return false, &frontend.Problem{Status: 403, Type: "permission_error", Code: "tenant_suspended", Never: true,
 			Message: "This account is suspended."}
 	}
 	g.seat = s
-	t, v := x.gate.Admit(x.loop.Now(), s.id, who.Key, g.ask.Model, g.ask.Tokens, g.ask.MaxTokens)
+	t, v := x.admission.Admit(x.loop.Now(), s.id, who.Key, g.ask.Model, g.ask.Tokens, g.ask.MaxTokens)
 	switch {
 	case v.Reason == tenancy.PromptTooLarge:
 		return false, &frontend.Problem{Status: 400, Type: "invalid_request_error", Param: "messages", Code: "prompt_too_large",
@@ -211,7 +211,7 @@
 		return false, &frontend.Problem{Status: 403, Type: "permission_error", Code: "tenant_suspended", Never: true, Message: "This account is suspended."}
 	case v.Reason != tenancy.None:
 		x.OverQuota++
-		x.meter.Add(tenancy.Usage{Tenant: s.name, Product: g.ask.Model, Day: tenancy.Day(x.loop.Now()), Rejected: 1})
+		x.usage.Add(tenancy.Usage{Tenant: s.name, Product: g.ask.Model, Day: tenancy.Day(x.loop.Now()), Rejected: 1})
 		to.RejectOverQuota(v.Reason.String(), v.RetryAfter)
 		return false, nil
 	}
@@ -224,11 +224,11 @@
 const queueGrace = 30 * eventloop.Millisecond
 
 // wait has a generation stand before the module until its tenant's turn comes.
-func (x *Dispatcher) wait(g *gen) {
+func (x *Dispatcher) wait(g *request) {
 	g.State = lifecycle.Queued
 	g.limit = x.loop.After(max(g.deadline-queueGrace-x.loop.Now(), 0), func() {
 		if g.State == lifecycle.Queued {
-			x.take(g, lifecycle.DeadlineExceeded)
+			x.fire(g, lifecycle.DeadlineExceeded)
 		}
 	})
 }
@@ -236,21 +236,21 @@
 // turns lets in those whose turn has come.
 func (x *Dispatcher) turns() {
 	for {
-		t, some := x.gate.Next(x.loop.Now())
+		t, some := x.admission.Next(x.loop.Now())
 		if !some {
 			return
 		}
-		g := t.Owner.(*gen)
+		g := t.Owner.(*request)
 		g.limit.Stop()
 		g.limit = nil
-		x.take(g, lifecycle.Admitted)
+		x.fire(g, lifecycle.Admitted)
 	}
 }
 
 // arrived tells the module of a generation.
-func (x *Dispatcher) arrived(g *gen) {
+func (x *Dispatcher) arrived(g *request) {
 	a := g.ask
-	x.module.RequestArrived(x.loop.Now(), scheduler.Arrival{
+	x.scheduler.RequestArrived(x.loop.Now(), scheduler.Arrival{
 		ID:              g.id,
 		Session:         scheduler.SessionID(a.Session),
 		Prefix:          scheduler.PrefixID(a.Shared),
@@ -264,7 +264,7 @@
 }
 
 // paid settles a generation with its tenant.
-func (x *Dispatcher) paid(g *gen) {
+func (x *Dispatcher) paid(g *request) {
 	if g.ticket == nil {
 		return
 	}
@@ -275,7 +275,7 @@
 		if g.final == lifecycle.AnswerCompleted {
 			u.Prompt = uint64(g.prompt)
 		} else if g.final == lifecycle.AnswerRejected {
-			x.gate.NoCapacity(now, g.ticket)
+			x.admission.NoCapacity(now, g.ticket)
 		}
 	}
 	switch final := g.final; {
@@ -284,7 +284,7 @@
 		u.Completed = 1
 	case final == lifecycle.AnswerRejected:
 		u.Rejected = 1
-		x.gate.NoCapacity(now, g.ticket) // one inside its share found no place
+		x.admission.NoCapacity(now, g.ticket) // one inside its share found no place
 	case final == lifecycle.AnswerFailed:
 		u.Failed = 1
 	default:
@@ -297,9 +297,9 @@
 		}
 	}
 	if g.part == nil || u.Prompt > 0 {
-		x.meter.Add(u)
+		x.usage.Add(u)
 	}
-	x.gate.Release(now, g.ticket, int(u.Prompt+u.Answer))
+	x.admission.Release(now, g.ticket, int(u.Prompt+u.Answer))
 	g.ticket = nil
 	s := g.seat
 	x.loop.Later(func() {
@@ -309,30 +309,30 @@
 }
 
 // Usage is what was used and not yet reported.
-func (x *Dispatcher) Usage() []tenancy.Usage { return x.meter.Report(x.post.Name).Used }
+func (x *Dispatcher) Usage() []tenancy.Usage { return x.usage.Report(x.config.Name).Used }
 
 // report sends what was used.
 func (x *Dispatcher) report() {
-	r := x.meter.Report(x.post.Name)
+	r := x.usage.Report(x.config.Name)
 	body, err := json.Marshal(r)
 	if err != nil {
-		x.post.Log.Error().Err(err).Msg("usage can't be reported")
+		x.config.Log.Error().Err(err).Msg("usage can't be reported")
 		return
 	}
-	subscribe.Post(x.loop, x.post.Tenants, "/internal/v1/usage", body, reportWithin, func(status int) {
+	subscribe.Post(x.loop, x.config.Tenants, "/internal/v1/usage", body, reportWithin, func(status int) {
 		if status == 200 {
-			x.meter.Acknowledge(r.Number)
+			x.usage.Acknowledge(r.Number)
 		}
-		if x.reported != nil {
-			if status == 200 && x.meter.Pending() {
+		if x.onReported != nil {
+			if status == 200 && x.usage.Pending() {
 				x.report()
 				return
 			}
-			done := x.reported
-			x.reported = nil
+			done := x.onReported
+			x.onReported = nil
 			done()
 			return
 		}
 		x.loop.After(reportEvery, x.report)
-	}, "Authorization", "Bearer "+FeedToken(x.post.Secret))
+	}, "Authorization", "Bearer "+FeedToken(x.config.Secret))
 }
--- a/internal/testbed/scenarios/virtual.go
+++ b/internal/testbed/scenarios/virtual.go
@@ -58,7 +58,7 @@
 		if l.x, err = dispatch.Start(at, p.Deployment, post); err != nil {
 			return
 		}
-		ln, e := at.Listen(l.target.Addr, l.x.Front().Accept)
+		ln, e := at.Listen(l.target.Addr, l.x.Frontend().Accept)
 		if e != nil {
 			err = e
 			return
@@ -137,7 +137,7 @@
 		p.Reached = append(p.Reached, l.x.Coverage)
 		p.Used = append(p.Used, l.x.Usage()...)
 		left += l.x.OpenRequests()
-		for _, line := range l.x.DescribeOpen() {
+		for _, line := range l.x.DescribeOpenRequests() {
 			if p.Progress != nil {
 				fmt.Fprintln(p.Progress, line)
 			}
@@ -157,7 +157,7 @@
 		if l.down || l.world.Now() < l.back+100*eventloop.Millisecond {
 			continue
 		}
-		if err := l.x.Check(); err != nil {
+		if err := l.x.CheckInvariants(); err != nil {
 			return fmt.Errorf("dispatcher %s: %w", l.target.Name, err)
 		}
 	}
@@ -169,7 +169,7 @@
 	for _, l := range p.all {
 		lines = append(lines, l.target.Name)
 		if !l.down {
-			lines = append(lines, l.x.DescribeOpen()...)
+			lines = append(lines, l.x.DescribeOpenRequests()...)
 		}
 	}
 	return append(lines, p.fleet.Summary()...)
