--- a/internal/dispatch/dispatch.go
+++ b/internal/dispatch/dispatch.go
@@ -180,7 +180,11 @@
 	if n := post.Descriptors; n > 0 {
 		x.frontend.MaxConnections = max((n-min(descriptorsKept, n/2))/2, 1)
 	}
-	x.idempotencyCache = idempotency.NewCache(int(d.Doors.RememberMost), int(d.Doors.RememberBytes), answerKept)
+	x.idempotencyCache = idempotency.NewCache(idempotency.Limits{
+		Entries:     int(d.Doors.RememberMost),
+		Bytes:       int(d.Doors.RememberBytes),
+		AnswerBytes: answerKept,
+	})
 	x.recall()
 	x.schedulerConfig = d.SchedulerConfig()
 	x.schedulerConfig.Quotas = nil // told tenant by tenant, as they come
@@ -414,7 +418,7 @@
 	pass, problem := x.admit(g, who, to)
 	if g.ticket == nil {
 		if g.repeat != nil {
-			x.idempotencyCache.End(now, g.repeat, false, false, 0)
+			x.idempotencyCache.End(now, g.repeat, idempotency.Outcome{})
 		}
 		return problem
 	}
@@ -661,7 +665,7 @@
 		return
 	}
 	window := x.window(g)
-	x.idempotencyCache.End(x.loop.Now(), g.repeat, good, good || g.ran, window)
+	x.idempotencyCache.End(x.loop.Now(), g.repeat, idempotency.Outcome{Completed: good, MayHaveRun: good || g.ran, Window: window})
 	if x.runningByKey[g.repeat] == g {
 		delete(x.runningByKey, g.repeat)
 		x.keepEnd(g.repeat, window)
--- a/internal/dispatch/intent.go
+++ b/internal/dispatch/intent.go
@@ -53,7 +53,7 @@
 	})
 	slices.SortStableFunc(all, func(a, b past) int { return int(a.until - b.until) })
 	for _, i := range all {
-		x.idempotencyCache.Restore(i.key, i.request, i.until, i.window)
+		x.idempotencyCache.Restore(idempotency.Record{Key: i.key, Request: i.request, Until: i.until, Window: i.window})
 	}
 	x.idempotencyCache.OnExpire = func(k idempotency.Key) {
 		_ = x.config.Intents.Commit([]store.Op{{Key: intentPrefix + string(k[:])}}, nil, true, nil) // one kept too long does no harm
--- a/internal/idempotency/idempotency.go
+++ b/internal/idempotency/idempotency.go
@@ -1,6 +1,8 @@
-// Package idempotency decides what a client's repeat of a generation with the same Idempotency-Key is answered with. It is
-// free of I/O. A key is remembered from the moment that its generation is taken; it is forgotten at once where nothing
-// ran, and else only when its window has passed: never to make room, since a forgotten key could run twice.
+// Package idempotency decides how a request is answered that repeats an earlier one with the same Idempotency-Key.
+//
+// It owns the cache of keys and of the answers that can be replayed, within bounds on both. It relies on its caller for
+// the time and for the order of events. It never does I/O, and it never evicts a key to make space for another: a key
+// that is forgotten before its window has passed could run twice.
 package idempotency
 
 import "plumspindle/scheduler/timerqueue"
@@ -8,178 +10,212 @@
 // Micros is a time or a span in whole microseconds.
 type Micros = timerqueue.Micros
 
-// Key names a tenant's product and what its client called the generation, as a digest.
+// Key is the digest of a tenant's product and of the Idempotency-Key that its client sent.
 type Key [16]byte
 
-// Decision is what becomes of a request with a key.
+// Decision is how a request with a key is answered.
 type Decision uint8
 
+// The decisions that Begin can return.
 const (
-	New        Decision = iota // run it
-	Join                       // it is running, and all that was streamed is here: be sent that, then what follows
-	Replay                     // it has been streamed, and all of it is here
-	AlreadyRan                 // it ran or may have run, and its answer is not here any more
+	New        Decision = iota // not seen before: run it
+	Join                       // running with its events buffered: replay them, then follow
+	Replay                     // completed with its events buffered: replay them
+	AlreadyRan                 // ran or may have run, and its answer is not buffered any more
 	Conflict                   // the key was used for another request
-	Full                       // no more keys can be remembered: nothing may run that would have to be
+	Full                       // no more keys can be remembered, so that nothing new may run
 )
 
-// Entry is one remembered generation.
+// Limits bounds what a cache remembers.
+type Limits struct {
+	Entries     int // keys
+	Bytes       int // buffered answers, all together
+	AnswerBytes int // one buffered answer
+}
+
+// Outcome is how a request ended.
+type Outcome struct {
+	Completed  bool
+	MayHaveRun bool
+	Window     Micros // how long its key is remembered
+}
+
+// Record is a key that outlives its dispatcher.
+type Record struct {
+	Key     Key
+	Request uint64 // digest of the request
+	Until   Micros // when the key expires
+	Window  Micros
+}
+
+// Entry is one remembered request.
 type Entry struct {
-	key     Key
-	request uint64 // digest of what was asked
-	until   Micros // 0 while it runs
-	whole   bool   // all events are here
-	ended   bool
-	good    bool // it was streamed to its end
-	Events  [][]byte
-	bytes   int
-	gone    bool
-}
-
-// Cache remembers keys, within bounds on their number and on the bytes of answers kept for them.
+	Events [][]byte // what was streamed, while it is buffered
+
+	key       Key
+	request   uint64 // digest of the request
+	until     Micros // when it expires; 0 while it runs
+	bytes     int    // of Events
+	buffered  bool   // Events holds everything that was streamed
+	ended     bool
+	completed bool
+	expired   bool
+}
+
+// Key returns the entry's key.
+func (e *Entry) Key() Key { return e.key }
+
+// Request returns the digest of the entry's request.
+func (e *Entry) Request() uint64 { return e.request }
+
+// Until returns when the entry expires, 0 while its request runs.
+func (e *Entry) Until() Micros { return e.until }
+
+// Cache remembers keys and answers within its limits.
 type Cache struct {
-	most, bytesMost, answerMost int
-	entries                     map[Key]*Entry
-	lines                       []*line // one for each length of window, each in the order of its ends
-	bytes                       int
-	// OnExpire is told of each key that is remembered no more.
+	// OnExpire, if set, is called with each key that is no longer remembered.
 	OnExpire func(Key)
-	answers  []*Entry // whole answers, oldest first, whose events go first when bytes run short
+
+	limits    Limits
+	entries   map[Key]*Entry
+	expiries  []*expiryQueue
+	completed []*Entry // buffered answers in the order of their ends; the first are dropped first
+	bytes     int
 }
 
-// line holds ended entries of one window, which end in the order of their coming.
-type line struct {
-	window Micros
-	queue  []*Entry
+// expiryQueue holds the ended entries of one window, which expire in the order in which they were added.
+type expiryQueue struct {
+	window  Micros
+	entries []*Entry
 }
 
-// NewCache makes one that remembers at most so many keys, and so many bytes of answers: in all, and of one.
-func NewCache(most, bytesMost, answerMost int) *Cache {
-	return &Cache{most: most, bytesMost: bytesMost, answerMost: answerMost, entries: map[Key]*Entry{}}
+// NewCache returns an empty cache.
+func NewCache(limits Limits) *Cache {
+	return &Cache{limits: limits, entries: map[Key]*Entry{}}
 }
 
-// Len is how many keys are remembered, Bytes what their answers take.
-func (b *Cache) Len() int   { return len(b.entries) }
-func (b *Cache) Bytes() int { return b.bytes }
+// Len returns the number of remembered keys.
+func (c *Cache) Len() int { return len(c.entries) }
+
+// Bytes returns the size of all buffered answers.
+func (c *Cache) Bytes() int { return c.bytes }
 
-// Begin takes a request. For New the entry is to be told of what becomes of it; for Join and Replay it holds what was
-// streamed.
-func (b *Cache) Begin(now Micros, key Key, request uint64) (Decision, *Entry) {
-	b.expire(now)
-	e := b.entries[key]
+// Begin decides on a request. For New the caller reports the request's events and end on the entry; for Join and
+// Replay the entry holds what was streamed; otherwise the entry is nil.
+func (c *Cache) Begin(now Micros, key Key, request uint64) (Decision, *Entry) {
+	c.expire(now)
+	e := c.entries[key]
 	switch {
-	case e == nil && len(b.entries) >= b.most:
+	case e == nil && len(c.entries) >= c.limits.Entries:
 		return Full, nil
 	case e == nil:
-		e = &Entry{key: key, request: request, whole: true}
-		b.entries[key] = e
+		e = &Entry{key: key, request: request, buffered: true}
+		c.entries[key] = e
 		return New, e
 	case e.request != request:
 		return Conflict, nil
-	case !e.whole:
+	case !e.buffered:
 		return AlreadyRan, nil
 	case !e.ended:
 		return Join, e
-	case e.good:
+	case e.completed:
 		return Replay, e
 	}
 	return AlreadyRan, nil
 }
 
-// AddEvent keeps one more event of a running answer, while the bounds let it. Room is made by dropping the answers that
-// ended first, never by dropping a key.
-func (b *Cache) AddEvent(e *Entry, data []byte) {
-	if !e.whole || e.gone {
+// AddEvent buffers one more event of a running answer, as far as the limits allow. Space is made by dropping the
+// buffered answers that completed first, never by dropping a key.
+func (c *Cache) AddEvent(e *Entry, data []byte) {
+	if !e.buffered || e.expired {
 		return
 	}
-	if e.bytes+len(data) > b.answerMost {
-		b.drop(e)
+	if e.bytes+len(data) > c.limits.AnswerBytes {
+		c.dropEvents(e)
 		return
 	}
-	for b.bytes+len(data) > b.bytesMost {
-		if len(b.answers) == 0 {
-			b.drop(e)
+	for c.bytes+len(data) > c.limits.Bytes {
+		if len(c.completed) == 0 {
+			c.dropEvents(e)
 			return
 		}
-		oldest := b.answers[0]
-		b.answers[0] = nil
-		b.answers = b.answers[1:]
-		b.drop(oldest)
+		c.dropEvents(c.popCompleted())
 	}
 	e.Events = append(e.Events, append([]byte(nil), data...))
 	e.bytes += len(data)
-	b.bytes += len(data)
+	c.bytes += len(data)
 }
 
-func (b *Cache) drop(e *Entry) {
-	b.bytes -= e.bytes
-	e.Events, e.bytes, e.whole = nil, 0, false
-}
-
-// End tells how a generation came out. Where nothing ran its key is free again at once.
-func (b *Cache) End(now Micros, e *Entry, good, mayHaveRun bool, window Micros) {
-	if e.ended || e.gone {
+// End reports how a request ended. Where nothing ran, its key is free again at once.
+func (c *Cache) End(now Micros, e *Entry, outcome Outcome) {
+	if e.ended || e.expired {
 		return
 	}
-	e.ended, e.good = true, good
-	if !mayHaveRun {
-		b.forget(e)
+	e.ended, e.completed = true, outcome.Completed
+	if !outcome.MayHaveRun {
+		c.forget(e)
 		return
 	}
-	e.until = now + window
-	if good && e.whole {
-		b.answers = append(b.answers, e)
+	e.until = now + outcome.Window
+	if e.completed && e.buffered {
+		c.completed = append(c.completed, e)
 	} else {
-		b.drop(e) // half an answer serves nobody who comes later
+		c.dropEvents(e) // half an answer can't be replayed
 	}
-	b.queue(e, window)
+	c.scheduleExpiry(e, outcome.Window)
+}
+
+// Restore adds a key that an earlier process remembered: its request ran or may have run, and its answer is lost. It is
+// for a cache that is new; records come in the order of Until. Records beyond the limit on entries are taken all the
+// same: the limit is on what may run, and these have.
+func (c *Cache) Restore(record Record) {
+	e := &Entry{key: record.Key, request: record.Request, until: record.Until, ended: true}
+	c.entries[record.Key] = e
+	c.scheduleExpiry(e, record.Window)
 }
 
-func (b *Cache) queue(e *Entry, window Micros) {
-	for _, l := range b.lines {
-		if l.window == window {
-			l.queue = append(l.queue, e)
+func (c *Cache) scheduleExpiry(e *Entry, window Micros) {
+	for _, queue := range c.expiries {
+		if queue.window == window {
+			queue.entries = append(queue.entries, e)
 			return
 		}
 	}
-	b.lines = append(b.lines, &line{window, []*Entry{e}})
+	c.expiries = append(c.expiries, &expiryQueue{window, []*Entry{e}})
 }
 
-func (b *Cache) forget(e *Entry) {
-	b.drop(e)
-	e.gone = true
-	delete(b.entries, e.key)
-	if b.OnExpire != nil {
-		b.OnExpire(e.key)
+func (c *Cache) expire(now Micros) {
+	for _, queue := range c.expiries {
+		n := 0
+		for n < len(queue.entries) && queue.entries[n].until <= now {
+			c.forget(queue.entries[n])
+			queue.entries[n] = nil
+			n++
+		}
+		queue.entries = queue.entries[n:]
+	}
+	for len(c.completed) > 0 && c.completed[0].expired {
+		c.popCompleted()
 	}
 }
 
-// Key and Request are what an entry is for; Until when it is forgotten, 0 while it runs.
-func (e *Entry) Key() Key        { return e.key }
-func (e *Entry) Request() uint64 { return e.request }
-func (e *Entry) Until() Micros   { return e.until }
+func (c *Cache) popCompleted() *Entry {
+	first := c.completed[0]
+	c.completed[0] = nil
+	c.completed = c.completed[1:]
+	return first
+}
 
-// Restore puts back what an earlier life of the dispatcher had remembered: it ran or may have run, and its answer is not
-// here. It is for a book that is new; keys come in the order of their ends. One more than the bound is taken all the same:
-// the bound is on what may run, and this has.
-func (b *Cache) Restore(key Key, request uint64, until, window Micros) {
-	e := &Entry{key: key, request: request, until: until, ended: true}
-	b.entries[key] = e
-	b.queue(e, window)
+func (c *Cache) dropEvents(e *Entry) {
+	c.bytes -= e.bytes
+	e.Events, e.bytes, e.buffered = nil, 0, false
 }
 
-func (b *Cache) expire(now Micros) {
-	for _, l := range b.lines {
-		n := 0
-		for n < len(l.queue) && l.queue[n].until <= now {
-			b.forget(l.queue[n])
-			l.queue[n] = nil
-			n++
-		}
-		l.queue = l.queue[n:]
-	}
-	for len(b.answers) > 0 && b.answers[0].gone {
-		b.answers[0] = nil
-		b.answers = b.answers[1:]
+func (c *Cache) forget(e *Entry) {
+	c.dropEvents(e)
+	e.expired = true
+	delete(c.entries, e.key)
+	if c.OnExpire != nil {
+		c.OnExpire(e.key)
 	}
 }
--- a/internal/idempotency/idempotency_test.go
+++ b/internal/idempotency/idempotency_test.go
@@ -1,110 +1,132 @@
 package idempotency
 
 import (
+	"bytes"
 	"fmt"
 	"testing"
 
 	"pgregory.net/rapid"
 )
 
-// A plain model beside the book: no key whose generation may have run is new again inside its window, whatever the
-// bounds; bytes and keys stay within them; what is replayed is what was streamed.
-func TestAgainstPlainModel(t *testing.T) {
-	rapid.Check(t, func(t *rapid.T) {
-		const most, bytesMost, answerMost = 6, 60, 25
-		b := NewCache(most, bytesMost, answerMost)
-		type known struct {
-			entry   *Entry
-			request uint64
-			ended   bool
-			good    bool
-			until   Micros
-			all     string
+var testLimits = Limits{Entries: 6, Bytes: 60, AnswerBytes: 25}
+
+// modelEntry is what the plain model knows of a key.
+type modelEntry struct {
+	entry     *Entry
+	request   uint64
+	ended     bool
+	completed bool
+	until     Micros
+	streamed  string
+}
+
+// model is a plain account of the keys beside the cache.
+type model struct {
+	t       *rapid.T
+	cache   *Cache
+	now     Micros
+	entries map[Key]*modelEntry
+}
+
+func (m *model) advance() {
+	m.now += Micros(rapid.IntRange(0, 30).Draw(m.t, "wait"))
+	for key, e := range m.entries {
+		if e.ended && e.until <= m.now {
+			delete(m.entries, key)
+		}
+	}
+}
+
+func (m *model) begin(key Key) {
+	request := uint64(rapid.IntRange(0, 1).Draw(m.t, "request"))
+	known := m.entries[key]
+	decision, entry := m.cache.Begin(m.now, key, request)
+	switch {
+	case known == nil && len(m.entries) >= testLimits.Entries:
+		if decision != Full {
+			m.t.Fatalf("%d keys remembered, and got %d", len(m.entries), decision)
+		}
+	case known == nil:
+		if decision != New {
+			m.t.Fatalf("a new key got %d", decision)
+		}
+		m.entries[key] = &modelEntry{entry: entry, request: request}
+	case known.request != request:
+		if decision != Conflict {
+			m.t.Fatalf("another request got %d", decision)
 		}
-		model := map[Key]*known{}
-		var now Micros
-		windows := []Micros{50, 200}
+	case decision == New || decision == Full:
+		m.t.Fatalf("a remembered key got %d", decision)
+	case decision == Replay && !(known.ended && known.completed), decision == Join && known.ended:
+		m.t.Fatalf("ended %v, completed %v, and got %d", known.ended, known.completed, decision)
+	case decision == Replay || decision == Join:
+		if buffered := string(bytes.Join(entry.Events, nil)); buffered != known.streamed {
+			m.t.Fatalf("buffered %q, streamed %q", buffered, known.streamed)
+		}
+	}
+}
+
+func (m *model) stream(known *modelEntry) {
+	text := fmt.Sprint(rapid.IntRange(0, 99999).Draw(m.t, "text"))
+	known.streamed += text
+	m.cache.AddEvent(known.entry, []byte(text))
+}
+
+func (m *model) end(key Key, known *modelEntry) {
+	windows := []Micros{50, 200}
+	ran := rapid.Bool().Draw(m.t, "ran")
+	known.completed = ran && rapid.Bool().Draw(m.t, "completed")
+	window := windows[rapid.IntRange(0, 1).Draw(m.t, "window")]
+	m.cache.End(m.now, known.entry, Outcome{Completed: known.completed, MayHaveRun: ran, Window: window})
+	known.ended, known.until = true, m.now+window
+	if !ran {
+		delete(m.entries, key)
+	}
+}
+
+// No key whose request may have run is new again inside its window, whatever the limits; bytes and keys stay within
+// them; what is replayed is what was streamed.
+func TestCacheAgreesWithModel(t *testing.T) {
+	rapid.Check(t, func(t *rapid.T) {
+		m := &model{t: t, cache: NewCache(testLimits), entries: map[Key]*modelEntry{}}
 		for range rapid.IntRange(1, 80).Draw(t, "steps") {
-			now += Micros(rapid.IntRange(0, 30).Draw(t, "wait"))
-			for k, m := range model {
-				if m.ended && m.until <= now {
-					delete(model, k)
-				}
-			}
+			m.advance()
 			key := Key{byte(rapid.IntRange(0, 9).Draw(t, "key"))}
-			m := model[key]
-			switch rapid.IntRange(0, 3).Draw(t, "what") {
-			case 0, 1:
-				request := uint64(rapid.IntRange(0, 1).Draw(t, "request"))
-				v, e := b.Begin(now, key, request)
-				switch {
-				case m == nil && len(model) >= most:
-					if v != Full {
-						t.Fatalf("%d keys remembered, and got %d", len(model), v)
-					}
-				case m == nil:
-					if v != New {
-						t.Fatalf("a new key got %d", v)
-					}
-					model[key] = &known{entry: e, request: request}
-				case m.request != request:
-					if v != Conflict {
-						t.Fatalf("another request got %d", v)
-					}
-				case v == New || v == Full:
-					t.Fatalf("a remembered key got %d", v)
-				case v == Replay && !(m.ended && m.good), v == Join && m.ended:
-					t.Fatalf("ended %v, good %v, and got %d", m.ended, m.good, v)
-				case v == Replay || v == Join:
-					all := ""
-					for _, x := range e.Events {
-						all += string(x)
-					}
-					if all != m.all {
-						t.Fatalf("kept %q, streamed %q", all, m.all)
-					}
-				}
-			case 2:
-				if m != nil && !m.ended {
-					text := fmt.Sprint(rapid.IntRange(0, 99999).Draw(t, "text"))
-					m.all += text
-					b.AddEvent(m.entry, []byte(text))
-				}
-			case 3:
-				if m != nil && !m.ended {
-					ran := rapid.Bool().Draw(t, "ran")
-					m.good = ran && rapid.Bool().Draw(t, "good")
-					window := windows[rapid.IntRange(0, 1).Draw(t, "window")]
-					b.End(now, m.entry, m.good, ran, window)
-					if m.ended, m.until = true, now+window; !ran {
-						delete(model, key)
-					}
-				}
+			known := m.entries[key]
+			running := known != nil && !known.ended
+			switch action := rapid.IntRange(0, 3).Draw(t, "action"); {
+			case action <= 1:
+				m.begin(key)
+			case action == 2 && running:
+				m.stream(known)
+			case action == 3 && running:
+				m.end(key, known)
 			}
-			if b.Len() > most || b.Bytes() > bytesMost || b.Bytes() < 0 {
-				t.Fatalf("%d keys, %d bytes", b.Len(), b.Bytes())
+			if keys, size := m.cache.Len(), m.cache.Bytes(); keys > testLimits.Entries || size > testLimits.Bytes || size < 0 {
+				t.Fatalf("%d keys, %d bytes", keys, size)
 			}
 		}
 	})
 }
 
-// A flood of keys is refused at the bound, and room comes back with time only.
-func TestFloodOfKeys(t *testing.T) {
-	b := NewCache(1000, 1<<20, 1<<10)
-	for i := range 5000 {
-		v, e := b.Begin(Micros(i), Key{byte(i), byte(i >> 8)}, 1)
-		if (v == New) != (i < 1000) || v != New && v != Full {
-			t.Fatalf("key %d got %d", i, v)
+// A flood of keys is refused at the limit, and keys are free again with time only.
+func TestKeysBeyondTheLimitAreRefused(t *testing.T) {
+	const limit, window = 1000, 10000
+	cache := NewCache(Limits{Entries: limit, Bytes: 1 << 20, AnswerBytes: 1 << 10})
+	for i := range 5 * limit {
+		decision, entry := cache.Begin(Micros(i), Key{byte(i), byte(i >> 8)}, 1)
+		if (decision == New) != (i < limit) || decision != New && decision != Full {
+			t.Fatalf("key %d got %d", i, decision)
 		}
-		if e != nil {
-			b.AddEvent(e, make([]byte, 500))
-			b.End(Micros(i), e, true, true, 10000)
+		if entry != nil {
+			cache.AddEvent(entry, make([]byte, 500))
+			cache.End(Micros(i), entry, Outcome{Completed: true, MayHaveRun: true, Window: window})
 		}
 	}
-	if v, _ := b.Begin(10500, Key{1}, 1); v != New {
-		t.Errorf("after its window a key got %d", v)
+	if decision, _ := cache.Begin(10500, Key{1}, 1); decision != New {
+		t.Errorf("after its window a key got %d", decision)
 	}
-	if v, _ := b.Begin(10500, Key{99, 3}, 1); v != Replay {
-		t.Errorf("within its window a key got %d", v)
+	if decision, _ := cache.Begin(10500, Key{99, 3}, 1); decision != Replay {
+		t.Errorf("within its window a key got %d", decision)
 	}
 }
