--- a/internal/deployment/deployment_test.go
+++ b/internal/deployment/deployment_test.go
@@ -6,19 +6,19 @@
 	"testing"
 )
 
-func TestStandardIsWithoutFault(t *testing.T) {
+func TestStandardIsValid(t *testing.T) {
 	d := Standard()
 	again, err := Read("again", d.Text())
 	if err != nil {
 		t.Fatal(err)
 	}
-	if len(again.SchedulerConfig().Classes) != 5 || again.SchedulerConfig().Kinds[1].Memory != 140000 {
-		t.Fatalf("lost on the way: %+v", again.SchedulerConfig())
+	if config := again.SchedulerConfig(); len(config.Classes) != 5 || config.Kinds[1].Memory != 140000 {
+		t.Fatalf("lost on the way: %+v", config)
 	}
 }
 
-// All faults are told at once, each with its line, field and reason, and no key is repeated in them.
-func TestEveryFaultIsNamed(t *testing.T) {
+// All errors are reported at once, each with its line, field and reason.
+func TestEveryErrorIsReported(t *testing.T) {
 	text := strings.NewReplacer(
 		`zones: "east"`, `zones: "west"`,
 		"slo_ms: 1500", "slo_ms: -3",
@@ -27,34 +27,50 @@
 		"cold_from: 0.25", "cold_from: 0.25\n  cold_from: 0.5",
 	).Replace(string(standard))
 	_, err := Read("x", []byte(text))
-	var faults *InvalidError
-	if !errors.As(err, &faults) {
+	var invalid *InvalidError
+	if !errors.As(err, &invalid) {
 		t.Fatalf("got %v", err)
 	}
 	want := []string{"products[1].slo_ms", "products[2].revenu", "kinds[1].role", "rules.cold_from"}
-	for i, f := range faults.Fields {
-		if i >= len(want) || f.Field != want[i] || !strings.Contains(strings.Split(text, "\n")[f.Line-1],
-			f.Field[strings.LastIndex(f.Field, ".")+1:]) {
-			t.Errorf("fault %d: %+v", i, f)
+	lines := strings.Split(text, "\n")
+	for i, field := range invalid.Fields {
+		name := field.Field[strings.LastIndex(field.Field, ".")+1:]
+		if i >= len(want) || field.Field != want[i] || !strings.Contains(lines[field.Line-1], name) {
+			t.Errorf("error %d: %+v", i, field)
 		}
 	}
-	if len(faults.Fields) != len(want) {
-		t.Errorf("%d faults, want %d:\n%v", len(faults.Fields), len(want), err)
+	if len(invalid.Fields) != len(want) {
+		t.Errorf("%d errors, want %d:\n%v", len(invalid.Fields), len(want), err)
 	}
-	secret := "sk-not-a-digest"
-	text = strings.Replace(string(standard), `zones: "east"`, `zones: "west"`, 1) +
-		"tenants { name: \"a\" key_sha256: \"" + secret + "\" }\nfleet { }\n"
-	_, err = Read("x", []byte(text))
-	if err == nil || strings.Contains(err.Error(), secret) || !strings.Contains(err.Error(), "fleet: given twice") {
-		t.Errorf("got %v", err)
+	var first FieldError
+	if !errors.As(err, &first) || first != invalid.Fields[0] {
+		t.Errorf("the first error is %+v", first)
 	}
-	text = strings.TrimSuffix(text, "fleet { }\n")
-	_, err = Read("x", []byte(text))
-	if err == nil || strings.Contains(err.Error(), secret) || !strings.Contains(err.Error(), "key_sha256") ||
-		!strings.Contains(err.Error(), "zones[1]") {
-		t.Errorf("got %v", err)
-	}
-	if _, err = Read("x", []byte("name: \"a\"\nzones {")); err == nil || !strings.Contains(err.Error(), "x:2") {
-		t.Errorf("got %v", err)
+}
+
+// What can be checked only once the text could be parsed is reported with its place too, and no key is repeated.
+func TestErrorsNameNoKey(t *testing.T) {
+	const secret = "sk-not-a-digest"
+	invalid := strings.Replace(string(standard), `zones: "east"`, `zones: "west"`, 1) +
+		"tenants { name: \"a\" key_sha256: \"" + secret + "\" }\n"
+	for _, c := range []struct {
+		name, text string
+		want       []string
+	}{
+		{"a message given twice", invalid + "fleet { }\n", []string{"fleet: given twice"}},
+		{"invalid values", invalid, []string{"key_sha256", "zones[1]"}},
+		{"not in text format", "name: \"a\"\nzones {", []string{"x:2"}},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			_, err := Read("x", []byte(c.text))
+			if err == nil || strings.Contains(err.Error(), secret) {
+				t.Fatalf("got %v", err)
+			}
+			for _, want := range c.want {
+				if !strings.Contains(err.Error(), want) {
+					t.Errorf("got %v, want %s", err, want)
+				}
+			}
+		})
 	}
 }
