--- a/internal/cli/program.go
+++ b/internal/cli/program.go
@@ -231,7 +231,7 @@
 		}
 		post.CacheEndpoints = c.keeper(c.ListFile, true, func(err error) { s.log.Error().Err(err).Msg("the list is not kept; it is tried again") })
 	}
-	loop.Busy = frontend.Busy()
+	loop.OverloadResponse = frontend.BusyResponse()
 	var limit syscall.Rlimit
 	if err := syscall.Getrlimit(syscall.RLIMIT_NOFILE, &limit); err == nil {
 		post.Descriptors = int(min(limit.Cur, 1<<20))
@@ -256,7 +256,7 @@
 		if c.files, err = store.OpenFiles(c.StateDir, loop.Post); err != nil {
 			return nil, nil, err
 		}
-		if post.Intents, err = store.Open(c.files, store.Usual); err != nil {
+		if post.Intents, err = store.Open(c.files, store.DefaultLimits); err != nil {
 			return nil, nil, fmt.Errorf("%s: %w", c.StateDir, err)
 		}
 	}
@@ -319,7 +319,7 @@
 		return err
 	}
 	if c.ListOut != "" {
-		list, err := json.Marshal(endpoints.Update{Complete: true, Hosts: fleet.Entries()})
+		list, err := json.Marshal(endpoints.Update{Complete: true, Endpoints: fleet.Entries()})
 		if err != nil {
 			return err
 		}
--- a/internal/dispatch/batches.go
+++ b/internal/dispatch/batches.go
@@ -66,7 +66,7 @@
 	parted     int // inputs that are in parts
 	whole      bool
 	home       *tenantBatches
-	out        map[batch.PartNo]*request
+	out        map[batch.PartID]*request
 	answer     embeddings.Answer
 	cache      *vectors.Cache
 	ended      bool
@@ -76,7 +76,7 @@
 // batchPart ties a generation to the call that it is a part of.
 type batchPart struct {
 	call   *batchCall
-	no     batch.PartNo
+	no     batch.PartID
 	inputs []int
 	result embeddings.Result
 	sent   eventloop.Micros // to the module
@@ -88,21 +88,21 @@
 // batchRoute is one of the APIs whose answers are complete with the read.
 func (x *Dispatcher) batchRoute(kind embeddings.Kind, form pb.Product_Form) frontend.Route {
 	b := x.batches.limits
-	bounds := embeddings.Bounds{Inputs: int(b.InputsMost), InputTokens: int(b.InputTokensMost), Body: int(b.BodyMost), Window: int(b.Window)}
+	bounds := embeddings.Limits{MaxInputs: int(b.InputsMost), MaxInputTokens: int(b.InputTokensMost), MaxBody: int(b.BodyMost), MaxBuffered: int(b.Window)}
 	if kind == embeddings.Rerank {
-		bounds.Inputs = int(b.DocumentsMost)
+		bounds.MaxInputs = int(b.DocumentsMost)
 	}
-	return frontend.Route{Method: "POST", Body: bounds.Body, Keeps: bounds.Window, Begin: func(head *http1.Head, who frontend.Identity, to *frontend.Response) (frontend.Sink, *frontend.Problem) {
-		if p := frontend.IsJSON(head, "gzip", "zstd"); p != nil {
+	return frontend.Route{Method: "POST", MaxBody: bounds.MaxBody, MaxBuffered: bounds.MaxBuffered, Begin: func(head *http1.Head, who frontend.Identity, to *frontend.Response) (frontend.Sink, *frontend.Problem) {
+		if p := frontend.RequireJSON(head, "gzip", "zstd"); p != nil {
 			return nil, p
 		}
 		limit, p := number(head, limitField, 1)
 		if p != nil {
 			return nil, p
 		}
-		c := &batchCall{x: x, who: who, to: to, form: form, clientID: head.Get("x-client-request-id"), deadline: limit, out: map[batch.PartNo]*request{}}
+		c := &batchCall{x: x, who: who, to: to, form: form, clientID: head.Get("x-client-request-id"), deadline: limit, out: map[batch.PartID]*request{}}
 		c.request = embeddings.NewRequest(kind, head.Get("Content-Encoding"), bounds, c, to)
-		to.OnDisconnect = func() { x.loop.Later(c.left) }
+		to.OnDisconnect = func() { x.loop.Defer(c.left) }
 		return c.request, nil
 	}}
 }
@@ -112,7 +112,7 @@
 	x, a := c.x, c.request
 	product, known := x.classes[a.Model]
 	if !known {
-		return frontend.NoModel(a.Model)
+		return frontend.ModelNotFound(a.Model)
 	}
 	p := x.Products[product]
 	if p.Form != c.form {
@@ -125,8 +125,8 @@
 		c.dimensions = a.Dimensions
 	}
 	s := x.tenantSlots[c.who.Tenant]
-	if s == nil || !c.who.Serves {
-		return &frontend.Problem{Status: 403, Type: "permission_error", Code: "tenant_suspended", Never: true, Message: "This account is suspended."}
+	if s == nil || !c.who.Active {
+		return &frontend.Problem{Status: 403, Type: "permission_error", Code: "tenant_suspended", NoRetry: true, Message: "This account is suspended."}
 	}
 	if x.batches.openCalls >= int(x.Doors.OpenMost) {
 		x.Shed++
@@ -138,8 +138,8 @@
 		span = min(span, c.deadline)
 	}
 	c.product, c.deadline = product, now+span
-	c.limit = x.loop.After(max(span-batchMargin, 0), c.late)
-	c.parts = batch.NewCall(nil, batch.Bounds{})
+	c.limit = x.loop.AfterFunc(max(span-batchMargin, 0), c.late)
+	c.parts = batch.NewCall(nil, batch.PartLimits{})
 	if x.batches.limits.Cache > 0 && c.form == pb.Product_EMBEDDING {
 		c.cache = x.vectorCache(c.who.Space, c.dimensions)
 	}
@@ -165,7 +165,7 @@
 	c.x.batches.answerBytes, c.answers = c.x.batches.answerBytes+need, c.answers+need
 	c.answer.Vectors = append(c.answer.Vectors, make([][]byte, n-len(c.answer.Vectors))...)
 	c.answer.Scores = append(c.answer.Scores, make([]float64, n-len(c.answer.Scores))...)
-	b := batch.Bounds{Tokens: int(c.x.batches.limits.PartTokens), Inputs: int(c.x.batches.limits.PartInputs)}
+	b := batch.PartLimits{Tokens: int(c.x.batches.limits.PartTokens), Inputs: int(c.x.batches.limits.PartInputs)}
 	for c.parted < n {
 		// What is cached is there already; what is not goes out, neighbours together.
 		from := c.parted
@@ -196,8 +196,8 @@
 	v, some := c.cache.Get(c.request.CacheKey(i, c.dimensions))
 	if some {
 		c.answer.Vectors[i] = slices.Clone(v)
-		c.x.loop.Later(func() { // it may read on in the body, and this is called while its inputs are parted
-			if p := c.request.Drop(i); p != nil {
+		c.x.loop.Defer(func() { // it may read on in the body, and this is called while its inputs are parted
+			if p := c.request.DiscardInput(i); p != nil {
 				c.fail(p)
 			}
 		})
@@ -239,11 +239,11 @@
 func (x *Dispatcher) pump() {
 	b := &x.batches
 	now := x.loop.Now()
-	for idle := 0; idle < len(b.tenants) && b.limiter.May(); {
+	for idle := 0; idle < len(b.tenants) && b.limiter.HasCapacity(); {
 		t := b.tenants[0]
 		b.tenants = append(b.tenants[1:], t)
 		c := t.next(now)
-		if c == nil || t.queued >= batch.QueuedMost {
+		if c == nil || t.queued >= batch.MaxQueuedParts {
 			idle++
 			continue
 		}
@@ -256,7 +256,7 @@
 	for range t.calls {
 		c := t.calls[0]
 		t.calls = append(t.calls[1:], c)
-		if !c.ended && c.parts.Ready(now) {
+		if !c.ended && c.parts.HasReady(now) {
 			return c
 		}
 	}
@@ -266,10 +266,10 @@
 // send makes a generation of the call's next part.
 func (c *batchCall) send(now eventloop.Micros) {
 	x, s := c.x, c.home.seat
-	no, inputs := c.parts.Send()
+	no, inputs := c.parts.SendNext()
 	tokens := c.request.Tokens(inputs)
-	t, v := x.admission.Admit(now, s.id, c.who.Key, c.request.Model, tokens, 0)
-	if v.Reason != tenancy.None {
+	t, v := x.admission.Admit(now, tenancy.AdmissionRequest{Tenant: s.id, Key: c.who.Key, Product: c.request.Model, PromptTokens: tokens})
+	if v.Reason != tenancy.NotRejected {
 		x.OverQuota++
 		after := v.RetryAfter
 		if after == 0 {
@@ -277,21 +277,21 @@
 		}
 		// A limit delays a call that has begun; one of which nothing has gone out yet is refused as chat would be.
 		if v.Reason == tenancy.PromptTooLarge || v.Reason == tenancy.NotServed || !c.begun() {
-			c.parts.Failed(now, no, batch.Busy, after)
-			x.loop.Later(func() { c.refuse(v) })
+			c.parts.PartFailed(now, no, batch.Overloaded, after)
+			x.loop.Defer(func() { c.refuse(v) })
 			return
 		}
-		c.back(no, batch.Busy, after)
+		c.back(no, batch.Overloaded, after)
 		return
 	}
 	x.lastRequestID++
-	g := &request{id: x.lastRequestID, ask: &chat.Request{Model: c.request.Model, Tokens: tokens}, product: c.product, deadline: c.deadline, taken: now, clientID: c.clientID,
+	g := &request{id: x.lastRequestID, ask: &chat.Request{Model: c.request.Model, PromptTokens: tokens}, product: c.product, deadline: c.deadline, taken: now, clientID: c.clientID,
 		ticket: t, seat: s, part: &batchPart{call: c, no: no, inputs: inputs, sent: now}}
 	t.Owner = g
 	x.requests[g.id] = g
 	c.out[no] = g
 	if v.Admitted {
-		x.batches.limiter.Sent()
+		x.batches.limiter.Acquire()
 		g.State = lifecycle.Pending
 		x.arrived(g)
 		return
@@ -303,7 +303,7 @@
 
 // begun tells whether anything of the call has gone out.
 func (c *batchCall) begun() bool {
-	return len(c.out) > 0 || c.answer.Tokens > 0 || c.parts.Repeats > 0 || c.parts.Splits > 0
+	return len(c.out) > 0 || c.answer.Tokens > 0 || c.parts.Retries > 0 || c.parts.Splits > 0
 }
 
 // admitted: a part's turn at the gate has come.
@@ -311,7 +311,7 @@
 	if p.queued {
 		p.queued = false
 		p.call.home.queued--
-		p.call.x.batches.limiter.Sent()
+		p.call.x.batches.limiter.Acquire()
 		p.sent = now
 	}
 }
@@ -320,16 +320,19 @@
 func (x *Dispatcher) carryPart(g *request, name string, w eventDetails, hear engine.Callbacks) {
 	p := g.part
 	c := p.call
-	to, body := c.request.Part(p.inputs, c.dimensions)
+	to, body := c.request.PartRequest(p.inputs, c.dimensions)
 	inputs := len(p.inputs)
-	g.leg = x.engine.PrefillOnly(w.endpoint, name, g.clientID, to, body, partAnswer, w.timeout, func(body []byte) engine.Result {
+	target := engine.Target{Endpoint: w.endpoint, RequestID: name, ClientID: g.clientID, Timeout: w.timeout}
+	read := func(body []byte) engine.Result {
 		r, err := c.request.ReadPart(body, inputs, c.dimensions)
 		if err != nil {
 			return engine.Result{Outcome: scheduler.Errored, Reason: "an answer that is not what was asked for: " + err.Error()}
 		}
 		p.result = r
 		return engine.Result{Outcome: scheduler.PrefillDone, Reason: "read"}
-	}, hear)
+	}
+	request := engine.PrefillOnlyRequest{Path: to, Body: body, MaxResponseBody: partAnswer, ReadResponse: read}
+	g.leg = x.engine.PrefillOnly(target, request, hear)
 }
 
 // answered takes the final answer of a part's generation.
@@ -342,26 +345,26 @@
 		p.queued = false
 		c.home.queued--
 	} else if c.ended || p.bad {
-		x.batches.limiter.Taken()
+		x.batches.limiter.Cancelled()
 	} else {
-		x.batches.limiter.Back(now, g.ask.Tokens, now-p.sent, a == lifecycle.AnswerCompleted)
+		x.batches.limiter.Completed(now, g.ask.PromptTokens, now-p.sent, a == lifecycle.AnswerCompleted)
 	}
 	if c.ended {
-		x.loop.Later(x.pump)
+		x.loop.Defer(x.pump)
 		return
 	}
 	if a != lifecycle.AnswerCompleted {
-		why := batch.Busy
+		why := batch.Overloaded
 		switch {
 		case p.bad:
-			why = batch.Invalid
+			why = batch.InvalidInput
 		case p.broken > 0:
-			why = batch.Broken
+			why = batch.EndpointFailed
 		}
 		c.back(p.no, why, comeBack)
 		return
 	}
-	c.parts.Done(p.no)
+	c.parts.PartCompleted(p.no)
 	g.prompt = max(p.result.Tokens, 1)
 	g.tokens = 0
 	c.answer.Tokens += g.prompt
@@ -376,9 +379,9 @@
 		}
 	}
 	inputs := p.inputs
-	x.loop.Later(func() { // never within the module's own call
+	x.loop.Defer(func() { // never within the module's own call
 		for _, i := range inputs {
-			if problem := c.request.Drop(i); problem != nil {
+			if problem := c.request.DiscardInput(i); problem != nil {
 				c.fail(problem)
 				return
 			}
@@ -389,13 +392,13 @@
 }
 
 // back takes a part that did not come back with its results.
-func (c *batchCall) back(no batch.PartNo, why batch.Failure, after eventloop.Micros) {
+func (c *batchCall) back(no batch.PartID, why batch.Failure, after eventloop.Micros) {
 	x := c.x
-	if c.parts.Failed(x.loop.Now(), no, why, after) == batch.GaveUp {
-		x.loop.Later(c.gaveUp)
+	if c.parts.PartFailed(x.loop.Now(), no, why, after) == batch.Abandoned {
+		x.loop.Defer(c.gaveUp)
 		return
 	}
-	x.loop.Later(func() {
+	x.loop.Defer(func() {
 		c.sleep()
 		x.pump()
 	})
@@ -407,9 +410,9 @@
 		c.wake.Stop()
 		c.wake = nil
 	}
-	if at, some := c.parts.WakesAt(); some && !c.ended {
-		c.wake = c.x.loop.After(max(at-c.x.loop.Now(), 0)+1, func() {
-			c.parts.Ready(c.x.loop.Now())
+	if at, some := c.parts.NextRetryAt(); some && !c.ended {
+		c.wake = c.x.loop.AfterFunc(max(at-c.x.loop.Now(), 0)+1, func() {
+			c.parts.HasReady(c.x.loop.Now())
 			c.sleep()
 			c.x.pump()
 		})
@@ -418,10 +421,10 @@
 
 // finished answers, once all has come and all is back.
 func (c *batchCall) finished() {
-	if c.ended || !c.whole || c.parts.Open() > 0 {
+	if c.ended || !c.whole || c.parts.Pending() > 0 {
 		return
 	}
-	c.answer.Ask, c.answer.ID = c.request, c.x.answerID(c.x.lastRequestID)
+	c.answer.Request, c.answer.ID = c.request, c.x.answerID(c.x.lastRequestID)
 	c.x.Completed++
 	c.meter(lifecycle.AnswerCompleted)
 	c.end()
@@ -436,7 +439,7 @@
 	if c.home == nil {
 		return
 	}
-	c.parts.End()
+	c.parts.Cancel()
 	for _, t := range []eventloop.Timer{c.limit, c.wake} {
 		if t != nil {
 			t.Stop()
@@ -448,7 +451,7 @@
 	}
 	x.batches.openCalls--
 	x.batches.answerBytes -= c.answers
-	var out []batch.PartNo
+	var out []batch.PartID
 	for no := range c.out {
 		out = append(out, no)
 	}
@@ -458,7 +461,7 @@
 			x.fire(g, lifecycle.ClientDisconnected)
 		}
 	}
-	x.loop.Later(x.finishShutdown)
+	x.loop.Defer(x.finishShutdown)
 }
 
 func (c *batchCall) meter(final lifecycle.Action) {
@@ -511,7 +514,7 @@
 	if c.ended {
 		return
 	}
-	c.terminate(fmt.Sprintf("The call was not complete within the client's time: %d parts are missing.", c.parts.Open()), true)
+	c.terminate(fmt.Sprintf("The call was not complete within the client's time: %d parts are missing.", c.parts.Pending()), true)
 }
 
 // gaveUp: a part has failed for good.
@@ -519,13 +522,13 @@
 	if c.ended {
 		return
 	}
-	if i := c.parts.Blame; i >= 0 {
+	if i := c.parts.InvalidInput; i >= 0 {
 		at := slices.Index(c.request.Order, int32(i))
 		name := "input"
 		if c.request.Kind == embeddings.Rerank {
 			name = "documents"
 		}
-		c.fail(&frontend.Problem{Status: 422, Type: "invalid_request_error", Param: fmt.Sprintf("%s[%d]", name, at), Code: "input_not_served", Never: true,
+		c.fail(&frontend.Problem{Status: 422, Type: "invalid_request_error", Param: fmt.Sprintf("%s[%d]", name, at), Code: "input_not_served", NoRetry: true,
 			Message: fmt.Sprintf("'%s[%d]' could not be read; the others could.", name, at)})
 		return
 	}
--- a/internal/dispatch/batches_test.go
+++ b/internal/dispatch/batches_test.go
@@ -45,7 +45,7 @@
 
 // post sends a whole body to a URL.
 func (r *harness) post(path string, body []byte, fields ...string) *clientCall {
-	c := &clientCall{harness: r, parser: http1.Parser{Response: true, Bounds: http1.Usual}, events: sse.Parser{Most: 1 << 20}}
+	c := &clientCall{harness: r, parser: http1.Parser{Response: true, Limits: http1.DefaultLimits}, events: sse.Parser{MaxEventBytes: 1 << 20}}
 	c.request = http1.AppendRequest(nil, "POST", path, r.addr, body, append([]string{
 		"Authorization", "Bearer " + key, "Content-Type", "application/json"}, fields...)...)
 	r.remote.Do(func() { c.conn = r.remote.Dial(r.addr, eventloop.Second, c) })
@@ -68,7 +68,7 @@
 func (c *clientCall) dechunk(t *testing.T) []byte {
 	t.Helper()
 	got := &bodyCollector{}
-	p := http1.Parser{Response: true, Bounds: http1.Usual}
+	p := http1.Parser{Response: true, Limits: http1.DefaultLimits}
 	if err := p.Feed(c.raw, got); err != nil {
 		t.Fatal(err)
 	}
@@ -128,7 +128,7 @@
 		h.serve = func(l *fakeConn) {
 			copied := *l
 			asked += len(gjson.GetBytes(l.body, "input").Array())
-			r.remote.After(eventloop.Micros(chance.Intn(40_000)), func() { answerEmbeddings(&copied) })
+			r.remote.AfterFunc(eventloop.Micros(chance.Intn(40_000)), func() { answerEmbeddings(&copied) })
 		}
 	}
 	inputs := append(inputTexts(300), inputTexts(40)...)
@@ -231,8 +231,8 @@
 	r.remote.Do(c.conn.Abort)
 	r.world.Run(eventloop.Second)
 	r.expectIdle()
-	if r.dispatcher.batches.openCalls != 0 || len(r.dispatcher.batches.tenants) != 0 || r.dispatcher.batches.limiter.Out() != 0 {
-		t.Errorf("left: %d calls, %d tenants, %d parts out", r.dispatcher.batches.openCalls, len(r.dispatcher.batches.tenants), r.dispatcher.batches.limiter.Out())
+	if r.dispatcher.batches.openCalls != 0 || len(r.dispatcher.batches.tenants) != 0 || r.dispatcher.batches.limiter.InFlight() != 0 {
+		t.Errorf("left: %d calls, %d tenants, %d parts out", r.dispatcher.batches.openCalls, len(r.dispatcher.batches.tenants), r.dispatcher.batches.limiter.InFlight())
 	}
 	began := r.remote.Now()
 	c = r.post("/v1/embeddings", embeddingsBody(inputTexts(100), ""), "x-time-limit-ms", "700")
@@ -249,7 +249,7 @@
 	for _, h := range r.endpoints {
 		h.serve = func(l *fakeConn) {
 			copied := *l
-			r.remote.After(4*eventloop.Millisecond, func() { answerEmbeddings(&copied) })
+			r.remote.AfterFunc(4*eventloop.Millisecond, func() { answerEmbeddings(&copied) })
 		}
 	}
 	long := inputTexts(2048)
@@ -298,7 +298,7 @@
 		h.serve = func(l *fakeConn) {
 			for _, t := range r.dispatcher.batches.tenants {
 				for _, c := range t.calls {
-					most = max(most, c.request.Kept)
+					most = max(most, c.request.BufferedBytes)
 				}
 			}
 			answerEmbeddings(l)
@@ -414,7 +414,7 @@
 	for _, h := range r.endpoints {
 		h.serve = func(l *fakeConn) {
 			copied := *l
-			r.remote.After(100*eventloop.Millisecond, func() { answerEmbeddings(&copied) })
+			r.remote.AfterFunc(100*eventloop.Millisecond, func() { answerEmbeddings(&copied) })
 		}
 	}
 	r.expectFinal(r.post("/v1/embeddings", embeddingsBody(inputTexts(3), "")), "streamed")
--- a/internal/dispatch/check.go
+++ b/internal/dispatch/check.go
@@ -52,13 +52,13 @@
 			parts++
 		}
 	}
-	if out := x.batches.limiter.Out(); out != parts {
+	if out := x.batches.limiter.InFlight(); out != parts {
 		return fmt.Errorf("%d parts are out, and %d are counted", parts, out)
 	}
 	if open := x.scheduler.InFlight(); open.Attempts != legs || open.Requests > len(x.requests) {
 		return fmt.Errorf("the module has %d generations and %d legs out, the dispatcher %d and %d", open.Requests, open.Attempts, len(x.requests), legs)
 	}
-	if n := x.frontend.Open; n < 0 {
+	if n := x.frontend.OpenRequests; n < 0 {
 		return fmt.Errorf("%d requests are open", n)
 	}
 	return nil
--- a/internal/dispatch/dispatch.go
+++ b/internal/dispatch/dispatch.go
@@ -31,6 +31,7 @@
 	"plumspindle/internal/http1"
 	"plumspindle/internal/idempotency"
 	"plumspindle/internal/lifecycle"
+	"plumspindle/internal/schedulerlog"
 	"plumspindle/internal/starttimes"
 	"plumspindle/internal/store"
 	"plumspindle/internal/subscribe"
@@ -90,7 +91,7 @@
 	scheduler       *scheduler.Scheduler
 	schedulerConfig scheduler.Config
 	engine          *engine.Engine
-	endpointWatch   *endpoints.Watch
+	endpointWatch   *endpoints.Watcher
 	frontend        *frontend.Server
 	requests        map[scheduler.RequestID]*request
 	lastRequestID   scheduler.RequestID
@@ -163,20 +164,20 @@
 	x := &Dispatcher{Deployment: d, loop: loop, config: post, requests: map[scheduler.RequestID]*request{}, runningByKey: map[*idempotency.Entry]*request{},
 		classes:   map[string]scheduler.ClassID{},
 		endpoints: map[scheduler.EndpointID]endpoints.Entry{}, startTimes: map[scheduler.EndpointID]starttimes.Start{}}
-	x.engine = engine.New(loop, post.Name, post.Zone, engine.Limits{Connect: ms(d.Dispatching.ConnectMs),
-		Idle: ms(d.Dispatching.IdleMs), Silence: ms(d.Dispatching.SilenceMs), PerEndpoint: int(d.Dispatching.Connections),
-		Opening: int(d.Dispatching.Openings)})
+	x.engine = engine.New(loop, post.Name, post.Zone, engine.Limits{ConnectTimeout: ms(d.Dispatching.ConnectMs),
+		IdleTimeout: ms(d.Dispatching.IdleMs), StreamIdleTimeout: ms(d.Dispatching.SilenceMs), MaxPerEndpoint: int(d.Dispatching.Connections),
+		MaxOpening: int(d.Dispatching.Openings)})
 	for i, p := range d.Products {
 		x.classes[p.Name] = scheduler.ClassID(i)
 	}
 	x.batches.limits = d.BatchLimits()
 	x.batches.limiter = batch.NewLimiter(int(x.batches.limits.FixedLimit))
-	bounds := http1.Usual
-	bounds.Head, bounds.Body = int(d.Doors.HeadMost), int(d.Doors.BodyMost)
-	patience := frontend.UsualPatience
-	patience.Message, patience.Stall, patience.Unsent = ms(d.Doors.MessageMs), ms(d.Doors.StallMs), int(d.Doors.UnsentMost)
+	bounds := http1.DefaultLimits
+	bounds.HeadBytes, bounds.BodyBytes = int(d.Doors.HeadMost), int(d.Doors.BodyMost)
+	patience := frontend.DefaultClientLimits
+	patience.MessageTimeout, patience.StallTimeout, patience.MaxUnsentBytes = ms(d.Doors.MessageMs), ms(d.Doors.StallMs), int(d.Doors.UnsentMost)
 	x.frontend = frontend.New(loop, x, x.routes(), bounds, patience)
-	x.frontend.MaxBufferedBodies = maxBufferedBodies * bounds.Body
+	x.frontend.MaxBufferedBytes = maxBufferedBodies * bounds.BodyBytes
 	if n := post.Descriptors; n > 0 {
 		x.frontend.MaxConnections = max((n-min(descriptorsKept, n/2))/2, 1)
 	}
@@ -201,7 +202,7 @@
 	if err := x.seatTenants(); err != nil {
 		return nil, err
 	}
-	x.endpointWatch = endpoints.NewWatch(loop, post.Seed, post.Discovery, post.Name)
+	x.endpointWatch = endpoints.NewWatcher(loop, post.Seed, post.Discovery, post.Name)
 	x.endpointWatch.OnUpdate = x.endpointsUpdated
 	x.endpointWatch.Log = func(line string) { post.Log.Warn().Msg(line) }
 	x.begin()
@@ -213,10 +214,8 @@
 
 // routes are the client's APIs.
 func (x *Dispatcher) routes() map[string]frontend.Route {
-	all := map[string]frontend.Route{}
-	list, many, below, one := frontend.Models(x.Models)
-	all[list], all[below] = many, one
-	chatAt, r := chat.Route(func(digest string) bool { return x.directory.Public(digest) }, x.HandleChat)
+	all := frontend.ModelRoutes(x.Models)
+	chatAt, r := chat.Route(func(digest string) bool { return x.directory.IsPublicText(digest) }, x.HandleChat)
 	all[chatAt] = r
 	all["/v1/embeddings"] = x.batchRoute(embeddings.Embeddings, pb.Product_EMBEDDING)
 	all["/v1/rerank"] = x.batchRoute(embeddings.Rerank, pb.Product_RERANK)
@@ -287,7 +286,7 @@
 	x.confirmRemovals(entries, whole)
 	if x.config.CacheEndpoints != nil && !x.cacheScheduled {
 		x.cacheScheduled = true
-		x.loop.After(keepEvery, func() {
+		x.loop.AfterFunc(keepEvery, func() {
 			x.cacheScheduled = false
 			x.config.CacheEndpoints(x.endpointWatch.Snapshot(int64(x.loop.Now())))
 		})
@@ -298,7 +297,7 @@
 	now := x.loop.Now()
 	var stamps []eventloop.Micros
 	for _, e := range entries {
-		stamps = append(stamps, eventloop.Micros(e.Started))
+		stamps = append(stamps, eventloop.Micros(e.StartedAt))
 	}
 	ahead := starttimes.ClockSkew(now, stamps...)
 	for _, e := range entries {
@@ -316,13 +315,13 @@
 		}
 		x.endpoints[e.ID] = e
 		if e.Condition == "gone" {
-			x.engine.Forget(e.ID)
+			x.engine.RemoveEndpoint(e.ID)
 			delete(x.endpoints, e.ID)
 			delete(x.startTimes, e.ID)
 		} else {
 			x.engine.SetAddress(e.ID, e.Addr)
 		}
-		start := starttimes.Next(x.startTimes[e.ID], eventloop.Micros(e.Started), now, ahead, x.endpointUpdates > 1)
+		start := starttimes.Next(x.startTimes[e.ID], eventloop.Micros(e.StartedAt), now, ahead, x.endpointUpdates > 1)
 		if e.Condition != "gone" {
 			x.startTimes[e.ID] = start
 		}
@@ -377,7 +376,7 @@
 func (x *Dispatcher) HandleChat(ask *chat.Request, who frontend.Identity, head *http1.Head, to *frontend.Response) *frontend.Problem {
 	product, known := x.classes[ask.Model]
 	if !known {
-		return frontend.NoModel(ask.Model)
+		return frontend.ModelNotFound(ask.Model)
 	}
 	p := x.Products[product]
 	if p.Form != pb.Product_CHAT {
@@ -443,15 +442,15 @@
 
 // attach makes a reply one that the generation's answer goes to.
 func (x *Dispatcher) attach(g *request, to *frontend.Response) {
-	to.SetFormat(&chat.Answer{ID: g.answerID, Model: g.ask.Model, Created: int64(x.loop.Now() / eventloop.Second), Ask: g.ask})
+	to.SetFormat(&chat.Answer{ID: g.answerID, Model: g.ask.Model, Created: int64(x.loop.Now() / eventloop.Second), Request: g.ask})
 	g.replies = append(g.replies, to)
-	to.OnDisconnect = func() { x.loop.Later(func() { x.clientLeft(g, to) }) } // never within the module's own call
+	to.OnDisconnect = func() { x.loop.Defer(func() { x.clientLeft(g, to) }) } // never within the module's own call
 	to.OnDrained = func() { x.fire(g, lifecycle.ClientCaughtUp) }
 }
 
 // heartbeat keeps a stream that has nothing to say yet from being taken for dead by what stands between.
 func (x *Dispatcher) heartbeat(g *request, to *frontend.Response, every eventloop.Micros) {
-	g.beat = x.loop.After(every, func() {
+	g.beat = x.loop.AfterFunc(every, func() {
 		if to.Heartbeat() {
 			x.heartbeat(g, to, every)
 		}
@@ -462,7 +461,7 @@
 func (x *Dispatcher) again(g *request, space, key string, to *frontend.Response) (answered bool, problem *frontend.Problem) {
 	digest := sha256.Sum256([]byte(space + "\x00" + g.ask.Model + "\x00" + key))
 	shape := fmt.Sprint(g.ask.Stream, g.ask.IncludeUsage, g.ask.MaxTokens, " ")
-	request := xxhash.Sum64String(shape + string(g.ask.Rest))
+	request := xxhash.Sum64String(shape + string(g.ask.Passthrough))
 	verdict, entry := x.idempotencyCache.Begin(x.loop.Now(), idempotency.Key(digest[:16]), request)
 	if verdict != idempotency.New && verdict != idempotency.Full {
 		x.Repeats++
@@ -482,7 +481,7 @@
 		}
 		x.attach(first, to)
 		for _, data := range entry.Events {
-			to.Chunk(data)
+			to.WriteEvent(data)
 		}
 		if verdict == idempotency.Replay {
 			to.Complete()
@@ -492,7 +491,7 @@
 		return false, &frontend.Problem{Status: 422, Type: "invalid_request_error", Param: keyField, Code: "idempotency_key_reused",
 			Message: "The Idempotency-Key was used for another request."}
 	}
-	return false, &frontend.Problem{Status: 409, Type: "invalid_request_error", Param: keyField, Code: "already_ran", Never: true,
+	return false, &frontend.Problem{Status: 409, Type: "invalid_request_error", Param: keyField, Code: "already_ran", NoRetry: true,
 		Message: "The generation of this Idempotency-Key ran, or may have run, and is not run again; its answer is no longer here."}
 }
 
@@ -517,8 +516,8 @@
 	if len(g.replies) > 0 || g.repeat != nil && (g.State == lifecycle.Decoding || g.State == lifecycle.Streaming) {
 		x.fire(g, lifecycle.ClientCaughtUp)      // it may have been the one that lagged
 		if len(g.replies) == 0 && g.alone == 0 { // nobody's request holds its body any more, and it is kept all the same
-			g.alone = len(g.ask.Rest)
-			x.frontend.Kept += g.alone
+			g.alone = len(g.ask.Passthrough)
+			x.frontend.BufferedBytes += g.alone
 		}
 		return
 	}
@@ -562,7 +561,7 @@
 		}
 	case lifecycle.ReportCancelled:
 		no := g.legs
-		x.loop.Later(func() {
+		x.loop.Defer(func() {
 			if no == g.legs {
 				x.fire(g, lifecycle.AttemptFailed, eventDetails{result: cancelled})
 			}
@@ -581,18 +580,18 @@
 	case lifecycle.StateFetched:
 		g.state, g.mayLie = "", nil
 	case lifecycle.NotifyStarted:
-		slo := x.schedulerConfig.Classes[g.product].SLO + scheduler.Micros(float64(x.schedulerConfig.Classes[g.product].SLOPer1000)*float64(g.ask.Tokens)/1000)
-		x.batches.limiter.Chat(now, now-g.taken, slo)
+		slo := x.schedulerConfig.Classes[g.product].SLO + scheduler.Micros(float64(x.schedulerConfig.Classes[g.product].SLOPer1000)*float64(g.ask.PromptTokens)/1000)
+		x.batches.limiter.ChatStarted(now, now-g.taken, slo)
 		g.leg.Started()
 		if !g.ask.Stream {
 			// The client of a whole answer has nothing yet, so its time goes on.
-			g.limit = x.loop.After(g.deadline-unstreamedGrace-now, func() {
+			g.limit = x.loop.AfterFunc(g.deadline-unstreamedGrace-now, func() {
 				x.fire(g, lifecycle.DeadlineExceeded, eventDetails{reason: "The answer was not whole within the client's time."})
 			})
 		}
 		x.admission.FirstToken(now, g.ticket, now-g.taken, slo)
 		x.scheduler.AttemptStarted(now, g.id, g.legs-1)
-		x.loop.Later(x.turns)
+		x.loop.Defer(x.turns)
 	case lifecycle.NotifyEnded:
 		o := w.result
 		if o == (engine.Result{}) {
@@ -682,11 +681,11 @@
 	if g.part != nil && g.final == 0 {
 		g.part.answered(g, lifecycle.Forget, 0) // taken back
 	}
-	x.frontend.Kept -= g.alone
+	x.frontend.BufferedBytes -= g.alone
 	g.alone = 0
 	x.remember(g, false) // where its client left before it was answered
 	x.paid(g)
-	x.loop.Later(func() { // the module answers first and then lets go, in one call
+	x.loop.Defer(func() { // the module answers first and then lets go, in one call
 		delete(x.requests, g.id)
 		x.finishShutdown()
 	})
@@ -716,10 +715,11 @@
 		x.carryPart(g, name, w, hear)
 		return
 	}
+	target := engine.Target{Endpoint: w.endpoint, RequestID: name, ClientID: g.clientID, Timeout: w.timeout}
 	if reads {
 		g.mayLie = append(g.mayLie, stateLocation{w.endpoint, name})
 		x.intendEarly(g)
-		g.leg = x.engine.Prefill(w.endpoint, name, g.clientID, g.ask, w.timeout, hear)
+		g.leg = x.engine.Prefill(target, g.ask, hear)
 		return
 	}
 	g.ran, g.ranFirst = true, g.ran
@@ -730,14 +730,15 @@
 		}
 		if e, some := x.endpoints[w.endpoint]; !kept || some && e.State() != scheduler.Ready || !some {
 			// Not kept: it could run twice after a restart. Drained meanwhile: nothing new may go there.
-			x.loop.Later(func() { // never within the module's own call
+			x.loop.Defer(func() { // never within the module's own call
 				if no == g.legs-1 && g.State == lifecycle.Decoding {
 					x.ended(g, engine.Result{Outcome: scheduler.NotSent, MemoryUsage: scheduler.NoLoadReport, Reason: "not sent: its intent is not kept, or the host is going"})
 				}
 			})
 			return
 		}
-		g.leg = x.engine.Decode(w.endpoint, name, g.clientID, g.ask, g.state, g.ask.MaxTokens, w.timeout, hear)
+		request := engine.DecodeRequest{Chat: g.ask, KVParams: g.state, MaxTokens: g.ask.MaxTokens}
+		g.leg = x.engine.Decode(target, request, hear)
 	})
 	x.late(g, no)
 }
@@ -767,7 +768,7 @@
 			g.part.broken++
 		}
 		g.part.bad = g.part.bad || o.InvalidRequest
-		if g.part.bad || g.part.broken == batch.HostsMost { // no other host would do better; the call sees to what is the matter
+		if g.part.bad || g.part.broken == batch.MaxEndpoints { // no other host would do better; the call sees to what is the matter
 			x.fire(g, lifecycle.ClientDisconnected)
 		}
 	}
@@ -797,7 +798,7 @@
 	}
 	lags := false
 	for _, r := range g.replies {
-		lags = r.Chunk(data) || lags
+		lags = r.WriteEvent(data) || lags
 	}
 	if lags {
 		x.fire(g, lifecycle.ClientLagging)
@@ -867,13 +868,13 @@
 
 // SetTimer sets one of the module's two timers.
 func (x *Dispatcher) SetTimer(after scheduler.Micros, bell scheduler.TimerID) {
-	x.loop.After(after, func() {
+	x.loop.AfterFunc(after, func() {
 		x.scheduler.TimerFired(x.loop.Now(), bell)
-		if bell == scheduler.PeriodicTimer && x.admission.Waiting() > 0 {
+		if bell == scheduler.PeriodicTimer && x.admission.QueueLength() > 0 {
 			x.turns()
 		}
 	})
 }
 
-// Log is the module's own line.
-func (x *Dispatcher) Log(line string) { x.config.Log.Info().Msg(line) }
+// Log writes the scheduler's events to the dispatcher's log.
+func (x *Dispatcher) Log(event scheduler.Event) { schedulerlog.Write(&x.config.Log, event) }
--- a/internal/dispatch/dispatch_test.go
+++ b/internal/dispatch/dispatch_test.go
@@ -33,7 +33,7 @@
 	{"closed after a token", func(l *fakeConn) { l.stream(chunkEvent("Lamu ", "")); closeConn(l) }, "terminated", "terminated"},
 	{"reset after a token", func(l *fakeConn) {
 		l.stream(chunkEvent("Lamu ", ""))
-		l.endpoint.harness.remote.After(5000, func() { abortConn(l) })
+		l.endpoint.harness.remote.AfterFunc(5000, func() { abortConn(l) })
 	},
 		"terminated", "terminated"},
 	{"closed inside an event", func(l *fakeConn) { l.stream(chunkEvent("Lamu ", ""), chunkEvent("é", "stop")[:20]); closeConn(l) }, "terminated", "terminated"},
@@ -73,7 +73,7 @@
 		b := http1.AppendStreamHead(nil, 200, "Content-Type", "text/event-stream")
 		b = http1.AppendChunk(b, []byte(chunkEvent("Lamu ", "")+chunkEvent("é", "stop")+"data: [DONE]\n\n"))
 		for i, c := range http1.AppendLastChunk(b) {
-			l.endpoint.harness.remote.After(eventloop.Micros(i*100), func() { l.conn.Write([]byte{c}) })
+			l.endpoint.harness.remote.AfterFunc(eventloop.Micros(i*100), func() { l.conn.Write([]byte{c}) })
 		}
 	}, "streamed", "streamed"},
 }
@@ -237,7 +237,7 @@
 				sent += len(long)
 				l.conn.Write(http1.AppendChunk(nil, []byte(chunkEvent(long, ""))))
 			}
-			r.remote.After(2000, more)
+			r.remote.AfterFunc(2000, more)
 		}
 		more()
 	}
@@ -245,7 +245,7 @@
 	r.world.Run(20 * eventloop.Millisecond)
 	r.remote.Do(func() { c.conn.Pause(true) })
 	r.world.Run(3 * eventloop.Second)
-	if most := 3*r.world.Window + int(r.deployment.Doors.UnsentMost); sent > most {
+	if most := 3*r.world.ReceiveWindow + int(r.deployment.Doors.UnsentMost); sent > most {
 		t.Errorf("%d bytes were taken from the writer, more than %d", sent, most)
 	}
 	r.world.Run(200 * eventloop.Millisecond)
@@ -333,7 +333,7 @@
 	r.endpoints[1].serve = func(l *fakeConn) { l.stream(chunkEvent("Lamu ", "")) }
 	began := r.world.Now()
 	c := r.send(`{"model":"explain","messages":[{"role":"user","content":"why?"}]}`, "x-time-limit-ms", "900")
-	r.world.Until(5*eventloop.Second, func() bool { return len(c.finals) > 0 })
+	r.world.RunUntil(5*eventloop.Second, func() bool { return len(c.finals) > 0 })
 	if took := r.world.Now() - began; took > 900*eventloop.Millisecond {
 		t.Errorf("answered after %d ms", took/eventloop.Millisecond)
 	}
@@ -343,7 +343,7 @@
 // The dispatcher wakes from a freeze with a client's time gone: no second answer, no leg to a host that drains.
 func TestFrozenDispatcherAnswersOnce(t *testing.T) {
 	r := newHarness(t, nil, "prefill west", "decode west", "decode west")
-	r.endpoints[0].serve = func(l *fakeConn) { r.remote.After(50*eventloop.Millisecond, func() { answerPrefill(l) }) }
+	r.endpoints[0].serve = func(l *fakeConn) { r.remote.AfterFunc(50*eventloop.Millisecond, func() { answerPrefill(l) }) }
 	c := r.ask("review-post")
 	r.world.Run(20 * eventloop.Millisecond)
 	r.virtual().Freeze(6 * eventloop.Second)
@@ -363,13 +363,13 @@
 	r := newHarness(t, nil, "prefill west", "decode west")
 	c := r.ask("explain")
 	r.expectFinal(c, "streamed")
-	r.virtual().Descriptors = 5 // its own client, two idle trunks, and what is kept back
+	r.virtual().DescriptorLimit = 5 // its own client, two idle trunks, and what is kept back
 	var calls []*clientCall
 	for range 8 {
 		calls = append(calls, r.ask("review-post"))
 	}
 	r.world.Run(10 * eventloop.Second)
-	r.virtual().Descriptors = 0
+	r.virtual().DescriptorLimit = 0
 	r.expectFinal(r.ask("review-post"), "streamed")
 	for i, c := range calls {
 		if len(c.finals) > 1 || !c.closed && len(c.finals) == 0 {
@@ -420,14 +420,14 @@
 	}{
 		"trickle": {func(c *clientCall) {
 			for i := range 100 {
-				r.remote.After(eventloop.Micros(i)*eventloop.Second, func() { c.conn.Write([]byte("X-Very: slow\r\n")) })
+				r.remote.AfterFunc(eventloop.Micros(i)*eventloop.Second, func() { c.conn.Write([]byte("X-Very: slow\r\n")) })
 			}
 		}, "408"},
 		"endless": {func(c *clientCall) { c.conn.Write([]byte("x-a: " + strings.Repeat("b", 100<<10))) }, "431"},
 		"fields":  {func(c *clientCall) { c.conn.Write([]byte(strings.Repeat("a: b\r\n", 200) + "\r\n")) }, "431"},
 		"both":    {func(c *clientCall) { c.conn.Write([]byte("Content-Length: 3\r\nTransfer-Encoding: chunked\r\n\r\n")) }, "400"},
 	} {
-		call := &clientCall{harness: r, parser: http1.Parser{Response: true, Bounds: http1.Usual}, request: []byte("POST /v1/chat/completions HTTP/1.1\r\n")}
+		call := &clientCall{harness: r, parser: http1.Parser{Response: true, Limits: http1.DefaultLimits}, request: []byte("POST /v1/chat/completions HTTP/1.1\r\n")}
 		r.remote.Do(func() { call.conn = r.remote.Dial(r.addr, eventloop.Second, call) })
 		r.world.Run(10 * eventloop.Millisecond)
 		r.remote.Do(func() { c.send(call) })
@@ -436,8 +436,8 @@
 			t.Errorf("%s: finals %v, closed %v", name, call.finals, call.closed)
 		}
 	}
-	if r.dispatcher.Frontend().Open != 0 {
-		t.Errorf("%d requests open", r.dispatcher.Frontend().Open)
+	if r.dispatcher.Frontend().OpenRequests != 0 {
+		t.Errorf("%d requests open", r.dispatcher.Frontend().OpenRequests)
 	}
 }
 
@@ -453,7 +453,7 @@
 	if err != nil || len(entries) == 0 || f.Version != 0 {
 		t.Fatalf("%v, %d entries, version %d", err, len(entries), f.Version)
 	}
-	if e := f.Hosts[scheduler.EndpointID(2)]; e.State() != scheduler.Ready {
+	if e := f.Endpoints[scheduler.EndpointID(2)]; e.State() != scheduler.Ready {
 		t.Errorf("host 2: %+v", e)
 	}
 }
@@ -466,7 +466,7 @@
 	for _, h := range r.endpoints {
 		good := h.serve
 		h.serve = func(l *fakeConn) {
-			r.remote.After(30*eventloop.Millisecond, func() { good(l) })
+			r.remote.AfterFunc(30*eventloop.Millisecond, func() { good(l) })
 		}
 	}
 	var calls []*clientCall
@@ -477,7 +477,7 @@
 	for range 1000 {
 		r.world.Run(eventloop.Millisecond)
 		for _, h := range r.endpoints {
-			most = max(most, r.dispatcher.engine.Opening(scheduler.EndpointID(h.id)))
+			most = max(most, r.dispatcher.engine.OpeningConnections(scheduler.EndpointID(h.id)))
 		}
 	}
 	r.world.Run(5 * eventloop.Second)
@@ -528,13 +528,13 @@
 	}{{"fresh", eventloop.Second, false, 60, 60}, {"stale", 3600 * eventloop.Second, false, 5, 25}, {"old", 48 * 3600 * eventloop.Second, false, 3, 25}, {"torn", eventloop.Second, true, 60, 60}} {
 		r := newHarness(t, nil, "prefill west", "prefill west", "prefill west", "prefill west", "decode west", "decode west", "decode west", "decode west")
 		list := r.list
-		list.Saved = int64(r.world.Now() - c.age)
+		list.SavedAt = int64(r.world.Now() - c.age)
 		kept, _ := json.Marshal(list)
 		lists := [][]byte{kept}
 		if c.torn {
 			lists = [][]byte{kept[:len(kept)/2], kept}
 		}
-		loop := r.world.Loop("d.2")
+		loop := r.world.NewLoop("d.2")
 		r.loop = loop
 		loop.Do(func() {
 			x, err := Start(loop, r.deployment, Config{Name: "d.2", Zone: "west", Seed: 5, CachedEndpoints: lists, Log: zerolog.Nop()})
@@ -607,7 +607,7 @@
 		}
 		if back {
 			r.loop.Do(func() {
-				r.dispatcher.endpointWatch.Hosts = map[scheduler.EndpointID]endpoints.Entry{1: r.endpoints[0].entry("ready"), 3: r.endpoints[2].entry("ready")}
+				r.dispatcher.endpointWatch.Endpoints = map[scheduler.EndpointID]endpoints.Entry{1: r.endpoints[0].entry("ready"), 3: r.endpoints[2].entry("ready")}
 				r.dispatcher.endpointsUpdated([]endpoints.Entry{r.endpoints[0].entry("ready"), r.endpoints[2].entry("ready")}, true)
 			})
 		}
--- a/internal/dispatch/path_test.go
+++ b/internal/dispatch/path_test.go
@@ -37,14 +37,14 @@
 		}
 		change(d)
 	}, "prefill west", "prefill west", "prefill east", "decode west", "decode west", "decode east", "decode east", "mixed west")
-	r.world.Segment, r.world.Window = 900, 4<<10
+	r.world.MaxSegment, r.world.ReceiveWindow = 900, 4<<10
 	fates := map[string]*requestFate{}
 	readBreaks := []func(*fakeConn){closeConn, abortConn, func(*fakeConn) {}, func(l *fakeConn) { l.answer(500, `{}`) }, func(l *fakeConn) { l.answer(429, `{"error":{"code":"full"}}`) },
 		func(l *fakeConn) {
-			r.remote.After(eventloop.Micros(chance.Intn(900))*eventloop.Millisecond, func() { answerPrefill(l) })
+			r.remote.AfterFunc(eventloop.Micros(chance.Intn(900))*eventloop.Millisecond, func() { answerPrefill(l) })
 		},
 		func(l *fakeConn) {
-			r.remote.After(eventloop.Micros(chance.Intn(900))*eventloop.Millisecond, func() { l.answer(429, `{"error":{"code":"full"}}`) })
+			r.remote.AfterFunc(eventloop.Micros(chance.Intn(900))*eventloop.Millisecond, func() { l.answer(429, `{"error":{"code":"full"}}`) })
 		}}
 	var hung *fakeEndpoint // takes all and answers nothing, for some seconds
 	proofs := map[string]bool{"full": true, "draining": true, "state lost": true}
@@ -60,7 +60,7 @@
 				if chance.Intn(6) == 0 {
 					readBreaks[chance.Intn(len(readBreaks))](l)
 				} else {
-					r.remote.After(eventloop.Micros(chance.Intn(30_000)), func() { answerPrefill(l) })
+					r.remote.AfterFunc(eventloop.Micros(chance.Intn(30_000)), func() { answerPrefill(l) })
 				}
 				return
 			}
@@ -74,15 +74,15 @@
 				b.serve(l)
 			case 2: // late, perhaps too late
 				f.ran++
-				r.remote.After(eventloop.Micros(chance.Intn(900))*eventloop.Millisecond, func() { answerDecode(l) })
+				r.remote.AfterFunc(eventloop.Micros(chance.Intn(900))*eventloop.Millisecond, func() { answerDecode(l) })
 			case 3: // long, so that a client can leave, lag, or run out of time in it
 				f.ran++
 				l.stream(chunkEvent("Lamu ", ""))
 				parts := chance.Intn(40)
 				for i := range parts {
-					r.remote.After(eventloop.Micros(i*20)*eventloop.Millisecond, func() { l.conn.Write(http1.AppendChunk(nil, []byte(chunkEvent(strings.Repeat("\u2063", 400), "")))) })
+					r.remote.AfterFunc(eventloop.Micros(i*20)*eventloop.Millisecond, func() { l.conn.Write(http1.AppendChunk(nil, []byte(chunkEvent(strings.Repeat("\u2063", 400), "")))) })
 				}
-				r.remote.After(eventloop.Micros(parts*20)*eventloop.Millisecond, func() {
+				r.remote.AfterFunc(eventloop.Micros(parts*20)*eventloop.Millisecond, func() {
 					l.conn.Write(http1.AppendLastChunk(http1.AppendChunk(nil, []byte(chunkEvent("é", "stop")+"data: [DONE]\n\n"))))
 				})
 			default:
@@ -108,15 +108,15 @@
 		f.call = r.send(body, fields...)
 		switch chance.Intn(12) {
 		case 0:
-			r.remote.After(eventloop.Micros(chance.Intn(500_000)), func() {
+			r.remote.AfterFunc(eventloop.Micros(chance.Intn(500_000)), func() {
 				if len(f.call.finals) == 0 {
 					f.left = true
 					f.call.conn.Abort()
 				}
 			})
 		case 1:
-			r.remote.After(eventloop.Micros(chance.Intn(60_000)), func() { f.call.conn.Pause(true) })
-			r.remote.After(eventloop.Micros(60_000+chance.Intn(400_000)), func() { f.call.conn.Pause(false) })
+			r.remote.AfterFunc(eventloop.Micros(chance.Intn(60_000)), func() { f.call.conn.Pause(true) })
+			r.remote.AfterFunc(eventloop.Micros(60_000+chance.Intn(400_000)), func() { f.call.conn.Pause(false) })
 		}
 		if chance.Intn(100) == 0 { // as where a tenant is removed
 			if g := r.dispatcher.requests[scheduler.RequestID(int(r.dispatcher.lastRequestID)-chance.Intn(12))]; g != nil {
@@ -125,12 +125,12 @@
 		}
 		if chance.Intn(700) == 0 {
 			hung = r.endpoints[chance.Intn(len(r.endpoints))]
-			r.remote.After(3*eventloop.Second, func() { hung = nil })
+			r.remote.AfterFunc(3*eventloop.Second, func() { hung = nil })
 		}
 		if chance.Intn(500) == 0 {
 			h := r.endpoints[chance.Intn(len(r.endpoints))]
 			r.updateEndpoints(h.entry("draining"))
-			r.remote.After(300*eventloop.Millisecond, func() { r.updateEndpoints(h.entry("ready")) })
+			r.remote.AfterFunc(300*eventloop.Millisecond, func() { r.updateEndpoints(h.entry("ready")) })
 		}
 		r.world.Run(eventloop.Micros(chance.Intn(9_000)))
 	}
@@ -225,7 +225,7 @@
 			t.Errorf("%s: texts %q, %q, %q; written %d times", product, second.text, third.text, fourth.text, writes())
 		}
 		r.expectFinal(r.send(`{"model":"`+product+`","stream":true,"messages":[{"role":"user","content":"other"}]}`, "Idempotency-Key", "k"), "422")
-		r.endpoints[0].serve = func(l *fakeConn) { r.remote.After(100*eventloop.Millisecond, func() { answerPrefill(l) }) }
+		r.endpoints[0].serve = func(l *fakeConn) { r.remote.AfterFunc(100*eventloop.Millisecond, func() { answerPrefill(l) }) }
 		r.endpoints[1].serve, r.endpoints[2].serve = answerDecode, answerDecode
 		early := r.ask(product, "Idempotency-Key", "m")
 		r.world.Run(10 * eventloop.Millisecond)
@@ -315,7 +315,7 @@
 	if d.fails {
 		err = errors.New("no space left on device")
 	}
-	d.loop.After(2*eventloop.Millisecond, func() { done(err) })
+	d.loop.AfterFunc(2*eventloop.Millisecond, func() { done(err) })
 }
 
 // A dispatcher is killed while a keyed, side-effecting generation is being written. Its next life does not run the client's
@@ -325,13 +325,13 @@
 		r := newHarness(t, nil, "prefill west", "decode west", "decode west")
 		disk := &memoryDisk{loop: r.remote, files: map[string][]byte{}}
 		life := func(name string) {
-			loop := r.world.Loop(name)
+			loop := r.world.NewLoop(name)
 			r.loop, disk.loop = loop, loop
 			post := Config{Name: name, Zone: "west", Seed: 1, CachedEndpoints: [][]byte{r.cachedList}, Log: zerolog.Nop()}
 			loop.Do(func() {
 				var err error
 				if keeps {
-					if post.Intents, err = store.Open(disk, store.Usual); err != nil {
+					if post.Intents, err = store.Open(disk, store.DefaultLimits); err != nil {
 						t.Fatal(err)
 					}
 				}
@@ -387,7 +387,7 @@
 func TestRejectedDecodeAfterClientDisconnect(t *testing.T) {
 	r := newHarness(t, nil, "prefill west", "decode west")
 	r.endpoints[1].serve = func(l *fakeConn) {
-		r.remote.After(100*eventloop.Millisecond, func() { l.answer(429, `{"error":{"code":"full"}}`) })
+		r.remote.AfterFunc(100*eventloop.Millisecond, func() { l.answer(429, `{"error":{"code":"full"}}`) })
 	}
 	c := r.ask("review-post", "Idempotency-Key", "k")
 	r.world.Run(50 * eventloop.Millisecond)
--- a/internal/dispatch/rig_test.go
+++ b/internal/dispatch/rig_test.go
@@ -28,7 +28,7 @@
 // harness is one dispatcher in virtual time, with hosts that do what a test scripts.
 type harness struct {
 	t          *testing.T
-	world      *virtual.World // none over sockets
+	world      *virtual.Network // none over sockets
 	loop       testLoop
 	remote     testLoop // of hosts and clients
 	deployment deployment.Deployment
@@ -140,8 +140,8 @@
 	if change != nil {
 		change(d)
 	}
-	w := virtual.New(1)
-	r := &harness{t: t, world: w, loop: w.Loop("d"), remote: w.Loop("far"), deployment: d}
+	w := virtual.NewNetwork(1)
+	r := &harness{t: t, world: w, loop: w.NewLoop("d"), remote: w.NewLoop("far"), deployment: d}
 	r.start(hosts)
 	return r
 }
@@ -172,7 +172,7 @@
 // start brings up the hosts and the dispatcher.
 func (r *harness) start(hosts []string) {
 	r.t.Helper()
-	r.list = endpoints.Update{Epoch: "e", Version: 1, Complete: true, Saved: int64(r.remote.Now())}
+	r.list = endpoints.Update{Epoch: "e", Version: 1, Complete: true, SavedAt: int64(r.remote.Now())}
 	for i, h := range hosts {
 		kind, zone, _ := strings.Cut(h, " ")
 		s := &fakeEndpoint{harness: r, id: uint32(i + 1), kind: kind, zone: zone, serve: answerPrefill}
@@ -181,7 +181,7 @@
 		}
 		r.remote.Do(s.listen)
 		r.endpoints = append(r.endpoints, s)
-		r.list.Hosts = append(r.list.Hosts, s.entry("ready"))
+		r.list.Endpoints = append(r.list.Endpoints, s.entry("ready"))
 	}
 	r.cachedList, _ = json.Marshal(r.list)
 	var err error
@@ -201,7 +201,7 @@
 // runUntil lets time pass until something holds of the hosts and clients.
 func (r *harness) runUntil(span eventloop.Micros, holds func() bool) bool {
 	if r.world != nil {
-		return r.world.Until(span, holds)
+		return r.world.RunUntil(span, holds)
 	}
 	for end := r.remote.Now() + span; ; {
 		var held bool
@@ -215,7 +215,7 @@
 
 func (s *fakeEndpoint) listen() {
 	s.listener, _ = s.harness.remote.Listen("127.0.0.1:0", func(c eventloop.Conn) eventloop.Handler {
-		return &fakeConn{endpoint: s, conn: c, parser: http1.Parser{Bounds: http1.Usual}}
+		return &fakeConn{endpoint: s, conn: c, parser: http1.Parser{Limits: http1.DefaultLimits}}
 	})
 }
 
@@ -294,7 +294,7 @@
 }
 
 func (r *harness) send(body string, fields ...string) *clientCall {
-	c := &clientCall{harness: r, parser: http1.Parser{Response: true, Bounds: http1.Usual}, events: sse.Parser{Most: 1 << 20}}
+	c := &clientCall{harness: r, parser: http1.Parser{Response: true, Limits: http1.DefaultLimits}, events: sse.Parser{MaxEventBytes: 1 << 20}}
 	c.request = http1.AppendRequest(nil, "POST", "/v1/chat/completions", r.addr, []byte(body), append([]string{
 		"Authorization", "Bearer " + key, "Content-Type", "application/json"}, fields...)...)
 	r.remote.Do(func() { c.conn = r.remote.Dial(r.addr, eventloop.Second, c) })
--- a/internal/dispatch/room_test.go
+++ b/internal/dispatch/room_test.go
@@ -18,12 +18,12 @@
 )
 
 // startWithIntents starts a dispatcher anew, with its intents in a folder of the world.
-func (r *harness) startWithIntents(f *virtual.Folder) {
+func (r *harness) startWithIntents(f *virtual.Disk) {
 	r.t.Helper()
-	loop := r.world.Loop("kept")
+	loop := r.world.NewLoop("kept")
 	r.loop = loop
 	loop.Do(func() {
-		intents, err := store.Open(f.For(loop), store.Usual)
+		intents, err := store.Open(f.AttachTo(loop), store.DefaultLimits)
 		if err != nil {
 			r.t.Fatal(err)
 		}
@@ -41,22 +41,22 @@
 // The disk has no room, writes short, or fails a sync, while keyed generations come: none runs whose record is not kept, what
 // needs none goes on, and once there is room again, keyed ones run without a restart. What was refused is free to run.
 func TestKeyedRequestsNeedADurableIntent(t *testing.T) {
-	for name, fail := range map[string]func(f *virtual.Folder, on bool){
-		"no room": func(f *virtual.Folder, on bool) {
-			f.Room = 0
+	for name, fail := range map[string]func(f *virtual.Disk, on bool){
+		"no room": func(f *virtual.Disk, on bool) {
+			f.Capacity = 0
 			if on {
-				f.Room = f.Used() + 20
+				f.Capacity = f.Used() + 20
 			}
 		},
-		"a failed sync": func(f *virtual.Folder, on bool) {
-			f.Torn, f.Fault = on, nil
+		"a failed sync": func(f *virtual.Disk, on bool) {
+			f.PartialWrites, f.Failure = on, nil
 			if on {
-				f.Fault = errors.New("input/output error")
+				f.Failure = errors.New("input/output error")
 			}
 		},
 	} {
 		r := newHarness(t, nil, "prefill west", "decode west", "decode west")
-		f := r.world.Folder()
+		f := r.world.NewDisk()
 		r.startWithIntents(f)
 		writes := func() int { return r.endpoints[1].attempts() + r.endpoints[2].attempts() }
 		r.expectFinal(r.ask("review-post", "Idempotency-Key", "before"), "streamed")
@@ -93,9 +93,9 @@
 func TestStalledDiskReleasesPrefillState(t *testing.T) {
 	for _, product := range []string{"review-post", "build-note"} {
 		r := newHarness(t, nil, "prefill west", "decode west", "decode west")
-		f := r.world.Folder()
+		f := r.world.NewDisk()
 		r.startWithIntents(f)
-		f.Sync = 20 * eventloop.Second
+		f.SyncTime = 20 * eventloop.Second
 		var since eventloop.Micros
 		most := eventloop.Micros(0)
 		r.endpoints[0].serve = func(l *fakeConn) {
@@ -104,7 +104,7 @@
 		}
 		c := r.ask(product, "Idempotency-Key", "k")
 		seen := 0
-		r.world.Watch = func() {
+		r.world.AfterStep = func() {
 			if n := len(r.endpoints[0].seen); n > seen {
 				seen = n
 				if r.endpoints[0].seen[n-1].target == "/v1/kv/release" && since > 0 {
@@ -113,14 +113,14 @@
 			}
 		}
 		r.expectFinal(c, "throttled")
-		r.world.Watch = nil
+		r.world.AfterStep = nil
 		if since > 0 || most == 0 || most > eventloop.Micros(r.deployment.Rules.LetGoMs)*eventloop.Millisecond {
 			t.Errorf("%s: a state waited for %d ms (still held: %v)", product, most/1000, since > 0)
 		}
 		if n := r.endpoints[1].attempts() + r.endpoints[2].attempts(); n != 0 {
 			t.Errorf("%s: %d writes without a record", product, n)
 		}
-		f.Sync = eventloop.Millisecond
+		f.SyncTime = eventloop.Millisecond
 		r.world.Run(90 * eventloop.Second) // what it was asked for takes its time
 		r.expectFinal(r.ask(product, "Idempotency-Key", "m"), "streamed")
 	}
@@ -158,10 +158,10 @@
 			r.endpoints[0].serve = func(*fakeConn) {}
 			r.ask("explain") // takes the idle connection
 			r.world.Run(20 * eventloop.Millisecond)
-			r.virtual().Descriptors = r.virtual().Open() + 2 // which are kept back; and what is given back is taken at once
+			r.virtual().DescriptorLimit = r.virtual().OpenConnections() + 2 // which are kept back; and what is given back is taken at once
 			for i := range 4000 {
 				r.remote.Do(func() {
-					r.remote.After(eventloop.Micros(i*250), func() { r.remote.Dial(r.addr, eventloop.Second, &silentClient{}) })
+					r.remote.AfterFunc(eventloop.Micros(i*250), func() { r.remote.Dial(r.addr, eventloop.Second, &silentClient{}) })
 				})
 			}
 		},
@@ -178,7 +178,7 @@
 		before := r.endpoints[0].releases()
 		r.runUntil(eventloop.Second, func() bool { return len(c.finals) > 0 })
 		r.expectRelease(r.endpoints[0], before, name)
-		r.virtual().Descriptors = 0
+		r.virtual().DescriptorLimit = 0
 		r.endpoints[0].serve, r.endpoints[1].serve = answerPrefill, answerDecode
 		r.world.Run(10 * eventloop.Second)
 		r.expectFinal(r.ask("review-post"), "streamed")
@@ -200,7 +200,7 @@
 	r.endpoints = append(r.endpoints, next)
 	r.updateEndpoints(next.entry("ready"))
 	r.world.Run(100 * eventloop.Millisecond)
-	r.virtual().Descriptors = r.virtual().Open() + 3 // its client's, and what is kept back
+	r.virtual().DescriptorLimit = r.virtual().OpenConnections() + 3 // its client's, and what is kept back
 	r.expectFinal(r.ask("review-post"), "streamed")
 }
 
@@ -212,7 +212,7 @@
 	running := r.ask("explain")
 	r.endpoints[1].serve = func(l *fakeConn) {
 		l.stream(chunkEvent("Lamu ", ""))
-		r.remote.After(3*eventloop.Second, func() {
+		r.remote.AfterFunc(3*eventloop.Second, func() {
 			l.conn.Write(http1.AppendLastChunk(http1.AppendChunk(nil, []byte(chunkEvent("é", "stop")+"data: [DONE]\n\n"))))
 		})
 	}
@@ -236,8 +236,8 @@
 	}
 	c = r.ask("explain")
 	r.runUntil(eventloop.Second, func() bool { return c.closed })
-	if len(c.finals) != 1 || c.finals[0] != "throttled" || r.virtual().Open() > 16 {
-		t.Errorf("past an eighth more: %v, %d connections", c.finals, r.virtual().Open())
+	if len(c.finals) != 1 || c.finals[0] != "throttled" || r.virtual().OpenConnections() > 16 {
+		t.Errorf("past an eighth more: %v, %d connections", c.finals, r.virtual().OpenConnections())
 	}
 	r.world.Run(2 * eventloop.Second)
 	r.ask("explain") // one of those that idle makes way
@@ -267,7 +267,7 @@
 		r.updateEndpoints(e)
 	}
 	r.world.Run(120 * eventloop.Second)
-	if n := r.dispatcher.engine.Endpoints(); n != 2 || len(r.dispatcher.endpoints) != 2 {
+	if n := r.dispatcher.engine.EndpointCount(); n != 2 || len(r.dispatcher.endpoints) != 2 {
 		t.Errorf("%d hosts are known to the legs, %d to the dispatcher", n, len(r.dispatcher.endpoints))
 	}
 	r.expectFinal(r.ask("explain"), "streamed")
@@ -294,13 +294,13 @@
 			if whole {
 				calls = append(calls, r.send(`{"model":"explain","stream":true,"messages":[{"role":"user","content":"`+text+`"}]}`))
 			} else {
-				c := &clientCall{harness: r, parser: http1.Parser{Response: true, Bounds: http1.Usual}, events: sse.Parser{Most: 1 << 20}}
+				c := &clientCall{harness: r, parser: http1.Parser{Response: true, Limits: http1.DefaultLimits}, events: sse.Parser{MaxEventBytes: 1 << 20}}
 				c.request = []byte("POST /v1/chat/completions HTTP/1.1\r\nHost: x\r\nAuthorization: Bearer " + key + "\r\nContent-Type: application/json\r\nContent-Length: 20000\r\n\r\n" + text)
 				r.remote.Do(func() { c.conn = r.remote.Dial(r.addr, eventloop.Second, c) })
 				calls = append(calls, c)
 			}
 			r.world.Run(5 * eventloop.Millisecond)
-			most = max(most, r.dispatcher.frontend.Kept)
+			most = max(most, r.dispatcher.frontend.BufferedBytes)
 		}
 		r.world.Run(100 * eventloop.Millisecond)
 		if most > bound || most < bound/2 {
@@ -318,8 +318,8 @@
 			}
 		}
 		r.world.Run(15 * eventloop.Second)
-		if r.dispatcher.frontend.Kept != 0 {
-			t.Errorf("whole %v: %d bytes are counted at the end", whole, r.dispatcher.frontend.Kept)
+		if r.dispatcher.frontend.BufferedBytes != 0 {
+			t.Errorf("whole %v: %d bytes are counted at the end", whole, r.dispatcher.frontend.BufferedBytes)
 		}
 		r.updateEndpoints(r.endpoints[1].entry("ready"))
 		r.expectFinal(r.ask("explain"), "streamed")
@@ -351,7 +351,7 @@
 		return b.String()
 	}
 	post := func(i int) *clientCall {
-		c := &clientCall{harness: r, parser: http1.Parser{Response: true, Bounds: http1.Usual}, events: sse.Parser{Most: 1 << 20}}
+		c := &clientCall{harness: r, parser: http1.Parser{Response: true, Limits: http1.DefaultLimits}, events: sse.Parser{MaxEventBytes: 1 << 20}}
 		c.request = http1.AppendRequest(nil, "POST", "/v1/embeddings", r.addr, []byte(numbered(i)), "Authorization", "Bearer "+key, "Content-Type", "application/json")
 		r.remote.Do(func() { c.conn = r.remote.Dial(r.addr, eventloop.Second, c) })
 		return c
@@ -368,8 +368,8 @@
 		t.Errorf("the last call: %v", f)
 	}
 	r.world.Run(10 * eventloop.Second)
-	if r.dispatcher.batches.answerBytes != 0 || r.dispatcher.frontend.Kept != 0 || r.dispatcher.batches.openCalls != 0 {
-		t.Errorf("at the end %d bytes of answers, %d of bodies, %d calls", r.dispatcher.batches.answerBytes, r.dispatcher.frontend.Kept, r.dispatcher.batches.openCalls)
+	if r.dispatcher.batches.answerBytes != 0 || r.dispatcher.frontend.BufferedBytes != 0 || r.dispatcher.batches.openCalls != 0 {
+		t.Errorf("at the end %d bytes of answers, %d of bodies, %d calls", r.dispatcher.batches.answerBytes, r.dispatcher.frontend.BufferedBytes, r.dispatcher.batches.openCalls)
 	}
 	for i, c := range calls {
 		if len(c.finals) != 1 {
@@ -425,17 +425,17 @@
 // A keyed generation that goes on without its client counts with its body until it has ended.
 func TestOrphanedBodyCountsUntilItsRequestEnds(t *testing.T) {
 	r := newHarness(t, nil, "prefill west", "decode west")
-	r.endpoints[1].serve = func(l *fakeConn) { r.remote.After(eventloop.Second, func() { answerDecode(l) }) }
+	r.endpoints[1].serve = func(l *fakeConn) { r.remote.AfterFunc(eventloop.Second, func() { answerDecode(l) }) }
 	c := r.ask("review-post", "Idempotency-Key", "k")
 	r.world.Run(100 * eventloop.Millisecond)
 	r.remote.Do(c.conn.Abort)
 	r.world.Run(100 * eventloop.Millisecond)
-	if r.dispatcher.frontend.Kept == 0 || r.dispatcher.OpenRequests() != 1 {
-		t.Errorf("%d bytes are counted, %d run", r.dispatcher.frontend.Kept, r.dispatcher.OpenRequests())
+	if r.dispatcher.frontend.BufferedBytes == 0 || r.dispatcher.OpenRequests() != 1 {
+		t.Errorf("%d bytes are counted, %d run", r.dispatcher.frontend.BufferedBytes, r.dispatcher.OpenRequests())
 	}
 	r.world.Run(2 * eventloop.Second)
-	if r.dispatcher.frontend.Kept != 0 || r.dispatcher.OpenRequests() != 0 {
-		t.Errorf("at the end %d bytes are counted, %d run", r.dispatcher.frontend.Kept, r.dispatcher.OpenRequests())
+	if r.dispatcher.frontend.BufferedBytes != 0 || r.dispatcher.OpenRequests() != 0 {
+		t.Errorf("at the end %d bytes are counted, %d run", r.dispatcher.frontend.BufferedBytes, r.dispatcher.OpenRequests())
 	}
 	r.expectFinal(r.ask("review-post", "Idempotency-Key", "k"), "streamed") // its answer is kept
 }
@@ -455,7 +455,7 @@
 		c := r.ask("explain")
 		r.expectFinal(c, "streamed")
 		r.world.Run(2 * eventloop.Second)
-		r.world.Heard = 5 * eventloop.Millisecond // what has arrived is not handed over yet
+		r.world.DeliveryDelay = 5 * eventloop.Millisecond // what has arrived is not handed over yet
 		r.remote.Do(func() { c.conn.Write(c.request) })
 		r.world.Run(eventloop.Millisecond)
 		closes(r)
--- a/internal/dispatch/stages_test.go
+++ b/internal/dispatch/stages_test.go
@@ -37,8 +37,8 @@
 	d.Dispatching.MayCancel = cancels
 	digest := sha256.Sum256([]byte(key))
 	d.Tenants = []*pb.Tenant{{Name: "one", KeySha256: []string{hex.EncodeToString(digest[:])}}}
-	w := virtual.New(1)
-	y := &fleetHarness{harness: &harness{t: t, world: w, loop: w.Loop("d"), remote: w.Loop("far"), deployment: d}}
+	w := virtual.NewNetwork(1)
+	y := &fleetHarness{harness: &harness{t: t, world: w, loop: w.NewLoop("d"), remote: w.NewLoop("far"), deployment: d}}
 	y.recorder, _ = record.Open("")
 	y.recorder.Add(record.Event{At: int64(w.Now()), What: "world", N: int64(w.Latency)})
 	var err error
@@ -169,8 +169,8 @@
 		y.t.Errorf("at the end the hosts have %d jobs, %d states, %d tokens\n%s", jobs, states, tokens, strings.Join(y.fleet.Summary(), "\n"))
 	}
 	open := y.dispatcher.scheduler.InFlight()
-	if open.Requests+open.Attempts+open.Held > 0 || open.PrefillTokens > 0.5 || y.dispatcher.OpenRequests() > 0 || y.dispatcher.frontend.Open != 0 {
-		y.t.Errorf("the module has %d generations, %d legs, %d held, %.0f tokens being read; the dispatcher %v, %d open", open.Requests, open.Attempts, open.Held, open.PrefillTokens, y.dispatcher.DescribeOpenRequests(), y.dispatcher.frontend.Open)
+	if open.Requests+open.Attempts+open.Queued > 0 || open.PrefillTokens > 0.5 || y.dispatcher.OpenRequests() > 0 || y.dispatcher.frontend.OpenRequests != 0 {
+		y.t.Errorf("the module has %d generations, %d legs, %d held, %.0f tokens being read; the dispatcher %v, %d open", open.Requests, open.Attempts, open.Queued, open.PrefillTokens, y.dispatcher.DescribeOpenRequests(), y.dispatcher.frontend.OpenRequests)
 	}
 	for _, h := range y.fleet.Hosts {
 		if out := y.dispatcher.engine.InFlight(h.Entry("ready").ID); out != 0 {
@@ -308,10 +308,10 @@
 	c := y.askRecorded("warm", "explain", 500, false, 0)
 	y.runUntil(5*eventloop.Second, func() bool { return len(c.finals) > 0 })
 	var mutes []*silentClient
-	y.virtual().Descriptors = y.virtual().Open() + 2
+	y.virtual().DescriptorLimit = y.virtual().OpenConnections() + 2
 	for i := range 6000 {
 		y.remote.Do(func() {
-			y.remote.After(eventloop.Micros(i)*500, func() {
+			y.remote.AfterFunc(eventloop.Micros(i)*500, func() {
 				m := &silentClient{}
 				m.conn = y.remote.Dial(y.addr, eventloop.Second, m)
 				mutes = append(mutes, m)
@@ -320,7 +320,7 @@
 	}
 	y.world.Run(10 * eventloop.Millisecond)
 	if !kept {
-		y.virtual().Descriptors = 1
+		y.virtual().DescriptorLimit = 1
 	}
 	y.remote.Do(y.fleet.Roster.Break)
 	y.world.Run(500 * eventloop.Millisecond)
@@ -333,7 +333,7 @@
 	if kept {
 		heard = 0
 	}
-	y.virtual().Descriptors = 0
+	y.virtual().DescriptorLimit = 0
 	for _, m := range mutes {
 		y.remote.Do(m.conn.Abort)
 	}
