--- /dev/null
+++ b/internal/dispatch/admission.go
@@ -0,0 +1,85 @@
+package dispatch
+
+import (
+	"plumspindle/internal/frontend"
+	"plumspindle/internal/lifecycle"
+	"plumspindle/internal/tenancy"
+)
+
+// admit takes a request to its tenant's admission control. It reports whether the request is admitted now; otherwise it
+// is queued if it has got a ticket, and has been answered if not.
+func (d *Dispatcher) admit(
+	r *request, identity frontend.Identity, response *frontend.Response,
+) (admitted bool, problem *frontend.Problem) {
+	slot := d.tenantSlots[identity.Tenant]
+	if slot == nil || !identity.Active {
+		return false, tenantSuspended()
+	}
+	r.tenant = slot
+	now := d.loop.Now()
+	ticket, decision := d.admission.Admit(now, tenancy.AdmissionRequest{
+		Tenant:          slot.id,
+		Key:             identity.Key,
+		Product:         r.chat.Model,
+		PromptTokens:    r.chat.PromptTokens,
+		MaxOutputTokens: r.chat.MaxTokens,
+	})
+	switch decision.Reason {
+	case tenancy.NotRejected:
+		ticket.Owner = r
+		r.ticket = ticket
+		return decision.Admitted, nil
+	case tenancy.PromptTooLarge:
+		return false, promptTooLarge("messages", "The prompt has more tokens than this account may ask for.")
+	case tenancy.NotServed:
+		return false, tenantSuspended()
+	}
+	d.OverQuota++
+	d.usage.Add(tenancy.Usage{Tenant: slot.name, Product: r.chat.Model, Day: tenancy.Day(now), Rejected: 1})
+	response.RejectOverQuota(decision.Reason.String(), decision.RetryAfter)
+	return false, nil
+}
+
+func tenantSuspended() *frontend.Problem {
+	return &frontend.Problem{
+		Status:  403,
+		Type:    "permission_error",
+		Code:    "tenant_suspended",
+		NoRetry: true,
+		Message: "This account is suspended.",
+	}
+}
+
+func promptTooLarge(param, message string) *frontend.Problem {
+	return &frontend.Problem{
+		Status:  400,
+		Type:    "invalid_request_error",
+		Param:   param,
+		Code:    "prompt_too_large",
+		Message: message,
+	}
+}
+
+// queue has a request wait until its tenant's turn comes.
+func (d *Dispatcher) queue(r *request) {
+	r.State = lifecycle.Queued
+	r.limitTimer = d.loop.AfterFunc(max(r.deadline-queueGrace-d.loop.Now(), 0), func() {
+		if r.State == lifecycle.Queued {
+			d.fire(r, lifecycle.DeadlineExceeded)
+		}
+	})
+}
+
+// admitQueued admits the queued requests whose tenants' turns have come.
+func (d *Dispatcher) admitQueued() {
+	for {
+		ticket, found := d.admission.AdmitNext(d.loop.Now())
+		if !found {
+			return
+		}
+		r := ticket.Owner.(*request)
+		r.limitTimer.Stop()
+		r.limitTimer = nil
+		d.fire(r, lifecycle.Admitted)
+	}
+}
--- /dev/null
+++ b/internal/dispatch/attempts.go
@@ -0,0 +1,178 @@
+package dispatch
+
+import (
+	"plumspindle/internal/batch"
+	"plumspindle/internal/engine"
+	"plumspindle/internal/lifecycle"
+	"plumspindle/scheduler"
+)
+
+// attemptSpec is what the engine is given to make one attempt.
+type attemptSpec struct {
+	number    scheduler.AttemptNo
+	target    engine.Target
+	callbacks engine.Callbacks
+}
+
+// newAttempt counts a new attempt as the request's last one.
+func (d *Dispatcher) newAttempt(r *request, details eventDetails) attemptSpec {
+	number := r.attempts
+	r.attempts++
+	d.Attempts++
+	r.endpoint = details.endpoint
+	return attemptSpec{
+		number: number,
+		target: engine.Target{
+			Endpoint:  details.endpoint,
+			RequestID: d.engine.AttemptName(r.id, number),
+			ClientID:  r.clientRequestID,
+			Timeout:   details.timeout,
+		},
+		callbacks: engine.Callbacks{
+			Event: func(data []byte) {
+				if r.isCurrent(number) {
+					d.Events++
+					d.fireWith(r, lifecycle.EventReceived, eventDetails{data: data})
+				}
+			},
+			Ended: func(result engine.Result) {
+				if r.isCurrent(number) {
+					d.attemptEnded(r, result)
+				}
+			},
+		},
+	}
+}
+
+func (d *Dispatcher) startPrefill(r *request, details eventDetails) {
+	spec := d.newAttempt(r, details)
+	if r.part != nil {
+		r.part.startAttempt(r, spec)
+		return
+	}
+	r.stateLocations = append(r.stateLocations, stateLocation{spec.target.Endpoint, spec.target.RequestID})
+	d.recordIntentEarly(r)
+	r.attempt = d.engine.Prefill(spec.target, r.chat, spec.callbacks)
+}
+
+// startDecode starts a decode attempt once the request's intent is recorded, where it needs to be.
+func (d *Dispatcher) startDecode(r *request, details eventDetails) {
+	spec := d.newAttempt(r, details)
+	if r.part != nil {
+		r.part.startAttempt(r, spec)
+		return
+	}
+	r.mayHaveRunBefore = r.mayHaveRun
+	r.mayHaveRun = true
+	r.attempt = nil
+	d.awaitIntent(r, func(recorded bool) { d.sendDecode(r, spec, recorded) })
+	d.limitIntentWait(r, spec.number)
+}
+
+// awaitsDecode reports whether a decode attempt that was not sent yet is still to be sent: it may have been cancelled,
+// or the request answered, while its intent was recorded.
+func (r *request) awaitsDecode(number scheduler.AttemptNo) bool {
+	return r.isCurrent(number) && r.State == lifecycle.Decoding
+}
+
+func (d *Dispatcher) sendDecode(r *request, spec attemptSpec, recorded bool) {
+	if !r.awaitsDecode(spec.number) {
+		return
+	}
+	entry, known := d.endpoints[spec.target.Endpoint]
+	// Without a durable record it could run twice after a restart; and an endpoint that has begun to drain gets nothing
+	// new.
+	if !recorded || !known || entry.State() != scheduler.Ready {
+		d.loop.Defer(func() { // never within the scheduler's own call
+			if r.awaitsDecode(spec.number) {
+				d.attemptEnded(r, engine.Result{
+					Outcome:     scheduler.NotSent,
+					MemoryUsage: scheduler.NoLoadReport,
+					Reason:      "not sent: its intent is not recorded, or the endpoint is draining",
+				})
+			}
+		})
+		return
+	}
+	r.attempt = d.engine.Decode(spec.target, engine.DecodeRequest{
+		Chat:      r.chat,
+		KVParams:  r.kvState,
+		MaxTokens: r.chat.MaxTokens,
+	}, spec.callbacks)
+}
+
+// attemptEnded takes the end of a request's last attempt.
+func (d *Dispatcher) attemptEnded(r *request, result engine.Result) {
+	event := r.endEvent(result)
+	if r.part != nil && r.part.attemptEnded(result) {
+		d.fire(r, lifecycle.ClientDisconnected) // no other endpoint would do better; the call finds out why
+	}
+	if result.Outcome != scheduler.Completed && result.Outcome != scheduler.PrefillDone {
+		d.config.Log.Debug().
+			Uint64("request_id", uint64(r.id)).
+			Int("attempt", int(r.attempts)-1).
+			Uint32("endpoint", uint32(r.endpoint)).
+			Int("outcome", int(result.Outcome)).
+			Str("reason", result.Reason).
+			Msg("attempt ended")
+	}
+	d.fireWith(r, event, eventDetails{result: result})
+	if len(r.responses) == 0 && r.part == nil && (r.State == lifecycle.Pending || r.State == lifecycle.Prefilling) {
+		// Its client disconnected during a decode that did not run: what has not run need not go on.
+		d.fire(r, lifecycle.ClientDisconnected)
+	}
+}
+
+// endEvent returns the event of an attempt's end, and notes on the request what the end proves.
+func (r *request) endEvent(result engine.Result) lifecycle.Event {
+	switch result.Outcome {
+	case scheduler.PrefillDone:
+		r.kvState = result.State
+		if r.part != nil {
+			return lifecycle.PrefillOnlyCompleted
+		}
+		return lifecycle.PrefillCompleted
+	case scheduler.Completed:
+		return lifecycle.DecodeCompleted
+	case scheduler.NoCapacity, scheduler.Unreachable, scheduler.NotSent:
+		if r.State == lifecycle.Prefilling {
+			r.dropLastStateLocation()
+		}
+		if r.State == lifecycle.Decoding {
+			r.mayHaveRun = r.mayHaveRunBefore
+		}
+		return lifecycle.AttemptRejected
+	}
+	return lifecycle.AttemptFailed
+}
+
+// attemptEnded notes the end of a part's attempt. It reports whether the part is to be given up.
+func (p *batchPart) attemptEnded(result engine.Result) bool {
+	if result.Outcome == scheduler.Errored || result.Outcome == scheduler.ConnectionLost {
+		p.failures++
+	}
+	p.invalid = p.invalid || result.InvalidRequest
+	return p.invalid || p.failures == batch.MaxEndpoints
+}
+
+// releaseAttempt releases what the last attempt may have left: a prefill that was cancelled may have completed all the
+// same, and nobody was told where its state is.
+func (d *Dispatcher) releaseAttempt(r *request) {
+	n := len(r.stateLocations)
+	if n == 0 {
+		return
+	}
+	last := r.stateLocations[n-1]
+	if last.attempt == d.engine.AttemptName(r.id, r.attempts-1) {
+		d.engine.Release(last.endpoint, []string{last.attempt})
+		r.dropLastStateLocation()
+	}
+}
+
+// releaseState releases all prefill state of a request.
+func (d *Dispatcher) releaseState(r *request) {
+	for _, location := range r.stateLocations {
+		d.engine.Release(location.endpoint, []string{location.attempt})
+	}
+	r.forgetState()
+}
--- /dev/null
+++ b/internal/dispatch/batch_answer.go
@@ -0,0 +1,150 @@
+package dispatch
+
+import (
+	"fmt"
+	"maps"
+	"slices"
+
+	"plumspindle/internal/embeddings"
+	"plumspindle/internal/eventloop"
+	"plumspindle/internal/frontend"
+	"plumspindle/internal/lifecycle"
+	"plumspindle/internal/tenancy"
+)
+
+// finishIfDone answers the call once all inputs have arrived and all parts are back.
+func (c *batchCall) finishIfDone() {
+	if c.closed || !c.complete || c.parts.Pending() > 0 {
+		return
+	}
+	d := c.dispatcher
+	c.answer.Request, c.answer.ID = c.request, d.responseID(d.lastRequestID)
+	d.Completed++
+	c.closeAs(lifecycle.AnswerCompleted)
+	c.response.Stream("application/json", c.answer.Next, "x-request-id", c.answer.ID)
+}
+
+// closeAs counts the call's outcome for its tenant, and closes it.
+func (c *batchCall) closeAs(final lifecycle.Action) {
+	usage := tenancy.Usage{
+		Tenant:   c.identity.Tenant,
+		Product:  c.request.Model,
+		Day:      tenancy.Day(c.dispatcher.loop.Now()),
+		Accepted: 1,
+	}
+	countOutcome(&usage, final)
+	c.dispatcher.usage.Add(usage)
+	c.close()
+}
+
+// close ends the call: nothing more is sent, what is in flight is withdrawn, and the call is forgotten.
+func (c *batchCall) close() {
+	d := c.dispatcher
+	c.closed = true
+	c.request.Close()
+	if c.tenantCalls == nil {
+		return
+	}
+	c.parts.Cancel()
+	for _, timer := range []eventloop.Timer{c.limitTimer, c.retryTimer} {
+		if timer != nil {
+			timer.Stop()
+		}
+	}
+	d.batches.remove(c)
+	for _, id := range slices.Sorted(maps.Keys(c.inFlight)) {
+		if r := c.inFlight[id]; r != nil {
+			d.fire(r, lifecycle.ClientDisconnected)
+		}
+	}
+	d.loop.Defer(d.finishShutdown)
+}
+
+func (c *batchCall) clientDisconnected() {
+	if c.closed {
+		return
+	}
+	c.dispatcher.Disconnected++
+	if c.tenantCalls == nil {
+		c.close()
+		return
+	}
+	c.closeAs(lifecycle.Forget)
+}
+
+// failWith answers a call with a problem that shows after parts of it were sent.
+func (c *batchCall) failWith(problem *frontend.Problem) {
+	if c.closed {
+		return
+	}
+	c.dispatcher.Failed++
+	c.closeAs(lifecycle.AnswerFailed)
+	c.response.Error(problem)
+}
+
+// failRetryable answers a call that the client may repeat.
+func (c *batchCall) failRetryable(reason string) {
+	c.dispatcher.Failed++
+	c.closeAs(lifecycle.AnswerFailed)
+	if !c.response.Done() {
+		c.response.Fail(true, reason)
+	}
+}
+
+// rejectForMemory rejects a call where the answers of all calls would take more memory than they may.
+func (c *batchCall) rejectForMemory() {
+	c.dispatcher.Rejected++
+	c.closeAs(lifecycle.AnswerRejected)
+	c.response.Error(&frontend.Problem{
+		Status:  429,
+		Type:    "rate_limit_error",
+		Code:    "throttled",
+		Message: "The service is busy. Please try again.",
+	})
+}
+
+// rejectOverQuota answers a call of which nothing was sent and that its tenant's limits reject.
+func (c *batchCall) rejectOverQuota(decision tenancy.Decision) {
+	if c.closed {
+		return
+	}
+	if decision.Reason == tenancy.PromptTooLarge {
+		c.failWith(promptTooLarge("input", "An input has more tokens than this account may ask for."))
+		return
+	}
+	c.dispatcher.Rejected++
+	c.closeAs(lifecycle.AnswerRejected)
+	c.response.RejectOverQuota(decision.Reason.String(), decision.RetryAfter)
+}
+
+func (c *batchCall) deadlineExceeded() {
+	if c.closed {
+		return
+	}
+	c.failRetryable(fmt.Sprintf("The call was not complete within the client's time: %d parts are missing.",
+		c.parts.Pending()))
+}
+
+// abandon answers a call of which a part has failed for good.
+func (c *batchCall) abandon() {
+	if c.closed {
+		return
+	}
+	if c.parts.InvalidInput < 0 {
+		c.failRetryable("Some of the call's inputs could not be read.")
+		return
+	}
+	list := "input"
+	if c.request.Kind == embeddings.Rerank {
+		list = "documents"
+	}
+	param := fmt.Sprintf("%s[%d]", list, slices.Index(c.request.Order, int32(c.parts.InvalidInput)))
+	c.failWith(&frontend.Problem{
+		Status:  422,
+		Type:    "invalid_request_error",
+		Param:   param,
+		Code:    "input_not_served",
+		NoRetry: true,
+		Message: fmt.Sprintf("'%s' could not be read; the others could.", param),
+	})
+}
--- /dev/null
+++ b/internal/dispatch/batch_manager.go
@@ -0,0 +1,124 @@
+package dispatch
+
+import (
+	"slices"
+
+	"plumspindle/internal/batch"
+	"plumspindle/internal/deployment/pb"
+	"plumspindle/internal/eventloop"
+	"plumspindle/internal/vectors"
+)
+
+const (
+	// maxVectorCaches is how many tenants' caches there are at once; the one unused for longest is evicted.
+	maxVectorCaches = 64
+	// maxBatchAnswerBytes bounds the answers of all running calls together.
+	maxBatchAnswerBytes = 256 << 20
+)
+
+// batchManager holds the calls with many inputs of one dispatcher. Their parts are requests like any other; package
+// batch decides which of them goes next, and how many may be in flight.
+type batchManager struct {
+	limits      *pb.Batches
+	limiter     *batch.Limiter
+	tenants     []*tenantBatches // that have calls; the first is the next to send a part
+	openCalls   int
+	caches      []*vectorCache // the one used last is the last
+	answerBytes int            // that the answers of all running calls are going to have
+}
+
+// tenantBatches are one tenant's calls, which send their parts in turn.
+type tenantBatches struct {
+	tenant *tenantSlot
+	calls  []*batchCall
+	queued int // parts that wait for admission
+}
+
+// vectorCacheKey tells one cache from another; no two tenants share one.
+type vectorCacheKey struct {
+	space      string
+	dimensions int
+}
+
+type vectorCache struct {
+	key vectorCacheKey
+	*vectors.Cache
+}
+
+// vectorCache returns a tenant's own cache of vectors of one size.
+func (b *batchManager) vectorCache(space string, dimensions int) *vectors.Cache {
+	key := vectorCacheKey{space, dimensions}
+	var cache *vectorCache
+	if i := slices.IndexFunc(b.caches, func(c *vectorCache) bool { return c.key == key }); i >= 0 {
+		cache = b.caches[i]
+		b.caches = slices.Delete(b.caches, i, i+1)
+	} else {
+		if len(b.caches) >= maxVectorCaches {
+			b.caches = slices.Delete(b.caches, 0, 1)
+		}
+		cache = &vectorCache{key, vectors.New(vectorBytes(dimensions), int(b.limits.Cache))}
+	}
+	b.caches = append(b.caches, cache)
+	return cache.Cache
+}
+
+// vectorBytes is the size of a vector: its numbers have four bytes each.
+func vectorBytes(dimensions int) int { return 4 * dimensions }
+
+// callsOf returns a tenant's calls.
+func (b *batchManager) callsOf(slot *tenantSlot) *tenantBatches {
+	for _, calls := range b.tenants {
+		if calls.tenant == slot {
+			return calls
+		}
+	}
+	calls := &tenantBatches{tenant: slot}
+	b.tenants = append(b.tenants, calls)
+	return calls
+}
+
+// add counts a call as open.
+func (b *batchManager) add(c *batchCall) {
+	b.openCalls++
+	c.tenantCalls.calls = append(c.tenantCalls.calls, c)
+}
+
+// remove forgets a call.
+func (b *batchManager) remove(c *batchCall) {
+	tenant := c.tenantCalls
+	tenant.calls = slices.DeleteFunc(tenant.calls, func(other *batchCall) bool { return other == c })
+	if len(tenant.calls) == 0 {
+		b.tenants = slices.DeleteFunc(b.tenants, func(other *tenantBatches) bool { return other == tenant })
+	}
+	b.openCalls--
+	b.answerBytes -= c.answerBytes
+}
+
+// next returns the next call of a tenant that has a part to send; nil: none has.
+func (t *tenantBatches) next(now eventloop.Micros) *batchCall {
+	for range t.calls {
+		call := t.calls[0]
+		t.calls = append(t.calls[1:], call)
+		if !call.closed && call.parts.HasReady(now) {
+			return call
+		}
+	}
+	return nil
+}
+
+// sendParts sends parts as far as the limiter allows, tenants in turn, and each tenant's calls in turn.
+func (d *Dispatcher) sendParts() {
+	b := &d.batches
+	now := d.loop.Now()
+	for idle := 0; idle < len(b.tenants) && b.limiter.HasCapacity(); {
+		tenant := b.tenants[0]
+		b.tenants = append(b.tenants[1:], tenant)
+		call := tenant.next(now)
+		if call == nil || tenant.queued >= batch.MaxQueuedParts {
+			idle++
+			continue
+		}
+		idle = 0
+		call.sendPart(now)
+	}
+}
--- a/internal/dispatch/batches_test.go
+++ b/internal/dispatch/batches_test.go
@@ -403,7 +403,7 @@
 		r.expectFinal(c, "streamed")
 		c.expectVectors(t, inputs[:2], dimensions)
 	}
-	if a, b := r.dispatcher.vectorCache("1-a", 256), r.dispatcher.vectorCache("2-b", 256); a == b {
+	if a, b := r.dispatcher.batches.vectorCache("1-a", 256), r.dispatcher.batches.vectorCache("2-b", 256); a == b {
 		t.Error("two tenants share a cache")
 	}
 }
--- /dev/null
+++ b/internal/dispatch/endpoint_cache.go
@@ -0,0 +1,113 @@
+package dispatch
+
+import (
+	"plumspindle/internal/endpointcache"
+	"plumspindle/internal/endpoints"
+	"plumspindle/internal/eventloop"
+	"plumspindle/scheduler"
+)
+
+// restoreEndpoints begins with the newest cached list that can be read, as far as its age lets it be trusted.
+func (d *Dispatcher) restoreEndpoints() {
+	for i, cached := range d.config.CachedEndpoints {
+		if len(cached) == 0 {
+			continue
+		}
+		entries, savedAt, err := d.endpointWatch.Restore(cached)
+		if err != nil {
+			d.config.Log.Error().Err(err).Int("list", i).Msg("cached endpoint list unreadable")
+			continue
+		}
+		d.applyCachedEndpoints(entries, eventloop.Micros(savedAt))
+		return
+	}
+}
+
+func (d *Dispatcher) applyCachedEndpoints(entries []endpoints.Entry, savedAt eventloop.Micros) {
+	now := d.loop.Now()
+	byID := map[uint32]endpoints.Entry{}
+	var cached []endpointcache.Endpoint
+	for _, entry := range entries {
+		byID[uint32(entry.ID)] = entry
+		cached = append(cached, endpointcache.Endpoint{
+			ID:        uint32(entry.ID),
+			Group:     entry.Zone + "/" + entry.Kind,
+			StartedAt: eventloop.Micros(entry.StartedAt),
+		})
+	}
+	freshness := endpointcache.FreshnessOf(now, savedAt)
+	d.config.Log.Info().
+		Int("endpoints", len(cached)).
+		Stringer("freshness", freshness).
+		Int64("age_ms", int64((now-savedAt)/eventloop.Millisecond)).
+		Msg("starting with the cached endpoint list")
+	for _, part := range endpointcache.Plan(now, freshness, cached) {
+		var planned []endpoints.Entry
+		for _, endpoint := range part.Endpoints {
+			entry := byID[endpoint.ID]
+			entry.StartedAt = int64(endpoint.StartedAt)
+			planned = append(planned, entry)
+		}
+		if part.Delay == 0 {
+			d.applyEndpoints(planned, false)
+			continue
+		}
+		d.loop.AfterFunc(part.Delay, func() {
+			if d.endpointUpdates == 0 { // discovery is still unreachable
+				d.applyEndpoints(planned, false)
+			}
+		})
+	}
+}
+
+// confirmRemovals applies an update. Where a complete list leaves out most endpoints at once, their removal is delayed,
+// as discovery may just have restarted; what an update says of an endpoint by name is always taken as true.
+func (d *Dispatcher) confirmRemovals(entries []endpoints.Entry, complete bool) {
+	if !complete {
+		d.applyEndpoints(entries, false)
+		return
+	}
+	missing, ready := d.missingFrom(entries)
+	drainGrace := milliseconds(d.deployment.Rules.DrainGraceMs)
+	delay := endpointcache.RemovalDelay(ready, len(missing), drainGrace)
+	if delay == 0 {
+		d.applyEndpoints(entries, true)
+		return
+	}
+	d.config.Log.Warn().Int("ready", ready).Int("missing", len(missing)).
+		Msg("endpoint removals delayed")
+	d.applyEndpoints(entries, false)
+	update := d.endpointUpdates
+	d.loop.AfterFunc(delay, func() {
+		if d.endpointUpdates == update { // discovery has not corrected itself
+			d.applyEndpoints(entries, true)
+			return
+		}
+		var gone []endpoints.Entry
+		for _, entry := range missing {
+			if current, known := d.endpointWatch.Endpoints[entry.ID]; !known || current.State() != scheduler.Ready {
+				gone = append(gone, entry)
+			}
+		}
+		d.applyEndpoints(gone, false)
+	})
+}
+
+// missingFrom returns the ready endpoints that a complete list leaves out, as gone, and how many are ready.
+func (d *Dispatcher) missingFrom(entries []endpoints.Entry) (missing []endpoints.Entry, ready int) {
+	listed := map[scheduler.EndpointID]bool{}
+	for _, entry := range entries {
+		listed[entry.ID] = true
+	}
+	for _, entry := range d.endpoints {
+		if entry.State() != scheduler.Ready {
+			continue
+		}
+		ready++
+		if !listed[entry.ID] {
+			entry.Condition = conditionGone
+			missing = append(missing, entry)
+		}
+	}
+	return missing, ready
+}
--- /dev/null
+++ b/internal/dispatch/endpoints.go
@@ -0,0 +1,121 @@
+package dispatch
+
+import (
+	"slices"
+
+	"plumspindle/internal/deployment/pb"
+	"plumspindle/internal/endpoints"
+	"plumspindle/internal/eventloop"
+	"plumspindle/internal/starttimes"
+	"plumspindle/scheduler"
+)
+
+// conditionGone is the condition of an endpoint that has left the list.
+const conditionGone = "gone"
+
+// startEndpoints begins with the cached endpoint list, and subscribes to its source.
+func (d *Dispatcher) startEndpoints() {
+	d.endpointWatch = endpoints.NewWatcher(d.loop, d.config.Seed, d.config.Discovery, d.config.Name)
+	d.endpointWatch.OnUpdate = d.endpointsUpdated
+	d.endpointWatch.Log = func(line string) { d.config.Log.Warn().Msg(line) }
+	d.restoreEndpoints()
+	if d.config.Discovery != "" {
+		d.endpointWatch.Subscribe()
+	}
+}
+
+// endpointsUpdated takes an update from discovery; a complete one names all endpoints that there are.
+func (d *Dispatcher) endpointsUpdated(entries []endpoints.Entry, complete bool) {
+	if mutation := d.config.Mutation; mutation != nil && mutation.EndpointUpdate != nil {
+		entries = mutation.EndpointUpdate(entries)
+	}
+	d.endpointUpdates++
+	d.confirmRemovals(entries, complete)
+	if d.config.CacheEndpoints == nil || d.cacheScheduled {
+		return
+	}
+	d.cacheScheduled = true
+	d.loop.AfterFunc(endpointCacheInterval, func() {
+		d.cacheScheduled = false
+		d.config.CacheEndpoints(d.endpointWatch.Snapshot(int64(d.loop.Now())))
+	})
+}
+
+// applyEndpoints takes entries as true, and reports them to the scheduler.
+func (d *Dispatcher) applyEndpoints(entries []endpoints.Entry, complete bool) {
+	now := d.loop.Now()
+	var startedAt []eventloop.Micros
+	for _, entry := range entries {
+		startedAt = append(startedAt, eventloop.Micros(entry.StartedAt))
+	}
+	clockSkew := starttimes.ClockSkew(now, startedAt...)
+	for _, entry := range entries {
+		d.applyEndpoint(now, entry, clockSkew)
+	}
+	d.scheduler.EndpointUpdateEnded(now, complete)
+	d.countPrefillEndpoints()
+	d.admitQueued()
+}
+
+func (d *Dispatcher) applyEndpoint(now eventloop.Micros, entry endpoints.Entry, clockSkew eventloop.Micros) {
+	zone, kind := d.placeOf(entry)
+	if entry.Condition == conditionGone {
+		d.engine.RemoveEndpoint(entry.ID)
+		delete(d.endpoints, entry.ID)
+		delete(d.startTimes, entry.ID)
+	} else {
+		d.engine.SetAddress(entry.ID, entry.Addr)
+		d.endpoints[entry.ID] = entry
+	}
+	inService := d.endpointUpdates > 1
+	start := starttimes.Next(d.startTimes[entry.ID], eventloop.Micros(entry.StartedAt), now, clockSkew, inService)
+	if entry.Condition != conditionGone {
+		d.startTimes[entry.ID] = start
+	}
+	d.scheduler.EndpointUpdated(now, scheduler.EndpointStatus{
+		ID:        entry.ID,
+		Zone:      zone,
+		Kind:      kind,
+		Cell:      scheduler.CellID(entry.Cell),
+		State:     entry.State(),
+		StartedAt: start.At,
+	})
+}
+
+// placeOf returns an entry's zone and kind in the scheduler's terms. What the deployment does not name is of an unknown
+// kind, which the scheduler sends nothing to.
+func (d *Dispatcher) placeOf(entry endpoints.Entry) (scheduler.ZoneID, scheduler.KindID) {
+	zone := slices.Index(d.deployment.Zones, entry.Zone)
+	if zone < 0 {
+		d.config.Log.Warn().Uint32("endpoint", uint32(entry.ID)).Str("zone", entry.Zone).
+			Msg("endpoint in an unknown zone")
+		return 0, unknownKind
+	}
+	kind := slices.IndexFunc(d.deployment.Kinds, func(k *pb.Kind) bool { return k.Name == entry.Kind })
+	if kind < 0 {
+		d.config.Log.Warn().Uint32("endpoint", uint32(entry.ID)).Str("kind", entry.Kind).
+			Msg("endpoint of an unknown kind")
+		return scheduler.ZoneID(zone), unknownKind
+	}
+	return scheduler.ZoneID(zone), scheduler.KindID(kind)
+}
+
+// countPrefillEndpoints tells the admission of tenants how many endpoints can prefill.
+func (d *Dispatcher) countPrefillEndpoints() {
+	n := 0
+	for id, entry := range d.endpoints {
+		if entry.State() == scheduler.Ready && d.roleOf(id) != scheduler.Decode {
+			n++
+		}
+	}
+	d.admission.SetPrefillEndpoints(n)
+}
+
+func (d *Dispatcher) roleOf(id scheduler.EndpointID) scheduler.Role {
+	for i, kind := range d.deployment.Kinds {
+		if kind.Name == d.endpoints[id].Kind {
+			return d.schedulerConfig.Kinds[i].Role
+		}
+	}
+	return scheduler.Decode
+}
--- /dev/null
+++ b/internal/dispatch/idempotency.go
@@ -0,0 +1,115 @@
+package dispatch
+
+import (
+	"crypto/sha256"
+	"fmt"
+
+	"github.com/cespare/xxhash/v2"
+
+	"plumspindle/internal/deployment/pb"
+	"plumspindle/internal/eventloop"
+	"plumspindle/internal/frontend"
+	"plumspindle/internal/idempotency"
+)
+
+// answerRepeat answers a request whose idempotency key was used before. It reports whether the request was answered; if
+// not, and without a problem, it is to run.
+func (d *Dispatcher) answerRepeat(
+	r *request, space, key string, response *frontend.Response,
+) (answered bool, problem *frontend.Problem) {
+	if len(key) > maxIdempotencyKeyLength {
+		return false, idempotencyKeyTooLong()
+	}
+	keyDigest := sha256.Sum256([]byte(space + "\x00" + r.chat.Model + "\x00" + key))
+	decision, entry := d.idempotencyCache.Begin(d.loop.Now(), idempotency.Key(keyDigest[:16]), requestDigest(r))
+	if decision != idempotency.New && decision != idempotency.Full {
+		d.Repeats++
+	}
+	switch decision {
+	case idempotency.New:
+		r.keyEntry = entry
+		return false, nil
+	case idempotency.Full:
+		d.Shed++
+		response.Reject(0)
+		return true, nil
+	case idempotency.Join, idempotency.Replay:
+		d.replay(r, entry, response)
+		if decision == idempotency.Replay {
+			response.Complete()
+		}
+		return true, nil
+	case idempotency.Conflict:
+		return false, idempotencyKeyReused()
+	}
+	return false, idempotencyKeyAlreadyRan()
+}
+
+// requestDigest tells one request under a key from another. Digests are stored: their form must not change.
+func requestDigest(r *request) uint64 {
+	form := fmt.Sprint(r.chat.Stream, r.chat.IncludeUsage, r.chat.MaxTokens, " ")
+	return xxhash.Sum64String(form + string(r.chat.Passthrough))
+}
+
+// replay sends what was streamed for the key. Where its request still runs, the response follows it from then on.
+func (d *Dispatcher) replay(r *request, entry *idempotency.Entry, response *frontend.Response) {
+	running := d.runningByKey[entry]
+	if running == nil {
+		running = r // it has ended; its answer is formatted anew
+	}
+	d.addResponse(running, response)
+	for _, event := range entry.Events {
+		response.WriteEvent(event)
+	}
+}
+
+// endIdempotencyKey reports the end of a request to the cache of keys.
+func (d *Dispatcher) endIdempotencyKey(r *request, completed bool) {
+	if r.keyEntry == nil {
+		return
+	}
+	window := d.keyWindow(r)
+	d.idempotencyCache.End(d.loop.Now(), r.keyEntry, idempotency.Outcome{
+		Completed:  completed,
+		MayHaveRun: completed || r.mayHaveRun,
+		Window:     window,
+	})
+	if d.runningByKey[r.keyEntry] == r {
+		delete(d.runningByKey, r.keyEntry)
+		d.recordKeyEnd(r.keyEntry, window)
+	}
+}
+
+// keyWindow is how long a request's key is remembered after its end.
+func (d *Dispatcher) keyWindow(r *request) eventloop.Micros {
+	if product := d.deployment.Products[r.class]; product.Effect == pb.Product_DEDUPLICATED {
+		return milliseconds(product.WindowMs)
+	}
+	return milliseconds(d.deployment.Doors.RememberMs)
+}
+
+func invalidIdempotencyKey(status int, code, message string) *frontend.Problem {
+	return &frontend.Problem{
+		Status:  status,
+		Type:    "invalid_request_error",
+		Param:   idempotencyKeyField,
+		Code:    code,
+		Message: message,
+	}
+}
+
+func idempotencyKeyTooLong() *frontend.Problem {
+	return invalidIdempotencyKey(400, "invalid_value",
+		fmt.Sprintf("The Idempotency-Key is longer than %d bytes.", maxIdempotencyKeyLength))
+}
+
+func idempotencyKeyReused() *frontend.Problem {
+	return invalidIdempotencyKey(422, "idempotency_key_reused", "The Idempotency-Key was used for another request.")
+}
+
+func idempotencyKeyAlreadyRan() *frontend.Problem {
+	problem := invalidIdempotencyKey(409, "already_ran", "The generation of this Idempotency-Key ran, or may have run, "+
+		"and is not run again; its answer is no longer here.")
+	problem.NoRetry = true
+	return problem
+}
--- /dev/null
+++ b/internal/dispatch/orders.go
@@ -0,0 +1,64 @@
+package dispatch
+
+import (
+	"plumspindle/internal/lifecycle"
+	"plumspindle/internal/schedulerlog"
+	"plumspindle/scheduler"
+)
+
+// Send starts an attempt.
+func (d *Dispatcher) Send(id scheduler.RequestID, endpoint scheduler.EndpointID, timeout scheduler.Micros) {
+	r := d.requests[id]
+	if r == nil {
+		return
+	}
+	event := lifecycle.DecodeOrdered
+	if r.part != nil || d.roleOf(endpoint) == scheduler.Prefill {
+		event = lifecycle.PrefillOrdered
+	}
+	d.fireWith(r, event, eventDetails{endpoint: endpoint, timeout: timeout})
+}
+
+// Reject gives the final answer of a request that may be retried.
+func (d *Dispatcher) Reject(id scheduler.RequestID, retryAfter scheduler.Micros) {
+	if r := d.requests[id]; r != nil {
+		d.fireWith(r, lifecycle.RejectOrdered, eventDetails{retryAfter: retryAfter})
+	}
+}
+
+// Fail gives the final answer of a request that failed.
+func (d *Dispatcher) Fail(id scheduler.RequestID) {
+	if r := d.requests[id]; r != nil {
+		d.fireWith(r, lifecycle.FailOrdered, eventDetails{reason: "The generation failed."})
+	}
+}
+
+// Cancel closes an attempt. That it was cancelled is reported after the scheduler's call.
+func (d *Dispatcher) Cancel(id scheduler.RequestID, attempt scheduler.AttemptNo) {
+	if r := d.requests[id]; r != nil && r.isCurrent(attempt) {
+		d.fire(r, lifecycle.CancelOrdered)
+	}
+}
+
+// Release has every prefill endpoint that may hold state of the request drop it.
+func (d *Dispatcher) Release(id scheduler.RequestID) {
+	if r := d.requests[id]; r != nil {
+		d.fire(r, lifecycle.ReleaseOrdered)
+	}
+}
+
+// WatchEndpoints subscribes to the endpoint list.
+func (d *Dispatcher) WatchEndpoints() { d.endpointWatch.Subscribe() }
+
+// SetTimer starts one of the scheduler's timers.
+func (d *Dispatcher) SetTimer(after scheduler.Micros, timer scheduler.TimerID) {
+	d.loop.AfterFunc(after, func() {
+		d.scheduler.TimerFired(d.loop.Now(), timer)
+		if timer == scheduler.PeriodicTimer && d.admission.QueueLength() > 0 {
+			d.admitQueued()
+		}
+	})
+}
+
+// Log writes the scheduler's events to the dispatcher's log.
+func (d *Dispatcher) Log(event scheduler.Event) { schedulerlog.Write(&d.config.Log, event) }
--- a/internal/dispatch/path_test.go
+++ b/internal/dispatch/path_test.go
@@ -120,7 +120,9 @@
 		}
 		if chance.Intn(100) == 0 { // as where a tenant is removed
 			if g := r.dispatcher.requests[scheduler.RequestID(int(r.dispatcher.lastRequestID)-chance.Intn(12))]; g != nil {
-				r.loop.Do(func() { r.dispatcher.fire(g, lifecycle.TenantStopped, eventDetails{reason: "The tenant was removed."}) })
+				r.loop.Do(func() {
+					r.dispatcher.fireWith(g, lifecycle.TenantStopped, eventDetails{reason: "The tenant was removed."})
+				})
 			}
 		}
 		if chance.Intn(700) == 0 {
--- a/internal/dispatch/tenants.go
+++ b/internal/dispatch/tenants.go
@@ -4,11 +4,11 @@
 	"crypto/hmac"
 	"crypto/sha256"
 	"encoding/hex"
-	"encoding/json"
 	"fmt"
 	"slices"
 	"strconv"
 
+	"plumspindle/internal/deployment"
 	"plumspindle/internal/eventloop"
 	"plumspindle/internal/frontend"
 	"plumspindle/internal/lifecycle"
@@ -17,328 +17,195 @@
 	"plumspindle/scheduler"
 )
 
-// staticIDs is where the ids of tenants begin that the deployment names itself.
-const staticIDs tenancy.ID = 1 << 31
+// firstStaticID is the first id of a tenant that the deployment names itself.
+const firstStaticID tenancy.ID = 1 << 31
 
-const unlimited = 1e9 // generations a second; what the module is told of a tenant without a share
-
-const (
-	reportEvery  = eventloop.Second
-	reportWithin = 3 * eventloop.Second
-)
+// queueGrace is how long before its client's deadline a request is given up that is still queued for admission.
+const queueGrace = 30 * eventloop.Millisecond
 
-// tenantSlot is a tenant's place in this dispatcher.
+// tenantSlot is a tenant's place in this dispatcher, and the identifier that the scheduler knows it by.
 type tenantSlot struct {
-	id     tenancy.ID
-	name   string
-	space  string
-	index  scheduler.TenantID // in the module's terms
-	serves bool
-	going  bool
-	limits tenancy.Limits
+	id          tenancy.ID
+	name        string
+	space       string // apart from all other tenants' texts and sessions
+	schedulerID scheduler.TenantID
+	active      bool
+	removing    bool
+	limits      tenancy.Limits
 }
 
-// FeedToken is what a dispatcher shows to the administration to be told of tenants, made from the secret of both.
+// tenantLimits are a tenant's limits, and those of its keys and products.
+type tenantLimits struct {
+	tenant   tenancy.Limits
+	keys     map[string]tenancy.Limits
+	products map[string]tenancy.Limits
+}
+
+// FeedToken returns the token that a dispatcher shows to the administration, made from the secret of both.
 func FeedToken(secret []byte) string {
-	m := hmac.New(sha256.New, secret)
-	m.Write([]byte("dispatcher"))
-	return hex.EncodeToString(m.Sum(nil))
+	mac := hmac.New(sha256.New, secret)
+	mac.Write([]byte("dispatcher"))
+	return hex.EncodeToString(mac.Sum(nil))
 }
 
-// seatTenants gives the deployment's own tenants their places, and begins to follow the administration's.
-func (x *Dispatcher) seatTenants() error {
-	x.tenantSlots, x.staticKeys = map[string]*tenantSlot{}, map[[sha256.Size]byte]*tenantSlot{}
-	x.admission = tenancy.NewAdmissionController(int(x.Dispatching.Dispatchers))
-	x.directory = tenancy.NewDirectory(x.config.Secret)
-	x.usage = tenancy.NewUsageMeter()
-	for i, t := range x.Tenants {
-		s := x.sit(t.Name, staticIDs+tenancy.ID(i))
-		x.allow(s, tenancy.Limits{SharePerS: t.QuotaPerS}, nil, nil, true)
-		for _, k := range t.KeySha256 {
-			raw, err := hex.DecodeString(k)
-			if err != nil || len(raw) != sha256.Size {
-				return fmt.Errorf("tenant %s: a key's digest is malformed", t.Name)
+// startTenants adds the deployment's own tenants and the cached ones, and subscribes to the administration's.
+func (d *Dispatcher) startTenants() error {
+	d.tenantSlots, d.staticKeys = map[string]*tenantSlot{}, map[[sha256.Size]byte]*tenantSlot{}
+	d.admission = tenancy.NewAdmissionController(int(d.deployment.Dispatching.Dispatchers))
+	d.directory = tenancy.NewDirectory(d.config.Secret)
+	d.usage = tenancy.NewUsageMeter()
+	for i, tenant := range d.deployment.Tenants {
+		slot := d.addTenant(tenant.Name, firstStaticID+tenancy.ID(i))
+		d.setTenantLimits(slot, tenantLimits{tenant: tenancy.Limits{SharePerS: tenant.QuotaPerS}}, true)
+		for _, key := range tenant.KeySha256 {
+			digest, err := hex.DecodeString(key)
+			if err != nil || len(digest) != sha256.Size {
+				return fmt.Errorf("tenant %s: a key's digest is malformed", tenant.Name)
 			}
-			x.staticKeys[[sha256.Size]byte(raw)] = s
+			d.staticKeys[[sha256.Size]byte(digest)] = slot
 		}
 	}
-	if len(x.config.CachedTenants) > 0 {
-		if err := x.tenantNews(x.config.CachedTenants); err != nil {
-			x.config.Log.Error().Err(err).Msg("the kept tenants can't be read; starting without them")
+	if len(d.config.CachedTenants) > 0 {
+		if err := d.applyTenants(d.config.CachedTenants); err != nil {
+			d.config.Log.Error().Err(err).Msg("cached tenants unreadable")
 		}
-		x.directory.Epoch, x.directory.Version = "", 0 // the source's first word is all of them
+		d.resetDirectory() // the administration's first message has to name all of them
 	}
-	if x.config.Tenants == "" {
-		return nil
+	if d.config.Tenants != "" {
+		d.subscribeTenants()
+		d.loop.AfterFunc(usageReportInterval, d.reportUsage)
 	}
-	c := subscribe.NewClient(x.loop, x.config.Seed+1, x.config.Tenants)
-	c.Name, c.Fields = "the administration", []string{"Authorization", "Bearer " + FeedToken(x.config.Secret), "x-dispatcher", x.config.Name}
-	c.Target = func() string {
-		return "/internal/v1/tenants?epoch=" + x.directory.Epoch + "&since=" + strconv.FormatUint(x.directory.Version, 10)
+	return nil
+}
+
+func (d *Dispatcher) resetDirectory() { d.directory.Epoch, d.directory.Version = "", 0 }
+
+func (d *Dispatcher) subscribeTenants() {
+	feed := subscribe.NewClient(d.loop, d.config.Seed+1, d.config.Tenants)
+	feed.Name = "the administration"
+	feed.Fields = []string{"Authorization", "Bearer " + FeedToken(d.config.Secret), "x-dispatcher", d.config.Name}
+	feed.Target = func() string {
+		since := strconv.FormatUint(d.directory.Version, 10)
+		return "/internal/v1/tenants?epoch=" + d.directory.Epoch + "&since=" + since
 	}
-	c.OnReset = func() { x.directory.Epoch, x.directory.Version = "", 0 }
-	c.OnMessage = func(data []byte) error {
-		if err := x.tenantNews(data); err != nil {
+	feed.OnReset = d.resetDirectory
+	feed.OnMessage = func(data []byte) error {
+		if err := d.applyTenants(data); err != nil {
 			return err
 		}
-		if x.config.CacheTenants != nil {
-			x.config.CacheTenants(x.directory.Snapshot())
+		if d.config.CacheTenants != nil {
+			d.config.CacheTenants(d.directory.Snapshot())
 		}
 		return nil
 	}
-	c.Log = func(line string) { x.config.Log.Warn().Msg(line) }
-	x.tenantFeed = c
-	c.Subscribe()
-	x.loop.AfterFunc(reportEvery, x.report)
-	return nil
+	feed.Log = func(line string) { d.config.Log.Warn().Msg(line) }
+	d.tenantFeed = feed
+	feed.Subscribe()
 }
 
-// sit gives a tenant a place; those that were given back are used again, so that the module's table does not grow.
-func (x *Dispatcher) sit(name string, id tenancy.ID) *tenantSlot {
-	s := &tenantSlot{id: id, name: name, space: fmt.Sprintf("%d-%s", id, name)}
-	if n := len(x.freeTenantIDs); n > 0 {
-		s.index = x.freeTenantIDs[n-1]
-		x.freeTenantIDs = x.freeTenantIDs[:n-1]
+// addTenant gives a tenant a slot. The scheduler's identifiers of removed tenants are used again, so that its table
+// does not grow.
+func (d *Dispatcher) addTenant(name string, id tenancy.ID) *tenantSlot {
+	slot := &tenantSlot{id: id, name: name, space: fmt.Sprintf("%d-%s", id, name)}
+	if n := len(d.freeTenantIDs); n > 0 {
+		slot.schedulerID = d.freeTenantIDs[n-1]
+		d.freeTenantIDs = d.freeTenantIDs[:n-1]
 	} else {
-		s.index = x.nextTenantID
-		x.nextTenantID++
+		slot.schedulerID = d.nextTenantID
+		d.nextTenantID++
 	}
-	x.tenantSlots[name] = s
-	return s
+	d.tenantSlots[name] = slot
+	return slot
 }
 
-func (x *Dispatcher) allow(s *tenantSlot, l tenancy.Limits, keys, products map[string]tenancy.Limits, serves bool) {
-	s.limits, s.serves = l, serves
-	x.admission.SetTenant(s.id, l, keys, products, serves)
-	share := l.SharePerS
-	if share == 0 {
-		share = unlimited
+func (d *Dispatcher) setTenantLimits(slot *tenantSlot, limits tenantLimits, active bool) {
+	slot.limits, slot.active = limits.tenant, active
+	d.admission.SetTenant(slot.id, limits.tenant, limits.keys, limits.products, active)
+	quota := limits.tenant.SharePerS
+	if quota == 0 {
+		quota = deployment.UnlimitedQuota
 	}
-	x.scheduler.QuotaChanged(x.loop.Now(), s.index, share)
+	d.scheduler.QuotaChanged(d.loop.Now(), slot.schedulerID, quota)
 }
 
-// tenantNews takes what the administration says.
-func (x *Dispatcher) tenantNews(data []byte) error {
-	changed, err := x.directory.Apply(data)
+// applyTenants takes a message of the administration, or a cached one.
+func (d *Dispatcher) applyTenants(data []byte) error {
+	changed, err := d.directory.Apply(data)
 	if err != nil {
 		return err
 	}
-	for _, t := range changed {
-		s := x.tenantSlots[t.Name]
-		if s != nil && s.id != t.ID {
-			if s.id >= staticIDs {
-				x.config.Log.Error().Str("tenant", t.Name).Msg("the deployment names this tenant itself; the administration's is not served here")
-				continue
-			}
-			x.removeTenant(s, t.Removal == tenancy.RemovalStop || t.State != tenancy.StateRemoving)
-			s = nil
-		}
-		if t.State == tenancy.StateRemoving || t.State == tenancy.StateRemoved {
-			if s == nil {
-				x.usage.TenantEnded(t.Name)
-				continue
-			}
-			x.removeTenant(s, t.Removal == tenancy.RemovalStop || t.State == tenancy.StateRemoved)
-			continue
-		}
-		if s == nil {
-			s = x.sit(t.Name, t.ID)
-		}
-		keys := map[string]tenancy.Limits{}
-		for _, k := range t.Keys {
-			keys[k.ID] = k.Limits
-		}
-		x.allow(s, t.Limits, keys, t.Products, t.State == tenancy.StateActive)
+	for _, tenant := range changed {
+		d.applyTenant(tenant)
 	}
 	return nil
 }
 
-// removeTenant: a tenant is removed. What runs of it goes on, or is stopped; the place is given back once nothing does.
-func (x *Dispatcher) removeTenant(s *tenantSlot, stop bool) {
-	s.going, s.serves = true, false
-	if x.tenantSlots[s.name] == s {
-		x.admission.SetTenant(s.id, s.limits, nil, nil, false)
-	}
-	if stop {
-		for _, t := range x.admission.OpenTickets(s.id) {
-			x.fire(t.Owner.(*request), lifecycle.TenantStopped, eventDetails{reason: "The tenant was removed."})
+func (d *Dispatcher) applyTenant(tenant *tenancy.Tenant) {
+	slot := d.tenantSlots[tenant.Name]
+	stopRunning := tenant.Removal == tenancy.RemovalStop
+	if slot != nil && slot.id != tenant.ID { // another tenant of the same name
+		if slot.id >= firstStaticID {
+			d.config.Log.Error().Str("tenant", tenant.Name).Msg("tenant name is taken by the deployment")
+			return
 		}
+		d.removeTenant(slot, stopRunning || tenant.State != tenancy.StateRemoving)
+		slot = nil
 	}
-	x.emptySeat(s)
-}
-
-func (x *Dispatcher) emptySeat(s *tenantSlot) {
-	if !s.going || x.tenantSlots[s.name] != s || !x.admission.RemoveTenant(s.id) {
+	if tenant.State == tenancy.StateRemoving || tenant.State == tenancy.StateRemoved {
+		if slot == nil {
+			d.usage.TenantEnded(tenant.Name)
+			return
+		}
+		d.removeTenant(slot, stopRunning || tenant.State == tenancy.StateRemoved)
 		return
 	}
-	delete(x.tenantSlots, s.name)
-	x.scheduler.QuotaChanged(x.loop.Now(), s.index, 0)
-	x.freeTenantIDs = append(x.freeTenantIDs, s.index)
-	x.usage.TenantEnded(s.name)
-}
-
-// Identify finds whose key it is.
-func (x *Dispatcher) Identify(key string) (frontend.Identity, bool) {
-	if s := x.staticKeys[sha256.Sum256([]byte(key))]; s != nil {
-		return frontend.Identity{Tenant: s.name, Space: s.space, Active: true}, true
+	if slot == nil {
+		slot = d.addTenant(tenant.Name, tenant.ID)
 	}
-	t, k, known := x.directory.Authenticate(int64(x.loop.Now()/eventloop.Second), key)
-	if !known || !slices.Contains(k.Scopes, tenancy.ScopeChat) {
-		return frontend.Identity{}, false
-	}
-	s := x.tenantSlots[t.Name]
-	if s == nil || s.id != t.ID {
-		return frontend.Identity{}, false
+	keys := map[string]tenancy.Limits{}
+	for _, key := range tenant.Keys {
+		keys[key.ID] = key.Limits
 	}
-	return frontend.Identity{Tenant: s.name, Key: k.ID, Space: s.space, Active: s.serves}, true
+	limits := tenantLimits{tenant: tenant.Limits, keys: keys, products: tenant.Products}
+	d.setTenantLimits(slot, limits, tenant.State == tenancy.StateActive)
 }
 
-// admit takes a generation to its tenant's gate. It tells whether it goes to the module now; else it waits, or has
-// been answered.
-func (x *Dispatcher) admit(g *request, who frontend.Identity, to *frontend.Response) (now bool, problem *frontend.Problem) {
-	s := x.tenantSlots[who.Tenant]
-	if s == nil || !who.Active {
-		return false, &frontend.Problem{Status: 403, Type: "permission_error", Code: "tenant_suspended", NoRetry: true,
-			Message: "This account is suspended."}
+// removeTenant stops serving a tenant. What runs of it goes on, or is stopped; the slot is freed once nothing does.
+func (d *Dispatcher) removeTenant(slot *tenantSlot, stopRunning bool) {
+	slot.removing, slot.active = true, false
+	if d.tenantSlots[slot.name] == slot {
+		d.admission.SetTenant(slot.id, slot.limits, nil, nil, false)
 	}
-	g.seat = s
-	t, v := x.admission.Admit(x.loop.Now(), tenancy.AdmissionRequest{
-		Tenant:          s.id,
-		Key:             who.Key,
-		Product:         g.ask.Model,
-		PromptTokens:    g.ask.PromptTokens,
-		MaxOutputTokens: g.ask.MaxTokens,
-	})
-	switch {
-	case v.Reason == tenancy.PromptTooLarge:
-		return false, &frontend.Problem{Status: 400, Type: "invalid_request_error", Param: "messages", Code: "prompt_too_large",
-			Message: "The prompt has more tokens than this account may ask for."}
-	case v.Reason == tenancy.NotServed:
-		return false, &frontend.Problem{Status: 403, Type: "permission_error", Code: "tenant_suspended", NoRetry: true, Message: "This account is suspended."}
-	case v.Reason != tenancy.NotRejected:
-		x.OverQuota++
-		x.usage.Add(tenancy.Usage{Tenant: s.name, Product: g.ask.Model, Day: tenancy.Day(x.loop.Now()), Rejected: 1})
-		to.RejectOverQuota(v.Reason.String(), v.RetryAfter)
-		return false, nil
-	}
-	t.Owner = g
-	g.ticket = t
-	return v.Admitted, nil
-}
-
-// queueGrace is how long before a client's limit one that still waits for its turn is given up.
-const queueGrace = 30 * eventloop.Millisecond
-
-// wait has a generation stand before the module until its tenant's turn comes.
-func (x *Dispatcher) wait(g *request) {
-	g.State = lifecycle.Queued
-	g.limit = x.loop.AfterFunc(max(g.deadline-queueGrace-x.loop.Now(), 0), func() {
-		if g.State == lifecycle.Queued {
-			x.fire(g, lifecycle.DeadlineExceeded)
-		}
-	})
-}
-
-// turns lets in those whose turn has come.
-func (x *Dispatcher) turns() {
-	for {
-		t, some := x.admission.AdmitNext(x.loop.Now())
-		if !some {
-			return
+	if stopRunning {
+		for _, ticket := range d.admission.OpenTickets(slot.id) {
+			d.fireWith(ticket.Owner.(*request), lifecycle.TenantStopped, eventDetails{reason: "The tenant was removed."})
 		}
-		g := t.Owner.(*request)
-		g.limit.Stop()
-		g.limit = nil
-		x.fire(g, lifecycle.Admitted)
 	}
+	d.freeTenantSlot(slot)
 }
 
-// arrived tells the module of a generation.
-func (x *Dispatcher) arrived(g *request) {
-	a := g.ask
-	x.scheduler.RequestArrived(x.loop.Now(), scheduler.Arrival{
-		ID:              g.id,
-		Session:         scheduler.SessionID(a.Session),
-		Prefix:          scheduler.PrefixID(a.SharedPrefix),
-		Class:           g.product,
-		Tenant:          g.seat.index,
-		PromptTokens:    float64(a.PromptTokens),
-		PrefixTokens:    float64(a.SharedPrefixTokens),
-		MaxOutputTokens: float64(a.MaxTokens),
-		Deadline:        g.deadline,
-	})
-}
-
-// paid settles a generation with its tenant.
-func (x *Dispatcher) paid(g *request) {
-	if g.ticket == nil {
+func (d *Dispatcher) freeTenantSlot(slot *tenantSlot) {
+	if !slot.removing || d.tenantSlots[slot.name] != slot || !d.admission.RemoveTenant(slot.id) {
 		return
 	}
-	now := x.loop.Now()
-	u := tenancy.Usage{Tenant: g.seat.name, Product: g.ask.Model, Day: tenancy.Day(now), Accepted: 1}
-	if g.part != nil { // the call counts, not its parts; but what they read does
-		u.Accepted = 0
-		if g.final == lifecycle.AnswerCompleted {
-			u.PromptTokens = uint64(g.prompt)
-		} else if g.final == lifecycle.AnswerRejected {
-			x.admission.NoCapacity(now, g.ticket)
-		}
-	}
-	switch final := g.final; {
-	case g.part != nil:
-	case final == lifecycle.AnswerCompleted:
-		u.Completed = 1
-	case final == lifecycle.AnswerRejected:
-		u.Rejected = 1
-		x.admission.NoCapacity(now, g.ticket) // one inside its share found no place
-	case final == lifecycle.AnswerFailed:
-		u.Failed = 1
-	default:
-		u.Disconnected = 1
-	}
-	if g.tokens > 0 {
-		u.PromptTokens, u.OutputTokens = uint64(g.ask.PromptTokens), uint64(g.tokens)
-		if g.prompt > 0 {
-			u.PromptTokens = uint64(g.prompt)
-		}
-	}
-	if g.part == nil || u.PromptTokens > 0 {
-		x.usage.Add(u)
-	}
-	x.admission.Release(now, g.ticket, int(u.PromptTokens+u.OutputTokens))
-	g.ticket = nil
-	s := g.seat
-	x.loop.Defer(func() {
-		x.turns()
-		x.emptySeat(s)
-	})
+	delete(d.tenantSlots, slot.name)
+	d.scheduler.QuotaChanged(d.loop.Now(), slot.schedulerID, 0)
+	d.freeTenantIDs = append(d.freeTenantIDs, slot.schedulerID)
+	d.usage.TenantEnded(slot.name)
 }
 
-// Usage is what was used and not yet reported.
-func (x *Dispatcher) Usage() []tenancy.Usage { return x.usage.Report(x.config.Name).Usage }
-
-// report sends what was used.
-func (x *Dispatcher) report() {
-	r := x.usage.Report(x.config.Name)
-	body, err := json.Marshal(r)
-	if err != nil {
-		x.config.Log.Error().Err(err).Msg("usage can't be reported")
-		return
+// Identify finds the owner of a key.
+func (d *Dispatcher) Identify(key string) (frontend.Identity, bool) {
+	if slot := d.staticKeys[sha256.Sum256([]byte(key))]; slot != nil {
+		return frontend.Identity{Tenant: slot.name, Space: slot.space, Active: true}, true
 	}
-	subscribe.Post(x.loop, x.config.Tenants, "/internal/v1/usage", body, reportWithin, func(status int) {
-		if status == 200 {
-			x.usage.Acknowledge(r.Number)
-		}
-		if x.onReported != nil {
-			if status == 200 && x.usage.Pending() {
-				x.report()
-				return
-			}
-			done := x.onReported
-			x.onReported = nil
-			done()
-			return
-		}
-		x.loop.AfterFunc(reportEvery, x.report)
-	}, "Authorization", "Bearer "+FeedToken(x.config.Secret))
+	tenant, tenantKey, known := d.directory.Authenticate(int64(d.loop.Now()/eventloop.Second), key)
+	if !known || !slices.Contains(tenantKey.Scopes, tenancy.ScopeChat) {
+		return frontend.Identity{}, false
+	}
+	slot := d.tenantSlots[tenant.Name]
+	if slot == nil || slot.id != tenant.ID {
+		return frontend.Identity{}, false
+	}
+	return frontend.Identity{Tenant: slot.name, Key: tenantKey.ID, Space: slot.space, Active: slot.active}, true
 }
--- /dev/null
+++ b/internal/dispatch/transitions.go
@@ -0,0 +1,203 @@
+package dispatch
+
+import (
+	"bytes"
+	"strconv"
+
+	"github.com/tidwall/gjson"
+
+	"plumspindle/internal/deployment/pb"
+	"plumspindle/internal/engine"
+	"plumspindle/internal/eventloop"
+	"plumspindle/internal/frontend"
+	"plumspindle/internal/lifecycle"
+	"plumspindle/scheduler"
+)
+
+// unstreamedGrace is how long before its client's deadline an answer in one piece is given up that is not complete.
+const unstreamedGrace = 20 * eventloop.Millisecond
+
+// eventDetails are what comes with an event; which of them are set depends on the event.
+type eventDetails struct {
+	endpoint   scheduler.EndpointID
+	timeout    scheduler.Micros
+	retryAfter scheduler.Micros
+	result     engine.Result
+	data       []byte
+	reason     string
+}
+
+// cancelled is the result of an attempt that was closed on this side; its endpoint is not at fault.
+var cancelled = engine.Result{
+	Outcome:     scheduler.Cancelled,
+	MemoryUsage: scheduler.NoLoadReport,
+	Reason:      "closed on this side",
+}
+
+func (d *Dispatcher) fire(r *request, event lifecycle.Event) { d.fireWith(r, event, eventDetails{}) }
+
+// fireWith moves a request on by the table of package lifecycle, and performs the actions that the table names.
+func (d *Dispatcher) fireWith(r *request, event lifecycle.Event, details eventDetails) {
+	for _, action := range r.Fire(event, &d.Coverage) {
+		d.perform(r, action, details)
+	}
+}
+
+func (d *Dispatcher) perform(r *request, action lifecycle.Action, details eventDetails) {
+	switch action {
+	case lifecycle.StartPrefill:
+		d.startPrefill(r, details)
+	case lifecycle.StartDecode:
+		d.startDecode(r, details)
+	case lifecycle.CloseAttempt:
+		if r.attempt != nil { // else its intent is still being recorded
+			r.attempt.Cancel()
+		}
+	case lifecycle.ReportCancelled:
+		d.reportCancelled(r)
+	case lifecycle.ReleaseAttempt:
+		d.releaseAttempt(r)
+	case lifecycle.ReleaseState:
+		d.releaseState(r)
+	case lifecycle.StateFetched:
+		r.forgetState()
+	case lifecycle.NotifyStarted:
+		d.notifyStarted(r)
+	case lifecycle.NotifyEnded:
+		d.notifyEnded(r, details.result)
+	case lifecycle.NotifyArrived:
+		if r.part != nil {
+			r.part.admitted(d.loop.Now())
+		}
+		d.notifyArrived(r)
+	case lifecycle.NotifyWithdrawn:
+		d.scheduler.RequestWithdrawn(d.loop.Now(), r.id)
+	case lifecycle.NotifyDisconnected:
+		d.scheduler.ClientDisconnected(d.loop.Now(), r.id)
+	case lifecycle.ForwardEvent:
+		d.forwardEvent(r, details.data)
+	case lifecycle.AnswerCompleted, lifecycle.AnswerRejected, lifecycle.AnswerFailed:
+		d.answer(r, action, details)
+	case lifecycle.PauseAttempt:
+		r.attempt.PauseReading(true)
+	case lifecycle.ResumeAttempt:
+		r.attempt.PauseReading(false)
+	case lifecycle.Forget:
+		d.forget(r)
+	}
+}
+
+// reportCancelled reports the closed attempt's end after the scheduler's call.
+func (d *Dispatcher) reportCancelled(r *request) {
+	number := r.attempts
+	d.loop.Defer(func() {
+		if number == r.attempts {
+			d.fireWith(r, lifecycle.AttemptFailed, eventDetails{result: cancelled})
+		}
+	})
+}
+
+func (d *Dispatcher) notifyStarted(r *request) {
+	now := d.loop.Now()
+	class := d.schedulerConfig.Classes[r.class]
+	slo := class.SLO + scheduler.Micros(float64(class.SLOPer1000)*float64(r.chat.PromptTokens)/1000)
+	d.batches.limiter.ChatStarted(now, now-r.arrivedAt, slo)
+	r.attempt.Started()
+	if !r.chat.Stream {
+		// The client of an answer in one piece has nothing yet, so that its deadline still counts.
+		r.limitTimer = d.loop.AfterFunc(r.deadline-unstreamedGrace-now, func() {
+			d.fireWith(r, lifecycle.DeadlineExceeded,
+				eventDetails{reason: "The answer was not whole within the client's time."})
+		})
+	}
+	d.admission.FirstToken(now, r.ticket, now-r.arrivedAt, slo)
+	d.scheduler.AttemptStarted(now, r.id, r.attempts-1)
+	d.loop.Defer(d.admitQueued)
+}
+
+func (d *Dispatcher) notifyEnded(r *request, result engine.Result) {
+	if result == (engine.Result{}) {
+		result = cancelled
+	}
+	d.scheduler.AttemptEnded(d.loop.Now(), r.id, r.attempts-1, result.ForScheduler(r.Answered()))
+}
+
+var usageMember = []byte(`"usage":{`)
+
+// forwardEvent forwards one event to all that wait, and buffers it for repeats with the request's key.
+func (d *Dispatcher) forwardEvent(r *request, data []byte) {
+	r.outputTokens++
+	if bytes.Contains(data, usageMember) {
+		if n := gjson.GetBytes(data, "usage.prompt_tokens").Int(); n > 0 {
+			r.promptTokens = int(n)
+			r.outputTokens = int(gjson.GetBytes(data, "usage.completion_tokens").Int())
+		}
+	}
+	if r.keyEntry != nil {
+		d.idempotencyCache.AddEvent(r.keyEntry, data)
+	}
+	lagging := false
+	for _, response := range r.responses {
+		lagging = response.WriteEvent(data) || lagging
+	}
+	if lagging {
+		d.fire(r, lifecycle.ClientLagging)
+	}
+}
+
+// answer gives the one final answer.
+func (d *Dispatcher) answer(r *request, action lifecycle.Action, details eventDetails) {
+	r.finalAction = action
+	if r.part != nil {
+		r.part.finished(r, action, details.retryAfter)
+		return
+	}
+	switch action {
+	case lifecycle.AnswerCompleted:
+		d.Completed++
+		d.logAnswer(r, "completed", details.reason)
+		d.respond(r, true, func(response *frontend.Response) { response.Complete() })
+	case lifecycle.AnswerRejected:
+		d.Rejected++
+		d.logAnswer(r, "rejected", details.reason)
+		d.respond(r, false, func(response *frontend.Response) { response.Reject(details.retryAfter) })
+	default:
+		d.Failed++
+		reason, retryable := d.failure(r, details)
+		d.logAnswer(r, "failed", reason)
+		d.respond(r, false, func(response *frontend.Response) { response.Fail(retryable, reason) })
+	}
+}
+
+// failure returns what the client of a failed request is told.
+func (d *Dispatcher) failure(r *request, details eventDetails) (reason string, retryable bool) {
+	reason = details.reason
+	if r.outputTokens > 0 && details.result.Reason != "" {
+		reason = "The stream broke after " + strconv.Itoa(r.outputTokens) + " tokens."
+	}
+	retryable = d.deployment.Products[r.class].Effect == pb.Product_IDEMPOTENT
+	if !retryable {
+		reason += " It may have run and must not be repeated by itself."
+	}
+	return reason, retryable
+}
+
+// respond gives the final answer to all that wait for it, and ends the request's key.
+func (d *Dispatcher) respond(r *request, completed bool, send func(*frontend.Response)) {
+	for _, response := range r.responses {
+		send(response)
+	}
+	r.responses = nil
+	d.endIdempotencyKey(r, completed)
+}
+
+func (d *Dispatcher) logAnswer(r *request, outcome, reason string) {
+	d.config.Log.Debug().
+		Uint64("request_id", uint64(r.id)).
+		Str("client_request_id", r.clientRequestID).
+		Str("class", r.chat.Model).
+		Str("outcome", outcome).
+		Int("attempts", int(r.attempts)).
+		Str("reason", reason).
+		Msg("request answered")
+}
--- /dev/null
+++ b/internal/dispatch/usage.go
@@ -0,0 +1,101 @@
+package dispatch
+
+import (
+	"encoding/json"
+
+	"plumspindle/internal/eventloop"
+	"plumspindle/internal/lifecycle"
+	"plumspindle/internal/subscribe"
+	"plumspindle/internal/tenancy"
+)
+
+const (
+	usageReportInterval = eventloop.Second
+	usageReportTimeout  = 3 * eventloop.Second
+)
+
+// settle ends a request's admission, and counts what it used for its tenant.
+func (d *Dispatcher) settle(r *request) {
+	if r.ticket == nil {
+		return
+	}
+	now := d.loop.Now()
+	if r.finalAction == lifecycle.AnswerRejected {
+		d.admission.NoCapacity(now, r.ticket) // one within its share was rejected
+	}
+	usage := r.usage(now)
+	if r.part == nil || usage.PromptTokens > 0 {
+		d.usage.Add(usage)
+	}
+	d.admission.Release(now, r.ticket, int(usage.PromptTokens+usage.OutputTokens))
+	r.ticket = nil
+	slot := r.tenant
+	d.loop.Defer(func() {
+		d.admitQueued()
+		d.freeTenantSlot(slot)
+	})
+}
+
+// usage returns what a request used. Of a call with many inputs the call is counted, not its parts; the tokens of the
+// parts are.
+func (r *request) usage(now eventloop.Micros) tenancy.Usage {
+	usage := tenancy.Usage{Tenant: r.tenant.name, Product: r.chat.Model, Day: tenancy.Day(now)}
+	if r.part == nil {
+		usage.Accepted = 1
+		countOutcome(&usage, r.finalAction)
+	} else if r.finalAction == lifecycle.AnswerCompleted {
+		usage.PromptTokens = uint64(r.promptTokens)
+	}
+	if r.outputTokens > 0 {
+		usage.PromptTokens, usage.OutputTokens = uint64(r.chat.PromptTokens), uint64(r.outputTokens)
+		if r.promptTokens > 0 {
+			usage.PromptTokens = uint64(r.promptTokens)
+		}
+	}
+	return usage
+}
+
+// countOutcome counts a final answer; without one the client has disconnected.
+func countOutcome(usage *tenancy.Usage, final lifecycle.Action) {
+	switch final {
+	case lifecycle.AnswerCompleted:
+		usage.Completed = 1
+	case lifecycle.AnswerRejected:
+		usage.Rejected = 1
+	case lifecycle.AnswerFailed:
+		usage.Failed = 1
+	default:
+		usage.Disconnected = 1
+	}
+}
+
+// Usage returns what was used and is not reported yet.
+func (d *Dispatcher) Usage() []tenancy.Usage { return d.usage.Report(d.config.Name).Usage }
+
+// reportUsage reports to the administration what was used, again and again; the last report ends a shutdown.
+func (d *Dispatcher) reportUsage() {
+	report := d.usage.Report(d.config.Name)
+	body, err := json.Marshal(report)
+	if err != nil {
+		d.config.Log.Error().Err(err).Msg("usage report not encoded")
+		return
+	}
+	sent := func(status int) {
+		if status == 200 {
+			d.usage.Acknowledge(report.Number)
+		}
+		if d.onReported == nil {
+			d.loop.AfterFunc(usageReportInterval, d.reportUsage)
+			return
+		}
+		if status == 200 && d.usage.Pending() {
+			d.reportUsage()
+			return
+		}
+		done := d.onReported
+		d.onReported = nil
+		done()
+	}
+	subscribe.Post(d.loop, d.config.Tenants, "/internal/v1/usage", body, usageReportTimeout, sent,
+		"Authorization", "Bearer "+FeedToken(d.config.Secret))
+}
