--- a/internal/deployment/validator.go
+++ b/internal/deployment/validator.go
@@ -35,8 +35,8 @@
 	}
 }
 
-// unique checks that n things of a repeated field have names and that no two share one. It returns the names.
-func (v *validator) unique(field string, n int, name func(int) string) map[string]bool {
+// unique checks that n things of a repeated field have names and that no two share one.
+func (v *validator) unique(field string, n int, name func(int) string) {
 	known := map[string]bool{}
 	for i := range n {
 		path := index(field, i)
@@ -49,7 +49,6 @@
 			known[s] = true
 		}
 	}
-	return known
 }
 
 // positive checks fields of one message, by their names.
--- a/internal/dispatch/batch_call.go
+++ b/internal/dispatch/batch_call.go
@@ -89,7 +89,7 @@
 	if problem != nil {
 		return problem
 	}
-	product := d.deployment.Products[class]
+	product := d.Deployment.Products[class]
 	if problem := c.chooseDimensions(int(product.Dimensions)); problem != nil {
 		return problem
 	}
@@ -97,7 +97,7 @@
 	if slot == nil || !c.identity.Active {
 		return tenantSuspended()
 	}
-	if d.batches.openCalls >= int(d.deployment.Doors.OpenMost) {
+	if d.batches.openCalls >= int(d.Deployment.Doors.OpenMost) {
 		d.Shed++
 		return frontend.TooManyConnections()
 	}
--- a/internal/dispatch/chat.go
+++ b/internal/dispatch/chat.go
@@ -49,12 +49,12 @@
 	if problem != nil {
 		return problem
 	}
-	product := d.deployment.Products[class]
+	product := d.Deployment.Products[class]
 	options, problem := d.readChatOptions(head, product)
 	if problem != nil {
 		return problem
 	}
-	if len(d.requests) >= int(d.deployment.Doors.OpenMost) {
+	if len(d.requests) >= int(d.Deployment.Doors.OpenMost) {
 		d.Shed++
 		response.Reject(0)
 		return nil
@@ -99,7 +99,7 @@
 	if !known {
 		return 0, frontend.ModelNotFound(model)
 	}
-	if d.deployment.Products[class].Form != form {
+	if d.Deployment.Products[class].Form != form {
 		return 0, frontend.Invalid("model", "unsupported_value", "The model '%.60s' is not served by this API.", model)
 	}
 	return class, nil
--- a/internal/dispatch/dispatcher.go
+++ b/internal/dispatch/dispatcher.go
@@ -50,7 +50,7 @@
 // Dispatcher serves clients through the model endpoints of one deployment.
 type Dispatcher struct {
 	Counters
-	deployment deployment.Deployment
+	Deployment deployment.Deployment // what it serves; not to be changed
 	loop       eventloop.Loop
 	config     Config
 	engine     *engine.Engine
@@ -92,7 +92,7 @@
 		return nil, fmt.Errorf("the deployment has no zone %q", config.Zone)
 	}
 	d := &Dispatcher{
-		deployment:   dep,
+		Deployment:   dep,
 		loop:         loop,
 		config:       config,
 		classes:      map[string]scheduler.ClassID{},
@@ -123,7 +123,7 @@
 }
 
 func (d *Dispatcher) newEngine() *engine.Engine {
-	settings := d.deployment.Dispatching
+	settings := d.Deployment.Dispatching
 	return engine.New(d.loop, d.config.Name, d.config.Zone, engine.Limits{
 		ConnectTimeout:    milliseconds(settings.ConnectMs),
 		IdleTimeout:       milliseconds(settings.IdleMs),
@@ -134,7 +134,7 @@
 }
 
 func (d *Dispatcher) newFrontend() *frontend.Server {
-	settings := d.deployment.Doors
+	settings := d.Deployment.Doors
 	requestLimits := http1.DefaultLimits
 	requestLimits.HeadBytes, requestLimits.BodyBytes = int(settings.HeadMost), int(settings.BodyMost)
 	clientLimits := frontend.DefaultClientLimits
@@ -161,9 +161,9 @@
 }
 
 func (d *Dispatcher) startScheduler() {
-	d.schedulerConfig = d.deployment.SchedulerConfig()
+	d.schedulerConfig = d.Deployment.SchedulerConfig()
 	d.schedulerConfig.Quotas = nil // reported tenant by tenant, as they come
-	d.schedulerConfig.Zone = scheduler.ZoneID(slices.Index(d.deployment.Zones, d.config.Zone))
+	d.schedulerConfig.Zone = scheduler.ZoneID(slices.Index(d.Deployment.Zones, d.config.Zone))
 	config := d.schedulerConfig
 	var executor scheduler.Executor = d
 	if mutation := d.config.Mutation; mutation != nil {
@@ -182,8 +182,8 @@
 
 // Models returns the names of the products.
 func (d *Dispatcher) Models() []string {
-	names := make([]string, len(d.deployment.Products))
-	for i, product := range d.deployment.Products {
+	names := make([]string, len(d.Deployment.Products))
+	for i, product := range d.Deployment.Products {
 		names[i] = product.Name
 	}
 	return names
--- a/internal/dispatch/endpoint_cache.go
+++ b/internal/dispatch/endpoint_cache.go
@@ -68,7 +68,7 @@
 		return
 	}
 	missing, ready := d.missingFrom(entries)
-	drainGrace := milliseconds(d.deployment.Rules.DrainGraceMs)
+	drainGrace := milliseconds(d.Deployment.Rules.DrainGraceMs)
 	delay := endpointcache.RemovalDelay(ready, len(missing), drainGrace)
 	if delay == 0 {
 		d.applyEndpoints(entries, true)
--- a/internal/dispatch/endpoints.go
+++ b/internal/dispatch/endpoints.go
@@ -85,13 +85,13 @@
 // placeOf returns an entry's zone and kind in the scheduler's terms. What the deployment does not name is of an unknown
 // kind, which the scheduler sends nothing to.
 func (d *Dispatcher) placeOf(entry endpoints.Entry) (scheduler.ZoneID, scheduler.KindID) {
-	zone := slices.Index(d.deployment.Zones, entry.Zone)
+	zone := slices.Index(d.Deployment.Zones, entry.Zone)
 	if zone < 0 {
 		d.config.Log.Warn().Uint32("endpoint", uint32(entry.ID)).Str("zone", entry.Zone).
 			Msg("endpoint in an unknown zone")
 		return 0, unknownKind
 	}
-	kind := slices.IndexFunc(d.deployment.Kinds, func(k *pb.Kind) bool { return k.Name == entry.Kind })
+	kind := slices.IndexFunc(d.Deployment.Kinds, func(k *pb.Kind) bool { return k.Name == entry.Kind })
 	if kind < 0 {
 		d.config.Log.Warn().Uint32("endpoint", uint32(entry.ID)).Str("kind", entry.Kind).
 			Msg("endpoint of an unknown kind")
@@ -112,7 +112,7 @@
 }
 
 func (d *Dispatcher) roleOf(id scheduler.EndpointID) scheduler.Role {
-	for i, kind := range d.deployment.Kinds {
+	for i, kind := range d.Deployment.Kinds {
 		if kind.Name == d.endpoints[id].Kind {
 			return d.schedulerConfig.Kinds[i].Role
 		}
--- a/internal/dispatch/idempotency.go
+++ b/internal/dispatch/idempotency.go
@@ -82,10 +82,10 @@
 
 // keyWindow is how long a request's key is remembered after its end.
 func (d *Dispatcher) keyWindow(r *request) eventloop.Micros {
-	if product := d.deployment.Products[r.class]; product.Effect == pb.Product_DEDUPLICATED {
+	if product := d.Deployment.Products[r.class]; product.Effect == pb.Product_DEDUPLICATED {
 		return milliseconds(product.WindowMs)
 	}
-	return milliseconds(d.deployment.Doors.RememberMs)
+	return milliseconds(d.Deployment.Doors.RememberMs)
 }
 
 func invalidIdempotencyKey(status int, code, message string) *frontend.Problem {
--- a/internal/dispatch/intents.go
+++ b/internal/dispatch/intents.go
@@ -85,7 +85,7 @@
 
 // needsIntent reports whether a request's product asks for its intent to be recorded at a point.
 func (d *Dispatcher) needsIntent(r *request, when pb.Product_Intent) bool {
-	return r.keyEntry != nil && d.config.Intents != nil && d.deployment.Products[r.class].Intent == when
+	return r.keyEntry != nil && d.config.Intents != nil && d.Deployment.Products[r.class].Intent == when
 }
 
 // recordIntentEarly begins to record the intent as the prefill goes out.
@@ -165,7 +165,7 @@
 	if r.intent.waiting == nil {
 		return
 	}
-	d.loop.AfterFunc(milliseconds(d.deployment.Rules.LetGoMs)/2, func() {
+	d.loop.AfterFunc(milliseconds(d.Deployment.Rules.LetGoMs)/2, func() {
 		if r.intent.waiting == nil || !r.awaitsDecode(number) {
 			return
 		}
--- a/internal/dispatch/tenants.go
+++ b/internal/dispatch/tenants.go
@@ -51,10 +51,10 @@
 // startTenants adds the deployment's own tenants and the cached ones, and subscribes to the administration's.
 func (d *Dispatcher) startTenants() error {
 	d.tenantSlots, d.staticKeys = map[string]*tenantSlot{}, map[[sha256.Size]byte]*tenantSlot{}
-	d.admission = tenancy.NewAdmissionController(int(d.deployment.Dispatching.Dispatchers))
+	d.admission = tenancy.NewAdmissionController(int(d.Deployment.Dispatching.Dispatchers))
 	d.directory = tenancy.NewDirectory(d.config.Secret)
 	d.usage = tenancy.NewUsageMeter()
-	for i, tenant := range d.deployment.Tenants {
+	for i, tenant := range d.Deployment.Tenants {
 		slot := d.addTenant(tenant.Name, firstStaticID+tenancy.ID(i))
 		d.setTenantLimits(slot, tenantLimits{tenant: tenancy.Limits{SharePerS: tenant.QuotaPerS}}, true)
 		for _, key := range tenant.KeySha256 {
--- a/internal/dispatch/transitions.go
+++ b/internal/dispatch/transitions.go
@@ -175,7 +175,7 @@
 	if r.outputTokens > 0 && details.result.Reason != "" {
 		reason = "The stream broke after " + strconv.Itoa(r.outputTokens) + " tokens."
 	}
-	retryable = d.deployment.Products[r.class].Effect == pb.Product_IDEMPOTENT
+	retryable = d.Deployment.Products[r.class].Effect == pb.Product_IDEMPOTENT
 	if !retryable {
 		reason += " It may have run and must not be repeated by itself."
 	}
--- a/internal/lifecycle/lifecycle_test.go
+++ b/internal/lifecycle/lifecycle_test.go
@@ -189,7 +189,8 @@
 			for _, a := range transition.Actions {
 				actions = append(actions, a.String())
 			}
-			rows = append(rows, fmt.Sprintf("| %v | %v | %s | %v |", State(s), Event(e), strings.Join(actions, ", "), transition.Next))
+			row := fmt.Sprintf("| %v | %v | %s | %v |", State(s), Event(e), strings.Join(actions, ", "), transition.Next)
+			rows = append(rows, row)
 		}
 	}
 	slices.Sort(rows)
