--- a/internal/dispatch/room_test.go
+++ b/internal/dispatch/limits_test.go
@@ -1,150 +1,17 @@
 package dispatch
 
 import (
-	"errors"
 	"fmt"
 	"strings"
 	"testing"
 
-	"github.com/rs/zerolog"
-
 	"plumspindle/internal/deployment"
 	"plumspindle/internal/eventloop"
 	"plumspindle/internal/http1"
 	"plumspindle/internal/sse"
-	"plumspindle/internal/store"
 	"plumspindle/internal/virtual"
-	"plumspindle/scheduler"
 )
 
-// startWithIntents starts a dispatcher anew, with its intents in a folder of the world.
-func (r *harness) startWithIntents(f *virtual.Disk) {
-	r.t.Helper()
-	loop := r.world.NewLoop("kept")
-	r.loop = loop
-	loop.Do(func() {
-		intents, err := store.Open(f.AttachTo(loop), store.DefaultLimits)
-		if err != nil {
-			r.t.Fatal(err)
-		}
-		if r.dispatcher, err = Start(loop, r.deployment, Config{Name: "kept", Zone: "west", Seed: 1, CachedEndpoints: [][]byte{r.cachedList}, Log: zerolog.Nop(), Intents: intents}); err != nil {
-			r.t.Fatal(err)
-		}
-		ln, err := loop.Listen("127.0.0.1:0", r.dispatcher.Frontend().Accept)
-		if err != nil {
-			r.t.Fatal(err)
-		}
-		r.addr = ln.Addr()
-	})
-}
-
-// The disk has no room, writes short, or fails a sync, while keyed generations come: none runs whose record is not kept, what
-// needs none goes on, and once there is room again, keyed ones run without a restart. What was refused is free to run.
-func TestKeyedRequestsNeedADurableIntent(t *testing.T) {
-	for name, fail := range map[string]func(f *virtual.Disk, on bool){
-		"no room": func(f *virtual.Disk, on bool) {
-			f.Capacity = 0
-			if on {
-				f.Capacity = f.Used() + 20
-			}
-		},
-		"a failed sync": func(f *virtual.Disk, on bool) {
-			f.PartialWrites, f.Failure = on, nil
-			if on {
-				f.Failure = errors.New("input/output error")
-			}
-		},
-	} {
-		r := newHarness(t, nil, "prefill west", "decode west", "decode west")
-		f := r.world.NewDisk()
-		r.startWithIntents(f)
-		writes := func() int { return r.endpoints[1].attempts() + r.endpoints[2].attempts() }
-		r.expectFinal(r.ask("review-post", "Idempotency-Key", "before"), "streamed")
-		fail(f, true)
-		n := writes()
-		for _, key := range []string{"a", "b", "a"} {
-			r.expectFinal(r.ask("review-post", "Idempotency-Key", key), "throttled")
-		}
-		r.expectFinal(r.ask("review-post"), "streamed")
-		r.expectFinal(r.ask("explain"), "streamed")
-		if writes() != n+2 {
-			t.Errorf("%s: %d writes without a record", name, writes()-n-2)
-		}
-		fail(f, false)
-		r.world.Run(3 * eventloop.Second)
-		for _, key := range []string{"a", "c"} {
-			r.expectFinal(r.ask("review-post", "Idempotency-Key", key), "streamed")
-		}
-		n = writes()
-		r.virtual().Kill()
-		r.startWithIntents(f) // what was acknowledged is there, and the torn tail is gone
-		for _, key := range []string{"before", "a", "c"} {
-			r.expectFinal(r.ask("review-post", "Idempotency-Key", key), "409")
-		}
-		r.expectFinal(r.ask("review-post", "Idempotency-Key", "b"), "streamed")
-		if writes() != n+1 {
-			t.Errorf("%s: after the restart %d writes, want one", name, writes()-n)
-		}
-	}
-}
-
-// The disk stalls between a read and its write: the state that waits at the reader is let go within its time all the same, the
-// generation is answered within its own, and nothing runs without its record.
-func TestStalledDiskReleasesPrefillState(t *testing.T) {
-	for _, product := range []string{"review-post", "build-note"} {
-		r := newHarness(t, nil, "prefill west", "decode west", "decode west")
-		f := r.world.NewDisk()
-		r.startWithIntents(f)
-		f.SyncTime = 20 * eventloop.Second
-		var since eventloop.Micros
-		most := eventloop.Micros(0)
-		r.endpoints[0].serve = func(l *fakeConn) {
-			since = r.remote.Now()
-			answerPrefill(l)
-		}
-		c := r.ask(product, "Idempotency-Key", "k")
-		seen := 0
-		r.world.AfterStep = func() {
-			if n := len(r.endpoints[0].seen); n > seen {
-				seen = n
-				if r.endpoints[0].seen[n-1].target == "/v1/kv/release" && since > 0 {
-					most, since = max(most, r.remote.Now()-since), 0
-				}
-			}
-		}
-		r.expectFinal(c, "throttled")
-		r.world.AfterStep = nil
-		if since > 0 || most == 0 || most > eventloop.Micros(r.deployment.Rules.LetGoMs)*eventloop.Millisecond {
-			t.Errorf("%s: a state waited for %d ms (still held: %v)", product, most/1000, since > 0)
-		}
-		if n := r.endpoints[1].attempts() + r.endpoints[2].attempts(); n != 0 {
-			t.Errorf("%s: %d writes without a record", product, n)
-		}
-		f.SyncTime = eventloop.Millisecond
-		r.world.Run(90 * eventloop.Second) // what it was asked for takes its time
-		r.expectFinal(r.ask(product, "Idempotency-Key", "m"), "streamed")
-	}
-}
-
-// silentClient is a client that holds a connection and says nothing.
-type silentClient struct {
-	conn   eventloop.Conn
-	closed bool
-}
-
-func (m *silentClient) Opened()      {}
-func (m *silentClient) Data([]byte)  {}
-func (m *silentClient) Drained()     {}
-func (m *silentClient) Closed(error) { m.closed = true }
-
-// expectRelease lets time pass until a reader has been told to let go of what it held, and fails where that takes too long.
-func (r *harness) expectRelease(reader *fakeEndpoint, before int, what string) {
-	r.t.Helper()
-	if !r.runUntil(eventloop.Micros(r.deployment.Rules.LetGoMs)*eventloop.Millisecond, func() bool { return reader.releases() > before }) {
-		r.t.Errorf("%s: the reader was not told to let go in time", what)
-	}
-}
-
 // A state is to be let go of while all connections to its reader are in use, or no descriptor is left: neither pins it.
 func TestReleaseNeedsNoFreeConnection(t *testing.T) {
 	for name, fill := range map[string]func(r *harness){
@@ -185,6 +52,50 @@
 	}
 }
 
+// A reader can't be reached for longer than a state may wait: once it can be, it is told to let go, of all that came together.
+func TestReleaseIsRetriedAfterAPartition(t *testing.T) {
+	r := newHarness(t, func(d deployment.Deployment) { d.Dispatching.IdleMs = 50 }, "prefill west", "decode west") // it has to connect anew
+	r.endpoints[1].serve = func(*fakeConn) {}
+	var calls []*clientCall
+	for range 5 {
+		calls = append(calls, r.ask("review-post", "x-time-limit-ms", "800"))
+	}
+	r.world.Run(300 * eventloop.Millisecond)
+	if r.endpoints[1].attempts() != 5 {
+		t.Fatalf("%d are being written", r.endpoints[1].attempts())
+	}
+	d, far := r.virtual(), r.remote.(*virtual.Loop)
+	r.world.Block(far, d, 3*eventloop.Second)
+	r.world.Run(3 * eventloop.Second)
+	for i, c := range calls {
+		if len(c.finals) != 1 {
+			t.Errorf("call %d: %v", i, c.finals)
+		}
+	}
+	r.endpoints[1].serve = answerDecode
+	let := func() string {
+		var b strings.Builder
+		for _, l := range r.endpoints[0].seen {
+			if l.target == "/v1/kv/release" {
+				b.Write(l.body)
+			}
+		}
+		return b.String()
+	}
+	r.world.Run(eventloop.Micros(r.deployment.Rules.LetGoMs) * eventloop.Millisecond)
+	for i := range 5 {
+		if name := fmt.Sprintf(`"d-%d-0"`, i+1); !strings.Contains(let(), name) {
+			t.Errorf("the reader was not told to let go of %s: %s", name, let())
+		}
+	}
+	n := len(r.endpoints[0].seen)
+	r.world.Run(12 * eventloop.Second)
+	if more := len(r.endpoints[0].seen) - n; more > 0 {
+		t.Errorf("it was told %d times more", more)
+	}
+	r.expectFinal(r.ask("review-post"), "streamed")
+}
+
 // Idle connections to other hosts make room for one that is needed.
 func TestIdleConnectionsGiveWay(t *testing.T) {
 	r := newHarness(t, nil, "prefill west", "decode west", "decode west", "decode west")
@@ -255,31 +166,6 @@
 	r.expectFinal(r.ask("explain"), "streamed")
 }
 
-// Hosts are replaced for months: nothing of those that are gone is kept, and what runs at one that is listed as gone is let go of.
-func TestReplacedEndpointsLeaveNothing(t *testing.T) {
-	r := newHarness(t, nil, "prefill west", "decode west")
-	for i := range 3000 {
-		e := r.endpoints[1].entry("ready")
-		e.ID, e.Addr = scheduler.EndpointID(1000+i), "127.0.0.1:9"
-		r.updateEndpoints(e)
-		r.world.Run(500 * eventloop.Millisecond)
-		e.Condition = "gone"
-		r.updateEndpoints(e)
-	}
-	r.world.Run(120 * eventloop.Second)
-	if n := r.dispatcher.engine.EndpointCount(); n != 2 || len(r.dispatcher.endpoints) != 2 {
-		t.Errorf("%d hosts are known to the legs, %d to the dispatcher", n, len(r.dispatcher.endpoints))
-	}
-	r.expectFinal(r.ask("explain"), "streamed")
-	r.endpoints[1].serve = func(*fakeConn) {}
-	c := r.ask("review-post", "x-time-limit-ms", "900")
-	r.world.Run(100 * eventloop.Millisecond)
-	r.updateEndpoints(r.endpoints[0].entry("gone"))
-	before := r.endpoints[0].releases()
-	r.runUntil(eventloop.Second, func() bool { return len(c.finals) > 0 })
-	r.expectRelease(r.endpoints[0], before, "a reader that is listed as gone")
-}
-
 // Bodies that wait with their generations, and bodies that never end, are kept up to a bound in all; past it requests are throttled
 // and nothing of them is kept. The memory comes back, and so does the service.
 func TestBufferedBodiesAreBounded(t *testing.T) {
@@ -377,91 +263,3 @@
 		}
 	}
 }
-
-// A reader can't be reached for longer than a state may wait: once it can be, it is told to let go, of all that came together.
-func TestReleaseIsRetriedAfterAPartition(t *testing.T) {
-	r := newHarness(t, func(d deployment.Deployment) { d.Dispatching.IdleMs = 50 }, "prefill west", "decode west") // it has to connect anew
-	r.endpoints[1].serve = func(*fakeConn) {}
-	var calls []*clientCall
-	for range 5 {
-		calls = append(calls, r.ask("review-post", "x-time-limit-ms", "800"))
-	}
-	r.world.Run(300 * eventloop.Millisecond)
-	if r.endpoints[1].attempts() != 5 {
-		t.Fatalf("%d are being written", r.endpoints[1].attempts())
-	}
-	d, far := r.virtual(), r.remote.(*virtual.Loop)
-	r.world.Block(far, d, 3*eventloop.Second)
-	r.world.Run(3 * eventloop.Second)
-	for i, c := range calls {
-		if len(c.finals) != 1 {
-			t.Errorf("call %d: %v", i, c.finals)
-		}
-	}
-	r.endpoints[1].serve = answerDecode
-	let := func() string {
-		var b strings.Builder
-		for _, l := range r.endpoints[0].seen {
-			if l.target == "/v1/kv/release" {
-				b.Write(l.body)
-			}
-		}
-		return b.String()
-	}
-	r.world.Run(eventloop.Micros(r.deployment.Rules.LetGoMs) * eventloop.Millisecond)
-	for i := range 5 {
-		if name := fmt.Sprintf(`"d-%d-0"`, i+1); !strings.Contains(let(), name) {
-			t.Errorf("the reader was not told to let go of %s: %s", name, let())
-		}
-	}
-	n := len(r.endpoints[0].seen)
-	r.world.Run(12 * eventloop.Second)
-	if more := len(r.endpoints[0].seen) - n; more > 0 {
-		t.Errorf("it was told %d times more", more)
-	}
-	r.expectFinal(r.ask("review-post"), "streamed")
-}
-
-// A keyed generation that goes on without its client counts with its body until it has ended.
-func TestOrphanedBodyCountsUntilItsRequestEnds(t *testing.T) {
-	r := newHarness(t, nil, "prefill west", "decode west")
-	r.endpoints[1].serve = func(l *fakeConn) { r.remote.AfterFunc(eventloop.Second, func() { answerDecode(l) }) }
-	c := r.ask("review-post", "Idempotency-Key", "k")
-	r.world.Run(100 * eventloop.Millisecond)
-	r.remote.Do(c.conn.Abort)
-	r.world.Run(100 * eventloop.Millisecond)
-	if r.dispatcher.frontend.BufferedBytes == 0 || r.dispatcher.OpenRequests() != 1 {
-		t.Errorf("%d bytes are counted, %d run", r.dispatcher.frontend.BufferedBytes, r.dispatcher.OpenRequests())
-	}
-	r.world.Run(2 * eventloop.Second)
-	if r.dispatcher.frontend.BufferedBytes != 0 || r.dispatcher.OpenRequests() != 0 {
-		t.Errorf("at the end %d bytes are counted, %d run", r.dispatcher.frontend.BufferedBytes, r.dispatcher.OpenRequests())
-	}
-	r.expectFinal(r.ask("review-post", "Idempotency-Key", "k"), "streamed") // its answer is kept
-}
-
-// TestRequestRacingAConnectionClose: a request that was read in the instant in which its idle connection would be closed is answered, whatever closes
-// it: the dispatcher's leaving, or a connection that needs the place.
-func TestRequestRacingAConnectionClose(t *testing.T) {
-	for name, closes := range map[string]func(r *harness){
-		"leaving": func(r *harness) { r.loop.Do(r.dispatcher.frontend.Shutdown) },
-		"a crowd": func(r *harness) {
-			r.loop.Do(func() { r.dispatcher.frontend.MaxConnections = 1 })
-			r.ask("explain")
-			r.world.Run(r.world.Latency)
-		},
-	} {
-		r := newHarness(t, nil, "prefill west", "decode west")
-		c := r.ask("explain")
-		r.expectFinal(c, "streamed")
-		r.world.Run(2 * eventloop.Second)
-		r.world.DeliveryDelay = 5 * eventloop.Millisecond // what has arrived is not handed over yet
-		r.remote.Do(func() { c.conn.Write(c.request) })
-		r.world.Run(eventloop.Millisecond)
-		closes(r)
-		r.runUntil(5*eventloop.Second, func() bool { return len(c.finals) > 1 || c.closed })
-		if len(c.finals) < 2 {
-			t.Errorf("%s: its connection was closed without an answer", name)
-		}
-	}
-}
