--- a/internal/dispatch/attempts_test.go
+++ b/internal/dispatch/attempts_test.go
@@ -11,106 +11,123 @@
 	"plumspindle/scheduler"
 )
 
-// decodeFailures are the ways in which the first write goes wrong, and what a client of each sort of product is owed. The
-// second write, where one is allowed, goes well.
-var decodeFailures = []struct {
-	name                   string
-	serve                  func(l *fakeConn)
-	idempotent, sideEffect string
-}{
+// decodeFailure is a way in which a first decode attempt goes wrong, and the final answer that the client of an
+// idempotent and of a side-effecting product gets. A second decode, where one is allowed, goes well.
+type decodeFailure struct {
+	name          string
+	serve         func(*fakeConn)
+	idempotent    string
+	sideEffecting string
+}
+
+var decodeFailures = []decodeFailure{
 	{"closed before a token", closeConn, "streamed", "terminated"},
 	{"reset before a token", abortConn, "streamed", "terminated"},
-	{"head, then closed", func(l *fakeConn) { l.stream(); closeConn(l) }, "streamed", "terminated"},
-	{"closed after a token", func(l *fakeConn) { l.stream(chunkEvent("Lamu ", "")); closeConn(l) }, "terminated", "terminated"},
-	{"reset after a token", func(l *fakeConn) {
-		l.stream(chunkEvent("Lamu ", ""))
-		l.endpoint.harness.remote.AfterFunc(5000, func() { abortConn(l) })
-	},
-		"terminated", "terminated"},
-	{"closed inside an event", func(l *fakeConn) { l.stream(chunkEvent("Lamu ", ""), chunkEvent("é", "stop")[:20]); closeConn(l) }, "terminated", "terminated"},
-	{"closed inside a character", func(l *fakeConn) {
-		e := chunkEvent("é", "stop")
-		l.stream(chunkEvent("Lamu ", ""), e[:strings.Index(e, "é")+1])
-		closeConn(l)
+	{"head, then closed", func(c *fakeConn) { c.stream(); closeConn(c) }, "streamed", "terminated"},
+	{"closed after a token", func(c *fakeConn) { streamFirstEvent(c); closeConn(c) }, "terminated", "terminated"},
+	{"reset after a token", func(c *fakeConn) {
+		streamFirstEvent(c)
+		c.after(5*eventloop.Millisecond, func() { abortConn(c) })
+	}, "terminated", "terminated"},
+	{"closed inside an event", func(c *fakeConn) {
+		c.stream(firstEvent, lastEvent[:20])
+		closeConn(c)
 	}, "terminated", "terminated"},
-	{"closed after the last token", func(l *fakeConn) { l.stream(chunkEvent("Lamu ", ""), chunkEvent("é", "stop")); closeConn(l) }, "streamed", "streamed"},
-	{"closed after [DONE]", func(l *fakeConn) {
-		l.stream(chunkEvent("Lamu ", ""), chunkEvent("é", "stop"), "data: [DONE]\n\n")
-		closeConn(l)
-	},
-		"streamed", "streamed"},
-	{"silent", func(*fakeConn) {}, "streamed", "terminated"},
-	{"silent after a token", func(l *fakeConn) { l.stream(chunkEvent("Lamu ", "")) }, "terminated", "terminated"},
-	{"an error", func(l *fakeConn) { l.answer(500, `{"error":{"code":"internal"}}`) }, "streamed", "terminated"},
-	{"full", func(l *fakeConn) { l.answer(429, `{"error":{"code":"full"}}`) }, "streamed", "streamed"},
-	{"full, with another status", func(l *fakeConn) { l.answer(500, `{"error":{"code":"full"}}`) }, "streamed", "terminated"},
-	{"draining", func(l *fakeConn) { l.answer(503, `{"error":{"code":"draining"}}`) }, "streamed", "streamed"},
-	{"state lost", func(l *fakeConn) { l.answer(409, `{"error":{"code":"state_lost"}}`) }, "streamed", "streamed"},
-	{"not HTTP", func(l *fakeConn) { l.conn.Write([]byte("PONG\r\n\r\n")) }, "streamed", "terminated"},
-	{"two lengths", func(l *fakeConn) {
-		l.conn.Write([]byte("HTTP/1.1 200 OK\r\nContent-Length: 5\r\nContent-Length: 6\r\n\r\nhello"))
+	{"closed inside a character", func(c *fakeConn) {
+		c.stream(firstEvent, lastEvent[:strings.Index(lastEvent, "é")+1])
+		closeConn(c)
+	}, "terminated", "terminated"},
+	{"closed after the last token", func(c *fakeConn) {
+		c.stream(firstEvent, lastEvent)
+		closeConn(c)
+	}, "streamed", "streamed"},
+	{"closed after [DONE]", func(c *fakeConn) {
+		c.stream(firstEvent, lastEvent, doneEvent)
+		closeConn(c)
+	}, "streamed", "streamed"},
+	{"silent", neverAnswer, "streamed", "terminated"},
+	{"silent after a token", streamFirstEvent, "terminated", "terminated"},
+	{"an error", answerError(500, "internal"), "streamed", "terminated"},
+	{"full", answerError(429, "full"), "streamed", "streamed"},
+	{"full, with another status", answerError(500, "full"), "streamed", "terminated"},
+	{"draining", answerError(503, "draining"), "streamed", "streamed"},
+	{"state lost", answerError(409, "state_lost"), "streamed", "streamed"},
+	{"not HTTP", func(c *fakeConn) { c.conn.Write([]byte("PONG\r\n\r\n")) }, "streamed", "terminated"},
+	{"two lengths", func(c *fakeConn) {
+		c.conn.Write([]byte("HTTP/1.1 200 OK\r\nContent-Length: 5\r\nContent-Length: 6\r\n\r\nhello"))
 	}, "streamed", "terminated"},
-	{"shorter than its length", func(l *fakeConn) {
-		l.conn.Write([]byte("HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\nContent-Length: 500\r\n\r\n"))
-		closeConn(l)
+	{"shorter than its length", func(c *fakeConn) {
+		c.conn.Write([]byte("HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\nContent-Length: 500\r\n\r\n"))
+		closeConn(c)
 	}, "streamed", "terminated"},
-	{"two answers", func(l *fakeConn) { answerDecode(l); answerDecode(l) }, "streamed", "streamed"},
-	{"an event after the last", func(l *fakeConn) {
-		l.stream(chunkEvent("Lamu ", ""), chunkEvent("é", "stop"), "data: [DONE]\n\n", chunkEvent("x", ""))
-		l.conn.Write(http1.AppendLastChunk(nil))
+	{"two answers", func(c *fakeConn) { answerDecode(c); answerDecode(c) }, "streamed", "streamed"},
+	{"an event after the last", func(c *fakeConn) {
+		c.stream(firstEvent, lastEvent, doneEvent, chunkEvent("x", ""))
+		c.conn.Write(http1.AppendLastChunk(nil))
 	}, "streamed", "streamed"},
-	{"an event that is no chunk", func(l *fakeConn) { l.stream("data: {\"x\":1}\n\n") }, "streamed", "terminated"},
-	{"one byte at a time", func(l *fakeConn) {
-		b := http1.AppendStreamHead(nil, 200, "Content-Type", "text/event-stream")
-		b = http1.AppendChunk(b, []byte(chunkEvent("Lamu ", "")+chunkEvent("é", "stop")+"data: [DONE]\n\n"))
-		for i, c := range http1.AppendLastChunk(b) {
-			l.endpoint.harness.remote.AfterFunc(eventloop.Micros(i*100), func() { l.conn.Write([]byte{c}) })
+	{"an event that is no chunk", func(c *fakeConn) { c.stream("data: {\"x\":1}\n\n") }, "streamed", "terminated"},
+	{"one byte at a time", func(c *fakeConn) {
+		response := http1.AppendStreamHead(nil, 200, "Content-Type", "text/event-stream")
+		response = http1.AppendChunk(response, []byte(firstEvent+lastEvent+doneEvent))
+		for i, b := range http1.AppendLastChunk(response) {
+			c.after(eventloop.Micros(i*100), func() { c.conn.Write([]byte{b}) })
 		}
 	}, "streamed", "streamed"},
 }
 
-// Whatever a writer does, the client has one final answer, nothing comes after it, nothing is left out, and a
-// side-effecting generation is written again only where the first writer has said that it did not run it.
+// provesNotRun reports whether the endpoint has said that it did not run the attempt.
+func (f decodeFailure) provesNotRun() bool {
+	return f.name == "full" || f.name == "draining" || f.name == "state lost"
+}
+
+func (f decodeFailure) want(product string) string {
+	if product == "review-post" {
+		return f.sideEffecting
+	}
+	return f.idempotent
+}
+
+// Whatever a decode endpoint does, the client has one final answer, nothing comes after it, nothing is left out, and a
+// side-effecting request is decoded again only where the first endpoint has said that it did not run it.
 func TestDecodeEndpointFailures(t *testing.T) {
-	for _, b := range decodeFailures {
+	endpoints := []string{"prefill west", "decode west", "decode west"}
+	for _, failure := range decodeFailures {
 		for _, product := range []string{"explain", "review-post"} {
-			t.Run(b.name+"/"+product, func(t *testing.T) {
-				testDecodeFailure(t, newHarness(t, nil, "prefill west", "decode west", "decode west"), b.serve, product, b.idempotent, b.sideEffect)
+			t.Run(failure.name+"/"+product, func(t *testing.T) {
+				testDecodeFailure(t, newHarness(t, nil, endpoints...), failure, product)
 			})
-			t.Run("sockets/"+b.name+"/"+product, func(t *testing.T) {
+			t.Run("sockets/"+failure.name+"/"+product, func(t *testing.T) {
 				t.Parallel()
-				testDecodeFailure(t, newSocketHarness(t, "prefill west", "decode west", "decode west"), b.serve, product, b.idempotent, b.sideEffect)
+				testDecodeFailure(t, newSocketHarness(t, endpoints...), failure, product)
 			})
 		}
 	}
 }
 
-func testDecodeFailure(t *testing.T, r *harness, serve func(*fakeConn), product, idempotent, sideEffect string) {
+func testDecodeFailure(t *testing.T, r *harness, failure decodeFailure, product string) {
+	t.Helper()
 	first := true
 	r.remote.Do(func() {
-		for _, h := range r.endpoints[1:] {
-			h.serve = func(l *fakeConn) {
+		for _, endpoint := range r.endpoints[1:] {
+			endpoint.serve = func(c *fakeConn) {
 				if !first {
-					answerDecode(l)
+					answerDecode(c)
 					return
 				}
 				first = false
-				serve(l)
+				failure.serve(c)
 			}
 		}
 	})
-	want := idempotent
-	if product == "review-post" {
-		want = sideEffect
-	}
+	want := failure.want(product)
 	c := r.ask(product)
 	r.expectFinal(c, want)
 	r.remote.Do(func() {
 		if want == "streamed" && c.text != completeText {
 			t.Errorf("the client was sent %q", c.text)
 		}
-		if writes := r.endpoints[1].attempts() + r.endpoints[2].attempts(); want == "terminated" && writes != 1 {
-			t.Errorf("written %d times", writes)
+		if decodes := r.endpoints[1].attempts() + r.endpoints[2].attempts(); want == "terminated" && decodes != 1 {
+			t.Errorf("%d decodes", decodes)
 		}
 		if c.head == nil {
 			return
@@ -122,86 +139,92 @@
 	})
 }
 
-// A reader that fails has had no effect: any product is read again elsewhere, and what may lie there is let go.
+// A prefill that fails has had no effect: any product is prefilled again elsewhere, and what may be left is released.
 func TestPrefillEndpointFailureIsRetried(t *testing.T) {
-	for name, serve := range map[string]func(l *fakeConn){"closed": closeConn, "reset": abortConn, "silent": func(*fakeConn) {},
-		"no state": func(l *fakeConn) { l.answer(200, `{"choices":[]}`) }, "full": func(l *fakeConn) { l.answer(429, `{"error":{"code":"full"}}`) }} {
+	for name, serve := range map[string]func(*fakeConn){
+		"closed":   closeConn,
+		"reset":    abortConn,
+		"silent":   neverAnswer,
+		"no state": func(c *fakeConn) { c.answer(200, `{"choices":[]}`) },
+		"full":     answerError(429, "full"),
+	} {
 		t.Run(name, func(t *testing.T) {
 			r := newHarness(t, nil, "prefill west", "prefill west", "decode west")
 			var broken *fakeEndpoint
-			for _, h := range r.endpoints[:2] {
-				h.serve = func(l *fakeConn) {
+			for _, endpoint := range r.endpoints[:2] {
+				endpoint.serve = func(c *fakeConn) {
 					if broken == nil {
-						broken = l.endpoint
+						broken = c.endpoint
 					}
-					if broken == l.endpoint {
-						serve(l)
+					if broken == c.endpoint {
+						serve(c)
 					} else {
-						answerPrefill(l)
+						answerPrefill(c)
 					}
 				}
 			}
 			r.expectFinal(r.ask("review-post"), "streamed")
 			if name != "full" && broken.releases() == 0 {
-				t.Error("what the broken read may have left was not let go")
+				t.Error("what the broken prefill may have left was not released")
 			}
 		})
 	}
 }
 
-// The reader dies while its state waits: the writer finds nothing to fetch, and the prompt is read anew.
+// A prefill endpoint dies while its state waits: the decode endpoint finds nothing to fetch, and the prompt is
+// prefilled again.
 func TestPrefillIsRepeatedWhenItsStateIsLost(t *testing.T) {
 	r := newHarness(t, nil, "prefill west", "prefill west", "decode west", "decode west")
 	var died *fakeEndpoint
-	r.endpoints[2].serve = func(l *fakeConn) {
-		if died == nil {
-			for _, h := range r.endpoints[:2] {
-				if h.attempts() > 0 {
-					died = h
-					h.listener.Close()
-				}
-			}
-			l.answer(409, `{"error":{"code":"state_lost"}}`)
+	r.endpoints[2].serve = func(c *fakeConn) {
+		if died != nil {
+			answerDecode(c)
 			return
 		}
-		answerDecode(l)
+		for _, endpoint := range r.endpoints[:2] {
+			if endpoint.attempts() > 0 {
+				died = endpoint
+				endpoint.listener.Close()
+			}
+		}
+		answerError(409, "state_lost")(c)
 	}
 	r.endpoints[3].serve = r.endpoints[2].serve
 	r.expectFinal(r.ask("review-post"), "streamed")
 	if died == nil || died.attempts() != 1 {
-		t.Error("the reader that died was not the first, or was asked again")
+		t.Error("the endpoint that died was not the first, or got another attempt")
 	}
 }
 
-// News of a drain between the read and the write: the writer that drains gets nothing.
+// A decode endpoint begins to drain between a prefill and its decode: it gets nothing.
 func TestDrainBetweenPrefillAndDecode(t *testing.T) {
 	r := newHarness(t, nil, "prefill west", "decode west", "decode west")
-	r.endpoints[0].serve = func(l *fakeConn) {
+	r.endpoints[0].serve = func(c *fakeConn) {
 		r.updateEndpoints(r.endpoints[1].entry("draining"))
-		answerPrefill(l)
+		answerPrefill(c)
 	}
 	for range 6 {
 		r.expectFinal(r.ask("review-post"), "streamed")
 	}
 	if n := r.endpoints[1].attempts(); n != 0 {
-		t.Errorf("the draining writer got %d legs", n)
+		t.Errorf("the draining endpoint got %d attempts", n)
 	}
 }
 
-// Two endings in one turn of the loop: the client leaves while its writer's last bytes wait to be read.
+// Two ends in one turn of the loop: the client disconnects while its endpoint's last bytes wait to be read.
 func TestClientAndEndpointEndInOneTurn(t *testing.T) {
 	for _, frozen := range []bool{false, true} {
 		r := newHarness(t, nil, "prefill west", "decode west")
-		var l1 *fakeConn
-		r.endpoints[1].serve = func(l *fakeConn) { l1 = l; l.stream(chunkEvent("Lamu ", "")) }
+		var decode *fakeConn
+		r.endpoints[1].serve = func(c *fakeConn) { decode = c; streamFirstEvent(c) }
 		c := r.ask("review-post")
 		r.world.Run(20 * eventloop.Millisecond)
 		if frozen {
 			r.virtual().Freeze(300 * eventloop.Millisecond) // all of it is found at once when the dispatcher wakes
 		}
 		r.remote.Do(func() {
-			l1.conn.Write(http1.AppendChunk(nil, []byte(chunkEvent("é", "stop")+"data: [DONE]\n\n")))
-			l1.conn.Close()
+			decode.writeChunk(lastEvent + doneEvent)
+			decode.conn.Close()
 			c.conn.Abort()
 		})
 		r.world.Run(eventloop.Second)
@@ -212,16 +235,16 @@
 	}
 }
 
-// A hundred generations at once to hosts that this dispatcher has no connection to yet: few connections open at a
-// time, each carries one leg at a time, and all generations are streamed.
+// A hundred requests at once to endpoints without a connection: few connections open at a time, each carries one
+// attempt at a time, and all requests are completed.
 func TestLimitsOpeningConnections(t *testing.T) {
-	r := newHarness(t, func(d deployment.Deployment) { d.Dispatching.Openings, d.Dispatching.ConnectMs = 4, 1000 }, "prefill west", "decode west")
+	r := newHarness(t, func(d deployment.Deployment) {
+		d.Dispatching.Openings, d.Dispatching.ConnectMs = 4, 1000
+	}, "prefill west", "decode west")
 	r.world.Latency = 5 * eventloop.Millisecond
-	for _, h := range r.endpoints {
-		good := h.serve
-		h.serve = func(l *fakeConn) {
-			r.remote.AfterFunc(30*eventloop.Millisecond, func() { good(l) })
-		}
+	for _, endpoint := range r.endpoints {
+		serve := endpoint.serve
+		endpoint.serve = func(c *fakeConn) { c.after(30*eventloop.Millisecond, func() { serve(c) }) }
 	}
 	var calls []*clientCall
 	for range 100 {
@@ -230,8 +253,8 @@
 	most := 0
 	for range 1000 {
 		r.world.Run(eventloop.Millisecond)
-		for _, h := range r.endpoints {
-			most = max(most, r.dispatcher.engine.OpeningConnections(scheduler.EndpointID(h.id)))
+		for _, endpoint := range r.endpoints {
+			most = max(most, r.dispatcher.engine.OpeningConnections(scheduler.EndpointID(endpoint.id)))
 		}
 	}
 	r.world.Run(5 * eventloop.Second)
@@ -246,19 +269,23 @@
 	r.expectIdle()
 }
 
-// The client of a keyed generation leaves while it is being written, and the writer then says that it has not run it: nobody waits,
-// and nothing of it is left to wait for. Its key is free.
+// The client of a request with a key disconnects during the decode, and the decode endpoint then says that it has not
+// run it: nobody waits, and nothing is left. Its key is free.
 func TestRejectedDecodeAfterClientDisconnect(t *testing.T) {
 	r := newHarness(t, nil, "prefill west", "decode west")
-	r.endpoints[1].serve = func(l *fakeConn) {
-		r.remote.AfterFunc(100*eventloop.Millisecond, func() { l.answer(429, `{"error":{"code":"full"}}`) })
+	r.endpoints[1].serve = func(c *fakeConn) {
+		c.after(100*eventloop.Millisecond, func() { answerError(429, "full")(c) })
 	}
 	c := r.ask("review-post", "Idempotency-Key", "k")
 	r.world.Run(50 * eventloop.Millisecond)
 	r.remote.Do(c.conn.Abort)
 	r.world.Run(100 * eventloop.Millisecond)
-	if err := r.dispatcher.CheckInvariants(); err != nil || r.dispatcher.OpenRequests() > 0 || r.endpoints[0].releases() != 1 {
-		t.Errorf("%v; left %v; %d releases", err, r.dispatcher.DescribeOpenRequests(), r.endpoints[0].releases())
+	if err := r.dispatcher.CheckInvariants(); err != nil {
+		t.Error(err)
+	}
+	r.expectIdle()
+	if n := r.endpoints[0].releases(); n != 1 {
+		t.Errorf("%d releases", n)
 	}
 	r.endpoints[1].serve = answerDecode
 	r.expectFinal(r.ask("review-post", "Idempotency-Key", "k"), "streamed")
--- a/internal/dispatch/batch_api_test.go
+++ b/internal/dispatch/batch_api_test.go
@@ -1,8 +1,6 @@
 package dispatch
 
 import (
-	"bytes"
-	"compress/gzip"
 	"encoding/json"
 	"fmt"
 	"strings"
@@ -10,13 +8,12 @@
 
 	"github.com/tidwall/gjson"
 
-	"plumspindle/internal/deployment"
 	"plumspindle/internal/deployment/pb"
 )
 
-// What a call is refused for: each fault with its parameter.
+// What a call is rejected for: each error with its parameter.
 func TestInvalidBatchesAreRejected(t *testing.T) {
-	r := newBatchHarness(t, func(d deployment.Deployment) { d.Batches = &pb.Batches{InputsMost: 3, InputTokensMost: 50} }, "prefill west", "decode west")
+	r := newBatchHarness(t, withBatches(&pb.Batches{InputsMost: 3, InputTokensMost: 50}), "prefill west", "decode west")
 	for _, c := range []struct{ path, body, want, param string }{
 		{"embeddings", `{"model":"embed"}`, "400", "input"},
 		{"embeddings", `{"model":"embed","input":[]}`, "400", "input"},
@@ -54,21 +51,30 @@
 	r.expectFinal(got, "415")
 }
 
-// Documents come back sorted, the best first, equal ones in the order in which they came, with their true places and texts.
+// rerankItem is one document's score in an endpoint's response.
+type rerankItem struct {
+	Index int     `json:"index"`
+	Score float64 `json:"relevance_score"`
+}
+
+// answerRerank scores each document of a part by its length.
+func answerRerank(c *fakeConn) {
+	items := []rerankItem{}
+	gjson.GetBytes(c.body, "documents").ForEach(func(_, document gjson.Result) bool {
+		items = append(items, rerankItem{len(items), float64(len(document.Str) % 4)})
+		return true
+	})
+	b, _ := json.Marshal(map[string]any{"results": items})
+	c.answer(200, string(b))
+}
+
+// Documents come back sorted, the best first, equal ones in the order in which they came, with their true places and
+// texts.
 func TestRerankSortsDocuments(t *testing.T) {
-	r := newBatchHarness(t, func(d deployment.Deployment) { d.Batches = &pb.Batches{PartInputs: 3} }, "prefill west", "prefill west", "decode west")
-	for _, h := range r.endpoints {
-		h.serve = func(l *fakeConn) {
-			list := []any{}
-			gjson.GetBytes(l.body, "documents").ForEach(func(_, v gjson.Result) bool {
-				list = append(list, map[string]any{"index": len(list), "relevance_score": float64(len(v.Str) % 4)})
-				return true
-			})
-			b, _ := json.Marshal(map[string]any{"results": list})
-			l.answer(200, string(b))
-		}
-	}
-	c := r.post("/v1/rerank", []byte(`{"model":"rank","query":"q","top_n":6,"return_documents":true,"documents":["aaa",{"text":"b"},"cc","dddd","eee","f","aaa","gg"]}`))
+	r := newBatchHarness(t, withBatches(&pb.Batches{PartInputs: 3}), "prefill west", "prefill west", "decode west")
+	r.serveAll(answerRerank)
+	c := r.post("/v1/rerank", []byte(`{"model":"rank","query":"q","top_n":6,"return_documents":true,`+
+		`"documents":["aaa",{"text":"b"},"cc","dddd","eee","f","aaa","gg"]}`))
 	r.expectFinal(c, "streamed")
 	var order []string
 	for _, v := range gjson.GetBytes(c.dechunk(t), "results").Array() {
@@ -79,46 +85,36 @@
 	}
 }
 
-// A tenant's vectors are kept for itself alone.
+// A tenant's vectors are cached for itself alone.
 func TestVectorCacheIsPerTenant(t *testing.T) {
-	r := newBatchHarness(t, func(d deployment.Deployment) { d.Batches = &pb.Batches{Cache: 1 << 20} }, "prefill west", "decode west")
-	inputs := inputTexts(50)
+	r := newBatchHarness(t, withBatches(&pb.Batches{Cache: 1 << 20}), "prefill west", "decode west")
+	inputs := inputTexts(50, 0)
 	for range 3 {
-		c := r.post("/v1/embeddings", embeddingsBody(inputs, ""))
-		r.expectFinal(c, "streamed")
-		c.expectVectors(t, inputs, 256)
+		r.expectEmbeddings(r.embed(inputs, ""), inputs, 256)
 	}
-	legs := 0
-	for _, h := range r.endpoints {
-		legs += len(h.seen)
+	attempts := 0
+	for _, endpoint := range r.endpoints {
+		attempts += len(endpoint.seen)
 	}
-	if legs > 8 {
-		t.Errorf("%d legs for 50 inputs that were asked for three times", legs)
+	if attempts > 8 {
+		t.Errorf("%d attempts for 50 inputs that were asked for three times", attempts)
 	}
 	for _, dimensions := range []int{64, 256} { // another size is another vector
-		c := r.post("/v1/embeddings", embeddingsBody(inputs[:2], fmt.Sprintf(`,"dimensions":%d`, dimensions)))
-		r.expectFinal(c, "streamed")
-		c.expectVectors(t, inputs[:2], dimensions)
+		c := r.embed(inputs[:2], fmt.Sprintf(`,"dimensions":%d`, dimensions))
+		r.expectEmbeddings(c, inputs[:2], dimensions)
 	}
-	if a, b := r.dispatcher.batches.vectorCache("1-a", 256), r.dispatcher.batches.vectorCache("2-b", 256); a == b {
+	batches := &r.dispatcher.batches
+	if batches.vectorCache("1-a", 256) == batches.vectorCache("2-b", 256) {
 		t.Error("two tenants share a cache")
 	}
 }
 
-// Vectors that are kept make room for more of a coded body while its inputs are parted; none is passed over for that.
+// Cached vectors let more of a compressed body arrive while its inputs are split into parts; none is skipped for that.
 func TestCachedVectorsInACompressedBody(t *testing.T) {
-	r := newBatchHarness(t, func(d deployment.Deployment) { d.Batches = &pb.Batches{Cache: 4 << 20, Window: 16 << 10} }, "prefill west", "decode west")
-	inputs := inputTexts(900)
-	for i := range inputs {
-		inputs[i] += strings.Repeat(" long", 40)
-	}
-	for _, n := range []int{600, 900} { // the first ones are kept when all are asked for
-		var zipped bytes.Buffer
-		z := gzip.NewWriter(&zipped)
-		_, _ = z.Write(embeddingsBody(inputs[:n], ""))
-		_ = z.Close()
-		c := r.post("/v1/embeddings", zipped.Bytes(), "Content-Encoding", "gzip")
-		r.expectFinal(c, "streamed")
-		c.expectVectors(t, inputs[:n], 256)
+	r := newBatchHarness(t, withBatches(&pb.Batches{Cache: 4 << 20, Window: 16 << 10}), "prefill west", "decode west")
+	inputs := inputTexts(900, 40)
+	for _, n := range []int{600, 900} { // the first 600 are cached when all are asked for
+		c := r.post("/v1/embeddings", gzipped(t, embeddingsBody(inputs[:n], "")), "Content-Encoding", "gzip")
+		r.expectEmbeddings(c, inputs[:n], 256)
 	}
 }
--- a/internal/dispatch/batch_harness_test.go
+++ b/internal/dispatch/batch_harness_test.go
@@ -1,83 +1,149 @@
 package dispatch
 
 import (
+	"bytes"
+	"compress/gzip"
 	"encoding/base64"
 	"encoding/binary"
 	"encoding/json"
 	"fmt"
 	"math"
+	"slices"
+	"strings"
 	"testing"
 
 	"github.com/tidwall/gjson"
 
 	"plumspindle/internal/deployment"
+	"plumspindle/internal/deployment/pb"
+	"plumspindle/internal/eventloop"
 	"plumspindle/internal/testbed/modelserver"
 )
 
-// answerEmbeddings answers a part as every host should.
-func answerEmbeddings(l *fakeConn) {
-	list := []any{}
-	gjson.GetBytes(l.body, "input").ForEach(func(_, v gjson.Result) bool {
-		list = append(list, map[string]any{"index": len(list), "embedding": base64.StdEncoding.EncodeToString(modelserver.Vector(v.Raw, int(gjson.GetBytes(l.body, "dimensions").Int())))})
+// embeddingItem is one vector of an endpoint's response.
+type embeddingItem struct {
+	Index     int    `json:"index"`
+	Embedding string `json:"embedding"`
+}
+
+// answerEmbeddings answers a part as every endpoint should.
+func answerEmbeddings(c *fakeConn) {
+	dimensions := int(gjson.GetBytes(c.body, "dimensions").Int())
+	items := []embeddingItem{}
+	gjson.GetBytes(c.body, "input").ForEach(func(_, input gjson.Result) bool {
+		vector := modelserver.Vector(input.Raw, dimensions)
+		items = append(items, embeddingItem{len(items), base64.StdEncoding.EncodeToString(vector)})
 		return true
 	})
-	b, _ := json.Marshal(map[string]any{"data": list, "usage": map[string]int{"prompt_tokens": len(list)}})
-	l.answer(200, string(b))
+	b, _ := json.Marshal(map[string]any{"data": items, "usage": map[string]int{"prompt_tokens": len(items)}})
+	c.answer(200, string(b))
 }
 
-func newBatchHarness(t *testing.T, change func(d deployment.Deployment), names ...string) *harness {
-	r := newHarness(t, change, names...)
-	for _, h := range r.endpoints {
-		h.serve = answerEmbeddings
+// answerEmbeddingsAfter answers a part with a delay.
+func answerEmbeddingsAfter(delay eventloop.Micros) func(*fakeConn) {
+	return func(c *fakeConn) {
+		request := c.request()
+		c.after(delay, func() { answerEmbeddings(request) })
 	}
+}
+
+// withBatches sets the limits of calls with many inputs.
+func withBatches(limits *pb.Batches) func(d deployment.Deployment) {
+	return func(d deployment.Deployment) { d.Batches = limits }
+}
+
+// newBatchHarness starts a dispatcher with endpoints that answer parts.
+func newBatchHarness(t *testing.T, change func(d deployment.Deployment), hosts ...string) *harness {
+	t.Helper()
+	r := newHarness(t, change, hosts...)
+	r.serveAll(answerEmbeddings)
 	return r
 }
 
-func embeddingsBody(inputs []string, more string) []byte {
+// serveAll sets what all endpoints do.
+func (r *harness) serveAll(serve func(*fakeConn)) {
+	for _, endpoint := range r.endpoints {
+		endpoint.serve = serve
+	}
+}
+
+// embed sends a call for embeddings; members are further members of its body, each after a comma.
+func (r *harness) embed(inputs []string, members string, fields ...string) *clientCall {
+	return r.post("/v1/embeddings", embeddingsBody(inputs, members), fields...)
+}
+
+func embeddingsBody(inputs []string, members string) []byte {
 	b, _ := json.Marshal(inputs)
-	return []byte(`{"model":"embed"` + more + `,"input":` + string(b) + `}`)
+	return []byte(`{"model":"embed"` + members + `,"input":` + string(b) + `}`)
 }
 
-func inputTexts(n int) (all []string) {
+// gzipped compresses a body.
+func gzipped(t *testing.T, body []byte) []byte {
+	t.Helper()
+	var compressed bytes.Buffer
+	writer := gzip.NewWriter(&compressed)
+	if _, err := writer.Write(body); err != nil {
+		t.Fatal(err)
+	}
+	if err := writer.Close(); err != nil {
+		t.Fatal(err)
+	}
+	return compressed.Bytes()
+}
+
+// inputTexts returns texts that differ, each with further words.
+func inputTexts(n, words int) (all []string) {
+	more := strings.Repeat(" long", words)
 	for i := range n {
-		all = append(all, fmt.Sprintf("text %d of the collection, with some words that make it a little longer", i))
+		text := fmt.Sprintf("text %d of the collection, with some words that make it a little longer", i)
+		all = append(all, text+more)
 	}
 	return all
 }
 
-// expectVectors holds an answer against what each input's vector has to be.
+// expectEmbeddings waits for the answer to a call, and checks it.
+func (r *harness) expectEmbeddings(c *clientCall, inputs []string, dimensions int) {
+	r.t.Helper()
+	r.expectFinal(c, "streamed")
+	c.expectVectors(r.t, inputs, dimensions)
+}
+
+// expectVectors compares an answer with what each input's vector has to be.
 func (c *clientCall) expectVectors(t *testing.T, inputs []string, dimensions int) {
 	t.Helper()
-	b := c.dechunk(t)
-	data := gjson.GetBytes(b, "data").Array()
-	if len(data) != len(inputs) || !gjson.ValidBytes(b) || gjson.GetBytes(b, "object").Str != "list" {
-		t.Fatalf("%d vectors for %d inputs: %.200s", len(data), len(inputs), b)
+	body := c.dechunk(t)
+	data := gjson.GetBytes(body, "data").Array()
+	if len(data) != len(inputs) || !gjson.ValidBytes(body) || gjson.GetBytes(body, "object").Str != "list" {
+		t.Fatalf("%d vectors for %d inputs: %.200s", len(data), len(inputs), body)
 	}
-	for i, v := range data {
+	for i, item := range data {
 		raw, _ := json.Marshal(inputs[i])
 		want := modelserver.Vector(string(raw), dimensions)
-		e := v.Get("embedding")
-		if e.IsArray() {
-			list := e.Array()
-			back := make([]float32, len(list))
-			for k := range list {
-				back[k] = float32(list[k].Num)
-			}
-			if len(list) != dimensions || fmt.Sprint(back) != fmt.Sprint(floats(want)) {
-				t.Fatalf("vector %d is wrong: %d numbers", i, len(list))
+		embedding := item.Get("embedding")
+		if embedding.IsArray() {
+			got := floatsOfJSON(embedding)
+			if len(got) != dimensions || !slices.Equal(got, floatsOf(want)) {
+				t.Fatalf("vector %d is wrong: %d numbers", i, len(got))
 			}
-		} else if e.Str != base64.StdEncoding.EncodeToString(want) {
+		} else if embedding.Str != base64.StdEncoding.EncodeToString(want) {
 			t.Fatalf("vector %d is wrong", i)
 		}
-		if v.Get("index").Int() != int64(i) {
-			t.Fatalf("index %d at place %d", v.Get("index").Int(), i)
+		if index := item.Get("index").Int(); index != int64(i) {
+			t.Fatalf("index %d at place %d", index, i)
 		}
 	}
 }
 
-func floats(raw []byte) (all []float32) {
-	for i := 0; i+4 <= len(raw); i += 4 {
-		all = append(all, math.Float32frombits(binary.LittleEndian.Uint32(raw[i:])))
+func floatsOfJSON(list gjson.Result) (all []float32) {
+	for _, number := range list.Array() {
+		all = append(all, float32(number.Num))
+	}
+	return all
+}
+
+func floatsOf(vector []byte) (all []float32) {
+	for i := 0; i+4 <= len(vector); i += 4 {
+		all = append(all, math.Float32frombits(binary.LittleEndian.Uint32(vector[i:])))
 	}
 	return all
 }
--- a/internal/dispatch/clients_test.go
+++ b/internal/dispatch/clients_test.go
@@ -7,74 +7,77 @@
 
 	"plumspindle/internal/deployment"
 	"plumspindle/internal/eventloop"
-	"plumspindle/internal/http1"
 )
 
-// A client may leave in any state: its leg is closed, its state let go, nothing is left.
+// A client may disconnect in any state: its attempt is closed, its prefill state released, and nothing is left.
 func TestClientDisconnectLeavesNothing(t *testing.T) {
-	silent := func(*fakeConn) {}
-	for _, when := range []string{"held", "reading", "waiting for the writer", "streaming"} {
-		t.Run(when, func(t *testing.T) {
+	for _, test := range []struct {
+		state    string
+		prepare  func(r *harness)
+		releases bool
+	}{
+		{"pending", func(r *harness) { r.updateEndpoints(r.endpoints[1].entry("gone")) }, false},
+		{"prefilling", func(r *harness) { r.endpoints[0].serve = neverAnswer }, true},
+		{"decoding", func(r *harness) { r.endpoints[1].serve = neverAnswer }, true},
+		{"streaming", func(r *harness) { r.endpoints[1].serve = streamFirstEvent }, false},
+	} {
+		t.Run(test.state, func(t *testing.T) {
 			r := newHarness(t, nil, "prefill west", "decode west")
-			switch when {
-			case "held":
-				r.updateEndpoints(r.endpoints[1].entry("gone"))
-			case "reading":
-				r.endpoints[0].serve = silent
-			case "waiting for the writer":
-				r.endpoints[1].serve = silent
-			case "streaming":
-				r.endpoints[1].serve = func(l *fakeConn) { l.stream(chunkEvent("Lamu ", "")) }
-			}
+			test.prepare(r)
 			c := r.ask("explain")
 			r.world.Run(100 * eventloop.Millisecond)
+			for _, request := range r.dispatcher.requests {
+				if request.State.String() != test.state {
+					t.Fatalf("it is %v", request.State)
+				}
+			}
 			if r.dispatcher.OpenRequests() != 1 {
-				t.Fatalf("it is not %s", when)
+				t.Fatalf("%d requests are open", r.dispatcher.OpenRequests())
 			}
 			r.remote.Do(c.conn.Abort)
 			r.world.Run(100 * eventloop.Millisecond)
 			r.expectIdle()
-			if (when == "reading" || when == "waiting for the writer") && r.endpoints[0].releases() == 0 {
-				t.Error("its state was not let go")
+			if test.releases && r.endpoints[0].releases() == 0 {
+				t.Error("its prefill state was not released")
 			}
 			if r.dispatcher.Disconnected != 1 {
-				t.Errorf("left: %d", r.dispatcher.Disconnected)
+				t.Errorf("disconnected: %d", r.dispatcher.Disconnected)
 			}
 		})
 	}
 }
 
-// A client that does not read slows its writer only, within a bound, and is ended after a while; another's
+// A client that does not read slows its own stream only, within a bound, and is disconnected after a while; another's
 // stream goes on meanwhile.
 func TestLaggingClientSlowsOnlyItsOwnStream(t *testing.T) {
 	r := newHarness(t, nil, "prefill west", "decode west")
 	long := strings.Repeat("x", 8<<10)
 	sent := 0
-	r.endpoints[1].serve = func(l *fakeConn) {
-		if l.endpoint.attempts() > 1 {
-			answerDecode(l)
+	r.endpoints[1].serve = func(c *fakeConn) {
+		if c.endpoint.attempts() > 1 {
+			answerDecode(c)
 			return
 		}
-		l.stream(chunkEvent("Lamu ", ""))
-		var more func()
-		more = func() {
-			if l.closed {
+		streamFirstEvent(c)
+		var streamOn func()
+		streamOn = func() {
+			if c.closed {
 				return
 			}
-			if l.conn.Unsent() == 0 {
+			if c.conn.Unsent() == 0 {
 				sent += len(long)
-				l.conn.Write(http1.AppendChunk(nil, []byte(chunkEvent(long, ""))))
+				c.writeChunk(chunkEvent(long, ""))
 			}
-			r.remote.AfterFunc(2000, more)
+			c.after(2*eventloop.Millisecond, streamOn)
 		}
-		more()
+		streamOn()
 	}
 	c := r.ask("explain")
 	r.world.Run(20 * eventloop.Millisecond)
 	r.remote.Do(func() { c.conn.Pause(true) })
 	r.world.Run(3 * eventloop.Second)
 	if most := 3*r.world.ReceiveWindow + int(r.deployment.Doors.UnsentMost); sent > most {
-		t.Errorf("%d bytes were taken from the writer, more than %d", sent, most)
+		t.Errorf("%d bytes were taken from the endpoint, more than %d", sent, most)
 	}
 	r.world.Run(200 * eventloop.Millisecond)
 	other := r.ask("explain")
@@ -86,10 +89,10 @@
 	r.expectIdle()
 }
 
-// A whole answer that is not whole within the client's time is terminated within it.
+// An answer in one piece that is not complete before the client's deadline fails before it.
 func TestUnstreamedAnswerFailsAtItsDeadline(t *testing.T) {
 	r := newHarness(t, nil, "prefill west", "decode west")
-	r.endpoints[1].serve = func(l *fakeConn) { l.stream(chunkEvent("Lamu ", "")) }
+	r.endpoints[1].serve = streamFirstEvent
 	began := r.world.Now()
 	c := r.send(`{"model":"explain","messages":[{"role":"user","content":"why?"}]}`, "x-time-limit-ms", "900")
 	r.world.RunUntil(5*eventloop.Second, func() bool { return len(c.finals) > 0 })
@@ -99,7 +102,7 @@
 	r.expectFinal(c, "terminated")
 }
 
-// Comments keep a held stream alive; the answer, or the throttling as an event, follows them.
+// Comments keep a pending stream alive; the answer, or the rejection as an event, follows them.
 func TestHeartbeat(t *testing.T) {
 	r := newHarness(t, nil, "prefill west", "decode west")
 	r.updateEndpoints(r.endpoints[1].entry("gone"))
@@ -132,16 +135,20 @@
 		`{"model":"abacus",` + ok + `}`:     "404",
 		`{"model":"explain"}`:               "400",
 		`{"model":"explain","messages":[]}`: "400",
-		`{"model":"explain","model":"explain",` + ok + `}`:                                                               "400",
-		`{"model":"explain","n":2,` + ok + `}`:                                                                           "400",
-		`{"model":"explain","max_tokens":0,` + ok + `}`:                                                                  "400",
-		`{"model":"explain","max_tokens":"9",` + ok + `}`:                                                                "400",
-		`{"model":"explain","stream_options":{},` + ok + `}`:                                                             "400",
-		`{"model":"explain","messages":[{"role":"bard","content":"a"}]}`:                                                 "400",
-		`{"model":"explain","messages":[{"role":"user"}]}`:                                                               "400",
-		`{"model":"explain","messages":[{"role":"user","content":[{"type":"image_url"}]}]}`:                              "400",
-		`{"model":"explain","messages":[{"role":"user","content":"` + strings.Repeat("a", 3000) + `"}]}`:                 "413",
-		`{"model":"explain","stream":true,"messages":[{"role":"user","content":[{"type":"text","text":"a"}]}],"seed":1}`: "streamed",
+		`{"model":"explain","model":"explain",` + ok + `}`:               "400",
+		`{"model":"explain","n":2,` + ok + `}`:                           "400",
+		`{"model":"explain","max_tokens":0,` + ok + `}`:                  "400",
+		`{"model":"explain","max_tokens":"9",` + ok + `}`:                "400",
+		`{"model":"explain","stream_options":{},` + ok + `}`:             "400",
+		`{"model":"explain","messages":[{"role":"bard","content":"a"}]}`: "400",
+		`{"model":"explain","messages":[{"role":"user"}]}`:               "400",
+
+		`{"model":"explain","messages":[{"role":"user","content":[{"type":"image_url"}]}]}`: "400",
+
+		`{"model":"explain","messages":[{"role":"user","content":"` + strings.Repeat("a", 3000) + `"}]}`: "413",
+
+		`{"model":"explain","stream":true,"messages":[` +
+			`{"role":"user","content":[{"type":"text","text":"a"}]}],"seed":1}`: "streamed",
 	} {
 		c := r.send(body)
 		r.expectFinal(c, want)
@@ -157,39 +164,40 @@
 // A head that trickles in, one that never ends, and many fields: answered, closed, and bounded.
 func TestSlowAndEndlessHeads(t *testing.T) {
 	r := newHarness(t, nil)
-	for name, c := range map[string]struct {
+	writes := func(text string) func(*clientCall) { return func(c *clientCall) { c.conn.Write([]byte(text)) } }
+	for name, test := range map[string]struct {
 		send func(c *clientCall)
 		want string
 	}{
 		"trickle": {func(c *clientCall) {
 			for i := range 100 {
-				r.remote.AfterFunc(eventloop.Micros(i)*eventloop.Second, func() { c.conn.Write([]byte("X-Very: slow\r\n")) })
+				r.remote.AfterFunc(eventloop.Micros(i)*eventloop.Second, func() { writes("X-Very: slow\r\n")(c) })
 			}
 		}, "408"},
-		"endless": {func(c *clientCall) { c.conn.Write([]byte("x-a: " + strings.Repeat("b", 100<<10))) }, "431"},
-		"fields":  {func(c *clientCall) { c.conn.Write([]byte(strings.Repeat("a: b\r\n", 200) + "\r\n")) }, "431"},
-		"both":    {func(c *clientCall) { c.conn.Write([]byte("Content-Length: 3\r\nTransfer-Encoding: chunked\r\n\r\n")) }, "400"},
+		"endless": {writes("x-a: " + strings.Repeat("b", 100<<10)), "431"},
+		"fields":  {writes(strings.Repeat("a: b\r\n", 200) + "\r\n"), "431"},
+		"both":    {writes("Content-Length: 3\r\nTransfer-Encoding: chunked\r\n\r\n"), "400"},
 	} {
-		call := &clientCall{harness: r, parser: http1.Parser{Response: true, Limits: http1.DefaultLimits}, request: []byte("POST /v1/chat/completions HTTP/1.1\r\n")}
-		r.remote.Do(func() { call.conn = r.remote.Dial(r.addr, eventloop.Second, call) })
+		c := r.dial(r.newClientCall([]byte("POST /v1/chat/completions HTTP/1.1\r\n")))
 		r.world.Run(10 * eventloop.Millisecond)
-		r.remote.Do(func() { c.send(call) })
+		r.remote.Do(func() { test.send(c) })
 		r.world.Run(40 * eventloop.Second)
-		if fmt.Sprint(call.finals) != "["+c.want+"]" && !(c.want == "408" && len(call.finals) == 1) || !call.closed {
-			t.Errorf("%s: finals %v, closed %v", name, call.finals, call.closed)
+		wanted := fmt.Sprint(c.finals) == "["+test.want+"]" || test.want == "408" && len(c.finals) == 1
+		if !wanted || !c.closed {
+			t.Errorf("%s: finals %v, closed %v", name, c.finals, c.closed)
 		}
 	}
-	if r.dispatcher.Frontend().OpenRequests != 0 {
-		t.Errorf("%d requests open", r.dispatcher.Frontend().OpenRequests)
+	if n := r.dispatcher.Frontend().OpenRequests; n != 0 {
+		t.Errorf("%d requests open", n)
 	}
 }
 
-// TestRequestRacingAConnectionClose: a request that was read in the instant in which its idle connection would be closed is answered, whatever closes
-// it: the dispatcher's leaving, or a connection that needs the place.
+// A request that was read in the instant in which its idle connection would be closed is answered, whatever closes it:
+// the dispatcher's shutdown, or another connection that needs its place.
 func TestRequestRacingAConnectionClose(t *testing.T) {
-	for name, closes := range map[string]func(r *harness){
-		"leaving": func(r *harness) { r.loop.Do(r.dispatcher.frontend.Shutdown) },
-		"a crowd": func(r *harness) {
+	for name, closeIdle := range map[string]func(r *harness){
+		"shutdown": func(r *harness) { r.loop.Do(r.dispatcher.frontend.Shutdown) },
+		"too many connections": func(r *harness) {
 			r.loop.Do(func() { r.dispatcher.frontend.MaxConnections = 1 })
 			r.ask("explain")
 			r.world.Run(r.world.Latency)
@@ -202,7 +210,7 @@
 		r.world.DeliveryDelay = 5 * eventloop.Millisecond // what has arrived is not handed over yet
 		r.remote.Do(func() { c.conn.Write(c.request) })
 		r.world.Run(eventloop.Millisecond)
-		closes(r)
+		closeIdle(r)
 		r.runUntil(5*eventloop.Second, func() bool { return len(c.finals) > 1 || c.closed })
 		if len(c.finals) < 2 {
 			t.Errorf("%s: its connection was closed without an answer", name)
--- a/internal/dispatch/endpoints_test.go
+++ b/internal/dispatch/endpoints_test.go
@@ -4,141 +4,160 @@
 	"encoding/json"
 	"testing"
 
-	"github.com/rs/zerolog"
-
 	"plumspindle/internal/endpoints"
 	"plumspindle/internal/eventloop"
 	"plumspindle/scheduler"
 )
 
-// A list that names kinds, zones and conditions that are not known: those hosts get nothing, the others work.
+// A list names unknown kinds, zones and conditions: those endpoints get nothing, the others work.
 func TestEndpointsOfUnknownKindOrZoneGetNothing(t *testing.T) {
 	r := newHarness(t, nil, "prefill west", "decode west", "abacus west", "decode moon")
 	for range 4 {
 		r.expectFinal(r.ask("explain"), "streamed")
 	}
 	if r.endpoints[2].attempts()+r.endpoints[3].attempts() != 0 {
-		t.Error("a host of an unknown kind or zone was sent something")
+		t.Error("an endpoint of an unknown kind or zone was sent something")
 	}
-	f := endpoints.View{}
-	for _, bad := range []string{`{"hosts":[{"id":1,"addr":"a","condition":"asleep"}],"whole":true}`, `{"hosts":[{"id":1,"condition":"ready"}]}`, `[`} {
-		if _, _, err := f.Apply([]byte(bad)); err == nil {
-			t.Errorf("%s was taken", bad)
+	view := endpoints.View{}
+	for _, bad := range []string{
+		`{"hosts":[{"id":1,"addr":"a","condition":"asleep"}],"whole":true}`,
+		`{"hosts":[{"id":1,"condition":"ready"}]}`,
+		`[`,
+	} {
+		if _, _, err := view.Apply([]byte(bad)); err == nil {
+			t.Errorf("%s was accepted", bad)
 		}
 	}
 }
 
-// A restarted dispatcher starts with its kept list; without one it holds and throttles.
+// What a dispatcher caches of the endpoint list can be restored.
 func TestCachedEndpointListIsRestored(t *testing.T) {
 	r := newHarness(t, nil, "prefill west", "decode west")
-	var kept []byte
-	r.dispatcher.config.CacheEndpoints = func(b []byte) { kept = b }
+	var cached []byte
+	r.dispatcher.config.CacheEndpoints = func(list []byte) { cached = list }
 	r.updateEndpoints(r.endpoints[1].entry("ready"))
 	r.world.Run(2 * eventloop.Second)
-	f := endpoints.View{}
-	entries, _, err := f.Restore(kept)
-	if err != nil || len(entries) == 0 || f.Version != 0 {
-		t.Fatalf("%v, %d entries, version %d", err, len(entries), f.Version)
+	view := endpoints.View{}
+	entries, _, err := view.Restore(cached)
+	if err != nil || len(entries) == 0 || view.Version != 0 {
+		t.Fatalf("%v, %d entries, version %d", err, len(entries), view.Version)
 	}
-	if e := f.Endpoints[scheduler.EndpointID(2)]; e.State() != scheduler.Ready {
-		t.Errorf("host 2: %+v", e)
+	if entry := view.Endpoints[scheduler.EndpointID(2)]; entry.State() != scheduler.Ready {
+		t.Errorf("endpoint 2: %+v", entry)
 	}
 }
 
-// With discovery down: a fresh list is used as it is, a stale one as if each host had just started, an old one in parts; a
-// torn one gives way to the one before; one of dead hosts serves nobody, and discovery mends it.
+// With discovery down a fresh list is used as it is, a stale one as if each endpoint had just started, an old one in
+// parts; a torn one gives way to the one before.
 func TestStartWithoutDiscovery(t *testing.T) {
-	for _, c := range []struct {
-		name   string
-		age    eventloop.Micros
-		torn   bool
-		served int // of 60 generations in the first six seconds: so many at least,
-		most   int // and so many at most, legs to one host
-	}{{"fresh", eventloop.Second, false, 60, 60}, {"stale", 3600 * eventloop.Second, false, 5, 25}, {"old", 48 * 3600 * eventloop.Second, false, 3, 25}, {"torn", eventloop.Second, true, 60, 60}} {
-		r := newHarness(t, nil, "prefill west", "prefill west", "prefill west", "prefill west", "decode west", "decode west", "decode west", "decode west")
-		list := r.list
-		list.SavedAt = int64(r.world.Now() - c.age)
-		kept, _ := json.Marshal(list)
-		lists := [][]byte{kept}
-		if c.torn {
-			lists = [][]byte{kept[:len(kept)/2], kept}
-		}
-		loop := r.world.NewLoop("d.2")
-		r.loop = loop
-		loop.Do(func() {
-			x, err := Start(loop, r.deployment, Config{Name: "d.2", Zone: "west", Seed: 5, CachedEndpoints: lists, Log: zerolog.Nop()})
-			if err != nil {
-				t.Fatal(err)
+	const hour = 3600 * eventloop.Second
+	for _, test := range []struct {
+		name string
+		age  eventloop.Micros
+		torn bool
+		// Of 60 requests in the first six seconds, how many have to be completed; and how many attempts one endpoint may
+		// have got.
+		minCompleted, maxAttempts int
+	}{
+		{"fresh", eventloop.Second, false, 60, 60},
+		{"stale", hour, false, 5, 25},
+		{"old", 48 * hour, false, 3, 25},
+		{"torn", eventloop.Second, true, 60, 60},
+	} {
+		t.Run(test.name, func(t *testing.T) {
+			r := newHarness(t, nil, "prefill west", "prefill west", "prefill west", "prefill west",
+				"decode west", "decode west", "decode west", "decode west")
+			r.restartWithCachedList(test.age, test.torn)
+			var calls []*clientCall
+			for range 60 {
+				calls = append(calls, r.ask("explain"))
+				r.world.Run(100 * eventloop.Millisecond)
 			}
-			ln, err := loop.Listen("127.0.0.1:0", x.Frontend().Accept)
-			if err != nil {
-				t.Fatal(err)
+			completed := 0
+			for _, c := range calls {
+				if len(c.finals) > 0 && c.finals[0] == "streamed" {
+					completed++
+				}
 			}
-			r.dispatcher, r.addr = x, ln.Addr()
-		})
-		var calls []*clientCall
-		for range 60 {
-			calls = append(calls, r.ask("explain"))
-			r.world.Run(100 * eventloop.Millisecond)
-		}
-		streamed, most, hosts := 0, 0, 0
-		for _, c := range calls {
-			if len(c.finals) > 0 && c.finals[0] == "streamed" {
-				streamed++
+			attempts, used := 0, 0
+			for _, endpoint := range r.endpoints {
+				attempts = max(attempts, endpoint.attempts())
+				if endpoint.attempts() > 0 {
+					used++
+				}
 			}
-		}
-		for _, h := range r.endpoints {
-			most = max(most, h.attempts())
-			if h.attempts() > 0 {
-				hosts++
+			t.Logf("%d of 60 completed in six seconds, %d attempts at most at one of %d endpoints", completed, attempts, used)
+			if completed < test.minCompleted || attempts > test.maxAttempts {
+				t.Error("too few completed, or too many attempts at one endpoint")
 			}
-		}
-		t.Logf("%s: %d of 60 streamed in six seconds, %d legs at most at one of %d hosts", c.name, streamed, most, hosts)
-		if streamed < c.served || most > c.most {
-			t.Errorf("%s: %d of 60 streamed in six seconds, %d legs at one host, %d hosts used", c.name, streamed, most, hosts)
-		}
-		r.world.Run(20 * eventloop.Second)
-		for i, c := range calls {
-			if len(c.finals) != 1 {
-				t.Errorf("call %d: finals %v", i, c.finals)
+			r.world.Run(20 * eventloop.Second)
+			for i, c := range calls {
+				if len(c.finals) != 1 {
+					t.Errorf("call %d: finals %v", i, c.finals)
+				}
 			}
-		}
-		r.expectFinal(r.ask("explain"), "streamed") // it is warm by then, without discovery
+			r.expectFinal(r.ask("explain"), "streamed") // it is warm by then, without discovery
+		})
 	}
+}
+
+// restartWithCachedList starts a dispatcher anew that has only a cached list, with a torn copy of it before it or not.
+func (r *harness) restartWithCachedList(age eventloop.Micros, torn bool) {
+	r.t.Helper()
+	list := r.list
+	list.SavedAt = int64(r.world.Now() - age)
+	cached, err := json.Marshal(list)
+	if err != nil {
+		r.t.Fatal(err)
+	}
+	lists := [][]byte{cached}
+	if torn {
+		lists = [][]byte{cached[:len(cached)/2], cached}
+	}
+	r.startDispatcher(r.world.NewLoop("d.2"), func(config *Config) error {
+		config.Name, config.Seed, config.CachedEndpoints = "d.2", 5, lists
+		return nil
+	})
+}
+
+// With a cached list of dead endpoints nobody is served; discovery corrects that.
+func TestDeadCachedEndpointsAreReplacedByDiscovery(t *testing.T) {
 	r := newHarness(t, nil, "prefill west", "decode west")
-	for _, h := range r.endpoints {
-		h.listener.Close()
+	for _, endpoint := range r.endpoints {
+		endpoint.listener.Close()
 	}
 	r.expectFinal(r.ask("review-post", "x-time-limit-ms", "800"), "throttled")
-	for _, h := range r.endpoints {
-		h.listen()
+	for _, endpoint := range r.endpoints {
+		endpoint.listen()
 	}
-	r.loop.Do(func() {
-		r.dispatcher.endpointsUpdated([]endpoints.Entry{r.endpoints[0].entry("ready"), r.endpoints[1].entry("ready")}, true)
-	})
+	r.replaceEndpoints(r.endpoints[0].entry("ready"), r.endpoints[1].entry("ready"))
 	r.world.Run(8 * eventloop.Second)
 	r.expectFinal(r.ask("explain"), "streamed")
 }
 
-// Discovery comes back empty and then whole within the grace: nobody notices. It stays empty: believed within the grace.
-// A drain by name is believed at once in any case.
+// A list from discovery that leaves most endpoints out, and then names them again within the grace, changes nothing. If
+// it goes on to leave them out, they are removed within the grace. A drain by name counts at once in any case.
 func TestMassRemovalIsConfirmedBeforeItCounts(t *testing.T) {
 	for _, back := range []bool{true, false} {
 		r := newHarness(t, nil, "prefill west", "decode west", "decode west")
 		r.expectFinal(r.ask("explain"), "streamed")
-		r.loop.Do(func() { r.dispatcher.endpointsUpdated([]endpoints.Entry{r.endpoints[1].entry("draining")}, true) })
+		r.replaceEndpoints(r.endpoints[1].entry("draining"))
 		drained := r.endpoints[1].attempts()
 		r.world.Run(50 * eventloop.Millisecond)
 		c := r.ask("review-post")
 		r.world.Run(50 * eventloop.Millisecond)
 		if len(c.finals) != 1 || c.finals[0] != "streamed" || r.endpoints[1].attempts() != drained {
-			t.Errorf("within the doubt: %v; %d legs to the one that drains", c.finals, r.endpoints[1].attempts()-drained)
+			t.Errorf("within the delay: %v; %d attempts to the one that drains", c.finals, r.endpoints[1].attempts()-drained)
 		}
 		if back {
+			prefill, decode := r.endpoints[0].entry("ready"), r.endpoints[2].entry("ready")
 			r.loop.Do(func() {
-				r.dispatcher.endpointWatch.Endpoints = map[scheduler.EndpointID]endpoints.Entry{1: r.endpoints[0].entry("ready"), 3: r.endpoints[2].entry("ready")}
-				r.dispatcher.endpointsUpdated([]endpoints.Entry{r.endpoints[0].entry("ready"), r.endpoints[2].entry("ready")}, true)
+				r.dispatcher.endpointWatch.Endpoints = map[scheduler.EndpointID]endpoints.Entry{
+					prefill.ID: prefill,
+					decode.ID:  decode,
+				}
 			})
+			r.replaceEndpoints(prefill, decode)
 		}
 		r.world.Run(100 * eventloop.Millisecond) // 200 ms after the list: still within the grace of 250
 		want := map[bool]string{true: "streamed", false: "throttled"}[back]
@@ -146,27 +165,28 @@
 	}
 }
 
-// Hosts are replaced for months: nothing of those that are gone is kept, and what runs at one that is listed as gone is let go of.
+// Endpoints are replaced for months: nothing is remembered of those that are gone, and prefill state at one that is
+// listed as gone is released.
 func TestReplacedEndpointsLeaveNothing(t *testing.T) {
 	r := newHarness(t, nil, "prefill west", "decode west")
 	for i := range 3000 {
-		e := r.endpoints[1].entry("ready")
-		e.ID, e.Addr = scheduler.EndpointID(1000+i), "127.0.0.1:9"
-		r.updateEndpoints(e)
+		entry := r.endpoints[1].entry("ready")
+		entry.ID, entry.Addr = scheduler.EndpointID(1000+i), "127.0.0.1:9"
+		r.updateEndpoints(entry)
 		r.world.Run(500 * eventloop.Millisecond)
-		e.Condition = "gone"
-		r.updateEndpoints(e)
+		entry.Condition = "gone"
+		r.updateEndpoints(entry)
 	}
 	r.world.Run(120 * eventloop.Second)
 	if n := r.dispatcher.engine.EndpointCount(); n != 2 || len(r.dispatcher.endpoints) != 2 {
-		t.Errorf("%d hosts are known to the legs, %d to the dispatcher", n, len(r.dispatcher.endpoints))
+		t.Errorf("%d endpoints are known to the engine, %d to the dispatcher", n, len(r.dispatcher.endpoints))
 	}
 	r.expectFinal(r.ask("explain"), "streamed")
-	r.endpoints[1].serve = func(*fakeConn) {}
+	r.endpoints[1].serve = neverAnswer
 	c := r.ask("review-post", "x-time-limit-ms", "900")
 	r.world.Run(100 * eventloop.Millisecond)
 	r.updateEndpoints(r.endpoints[0].entry("gone"))
 	before := r.endpoints[0].releases()
 	r.runUntil(eventloop.Second, func() bool { return len(c.finals) > 0 })
-	r.expectRelease(r.endpoints[0], before, "a reader that is listed as gone")
+	r.expectRelease(r.endpoints[0], before, "an endpoint that is listed as gone")
 }
--- a/internal/dispatch/fake_client_test.go
+++ b/internal/dispatch/fake_client_test.go
@@ -11,7 +11,8 @@
 	"plumspindle/internal/sse"
 )
 
-// clientCall is one client's request and all that came back.
+// clientCall is one client's request and all that came back. Its finals are the final answers that it got: streamed,
+// throttled, terminated, or a status.
 type clientCall struct {
 	harness          *harness
 	conn             eventloop.Conn
@@ -72,52 +73,81 @@
 	return nil
 }
 
-func (r *harness) ask(product string, fields ...string) *clientCall {
-	body := fmt.Sprintf(`{"model":%q,"stream":true,"messages":[{"role":"user","content":"why?"}]}`, product)
-	return r.send(body, fields...)
+// countFinals counts the calls with just one final answer of a sort.
+func countFinals(calls []*clientCall, final string) (n int) {
+	for _, c := range calls {
+		if len(c.finals) == 1 && c.finals[0] == final {
+			n++
+		}
+	}
+	return n
 }
 
-func (r *harness) send(body string, fields ...string) *clientCall {
-	c := &clientCall{harness: r, parser: http1.Parser{Response: true, Limits: http1.DefaultLimits}, events: sse.Parser{MaxEventBytes: 1 << 20}}
-	c.request = http1.AppendRequest(nil, "POST", "/v1/chat/completions", r.addr, []byte(body), append([]string{
-		"Authorization", "Bearer " + key, "Content-Type", "application/json"}, fields...)...)
+// newClientCall returns a call that is not connected yet.
+func (r *harness) newClientCall(request []byte) *clientCall {
+	return &clientCall{
+		harness: r,
+		request: request,
+		parser:  http1.Parser{Response: true, Limits: http1.DefaultLimits},
+		events:  sse.Parser{MaxEventBytes: 1 << 20},
+	}
+}
+
+// dial connects a call, which then sends its request.
+func (r *harness) dial(c *clientCall) *clientCall {
 	r.remote.Do(func() { c.conn = r.remote.Dial(r.addr, eventloop.Second, c) })
 	return c
 }
 
 // post sends a whole body to a URL.
 func (r *harness) post(path string, body []byte, fields ...string) *clientCall {
-	c := &clientCall{harness: r, parser: http1.Parser{Response: true, Limits: http1.DefaultLimits}, events: sse.Parser{MaxEventBytes: 1 << 20}}
-	c.request = http1.AppendRequest(nil, "POST", path, r.addr, body, append([]string{
-		"Authorization", "Bearer " + key, "Content-Type", "application/json"}, fields...)...)
-	r.remote.Do(func() { c.conn = r.remote.Dial(r.addr, eventloop.Second, c) })
-	return c
+	all := append([]string{"Authorization", "Bearer " + key, "Content-Type", "application/json"}, fields...)
+	return r.dial(r.newClientCall(http1.AppendRequest(nil, "POST", path, r.addr, body, all...)))
+}
+
+// send sends a chat completion.
+func (r *harness) send(body string, fields ...string) *clientCall {
+	return r.post("/v1/chat/completions", []byte(body), fields...)
+}
+
+// ask sends a streamed chat completion of a product.
+func (r *harness) ask(product string, fields ...string) *clientCall {
+	body := fmt.Sprintf(`{"model":%q,"stream":true,"messages":[{"role":"user","content":"why?"}]}`, product)
+	return r.send(body, fields...)
+}
+
+// connectSilently has a client connect that sends nothing.
+func (r *harness) connectSilently() *silentClient {
+	client := &silentClient{}
+	r.remote.Do(func() { client.conn = r.remote.Dial(r.addr, eventloop.Second, client) })
+	return client
 }
 
-// dechunk is the body of a chunked answer.
+// dechunk returns the body of a chunked response.
 func (c *clientCall) dechunk(t *testing.T) []byte {
 	t.Helper()
-	got := &bodyCollector{}
-	p := http1.Parser{Response: true, Limits: http1.DefaultLimits}
-	if err := p.Feed(c.raw, got); err != nil {
+	collector := &bodyCollector{}
+	parser := http1.Parser{Response: true, Limits: http1.DefaultLimits}
+	if err := parser.Feed(c.raw, collector); err != nil {
 		t.Fatal(err)
 	}
-	return got.body
+	return collector.body
 }
 
+// bodyCollector takes the body of one response.
 type bodyCollector struct{ body []byte }
 
-func (g *bodyCollector) Head(*http1.Head) error { return nil }
-func (g *bodyCollector) Body(b []byte) error    { g.body = append(g.body, b...); return nil }
-func (g *bodyCollector) End() error             { return nil }
+func (b *bodyCollector) Head(*http1.Head) error { return nil }
+func (b *bodyCollector) Body(data []byte) error { b.body = append(b.body, data...); return nil }
+func (b *bodyCollector) End() error             { return nil }
 
-// silentClient is a client that holds a connection and says nothing.
+// silentClient keeps a connection open and sends nothing.
 type silentClient struct {
 	conn   eventloop.Conn
 	closed bool
 }
 
-func (m *silentClient) Opened()      {}
-func (m *silentClient) Data([]byte)  {}
-func (m *silentClient) Drained()     {}
-func (m *silentClient) Closed(error) { m.closed = true }
+func (c *silentClient) Opened()      {}
+func (c *silentClient) Data([]byte)  {}
+func (c *silentClient) Drained()     {}
+func (c *silentClient) Closed(error) { c.closed = true }
--- a/internal/dispatch/fake_endpoint_test.go
+++ b/internal/dispatch/fake_endpoint_test.go
@@ -11,9 +11,18 @@
 	"plumspindle/scheduler"
 )
 
-const completeText = "Lamu é"
+// What a decode endpoint streams when all goes well.
+const (
+	completeText = "Lamu é"
+	doneEvent    = "data: [DONE]\n\n"
+)
+
+var (
+	firstEvent = chunkEvent("Lamu ", "")
+	lastEvent  = chunkEvent("é", "stop")
+)
 
-// fakeEndpoint is one host; serve is called for each request.
+// fakeEndpoint is one model endpoint; serve is called for each request.
 type fakeEndpoint struct {
 	harness  *harness
 	id       uint32
@@ -21,33 +30,51 @@
 	zone     string
 	listener eventloop.Listener
 	serve    func(c *fakeConn)
-	seen     []*fakeConn
+	seen     []*fakeConn // the requests, one a value
 	conns    map[*fakeConn]bool
 }
 
-func (s *fakeEndpoint) listen() {
-	s.listener, _ = s.harness.remote.Listen("127.0.0.1:0", func(c eventloop.Conn) eventloop.Handler {
-		return &fakeConn{endpoint: s, conn: c, parser: http1.Parser{Limits: http1.DefaultLimits}}
+func (e *fakeEndpoint) listen() {
+	e.conns = map[*fakeConn]bool{}
+	e.listener, _ = e.harness.remote.Listen("127.0.0.1:0", func(conn eventloop.Conn) eventloop.Handler {
+		c := &fakeConn{endpoint: e, conn: conn, parser: http1.Parser{Limits: http1.DefaultLimits}}
+		e.conns[c] = true
+		return c
 	})
 }
 
-func (s *fakeEndpoint) entry(condition string) endpoints.Entry {
-	return endpoints.Entry{ID: scheduler.EndpointID(s.id), Addr: s.listener.Addr(), Zone: s.zone, Kind: s.kind, Condition: condition}
+// crash ends the endpoint's listener and all of its connections.
+func (e *fakeEndpoint) crash() {
+	e.listener.Close()
+	for c := range e.conns {
+		c.conn.Abort()
+	}
 }
 
-// attempts counts the requests for work that a host has seen; releases those to let go.
-func (s *fakeEndpoint) attempts() (n int) {
-	for _, l := range s.seen {
-		if l.target == "/v1/chat/completions" {
+func (e *fakeEndpoint) entry(condition string) endpoints.Entry {
+	return endpoints.Entry{
+		ID:        scheduler.EndpointID(e.id),
+		Addr:      e.listener.Addr(),
+		Zone:      e.zone,
+		Kind:      e.kind,
+		Condition: condition,
+	}
+}
+
+// attempts counts the attempts that the endpoint has seen.
+func (e *fakeEndpoint) attempts() (n int) {
+	for _, c := range e.seen {
+		if c.target == "/v1/chat/completions" {
 			n++
 		}
 	}
 	return n
 }
 
-func (s *fakeEndpoint) releases() int { return len(s.seen) - s.attempts() }
+// releases counts the releases that the endpoint has seen.
+func (e *fakeEndpoint) releases() int { return len(e.seen) - e.attempts() }
 
-// fakeConn is one connection to a script, and the request that it is about.
+// fakeConn is one connection to a fake endpoint, with its last request.
 type fakeConn struct {
 	endpoint *fakeEndpoint
 	conn     eventloop.Conn
@@ -58,57 +85,89 @@
 	target   string
 }
 
-func (l *fakeConn) Opened()                  {}
-func (l *fakeConn) Drained()                 {}
-func (l *fakeConn) Data(b []byte)            { _ = l.parser.Feed(b, l) }
-func (l *fakeConn) Closed(error)             { l.closed = true }
-func (l *fakeConn) Head(h *http1.Head) error { l.head, l.body = h, nil; return nil }
-func (l *fakeConn) Body(b []byte) error      { l.body = append(l.body, b...); return nil }
+func (c *fakeConn) Opened()                     {}
+func (c *fakeConn) Drained()                    {}
+func (c *fakeConn) Data(b []byte)               { _ = c.parser.Feed(b, c) }
+func (c *fakeConn) Head(head *http1.Head) error { c.head, c.body = head, nil; return nil }
+func (c *fakeConn) Body(b []byte) error         { c.body = append(c.body, b...); return nil }
+
+func (c *fakeConn) Closed(error) {
+	c.closed = true
+	delete(c.endpoint.conns, c)
+}
 
-func (l *fakeConn) End() error {
-	seen := &fakeConn{endpoint: l.endpoint, conn: l.conn, head: l.head, body: l.body, target: l.head.Target}
-	l.endpoint.seen = append(l.endpoint.seen, seen)
-	if l.head.Target == "/v1/kv/release" {
-		l.answer(200, "{}")
+func (c *fakeConn) End() error {
+	request := &fakeConn{endpoint: c.endpoint, conn: c.conn, head: c.head, body: c.body, target: c.head.Target}
+	c.endpoint.seen = append(c.endpoint.seen, request)
+	if c.head.Target == "/v1/kv/release" {
+		c.answer(200, "{}")
 		return nil
 	}
-	l.endpoint.serve(l)
+	c.endpoint.serve(c)
 	return nil
 }
 
-func (l *fakeConn) answer(st int, body string) {
-	l.conn.Write(http1.AppendResponse(nil, st, []byte(body), "Content-Type", "application/json"))
+// request is a copy of the present request, for what answers it later.
+func (c *fakeConn) request() *fakeConn {
+	request := *c
+	return &request
+}
+
+// after runs something later on the endpoint's loop.
+func (c *fakeConn) after(delay eventloop.Micros, f func()) {
+	c.endpoint.harness.remote.AfterFunc(delay, f)
+}
+
+func (c *fakeConn) answer(status int, body string) {
+	c.conn.Write(http1.AppendResponse(nil, status, []byte(body), "Content-Type", "application/json"))
 }
 
 // stream answers with a head and some chunks.
-func (l *fakeConn) stream(chunks ...string) {
+func (c *fakeConn) stream(chunks ...string) {
 	b := http1.AppendStreamHead(nil, 200, "Content-Type", "text/event-stream")
-	for _, c := range chunks {
-		b = http1.AppendChunk(b, []byte(c))
+	for _, chunk := range chunks {
+		b = http1.AppendChunk(b, []byte(chunk))
 	}
-	l.conn.Write(b)
+	c.conn.Write(b)
 }
 
-func chunkEvent(text, finish string) string {
-	f := "null"
-	if finish != "" {
-		f = `"` + finish + `"`
+// writeChunk goes on with a stream.
+func (c *fakeConn) writeChunk(chunk string) { c.conn.Write(http1.AppendChunk(nil, []byte(chunk))) }
+
+// finishStream ends a stream that has brought its first event.
+func (c *fakeConn) finishStream() {
+	c.conn.Write(http1.AppendLastChunk(http1.AppendChunk(nil, []byte(lastEvent+doneEvent))))
+}
+
+// chunkEvent is one event of a streamed chat completion.
+func chunkEvent(text, finishReason string) string {
+	reason := "null"
+	if finishReason != "" {
+		reason = `"` + finishReason + `"`
 	}
 	delta, _ := json.Marshal(map[string]string{"content": text})
-	return string(sse.Append(nil, []byte(`{"choices":[{"index":0,"delta":`+string(delta)+`,"finish_reason":`+f+`}]}`)))
+	event := `{"choices":[{"index":0,"delta":` + string(delta) + `,"finish_reason":` + reason + `}]}`
+	return string(sse.Append(nil, []byte(event)))
+}
+
+// answerPrefill completes a prefill at once.
+func answerPrefill(c *fakeConn) {
+	c.answer(200, fmt.Sprintf(`{"choices":[],"usage":{"prompt_tokens_details":{"cached_tokens":3}},`+
+		`"kv_transfer_params":{"remote_request_id":%q}}`, c.head.Get("x-request-id")))
 }
 
-// answerPrefill answers a read at once.
-func answerPrefill(l *fakeConn) {
-	l.answer(200, fmt.Sprintf(`{"choices":[],"usage":{"prompt_tokens_details":{"cached_tokens":3}},"kv_transfer_params":{"remote_request_id":%q}}`,
-		l.head.Get("x-request-id")))
+// answerDecode completes a decode at once.
+func answerDecode(c *fakeConn) {
+	c.stream(firstEvent, lastEvent, doneEvent)
+	c.conn.Write(http1.AppendLastChunk(nil))
 }
 
-// answerDecode answers a write well.
-func answerDecode(l *fakeConn) {
-	l.stream(chunkEvent("Lamu ", ""), chunkEvent("é", "stop"), "data: [DONE]\n\n")
-	l.conn.Write(http1.AppendLastChunk(nil))
+// answerError returns a serve function that answers with an error code.
+func answerError(status int, code string) func(*fakeConn) {
+	return func(c *fakeConn) { c.answer(status, `{"error":{"code":"`+code+`"}}`) }
 }
 
-func closeConn(l *fakeConn) { l.conn.Close() }
-func abortConn(l *fakeConn) { l.conn.Abort() }
+func neverAnswer(*fakeConn)        {}
+func streamFirstEvent(c *fakeConn) { c.stream(firstEvent) }
+func closeConn(c *fakeConn)        { c.conn.Close() }
+func abortConn(c *fakeConn)        { c.conn.Abort() }
--- a/internal/dispatch/harness_test.go
+++ b/internal/dispatch/harness_test.go
@@ -21,42 +21,47 @@
 
 const key = "sk-test"
 
-// harness is one dispatcher in virtual time, with hosts that do what a test scripts.
+// harness is one dispatcher with fake endpoints and clients that do what a test scripts, in virtual time or over sockets.
 type harness struct {
 	t          *testing.T
-	world      *virtual.Network // none over sockets
+	world      *virtual.Network // nil over sockets
 	loop       testLoop
-	remote     testLoop // of hosts and clients
+	remote     testLoop // of endpoints and clients
 	deployment deployment.Deployment
 	dispatcher *Dispatcher
 	addr       string
 	endpoints  []*fakeEndpoint
 	list       endpoints.Update
-	cachedList []byte // the list, as it is kept
+	cachedList []byte // the list, as it is cached
 }
 
-// testLoop is a loop of either seam.
+// testLoop is a loop in virtual time or over sockets.
 type testLoop interface {
 	eventloop.Loop
 	Do(f func())
 }
 
-// newHarness makes a dispatcher with a list of hosts like "prefill west".
+// testTenant is the tenant of the tests' key.
+func testTenant() *pb.Tenant {
+	digest := sha256.Sum256([]byte(key))
+	return &pb.Tenant{Name: "one", KeySha256: []string{hex.EncodeToString(digest[:])}}
+}
+
+// newHarness starts a dispatcher in virtual time with a list of endpoints like "prefill west".
 func newHarness(t *testing.T, change func(d deployment.Deployment), hosts ...string) *harness {
 	t.Helper()
 	d := deployment.Standard()
-	digest := sha256.Sum256([]byte(key))
-	d.Tenants = []*pb.Tenant{{Name: "one", KeySha256: []string{hex.EncodeToString(digest[:])}}}
+	d.Tenants = []*pb.Tenant{testTenant()}
 	if change != nil {
 		change(d)
 	}
-	w := virtual.NewNetwork(1)
-	r := &harness{t: t, world: w, loop: w.NewLoop("d"), remote: w.NewLoop("far"), deployment: d}
+	world := virtual.NewNetwork(1)
+	r := &harness{t: t, world: world, loop: world.NewLoop("d"), remote: world.NewLoop("far"), deployment: d}
 	r.start(hosts)
 	return r
 }
 
-// newSocketHarness is the same over real sockets, with clients and streams of less patience.
+// newSocketHarness does the same over real sockets, with shorter timeouts.
 func newSocketHarness(t *testing.T, hosts ...string) *harness {
 	t.Helper()
 	d := deployment.Standard()
@@ -64,8 +69,7 @@
 	for _, p := range d.Products {
 		p.SloMs, p.TimeLimitMs = 600, 900
 	}
-	digest := sha256.Sum256([]byte(key))
-	d.Tenants = []*pb.Tenant{{Name: "one", KeySha256: []string{hex.EncodeToString(digest[:])}}}
+	d.Tenants = []*pb.Tenant{testTenant()}
 	var loops [2]*sockets.Loop
 	for i := range loops {
 		var err error
@@ -79,66 +83,75 @@
 	return r
 }
 
-// start brings up the hosts and the dispatcher.
+// start brings up the endpoints and the dispatcher.
 func (r *harness) start(hosts []string) {
 	r.t.Helper()
 	r.list = endpoints.Update{Epoch: "e", Version: 1, Complete: true, SavedAt: int64(r.remote.Now())}
-	for i, h := range hosts {
-		kind, zone, _ := strings.Cut(h, " ")
-		s := &fakeEndpoint{harness: r, id: uint32(i + 1), kind: kind, zone: zone, serve: answerPrefill}
+	for i, kindAndZone := range hosts {
+		kind, zone, _ := strings.Cut(kindAndZone, " ")
+		endpoint := &fakeEndpoint{harness: r, id: uint32(i + 1), kind: kind, zone: zone, serve: answerPrefill}
 		if kind != "prefill" {
-			s.serve = answerDecode
+			endpoint.serve = answerDecode
 		}
-		r.remote.Do(s.listen)
-		r.endpoints = append(r.endpoints, s)
-		r.list.Endpoints = append(r.list.Endpoints, s.entry("ready"))
+		r.remote.Do(endpoint.listen)
+		r.endpoints = append(r.endpoints, endpoint)
+		r.list.Endpoints = append(r.list.Endpoints, endpoint.entry("ready"))
 	}
-	r.cachedList, _ = json.Marshal(r.list)
 	var err error
-	r.loop.Do(func() {
-		r.dispatcher, err = Start(r.loop, r.deployment, Config{Name: "d", Zone: "west", Seed: 1, CachedEndpoints: [][]byte{r.cachedList}, Log: zerolog.Nop()})
-		if err != nil {
+	if r.cachedList, err = json.Marshal(r.list); err != nil {
+		r.t.Fatal(err)
+	}
+	r.startDispatcher(r.loop, func(*Config) error { return nil })
+}
+
+// startDispatcher starts a dispatcher on a loop, in place of the one before; configure runs on the loop.
+func (r *harness) startDispatcher(loop testLoop, configure func(*Config) error) {
+	r.t.Helper()
+	r.loop = loop
+	config := Config{
+		Name:            "d",
+		Zone:            r.deployment.Zones[0],
+		Seed:            1,
+		CachedEndpoints: [][]byte{r.cachedList},
+		Log:             zerolog.Nop(),
+	}
+	var err error
+	loop.Do(func() {
+		if err = configure(&config); err != nil {
 			return
 		}
-		ln, e := r.loop.Listen("127.0.0.1:0", r.dispatcher.Frontend().Accept)
-		r.addr, err = ln.Addr(), e
+		if r.dispatcher, err = Start(loop, r.deployment, config); err != nil {
+			return
+		}
+		listener, listenErr := loop.Listen("127.0.0.1:0", r.dispatcher.Frontend().Accept)
+		r.addr, err = listener.Addr(), listenErr
 	})
 	if err != nil {
 		r.t.Fatal(err)
 	}
 }
 
-// startWithIntents starts a dispatcher anew, with its intents in a folder of the world.
-func (r *harness) startWithIntents(f *virtual.Disk) {
+// startWithIntents starts a dispatcher anew, with its intents on a disk of the virtual network.
+func (r *harness) startWithIntents(disk *virtual.Disk) {
 	r.t.Helper()
 	loop := r.world.NewLoop("kept")
-	r.loop = loop
-	loop.Do(func() {
-		intents, err := store.Open(f.AttachTo(loop), store.DefaultLimits)
-		if err != nil {
-			r.t.Fatal(err)
-		}
-		if r.dispatcher, err = Start(loop, r.deployment, Config{Name: "kept", Zone: "west", Seed: 1, CachedEndpoints: [][]byte{r.cachedList}, Log: zerolog.Nop(), Intents: intents}); err != nil {
-			r.t.Fatal(err)
-		}
-		ln, err := loop.Listen("127.0.0.1:0", r.dispatcher.Frontend().Accept)
-		if err != nil {
-			r.t.Fatal(err)
-		}
-		r.addr = ln.Addr()
+	r.startDispatcher(loop, func(config *Config) (err error) {
+		config.Name = "kept"
+		config.Intents, err = store.Open(disk.AttachTo(loop), store.DefaultLimits)
+		return err
 	})
 }
 
-// runUntil lets time pass until something holds of the hosts and clients.
-func (r *harness) runUntil(span eventloop.Micros, holds func() bool) bool {
+// runUntil lets time pass until a condition holds of the endpoints and clients.
+func (r *harness) runUntil(timeout eventloop.Micros, condition func() bool) bool {
 	if r.world != nil {
-		return r.world.RunUntil(span, holds)
+		return r.world.RunUntil(timeout, condition)
 	}
-	for end := r.remote.Now() + span; ; {
-		var held bool
-		r.remote.Do(func() { held = holds() })
-		if held || r.remote.Now() > end {
-			return held
+	for end := r.remote.Now() + timeout; ; {
+		var holds bool
+		r.remote.Do(func() { holds = condition() })
+		if holds || r.remote.Now() > end {
+			return holds
 		}
 		time.Sleep(time.Millisecond) // real sockets take real time
 	}
@@ -149,10 +162,15 @@
 	r.loop.Do(func() { r.dispatcher.endpointsUpdated(entries, false) })
 }
 
-// virtual is a rig's loop as one of the world's.
+// replaceEndpoints passes a complete list to the dispatcher.
+func (r *harness) replaceEndpoints(entries ...endpoints.Entry) {
+	r.loop.Do(func() { r.dispatcher.endpointsUpdated(entries, true) })
+}
+
+// virtual is the dispatcher's loop as one of the virtual network's.
 func (r *harness) virtual() *virtual.Loop { return r.loop.(*virtual.Loop) }
 
-// expectFinal waits for the final answer, and checks that it is the one and that nothing remains.
+// expectFinal waits for the final answer, and checks that it is the only one and that nothing is left.
 func (r *harness) expectFinal(c *clientCall, want string) {
 	r.t.Helper()
 	r.runUntil(30*eventloop.Second, func() bool { return len(c.finals) > 0 })
@@ -180,10 +198,26 @@
 	})
 }
 
-// expectRelease lets time pass until a reader has been told to let go of what it held, and fails where that takes too long.
-func (r *harness) expectRelease(reader *fakeEndpoint, before int, what string) {
+// decodes counts the attempts at all endpoints but the first, which is a prefill endpoint in the tests that ask.
+func (r *harness) decodes() (n int) {
+	for _, endpoint := range r.endpoints[1:] {
+		n += endpoint.attempts()
+	}
+	return n
+}
+
+// serveDecodes sets what all endpoints but the first do.
+func (r *harness) serveDecodes(serve func(*fakeConn)) {
+	for _, endpoint := range r.endpoints[1:] {
+		endpoint.serve = serve
+	}
+}
+
+// expectRelease lets time pass until a prefill endpoint has got a release, and fails where that takes too long.
+func (r *harness) expectRelease(endpoint *fakeEndpoint, before int, what string) {
 	r.t.Helper()
-	if !r.runUntil(eventloop.Micros(r.deployment.Rules.LetGoMs)*eventloop.Millisecond, func() bool { return reader.releases() > before }) {
-		r.t.Errorf("%s: the reader was not told to let go in time", what)
+	timeout := milliseconds(r.deployment.Rules.LetGoMs)
+	if !r.runUntil(timeout, func() bool { return endpoint.releases() > before }) {
+		r.t.Errorf("%s: the prefill state was not released in time", what)
 	}
 }
--- a/internal/dispatch/limits_test.go
+++ b/internal/dispatch/limits_test.go
@@ -7,40 +7,33 @@
 
 	"plumspindle/internal/deployment"
 	"plumspindle/internal/eventloop"
-	"plumspindle/internal/http1"
-	"plumspindle/internal/sse"
 	"plumspindle/internal/virtual"
 )
 
-// A state is to be let go of while all connections to its reader are in use, or no descriptor is left: neither pins it.
+// Prefill state is released while all connections to its endpoint are in use, or no descriptor is left.
 func TestReleaseNeedsNoFreeConnection(t *testing.T) {
-	for name, fill := range map[string]func(r *harness){
+	for name, exhaust := range map[string]func(r *harness){
 		"all connections in use": func(r *harness) {
-			r.endpoints[0].serve = func(*fakeConn) {} // reads that go on
+			r.endpoints[0].serve = neverAnswer
 			for range r.deployment.Dispatching.Connections {
 				r.ask("explain")
 			}
 		},
 		"no descriptor is left": func(r *harness) {
-			r.endpoints[0].serve = func(*fakeConn) {}
+			r.endpoints[0].serve = neverAnswer
 			r.ask("explain") // takes the idle connection
 			r.world.Run(20 * eventloop.Millisecond)
-			r.virtual().DescriptorLimit = r.virtual().OpenConnections() + 2 // which are kept back; and what is given back is taken at once
-			for i := range 4000 {
-				r.remote.Do(func() {
-					r.remote.AfterFunc(eventloop.Micros(i*250), func() { r.remote.Dial(r.addr, eventloop.Second, &silentClient{}) })
-				})
-			}
+			r.takeDescriptors(4000, 250)
 		},
 	} {
 		r := newHarness(t, func(d deployment.Deployment) { d.Dispatching.Connections = 3 }, "prefill west", "decode west")
-		r.endpoints[1].serve = func(*fakeConn) {}
+		r.endpoints[1].serve = neverAnswer
 		c := r.ask("review-post", "x-time-limit-ms", "600")
-		r.world.Run(100 * eventloop.Millisecond) // read, and at the writer, which does not begin
+		r.world.Run(100 * eventloop.Millisecond) // prefilled, and at the decode endpoint, which does not begin
 		if r.endpoints[1].attempts() != 1 {
-			t.Fatal("it is not being written")
+			t.Fatal("it is not being decoded")
 		}
-		fill(r)
+		exhaust(r)
 		r.world.Run(100 * eventloop.Millisecond)
 		before := r.endpoints[0].releases()
 		r.runUntil(eventloop.Second, func() bool { return len(c.finals) > 0 })
@@ -52,17 +45,36 @@
 	}
 }
 
-// A reader can't be reached for longer than a state may wait: once it can be, it is told to let go, of all that came together.
+// takeDescriptors leaves the dispatcher no descriptors but the two reserved ones, and has silent clients connect one
+// after another, so that what is given back is taken at once. It returns the clients, as they come.
+func (r *harness) takeDescriptors(clients int, interval eventloop.Micros) *[]*silentClient {
+	var connected []*silentClient
+	r.virtual().DescriptorLimit = r.virtual().OpenConnections() + 2
+	for i := range clients {
+		r.remote.Do(func() {
+			r.remote.AfterFunc(eventloop.Micros(i)*interval, func() {
+				client := &silentClient{}
+				client.conn = r.remote.Dial(r.addr, eventloop.Second, client)
+				connected = append(connected, client)
+			})
+		})
+	}
+	return &connected
+}
+
+// A prefill endpoint can't be reached for longer than its state may wait: once it can be, all of it is released.
 func TestReleaseIsRetriedAfterAPartition(t *testing.T) {
-	r := newHarness(t, func(d deployment.Deployment) { d.Dispatching.IdleMs = 50 }, "prefill west", "decode west") // it has to connect anew
-	r.endpoints[1].serve = func(*fakeConn) {}
+	r := newHarness(t, func(d deployment.Deployment) {
+		d.Dispatching.IdleMs = 50 // so that it has to connect anew
+	}, "prefill west", "decode west")
+	r.endpoints[1].serve = neverAnswer
 	var calls []*clientCall
 	for range 5 {
 		calls = append(calls, r.ask("review-post", "x-time-limit-ms", "800"))
 	}
 	r.world.Run(300 * eventloop.Millisecond)
 	if r.endpoints[1].attempts() != 5 {
-		t.Fatalf("%d are being written", r.endpoints[1].attempts())
+		t.Fatalf("%d are being decoded", r.endpoints[1].attempts())
 	}
 	d, far := r.virtual(), r.remote.(*virtual.Loop)
 	r.world.Block(far, d, 3*eventloop.Second)
@@ -73,33 +85,30 @@
 		}
 	}
 	r.endpoints[1].serve = answerDecode
-	let := func() string {
-		var b strings.Builder
-		for _, l := range r.endpoints[0].seen {
-			if l.target == "/v1/kv/release" {
-				b.Write(l.body)
-			}
+	r.world.Run(milliseconds(r.deployment.Rules.LetGoMs))
+	var released strings.Builder
+	for _, c := range r.endpoints[0].seen {
+		if c.target == "/v1/kv/release" {
+			released.Write(c.body)
 		}
-		return b.String()
 	}
-	r.world.Run(eventloop.Micros(r.deployment.Rules.LetGoMs) * eventloop.Millisecond)
 	for i := range 5 {
-		if name := fmt.Sprintf(`"d-%d-0"`, i+1); !strings.Contains(let(), name) {
-			t.Errorf("the reader was not told to let go of %s: %s", name, let())
+		if name := fmt.Sprintf(`"d-%d-0"`, i+1); !strings.Contains(released.String(), name) {
+			t.Errorf("%s was not released: %s", name, released.String())
 		}
 	}
 	n := len(r.endpoints[0].seen)
 	r.world.Run(12 * eventloop.Second)
 	if more := len(r.endpoints[0].seen) - n; more > 0 {
-		t.Errorf("it was told %d times more", more)
+		t.Errorf("%d requests more", more)
 	}
 	r.expectFinal(r.ask("review-post"), "streamed")
 }
 
-// Idle connections to other hosts make room for one that is needed.
+// Idle connections to other endpoints are closed for one that is needed.
 func TestIdleConnectionsGiveWay(t *testing.T) {
 	r := newHarness(t, nil, "prefill west", "decode west", "decode west", "decode west")
-	for range 12 { // each of the writers has an idle connection
+	for range 12 { // each of the decode endpoints has an idle connection
 		r.expectFinal(r.ask("explain"), "streamed")
 	}
 	for _, h := range r.endpoints[1:3] {
@@ -111,39 +120,35 @@
 	r.endpoints = append(r.endpoints, next)
 	r.updateEndpoints(next.entry("ready"))
 	r.world.Run(100 * eventloop.Millisecond)
-	r.virtual().DescriptorLimit = r.virtual().OpenConnections() + 3 // its client's, and what is kept back
+	r.virtual().DescriptorLimit = r.virtual().OpenConnections() + 3 // its client's, and what is reserved
 	r.expectFinal(r.ask("review-post"), "streamed")
 }
 
-// Clients that hold connections leave some for everybody else: past their part requests are throttled in words and the connection
-// closed, past an eighth more none is served; those that idle make way, and with room again all is as before.
+// Clients that keep connections open leave descriptors for everything else: past their part requests are rejected and
+// the connection closed, past an eighth more none is served; idle ones are closed for new ones, and with few again all
+// is as before.
 func TestClientConnectionsAreLimited(t *testing.T) {
 	r := newHarness(t, nil, "prefill west", "decode west")
 	r.dispatcher.frontend.MaxConnections = 8
 	running := r.ask("explain")
-	r.endpoints[1].serve = func(l *fakeConn) {
-		l.stream(chunkEvent("Lamu ", ""))
-		r.remote.AfterFunc(3*eventloop.Second, func() {
-			l.conn.Write(http1.AppendLastChunk(http1.AppendChunk(nil, []byte(chunkEvent("é", "stop")+"data: [DONE]\n\n"))))
-		})
+	r.endpoints[1].serve = func(c *fakeConn) {
+		streamFirstEvent(c)
+		c.after(3*eventloop.Second, c.finishStream)
 	}
 	r.world.Run(100 * eventloop.Millisecond)
 	var idle []*silentClient
 	for range 7 {
-		l := &silentClient{}
-		r.remote.Do(func() { l.conn = r.remote.Dial(r.addr, eventloop.Second, l) })
-		idle = append(idle, l)
+		idle = append(idle, r.connectSilently())
 	}
 	r.world.Run(100 * eventloop.Millisecond)
 	c := r.ask("explain")
 	r.runUntil(eventloop.Second, func() bool { return len(c.finals) > 0 })
 	if len(c.finals) != 1 || c.finals[0] != "throttled" || c.head.KeepAlive() || r.endpoints[0].attempts() != 1 {
-		t.Errorf("past the clients' part: %v, keeps the connection: %v, %d legs", c.finals, c.head.KeepAlive(), r.endpoints[0].attempts())
+		t.Errorf("past the clients' part: %v, keeps the connection: %v, %d attempts",
+			c.finals, c.head.KeepAlive(), r.endpoints[0].attempts())
 	}
 	for range 4 {
-		r.remote.Do(func() {
-			r.remote.Dial(r.addr, eventloop.Second, &silentClient{})
-		})
+		r.connectSilently()
 	}
 	c = r.ask("explain")
 	r.runUntil(eventloop.Second, func() bool { return c.closed })
@@ -151,13 +156,13 @@
 		t.Errorf("past an eighth more: %v, %d connections", c.finals, r.virtual().OpenConnections())
 	}
 	r.world.Run(2 * eventloop.Second)
-	r.ask("explain") // one of those that idle makes way
+	r.ask("explain") // an idle one is closed for it
 	r.world.Run(100 * eventloop.Millisecond)
 	if !idle[0].closed {
-		t.Error("the connection that idled longest is still there")
+		t.Error("the connection that was idle for longest is still open")
 	}
-	for _, l := range idle {
-		r.remote.Do(l.conn.Abort)
+	for _, client := range idle {
+		r.remote.Do(client.conn.Abort)
 	}
 	r.expectFinal(running, "streamed")
 	r.endpoints[1].serve = answerDecode
@@ -166,46 +171,39 @@
 	r.expectFinal(r.ask("explain"), "streamed")
 }
 
-// Bodies that wait with their generations, and bodies that never end, are kept up to a bound in all; past it requests are throttled
-// and nothing of them is kept. The memory comes back, and so does the service.
+// Bodies that wait with their requests, and bodies that never end, are buffered up to a bound in all; past it requests
+// are rejected and nothing of them is buffered. The memory comes back, and so does the service.
 func TestBufferedBodiesAreBounded(t *testing.T) {
-	const each = 19000
-	text := strings.Repeat("a", each-200)
-	for _, whole := range []bool{true, false} {
-		r := newHarness(t, func(d deployment.Deployment) { d.Doors.BodyMost = 20000 }, "prefill west", "decode west")
+	const maxBody, bodySize, clients = 20000, 19000, 120
+	text := strings.Repeat("a", bodySize-200)
+	completeBody := `{"model":"explain","stream":true,"messages":[{"role":"user","content":"` + text + `"}]}`
+	endlessRequest := "POST /v1/chat/completions HTTP/1.1\r\nHost: x\r\nAuthorization: Bearer " + key +
+		"\r\nContent-Type: application/json\r\nContent-Length: 20000\r\n\r\n" + text
+	for _, complete := range []bool{true, false} {
+		r := newHarness(t, func(d deployment.Deployment) { d.Doors.BodyMost = maxBody }, "prefill west", "decode west")
 		r.updateEndpoints(r.endpoints[1].entry("gone"))
-		bound, most := maxBufferedBodies*20000, 0
+		bound, most := maxBufferedBodies*maxBody, 0
 		var calls []*clientCall
-		for range 120 {
-			if whole {
-				calls = append(calls, r.send(`{"model":"explain","stream":true,"messages":[{"role":"user","content":"`+text+`"}]}`))
+		for range clients {
+			if complete {
+				calls = append(calls, r.send(completeBody))
 			} else {
-				c := &clientCall{harness: r, parser: http1.Parser{Response: true, Limits: http1.DefaultLimits}, events: sse.Parser{MaxEventBytes: 1 << 20}}
-				c.request = []byte("POST /v1/chat/completions HTTP/1.1\r\nHost: x\r\nAuthorization: Bearer " + key + "\r\nContent-Type: application/json\r\nContent-Length: 20000\r\n\r\n" + text)
-				r.remote.Do(func() { c.conn = r.remote.Dial(r.addr, eventloop.Second, c) })
-				calls = append(calls, c)
+				calls = append(calls, r.dial(r.newClientCall([]byte(endlessRequest))))
 			}
 			r.world.Run(5 * eventloop.Millisecond)
 			most = max(most, r.dispatcher.frontend.BufferedBytes)
 		}
 		r.world.Run(100 * eventloop.Millisecond)
 		if most > bound || most < bound/2 {
-			t.Errorf("whole %v: %d bytes of bodies are kept, %d may be", whole, most, bound)
+			t.Errorf("complete %v: %d bytes of bodies are buffered, %d may be", complete, most, bound)
 		}
-		if whole {
-			throttled := 0
-			for _, c := range calls {
-				if len(c.finals) == 1 && c.finals[0] == "throttled" {
-					throttled++
-				}
-			}
-			if throttled < 40 || throttled > 70 || r.dispatcher.OpenRequests() > 70 {
-				t.Errorf("%d of 120 are throttled, %d run", throttled, r.dispatcher.OpenRequests())
-			}
+		if rejected := countFinals(calls, "throttled"); complete &&
+			(rejected < 40 || rejected > 70 || r.dispatcher.OpenRequests() > 70) {
+			t.Errorf("%d of %d are rejected, %d are open", rejected, clients, r.dispatcher.OpenRequests())
 		}
 		r.world.Run(15 * eventloop.Second)
-		if r.dispatcher.frontend.BufferedBytes != 0 {
-			t.Errorf("whole %v: %d bytes are counted at the end", whole, r.dispatcher.frontend.BufferedBytes)
+		if n := r.dispatcher.frontend.BufferedBytes; n != 0 {
+			t.Errorf("complete %v: %d bytes are counted at the end", complete, n)
 		}
 		r.updateEndpoints(r.endpoints[1].entry("ready"))
 		r.expectFinal(r.ask("explain"), "streamed")
@@ -214,6 +212,7 @@
 
 // The answers that calls with many inputs are going to have are bounded too.
 func TestBatchAnswersAreBounded(t *testing.T) {
+	const inputs = 1900
 	r := newHarness(t, func(d deployment.Deployment) {
 		for _, p := range d.Products {
 			if p.Name == "embed" {
@@ -221,41 +220,29 @@
 			}
 		}
 	}, "prefill west", "decode west")
-	r.endpoints[0].serve = func(*fakeConn) {}
-	inputs := strings.Repeat(`"a b c",`, 1900)
-	body := func(i int) string {
-		return fmt.Sprintf(`{"model":"embed","input":[%s"last %d"]}`, strings.ReplaceAll(inputs, "a b c", fmt.Sprint("text ", i, " %")), i)
-	}
-	numbered := func(i int) string {
-		var b strings.Builder
-		for n, part := range strings.Split(body(i), "%") {
-			if n > 0 {
-				fmt.Fprint(&b, n)
-			}
-			b.WriteString(part)
-		}
-		return b.String()
-	}
-	post := func(i int) *clientCall {
-		c := &clientCall{harness: r, parser: http1.Parser{Response: true, Limits: http1.DefaultLimits}, events: sse.Parser{MaxEventBytes: 1 << 20}}
-		c.request = http1.AppendRequest(nil, "POST", "/v1/embeddings", r.addr, []byte(numbered(i)), "Authorization", "Bearer "+key, "Content-Type", "application/json")
-		r.remote.Do(func() { c.conn = r.remote.Dial(r.addr, eventloop.Second, c) })
-		return c
-	}
+	r.endpoints[0].serve = neverAnswer
 	var calls []*clientCall
 	for i := range 4 {
-		calls = append(calls, post(i))
+		var body strings.Builder
+		body.WriteString(`{"model":"embed","input":[`)
+		for n := range inputs {
+			fmt.Fprintf(&body, `"text %d %d",`, i, n+1)
+		}
+		fmt.Fprintf(&body, `"last %d"]}`, i)
+		calls = append(calls, r.post("/v1/embeddings", []byte(body.String())))
 	}
 	r.world.Run(500 * eventloop.Millisecond)
-	if n := r.dispatcher.batches.answerBytes; n > maxBatchAnswerBytes || n < maxBatchAnswerBytes/3 {
+	batches := &r.dispatcher.batches
+	if n := batches.answerBytes; n > maxBatchAnswerBytes || n < maxBatchAnswerBytes/3 {
 		t.Errorf("%d bytes of answers are going to be", n)
 	}
 	if f := calls[3].finals; len(f) != 1 || f[0] != "throttled" {
 		t.Errorf("the last call: %v", f)
 	}
 	r.world.Run(10 * eventloop.Second)
-	if r.dispatcher.batches.answerBytes != 0 || r.dispatcher.frontend.BufferedBytes != 0 || r.dispatcher.batches.openCalls != 0 {
-		t.Errorf("at the end %d bytes of answers, %d of bodies, %d calls", r.dispatcher.batches.answerBytes, r.dispatcher.frontend.BufferedBytes, r.dispatcher.batches.openCalls)
+	buffered := r.dispatcher.frontend.BufferedBytes
+	if batches.answerBytes != 0 || buffered != 0 || batches.openCalls != 0 {
+		t.Errorf("at the end %d bytes of answers, %d of bodies, %d calls", batches.answerBytes, buffered, batches.openCalls)
 	}
 	for i, c := range calls {
 		if len(c.finals) != 1 {
--- a/internal/dispatch/official_client_test.go
+++ b/internal/dispatch/official_client_test.go
@@ -10,64 +10,74 @@
 	"github.com/openai/openai-go/option"
 )
 
-// The official client library repeats some errors by itself. With its settings as they come, through every break, a
-// side-effecting generation is never written a second time, unless the first writer has said that it did not run it.
+// The official client library retries some errors by itself. With its default settings, through every failure, a
+// side-effecting request is never decoded a second time unless the first endpoint has said that it did not run it.
 func TestOfficialClientNeverRepeatsADecode(t *testing.T) {
-	proofs := map[string]bool{"full": true, "draining": true, "state lost": true}
-	for _, b := range decodeFailures {
+	for _, failure := range decodeFailures {
 		for _, stream := range []bool{false, true} {
-			t.Run(b.name, func(t *testing.T) {
+			t.Run(failure.name, func(t *testing.T) {
 				t.Parallel()
-				r := newSocketHarness(t, "prefill west", "decode west", "decode west")
-				first, done := true, 0
-				r.remote.Do(func() {
-					for _, h := range r.endpoints[1:] {
-						h.serve = func(l *fakeConn) {
-							if first {
-								first = false
-								b.serve(l)
-								return
-							}
-							done++
-							answerDecode(l)
-						}
-					}
-				})
-				ctx, cancel := context.WithTimeout(context.Background(), 20*time.Second)
-				defer cancel()
-				client := openai.NewClient(option.WithBaseURL("http://"+r.addr+"/v1/"), option.WithAPIKey(key))
-				ask := openai.ChatCompletionNewParams{Model: "review-post", Messages: []openai.ChatCompletionMessageParamUnion{openai.UserMessage("why?")}}
-				var text string
-				var err error
-				if stream {
-					s := client.Chat.Completions.NewStreaming(ctx, ask)
-					for s.Next() {
-						if c := s.Current().Choices; len(c) > 0 {
-							text += c[0].Delta.Content
-						}
-					}
-					err = s.Err()
-				} else {
-					var a *openai.ChatCompletion
-					if a, err = client.Chat.Completions.New(ctx, ask); err == nil {
-						text = a.Choices[0].Message.Content
-					}
-				}
-				r.remote.Do(func() {
-					if done > 0 && !proofs[b.name] || done > 1 {
-						t.Errorf("stream %v: written again %d times; the client has %q, %v", stream, done, text, err)
-					}
-				})
-				if err == nil && text != completeText {
-					t.Errorf("stream %v: no error, and %q", stream, text)
-				}
-				if want := b.sideEffect == "streamed"; (err == nil) != want {
-					t.Errorf("stream %v: want success %v, got %v", stream, want, err)
-				}
-				if err != nil && strings.Contains(err.Error(), key) {
-					t.Error("the key is in the error")
-				}
+				testOfficialClient(t, failure, stream)
 			})
 		}
 	}
 }
+
+func testOfficialClient(t *testing.T, failure decodeFailure, stream bool) {
+	t.Helper()
+	r := newSocketHarness(t, "prefill west", "decode west", "decode west")
+	first, repeated := true, 0
+	r.remote.Do(func() {
+		for _, endpoint := range r.endpoints[1:] {
+			endpoint.serve = func(c *fakeConn) {
+				if first {
+					first = false
+					failure.serve(c)
+					return
+				}
+				repeated++
+				answerDecode(c)
+			}
+		}
+	})
+	text, err := askOfficially(r.addr, stream)
+	r.remote.Do(func() {
+		if repeated > 0 && !failure.provesNotRun() || repeated > 1 {
+			t.Errorf("stream %v: repeated %d times; the client has %q, %v", stream, repeated, text, err)
+		}
+	})
+	if err == nil && text != completeText {
+		t.Errorf("stream %v: no error, and %q", stream, text)
+	}
+	if want := failure.sideEffecting == "streamed"; (err == nil) != want {
+		t.Errorf("stream %v: want success %v, got %v", stream, want, err)
+	}
+	if err != nil && strings.Contains(err.Error(), key) {
+		t.Error("the key is in the error")
+	}
+}
+
+// askOfficially asks for a chat completion with the official client, as its settings come.
+func askOfficially(addr string, stream bool) (text string, err error) {
+	ctx, cancel := context.WithTimeout(context.Background(), 20*time.Second)
+	defer cancel()
+	client := openai.NewClient(option.WithBaseURL("http://"+addr+"/v1/"), option.WithAPIKey(key))
+	params := openai.ChatCompletionNewParams{
+		Model:    "review-post",
+		Messages: []openai.ChatCompletionMessageParamUnion{openai.UserMessage("why?")},
+	}
+	if !stream {
+		completion, err := client.Chat.Completions.New(ctx, params)
+		if err != nil {
+			return "", err
+		}
+		return completion.Choices[0].Message.Content, nil
+	}
+	events := client.Chat.Completions.NewStreaming(ctx, params)
+	for events.Next() {
+		if choices := events.Current().Choices; len(choices) > 0 {
+			text += choices[0].Delta.Content
+		}
+	}
+	return text, events.Err()
+}
