--- a/internal/dispatch/batch_test.go
+++ b/internal/dispatch/batch_test.go
@@ -16,8 +16,8 @@
 	"plumspindle/internal/lifecycle"
 )
 
-// A call is split into parts that endpoints answer in any order, and joined in its own; inputs that repeat are prefilled
-// once; both formats, fewer dimensions, token lists and compressed bodies.
+// A call is split into parts that endpoints answer in any order, and joined in its own; inputs that repeat are
+// prefilled once; both formats, fewer dimensions, token lists and compressed bodies.
 func TestBatchIsJoinedInOrder(t *testing.T) {
 	r := newBatchHarness(t, nil, "prefill west", "prefill west", "prefill east", "decode west")
 	chance := rand.New(rand.NewSource(4))
--- a/internal/dispatch/dispatcher_test.go
+++ b/internal/dispatch/dispatcher_test.go
@@ -20,7 +20,8 @@
 	}
 }
 
-// The dispatcher wakes from a freeze past a client's deadline: no second answer, no attempt to an endpoint that drains.
+// The dispatcher wakes from a freeze past a client's deadline: no second answer, no attempt to an endpoint that
+// drains.
 func TestFrozenDispatcherAnswersOnce(t *testing.T) {
 	r := newHarness(t, nil, "prefill west", "decode west", "decode west")
 	r.endpoints[0].serve = func(c *fakeConn) { c.after(50*eventloop.Millisecond, func() { answerPrefill(c) }) }
@@ -58,8 +59,8 @@
 	}
 }
 
-// A dispatcher shuts down with a stream running and a client on an idle connection: the stream completes, nothing new is
-// accepted, and then it is done.
+// A dispatcher shuts down with a stream running and a client on an idle connection: the stream completes, nothing new
+// is accepted, and then it is done.
 func TestShutdownCompletesRunningStreams(t *testing.T) {
 	r := newHarness(t, nil, "prefill west", "decode west")
 	var decode *fakeConn
--- a/internal/dispatch/harness_test.go
+++ b/internal/dispatch/harness_test.go
@@ -21,7 +21,8 @@
 
 const key = "sk-test"
 
-// harness is one dispatcher with fake endpoints and clients that do what a test scripts, in virtual time or over sockets.
+// harness is one dispatcher with fake endpoints and clients that do what a test scripts, in virtual time or over
+// sockets.
 type harness struct {
 	t          *testing.T
 	world      *virtual.Network // nil over sockets
--- a/internal/dispatch/stages_test.go
+++ b/internal/dispatch/stages_test.go
@@ -2,162 +2,178 @@
 
 import (
 	"fmt"
-	"slices"
 	"testing"
 
-	"plumspindle/internal/deployment/pb"
 	"plumspindle/internal/eventloop"
 	"plumspindle/internal/testbed/record"
 )
 
-// A generation ends at each stage, in each way, for each effect, at hosts that do or don't stop what is cancelled, with a module
-// that may or may not cancel: each cell keeps the rules and leaves nothing behind.
+var chatProducts = []string{"explain", "build-note", "review-post"}
+
+// A request ends at each stage, in each way, for each effect, at endpoints that do or don't stop what is cancelled,
+// with a scheduler that may or may not cancel: each case keeps the rules and leaves nothing behind.
 func TestEndAtEachStage(t *testing.T) {
-	cells := 0
-	for _, mode := range []struct{ stops, cancels bool }{{true, true}, {false, true}, {false, false}} {
+	cases := 0
+	for _, mode := range []fleetMode{{true, true}, {false, true}, {false, false}} {
 		for _, s := range stages {
 			for _, e := range endings {
-				for _, product := range []string{"explain", "build-note", "review-post"} {
-					cells++
-					t.Run(fmt.Sprintf("%s/%s/%s/stops %v, cancels %v", s.name, e.name, product, mode.stops, mode.cancels), func(t *testing.T) {
-						y := newFleetHarness(t, mode.stops, mode.cancels)
-						if s.before != nil {
-							s.before(y)
-						}
-						limit := eventloop.Micros(0)
-						if e.do == nil {
-							limit = s.after + 10*eventloop.Millisecond
-							if s.whole {
-								limit += unstreamedGrace + 20*eventloop.Millisecond
-							}
-						}
-						c := y.askRecorded("g", product, s.tokens, s.whole, limit)
-						y.world.Run(s.after)
-						seen, at := y.fleet.Stage("g")
-						if seen != s.seen {
-							t.Fatalf("after %d ms it is %q", s.after/eventloop.Millisecond, seen)
-						}
-						if e.do != nil {
-							e.do(y, c, at)
-						}
-						effect := y.deployment.Products[slices.IndexFunc(y.deployment.Products, func(p *pb.Product) bool { return p.Name == product })].Effect
-						y.expectCleanEnd(c, product, e.want(s, effect), e.name == "its client leaves")
-					})
+				for _, product := range chatProducts {
+					cases++
+					name := fmt.Sprintf("%s/%s/%s/stops %v, cancels %v", s.name, e.name, product, mode.stops, mode.cancels)
+					t.Run(name, func(t *testing.T) { testEndAtStage(newFleetHarness(t, mode), s, e, product) })
 				}
 			}
 		}
 	}
-	t.Logf("%d cells", cells)
+	t.Logf("%d cases", cases)
+}
+
+func testEndAtStage(f *fleetHarness, s stage, e ending, product string) {
+	f.t.Helper()
+	if s.before != nil {
+		s.before(f)
+	}
+	request := fleetRequest{id: "g", product: product, tokens: s.tokens, unstreamed: s.unstreamed}
+	if e.end == nil {
+		request.limit = s.after + 10*eventloop.Millisecond
+		if s.unstreamed {
+			request.limit += unstreamedGrace + 20*eventloop.Millisecond
+		}
+	}
+	c := f.askRecorded(request)
+	f.world.Run(s.after)
+	seen, at := f.fleet.Stage("g")
+	if seen != s.seen {
+		f.t.Fatalf("after %d ms it is %q", s.after/eventloop.Millisecond, seen)
+	}
+	if e.end != nil {
+		e.end(f, c, at)
+	}
+	f.expectCleanEnd(c, expectation{product, e.want(s, f.effectOf(product)), e.disconnected})
+}
+
+// crossing is an outcome and an end of one request that reach the dispatcher in the same turn.
+type crossing struct {
+	request  fleetRequest
+	outcome  string
+	at       eventloop.Micros // of the outcome, after the request
+	ending   ending
+	endFirst bool
 }
 
-// An outcome and the end of its generation reach the dispatcher in the same turn, in either order: it stands still for a moment and
-// finds both when it goes on.
+// An outcome and the end of its request reach the dispatcher in the same turn, in either order: it is frozen for a
+// moment and finds both when it goes on.
 func TestOutcomeAndEndInOneTurn(t *testing.T) {
-	const still = 60 * eventloop.Millisecond
-	cells := 0
-	for _, product := range []string{"explain", "build-note", "review-post"} {
-		for _, whole := range []bool{false, true} {
-			// When things happen is seen on a day on which nothing ends early.
-			y := newFleetHarness(t, true, true)
-			began := y.world.Now()
-			c := y.askRecorded("g", product, 5000, whole, 0)
-			y.runUntil(20*eventloop.Second, func() bool { return len(c.finals) > 0 })
-			ended := y.world.Now() - began
-			events, _ := y.recorder.Close()
-			at := map[string]eventloop.Micros{"streamed": ended - y.world.Latency}
-			for _, e := range events {
-				if e.Gen == "g" && (e.What == "ran" || e.What == "answered" && e.How == "read") {
-					at[e.What] = eventloop.Micros(e.At) - began
-				}
-			}
-			for _, what := range []string{"answered", "ran", "streamed"} {
+	cases := 0
+	for _, product := range chatProducts {
+		for _, unstreamed := range []bool{false, true} {
+			request := fleetRequest{id: "g", product: product, tokens: 5000, unstreamed: unstreamed}
+			outcomes := outcomeTimes(newFleetHarness(t, fleetMode{true, true}), request)
+			for _, outcome := range []string{"answered", "ran", "streamed"} {
 				for _, e := range endings[:3] {
-					for _, first := range []bool{false, true} {
-						if e.do == nil && what == "streamed" && !whole { // a stream that has begun has no time limit
-							continue
-						}
-						cells++
-						t.Run(fmt.Sprintf("%s, whole %v/%s/%s/the end first: %v", product, whole, what, e.name, first), func(t *testing.T) {
-							y := newFleetHarness(t, true, true)
-							stands := at[what] - 20*eventloop.Millisecond
-							ends := at[what] + 20*eventloop.Millisecond
-							if first {
-								ends = at[what] - 10*eventloop.Millisecond
-							}
-							limit := eventloop.Micros(0)
-							if e.do == nil {
-								limit = ends + 9*eventloop.Millisecond // the module gives up so much earlier
-								if what == "streamed" {
-									limit = ends + unstreamedGrace
-								}
-							}
-							c := y.askRecorded("g", product, 5000, whole, limit)
-							y.world.Run(stands)
-							y.recorder.Add(record.Event{At: int64(y.world.Now()), What: "away", Dispatcher: "d", How: "stands", N: int64(still)})
-							y.virtual().Freeze(still)
-							y.world.Run(ends - stands)
-							if e.do != nil {
-								e.do(y, c, nil)
-							}
-							y.expectCleanEnd(c, product, []string{"streamed", "throttled", "terminated"}, e.name == "its client leaves")
-						})
+					if e.end == nil && outcome == "streamed" && !unstreamed { // a stream that has begun has no deadline
+						continue
+					}
+					for _, endFirst := range []bool{false, true} {
+						cases++
+						name := fmt.Sprintf("%s, unstreamed %v/%s/%s/the end first: %v", product, unstreamed, outcome, e.name, endFirst)
+						x := crossing{request, outcome, outcomes[outcome], e, endFirst}
+						t.Run(name, func(t *testing.T) { x.test(newFleetHarness(t, fleetMode{true, true})) })
 					}
 				}
 			}
 		}
 	}
-	t.Logf("%d crossings", cells)
+	t.Logf("%d crossings", cases)
 }
 
-// The subscription to the list's source breaks while clients take each descriptor that is given back: it is heard all the same, by one that
-// is kept back. Where not even that is left, the list known is served from, and once there is room the source is heard again, without a
-// restart, with what it told meanwhile.
-func TestEndpointWatchReconnectsOnceDescriptorsAreFree(t *testing.T) {
-	for _, kept := range []bool{true, false} {
-		t.Run(fmt.Sprintf("kept back %v", kept), func(t *testing.T) { testEndpointWatchWithoutDescriptors(t, kept) })
+// outcomeTimes returns when a request's outcomes happen where nothing ends it early: its prefill is answered, its
+// decode has run, its answer is complete.
+func outcomeTimes(f *fleetHarness, request fleetRequest) map[string]eventloop.Micros {
+	f.t.Helper()
+	began := f.world.Now()
+	c := f.askRecorded(request)
+	f.runUntil(20*eventloop.Second, func() bool { return len(c.finals) > 0 })
+	times := map[string]eventloop.Micros{"streamed": f.world.Now() - began - f.world.Latency}
+	events, _ := f.recorder.Close()
+	for _, event := range events {
+		if event.Gen == request.id && (event.What == "ran" || event.What == "answered" && event.How == "read") {
+			times[event.What] = eventloop.Micros(event.At) - began
+		}
+	}
+	return times
+}
+
+func (x crossing) test(f *fleetHarness) {
+	f.t.Helper()
+	const frozen = 60 * eventloop.Millisecond
+	freezesAt := x.at - 20*eventloop.Millisecond
+	endsAt := x.at + 20*eventloop.Millisecond
+	if x.endFirst {
+		endsAt = x.at - 10*eventloop.Millisecond
 	}
+	request := x.request
+	if x.ending.end == nil {
+		request.limit = endsAt + 9*eventloop.Millisecond // the scheduler gives up so much earlier
+		if x.outcome == "streamed" {
+			request.limit = endsAt + unstreamedGrace
+		}
+	}
+	c := f.askRecorded(request)
+	f.world.Run(freezesAt)
+	f.record(record.Event{What: "away", Dispatcher: "d", How: "stands", N: int64(frozen)})
+	f.virtual().Freeze(frozen)
+	f.world.Run(endsAt - freezesAt)
+	if x.ending.end != nil {
+		x.ending.end(f, c, nil)
+	}
+	finals := []string{"streamed", "throttled", "terminated"}
+	f.expectCleanEnd(c, expectation{request.product, finals, x.ending.disconnected})
 }
 
-func testEndpointWatchWithoutDescriptors(t *testing.T, kept bool) {
-	y := newFleetHarness(t, true, true)
-	c := y.askRecorded("warm", "explain", 500, false, 0)
-	y.runUntil(5*eventloop.Second, func() bool { return len(c.finals) > 0 })
-	var mutes []*silentClient
-	y.virtual().DescriptorLimit = y.virtual().OpenConnections() + 2
-	for i := range 6000 {
-		y.remote.Do(func() {
-			y.remote.AfterFunc(eventloop.Micros(i)*500, func() {
-				m := &silentClient{}
-				m.conn = y.remote.Dial(y.addr, eventloop.Second, m)
-				mutes = append(mutes, m)
-			})
+// The subscription to discovery breaks while clients take each descriptor that is given back: it is made again all the
+// same, with a reserved one. Where not even that is free, the known list is served from, and once descriptors are free
+// discovery is heard again, without a restart, with what it said meanwhile.
+func TestEndpointWatchReconnectsOnceDescriptorsAreFree(t *testing.T) {
+	for _, reserved := range []bool{true, false} {
+		t.Run(fmt.Sprintf("reserved %v", reserved), func(t *testing.T) {
+			testEndpointWatchWithoutDescriptors(t, reserved)
 		})
 	}
-	y.world.Run(10 * eventloop.Millisecond)
-	if !kept {
-		y.virtual().DescriptorLimit = 1
+}
+
+func testEndpointWatchWithoutDescriptors(t *testing.T, reserved bool) {
+	t.Helper()
+	f := newFleetHarness(t, fleetMode{true, true})
+	c := f.askRecorded(fleetRequest{id: "warm", product: "explain", tokens: 500})
+	f.runUntil(5*eventloop.Second, func() bool { return len(c.finals) > 0 })
+	clients := f.takeDescriptors(6000, 500)
+	f.world.Run(10 * eventloop.Millisecond)
+	if !reserved {
+		f.virtual().DescriptorLimit = 1
 	}
-	y.remote.Do(y.fleet.Roster.Break)
-	y.world.Run(500 * eventloop.Millisecond)
-	heard := y.dispatcher.endpointUpdates
-	y.remote.Do(func() { y.fleet.Hosts[1].Drain(60*eventloop.Second, 0) })
-	y.world.Run(2 * eventloop.Second)
-	if (y.dispatcher.endpointUpdates != heard) != kept {
-		t.Fatalf("the source was heard: %v", !kept)
+	f.remote.Do(f.fleet.Roster.Break)
+	f.world.Run(500 * eventloop.Millisecond)
+	updates := f.dispatcher.endpointUpdates
+	f.remote.Do(func() { f.fleet.Hosts[1].Drain(60*eventloop.Second, 0) })
+	f.world.Run(2 * eventloop.Second)
+	if (f.dispatcher.endpointUpdates != updates) != reserved {
+		t.Fatalf("discovery was heard: %v", !reserved)
 	}
-	if kept {
-		heard = 0
+	if reserved {
+		updates = 0
 	}
-	y.virtual().DescriptorLimit = 0
-	for _, m := range mutes {
-		y.remote.Do(m.conn.Abort)
+	f.virtual().DescriptorLimit = 0
+	for _, client := range *clients {
+		f.remote.Do(client.conn.Abort)
 	}
-	y.world.Run(8 * eventloop.Second)
-	if e := y.dispatcher.endpoints[y.fleet.Hosts[1].Entry("").ID]; y.dispatcher.endpointUpdates == heard || e.Condition != "draining" {
-		t.Errorf("heard %d times, then %d; the host is %q", heard, y.dispatcher.endpointUpdates, e.Condition)
+	f.world.Run(8 * eventloop.Second)
+	entry := f.dispatcher.endpoints[f.fleet.Hosts[1].Entry("").ID]
+	if f.dispatcher.endpointUpdates == updates || entry.Condition != "draining" {
+		t.Errorf("%d updates, then %d; the endpoint is %q", updates, f.dispatcher.endpointUpdates, entry.Condition)
 	}
-	c = y.askRecorded("after", "review-post", 500, false, 0)
-	y.runUntil(5*eventloop.Second, func() bool { return len(c.finals) > 0 })
+	c = f.askRecorded(fleetRequest{id: "after", product: "review-post", tokens: 500})
+	f.runUntil(5*eventloop.Second, func() bool { return len(c.finals) > 0 })
 	if len(c.finals) != 1 || c.finals[0] != "streamed" {
 		t.Errorf("afterwards: %v", c.finals)
 	}
--- a/internal/dispatch/stored_intents_test.go
+++ b/internal/dispatch/stored_intents_test.go
@@ -6,14 +6,12 @@
 	"os"
 	"testing"
 
-	"github.com/rs/zerolog"
-
 	"plumspindle/internal/eventloop"
 	"plumspindle/internal/store"
 )
 
-// When the folder in testdata was written, in microseconds since 1970. Its dispatcher was killed at intentsKilled; the windows are
-// those of the standard deployment.
+// When the folder in testdata was written, in microseconds since 1970. Its dispatcher was killed at intentsKilled; the
+// windows are those of the standard deployment.
 const (
 	intentsKilled eventloop.Micros = 1796217380651553
 	reviewPost                     = 600 * eventloop.Second
@@ -40,7 +38,8 @@
 
 // body is the request as it was sent when the folder was written; its digest is in the intent.
 func (s storedRequest) body(tokens int) string {
-	return fmt.Sprintf(`{"model": %q, "stream": true, "max_tokens": %d, "messages": [{"role": "user", "content": %q}]}`, s.product, tokens, "why "+s.key+"?")
+	return fmt.Sprintf(`{"model": %q, "stream": true, "max_tokens": %d, "messages": [{"role": "user", "content": %q}]}`,
+		s.product, tokens, "why "+s.key+"?")
 }
 
 // storedDisk is a copy in memory of the folder in testdata.
@@ -66,32 +65,23 @@
 	r := newHarness(t, nil, "prefill west", "decode west")
 	loop := r.world.NewLoop("d.stored")
 	loop.StepClock(at - loop.Now())
-	r.loop = loop
 	r.list.SavedAt = int64(at)
 	list, err := json.Marshal(r.list)
 	if err != nil {
 		t.Fatal(err)
 	}
-	loop.Do(func() {
-		intents, err := store.Open(storedDisk(t, loop), store.DefaultLimits)
-		if err != nil {
-			t.Fatal(err)
-		}
-		r.dispatcher, err = Start(loop, r.deployment, Config{Name: "d.stored", Zone: "west", Seed: 1, CachedEndpoints: [][]byte{list}, Intents: intents, Log: zerolog.Nop()})
-		if err != nil {
-			t.Fatal(err)
-		}
-		ln, err := loop.Listen("127.0.0.1:0", r.dispatcher.Frontend().Accept)
-		if err != nil {
-			t.Fatal(err)
-		}
-		r.addr = ln.Addr()
+	disk := storedDisk(t, loop)
+	r.startDispatcher(loop, func(config *Config) (err error) {
+		config.Name, config.CachedEndpoints = "d.stored", [][]byte{list}
+		config.Intents, err = store.Open(disk, store.DefaultLimits)
+		return err
 	})
 	return r
 }
 
-// Each intent that an earlier version wrote down is recalled with its key, the digest of its request, and the end of its time: until then
-// a repeat is refused as one that ran, another request under its key as a misuse, and after it the key is free.
+// Each intent that an earlier version recorded is restored with its key, the digest of its request, and when it
+// expires: until then a repeat is rejected as one that ran, another request under its key as a misuse, and after it the
+// key is free.
 func TestRecallsIntentsOfEarlierVersion(t *testing.T) {
 	const around = 100 * eventloop.Millisecond // a request takes less to arrive
 	for _, s := range storedRequests {
@@ -119,7 +109,8 @@
 // A key whose time had passed before the start is free.
 func TestForgetsIntentsOfEarlierVersionInTime(t *testing.T) {
 	for _, s := range storedRequests {
-		if s.product != "build-note" || s.until == intentsKilled+buildNote { // what was cut off is remembered from the start on
+		// What was cut off is remembered from the start on.
+		if s.product != "build-note" || s.until == intentsKilled+buildNote {
 			continue
 		}
 		r := startFromStored(t, s.until+1)
