--- a/internal/dispatch/batch_answer.go
+++ b/internal/dispatch/batch_answer.go
@@ -79,7 +79,7 @@
 	}
 	c.dispatcher.Failed++
 	c.closeAs(lifecycle.AnswerFailed)
-	c.response.Error(problem)
+	c.response.SendProblem(problem)
 }
 
 // failRetryable answers a call that the client may repeat.
@@ -95,7 +95,7 @@
 func (c *batchCall) rejectForMemory() {
 	c.dispatcher.Rejected++
 	c.closeAs(lifecycle.AnswerRejected)
-	c.response.Error(&frontend.Problem{
+	c.response.SendProblem(&frontend.Problem{
 		Status:  429,
 		Type:    "rate_limit_error",
 		Code:    "throttled",
--- a/internal/dispatch/batch_call.go
+++ b/internal/dispatch/batch_call.go
@@ -128,8 +128,8 @@
 	return nil
 }
 
-// Added takes further inputs, or the end of them.
-func (c *batchCall) Added(complete bool) *frontend.Problem {
+// InputsAdded takes further inputs, or the end of them.
+func (c *batchCall) InputsAdded(complete bool) *frontend.Problem {
 	if c.closed {
 		return nil
 	}
@@ -169,7 +169,7 @@
 		first := c.splitInputs
 		var tokens []int
 		for c.splitInputs < inputs && !c.takeCached(c.splitInputs) {
-			tokens = append(tokens, c.request.Tokens([]int{c.splitInputs}))
+			tokens = append(tokens, c.request.CountTokens([]int{c.splitInputs}))
 			c.splitInputs++
 		}
 		c.parts.Add(first, tokens, limits)
--- a/internal/dispatch/batch_parts.go
+++ b/internal/dispatch/batch_parts.go
@@ -23,7 +23,7 @@
 	call     *batchCall
 	id       batch.PartID
 	inputs   []int
-	result   embeddings.Result
+	result   embeddings.PartResult
 	sentAt   eventloop.Micros // to the scheduler
 	queued   bool             // for admission
 	failures int              // endpoints that failed on it
@@ -34,7 +34,7 @@
 func (c *batchCall) sendPart(now eventloop.Micros) {
 	d, slot := c.dispatcher, c.tenantCalls.tenant
 	id, inputs := c.parts.SendNext()
-	tokens := c.request.Tokens(inputs)
+	tokens := c.request.CountTokens(inputs)
 	ticket, decision := d.admission.Admit(now, tenancy.AdmissionRequest{
 		Tenant:       slot.id,
 		Key:          c.identity.Key,
@@ -105,7 +105,7 @@
 // startAttempt starts a part's attempt.
 func (p *batchPart) startAttempt(r *request, spec attemptSpec) {
 	call := p.call
-	path, body := call.request.PartRequest(p.inputs, call.dimensions)
+	path, body := call.request.BuildPart(p.inputs, call.dimensions)
 	r.attempt = call.dispatcher.engine.PrefillOnly(spec.target, engine.PrefillOnlyRequest{
 		Path:            path,
 		Body:            body,
--- a/internal/dispatch/dispatcher.go
+++ b/internal/dispatch/dispatcher.go
@@ -153,8 +153,7 @@
 func (d *Dispatcher) routes() map[string]frontend.Route {
 	routes := frontend.ModelRoutes(d.Models)
 	isPublic := func(digest string) bool { return d.directory.IsPublicText(digest) }
-	path, chatRoute := chat.Route(isPublic, d.HandleChat)
-	routes[path] = chatRoute
+	routes[chat.Path] = chat.Route(isPublic, d.HandleChat)
 	routes["/v1/embeddings"] = d.batchRoute(embeddings.Embeddings, pb.Product_EMBEDDING)
 	routes["/v1/rerank"] = d.batchRoute(embeddings.Rerank, pb.Product_RERANK)
 	return routes
--- a/internal/dispatch/endpoints.go
+++ b/internal/dispatch/endpoints.go
@@ -15,9 +15,13 @@
 
 // startEndpoints begins with the cached endpoint list, and subscribes to its source.
 func (d *Dispatcher) startEndpoints() {
-	d.endpointWatch = endpoints.NewWatcher(d.loop, d.config.Seed, d.config.Discovery, d.config.Name)
-	d.endpointWatch.OnUpdate = d.endpointsUpdated
-	d.endpointWatch.Log = func(line string) { d.config.Log.Warn().Msg(line) }
+	d.endpointWatch = endpoints.NewWatcher(d.loop, endpoints.WatcherOptions{
+		Address:    d.config.Discovery,
+		Dispatcher: d.config.Name,
+		Seed:       d.config.Seed,
+		OnUpdate:   d.endpointsUpdated,
+		Log:        d.config.Log,
+	})
 	d.restoreEndpoints()
 	if d.config.Discovery != "" {
 		d.endpointWatch.Subscribe()
@@ -48,16 +52,20 @@
 	for _, entry := range entries {
 		startedAt = append(startedAt, eventloop.Micros(entry.StartedAt))
 	}
-	clockSkew := starttimes.ClockSkew(now, startedAt...)
+	listing := starttimes.Listing{
+		Now:       now,
+		Skew:      starttimes.ClockSkew(now, startedAt...),
+		InService: d.endpointUpdates > 1,
+	}
 	for _, entry := range entries {
-		d.applyEndpoint(now, entry, clockSkew)
+		d.applyEndpoint(entry, listing)
 	}
 	d.scheduler.EndpointUpdateEnded(now, complete)
 	d.countPrefillEndpoints()
 	d.admitQueued()
 }
 
-func (d *Dispatcher) applyEndpoint(now eventloop.Micros, entry endpoints.Entry, clockSkew eventloop.Micros) {
+func (d *Dispatcher) applyEndpoint(entry endpoints.Entry, listing starttimes.Listing) {
 	zone, kind := d.placeOf(entry)
 	if entry.Condition == conditionGone {
 		d.engine.RemoveEndpoint(entry.ID)
@@ -67,12 +75,11 @@
 		d.engine.SetAddress(entry.ID, entry.Addr)
 		d.endpoints[entry.ID] = entry
 	}
-	inService := d.endpointUpdates > 1
-	start := starttimes.Next(d.startTimes[entry.ID], eventloop.Micros(entry.StartedAt), now, clockSkew, inService)
+	start := starttimes.Next(d.startTimes[entry.ID], eventloop.Micros(entry.StartedAt), listing)
 	if entry.Condition != conditionGone {
 		d.startTimes[entry.ID] = start
 	}
-	d.scheduler.EndpointUpdated(now, scheduler.EndpointStatus{
+	d.scheduler.EndpointUpdated(listing.Now, scheduler.EndpointStatus{
 		ID:        entry.ID,
 		Zone:      zone,
 		Kind:      kind,
--- a/internal/dispatch/stage_harness_test.go
+++ b/internal/dispatch/stage_harness_test.go
@@ -20,7 +20,7 @@
 type fleetHarness struct {
 	*harness
 	fleet    *modelserver.Fleet
-	recorder *record.Book
+	recorder *record.Recorder
 }
 
 // fleetMode says whether endpoints stop what is cancelled, and whether the scheduler may cancel.
@@ -41,14 +41,14 @@
 	r := &harness{t: t, world: world, loop: world.NewLoop("d"), remote: world.NewLoop("far"), deployment: d}
 	f := &fleetHarness{harness: r}
 	f.recorder, _ = record.Open("")
-	f.record(record.Event{What: "world", N: int64(world.Latency)})
+	f.record(record.Event{Type: "world", Count: int64(world.Latency)})
 	var err error
 	f.remote.Do(func() { f.fleet, err = modelserver.Start(f.remote, d, 1, "127.0.0.1:0", f.recorder) })
 	if err != nil {
 		t.Fatal(err)
 	}
 	f.startDispatcher(f.loop, func(config *Config) error {
-		config.CachedEndpoints, config.Discovery = nil, f.fleet.Roster.Addr
+		config.CachedEndpoints, config.Discovery = nil, f.fleet.Discovery.Addr
 		return nil
 	})
 	world.Run(100 * eventloop.Millisecond)
@@ -77,7 +77,8 @@
 		fields = append(fields, "x-time-limit-ms", fmt.Sprint(request.limit/eventloop.Millisecond))
 	}
 	f.record(record.Event{
-		What: "ask", Gen: request.id, Try: 1, Dispatcher: "d", Product: request.product, Value: float64(request.limit),
+		Type: "ask", Request: request.id, ClientAttempt: 1, Dispatcher: "d",
+		Product: request.product, Value: float64(request.limit),
 	})
 	prompt := strings.Repeat("tell ", request.tokens*4/5)
 	body := fmt.Sprintf(`{"model":%q,"stream":%v,"messages":[{"role":"user","content":%q}]}`,
@@ -116,7 +117,7 @@
 
 func (f *fleetHarness) drainDecodes() {
 	f.remote.Do(func() {
-		for _, host := range f.fleet.Hosts {
+		for _, host := range f.fleet.Endpoints {
 			if host.Kind() == "decode" {
 				host.Drain(60*eventloop.Second, 0)
 			}
@@ -134,7 +135,7 @@
 // has disconnected.
 type ending struct {
 	name         string
-	end          func(f *fleetHarness, c *clientCall, at *modelserver.Host) // nil: its deadline does
+	end          func(f *fleetHarness, c *clientCall, at *modelserver.Endpoint) // nil: its deadline does
 	want         func(s stage, effect pb.Product_Effect) []string
 	disconnected bool
 }
@@ -164,15 +165,15 @@
 	{"its endpoint crashes", (*fleetHarness).crash, wantAfterCrash, false},
 }
 
-func (f *fleetHarness) disconnect(c *clientCall, _ *modelserver.Host) { f.remote.Do(c.conn.Abort) }
+func (f *fleetHarness) disconnect(c *clientCall, _ *modelserver.Endpoint) { f.remote.Do(c.conn.Abort) }
 
-func (f *fleetHarness) removeTenant(*clientCall, *modelserver.Host) {
+func (f *fleetHarness) removeTenant(*clientCall, *modelserver.Endpoint) {
 	f.loop.Do(func() { f.dispatcher.removeTenant(f.dispatcher.tenantSlots["one"], true) })
 }
 
-func (f *fleetHarness) crash(_ *clientCall, at *modelserver.Host) {
+func (f *fleetHarness) crash(_ *clientCall, at *modelserver.Endpoint) {
 	if at == nil { // it is pending: the prefill endpoint crashes
-		at = f.fleet.Hosts[0]
+		at = f.fleet.Endpoints[0]
 	}
 	f.remote.Do(func() { at.Crash(500 * eventloop.Millisecond) })
 }
@@ -207,14 +208,14 @@
 }
 
 func (f *fleetHarness) recordFinal(c *clientCall, want expectation) {
-	final := record.Event{What: "final", Gen: "g", Try: 1, Dispatcher: "d", Product: want.product}
+	final := record.Event{Type: "final", Request: "g", ClientAttempt: 1, Dispatcher: "d", Product: want.product}
 	if want.disconnected {
-		final.How, final.N = "terminated", 1
+		final.Detail, final.Count = "terminated", 1
 	} else {
 		f.runUntil(8*eventloop.Second, func() bool { return len(c.finals) > 0 })
-		final.How, final.Exact, final.N = "gave_up", true, int64(len(c.text))
+		final.Detail, final.Exact, final.Count = "gave_up", true, int64(len(c.text))
 		if len(c.finals) > 0 {
-			final.How = c.finals[0]
+			final.Detail = c.finals[0]
 		}
 	}
 	f.record(final)
@@ -222,7 +223,7 @@
 
 func (f *fleetHarness) expectIdleFleet(when string) {
 	f.t.Helper()
-	if jobs, states, tokens := f.fleet.Held(); jobs > 0 || states > 0 || tokens > 0 {
+	if jobs, states, tokens := f.fleet.Outstanding(); jobs > 0 || states > 0 || tokens > 0 {
 		f.t.Errorf("%s the endpoints have %d jobs, %d states, %d tokens\n%s",
 			when, jobs, states, tokens, strings.Join(f.fleet.Summary(), "\n"))
 	}
@@ -237,7 +238,7 @@
 	if n := f.dispatcher.frontend.OpenRequests; n != 0 {
 		f.t.Errorf("%d requests are open", n)
 	}
-	for _, host := range f.fleet.Hosts {
+	for _, host := range f.fleet.Endpoints {
 		if n := f.dispatcher.engine.InFlight(host.Entry("ready").ID); n != 0 {
 			f.t.Errorf("%d attempts are in flight at endpoint %d", n, host.ID)
 		}
@@ -250,16 +251,16 @@
 func (f *fleetHarness) expectRulesKept() {
 	f.t.Helper()
 	events, _ := f.recorder.Close()
-	events = slices.DeleteFunc(events, func(e record.Event) bool { return e.Gen == "blocker" && e.What == "ask" })
+	events = slices.DeleteFunc(events, func(e record.Event) bool { return e.Request == "blocker" && e.Type == "ask" })
 	verdict := audit.Judge(f.deployment, events)
 	for i, rule := range verdict.Rules {
-		for _, violation := range rule.Breaks {
+		for _, violation := range rule.Violations {
 			f.t.Errorf("rule %d: %s", i+1, violation.Text)
 		}
 	}
 	for _, event := range events {
-		if event.What == "lease" {
-			f.t.Errorf("the state of attempt %s was released by its endpoint's lease alone", event.Leg)
+		if event.Type == "lease" {
+			f.t.Errorf("the state of attempt %s was released by its endpoint's lease alone", event.Attempt)
 		}
 	}
 }
--- a/internal/dispatch/stages_test.go
+++ b/internal/dispatch/stages_test.go
@@ -97,8 +97,8 @@
 	times := map[string]eventloop.Micros{"streamed": f.world.Now() - began - f.world.Latency}
 	events, _ := f.recorder.Close()
 	for _, event := range events {
-		if event.Gen == request.id && (event.What == "ran" || event.What == "answered" && event.How == "read") {
-			times[event.What] = eventloop.Micros(event.At) - began
+		if event.Request == request.id && (event.Type == "ran" || event.Type == "answered" && event.Detail == "read") {
+			times[event.Type] = eventloop.Micros(event.At) - began
 		}
 	}
 	return times
@@ -121,7 +121,7 @@
 	}
 	c := f.askRecorded(request)
 	f.world.Run(freezesAt)
-	f.record(record.Event{What: "away", Dispatcher: "d", How: "stands", N: int64(frozen)})
+	f.record(record.Event{Type: "away", Dispatcher: "d", Detail: "stands", Count: int64(frozen)})
 	f.virtual().Freeze(frozen)
 	f.world.Run(endsAt - freezesAt)
 	if x.ending.end != nil {
@@ -152,10 +152,10 @@
 	if !reserved {
 		f.virtual().DescriptorLimit = 1
 	}
-	f.remote.Do(f.fleet.Roster.Break)
+	f.remote.Do(f.fleet.Discovery.ResetWatches)
 	f.world.Run(500 * eventloop.Millisecond)
 	updates := f.dispatcher.endpointUpdates
-	f.remote.Do(func() { f.fleet.Hosts[1].Drain(60*eventloop.Second, 0) })
+	f.remote.Do(func() { f.fleet.Endpoints[1].Drain(60*eventloop.Second, 0) })
 	f.world.Run(2 * eventloop.Second)
 	if (f.dispatcher.endpointUpdates != updates) != reserved {
 		t.Fatalf("discovery was heard: %v", !reserved)
@@ -168,7 +168,7 @@
 		f.remote.Do(client.conn.Abort)
 	}
 	f.world.Run(8 * eventloop.Second)
-	entry := f.dispatcher.endpoints[f.fleet.Hosts[1].Entry("").ID]
+	entry := f.dispatcher.endpoints[f.fleet.Endpoints[1].Entry("").ID]
 	if f.dispatcher.endpointUpdates == updates || entry.Condition != "draining" {
 		t.Errorf("%d updates, then %d; the endpoint is %q", updates, f.dispatcher.endpointUpdates, entry.Condition)
 	}
--- a/internal/dispatch/tenants.go
+++ b/internal/dispatch/tenants.go
@@ -81,26 +81,29 @@
 func (d *Dispatcher) resetDirectory() { d.directory.Epoch, d.directory.Version = "", 0 }
 
 func (d *Dispatcher) subscribeTenants() {
-	feed := subscribe.NewClient(d.loop, d.config.Seed+1, d.config.Tenants)
-	feed.Name = "the administration"
-	feed.Fields = []string{"Authorization", "Bearer " + FeedToken(d.config.Secret), "x-dispatcher", d.config.Name}
-	feed.Target = func() string {
-		since := strconv.FormatUint(d.directory.Version, 10)
-		return "/internal/v1/tenants?epoch=" + d.directory.Epoch + "&since=" + since
-	}
-	feed.OnReset = d.resetDirectory
-	feed.OnMessage = func(data []byte) error {
-		if err := d.applyTenants(data); err != nil {
-			return err
-		}
-		if d.config.CacheTenants != nil {
-			d.config.CacheTenants(d.directory.Snapshot())
-		}
-		return nil
+	d.tenantFeed = subscribe.NewClient(d.loop, d.config.Seed+1, d.config.Tenants, subscribe.Options{
+		Source: "administration",
+		Header: []string{"Authorization", "Bearer " + FeedToken(d.config.Secret), "x-dispatcher", d.config.Name},
+		Target: func() string {
+			since := strconv.FormatUint(d.directory.Version, 10)
+			return "/internal/v1/tenants?epoch=" + d.directory.Epoch + "&since=" + since
+		},
+		OnReset:   d.resetDirectory,
+		OnMessage: d.tenantsUpdated,
+		Log:       d.config.Log,
+	})
+	d.tenantFeed.Subscribe()
+}
+
+// tenantsUpdated takes a message of the administration.
+func (d *Dispatcher) tenantsUpdated(data []byte) error {
+	if err := d.applyTenants(data); err != nil {
+		return err
+	}
+	if d.config.CacheTenants != nil {
+		d.config.CacheTenants(d.directory.Snapshot())
 	}
-	feed.Log = func(line string) { d.config.Log.Warn().Msg(line) }
-	d.tenantFeed = feed
-	feed.Subscribe()
+	return nil
 }
 
 // addTenant gives a tenant a slot. The scheduler's identifiers of removed tenants are used again, so that its table
--- a/internal/dispatch/usage.go
+++ b/internal/dispatch/usage.go
@@ -96,6 +96,11 @@
 		d.onReported = nil
 		done()
 	}
-	subscribe.Post(d.loop, d.config.Tenants, "/internal/v1/usage", body, usageReportTimeout, sent,
-		"Authorization", "Bearer "+FeedToken(d.config.Secret))
+	subscribe.Post(d.loop, subscribe.PostRequest{
+		Address: d.config.Tenants,
+		Target:  "/internal/v1/usage",
+		Header:  []string{"Authorization", "Bearer " + FeedToken(d.config.Secret)},
+		Body:    body,
+		Timeout: usageReportTimeout,
+	}, sent)
 }
--- a/internal/engine/openai.go
+++ b/internal/engine/openai.go
@@ -14,10 +14,9 @@
 )
 
 const (
-	completionsPath = "/v1/chat/completions"
-
 	// prefillMembers ask an endpoint to compute the KV cache of a prompt and to keep it for a decode endpoint.
-	prefillMembers = `"stream":false,"max_tokens":1,"kv_transfer_params":{"do_remote_decode":true,"do_remote_prefill":false}`
+	prefillMembers = `"stream":false,"max_tokens":1,` +
+		`"kv_transfer_params":{"do_remote_decode":true,"do_remote_prefill":false}`
 	// streamMembers ask for a streamed completion with its usage; the token limit follows.
 	streamMembers = `"stream":true,"stream_options":{"include_usage":true},"max_tokens":`
 )
@@ -124,7 +123,7 @@
 			body = append(body, request.Passthrough...)
 		}
 		body = append(body, '}')
-		return e.appendPost(target, completionsPath, addr, body)
+		return e.appendPost(target, chat.Path, addr, body)
 	}
 }
 
@@ -169,7 +168,7 @@
 			return false, errNoFinishReason
 		}
 		return false, nil
-	case !chat.Usable(data):
+	case !chat.IsChunk(data):
 		return false, &notChunkError{event: string(data)}
 	}
 	if gjson.GetBytes(data, "choices.0.finish_reason").Type == gjson.String {
