--- a/internal/dispatch/attempts.go
+++ b/internal/dispatch/attempts.go
@@ -156,7 +156,7 @@
 }
 
 // releaseAttempt releases what the last attempt may have left: a prefill that was cancelled may have completed all the
-// same, and nobody was told where its state is.
+// same, without anybody knowing where its state is.
 func (d *Dispatcher) releaseAttempt(r *request) {
 	n := len(r.stateLocations)
 	if n == 0 {
--- a/internal/dispatch/dispatcher.go
+++ b/internal/dispatch/dispatcher.go
@@ -1,7 +1,7 @@
 // Package dispatch hosts the scheduler: it reports to it what happens and executes its orders.
 //
 // A Dispatcher owns the clients' requests from their admission to their final answer, the attempts that are made for
-// them, the record of their idempotency keys, and the state of tenants and endpoints that the scheduler is told of. It
+// them, the record of their idempotency keys, and what it reports to the scheduler of tenants and endpoints. It
 // relies on the frontend for connections to clients, on the engine for those to endpoints, and on package lifecycle for
 // what each event does to a request. It never decides where an attempt goes, whether it is retried, or which requests
 // are rejected for lack of capacity: those are the scheduler's decisions.
--- a/internal/dispatch/endpoints.go
+++ b/internal/dispatch/endpoints.go
@@ -107,7 +107,7 @@
 	return scheduler.ZoneID(zone), scheduler.KindID(kind)
 }
 
-// countPrefillEndpoints tells the admission of tenants how many endpoints can prefill.
+// countPrefillEndpoints reports to the admission control how many endpoints can prefill.
 func (d *Dispatcher) countPrefillEndpoints() {
 	n := 0
 	for id, entry := range d.endpoints {
--- a/internal/dispatch/transitions.go
+++ b/internal/dispatch/transitions.go
@@ -169,7 +169,7 @@
 	}
 }
 
-// failure returns what the client of a failed request is told.
+// failure returns the reason that the client of a failed request gets, and whether it may retry.
 func (d *Dispatcher) failure(r *request, details eventDetails) (reason string, retryable bool) {
 	reason = details.reason
 	if r.outputTokens > 0 && details.result.Reason != "" {
