--- a/internal/dispatch/batch_harness_test.go
+++ b/internal/dispatch/batch_harness_test.go
@@ -53,9 +53,9 @@
 }
 
 // newBatchHarness starts a dispatcher with endpoints that answer parts.
-func newBatchHarness(t *testing.T, change func(d deployment.Deployment), hosts ...string) *harness {
+func newBatchHarness(t *testing.T, change func(d deployment.Deployment), endpoints ...string) *harness {
 	t.Helper()
-	r := newHarness(t, change, hosts...)
+	r := newHarness(t, change, endpoints...)
 	r.serveAll(answerEmbeddings)
 	return r
 }
--- a/internal/dispatch/harness_test.go
+++ b/internal/dispatch/harness_test.go
@@ -49,7 +49,7 @@
 }
 
 // newHarness starts a dispatcher in virtual time with a list of endpoints like "prefill west".
-func newHarness(t *testing.T, change func(d deployment.Deployment), hosts ...string) *harness {
+func newHarness(t *testing.T, change func(d deployment.Deployment), kindsAndZones ...string) *harness {
 	t.Helper()
 	d := deployment.Standard()
 	d.Tenants = []*pb.Tenant{testTenant()}
@@ -58,12 +58,12 @@
 	}
 	world := virtual.NewNetwork(1)
 	r := &harness{t: t, world: world, loop: world.NewLoop("d"), remote: world.NewLoop("far"), deployment: d}
-	r.start(hosts)
+	r.start(kindsAndZones)
 	return r
 }
 
 // newSocketHarness does the same over real sockets, with shorter timeouts.
-func newSocketHarness(t *testing.T, hosts ...string) *harness {
+func newSocketHarness(t *testing.T, kindsAndZones ...string) *harness {
 	t.Helper()
 	d := deployment.Standard()
 	d.Dispatching.SilenceMs = 300
@@ -80,15 +80,15 @@
 		t.Cleanup(loops[i].Stop)
 	}
 	r := &harness{t: t, loop: loops[0], remote: loops[1], deployment: d}
-	r.start(hosts)
+	r.start(kindsAndZones)
 	return r
 }
 
 // start brings up the endpoints and the dispatcher.
-func (r *harness) start(hosts []string) {
+func (r *harness) start(kindsAndZones []string) {
 	r.t.Helper()
 	r.list = endpoints.Update{Epoch: "e", Version: 1, Complete: true, SavedAt: int64(r.remote.Now())}
-	for i, kindAndZone := range hosts {
+	for i, kindAndZone := range kindsAndZones {
 		kind, zone, _ := strings.Cut(kindAndZone, " ")
 		endpoint := &fakeEndpoint{harness: r, id: uint32(i + 1), kind: kind, zone: zone, serve: answerPrefill}
 		if kind != "prefill" {
@@ -135,9 +135,9 @@
 // startWithIntents starts a dispatcher anew, with its intents on a disk of the virtual network.
 func (r *harness) startWithIntents(disk *virtual.Disk) {
 	r.t.Helper()
-	loop := r.world.NewLoop("kept")
+	loop := r.world.NewLoop("durable")
 	r.startDispatcher(loop, func(config *Config) (err error) {
-		config.Name = "kept"
+		config.Name = "durable"
 		config.Intents, err = store.Open(disk.AttachTo(loop), store.DefaultLimits)
 		return err
 	})
--- a/internal/dispatch/stage_harness_test.go
+++ b/internal/dispatch/stage_harness_test.go
@@ -117,9 +117,9 @@
 
 func (f *fleetHarness) drainDecodes() {
 	f.remote.Do(func() {
-		for _, host := range f.fleet.Endpoints {
-			if host.Kind() == "decode" {
-				host.Drain(60*eventloop.Second, 0)
+		for _, endpoint := range f.fleet.Endpoints {
+			if endpoint.Kind() == "decode" {
+				endpoint.Drain(60*eventloop.Second, 0)
 			}
 		}
 	})
@@ -238,9 +238,9 @@
 	if n := f.dispatcher.frontend.OpenRequests; n != 0 {
 		f.t.Errorf("%d requests are open", n)
 	}
-	for _, host := range f.fleet.Endpoints {
-		if n := f.dispatcher.engine.InFlight(host.Entry("ready").ID); n != 0 {
-			f.t.Errorf("%d attempts are in flight at endpoint %d", n, host.ID)
+	for _, endpoint := range f.fleet.Endpoints {
+		if n := f.dispatcher.engine.InFlight(endpoint.Entry("ready").ID); n != 0 {
+			f.t.Errorf("%d attempts are in flight at endpoint %d", n, endpoint.ID)
 		}
 	}
 	if err := f.dispatcher.CheckInvariants(); err != nil {
