--- a/internal/dispatch/stage_harness_test.go
+++ b/internal/dispatch/stage_harness_test.go
@@ -41,7 +41,7 @@
 	r := &harness{t: t, world: world, loop: world.NewLoop("d"), remote: world.NewLoop("far"), deployment: d}
 	f := &fleetHarness{harness: r}
 	f.recorder, _ = record.Open("")
-	f.record(record.Event{Type: "world", Count: int64(world.Latency)})
+	f.record(record.Event{Type: record.NetworkLatency, Count: int64(world.Latency)})
 	var err error
 	f.remote.Do(func() { f.fleet, err = modelserver.Start(f.remote, d, 1, "127.0.0.1:0", f.recorder) })
 	if err != nil {
@@ -77,7 +77,7 @@
 		fields = append(fields, "x-time-limit-ms", fmt.Sprint(request.limit/eventloop.Millisecond))
 	}
 	f.record(record.Event{
-		Type: "ask", Request: request.id, ClientAttempt: 1, Dispatcher: "d",
+		Type: record.RequestSent, Request: request.id, ClientAttempt: 1, Dispatcher: "d",
 		Product: request.product, Value: float64(request.limit),
 	})
 	prompt := strings.Repeat("tell ", request.tokens*4/5)
@@ -208,9 +208,9 @@
 }
 
 func (f *fleetHarness) recordFinal(c *clientCall, want expectation) {
-	final := record.Event{Type: "final", Request: "g", ClientAttempt: 1, Dispatcher: "d", Product: want.product}
+	final := record.Event{Type: record.FinalAnswer, Request: "g", ClientAttempt: 1, Dispatcher: "d", Product: want.product}
 	if want.disconnected {
-		final.Detail, final.Count = "terminated", 1
+		final.Detail, final.Count = record.Failed, 1
 	} else {
 		f.runUntil(8*eventloop.Second, func() bool { return len(c.finals) > 0 })
 		final.Detail, final.Exact, final.Count = "gave_up", true, int64(len(c.text))
@@ -251,7 +251,9 @@
 func (f *fleetHarness) expectRulesKept() {
 	f.t.Helper()
 	events, _ := f.recorder.Close()
-	events = slices.DeleteFunc(events, func(e record.Event) bool { return e.Request == "blocker" && e.Type == "ask" })
+	events = slices.DeleteFunc(events, func(event record.Event) bool {
+		return event.Request == "blocker" && event.Type == record.RequestSent
+	})
 	verdict := audit.Judge(f.deployment, events)
 	for i, rule := range verdict.Rules {
 		for _, violation := range rule.Violations {
@@ -259,7 +261,7 @@
 		}
 	}
 	for _, event := range events {
-		if event.Type == "lease" {
+		if event.Type == record.StateLeaseExpired {
 			f.t.Errorf("the state of attempt %s was released by its endpoint's lease alone", event.Attempt)
 		}
 	}
--- a/internal/dispatch/stages_test.go
+++ b/internal/dispatch/stages_test.go
@@ -97,8 +97,9 @@
 	times := map[string]eventloop.Micros{"streamed": f.world.Now() - began - f.world.Latency}
 	events, _ := f.recorder.Close()
 	for _, event := range events {
-		if event.Request == request.id && (event.Type == "ran" || event.Type == "answered" && event.Detail == "read") {
-			times[event.Type] = eventloop.Micros(event.At) - began
+		isPrefill := event.Type == record.AttemptAnswered && event.Detail == "read"
+		if event.Request == request.id && (event.Type == record.AttemptRan || isPrefill) {
+			times[string(event.Type)] = eventloop.Micros(event.At) - began
 		}
 	}
 	return times
@@ -121,7 +122,7 @@
 	}
 	c := f.askRecorded(request)
 	f.world.Run(freezesAt)
-	f.record(record.Event{Type: "away", Dispatcher: "d", Detail: "stands", Count: int64(frozen)})
+	f.record(record.Event{Type: record.DispatcherUnavailable, Dispatcher: "d", Detail: "stands", Count: int64(frozen)})
 	f.virtual().Freeze(frozen)
 	f.world.Run(endsAt - freezesAt)
 	if x.ending.end != nil {
