--- /dev/null
+++ b/internal/dispatch/batch_harness_test.go
@@ -0,0 +1,149 @@
+package dispatch
+
+import (
+	"bytes"
+	"compress/gzip"
+	"encoding/base64"
+	"encoding/binary"
+	"encoding/json"
+	"fmt"
+	"math"
+	"slices"
+	"strings"
+	"testing"
+
+	"github.com/tidwall/gjson"
+
+	"plumspindle/internal/deployment"
+	"plumspindle/internal/deployment/pb"
+	"plumspindle/internal/eventloop"
+	"plumspindle/internal/testbed/modelserver"
+)
+
+// embeddingItem is one vector of an endpoint's response.
+type embeddingItem struct {
+	Index     int    `json:"index"`
+	Embedding string `json:"embedding"`
+}
+
+// answerEmbeddings answers a part as every endpoint should.
+func answerEmbeddings(c *fakeConn) {
+	dimensions := int(gjson.GetBytes(c.body, "dimensions").Int())
+	items := []embeddingItem{}
+	gjson.GetBytes(c.body, "input").ForEach(func(_, input gjson.Result) bool {
+		vector := modelserver.Vector(input.Raw, dimensions)
+		items = append(items, embeddingItem{len(items), base64.StdEncoding.EncodeToString(vector)})
+		return true
+	})
+	b, _ := json.Marshal(map[string]any{"data": items, "usage": map[string]int{"prompt_tokens": len(items)}})
+	c.answer(200, string(b))
+}
+
+// answerEmbeddingsAfter answers a part with a delay.
+func answerEmbeddingsAfter(delay eventloop.Micros) func(*fakeConn) {
+	return func(c *fakeConn) {
+		request := c.request()
+		c.after(delay, func() { answerEmbeddings(request) })
+	}
+}
+
+// withBatches sets the limits of calls with many inputs.
+func withBatches(limits *pb.Batches) func(d deployment.Deployment) {
+	return func(d deployment.Deployment) { d.Batches = limits }
+}
+
+// newBatchHarness starts a dispatcher with endpoints that answer parts.
+func newBatchHarness(t *testing.T, change func(d deployment.Deployment), endpoints ...string) *harness {
+	t.Helper()
+	r := newHarness(t, change, endpoints...)
+	r.serveAll(answerEmbeddings)
+	return r
+}
+
+// serveAll sets what all endpoints do.
+func (r *harness) serveAll(serve func(*fakeConn)) {
+	for _, endpoint := range r.endpoints {
+		endpoint.serve = serve
+	}
+}
+
+// embed sends a call for embeddings; members are further members of its body, each after a comma.
+func (r *harness) embed(inputs []string, members string, fields ...string) *clientCall {
+	return r.post("/v1/embeddings", embeddingsBody(inputs, members), fields...)
+}
+
+func embeddingsBody(inputs []string, members string) []byte {
+	b, _ := json.Marshal(inputs)
+	return []byte(`{"model":"embed"` + members + `,"input":` + string(b) + `}`)
+}
+
+// gzipped compresses a body.
+func gzipped(t *testing.T, body []byte) []byte {
+	t.Helper()
+	var compressed bytes.Buffer
+	writer := gzip.NewWriter(&compressed)
+	if _, err := writer.Write(body); err != nil {
+		t.Fatal(err)
+	}
+	if err := writer.Close(); err != nil {
+		t.Fatal(err)
+	}
+	return compressed.Bytes()
+}
+
+// inputTexts returns texts that differ, each with further words.
+func inputTexts(n, words int) (all []string) {
+	more := strings.Repeat(" long", words)
+	for i := range n {
+		text := fmt.Sprintf("text %d of the collection, with some words that make it a little longer", i)
+		all = append(all, text+more)
+	}
+	return all
+}
+
+// expectEmbeddings waits for the answer to a call, and checks it.
+func (r *harness) expectEmbeddings(c *clientCall, inputs []string, dimensions int) {
+	r.t.Helper()
+	r.expectFinal(c, "streamed")
+	c.expectVectors(r.t, inputs, dimensions)
+}
+
+// expectVectors compares an answer with what each input's vector has to be.
+func (c *clientCall) expectVectors(t *testing.T, inputs []string, dimensions int) {
+	t.Helper()
+	body := c.dechunk(t)
+	data := gjson.GetBytes(body, "data").Array()
+	if len(data) != len(inputs) || !gjson.ValidBytes(body) || gjson.GetBytes(body, "object").Str != "list" {
+		t.Fatalf("%d vectors for %d inputs: %.200s", len(data), len(inputs), body)
+	}
+	for i, item := range data {
+		raw, _ := json.Marshal(inputs[i])
+		want := modelserver.Vector(string(raw), dimensions)
+		embedding := item.Get("embedding")
+		if embedding.IsArray() {
+			got := floatsOfJSON(embedding)
+			if len(got) != dimensions || !slices.Equal(got, floatsOf(want)) {
+				t.Fatalf("vector %d is wrong: %d numbers", i, len(got))
+			}
+		} else if embedding.Str != base64.StdEncoding.EncodeToString(want) {
+			t.Fatalf("vector %d is wrong", i)
+		}
+		if index := item.Get("index").Int(); index != int64(i) {
+			t.Fatalf("index %d at place %d", index, i)
+		}
+	}
+}
+
+func floatsOfJSON(list gjson.Result) (all []float32) {
+	for _, number := range list.Array() {
+		all = append(all, float32(number.Num))
+	}
+	return all
+}
+
+func floatsOf(vector []byte) (all []float32) {
+	for i := 0; i+4 <= len(vector); i += 4 {
+		all = append(all, math.Float32frombits(binary.LittleEndian.Uint32(vector[i:])))
+	}
+	return all
+}
