--- a/internal/admin/changes_test.go
+++ b/internal/admin/changes_test.go
@@ -97,6 +97,17 @@
 	})
 }
 
+// A tenant's own key sees nothing under a path whose place for the name is empty.
+func TestTenantKeySeesNothingUnderAnEmptyName(t *testing.T) {
+	e := newEnvironment(t, 1)
+	e.addTenant("a", `{}`)
+	e.addTenant("b", `{}`)
+	adminKey := e.must(201, "POST", "tenants/a/keys", `{"scopes":["admin"]}`).Get("key").String()
+	if c := e.call(adminKey, "GET", "tenants//usage", ""); c.head.Status != 404 {
+		t.Errorf("got %d, want 404: %s", c.head.Status, c.body)
+	}
+}
+
 // The audit log and the list of tenants come in pages that say where the next one begins.
 func TestListsComeInPages(t *testing.T) {
 	e := newEnvironment(t, 1)
