--- a/internal/dispatch/config.go
+++ b/internal/dispatch/config.go
@@ -51,8 +51,6 @@
 	// reservedDescriptors are for neither clients nor attempts: discovery, the administration, files, the poller.
 	// Clients may have half of the rest, as each request needs one on either side.
 	reservedDescriptors = 64
-	// unknownKind is a kind that the deployment does not name; the scheduler sends nothing there.
-	unknownKind = 255
 )
 
 // milliseconds converts a setting.
--- a/internal/dispatch/dispatcher.go
+++ b/internal/dispatch/dispatcher.go
@@ -29,6 +29,7 @@
 	"plumspindle/internal/http1"
 	"plumspindle/internal/idempotency"
 	"plumspindle/internal/lifecycle"
+	"plumspindle/internal/schedulerhost"
 	"plumspindle/internal/starttimes"
 	"plumspindle/internal/subscribe"
 	"plumspindle/internal/tenancy"
@@ -59,6 +60,7 @@
 
 	scheduler       *scheduler.Scheduler
 	schedulerConfig scheduler.Config
+	topology        schedulerhost.Topology
 	classes         map[string]scheduler.ClassID // by the product's name
 
 	requests      map[scheduler.RequestID]*request
@@ -163,6 +165,11 @@
 	d.schedulerConfig = d.Deployment.SchedulerConfig()
 	d.schedulerConfig.Quotas = nil // reported tenant by tenant, as they come
 	d.schedulerConfig.Zone = scheduler.ZoneID(slices.Index(d.Deployment.Zones, d.config.Zone))
+	kinds := make([]string, len(d.Deployment.Kinds))
+	for i, kind := range d.Deployment.Kinds {
+		kinds[i] = kind.Name
+	}
+	d.topology = schedulerhost.NewTopology(d.Deployment.Zones, kinds, d.schedulerConfig.Kinds)
 	config := d.schedulerConfig
 	var executor scheduler.Executor = d
 	if mutation := d.config.Mutation; mutation != nil {
--- a/internal/dispatch/endpoints.go
+++ b/internal/dispatch/endpoints.go
@@ -1,9 +1,8 @@
 package dispatch
 
 import (
-	"slices"
+	"strconv"
 
-	"plumspindle/internal/deployment/pb"
 	"plumspindle/internal/endpoints"
 	"plumspindle/internal/eventloop"
 	"plumspindle/internal/starttimes"
@@ -66,7 +65,7 @@
 }
 
 func (d *Dispatcher) applyEndpoint(entry endpoints.Entry, listing starttimes.Listing) {
-	zone, kind := d.placeOf(entry)
+	zone, kind := d.topology.Locate(&d.config.Log, strconv.FormatUint(uint64(entry.ID), 10), entry.Zone, entry.Kind)
 	if entry.Condition == conditionGone {
 		d.engine.RemoveEndpoint(entry.ID)
 		delete(d.endpoints, entry.ID)
@@ -89,24 +88,6 @@
 	})
 }
 
-// placeOf returns an entry's zone and kind in the scheduler's terms. What the deployment does not name is of an unknown
-// kind, which the scheduler sends nothing to.
-func (d *Dispatcher) placeOf(entry endpoints.Entry) (scheduler.ZoneID, scheduler.KindID) {
-	zone := slices.Index(d.Deployment.Zones, entry.Zone)
-	if zone < 0 {
-		d.config.Log.Warn().Uint32("endpoint", uint32(entry.ID)).Str("zone", entry.Zone).
-			Msg("endpoint in an unknown zone")
-		return 0, unknownKind
-	}
-	kind := slices.IndexFunc(d.Deployment.Kinds, func(k *pb.Kind) bool { return k.Name == entry.Kind })
-	if kind < 0 {
-		d.config.Log.Warn().Uint32("endpoint", uint32(entry.ID)).Str("kind", entry.Kind).
-			Msg("endpoint of an unknown kind")
-		return scheduler.ZoneID(zone), unknownKind
-	}
-	return scheduler.ZoneID(zone), scheduler.KindID(kind)
-}
-
 // countPrefillEndpoints reports to the admission control how many endpoints can prefill.
 func (d *Dispatcher) countPrefillEndpoints() {
 	n := 0
@@ -119,10 +100,5 @@
 }
 
 func (d *Dispatcher) roleOf(id scheduler.EndpointID) scheduler.Role {
-	for i, kind := range d.Deployment.Kinds {
-		if kind.Name == d.endpoints[id].Kind {
-			return d.schedulerConfig.Kinds[i].Role
-		}
-	}
-	return scheduler.Decode
+	return d.topology.Role(d.endpoints[id].Kind)
 }
--- a/internal/dispatch/orders.go
+++ b/internal/dispatch/orders.go
@@ -2,7 +2,7 @@
 
 import (
 	"plumspindle/internal/lifecycle"
-	"plumspindle/internal/schedulerlog"
+	"plumspindle/internal/schedulerhost"
 	"plumspindle/scheduler"
 )
 
@@ -61,4 +61,4 @@
 }
 
 // Log writes the scheduler's events to the dispatcher's log.
-func (d *Dispatcher) Log(event scheduler.Event) { schedulerlog.Write(&d.config.Log, event) }
+func (d *Dispatcher) Log(event scheduler.Event) { schedulerhost.WriteLog(&d.config.Log, event) }
--- a/internal/platform/dispatcher.go
+++ b/internal/platform/dispatcher.go
@@ -15,6 +15,7 @@
 	"plumspindle/internal/platform/guard"
 	"plumspindle/internal/platform/server"
 	"plumspindle/internal/platform/upstream"
+	"plumspindle/internal/schedulerhost"
 	"plumspindle/internal/settings"
 	"plumspindle/scheduler"
 )
@@ -67,6 +68,7 @@
 	activeIDs   map[string]bool
 	recentIDs   [2]map[string]bool // of requests that were answered a while ago
 
+	topology  schedulerhost.Topology
 	endpoints map[scheduler.EndpointID]discovery.Entry
 	ready     []scheduler.EndpointID // that accept new requests, in order
 
@@ -92,11 +94,12 @@
 		endpoints: map[scheduler.EndpointID]discovery.Entry{},
 		startedAt: loop.Now(),
 	}
-	place := d.settings.Scheduler
+	schedulerConfig := d.settings.Scheduler
+	d.topology = schedulerhost.NewTopology(d.settings.Zones, d.settings.Kinds, schedulerConfig.Kinds)
 	// Connections are closed well before endpoints do: what is written to one that is closed counts as lost.
-	place.IdleTimeout /= 2
+	schedulerConfig.IdleTimeout /= 2
 	d.guard = d.newGuard()
-	e := engine.New(loop, config.Name, "", upstreamLimits(d.settings, config.Sockets, place.IdleTimeout))
+	e := engine.New(loop, config.Name, "", upstreamLimits(d.settings, config.Sockets, schedulerConfig.IdleTimeout))
 	d.upstream = upstream.New(loop, e, upstream.Options{
 		StateTimeout: d.settings.StateTimeout,
 		Endpoints:    d.releaseTargets,
@@ -110,7 +113,7 @@
 		OnUpdate: d.updateEndpoints,
 		Log:      config.Log,
 	})
-	d.scheduler = scheduler.New(loop.Now(), config.Seed, place, d)
+	d.scheduler = scheduler.New(loop.Now(), config.Seed, schedulerConfig, d)
 	if len(config.Known) > 0 {
 		if err := d.discovery.ApplyCached(config.Known); err != nil {
 			config.Log.Warn().Err(err).Msg("cached endpoint list unreadable")
--- a/internal/platform/endpoints.go
+++ b/internal/platform/endpoints.go
@@ -8,9 +8,6 @@
 	"plumspindle/scheduler"
 )
 
-// unknownKind stands for a kind or zone that the settings do not name; the scheduler sends nothing there.
-const unknownKind = 255
-
 // updateEndpoints takes an endpoint list, or what has changed in it.
 func (d *Dispatcher) updateEndpoints(entries []discovery.Entry, full bool) {
 	d.discoveryReady() // by this, if discovery speaks
@@ -38,7 +35,7 @@
 }
 
 func (d *Dispatcher) updateEndpoint(e discovery.Entry) {
-	zone, kind := d.zoneAndKind(&e)
+	zone, kind := d.topology.Locate(&d.config.Log, e.Name, e.Zone, e.Kind)
 	if e.State == scheduler.Removed {
 		delete(d.endpoints, e.ID)
 	} else {
@@ -51,28 +48,14 @@
 	now := d.loop.Now()
 	d.scheduler.EndpointUpdated(now, scheduler.EndpointStatus{
 		ID:        e.ID,
-		Zone:      scheduler.ZoneID(zone),
-		Kind:      scheduler.KindID(kind),
+		Zone:      zone,
+		Kind:      kind,
 		Cell:      e.Cell,
 		State:     e.State,
 		StartedAt: min(e.StartedAt, now),
 	})
 }
 
-// zoneAndKind are an endpoint's places in the settings; where those do not name one of them, the kind is unknownKind.
-func (d *Dispatcher) zoneAndKind(e *discovery.Entry) (zone, kind int) {
-	zone, kind = slices.Index(d.settings.Zones, e.Zone), slices.Index(d.settings.Kinds, e.Kind)
-	if zone < 0 {
-		d.config.Log.Warn().Str("endpoint", e.Name).Str("zone", e.Zone).Msg("endpoint in an unknown zone")
-		return 0, unknownKind
-	}
-	if kind < 0 || kind >= len(d.settings.Scheduler.Kinds) {
-		d.config.Log.Warn().Str("endpoint", e.Name).Str("kind", e.Kind).Msg("endpoint of an unknown kind")
-		return zone, unknownKind
-	}
-	return zone, kind
-}
-
 // releaseTargets are the endpoints that accept new requests, or all that are listed, in order.
 func (d *Dispatcher) releaseTargets(all bool) []scheduler.EndpointID {
 	if !all {
@@ -108,11 +91,6 @@
 	}
 }
 
-// role is what an endpoint does; one of unknown kind counts as a decode endpoint.
 func (d *Dispatcher) role(id scheduler.EndpointID) scheduler.Role {
-	kind := slices.Index(d.settings.Kinds, d.endpoints[id].Kind)
-	if kind >= 0 && kind < len(d.settings.Scheduler.Kinds) {
-		return d.settings.Scheduler.Kinds[kind].Role
-	}
-	return scheduler.Decode
+	return d.topology.Role(d.endpoints[id].Kind)
 }
--- a/internal/platform/executor.go
+++ b/internal/platform/executor.go
@@ -2,7 +2,7 @@
 
 import (
 	"plumspindle/internal/platform/guard"
-	"plumspindle/internal/schedulerlog"
+	"plumspindle/internal/schedulerhost"
 	"plumspindle/scheduler"
 )
 
@@ -52,4 +52,4 @@
 }
 
 // Log implements scheduler.Executor.
-func (d *Dispatcher) Log(event scheduler.Event) { schedulerlog.Write(&d.config.Log, event) }
+func (d *Dispatcher) Log(event scheduler.Event) { schedulerhost.WriteLog(&d.config.Log, event) }
--- a/internal/schedulerlog/schedulerlog.go
+++ b/internal/schedulerhost/log.go
@@ -1,6 +1,4 @@
-// Package schedulerlog writes the scheduler's events to a structured log, alike in every program that runs a
-// scheduler. It relies on zerolog, keeps nothing, and never decides anything.
-package schedulerlog
+package schedulerhost
 
 import (
 	"time"
@@ -10,14 +8,14 @@
 	"plumspindle/scheduler"
 )
 
-// The messages; all that varies is in the keys.
+// Messages of the scheduler's events; all that varies is in the keys.
 const (
 	EndpointEjected = "endpoint ejected"
 	SendBlocked     = "send blocked by guard"
 )
 
-// Write logs one event.
-func Write(log *zerolog.Logger, event scheduler.Event) {
+// WriteLog writes one of the scheduler's events to a structured log.
+func WriteLog(log *zerolog.Logger, event scheduler.Event) {
 	switch e := event.(type) {
 	case scheduler.EndpointEjected:
 		log.Info().Uint32("endpoint", uint32(e.Endpoint)).Stringer("reason", e.Reason).
--- a/internal/schedulerlog/schedulerlog_test.go
+++ b/internal/schedulerhost/log_test.go
@@ -1,4 +1,4 @@
-package schedulerlog
+package schedulerhost
 
 import (
 	"bytes"
@@ -22,7 +22,7 @@
 	} {
 		var out bytes.Buffer
 		log := zerolog.New(&out)
-		Write(&log, test.event)
+		WriteLog(&log, test.event)
 		if got := strings.TrimSpace(out.String()); got != test.want {
 			t.Errorf("%T: logged %s, want %s", test.event, got, test.want)
 		}
--- a/internal/testbed/soak/run.go
+++ b/internal/testbed/soak/run.go
@@ -13,7 +13,7 @@
 	"time"
 
 	"plumspindle/internal/platform/guard"
-	"plumspindle/internal/schedulerlog"
+	"plumspindle/internal/schedulerhost"
 	"plumspindle/internal/testbed/syscallfaults"
 )
 
@@ -369,7 +369,7 @@
 		if leaseOverrun && audit.cutOff(fmt.Sprint(d.number+1), at-(letGoBy+heldSlack+slack).Microseconds(), at) {
 			continue
 		}
-		if strings.Contains(text, guard.ViolationMessage) || strings.Contains(text, schedulerlog.SendBlocked) {
+		if strings.Contains(text, guard.ViolationMessage) || strings.Contains(text, schedulerhost.SendBlocked) {
 			r.report.Violations = append(r.report.Violations, fmt.Sprintf("n%d: %s", d.number, text))
 		}
 		if strings.HasPrefix(text, "panic:") || strings.HasPrefix(text, "fatal error:") {
