--- a/internal/testbed/audit/audit_test.go
+++ b/internal/testbed/audit/audit_test.go
@@ -9,76 +9,144 @@
 	"plumspindle/internal/testbed/record"
 )
 
-const ms = 1000
+const (
+	ms          = 1000 // µs
+	testProduct = "review-post"
+)
+
+// attemptEvent is an event of the first request's attempt at an endpoint.
+func attemptEvent(at int64, eventType record.EventType, kind, id string, endpoint uint32) record.Event {
+	return record.Event{At: at * ms, Type: eventType, Request: "g1", Attempt: id, Endpoint: endpoint, Dispatcher: "d1",
+		Product: testProduct, Detail: kind}
+}
+
+// finalEvent is the end of the first request's first attempt, as its client sees it.
+func finalEvent(at int64, outcome string) record.Event {
+	return record.Event{At: at * ms, Type: record.FinalAnswer, Request: "g1", ClientAttempt: 1, Dispatcher: "d1",
+		Detail: outcome}
+}
+
+// Indices of events in cleanRecord.
+const (
+	prefillAnswered = 4
+	decodeArrived   = 5
+	stateFetched    = 6
+	decodeLeft      = 8
+	finalAnswer     = 9
+	slowStartLoad   = 11
+)
 
-// clean is a small day without fault: a review that is read, held, fetched, written and streamed.
-func clean() []record.Event {
+// cleanRecord is a small run without fault: a review that is prefilled, pinned, fetched, decoded and completed.
+func cleanRecord() []record.Event {
+	final := finalEvent(901, record.Completed)
+	final.Exact = true
 	return []record.Event{
 		{At: 0, Type: record.UpdateDelivered, Dispatcher: "d1", Endpoint: 1, Detail: "ready"},
-		{At: 1 * ms, Type: record.RequestSent, Request: "g1", ClientAttempt: 1, Dispatcher: "d1", Product: "review-post"},
-		{At: 2 * ms, Type: record.AttemptArrived, Request: "g1", Attempt: "d1-1-0", Endpoint: 1, Dispatcher: "d1", Product: "review-post", Detail: record.Prefill},
-		{At: 90 * ms, Type: record.StatePinned, Request: "g1", Attempt: "d1-1-0", Endpoint: 1, Dispatcher: "d1", Product: "review-post", Detail: record.Prefill},
-		{At: 90 * ms, Type: record.AttemptAnswered, Request: "g1", Attempt: "d1-1-0", Endpoint: 1, Dispatcher: "d1", Product: "review-post", Detail: record.Prefill},
-		{At: 92 * ms, Type: record.AttemptArrived, Request: "g1", Attempt: "d1-1-1", Endpoint: 2, Dispatcher: "d1", Product: "review-post", Detail: record.Decode},
-		{At: 95 * ms, Type: record.StateFetched, Request: "g1", Attempt: "d1-1-0", Endpoint: 1, Dispatcher: "d1", Product: "review-post", Detail: record.Prefill},
-		{At: 99 * ms, Type: record.AttemptRan, Request: "g1", Attempt: "d1-1-1", Endpoint: 2, Dispatcher: "d1", Product: "review-post", Detail: record.Decode},
-		{At: 900 * ms, Type: record.AttemptLeft, Request: "g1", Attempt: "d1-1-1", Endpoint: 2, Dispatcher: "d1", Product: "review-post", Detail: record.Decode},
-		{At: 901 * ms, Type: record.FinalAnswer, Request: "g1", ClientAttempt: 1, Dispatcher: "d1", Detail: record.Completed, Exact: true},
-		{At: 901 * ms, Type: record.RequestOver, Request: "g1", Detail: record.Completed, Product: "review-post", Tenant: "north", Exact: true, Count: 98 * ms},
+		{At: 1 * ms, Type: record.RequestSent, Request: "g1", ClientAttempt: 1, Dispatcher: "d1", Product: testProduct},
+		attemptEvent(2, record.AttemptArrived, record.Prefill, "d1-1-0", 1),
+		attemptEvent(90, record.StatePinned, record.Prefill, "d1-1-0", 1),
+		attemptEvent(90, record.AttemptAnswered, record.Prefill, "d1-1-0", 1),
+		attemptEvent(92, record.AttemptArrived, record.Decode, "d1-1-1", 2),
+		attemptEvent(95, record.StateFetched, record.Prefill, "d1-1-0", 1),
+		attemptEvent(99, record.AttemptRan, record.Decode, "d1-1-1", 2),
+		attemptEvent(900, record.AttemptLeft, record.Decode, "d1-1-1", 2),
+		final,
+		{At: 901 * ms, Type: record.RequestOver, Request: "g1", Detail: record.Completed, Product: testProduct,
+			Tenant: "north", Exact: true, Count: 98 * ms},
 		{At: 1500 * ms, Type: record.SlowStartLoad, Endpoint: 3, Value: 0.4, Count: 3},
 	}
 }
 
-func insert(at int, es ...record.Event) func([]record.Event) []record.Event {
-	return func(all []record.Event) []record.Event { return slices.Insert(all, at, es...) }
+// doctor changes a record.
+type doctor func([]record.Event) []record.Event
+
+func insert(at int, added ...record.Event) doctor {
+	return func(events []record.Event) []record.Event { return slices.Insert(events, at, added...) }
+}
+
+func change(at int, set func(*record.Event)) doctor {
+	return func(events []record.Event) []record.Event {
+		set(&events[at])
+		return events
+	}
+}
+
+// inTurn does one change after another.
+func inTurn(doctors ...doctor) doctor {
+	return func(events []record.Event) []record.Event {
+		for _, d := range doctors {
+			events = d(events)
+		}
+		return events
+	}
+}
+
+func remove(from, to int) doctor {
+	return func(events []record.Event) []record.Event { return slices.Delete(events, from, to) }
+}
+
+func TestCleanRecordPasses(t *testing.T) {
+	verdict := Judge(deployment.Standard(), cleanRecord())
+	if !verdict.Passed() || verdict.Service != 1 || verdict.PeakSlowStartUse != 0.4 {
+		t.Errorf("the clean record:\n%s", verdict.Text())
+	}
 }
 
-func TestAudit(t *testing.T) {
-	if v := Judge(deployment.Standard(), clean()); !v.Passed() || v.Service != 1 || v.PeakSlowStartUse != 0.4 {
-		t.Fatalf("the clean day:\n%s", v.Text())
+func TestDoctoredRecordBreaksItsRuleAtItsLine(t *testing.T) {
+	secondDecode := func(at int64) record.Event {
+		return attemptEvent(at, record.AttemptArrived, record.Decode, "d1-1-2", 1)
+	}
+	setOutcome := func(outcome string) doctor {
+		return change(finalAnswer, func(event *record.Event) { event.Detail = outcome })
 	}
-	leg := record.Event{Type: record.AttemptArrived, Request: "g1", Attempt: "d1-1-2", Endpoint: 1, Dispatcher: "d1", Product: "review-post", Detail: record.Decode}
-	at := func(e record.Event, t int64) record.Event { e.At = t; return e }
-	for _, c := range []struct {
-		name   string
-		doctor func([]record.Event) []record.Event
-		rule   int
-		line   int
-		gen    string
+	for _, test := range []struct {
+		name    string
+		doctor  doctor
+		rule    int
+		line    int
+		request string
 	}{
-		{"a final answer doubled", insert(10, record.Event{At: 902 * ms, Type: record.FinalAnswer, Request: "g1", ClientAttempt: 1, Detail: record.Failed}), 0, 11, "g1"},
-		{"bytes after the answer", insert(10, record.Event{At: 902 * ms, Type: record.BytesAfterFinal, Request: "g1", ClientAttempt: 1, Detail: "event"}), 0, 11, "g1"},
-		{"no answer", func(e []record.Event) []record.Event { return slices.Delete(e, 9, 10) }, 0, 2, "g1"},
-		{"given up on", func(e []record.Event) []record.Event { e[9].Detail = "gave_up"; return e }, 0, 10, "g1"},
-		{"other bytes", func(e []record.Event) []record.Event { e[9].Exact = false; return e }, 0, 10, "g1"},
-		{"a write doubled", insert(9, at(leg, 899*ms), record.Event{At: 900 * ms, Type: record.AttemptRan, Request: "g1", Attempt: "d1-1-2", Product: "review-post"}), 1, 11, "g1"},
-		{"two legs out", insert(8, at(leg, 300*ms)), 1, 9, "g1"},
-		{"throttled though it ran", func(e []record.Event) []record.Event { e[9].Detail = "throttled"; return e }, 1, 8, "g1"},
-		{"sent after a drain", func(e []record.Event) []record.Event {
-			e = insert(9, at(leg, 1200*ms))(e)
-			return insert(1, record.Event{At: 500, Type: record.UpdateDelivered, Dispatcher: "d1", Endpoint: 1, Detail: "draining"})(e)
-		}, 2, 11, "g1"},
-		{"a cold host overloaded", func(e []record.Event) []record.Event { e[11].Value = 1.2; return e }, 3, 12, ""},
-		{"a cold host fallen", insert(12, record.Event{At: 1600 * ms, Type: record.EndpointOverloaded, Endpoint: 3}), 3, 13, ""},
-		{"a state left pinned", func(e []record.Event) []record.Event {
-			e = slices.Delete(e, 6, 7)
-			return append(e, record.Event{At: 3000 * ms, Type: record.RequestOver, Request: "g2"})
-		}, 4, 4, "g1"},
-		{"a state let go too late", func(e []record.Event) []record.Event {
-			e = slices.Delete(e, 5, 10)
-			return slices.Insert(e, 5, record.Event{At: 900 * ms, Type: record.StateReleased, Attempt: "d1-1-0", Endpoint: 1},
-				record.Event{At: 901 * ms, Type: record.FinalAnswer, Request: "g1", ClientAttempt: 1, Detail: record.Rejected})
-		}, 4, 4, "g1"},
+		{"a second final answer", insert(10, finalEvent(902, record.Failed)), ruleFinalAnswer, 11, "g1"},
+		{"bytes after the answer", insert(10, record.Event{At: 902 * ms, Type: record.BytesAfterFinal, Request: "g1",
+			ClientAttempt: 1, Detail: "event"}), ruleFinalAnswer, 11, "g1"},
+		{"no answer", remove(finalAnswer, finalAnswer+1), ruleFinalAnswer, 2, "g1"},
+		{"the client gave up", setOutcome(record.GaveUp), ruleFinalAnswer, 10, "g1"},
+		{"other bytes", change(finalAnswer, func(event *record.Event) { event.Exact = false }), ruleFinalAnswer, 10, "g1"},
+		{"a decode ran twice", insert(finalAnswer, secondDecode(899), record.Event{At: 900 * ms, Type: record.AttemptRan,
+			Request: "g1", Attempt: "d1-1-2", Product: testProduct}), ruleNoSecondRun, 11, "g1"},
+		{"two attempts in flight", insert(decodeLeft, secondDecode(300)), ruleNoSecondRun, 9, "g1"},
+		{"rejected though it ran", setOutcome(record.Rejected), ruleNoSecondRun, 8, "g1"},
+		{"sent after a drain", inTurn(insert(finalAnswer, secondDecode(1200)), insert(1, record.Event{At: 500,
+			Type: record.UpdateDelivered, Dispatcher: "d1", Endpoint: 1, Detail: "draining"})), ruleDrains, 11, "g1"},
+		{"too much during slow start", change(slowStartLoad, func(event *record.Event) { event.Value = 1.2 }),
+			ruleSlowStart, 12, ""},
+		{"an endpoint fell over", insert(12, record.Event{At: 1600 * ms, Type: record.EndpointOverloaded, Endpoint: 3}),
+			ruleSlowStart, 13, ""},
+		{"a state stays pinned", inTurn(remove(stateFetched, stateFetched+1),
+			insert(11, record.Event{At: 3000 * ms, Type: record.RequestOver, Request: "g2"})), rulePinnedState, 4, "g1"},
+		{"a state is released too late", inTurn(remove(decodeArrived, finalAnswer+1), insert(decodeArrived,
+			record.Event{At: 900 * ms, Type: record.StateReleased, Attempt: "d1-1-0", Endpoint: 1},
+			record.Event{At: 901 * ms, Type: record.FinalAnswer, Request: "g1", ClientAttempt: 1, Detail: record.Rejected})),
+			rulePinnedState, 4, "g1"},
 	} {
-		v := Judge(deployment.Standard(), c.doctor(clean()))
-		breaks := v.Rules[c.rule].Violations
-		if len(breaks) == 0 || breaks[0].Line != c.line || breaks[0].Request != c.gen || !strings.Contains(v.Text(), "BROKEN") {
-			t.Errorf("%s: want rule %d, line %d, generation %q:\n%s", c.name, c.rule+1, c.line, c.gen, v.Text())
-		}
+		t.Run(test.name, func(t *testing.T) {
+			verdict := Judge(deployment.Standard(), test.doctor(cleanRecord()))
+			violations := verdict.Rules[test.rule].Violations
+			if len(violations) == 0 || violations[0].Line != test.line || violations[0].Request != test.request {
+				t.Errorf("want rule %d, line %d, request %q:\n%s", test.rule+1, test.line, test.request, verdict.Text())
+			}
+			if !strings.Contains(verdict.Text(), "BROKEN") {
+				t.Errorf("the text does not say so:\n%s", verdict.Text())
+			}
+		})
 	}
-	killed := insert(9, record.Event{At: 500 * ms, Type: record.DispatcherKilled, Dispatcher: "d1"})(clean())
-	killed[10].Detail = "broken"
-	if v := Judge(deployment.Standard(), killed); !v.Passed() {
-		t.Errorf("what a killed dispatcher held is no longer its duty:\n%s", v.Text())
+}
+
+func TestKilledDispatcherOwesNothing(t *testing.T) {
+	events := insert(finalAnswer, record.Event{At: 500 * ms, Type: record.DispatcherKilled,
+		Dispatcher: "d1"})(cleanRecord())
+	events[finalAnswer+1].Detail = record.Broken
+	if verdict := Judge(deployment.Standard(), events); !verdict.Passed() {
+		t.Errorf("a dispatcher that was killed is held to what was in flight:\n%s", verdict.Text())
 	}
 }
--- /dev/null
+++ b/internal/testbed/audit/pinnedstate.go
@@ -0,0 +1,67 @@
+package audit
+
+import "plumspindle/internal/testbed/record"
+
+// pinnedState is what a prefill left at an endpoint.
+type pinnedState struct {
+	line  int
+	event record.Event
+}
+
+// checkPinnedState is rule 5: no state waits for longer than it may while no attempt of its request is in flight.
+func (j *judge) checkPinnedState(events []record.Event) {
+	if len(events) == 0 {
+		return
+	}
+	pinned := map[string]pinnedState{} // by attempt
+	release := func(attemptID string, at int64) {
+		if state, known := pinned[attemptID]; known {
+			j.checkReleased(state, at)
+			delete(pinned, attemptID)
+		}
+	}
+	for i, event := range events {
+		switch event.Type {
+		case record.StatePinned:
+			pinned[event.Attempt] = pinnedState{line: i + 1, event: event}
+		case record.StateFetched, record.StateReleased, record.StateLeaseExpired:
+			release(event.Attempt, event.At)
+		case record.EndpointDown:
+			for _, attemptID := range sortedKeys(pinned) {
+				if pinned[attemptID].event.Endpoint == event.Endpoint {
+					release(attemptID, event.At)
+				}
+			}
+		}
+	}
+	end := events[len(events)-1].At
+	for _, attemptID := range sortedKeys(pinned) {
+		release(attemptID, end)
+	}
+}
+
+// checkReleased checks a state that was pinned until a time: the spans in which no attempt was in flight, between the
+// ends and the beginnings of the others.
+func (j *judge) checkReleased(state pinnedState, until int64) {
+	j.checked(rulePinnedState)
+	dispatcher := state.event.Dispatcher
+	if j.wasKilled(dispatcher, state.event.At, until) {
+		return
+	}
+	idleFrom, longest := state.event.At, int64(0)
+	for _, a := range j.attempts[requestOf(state.event.Attempt)] {
+		end := a.end
+		if end == 0 {
+			end = until
+		}
+		if a.event.At < until && end > idleFrom {
+			longest = max(longest, j.longestAvailable(dispatcher, idleFrom, a.event.At))
+			idleFrom = end
+		}
+	}
+	longest = max(longest, j.longestAvailable(dispatcher, idleFrom, until))
+	if longest > int64(j.deployment.Rules.LetGoMs)*1000+j.slack {
+		j.violation(rulePinnedState, state.line, state.event.Request, "the state of leg %s waited for %d ms with no leg out",
+			state.event.Attempt, longest/1000)
+	}
+}
--- /dev/null
+++ b/internal/testbed/audit/service.go
@@ -0,0 +1,117 @@
+package audit
+
+import (
+	"fmt"
+	"strings"
+
+	"github.com/HdrHistogram/hdrhistogram-go"
+
+	"plumspindle/internal/testbed/record"
+)
+
+const (
+	maxFirstTokenMicros = 60_000_000
+	latencyDigits       = 3
+	maxShownViolations  = 20 // of a rule
+)
+
+// summariseService sums up the service by product and tenant.
+func (j *judge) summariseService(events []record.Event) {
+	attempts := map[string]int{} // by request
+	for _, event := range events {
+		if event.Type == record.AttemptArrived {
+			attempts[event.Request]++
+		}
+	}
+	rows := map[string]*Row{}
+	var earned, asked float64
+	for _, event := range events {
+		if event.Type != record.RequestOver {
+			continue
+		}
+		revenue, lateShare := 1.0, 0.0
+		if product := j.products[event.Product]; product != nil {
+			revenue, lateShare = product.Revenue, product.LateShare
+		}
+		asked += revenue
+		switch {
+		case event.Detail == record.Completed && event.Exact:
+			earned += revenue
+		case event.Detail == record.Completed:
+			earned += revenue * lateShare
+		}
+		for _, name := range []string{"all", "product " + event.Product, "tenant " + event.Tenant} {
+			if rows[name] == nil {
+				rows[name] = &Row{Name: name, FirstToken: hdrhistogram.New(1, maxFirstTokenMicros, latencyDigits)}
+			}
+			rows[name].add(event, attempts[event.Request])
+		}
+	}
+	for _, name := range sortedKeys(rows) {
+		j.verdict.Rows = append(j.verdict.Rows, rows[name])
+	}
+	if asked > 0 {
+		j.verdict.Service = earned / asked
+	}
+}
+
+// add adds a request that is over.
+func (r *Row) add(event record.Event, attempts int) {
+	r.Asked++
+	r.Attempts += attempts
+	switch event.Detail {
+	case record.Completed:
+		r.Completed++
+		_ = r.FirstToken.RecordValue(max(event.Count, 1)) // beyond the histogram's range it is lost
+		if event.Exact {
+			r.InSLO++
+		}
+	case record.Rejected:
+		r.Rejected++
+	case record.Failed:
+		r.Failed++
+	default:
+		r.Lost++
+	}
+}
+
+// Text is the verdict as it is printed.
+func (v *Verdict) Text() string {
+	var text strings.Builder
+	fmt.Fprintf(&text, "%-24s %6s %9s %7s %9s %10s %6s %9s %9s %5s\n", "", "asked", "streamed", "in SLO", "throttled",
+		"terminated", "other", "p50 ms", "p99 ms", "legs")
+	for _, row := range v.Rows {
+		text.WriteString(row.text())
+	}
+	fmt.Fprintf(&text, "service %.3f (revenue in its SLO time, late by its share, over revenue asked for); "+
+		"cold budget used at most %.2f\n", v.Service, v.PeakSlowStartUse)
+	for i, rule := range v.Rules {
+		text.WriteString(rule.text(i + 1))
+	}
+	return text.String()
+}
+
+func (r *Row) text() string {
+	asked := float64(max(r.Asked, 1))
+	share := func(count int) float64 { return float64(count) / asked }
+	millis := func(percent float64) float64 { return float64(r.FirstToken.ValueAtQuantile(percent)) / 1000 }
+	return fmt.Sprintf("%-24s %6d %9.3f %7.3f %9.3f %10.3f %6.3f %9.0f %9.0f %5.2f\n", r.Name, r.Asked,
+		share(r.Completed), share(r.InSLO), share(r.Rejected), share(r.Failed), share(r.Lost),
+		millis(50), millis(99), share(r.Attempts))
+}
+
+func (r Rule) text(number int) string {
+	if len(r.Violations) == 0 {
+		return fmt.Sprintf("rule %d, %s: kept (%d checked)\n", number, r.Name, r.Checked)
+	}
+	var text strings.Builder
+	fmt.Fprintf(&text, "rule %d, %s: BROKEN %d times (%d checked)\n", number, r.Name, len(r.Violations), r.Checked)
+	for i, violation := range r.Violations {
+		if i == maxShownViolations {
+			fmt.Fprintf(&text, "  and %d more\n", len(r.Violations)-i)
+			break
+		}
+		fmt.Fprintf(&text, "  line %d, generation %s: %s\n", violation.Line, violation.Request, violation.Text)
+	}
+	return text.String()
+}
