--- /dev/null
+++ b/internal/testbed/load/chat.go
@@ -0,0 +1,239 @@
+package load
+
+import (
+	"encoding/json"
+	"errors"
+	"net/http"
+	"strings"
+
+	"github.com/cespare/xxhash/v2"
+	"github.com/tidwall/gjson"
+
+	"plumspindle/internal/deployment/pb"
+	"plumspindle/internal/eventloop"
+	"plumspindle/internal/sse"
+	"plumspindle/internal/testbed/modelserver"
+	"plumspindle/internal/testbed/record"
+)
+
+const (
+	chatPath     = "/v1/chat/completions"
+	maxEventSize = 1 << 20
+	lastEvent    = "[DONE]"
+)
+
+// errNoLastEvent is a stream that ended without its last event.
+var errNoLastEvent = errors.New("a stream without its last event")
+
+// chatBody is the body of a chat request, its fields in the order of their names.
+type chatBody struct {
+	MaxTokens     int            `json:"max_tokens"`
+	Messages      []message      `json:"messages"`
+	Model         string         `json:"model"`
+	Stream        bool           `json:"stream,omitempty"`
+	StreamOptions *streamOptions `json:"stream_options,omitempty"`
+}
+
+type streamOptions struct {
+	IncludeUsage bool `json:"include_usage"`
+}
+
+// chatRequest is one chat request, over all its attempts.
+type chatRequest struct {
+	generator  *Generator
+	session    *session
+	id         string
+	since      eventloop.Micros
+	timeLimit  eventloop.Micros // in all
+	maxTokens  int
+	unstreamed bool
+	attempts   int
+}
+
+// chatAttempt is one attempt of a chat request.
+type chatAttempt struct {
+	attempt
+	chat       *chatRequest
+	events     sse.Parser
+	firstToken eventloop.Micros // 0: none has come
+	lastToken  eventloop.Micros
+}
+
+// try makes the next attempt, if there is time and a dispatcher for it.
+func (r *chatRequest) try() {
+	g, product := r.generator, r.session.product
+	left := r.since + r.timeLimit - g.loop.Now()
+	near := g.targetsNear(r.session.zone)
+	if left < minAttemptTime || len(near) == 0 {
+		r.over(record.Unserved, 0, 0)
+		return
+	}
+	r.attempts++
+	limit := eventloop.Micros(float64(left) * (g.MinPatience + (1-g.MinPatience)*g.random.Float64()))
+	target := near[g.random.Intn(len(near))]
+	c := call{path: chatPath, body: r.body()}
+	if g.Keyed && product.Effect != pb.Product_IDEMPOTENT {
+		// A dispatcher knows only its own keys.
+		target = g.Targets[int(xxhash.Sum64String(r.id)%uint64(len(g.Targets)))]
+		c.idempotencyKey = r.id
+	}
+	a := &chatAttempt{chat: r, events: sse.Parser{MaxEventBytes: maxEventSize}}
+	a.attempt = attempt{generator: g, request: r.id, number: r.attempts, product: product.Name,
+		tenant: r.session.tenant, timeLimit: limit, onTimeout: a.timeOut, onOver: a.over}
+	a.send(target, c, a)
+}
+
+func (r *chatRequest) body() []byte {
+	body := chatBody{MaxTokens: r.maxTokens, Messages: r.session.messages, Model: r.session.product.Name}
+	if !r.unstreamed {
+		body.Stream, body.StreamOptions = true, &streamOptions{IncludeUsage: true}
+	}
+	text, err := json.Marshal(body)
+	if err != nil {
+		panic(err) // strings and numbers always have a JSON form
+	}
+	return text
+}
+
+// over ends the request for its client. firstToken is the time to it, pace that between two tokens.
+func (r *chatRequest) over(outcome string, firstToken, pace eventloop.Micros) {
+	g, s := r.generator, r.session
+	g.Open--
+	event := record.Event{At: int64(g.loop.Now()), Type: record.RequestOver, Request: r.id, Detail: outcome,
+		Product: s.product.Name, Tenant: g.deployment.Tenants[s.tenant].Name, Count: int64(firstToken),
+		ClientAttempt: r.attempts}
+	event.Exact = outcome == record.Completed && firstToken <= r.firstTokenSLO() &&
+		pace <= eventloop.Micros(s.product.TokenSloMs)*eventloop.Millisecond
+	g.recorder.Add(event)
+	if outcome == record.Completed && s.turns > 1 {
+		s.turns--
+		s.messages = append(s.messages, message{Role: roleAssistant, Content: assistantText})
+		g.sessions[s.tenant] = append(g.sessions[s.tenant], s)
+	}
+}
+
+// firstTokenSLO is the latency objective for the first token, which grows with the prompt.
+func (r *chatRequest) firstTokenSLO() eventloop.Micros {
+	product, promptTokens := r.session.product, 0
+	for _, m := range r.session.messages {
+		promptTokens += len(m.Content) / charactersPerToken
+	}
+	return eventloop.Micros(product.SloMs)*eventloop.Millisecond +
+		eventloop.Micros(float64(product.SloMsPer_1000Tokens)*float64(promptTokens))
+}
+
+// timeOut gives up on an answer of which nothing has come, or that is to come in one piece.
+func (a *chatAttempt) timeOut() {
+	if a.firstToken == 0 || a.chat.unstreamed {
+		a.giveUp()
+	}
+}
+
+// Body parses a stream, or collects an answer in one piece.
+func (a *chatAttempt) Body(data []byte) error {
+	if a.head.Status == http.StatusOK && strings.HasPrefix(a.head.Get("Content-Type"), "text/event-stream") {
+		return a.events.Feed(data, a.event)
+	}
+	return a.attempt.Body(data)
+}
+
+// event takes an event of a stream and checks its token.
+func (a *chatAttempt) event(data []byte) error {
+	switch {
+	case a.ended:
+		a.record(record.BytesAfterFinal, "event")
+	case string(data) == lastEvent:
+		a.exact = a.exact && a.tokens == modelserver.AnswerLength(a.request, a.chat.maxTokens)
+		a.finish(record.Completed)
+	case gjson.GetBytes(data, "error").Exists():
+		a.finish(record.Failed)
+	default:
+		if token := gjson.GetBytes(data, "choices.0.delta.content"); token.Exists() {
+			a.takeToken(token.String())
+		}
+	}
+	return nil
+}
+
+func (a *chatAttempt) takeToken(text string) {
+	now := a.generator.loop.Now()
+	if a.tokens == 0 {
+		a.exact, a.firstToken = true, now
+	}
+	if text != modelserver.TokenText(a.request, a.tokens) {
+		a.exact = false
+	}
+	a.tokens++
+	a.lastToken = now
+}
+
+// End takes the end of the HTTP message.
+func (a *chatAttempt) End() error {
+	a.complete = true
+	if a.ended {
+		return nil
+	}
+	status := a.head.Status
+	switch {
+	case status == http.StatusOK && a.chat.unstreamed:
+		a.takeWholeAnswer()
+		a.finish(record.Completed)
+	case status == http.StatusTooManyRequests:
+		a.finish(record.Rejected)
+	case status == http.StatusConflict && a.errorCode() == "already_ran":
+		a.finish(record.Failed)
+	case status >= http.StatusInternalServerError && gjson.GetBytes(a.body, "error.message").Exists():
+		a.finish(record.Failed)
+	case status == http.StatusOK:
+		return errNoLastEvent
+	default:
+		return a.unexpectedStatus()
+	}
+	return nil
+}
+
+// takeWholeAnswer checks an answer in one piece.
+func (a *chatAttempt) takeWholeAnswer() {
+	var want strings.Builder
+	tokens := modelserver.AnswerLength(a.request, a.chat.maxTokens)
+	for i := range tokens {
+		want.WriteString(modelserver.TokenText(a.request, i))
+	}
+	a.tokens, a.firstToken = tokens, a.generator.loop.Now()
+	a.lastToken = a.firstToken
+	a.exact = gjson.GetBytes(a.body, "choices.0.message.content").String() == want.String() &&
+		gjson.GetBytes(a.body, "usage.completion_tokens").Int() == int64(tokens)
+}
+
+// over ends the request, or retries it where that is harmless.
+func (a *chatAttempt) over(outcome string) {
+	r, g := a.chat, a.generator
+	if outcome == record.Completed {
+		firstToken, pace := a.latency()
+		r.over(record.Completed, firstToken, pace)
+		return
+	}
+	harmless := outcome == record.Rejected || outcome == record.Unreached ||
+		r.session.product.Effect == pb.Product_IDEMPOTENT || g.Keyed && outcome == record.Broken
+	if !harmless || r.attempts >= maxAttempts {
+		r.over(outcome, 0, 0)
+		return
+	}
+	delay := retryDelay + eventloop.Micros(g.random.Int63n(int64(retryDelaySpread)))
+	g.loop.AfterFunc(a.retryAfter(delay), r.try)
+}
+
+// latency is the time to the first token since the request began, and the time between two tokens.
+func (a *chatAttempt) latency() (firstToken, pace eventloop.Micros) {
+	r := a.chat
+	firstToken = a.firstToken - r.since
+	if r.unstreamed {
+		// What an answer in one piece took before its first token isn't seen; the rest is taken off at the stated pace.
+		statedPace := eventloop.Micros(r.session.product.TokenSloMs) * eventloop.Millisecond
+		return max(firstToken-eventloop.Micros(a.tokens)*statedPace, 1), 0
+	}
+	if a.tokens > 1 {
+		pace = (a.lastToken - a.firstToken) / eventloop.Micros(a.tokens-1)
+	}
+	return firstToken, pace
+}
--- a/internal/testbed/scenarios/run.go
+++ b/internal/testbed/scenarios/run.go
@@ -204,7 +204,8 @@
 // startLoad starts the clients and schedules the faults.
 func (p *Run) startLoad(ctx context.Context, targets []*load.Target) {
 	p.clientLoop.Do(func() {
-		p.generator = load.New(p.clientLoop, p.Deployment, p.Seed, p.tenantKeys, targets, p.recorder)
+		p.generator = load.New(p.clientLoop, load.Config{Deployment: p.Deployment, Seed: p.Seed,
+			Keys: p.tenantKeys, Targets: targets, Recorder: p.recorder})
 		p.generator.Rate, p.generator.Keyed = p.Script.Rate, p.Keyed
 		p.generator.Run()
 	})
