--- a/scripts/docscheck/docs_test.go
+++ b/scripts/docscheck/docs_test.go
@@ -29,6 +29,7 @@
 	dottedName = regexp.MustCompile(`^[A-Za-z]\w*(\.[A-Za-z]\w*)+$`)
 	mixedCase  = regexp.MustCompile(`^[A-Za-z]*[a-z][A-Z]\w*$`)
 	fileAndFun = regexp.MustCompile("`([\\w./-]+\\.go)` `([A-Za-z][\\w.]*)`")
+	plainName  = regexp.MustCompile("`([A-Za-z]\\w*)`")
 )
 
 // code is what the repository declares.
@@ -45,8 +46,10 @@
 			t.Error(err)
 			continue
 		}
+		codeColumn := -1
 		for number, line := range strings.Split(string(text), "\n") {
-			for _, missing := range declared.missingIn(line) {
+			codeColumn = codeColumnOf(line, codeColumn)
+			for _, missing := range append(declared.missingIn(line), declared.missingInCell(line, codeColumn)...) {
 				t.Errorf("docs/%s:%d: `%s` is not in the code", page, number+1, missing)
 			}
 		}
@@ -64,6 +67,9 @@
 			t.Errorf("%s passes", line)
 		}
 	}
+	if len(declared.missingInCell("| text | `Absentname` |", 2)) == 0 {
+		t.Error("a name in a column of code passes")
+	}
 	for _, line := range []string{
 		"`scripts/docscheck/docs_test.go:code.missingIn`", "`docscheck.readCode`", "`code.files`", "`docs/platform.md`",
 	} {
@@ -88,6 +94,33 @@
 	return missing
 }
 
+// codeColumnOf returns which column of a table's line has code: the one whose head says so, until the table ends.
+func codeColumnOf(line string, before int) int {
+	if !strings.HasPrefix(line, "|") {
+		return -1
+	}
+	for i, cell := range strings.Split(line, "|") {
+		if strings.TrimSpace(cell) == "code" {
+			return i
+		}
+	}
+	return before
+}
+
+// missingInCell returns the names in a table's cell that name nothing, of whatever form.
+func (c *code) missingInCell(line string, column int) (missing []string) {
+	cells := strings.Split(line, "|")
+	if column < 0 || column >= len(cells) {
+		return nil
+	}
+	for _, match := range plainName.FindAllStringSubmatch(cells[column], -1) {
+		if !c.names[match[1]] {
+			missing = append(missing, match[1])
+		}
+	}
+	return missing
+}
+
 // has reports whether a citation names something; what is not written like a name in Go or a path always does.
 func (c *code) has(citation string) bool {
 	if match := inFile.FindStringSubmatch(citation); match != nil {
@@ -149,6 +182,7 @@
 		}
 		names := declaredIn(parsed)
 		c.files[filepath.ToSlash(relative)] = names
+		c.names[parsed.Name.Name] = true
 		for declared := range names {
 			c.names[declared] = true
 			c.names[parsed.Name.Name+"."+declared] = true
