--- /dev/null
+++ b/internal/dispatch/limits_test.go
@@ -0,0 +1,252 @@
+package dispatch
+
+import (
+	"fmt"
+	"strings"
+	"testing"
+
+	"plumspindle/internal/deployment"
+	"plumspindle/internal/eventloop"
+	"plumspindle/internal/virtual"
+)
+
+// Prefill state is released while all connections to its endpoint are in use, or no descriptor is left.
+func TestReleaseNeedsNoFreeConnection(t *testing.T) {
+	for name, exhaust := range map[string]func(r *harness){
+		"all connections in use": func(r *harness) {
+			r.endpoints[0].serve = neverAnswer
+			for range r.deployment.Dispatching.Connections {
+				r.ask("explain")
+			}
+		},
+		"no descriptor is left": func(r *harness) {
+			r.endpoints[0].serve = neverAnswer
+			r.ask("explain") // takes the idle connection
+			r.world.Run(20 * eventloop.Millisecond)
+			r.takeDescriptors(4000, 250)
+		},
+	} {
+		r := newHarness(t, func(d deployment.Deployment) { d.Dispatching.Connections = 3 }, "prefill west", "decode west")
+		r.endpoints[1].serve = neverAnswer
+		c := r.ask("review-post", "x-time-limit-ms", "600")
+		r.world.Run(100 * eventloop.Millisecond) // prefilled, and at the decode endpoint, which does not begin
+		if r.endpoints[1].attempts() != 1 {
+			t.Fatal("it is not being decoded")
+		}
+		exhaust(r)
+		r.world.Run(100 * eventloop.Millisecond)
+		before := r.endpoints[0].releases()
+		r.runUntil(eventloop.Second, func() bool { return len(c.finals) > 0 })
+		r.expectRelease(r.endpoints[0], before, name)
+		r.virtual().DescriptorLimit = 0
+		r.endpoints[0].serve, r.endpoints[1].serve = answerPrefill, answerDecode
+		r.world.Run(10 * eventloop.Second)
+		r.expectFinal(r.ask("review-post"), "streamed")
+	}
+}
+
+// takeDescriptors leaves the dispatcher no descriptors but the two reserved ones, and has silent clients connect one
+// after another, so that what is given back is taken at once. It returns the clients, as they come.
+func (r *harness) takeDescriptors(clients int, interval eventloop.Micros) *[]*silentClient {
+	var connected []*silentClient
+	r.virtual().DescriptorLimit = r.virtual().OpenConnections() + 2
+	for i := range clients {
+		r.remote.Do(func() {
+			r.remote.AfterFunc(eventloop.Micros(i)*interval, func() {
+				client := &silentClient{}
+				client.conn = r.remote.Dial(r.addr, eventloop.Second, client)
+				connected = append(connected, client)
+			})
+		})
+	}
+	return &connected
+}
+
+// A prefill endpoint can't be reached for longer than its state may wait: once it can be, all of it is released.
+func TestReleaseIsRetriedAfterAPartition(t *testing.T) {
+	r := newHarness(t, func(d deployment.Deployment) {
+		d.Dispatching.IdleMs = 50 // so that it has to connect anew
+	}, "prefill west", "decode west")
+	r.endpoints[1].serve = neverAnswer
+	var calls []*clientCall
+	for range 5 {
+		calls = append(calls, r.ask("review-post", "x-time-limit-ms", "800"))
+	}
+	r.world.Run(300 * eventloop.Millisecond)
+	if r.endpoints[1].attempts() != 5 {
+		t.Fatalf("%d are being decoded", r.endpoints[1].attempts())
+	}
+	d, far := r.virtual(), r.remote.(*virtual.Loop)
+	r.world.Block(far, d, 3*eventloop.Second)
+	r.world.Run(3 * eventloop.Second)
+	for i, c := range calls {
+		if len(c.finals) != 1 {
+			t.Errorf("call %d: %v", i, c.finals)
+		}
+	}
+	r.endpoints[1].serve = answerDecode
+	r.world.Run(milliseconds(r.deployment.Rules.LetGoMs))
+	var released strings.Builder
+	for _, c := range r.endpoints[0].seen {
+		if c.target == "/v1/kv/release" {
+			released.Write(c.body)
+		}
+	}
+	for i := range 5 {
+		if name := fmt.Sprintf(`"d-%d-0"`, i+1); !strings.Contains(released.String(), name) {
+			t.Errorf("%s was not released: %s", name, released.String())
+		}
+	}
+	n := len(r.endpoints[0].seen)
+	r.world.Run(12 * eventloop.Second)
+	if more := len(r.endpoints[0].seen) - n; more > 0 {
+		t.Errorf("%d requests more", more)
+	}
+	r.expectFinal(r.ask("review-post"), "streamed")
+}
+
+// Idle connections to other endpoints are closed for one that is needed.
+func TestIdleConnectionsGiveWay(t *testing.T) {
+	r := newHarness(t, nil, "prefill west", "decode west", "decode west", "decode west")
+	for range 12 { // each of the decode endpoints has an idle connection
+		r.expectFinal(r.ask("explain"), "streamed")
+	}
+	for _, h := range r.endpoints[1:3] {
+		r.updateEndpoints(h.entry("draining"))
+	}
+	r.updateEndpoints(r.endpoints[0].entry("gone"))
+	next := &fakeEndpoint{harness: r, id: 9, kind: "prefill", zone: "west", serve: answerPrefill}
+	r.remote.Do(next.listen)
+	r.endpoints = append(r.endpoints, next)
+	r.updateEndpoints(next.entry("ready"))
+	r.world.Run(100 * eventloop.Millisecond)
+	r.virtual().DescriptorLimit = r.virtual().OpenConnections() + 3 // its client's, and what is reserved
+	r.expectFinal(r.ask("review-post"), "streamed")
+}
+
+// Clients that keep connections open leave descriptors for everything else: past their part requests are rejected and
+// the connection closed, past an eighth more none is served; idle ones are closed for new ones, and with few again all
+// is as before.
+func TestClientConnectionsAreLimited(t *testing.T) {
+	r := newHarness(t, nil, "prefill west", "decode west")
+	r.dispatcher.frontend.MaxConnections = 8
+	running := r.ask("explain")
+	r.endpoints[1].serve = func(c *fakeConn) {
+		streamFirstEvent(c)
+		c.after(3*eventloop.Second, c.finishStream)
+	}
+	r.world.Run(100 * eventloop.Millisecond)
+	var idle []*silentClient
+	for range 7 {
+		idle = append(idle, r.connectSilently())
+	}
+	r.world.Run(100 * eventloop.Millisecond)
+	c := r.ask("explain")
+	r.runUntil(eventloop.Second, func() bool { return len(c.finals) > 0 })
+	if len(c.finals) != 1 || c.finals[0] != "throttled" || c.head.KeepAlive() || r.endpoints[0].attempts() != 1 {
+		t.Errorf("past the clients' part: %v, keeps the connection: %v, %d attempts",
+			c.finals, c.head.KeepAlive(), r.endpoints[0].attempts())
+	}
+	for range 4 {
+		r.connectSilently()
+	}
+	c = r.ask("explain")
+	r.runUntil(eventloop.Second, func() bool { return c.closed })
+	if len(c.finals) != 1 || c.finals[0] != "throttled" || r.virtual().OpenConnections() > 16 {
+		t.Errorf("past an eighth more: %v, %d connections", c.finals, r.virtual().OpenConnections())
+	}
+	r.world.Run(2 * eventloop.Second)
+	r.ask("explain") // an idle one is closed for it
+	r.world.Run(100 * eventloop.Millisecond)
+	if !idle[0].closed {
+		t.Error("the connection that was idle for longest is still open")
+	}
+	for _, client := range idle {
+		r.remote.Do(client.conn.Abort)
+	}
+	r.expectFinal(running, "streamed")
+	r.endpoints[1].serve = answerDecode
+	r.world.Run(8 * eventloop.Second)
+	r.dispatcher.frontend.MaxConnections = 40
+	r.expectFinal(r.ask("explain"), "streamed")
+}
+
+// Bodies that wait with their requests, and bodies that never end, are buffered up to a bound in all; past it requests
+// are rejected and nothing of them is buffered. The memory comes back, and so does the service.
+func TestBufferedBodiesAreBounded(t *testing.T) {
+	const maxBody, bodySize, clients = 20000, 19000, 120
+	text := strings.Repeat("a", bodySize-200)
+	completeBody := `{"model":"explain","stream":true,"messages":[{"role":"user","content":"` + text + `"}]}`
+	endlessRequest := "POST /v1/chat/completions HTTP/1.1\r\nHost: x\r\nAuthorization: Bearer " + key +
+		"\r\nContent-Type: application/json\r\nContent-Length: 20000\r\n\r\n" + text
+	for _, complete := range []bool{true, false} {
+		r := newHarness(t, func(d deployment.Deployment) { d.Doors.BodyMost = maxBody }, "prefill west", "decode west")
+		r.updateEndpoints(r.endpoints[1].entry("gone"))
+		bound, most := maxBufferedBodies*maxBody, 0
+		var calls []*clientCall
+		for range clients {
+			if complete {
+				calls = append(calls, r.send(completeBody))
+			} else {
+				calls = append(calls, r.dial(r.newClientCall([]byte(endlessRequest))))
+			}
+			r.world.Run(5 * eventloop.Millisecond)
+			most = max(most, r.dispatcher.frontend.BufferedBytes)
+		}
+		r.world.Run(100 * eventloop.Millisecond)
+		if most > bound || most < bound/2 {
+			t.Errorf("complete %v: %d bytes of bodies are buffered, %d may be", complete, most, bound)
+		}
+		if rejected := countFinals(calls, "throttled"); complete &&
+			(rejected < 40 || rejected > 70 || r.dispatcher.OpenRequests() > 70) {
+			t.Errorf("%d of %d are rejected, %d are open", rejected, clients, r.dispatcher.OpenRequests())
+		}
+		r.world.Run(15 * eventloop.Second)
+		if n := r.dispatcher.frontend.BufferedBytes; n != 0 {
+			t.Errorf("complete %v: %d bytes are counted at the end", complete, n)
+		}
+		r.updateEndpoints(r.endpoints[1].entry("ready"))
+		r.expectFinal(r.ask("explain"), "streamed")
+	}
+}
+
+// The answers that calls with many inputs are going to have are bounded too.
+func TestBatchAnswersAreBounded(t *testing.T) {
+	const inputs = 1900
+	r := newHarness(t, func(d deployment.Deployment) {
+		for _, p := range d.Products {
+			if p.Name == "embed" {
+				p.Dimensions, p.TimeLimitMs = 16384, 5000
+			}
+		}
+	}, "prefill west", "decode west")
+	r.endpoints[0].serve = neverAnswer
+	var calls []*clientCall
+	for i := range 4 {
+		var body strings.Builder
+		body.WriteString(`{"model":"embed","input":[`)
+		for n := range inputs {
+			fmt.Fprintf(&body, `"text %d %d",`, i, n+1)
+		}
+		fmt.Fprintf(&body, `"last %d"]}`, i)
+		calls = append(calls, r.post("/v1/embeddings", []byte(body.String())))
+	}
+	r.world.Run(500 * eventloop.Millisecond)
+	batches := &r.dispatcher.batches
+	if n := batches.answerBytes; n > maxBatchAnswerBytes || n < maxBatchAnswerBytes/3 {
+		t.Errorf("%d bytes of answers are going to be", n)
+	}
+	if f := calls[3].finals; len(f) != 1 || f[0] != "throttled" {
+		t.Errorf("the last call: %v", f)
+	}
+	r.world.Run(10 * eventloop.Second)
+	buffered := r.dispatcher.frontend.BufferedBytes
+	if batches.answerBytes != 0 || buffered != 0 || batches.openCalls != 0 {
+		t.Errorf("at the end %d bytes of answers, %d of bodies, %d calls", batches.answerBytes, buffered, batches.openCalls)
+	}
+	for i, c := range calls {
+		if len(c.finals) != 1 {
+			t.Errorf("call %d: %v", i, c.finals)
+		}
+	}
+}
--- a/internal/testbed/scenarios/builtin.go
+++ b/internal/testbed/scenarios/builtin.go
@@ -82,5 +82,5 @@
 
 // ReadScript parses a scenario's script.
 func ReadScript(name string, text []byte) (*pb.Day, error) {
-	return deployment.ReadDay(name, text, FaultKinds())
+	return deployment.ReadScenario(name, text, FaultKinds())
 }
--- a/internal/testbed/scenarios/virtual.go
+++ b/internal/testbed/scenarios/virtual.go
@@ -86,7 +86,7 @@
 		p.Reached = append(p.Reached, d.dispatcher.Coverage)
 		p.Usage = append(p.Usage, d.dispatcher.Usage()...)
 		leftOver += d.dispatcher.OpenRequests()
-		for _, line := range d.dispatcher.DescribeOpen() {
+		for _, line := range d.dispatcher.DescribeOpenRequests() {
 			p.report("%s", line)
 		}
 	}
@@ -99,7 +99,7 @@
 		if d.down || p.world.network.Now() < d.unavailableUntil+recoveryGrace {
 			continue
 		}
-		if err := d.dispatcher.Check(); err != nil {
+		if err := d.dispatcher.CheckInvariants(); err != nil {
 			return fmt.Errorf("dispatcher %s: %w", d.target.Name, err)
 		}
 	}
@@ -111,7 +111,7 @@
 	for _, d := range p.world.dispatchers {
 		lines = append(lines, d.target.Name)
 		if !d.down {
-			lines = append(lines, d.dispatcher.DescribeOpen()...)
+			lines = append(lines, d.dispatcher.DescribeOpenRequests()...)
 		}
 	}
 	return append(lines, p.fleet.Summary()...)
