--- a/internal/admin/admin_test.go
+++ b/internal/admin/admin_test.go
@@ -154,8 +154,9 @@
 
 func (y *town) send(addr, method, target, key, body string, fields ...string) *call {
 	c := &call{w: y.w, began: y.w.Now(), parser: http1.Parser{Response: true, Limits: http1.DefaultLimits}, events: sse.Parser{MaxEventBytes: 1 << 20}}
-	c.request = http1.AppendRequest(nil, method, target, addr, []byte(body), append(fields, "Authorization", "Bearer "+key, "Content-Type",
-		"application/json", "Connection", "close")...)
+	c.request = http1.AppendRequest(nil, http1.Request{Method: method, Target: target, Host: addr, Body: []byte(body)},
+		append(fields, "Authorization", "Bearer "+key, "Content-Type",
+			"application/json", "Connection", "close")...)
 	y.far.Do(func() { c.conn = y.far.Dial(addr, eventloop.Second, c) })
 	return c
 }
--- a/internal/admin/room_test.go
+++ b/internal/admin/room_test.go
@@ -109,7 +109,8 @@
 func TestFollowerThatDoesNotRead(t *testing.T) {
 	y := newTown(t, 1)
 	c := &call{w: y.w, parser: http1.Parser{Response: true, Limits: http1.DefaultLimits}, events: sse.Parser{MaxEventBytes: 64 << 20}}
-	c.request = http1.AppendRequest(nil, "GET", "/internal/v1/tenants?epoch=&since=0", y.addr, nil, "Authorization", "Bearer "+dispatch.FeedToken(secret))
+	c.request = http1.AppendRequest(nil, http1.Request{Method: "GET", Target: "/internal/v1/tenants?epoch=&since=0", Host: y.addr},
+		"Authorization", "Bearer "+dispatch.FeedToken(secret))
 	y.far.Do(func() { c.conn = y.far.Dial(y.addr, eventloop.Second, c) })
 	y.w.Run(100 * eventloop.Millisecond)
 	y.far.Do(func() { c.conn.Pause(true) })
--- a/internal/cli/bench.go
+++ b/internal/cli/bench.go
@@ -214,8 +214,9 @@
 
 func (m *measured) askOf(model, id string, most int, first, token func(), end func(bool), fields ...string) *benchAsk {
 	a := &benchAsk{parser: http1.Parser{Response: true, Limits: http1.DefaultLimits}, events: sse.Parser{MaxEventBytes: 1 << 20}, first: first, token: token, end: end}
-	a.request = http1.AppendRequest(nil, "POST", "/v1/chat/completions", m.api, m.body(model, most), append(fields, "Authorization", "Bearer "+m.key,
-		"Content-Type", "application/json", "x-client-request-id", id, "Connection", "close")...)
+	a.request = http1.AppendRequest(nil, http1.Request{Method: "POST", Target: "/v1/chat/completions", Host: m.api, Body: m.body(model, most)},
+		append(fields, "Authorization", "Bearer "+m.key,
+			"Content-Type", "application/json", "x-client-request-id", id, "Connection", "close")...)
 	a.conn = m.asks.Dial(m.api, 5*eventloop.Second, a)
 	return a
 }
--- a/internal/dispatch/batches_test.go
+++ b/internal/dispatch/batches_test.go
@@ -46,8 +46,9 @@
 // post sends a whole body to a URL.
 func (r *rig) post(path string, body []byte, fields ...string) *call {
 	c := &call{r: r, parser: http1.Parser{Response: true, Limits: http1.DefaultLimits}, events: sse.Parser{MaxEventBytes: 1 << 20}}
-	c.request = http1.AppendRequest(nil, "POST", path, r.addr, body, append([]string{
-		"Authorization", "Bearer " + key, "Content-Type", "application/json"}, fields...)...)
+	c.request = http1.AppendRequest(nil, http1.Request{Method: "POST", Target: path, Host: r.addr, Body: body},
+		append([]string{
+			"Authorization", "Bearer " + key, "Content-Type", "application/json"}, fields...)...)
 	r.far.Do(func() { c.conn = r.far.Dial(r.addr, eventloop.Second, c) })
 	return c
 }
--- a/internal/dispatch/rig_test.go
+++ b/internal/dispatch/rig_test.go
@@ -295,8 +295,9 @@
 
 func (r *rig) send(body string, fields ...string) *call {
 	c := &call{r: r, parser: http1.Parser{Response: true, Limits: http1.DefaultLimits}, events: sse.Parser{MaxEventBytes: 1 << 20}}
-	c.request = http1.AppendRequest(nil, "POST", "/v1/chat/completions", r.addr, []byte(body), append([]string{
-		"Authorization", "Bearer " + key, "Content-Type", "application/json"}, fields...)...)
+	c.request = http1.AppendRequest(nil, http1.Request{Method: "POST", Target: "/v1/chat/completions", Host: r.addr, Body: []byte(body)},
+		append([]string{
+			"Authorization", "Bearer " + key, "Content-Type", "application/json"}, fields...)...)
 	r.far.Do(func() { c.conn = r.far.Dial(r.addr, eventloop.Second, c) })
 	return c
 }
--- a/internal/dispatch/room_test.go
+++ b/internal/dispatch/room_test.go
@@ -352,7 +352,8 @@
 	}
 	post := func(i int) *call {
 		c := &call{r: r, parser: http1.Parser{Response: true, Limits: http1.DefaultLimits}, events: sse.Parser{MaxEventBytes: 1 << 20}}
-		c.request = http1.AppendRequest(nil, "POST", "/v1/embeddings", r.addr, []byte(numbered(i)), "Authorization", "Bearer "+key, "Content-Type", "application/json")
+		c.request = http1.AppendRequest(nil, http1.Request{Method: "POST", Target: "/v1/embeddings", Host: r.addr, Body: []byte(numbered(i))},
+			"Authorization", "Bearer "+key, "Content-Type", "application/json")
 		r.far.Do(func() { c.conn = r.far.Dial(r.addr, eventloop.Second, c) })
 		return c
 	}
--- a/internal/engine/chat.go
+++ b/internal/engine/chat.go
@@ -46,7 +46,8 @@
 		o.MemoryUsage = 0 // as its head reports
 		return o
 	}, Request: func(addr string, _ eventloop.Micros) []byte {
-		return http1.AppendRequest(nil, "POST", path, addr, body, "Content-Type", "application/json", "x-request-id", name,
+		return http1.AppendRequest(nil, http1.Request{Method: "POST", Target: path, Host: addr, Body: body},
+			"Content-Type", "application/json", "x-request-id", name,
 			"x-client-request-id", clientID, "x-dispatcher", e.name, "x-zone", e.zone)
 	}}, allow, hear)
 }
@@ -72,7 +73,8 @@
 			body = append(append(body, ','), ask.Rest...)
 		}
 		body = append(body, '}')
-		return http1.AppendRequest(nil, "POST", "/v1/chat/completions", addr, body, "Content-Type",
+		return http1.AppendRequest(nil, http1.Request{Method: "POST", Target: "/v1/chat/completions", Host: addr, Body: body},
+			"Content-Type",
 			"application/json", "x-request-id", name, "x-client-request-id", clientID, "x-dispatcher", e.name, "x-zone", e.zone)
 	}}, allow, hear)
 }
--- a/internal/engine/engine_test.go
+++ b/internal/engine/engine_test.go
@@ -32,7 +32,7 @@
 			e := New(own, "d", "", Limits{Connect: eventloop.Second, Idle: eventloop.Second, PerEndpoint: 4, Opening: 4})
 			e.SetAddress(1, ln.Addr())
 			e.Call(1, Call{Request: func(addr string, _ eventloop.Micros) []byte {
-				return http1.AppendRequest(nil, "POST", "/", addr, make([]byte, size))
+				return http1.AppendRequest(nil, http1.Request{Method: "POST", Target: "/", Host: addr, Body: make([]byte, size)})
 			}},
 				300*eventloop.Millisecond, Callbacks{Ended: func(o Result) { got = append(got, o) }})
 		})
@@ -57,7 +57,9 @@
 	var took []eventloop.Micros
 	call := func() {
 		began := w.Now()
-		e.Call(1, Call{Request: func(addr string, _ eventloop.Micros) []byte { return http1.AppendRequest(nil, "POST", "/", addr, nil) }},
+		e.Call(1, Call{Request: func(addr string, _ eventloop.Micros) []byte {
+			return http1.AppendRequest(nil, http1.Request{Method: "POST", Target: "/", Host: addr})
+		}},
 			5*eventloop.Second, Callbacks{Ended: func(o Result) {
 				if took = append(took, w.Now()-began); o.Outcome != scheduler.Unreachable {
 					t.Errorf("it ended %d: %s", o.Outcome, o.Reason)
--- a/internal/engine/release.go
+++ b/internal/engine/release.go
@@ -69,7 +69,7 @@
 		return Result{Outcome: scheduler.Errored}
 	}
 	e.call(h, Call{Release: true, MaxBody: answerMost, Answer: answer, Request: func(addr string, _ eventloop.Micros) []byte {
-		return http1.AppendRequest(nil, "POST", "/v1/kv/release", addr, []byte(`{"request_ids":["`+strings.Join(names, `","`)+`"]}`),
+		return http1.AppendRequest(nil, http1.Request{Method: "POST", Target: "/v1/kv/release", Host: addr, Body: []byte(`{"request_ids":["` + strings.Join(names, `","`) + `"]}`)},
 			"Content-Type", "application/json", "x-dispatcher", e.name, "x-zone", e.zone)
 	}}, within, Callbacks{Ended: func(o Result) { done(o.Outcome == scheduler.PrefillDone) }})
 }
--- /dev/null
+++ b/internal/http1/errors.go
@@ -0,0 +1,50 @@
+package http1
+
+import (
+	"errors"
+	"fmt"
+	"net/http"
+)
+
+// The kinds of protocol errors, for errors.Is.
+var (
+	ErrMalformed          = errors.New("malformed message")
+	ErrTruncated          = errors.New("truncated message")
+	ErrHeadTooLarge       = errors.New("message head too large")
+	ErrBodyTooLarge       = errors.New("message body too large")
+	ErrUnsupportedVersion = errors.New("unsupported protocol version")
+	ErrUnsupportedCoding  = errors.New("unsupported transfer coding")
+)
+
+// ProtocolError is the error of a message that can't be parsed. Its text is meant for the sender of the message.
+type ProtocolError struct {
+	Status int // the status code with which a server answers such a request
+	Reason string
+	kind   error // one of the errors above
+}
+
+// Error returns the reason.
+func (e *ProtocolError) Error() string { return e.Reason }
+
+// Unwrap returns the kind of the error, such as ErrBodyTooLarge.
+func (e *ProtocolError) Unwrap() error { return e.kind }
+
+func protocolError(kind error, format string, args ...any) *ProtocolError {
+	return &ProtocolError{Status: statusOf(kind), Reason: fmt.Sprintf(format, args...), kind: kind}
+}
+
+// statusOf returns the status code that stands for a kind of error.
+func statusOf(kind error) int {
+	switch kind {
+	case ErrHeadTooLarge:
+		return http.StatusRequestHeaderFieldsTooLarge
+	case ErrBodyTooLarge:
+		return http.StatusRequestEntityTooLarge
+	case ErrUnsupportedVersion:
+		return http.StatusHTTPVersionNotSupported
+	case ErrUnsupportedCoding:
+		return http.StatusNotImplemented
+	default:
+		return http.StatusBadRequest
+	}
+}
--- /dev/null
+++ b/internal/http1/head.go
@@ -0,0 +1,233 @@
+package http1
+
+import (
+	"bytes"
+	"net/http"
+	"strconv"
+	"strings"
+)
+
+const (
+	protocolPrefix = "HTTP/1." // a digit follows, the minor version
+	// maxReusedHeadBytes is how large a buffer for heads may be to be reused; an idle connection keeps none larger.
+	maxReusedHeadBytes = 4 << 10
+	// lengthBits limits the declared length of a body: those of 2^62 bytes and more are malformed.
+	lengthBits = 62
+)
+
+var headEnd = []byte("\r\n\r\n")
+
+// head collects the bytes of a head and parses it once it is complete. It returns what follows.
+func (p *Parser) head(b []byte, handler Handler) (rest []byte, err error) {
+	if len(p.partial) == 0 {
+		if b = p.skipEmptyLines(b); len(b) == 0 {
+			return nil, nil
+		}
+	}
+	text, rest, complete, err := p.collectHead(b)
+	if err != nil || !complete {
+		return nil, err
+	}
+	h, err := p.parseHead(text)
+	if err != nil {
+		return nil, err
+	}
+	p.partial = p.partial[:0]
+	if cap(p.partial) > maxReusedHeadBytes {
+		p.partial = nil
+	}
+	if p.Response && h.Status < http.StatusOK && h.Status != http.StatusSwitchingProtocols {
+		return rest, nil // an interim response
+	}
+	if err := p.framing(h); err != nil {
+		return nil, err
+	}
+	if err := handler.Head(h); err != nil {
+		return nil, err
+	}
+	if p.state == inBody && p.left == 0 {
+		return rest, p.end(handler, len(rest))
+	}
+	return rest, nil
+}
+
+// skipEmptyLines drops the empty lines that may precede a request line.
+func (p *Parser) skipEmptyLines(b []byte) []byte {
+	if p.Response {
+		return b
+	}
+	return bytes.TrimLeft(b, "\r\n")
+}
+
+// collectHead appends to the head that has arrived so far. Once it is complete, its text without the empty line at
+// the end is returned, and the bytes that follow it.
+func (p *Parser) collectHead(b []byte) (text string, rest []byte, complete bool, err error) {
+	before := len(p.partial)
+	limit := p.Limits.HeadBytes + len(headEnd)
+	taken := b[:min(len(b), max(limit-before, 0))]
+	p.partial = append(p.partial, taken...)
+	if n := min(len(p.partial), len(protocolPrefix)); p.Response && string(p.partial[:n]) != protocolPrefix[:n] {
+		// Reported at once, as bytes that are not HTTP may never contain the end of a head.
+		return "", nil, false, protocolError(ErrMalformed, "no status line but %.20q", p.partial)
+	}
+	from := max(before-len(headEnd)+1, 0)
+	at := bytes.Index(p.partial[from:], headEnd)
+	if at < 0 {
+		if len(taken) < len(b) || len(p.partial) >= limit {
+			return "", nil, false, protocolError(ErrHeadTooLarge, "the head is larger than %d bytes", p.Limits.HeadBytes)
+		}
+		return "", nil, false, nil
+	}
+	at += from
+	return string(p.partial[:at]), b[at+len(headEnd)-before:], true, nil
+}
+
+func (p *Parser) parseHead(text string) (*Head, error) {
+	startLine, fields, _ := strings.Cut(text, "\r\n")
+	h := &Head{}
+	if err := p.parseStartLine(h, startLine); err != nil {
+		return nil, err
+	}
+	for fields != "" {
+		var line string
+		line, fields, _ = strings.Cut(fields, "\r\n")
+		field, err := parseField(line)
+		if err != nil {
+			return nil, err
+		}
+		if h.Fields = append(h.Fields, field); len(h.Fields) > p.Limits.FieldCount {
+			return nil, protocolError(ErrHeadTooLarge, "more than %d fields", p.Limits.FieldCount)
+		}
+	}
+	return h, nil
+}
+
+func (p *Parser) parseStartLine(h *Head, line string) error {
+	if p.Response {
+		return h.parseStatusLine(line)
+	}
+	return h.parseRequestLine(line)
+}
+
+func (h *Head) parseStatusLine(line string) error {
+	protocol, code, ok := strings.Cut(line, " ")
+	if !ok || len(code) < 3 {
+		return protocolError(ErrMalformed, "malformed status line %.40q", line)
+	}
+	status, err := strconv.Atoi(code[:3])
+	if err != nil || status < http.StatusContinue {
+		return protocolError(ErrMalformed, "malformed status %.40q", line)
+	}
+	h.Status = status
+	if !h.parseVersion(protocol) {
+		return protocolError(ErrMalformed, "unknown protocol %.20q", protocol)
+	}
+	return nil
+}
+
+func (h *Head) parseRequestLine(line string) error {
+	parts := strings.Split(line, " ")
+	if len(parts) != 3 || parts[1] == "" || !isToken(parts[0]) {
+		return protocolError(ErrMalformed, "malformed request line %.40q", line)
+	}
+	h.Method, h.Target = parts[0], parts[1]
+	if !h.parseVersion(parts[2]) {
+		return protocolError(ErrUnsupportedVersion, "unknown protocol %.20q", parts[2])
+	}
+	return nil
+}
+
+func (h *Head) parseVersion(protocol string) bool {
+	minor, ok := strings.CutPrefix(protocol, protocolPrefix)
+	if !ok || len(minor) != 1 || !isDigit(minor[0]) {
+		return false
+	}
+	h.MinorVersion = int(minor[0] - '0')
+	return true
+}
+
+func parseField(line string) (Field, error) {
+	name, value, ok := strings.Cut(line, ":")
+	if !ok || !isToken(name) {
+		return Field{}, protocolError(ErrMalformed, "malformed field %.40q", line)
+	}
+	value = strings.Trim(value, " \t")
+	if strings.ContainsAny(value, "\r\n\x00") {
+		return Field{}, protocolError(ErrMalformed, "a control byte in field %q", name)
+	}
+	return Field{name, value}, nil
+}
+
+// isToken reports whether a text is a token by RFC 9110, as methods and field names must be.
+func isToken(s string) bool {
+	for i := range len(s) {
+		if c := s[i]; !isLetter(c) && !isDigit(c) && strings.IndexByte("!#$%&'*+-.^_`|~", c) < 0 {
+			return false
+		}
+	}
+	return s != ""
+}
+
+func isLetter(c byte) bool { return c >= 'a' && c <= 'z' || c >= 'A' && c <= 'Z' }
+
+func isDigit(c byte) bool { return c >= '0' && c <= '9' }
+
+// framing finds out how the body of a message is delimited, and sets the state to parse it.
+func (p *Parser) framing(h *Head) error {
+	length, coding, err := framingFields(h)
+	if err != nil {
+		return err
+	}
+	p.bodyRead, p.bodyLimit = 0, p.Limits.BodyBytes
+	if p.Limits.BodyBytesFor != nil {
+		p.bodyLimit = p.Limits.BodyBytesFor(h.Target)
+	}
+	switch {
+	case coding != "" && length != "":
+		return protocolError(ErrMalformed, "both a length and a transfer coding")
+	case coding == "chunked":
+		p.state, h.ContentLength = inChunkSize, UnknownLength
+	case coding != "":
+		return protocolError(ErrUnsupportedCoding, "unknown transfer coding %.20q", coding)
+	case p.Response && (h.Status == http.StatusNoContent || h.Status == http.StatusNotModified):
+		p.state, p.left = inBody, 0
+	case length != "":
+		return p.declaredLength(h, length)
+	case p.Response:
+		p.state, h.ContentLength = untilClose, UnknownLength
+	default:
+		p.state, p.left = inBody, 0
+	}
+	return nil
+}
+
+// framingFields returns the values of Content-Length and Transfer-Encoding. A length may be repeated if it is the same.
+func framingFields(h *Head) (length, coding string, err error) {
+	for _, f := range h.Fields {
+		switch {
+		case strings.EqualFold(f.Name, "Content-Length"):
+			if length != "" && length != f.Value {
+				return "", "", protocolError(ErrMalformed, "two lengths, %.20q and %.20q", length, f.Value)
+			}
+			length = f.Value
+		case strings.EqualFold(f.Name, "Transfer-Encoding"):
+			if coding != "" {
+				return "", "", protocolError(ErrMalformed, "two transfer codings")
+			}
+			coding = strings.ToLower(f.Value)
+		}
+	}
+	return length, coding, nil
+}
+
+func (p *Parser) declaredLength(h *Head, length string) error {
+	n, err := strconv.ParseUint(length, 10, lengthBits)
+	if err != nil {
+		return protocolError(ErrMalformed, "malformed length %.20q", length)
+	}
+	if !p.Response && n > uint64(p.bodyLimit) {
+		return protocolError(ErrBodyTooLarge, "the body of %d bytes is larger than %d", n, p.bodyLimit)
+	}
+	p.state, p.left, h.ContentLength = inBody, int64(n), int64(n)
+	return nil
+}
--- a/internal/http1/parser_test.go
+++ b/internal/http1/parser_test.go
@@ -7,107 +7,143 @@
 	"testing"
 )
 
-type heard struct {
+// recorder is a Handler that writes down what it is given.
+type recorder struct {
 	log  []string
 	body []byte
 }
 
-func (h *heard) Head(head *Head) error {
-	h.log = append(h.log, fmt.Sprintf("%s%s %d %d", head.Method, head.Target, head.Status, len(head.Fields)))
-	h.body = nil
+func (r *recorder) Head(head *Head) error {
+	r.log = append(r.log, fmt.Sprintf("%s%s %d %d", head.Method, head.Target, head.Status, len(head.Fields)))
+	r.body = nil
 	return nil
 }
-func (h *heard) Body(b []byte) error { h.body = append(h.body, b...); return nil }
-func (h *heard) End() error          { h.log = append(h.log, "end "+string(h.body)); return nil }
 
-// feed cuts the text into pieces of some size.
-func feed(text string, size int, response bool) (string, error) {
+func (r *recorder) Body(b []byte) error {
+	r.body = append(r.body, b...)
+	return nil
+}
+
+func (r *recorder) End() error {
+	r.log = append(r.log, "end "+string(r.body))
+	return nil
+}
+
+// parse feeds the text to a parser in pieces of a size, closes it, and returns what the handler was given.
+func parse(text string, size int, response bool) (string, error) {
 	p := Parser{Response: response, Limits: Limits{HeadBytes: 200, FieldCount: 5, BodyBytes: 50}}
-	h := &heard{}
+	r := &recorder{}
 	var err error
 	for b := []byte(text); len(b) > 0 && err == nil; {
 		n := min(size, len(b))
-		err = p.Feed(b[:n], h)
+		err = p.Feed(b[:n], r)
 		b = b[n:]
 	}
 	if err == nil {
-		err = p.Close(h)
+		err = p.Close(r)
 	}
-	return strings.Join(h.log, "|"), err
+	return strings.Join(r.log, "|"), err
 }
 
-func TestMessages(t *testing.T) {
-	for _, c := range []struct {
-		text     string
-		response bool
-		want     string
-		status   int
-	}{
-		{"GET /a HTTP/1.1\r\nHost: x\r\n\r\n", false, "GET/a 0 1|end ", 0},
-		{"\r\nPOST /a HTTP/1.1\r\nContent-Length: 3\r\n\r\nabcGET /b HTTP/1.0\r\n\r\n", false, "POST/a 0 1|end abc|GET/b 0 0|end ", 0},
-		{"POST /a HTTP/1.1\r\nTransfer-Encoding: Chunked\r\n\r\n3;x=y\r\nabc\r\n2\r\nde\r\n0\r\nT: v\r\n\r\n", false, "POST/a 0 1|end abcde", 0},
-		{"POST / HTTP/1.1\r\nContent-Length: 3\r\nContent-Length: 3\r\n\r\nabc", false, "POST/ 0 2|end abc", 0},
-		{"POST / HTTP/1.1\r\nContent-Length: 3\r\nContent-Length: 4\r\n\r\nabc", false, "", 400},
-		{"POST / HTTP/1.1\r\nContent-Length: -3\r\n\r\n", false, "", 400},
-		{"POST / HTTP/1.1\r\nContent-Length: 3, 3\r\n\r\n", false, "", 400},
-		{"POST / HTTP/1.1\r\nContent-Length: 51\r\n\r\n", false, "", 413},
-		{"POST / HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\nzz\r\n", false, "POST/ 0 1", 400},
-		{"POST / HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n3\r\nabcd\r\n", false, "POST/ 0 1", 400},
-		{"POST / HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n3\nabc", false, "POST/ 0 1", 400},
-		{"POST / HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n33\r\n" + strings.Repeat("a", 60), false, "POST/ 0 1", 413},
-		{"POST / HTTP/1.1\r\nTransfer-Encoding: gzip\r\n\r\n", false, "", 501},
-		{"POST / HTTP/1.1\r\nTransfer-Encoding: chunked\r\nContent-Length: 3\r\n\r\n", false, "", 400},
-		{"GET / HTTP/2.0\r\n\r\n", false, "", 505},
-		{"GET  / HTTP/1.1\r\n\r\n", false, "", 400},
-		{"GET / HTTP/1.1\r\nA : b\r\n\r\n", false, "", 400},
-		{"GET / HTTP/1.1\r\n folded\r\n\r\n", false, "", 400},
-		{"GET / HTTP/1.1\r\nA: b\x00c\r\n\r\n", false, "", 400},
-		{"GET / HTTP/1.1\r\nA: " + strings.Repeat("b", 300), false, "", 431},
-		{"GET / HTTP/1.1\r\n" + strings.Repeat("A: b\r\n", 6) + "\r\n", false, "", 431},
-		{"GET / HTTP/1.1\r\nA: b\r\n", false, "", 400},
-		{"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nhi", true, " 200 1|end hi", 0},
-		{"HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 204 None\r\n\r\n", true, " 204 0|end ", 0},
-		{"HTTP/1.1 200 OK\r\n\r\nuntil the close", true, " 200 0|end until the close", 0},
-		{"HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nshort", true, " 200 1", 400},
-		{"HTTP/1.1 20\r\n\r\n", true, "", 400},
-	} {
-		for _, size := range []int{1, 2, 7, 1000} {
-			got, err := feed(c.text, size, c.response)
-			var f *ProtocolError
-			status := 0
-			if errors.As(err, &f) {
-				status = f.Status
-			}
-			if got != c.want || status != c.status {
-				t.Errorf("%.60q in pieces of %d: %q, %v; want %q, %d", c.text, size, got, err, c.want, c.status)
-			}
+type parserTest struct {
+	text string
+	want string
+	// Of the error, if one is expected.
+	status int
+	kind   error
+}
+
+func (test parserTest) run(t *testing.T, response bool) {
+	t.Helper()
+	for _, size := range []int{1, 2, 7, 1000} {
+		got, err := parse(test.text, size, response)
+		status := 0
+		var protocol *ProtocolError
+		if errors.As(err, &protocol) {
+			status = protocol.Status
+		}
+		if got != test.want || status != test.status || !errors.Is(err, test.kind) {
+			t.Errorf("%.60q in pieces of %d: %q, %v; want %q, %d, %v",
+				test.text, size, got, err, test.want, test.status, test.kind)
 		}
 	}
 }
 
-// However the bytes are cut, the same is read from them.
-func FuzzParser(f *testing.F) {
-	f.Add([]byte("POST /a HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n3;x=y\r\nabc\r\n0\r\n\r\nGET / HTTP/1.1\r\n\r\n"), 3, false)
+const chunkedHead = "POST / HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n"
+
+func TestParserReadsRequestsHoweverTheyAreCut(t *testing.T) {
+	for _, test := range []parserTest{
+		{text: "GET /a HTTP/1.1\r\nHost: x\r\n\r\n", want: "GET/a 0 1|end "},
+		{text: "\r\nPOST /a HTTP/1.1\r\nContent-Length: 3\r\n\r\nabcGET /b HTTP/1.0\r\n\r\n",
+			want: "POST/a 0 1|end abc|GET/b 0 0|end "},
+		{text: "POST /a HTTP/1.1\r\nTransfer-Encoding: Chunked\r\n\r\n3;x=y\r\nabc\r\n2\r\nde\r\n0\r\nT: v\r\n\r\n",
+			want: "POST/a 0 1|end abcde"},
+		{text: "POST / HTTP/1.1\r\nContent-Length: 3\r\nContent-Length: 3\r\n\r\nabc", want: "POST/ 0 2|end abc"},
+	} {
+		test.run(t, false)
+	}
+}
+
+func TestParserRejectsRequestsHoweverTheyAreCut(t *testing.T) {
+	for _, test := range []parserTest{
+		{"POST / HTTP/1.1\r\nContent-Length: 3\r\nContent-Length: 4\r\n\r\nabc", "", 400, ErrMalformed},
+		{"POST / HTTP/1.1\r\nContent-Length: -3\r\n\r\n", "", 400, ErrMalformed},
+		{"POST / HTTP/1.1\r\nContent-Length: 3, 3\r\n\r\n", "", 400, ErrMalformed},
+		{"POST / HTTP/1.1\r\nContent-Length: 51\r\n\r\n", "", 413, ErrBodyTooLarge},
+		{chunkedHead + "zz\r\n", "POST/ 0 1", 400, ErrMalformed},
+		{chunkedHead + "3\r\nabcd\r\n", "POST/ 0 1", 400, ErrMalformed},
+		{chunkedHead + "3\nabc", "POST/ 0 1", 400, ErrMalformed},
+		{chunkedHead + "33\r\n" + strings.Repeat("a", 60), "POST/ 0 1", 413, ErrBodyTooLarge},
+		{"POST / HTTP/1.1\r\nTransfer-Encoding: gzip\r\n\r\n", "", 501, ErrUnsupportedCoding},
+		{"POST / HTTP/1.1\r\nTransfer-Encoding: chunked\r\nContent-Length: 3\r\n\r\n", "", 400, ErrMalformed},
+		{"GET / HTTP/2.0\r\n\r\n", "", 505, ErrUnsupportedVersion},
+		{"GET  / HTTP/1.1\r\n\r\n", "", 400, ErrMalformed},
+		{"GET / HTTP/1.1\r\nA : b\r\n\r\n", "", 400, ErrMalformed},
+		{"GET / HTTP/1.1\r\n folded\r\n\r\n", "", 400, ErrMalformed},
+		{"GET / HTTP/1.1\r\nA: b\x00c\r\n\r\n", "", 400, ErrMalformed},
+		{"GET / HTTP/1.1\r\nA: " + strings.Repeat("b", 300), "", 431, ErrHeadTooLarge},
+		{"GET / HTTP/1.1\r\n" + strings.Repeat("A: b\r\n", 6) + "\r\n", "", 431, ErrHeadTooLarge},
+		{"GET / HTTP/1.1\r\nA: b\r\n", "", 400, ErrTruncated},
+	} {
+		test.run(t, false)
+	}
+}
+
+func TestParserReadsResponsesHoweverTheyAreCut(t *testing.T) {
+	for _, test := range []parserTest{
+		{text: "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nhi", want: " 200 1|end hi"},
+		{text: "HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 204 None\r\n\r\n", want: " 204 0|end "},
+		{text: "HTTP/1.1 200 OK\r\n\r\nuntil the close", want: " 200 0|end until the close"},
+		{"HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nshort", " 200 1", 400, ErrTruncated},
+		{"HTTP/1.1 20\r\n\r\n", "", 400, ErrMalformed},
+	} {
+		test.run(t, true)
+	}
+}
+
+func FuzzParserIsIndependentOfCuts(f *testing.F) {
+	f.Add([]byte("POST /a HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n3;x=y\r\nabc\r\n0\r\n\r\nGET / HTTP/1.1\r\n\r\n"),
+		3, false)
 	f.Add([]byte("HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nhiHTTP/1.1 204 x\r\n\r\n"), 1, true)
 	f.Add([]byte("GET / HTTP/1.1\r\nA: b\r\n\r\n\r\n"), 5, false)
 	f.Fuzz(func(t *testing.T, b []byte, size int, response bool) {
 		if size < 1 || size > 100 {
 			return
 		}
-		whole, err1 := feed(string(b), len(b)+1, response)
-		cut, err2 := feed(string(b), size, response)
-		if (err1 == nil) != (err2 == nil) || err1 == nil && whole != cut {
-			t.Errorf("whole: %q, %v; in pieces of %d: %q, %v", whole, err1, size, cut, err2)
+		whole, wholeErr := parse(string(b), len(b)+1, response)
+		cut, cutErr := parse(string(b), size, response)
+		if (wholeErr == nil) != (cutErr == nil) || wholeErr == nil && whole != cut {
+			t.Errorf("whole: %q, %v; in pieces of %d: %q, %v", whole, wholeErr, size, cut, cutErr)
 		}
 	})
 }
 
-// TestNoiseIsSeenAtOnce: what is no status line may never bring the end of a head.
-func TestNoiseIsSeenAtOnce(t *testing.T) {
+// Bytes that are no status line may never contain the end of a head, so that waiting for it would wait for ever.
+func TestResponseParserRejectsOtherProtocolsAtOnce(t *testing.T) {
 	for _, text := range []string{"\x01", "HTTP/2", "HTTX", "<html>"} {
 		p := Parser{Response: true, Limits: DefaultLimits}
-		if err := p.Feed([]byte(text), nil); err == nil {
-			t.Errorf("%q was waited for", text)
+		if err := p.Feed([]byte(text), nil); !errors.Is(err, ErrMalformed) {
+			t.Errorf("%q was waited for: %v", text, err)
 		}
 	}
 	p := Parser{Response: true, Limits: DefaultLimits}
@@ -117,3 +153,37 @@
 		}
 	}
 }
+
+// discard is a Handler that ignores what it is given.
+type discard struct{}
+
+func (discard) Head(*Head) error  { return nil }
+func (discard) Body([]byte) error { return nil }
+func (discard) End() error        { return nil }
+
+// BenchmarkParser parses a request with a body of known length, and a response in chunks.
+func BenchmarkParser(b *testing.B) {
+	request := []byte("POST /v1/chat/completions HTTP/1.1\r\nHost: 127.0.0.1:8080\r\nContent-Type: application/json\r\n" +
+		"Authorization: Bearer 0123456789abcdef\r\nContent-Length: 1024\r\n\r\n" + strings.Repeat("x", 1024))
+	response := []byte("HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\nTransfer-Encoding: chunked\r\n\r\n")
+	for range 64 {
+		response = append(response, "64\r\n"+strings.Repeat("y", 100)+"\r\n"...)
+	}
+	response = append(response, "0\r\n\r\n"...)
+	for _, run := range []struct {
+		name     string
+		message  []byte
+		response bool
+	}{{"request", request, false}, {"chunked response", response, true}} {
+		b.Run(run.name, func(b *testing.B) {
+			p := Parser{Response: run.response, Limits: DefaultLimits}
+			b.SetBytes(int64(len(run.message)))
+			b.ReportAllocs()
+			for b.Loop() {
+				if err := p.Feed(run.message, discard{}); err != nil {
+					b.Fatal(err)
+				}
+			}
+		})
+	}
+}
--- a/internal/http1/write.go
+++ b/internal/http1/write.go
@@ -1,55 +1,79 @@
 package http1
 
 import (
+	"net/http"
 	"strconv"
 	"strings"
 )
 
-var reasons = map[int]string{200: "OK", 201: "Created", 204: "No Content", 400: "Bad Request", 401: "Unauthorized",
-	403: "Forbidden", 404: "Not Found", 405: "Method Not Allowed", 408: "Request Timeout", 409: "Conflict",
-	413: "Content Too Large", 415: "Unsupported Media Type", 422: "Unprocessable Content", 429: "Too Many Requests",
-	431: "Request Header Fields Too Large", 500: "Internal Server Error", 501: "Not Implemented",
-	502: "Bad Gateway", 503: "Service Unavailable", 504: "Gateway Timeout", 505: "HTTP Version Not Supported"}
+// reasonPhrases are the phrases of status lines. They are not those of net/http, which names 413 and 422 otherwise.
+var reasonPhrases = map[int]string{
+	http.StatusOK:                          "OK",
+	http.StatusCreated:                     "Created",
+	http.StatusNoContent:                   "No Content",
+	http.StatusBadRequest:                  "Bad Request",
+	http.StatusUnauthorized:                "Unauthorized",
+	http.StatusForbidden:                   "Forbidden",
+	http.StatusNotFound:                    "Not Found",
+	http.StatusMethodNotAllowed:            "Method Not Allowed",
+	http.StatusRequestTimeout:              "Request Timeout",
+	http.StatusConflict:                    "Conflict",
+	http.StatusRequestEntityTooLarge:       "Content Too Large",
+	http.StatusUnsupportedMediaType:        "Unsupported Media Type",
+	http.StatusUnprocessableEntity:         "Unprocessable Content",
+	http.StatusTooManyRequests:             "Too Many Requests",
+	http.StatusRequestHeaderFieldsTooLarge: "Request Header Fields Too Large",
+	http.StatusInternalServerError:         "Internal Server Error",
+	http.StatusNotImplemented:              "Not Implemented",
+	http.StatusBadGateway:                  "Bad Gateway",
+	http.StatusServiceUnavailable:          "Service Unavailable",
+	http.StatusGatewayTimeout:              "Gateway Timeout",
+	http.StatusHTTPVersionNotSupported:     "HTTP Version Not Supported",
+}
+
+// Request is a request to be written: its start line, the Host field and its body.
+type Request struct {
+	Method, Target, Host string
+	Body                 []byte
+}
 
-// AppendRequest adds a request with a body of known length; fields come as name, value, name, value.
-func AppendRequest(b []byte, method, target, host string, body []byte, fields ...string) []byte {
-	b = append(b, method...)
+// AppendRequest appends a request to b. The other fields come as name, value, name, value; those without a value are
+// left out.
+func AppendRequest(b []byte, request Request, fields ...string) []byte {
+	b = append(b, request.Method...)
 	b = append(b, ' ')
-	b = append(b, target...)
+	b = append(b, request.Target...)
 	b = append(b, " HTTP/1.1\r\nHost: "...)
-	b = append(b, host...)
+	b = append(b, request.Host...)
 	b = append(b, "\r\n"...)
 	b = appendFields(b, fields)
-	if method != "GET" {
-		b = append(b, "Content-Length: "...)
-		b = strconv.AppendInt(b, int64(len(body)), 10)
-		b = append(b, "\r\n"...)
+	if request.Method != http.MethodGet {
+		b = appendContentLength(b, request.Body)
 	}
 	b = append(b, "\r\n"...)
-	return append(b, body...)
+	return append(b, request.Body...)
 }
 
-// AppendResponse adds a whole response.
+// AppendResponse appends a complete response to b; fields are as for AppendRequest.
 func AppendResponse(b []byte, status int, body []byte, fields ...string) []byte {
 	b = appendStatus(b, status)
 	b = appendFields(b, fields)
-	b = append(b, "Content-Length: "...)
-	b = strconv.AppendInt(b, int64(len(body)), 10)
-	b = append(b, "\r\n\r\n"...)
+	b = appendContentLength(b, body)
+	b = append(b, "\r\n"...)
 	return append(b, body...)
 }
 
-// AppendStreamHead adds the head of a response whose chunks follow.
+// AppendStreamHead appends the head of a response with a chunked body; fields are as for AppendRequest.
 func AppendStreamHead(b []byte, status int, fields ...string) []byte {
 	b = appendStatus(b, status)
 	b = appendFields(b, fields)
 	return append(b, "Transfer-Encoding: chunked\r\n\r\n"...)
 }
 
-// AppendChunk adds one chunk; AppendLastChunk closes the body.
+// AppendChunk appends one chunk of a body; an empty one is left out, as it would end the body.
 func AppendChunk(b, chunk []byte) []byte {
 	if len(chunk) == 0 {
-		return b // an empty chunk would end the body
+		return b
 	}
 	b = strconv.AppendInt(b, int64(len(chunk)), 16)
 	b = append(b, "\r\n"...)
@@ -57,28 +81,36 @@
 	return append(b, "\r\n"...)
 }
 
+// AppendLastChunk appends the end of a chunked body.
 func AppendLastChunk(b []byte) []byte { return append(b, "0\r\n\r\n"...) }
 
 func appendStatus(b []byte, status int) []byte {
 	b = append(b, "HTTP/1.1 "...)
 	b = strconv.AppendInt(b, int64(status), 10)
 	b = append(b, ' ')
-	b = append(b, reasons[status]...)
+	b = append(b, reasonPhrases[status]...)
+	return append(b, "\r\n"...)
+}
+
+func appendContentLength(b, body []byte) []byte {
+	b = append(b, "Content-Length: "...)
+	b = strconv.AppendInt(b, int64(len(body)), 10)
 	return append(b, "\r\n"...)
 }
 
 func appendFields(b []byte, fields []string) []byte {
 	for i := 0; i+1 < len(fields); i += 2 {
-		if fields[i+1] == "" {
+		name, value := fields[i], fields[i+1]
+		if value == "" {
 			continue
 		}
-		b = append(b, fields[i]...)
+		b = append(b, name...)
 		b = append(b, ": "...)
-		b = append(b, clean.Replace(fields[i+1])...)
+		b = append(b, valueSanitizer.Replace(value)...)
 		b = append(b, "\r\n"...)
 	}
 	return b
 }
 
-// clean guards against a value that would end its line and begin a field of its own.
-var clean = strings.NewReplacer("\r", " ", "\n", " ", "\x00", " ")
+// valueSanitizer replaces the bytes by which a value could end its line and begin a field of its own.
+var valueSanitizer = strings.NewReplacer("\r", " ", "\n", " ", "\x00", " ")
--- a/internal/platform/upstream/release.go
+++ b/internal/platform/upstream/release.go
@@ -86,7 +86,7 @@
 		r.open = r.open[1:]
 	}
 	call := engine.Call{Release: true, MaxBody: maxAnswer, Answer: confirmed, Request: func(addr string, _ eventloop.Micros) []byte {
-		return http1.AppendRequest(nil, "DELETE", "/v1/holds/"+r.id, addr, nil)
+		return http1.AppendRequest(nil, http1.Request{Method: "DELETE", Target: "/v1/holds/" + r.id, Host: addr})
 	}}
 	var attempt *engine.Attempt
 	attempt = l.Call(at, call, l.within, engine.Callbacks{Ended: func(o engine.Result) { r.answered(attempt, o) }})
--- a/internal/platform/upstream/upstream.go
+++ b/internal/platform/upstream/upstream.go
@@ -67,7 +67,7 @@
 		r.OnLeave(left)
 	}
 	fields := slices.Concat(r.Fields, []string{"Req-Deadline", strconv.FormatInt(int64(left), 10) + "u"})
-	return http1.AppendRequest(nil, "POST", r.Target, addr, r.Body, fields...)
+	return http1.AppendRequest(nil, http1.Request{Method: "POST", Target: r.Target, Host: addr, Body: r.Body}, fields...)
 }
 
 // declined are the answers by which a host states that it has not run the attempt; only these, with the field that says so, prove it.
--- a/internal/sse/sse.go
+++ b/internal/sse/sse.go
@@ -1,4 +1,9 @@
-// Package sse reads streamed events (text/event-stream) without any I/O, however their bytes are cut.
+// Package sse parses and writes server-sent events (text/event-stream). It does no I/O: the caller feeds a Parser the
+// bytes of a stream as they arrive, cut anywhere.
+//
+// A Parser owns the part of an event that has arrived; it has no timers and starts no goroutine. It relies on its
+// caller to feed it from one goroutine at a time, and never buffers more than its limit for one event. Of the fields
+// of an event only the data is read.
 package sse
 
 import (
@@ -6,51 +11,52 @@
 	"errors"
 )
 
-// Parser finds the data of each event; a comment or an event without data is passed over. Lines end with LF,
-// CRLF or CR, as the specification lets them.
+// ErrEventTooLong is the error of an event that exceeds Parser.MaxEventBytes.
+var ErrEventTooLong = errors.New("a streamed event is too long")
+
+var dataField = []byte("data")
+
+// Parser extracts the data of events. Comments and events without data are skipped. Lines end with LF, CRLF or CR, as
+// the specification allows. Its zero value with MaxEventBytes set is ready for use.
 type Parser struct {
-	MaxEventBytes int // bytes that one event may have
-	line          []byte
-	data          []byte
-	hasData       bool
-	wasCR         bool
-	EventCount    int // how many events there were
-}
+	MaxEventBytes int
+	EventCount    int // events parsed so far
 
-// ErrEventTooLong is an event beyond the bound.
-var ErrEventTooLong = errors.New("a streamed event is too long")
+	line    []byte // the part of a line that has arrived
+	data    []byte // of the event whose end has not arrived
+	hasData bool
+	afterCR bool // the last line ended with a CR: an LF that follows belongs to it
+}
 
-// Idle tells that no part of an event is waiting for its rest.
+// Idle reports whether no part of an event is waiting for its rest.
 func (p *Parser) Idle() bool { return len(p.line) == 0 && !p.hasData }
 
-// Feed takes the next bytes and calls each for every event that they complete; the data are the callee's
-// only until it returns. It stops at the first error.
-func (p *Parser) Feed(b []byte, each func(data []byte) error) error {
+// Feed parses the next bytes and calls handle for each event that they complete. The data are valid only until handle
+// returns. The first error of handle ends the parsing and is returned.
+func (p *Parser) Feed(b []byte, handle func(data []byte) error) error {
 	for len(b) > 0 {
-		if p.wasCR && b[0] == '\n' {
-			p.wasCR = false
+		if p.afterCR && b[0] == '\n' {
+			p.afterCR = false
 			b = b[1:]
 			continue
 		}
-		p.wasCR = false
+		p.afterCR = false
 		at := bytes.IndexAny(b, "\r\n")
 		if at < 0 {
-			if p.line = append(p.line, b...); len(p.line)+len(p.data) > p.MaxEventBytes {
-				return ErrEventTooLong
-			}
-			return nil
+			p.line = append(p.line, b...)
+			return p.checkLength(len(p.line))
 		}
 		line := b[:at]
 		if len(p.line) > 0 {
 			p.line = append(p.line, line...)
 			line = p.line
 		}
-		p.wasCR = b[at] == '\r'
+		p.afterCR = b[at] == '\r'
 		b = b[at+1:]
-		if len(line)+len(p.data) > p.MaxEventBytes {
-			return ErrEventTooLong
+		if err := p.checkLength(len(line)); err != nil {
+			return err
 		}
-		err := p.take(line, each)
+		err := p.completeLine(line, handle)
 		p.line = p.line[:0]
 		if err != nil {
 			return err
@@ -59,17 +65,18 @@
 	return nil
 }
 
-func (p *Parser) take(line []byte, each func([]byte) error) error {
+func (p *Parser) checkLength(lineBytes int) error {
+	if lineBytes+len(p.data) > p.MaxEventBytes {
+		return ErrEventTooLong
+	}
+	return nil
+}
+
+func (p *Parser) completeLine(line []byte, handle func([]byte) error) error {
 	if len(line) == 0 {
-		if !p.hasData {
-			return nil
-		}
-		data := p.data
-		p.data, p.hasData = p.data[:0], false
-		p.EventCount++
-		return each(data)
+		return p.completeEvent(handle)
 	}
-	value, ok := bytes.CutPrefix(line, []byte("data"))
+	value, ok := bytes.CutPrefix(line, dataField)
 	if !ok || len(value) > 0 && value[0] != ':' {
 		return nil
 	}
@@ -84,7 +91,17 @@
 	return nil
 }
 
-// Append adds one event, each line of its data as a line of its own.
+func (p *Parser) completeEvent(handle func([]byte) error) error {
+	if !p.hasData {
+		return nil
+	}
+	data := p.data
+	p.data, p.hasData = p.data[:0], false
+	p.EventCount++
+	return handle(data)
+}
+
+// Append appends one event to b, with each line of its data as a line of its own.
 func Append(b, data []byte) []byte {
 	for more := true; more; {
 		var line []byte
--- a/internal/subscribe/subscribe.go
+++ b/internal/subscribe/subscribe.go
@@ -193,7 +193,7 @@
 		return
 	}
 	fields := append([]string{"Accept", "text/event-stream"}, c.Fields...)
-	s.conn.Write(http1.AppendRequest(nil, "GET", c.Target(), c.addr, nil, fields...))
+	s.conn.Write(http1.AppendRequest(nil, http1.Request{Method: "GET", Target: c.Target(), Host: c.addr}, fields...))
 	if c.ResponseTimeout == 0 {
 		s.quiet.Set(c.loop, c.Silence, s.silent)
 	}
@@ -323,7 +323,8 @@
 // Post sends one message on a connection of its own and tells the status of the answer, 0 for none in time.
 func Post(loop eventloop.Loop, addr, target string, body []byte, within eventloop.Micros, done func(status int), fields ...string) {
 	p := &post{done: done, parser: http1.Parser{Response: true, Limits: http1.DefaultLimits}}
-	p.request = http1.AppendRequest(nil, "POST", target, addr, body, append(fields, "Content-Type", "application/json", "Connection", "close")...)
+	p.request = http1.AppendRequest(nil, http1.Request{Method: "POST", Target: target, Host: addr, Body: body},
+		append(fields, "Content-Type", "application/json", "Connection", "close")...)
 	p.timer = loop.AfterFunc(within, func() {
 		p.end(0)
 		p.conn.Abort()
--- a/internal/testbed/load/batch.go
+++ b/internal/testbed/load/batch.go
@@ -90,7 +90,8 @@
 		path, body = "/v1/rerank", `{"model":"`+b.Product.Name+`","query":"why?","documents":[`+strings.Join(c.inputs, ",")+`]}`
 	}
 	t := &batchTry{call: c, no: c.tries, name: target.Name, allow: left, parser: http1.Parser{Response: true, Limits: http1.DefaultLimits}}
-	t.request = http1.AppendRequest(nil, "POST", path, target.Addr, []byte(body), "Content-Type", "application/json",
+	t.request = http1.AppendRequest(nil, http1.Request{Method: "POST", Target: path, Host: target.Addr, Body: []byte(body)},
+		"Content-Type", "application/json",
 		"Authorization", "Bearer "+crowd.Keys[b.Tenant], "x-client-request-id", c.id,
 		"x-time-limit-ms", strconv.FormatInt(int64(left/eventloop.Millisecond), 10), "Connection", "close")
 	t.conn = crowd.loop.Dial(target.Addr, 300*eventloop.Millisecond, t)
--- a/internal/testbed/load/load.go
+++ b/internal/testbed/load/load.go
@@ -202,7 +202,8 @@
 	if keyed {
 		key = g.id
 	}
-	t.request = http1.AppendRequest(nil, "POST", "/v1/chat/completions", target.Addr, text, "Content-Type", "application/json",
+	t.request = http1.AppendRequest(nil, http1.Request{Method: "POST", Target: "/v1/chat/completions", Host: target.Addr, Body: text},
+		"Content-Type", "application/json",
 		"Authorization", "Bearer "+c.Keys[g.session.tenant], "x-client-request-id", g.id,
 		"x-time-limit-ms", strconv.FormatInt(int64(allow/eventloop.Millisecond), 10), "Connection", "close", "Idempotency-Key", key)
 	t.conn = c.loop.Dial(target.Addr, 300*eventloop.Millisecond, t)
--- a/internal/testbed/modelserver/host.go
+++ b/internal/testbed/modelserver/host.go
@@ -404,7 +404,8 @@
 }
 
 func (m *mover) Opened() {
-	m.conn.Write(http1.AppendRequest(nil, "GET", "/v1/kv/"+m.j.fetchLeg, m.j.fetchFrom, nil, "x-zone", m.h.Zone,
+	m.conn.Write(http1.AppendRequest(nil, http1.Request{Method: "GET", Target: "/v1/kv/" + m.j.fetchLeg, Host: m.j.fetchFrom},
+		"x-zone", m.h.Zone,
 		"x-cell", strconv.Itoa(int(m.h.Cell))))
 }
 func (m *mover) Drained() {}
