--- a/internal/virtual/disk.go
+++ b/internal/virtual/disk.go
@@ -2,116 +2,144 @@
 
 import (
 	"errors"
+	"fmt"
 	"maps"
 	"slices"
 
 	"plumspindle/internal/eventloop"
 )
 
-// Disk is one process's files in the world: they outlive it. It is a store's Disk for whichever loop uses it now.
+const (
+	defaultSyncTime = 2 * eventloop.Millisecond
+	// lateSyncTime is how long after its acknowledgement a write becomes durable with AcknowledgesEarly.
+	lateSyncTime = 500 * eventloop.Millisecond
+	// removeSize is the size of a removal; only larger operations need capacity.
+	removeSize = 1
+)
+
+// ErrDiskFull is the error of a write that exceeds the capacity.
+var ErrDiskFull = errors.New("no space left on device")
+
+var (
+	errNoSuchFile = errors.New("no such file")
+	errTooShort   = errors.New("shorter than that")
+)
+
+// Disk holds one process's files; they outlive the process. It is a disk of package store for the process that it is
+// attached to.
 type Disk struct {
-	w     *Network
-	l     *Loop
-	files map[string][]byte
-	busy  eventloop.Micros // until when what was asked for before takes
-	// SyncTime is how long making something durable takes; Fault, where it is set, is the end of all that is asked for. Torn has
-	// what fails leave a part of it written, as a short write or a failed sync does.
-	SyncTime      eventloop.Micros
-	Failure       error
+	// SyncTime is how long it takes to make something durable.
+	SyncTime eventloop.Micros
+	// Failure, if set, is the error of all operations that change something.
+	Failure error
+	// PartialWrites lets operations that fail write a part, as a short write or a failed sync does.
 	PartialWrites bool
-	// Capacity, where it is above 0, is how many bytes all files may have; a write past it fails with what fitted in written.
+	// Capacity, if above 0, is how many bytes all files may have; a write that exceeds it fails, with what fitted
+	// written.
 	Capacity int
-	// AcknowledgesEarly has it answer at once, and have it durable later: what is killed in between is lost though it was answered.
+	// AcknowledgesEarly lets operations succeed at once and become durable later: they are lost if the process is
+	// killed in between.
 	AcknowledgesEarly bool
+
+	network   *Network
+	loop      *Loop
+	files     map[string][]byte
+	busyUntil eventloop.Micros // by the operations under way
 }
 
-// NewDisk makes an empty one.
-func (w *Network) NewDisk() *Disk {
-	return &Disk{w: w, files: map[string][]byte{}, SyncTime: 2 * eventloop.Millisecond}
+// NewDisk makes an empty disk.
+func (n *Network) NewDisk() *Disk {
+	return &Disk{network: n, files: map[string][]byte{}, SyncTime: defaultSyncTime}
 }
 
-// AttachTo hands the folder to a process; what an earlier one had under way has come to nothing, or to a part.
-func (f *Disk) AttachTo(l *Loop) *Disk {
-	f.l, f.busy = l, 0
-	return f
+// AttachTo hands the disk to a process. The operations of an earlier process that are under way are dropped, or are
+// carried out in part.
+func (d *Disk) AttachTo(l *Loop) *Disk {
+	d.loop, d.busyUntil = l, 0
+	return d
 }
 
-func (f *Disk) List() ([]string, error) { return slices.Sorted(maps.Keys(f.files)), nil }
+// List returns the names of the files in order.
+func (d *Disk) List() ([]string, error) { return slices.Sorted(maps.Keys(d.files)), nil }
 
-func (f *Disk) Read(name string) ([]byte, error) {
-	b, some := f.files[name]
-	if !some {
-		return nil, errors.New(name + ": no such file")
+// Read returns the content of a file.
+func (d *Disk) Read(name string) ([]byte, error) {
+	content, exists := d.files[name]
+	if !exists {
+		return nil, fmt.Errorf("%s: %w", name, errNoSuchFile)
 	}
-	return slices.Clone(b), nil
+	return slices.Clone(content), nil
 }
 
-func (f *Disk) Truncate(name string, size int64) error {
-	if int(size) > len(f.files[name]) {
-		return errors.New(name + ": shorter than that")
+// Truncate shortens a file, at once.
+func (d *Disk) Truncate(name string, size int64) error {
+	if int(size) > len(d.files[name]) {
+		return fmt.Errorf("%s: %w", name, errTooShort)
 	}
-	f.files[name] = f.files[name][:size]
+	d.files[name] = d.files[name][:size]
 	return nil
 }
 
-// ErrDiskFull is the end of a write for which there is no room.
-var ErrDiskFull = errors.New("no space left on device")
-
-// Used is how many bytes the files have.
-func (f *Disk) Used() (n int) {
-	for _, b := range f.files {
-		n += len(b)
+// Used returns how many bytes all files have.
+func (d *Disk) Used() int {
+	used := 0
+	for _, content := range d.files {
+		used += len(content)
 	}
-	return n
+	return used
 }
 
-// do carries something out after its time. A process that is killed meanwhile leaves it torn at a place drawn by chance.
-func (f *Disk) do(size int, apply func(n int), done func(error)) {
-	l, fault, torn := f.l, f.Failure, f.PartialWrites
-	f.busy = max(f.busy, f.w.now) + f.SyncTime
-	if f.AcknowledgesEarly {
-		f.busy += 500 * eventloop.Millisecond
-		f.w.times.Set(f.w.now, func() { l.call(func() { done(nil) }) })
-		done = func(error) {}
-	}
-	f.w.times.Set(f.busy, func() {
-		switch {
-		case l.dead && l != f.l: // another has the folder already
-		case l.dead:
-			apply(f.w.rand.Intn(size + 1))
-		case fault != nil:
-			if torn && size > 0 {
-				apply(f.w.rand.Intn(size))
-			}
-			l.call(func() { done(fault) })
-		case f.Capacity > 0 && size > 1 && f.Used()+size > f.Capacity: // removals have a size of 1, and make room
-			apply(max(f.Capacity-f.Used(), 0))
-			l.call(func() { done(ErrDiskFull) })
-		default:
-			apply(size)
-			l.call(func() { done(nil) })
-		}
-	})
-}
-
-func (f *Disk) Append(name string, b []byte, done func(error)) {
+// Append appends to a file and calls done once that is durable or has failed.
+func (d *Disk) Append(name string, b []byte, done func(error)) {
 	b = slices.Clone(b)
-	f.do(len(b), func(n int) { f.files[name] = append(f.files[name], b[:n]...) }, done)
+	d.perform(len(b), func(n int) { d.files[name] = append(d.files[name], b[:n]...) }, done)
 }
 
-func (f *Disk) Write(name string, build func() []byte, done func(error)) {
+// Write replaces a file, in whole or not at all, and calls done once that is durable or has failed.
+func (d *Disk) Write(name string, build func() []byte, done func(error)) {
 	b := build()
-	f.do(len(b), func(n int) {
+	d.perform(len(b), func(n int) {
 		if n == len(b) {
-			f.files[name] = b
+			d.files[name] = b
 		}
 	}, done)
 }
 
-func (f *Disk) Remove(name string, done func(error)) {
-	f.do(1, func(n int) {
-		if n == 1 {
-			delete(f.files, name)
+// Remove removes a file and calls done once that is durable or has failed.
+func (d *Disk) Remove(name string, done func(error)) {
+	d.perform(removeSize, func(n int) {
+		if n == removeSize {
+			delete(d.files, name)
 		}
 	}, done)
 }
+
+// perform carries an operation out once its time has passed: apply is called with how much of its size is done. If the
+// process is killed meanwhile that is a random part.
+func (d *Disk) perform(size int, apply func(n int), done func(error)) {
+	l, failure, partial := d.loop, d.Failure, d.PartialWrites
+	d.busyUntil = max(d.busyUntil, d.network.now) + d.SyncTime
+	if d.AcknowledgesEarly {
+		d.busyUntil += lateSyncTime
+		l.schedule(0, func() { done(nil) })
+		done = func(error) {}
+	}
+	d.network.timers.Set(d.busyUntil, func() {
+		switch {
+		case l.dead && l != d.loop: // another process has the disk
+		case l.dead:
+			apply(d.network.random.Intn(size + 1))
+		case failure != nil:
+			if partial && size > 0 {
+				apply(d.network.random.Intn(size))
+			}
+			l.call(func() { done(failure) })
+		case d.Capacity > 0 && size > removeSize && d.Used()+size > d.Capacity:
+			apply(max(d.Capacity-d.Used(), 0))
+			l.call(func() { done(ErrDiskFull) })
+		default:
+			apply(size)
+			l.call(func() { done(nil) })
+		}
+	})
+}
