--- a/internal/virtual/disk.go
+++ b/internal/virtual/disk.go
@@ -121,7 +121,8 @@
 	d.busyUntil = max(d.busyUntil, d.network.now) + d.SyncTime
 	if d.AcknowledgesEarly {
 		d.busyUntil += lateSyncTime
-		l.schedule(0, func() { done(nil) })
+		acknowledge := done
+		l.schedule(0, func() { acknowledge(nil) })
 		done = func(error) {}
 	}
 	d.network.timers.Set(d.busyUntil, func() {
