--- a/internal/dispatch/stored_intents_test.go
+++ b/internal/dispatch/stored_intents_test.go
@@ -67,13 +67,13 @@
 	loop := r.w.NewLoop("d.stored")
 	loop.StepClock(at - loop.Now())
 	r.loop = loop
-	r.list.Saved = int64(at)
+	r.list.SavedAt = int64(at)
 	list, err := json.Marshal(r.list)
 	if err != nil {
 		t.Fatal(err)
 	}
 	loop.Do(func() {
-		intents, err := store.Open(storedDisk(t, loop), store.Usual)
+		intents, err := store.Open(storedDisk(t, loop), store.DefaultLimits)
 		if err != nil {
 			t.Fatal(err)
 		}
--- a/internal/platform/launch/run.go
+++ b/internal/platform/launch/run.go
@@ -93,7 +93,7 @@
 	config := env.Config
 	config.Log = p.log
 	p.dispatcher = platform.Start(p.loop, config)
-	p.dispatcher.WhenInformed(func() { p.listen(env.Listen, p.loop.Now()) })
+	p.dispatcher.WhenDiscoveryReady(func() { p.listen(env.Listen, p.loop.Now()) })
 	p.loop.AfterFunc(summaryEvery, p.logSummary)
 }
 
@@ -179,7 +179,7 @@
 }
 
 func (p *process) logStart(env *Environment) {
-	place := env.Settings.Place
+	place := env.Settings.Scheduler
 	for i, class := range place.Classes {
 		p.log.Info().Str("class", env.Settings.Classes[i]).Int("effect", int(class.Effect)).Int("group", int(class.Group)).
 			Int64("window", int64(class.Window)).Int64("slo", int64(class.SLO)).Msg("a class of requests")
--- a/internal/platform/upstream/upstream_test.go
+++ b/internal/platform/upstream/upstream_test.go
@@ -99,7 +99,7 @@
 	for within, most := range map[eventloop.Micros]uint64{releaseTries - 1: 10, 500 * eventloop.Millisecond: 200} {
 		w := virtual.NewNetwork(1)
 		loop := w.NewLoop("d")
-		e := engine.New(loop, "d", "", engine.Limits{Connect: eventloop.Second, Idle: eventloop.Second, PerEndpoint: 4, Opening: 4})
+		e := engine.New(loop, "d", "", engine.Limits{ConnectTimeout: eventloop.Second, IdleTimeout: eventloop.Second, MaxPerEndpoint: 4, MaxOpening: 4})
 		c := New(loop, e, within, func(bool) []scheduler.EndpointID { return []scheduler.EndpointID{1, 2} })
 		done := false
 		loop.Do(func() {
@@ -108,8 +108,8 @@
 			c.Release("r", 1, func(bool) { done = true })
 		})
 		w.AfterStep = func() {
-			if c.Tries > most {
-				t.Fatalf("%d µs: %d tries in %d µs", within, c.Tries, w.Now()-1_700_000_000*eventloop.Second)
+			if c.ReleaseAttempts > most {
+				t.Fatalf("%d µs: %d tries in %d µs", within, c.ReleaseAttempts, w.Now()-1_700_000_000*eventloop.Second)
 			}
 		}
 		if w.Run(10 * eventloop.Second); !done {
--- a/scheduler/api.go
+++ b/scheduler/api.go
@@ -28,7 +28,7 @@
 	Release(request RequestID)
 	WatchEndpoints()
 	SetTimer(after Micros, bell TimerID)
-	Log(line string)
+	Log(event Event)
 }
 
 // TimerID tells the two timers of an instance apart.
@@ -173,6 +173,6 @@
 type InFlight struct {
 	Requests      int
 	Attempts      int
-	Held          int     // requests that wait for capacity
+	Queued        int     // requests that wait for capacity
 	PrefillTokens float64 // of the requests that are being prefilled
 }
