--- a/internal/batch/call.go
+++ b/internal/batch/call.go
@@ -1,174 +1,205 @@
-// Package batch decides how one call with many inputs is carried: how it is parted into generations, which part goes next,
-// what a part's failure does to the call (Call), and how many parts may be out at once (Limiter). It is free of I/O. Where
-// each part is read, and when it is held, is the decision module's.
+// Package batch decides how one call with many inputs, of embeddings or reranking, is served: how the call is split
+// into parts, which part is sent next and what the failure of a part does to the call (Call), and how many parts may
+// be in flight at once (Limiter).
+//
+// A Call owns the state of its parts, a Limiter the number of parts in flight. Both do no I/O, read no clock and set
+// no timer: the caller passes the time, sends the parts, and wakes a Call when a retry is due. Which endpoint serves a
+// part, and when, is the decision of package scheduler.
 package batch
 
 import (
 	"plumspindle/scheduler/timerqueue"
 )
 
-// Micros is a time or a span in whole microseconds.
+// Micros is a point in time or a duration in whole microseconds.
 type Micros = timerqueue.Micros
 
 const (
 	millisecond Micros = 1000
 	second             = 1000 * millisecond
+)
 
-	triesMost  = 6                // of one part, before the call is given up
-	againFirst = 50 * millisecond // before a part that failed is tried again, where nothing else is said; doubled each time
-	againMost  = 2 * second
-	blamedMost = 2 // failures that the hosts are blamed for, before a part is halved to find the input that does it
+const (
+	maxAttempts         = 6 // of one part, before the call is given up
+	maxEndpointFailures = 2 // of one part, before it is split to find the input that causes them
+	firstRetryDelay     = 50 * millisecond
+	maxRetryDelay       = 2 * second
 )
 
 const (
-	MaxEndpoints   = 2 // hosts that fail on one part before it is taken back, to be halved or given up
-	MaxQueuedParts = 4 // parts of one tenant that may wait for its turn at the gate
+	// MaxEndpoints is how many endpoints may fail on one attempt of a part.
+	MaxEndpoints = 2
+	// MaxQueuedParts is how many parts of one tenant may wait to be admitted.
+	MaxQueuedParts = 4
 )
 
-// PartID names a part of one call.
+// PartID identifies a part of one call.
 type PartID int
 
-// Failure is why a part did not come back with its vectors.
+// Failure is the reason why a part came back without results.
 type Failure uint8
 
 const (
-	Overloaded     Failure = iota // nothing ran; it may come again after a while
-	EndpointFailed                // hosts failed on it
-	InvalidInput                  // a host says that an input is no good
+	// Overloaded means that the part was not run; it may be retried later.
+	Overloaded Failure = iota
+	// EndpointFailed means that endpoints failed on the part.
+	EndpointFailed
+	// InvalidInput means that an endpoint rejected one of the inputs.
+	InvalidInput
 )
 
-// Progress is what a call waits for.
+// Progress is the state of a call after one of its parts has come back.
 type Progress uint8
 
 const (
-	InProgress Progress = iota // other parts are out or to be sent
-	Completed                  // all parts are back
-	Abandoned                  // the call has failed
+	// InProgress means that other parts are in flight or to be sent.
+	InProgress Progress = iota
+	// Completed means that all parts have results.
+	Completed
+	// Abandoned means that the call has failed.
+	Abandoned
 )
 
 type part struct {
-	inputs []int
-	tries  int
-	broken int
+	inputs           []int
+	attempts         int
+	endpointFailures int
 }
 
-// PartLimits of parts.
+// PartLimits bound the size of a part.
 type PartLimits struct {
-	Tokens int // of a part, where it has more than one input
-	Inputs int // of a part
+	Tokens int // of a part with more than one input
+	Inputs int
 }
 
-// Call is one call of a client. Its inputs are numbered as they came, without repeats.
+// Call is one call of a client. Its inputs are numbered in their order, without duplicates.
 type Call struct {
-	parts        []part
-	queue        []PartID // that may go, in order; those that wait for a time are not among them
-	asleep       timerqueue.Queue
-	open         int // parts that are not back
-	out          int
-	over         bool
-	InvalidInput int // the input that the call failed for; -1 where it is none alone
-	Splits       int // parts that were halved
-	Retries      int // parts that were sent again
+	FailedInput int // the input that the call failed for, or -1 if it is not a single one
+	Splits      int // parts that were split
+	Retries     int // attempts beside the first ones
+
+	parts    []part
+	ready    []PartID         // to be sent, in order
+	delayed  timerqueue.Queue // puts parts into ready when their retry is due
+	pending  int              // parts without results
+	inFlight int
+	ended    bool
 }
 
-// NewCall parts inputs of so many tokens each, in their order: neighbours stay together, so that what is answered in order
-// can be let go of early.
-func NewCall(tokens []int, b PartLimits) *Call {
-	c := &Call{InvalidInput: -1}
-	c.Add(0, tokens, b)
+// NewCall splits inputs, given by their numbers of tokens, into parts. Inputs that follow each other stay together, so
+// that results that are returned in order can be released early.
+func NewCall(tokens []int, limits PartLimits) *Call {
+	c := &Call{FailedInput: -1}
+	c.Add(0, tokens, limits)
 	return c
 }
 
-// Add takes further inputs, numbered from one on, as a body that is still coming brings them.
-func (c *Call) Add(from int, tokens []int, b PartLimits) {
-	for i := 0; i < len(tokens); {
-		var inputs []int
-		sum := 0
-		for ; i < len(tokens) && len(inputs) < max(b.Inputs, 1) && (len(inputs) == 0 || sum+tokens[i] <= b.Tokens); i++ {
-			inputs, sum = append(inputs, from+i), sum+tokens[i]
+// Add adds inputs, numbered from first on, for a call whose body is still arriving.
+func (c *Call) Add(first int, tokens []int, limits PartLimits) {
+	maxInputs := max(limits.Inputs, 1)
+	var inputs []int
+	sum := 0
+	for i, n := range tokens {
+		if len(inputs) > 0 && (len(inputs) == maxInputs || sum+n > limits.Tokens) {
+			c.addPart(inputs)
+			inputs, sum = nil, 0
 		}
-		c.add(inputs, 0)
+		inputs = append(inputs, first+i)
+		sum += n
+	}
+	if len(inputs) > 0 {
+		c.addPart(inputs)
 	}
 }
 
-func (c *Call) add(inputs []int, tries int) {
-	c.parts = append(c.parts, part{inputs: inputs, tries: tries})
-	c.queue = append(c.queue, PartID(len(c.parts)-1))
-	c.open++
+func (c *Call) addPart(inputs []int) {
+	c.parts = append(c.parts, part{inputs: inputs})
+	c.ready = append(c.ready, PartID(len(c.parts)-1))
+	c.pending++
 }
 
-// Pending is how many parts are not back; Out how many of them are out.
-func (c *Call) Pending() int  { return c.open }
-func (c *Call) InFlight() int { return c.out }
+// Pending returns how many parts have no results.
+func (c *Call) Pending() int { return c.pending }
+
+// InFlight returns how many parts were sent and have not come back.
+func (c *Call) InFlight() int { return c.inFlight }
 
-// HasReady tells whether a part may be sent now.
-func (c *Call) HasReady(now Micros) bool {
-	c.asleep.Run(now)
-	return !c.over && len(c.queue) > 0
+// Ready reports whether a part may be sent now.
+func (c *Call) Ready(now Micros) bool {
+	c.delayed.Run(now)
+	return !c.ended && len(c.ready) > 0
 }
 
-// NextRetryAt is when the next part that waits may go.
-func (c *Call) NextRetryAt() (Micros, bool) { return c.asleep.Next() }
+// NextRetryAt returns when the next retry is due, if any is waiting.
+func (c *Call) NextRetryAt() (Micros, bool) { return c.delayed.Next() }
 
-// SendNext takes the next part; there must be one.
+// SendNext returns the next part to be sent, with its inputs; Ready must have reported one.
 func (c *Call) SendNext() (PartID, []int) {
-	no := c.queue[0]
-	c.queue = c.queue[1:]
-	c.out++
-	if c.parts[no].tries++; c.parts[no].tries > 1 {
+	id := c.ready[0]
+	c.ready = c.ready[1:]
+	c.inFlight++
+	p := &c.parts[id]
+	if p.attempts++; p.attempts > 1 {
 		c.Retries++
 	}
-	return no, c.parts[no].inputs
+	return id, p.inputs
 }
 
-// PartCompleted takes a part that is back.
-func (c *Call) PartCompleted(no PartID) Progress {
-	c.out--
-	c.open--
-	c.parts[no].inputs = nil
-	if c.open == 0 {
-		c.over = true
+// PartCompleted records that a part has come back with results.
+func (c *Call) PartCompleted(id PartID) Progress {
+	c.inFlight--
+	c.pending--
+	c.parts[id].inputs = nil
+	if c.pending == 0 {
+		c.ended = true
 		return Completed
 	}
 	return InProgress
 }
 
-// PartFailed takes a part that did not come back. Single parts are tried again, and only those; one that hosts keep failing on
-// is halved, so that one bad input is found and named and the call does not blame all. After is what the refusal asked for.
-func (c *Call) PartFailed(now Micros, no PartID, why Failure, after Micros) Progress {
-	c.out--
-	p := &c.parts[no]
-	switch {
-	case c.over:
+// PartFailed records that a part has come back without results. Only that part is retried. One that endpoints keep
+// failing on is split, so that a single bad input is found and the call does not fail for all. If the part was turned
+// away as overloaded, retryAfter is the delay that was asked for, or 0.
+func (c *Call) PartFailed(now Micros, id PartID, failure Failure, retryAfter Micros) Progress {
+	c.inFlight--
+	if c.ended {
 		return Abandoned
-	case why == EndpointFailed:
-		p.broken++
 	}
-	if (why == EndpointFailed && p.broken >= blamedMost || why == InvalidInput) && len(p.inputs) > 1 {
-		half := len(p.inputs) / 2
-		inputs := p.inputs
-		p.inputs = nil
-		c.open--
-		c.Splits++
-		c.add(inputs[:half], 0)
-		c.add(inputs[half:], 0)
+	p := &c.parts[id]
+	if failure == EndpointFailed {
+		p.endpointFailures++
+	}
+	atFault := failure == InvalidInput || failure == EndpointFailed && p.endpointFailures >= maxEndpointFailures
+	if atFault && len(p.inputs) > 1 {
+		c.split(p)
 		return InProgress
 	}
-	if why == InvalidInput || p.tries >= triesMost || why == EndpointFailed && p.broken >= blamedMost {
-		c.over = true
-		if len(p.inputs) == 1 && why != Overloaded {
-			c.InvalidInput = p.inputs[0]
+	if atFault || p.attempts >= maxAttempts {
+		c.ended = true
+		if len(p.inputs) == 1 && failure != Overloaded {
+			c.FailedInput = p.inputs[0]
 		}
 		return Abandoned
 	}
-	wait := min(againFirst<<(p.tries-1), againMost)
-	if why == Overloaded && after > 0 {
-		p.tries-- // it was not its fault, and it waits as long as it was told
-		wait = after
+	delay := min(firstRetryDelay<<(p.attempts-1), maxRetryDelay)
+	if failure == Overloaded && retryAfter > 0 {
+		p.attempts-- // doesn't count: it was not run, and waits for as long as asked
+		delay = retryAfter
 	}
-	c.asleep.Set(now+wait, func() { c.queue = append(c.queue, no) })
+	c.delayed.Set(now+delay, func() { c.ready = append(c.ready, id) })
 	return InProgress
 }
 
-// Cancel sees that nothing more is sent.
-func (c *Call) Cancel() { c.over = true }
+// split replaces a part by two.
+func (c *Call) split(p *part) {
+	inputs := p.inputs
+	half := len(inputs) / 2
+	p.inputs = nil
+	c.pending--
+	c.Splits++
+	c.addPart(inputs[:half])
+	c.addPart(inputs[half:])
+}
+
+// Cancel ends the call: no more parts are sent.
+func (c *Call) Cancel() { c.ended = true }
--- a/internal/batch/limiter.go
+++ b/internal/batch/limiter.go
@@ -2,123 +2,130 @@
 
 import "math"
 
-// Tuned on stand-in hosts, see docs/embeddings.md.
+// Tuned with simulated endpoints, see docs/embeddings.md.
 const (
-	limitLeast  = 1.0
-	limitMost   = 1024.0
-	limitStart  = 4.0
-	stretchIdle = 3.0    // times the least time of a part, up to which more may be out,
-	stretchBusy = 1.6    // and where chat is asked for
-	chatFor     = second // for so long after its last generation
-	grow        = 1.0    // parts for each whole limit of them that came back in time
-	cut         = 0.85   // of the limit, where parts take longer;
-	cutLate     = 0.5    // where a generation of chat begins late
-	chatLate    = 0.5    // of its SLO time, after which chat that begins is late
-	cutEvery    = 100 * millisecond
-	lateRest    = 500 * millisecond // without growth after that
-	probeEvery  = 4 * second        // few parts are out for a while, so that
-	probeFor    = 150 * millisecond // the least time is seen again, and a slower fleet is learnt
-	probePart   = 0.25              // of the limit
-	floorLeast  = 2 * millisecond
+	minLimit     = 1.0 // parts
+	maxLimit     = 1024.0
+	initialLimit = 4.0
+
+	// A part is slow if it takes so many times the minimum.
+	slowFactor         = 3.0
+	slowFactorWithChat = 1.6    // while chat is requested,
+	chatActiveFor      = second // that is for so long after a chat request has begun
+
+	increase           = 1.0  // parts, for each limit of them that completed in time
+	decreaseFactor     = 0.85 // of the limit, when a part is slow
+	decreaseFactorChat = 0.5  // of the limit, when chat begins late
+	lateChatFraction   = 0.5  // of its latency objective, after which chat begins late
+	decreaseInterval   = 100 * millisecond
+	increasePause      = 500 * millisecond // after chat began late
+
+	// Now and then few parts are in flight for a while, so that the minimum time is measured anew.
+	probeInterval = 4 * second
+	probeDuration = 150 * millisecond
+	probeFraction = 0.25 // of the limit
+
+	minPartTime = 2 * millisecond // shorter times are not told apart
 )
 
-// Limiter is how many parts of all calls of a dispatcher may be out at once. It learns from how long parts take: as long as
-// they take hardly longer than the quickest lately the readers are not full; once they do, more of them out only wait at
-// the readers, and what is interactive waits behind them.
+// Limiter limits how many parts of all calls of a dispatcher are in flight at once. It learns the limit from how long
+// parts take: while they take hardly longer than the fastest recent ones, the endpoints have capacity left; once they
+// do, more parts in flight only wait at the endpoints, and interactive requests wait behind them.
 type Limiter struct {
-	limit   float64
-	out     int
-	floor   float64 // µs a token of the quickest since the last probe but one
-	lately  float64 // and since the last
-	probe   Micros  // the next one's time
-	probing bool
-	cutAt   Micros
-	restTo  Micros
-	chatAt  Micros
-	fixed   int // for comparison: a limit that does not learn; 0 learns
+	limit    float64
+	fixed    int // a limit that does not change, for comparisons; 0 means to learn
+	inFlight int
+
+	minTime        float64 // microseconds a token of the fastest part since the last probe but one
+	recentMinTime  float64 // and since the last probe
+	probeAt        Micros  // when the current or next probe begins
+	probing        bool
+	decreasedAt    Micros
+	noIncreaseTill Micros
+	chatAt         Micros // when chat was last begun
 }
 
-// NewLimiter makes one; fixed is for comparisons, 0 learns.
+// NewLimiter makes a limiter that learns, or one with a fixed limit if that is above 0.
 func NewLimiter(fixed int) *Limiter {
-	return &Limiter{limit: limitStart, fixed: fixed, chatAt: math.MinInt64 / 2}
+	return &Limiter{limit: initialLimit, fixed: fixed, chatAt: math.MinInt64 / 2}
 }
 
-// Limit is how many may be out now.
+// Limit returns how many parts may be in flight now.
 func (l *Limiter) Limit() int {
 	if l.fixed > 0 {
 		return l.fixed
 	}
 	if l.probing {
-		return max(int(l.limit*probePart), 1)
+		return max(int(l.limit*probeFraction), 1)
 	}
 	return int(l.limit)
 }
 
-// clock begins and ends probes. Without them the least time would be forgotten while all parts wait in a queue that they make
-// themselves, and the queue would grow without bound.
-func (l *Limiter) clock(now Micros) {
-	switch {
-	case l.probe == 0:
-		l.probe = now + probeEvery
-	case l.probing && now >= l.probe+probeFor:
-		l.probing, l.probe = false, now+probeEvery
-		l.floor, l.lately = l.lately, 0
-	case !l.probing && now >= l.probe:
-		l.probing = true
-	}
-}
+// HasCapacity reports whether one more part may be sent.
+func (l *Limiter) HasCapacity() bool { return l.inFlight < l.Limit() }
 
-// HasCapacity tells whether one more part may be sent.
-func (l *Limiter) HasCapacity() bool { return l.out < l.Limit() }
+// InFlight returns how many parts are in flight.
+func (l *Limiter) InFlight() int { return l.inFlight }
 
-// InFlight is how many are.
-func (l *Limiter) InFlight() int { return l.out }
+// Acquire records that a part is sent. It is followed by Completed or Cancelled.
+func (l *Limiter) Acquire() { l.inFlight++ }
 
-// Acquire counts one.
-func (l *Limiter) Acquire() { l.out++ }
+// Cancelled records that a part was cancelled, from which nothing is learned.
+func (l *Limiter) Cancelled() { l.inFlight-- }
 
-// Completed takes a part's return: what it took from its sending, and whether it was read.
-func (l *Limiter) Completed(now Micros, tokens int, took Micros, good bool) {
-	full := l.out >= int(l.limit)
-	l.out--
-	l.clock(now)
-	if !good {
-		l.shrink(now, cut)
+// Completed records that a part came back: how many tokens it had, how long it took, and whether it succeeded.
+func (l *Limiter) Completed(now Micros, tokens int, took Micros, succeeded bool) {
+	atLimit := l.inFlight >= int(l.limit)
+	l.inFlight--
+	l.updateProbe(now)
+	if !succeeded {
+		l.decrease(now, decreaseFactor)
 		return
 	}
-	each := max(float64(took), float64(floorLeast)) / float64(max(tokens, 1))
-	if l.lately == 0 || each < l.lately {
-		l.lately = each
+	perToken := max(float64(took), float64(minPartTime)) / float64(max(tokens, 1))
+	if l.recentMinTime == 0 || perToken < l.recentMinTime {
+		l.recentMinTime = perToken
 	}
-	if l.floor == 0 || each < l.floor {
-		l.floor = each
+	if l.minTime == 0 || perToken < l.minTime {
+		l.minTime = perToken
 	}
-	stretch := stretchIdle
-	if now-l.chatAt < chatFor {
-		stretch = stretchBusy
+	slow := slowFactor
+	if now-l.chatAt < chatActiveFor {
+		slow = slowFactorWithChat
 	}
 	switch {
-	case each > stretch*l.floor:
-		l.shrink(now, cut)
-	case full && now >= l.restTo:
-		l.limit = min(l.limit+grow/l.limit, limitMost)
+	case perToken > slow*l.minTime:
+		l.decrease(now, decreaseFactor)
+	case atLimit && now >= l.noIncreaseTill:
+		l.limit = min(l.limit+increase/l.limit, maxLimit)
 	}
 }
 
-// Cancelled back: it was cancelled, and says nothing.
-func (l *Limiter) Cancelled() { l.out-- }
-
-// ChatStarted tells of an interactive generation that begins, after so long, with its SLO time.
-func (l *Limiter) ChatStarted(now, took, slo Micros) {
+// ChatStarted records that a chat request began after a time, and its latency objective.
+func (l *Limiter) ChatStarted(now, took, objective Micros) {
 	l.chatAt = now
-	if float64(took) > chatLate*float64(slo) {
-		l.shrink(now, cutLate)
-		l.restTo = now + lateRest
+	if float64(took) > lateChatFraction*float64(objective) {
+		l.decrease(now, decreaseFactorChat)
+		l.noIncreaseTill = now + increasePause
+	}
+}
+
+// updateProbe begins and ends probes. Without them all parts could wait in a queue that they make themselves, the
+// minimum time would be forgotten, and the queue would grow without bound.
+func (l *Limiter) updateProbe(now Micros) {
+	switch {
+	case l.probeAt == 0:
+		l.probeAt = now + probeInterval
+	case l.probing && now >= l.probeAt+probeDuration:
+		l.probing, l.probeAt = false, now+probeInterval
+		l.minTime, l.recentMinTime = l.recentMinTime, 0
+	case !l.probing && now >= l.probeAt:
+		l.probing = true
 	}
 }
 
-func (l *Limiter) shrink(now Micros, by float64) {
-	if now-l.cutAt >= cutEvery {
-		l.limit, l.cutAt = max(l.limit*by, limitLeast), now
+func (l *Limiter) decrease(now Micros, factor float64) {
+	if now-l.decreasedAt >= decreaseInterval {
+		l.limit, l.decreasedAt = max(l.limit*factor, minLimit), now
 	}
 }
--- a/internal/dispatch/batches.go
+++ b/internal/dispatch/batches.go
@@ -256,7 +256,7 @@
 	for range t.calls {
 		c := t.calls[0]
 		t.calls = append(t.calls[1:], c)
-		if !c.ended && c.parts.HasReady(now) {
+		if !c.ended && c.parts.Ready(now) {
 			return c
 		}
 	}
@@ -412,7 +412,7 @@
 	}
 	if at, some := c.parts.NextRetryAt(); some && !c.ended {
 		c.wake = c.x.loop.AfterFunc(max(at-c.x.loop.Now(), 0)+1, func() {
-			c.parts.HasReady(c.x.loop.Now())
+			c.parts.Ready(c.x.loop.Now())
 			c.sleep()
 			c.x.pump()
 		})
@@ -522,7 +522,7 @@
 	if c.ended {
 		return
 	}
-	if i := c.parts.InvalidInput; i >= 0 {
+	if i := c.parts.FailedInput; i >= 0 {
 		at := slices.Index(c.ask.Order, int32(i))
 		name := "input"
 		if c.ask.Kind == embeddings.Rerank {
--- a/internal/http1/errors.go
+++ b/internal/http1/errors.go
@@ -29,22 +29,16 @@
 // Unwrap returns the kind of the error, such as ErrBodyTooLarge.
 func (e *ProtocolError) Unwrap() error { return e.kind }
 
-func protocolError(kind error, format string, args ...any) *ProtocolError {
-	return &ProtocolError{Status: statusOf(kind), Reason: fmt.Sprintf(format, args...), kind: kind}
+// statuses are the status codes that stand for the kinds of errors.
+var statuses = map[error]int{
+	ErrMalformed:          http.StatusBadRequest,
+	ErrTruncated:          http.StatusBadRequest,
+	ErrHeadTooLarge:       http.StatusRequestHeaderFieldsTooLarge,
+	ErrBodyTooLarge:       http.StatusRequestEntityTooLarge,
+	ErrUnsupportedVersion: http.StatusHTTPVersionNotSupported,
+	ErrUnsupportedCoding:  http.StatusNotImplemented,
 }
 
-// statusOf returns the status code that stands for a kind of error.
-func statusOf(kind error) int {
-	switch kind {
-	case ErrHeadTooLarge:
-		return http.StatusRequestHeaderFieldsTooLarge
-	case ErrBodyTooLarge:
-		return http.StatusRequestEntityTooLarge
-	case ErrUnsupportedVersion:
-		return http.StatusHTTPVersionNotSupported
-	case ErrUnsupportedCoding:
-		return http.StatusNotImplemented
-	default:
-		return http.StatusBadRequest
-	}
+func protocolError(kind error, format string, args ...any) *ProtocolError {
+	return &ProtocolError{Status: statuses[kind], Reason: fmt.Sprintf(format, args...), kind: kind}
 }
--- a/internal/vectors/cache.go
+++ b/internal/vectors/cache.go
@@ -1,180 +1,207 @@
-// Package vectors keeps vectors that were computed before, for one tenant each, in bounded memory. It is made for many values
-// of one size under keys that are digests: values lie side by side in pages, an open table of indices finds them, and one
-// bit for each tells whether it was asked for since the hand last passed it. There is nothing to follow and nothing for the
-// collector to walk.
+// Package vectors caches embedding vectors that were computed before, in bounded memory. It is made for many values of
+// one size under keys that are digests: values lie side by side in pages, an open-addressing hash table of indices
+// finds them, and eviction is by SIEVE, with one bit for each value. There are few pointers for the garbage collector
+// to follow.
+//
+// A Cache owns its memory, and never takes more than its limit but for the page that is being filled. It has no lock:
+// it relies on being used from one goroutine. What tenant may see which vector is up to the caller, who makes a Cache
+// for each.
 package vectors
 
 import "encoding/binary"
 
-// Key is a digest of all that a vector depends on.
+// Key is a digest of everything that a vector depends on.
 type Key [16]byte
 
-const pageSlots = 256
+const (
+	pageSlots    = 256 // values of a page
+	minTableSize = 64
+	noSlot       = -1
+	// overheadBytes is what a value takes beside itself: its key, its visited bit, two links and its part of the table.
+	overheadBytes = 16 + 1 + 8 + 8
+)
 
-// Cache holds so many values of one size. The hand passes over them from the oldest on and drops the first that was not
-// asked for since it last came by; what is new begins without its bit, so that what is asked for once goes first.
+// Cache holds values of one size. A hand passes over them from the oldest to the newest and round, and evicts the first
+// that was not read since it last passed; a new value counts as not read, so that what is read only once goes first.
 type Cache struct {
-	size     int // bytes of a value
-	capacity int // values
-	keys     []Key
-	asked    []bool
-	pages    [][]byte
-	next     []int32 // of the order in which they came, toward the newer
-	prev     []int32
-	free     []int32
-	table    []int32 // slot+1; 0 is none
-	old      int32   // -1: none
-	young    int32
-	hand     int32
-	n        int
-
 	Hits, Misses uint64
-}
 
-// New makes one for values of a size within so many bytes, all that it takes counted.
-func New(size, bytes int) *Cache {
-	c := &Cache{size: size, old: -1, young: -1, hand: -1}
-	c.capacity = max(bytes/(size+perValue), 1)
-	return c
+	valueSize int // bytes
+	capacity  int // values
+	count     int
+	pages     [][]byte
+	freeSlots []int32
+	table     []int32 // slot+1, or 0 for none
+
+	// Of each slot.
+	keys    []Key
+	visited []bool
+	newer   []int32 // the next in the order of their insertion, or noSlot
+	older   []int32
+
+	oldest int32
+	newest int32
+	hand   int32
 }
 
-// perValue is what a value takes beside itself: its key, its bit, two links, and its part of the table.
-const perValue = 16 + 1 + 8 + 8
+// New makes a cache for values of a size within a number of bytes, with everything counted.
+func New(valueSize, maxBytes int) *Cache {
+	capacity := max(maxBytes/(valueSize+overheadBytes), 1)
+	return &Cache{valueSize: valueSize, capacity: capacity, oldest: noSlot, newest: noSlot, hand: noSlot}
+}
 
-// Bytes is what the cache takes now, about.
+// Bytes returns about how much memory the cache takes now.
 func (c *Cache) Bytes() int {
-	return len(c.pages)*pageSlots*c.size + cap(c.keys)*16 + cap(c.asked) + (cap(c.next)+cap(c.prev)+cap(c.table)+cap(c.free))*4
+	indices := cap(c.newer) + cap(c.older) + cap(c.table) + cap(c.freeSlots)
+	return len(c.pages)*pageSlots*c.valueSize + cap(c.keys)*len(Key{}) + cap(c.visited) + indices*4
 }
 
-// Len is how many values it holds, Most how many it may.
-func (c *Cache) Len() int      { return c.n }
+// Len returns how many values the cache holds.
+func (c *Cache) Len() int { return c.count }
+
+// Capacity returns how many values the cache may hold.
 func (c *Cache) Capacity() int { return c.capacity }
 
-func (c *Cache) home(k Key) int {
-	return int(binary.LittleEndian.Uint64(k[:]) & uint64(len(c.table)-1))
+// Get returns a value; it is valid until the next Put.
+func (c *Cache) Get(key Key) ([]byte, bool) {
+	_, slot := c.find(key)
+	if slot == noSlot {
+		c.Misses++
+		return nil, false
+	}
+	c.Hits++
+	c.visited[slot] = true
+	return c.value(slot), true
+}
+
+// Put stores a copy of a value of the cache's size; others are ignored.
+func (c *Cache) Put(key Key, value []byte) {
+	if len(value) != c.valueSize {
+		return
+	}
+	if _, slot := c.find(key); slot != noSlot {
+		copy(c.value(slot), value)
+		return
+	}
+	if c.count >= c.capacity {
+		c.evict()
+	}
+	if 2*(c.count+1) > len(c.table) {
+		c.growTable()
+	}
+	slot := c.takeSlot()
+	copy(c.value(slot), value)
+	c.keys[slot], c.visited[slot] = key, false
+	c.linkNewest(slot)
+	at, _ := c.find(key)
+	c.table[at] = slot + 1
+	c.count++
+}
+
+// bucket returns the place in the table where the search for a key begins.
+func (c *Cache) bucket(key Key) int {
+	return int(binary.LittleEndian.Uint64(key[:]) & uint64(len(c.table)-1))
 }
 
-// find gives the place in the table, and the slot or -1.
-func (c *Cache) find(k Key) (at int, slot int32) {
+// find returns the place of a key in the table, and its slot or noSlot.
+func (c *Cache) find(key Key) (at int, slot int32) {
 	if len(c.table) == 0 {
-		return 0, -1
+		return 0, noSlot
 	}
-	for at = c.home(k); c.table[at] != 0; at = (at + 1) & (len(c.table) - 1) {
-		if s := c.table[at] - 1; c.keys[s] == k {
-			return at, s
+	for at = c.bucket(key); c.table[at] != 0; at = (at + 1) & (len(c.table) - 1) {
+		if slot := c.table[at] - 1; c.keys[slot] == key {
+			return at, slot
 		}
 	}
-	return at, -1
+	return at, noSlot
 }
 
 func (c *Cache) value(slot int32) []byte {
-	at := int(slot) % pageSlots * c.size
-	return c.pages[int(slot)/pageSlots][at : at+c.size]
+	offset := int(slot) % pageSlots * c.valueSize
+	return c.pages[int(slot)/pageSlots][offset : offset+c.valueSize]
 }
 
-// Get gives a value; it is good until the next Put.
-func (c *Cache) Get(k Key) ([]byte, bool) {
-	_, s := c.find(k)
-	if s < 0 {
-		c.Misses++
-		return nil, false
+// takeSlot returns a free slot, or adds one.
+func (c *Cache) takeSlot() int32 {
+	if n := len(c.freeSlots); n > 0 {
+		slot := c.freeSlots[n-1]
+		c.freeSlots = c.freeSlots[:n-1]
+		return slot
 	}
-	c.Hits++
-	c.asked[s] = true
-	return c.value(s), true
+	slot := int32(len(c.keys))
+	c.keys, c.visited = append(c.keys, Key{}), append(c.visited, false)
+	c.newer, c.older = append(c.newer, noSlot), append(c.older, noSlot)
+	if int(slot)/pageSlots == len(c.pages) {
+		c.pages = append(c.pages, make([]byte, pageSlots*c.valueSize))
+	}
+	return slot
 }
 
-// Put keeps a value of the cache's size; others are not kept.
-func (c *Cache) Put(k Key, value []byte) {
-	if len(value) != c.size {
-		return
-	}
-	if _, s := c.find(k); s >= 0 {
-		copy(c.value(s), value)
-		return
-	}
-	if c.n >= c.capacity {
-		c.evict()
-	}
-	if 2*(c.n+1) > len(c.table) {
-		c.grow()
-	}
-	s := c.slot()
-	copy(c.value(s), value)
-	c.keys[s], c.asked[s] = k, false
-	c.next[s], c.prev[s] = -1, c.young
-	if c.young >= 0 {
-		c.next[c.young] = s
+func (c *Cache) linkNewest(slot int32) {
+	c.newer[slot], c.older[slot] = noSlot, c.newest
+	if c.newest != noSlot {
+		c.newer[c.newest] = slot
 	} else {
-		c.old = s
+		c.oldest = slot
 	}
-	c.young = s
-	at, _ := c.find(k)
-	c.table[at] = s + 1
-	c.n++
+	c.newest = slot
 }
 
-func (c *Cache) slot() int32 {
-	if n := len(c.free); n > 0 {
-		s := c.free[n-1]
-		c.free = c.free[:n-1]
-		return s
+func (c *Cache) unlink(slot int32) {
+	if older := c.older[slot]; older != noSlot {
+		c.newer[older] = c.newer[slot]
+	} else {
+		c.oldest = c.newer[slot]
 	}
-	s := int32(len(c.keys))
-	c.keys, c.asked = append(c.keys, Key{}), append(c.asked, false)
-	c.next, c.prev = append(c.next, -1), append(c.prev, -1)
-	if int(s)/pageSlots == len(c.pages) {
-		c.pages = append(c.pages, make([]byte, pageSlots*c.size))
+	if newer := c.newer[slot]; newer != noSlot {
+		c.older[newer] = c.older[slot]
+	} else {
+		c.newest = c.older[slot]
 	}
-	return s
 }
 
-func (c *Cache) grow() {
-	c.table = make([]int32, max(2*len(c.table), 64))
-	for s := c.old; s >= 0; s = c.next[s] {
-		at, _ := c.find(c.keys[s])
-		c.table[at] = s + 1
+func (c *Cache) growTable() {
+	c.table = make([]int32, max(2*len(c.table), minTableSize))
+	for slot := c.oldest; slot != noSlot; slot = c.newer[slot] {
+		at, _ := c.find(c.keys[slot])
+		c.table[at] = slot + 1
 	}
 }
 
-// evict moves the hand on, from the old to the young and round, to the first that nobody asked for.
+// evict moves the hand on to the first value that was not visited, and removes that.
 func (c *Cache) evict() {
-	s := c.hand
-	if s < 0 {
-		s = c.old
-	}
-	for c.asked[s] {
-		c.asked[s] = false
-		if s = c.next[s]; s < 0 {
-			s = c.old
+	slot := c.hand
+	if slot == noSlot {
+		slot = c.oldest
+	}
+	for c.visited[slot] {
+		c.visited[slot] = false
+		if slot = c.newer[slot]; slot == noSlot {
+			slot = c.oldest
 		}
 	}
-	c.hand = c.next[s]
-	c.drop(s)
+	c.hand = c.newer[slot]
+	c.remove(slot)
 }
 
-func (c *Cache) drop(s int32) {
-	if p := c.prev[s]; p >= 0 {
-		c.next[p] = c.next[s]
-	} else {
-		c.old = c.next[s]
-	}
-	if n := c.next[s]; n >= 0 {
-		c.prev[n] = c.prev[s]
-	} else {
-		c.young = c.prev[s]
-	}
-	at, _ := c.find(c.keys[s])
+func (c *Cache) remove(slot int32) {
+	c.unlink(slot)
+	at, _ := c.find(c.keys[slot])
 	c.table[at] = 0
-	// Those behind it that were pushed on by it move up, so that no mark of what is gone has to stay.
+	c.closeGap(at)
+	c.freeSlots = append(c.freeSlots, slot)
+	c.count--
+}
+
+// closeGap moves the entries behind a gap in the table back that were displaced by what was there, so that searches
+// for them don't end at the gap and no tombstone is needed.
+func (c *Cache) closeGap(gap int) {
 	mask := len(c.table) - 1
-	for j := (at + 1) & mask; c.table[j] != 0; j = (j + 1) & mask {
-		home := c.home(c.keys[c.table[j]-1])
-		if (j-home)&mask >= (j-at)&mask {
-			c.table[at], c.table[j] = c.table[j], 0
-			at = j
+	for at := (gap + 1) & mask; c.table[at] != 0; at = (at + 1) & mask {
+		bucket := c.bucket(c.keys[c.table[at]-1])
+		if (at-bucket)&mask >= (at-gap)&mask {
+			c.table[gap], c.table[at] = c.table[at], 0
+			gap = at
 		}
 	}
-	c.free = append(c.free, s)
-	c.n--
 }
--- a/internal/vectors/cache_test.go
+++ b/internal/vectors/cache_test.go
@@ -3,7 +3,6 @@
 import (
 	"container/list"
 	"encoding/binary"
-	"fmt"
 	"math/rand"
 	"runtime"
 	"testing"
@@ -11,151 +10,154 @@
 	"pgregory.net/rapid"
 )
 
-func key(n uint64) (k Key) {
-	binary.LittleEndian.PutUint64(k[:], n*0x9e3779b97f4a7c15)
-	binary.LittleEndian.PutUint64(k[8:], n)
-	return k
+func testKey(n uint64) (key Key) {
+	binary.LittleEndian.PutUint64(key[:], n*0x9e3779b97f4a7c15)
+	binary.LittleEndian.PutUint64(key[8:], n)
+	return key
 }
 
-// Against a plain map: what it gives was put there last under that key, it never holds more than it may, and what was asked
-// for since the hand passed is not what goes.
-func TestAgainstMap(t *testing.T) {
+// What the cache returns was stored last under that key, and it never holds more than its capacity.
+func TestCacheMatchesAMap(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		size := rapid.IntRange(1, 9).Draw(t, "size")
-		c := New(size, rapid.IntRange(1, 40).Draw(t, "values")*(size+perValue))
-		plain := map[Key]string{}
+		c := New(size, rapid.IntRange(1, 40).Draw(t, "capacity")*(size+overheadBytes))
+		stored := map[Key]string{}
 		for range rapid.IntRange(1, 300).Draw(t, "steps") {
-			k := key(uint64(rapid.IntRange(0, 60).Draw(t, "key")))
-			k[0] &= 3 // many homes alike
+			key := testKey(uint64(rapid.IntRange(0, 60).Draw(t, "key")))
+			key[0] &= 3 // many keys share a bucket
 			if rapid.Bool().Draw(t, "put") {
-				v := make([]byte, size)
-				v[0] = byte(rapid.IntRange(0, 255).Draw(t, "value"))
-				c.Put(k, v)
-				plain[k] = string(v)
-				if got, some := c.Get(k); !some || string(got) != string(v) {
-					t.Fatalf("what was put is not there")
+				value := make([]byte, size)
+				value[0] = byte(rapid.IntRange(0, 255).Draw(t, "value"))
+				c.Put(key, value)
+				stored[key] = string(value)
+				if got, found := c.Get(key); !found || string(got) != string(value) {
+					t.Fatalf("what was stored is not there")
 				}
-			} else if got, some := c.Get(k); some && string(got) != plain[k] {
-				t.Fatalf("%x: %q, want %q", k, got, plain[k])
-			}
-			if c.Len() > c.Capacity() {
-				t.Fatalf("%d values, %d at most", c.Len(), c.Capacity())
-			}
-			n := 0
-			for s := c.old; s >= 0; s = c.next[s] {
-				if _, at := c.find(c.keys[s]); at != s {
-					t.Fatalf("slot %d is not found", s)
-				}
-				n++
-			}
-			if n != c.Len() {
-				t.Fatalf("%d in order, %d counted", n, c.Len())
+			} else if got, found := c.Get(key); found && string(got) != stored[key] {
+				t.Fatalf("%x: %q, want %q", key, got, stored[key])
 			}
+			checkInvariants(t, c)
 		}
-		c.Put(key(1), make([]byte, size+1)) // not its size: not kept, no crash
+		c.Put(testKey(1), make([]byte, size+1)) // of another size: ignored
+		checkInvariants(t, c)
 	})
 }
 
-// lru is the plain structure: a list and a map.
+// checkInvariants checks that the capacity is kept, and that each value in the order of insertion is in the table.
+func checkInvariants(t *rapid.T, c *Cache) {
+	t.Helper()
+	if c.Len() > c.Capacity() {
+		t.Fatalf("%d values, the capacity is %d", c.Len(), c.Capacity())
+	}
+	inOrder := 0
+	for slot := c.oldest; slot != noSlot; slot = c.newer[slot] {
+		if _, found := c.find(c.keys[slot]); found != slot {
+			t.Fatalf("slot %d is not found", slot)
+		}
+		inOrder++
+	}
+	if inOrder != c.Len() {
+		t.Fatalf("%d in order, %d counted", inOrder, c.Len())
+	}
+}
+
+func TestCacheStaysWithinItsBytes(t *testing.T) {
+	const size, maxBytes = 400, 1 << 20
+	c := New(size, maxBytes)
+	for n := range uint64(20_000) {
+		c.Put(testKey(n), make([]byte, size))
+	}
+	if c.Bytes() > maxBytes+pageSlots*size || c.Len() < maxBytes/(size+overheadBytes) {
+		t.Errorf("%d bytes, %d values", c.Bytes(), c.Len())
+	}
+}
+
+// lru is a cache of a list and a map, for comparison.
 type lru struct {
-	most int
-	at   map[Key]*list.Element
-	all  list.List
+	capacity int
+	elements map[Key]*list.Element
+	order    list.List
 }
 
-type entry struct {
-	k Key
-	v []byte
+type lruEntry struct {
+	key   Key
+	value []byte
 }
 
-func (l *lru) get(k Key) bool {
-	e := l.at[k]
-	if e != nil {
-		l.all.MoveToFront(e)
+func (l *lru) Get(key Key) ([]byte, bool) {
+	element := l.elements[key]
+	if element == nil {
+		return nil, false
 	}
-	return e != nil
+	l.order.MoveToFront(element)
+	return element.Value.(lruEntry).value, true
 }
 
-func (l *lru) put(k Key, v []byte) {
-	if l.all.Len() >= l.most {
-		last := l.all.Back()
-		delete(l.at, last.Value.(entry).k)
-		l.all.Remove(last)
+func (l *lru) Put(key Key, value []byte) {
+	if l.order.Len() >= l.capacity {
+		last := l.order.Back()
+		delete(l.elements, last.Value.(lruEntry).key)
+		l.order.Remove(last)
 	}
-	l.at[k] = l.all.PushFront(entry{k, append([]byte(nil), v...)})
+	l.elements[key] = l.order.PushFront(lruEntry{key, append([]byte(nil), value...)})
 }
 
-// BenchmarkCache asks for texts of which few are asked for often, with a run over many that come once now and then, as when
-// a collection is embedded; it gives the share of hits and the memory of each value.
-func BenchmarkCache(b *testing.B) {
-	const size, most = 1536 * 4, 4000
-	asks := func() func() uint64 {
-		chance := rand.New(rand.NewSource(1))
-		often := rand.NewZipf(chance, 1.1, 8, 100_000)
-		once, run := uint64(1<<40), 0
-		return func() uint64 {
-			if run == 0 && chance.Intn(2000) == 0 {
-				run = 3000
-			}
-			if run > 0 {
-				run--
-				once++
-				return once
-			}
-			return often.Uint64()
+// skewedKeys returns a source of keys of which few are asked for often, with a run of many that come once now and then,
+// as when a collection is embedded.
+func skewedKeys() func() uint64 {
+	random := rand.New(rand.NewSource(1))
+	often := rand.NewZipf(random, 1.1, 8, 100_000)
+	once, run := uint64(1<<40), 0
+	return func() uint64 {
+		if run == 0 && random.Intn(2000) == 0 {
+			run = 3000
 		}
-	}
-	value := make([]byte, size)
-	memory := func() uint64 {
-		var m runtime.MemStats
-		runtime.GC()
-		runtime.ReadMemStats(&m)
-		return m.HeapAlloc
-	}
-	report := func(b *testing.B, before uint64, hits int, keep any) {
-		b.ReportMetric(float64(hits)/float64(b.N), "hits/ask")
-		b.ReportMetric(float64(memory()-before)/most-size, "B_beside/value")
-		runtime.KeepAlive(keep)
-	}
-	b.Run("hand", func(b *testing.B) {
-		before := memory()
-		c := New(size, most*(size+perValue))
-		next, hits := asks(), 0
-		for range b.N {
-			k := key(next())
-			if _, some := c.Get(k); some {
-				hits++
-			} else {
-				c.Put(k, value)
-			}
+		if run > 0 {
+			run--
+			once++
+			return once
 		}
-		b.StopTimer()
-		report(b, before, hits, c)
-	})
-	b.Run("lru", func(b *testing.B) {
-		before := memory()
-		c := &lru{most: most, at: map[Key]*list.Element{}}
-		next, hits := asks(), 0
-		for range b.N {
-			k := key(next())
-			if c.get(k) {
-				hits++
-			} else {
-				c.put(k, value)
-			}
-		}
-		b.StopTimer()
-		report(b, before, hits, c)
-	})
+		return often.Uint64()
+	}
 }
 
-// The bound counts all that it takes.
-func TestBytes(t *testing.T) {
-	c := New(400, 1<<20)
-	for n := range uint64(20_000) {
-		c.Put(key(n), make([]byte, 400))
+func heapBytes() uint64 {
+	var stats runtime.MemStats
+	runtime.GC()
+	runtime.ReadMemStats(&stats)
+	return stats.HeapAlloc
+}
+
+// BenchmarkCache reports the share of hits and the memory that each value takes beside itself.
+func BenchmarkCache(b *testing.B) {
+	const size, capacity = 1536 * 4, 4000
+	type cache interface {
+		Get(key Key) ([]byte, bool)
+		Put(key Key, value []byte)
 	}
-	if c.Bytes() > 1<<20+pageSlots*400 || c.Len() < 1<<20/(400+perValue) {
-		t.Error(fmt.Sprint(c.Bytes(), " bytes, ", c.Len(), " values"))
+	value := make([]byte, size)
+	for _, run := range []struct {
+		name string
+		make func() cache
+	}{
+		{"sieve", func() cache { return New(size, capacity*(size+overheadBytes)) }},
+		{"lru", func() cache { return &lru{capacity: capacity, elements: map[Key]*list.Element{}} }},
+	} {
+		b.Run(run.name, func(b *testing.B) {
+			before := heapBytes()
+			c, next, hits := run.make(), skewedKeys(), 0
+			for range b.N {
+				key := testKey(next())
+				if _, found := c.Get(key); found {
+					hits++
+				} else {
+					c.Put(key, value)
+				}
+			}
+			b.StopTimer()
+			b.ReportMetric(float64(hits)/float64(b.N), "hits/ask")
+			b.ReportMetric(float64(heapBytes()-before)/capacity-size, "B_beside/value")
+			runtime.KeepAlive(c)
+		})
 	}
 }
