--- a/internal/sockets/conn.go
+++ b/internal/sockets/conn.go
@@ -6,404 +6,214 @@
 	"syscall"
 
 	"github.com/lesismal/nbio"
-	"golang.org/x/sys/unix"
 
 	"plumspindle/internal/eventloop"
 )
 
 const (
-	readAtOnce = 32 << 10         // bytes of one connection that are handed over in one turn, so that turns are fair
-	takeInMost = 128 << 10        // bytes of one connection that wait for the loop; past it the socket is left to fill
-	lingerFor  = eventloop.Second // for the other side to see that a connection is shut
+	// maxTurnBytes of one connection are handed over in one turn, so that connections take turns.
+	maxTurnBytes = 32 << 10
+	// defaultReadBufferLimit is how many bytes of one connection are read ahead of the loop; beyond it they are left in
+	// the socket, whose other side is slowed down once it is full.
+	defaultReadBufferLimit = 128 << 10
+	// readChunkBytes are read with one system call.
+	readChunkBytes = 16 << 10
+	// maxIdleBufferBytes is how large a buffer a connection keeps that has nothing to hand over.
+	maxIdleBufferBytes = 4 << 10
 )
 
-// What the socket did not take is offered to it again after a pause, which doubles while it takes nothing.
-const (
-	minWritePause = eventloop.Millisecond
-	maxWritePause = 32 * eventloop.Millisecond
-)
-
-// conn implements eventloop.Conn over one of nbio's connections. The poller reads; only the loop writes, so that what has left does not
-// change between a look at it and what is done about it.
+// conn implements eventloop.Conn over one of nbio's connections. The poller reads; only the loop writes, so that what
+// was sent does not change between a check of it and the action that follows from it.
 type conn struct {
-	l       *Loop
-	h       eventloop.Handler
-	nb      *nbio.Conn
-	dialing eventloop.Timer
-
-	mu      sync.Mutex // guards what the poller and the loop both touch
-	in      []byte
-	posted  bool
-	stalled bool // the socket was left unread
-	gone    bool
-
-	// The loop's own.
-	out      []byte // written, and not taken by the socket yet
-	rewrite  eventloop.Timer
-	accepted bool
-	paused   bool
-	closing  bool
-	lingers  eventloop.Timer
-	ended    bool
-	cause    error
-	spare    []byte
-}
-
-// socket runs f with the descriptor unless the connection is closed, which waits meanwhile: once it is, the number may be another's.
-func (c *conn) socket(f func(fd int)) bool {
-	if c.nb == nil {
-		return false
-	}
-	c.nb.Lock()
-	defer c.nb.Unlock()
-	if gone, _ := c.nb.IsClosed(); gone {
-		return false
+	loop      *Loop
+	handler   eventloop.Handler
+	socket    *nbio.Conn // nil until it is handed to the poller
+	dialTimer eventloop.Timer
+
+	mu             sync.Mutex // guards what the poller and the loop share
+	received       []byte     // read, and not handed over
+	handOverPosted bool
+	readStalled    bool // the limit of received was reached, and the socket was not read until it was empty
+	peerEnded      bool
+
+	// What follows is used by the loop's goroutine only.
+	unsent      []byte // written, and not taken by the socket
+	flushTimer  eventloop.Timer
+	lingerTimer eventloop.Timer
+	turnBuffer  []byte // reused for what is handed over
+	accepted    bool
+	paused      bool
+	closing     bool
+	ended       bool // Closed was called
+	cause       error
+}
+
+// read reads what has arrived, up to the limit. It is called by the poller, and by the loop once there is capacity.
+func (c *conn) read(socket *nbio.Conn) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.readLocked(socket)
+	if len(c.received) > 0 {
+		c.postHandOverLocked()
 	}
-	f(c.nb.Hash())
-	return true
 }
 
-// takeIn reads what has come, up to the bound; it is called by the poller, and by the loop once there is room.
-func (c *conn) takeIn(nb *nbio.Conn) {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	var buf [16 << 10]byte
+func (c *conn) readLocked(socket *nbio.Conn) {
+	var buffer [readChunkBytes]byte
 	for {
-		// Past the bound the socket is left to fill; but what the other side sent before it ended has to be taken now,
-		// as nbio closes with the rest unread as soon as it sees that end. That is at most what the socket holds.
-		if len(c.in) >= c.l.takeIn() && !hungUp(nb.Hash()) {
-			c.stalled = true
-			break
-		}
-		n, err := nb.Read(buf[:])
-		if n > 0 { // a read that brings less than it could says nothing of what is left; only EAGAIN does
-			c.in = append(c.in, buf[:n]...)
-			continue
-		}
-		if errors.Is(err, syscall.EINTR) {
-			continue
+		// Beyond the limit the socket is left to fill. But what the other side sent before it closed has to be read now,
+		// as nbio closes with the rest unread as soon as it sees the close. That is at most what the socket holds.
+		if len(c.received) >= c.loop.readBufferLimit() && !isHungUp(socket.Hash()) {
+			c.readStalled = true
+			return
 		}
-		if errors.Is(err, syscall.EAGAIN) {
-			break
+		n, err := socket.Read(buffer[:])
+		switch {
+		case n > 0: // a short read does not mean that nothing is left; only EAGAIN does
+			c.received = append(c.received, buffer[:n]...)
+		case errors.Is(err, syscall.EINTR):
+		case errors.Is(err, syscall.EAGAIN):
+			return
+		default:
+			c.readFailedLocked(socket, err)
+			return
 		}
-		// The other side has ended. nbio closes on a half-close too, after this.
-		if !c.gone {
-			c.gone = true
-			c.l.post(func() { _ = nb.CloseWithError(err) })
-		}
-		break
-	}
-	if len(c.in) > 0 && !c.posted {
-		c.posted = true
-		c.l.post(c.handOver)
 	}
 }
 
-func (l *Loop) takeIn() int {
-	if l.ReadBufferLimit > 0 {
-		return l.ReadBufferLimit
+// readFailedLocked closes a connection whose other side has closed it. nbio closes on a half-close too, after this.
+func (c *conn) readFailedLocked(socket *nbio.Conn, err error) {
+	if !c.peerEnded {
+		c.peerEnded = true
+		c.loop.Post(func() { _ = socket.CloseWithError(err) })
 	}
-	return takeInMost
 }
 
-// hungUp tells that the other side of a descriptor's connection has ended.
-func hungUp(fd int) bool {
-	n, err := poll(fd, unix.POLLRDHUP)
-	return err == nil && n > 0
+func (c *conn) postHandOverLocked() {
+	if !c.handOverPosted {
+		c.handOverPosted = true
+		c.loop.Post(c.handOver)
+	}
 }
 
-// poll looks at a descriptor without waiting.
-func poll(fd int, events int16) (n int, err error) {
-	p := []unix.PollFd{{Fd: int32(fd), Events: events}}
-	for {
-		if n, err = unix.Poll(p, 0); !errors.Is(err, syscall.EINTR) {
-			return n, err
-		}
+func (l *Loop) readBufferLimit() int {
+	if l.ReadBufferLimit > 0 {
+		return l.ReadBufferLimit
 	}
+	return defaultReadBufferLimit
 }
 
-// handOver gives the handler one turn's worth of what came in.
+// handOver gives the handler one turn's worth of what was read.
 func (c *conn) handOver() {
-	c.mu.Lock()
-	c.posted = false
-	if c.paused && !c.closing || c.ended {
-		c.mu.Unlock()
+	turn, proceed := c.takeTurn()
+	if !proceed {
 		return
 	}
-	n := min(len(c.in), readAtOnce)
-	turn := append(c.spare[:0], c.in[:n]...)
-	c.spare = turn
-	if n == len(c.in) {
-		c.in = c.in[:0]
-		if cap(c.in) > readAtOnce {
-			c.in = nil // an idle stream must not keep a burst's buffer
-		}
-	} else {
-		c.in = c.in[:copy(c.in, c.in[n:])]
-		c.posted = true
-		c.l.post(c.handOver)
-	}
-	stalled := c.stalled && len(c.in) < c.l.takeIn()/2
-	if stalled {
-		c.stalled = false
-	}
-	rest := len(c.in)
-	c.mu.Unlock()
-	if n > 0 && !c.closing {
-		c.h.Data(turn)
+	if len(turn.data) > 0 && !c.closing {
+		c.handler.Data(turn.data)
 	}
-	if cap(c.spare) > 4<<10 && rest == 0 {
-		c.spare = nil
+	if turn.left == 0 && cap(c.turnBuffer) > maxIdleBufferBytes {
+		c.turnBuffer = nil
 	}
-	if stalled {
-		c.takeIn(c.nb)
+	if turn.readOn {
+		c.read(c.socket)
 	}
-	if c.cause != nil && rest == 0 {
+	if c.cause != nil && turn.left == 0 {
 		c.end()
 	}
 }
 
-func (c *conn) closed(err error) {
-	if c.ended {
-		return
-	}
-	if c.dialing != nil {
-		c.dialing.Stop()
-		c.dialing = nil
-	}
-	if c.cause = err; err == nil {
-		c.cause = errors.New("closed by the other side")
-	}
-	c.mu.Lock()
-	rest := len(c.in)
-	c.mu.Unlock()
-	if rest == 0 || c.closing {
-		c.end() // data that came before the close is handed over first, unless nobody reads it any more
-	}
+// turn is what is handed over at once.
+type turn struct {
+	data   []byte
+	left   int  // bytes that are left for later turns
+	readOn bool // reading was stalled, and there is capacity again
 }
 
-func (c *conn) end() {
-	if !c.ended {
-		c.ended = true
-		for _, t := range []eventloop.Timer{c.lingers, c.rewrite} {
-			if t != nil {
-				t.Stop()
-			}
+// takeTurn takes one turn's worth of what was read, and has the rest follow later.
+func (c *conn) takeTurn() (t turn, proceed bool) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.handOverPosted = false
+	if c.paused && !c.closing || c.ended {
+		return turn{}, false
+	}
+	n := min(len(c.received), maxTurnBytes)
+	t.data = append(c.turnBuffer[:0], c.received[:n]...)
+	c.turnBuffer = t.data
+	if n < len(c.received) {
+		c.received = c.received[:copy(c.received, c.received[n:])]
+		c.postHandOverLocked()
+	} else {
+		c.received = c.received[:0]
+		if cap(c.received) > maxTurnBytes {
+			c.received = nil // an idle connection must not keep the buffer of a burst
 		}
-		c.h.Closed(c.cause)
-	}
-}
-
-// Write implements eventloop.Conn.
-func (c *conn) Write(b []byte) {
-	if c.ended || c.nb == nil || len(b) == 0 {
-		return
 	}
-	if len(c.out) > 0 {
-		c.out = append(c.out, b...)
-		return
-	}
-	if rest := c.send(b); len(rest) > 0 {
-		c.out = append(c.out, rest...)
-		c.writeLater(minWritePause)
-	}
-}
-
-// send hands to the socket what it takes, and returns the rest. Only EAGAIN tells that the socket is full: a write may take less than it
-// could, and nbio's own waits for an edge that does not come then.
-func (c *conn) send(b []byte) (rest []byte) {
-	var broken error
-	c.socket(func(fd int) {
-		for len(b) > 0 {
-			n, err := unix.Write(fd, b)
-			switch {
-			case n > 0:
-				b = b[n:]
-			case errors.Is(err, syscall.EINTR):
-			case err == nil, noRoom(err):
-				return
-			default:
-				broken = err
-				return
-			}
-		}
-	})
-	if broken != nil {
-		_ = c.nb.CloseWithError(broken) // its closing is heard
+	t.left = len(c.received)
+	t.readOn = c.readStalled && t.left < c.loop.readBufferLimit()/2
+	if t.readOn {
+		c.readStalled = false
 	}
-	return b
+	return t, true
 }
 
-// noRoom tells that a write may succeed later.
-func noRoom(err error) bool {
-	return errors.Is(err, syscall.EAGAIN) || errors.Is(err, syscall.ENOBUFS) || errors.Is(err, syscall.ENOMEM)
-}
-
-func (c *conn) writeLater(pause eventloop.Micros) {
-	c.rewrite = c.l.AfterFunc(pause, func() { c.flush(pause) })
-}
-
-// flush offers to the socket again what it did not take.
-func (c *conn) flush(pause eventloop.Micros) {
-	if c.ended {
+// Pause implements eventloop.Conn.
+func (c *conn) Pause(paused bool) {
+	if c.paused == paused {
 		return
 	}
-	had := len(c.out)
-	c.out = c.out[:copy(c.out, c.send(c.out))]
-	switch len(c.out) {
-	case 0:
-		c.out = nil
-		c.drained()
-	case had:
-		c.writeLater(min(2*pause, maxWritePause))
-	default:
-		c.writeLater(minWritePause)
-	}
-}
-
-func (c *conn) drained() {
-	if c.closing {
-		c.shut()
+	c.paused = paused
+	if paused {
 		return
 	}
-	c.h.Drained()
-}
-
-// Idle implements eventloop.Conn. It asks the socket: what the poller has seen may not have reached the loop yet.
-func (c *conn) Idle() bool {
-	if c.nb == nil || c.ended || c.closing || c.cause != nil {
-		return false
-	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.nothingRead()
+	c.postHandOverLocked()
 }
 
-// nothingRead tells that nothing has come that was not handed over, nor the other side's end. It is called with mu held, which keeps the
-// poller from reading.
-func (c *conn) nothingRead() bool {
-	quiet := false
-	if c.gone || len(c.in) > 0 || !c.socket(func(fd int) { quiet = nothingIn(fd) }) {
-		return false
-	}
-	return quiet
-}
-
-// nothingIn tells that a descriptor's connection has neither ended nor anything to be read.
-func nothingIn(fd int) bool {
-	n, err := poll(fd, unix.POLLIN|unix.POLLRDHUP)
-	return err == nil && n == 0
-}
-
-// Unsent implements eventloop.Conn.
-func (c *conn) Unsent() int { return len(c.out) }
-
-// PeerClosed implements eventloop.Conn.
-func (c *conn) PeerClosed() bool {
-	if c.ended || c.cause != nil {
-		return true
-	}
-	gone := false
-	open := c.socket(func(fd int) { gone = hungUp(fd) })
-	return c.nb != nil && (gone || !open)
-}
-
-// Undelivered implements eventloop.Conn: it asks the system for bytes that the other side has not acknowledged.
-func (c *conn) Undelivered() bool {
-	waits := 0
-	c.socket(func(fd int) {
-		if n, err := unix.IoctlGetInt(fd, unix.SIOCOUTQ); err == nil {
-			waits = n
-		}
-	})
-	return len(c.out) > 0 || waits > 0
-}
-
-// Pause implements eventloop.Conn.
-func (c *conn) Pause(on bool) {
-	if c.paused == on {
+// socketClosed records that the socket is closed. What was read before is handed over first, unless nobody wants it.
+func (c *conn) socketClosed(err error) {
+	if c.ended {
 		return
 	}
-	c.paused = on
-	if on {
-		return
+	c.stopDialTimer()
+	if c.cause = err; err == nil {
+		c.cause = eventloop.ErrPeerClosed
 	}
 	c.mu.Lock()
-	if !c.posted {
-		c.posted = true
-		c.l.post(c.handOver)
-	}
+	left := len(c.received)
 	c.mu.Unlock()
-}
-
-// Close implements eventloop.Conn.
-func (c *conn) Close() {
-	if c.closing || c.ended {
-		return
-	}
-	c.closing = true
-	if c.cause != nil {
-		c.l.Defer(c.end)
-		return
-	}
-	if c.nb != nil && len(c.out) == 0 {
-		c.shut()
+	if left == 0 || c.closing {
+		c.end()
 	}
 }
 
-// CloseIfIdle implements eventloop.Conn. The poller reads nothing between the look and the shutdown: what it reads after that is
-// dropped, and came too late.
-func (c *conn) CloseIfIdle() bool {
-	if c.nb == nil || c.closing || c.ended || len(c.out) > 0 {
-		c.Close()
-		return true
-	}
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	if c.cause != nil || !c.nothingRead() {
-		return false
+func (c *conn) stopDialTimer() {
+	if c.dialTimer != nil {
+		c.dialTimer.Stop()
+		c.dialTimer = nil
 	}
-	c.closing = true
-	c.shutLocked()
-	return true
-}
-
-// shut closes what is sent: by halves where the other side may still be sending.
-func (c *conn) shut() {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	c.shutLocked()
 }
 
-func (c *conn) shutLocked() {
-	if !c.accepted {
-		_ = c.nb.Close()
-		return
-	}
-	if c.lingers != nil {
-		return
-	}
-	var err error
-	if !c.socket(func(fd int) { err = unix.Shutdown(fd, unix.SHUT_WR) }) || err != nil {
-		_ = c.nb.Close()
+// end stops the connection's timers and reports its end, once.
+func (c *conn) end() {
+	if c.ended {
 		return
 	}
-	c.lingers = c.l.AfterFunc(lingerFor, func() { _ = c.nb.Close() })
-	if !c.posted { // what has come is dropped, and room is made for what still comes
-		c.posted = true
-		c.l.post(c.handOver)
+	c.ended = true
+	for _, t := range []eventloop.Timer{c.lingerTimer, c.flushTimer} {
+		if t != nil {
+			t.Stop()
+		}
 	}
+	c.handler.Closed(c.cause)
 }
 
-// Abort implements eventloop.Conn.
-func (c *conn) Abort() {
-	c.closing = true
-	if c.cause != nil {
-		c.l.Defer(c.end)
-		return
-	}
-	if c.nb != nil && !c.ended {
-		c.socket(func(fd int) { _ = unix.SetsockoptLinger(fd, unix.SOL_SOCKET, unix.SO_LINGER, &unix.Linger{Onoff: 1}) })
-		_ = c.nb.Close()
+// failBeforeOpen ends a connection that has not been handed to the poller.
+func (c *conn) failBeforeOpen(cause error) {
+	if c.socket == nil && !c.ended {
+		c.cause = cause
+		c.end()
 	}
 }
--- a/internal/sockets/dial.go
+++ b/internal/sockets/dial.go
@@ -12,123 +12,135 @@
 	"plumspindle/internal/eventloop"
 )
 
-var (
-	errNoConnection = errors.New("no connection")
-	errClosedEarly  = errors.New("closed before it opened")
-)
+var errNoConnection = errors.New("no connection")
 
-// Dial opens a connection; its outcome is heard by the handler, never within this call.
-func (l *Loop) Dial(addr string, within eventloop.Micros, h eventloop.Handler) eventloop.Conn {
-	return l.dial(addr, within, h, false)
+// Dial implements eventloop.Loop.
+func (l *Loop) Dial(addr string, timeout eventloop.Micros, handler eventloop.Handler) eventloop.Conn {
+	return l.dial(addr, timeout, handler, false)
 }
 
-// DialReserved is Dial that may use the descriptors that are kept back.
-func (l *Loop) DialReserved(addr string, within eventloop.Micros, h eventloop.Handler) eventloop.Conn {
-	return l.dial(addr, within, h, true)
+// DialReserved implements eventloop.Loop.
+func (l *Loop) DialReserved(addr string, timeout eventloop.Micros, handler eventloop.Handler) eventloop.Conn {
+	return l.dial(addr, timeout, handler, true)
 }
 
-func (l *Loop) dial(addr string, within eventloop.Micros, h eventloop.Handler, spare bool) eventloop.Conn {
-	_ = l.spares.fill()
-	c := &conn{l: l, h: h}
-	fail := func(err error) {
-		if c.nb == nil && !c.ended {
-			c.cause = err
-			c.end()
-		}
-	}
-	c.dialing = l.AfterFunc(within, func() { fail(errors.New("no connection in time")) })
-	// Not by nbio's own dialling: it takes the first four bytes of an address that has sixteen, and so reaches only this machine's own.
-	dialer := net.Dialer{Timeout: time.Duration(within) * time.Microsecond, KeepAlive: -1}
-	var dial func(again bool)
-	dial = func(again bool) {
-		raw, err := dialer.Dial("tcp", addr)
-		l.post(func() {
-			switch {
-			case noDescriptors(err) && again && !c.ended && l.spares.take():
-				go dial(false)
-			case noDescriptors(err):
-				l.dialed(c, nil, spare, fmt.Errorf("%w: %w", eventloop.ErrNoDescriptors, err), fail)
-			case err != nil:
-				l.dialed(c, nil, spare, fmt.Errorf("%w: %w", errNoConnection, err), fail)
-			default:
-				l.dialed(c, raw, spare, nil, fail)
-			}
-		})
-	}
-	go dial(spare)
-	return c
+// dialAttempt is the opening of one connection.
+type dialAttempt struct {
+	loop          *Loop
+	conn          *conn
+	addr          string
+	dialer        net.Dialer
+	mayUseReserve bool
 }
 
-func (l *Loop) dialed(c *conn, raw net.Conn, spare bool, err error, fail func(error)) {
-	if c.dialing != nil {
-		c.dialing.Stop()
-		c.dialing = nil
+func (l *Loop) dial(addr string, timeout eventloop.Micros, handler eventloop.Handler, reserved bool) eventloop.Conn {
+	_ = l.reserve.fill()
+	a := &dialAttempt{
+		loop: l,
+		conn: &conn{loop: l, handler: handler},
+		addr: addr,
+		// Not nbio's own dialling: it takes the first four bytes of an address that has sixteen, and so connects to
+		// this machine whatever the address is.
+		dialer:        net.Dialer{Timeout: time.Duration(timeout) * time.Microsecond, KeepAlive: -1},
+		mayUseReserve: reserved,
 	}
-	if err != nil {
-		fail(err)
+	a.conn.dialTimer = l.AfterFunc(timeout, func() { a.conn.failBeforeOpen(eventloop.ErrConnectTimeout) })
+	go a.connect(reserved)
+	return a.conn
+}
+
+// connect dials, in a goroutine of its own, which ends with the dialer's timeout at the latest.
+func (a *dialAttempt) connect(mayRetry bool) {
+	raw, err := a.dialer.Dial("tcp", a.addr)
+	a.loop.Post(func() { a.connected(raw, err, mayRetry) })
+}
+
+// connected takes the result of connect. If no descriptor was left it retries with one of the reserve.
+func (a *dialAttempt) connected(raw net.Conn, err error, mayRetry bool) {
+	outOfDescriptors := isOutOfDescriptors(err)
+	if outOfDescriptors && mayRetry && !a.conn.ended && a.loop.reserve.release() {
+		go a.connect(false)
 		return
 	}
-	unwanted := func() bool {
-		if !c.ended && !c.closing {
-			return false
-		}
-		if !c.ended {
-			c.cause = errClosedEarly
-			c.end()
-		}
+	a.conn.stopDialTimer()
+	switch {
+	case outOfDescriptors:
+		a.conn.failBeforeOpen(fmt.Errorf("%w: %w", eventloop.ErrNoDescriptors, err))
+	case err != nil:
+		a.conn.failBeforeOpen(fmt.Errorf("%w: %w", errNoConnection, err))
+	case a.endIfUnwanted():
+		_ = raw.Close()
+	default:
+		a.handToPoller(raw)
+	}
+}
+
+// endIfUnwanted reports whether the connection was closed before it opened, and ends it in that case.
+func (a *dialAttempt) endIfUnwanted() bool {
+	if a.conn.ended {
 		return true
 	}
-	if unwanted() {
-		_ = raw.Close()
-		return
+	if a.conn.closing {
+		a.conn.cause = eventloop.ErrClosedBeforeOpen
+		a.conn.end()
+		return true
 	}
-	nb, err := ownOnly(raw)
-	if noDescriptors(err) && spare && l.spares.take() {
-		nb, err = ownOnly(raw)
+	return false
+}
+
+func (a *dialAttempt) handToPoller(raw net.Conn) {
+	socket, err := toPollerConn(raw)
+	if isOutOfDescriptors(err) && a.mayUseReserve && a.loop.reserve.release() {
+		socket, err = toPollerConn(raw)
 	}
 	if err != nil {
 		_ = raw.Close()
-		fail(fmt.Errorf("%w: %w", eventloop.ErrNoDescriptors, err))
+		a.conn.failBeforeOpen(fmt.Errorf("%w: %w", eventloop.ErrNoDescriptors, err))
 		return
 	}
-	l.born.Add(1)
-	nb.SetSession(c)
-	l.tune(nb)
-	l.rounds.after(func() { // as for those that are accepted
-		if unwanted() {
-			_ = nb.Close()
-			return
-		}
-		if _, err := l.engine.AddConn(nb); err != nil {
-			c.closed(err)
-			return
-		}
-		c.nb = nb
-		if gone, err := nb.IsClosed(); gone {
-			c.closed(err)
-			return
-		}
-		c.h.Opened()
-		c.takeIn(nb) // an edge may have come before the session was set
-	})
+	a.loop.register(socket, a.conn)
+	a.loop.configure(socket)
+	a.loop.barrier.after(func() { a.open(socket) })
 }
 
-// tune has small writes leave at once, and sets the bound on what the system takes of them.
-func (l *Loop) tune(nb *nbio.Conn) {
-	_ = nb.SetNoDelay(true)
+// open completes the attempt, once no event of an earlier owner of the descriptor can come any more.
+func (a *dialAttempt) open(socket *nbio.Conn) {
+	c := a.conn
+	if a.endIfUnwanted() {
+		_ = socket.Close()
+		return
+	}
+	if _, err := a.loop.engine.AddConn(socket); err != nil {
+		c.socketClosed(err)
+		return
+	}
+	c.socket = socket
+	if closed, err := socket.IsClosed(); closed {
+		c.socketClosed(err)
+		return
+	}
+	c.handler.Opened()
+	c.read(socket) // an edge may have come before the session was set
+}
+
+// configure has small writes sent at once, and sets the size of the send buffer.
+func (l *Loop) configure(socket *nbio.Conn) {
+	_ = socket.SetNoDelay(true)
 	if l.SendBufferSize > 0 {
-		_ = nb.SetWriteBuffer(l.SendBufferSize)
+		_ = socket.SetWriteBuffer(l.SendBufferSize)
 	}
 }
 
-// ownOnly hands a connection to nbio, which duplicates its descriptor without marking it: a process started from here would
-// keep the connection open after this one has closed it, and its other side would wait for an answer that nobody gives.
-func ownOnly(raw net.Conn) (*nbio.Conn, error) {
+// toPollerConn makes one of nbio's connections of a connection, which nbio closes if it succeeds. nbio duplicates the
+// descriptor without the close-on-exec flag: a child process would keep the connection open after this process has
+// closed it, and its other side would wait for a response that never comes.
+func toPollerConn(raw net.Conn) (*nbio.Conn, error) {
 	syscall.ForkLock.RLock()
 	defer syscall.ForkLock.RUnlock()
-	nb, err := nbio.NBConn(raw)
-	if err == nil {
-		syscall.CloseOnExec(nb.Hash())
+	socket, err := nbio.NBConn(raw)
+	if err != nil {
+		return nil, err
 	}
-	return nb, err
+	syscall.CloseOnExec(socket.Hash())
+	return socket, nil
 }
--- a/internal/sockets/listen.go
+++ b/internal/sockets/listen.go
@@ -14,164 +14,175 @@
 )
 
 const (
-	acceptPause = 20 * time.Millisecond // after an accept that failed for want of descriptors
-	busyFor     = 3 * time.Millisecond  // for what one that is turned away has sent
-	backlogTime = 10 * time.Millisecond // for connections that wait to be accepted when the listener is closed
-	drainTries  = 100                   // in a row, while some wait all the same, as when the process is held up or has no descriptor
+	acceptRetryDelay = 20 * time.Millisecond // after an accept that failed, as when no descriptor is left
+	drainTimeout     = 10 * time.Millisecond // for connections in the backlog when the listener is closed
+	maxDrainRetries  = 100                   // while connections wait all the same, as when the process is held up
 )
 
-// listener implements eventloop.Listener.
+var (
+	errNotLoopback = errors.New("only loopback addresses are served")
+	errNotTCP      = errors.New("not a TCP listener")
+)
+
+// acceptFunc makes the handler of an accepted connection.
+type acceptFunc = func(eventloop.Conn) eventloop.Handler
+
+// listener implements eventloop.Listener. Its goroutine ends with Close, or at the end of Drain.
 type listener struct {
-	l       *Loop
-	ln      net.Listener
-	closing atomic.Bool // it accepts what waits, and no more
-	drains  int         // of the goroutine that accepts: how often it has drained
+	loop     *Loop
+	tcp      *net.TCPListener
+	accept   acceptFunc
+	draining atomic.Bool
+	drains   int // used by the accepting goroutine only: how often it has drained
 }
 
-// Listen takes connections on a loopback address.
+// Listen implements eventloop.Loop.
 func (l *Loop) Listen(addr string, accept func(eventloop.Conn) eventloop.Handler) (eventloop.Listener, error) {
-	host, _, err := net.SplitHostPort(addr)
+	ln, err := l.listen(addr, accept)
 	if err != nil {
 		return nil, fmt.Errorf("listen on %q: %w", addr, err)
 	}
-	if ip := net.ParseIP(host); !l.AllowAnyAddress && host != "localhost" && (ip == nil || !ip.IsLoopback()) {
-		return nil, fmt.Errorf("listen on %q: only loopback addresses are served", addr)
+	l.listeners[ln] = true
+	go ln.acceptAll()
+	return ln, nil
+}
+
+func (l *Loop) listen(addr string, accept acceptFunc) (*listener, error) {
+	host, _, err := net.SplitHostPort(addr)
+	if err != nil {
+		return nil, err
+	}
+	if !l.AllowAnyAddress && !isLoopback(host) {
+		return nil, errNotLoopback
 	}
-	ln, err := net.Listen("tcp", addr)
+	inner, err := net.Listen("tcp", addr)
 	if err != nil {
-		return nil, fmt.Errorf("listen on %q: %w", addr, err)
+		return nil, err
 	}
-	own := &listener{l: l, ln: ln}
-	l.listeners[own] = true
-	go own.acceptAll(accept)
-	return own, nil
+	tcp, ok := inner.(*net.TCPListener)
+	if !ok {
+		_ = inner.Close()
+		return nil, errNotTCP
+	}
+	return &listener{loop: l, tcp: tcp, accept: accept}, nil
 }
 
-// acceptAll takes connections until the listener is closed; it runs in a goroutine of its own.
-func (own *listener) acceptAll(accept func(eventloop.Conn) eventloop.Handler) {
+func isLoopback(host string) bool {
+	ip := net.ParseIP(host)
+	return host == "localhost" || ip != nil && ip.IsLoopback()
+}
+
+// acceptAll accepts connections until the listener is closed.
+func (ln *listener) acceptAll() {
 	for {
-		if own.l.beforeAccept != nil {
-			own.l.beforeAccept()
+		if ln.loop.beforeAccept != nil {
+			ln.loop.beforeAccept()
 		}
-		raw, err := own.ln.Accept()
+		raw, err := ln.tcp.Accept()
 		switch {
 		case errors.Is(err, net.ErrClosed):
 			return
-		case own.closing.Load() && errors.Is(err, os.ErrDeadlineExceeded):
-			if own.backlogWaits() && own.drainAgain() { // the deadline was over before anything was accepted
+		case ln.draining.Load() && errors.Is(err, os.ErrDeadlineExceeded):
+			if ln.hasBacklog() && ln.drainAgain() { // the deadline was over before anything was accepted
 				continue
 			}
-			_ = own.ln.Close()
+			_ = ln.tcp.Close()
 			return
 		case err != nil:
-			raw = own.afterFailure(err)
+			raw = ln.recoverAccept(err)
 		}
-		switch {
-		case raw == nil:
-		case !own.l.spares.complete(): // a descriptor that was let go of for something else must not go to a client
-			own.l.refuse(raw)
-		default:
-			own.l.post(func() { own.take(raw, accept) })
+		if raw != nil {
+			ln.serveOrReject(raw)
 		}
 	}
 }
 
-// afterFailure goes on after an accept that failed. Where descriptors are used up each connection that comes is told so, in turn, with one
-// that is kept back; where there is none left the rest waits in the backlog until some are given back. It returns a connection that can be
-// served after all.
-func (own *listener) afterFailure(err error) net.Conn {
-	if noDescriptors(err) {
-		if raw, done := own.turnAway(); done {
-			return raw
-		}
+// serveOrReject passes a connection on to the loop. A descriptor that was released from the reserve must not go to a
+// client: while one is missing, the connection is rejected.
+func (ln *listener) serveOrReject(raw net.Conn) {
+	if !ln.loop.reserve.isComplete() {
+		ln.loop.reject(raw)
+		return
 	}
-	time.Sleep(acceptPause)
-	return nil
+	ln.loop.Post(func() { ln.handToPoller(raw) })
 }
 
-// take hands a connection to the poller, and opens it once no event of an earlier holder of its descriptor can come any more.
-func (own *listener) take(raw net.Conn, accept func(eventloop.Conn) eventloop.Handler) {
-	c := &conn{l: own.l, accepted: true}
-	c.h = accept(c)
-	nb, err := ownOnly(raw)
+// handToPoller hands a connection to the poller, and opens it once no event of an earlier owner of its descriptor can
+// come any more.
+func (ln *listener) handToPoller(raw net.Conn) {
+	c := &conn{loop: ln.loop, accepted: true}
+	c.handler = ln.accept(c)
+	socket, err := toPollerConn(raw)
 	if err != nil {
-		go own.l.refuse(raw) // it is not taken over, and would be held until it is collected
+		go ln.loop.reject(raw) // ends by its deadlines
 		c.cause = err
 		c.end()
 		return
 	}
-	c.nb = nb
-	own.l.born.Add(1)
-	nb.SetSession(c)
-	own.l.tune(nb)
-	own.l.rounds.after(func() { own.open(c) })
+	c.socket = socket
+	ln.loop.register(socket, c)
+	ln.loop.configure(socket)
+	ln.loop.barrier.after(func() { ln.open(c) })
 }
 
-// open tells the handler that its connection is open, unless that was closed meanwhile.
-func (own *listener) open(c *conn) {
+// open reports that a connection is open, unless it was closed meanwhile.
+func (ln *listener) open(c *conn) {
 	if c.ended {
 		return
 	}
 	if c.closing {
-		_ = c.nb.Close()
-		c.closed(errClosedEarly)
+		_ = c.socket.Close()
+		c.socketClosed(eventloop.ErrClosedBeforeOpen)
 		return
 	}
-	if _, err := own.l.engine.AddConn(c.nb); err != nil {
-		c.closed(err)
+	if _, err := ln.loop.engine.AddConn(c.socket); err != nil {
+		c.socketClosed(err)
 		return
 	}
-	c.h.Opened() // only now: nbio can't write before it knows the connection
-	c.takeIn(c.nb)
+	c.handler.Opened() // only now: nbio can't write before it knows the connection
+	c.read(c.socket)
 }
 
 // Addr implements eventloop.Listener.
-func (own *listener) Addr() string { return own.ln.Addr().String() }
+func (ln *listener) Addr() string { return ln.tcp.Addr().String() }
 
 // Close implements eventloop.Listener.
-func (own *listener) Close() {
-	delete(own.l.listeners, own)
-	_ = own.ln.Close()
+func (ln *listener) Close() {
+	delete(ln.loop.listeners, ln)
+	_ = ln.tcp.Close()
 }
 
 // Drain implements eventloop.Listener: the listener accepts for a moment more.
-func (own *listener) Drain() {
-	own.closing.Store(true)
-	if ln, ok := own.ln.(*net.TCPListener); !ok || own.resetDeadline(ln) != nil {
-		own.Close()
+func (ln *listener) Drain() {
+	ln.draining.Store(true)
+	if err := ln.resetDeadline(); err != nil {
+		ln.Close()
 	}
 }
 
-// backlogWaits tells whether a connection waits to be accepted.
-func (own *listener) backlogWaits() (waits bool) {
-	ln, ok := own.ln.(*net.TCPListener)
-	if !ok {
-		return false
-	}
-	raw, err := ln.SyscallConn()
+// hasBacklog reports whether a connection waits to be accepted.
+func (ln *listener) hasBacklog() (waits bool) {
+	raw, err := ln.tcp.SyscallConn()
 	if err != nil {
 		return false
 	}
-	_ = raw.Control(func(fd uintptr) {
-		n, err := poll(int(fd), unix.POLLIN)
-		waits = err == nil && n > 0
-	})
+	_ = raw.Control(func(fd uintptr) { waits = hasEvent(int(fd), unix.POLLIN) })
 	return waits
 }
 
-// drainAgain has the listener accept for a moment more, unless it has done so for too long.
-func (own *listener) drainAgain() bool {
-	own.drains++
-	return own.drains < drainTries && own.resetDeadline(own.ln.(*net.TCPListener)) == nil
+// drainAgain has the listener accept for a moment more, unless it has done so too often.
+func (ln *listener) drainAgain() bool {
+	ln.drains++
+	return ln.drains < maxDrainRetries && ln.resetDeadline() == nil
 }
 
-// resetDeadline takes a deadline away, but for the one that closing sets.
-func (own *listener) resetDeadline(ln *net.TCPListener) error {
-	if !own.closing.Load() {
-		err := ln.SetDeadline(time.Time{})
-		if !own.closing.Load() { // nor since
+// resetDeadline removes the deadline of accepting, or sets that of draining.
+func (ln *listener) resetDeadline() error {
+	if !ln.draining.Load() {
+		err := ln.tcp.SetDeadline(time.Time{})
+		if !ln.draining.Load() { // else Drain may have set its deadline before it was removed
 			return err
 		}
 	}
-	return ln.SetDeadline(time.Now().Add(backlogTime))
+	return ln.tcp.SetDeadline(time.Now().Add(drainTimeout))
 }
--- a/internal/sockets/loop.go
+++ b/internal/sockets/loop.go
@@ -1,5 +1,10 @@
-// Package sockets is the event loop over real sockets, which lesismal/nbio polls. Its poller reads; the one goroutine of the loop
-// writes and makes every call upwards.
+// Package sockets implements package eventloop with TCP sockets, which lesismal/nbio polls. The poller's goroutine
+// reads from the sockets; the one goroutine of the loop writes to them, runs the timers and calls the handlers.
+//
+// A Loop owns its poller, its connections and listeners, their goroutines and a reserve of file descriptors; Stop ends
+// them all. It relies on handlers not to block, and on being used from within its own calls, but for Do, Post, Stop and
+// WithReservedDescriptor. It never listens on other than loopback addresses unless it is told to, and never keeps a
+// connection open in child processes.
 package sockets
 
 import (
@@ -12,93 +17,128 @@
 	"github.com/lesismal/nbio"
 	"github.com/lesismal/nbio/logging"
 
-	"plumspindle/internal/eventloop"
 	"plumspindle/scheduler/timerqueue"
 )
 
-// stopWithin is how long the poller may take to end its connections.
-const stopWithin = 150 * time.Millisecond
+const (
+	stopTimeout       = 150 * time.Millisecond // for the poller to end its connections
+	pollerBufferBytes = 4 << 10                // of nbio's own reads; this package reads by itself
+)
 
-// Loop implements eventloop.Loop.
+// Loop implements eventloop.Loop. Its exported fields are set before anything is opened.
 type Loop struct {
-	engine *nbio.Engine
-	epoch  time.Time
-	rounds *rounds
-	spares *spares
-	// OverloadResponse is what a connection is told that is turned away because no descriptor is left; it is set before Listen.
+	// OverloadResponse is written to connections that are rejected because no descriptor is left.
 	OverloadResponse []byte
-	// AllowAnyAddress lets Listen take any address that it is told, not only loopback's; TakeIn, where it is above 0, stands for takeInMost. Both
-	// are set before anything is opened.
+	// AllowAnyAddress lets Listen take other addresses than those of the loopback interface.
 	AllowAnyAddress bool
+	// ReadBufferLimit, if above 0, is how many bytes of one connection are read ahead of the loop, in place of a default.
 	ReadBufferLimit int
-	// SendBufferSize, where it is above 0, is how many bytes the system is asked to take of what is written and has not arrived, in place of
-	// what it takes by itself; tests have writes leave in parts by it.
+	// SendBufferSize, if above 0, is the size of the sockets' send buffers in bytes, in place of the system's default;
+	// tests make writes partial by it.
 	SendBufferSize int
 
-	// beforeAccept, where it is set, is called before each connection is accepted; tests hold the listener up by it.
+	// beforeAccept, if set, is called before each connection is accepted; tests hold the listener up by it.
 	beforeAccept func()
 
-	// born counts connections that were handed to the poller. What a connection is made of is written before a count and
-	// read after one: nbio's own way of passing it on is not one that Go's memory model knows of.
-	born   atomic.Int64
-	mu     sync.Mutex
-	inbox  []func()
-	wake   chan struct{}
-	closed bool
-	done   chan struct{}
-
-	// What follows belongs to the loop's goroutine.
-	times     timerqueue.Queue
-	later     []func()
+	engine  *nbio.Engine
+	epoch   time.Time
+	barrier *pollBarrier
+	reserve *descriptorReserve
+
+	// registered counts connections that were handed to the poller. What a connection consists of is written before it is
+	// counted, and the poller reads the count before it uses a connection: the way in which nbio passes connections on
+	// does not order memory accesses by Go's memory model.
+	registered atomic.Int64
+
+	mu       sync.Mutex // guards inbox and stopping
+	inbox    []func()
+	stopping bool
+	wake     chan struct{}
+	done     chan struct{}
+
+	// What follows is used by the loop's goroutine only.
+	timers    timerqueue.Queue
+	deferred  []func()
 	listeners map[*listener]bool
 }
 
 // Start makes a loop and runs it in a goroutine of its own until Stop.
 func Start() (*Loop, error) {
-	logging.SetLevel(logging.LevelNone) // it would write lines of its own onto the program's output
-	l := &Loop{epoch: time.Now(), wake: make(chan struct{}, 1), done: make(chan struct{}),
-		listeners: map[*listener]bool{}}
-	l.engine = nbio.NewEngine(nbio.Config{Name: "plumspindle", NPoller: 1, EpollMod: nbio.EPOLLET,
-		ReadBufferSize: 4 << 10})
-	l.engine.OnRead(func(c *nbio.Conn) {
-		l.born.Load()
-		switch own := c.Session().(type) {
-		case *conn:
-			own.takeIn(c)
-		case *rounds:
-			own.read()
-		}
-	})
-	l.engine.OnClose(func(c *nbio.Conn, err error) {
-		l.born.Load()
-		if own, ok := c.Session().(*conn); ok {
-			l.post(func() { own.closed(err) })
-		}
+	logging.SetLevel(logging.LevelNone) // it would write lines of its own to the program's output
+	l := &Loop{
+		epoch:     time.Now(),
+		wake:      make(chan struct{}, 1),
+		done:      make(chan struct{}),
+		listeners: map[*listener]bool{},
+	}
+	l.engine = nbio.NewEngine(nbio.Config{
+		Name:           "plumspindle",
+		NPoller:        1,
+		EpollMod:       nbio.EPOLLET,
+		ReadBufferSize: pollerBufferBytes,
 	})
+	l.engine.OnRead(l.readable)
+	l.engine.OnClose(l.socketClosed)
 	if err := l.engine.Start(); err != nil {
-		return nil, fmt.Errorf("poller not started: %w", err)
+		return nil, fmt.Errorf("start the poller: %w", err)
 	}
-	if err := l.startRounds(); err != nil {
+	if err := l.startBarrier(); err != nil {
 		l.engine.Stop()
 		return nil, err
 	}
-	l.spares = newSpares()
+	l.reserve = newDescriptorReserve()
 	go l.run()
 	return l, nil
 }
 
-// Do runs f in the loop and waits for its end; it is for the outside, never for use from within.
+// readable is called by the poller when a socket has something to read.
+func (l *Loop) readable(socket *nbio.Conn) {
+	l.registered.Load()
+	switch owner := socket.Session().(type) {
+	case *conn:
+		owner.read(socket)
+	case *pollBarrier:
+		owner.read()
+	}
+}
+
+// socketClosed is called by the poller when a socket was closed, by either side.
+func (l *Loop) socketClosed(socket *nbio.Conn, err error) {
+	l.registered.Load()
+	if c, ok := socket.Session().(*conn); ok {
+		l.Post(func() { c.socketClosed(err) })
+	}
+}
+
+// register associates a socket with its owner, for the poller's events.
+func (l *Loop) register(socket *nbio.Conn, owner any) {
+	l.registered.Add(1)
+	socket.SetSession(owner)
+}
+
+// Do calls f in the loop and waits until it has returned. It must not be called from within the loop.
 func (l *Loop) Do(f func()) {
-	ended := make(chan struct{})
-	l.post(func() { f(); close(ended) })
+	returned := make(chan struct{})
+	l.Post(func() {
+		f()
+		close(returned)
+	})
 	select {
-	case <-ended:
+	case <-returned:
 	case <-l.done:
 	}
 }
 
-// Post has f run in the loop.
-func (l *Loop) Post(f func()) { l.post(f) }
+// Post has f called in the loop, and may be called from anywhere.
+func (l *Loop) Post(f func()) {
+	l.mu.Lock()
+	l.inbox = append(l.inbox, f)
+	first := len(l.inbox) == 1
+	l.mu.Unlock()
+	if first {
+		l.wakeUp()
+	}
+}
 
 // Stop ends the loop and closes all its sockets.
 func (l *Loop) Stop() {
@@ -108,113 +148,22 @@
 		}
 	})
 	l.mu.Lock()
-	l.closed = true
+	l.stopping = true
 	l.mu.Unlock()
-	l.nudge()
+	l.wakeUp()
 	<-l.done
 	// nbio waits for the end of each connection that it ever counted, and closes those that it knows when it begins to
-	// stop; one that opened just then would be waited for without end.
-	ctx, cancel := context.WithTimeout(context.Background(), stopWithin)
+	// stop; one that opens just then would be waited for without end.
+	ctx, cancel := context.WithTimeout(context.Background(), stopTimeout)
 	defer cancel()
-	_ = l.rounds.writer.Close()
+	_ = l.barrier.writer.Close()
 	_ = l.engine.Shutdown(ctx)
-	l.spares.close()
-}
-
-func (l *Loop) post(f func()) {
-	l.mu.Lock()
-	l.inbox = append(l.inbox, f)
-	first := len(l.inbox) == 1
-	l.mu.Unlock()
-	if first {
-		l.nudge()
-	}
+	l.reserve.close()
 }
 
-func (l *Loop) nudge() {
+func (l *Loop) wakeUp() {
 	select {
 	case l.wake <- struct{}{}:
 	default:
 	}
 }
-
-func (l *Loop) run() {
-	defer close(l.done)
-	clock := time.NewTimer(time.Hour)
-	defer clock.Stop()
-	var batch []func()
-	for {
-		l.mu.Lock()
-		batch, l.inbox = l.inbox, batch[:0]
-		closed := l.closed
-		l.mu.Unlock()
-		if closed {
-			return
-		}
-		for i, f := range batch {
-			f()
-			batch[i] = nil
-			l.runLater()
-		}
-		l.runDue()
-		if len(batch) > 0 {
-			continue // something may have been posted meanwhile
-		}
-		wait := time.Hour
-		if at, some := l.times.Next(); some {
-			wait = time.Duration(at-l.Now()) * time.Microsecond
-		}
-		if wait <= 0 {
-			continue
-		}
-		clock.Reset(wait)
-		select {
-		case <-l.wake:
-		case <-clock.C:
-		}
-	}
-}
-
-func (l *Loop) runLater() {
-	for len(l.later) > 0 {
-		todo := l.later
-		l.later = nil
-		for _, f := range todo {
-			f()
-		}
-	}
-}
-
-func (l *Loop) runDue() {
-	now := l.Now()
-	for {
-		at, some := l.times.Next()
-		if !some || at > now {
-			return
-		}
-		l.times.RunOne()
-		l.runLater()
-	}
-}
-
-// Now is the time since the epoch of 1970 as it was at the loop's start, going forward evenly from there.
-func (l *Loop) Now() eventloop.Micros {
-	return eventloop.Micros(l.epoch.UnixMicro()) + eventloop.Micros(time.Since(l.epoch).Microseconds())
-}
-
-type timer struct {
-	l  *Loop
-	it *timerqueue.Item
-}
-
-func (t timer) Stop() { t.l.times.Drop(t.it) }
-
-func (l *Loop) AfterFunc(span eventloop.Micros, f func()) eventloop.Timer {
-	return timer{l, l.times.Set(l.Now()+max(span, 0), f)}
-}
-
-func (l *Loop) Defer(f func()) {
-	if l.later = append(l.later, f); len(l.later) == 1 {
-		l.post(func() {}) // so that it runs also where nothing else comes in
-	}
-}
