--- a/internal/batch/limiter.go
+++ b/internal/batch/limiter.go
@@ -25,7 +25,7 @@
 	probeDuration = 150 * millisecond
 	probeFraction = 0.25 // of the limit
 
-	minPartTime = 2 * millisecond // shorter times are not told apart
+	minPartTime = 2 * millisecond // shorter times count as this
 )
 
 // Limiter limits how many parts of all calls of a dispatcher are in flight at once. It learns the limit from how long
--- a/internal/eventloop/eventloop.go
+++ b/internal/eventloop/eventloop.go
@@ -22,7 +22,7 @@
 	Second             = 1000 * Millisecond
 )
 
-// The causes of failed and closed connections that callers tell apart.
+// The causes of failed and closed connections that callers distinguish.
 var (
 	// ErrNoDescriptors means that this process has no file descriptor left; the other side is not to blame.
 	ErrNoDescriptors    = errors.New("too many open files")
--- a/internal/http1/parser.go
+++ b/internal/http1/parser.go
@@ -83,7 +83,7 @@
 	return nil
 }
 
-// Close tells the parser that the connection has ended. A message that is not complete by then is an error.
+// Close ends the parsing when the connection has ended. A message that is not complete by then is an error.
 func (p *Parser) Close(handler Handler) error {
 	switch {
 	case p.state == untilClose:
--- a/internal/sockets/barrier.go
+++ b/internal/sockets/barrier.go
@@ -17,9 +17,9 @@
 // So a connection is handed to the poller only after the poller has begun a new round: a byte that is written to a
 // socket pair now is read in a round whose events were taken after that.
 type pollBarrier struct {
-	loop   *Loop
-	writer net.Conn // closed by Stop
-	reader *nbio.Conn
+	loop     *Loop
+	writeEnd net.Conn // closed by Stop
+	readEnd  *nbio.Conn
 
 	// What follows is used by the loop's goroutine only.
 	inFlight bool     // a byte was written and has not been read
@@ -33,8 +33,8 @@
 		return fmt.Errorf("start the poller's barrier: %w", err)
 	}
 	l.barrier = barrier
-	l.register(barrier.reader, barrier)
-	if _, err := l.engine.AddConn(barrier.reader); err != nil {
+	l.register(barrier.readEnd, barrier)
+	if _, err := l.engine.AddConn(barrier.readEnd); err != nil {
 		return fmt.Errorf("start the poller's barrier: %w", err)
 	}
 	return nil
@@ -54,11 +54,11 @@
 			return nil, err
 		}
 	}
-	reader, err := toPollerConn(ends[1])
+	readEnd, err := toPollerConn(ends[1])
 	if err != nil {
 		return nil, err
 	}
-	return &pollBarrier{loop: l, writer: ends[0], reader: reader}, nil
+	return &pollBarrier{loop: l, writeEnd: ends[0], readEnd: readEnd}, nil
 }
 
 // after calls f once no event of an earlier owner of any descriptor can come any more.
@@ -73,7 +73,7 @@
 
 func (b *pollBarrier) send() {
 	b.inFlight = true
-	if _, err := b.writer.Write([]byte{1}); err != nil {
+	if _, err := b.writeEnd.Write([]byte{1}); err != nil {
 		b.passed() // the loop is being stopped
 	}
 }
@@ -82,7 +82,7 @@
 func (b *pollBarrier) read() {
 	var buffer [16]byte
 	for {
-		n, err := b.reader.Read(buffer[:])
+		n, err := b.readEnd.Read(buffer[:])
 		if n < len(buffer) || err != nil {
 			break
 		}
--- a/internal/sockets/conn_test.go
+++ b/internal/sockets/conn_test.go
@@ -23,7 +23,7 @@
 	})
 }
 
-// A close reaches the other side also while a child process runs. Otherwise dispatchers that a scenario restarts kept
+// A close reaches the other side also while a child process runs. Otherwise dispatchers that a scenario restarts left
 // their endpoints' connections open, and attempts were sent on them to nobody.
 func TestChildProcessesDoNotKeepConnectionsOpen(t *testing.T) {
 	for _, test := range []struct {
--- a/internal/sockets/listen.go
+++ b/internal/sockets/listen.go
@@ -16,7 +16,7 @@
 const (
 	acceptRetryDelay = 20 * time.Millisecond // after an accept that failed, as when no descriptor is left
 	drainTimeout     = 10 * time.Millisecond // for connections in the backlog when the listener is closed
-	maxDrainRetries  = 100                   // while connections wait all the same, as when the process is held up
+	maxDrainRetries  = 100                   // while connections wait all the same, as when the process is suspended
 )
 
 var (
--- a/internal/sockets/loop.go
+++ b/internal/sockets/loop.go
@@ -3,8 +3,8 @@
 //
 // A Loop owns its poller, its connections and listeners, their goroutines and a reserve of file descriptors; Stop ends
 // them all. It relies on handlers not to block, and on being used from within its own calls, but for Do, Post, Stop and
-// WithReservedDescriptor. It never listens on other than loopback addresses unless it is told to, and never keeps a
-// connection open in child processes.
+// WithReservedDescriptor. It never listens on other than loopback addresses unless AllowAnyAddress is set, and never
+// leaves a connection open in child processes.
 package sockets
 
 import (
@@ -156,7 +156,7 @@
 	// stop; one that opens just then would be waited for without end.
 	ctx, cancel := context.WithTimeout(context.Background(), stopTimeout)
 	defer cancel()
-	_ = l.barrier.writer.Close()
+	_ = l.barrier.writeEnd.Close()
 	_ = l.engine.Shutdown(ctx)
 	l.reserve.close()
 }
--- a/internal/virtual/disk_test.go
+++ b/internal/virtual/disk_test.go
@@ -7,7 +7,7 @@
 	"plumspindle/internal/eventloop"
 )
 
-// appendResult is what became of one Append: the content of its file, and the outcome it was told.
+// appendResult is what became of one Append: the content of its file, and its outcome.
 type appendResult struct {
 	content string
 	done    bool
