--- a/internal/admin/environment_test.go
+++ b/internal/admin/environment_test.go
@@ -139,7 +139,7 @@
 			return
 		}
 		var listener eventloop.Listener
-		if listener, err = x.loop.Listen(x.addr, x.Front().Accept); err == nil {
+		if listener, err = x.loop.Listen(x.addr, x.Frontend().Accept); err == nil {
 			x.addr = listener.Addr()
 		}
 	})
--- a/internal/admin/lifecycle_test.go
+++ b/internal/admin/lifecycle_test.go
@@ -122,7 +122,7 @@
 	r.expect(r.other, completed)
 	for i, x := range r.dispatchers {
 		if x.OpenRequests() != 0 {
-			r.t.Errorf("dispatcher %d: %v", i, x.DescribeOpen())
+			r.t.Errorf("dispatcher %d: %v", i, x.DescribeOpenRequests())
 		}
 	}
 	if tenant := r.must(200, "GET", "tenants/going", ""); tenant.Get("state").String() != "removed" {
