--- a/internal/cli/bench_client.go
+++ b/internal/cli/bench_client.go
@@ -50,8 +50,9 @@
 		events: sse.Parser{MaxEventBytes: benchMaxEventSize}}
 	headers := append(call.headers, "Authorization", "Bearer "+benchKey, "Content-Type", "application/json",
 		"x-client-request-id", call.id, "Connection", "close")
-	client.request = http1.AppendRequest(nil, "POST", "/v1/chat/completions", t.address,
-		chatBody(call.model, call.maxTokens), headers...)
+	client.request = http1.AppendRequest(nil, http1.Request{
+		Method: "POST", Target: "/v1/chat/completions", Host: t.address, Body: chatBody(call.model, call.maxTokens),
+	}, headers...)
 	client.conn = t.clients.Dial(t.address, benchDialTimeout, client)
 	return client
 }
--- a/internal/engine/release.go
+++ b/internal/engine/release.go
@@ -100,7 +100,7 @@
 		IsRelease:       true,
 		MaxResponseBody: maxResponseBody,
 		BuildRequest: func(addr string, _ eventloop.Micros) []byte {
-			return http1.AppendRequest(nil, "POST", releasePath, addr, body,
+			return http1.AppendRequest(nil, http1.Request{Method: "POST", Target: releasePath, Host: addr, Body: body},
 				"Content-Type", "application/json",
 				"x-dispatcher", e.name,
 				"x-zone", e.zone)
--- a/internal/testbed/load/attempt.go
+++ b/internal/testbed/load/attempt.go
@@ -59,7 +59,9 @@
 func (a *attempt) send(target *Target, c call, answer http1.Handler) {
 	a.dispatcher, a.answer = target.Name, answer
 	a.parser = http1.Parser{Response: true, Limits: http1.DefaultLimits}
-	a.data = http1.AppendRequest(nil, "POST", c.path, target.Addr, c.body, "Content-Type", "application/json",
+	a.data = http1.AppendRequest(nil, http1.Request{
+		Method: "POST", Target: c.path, Host: target.Addr, Body: c.body,
+	}, "Content-Type", "application/json",
 		"Authorization", "Bearer "+a.generator.Keys[a.tenant], "x-client-request-id", a.request,
 		"x-time-limit-ms", strconv.FormatInt(int64(a.timeLimit/eventloop.Millisecond), 10), "Connection", "close",
 		"Idempotency-Key", c.idempotencyKey) // a field without a value is left out
