--- a/internal/admin/environment_test.go
+++ b/internal/admin/environment_test.go
@@ -69,20 +69,20 @@
 		t: t, network: network, records: &MemoryRecords{}, serverAddr: anyPort, clientLoop: network.NewLoop("far"),
 	}
 	e.startServer()
-	d := deployment.Standard()
-	d.Dispatching.Dispatchers = uint32(dispatchers)
-	for _, product := range d.Products {
+	dep := deployment.Standard()
+	dep.Dispatching.Dispatchers = uint32(dispatchers)
+	for _, product := range dep.Products {
 		product.TimeLimitMs = 8000
 	}
 	var err error
 	fleetLoop := network.NewLoop("fleet")
-	fleetLoop.Do(func() { e.fleet, err = modelserver.Start(fleetLoop, d, 1, anyPort, nil) })
+	fleetLoop.Do(func() { e.fleet, err = modelserver.Start(fleetLoop, dep, 1, anyPort, nil) })
 	if err != nil {
 		t.Fatal(err)
 	}
 	for i := range dispatchers {
 		e.dispatchers = append(e.dispatchers, &testDispatcher{addr: anyPort})
-		e.startDispatcher(i, d, fmt.Sprintf("d%d", i))
+		e.startDispatcher(i, dep, fmt.Sprintf("d%d", i))
 	}
 	network.Run(200 * eventloop.Millisecond)
 	return e
@@ -118,29 +118,29 @@
 }
 
 // startDispatcher starts a dispatcher, again at its address and with the tenants that it has cached.
-func (e *environment) startDispatcher(i int, d deployment.Deployment, name string) {
+func (e *environment) startDispatcher(i int, dep deployment.Deployment, name string) {
 	e.t.Helper()
-	x := e.dispatchers[i]
-	x.loop = e.network.NewLoop(name)
+	dispatcher := e.dispatchers[i]
+	dispatcher.loop = e.network.NewLoop(name)
 	config := dispatch.Config{
 		Name:          name,
-		Zone:          d.Zones[i%2],
+		Zone:          dep.Zones[i%2],
 		Seed:          int64(i + 1),
 		Discovery:     e.fleet.Discovery.Addr,
 		Log:           zerolog.Nop(),
 		Tenants:       e.serverAddr,
 		Secret:        secret,
-		CachedTenants: x.cachedTenants,
-		CacheTenants:  func(tenants []byte) { x.cachedTenants = tenants },
+		CachedTenants: dispatcher.cachedTenants,
+		CacheTenants:  func(tenants []byte) { dispatcher.cachedTenants = tenants },
 	}
 	var err error
-	x.loop.Do(func() {
-		if x.Dispatcher, err = dispatch.Start(x.loop, d, config); err != nil {
+	dispatcher.loop.Do(func() {
+		if dispatcher.Dispatcher, err = dispatch.Start(dispatcher.loop, dep, config); err != nil {
 			return
 		}
 		var listener eventloop.Listener
-		if listener, err = x.loop.Listen(x.addr, x.Frontend().Accept); err == nil {
-			x.addr = listener.Addr()
+		if listener, err = dispatcher.loop.Listen(dispatcher.addr, dispatcher.Frontend().Accept); err == nil {
+			dispatcher.addr = listener.Addr()
 		}
 	})
 	if err != nil {
--- a/internal/admin/isolation_test.go
+++ b/internal/admin/isolation_test.go
@@ -75,7 +75,7 @@
 }
 
 // send sends the request of a number.
-func (r *crossingRun) send(n int) {
+func (r *crossingRun) send(count int) {
 	tenant, dispatcher := r.random.Intn(len(r.names)), r.random.Intn(len(r.dispatchers))
 	get := func(addr, target, key string) *clientCall {
 		return r.environment.send(clientRequest{addr: addr, method: "GET", target: target, key: key})
@@ -85,10 +85,10 @@
 	case 0: // with texts and keys that all tenants use at the same time
 		const body = `{"model":"review-post","stream":true,"max_tokens":1,"prompt_cache_key":"s",` +
 			`"messages":[{"role":"system","content":"same"},{"role":"user","content":"same"}]}`
-		call := r.sendChat(dispatcher, r.chatKeys[tenant], body, "Idempotency-Key", fmt.Sprint("k", n/40))
+		call := r.sendChat(dispatcher, r.chatKeys[tenant], body, "Idempotency-Key", fmt.Sprint("k", count/40))
 		r.expectLater(call, tenant, completed, "429")
 	case 1, 2, 3:
-		invalid := []string{r.revoked, r.adminKeys[tenant], r.chatKeys[tenant] + "0", fmt.Sprint("sk-", n), ""}
+		invalid := []string{r.revoked, r.adminKeys[tenant], r.chatKeys[tenant] + "0", fmt.Sprint("sk-", count), ""}
 		r.expectLater(get(dispatcherAddr, "/v1/models", invalid[r.random.Intn(len(invalid))]), nobody, "401")
 	case 4, 5, 6:
 		other := r.names[(tenant+1)%len(r.names)]
--- a/internal/batch/call.go
+++ b/internal/batch/call.go
@@ -165,25 +165,25 @@
 	if c.ended {
 		return Abandoned
 	}
-	p := &c.parts[id]
+	thisPart := &c.parts[id]
 	if failure == EndpointFailed {
-		p.endpointFailures++
+		thisPart.endpointFailures++
 	}
-	atFault := failure == InvalidInput || failure == EndpointFailed && p.endpointFailures >= maxEndpointFailures
-	if atFault && len(p.inputs) > 1 {
-		c.split(p)
+	atFault := failure == InvalidInput || failure == EndpointFailed && thisPart.endpointFailures >= maxEndpointFailures
+	if atFault && len(thisPart.inputs) > 1 {
+		c.split(thisPart)
 		return InProgress
 	}
-	if atFault || p.attempts >= maxAttempts {
+	if atFault || thisPart.attempts >= maxAttempts {
 		c.ended = true
-		if len(p.inputs) == 1 && failure != Overloaded {
-			c.FailedInput = p.inputs[0]
+		if len(thisPart.inputs) == 1 && failure != Overloaded {
+			c.FailedInput = thisPart.inputs[0]
 		}
 		return Abandoned
 	}
-	delay := min(firstRetryDelay<<(p.attempts-1), maxRetryDelay)
+	delay := min(firstRetryDelay<<(thisPart.attempts-1), maxRetryDelay)
 	if failure == Overloaded && retryAfter > 0 {
-		p.attempts-- // doesn't count: it was not run, and waits for as long as asked
+		thisPart.attempts-- // doesn't count: it was not run, and waits for as long as asked
 		delay = retryAfter
 	}
 	c.delayed.Set(now+delay, func() { c.ready = append(c.ready, id) })
--- a/internal/benchadapter/serve.go
+++ b/internal/benchadapter/serve.go
@@ -18,7 +18,7 @@
 
 // Serve answers frames until the input ends. Any other end is a *FrameError.
 func Serve(in io.Reader, out io.Writer) error {
-	r, w := bufio.NewReaderSize(in, bufferSize), bufio.NewWriterSize(out, bufferSize)
+	r, writer := bufio.NewReaderSize(in, bufferSize), bufio.NewWriterSize(out, bufferSize)
 	a := &adapter{instances: map[uint32]*instance{}}
 	for n := uint32(0); ; n++ {
 		sequence, body, err := readFrame(r)
@@ -33,16 +33,16 @@
 		if err := a.handleFrame(body); err != nil {
 			return &FrameError{Frame: sequence, Err: err}
 		}
-		if err := a.writeReply(w, sequence); err != nil {
+		if err := a.writeReply(writer, sequence); err != nil {
 			return &FrameError{Frame: sequence, Err: fmt.Errorf("reply not written: %w", err)}
 		}
 	}
 }
 
 // readFrame returns io.EOF only where the input ends between frames.
-func readFrame(r io.Reader) (sequence uint32, body []byte, err error) {
+func readFrame(input io.Reader) (sequence uint32, body []byte, err error) {
 	var header [frameHeaderSize]byte
-	if _, err := io.ReadFull(r, header[:]); errors.Is(err, io.EOF) {
+	if _, err := io.ReadFull(input, header[:]); errors.Is(err, io.EOF) {
 		return 0, nil, io.EOF
 	} else if err != nil {
 		return 0, nil, ErrHeaderTruncated
@@ -53,7 +53,7 @@
 		return sequence, nil, fmt.Errorf("%w %d", ErrFrameLength, size)
 	}
 	body = make([]byte, size)
-	if _, err := io.ReadFull(r, body); err != nil {
+	if _, err := io.ReadFull(input, body); err != nil {
 		return sequence, nil, ErrBodyTruncated
 	}
 	return sequence, body, nil
--- a/internal/cli/batches.go
+++ b/internal/cli/batches.go
@@ -119,11 +119,11 @@
 }
 
 // prefillCapacity is how many tokens a second the prefill endpoints read.
-func prefillCapacity(d deployment.Deployment) float64 {
+func prefillCapacity(dep deployment.Deployment) float64 {
 	capacity := 0.0
-	for _, group := range d.Fleet.Groups {
+	for _, group := range dep.Fleet.Groups {
 		if group.Kind == "prefill" {
-			capacity += group.ReadTokensPerS * float64(group.HostsPerZone) * float64(len(d.Zones))
+			capacity += group.ReadTokensPerS * float64(group.HostsPerZone) * float64(len(dep.Zones))
 		}
 	}
 	return capacity
@@ -173,9 +173,9 @@
 			if err != nil {
 				return err
 			}
-			d := deployment.Standard()
-			d.Batches = &pb.Batches{FixedLimit: uint32(max(sort.limit, 0)), PartTokens: uint32(c.Part)}
-			run := &scenarios.Run{Script: script, Deployment: d, Dispatchers: batchDispatchers, Seed: int64(seed + 1)}
+			dep := deployment.Standard()
+			dep.Batches = &pb.Batches{FixedLimit: uint32(max(sort.limit, 0)), PartTokens: uint32(c.Part)}
+			run := &scenarios.Run{Script: script, Deployment: dep, Dispatchers: batchDispatchers, Seed: int64(seed + 1)}
 			verdict, leftOver, _, err := run.RunVirtual(0)
 			if err != nil {
 				return err
--- a/internal/cli/bench.go
+++ b/internal/cli/bench.go
@@ -60,21 +60,21 @@
 		prefillStep     = 2000 // µs
 		endpointsInZone = 3
 	)
-	d := deployment.Standard()
-	d.Kinds = d.Kinds[:2]
-	d.Kinds[0].MemoryTokens, d.Kinds[1].MemoryTokens = plentyOfMemory, plentyOfMemory
+	dep := deployment.Standard()
+	dep.Kinds = dep.Kinds[:2]
+	dep.Kinds[0].MemoryTokens, dep.Kinds[1].MemoryTokens = plentyOfMemory, plentyOfMemory
 	slots := uint32(max(streams, minSlots))
-	d.Fleet.Groups = []*pb.Fleet_Group{
+	dep.Fleet.Groups = []*pb.Fleet_Group{
 		{Kind: "prefill", HostsPerZone: endpointsInZone, ReadTokensPerS: 2e6, Slots: slots, Queue: slots,
 			StepUs: prefillStep},
 		{Kind: "decode", HostsPerZone: endpointsInZone, Slots: slots, Queue: slots, StepUs: stepMicros},
 	}
-	d.Fleet.CellTokensPerS, d.Fleet.LinkTokensPerS, d.Fleet.FarFactor = 1e9, 1e9, 1
-	for _, product := range d.Products {
+	dep.Fleet.CellTokensPerS, dep.Fleet.LinkTokensPerS, dep.Fleet.FarFactor = 1e9, 1e9, 1
+	for _, product := range dep.Products {
 		product.TimeLimitMs, product.SloMs, product.MostTokens = 120000, 60000, benchAnswerTokens
 	}
-	d.Dispatching.Connections, d.Dispatching.Openings = maxBenchConnections, maxBenchOpening
-	return d
+	dep.Dispatching.Connections, dep.Dispatching.Openings = maxBenchConnections, maxBenchOpening
+	return dep
 }
 
 // Connections of the dispatcher, and of the clients that go straight to the endpoints.
--- a/internal/cli/bench_latency.go
+++ b/internal/cli/bench_latency.go
@@ -145,19 +145,19 @@
 // dispatcher.
 func (c *benchCommand) measureIntents(ctx context.Context, env *environment) error {
 	const recordedProduct, lateProduct = "review-post", "late"
-	d := benchFleet(benchStepMicros, 0)
-	for _, product := range d.Products {
+	dep := benchFleet(benchStepMicros, 0)
+	for _, product := range dep.Products {
 		if product.Name == recordedProduct {
 			late := proto.CloneOf(product)
 			late.Name, late.Intent = lateProduct, pb.Product_BEFORE_WRITE
-			d.Products = append(d.Products, late)
+			dep.Products = append(dep.Products, late)
 		}
 	}
 	binary, err := c.binary()
 	if err != nil {
 		return err
 	}
-	target, err := c.startTarget(ctx, binary, d)
+	target, err := c.startTarget(ctx, binary, dep)
 	if err != nil {
 		return err
 	}
--- a/internal/cli/bench_streams.go
+++ b/internal/cli/bench_streams.go
@@ -124,12 +124,12 @@
 // measureStreams runs many streams at once and watches them for some seconds.
 func (c *benchCommand) measureStreams(ctx context.Context, binary string, load streamLoad) (cost streamCost,
 	err error) {
-	d := benchFleet(load.stepMicros, load.streams)
-	for _, group := range d.Fleet.Groups {
+	dep := benchFleet(load.stepMicros, load.streams)
+	for _, group := range dep.Fleet.Groups {
 		group.TokenBytes = load.tokenBytes
 	}
-	d.Doors.StallMs = stallTimeoutMs
-	target, err := c.startTarget(ctx, binary, d)
+	dep.Doors.StallMs = stallTimeoutMs
+	target, err := c.startTarget(ctx, binary, dep)
 	if err != nil {
 		return cost, err
 	}
--- a/internal/cli/bench_target.go
+++ b/internal/cli/bench_target.go
@@ -50,11 +50,11 @@
 }
 
 // startTarget starts a program's dispatcher, and all that it needs.
-func (c *benchCommand) startTarget(ctx context.Context, binary string, d deployment.Deployment) (_ *benchTarget,
+func (c *benchCommand) startTarget(ctx context.Context, binary string, dep deployment.Deployment) (_ *benchTarget,
 	err error) {
 	digest := sha256.Sum256([]byte(benchKey))
-	d.Tenants = []*pb.Tenant{{Name: "bench", KeySha256: []string{hex.EncodeToString(digest[:])}}}
-	t := &benchTarget{deployment: d}
+	dep.Tenants = []*pb.Tenant{{Name: "bench", KeySha256: []string{hex.EncodeToString(digest[:])}}}
+	t := &benchTarget{deployment: dep}
 	defer func() {
 		if err != nil {
 			t.cleanUp()
@@ -66,7 +66,7 @@
 	if t.fleetLoop, err = sockets.Start(); err != nil {
 		return nil, fmt.Errorf("bench: %w", err)
 	}
-	if t.fleet, err = startFleet(t.fleetLoop, d, c.Seed, anyLocalPort); err != nil {
+	if t.fleet, err = startFleet(t.fleetLoop, dep, c.Seed, anyLocalPort); err != nil {
 		return nil, fmt.Errorf("bench: %w", err)
 	}
 	if t.clients, err = sockets.Start(); err != nil {
--- a/internal/cli/check.go
+++ b/internal/cli/check.go
@@ -19,12 +19,12 @@
 
 // Run names every fault of a deployment.
 func (c *checkCommand) Run(env *environment) error {
-	d, err := deployment.Load(c.File)
+	dep, err := deployment.Load(c.File)
 	if err != nil {
 		return err
 	}
 	env.printf("%s: without fault: %d zones, %d products, %d kinds, %d tenants\n", c.File,
-		len(d.Zones), len(d.Products), len(d.Kinds), len(d.Tenants))
+		len(dep.Zones), len(dep.Products), len(dep.Kinds), len(dep.Tenants))
 	return nil
 }
 
--- a/internal/cli/hosts.go
+++ b/internal/cli/hosts.go
@@ -23,7 +23,7 @@
 
 // Run runs the stand-in endpoints until the program is asked to stop.
 func (c *hostsCommand) Run(ctx context.Context, env *environment) error {
-	d, err := loadDeployment(c.Deployment)
+	dep, err := loadDeployment(c.Deployment)
 	if err != nil {
 		return err
 	}
@@ -32,7 +32,7 @@
 		return err
 	}
 	defer loop.Stop()
-	fleet, err := startFleet(loop, d, c.Seed, c.Roster)
+	fleet, err := startFleet(loop, dep, c.Seed, c.Roster)
 	if err != nil {
 		return err
 	}
@@ -63,9 +63,11 @@
 }
 
 // startFleet starts a deployment's stand-in endpoints, and their discovery if that has an address.
-func startFleet(loop *sockets.Loop, d deployment.Deployment, seed int64, discovery string) (*modelserver.Fleet, error) {
+func startFleet(
+	loop *sockets.Loop, dep deployment.Deployment, seed int64, discovery string,
+) (*modelserver.Fleet, error) {
 	var fleet *modelserver.Fleet
 	var err error
-	loop.Do(func() { fleet, err = modelserver.Start(loop, d, seedOrRandom(seed), discovery, nil) })
+	loop.Do(func() { fleet, err = modelserver.Start(loop, dep, seedOrRandom(seed), discovery, nil) })
 	return fleet, err
 }
--- a/internal/cli/restarts.go
+++ b/internal/cli/restarts.go
@@ -142,11 +142,11 @@
 	if err != nil {
 		return err
 	}
-	d := deployment.Standard()
-	for _, group := range d.Fleet.Groups {
+	dep := deployment.Standard()
+	for _, group := range dep.Fleet.Groups {
 		group.HostsPerZone *= roomyFleetFactor
 	}
-	run := &scenarios.Run{Script: script, Deployment: d, Dispatchers: c.Dispatchers, Seed: seed}
+	run := &scenarios.Run{Script: script, Deployment: dep, Dispatchers: c.Dispatchers, Seed: seed}
 	verdict, leftOver, err := run.RunRestart(eventloop.Micros(sort.age.Microseconds()), sort.replaced, sort.discovery)
 	if err != nil {
 		return err
--- a/internal/cli/scenario.go
+++ b/internal/cli/scenario.go
@@ -35,7 +35,7 @@
 		return fmt.Errorf("day: %d dispatchers; from 1 to %d can be played on one machine", c.Dispatchers,
 			maxLocalDispatchers)
 	}
-	d, err := loadDeployment(c.Deployment)
+	dep, err := loadDeployment(c.Deployment)
 	if err != nil {
 		return err
 	}
@@ -43,7 +43,7 @@
 	if err != nil {
 		return fmt.Errorf("path of this program: %w", err)
 	}
-	run := &scenarios.Run{Script: script, Deployment: d, Dispatchers: c.Dispatchers, Seed: c.Seed, Binary: binary,
+	run := &scenarios.Run{Script: script, Deployment: dep, Dispatchers: c.Dispatchers, Seed: c.Seed, Binary: binary,
 		RecordDir: c.Record, Progress: env.stderr, Keyed: c.Keyed, Intents: c.Intents}
 	if c.Virtual {
 		return c.runVirtual(env, run)
--- a/internal/cli/serve.go
+++ b/internal/cli/serve.go
@@ -50,7 +50,7 @@
 
 // Run serves until the program is asked to stop.
 func (c *serveCommand) Run(ctx context.Context, env *environment) error {
-	d, err := loadDeployment(c.Deployment)
+	dep, err := loadDeployment(c.Deployment)
 	if err != nil {
 		return err
 	}
@@ -66,7 +66,7 @@
 	if err != nil {
 		return err
 	}
-	process, err := c.start(env.log, d, secret)
+	process, err := c.start(env.log, dep, secret)
 	if err != nil {
 		return err
 	}
@@ -122,13 +122,13 @@
 }
 
 // start starts a dispatcher and listens for clients. The secret is empty where no administration is followed.
-func (c *serveCommand) start(log zerolog.Logger, d deployment.Deployment, secret []byte) (*dispatcherProcess, error) {
+func (c *serveCommand) start(log zerolog.Logger, dep deployment.Deployment, secret []byte) (*dispatcherProcess, error) {
 	loop, err := sockets.Start()
 	if err != nil {
 		return nil, fmt.Errorf("event loop: %w", err)
 	}
 	p := &dispatcherProcess{loop: loop, log: log}
-	config := c.config(p, d)
+	config := c.config(p, dep)
 	config.Secret = secret
 	loop.OverloadResponse = frontend.BusyResponse()
 	if c.StateDir != "" {
@@ -138,7 +138,7 @@
 		}
 	}
 	loop.Do(func() {
-		if p.dispatcher, err = dispatch.Start(loop, d, config); err != nil {
+		if p.dispatcher, err = dispatch.Start(loop, dep, config); err != nil {
 			return
 		}
 		p.listener, err = loop.Listen(c.Listen, p.dispatcher.Frontend().Accept)
@@ -151,14 +151,14 @@
 }
 
 // config is the dispatcher's configuration but for the secret and the record of intents.
-func (c *serveCommand) config(p *dispatcherProcess, d deployment.Deployment) dispatch.Config {
+func (c *serveCommand) config(p *dispatcherProcess, dep deployment.Deployment) dispatch.Config {
 	seed := seedOrRandom(c.Seed)
 	p.name, p.zone = c.Name, c.Zone
 	if p.name == "" {
 		p.name = "d" + strconv.FormatUint(uint64(seed)%randomNames, randomNameBase)
 	}
 	if p.zone == "" {
-		p.zone = d.Zones[0]
+		p.zone = dep.Zones[0]
 	}
 	config := dispatch.Config{Name: p.name, Zone: p.zone, Seed: seed, Discovery: c.Roster, Tenants: c.Tenants, Log: p.log}
 	if c.ListFile != "" {
--- a/internal/cli/sim_worlds.go
+++ b/internal/cli/sim_worlds.go
@@ -72,8 +72,8 @@
 	if c.Dispatchers < 1 || c.Rate <= 0 || c.For < 1 {
 		return errors.New("sim: the numbers must be above 0")
 	}
-	d := deployment.Standard()
-	for _, group := range d.Fleet.Groups {
+	dep := deployment.Standard()
+	for _, group := range dep.Fleet.Groups {
 		group.HostsPerZone = largeEndpointsPerZone[group.Kind]
 	}
 	script := &pb.Day{Name: "large", Seconds: uint32(c.For), Rate: c.Rate}
@@ -82,7 +82,7 @@
 		script.Troubles = append(script.Troubles, &pb.Day_Trouble{Kind: "mass_restart", HostKind: "prefill", Share: 1,
 			AtMs: uint32(c.For) * shareOfRun, ForMs: 1000})
 	}
-	run := &scenarios.Run{Script: script, Deployment: d, Dispatchers: c.Dispatchers, Seed: 1}
+	run := &scenarios.Run{Script: script, Deployment: dep, Dispatchers: c.Dispatchers, Seed: 1}
 	began := time.Now()
 	verdict, leftOver, _, err := run.RunVirtual(0)
 	if err != nil {
--- a/internal/cli/up.go
+++ b/internal/cli/up.go
@@ -46,12 +46,12 @@
 
 // Run runs administration, endpoints and a dispatcher until the program is asked to stop.
 func (c *upCommand) Run(ctx context.Context, env *environment) error {
-	d := deployment.Standard()
+	dep := deployment.Standard()
 	secrets, err := newLocalSecrets()
 	if err != nil {
 		return err
 	}
-	scenarios.Tenants(d, []string{"local"}, 0, func(int) string { return secrets.tenantKey })
+	scenarios.Tenants(dep, []string{"local"}, 0, func(int) string { return secrets.tenantKey })
 	adminLoop, err := sockets.Start()
 	if err != nil {
 		return err
@@ -68,12 +68,12 @@
 		return err
 	}
 	defer fleetLoop.Stop()
-	fleet, err := startFleet(fleetLoop, d, c.Seed, anyLocalPort)
+	fleet, err := startFleet(fleetLoop, dep, c.Seed, anyLocalPort)
 	if err != nil {
 		return err
 	}
 	serve := &serveCommand{Listen: c.Listen, Roster: fleet.Discovery.Addr, Seed: c.Seed, Tenants: adminListener.Addr()}
-	process, err := serve.start(env.log, d, secrets.sealing[:])
+	process, err := serve.start(env.log, dep, secrets.sealing[:])
 	if err != nil {
 		return err
 	}
--- a/internal/deployment/checks.go
+++ b/internal/deployment/checks.go
@@ -63,33 +63,37 @@
 	}
 }
 
-func (v *validator) checkProduct(path string, p *pb.Product) {
-	fields := map[string]float64{"slo_ms": float64(p.SloMs), "time_limit_ms": float64(p.TimeLimitMs), "revenue": p.Revenue}
-	if p.Form == pb.Product_CHAT {
-		fields["token_slo_ms"], fields["most_tokens"] = float64(p.TokenSloMs), float64(p.MostTokens)
+func (v *validator) checkProduct(path string, product *pb.Product) {
+	fields := map[string]float64{
+		"slo_ms":        float64(product.SloMs),
+		"time_limit_ms": float64(product.TimeLimitMs),
+		"revenue":       product.Revenue,
+	}
+	if product.Form == pb.Product_CHAT {
+		fields["token_slo_ms"], fields["most_tokens"] = float64(product.TokenSloMs), float64(product.MostTokens)
 	}
 	v.positive(path, fields)
-	v.share(path+".late_share", p.LateShare)
-	if p.Effect == pb.Product_EFFECT_UNSPECIFIED {
+	v.share(path+".late_share", product.LateShare)
+	if product.Effect == pb.Product_EFFECT_UNSPECIFIED {
 		v.fail(path+".effect", "must be stated: IDEMPOTENT, DEDUPLICATED or SIDE_EFFECTING")
 	}
-	if p.Form != pb.Product_CHAT && p.Effect != pb.Product_IDEMPOTENT {
+	if product.Form != pb.Product_CHAT && product.Effect != pb.Product_IDEMPOTENT {
 		v.fail(path+".effect", "must be IDEMPOTENT: what is only read may always be read again")
 	}
-	if (p.Dimensions > 0) != (p.Form == pb.Product_EMBEDDING) || p.Dimensions > maxDimensions {
+	if (product.Dimensions > 0) != (product.Form == pb.Product_EMBEDDING) || product.Dimensions > maxDimensions {
 		v.fail(path+".dimensions", "is for products of form EMBEDDING, and those must have 1 to %d", maxDimensions)
 	}
-	if p.Intent != pb.Product_WITH_READ && p.Effect == pb.Product_IDEMPOTENT {
+	if product.Intent != pb.Product_WITH_READ && product.Effect == pb.Product_IDEMPOTENT {
 		v.fail(path+".intent",
 			"is for products that may not simply run again; nothing is written down of an IDEMPOTENT one")
 	}
-	if p.TimeLimitMs < p.SloMs {
+	if product.TimeLimitMs < product.SloMs {
 		v.fail(path+".time_limit_ms", "is below slo_ms")
 	}
-	if (p.WindowMs > 0) != (p.Effect == pb.Product_DEDUPLICATED) {
+	if (product.WindowMs > 0) != (product.Effect == pb.Product_DEDUPLICATED) {
 		v.fail(path+".window_ms", "is for DEDUPLICATED products, and those must have one")
 	}
-	if p.Group != pb.Product_ALL_HOSTS && p.Effect != pb.Product_DEDUPLICATED {
+	if product.Group != pb.Product_ALL_HOSTS && product.Effect != pb.Product_DEDUPLICATED {
 		v.fail(path+".group", "is for DEDUPLICATED products")
 	}
 }
@@ -159,20 +163,20 @@
 }
 
 func (v *validator) checkDispatching(m *pb.Deployment) {
-	d := m.Dispatching
-	if d == nil {
+	dispatching := m.Dispatching
+	if dispatching == nil {
 		v.fail("dispatching", "is missing")
 		return
 	}
 	v.positive("dispatching", map[string]float64{
-		"dispatchers": float64(d.Dispatchers),
-		"connect_ms":  float64(d.ConnectMs),
-		"idle_ms":     float64(d.IdleMs),
-		"silence_ms":  float64(d.SilenceMs),
-		"connections": float64(d.Connections),
-		"openings":    float64(d.Openings),
+		"dispatchers": float64(dispatching.Dispatchers),
+		"connect_ms":  float64(dispatching.ConnectMs),
+		"idle_ms":     float64(dispatching.IdleMs),
+		"silence_ms":  float64(dispatching.SilenceMs),
+		"connections": float64(dispatching.Connections),
+		"openings":    float64(dispatching.Openings),
 	})
-	if d.LegLimit < minMaxAttempts {
+	if dispatching.LegLimit < minMaxAttempts {
 		v.fail("dispatching.leg_limit", "must be 2 at least: a read and a write")
 	}
 }
@@ -190,26 +194,26 @@
 }
 
 func (v *validator) checkDoors(m *pb.Deployment) {
-	d := m.Doors
-	if d == nil {
+	doors := m.Doors
+	if doors == nil {
 		v.fail("doors", "is missing")
 		return
 	}
 	v.positive("doors", map[string]float64{
-		"open_most":      float64(d.OpenMost),
-		"body_most":      float64(d.BodyMost),
-		"head_most":      float64(d.HeadMost),
-		"message_ms":     float64(d.MessageMs),
-		"stall_ms":       float64(d.StallMs),
-		"unsent_most":    float64(d.UnsentMost),
-		"remember_most":  float64(d.RememberMost),
-		"remember_bytes": float64(d.RememberBytes),
-		"remember_ms":    float64(d.RememberMs),
+		"open_most":      float64(doors.OpenMost),
+		"body_most":      float64(doors.BodyMost),
+		"head_most":      float64(doors.HeadMost),
+		"message_ms":     float64(doors.MessageMs),
+		"stall_ms":       float64(doors.StallMs),
+		"unsent_most":    float64(doors.UnsentMost),
+		"remember_most":  float64(doors.RememberMost),
+		"remember_bytes": float64(doors.RememberBytes),
+		"remember_ms":    float64(doors.RememberMs),
 	})
 }
 
-func (v *validator) checkFleet(m *pb.Deployment) {
-	fleet := m.Fleet
+func (v *validator) checkFleet(message *pb.Deployment) {
+	fleet := message.Fleet
 	if fleet == nil {
 		return
 	}
@@ -221,7 +225,7 @@
 		"lease_ms":          float64(fleet.LeaseMs),
 	})
 	kinds := map[string]bool{}
-	for _, kind := range m.Kinds {
+	for _, kind := range message.Kinds {
 		kinds[kind.Name] = true
 	}
 	for i, group := range fleet.Groups {
--- a/internal/deployment/deployment.go
+++ b/internal/deployment/deployment.go
@@ -62,22 +62,22 @@
 
 // BatchLimits returns the limits on calls with many inputs, with defaults for those that are not stated.
 func (d Deployment) BatchLimits() *pb.Batches {
-	b := &pb.Batches{}
+	batches := &pb.Batches{}
 	if d.Batches != nil {
-		b = proto.Clone(d.Batches).(*pb.Batches)
+		batches = proto.Clone(d.Batches).(*pb.Batches)
 	}
 	for field, value := range map[*uint32]uint32{
-		&b.PartTokens:      256,
-		&b.PartInputs:      16,
-		&b.InputsMost:      2048,
-		&b.DocumentsMost:   1000,
-		&b.InputTokensMost: 8192,
-		&b.BodyMost:        64 << 20,
-		&b.Window:          4 << 20,
+		&batches.PartTokens:      256,
+		&batches.PartInputs:      16,
+		&batches.InputsMost:      2048,
+		&batches.DocumentsMost:   1000,
+		&batches.InputTokensMost: 8192,
+		&batches.BodyMost:        64 << 20,
+		&batches.Window:          4 << 20,
 	} {
 		if *field == 0 {
 			*field = value
 		}
 	}
-	return b
+	return batches
 }
--- a/internal/deployment/deployment_test.go
+++ b/internal/deployment/deployment_test.go
@@ -53,7 +53,7 @@
 	const secret = "sk-not-a-digest"
 	invalid := strings.Replace(string(standard), `zones: "east"`, `zones: "west"`, 1) +
 		"tenants { name: \"a\" key_sha256: \"" + secret + "\" }\n"
-	for _, c := range []struct {
+	for _, test := range []struct {
 		name, text string
 		want       []string
 	}{
@@ -61,12 +61,12 @@
 		{"invalid values", invalid, []string{"key_sha256", "zones[1]"}},
 		{"not in text format", "name: \"a\"\nzones {", []string{"x:2"}},
 	} {
-		t.Run(c.name, func(t *testing.T) {
-			_, err := Read("x", []byte(c.text))
+		t.Run(test.name, func(t *testing.T) {
+			_, err := Read("x", []byte(test.text))
 			if err == nil || strings.Contains(err.Error(), secret) {
 				t.Fatalf("got %v", err)
 			}
-			for _, want := range c.want {
+			for _, want := range test.want {
 				if !strings.Contains(err.Error(), want) {
 					t.Errorf("got %v, want %s", err, want)
 				}
--- a/internal/deployment/scenario.go
+++ b/internal/deployment/scenario.go
@@ -19,19 +19,19 @@
 	return m, read(name, text, m, func(v *validator) { v.checkScenario(m, kinds) })
 }
 
-func (v *validator) checkScenario(m *pb.Day, kinds []string) {
-	if m.Seconds == 0 || m.Seconds > maxScenarioSeconds {
+func (v *validator) checkScenario(script *pb.Day, kinds []string) {
+	if script.Seconds == 0 || script.Seconds > maxScenarioSeconds {
 		v.fail("seconds", "must be from 1 to %d", maxScenarioSeconds)
 	}
-	if !(m.Rate > 0 && m.Rate <= maxScenarioRate) {
+	if !(script.Rate > 0 && script.Rate <= maxScenarioRate) {
 		v.fail("rate", "must be above 0 and at most %d generations a second", maxScenarioRate)
 	}
-	for i, fault := range m.Troubles {
+	for i, fault := range script.Troubles {
 		path := index("troubles", i)
 		if !slices.Contains(kinds, fault.Kind) {
 			v.fail(path+".kind", "there is no trouble %q; known are %s", fault.Kind, strings.Join(kinds, ", "))
 		}
-		if fault.AtMs >= m.Seconds*1000 {
+		if fault.AtMs >= script.Seconds*1000 {
 			v.fail(path+".at_ms", "lies past the day's end")
 		}
 		if !(fault.Share >= 0 && fault.Share <= 1) {
--- a/internal/deployment/textproto.go
+++ b/internal/deployment/textproto.go
@@ -43,8 +43,8 @@
 
 // readMessage takes the fields of one message out of the text's tree. Each scalar is parsed on its own, so that an
 // error in one does not hide the errors in the next.
-func (v *validator) readMessage(m protoreflect.Message, nodes []*ast.Node, path string) {
-	fields := m.Descriptor().Fields()
+func (v *validator) readMessage(message protoreflect.Message, nodes []*ast.Node, path string) {
+	fields := message.Descriptor().Fields()
 	seen := map[string]int{}
 	for _, node := range nodes {
 		if node.Name == "" {
@@ -68,27 +68,29 @@
 		}
 		seen[node.Name]++
 		v.lines[fieldPath] = line
-		v.readField(m, field, node, fieldPath)
+		v.readField(message, field, node, fieldPath)
 	}
 }
 
-func (v *validator) readField(m protoreflect.Message, field protoreflect.FieldDescriptor, node *ast.Node, path string) {
+func (v *validator) readField(
+	message protoreflect.Message, field protoreflect.FieldDescriptor, node *ast.Node, path string,
+) {
 	isMessage := field.Kind() == protoreflect.MessageKind
 	switch {
 	case isMessage && len(node.Values) > 0:
 		v.failAt(v.lines[path], path, "wants a message in braces")
 	case isMessage && field.IsList():
-		v.readMessage(m.Mutable(field).List().AppendMutable().Message(), node.Children, path)
+		v.readMessage(message.Mutable(field).List().AppendMutable().Message(), node.Children, path)
 	case isMessage:
-		v.readMessage(m.Mutable(field).Message(), node.Children, path)
+		v.readMessage(message.Mutable(field).Message(), node.Children, path)
 	case len(node.Children) > 0:
 		v.failAt(v.lines[path], path, "wants a value, not a message")
 	default:
-		v.readScalar(m, node, path)
+		v.readScalar(message, node, path)
 	}
 }
 
-func (v *validator) readScalar(m protoreflect.Message, node *ast.Node, path string) {
+func (v *validator) readScalar(message protoreflect.Message, node *ast.Node, path string) {
 	var values []string
 	for _, value := range node.Values {
 		values = append(values, value.Value)
@@ -97,7 +99,7 @@
 	if node.ValuesAsList {
 		text = node.Name + ": [" + strings.Join(values, ", ") + "]"
 	}
-	parsed := m.New().Interface()
+	parsed := message.New().Interface()
 	if err := prototext.Unmarshal([]byte(text), parsed); err != nil {
 		reason := err.Error()
 		const afterPosition = "): "
@@ -107,5 +109,5 @@
 		v.failAt(v.lines[path], path, "%s", reason)
 		return
 	}
-	proto.Merge(m.Interface(), parsed)
+	proto.Merge(message.Interface(), parsed)
 }
--- a/internal/dispatch/attempts_test.go
+++ b/internal/dispatch/attempts_test.go
@@ -238,8 +238,8 @@
 // A hundred requests at once to endpoints without a connection: few connections open at a time, each carries one
 // attempt at a time, and all requests are completed.
 func TestLimitsOpeningConnections(t *testing.T) {
-	r := newHarness(t, func(d deployment.Deployment) {
-		d.Dispatching.Openings, d.Dispatching.ConnectMs = 4, 1000
+	r := newHarness(t, func(dep deployment.Deployment) {
+		dep.Dispatching.Openings, dep.Dispatching.ConnectMs = 4, 1000
 	}, "prefill west", "decode west")
 	r.world.Latency = 5 * eventloop.Millisecond
 	for _, endpoint := range r.endpoints {
--- a/internal/dispatch/batch_api_test.go
+++ b/internal/dispatch/batch_api_test.go
@@ -14,7 +14,7 @@
 // What a call is rejected for: each error with its parameter.
 func TestInvalidBatchesAreRejected(t *testing.T) {
 	r := newBatchHarness(t, withBatches(&pb.Batches{InputsMost: 3, InputTokensMost: 50}), "prefill west", "decode west")
-	for _, c := range []struct{ path, body, want, param string }{
+	for _, test := range []struct{ path, body, want, param string }{
 		{"embeddings", `{"model":"embed"}`, "400", "input"},
 		{"embeddings", `{"model":"embed","input":[]}`, "400", "input"},
 		{"embeddings", `{"model":"embed","input":""}`, "400", "input[0]"},
@@ -39,10 +39,10 @@
 		{"rerank", `{"model":"embed","query":"q","documents":["a"]}`, "400", "model"},
 		{"chat/completions", `{"model":"embed","messages":[{"role":"user","content":"a"}]}`, "400", "model"},
 	} {
-		got := r.post("/v1/"+c.path, []byte(c.body))
-		r.expectFinal(got, c.want)
-		if p := gjson.GetBytes(got.dechunk(t), "error.param").Str; p != c.param {
-			t.Errorf("%s %.80s: parameter %q, want %q: %s", c.path, c.body, p, c.param, got.dechunk(t))
+		got := r.post("/v1/"+test.path, []byte(test.body))
+		r.expectFinal(got, test.want)
+		if p := gjson.GetBytes(got.dechunk(t), "error.param").Str; p != test.param {
+			t.Errorf("%s %.80s: parameter %q, want %q: %s", test.path, test.body, p, test.param, got.dechunk(t))
 		}
 	}
 	got := r.post("/v1/embeddings", []byte("not gzip"), "Content-Encoding", "gzip")
--- a/internal/dispatch/batch_harness_test.go
+++ b/internal/dispatch/batch_harness_test.go
@@ -48,12 +48,12 @@
 }
 
 // withBatches sets the limits of calls with many inputs.
-func withBatches(limits *pb.Batches) func(d deployment.Deployment) {
-	return func(d deployment.Deployment) { d.Batches = limits }
+func withBatches(limits *pb.Batches) func(dep deployment.Deployment) {
+	return func(dep deployment.Deployment) { dep.Batches = limits }
 }
 
 // newBatchHarness starts a dispatcher with endpoints that answer parts.
-func newBatchHarness(t *testing.T, change func(d deployment.Deployment), endpoints ...string) *harness {
+func newBatchHarness(t *testing.T, change func(dep deployment.Deployment), endpoints ...string) *harness {
 	t.Helper()
 	r := newHarness(t, change, endpoints...)
 	r.serveAll(answerEmbeddings)
--- a/internal/dispatch/batch_test.go
+++ b/internal/dispatch/batch_test.go
@@ -203,7 +203,7 @@
 // Where an attempt can't be cancelled its prefill completes after the client has disconnected: the cells of the
 // lifecycle's table that chat requests never reach.
 func TestPrefillOnlyCompletesAfterClientDisconnect(t *testing.T) {
-	noCancel := func(d deployment.Deployment) { d.Dispatching.MayCancel = false }
+	noCancel := func(dep deployment.Deployment) { dep.Dispatching.MayCancel = false }
 	r := newBatchHarness(t, noCancel, "prefill west", "decode west")
 	r.serveAll(answerEmbeddingsAfter(100 * eventloop.Millisecond))
 	r.expectFinal(r.embed(inputTexts(3, 0), ""), "streamed")
--- a/internal/dispatch/clients_test.go
+++ b/internal/dispatch/clients_test.go
@@ -126,7 +126,7 @@
 
 // Malformed requests get the specified status and an error object; the dispatcher goes on.
 func TestBadRequests(t *testing.T) {
-	r := newHarness(t, func(d deployment.Deployment) { d.Doors.BodyMost = 2000 }, "prefill west", "decode west")
+	r := newHarness(t, func(dep deployment.Deployment) { dep.Doors.BodyMost = 2000 }, "prefill west", "decode west")
 	ok := `"messages":[{"role":"user","content":"a"}]`
 	for body, want := range map[string]string{
 		`{`:                                 "400",
--- a/internal/dispatch/harness_test.go
+++ b/internal/dispatch/harness_test.go
@@ -49,15 +49,15 @@
 }
 
 // newHarness starts a dispatcher in virtual time with a list of endpoints like "prefill west".
-func newHarness(t *testing.T, change func(d deployment.Deployment), kindsAndZones ...string) *harness {
+func newHarness(t *testing.T, change func(dep deployment.Deployment), kindsAndZones ...string) *harness {
 	t.Helper()
-	d := deployment.Standard()
-	d.Tenants = []*pb.Tenant{testTenant()}
+	dep := deployment.Standard()
+	dep.Tenants = []*pb.Tenant{testTenant()}
 	if change != nil {
-		change(d)
+		change(dep)
 	}
 	world := virtual.NewNetwork(1)
-	r := &harness{t: t, world: world, loop: world.NewLoop("d"), remote: world.NewLoop("far"), deployment: d}
+	r := &harness{t: t, world: world, loop: world.NewLoop("d"), remote: world.NewLoop("far"), deployment: dep}
 	r.start(kindsAndZones)
 	return r
 }
@@ -65,12 +65,12 @@
 // newSocketHarness does the same over real sockets, with shorter timeouts.
 func newSocketHarness(t *testing.T, kindsAndZones ...string) *harness {
 	t.Helper()
-	d := deployment.Standard()
-	d.Dispatching.SilenceMs = 300
-	for _, p := range d.Products {
+	dep := deployment.Standard()
+	dep.Dispatching.SilenceMs = 300
+	for _, p := range dep.Products {
 		p.SloMs, p.TimeLimitMs = 600, 900
 	}
-	d.Tenants = []*pb.Tenant{testTenant()}
+	dep.Tenants = []*pb.Tenant{testTenant()}
 	var loops [2]*sockets.Loop
 	for i := range loops {
 		var err error
@@ -79,7 +79,7 @@
 		}
 		t.Cleanup(loops[i].Stop)
 	}
-	r := &harness{t: t, loop: loops[0], remote: loops[1], deployment: d}
+	r := &harness{t: t, loop: loops[0], remote: loops[1], deployment: dep}
 	r.start(kindsAndZones)
 	return r
 }
--- a/internal/dispatch/limits_test.go
+++ b/internal/dispatch/limits_test.go
@@ -26,7 +26,7 @@
 			r.takeDescriptors(4000, 250)
 		},
 	} {
-		r := newHarness(t, func(d deployment.Deployment) { d.Dispatching.Connections = 3 }, "prefill west", "decode west")
+		r := newHarness(t, func(dep deployment.Deployment) { dep.Dispatching.Connections = 3 }, "prefill west", "decode west")
 		r.endpoints[1].serve = neverAnswer
 		c := r.ask("review-post", "x-time-limit-ms", "600")
 		r.world.Run(100 * eventloop.Millisecond) // prefilled, and at the decode endpoint, which does not begin
@@ -64,8 +64,8 @@
 
 // A prefill endpoint can't be reached for longer than its state may wait: once it can be, all of it is released.
 func TestReleaseIsRetriedAfterAPartition(t *testing.T) {
-	r := newHarness(t, func(d deployment.Deployment) {
-		d.Dispatching.IdleMs = 50 // so that it has to connect anew
+	r := newHarness(t, func(dep deployment.Deployment) {
+		dep.Dispatching.IdleMs = 50 // so that it has to connect anew
 	}, "prefill west", "decode west")
 	r.endpoints[1].serve = neverAnswer
 	var calls []*clientCall
@@ -180,7 +180,7 @@
 	endlessRequest := "POST /v1/chat/completions HTTP/1.1\r\nHost: x\r\nAuthorization: Bearer " + key +
 		"\r\nContent-Type: application/json\r\nContent-Length: 20000\r\n\r\n" + text
 	for _, complete := range []bool{true, false} {
-		r := newHarness(t, func(d deployment.Deployment) { d.Doors.BodyMost = maxBody }, "prefill west", "decode west")
+		r := newHarness(t, func(dep deployment.Deployment) { dep.Doors.BodyMost = maxBody }, "prefill west", "decode west")
 		r.updateEndpoints(r.endpoints[1].entry("gone"))
 		bound, most := maxBufferedBodies*maxBody, 0
 		var calls []*clientCall
@@ -213,8 +213,8 @@
 // The answers that calls with many inputs are going to have are bounded too.
 func TestBatchAnswersAreBounded(t *testing.T) {
 	const inputs = 1900
-	r := newHarness(t, func(d deployment.Deployment) {
-		for _, p := range d.Products {
+	r := newHarness(t, func(dep deployment.Deployment) {
+		for _, p := range dep.Products {
 			if p.Name == "embed" {
 				p.Dimensions, p.TimeLimitMs = 16384, 5000
 			}
--- a/internal/dispatch/stage_harness_test.go
+++ b/internal/dispatch/stage_harness_test.go
@@ -28,22 +28,23 @@
 
 func newFleetHarness(t *testing.T, mode fleetMode) *fleetHarness {
 	t.Helper()
-	d := deployment.Standard()
-	d.Zones, d.Kinds = d.Zones[:1], d.Kinds[:2]
-	d.Fleet.CellsPerZone, d.Fleet.CancelStops, d.Fleet.CellTokensPerS, d.Fleet.RosterLateMs = 1, mode.stops, 10000, 20
-	d.Fleet.Groups = []*pb.Fleet_Group{
+	dep := deployment.Standard()
+	dep.Zones, dep.Kinds = dep.Zones[:1], dep.Kinds[:2]
+	dep.Fleet.CellsPerZone, dep.Fleet.CellTokensPerS, dep.Fleet.RosterLateMs = 1, 10000, 20
+	dep.Fleet.CancelStops = mode.stops
+	dep.Fleet.Groups = []*pb.Fleet_Group{
 		{Kind: "prefill", HostsPerZone: 1, ReadTokensPerS: 18000, Slots: 1, Queue: 40, StepUs: 5000},
 		{Kind: "decode", HostsPerZone: 2, Slots: 100, Queue: 30, StepUs: 16000},
 	}
-	d.Dispatching.MayCancel = mode.cancels
-	d.Tenants = []*pb.Tenant{testTenant()}
+	dep.Dispatching.MayCancel = mode.cancels
+	dep.Tenants = []*pb.Tenant{testTenant()}
 	world := virtual.NewNetwork(1)
-	r := &harness{t: t, world: world, loop: world.NewLoop("d"), remote: world.NewLoop("far"), deployment: d}
+	r := &harness{t: t, world: world, loop: world.NewLoop("d"), remote: world.NewLoop("far"), deployment: dep}
 	f := &fleetHarness{harness: r}
 	f.recorder, _ = record.Open("")
 	f.record(record.Event{Type: record.NetworkLatency, Count: int64(world.Latency)})
 	var err error
-	f.remote.Do(func() { f.fleet, err = modelserver.Start(f.remote, d, 1, "127.0.0.1:0", f.recorder) })
+	f.remote.Do(func() { f.fleet, err = modelserver.Start(f.remote, dep, 1, "127.0.0.1:0", f.recorder) })
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/dispatch/stages_test.go
+++ b/internal/dispatch/stages_test.go
@@ -16,11 +16,11 @@
 	cases := 0
 	for _, mode := range []fleetMode{{true, true}, {false, true}, {false, false}} {
 		for _, s := range stages {
-			for _, e := range endings {
+			for _, how := range endings {
 				for _, product := range chatProducts {
 					cases++
-					name := fmt.Sprintf("%s/%s/%s/stops %v, cancels %v", s.name, e.name, product, mode.stops, mode.cancels)
-					t.Run(name, func(t *testing.T) { testEndAtStage(newFleetHarness(t, mode), s, e, product) })
+					name := fmt.Sprintf("%s/%s/%s/stops %v, cancels %v", s.name, how.name, product, mode.stops, mode.cancels)
+					t.Run(name, func(t *testing.T) { testEndAtStage(newFleetHarness(t, mode), s, how, product) })
 				}
 			}
 		}
@@ -28,28 +28,28 @@
 	t.Logf("%d cases", cases)
 }
 
-func testEndAtStage(f *fleetHarness, s stage, e ending, product string) {
+func testEndAtStage(f *fleetHarness, atStage stage, how ending, product string) {
 	f.t.Helper()
-	if s.before != nil {
-		s.before(f)
+	if atStage.before != nil {
+		atStage.before(f)
 	}
-	request := fleetRequest{id: "g", product: product, tokens: s.tokens, unstreamed: s.unstreamed}
-	if e.end == nil {
-		request.limit = s.after + 10*eventloop.Millisecond
-		if s.unstreamed {
+	request := fleetRequest{id: "g", product: product, tokens: atStage.tokens, unstreamed: atStage.unstreamed}
+	if how.end == nil {
+		request.limit = atStage.after + 10*eventloop.Millisecond
+		if atStage.unstreamed {
 			request.limit += unstreamedGrace + 20*eventloop.Millisecond
 		}
 	}
 	c := f.askRecorded(request)
-	f.world.Run(s.after)
+	f.world.Run(atStage.after)
 	seen, at := f.fleet.Stage("g")
-	if seen != s.seen {
-		f.t.Fatalf("after %d ms it is %q", s.after/eventloop.Millisecond, seen)
+	if seen != atStage.seen {
+		f.t.Fatalf("after %d ms it is %q", atStage.after/eventloop.Millisecond, seen)
 	}
-	if e.end != nil {
-		e.end(f, c, at)
+	if how.end != nil {
+		how.end(f, c, at)
 	}
-	f.expectCleanEnd(c, expectation{product, e.want(s, f.effectOf(product)), e.disconnected})
+	f.expectCleanEnd(c, expectation{product, how.want(atStage, f.effectOf(product)), how.disconnected})
 }
 
 // crossing is an outcome and an end of one request that reach the dispatcher in the same turn.
@@ -70,14 +70,14 @@
 			request := fleetRequest{id: "g", product: product, tokens: 5000, unstreamed: unstreamed}
 			outcomes := outcomeTimes(newFleetHarness(t, fleetMode{true, true}), request)
 			for _, outcome := range []string{"answered", "ran", "streamed"} {
-				for _, e := range endings[:3] {
-					if e.end == nil && outcome == "streamed" && !unstreamed { // a stream that has begun has no deadline
+				for _, how := range endings[:3] {
+					if how.end == nil && outcome == "streamed" && !unstreamed { // a stream that has begun has no deadline
 						continue
 					}
 					for _, endFirst := range []bool{false, true} {
 						cases++
-						name := fmt.Sprintf("%s, unstreamed %v/%s/%s/the end first: %v", product, unstreamed, outcome, e.name, endFirst)
-						x := crossing{request, outcome, outcomes[outcome], e, endFirst}
+						name := fmt.Sprintf("%s, unstreamed %v/%s/%s/the end first: %v", product, unstreamed, outcome, how.name, endFirst)
+						x := crossing{request, outcome, outcomes[outcome], how, endFirst}
 						t.Run(name, func(t *testing.T) { x.test(newFleetHarness(t, fleetMode{true, true})) })
 					}
 				}
--- a/internal/dispatch/storm_test.go
+++ b/internal/dispatch/storm_test.go
@@ -32,16 +32,16 @@
 }
 
 // newStorm starts a dispatcher and its endpoints.
-func newStorm(t *testing.T, seed int64, change func(d deployment.Deployment)) *storm {
+func newStorm(t *testing.T, seed int64, change func(dep deployment.Deployment)) *storm {
 	t.Helper()
 	s := &storm{chance: rand.New(rand.NewSource(seed)), fates: map[string]*requestFate{}}
-	s.harness = newHarness(t, func(d deployment.Deployment) {
-		d.Dispatching.SilenceMs = 400
-		d.Doors.UnsentMost, d.Doors.StallMs = 2000, 1500
-		for _, p := range d.Products {
+	s.harness = newHarness(t, func(dep deployment.Deployment) {
+		dep.Dispatching.SilenceMs = 400
+		dep.Doors.UnsentMost, dep.Doors.StallMs = 2000, 1500
+		for _, p := range dep.Products {
 			p.SloMs, p.TimeLimitMs = 300, 700
 		}
-		change(d)
+		change(dep)
 	},
 		"prefill west", "prefill west", "prefill east",
 		"decode west", "decode west", "decode east", "decode east",
@@ -177,9 +177,9 @@
 }
 
 // run sends n requests, and checks at the end what the clients have got.
-func (s *storm) run(n int) {
+func (s *storm) run(count int) {
 	s.t.Helper()
-	for i := range n {
+	for i := range count {
 		s.sendRequest(fmt.Sprintf("s%d", i))
 		s.disturb()
 		s.world.Run(s.upTo(9 * eventloop.Millisecond))
@@ -200,7 +200,7 @@
 		}
 	}
 	if wrong > 0 {
-		s.t.Errorf("%d of %d wrong", wrong, n)
+		s.t.Errorf("%d of %d wrong", wrong, count)
 	}
 	for _, endpoint := range s.endpoints {
 		if s.dispatcher.engine.InFlight(endpoint.entry("ready").ID) != 0 {
@@ -231,15 +231,15 @@
 	for i, part := range []struct {
 		requests int
 		seed     int64
-		change   func(d deployment.Deployment)
+		change   func(dep deployment.Deployment)
 	}{
-		{6000, 1, func(d deployment.Deployment) { d.Tenants[0].QuotaPerS = 60 }},
-		{4000, 3, func(d deployment.Deployment) {
-			for _, p := range d.Products {
+		{6000, 1, func(dep deployment.Deployment) { dep.Tenants[0].QuotaPerS = 60 }},
+		{4000, 3, func(dep deployment.Deployment) {
+			for _, p := range dep.Products {
 				p.SloMs, p.TimeLimitMs = 1000, 5000
 			}
 		}},
-		{10000, 2, func(d deployment.Deployment) { d.Dispatching.MayCancel = false }},
+		{10000, 2, func(dep deployment.Deployment) { dep.Dispatching.MayCancel = false }},
 	} {
 		s := newStorm(t, part.seed, part.change)
 		s.run(part.requests)
--- a/internal/embeddings/golden_test.go
+++ b/internal/embeddings/golden_test.go
@@ -31,18 +31,18 @@
 
 // parse feeds a body in pieces of some bytes.
 func parse(kind Kind, coding, body string, size int, out *bytes.Buffer) (*Request, *frontend.Problem) {
-	a := NewRequest(kind, coding, testLimits, recordingHandler{out}, nil)
-	return a, feed(a, body, size)
+	req := NewRequest(kind, coding, testLimits, recordingHandler{out}, nil)
+	return req, feed(req, body, size)
 }
 
-func feed(a *Request, body string, size int) *frontend.Problem {
-	defer a.Close()
+func feed(req *Request, body string, size int) *frontend.Problem {
+	defer req.Close()
 	for b := []byte(body); len(b) > 0; b = b[min(size, len(b)):] {
-		if p := a.Data(b[:min(size, len(b))]); p != nil {
+		if p := req.Data(b[:min(size, len(b))]); p != nil {
 			return p
 		}
 	}
-	return a.End()
+	return req.End()
 }
 
 var bodies = []struct {
@@ -116,7 +116,7 @@
 	for _, c := range bodies {
 		fmt.Fprintf(&out, "== %s\n", c.name)
 		var whole, pieces bytes.Buffer
-		a, p := parse(c.kind, "", c.body, len(c.body), &whole)
+		req, p := parse(c.kind, "", c.body, len(c.body), &whole)
 		_, q := parse(c.kind, "", c.body, 1, &pieces)
 		if whole.String() != pieces.String() || fmt.Sprint(p) != fmt.Sprint(q) {
 			t.Errorf("%s: read as %q (%v), byte by byte as %q (%v)", c.name, whole.String(), p, pieces.String(), q)
@@ -127,14 +127,14 @@
 			continue
 		}
 		var all []int
-		for i, input := range a.Inputs {
+		for i, input := range req.Inputs {
 			all = append(all, i)
 			fmt.Fprintf(&out, "input %s, %d tokens, key %x, cache key %x\n",
-				input.Raw, input.Tokens, input.Key, a.CacheKey(i, 3))
+				input.Raw, input.Tokens, input.Key, req.CacheKey(i, 3))
 		}
-		path, body := a.BuildPart(all, 3)
+		path, body := req.BuildPart(all, 3)
 		fmt.Fprintf(&out, "order %d, texts %q, %d bytes buffered, %d tokens\n%s %s\n",
-			a.Order, a.Texts, a.BufferedBytes, a.CountTokens(all), path, body)
+			req.Order, req.Texts, req.BufferedBytes, req.CountTokens(all), path, body)
 	}
 	golden.Compare(t, out.Bytes())
 }
@@ -164,12 +164,12 @@
 	var out bytes.Buffer
 	for _, c := range cases {
 		fmt.Fprintf(&out, "== %s\n", c.name)
-		a := NewRequest(c.kind, "", limits, recordingHandler{&out}, &frontend.Response{})
-		if p := feed(a, c.body, 1); p != nil {
+		req := NewRequest(c.kind, "", limits, recordingHandler{&out}, &frontend.Response{})
+		if p := feed(req, c.body, 1); p != nil {
 			fmt.Fprintf(&out, "%d %s\n", p.Status, p.Body())
 			continue
 		}
-		fmt.Fprintf(&out, "order %d, texts %q\n", a.Order, a.Texts)
+		fmt.Fprintf(&out, "order %d, texts %q\n", req.Order, req.Texts)
 	}
 	golden.Compare(t, out.Bytes())
 }
@@ -198,12 +198,12 @@
 	var out bytes.Buffer
 	for _, c := range cases {
 		fmt.Fprintf(&out, "== %s\n", c.name)
-		a, p := parse(Embeddings, c.coding, c.body, 7, &out)
+		req, p := parse(Embeddings, c.coding, c.body, 7, &out)
 		if p != nil {
 			fmt.Fprintf(&out, "%d %s\n", p.Status, p.Body())
 			continue
 		}
-		fmt.Fprintf(&out, "order %d\n", a.Order)
+		fmt.Fprintf(&out, "order %d\n", req.Order)
 	}
 	golden.Compare(t, out.Bytes())
 }
--- a/internal/embeddings/scanner.go
+++ b/internal/embeddings/scanner.go
@@ -77,23 +77,23 @@
 }
 
 // scanByte takes one byte that is not a value's.
-func (s *scanner) scanByte(c byte) *frontend.Problem {
-	if s.state != inName && isSpace(c) {
+func (s *scanner) scanByte(char byte) *frontend.Problem {
+	if s.state != inName && isSpace(char) {
 		return nil
 	}
 	switch s.state {
 	case expectObject:
-		return s.beginObject(c)
+		return s.beginObject(char)
 	case expectName:
-		return s.beginName(c)
+		return s.beginName(char)
 	case inName:
-		return s.scanName(c)
+		return s.scanName(char)
 	case expectColon:
-		return s.passColon(c)
+		return s.passColon(char)
 	case expectValue:
-		return s.beginValue(c)
+		return s.beginValue(char)
 	case expectComma:
-		return s.passComma(c)
+		return s.passComma(char)
 	default:
 		return frontend.InvalidJSON()
 	}
@@ -165,20 +165,20 @@
 }
 
 // beginValue takes the first byte of a value, or of a list whose elements are handed over one by one.
-func (s *scanner) beginValue(c byte) *frontend.Problem {
+func (s *scanner) beginValue(char byte) *frontend.Problem {
 	switch {
-	case c == '[' && !s.inList && slices.Contains(s.lists, s.name):
+	case char == '[' && !s.inList && slices.Contains(s.lists, s.name):
 		s.inList, s.kind = true, listStart
 		return nil
-	case c == ']' && s.inList && s.kind == listStart: // an empty list
+	case char == ']' && s.inList && s.kind == listStart: // an empty list
 		s.inList, s.state = false, expectComma
 		return nil
-	case c == ',' || c == ']' || c == '}' || c == ':':
+	case char == ',' || char == ']' || char == '}' || char == ':':
 		return frontend.InvalidJSON()
 	}
-	s.state, s.value = inValue, append(s.value[:0], c)
+	s.state, s.value = inValue, append(s.value[:0], char)
 	s.kind, s.depth, s.inString, s.escaped = scalarValue, 0, false, false
-	switch c {
+	switch char {
 	case '"':
 		s.kind, s.inString = stringValue, true
 	case '{', '[':
--- a/internal/endpoints/cached_list_test.go
+++ b/internal/endpoints/cached_list_test.go
@@ -55,15 +55,15 @@
 // TestReadsHostListsOfEarlierVersion: both lists that an earlier version cached, the newest and the one before it, are
 // read with every field of every endpoint, and are written as they were.
 func TestReadsHostListsOfEarlierVersion(t *testing.T) {
-	for _, c := range []struct {
+	for _, test := range []struct {
 		file  string
 		saved int64
 	}{
 		{"kept-hosts.json", 1796217380141412},
 		{"kept-hosts.json.1", 1796217377653035},
 	} {
-		t.Run(c.file, func(t *testing.T) {
-			cached, err := os.ReadFile("testdata/" + c.file)
+		t.Run(test.file, func(t *testing.T) {
+			cached, err := os.ReadFile("testdata/" + test.file)
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -75,8 +75,8 @@
 			if !slices.Equal(entries, cachedEntries) {
 				t.Errorf("read:\n%+v\nstored:\n%+v", entries, cachedEntries)
 			}
-			if saved != c.saved {
-				t.Errorf("saved at %d, read %d", c.saved, saved)
+			if saved != test.saved {
+				t.Errorf("saved at %d, read %d", test.saved, saved)
 			}
 			if restored.Epoch != "" || restored.Version != 0 {
 				t.Errorf("epoch %q, version %d of a cached list count as known", restored.Epoch, restored.Version)
@@ -85,7 +85,7 @@
 			if _, complete, err := followed.Apply(cached); err != nil || !complete {
 				t.Fatalf("complete %v: %v", complete, err)
 			}
-			if written := followed.Snapshot(c.saved); string(written) != string(cached) {
+			if written := followed.Snapshot(test.saved); string(written) != string(cached) {
 				t.Errorf("written:\n%s\nstored:\n%s", written, cached)
 			}
 		})
--- a/internal/engine/engine_test.go
+++ b/internal/engine/engine_test.go
@@ -59,8 +59,8 @@
 		{100 << 10, scheduler.Unreachable},
 		{1 << 10, scheduler.TimedOut},
 	}
-	for _, c := range cases {
-		t.Run(fmt.Sprintf("%d bytes", c.size), func(t *testing.T) {
+	for _, test := range cases {
+		t.Run(fmt.Sprintf("%d bytes", test.size), func(t *testing.T) {
 			network := virtual.NewNetwork(1)
 			network.ReceiveWindow = window
 			far, own := network.NewLoop("endpoint"), network.NewLoop("dispatcher")
@@ -69,13 +69,13 @@
 			own.Do(func() {
 				e := New(own, "d", "", testLimits(4))
 				e.SetAddress(1, addr)
-				e.Call(1, post(c.size), 300*eventloop.Millisecond, Callbacks{
+				e.Call(1, post(test.size), 300*eventloop.Millisecond, Callbacks{
 					Ended: func(result Result) { results = append(results, result) },
 				})
 			})
 			network.Run(2 * eventloop.Second)
-			if len(results) != 1 || results[0].Outcome != c.want {
-				t.Errorf("ended as %+v, want once with outcome %d", results, c.want)
+			if len(results) != 1 || results[0].Outcome != test.want {
+				t.Errorf("ended as %+v, want once with outcome %d", results, test.want)
 			}
 		})
 	}
--- a/internal/http1/head.go
+++ b/internal/http1/head.go
@@ -61,10 +61,10 @@
 
 // collectHead appends to the head that has arrived so far. Once it is complete, its text without the empty line at
 // the end is returned, and the bytes that follow it.
-func (p *Parser) collectHead(b []byte) (text string, rest []byte, complete bool, err error) {
+func (p *Parser) collectHead(data []byte) (text string, rest []byte, complete bool, err error) {
 	before := len(p.partial)
 	limit := p.Limits.HeadBytes + len(headEnd)
-	taken := b[:min(len(b), max(limit-before, 0))]
+	taken := data[:min(len(data), max(limit-before, 0))]
 	p.partial = append(p.partial, taken...)
 	if n := min(len(p.partial), len(protocolPrefix)); p.Response && string(p.partial[:n]) != protocolPrefix[:n] {
 		// Reported at once, as bytes that are not HTTP may never contain the end of a head.
@@ -73,13 +73,13 @@
 	from := max(before-len(headEnd)+1, 0)
 	at := bytes.Index(p.partial[from:], headEnd)
 	if at < 0 {
-		if len(taken) < len(b) || len(p.partial) >= limit {
+		if len(taken) < len(data) || len(p.partial) >= limit {
 			return "", nil, false, protocolError(ErrHeadTooLarge, "the head is larger than %d bytes", p.Limits.HeadBytes)
 		}
 		return "", nil, false, nil
 	}
 	at += from
-	return string(p.partial[:at]), b[at+len(headEnd)-before:], true, nil
+	return string(p.partial[:at]), data[at+len(headEnd)-before:], true, nil
 }
 
 func (p *Parser) parseHead(text string) (*Head, error) {
--- a/internal/http1/parser.go
+++ b/internal/http1/parser.go
@@ -59,22 +59,22 @@
 }
 
 // Feed parses the next bytes of the connection. After an error the parser must not be used again.
-func (p *Parser) Feed(b []byte, handler Handler) error {
-	for len(b) > 0 {
+func (p *Parser) Feed(data []byte, handler Handler) error {
+	for len(data) > 0 {
 		var err error
 		switch p.state {
 		case paused:
-			p.buffered = append(p.buffered, b...)
+			p.buffered = append(p.buffered, data...)
 			return nil
 		case inHead:
-			b, err = p.head(b, handler)
+			data, err = p.head(data, handler)
 		case inBody, inChunk:
-			b, err = p.sizedBody(b, handler)
+			data, err = p.sizedBody(data, handler)
 		case untilClose:
-			err = p.deliver(b, handler)
-			b = nil
+			err = p.deliver(data, handler)
+			data = nil
 		default:
-			b, err = p.chunkLine(b, handler)
+			data, err = p.chunkLine(data, handler)
 		}
 		if err != nil {
 			return err
--- a/internal/platform/attempt.go
+++ b/internal/platform/attempt.go
@@ -45,173 +45,173 @@
 
 // Send implements scheduler.Executor: it makes an attempt.
 func (d *Dispatcher) Send(id scheduler.RequestID, endpoint scheduler.EndpointID, timeout scheduler.Micros) {
-	r := d.requests[id]
-	if r == nil {
+	req := d.requests[id]
+	if req == nil {
 		return
 	}
-	a := &r.attempt
+	a := &req.attempt
 	a.count++
 	a.endpoint, a.orderedAt, a.started = endpoint, d.loop.Now(), false
 	a.prefill = d.role(endpoint) == scheduler.Prefill
 	number := a.number()
 	d.Attempts++
 	// A prefill does not fetch the state that waits, and what it leaves must not be released with that.
-	if r.lease.active && !r.lease.releasing && (a.prefill || r.lease.unconfirmed) {
-		d.release(r)
+	if req.lease.active && !req.lease.releasing && (a.prefill || req.lease.unconfirmed) {
+		d.release(req)
 	}
-	if r.lease.releasing {
-		r.lease.waiting = func() { d.startAfterRelease(r, number, timeout) }
+	if req.lease.releasing {
+		req.lease.waiting = func() { d.startAfterRelease(req, number, timeout) }
 		return
 	}
-	d.startAttempt(r, number, timeout)
+	d.startAttempt(req, number, timeout)
 }
 
 // startAttempt hands the attempt to the network. Its time-outs count from when it was ordered: whether it may still be
 // sent, as a retry within its window, was checked then.
-func (d *Dispatcher) startAttempt(r *request, number scheduler.AttemptNo, timeout eventloop.Micros) {
+func (d *Dispatcher) startAttempt(req *request, number scheduler.AttemptNo, timeout eventloop.Micros) {
 	// The disconnect may not have been handed over yet, as after the process was suspended.
-	if r.client.response.Disconnected() {
+	if req.client.response.Disconnected() {
 		d.loop.Defer(func() {
-			d.clientDisconnected(r)
-			d.attemptEnded(r, number, newResult(scheduler.NotSent, reasonClientDisconnected))
+			d.clientDisconnected(req)
+			d.attemptEnded(req, number, newResult(scheduler.NotSent, reasonClientDisconnected))
 		})
 		return
 	}
-	if err := r.ledger.Send(d.loop.Now(), d.guardEndpoint(r)); err != nil {
+	if err := req.ledger.Send(d.loop.Now(), d.guardEndpoint(req)); err != nil {
 		d.loop.Defer(func() { // never within the scheduler's own call
-			d.attemptEnded(r, number, newResult(scheduler.NotSent, err.Error()))
+			d.attemptEnded(req, number, newResult(scheduler.NotSent, err.Error()))
 		})
 		return
 	}
 	callbacks := engine.Callbacks{
-		Event: func(data []byte) { d.streamEvent(r, number, data) },
-		Ended: func(result engine.Result) { d.attemptEnded(r, number, result) },
+		Event: func(data []byte) { d.streamEvent(req, number, data) },
+		Ended: func(result engine.Result) { d.attemptEnded(req, number, result) },
 	}
-	waited := d.loop.Now() - r.attempt.orderedAt
+	waited := d.loop.Now() - req.attempt.orderedAt
 	out := upstream.Request{
-		ID:          r.client.ID,
-		Target:      r.client.Target,
-		Fields:      r.client.Fields,
-		Body:        r.client.Body,
+		ID:          req.client.ID,
+		Target:      req.client.Target,
+		Fields:      req.client.Fields,
+		Body:        req.client.Body,
 		SendTimeout: max(d.settings.ConnectTimeout-waited, 1),
-		OnSend:      func(left eventloop.Micros) { d.attemptWritten(r, number, left) },
+		OnSend:      func(left eventloop.Micros) { d.attemptWritten(req, number, left) },
 	}
 	timeout = max(timeout-waited, 0)
-	if r.attempt.prefill {
-		r.attempt.inFlight = d.upstream.Prefill(r.attempt.endpoint, out, timeout, callbacks)
+	if req.attempt.prefill {
+		req.attempt.inFlight = d.upstream.Prefill(req.attempt.endpoint, out, timeout, callbacks)
 	} else {
-		r.attempt.inFlight = d.upstream.Decode(r.attempt.endpoint, out, timeout, callbacks)
+		req.attempt.inFlight = d.upstream.Decode(req.attempt.endpoint, out, timeout, callbacks)
 	}
 }
 
 // startAfterRelease starts an attempt that waited for a release, unless its endpoint has begun to drain meanwhile, or
 // the time for a retry may be over, which was checked when it was ordered.
-func (d *Dispatcher) startAfterRelease(r *request, number scheduler.AttemptNo, timeout eventloop.Micros) {
+func (d *Dispatcher) startAfterRelease(req *request, number scheduler.AttemptNo, timeout eventloop.Micros) {
 	switch {
-	case !d.isReady(r.attempt.endpoint):
-		d.attemptEnded(r, number, newResult(scheduler.NotSent, reasonEndpointNotReady))
-	case d.loop.Now()-r.attempt.orderedAt > d.settings.ConnectTimeout:
-		d.attemptEnded(r, number, newResult(scheduler.NotSent, reasonReleaseTooLate))
+	case !d.isReady(req.attempt.endpoint):
+		d.attemptEnded(req, number, newResult(scheduler.NotSent, reasonEndpointNotReady))
+	case d.loop.Now()-req.attempt.orderedAt > d.settings.ConnectTimeout:
+		d.attemptEnded(req, number, newResult(scheduler.NotSent, reasonReleaseTooLate))
 	default:
-		d.startAttempt(r, number, timeout)
+		d.startAttempt(req, number, timeout)
 	}
 }
 
 // streamEvent forwards an event to the client.
-func (d *Dispatcher) streamEvent(r *request, number scheduler.AttemptNo, data []byte) {
-	if number != r.attempt.number() || r.attempt.inFlight == nil || r.client.answered {
+func (d *Dispatcher) streamEvent(req *request, number scheduler.AttemptNo, data []byte) {
+	if number != req.attempt.number() || req.attempt.inFlight == nil || req.client.answered {
 		return
 	}
-	if !r.attempt.started {
-		d.streamStarted(r)
-		if r.client.answered {
+	if !req.attempt.started {
+		d.streamStarted(req)
+		if req.client.answered {
 			return
 		}
 	}
-	if r.client.response.WriteEvent(data) {
-		r.attempt.inFlight.PauseReading(true)
+	if req.client.response.WriteEvent(data) {
+		req.attempt.inFlight.PauseReading(true)
 	}
 }
 
 // streamStarted takes the first event as proof that the endpoint has fetched the KV state.
-func (d *Dispatcher) streamStarted(r *request) {
-	r.attempt.started, r.lease.active = true, false
-	r.lease.expiry.Clear()
-	r.ledger.LeaseTaken()
-	r.attempt.inFlight.Started()
-	if e := d.debugAttempt(r); e.Enabled() {
-		e.Int64("duration_us", int64(d.loop.Now()-r.attempt.orderedAt)).Msg("stream started")
-	}
-	d.scheduler.AttemptStarted(d.loop.Now(), r.id, r.attempt.number())
+func (d *Dispatcher) streamStarted(req *request) {
+	req.attempt.started, req.lease.active = true, false
+	req.lease.expiry.Clear()
+	req.ledger.LeaseTaken()
+	req.attempt.inFlight.Started()
+	if e := d.debugAttempt(req); e.Enabled() {
+		e.Int64("duration_us", int64(d.loop.Now()-req.attempt.orderedAt)).Msg("stream started")
+	}
+	d.scheduler.AttemptStarted(d.loop.Now(), req.id, req.attempt.number())
 }
 
 // attemptEnded takes the end of an attempt.
-func (d *Dispatcher) attemptEnded(r *request, number scheduler.AttemptNo, result engine.Result) {
-	a := &r.attempt
+func (d *Dispatcher) attemptEnded(req *request, number scheduler.AttemptNo, result engine.Result) {
+	a := &req.attempt
 	if number != a.number() {
 		return
 	}
 	if result.ClosedLocally && !a.started && !a.cancelling && result.Outcome != scheduler.Unreachable {
 		a.cancelling = true
-		d.loop.AfterFunc(cancelDelivery, func() { d.attemptEnded(r, number, result) })
+		d.loop.AfterFunc(cancelDelivery, func() { d.attemptEnded(req, number, result) })
 		return
 	}
 	a.inFlight, a.cancelling = nil, false
-	r.ledger.AttemptEnded(!result.Outcome.KnownNotRun())
+	req.ledger.AttemptEnded(!result.Outcome.KnownNotRun())
 	d.Outcomes[result.Outcome]++
-	d.logResult(r, &result)
-	d.updateLease(r, &result)
-	if a.started && !r.client.answered {
-		d.endStream(r, result.Outcome)
+	d.logResult(req, &result)
+	d.updateLease(req, &result)
+	if a.started && !req.client.answered {
+		d.endStream(req, result.Outcome)
 	}
-	d.scheduler.AttemptEnded(d.loop.Now(), r.id, number, result.ForScheduler(r.client.answered))
-	d.finishIfIdle(r)
+	d.scheduler.AttemptEnded(d.loop.Now(), req.id, number, result.ForScheduler(req.client.answered))
+	d.finishIfIdle(req)
 }
 
 // endStream gives the client the end of its stream.
-func (d *Dispatcher) endStream(r *request, outcome scheduler.Outcome) {
-	r.client.answered = true
+func (d *Dispatcher) endStream(req *request, outcome scheduler.Outcome) {
+	req.client.answered = true
 	if outcome == scheduler.Completed {
 		d.Completed++
-		r.ledger.Answered(d.loop.Now(), guard.Completed)
-		r.client.response.Complete()
+		req.ledger.Answered(d.loop.Now(), guard.Completed)
+		req.client.response.Complete()
 		return
 	}
 	d.Broken++
-	r.ledger.Answered(d.loop.Now(), guard.Broken)
-	r.client.response.Break()
+	req.ledger.Answered(d.loop.Now(), guard.Broken)
+	req.client.response.Break()
 }
 
 // Cancel implements scheduler.Executor: it cancels an attempt. The scheduler hears of that after the call that is under
 // way; an attempt that was never written is known not to have run.
 func (d *Dispatcher) Cancel(id scheduler.RequestID, number scheduler.AttemptNo) {
-	r := d.requests[id]
-	if r == nil || number != r.attempt.number() || r.attempt.started || r.attempt.cancelling {
+	req := d.requests[id]
+	if req == nil || number != req.attempt.number() || req.attempt.started || req.attempt.cancelling {
 		return
 	}
-	if r.attempt.inFlight == nil && r.lease.waiting == nil {
+	if req.attempt.inFlight == nil && req.lease.waiting == nil {
 		return
 	}
 	result := newResult(scheduler.Cancelled, reasonCancelled)
 	result.ClosedLocally = true
-	if r.attempt.inFlight == nil || r.attempt.inFlight.Unsent() {
+	if req.attempt.inFlight == nil || req.attempt.inFlight.Unsent() {
 		result = newResult(scheduler.NotSent, reasonCancelledUnsent)
 	}
-	d.cancelAttempt(r, result)
+	d.cancelAttempt(req, result)
 }
 
 // cancelAttempt ends the attempt that is in flight, or that waits for a release; its result comes after the call that
 // is under way.
-func (d *Dispatcher) cancelAttempt(r *request, result engine.Result) {
-	inFlight, number := r.attempt.inFlight, r.attempt.number()
+func (d *Dispatcher) cancelAttempt(req *request, result engine.Result) {
+	inFlight, number := req.attempt.inFlight, req.attempt.number()
 	if inFlight != nil {
 		inFlight.Cancel()
 		result.Undelivered = inFlight.Undelivered()
 	}
-	r.lease.waiting = nil
+	req.lease.waiting = nil
 	d.loop.Defer(func() {
-		if number == r.attempt.number() && r.attempt.inFlight == inFlight {
-			d.attemptEnded(r, number, result)
+		if number == req.attempt.number() && req.attempt.inFlight == inFlight {
+			d.attemptEnded(req, number, result)
 		}
 	})
 }
--- a/internal/platform/attempt_timing_test.go
+++ b/internal/platform/attempt_timing_test.go
@@ -14,24 +14,24 @@
 func TestLateSecondAnswer(t *testing.T) {
 	for span := eventloop.Micros(500); span <= 10*eventloop.Millisecond; span += 500 {
 		env := newTestEnv(t, 256, "prefill", "decode")
-		n := 0
-		ownEvent := func() string { return strings.Replace(tokenEvent, "Lamu", "Lamu "+strconv.Itoa(n), 1) }
+		count := 0
+		ownEvent := func() string { return strings.Replace(tokenEvent, "Lamu", "Lamu "+strconv.Itoa(count), 1) }
 		env.endpoints[1].serve = func(conn *endpointConn) {
-			n++
+			count++
 			event := ownEvent()
 			answer := func() {
 				conn.stream(event, stopEvent, usageEvent, "[DONE]")
 				conn.endStream()
 			}
-			if answer(); n == 1 {
+			if answer(); count == 1 {
 				conn.endpoint.loop.AfterFunc(span, answer)
 			}
 		}
 		for i := range 6 {
 			client := env.sendRequest("post")
 			env.waitFor(eventloop.Second, "an answer", client.done)
-			if len(client.events) == 0 || client.events[0] != ownEvent() || n != i+1 {
-				t.Fatalf("after %d µs: request %d was answered %q and run %d times in all", span, i+1, client.events, n)
+			if len(client.events) == 0 || client.events[0] != ownEvent() || count != i+1 {
+				t.Fatalf("after %d µs: request %d was answered %q and run %d times in all", span, i+1, client.events, count)
 			}
 		}
 	}
--- a/internal/platform/endpoints.go
+++ b/internal/platform/endpoints.go
@@ -34,25 +34,25 @@
 	}
 }
 
-func (d *Dispatcher) updateEndpoint(e discovery.Entry) {
-	zone, kind := d.topology.Locate(&d.config.Log, e.Name, e.Zone, e.Kind)
-	if e.State == scheduler.Removed {
-		delete(d.endpoints, e.ID)
+func (d *Dispatcher) updateEndpoint(entry discovery.Entry) {
+	zone, kind := d.topology.Locate(&d.config.Log, entry.Name, entry.Zone, entry.Kind)
+	if entry.State == scheduler.Removed {
+		delete(d.endpoints, entry.ID)
 	} else {
-		d.endpoints[e.ID] = e
-		d.upstream.SetAddress(e.ID, e.Addr)
+		d.endpoints[entry.ID] = entry
+		d.upstream.SetAddress(entry.ID, entry.Addr)
 	}
-	d.config.Log.Debug().Str("endpoint", e.Name).Uint32("endpoint_id", uint32(e.ID)).Str("address", e.Addr).
-		Str("kind", e.Kind).Str("zone", e.Zone).Uint16("cell", uint16(e.Cell)).Int("state", int(e.State)).
-		Int64("started_us", int64(e.StartedAt)).Msg("endpoint updated")
+	d.config.Log.Debug().Str("endpoint", entry.Name).Uint32("endpoint_id", uint32(entry.ID)).Str("address", entry.Addr).
+		Str("kind", entry.Kind).Str("zone", entry.Zone).Uint16("cell", uint16(entry.Cell)).Int("state", int(entry.State)).
+		Int64("started_us", int64(entry.StartedAt)).Msg("endpoint updated")
 	now := d.loop.Now()
 	d.scheduler.EndpointUpdated(now, scheduler.EndpointStatus{
-		ID:        e.ID,
+		ID:        entry.ID,
 		Zone:      zone,
 		Kind:      kind,
-		Cell:      e.Cell,
-		State:     e.State,
-		StartedAt: min(e.StartedAt, now),
+		Cell:      entry.Cell,
+		State:     entry.State,
+		StartedAt: min(entry.StartedAt, now),
 	})
 }
 
@@ -83,10 +83,10 @@
 // cancelUnsentToUnready cancels what has not been written yet to endpoints that accept nothing new: a connection that
 // opens only now must not carry it.
 func (d *Dispatcher) cancelUnsentToUnready() {
-	for _, r := range d.requestsByID() {
-		inFlight := r.attempt.inFlight
-		if inFlight != nil && inFlight.Unsent() && !d.isReady(r.attempt.endpoint) {
-			d.cancelAttempt(r, newResult(scheduler.Unreachable, reasonEndpointNotReady))
+	for _, req := range d.requestsByID() {
+		inFlight := req.attempt.inFlight
+		if inFlight != nil && inFlight.Unsent() && !d.isReady(req.attempt.endpoint) {
+			d.cancelAttempt(req, newResult(scheduler.Unreachable, reasonEndpointNotReady))
 		}
 	}
 }
--- a/internal/platform/executor.go
+++ b/internal/platform/executor.go
@@ -8,39 +8,39 @@
 
 // Reject implements scheduler.Executor: the final answer of a request that may be sent again.
 func (d *Dispatcher) Reject(id scheduler.RequestID, retryAfter scheduler.Micros) {
-	if r := d.requests[id]; r != nil && !r.client.answered {
-		r.client.answered = true
+	if req := d.requests[id]; req != nil && !req.client.answered {
+		req.client.answered = true
 		d.Rejected++
-		r.ledger.Answered(d.loop.Now(), guard.Rejected)
-		r.client.response.Reject(retryAfter)
-		d.afterAnswer(r, "request rejected")
+		req.ledger.Answered(d.loop.Now(), guard.Rejected)
+		req.client.response.Reject(retryAfter)
+		d.afterAnswer(req, "request rejected")
 	}
 }
 
 // Fail implements scheduler.Executor: the final answer of a request that failed.
 func (d *Dispatcher) Fail(id scheduler.RequestID) {
-	if r := d.requests[id]; r != nil && !r.client.answered {
-		r.client.answered = true
+	if req := d.requests[id]; req != nil && !req.client.answered {
+		req.client.answered = true
 		d.Failed++
-		r.ledger.Answered(d.loop.Now(), guard.Failed)
-		r.client.response.Fail()
-		d.afterAnswer(r, "request failed")
+		req.ledger.Answered(d.loop.Now(), guard.Failed)
+		req.client.response.Fail()
+		d.afterAnswer(req, "request failed")
 	}
 }
 
 // Explain implements scheduler.Explainer.
 func (d *Dispatcher) Explain(id scheduler.RequestID, reason scheduler.Reason) {
-	if r := d.requests[id]; r != nil {
-		r.client.reason = reason
+	if req := d.requests[id]; req != nil {
+		req.client.reason = reason
 	}
 }
 
-func (d *Dispatcher) afterAnswer(r *request, message string) {
-	d.Reasons[r.client.reason]++
-	d.debugRequest(r).Str("class", r.client.Class).Stringer("reason", r.client.reason).
-		Int("attempts", int(r.attempt.count)).Msg(message)
-	d.cancelUnsent(r)
-	d.loop.Defer(func() { d.finishIfIdle(r) })
+func (d *Dispatcher) afterAnswer(req *request, message string) {
+	d.Reasons[req.client.reason]++
+	d.debugRequest(req).Str("class", req.client.Class).Stringer("reason", req.client.reason).
+		Int("attempts", int(req.attempt.count)).Msg(message)
+	d.cancelUnsent(req)
+	d.loop.Defer(func() { d.finishIfIdle(req) })
 }
 
 // WatchEndpoints implements scheduler.Executor; the list comes by itself here.
--- a/internal/platform/launch/process_test.go
+++ b/internal/platform/launch/process_test.go
@@ -25,7 +25,7 @@
 
 func newTestPlatform(t *testing.T) *testPlatform {
 	t.Helper()
-	p := &testPlatform{finishSlow: make(chan struct{})}
+	platform := &testPlatform{finishSlow: make(chan struct{})}
 	prefill := serveHTTP(t, func(w http.ResponseWriter, r *http.Request) {
 		_, _ = io.Copy(io.Discard, r.Body)
 		w.WriteHeader(http.StatusAccepted)
@@ -33,20 +33,20 @@
 	})
 	decode := serveHTTP(t, func(w http.ResponseWriter, r *http.Request) {
 		if r.Header.Get("Req-Id") == "slow" {
-			p.slowArrived.Store(true)
-			<-p.finishSlow
+			platform.slowArrived.Store(true)
+			<-platform.finishSlow
 		}
 		w.Header().Set("Content-Type", "text/event-stream")
 		_, _ = io.WriteString(w, "data: {\"choices\":[]}\n\ndata: [DONE]\n\n")
 	})
-	for i := range p.agents {
-		p.agents[i] = serveHTTP(t, func(w http.ResponseWriter, r *http.Request) {
-			p.watches[i].Add(1)
+	for i := range platform.agents {
+		platform.agents[i] = serveHTTP(t, func(w http.ResponseWriter, r *http.Request) {
+			platform.watches[i].Add(1)
 			sendHeartbeats(w, r)
 		})
 	}
-	p.known = entry("s-1", prefill, "prefill") + "," + entry("s-2", decode, "decode")
-	return p
+	platform.known = entry("s-1", prefill, "prefill") + "," + entry("s-2", decode, "decode")
+	return platform
 }
 
 func entry(id, address, kind string) string {
--- a/internal/platform/lease.go
+++ b/internal/platform/lease.go
@@ -27,54 +27,54 @@
 }
 
 // updateLease notes what an endpoint may hold for the request after an attempt.
-func (d *Dispatcher) updateLease(r *request, result *engine.Result) {
+func (d *Dispatcher) updateLease(req *request, result *engine.Result) {
 	switch result.Outcome {
 	case scheduler.Unreachable, scheduler.NotSent: // the lease has run on
 		return
 	case scheduler.NoCapacity:
-		if r.lease.active { // the attempt that was to fetch the state was in flight until now
-			d.startLease(r)
+		if req.lease.active { // the attempt that was to fetch the state was in flight until now
+			d.startLease(req)
 		}
 		return
 	}
 	// Also a prefill that broke or was cancelled may have ended well; a decode attempt that did may have left the state.
 	switch {
-	case r.attempt.prefill:
-		r.lease.endpoint, r.lease.unconfirmed = r.attempt.endpoint, result.Outcome != scheduler.PrefillDone
-		d.startLease(r)
-	case r.lease.active && result.Undelivered: // it did not reach its endpoint, and the lease has run on
-		d.scheduleLeaseExpiry(r)
-	case r.lease.active:
-		d.startLease(r)
+	case req.attempt.prefill:
+		req.lease.endpoint, req.lease.unconfirmed = req.attempt.endpoint, result.Outcome != scheduler.PrefillDone
+		d.startLease(req)
+	case req.lease.active && result.Undelivered: // it did not reach its endpoint, and the lease has run on
+		d.scheduleLeaseExpiry(req)
+	case req.lease.active:
+		d.startLease(req)
 	}
 }
 
 // startLease notes that an endpoint may hold a state for the request from now on, for as long as a state may wait.
-func (d *Dispatcher) startLease(r *request) {
-	r.lease.active = true
-	r.ledger.LeaseStarted(d.loop.Now())
-	r.lease.expiresAt = d.loop.Now() + eventloop.Micros(leaseShare*float64(d.settings.StateTimeout))
-	d.scheduleLeaseExpiry(r)
+func (d *Dispatcher) startLease(req *request) {
+	req.lease.active = true
+	req.ledger.LeaseStarted(d.loop.Now())
+	req.lease.expiresAt = d.loop.Now() + eventloop.Micros(leaseShare*float64(d.settings.StateTimeout))
+	d.scheduleLeaseExpiry(req)
 }
 
-func (d *Dispatcher) scheduleLeaseExpiry(r *request) {
-	r.lease.confirming = false
-	left := max(r.lease.expiresAt-d.loop.Now(), 0)
-	r.lease.expiry.Set(d.loop, left, func() { d.leaseExpired(r) })
+func (d *Dispatcher) scheduleLeaseExpiry(req *request) {
+	req.lease.confirming = false
+	left := max(req.lease.expiresAt-d.loop.Now(), 0)
+	req.lease.expiry.Set(d.loop, left, func() { d.leaseExpired(req) })
 }
 
 // leaseExpired ends a lease that has run on while connections failed to come up or were silent. An attempt that has
 // reached its endpoint by now fetches the state; one that has not is cancelled, and to a decode attempt the state is
 // missing.
-func (d *Dispatcher) leaseExpired(r *request) {
-	inFlight, number := r.attempt.inFlight, r.attempt.number()
-	if !r.lease.active || r.lease.releasing || r.attempt.cancelling || inFlight == nil || !inFlight.Undelivered() {
+func (d *Dispatcher) leaseExpired(req *request) {
+	inFlight, number := req.attempt.inFlight, req.attempt.number()
+	if !req.lease.active || req.lease.releasing || req.attempt.cancelling || inFlight == nil || !inFlight.Undelivered() {
 		return
 	}
 	unsent := inFlight.Unsent()
-	if !unsent && !r.lease.confirming { // it may have been sent only now
-		r.lease.confirming = true
-		r.lease.expiry.Set(d.loop, deliveryConfirmTime, func() { d.leaseExpired(r) })
+	if !unsent && !req.lease.confirming { // it may have been sent only now
+		req.lease.confirming = true
+		req.lease.expiry.Set(d.loop, deliveryConfirmTime, func() { d.leaseExpired(req) })
 		return
 	}
 	result := newResult(scheduler.NoCapacity, reasonLeaseExpired)
@@ -82,36 +82,36 @@
 	case !unsent: // it may arrive, or have arrived, all the same
 		result = newResult(scheduler.ConnectionLost, reasonLeaseExpiredSilent)
 		result.ClosedLocally, result.StateMissing = true, true
-	case r.attempt.prefill:
+	case req.attempt.prefill:
 		result.Outcome = scheduler.NotSent
 	default:
 		result.StateMissing = true
 	}
 	inFlight.Cancel()
-	d.release(r)
-	d.attemptEnded(r, number, result)
+	d.release(req)
+	d.attemptEnded(req, number, result)
 }
 
 // release has all that endpoints hold for the request released, and then starts the attempt that waits for that.
-func (d *Dispatcher) release(r *request) {
-	r.lease.active, r.lease.releasing = false, true
-	r.lease.expiry.Clear()
-	d.debugRequest(r).Str("endpoint", d.endpoints[r.lease.endpoint].Name).Msg("releasing state")
-	d.upstream.Release(r.client.ID, r.lease.endpoint, func(bool) {
-		r.lease.releasing = false
-		r.ledger.LeaseReleased(d.loop.Now())
-		if start := r.lease.waiting; start != nil {
-			r.lease.waiting = nil
+func (d *Dispatcher) release(req *request) {
+	req.lease.active, req.lease.releasing = false, true
+	req.lease.expiry.Clear()
+	d.debugRequest(req).Str("endpoint", d.endpoints[req.lease.endpoint].Name).Msg("releasing state")
+	d.upstream.Release(req.client.ID, req.lease.endpoint, func(bool) {
+		req.lease.releasing = false
+		req.ledger.LeaseReleased(d.loop.Now())
+		if start := req.lease.waiting; start != nil {
+			req.lease.waiting = nil
 			start()
 		}
-		d.finishIfIdle(r)
+		d.finishIfIdle(req)
 	})
 }
 
 // Release implements scheduler.Executor: the state is released now; an attempt that follows waits for that.
 func (d *Dispatcher) Release(id scheduler.RequestID) {
-	r := d.requests[id]
-	if r != nil && r.lease.active && !r.lease.releasing && r.attempt.inFlight == nil {
-		d.release(r)
+	req := d.requests[id]
+	if req != nil && req.lease.active && !req.lease.releasing && req.attempt.inFlight == nil {
+		d.release(req)
 	}
 }
--- a/internal/platform/ledger.go
+++ b/internal/platform/ledger.go
@@ -68,14 +68,14 @@
 }
 
 // guardEndpoint is the endpoint of the attempt that is ordered, as it is known now.
-func (d *Dispatcher) guardEndpoint(r *request) guard.Endpoint {
-	listed := d.endpoints[r.attempt.endpoint]
+func (d *Dispatcher) guardEndpoint(req *request) guard.Endpoint {
+	listed := d.endpoints[req.attempt.endpoint]
 	endpoint := guard.Endpoint{
 		Name:       listed.Name,
-		Ready:      d.isReady(r.attempt.endpoint),
-		HasEffects: !r.attempt.prefill,
+		Ready:      d.isReady(req.attempt.endpoint),
+		HasEffects: !req.attempt.prefill,
 	}
-	switch d.settings.Scheduler.Classes[r.class].Group {
+	switch d.settings.Scheduler.Classes[req.class].Group {
 	case scheduler.SameZone:
 		endpoint.Group = listed.Zone
 	case scheduler.SameCell:
@@ -85,9 +85,9 @@
 }
 
 // attemptWritten checks the attempt that is written now, with the time that it gives its endpoint.
-func (d *Dispatcher) attemptWritten(r *request, number scheduler.AttemptNo, timeout eventloop.Micros) {
-	if number == r.attempt.number() {
-		r.ledger.Written(d.loop.Now(), d.guardEndpoint(r), timeout)
+func (d *Dispatcher) attemptWritten(req *request, number scheduler.AttemptNo, timeout eventloop.Micros) {
+	if number == req.attempt.number() {
+		req.ledger.Written(d.loop.Now(), d.guardEndpoint(req), timeout)
 	}
 }
 
--- a/internal/platform/log.go
+++ b/internal/platform/log.go
@@ -8,34 +8,34 @@
 )
 
 // debugRequest begins a log line on a request.
-func (d *Dispatcher) debugRequest(r *request) *zerolog.Event {
-	return d.config.Log.Debug().Str("request_id", r.client.ID).
-		Int64("elapsed_us", int64(d.loop.Now()-r.client.ReceivedAt))
+func (d *Dispatcher) debugRequest(req *request) *zerolog.Event {
+	return d.config.Log.Debug().Str("request_id", req.client.ID).
+		Int64("elapsed_us", int64(d.loop.Now()-req.client.ReceivedAt))
 }
 
 // debugAttempt begins a log line on a request's last attempt.
-func (d *Dispatcher) debugAttempt(r *request) *zerolog.Event {
-	return d.debugRequest(r).Int("attempt", int(r.attempt.number())).
-		Str("endpoint", d.endpoints[r.attempt.endpoint].Name)
+func (d *Dispatcher) debugAttempt(req *request) *zerolog.Event {
+	return d.debugRequest(req).Int("attempt", int(req.attempt.number())).
+		Str("endpoint", d.endpoints[req.attempt.endpoint].Name)
 }
 
-func (d *Dispatcher) logResult(r *request, result *engine.Result) {
-	e := d.debugAttempt(r)
+func (d *Dispatcher) logResult(req *request, result *engine.Result) {
+	e := d.debugAttempt(req)
 	if !e.Enabled() {
 		return
 	}
-	e.Str("class", r.client.Class).
-		Str("prefix", r.client.Prefix).
-		Float64("prompt_tokens", r.client.PromptTokens).
-		Bool("prefill", r.attempt.prefill).
-		Bool("started", r.attempt.started).
+	e.Str("class", req.client.Class).
+		Str("prefix", req.client.Prefix).
+		Float64("prompt_tokens", req.client.PromptTokens).
+		Bool("prefill", req.attempt.prefill).
+		Bool("started", req.attempt.started).
 		Stringer("outcome", result.Outcome).
 		Str("reason", result.Reason).
 		Int("cached_tokens", result.CachedTokens).
 		Bool("state_missing", result.StateMissing).
 		Bool("undelivered", result.Undelivered).
-		Int64("queued_us", int64(r.attempt.orderedAt-r.client.ReceivedAt)).
-		Int64("duration_us", int64(d.loop.Now()-r.attempt.orderedAt)).
+		Int64("queued_us", int64(req.attempt.orderedAt-req.client.ReceivedAt)).
+		Int64("duration_us", int64(d.loop.Now()-req.attempt.orderedAt)).
 		Msg("attempt ended")
 }
 
--- a/internal/platform/loopback_test.go
+++ b/internal/platform/loopback_test.go
@@ -72,8 +72,8 @@
 	event := streamEvent(strings.Replace(tokenEvent, "Lamu", strings.Repeat("z", 2<<10), 1))
 	decode := newPeer(t, "s-1", "decode", answering(rawStreamHead+strings.Repeat(event, events)+"0\r\n\r\n"))
 	env := newLoopback(t, goodPrefill(t), decode)
-	c, in := env.dial()
-	env.send(c, requestOf("explain", "slow", 100))
+	conn, in := env.dial()
+	env.send(conn, requestOf("explain", "slow", 100))
 	if _, err := in.Peek(1); err != nil {
 		t.Fatal(err)
 	}
@@ -94,7 +94,7 @@
 	if got, body := env.status(in); got != 200 || strings.Count(body, "data: ") != events {
 		t.Errorf("answered %d with %d events", got, strings.Count(body, "data: "))
 	}
-	_ = c.Close()
+	_ = conn.Close()
 	env.await("the end", env.ended)
 }
 
--- a/internal/platform/request.go
+++ b/internal/platform/request.go
@@ -57,41 +57,41 @@
 	}
 	d.lastRequest++
 	d.Accepted++
-	r := &request{
+	req := &request{
 		id:     d.lastRequest,
 		class:  scheduler.ClassID(class),
 		client: client{Request: accepted, response: response},
 		ledger: d.openLedger(accepted, scheduler.ClassID(class)),
 	}
-	d.debugRequest(r).Str("class", accepted.Class).Int64("timeout_us", int64(accepted.Timeout)).Msg("request accepted")
-	d.requests[r.id] = r
+	d.debugRequest(req).Str("class", accepted.Class).Int64("timeout_us", int64(accepted.Timeout)).Msg("request accepted")
+	d.requests[req.id] = req
 	d.activeIDs[accepted.ID] = true
 	response.OnDisconnect = func() {
-		d.loop.Defer(func() { d.clientDisconnected(r) }) // never within the scheduler's own call
+		d.loop.Defer(func() { d.clientDisconnected(req) }) // never within the scheduler's own call
 	}
 	response.OnWritable = func() {
-		if r.attempt.inFlight != nil {
-			r.attempt.inFlight.PauseReading(false)
+		if req.attempt.inFlight != nil {
+			req.attempt.inFlight.PauseReading(false)
 		}
 	}
-	d.scheduler.RequestArrived(d.loop.Now(), d.arrival(r))
-	d.finishIfIdle(r)
+	d.scheduler.RequestArrived(d.loop.Now(), d.arrival(req))
+	d.finishIfIdle(req)
 	return nil
 }
 
 // arrival is the request in the scheduler's terms.
-func (d *Dispatcher) arrival(r *request) scheduler.Arrival {
-	tenant := max(slices.Index(d.settings.Tenants, r.client.Tenant), 0)
+func (d *Dispatcher) arrival(req *request) scheduler.Arrival {
+	tenant := max(slices.Index(d.settings.Tenants, req.client.Tenant), 0)
 	return scheduler.Arrival{
-		ID:              r.id,
-		Session:         scheduler.SessionID(hashName(r.client.Session)),
-		Prefix:          scheduler.PrefixID(hashName(r.client.Prefix)),
-		Class:           r.class,
+		ID:              req.id,
+		Session:         scheduler.SessionID(hashName(req.client.Session)),
+		Prefix:          scheduler.PrefixID(hashName(req.client.Prefix)),
+		Class:           req.class,
 		Tenant:          scheduler.TenantID(tenant),
-		PromptTokens:    r.client.PromptTokens,
-		PrefixTokens:    r.client.PrefixTokens,
-		MaxOutputTokens: r.client.MaxOutputTokens,
-		Deadline:        r.client.ReceivedAt + r.client.Timeout,
+		PromptTokens:    req.client.PromptTokens,
+		PrefixTokens:    req.client.PrefixTokens,
+		MaxOutputTokens: req.client.MaxOutputTokens,
+		Deadline:        req.client.ReceivedAt + req.client.Timeout,
 	}
 }
 
@@ -104,50 +104,50 @@
 }
 
 // clientDisconnected ends what is done for a request that nobody waits for.
-func (d *Dispatcher) clientDisconnected(r *request) {
-	if r.client.answered {
+func (d *Dispatcher) clientDisconnected(req *request) {
+	if req.client.answered {
 		return
 	}
-	r.client.answered = true
+	req.client.answered = true
 	d.ClientDisconnects++
-	r.ledger.ClientDisconnected(d.loop.Now())
-	d.debugRequest(r).Bool("started", r.attempt.started).Int("attempts", int(r.attempt.count)).
+	req.ledger.ClientDisconnected(d.loop.Now())
+	d.debugRequest(req).Bool("started", req.attempt.started).Int("attempts", int(req.attempt.count)).
 		Msg("client disconnected")
-	if r.attempt.started {
-		inFlight, number := r.attempt.inFlight, r.attempt.number()
+	if req.attempt.started {
+		inFlight, number := req.attempt.inFlight, req.attempt.number()
 		inFlight.Cancel()
-		d.attemptEnded(r, number, newResult(scheduler.Cancelled, reasonClientDisconnected))
+		d.attemptEnded(req, number, newResult(scheduler.Cancelled, reasonClientDisconnected))
 		return
 	}
-	d.scheduler.ClientDisconnected(d.loop.Now(), r.id)
-	d.cancelUnsent(r)
-	d.finishIfIdle(r)
+	d.scheduler.ClientDisconnected(d.loop.Now(), req.id)
+	d.cancelUnsent(req)
+	d.finishIfIdle(req)
 }
 
 // cancelUnsent cancels an attempt that has not been written and must not be, as nobody waits for it any more. That is
 // done also where the settings allow no cancellation.
-func (d *Dispatcher) cancelUnsent(r *request) {
-	unsent := r.attempt.inFlight != nil && r.attempt.inFlight.Unsent()
-	if unsent || r.lease.waiting != nil {
-		d.Cancel(r.id, r.attempt.number())
+func (d *Dispatcher) cancelUnsent(req *request) {
+	unsent := req.attempt.inFlight != nil && req.attempt.inFlight.Unsent()
+	if unsent || req.lease.waiting != nil {
+		d.Cancel(req.id, req.attempt.number())
 	}
 }
 
 // finishIfIdle does, after each of the scheduler's calls, what no order comes for: a request without an attempt in
 // flight has its KV state released, and one that is answered is forgotten.
-func (d *Dispatcher) finishIfIdle(r *request) {
-	if r.attempt.inFlight != nil || r.lease.waiting != nil || r.lease.releasing || d.requests[r.id] != r {
+func (d *Dispatcher) finishIfIdle(req *request) {
+	if req.attempt.inFlight != nil || req.lease.waiting != nil || req.lease.releasing || d.requests[req.id] != req {
 		return
 	}
-	if r.lease.active {
-		d.release(r)
+	if req.lease.active {
+		d.release(req)
 		return
 	}
-	if r.client.answered {
-		r.ledger.Closed()
-		delete(d.requests, r.id)
-		delete(d.activeIDs, r.client.ID)
-		d.recentIDs[0][r.client.ID] = true
+	if req.client.answered {
+		req.ledger.Closed()
+		delete(d.requests, req.id)
+		delete(d.activeIDs, req.client.ID)
+		d.recentIDs[0][req.client.ID] = true
 	}
 }
 
--- a/internal/platform/server/close_test.go
+++ b/internal/platform/server/close_test.go
@@ -22,12 +22,12 @@
 			}
 			handler := &silentHandler{answer: true}
 			loop, s, address := serve(t, testLimits(), handler)
-			c := dial(t, address)
-			exchange(t, c, http.StatusServiceUnavailable)
+			conn := dial(t, address)
+			exchange(t, conn, http.StatusServiceUnavailable)
 			receive(t, "the first", handler.handled)
 			loop.Do(func() { // the loop is busy meanwhile
 				send := func() {
-					if _, err := c.Write([]byte(requestText("crossing", 100))); err != nil {
+					if _, err := conn.Write([]byte(requestText("crossing", 100))); err != nil {
 						t.Error(err)
 					}
 				}
@@ -42,7 +42,7 @@
 					send()
 				}
 			})
-			response, err := http.ReadResponse(bufio.NewReader(c), nil)
+			response, err := http.ReadResponse(bufio.NewReader(conn), nil)
 			switch {
 			case before && (err != nil || response.StatusCode != http.StatusServiceUnavailable):
 				t.Errorf("read %v: %v", read, err)
--- a/internal/platform/server/pipeline.go
+++ b/internal/platform/server/pipeline.go
@@ -143,8 +143,8 @@
 }
 
 // Head implements http1.Handler.
-func (o *overflow) Head(h *http1.Head) error {
-	o.lastRequest = !h.KeepAlive()
+func (o *overflow) Head(header *http1.Head) error {
+	o.lastRequest = !header.KeepAlive()
 	return nil
 }
 
--- a/internal/platform/server/pipeline_test.go
+++ b/internal/platform/server/pipeline_test.go
@@ -117,7 +117,7 @@
 	handler := &silentHandler{}
 	limits := testLimits()
 	loop, s, address := serve(t, limits, handler)
-	c := dial(t, address)
+	conn := dial(t, address)
 	const pipelined, size = 150, 20 << 10 // three times what is buffered
 	sent := make(chan error, 1)
 	go func() {
@@ -125,7 +125,7 @@
 		for i := range pipelined {
 			text += requestText(fmt.Sprint("next", i), size)
 		}
-		_, err := c.Write([]byte(text))
+		_, err := conn.Write([]byte(text))
 		sent <- err
 	}()
 	receive(t, "the first", handler.handled)
@@ -137,7 +137,7 @@
 		loop.Do(func() { read = s.openCount == 0 || s.pipelinedBytesRead() >= pipelined*size })
 		return read
 	})
-	in := bufio.NewReader(c)
+	in := bufio.NewReader(conn)
 	loop.Do(func() {
 		if s.Buffered() > maxPipelinedBodies*limits.BodyBytes+minPipelinedBytes {
 			t.Errorf("%d bytes are buffered", s.Buffered())
@@ -160,7 +160,7 @@
 	if n := len(handler.handled); n < 10 || n >= pipelined {
 		t.Errorf("%d of %d were passed on", n, pipelined)
 	}
-	if _, err := c.Write([]byte(requestText("last", 100))); err != nil {
+	if _, err := conn.Write([]byte(requestText("last", 100))); err != nil {
 		t.Fatal(err)
 	}
 	if response, err := http.ReadResponse(in, nil); err != nil || response.StatusCode != http.StatusServiceUnavailable {
--- a/internal/platform/server/receive.go
+++ b/internal/platform/server/receive.go
@@ -51,24 +51,24 @@
 }
 
 // Head implements http1.Handler.
-func (c *connection) Head(h *http1.Head) error {
+func (c *connection) Head(header *http1.Head) error {
 	in := &c.incoming
-	in.head = h
-	if in.readiness = asksReadiness(h); !in.readiness {
-		in.request, in.rejection = parseRequest(h)
+	in.head = header
+	if in.readiness = asksReadiness(header); !in.readiness {
+		in.request, in.rejection = parseRequest(header)
 	}
 	if in.rejection != nil {
 		return nil
 	}
-	if strings.EqualFold(h.Get("Expect"), "100-continue") {
+	if strings.EqualFold(header.Get("Expect"), "100-continue") {
 		c.conn.Write([]byte("HTTP/1.1 100 Continue\r\n\r\n"))
 	}
 	if in.request == nil {
 		return nil
 	}
 	in.request.ReceivedAt = in.receivedAt
-	if h.ContentLength > 0 {
-		c.reserveBody(int(h.ContentLength))
+	if header.ContentLength > 0 {
+		c.reserveBody(int(header.ContentLength))
 	}
 	return nil
 }
--- a/internal/platform/server/request.go
+++ b/internal/platform/server/request.go
@@ -57,33 +57,33 @@
 }
 
 // asksReadiness reports whether a request asks if the dispatcher is ready.
-func asksReadiness(h *http1.Head) bool {
-	return h.Method == http.MethodGet && path(h) == readyPath
+func asksReadiness(header *http1.Head) bool {
+	return header.Method == http.MethodGet && path(header) == readyPath
 }
 
-func path(h *http1.Head) string {
-	p, _, _ := strings.Cut(h.Target, "?")
+func path(header *http1.Head) string {
+	p, _, _ := strings.Cut(header.Target, "?")
 	return p
 }
 
 // parseRequest reads what a head says of a request, or why it is rejected.
-func parseRequest(h *http1.Head) (*Request, *Rejection) {
-	if path(h) != chatPath {
+func parseRequest(head *http1.Head) (*Request, *Rejection) {
+	if path(head) != chatPath {
 		return nil, &Rejection{Status: http.StatusNotFound, Reason: "there is nothing at this path"}
 	}
-	if h.Method != http.MethodPost {
+	if head.Method != http.MethodPost {
 		return nil, &Rejection{Status: http.StatusMethodNotAllowed, Reason: "only POST is served here"}
 	}
-	if name := duplicateField(h); name != "" {
+	if name := duplicateField(head); name != "" {
 		return nil, badRequest("two fields " + name)
 	}
 	r := &Request{
-		ID:      h.Get(idField),
-		Class:   h.Get(classField),
-		Session: h.Get(sessionField),
-		Tenant:  h.Get(tenantField),
-		Target:  h.Target,
-		Fields:  endToEnd(h),
+		ID:      head.Get(idField),
+		Class:   head.Get(classField),
+		Session: head.Get(sessionField),
+		Tenant:  head.Get(tenantField),
+		Target:  head.Target,
+		Fields:  endToEnd(head),
 	}
 	if !validID(r.ID) {
 		return nil, badRequest("the field Req-Id is missing or can't be read")
@@ -92,19 +92,19 @@
 		return nil, badRequest("the field Req-Kind is missing")
 	}
 	var err error
-	if r.Timeout, err = parseTimeout(h.Get(deadlineField)); err != nil {
+	if r.Timeout, err = parseTimeout(head.Get(deadlineField)); err != nil {
 		return nil, badRequest("the field Req-Deadline " + err.Error())
 	}
-	if err := r.parseExtra(h.Get(extraField)); err != nil {
+	if err := r.parseExtra(head.Get(extraField)); err != nil {
 		return nil, badRequest("the field Req-Extra " + err.Error())
 	}
 	return r, nil
 }
 
 // duplicateField is the name of a field that is there twice and must not be, or "".
-func duplicateField(h *http1.Head) string {
+func duplicateField(header *http1.Head) string {
 	seen := make([]bool, len(singleFields))
-	for _, f := range h.Fields {
+	for _, f := range header.Fields {
 		for i, name := range singleFields {
 			if !strings.EqualFold(f.Name, name) {
 				continue
@@ -127,9 +127,9 @@
 
 // endToEnd are the fields that are forwarded unchanged: those of a class whose duplicates are dropped by a key carry
 // the key.
-func endToEnd(h *http1.Head) (fields []string) {
-	named := strings.Split(h.Get("Connection"), ",")
-	for _, f := range h.Fields {
+func endToEnd(header *http1.Head) (fields []string) {
+	named := strings.Split(header.Get("Connection"), ",")
+	for _, f := range header.Fields {
 		is := func(name string) bool { return strings.EqualFold(strings.TrimSpace(name), f.Name) }
 		if slices.ContainsFunc(hopByHop, is) || slices.ContainsFunc(named, is) && !is(idField) {
 			continue
--- a/internal/platform/server/request_test.go
+++ b/internal/platform/server/request_test.go
@@ -34,11 +34,11 @@
 	body []byte
 }
 
-func (c *requestChecker) Head(h *http1.Head) error {
-	if asksReadiness(h) {
+func (c *requestChecker) Head(header *http1.Head) error {
+	if asksReadiness(header) {
 		return nil
 	}
-	request, rejection := parseRequest(h)
+	request, rejection := parseRequest(header)
 	if (request == nil) == (rejection == nil) {
 		c.t.Errorf("%+v, %+v", request, rejection)
 	}
--- a/internal/platform/server/streams_test.go
+++ b/internal/platform/server/streams_test.go
@@ -36,11 +36,11 @@
 	var delays []time.Duration
 	var clients sync.WaitGroup
 	for i := range streams {
-		c, err := net.Dial("tcp", address)
+		conn, err := net.Dial("tcp", address)
 		if err != nil {
 			b.Fatal(err)
 		}
-		if _, err := c.Write([]byte(requestText(fmt.Sprint(i), 100))); err != nil {
+		if _, err := conn.Write([]byte(requestText(fmt.Sprint(i), 100))); err != nil {
 			b.Fatal(err)
 		}
 		var resume func() <-chan bool
@@ -48,8 +48,8 @@
 			resume = func() <-chan bool { return resumeAfter(loop, pause) }
 		}
 		clients.Go(func() {
-			defer func() { _ = c.Close() }()
-			own := readDelays(c, resume)
+			defer func() { _ = conn.Close() }()
+			own := readDelays(conn, resume)
 			mu.Lock()
 			delays = append(delays, own...)
 			mu.Unlock()
--- a/internal/platform/summary.go
+++ b/internal/platform/summary.go
@@ -62,8 +62,8 @@
 }
 
 // MarshalZerologObject implements zerolog.LogObjectMarshaler.
-func (s Summary) MarshalZerologObject(e *zerolog.Event) {
-	e.Int("requests", s.InFlight.Requests).
+func (s Summary) MarshalZerologObject(event *zerolog.Event) {
+	event.Int("requests", s.InFlight.Requests).
 		Int("attempts", s.InFlight.Attempts).
 		Int("queued", s.InFlight.Queued).
 		Int("client_connections", s.ClientConnections).
@@ -74,14 +74,14 @@
 		Uint64("list_updates", s.ListUpdates).
 		Uint64("violations", s.Violations).
 		Int("blocked_sends", s.BlockedSends)
-	s.Counts.marshal(e)
-	e.Uint64("releases", s.Releases.Releases).
+	s.Counts.marshal(event)
+	event.Uint64("releases", s.Releases.Releases).
 		Uint64("release_tries", s.Releases.ReleaseAttempts).
 		Uint64("late_releases", s.Releases.LateReleases).
 		Uint64("bad_requests", s.Server.Rejected).
 		Uint64("evicted_connections", s.Server.Evicted).
 		Uint64("timed_out_connections", s.Server.TimedOut)
-	e.Dict("closed_connections", countsByName(s.Server.Closed[:], func(i int) string {
+	event.Dict("closed_connections", countsByName(s.Server.Closed[:], func(i int) string {
 		return server.CloseReason(i).String()
 	}))
 }
--- a/internal/sockets/conn.go
+++ b/internal/sockets/conn.go
@@ -131,7 +131,7 @@
 }
 
 // takeTurn takes one turn's worth of what was read, and has the rest follow later.
-func (c *conn) takeTurn() (t turn, proceed bool) {
+func (c *conn) takeTurn() (current turn, proceed bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.handOverPosted = false
@@ -139,8 +139,8 @@
 		return turn{}, false
 	}
 	n := min(len(c.received), maxTurnBytes)
-	t.data = append(c.turnBuffer[:0], c.received[:n]...)
-	c.turnBuffer = t.data
+	current.data = append(c.turnBuffer[:0], c.received[:n]...)
+	c.turnBuffer = current.data
 	if n < len(c.received) {
 		c.received = c.received[:copy(c.received, c.received[n:])]
 		c.postHandOverLocked()
@@ -150,12 +150,12 @@
 			c.received = nil // an idle connection must not keep the buffer of a burst
 		}
 	}
-	t.left = len(c.received)
-	t.readOn = c.readStalled && t.left < c.loop.readBufferLimit()/2
-	if t.readOn {
+	current.left = len(c.received)
+	current.readOn = c.readStalled && current.left < c.loop.readBufferLimit()/2
+	if current.readOn {
 		c.readStalled = false
 	}
-	return t, true
+	return current, true
 }
 
 // Pause implements eventloop.Conn.
--- a/internal/sockets/poll_test.go
+++ b/internal/sockets/poll_test.go
@@ -40,7 +40,7 @@
 }
 
 // dialFromLoop connects a loop with a connection of the standard library that was accepted.
-func dialFromLoop(t *testing.T) (far net.Conn, l *Loop, c eventloop.Conn) {
+func dialFromLoop(t *testing.T) (far net.Conn, l *Loop, conn eventloop.Conn) {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -51,14 +51,14 @@
 	client := newRecorder()
 	opened, onOpened := signal(1)
 	client.onOpened = onOpened
-	l.Do(func() { c = l.Dial(ln.Addr().String(), 5*eventloop.Second, client) })
+	l.Do(func() { conn = l.Dial(ln.Addr().String(), 5*eventloop.Second, client) })
 	far, err = ln.Accept()
 	if err != nil {
 		t.Fatal(err)
 	}
 	closeAtEnd(t, far)
 	waitFor(t, "the opening", opened)
-	return far, l, c
+	return far, l, conn
 }
 
 func TestIsIdleSeesDataAndTheEnd(t *testing.T) {
--- a/internal/sse/sse.go
+++ b/internal/sse/sse.go
@@ -33,26 +33,26 @@
 
 // Feed parses the next bytes and calls handle for each event that they complete. The data are valid only until handle
 // returns. The first error of handle ends the parsing and is returned.
-func (p *Parser) Feed(b []byte, handle func(data []byte) error) error {
-	for len(b) > 0 {
-		if p.afterCR && b[0] == '\n' {
+func (p *Parser) Feed(chunk []byte, handle func(data []byte) error) error {
+	for len(chunk) > 0 {
+		if p.afterCR && chunk[0] == '\n' {
 			p.afterCR = false
-			b = b[1:]
+			chunk = chunk[1:]
 			continue
 		}
 		p.afterCR = false
-		at := bytes.IndexAny(b, "\r\n")
+		at := bytes.IndexAny(chunk, "\r\n")
 		if at < 0 {
-			p.line = append(p.line, b...)
+			p.line = append(p.line, chunk...)
 			return p.checkLength(len(p.line))
 		}
-		line := b[:at]
+		line := chunk[:at]
 		if len(p.line) > 0 {
 			p.line = append(p.line, line...)
 			line = p.line
 		}
-		p.afterCR = b[at] == '\r'
-		b = b[at+1:]
+		p.afterCR = chunk[at] == '\r'
+		chunk = chunk[at+1:]
 		if err := p.checkLength(len(line)); err != nil {
 			return err
 		}
@@ -102,13 +102,13 @@
 }
 
 // Append appends one event to b, with each line of its data as a line of its own.
-func Append(b, data []byte) []byte {
+func Append(chunk, data []byte) []byte {
 	for more := true; more; {
 		var line []byte
 		line, data, more = bytes.Cut(data, []byte("\n"))
-		b = append(b, "data: "...)
-		b = append(b, line...)
-		b = append(b, '\n')
+		chunk = append(chunk, "data: "...)
+		chunk = append(chunk, line...)
+		chunk = append(chunk, '\n')
 	}
-	return append(b, '\n')
+	return append(chunk, '\n')
 }
--- a/internal/sse/sse_test.go
+++ b/internal/sse/sse_test.go
@@ -14,10 +14,10 @@
 	p := Parser{MaxEventBytes: testMaxEventBytes}
 	var events []string
 	var err error
-	for b := []byte(text); len(b) > 0 && err == nil; {
-		n := min(size, len(b))
-		err = p.Feed(b[:n], func(data []byte) error { events = append(events, string(data)); return nil })
-		b = b[n:]
+	for chunk := []byte(text); len(chunk) > 0 && err == nil; {
+		n := min(size, len(chunk))
+		err = p.Feed(chunk[:n], func(data []byte) error { events = append(events, string(data)); return nil })
+		chunk = chunk[n:]
 	}
 	return fmt.Sprintf("%q idle %v", events, p.Idle()), err
 }
@@ -50,12 +50,12 @@
 
 func FuzzParserIsIndependentOfCuts(f *testing.F) {
 	f.Add([]byte("data: a\r\n\r\n: c\ndata: b\n\n"), 2)
-	f.Fuzz(func(t *testing.T, b []byte, size int) {
+	f.Fuzz(func(t *testing.T, chunk []byte, size int) {
 		if size < 1 || size > 100 {
 			return
 		}
-		whole, wholeErr := feed(string(b), len(b)+1)
-		cut, cutErr := feed(string(b), size)
+		whole, wholeErr := feed(string(chunk), len(chunk)+1)
+		cut, cutErr := feed(string(chunk), size)
 		if (wholeErr == nil) != (cutErr == nil) || wholeErr == nil && whole != cut {
 			t.Errorf("whole: %s, %v; in pieces of %d: %s, %v", whole, wholeErr, size, cut, cutErr)
 		}
@@ -66,7 +66,7 @@
 	for _, data := range []string{"one", "two\nlines", "\n", "an end\n", "a\n\nb"} {
 		p := Parser{MaxEventBytes: 100}
 		var events []string
-		handle := func(b []byte) error { events = append(events, string(b)); return nil }
+		handle := func(chunk []byte) error { events = append(events, string(chunk)); return nil }
 		err := p.Feed(Append(nil, []byte(data)), handle)
 		if err != nil || len(events) != 1 || events[0] != data {
 			t.Errorf("%q was read back as %q, %v", data, events, err)
--- a/internal/subscribe/client_test.go
+++ b/internal/subscribe/client_test.go
@@ -38,10 +38,10 @@
 	if !strings.Contains(c.request.String(), "\r\n\r\n") {
 		return
 	}
-	s := c.source
-	s.requests = append(s.requests, c.request.String())
-	if i := len(s.requests) - 1; i < len(s.responses) {
-		c.conn.Write([]byte(s.responses[i]))
+	src := c.source
+	src.requests = append(src.requests, c.request.String())
+	if i := len(src.requests) - 1; i < len(src.responses) {
+		c.conn.Write([]byte(src.responses[i]))
 	}
 }
 
@@ -49,17 +49,17 @@
 func startSource(t *testing.T, responses ...string) (*source, *virtual.Network, *virtual.Loop) {
 	t.Helper()
 	network := virtual.NewNetwork(1)
-	s := &source{responses: responses}
+	src := &source{responses: responses}
 	loop := network.NewLoop("source")
 	loop.Do(func() {
 		_, err := loop.Listen(sourceAddress, func(conn eventloop.Conn) eventloop.Handler {
-			return &sourceConn{source: s, conn: conn}
+			return &sourceConn{source: src, conn: conn}
 		})
 		if err != nil {
 			t.Fatal(err)
 		}
 	})
-	return s, network, network.NewLoop("client")
+	return src, network, network.NewLoop("client")
 }
 
 func stream(events ...string) string {
@@ -101,7 +101,7 @@
 func TestRejectedMessageHasTheClientSubscribeAgain(t *testing.T) {
 	for message, wantResets := range map[string]int{"gap": 1, "bad": 0} {
 		t.Run(message, func(t *testing.T) {
-			s, network, loop := startSource(t, stream("one", message, "lost"), stream("two"))
+			src, network, loop := startSource(t, stream("one", message, "lost"), stream("two"))
 			f := &follower{}
 			client := NewClient(loop, 1, sourceAddress, f.options())
 			loop.Do(client.Subscribe)
@@ -109,11 +109,11 @@
 			if want := []string{"one", "two"}; !slices.Equal(f.messages, want) || f.resets != wantResets {
 				t.Errorf("messages %q, %d resets", f.messages, f.resets)
 			}
-			if len(s.requests) != 2 || !client.Connected() {
-				t.Fatalf("%d requests, connected %v", len(s.requests), client.Connected())
+			if len(src.requests) != 2 || !client.Connected() {
+				t.Fatalf("%d requests, connected %v", len(src.requests), client.Connected())
 			}
-			if target := fmt.Sprintf("GET /watch?reset=%d ", wantResets); !strings.HasPrefix(s.requests[1], target) {
-				t.Errorf("second request %q, want %q", s.requests[1], target)
+			if target := fmt.Sprintf("GET /watch?reset=%d ", wantResets); !strings.HasPrefix(src.requests[1], target) {
+				t.Errorf("second request %q, want %q", src.requests[1], target)
 			}
 			if !strings.Contains(f.logged.String(), `"message":"subscription message rejected"`) {
 				t.Errorf("logged %s", f.logged.String())
@@ -123,13 +123,13 @@
 }
 
 func TestStatusOtherThanOKIsRetried(t *testing.T) {
-	s, network, loop := startSource(t, "HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n", stream("one"))
+	src, network, loop := startSource(t, "HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n", stream("one"))
 	f := &follower{}
 	client := NewClient(loop, 1, sourceAddress, f.options())
 	loop.Do(client.Subscribe)
 	network.Run(2 * eventloop.Second)
-	if len(s.requests) != 2 || !slices.Equal(f.messages, []string{"one"}) {
-		t.Errorf("%d requests, messages %q", len(s.requests), f.messages)
+	if len(src.requests) != 2 || !slices.Equal(f.messages, []string{"one"}) {
+		t.Errorf("%d requests, messages %q", len(src.requests), f.messages)
 	}
 	if want := (&StatusError{Status: 503}).Error(); !strings.Contains(f.logged.String(), want) {
 		t.Errorf("logged %s, want %q", f.logged.String(), want)
@@ -139,26 +139,26 @@
 func TestSilentSourceIsAskedAgain(t *testing.T) {
 	for name, standby := range map[string]bool{"alone": false, "with standby": true} {
 		t.Run(name, func(t *testing.T) {
-			s, network, loop := startSource(t, stream("one"))
+			src, network, loop := startSource(t, stream("one"))
 			f := &follower{}
 			options := f.options()
 			options.Standby = standby
 			client := NewClient(loop, 1, sourceAddress, options)
 			loop.Do(client.Subscribe)
 			network.Run(defaultSilenceTimeout - eventloop.Second)
-			if len(s.requests) != 1 {
-				t.Errorf("%d requests before the silence timeout", len(s.requests))
+			if len(src.requests) != 1 {
+				t.Errorf("%d requests before the silence timeout", len(src.requests))
 			}
 			network.Run(2 * eventloop.Second)
-			if len(s.requests) != 2 {
-				t.Errorf("%d requests after the silence timeout", len(s.requests))
+			if len(src.requests) != 2 {
+				t.Errorf("%d requests after the silence timeout", len(src.requests))
 			}
 		})
 	}
 }
 
 func TestCloseEndsTheSubscription(t *testing.T) {
-	s, network, loop := startSource(t, stream("bad"))
+	src, network, loop := startSource(t, stream("bad"))
 	f := &follower{}
 	client := NewClient(loop, 1, sourceAddress, f.options())
 	loop.Do(client.Subscribe)
@@ -166,8 +166,8 @@
 	loop.Do(client.Close)
 	loop.Do(client.Subscribe)
 	network.Run(10 * eventloop.Second)
-	if len(s.requests) != 1 || client.Connected() {
-		t.Errorf("%d requests, connected %v", len(s.requests), client.Connected())
+	if len(src.requests) != 1 || client.Connected() {
+		t.Errorf("%d requests, connected %v", len(src.requests), client.Connected())
 	}
 }
 
@@ -182,7 +182,7 @@
 		"silent":    {nil, 0},
 	} {
 		t.Run(name, func(t *testing.T) {
-			s, network, loop := startSource(t, test.responses...)
+			src, network, loop := startSource(t, test.responses...)
 			var statuses []int
 			request := PostRequest{
 				Address: sourceAddress,
@@ -196,9 +196,9 @@
 			if !slices.Equal(statuses, []int{test.want}) {
 				t.Errorf("statuses %v, want %d once", statuses, test.want)
 			}
-			if len(s.requests) != 1 || !strings.HasPrefix(s.requests[0], "POST /usage HTTP/1.1\r\n") ||
-				!strings.HasSuffix(s.requests[0], `{"n":1}`) || !strings.Contains(s.requests[0], "Authorization: Bearer x") {
-				t.Errorf("requests %q", s.requests)
+			if len(src.requests) != 1 || !strings.HasPrefix(src.requests[0], "POST /usage HTTP/1.1\r\n") ||
+				!strings.HasSuffix(src.requests[0], `{"n":1}`) || !strings.Contains(src.requests[0], "Authorization: Bearer x") {
+				t.Errorf("requests %q", src.requests)
 			}
 		})
 	}
--- a/internal/tenancy/directory.go
+++ b/internal/tenancy/directory.go
@@ -40,33 +40,33 @@
 // update are among them as removed. A stale update changes nothing. One that leaves out versions is a
 // *subscribe.GapError.
 func (d *Directory) Apply(data []byte) (changed []*Tenant, err error) {
-	var u Update
-	if err := json.Unmarshal(data, &u); err != nil {
+	var update Update
+	if err := json.Unmarshal(data, &update); err != nil {
 		return nil, fmt.Errorf("decode the tenants' update: %w", err)
 	}
-	sameEpoch := u.Epoch == d.Epoch
-	if sameEpoch && (u.Version < d.Version || u.Version == d.Version && !u.Complete) {
+	sameEpoch := update.Epoch == d.Epoch
+	if sameEpoch && (update.Version < d.Version || update.Version == d.Version && !update.Complete) {
 		return nil, nil
 	}
-	if !u.Complete && (!sameEpoch || u.Since != d.Version) {
-		return nil, &subscribe.GapError{Have: d.Version, Since: u.Since}
+	if !update.Complete && (!sameEpoch || update.Since != d.Version) {
+		return nil, &subscribe.GapError{Have: d.Version, Since: update.Since}
 	}
-	for _, t := range u.Tenants {
+	for _, t := range update.Tenants {
 		if t == nil || t.Name == "" {
 			return nil, errors.New("a tenant without a name")
 		}
 	}
-	if u.Complete {
-		u.Tenants = append(u.Tenants, d.missingIn(u.Tenants)...)
+	if update.Complete {
+		update.Tenants = append(update.Tenants, d.missingIn(update.Tenants)...)
 	}
-	for _, t := range u.Tenants {
+	for _, t := range update.Tenants {
 		changed = append(changed, d.replace(t)...)
 	}
 	clear(d.publicTexts)
-	for _, digest := range u.PublicTexts {
+	for _, digest := range update.PublicTexts {
 		d.publicTexts[digest] = true
 	}
-	d.Epoch, d.Version = u.Epoch, u.Version
+	d.Epoch, d.Version = update.Epoch, update.Version
 	return changed, nil
 }
 
@@ -129,15 +129,15 @@
 
 // Snapshot returns the directory as an encoded complete Update, for a cache that outlives the process.
 func (d *Directory) Snapshot() []byte {
-	u := Update{
+	update := Update{
 		Epoch:       d.Epoch,
 		Version:     d.Version,
 		Complete:    true,
 		PublicTexts: slices.Sorted(maps.Keys(d.publicTexts)),
 	}
 	for _, name := range slices.Sorted(maps.Keys(d.tenants)) {
-		u.Tenants = append(u.Tenants, d.tenants[name])
+		update.Tenants = append(update.Tenants, d.tenants[name])
 	}
-	encoded, _ := json.Marshal(u) // its fields can always be encoded, as limits are finite
+	encoded, _ := json.Marshal(update) // its fields can always be encoded, as limits are finite
 	return encoded
 }
--- a/internal/tenancy/ledger.go
+++ b/internal/tenancy/ledger.go
@@ -28,15 +28,17 @@
 }
 
 // counted reports whether a report was added before.
-func (l *UsageLedger) counted(r *UsageReport) bool { return r.Number <= l.Numbers[r.Dispatcher] }
+func (l *UsageLedger) counted(report *UsageReport) bool {
+	return report.Number <= l.Numbers[report.Dispatcher]
+}
 
 // Preview returns the sums that a report changes, as they will be; none if it was added before.
-func (l *UsageLedger) Preview(r *UsageReport) []Usage {
-	if l.counted(r) {
+func (l *UsageLedger) Preview(report *UsageReport) []Usage {
+	if l.counted(report) {
 		return nil
 	}
 	sums := map[string]Usage{}
-	for _, u := range r.Usage {
+	for _, u := range report.Usage {
 		key := u.Key()
 		sum, found := sums[key]
 		if !found {
@@ -52,21 +54,21 @@
 }
 
 // Add adds a report. One that was added before counts as a heartbeat only.
-func (l *UsageLedger) Add(now Micros, r *UsageReport) {
-	l.lastReport[r.Dispatcher] = now
-	for _, tenant := range r.RemovedTenants {
+func (l *UsageLedger) Add(now Micros, report *UsageReport) {
+	l.lastReport[report.Dispatcher] = now
+	for _, tenant := range report.RemovedTenants {
 		if l.ended[tenant] == nil {
 			l.ended[tenant] = map[string]bool{}
 		}
-		l.ended[tenant][r.Dispatcher] = true
+		l.ended[tenant][report.Dispatcher] = true
 	}
-	if l.counted(r) {
+	if l.counted(report) {
 		return
 	}
-	for _, sum := range l.Preview(r) {
+	for _, sum := range l.Preview(report) {
 		l.Sums[sum.Key()] = sum
 	}
-	l.Numbers[r.Dispatcher] = r.Number
+	l.Numbers[report.Dispatcher] = report.Number
 }
 
 // RemovedEverywhere reports whether each live dispatcher has reported that nothing of a removed tenant runs there.
--- a/internal/tenancy/update.go
+++ b/internal/tenancy/update.go
@@ -12,7 +12,7 @@
 
 // UpdateSince returns what a follower of a version has missed, or everything if that version is not known.
 func (r *Registry) UpdateSince(epoch string, version uint64) Update {
-	u := Update{
+	update := Update{
 		Epoch:       r.Epoch,
 		Version:     r.Version,
 		Since:       version,
@@ -22,12 +22,12 @@
 	for _, name := range r.Names() {
 		t := r.Tenants[name]
 		include := r.ChangedIn[name] > version
-		if u.Complete {
+		if update.Complete {
 			include = t.State != StateRemoved
 		}
 		if include {
-			u.Tenants = append(u.Tenants, t)
+			update.Tenants = append(update.Tenants, t)
 		}
 	}
-	return u
+	return update
 }
--- a/internal/testbed/audit/audit.go
+++ b/internal/testbed/audit/audit.go
@@ -105,9 +105,9 @@
 }
 
 // Judge judges a record.
-func Judge(d deployment.Deployment, events []record.Event) *Verdict {
+func Judge(dep deployment.Deployment, events []record.Event) *Verdict {
 	j := &judge{
-		deployment:     d,
+		deployment:     dep,
 		verdict:        &Verdict{},
 		products:       map[string]*pb.Product{},
 		slack:          socketSlack,
@@ -122,7 +122,7 @@
 	for i, name := range ruleNames {
 		j.verdict.Rules[i].Name = name
 	}
-	for _, product := range d.Products {
+	for _, product := range dep.Products {
 		j.products[product.Name] = product
 	}
 	j.gather(events)
--- a/internal/testbed/audit/finalanswers.go
+++ b/internal/testbed/audit/finalanswers.go
@@ -54,25 +54,25 @@
 }
 
 func (j *judge) checkFinalAnswer(line int, event record.Event) {
-	a := j.clientAttempts[keyOf(event)]
-	if a == nil {
+	attempt := j.clientAttempts[keyOf(event)]
+	if attempt == nil {
 		j.violation(ruleFinalAnswer, line, event.Request, "an answer to what was never asked")
 		return
 	}
-	if a.finalAnswers++; a.finalAnswers > 1 {
+	if attempt.finalAnswers++; attempt.finalAnswers > 1 {
 		j.violation(ruleFinalAnswer, line, event.Request, "a second final answer (%s after %s) to try %d",
-			event.Detail, a.outcome, event.ClientAttempt)
+			event.Detail, attempt.outcome, event.ClientAttempt)
 		return
 	}
-	a.outcome, a.finalAt = event.Detail, event.At
+	attempt.outcome, attempt.finalAt = event.Detail, event.At
 	switch {
 	case event.Detail == record.Completed && !event.Exact:
 		j.violation(ruleFinalAnswer, line, event.Request, "streamed, but not byte for byte what the writer gave")
-	case event.Detail != record.Completed && event.Count == 0 && j.isLate(a, event):
+	case event.Detail != record.Completed && event.Count == 0 && j.isLate(attempt, event):
 		j.violation(ruleFinalAnswer, line, event.Request, "answered %d ms after the client's time (%s, try %d)",
-			(event.At-a.sentAt-a.timeLimit)/1000, event.Detail, event.ClientAttempt)
+			(event.At-attempt.sentAt-attempt.timeLimit)/1000, event.Detail, event.ClientAttempt)
 	case event.Detail == record.Completed, event.Detail == record.Rejected, event.Detail == record.Failed:
-	case !j.isExcused(a, event):
+	case !j.isExcused(attempt, event):
 		j.violation(ruleFinalAnswer, line, event.Request, "no final answer to try %d: %s",
 			event.ClientAttempt, event.Detail)
 	}
--- a/internal/testbed/modelserver/fleet.go
+++ b/internal/testbed/modelserver/fleet.go
@@ -37,20 +37,20 @@
 
 // Start starts the whole fleet of a deployment, warm, with its discovery if that has an address. It is called on the
 // loop.
-func Start(loop eventloop.Loop, d deployment.Deployment, seed int64, discoveryAddress string,
+func Start(loop eventloop.Loop, dep deployment.Deployment, seed int64, discoveryAddress string,
 	recorder *record.Recorder) (
 	*Fleet, error) {
-	if d.Fleet == nil {
+	if dep.Fleet == nil {
 		return nil, deployment.ErrNoFleet
 	}
-	f := &Fleet{loop: loop, deployment: d, random: rand.New(rand.NewSource(seed)), recorder: recorder,
+	f := &Fleet{loop: loop, deployment: dep, random: rand.New(rand.NewSource(seed)), recorder: recorder,
 		linkFreeAt: map[uint16]*eventloop.Micros{}, lastID: firstID}
-	for zoneIndex, zone := range d.Zones {
-		for _, group := range d.Fleet.Groups {
+	for zoneIndex, zone := range dep.Zones {
+		for _, group := range dep.Fleet.Groups {
 			for i := range int(group.HostsPerZone) {
-				cells := int(d.Fleet.CellsPerZone)
+				cells := int(dep.Fleet.CellsPerZone)
 				cell := uint16(zoneIndex*cells + i%cells)
-				e := &Endpoint{Zone: zone, Cell: cell, group: group, kind: kindOf(d, group.Kind)}
+				e := &Endpoint{Zone: zone, Cell: cell, group: group, kind: kindOf(dep, group.Kind)}
 				if err := f.add(e, 0); err != nil {
 					return nil, err
 				}
--- a/internal/testbed/scenarios/virtualdispatcher.go
+++ b/internal/testbed/scenarios/virtualdispatcher.go
@@ -64,7 +64,9 @@
 
 // kill ends the current incarnation outright.
 func (d *virtualDispatcher) kill() {
-	d.run.recorder.Add(record.Event{At: int64(d.run.world.network.Now()), Type: record.DispatcherKilled, Dispatcher: d.target.Name})
+	d.run.recorder.Add(record.Event{
+		At: int64(d.run.world.network.Now()), Type: record.DispatcherKilled, Dispatcher: d.target.Name,
+	})
 	d.loop.Kill()
 }
 
@@ -92,6 +94,8 @@
 func (d *virtualDispatcher) markUnavailable(why string, duration eventloop.Micros) {
 	now := d.run.world.network.Now()
 	d.unavailableUntil = max(d.unavailableUntil, now+duration)
-	d.run.recorder.Add(record.Event{At: int64(now), Type: record.DispatcherUnavailable, Dispatcher: d.target.Name, Detail: why,
-		Count: int64(duration)})
+	d.run.recorder.Add(record.Event{
+		At: int64(now), Type: record.DispatcherUnavailable, Dispatcher: d.target.Name, Detail: why,
+		Count: int64(duration),
+	})
 }
--- a/internal/vectors/cache_test.go
+++ b/internal/vectors/cache_test.go
@@ -145,19 +145,19 @@
 	} {
 		b.Run(run.name, func(b *testing.B) {
 			before := heapBytes()
-			c, next, hits := run.make(), skewedKeys(), 0
+			tested, next, hits := run.make(), skewedKeys(), 0
 			for range b.N {
 				key := testKey(next())
-				if _, found := c.Get(key); found {
+				if _, found := tested.Get(key); found {
 					hits++
 				} else {
-					c.Put(key, value)
+					tested.Put(key, value)
 				}
 			}
 			b.StopTimer()
 			b.ReportMetric(float64(hits)/float64(b.N), "hits/ask")
 			b.ReportMetric(float64(heapBytes()-before)/capacity-size, "B_beside/value")
-			runtime.KeepAlive(c)
+			runtime.KeepAlive(tested)
 		})
 	}
 }
--- a/internal/virtual/loop.go
+++ b/internal/virtual/loop.go
@@ -102,19 +102,19 @@
 }
 
 // call calls f as the process, and then what it deferred.
-func (l *Loop) call(f func()) {
+func (l *Loop) call(run func()) {
 	switch {
 	case l.dead:
 		return
 	case l.frozen:
-		l.postponed = append(l.postponed, f)
+		l.postponed = append(l.postponed, run)
 		return
 	case l.running:
-		f()
+		run()
 		return
 	}
 	l.running = true
-	f()
+	run()
 	for len(l.deferred) > 0 && !l.dead {
 		deferred := l.deferred
 		l.deferred = nil
--- a/scheduler/cost_test.go
+++ b/scheduler/cost_test.go
@@ -153,19 +153,19 @@
 }
 
 // measure calls do n times and notes what one call took.
-func (meter *costMeter) measure(event string, n int, do func(i int)) {
+func (meter *costMeter) measure(event string, count int, do func(i int)) {
 	fleet := meter.fleet
 	var before, after runtime.MemStats
 	runtime.ReadMemStats(&before)
 	examined, begun := fleet.scheduler.examined, time.Now()
-	for i := range n {
+	for i := range count {
 		fleet.now += 50
 		do(i)
 	}
 	took := time.Since(begun)
 	runtime.ReadMemStats(&after)
 	key := event + string(meter.state)
-	cost, share := meter.costs[key], 1/float64(n*meter.rounds)
+	cost, share := meter.costs[key], 1/float64(count*meter.rounds)
 	cost.nanoseconds += float64(took.Nanoseconds()) * share
 	cost.bytes += float64(after.TotalAlloc-before.TotalAlloc) * share
 	cost.allocations += float64(after.Mallocs-before.Mallocs) * share
@@ -248,19 +248,19 @@
 	small, smallState := measureCosts(1, 4)
 	large, largeState := measureCosts(10, 4)
 	exponent := func(a, b float64) float64 { return math.Log10(max(b, 1) / max(a, 1)) }
-	for event, s := range small {
+	for event, cost := range small {
 		l := large[event]
 		t.Logf("%-32s endpoints examined %7.0f -> %8.0f (%.2f), allocations %6.1f -> %6.1f, bytes %7.0f -> %8.0f (%.2f)",
-			event, s.examined, l.examined, exponent(s.examined, l.examined), s.allocations, l.allocations,
-			s.bytes, l.bytes, exponent(s.bytes, l.bytes))
-		if l.examined > 13*s.examined+200 {
-			t.Errorf("%s: examines %.0f endpoints, and at ten times the fleet %.0f", event, s.examined, l.examined)
+			event, cost.examined, l.examined, exponent(cost.examined, l.examined), cost.allocations, l.allocations,
+			cost.bytes, l.bytes, exponent(cost.bytes, l.bytes))
+		if l.examined > 13*cost.examined+200 {
+			t.Errorf("%s: examines %.0f endpoints, and at ten times the fleet %.0f", event, cost.examined, l.examined)
 		}
-		if l.allocations > 2*s.allocations+6 {
-			t.Errorf("%s: %.1f allocations, and at ten times the fleet %.1f", event, s.allocations, l.allocations)
+		if l.allocations > 2*cost.allocations+6 {
+			t.Errorf("%s: %.1f allocations, and at ten times the fleet %.1f", event, cost.allocations, l.allocations)
 		}
-		if l.bytes > 13*s.bytes+4000 {
-			t.Errorf("%s: %.0f bytes, and at ten times the fleet %.0f", event, s.bytes, l.bytes)
+		if l.bytes > 13*cost.bytes+4000 {
+			t.Errorf("%s: %.0f bytes, and at ten times the fleet %.0f", event, cost.bytes, l.bytes)
 		}
 	}
 	t.Logf("state of an instance: %.0f -> %.0f bytes (%.2f)", smallState, largeState, math.Log10(largeState/smallState))
--- a/scripts/readability/main.go
+++ b/scripts/readability/main.go
@@ -95,15 +95,15 @@
 		return nil
 	}
 	name := filepath.ToSlash(filepath.Dir(path))
-	f := packages[name]
-	if f == nil {
-		f = &figures{}
-		packages[name] = f
+	measured := packages[name]
+	if measured == nil {
+		measured = &figures{}
+		packages[name] = measured
 	}
 	lines, long := countLines(source)
-	f.longLines += long
-	if lines > f.fileLines {
-		f.largestFile, f.fileLines = filepath.Base(path), lines
+	measured.longLines += long
+	if lines > measured.fileLines {
+		measured.largestFile, measured.fileLines = filepath.Base(path), lines
 	}
 	for _, declaration := range parsed.Decls {
 		function, ok := declaration.(*ast.FuncDecl)
@@ -111,11 +111,11 @@
 			continue
 		}
 		length := files.Position(function.End()).Line - files.Position(function.Pos()).Line + 1
-		if length > f.functionLines {
-			f.longestFunction, f.functionLines = function.Name.Name, length
+		if length > measured.functionLines {
+			measured.longestFunction, measured.functionLines = function.Name.Name, length
 		}
 	}
-	f.words += withdrawnWords(parsed)
+	measured.words += withdrawnWords(parsed)
 	return nil
 }
 
