--- a/internal/admin/environment_test.go
+++ b/internal/admin/environment_test.go
@@ -218,7 +218,9 @@
 		events:  sse.Parser{MaxEventBytes: 1 << 20},
 	}
 	fields := append(r.fields, "Authorization", "Bearer "+r.key, "Content-Type", "application/json", "Connection", "close")
-	c.request = http1.AppendRequest(nil, r.method, r.target, r.addr, []byte(r.body), fields...)
+	c.request = http1.AppendRequest(nil, http1.Request{
+		Method: r.method, Target: r.target, Host: r.addr, Body: []byte(r.body),
+	}, fields...)
 	e.clientLoop.Do(func() { c.conn = e.clientLoop.Dial(r.addr, eventloop.Second, c) })
 	return c
 }
--- a/internal/admin/feed_test.go
+++ b/internal/admin/feed_test.go
@@ -20,8 +20,9 @@
 		parser:  http1.Parser{Response: true, Limits: http1.DefaultLimits},
 		events:  sse.Parser{MaxEventBytes: 64 << 20},
 	}
-	follower.request = http1.AppendRequest(nil, "GET", internalPrefix+"tenants?epoch=&since=0", e.serverAddr, nil,
-		"Authorization", "Bearer "+dispatch.FeedToken(secret))
+	follower.request = http1.AppendRequest(nil, http1.Request{
+		Method: "GET", Target: internalPrefix + "tenants?epoch=&since=0", Host: e.serverAddr,
+	}, "Authorization", "Bearer "+dispatch.FeedToken(secret))
 	e.clientLoop.Do(func() { follower.conn = e.clientLoop.Dial(e.serverAddr, eventloop.Second, follower) })
 	e.network.Run(100 * eventloop.Millisecond)
 	e.clientLoop.Do(func() { follower.conn.Pause(true) })
--- a/internal/dispatch/batch_answer.go
+++ b/internal/dispatch/batch_answer.go
@@ -130,7 +130,7 @@
 	if c.closed {
 		return
 	}
-	if c.parts.InvalidInput < 0 {
+	if c.parts.FailedInput < 0 {
 		c.failRetryable("Some of the call's inputs could not be read.")
 		return
 	}
@@ -138,7 +138,7 @@
 	if c.request.Kind == embeddings.Rerank {
 		list = "documents"
 	}
-	param := fmt.Sprintf("%s[%d]", list, slices.Index(c.request.Order, int32(c.parts.InvalidInput)))
+	param := fmt.Sprintf("%s[%d]", list, slices.Index(c.request.Order, int32(c.parts.FailedInput)))
 	c.failWith(&frontend.Problem{
 		Status:  422,
 		Type:    "invalid_request_error",
--- a/internal/dispatch/batch_parts.go
+++ b/internal/dispatch/batch_parts.go
@@ -219,7 +219,7 @@
 	}
 	loop := c.dispatcher.loop
 	c.retryTimer = loop.AfterFunc(max(at-loop.Now(), 0)+1, func() {
-		c.parts.HasReady(loop.Now())
+		c.parts.Ready(loop.Now())
 		c.scheduleRetry()
 		c.dispatcher.sendParts()
 	})
--- a/internal/dispatch/fake_client_test.go
+++ b/internal/dispatch/fake_client_test.go
@@ -102,7 +102,9 @@
 // post sends a whole body to a URL.
 func (r *harness) post(path string, body []byte, fields ...string) *clientCall {
 	all := append([]string{"Authorization", "Bearer " + key, "Content-Type", "application/json"}, fields...)
-	return r.dial(r.newClientCall(http1.AppendRequest(nil, "POST", path, r.addr, body, all...)))
+	return r.dial(r.newClientCall(http1.AppendRequest(nil, http1.Request{
+		Method: "POST", Target: path, Host: r.addr, Body: body,
+	}, all...)))
 }
 
 // send sends a chat completion.
--- a/internal/engine/engine_test.go
+++ b/internal/engine/engine_test.go
@@ -44,7 +44,7 @@
 // post returns a call that sends a body of a size.
 func post(size int) Call {
 	return Call{BuildRequest: func(addr string, _ eventloop.Micros) []byte {
-		return http1.AppendRequest(nil, "POST", "/", addr, make([]byte, size))
+		return http1.AppendRequest(nil, http1.Request{Method: "POST", Target: "/", Host: addr, Body: make([]byte, size)})
 	}}
 }
 
--- a/internal/platform/upstream/release.go
+++ b/internal/platform/upstream/release.go
@@ -112,7 +112,7 @@
 }
 
 func (r *release) write(address string, _ eventloop.Micros) []byte {
-	return http1.AppendRequest(nil, "DELETE", "/v1/holds/"+r.id, address, nil)
+	return http1.AppendRequest(nil, http1.Request{Method: "DELETE", Target: "/v1/holds/" + r.id, Host: address})
 }
 
 // releaseResult is what the response to a release means.
--- a/internal/platform/upstream/upstream.go
+++ b/internal/platform/upstream/upstream.go
@@ -99,5 +99,6 @@
 		r.OnSend(remaining)
 	}
 	fields := slices.Concat(r.Fields, []string{"Req-Deadline", strconv.FormatInt(int64(remaining), 10) + "u"})
-	return http1.AppendRequest(nil, "POST", r.Target, address, r.Body, fields...)
+	return http1.AppendRequest(nil, http1.Request{Method: "POST", Target: r.Target, Host: address, Body: r.Body},
+		fields...)
 }
--- a/internal/subscribe/connection.go
+++ b/internal/subscribe/connection.go
@@ -68,7 +68,8 @@
 	}
 	client := c.client
 	header := append([]string{"Accept", "text/event-stream"}, client.options.Header...)
-	c.conn.Write(http1.AppendRequest(nil, "GET", client.options.Target(), client.address, nil, header...))
+	request := http1.Request{Method: "GET", Target: client.options.Target(), Host: client.address}
+	c.conn.Write(http1.AppendRequest(nil, request, header...))
 	if client.options.ResponseTimeout == 0 {
 		c.silence.Set(client.loop, client.options.SilenceTimeout, c.silent)
 	}
--- a/internal/testbed/modelserver/kvstate.go
+++ b/internal/testbed/modelserver/kvstate.go
@@ -113,8 +113,9 @@
 
 // Opened sends the request.
 func (f *stateFetch) Opened() {
-	f.conn.Write(http1.AppendRequest(nil, http.MethodGet, statePath+f.attempt.fetchAttempt, f.attempt.fetchFrom, nil,
-		"x-zone", f.endpoint.Zone, "x-cell", strconv.Itoa(int(f.endpoint.Cell))))
+	f.conn.Write(http1.AppendRequest(nil, http1.Request{
+		Method: http.MethodGet, Target: statePath + f.attempt.fetchAttempt, Host: f.attempt.fetchFrom,
+	}, "x-zone", f.endpoint.Zone, "x-cell", strconv.Itoa(int(f.endpoint.Cell))))
 }
 
 // Drained is not needed: the request is written at once.
