--- a/internal/engine/attempt.go
+++ b/internal/engine/attempt.go
@@ -1,6 +1,7 @@
 package engine
 
 import (
+	"net/http"
 	"strings"
 
 	"plumspindle/internal/eventloop"
@@ -175,6 +176,6 @@
 
 // streamed reports whether the response is a stream of events.
 func (a *Attempt) streamed() bool {
-	return a.call.Stream != nil && a.head.Status == statusOK &&
+	return a.call.Stream != nil && a.head.Status == http.StatusOK &&
 		strings.HasPrefix(a.head.Get("Content-Type"), "text/event-stream")
 }
--- a/internal/engine/openai.go
+++ b/internal/engine/openai.go
@@ -3,6 +3,7 @@
 import (
 	"errors"
 	"fmt"
+	"net/http"
 	"strconv"
 
 	"github.com/tidwall/gjson"
@@ -57,7 +58,7 @@
 		MaxResponseBody: maxResponseBody,
 		BuildRequest:    e.completionRequest(target, request, prefillMembers),
 		ReadResponse: func(head *http1.Head, body []byte) Result {
-			if head.Status != statusOK {
+			if head.Status != http.StatusOK {
 				return readError(head.Status, body)
 			}
 			return readPrefill(body)
@@ -78,7 +79,7 @@
 		Stream:          stream,
 		BuildRequest:    e.completionRequest(target, request.Chat, members),
 		ReadResponse: func(head *http1.Head, body []byte) Result {
-			if head.Status != statusOK {
+			if head.Status != http.StatusOK {
 				return readError(head.Status, body)
 			}
 			return stream.Ended()
@@ -95,7 +96,7 @@
 			return e.appendPost(target, request.Path, addr, request.Body)
 		},
 		ReadResponse: func(head *http1.Head, body []byte) Result {
-			if head.Status != statusOK {
+			if head.Status != http.StatusOK {
 				return readError(head.Status, body)
 			}
 			result := request.ReadResponse(body)
--- a/internal/engine/release.go
+++ b/internal/engine/release.go
@@ -1,6 +1,7 @@
 package engine
 
 import (
+	"net/http"
 	"slices"
 	"strings"
 
@@ -106,7 +107,7 @@
 				"x-zone", e.zone)
 		},
 		ReadResponse: func(head *http1.Head, _ []byte) Result {
-			if head.Status == statusOK {
+			if head.Status == http.StatusOK {
 				return Result{Outcome: scheduler.PrefillDone}
 			}
 			return Result{Outcome: scheduler.Errored}
--- a/internal/engine/result.go
+++ b/internal/engine/result.go
@@ -1,6 +1,7 @@
 package engine
 
 import (
+	"net/http"
 	"strconv"
 	"strings"
 
@@ -10,14 +11,6 @@
 	"plumspindle/scheduler"
 )
 
-const (
-	statusOK                  = 200
-	statusConflict            = 409
-	statusUnprocessableEntity = 422
-	statusTooManyRequests     = 429
-	statusServiceUnavailable  = 503
-)
-
 // Result is how an attempt came out.
 type Result struct {
 	Outcome        scheduler.Outcome
@@ -50,10 +43,10 @@
 	code   string
 	result Result
 }{
-	{statusTooManyRequests, "full", Result{Outcome: scheduler.NoCapacity}},
-	{statusServiceUnavailable, "draining", Result{Outcome: scheduler.NoCapacity}},
-	{statusConflict, "state_lost", Result{Outcome: scheduler.NoCapacity, StateMissing: true}},
-	{statusUnprocessableEntity, "invalid_input", Result{Outcome: scheduler.NotSent, InvalidRequest: true}},
+	{http.StatusTooManyRequests, "full", Result{Outcome: scheduler.NoCapacity}},
+	{http.StatusServiceUnavailable, "draining", Result{Outcome: scheduler.NoCapacity}},
+	{http.StatusConflict, "state_lost", Result{Outcome: scheduler.NoCapacity, StateMissing: true}},
+	{http.StatusUnprocessableEntity, "invalid_input", Result{Outcome: scheduler.NotSent, InvalidRequest: true}},
 }
 
 // readError reads a response whose status is not 200.
--- a/internal/subscribe/post.go
+++ b/internal/subscribe/post.go
@@ -7,8 +7,6 @@
 	"plumspindle/internal/http1"
 )
 
-const statusOK = 200
-
 // PostRequest is a JSON message for a source.
 type PostRequest struct {
 	Address string
