--- a/internal/platform/dispatcher.go
+++ b/internal/platform/dispatcher.go
@@ -33,14 +33,15 @@
 }
 
 const (
-	// A stream that has begun and brings nothing for so long is broken: a client may not be left waiting for 5 s.
+	// streamSilence is how long a started stream may bring nothing until it counts as broken: the platform allows a
+	// client to be left waiting for less than 5 s.
 	streamSilence = 4200 * eventloop.Millisecond
-	// The discovery agent on this machine sends what it has at once; where it sends nothing for so long, the list that
-	// was known before is used.
+	// discoveryTimeout is how long the discovery agent has to respond, which runs on this machine and sends what it has
+	// at once. After that the cached list is used.
 	discoveryTimeout = eventloop.Second
 	discoveryPoll    = 10 * eventloop.Millisecond
-	// A dispatcher that knows no endpoint to serve with says that it is ready all the same after so long: it rejects
-	// requests with a Retry-After, where a process that is never ready counts as one that did not start.
+	// readyWithoutEndpoints is the time after which a dispatcher reports ready even if it knows no endpoint to serve
+	// with. It rejects requests with a Retry-After then; a process that never becomes ready counts as failed to start.
 	readyWithoutEndpoints = 5 * eventloop.Second
 )
 
@@ -66,7 +67,7 @@
 	requests    map[scheduler.RequestID]*request
 	lastRequest scheduler.RequestID
 	activeIDs   map[string]bool
-	recentIDs   [2]map[string]bool // of requests that were answered a while ago
+	recentIDs   [2]map[string]bool // of requests that have ended, the latest first
 
 	topology  schedulerhost.Topology
 	endpoints map[scheduler.EndpointID]discovery.Entry
@@ -96,14 +97,16 @@
 	}
 	schedulerConfig := d.settings.Scheduler
 	d.topology = schedulerhost.NewTopology(d.settings.Zones, d.settings.Kinds, schedulerConfig.Kinds)
-	// Connections are closed well before endpoints do: what is written to one that is closed counts as lost.
+	// Idle connections are closed here well before the endpoints close them: a request that is written to a connection
+	// closed by its endpoint counts as lost.
 	schedulerConfig.IdleTimeout /= 2
 	d.guard = d.newGuard()
-	e := engine.New(loop, config.Name, "", upstreamLimits(d.settings, config.Sockets, schedulerConfig.IdleTimeout))
-	d.upstream = upstream.New(loop, e, upstream.Options{
-		StateTimeout: d.settings.StateTimeout,
-		Endpoints:    d.releaseTargets,
-		Log:          config.Log,
+	limits := upstreamLimits(d.settings, config.Sockets, schedulerConfig.IdleTimeout)
+	d.upstream = upstream.New(loop, engine.New(loop, config.Name, "", limits), upstream.Options{
+		StateTimeout:    d.settings.StateTimeout,
+		ReadyEndpoints:  func() []scheduler.EndpointID { return d.ready },
+		ListedEndpoints: d.listedEndpoints,
+		Log:             config.Log,
 	})
 	d.server = server.New(loop, clientLimits(config.Sockets, config.Memory), d)
 	d.server.OnUnansweredClose = d.reportUnansweredClose
@@ -152,15 +155,15 @@
 // MoveDiscovery watches discovery at another address.
 func (d *Dispatcher) MoveDiscovery(address string) { d.discovery.SetAddress(address) }
 
-// discoveryReady reports whether discovery has spoken, or has had its chance to. What discovery has counts as known
-// from the first moment, and what was known before may name endpoints that are gone.
+// discoveryReady reports whether discovery has responded since the start, or has not within discoveryTimeout. Until then
+// only the cached list is known, which may name endpoints that are gone.
 func (d *Dispatcher) discoveryReady() bool {
 	timedOut := d.loop.Now()-d.startedAt >= discoveryTimeout
 	d.discoveryWasReady = d.discoveryWasReady || d.discovery.Connected() || timedOut
 	return d.discoveryWasReady
 }
 
-// WhenDiscoveryReady calls do once discovery has spoken, or has had its chance to: until then no request should be
+// WhenDiscoveryReady calls do once discovery has responded, or has had its time to: until then no request should be
 // accepted.
 func (d *Dispatcher) WhenDiscoveryReady(do func()) {
 	if d.discoveryReady() {
--- a/internal/platform/endpoints.go
+++ b/internal/platform/endpoints.go
@@ -10,7 +10,7 @@
 
 // updateEndpoints takes an endpoint list, or what has changed in it.
 func (d *Dispatcher) updateEndpoints(entries []discovery.Entry, full bool) {
-	d.discoveryReady() // by this, if discovery speaks
+	d.discoveryReady() // remembers a first response, should the connection be lost before the next check
 	listed := map[scheduler.EndpointID]bool{}
 	for _, e := range entries {
 		listed[e.ID] = true
@@ -56,11 +56,8 @@
 	})
 }
 
-// releaseTargets are the endpoints that accept new requests, or all that are listed, in order.
-func (d *Dispatcher) releaseTargets(all bool) []scheduler.EndpointID {
-	if !all {
-		return d.ready
-	}
+// listedEndpoints returns the endpoints of the list in order, those that accept no new requests included.
+func (d *Dispatcher) listedEndpoints() []scheduler.EndpointID {
 	return slices.Sorted(maps.Keys(d.endpoints))
 }
 
@@ -80,8 +77,8 @@
 	slices.Sort(d.ready)
 }
 
-// cancelUnsentToUnready cancels what has not been written yet to endpoints that accept nothing new: a connection that
-// opens only now must not carry it.
+// cancelUnsentToUnready cancels attempts that have not been written yet at endpoints that accept no new requests: they
+// must not be sent on a connection that opens later.
 func (d *Dispatcher) cancelUnsentToUnready() {
 	for _, req := range d.requestsByID() {
 		inFlight := req.attempt.inFlight
--- a/internal/platform/upstream/release.go
+++ b/internal/platform/upstream/release.go
@@ -31,7 +31,7 @@
 	began    eventloop.Micros
 	last     scheduler.EndpointID // of the latest attempt
 	tried    map[scheduler.EndpointID]bool
-	useAll   bool // also endpoints that take no new requests, as none of the others has confirmed
+	useAll   bool // also endpoints that accept no new requests, as none of the others has confirmed
 	attempts []*engine.Attempt
 	pause    eventloop.Timeout // until the next attempt
 	ended    bool
@@ -51,11 +51,11 @@
 }
 
 // next chooses an endpoint: one that was not tried before all others, then one with an idle connection, then the one
-// that has sent something last. Where many have fallen silent together their connections look idle all the same, and a
-// KV state can't wait for one after the other.
+// that has sent something last. Where many have fallen silent together their connections still look idle, and a KV
+// state can't wait for one after the other.
 func (r *release) next(fallback scheduler.EndpointID) scheduler.EndpointID {
 	best, bestRank, bestReceived := fallback, -1, eventloop.Micros(0)
-	for _, id := range r.client.options.Endpoints(r.useAll) {
+	for _, id := range r.candidates() {
 		rank := r.rank(id)
 		received := r.client.LastReceived(id)
 		if rank > bestRank || rank == bestRank && received > bestReceived {
@@ -65,6 +65,14 @@
 	return best
 }
 
+// candidates are the endpoints that the release may be sent to.
+func (r *release) candidates() []scheduler.EndpointID {
+	if r.useAll {
+		return r.client.options.ListedEndpoints()
+	}
+	return r.client.options.ReadyEndpoints()
+}
+
 func (r *release) rank(id scheduler.EndpointID) (rank int) {
 	if !r.tried[id] {
 		rank += 2
@@ -75,15 +83,14 @@
 	return rank
 }
 
-// triedAll reports whether every endpoint had an attempt since the last pause. Once all that take new requests had, the
-// others count too.
+// triedAll reports whether every candidate had an attempt since the last pause. Once all that accept new requests had,
+// the other endpoints become candidates.
 func (r *release) triedAll() bool {
 	untried := func(id scheduler.EndpointID) bool { return !r.tried[id] }
-	endpoints := r.client.options.Endpoints
-	if !r.useAll && !slices.ContainsFunc(endpoints(false), untried) {
+	if !r.useAll && !slices.ContainsFunc(r.candidates(), untried) {
 		r.useAll = true
 	}
-	return !slices.ContainsFunc(endpoints(r.useAll), untried)
+	return !slices.ContainsFunc(r.candidates(), untried)
 }
 
 // send starts one attempt, and has another one follow soon if there is no response. Where too many are in flight the
--- a/internal/platform/upstream/upstream.go
+++ b/internal/platform/upstream/upstream.go
@@ -31,15 +31,14 @@
 	OnSend func(remaining eventloop.Micros)
 }
 
-// EndpointLister lists the endpoints that a release may be sent to: those that take new requests, or all.
-type EndpointLister func(all bool) []scheduler.EndpointID
-
 // Options say how releases are made.
 type Options struct {
 	// StateTimeout is how long an endpoint keeps the KV state of a request that nothing uses.
 	StateTimeout eventloop.Micros
-	// Endpoints lists those that a release may be sent to.
-	Endpoints EndpointLister
+	// ReadyEndpoints returns the endpoints that accept new requests. Releases are sent to these first.
+	ReadyEndpoints func() []scheduler.EndpointID
+	// ListedEndpoints returns all endpoints.
+	ListedEndpoints func() []scheduler.EndpointID
 	// Log takes releases that failed.
 	Log zerolog.Logger
 }
--- a/internal/platform/upstream/upstream_test.go
+++ b/internal/platform/upstream/upstream_test.go
@@ -126,9 +126,11 @@
 			MaxOpening:     4,
 		}
 		connections := engine.New(loop, "d", "", limits)
+		both := func() []scheduler.EndpointID { return []scheduler.EndpointID{1, 2} }
 		client := New(loop, connections, Options{
-			StateTimeout: timeout,
-			Endpoints:    func(bool) []scheduler.EndpointID { return []scheduler.EndpointID{1, 2} },
+			StateTimeout:    timeout,
+			ReadyEndpoints:  both,
+			ListedEndpoints: both,
 		})
 		began := world.Now()
 		done := false
