--- a/internal/http1/write.go
+++ b/internal/http1/write.go
@@ -39,19 +39,19 @@
 
 // AppendRequest appends a request to b. The other fields come as name, value, name, value; those without a value are
 // left out.
-func AppendRequest(data []byte, request Request, fields ...string) []byte {
-	data = append(data, request.Method...)
-	data = append(data, ' ')
-	data = append(data, request.Target...)
-	data = append(data, " HTTP/1.1\r\nHost: "...)
-	data = append(data, request.Host...)
-	data = append(data, "\r\n"...)
-	data = appendFields(data, fields)
+func AppendRequest(b []byte, request Request, fields ...string) []byte {
+	b = append(b, request.Method...)
+	b = append(b, ' ')
+	b = append(b, request.Target...)
+	b = append(b, " HTTP/1.1\r\nHost: "...)
+	b = append(b, request.Host...)
+	b = append(b, "\r\n"...)
+	b = appendFields(b, fields)
 	if request.Method != http.MethodGet {
-		data = appendContentLength(data, request.Body)
+		b = appendContentLength(b, request.Body)
 	}
-	data = append(data, "\r\n"...)
-	return append(data, request.Body...)
+	b = append(b, "\r\n"...)
+	return append(b, request.Body...)
 }
 
 // AppendResponse appends a complete response to b; fields are as for AppendRequest.
--- a/internal/platform/server/close.go
+++ b/internal/platform/server/close.go
@@ -8,7 +8,7 @@
 	ClosedByClient   CloseReason = iota // its client closed it, or the network did
 	AfterResponse                       // its last response said so
 	IdleTimeout                         // no request came in time
-	Evicted                             // it made way for another
+	Evicted                             // there were too many connections
 	BadInput                            // what came can't be read, or did not come in time
 	StreamBroken                        // its stream ended before its end
 	ClientStalled                       // its client read nothing for too long
--- a/internal/platform/server/connection.go
+++ b/internal/platform/server/connection.go
@@ -43,7 +43,7 @@
 	head       *http1.Head
 	readiness  bool       // it asks whether the server is ready
 	request    *Request   // nil: it is rejected, or asks for readiness
-	rejection  *Rejection // nil: nothing speaks against it so far
+	rejection  *Rejection // nil: no fault has been found so far
 	body       []byte
 	receivedAt eventloop.Micros // its first byte
 	keepAlive  bool             // it lets others follow it
@@ -215,7 +215,7 @@
 	}
 }
 
-// reject answers what can't be read and closes, as the next request can't be found behind it.
+// reject answers what can't be parsed and closes the connection, as it is unknown where the next request begins.
 func (c *connection) reject(r *Rejection, reason CloseReason) {
 	if c.state == closing {
 		return
--- a/internal/platform/server/pipeline.go
+++ b/internal/platform/server/pipeline.go
@@ -8,13 +8,13 @@
 )
 
 const (
-	// What is buffered of one connection's pipelined requests while its request is being answered, in bodies; requests
-	// past it are rejected in their turn. Reading on, rather than leaving them in the socket, is what lets the client's
-	// disconnect be heard.
+	// maxPipelinedBodies bodies of the maximum size are buffered of one connection's pipelined requests while a request
+	// is being answered; further ones are rejected in their turn. They are read rather than left in the socket so that
+	// the client's disconnect is noticed.
 	maxPipelinedBodies = 4
-	// So much is buffered also where half of Limits.BufferedBytes is used up; the other half is for requests.
+	// minPipelinedBytes are buffered even if half of Limits.BufferedBytes is used up; the other half is for requests.
 	minPipelinedBytes = 16 << 10
-	// How many bytes of one connection are read that are not buffered; a client that sends more is cut off.
+	// maxOverflowBytes of one connection are read that are not buffered; a client that sends more is disconnected.
 	maxOverflowBytes = 16 << 20
 )
 
@@ -143,8 +143,8 @@
 }
 
 // Head implements http1.Handler.
-func (o *overflow) Head(header *http1.Head) error {
-	o.lastRequest = !header.KeepAlive()
+func (o *overflow) Head(head *http1.Head) error {
+	o.lastRequest = !head.KeepAlive()
 	return nil
 }
 
--- a/internal/platform/server/receive.go
+++ b/internal/platform/server/receive.go
@@ -12,7 +12,7 @@
 // minBodyBytes is the least memory that is taken for a body that comes in chunks.
 const minBodyBytes = 4 << 10
 
-// beginRequest waits for a complete request from its first byte; bytes that trickle in buy no further time.
+// beginRequest waits for a complete request from its first byte; bytes that trickle in do not extend the time.
 func (c *connection) beginRequest(at eventloop.Micros) {
 	c.leaveIdle()
 	c.state, c.hadRequest = reading, true
@@ -51,24 +51,24 @@
 }
 
 // Head implements http1.Handler.
-func (c *connection) Head(header *http1.Head) error {
+func (c *connection) Head(head *http1.Head) error {
 	in := &c.incoming
-	in.head = header
-	if in.readiness = asksReadiness(header); !in.readiness {
-		in.request, in.rejection = parseRequest(header)
+	in.head = head
+	if in.readiness = asksReadiness(head); !in.readiness {
+		in.request, in.rejection = parseRequest(head)
 	}
 	if in.rejection != nil {
 		return nil
 	}
-	if strings.EqualFold(header.Get("Expect"), "100-continue") {
+	if strings.EqualFold(head.Get("Expect"), "100-continue") {
 		c.conn.Write([]byte("HTTP/1.1 100 Continue\r\n\r\n"))
 	}
 	if in.request == nil {
 		return nil
 	}
 	in.request.ReceivedAt = in.receivedAt
-	if header.ContentLength > 0 {
-		c.reserveBody(int(header.ContentLength))
+	if head.ContentLength > 0 {
+		c.reserveBody(int(head.ContentLength))
 	}
 	return nil
 }
--- a/internal/platform/server/request.go
+++ b/internal/platform/server/request.go
@@ -50,25 +50,25 @@
 	extraField    = "Req-Extra"
 )
 
-// singleFields may be there once at most: a second one could be read differently behind us.
+// singleFields may occur once at most: of two, an endpoint could read another one than this server does.
 var singleFields = []string{
 	idField, classField, sessionField, tenantField, deadlineField, extraField,
 	"Content-Length", "Transfer-Encoding", "Host",
 }
 
 // asksReadiness reports whether a request asks if the dispatcher is ready.
-func asksReadiness(header *http1.Head) bool {
-	return header.Method == http.MethodGet && path(header) == readyPath
+func asksReadiness(head *http1.Head) bool {
+	return head.Method == http.MethodGet && requestPath(head) == readyPath
 }
 
-func path(header *http1.Head) string {
-	p, _, _ := strings.Cut(header.Target, "?")
+func requestPath(head *http1.Head) string {
+	p, _, _ := strings.Cut(head.Target, "?")
 	return p
 }
 
 // parseRequest reads what a head says of a request, or why it is rejected.
 func parseRequest(head *http1.Head) (*Request, *Rejection) {
-	if path(head) != chatPath {
+	if requestPath(head) != chatPath {
 		return nil, &Rejection{Status: http.StatusNotFound, Reason: "there is nothing at this path"}
 	}
 	if head.Method != http.MethodPost {
@@ -102,9 +102,9 @@
 }
 
 // duplicateField is the name of a field that is there twice and must not be, or "".
-func duplicateField(header *http1.Head) string {
+func duplicateField(head *http1.Head) string {
 	seen := make([]bool, len(singleFields))
-	for _, f := range header.Fields {
+	for _, f := range head.Fields {
 		for i, name := range singleFields {
 			if !strings.EqualFold(f.Name, name) {
 				continue
@@ -125,11 +125,11 @@
 	"Proxy-Connection", deadlineField, "Te", "Trailer", "Transfer-Encoding", "Upgrade",
 }
 
-// endToEnd are the fields that are forwarded unchanged: those of a class whose duplicates are dropped by a key carry
-// the key.
-func endToEnd(header *http1.Head) (fields []string) {
-	named := strings.Split(header.Get("Connection"), ",")
-	for _, f := range header.Fields {
+// endToEnd returns the fields that are forwarded unchanged, names and values in turn. Idempotency-Key is one of them, by
+// which endpoints drop duplicates.
+func endToEnd(head *http1.Head) (fields []string) {
+	named := strings.Split(head.Get("Connection"), ",")
+	for _, f := range head.Fields {
 		is := func(name string) bool { return strings.EqualFold(strings.TrimSpace(name), f.Name) }
 		if slices.ContainsFunc(hopByHop, is) || slices.ContainsFunc(named, is) && !is(idField) {
 			continue
--- a/internal/platform/server/request_test.go
+++ b/internal/platform/server/request_test.go
@@ -34,11 +34,11 @@
 	body []byte
 }
 
-func (c *requestChecker) Head(header *http1.Head) error {
-	if asksReadiness(header) {
+func (c *requestChecker) Head(head *http1.Head) error {
+	if asksReadiness(head) {
 		return nil
 	}
-	request, rejection := parseRequest(header)
+	request, rejection := parseRequest(head)
 	if (request == nil) == (rejection == nil) {
 		c.t.Errorf("%+v, %+v", request, rejection)
 	}
--- a/internal/platform/server/response.go
+++ b/internal/platform/server/response.go
@@ -9,7 +9,7 @@
 	"plumspindle/internal/sse"
 )
 
-// Response carries the one final response to a request, and lets nothing through after it.
+// Response carries the one final response to a request; calls that follow it have no effect.
 type Response struct {
 	connection *connection
 	id         string // the request's
@@ -23,7 +23,8 @@
 	OnWritable func()
 }
 
-// Disconnected reports whether the client has closed its connection, also where that was not handed over yet.
+// Disconnected reports whether the client has closed its connection, even if OnDisconnect has not been called yet. It is
+// true of a finished response, too.
 func (r *Response) Disconnected() bool { return r.done || r.connection.conn.PeerClosed() }
 
 // finish notes that nothing more follows, and releases what is buffered of the request.
@@ -85,7 +86,7 @@
 	r.answer(response)
 }
 
-// Fail says that the request failed, and does not say what it did.
+// Fail answers that the request failed, without saying whether anything was run.
 func (r *Response) Fail() {
 	r.answer(shortResponse{status: http.StatusInternalServerError, text: "the generation failed"})
 }
@@ -102,7 +103,7 @@
 	}
 }
 
-// end is behind the last byte of a stream.
+// end finishes a stream after its last byte.
 func (r *Response) end(reason CloseReason) {
 	c := r.connection
 	r.finish()
@@ -115,7 +116,7 @@
 	c.server.loop.Defer(c.next)
 }
 
-// abandon ends the response where nobody waits for it any more.
+// abandon ends the response to a client that has disconnected.
 func (r *Response) abandon() {
 	if r.done {
 		return
--- a/internal/platform/server/server.go
+++ b/internal/platform/server/server.go
@@ -37,10 +37,11 @@
 }
 
 const (
-	// A client that sent what can't be used is not served again for so long: one that repeats it at once would take
-	// the time of all.
+	// throttleTime is how long a client is not served that sent an unusable request: one that repeats it at once would
+	// take up the time of all others.
 	throttleTime = 100 * eventloop.Millisecond
-	// An idle connection on which something has just come is not closed; it is looked at again after this.
+	// busyIdleRetry is the time after which an idle connection is checked again that could not be closed, as something
+	// had just arrived on it.
 	busyIdleRetry = 50 * eventloop.Millisecond
 	// maxFields bounds the fields of a request's head.
 	maxFields = 100
@@ -71,7 +72,7 @@
 // Counts are what the server has done since its start.
 type Counts struct {
 	Rejected uint64 // requests
-	Evicted  uint64 // connections that made way for others
+	Evicted  uint64 // connections closed or rejected as there were too many
 	TimedOut uint64 // connections that brought no request in time
 	Closed   CloseCounts
 }
@@ -102,7 +103,7 @@
 func (s *Server) Accept(conn eventloop.Conn) eventloop.Handler {
 	c := &connection{server: s, conn: conn}
 	c.parser.Limits = http1.Limits{HeadBytes: s.limits.HeadBytes, FieldCount: maxFields, BodyBytes: s.limits.BodyBytes}
-	s.connections[c] = true // from now on, so that the process does not end before it is heard
+	s.connections[c] = true // even before it is opened, so that a shutdown waits for it
 	s.openCount++
 	return c
 }
@@ -111,7 +112,7 @@
 func (s *Server) Drain() { s.draining = true }
 
 // Shutdown passes no request on from now on: one whose last byte has not been read yet is rejected, as a retry
-// elsewhere is safe. Idle connections are closed, but for new ones, whose first request is on its way; those after it.
+// elsewhere is safe. Idle connections are closed, new ones only after their first request, which may be on its way.
 func (s *Server) Shutdown() {
 	s.draining, s.stopped = true, true
 	s.closeIdle(func(c *connection) bool { return c.hadRequest })
@@ -133,8 +134,8 @@
 	}
 }
 
-// evict closes the connection that has waited longest for a request, so that another may be taken, and reports whether
-// there was one. A client that has something to say says it at once.
+// evict closes the connection that has been idle for longest, so that another may be accepted, and reports whether
+// there was one. The newest connection is spared: clients send a request as soon as they are connected.
 func (s *Server) evict(newest *connection) bool {
 	for e := s.idleConnections.Front(); e != nil; e = e.Next() {
 		if c := e.Value.(*connection); c != newest && c.closeIdle(Evicted) {
--- a/internal/sse/sse.go
+++ b/internal/sse/sse.go
@@ -20,7 +20,6 @@
 // the specification allows. Its zero value with MaxEventBytes set is ready for use.
 type Parser struct {
 	MaxEventBytes int
-	EventCount    int // events parsed so far
 
 	line    []byte // the part of a line that has arrived
 	data    []byte // of the event whose end has not arrived
@@ -97,18 +96,17 @@
 	}
 	data := p.data
 	p.data, p.hasData = p.data[:0], false
-	p.EventCount++
 	return handle(data)
 }
 
 // Append appends one event to b, with each line of its data as a line of its own.
-func Append(chunk, data []byte) []byte {
+func Append(b, data []byte) []byte {
 	for more := true; more; {
 		var line []byte
 		line, data, more = bytes.Cut(data, []byte("\n"))
-		chunk = append(chunk, "data: "...)
-		chunk = append(chunk, line...)
-		chunk = append(chunk, '\n')
+		b = append(b, "data: "...)
+		b = append(b, line...)
+		b = append(b, '\n')
 	}
-	return append(chunk, '\n')
+	return append(b, '\n')
 }
--- a/internal/subscribe/connection.go
+++ b/internal/subscribe/connection.go
@@ -2,6 +2,7 @@
 
 import (
 	"errors"
+	"net/http"
 	"slices"
 
 	"plumspindle/internal/eventloop"
@@ -38,7 +39,7 @@
 	}
 }
 
-// drop ends a connection that does not count any more.
+// drop aborts a connection whose messages no longer count.
 func (c *connection) drop() {
 	c.dropped = true
 	c.silence.Clear()
@@ -111,7 +112,7 @@
 
 // Head implements http1.Handler.
 func (c *connection) Head(head *http1.Head) error {
-	if head.Status != statusOK {
+	if head.Status != http.StatusOK {
 		return &StatusError{Status: head.Status}
 	}
 	c.responded = true
