--- a/internal/eventloop/eventloop.go
+++ b/internal/eventloop/eventloop.go
@@ -50,7 +50,7 @@
 	Listen(addr string, accept func(Conn) Handler) (Listener, error)
 }
 
-// Timer is a call that is due at some time. After Stop it is not made any more.
+// Timer is a call that is due at some time. Stop prevents it if it has not been made yet.
 type Timer interface{ Stop() }
 
 // Listener accepts connections.
--- a/internal/platform/attempt.go
+++ b/internal/platform/attempt.go
@@ -119,12 +119,12 @@
 
 // streamEvent forwards an event to the client.
 func (d *Dispatcher) streamEvent(req *request, number scheduler.AttemptNo, data []byte) {
-	if number != req.attempt.number() || req.attempt.inFlight == nil || req.client.answered {
+	if number != req.attempt.number() || req.attempt.inFlight == nil || req.client.closed {
 		return
 	}
 	if !req.attempt.started {
 		d.streamStarted(req)
-		if req.client.answered {
+		if req.client.closed {
 			return
 		}
 	}
@@ -161,16 +161,16 @@
 	d.Outcomes[result.Outcome]++
 	d.logResult(req, &result)
 	d.updateLease(req, &result)
-	if a.started && !req.client.answered {
+	if a.started && !req.client.closed {
 		d.endStream(req, result.Outcome)
 	}
-	d.scheduler.AttemptEnded(d.loop.Now(), req.id, number, result.ForScheduler(req.client.answered))
+	d.scheduler.AttemptEnded(d.loop.Now(), req.id, number, result.ForScheduler(req.client.closed))
 	d.finishIfIdle(req)
 }
 
 // endStream gives the client the end of its stream.
 func (d *Dispatcher) endStream(req *request, outcome scheduler.Outcome) {
-	req.client.answered = true
+	req.client.closed = true
 	if outcome == scheduler.Completed {
 		d.Completed++
 		req.ledger.Answered(d.loop.Now(), guard.Completed)
@@ -182,8 +182,8 @@
 	req.client.response.Break()
 }
 
-// Cancel implements scheduler.Executor: it cancels an attempt. The scheduler hears of that after the call that is under
-// way; an attempt that was never written is known not to have run.
+// Cancel implements scheduler.Executor: it cancels an attempt. The result is reported after the call that is under way;
+// an attempt that was never written is known not to have run.
 func (d *Dispatcher) Cancel(id scheduler.RequestID, number scheduler.AttemptNo) {
 	req := d.requests[id]
 	if req == nil || number != req.attempt.number() || req.attempt.started || req.attempt.cancelling {
--- a/internal/platform/disconnect_test.go
+++ b/internal/platform/disconnect_test.go
@@ -41,7 +41,7 @@
 		env.remote.Do(client.conn.Abort)
 		env.network.Run(100 * eventloop.Millisecond)
 		for _, request := range env.dispatcher.requests {
-			if !request.client.answered {
+			if !request.client.closed {
 				t.Error("its disconnect was not seen")
 			}
 		}
--- a/internal/platform/executor.go
+++ b/internal/platform/executor.go
@@ -8,8 +8,8 @@
 
 // Reject implements scheduler.Executor: the final answer of a request that may be sent again.
 func (d *Dispatcher) Reject(id scheduler.RequestID, retryAfter scheduler.Micros) {
-	if req := d.requests[id]; req != nil && !req.client.answered {
-		req.client.answered = true
+	if req := d.requests[id]; req != nil && !req.client.closed {
+		req.client.closed = true
 		d.Rejected++
 		req.ledger.Answered(d.loop.Now(), guard.Rejected)
 		req.client.response.Reject(retryAfter)
@@ -19,8 +19,8 @@
 
 // Fail implements scheduler.Executor: the final answer of a request that failed.
 func (d *Dispatcher) Fail(id scheduler.RequestID) {
-	if req := d.requests[id]; req != nil && !req.client.answered {
-		req.client.answered = true
+	if req := d.requests[id]; req != nil && !req.client.closed {
+		req.client.closed = true
 		d.Failed++
 		req.ledger.Answered(d.loop.Now(), guard.Failed)
 		req.client.response.Fail()
@@ -43,7 +43,7 @@
 	d.loop.Defer(func() { d.finishIfIdle(req) })
 }
 
-// WatchEndpoints implements scheduler.Executor; the list comes by itself here.
+// WatchEndpoints implements scheduler.Executor. There is nothing to do: Start subscribes to discovery.
 func (d *Dispatcher) WatchEndpoints() {}
 
 // SetTimer implements scheduler.Executor: it sets one of the scheduler's two timers.
--- a/internal/platform/guard/guard.go
+++ b/internal/platform/guard/guard.go
@@ -15,7 +15,7 @@
 	"plumspindle/internal/eventloop"
 )
 
-// ViolationMessage is the log message of each violation. Whoever reads logs of dispatchers searches for it.
+// ViolationMessage is the log message of each violation. Tools that read the logs of dispatchers search for it.
 const ViolationMessage = "rule violation"
 
 // Rule is one of the promises that are checked.
@@ -31,7 +31,7 @@
 	DeadlineOverstated             // an endpoint is not given more time than the client has left
 	StateLease                     // a KV state is fetched or released within its lease
 	UnansweredClose                // no connection is closed over a request that was read
-	NotServing                     // no request is accepted before discovery was heard, or forwarded after the shutdown
+	NotServing                     // no request is accepted before discovery is ready, or after the shutdown
 	ruleCount
 )
 
--- a/internal/platform/guard/request.go
+++ b/internal/platform/guard/request.go
@@ -154,7 +154,7 @@
 	r.answered = true
 }
 
-// ClientDisconnected notes that nobody waits for the answer any more.
+// ClientDisconnected notes when the client disconnected; only the first call counts.
 func (r *Request) ClientDisconnected(now eventloop.Micros) {
 	if r.disconnectedAt == 0 {
 		r.disconnectedAt = now
--- a/internal/platform/lease.go
+++ b/internal/platform/lease.go
@@ -6,9 +6,8 @@
 	"plumspindle/scheduler"
 )
 
-// leaseShare is the part of the time in which a KV state has to be fetched or released after which an attempt that has
-// no connection yet does not get it any more: by the rule the state waits at its endpoint, and its release needs a part
-// too.
+// leaseShare is the part of the state timeout after which an attempt that has no connection yet is cancelled. The rest of
+// the timeout is needed to release the state.
 const leaseShare = 0.6
 
 // deliveryConfirmTime is how long the other side's machine may take to confirm what has just been sent.
@@ -37,7 +36,8 @@
 		}
 		return
 	}
-	// Also a prefill that broke or was cancelled may have ended well; a decode attempt that did may have left the state.
+	// Even a prefill that broke or was cancelled may have completed and left a state; a decode attempt that broke or was
+	// cancelled may not have fetched it.
 	switch {
 	case req.attempt.prefill:
 		req.lease.endpoint, req.lease.unconfirmed = req.attempt.endpoint, result.Outcome != scheduler.PrefillDone
@@ -64,8 +64,8 @@
 }
 
 // leaseExpired ends a lease that has run on while connections failed to come up or were silent. An attempt that has
-// reached its endpoint by now fetches the state; one that has not is cancelled, and to a decode attempt the state is
-// missing.
+// reached its endpoint by now fetches the state; one that has not is cancelled, and the state counts as missing for a
+// decode attempt.
 func (d *Dispatcher) leaseExpired(req *request) {
 	inFlight, number := req.attempt.inFlight, req.attempt.number()
 	if !req.lease.active || req.lease.releasing || req.attempt.cancelling || inFlight == nil || !inFlight.Undelivered() {
@@ -79,7 +79,7 @@
 	}
 	result := newResult(scheduler.NoCapacity, reasonLeaseExpired)
 	switch {
-	case !unsent: // it may arrive, or have arrived, all the same
+	case !unsent: // its endpoint may have received it, or may receive it yet
 		result = newResult(scheduler.ConnectionLost, reasonLeaseExpiredSilent)
 		result.ClosedLocally, result.StateMissing = true, true
 	case req.attempt.prefill:
--- a/internal/platform/ledger.go
+++ b/internal/platform/ledger.go
@@ -9,11 +9,11 @@
 	"plumspindle/scheduler"
 )
 
-// What the rules allow beyond the times themselves.
+// Tolerances of the guard's rules.
 const (
 	answerSlack     = 500 * eventloop.Millisecond
 	disconnectSlack = 100 * eventloop.Millisecond
-	// The platform allows 150 ms, of which a process that is suspended needs most.
+	// The platform allows 150 ms, most of which is left for a process that is suspended.
 	deadlineSlack = 10 * eventloop.Millisecond
 	leaseSlack    = 300 * eventloop.Millisecond
 )
@@ -47,19 +47,19 @@
 }
 
 // openLedger opens the guard's ledger of a request that is accepted.
-func (d *Dispatcher) openLedger(accepted *server.Request, class scheduler.ClassID) *guard.Request {
+func (d *Dispatcher) openLedger(incoming *server.Request, class scheduler.ClassID) *guard.Request {
 	if !d.discoveryReady() {
-		d.reportNotServing(accepted.ID, "accepted before discovery was heard")
+		d.reportNotServing(incoming.ID, "accepted before discovery was heard")
 	}
 	if d.lastActiveAt > 0 {
-		d.reportNotServing(accepted.ID, "accepted after the shutdown")
+		d.reportNotServing(incoming.ID, "accepted after the shutdown")
 	}
 	c := &d.settings.Scheduler.Classes[class]
 	return d.guard.Begin(guard.Terms{
-		RequestID:   accepted.ID,
+		RequestID:   incoming.ID,
 		Retry:       retryPolicies[c.Effect],
 		RetryWindow: c.Window,
-		Deadline:    accepted.ReceivedAt + accepted.Timeout,
+		Deadline:    incoming.ReceivedAt + incoming.Timeout,
 	})
 }
 
@@ -67,7 +67,7 @@
 	d.guard.Violated(guard.Violation{Rule: guard.NotServing, RequestID: requestID, Detail: detail})
 }
 
-// guardEndpoint is the endpoint of the attempt that is ordered, as it is known now.
+// guardEndpoint is the endpoint of the last attempt, as it is listed at the moment.
 func (d *Dispatcher) guardEndpoint(req *request) guard.Endpoint {
 	listed := d.endpoints[req.attempt.endpoint]
 	endpoint := guard.Endpoint{
--- a/internal/platform/request.go
+++ b/internal/platform/request.go
@@ -16,15 +16,14 @@
 )
 
 const (
-	// An id is not accepted again for so long after its request's answer: a duplicate of an open request may come when
-	// that has just ended.
+	// recentIDTime is how long an id is rejected after its request has ended: a duplicate that was sent while the
+	// request was open may arrive later than its end.
 	recentIDTime = 10 * eventloop.Second
 	// bytesPerToken estimates a prompt's length where the client does not give it.
 	bytesPerToken = 4
 )
 
-// request is what the dispatcher records of a client's request: what the scheduler does not know, and nothing that it
-// does.
+// request is the dispatcher's record of a client's request. What the scheduler records is not repeated here.
 type request struct {
 	id      scheduler.RequestID
 	class   scheduler.ClassID
@@ -38,34 +37,34 @@
 type client struct {
 	*server.Request
 	response *server.Response
-	answered bool // or nobody waits any more
+	closed   bool // it has its final answer, or has disconnected
 	reason   scheduler.Reason
 }
 
 // Handle implements server.Handler.
-func (d *Dispatcher) Handle(accepted *server.Request, response *server.Response) *server.Rejection {
-	class := slices.Index(d.settings.Classes, accepted.Class)
+func (d *Dispatcher) Handle(incoming *server.Request, response *server.Response) *server.Rejection {
+	class := slices.Index(d.settings.Classes, incoming.Class)
 	if class < 0 {
-		reason := fmt.Sprintf("unknown kind of request %.40q", accepted.Class)
+		reason := fmt.Sprintf("unknown kind of request %.40q", incoming.Class)
 		return &server.Rejection{Status: http.StatusBadRequest, Reason: reason}
 	}
-	if d.isDuplicate(accepted.ID) {
+	if d.isDuplicate(incoming.ID) {
 		return &server.Rejection{Status: http.StatusConflict, Reason: "the id is that of another request"}
 	}
-	if accepted.PromptTokens == 0 {
-		accepted.PromptTokens = float64(len(accepted.Body)) / bytesPerToken
+	if incoming.PromptTokens == 0 {
+		incoming.PromptTokens = float64(len(incoming.Body)) / bytesPerToken
 	}
 	d.lastRequest++
 	d.Accepted++
 	req := &request{
 		id:     d.lastRequest,
 		class:  scheduler.ClassID(class),
-		client: client{Request: accepted, response: response},
-		ledger: d.openLedger(accepted, scheduler.ClassID(class)),
+		client: client{Request: incoming, response: response},
+		ledger: d.openLedger(incoming, scheduler.ClassID(class)),
 	}
-	d.debugRequest(req).Str("class", accepted.Class).Int64("timeout_us", int64(accepted.Timeout)).Msg("request accepted")
+	d.debugRequest(req).Str("class", incoming.Class).Int64("timeout_us", int64(incoming.Timeout)).Msg("request accepted")
 	d.requests[req.id] = req
-	d.activeIDs[accepted.ID] = true
+	d.activeIDs[incoming.ID] = true
 	response.OnDisconnect = func() {
 		d.loop.Defer(func() { d.clientDisconnected(req) }) // never within the scheduler's own call
 	}
@@ -103,12 +102,13 @@
 	return max(xxhash.Sum64String(id), 1)
 }
 
-// clientDisconnected ends what is done for a request that nobody waits for.
+// clientDisconnected closes a request whose client has disconnected. A stream that has started is cancelled; of any other
+// attempt the scheduler decides, unless it is unsent.
 func (d *Dispatcher) clientDisconnected(req *request) {
-	if req.client.answered {
+	if req.client.closed {
 		return
 	}
-	req.client.answered = true
+	req.client.closed = true
 	d.ClientDisconnects++
 	req.ledger.ClientDisconnected(d.loop.Now())
 	d.debugRequest(req).Bool("started", req.attempt.started).Int("attempts", int(req.attempt.count)).
@@ -124,8 +124,8 @@
 	d.finishIfIdle(req)
 }
 
-// cancelUnsent cancels an attempt that has not been written and must not be, as nobody waits for it any more. That is
-// done also where the settings allow no cancellation.
+// cancelUnsent cancels an attempt of a closed request that has not been written. It does so even if the settings allow
+// no cancellation, as the endpoint has not seen the attempt.
 func (d *Dispatcher) cancelUnsent(req *request) {
 	unsent := req.attempt.inFlight != nil && req.attempt.inFlight.Unsent()
 	if unsent || req.lease.waiting != nil {
@@ -133,8 +133,8 @@
 	}
 }
 
-// finishIfIdle does, after each of the scheduler's calls, what no order comes for: a request without an attempt in
-// flight has its KV state released, and one that is answered is forgotten.
+// finishIfIdle completes a request that has no attempt in flight: its KV state is released, and after that, once the
+// request is closed, its record is dropped. The scheduler gives no orders for this, so it follows each call of it.
 func (d *Dispatcher) finishIfIdle(req *request) {
 	if req.attempt.inFlight != nil || req.lease.waiting != nil || req.lease.releasing || d.requests[req.id] != req {
 		return
@@ -143,7 +143,7 @@
 		d.release(req)
 		return
 	}
-	if req.client.answered {
+	if req.client.closed {
 		req.ledger.Closed()
 		delete(d.requests, req.id)
 		delete(d.activeIDs, req.client.ID)
@@ -151,18 +151,18 @@
 	}
 }
 
-// isDuplicate reports whether an id is that of a request that is open, or was a while ago.
+// isDuplicate reports whether an id is that of a request that is open, or has ended recently.
 func (d *Dispatcher) isDuplicate(id string) bool {
 	return d.activeIDs[id] || d.recentIDs[0][id] || d.recentIDs[1][id]
 }
 
-// expireIDs drops the ids of requests that were answered a while ago, again and again.
+// expireIDs rotates the two sets of recent ids every recentIDTime: an id is remembered for one to two of them.
 func (d *Dispatcher) expireIDs() {
 	d.recentIDs[1], d.recentIDs[0] = d.recentIDs[0], map[string]bool{}
 	d.loop.AfterFunc(recentIDTime, d.expireIDs)
 }
 
-// requestsByID are the requests in order, so that nothing depends on the order of a map.
+// requestsByID returns the requests in order of id, so that nothing depends on the order of a map.
 func (d *Dispatcher) requestsByID() []*request {
 	byID := func(a, b *request) int { return cmp.Compare(a.id, b.id) }
 	return slices.SortedFunc(maps.Values(d.requests), byID)
--- a/internal/platform/shutdown.go
+++ b/internal/platform/shutdown.go
@@ -3,10 +3,9 @@
 import "plumspindle/internal/eventloop"
 
 const (
-	// After SIGTERM new connections come for so long, and clients go on using those that they have.
+	// drainTime is how long after SIGTERM clients may still open connections and send requests on those that they have.
 	drainTime = 500 * eventloop.Millisecond
-	// Clients close their connections once they have their answers; one that does not is closed so long after the last
-	// answer.
+	// idleCloseTime is how long after the last answer connections are closed whose clients have not closed them.
 	idleCloseTime = 500 * eventloop.Millisecond
 	shutdownPoll  = 25 * eventloop.Millisecond
 )
@@ -27,7 +26,7 @@
 	})
 }
 
-// awaitIdle looks again and again until nothing is pending: no answer, no release, no byte of an answer that a slow
+// awaitIdle polls until nothing is pending: no answer, no release, no byte of an answer that a slow
 // client has not taken, and no connection on which a request may be on its way.
 func (d *Dispatcher) awaitIdle(done func()) {
 	d.loop.AfterFunc(shutdownPoll, func() {
--- a/internal/sockets/barrier.go
+++ b/internal/sockets/barrier.go
@@ -61,7 +61,7 @@
 	return &pollBarrier{loop: l, writeEnd: ends[0], readEnd: readEnd}, nil
 }
 
-// after calls f once no event of an earlier owner of any descriptor can come any more.
+// after calls f once no event of an earlier owner of any descriptor can arrive.
 func (b *pollBarrier) after(f func()) {
 	if b.inFlight {
 		b.next = append(b.next, f)
--- a/internal/sockets/conn.go
+++ b/internal/sockets/conn.go
@@ -172,7 +172,8 @@
 	c.postHandOverLocked()
 }
 
-// socketClosed records that the socket is closed. What was read before is handed over first, unless nobody wants it.
+// socketClosed records that the socket is closed. What was read before is handed over first, unless this
+// side is closing too.
 func (c *conn) socketClosed(err error) {
 	if c.ended {
 		return
--- a/internal/sockets/dial.go
+++ b/internal/sockets/dial.go
@@ -103,7 +103,7 @@
 	a.loop.barrier.after(func() { a.open(socket) })
 }
 
-// open completes the attempt, once no event of an earlier owner of the descriptor can come any more.
+// open completes the attempt, once no event of an earlier owner of the descriptor can arrive.
 func (a *dialAttempt) open(socket *nbio.Conn) {
 	c := a.conn
 	if a.endIfUnwanted() {
--- a/internal/sockets/listen.go
+++ b/internal/sockets/listen.go
@@ -16,7 +16,7 @@
 const (
 	acceptRetryDelay = 20 * time.Millisecond // after an accept that failed, as when no descriptor is left
 	drainTimeout     = 10 * time.Millisecond // for connections in the backlog when the listener is closed
-	maxDrainRetries  = 100                   // while connections wait all the same, as when the process is suspended
+	maxDrainRetries  = 100                   // while connections still wait, as when the process is suspended
 )
 
 var (
@@ -108,7 +108,7 @@
 }
 
 // handToPoller hands a connection to the poller, and opens it once no event of an earlier owner of its descriptor can
-// come any more.
+// arrive.
 func (ln *listener) handToPoller(raw net.Conn) {
 	c := &conn{loop: ln.loop, accepted: true}
 	c.handler = ln.accept(c)
