--- a/internal/platform/dispatcher.go
+++ b/internal/platform/dispatcher.go
@@ -155,8 +155,8 @@
 // MoveDiscovery watches discovery at another address.
 func (d *Dispatcher) MoveDiscovery(address string) { d.discovery.SetAddress(address) }
 
-// discoveryReady reports whether discovery has responded since the start, or has not within discoveryTimeout. Until then
-// only the cached list is known, which may name endpoints that are gone.
+// discoveryReady reports whether discovery has responded since the start, or has not within discoveryTimeout. Until
+// then only the cached list is known, which may name endpoints that are gone.
 func (d *Dispatcher) discoveryReady() bool {
 	timedOut := d.loop.Now()-d.startedAt >= discoveryTimeout
 	d.discoveryWasReady = d.discoveryWasReady || d.discovery.Connected() || timedOut
--- a/internal/platform/launch/reload.go
+++ b/internal/platform/launch/reload.go
@@ -2,8 +2,8 @@
 
 import "plumspindle/internal/eventloop"
 
-// A configuration file that can't be read for the moment is retried for 3 s: the platform expects what discovery sends at
-// its new address to be in use 4 s after SIGHUP.
+// A configuration file that can't be read for the moment is retried for 3 s: the platform expects what discovery sends
+// at its new address to be in use 4 s after SIGHUP.
 const (
 	reloadPause       = 100 * eventloop.Millisecond
 	maxReloadAttempts = 30
--- a/internal/platform/lease.go
+++ b/internal/platform/lease.go
@@ -6,8 +6,8 @@
 	"plumspindle/scheduler"
 )
 
-// leaseShare is the part of the state timeout after which an attempt that has no connection yet is cancelled. The rest of
-// the timeout is needed to release the state.
+// leaseShare is the part of the state timeout after which an attempt that has no connection yet is cancelled. The rest
+// of the timeout is needed to release the state.
 const leaseShare = 0.6
 
 // deliveryConfirmTime is how long the other side's machine may take to confirm what has just been sent.
--- a/internal/platform/request.go
+++ b/internal/platform/request.go
@@ -102,8 +102,8 @@
 	return max(xxhash.Sum64String(id), 1)
 }
 
-// clientDisconnected closes a request whose client has disconnected. A stream that has started is cancelled; of any other
-// attempt the scheduler decides, unless it is unsent.
+// clientDisconnected closes a request whose client has disconnected. A stream that has started is cancelled; of any
+// other attempt the scheduler decides, unless it is unsent.
 func (d *Dispatcher) clientDisconnected(req *request) {
 	if req.client.closed {
 		return
--- a/internal/platform/server/request.go
+++ b/internal/platform/server/request.go
@@ -125,8 +125,8 @@
 	"Proxy-Connection", deadlineField, "Te", "Trailer", "Transfer-Encoding", "Upgrade",
 }
 
-// endToEnd returns the fields that are forwarded unchanged, names and values in turn. Idempotency-Key is one of them, by
-// which endpoints drop duplicates.
+// endToEnd returns the fields that are forwarded unchanged, names and values in turn. Idempotency-Key is one of them,
+// by which endpoints drop duplicates.
 func endToEnd(head *http1.Head) (fields []string) {
 	named := strings.Split(head.Get("Connection"), ",")
 	for _, f := range head.Fields {
--- a/internal/platform/server/response.go
+++ b/internal/platform/server/response.go
@@ -23,8 +23,8 @@
 	OnWritable func()
 }
 
-// Disconnected reports whether the client has closed its connection, even if OnDisconnect has not been called yet. It is
-// true of a finished response, too.
+// Disconnected reports whether the client has closed its connection, even if OnDisconnect has not been called yet. It
+// is true of a finished response, too.
 func (r *Response) Disconnected() bool { return r.done || r.connection.conn.PeerClosed() }
 
 // finish notes that nothing more follows, and releases what is buffered of the request.
