--- a/internal/platform/auditor_test.go
+++ b/internal/platform/auditor_test.go
@@ -66,6 +66,7 @@
 
 // checkArrival checks when an attempt comes.
 func (a *auditor) checkArrival(id string, endpoint *fakeEndpoint) {
+	a.t.Helper()
 	now := endpoint.env.network.Now()
 	visitor, _, _ := strings.Cut(id, ".")
 	if at := a.disconnectedAt[visitor]; at > 0 && now > at+disconnectLatency {
@@ -81,6 +82,7 @@
 
 // checkRepeat checks an attempt against those before, and records one that may run.
 func (a *auditor) checkRepeat(id string, endpoint *fakeEndpoint, mayRun bool) {
+	a.t.Helper()
 	if endpoint.kind == a.prefillKind {
 		return
 	}
--- a/internal/platform/loopback_test.go
+++ b/internal/platform/loopback_test.go
@@ -99,9 +99,9 @@
 }
 
 // TestLoopbackEndpointThatDoesNotRead: an attempt that its endpoint does not take in is never sent completely, and goes
-// elsewhere, with side effects too; where that endpoint answers all the same, that is no answer.
+// elsewhere, with side effects too. What that endpoint responds before it has read the request is no response to it.
 func TestLoopbackEndpointThatDoesNotRead(t *testing.T) {
-	for _, speaks := range []bool{false, true} {
+	for _, responds := range []bool{false, true} {
 		reached := make(chan bool, 100)
 		config := net.ListenConfig{Control: shrinkWindow}
 		paused := newPeerWith(t, config, &peer{id: "s-1", kind: "decode"}, func(_ *peer, c net.Conn, in *bufio.Reader) {
@@ -111,7 +111,7 @@
 				return
 			}
 			reached <- true
-			if speaks {
+			if responds {
 				_, _ = io.WriteString(c, rawStreamHead+streamEvent(`{"choices":[]}`)+"0\r\n\r\n")
 			}
 			<-t.Context().Done() // it stays open, and unread
@@ -125,12 +125,12 @@
 			c, in := env.dial()
 			env.send(c, requestOf("post", fmt.Sprint(i), 250<<10))
 			if got, body := env.status(in); got != 200 || !strings.Contains(body, "Lamu") {
-				t.Errorf("speaks %v: answered %d with %.60q", speaks, got, body)
+				t.Errorf("responds %v: answered %d with %.60q", responds, got, body)
 			}
 		}
 		env.loop.Do(func() {
 			if n := env.dispatcher.Outcomes[scheduler.Unreachable]; n != 1 { // and not by the end of its state's lease
-				t.Errorf("speaks %v: outcomes %v", speaks, env.dispatcher.Outcomes)
+				t.Errorf("responds %v: outcomes %v", responds, env.dispatcher.Outcomes)
 			}
 		})
 	}
@@ -144,11 +144,13 @@
 	changes := listText(9, false, []string{drains.entry("DRAINING")})
 	older := []string{prefill.entry("SERVING"), drains.entry("SERVING"), stays.entry("SERVING")}
 	env.update(changes + "\n" + listText(8, true, older))
-	for end := time.Now().Add(10 * time.Second); time.Now().Before(end); { // until both are heard
-		heard := uint64(0)
-		env.loop.Do(func() { heard = env.dispatcher.discovery.Updates })
-		if heard == 3 {
-			break
+	updates := func() (count uint64) {
+		env.loop.Do(func() { count = env.dispatcher.discovery.Updates })
+		return count
+	}
+	for end := time.Now().Add(10 * time.Second); updates() != 3; { // the cached list and both of the above
+		if time.Now().After(end) {
+			t.Fatalf("%d lists were applied in 10 s, want 3", updates())
 		}
 	}
 	for i := range 20 {
--- a/internal/platform/server/connection.go
+++ b/internal/platform/server/connection.go
@@ -15,7 +15,7 @@
 	idle              connectionState = iota // waits for a request's first byte
 	reading                                  // a request is coming in
 	answering                                // its response is pending
-	throttled                                // the client sent what can't be used, and is not served for a while
+	penalized                                // the client sent what can't be used, and is not served for a while
 	rejectingOverflow                        // pipelined requests that were not buffered are answered
 	closing                                  // nothing more is read
 )
@@ -163,7 +163,7 @@
 func (c *connection) Data(data []byte) {
 	switch c.state {
 	case closing:
-	case answering, throttled:
+	case answering, penalized:
 		c.readPipelined(data)
 	case rejectingOverflow:
 		c.readOverflow(data)
@@ -210,8 +210,8 @@
 	c.dropRequest()
 	c.server.Rejected++
 	if c.writeResponse(shortResponse{status: r.Status, text: r.Reason}, c.staysOpen(), AfterResponse) {
-		c.state = throttled
-		c.wait.Set(c.server.loop, throttleTime, c.next)
+		c.state = penalized
+		c.wait.Set(c.server.loop, penaltyTime, c.next)
 	}
 }
 
--- a/internal/platform/server/server.go
+++ b/internal/platform/server/server.go
@@ -37,9 +37,9 @@
 }
 
 const (
-	// throttleTime is how long a client is not served that sent an unusable request: one that repeats it at once would
+	// penaltyTime is how long a client is not served that sent an unusable request: one that repeats it at once would
 	// take up the time of all others.
-	throttleTime = 100 * eventloop.Millisecond
+	penaltyTime = 100 * eventloop.Millisecond
 	// busyIdleRetry is the time after which an idle connection is checked again that could not be closed, as something
 	// had just arrived on it.
 	busyIdleRetry = 50 * eventloop.Millisecond
