--- a/internal/platform/connections_test.go
+++ b/internal/platform/connections_test.go
@@ -81,12 +81,12 @@
 		t.Errorf("%d and %d connections", env.endpoints[0].opened, env.endpoints[1].opened)
 	}
 	env.network.Run(10 * eventloop.Second)
-	if env.dispatcher.upstream.Connections() != 2 {
-		t.Errorf("%d connections after 10 s", env.dispatcher.upstream.Connections())
+	if env.dispatcher.engine.Connections() != 2 {
+		t.Errorf("%d connections after 10 s", env.dispatcher.engine.Connections())
 	}
 	env.network.Run(7 * eventloop.Second)
-	if env.dispatcher.upstream.Connections() != 0 { // endpoints close them after 30 s
-		t.Errorf("%d connections after 17 s", env.dispatcher.upstream.Connections())
+	if env.dispatcher.engine.Connections() != 0 { // endpoints close them after 30 s
+		t.Errorf("%d connections after 17 s", env.dispatcher.engine.Connections())
 	}
 }
 
@@ -102,7 +102,7 @@
 		if got := env.finalStatus(client); got != 200 {
 			t.Fatalf("answered %d", got)
 		}
-		if n := env.dispatcher.upstream.Connections(); n > 8 {
+		if n := env.dispatcher.engine.Connections(); n > 8 {
 			t.Fatalf("%d connections of 8", n)
 		}
 	}
@@ -143,7 +143,7 @@
 		}
 	}
 	env.network.Run(70 * eventloop.Second)
-	if n := env.dispatcher.upstream.EndpointCount(); n > 4 {
+	if n := env.dispatcher.engine.EndpointCount(); n > 4 {
 		t.Errorf("%d endpoints are still known to the engine", n)
 	}
 	if n := env.dispatcher.server.Connections(); n > 0 {
--- a/internal/platform/dispatcher.go
+++ b/internal/platform/dispatcher.go
@@ -59,6 +59,7 @@
 	config    Config
 	settings  *settings.Settings
 	scheduler *scheduler.Scheduler
+	engine    *engine.Engine // connections to endpoints
 	upstream  *upstream.Client
 	server    *server.Server
 	discovery *discovery.Watcher
@@ -102,7 +103,8 @@
 	schedulerConfig.IdleTimeout /= 2
 	d.guard = d.newGuard()
 	limits := upstreamLimits(d.settings, config.Sockets, schedulerConfig.IdleTimeout)
-	d.upstream = upstream.New(loop, engine.New(loop, config.Name, "", limits), upstream.Options{
+	d.engine = engine.New(loop, config.Name, "", limits)
+	d.upstream = upstream.New(loop, d.engine, upstream.Options{
 		StateTimeout:    d.settings.StateTimeout,
 		ReadyEndpoints:  func() []scheduler.EndpointID { return d.ready },
 		ListedEndpoints: d.listedEndpoints,
--- a/internal/platform/endpoints.go
+++ b/internal/platform/endpoints.go
@@ -26,11 +26,11 @@
 	d.scheduler.EndpointUpdateEnded(d.loop.Now(), full)
 	for _, e := range entries {
 		if e.State == scheduler.Removed {
-			d.upstream.RemoveEndpoint(e.ID)
+			d.engine.RemoveEndpoint(e.ID)
 		}
 	}
 	if full {
-		d.upstream.RetainEndpoints(listed)
+		d.engine.RetainEndpoints(listed)
 	}
 }
 
@@ -40,7 +40,7 @@
 		delete(d.endpoints, entry.ID)
 	} else {
 		d.endpoints[entry.ID] = entry
-		d.upstream.SetAddress(entry.ID, entry.Addr)
+		d.engine.SetAddress(entry.ID, entry.Addr)
 	}
 	d.config.Log.Debug().Str("endpoint", entry.Name).Uint32("endpoint_id", uint32(entry.ID)).Str("address", entry.Addr).
 		Str("kind", entry.Kind).Str("zone", entry.Zone).Uint16("cell", uint16(entry.Cell)).Int("state", int(entry.State)).
--- a/internal/platform/shutdown.go
+++ b/internal/platform/shutdown.go
@@ -44,7 +44,7 @@
 			return
 		}
 		d.discovery.Close()
-		d.upstream.Close()
+		d.engine.Close()
 		done()
 	})
 }
--- a/internal/platform/summary.go
+++ b/internal/platform/summary.go
@@ -48,7 +48,7 @@
 	return Summary{
 		InFlight:            d.scheduler.InFlight(),
 		ClientConnections:   d.server.Connections(),
-		EndpointConnections: d.upstream.Connections(),
+		EndpointConnections: d.engine.Connections(),
 		UnsentBytes:         d.server.Unsent(),
 		BufferedBytes:       d.server.Buffered(),
 		ReadyEndpoints:      len(d.ready),
--- a/internal/platform/upstream/release.go
+++ b/internal/platform/upstream/release.go
@@ -44,7 +44,7 @@
 	c.Releases++
 	now := c.loop.Now()
 	r := &release{client: c, id: id, done: done, began: now, tried: map[scheduler.EndpointID]bool{}}
-	if c.IdleConnections(first) == 0 || now-c.LastReceived(first) > c.options.StateTimeout {
+	if c.connections.IdleConnections(first) == 0 || now-c.connections.LastReceived(first) > c.options.StateTimeout {
 		first = r.next(first)
 	}
 	r.send(first)
@@ -57,7 +57,7 @@
 	best, bestRank, bestReceived := fallback, -1, eventloop.Micros(0)
 	for _, id := range r.candidates() {
 		rank := r.rank(id)
-		received := r.client.LastReceived(id)
+		received := r.client.connections.LastReceived(id)
 		if rank > bestRank || rank == bestRank && received > bestReceived {
 			best, bestRank, bestReceived = id, rank, received
 		}
@@ -77,7 +77,7 @@
 	if !r.tried[id] {
 		rank += 2
 	}
-	if r.client.IdleConnections(id) > 0 {
+	if r.client.connections.IdleConnections(id) > 0 {
 		rank++
 	}
 	return rank
@@ -111,7 +111,7 @@
 		BuildRequest:    r.write,
 	}
 	var attempt *engine.Attempt
-	attempt = c.Call(id, call, c.options.StateTimeout, engine.Callbacks{
+	attempt = c.connections.Call(id, call, c.options.StateTimeout, engine.Callbacks{
 		Ended: func(result engine.Result) { r.attemptEnded(attempt, result) },
 	})
 	r.attempts = append(r.attempts, attempt)
--- a/internal/platform/upstream/upstream.go
+++ b/internal/platform/upstream/upstream.go
@@ -52,16 +52,17 @@
 
 // Client makes the attempts and releases of one dispatcher.
 type Client struct {
-	*engine.Engine
 	Counts
 
-	loop    eventloop.Loop
-	options Options
+	loop        eventloop.Loop
+	connections *engine.Engine
+	options     Options
 }
 
-// New makes a client that sends over an engine's connections.
+// New makes a client that sends over an engine's connections. The caller gives the engine the endpoints' addresses, and
+// closes it.
 func New(loop eventloop.Loop, connections *engine.Engine, options Options) *Client {
-	return &Client{Engine: connections, loop: loop, options: options}
+	return &Client{loop: loop, connections: connections, options: options}
 }
 
 // Prefill sends a prompt to be processed, in the time allowed. It does not call back before it has returned.
@@ -74,7 +75,7 @@
 		MaxResponseBody: maxResponse,
 		SendWithin:      request.SendTimeout,
 	}
-	return c.Call(id, call, allowed, callbacks)
+	return c.connections.Call(id, call, allowed, callbacks)
 }
 
 // Decode sends a request whose response is streamed, in the time allowed until the first event. It does not call back
@@ -89,7 +90,7 @@
 		MaxResponseBody: maxResponse,
 		SendWithin:      request.SendTimeout,
 	}
-	return c.Call(id, call, allowed, callbacks)
+	return c.connections.Call(id, call, allowed, callbacks)
 }
 
 // write encodes the request for an endpoint, with the time that remains for it.
