--- a/internal/platform/attempt_test.go
+++ b/internal/platform/attempt_test.go
@@ -22,12 +22,12 @@
 // rawStreamBody is a stream of one event, to its last chunk.
 var rawStreamBody = string(http1.AppendLastChunk(http1.AppendChunk(nil, sse.Append(nil, []byte(tokenEvent)))))
 
-// sendRaw sends a text as it is.
+// sendRaw sends a text that need not be HTTP.
 func sendRaw(text string) func(*endpointConn) {
 	return func(conn *endpointConn) { conn.socket.Write([]byte(text)) }
 }
 
-// sendAfterStart starts a stream with an event and sends a text as it is.
+// sendAfterStart starts a stream with an event and sends a text that need not be HTTP.
 func sendAfterStart(text string) func(*endpointConn) {
 	return func(conn *endpointConn) {
 		conn.stream(tokenEvent)
@@ -239,7 +239,7 @@
 			if answered {
 				return
 			}
-			answered = true // it takes in what its window takes, reads nothing, and answers all the same
+			answered = true // its window takes a part, it reads nothing and answers nevertheless
 			conn.socket.Pause(true)
 			endpoint.loop.AfterFunc(10*eventloop.Millisecond, func() {
 				conn.stream(`{"choices":[]}`)
--- a/internal/platform/attempt_timing_test.go
+++ b/internal/platform/attempt_timing_test.go
@@ -37,8 +37,8 @@
 	}
 }
 
-// TestAttemptExpiresBehindSlowRelease: an attempt that waited longer for a release than for any connection is not sent
-// any more, as by then what was checked when it was ordered may no longer hold.
+// TestAttemptExpiresBehindSlowRelease: an attempt that waited for a release for longer than the connect timeout is not
+// sent, as what was checked when it was ordered may no longer hold.
 func TestAttemptExpiresBehindSlowRelease(t *testing.T) {
 	env := newTestEnv(t, 256, usualEndpoints...)
 	serveAll(env.decodeEndpoints(), serveFirst(decline(410), serveDecode))
--- a/internal/platform/connections_test.go
+++ b/internal/platform/connections_test.go
@@ -90,7 +90,7 @@
 	}
 }
 
-// TestTotalConnectionLimit: idle connections to some endpoints make way for those to others.
+// TestTotalConnectionLimit: idle connections to some endpoints are closed to open connections to others.
 func TestTotalConnectionLimit(t *testing.T) {
 	var many []string
 	for range 10 {
--- a/internal/platform/disconnect_test.go
+++ b/internal/platform/disconnect_test.go
@@ -62,8 +62,8 @@
 	}
 }
 
-// TestEventsInOnePollRound: what a client and an endpoint send is heard in one round, in either order: nothing is left
-// behind, and no attempt begins after the close was heard.
+// TestEventsInOnePollRound: what a client and an endpoint send is handed over in one round, in either order: nothing is
+// left behind, and no attempt begins after the close was handed over.
 func TestEventsInOnePollRound(t *testing.T) {
 	const pause = 50 * eventloop.Millisecond
 	for name, arrive := range map[string]func(env *testEnv, client *testClient, conn *endpointConn){
@@ -129,7 +129,7 @@
 	env.requireIdle()
 }
 
-// TestSlowClientDisconnects: a client's disconnect is heard while its stream is slowed for it.
+// TestSlowClientDisconnects: a client's disconnect is noticed while its stream is slowed for it.
 func TestSlowClientDisconnects(t *testing.T) {
 	env := newTestEnv(t, 256, "prefill", "decode")
 	env.network.ReceiveWindow = 4 << 10
--- a/internal/platform/discovery_test.go
+++ b/internal/platform/discovery_test.go
@@ -149,9 +149,9 @@
 	}
 }
 
-// TestReadyOnceDiscoverySpoke: a new process does not begin with the list of before where the agent has a better one,
-// and does where discovery is away.
-func TestReadyOnceDiscoverySpoke(t *testing.T) {
+// TestReadyOnceDiscoveryResponds: a new process does not use the cached list where the agent has a newer one, and does
+// where discovery does not respond.
+func TestReadyOnceDiscoveryResponds(t *testing.T) {
 	env := newTestEnv(t, 256, usualEndpoints...)
 	env.agent.silent, env.agent.watches = true, nil
 	env.restart()
@@ -230,7 +230,7 @@
 	}
 }
 
-// TestWhenDiscoveryReady: no request is accepted before discovery has spoken or has had its chance to.
+// TestWhenDiscoveryReady: no request is accepted before discovery has responded or has had its time to.
 func TestWhenDiscoveryReady(t *testing.T) {
 	for _, away := range []bool{false, true} {
 		env := newTestEnv(t, 256, usualEndpoints...)
--- a/internal/platform/drain_test.go
+++ b/internal/platform/drain_test.go
@@ -75,7 +75,7 @@
 	env.network.Latency = 40 * eventloop.Millisecond
 	client := env.sendRequest("post")
 	env.waitFor(eventloop.Second, "the decode attempt's connection", func() bool { return slow.opened > 0 })
-	// The endpoint has accepted; the dispatcher hears of it only one way later. The drain is there before.
+	// The endpoint has accepted; the dispatcher learns of that one latency later, and of the drain before that.
 	env.network.Latency = 10 * eventloop.Millisecond
 	env.agent.update(false, slow.entry("DRAINING"), other.entry("SERVING"))
 	if got := env.finalStatus(client); got != 200 || slow.count("POST") != 0 || other.count("POST") != 1 {
--- a/internal/platform/launch/descriptors_test.go
+++ b/internal/platform/launch/descriptors_test.go
@@ -106,8 +106,8 @@
 	return nil
 }
 
-// TestFollowsDiscoveryWithoutFreeDescriptors: a dispatcher whose clients occupy all descriptors still hears what
-// discovery has: it reads a new configuration, follows it, and opens a watch anew that was reset.
+// TestFollowsDiscoveryWithoutFreeDescriptors: a dispatcher whose clients occupy all descriptors still follows
+// discovery: it reads a new configuration, follows it, and opens a watch anew that was reset.
 func TestFollowsDiscoveryWithoutFreeDescriptors(t *testing.T) {
 	before, after := newWatchedAgent(t), newWatchedAgent(t)
 	listen := freeAddress(t)
--- a/internal/platform/lease_test.go
+++ b/internal/platform/lease_test.go
@@ -156,7 +156,7 @@
 	}
 	env.network.Run(300 * eventloop.Millisecond)
 	spoke := env.endpoints[0].count("POST")
-	// Until one endpoint speaks, the affinity endpoint of a prefix.
+	// Until one endpoint has sent something, the affinity endpoint of a prefix.
 	for i := 0; i < 20 && env.endpoints[0].count("POST") == spoke; i++ {
 		env.sendRequest("explain", "Req-Extra", "prefix="+strconv.Itoa(i)+",prompt_len=512,prefix_len=256,max_out=80")
 		env.network.Run(5 * eventloop.Millisecond)
--- a/internal/platform/loopback_env_test.go
+++ b/internal/platform/loopback_env_test.go
@@ -183,6 +183,19 @@
 	}
 }
 
+// waitFor polls until a condition holds, and fails the test if it does not in time. The condition runs in the loop.
+func (env *loopback) waitFor(what string, holds func() bool) {
+	env.t.Helper()
+	for end := time.Now().Add(10 * time.Second); time.Now().Before(end); {
+		satisfied := false
+		env.loop.Do(func() { satisfied = holds() })
+		if satisfied {
+			return
+		}
+	}
+	env.t.Fatalf("not in 10 s: %s", what)
+}
+
 func (env *loopback) dial() (net.Conn, *bufio.Reader) {
 	env.t.Helper()
 	dialer := net.Dialer{Control: shrinkWindow}
--- a/internal/platform/loopback_test.go
+++ b/internal/platform/loopback_test.go
@@ -20,13 +20,7 @@
 	text := requestOf("post", "half", 100)
 	c, in := env.dial()
 	env.send(c, text[:len(text)-10])
-	for end := time.Now().Add(10 * time.Second); time.Now().Before(end); { // until it is read
-		active := 0
-		env.loop.Do(func() { active = env.dispatcher.server.Active() })
-		if active > 0 {
-			break
-		}
-	}
+	env.waitFor("the first bytes are read", func() bool { return env.dispatcher.server.Active() > 0 })
 	env.shutDown()
 	env.await("the shutdown", env.drained)
 	env.send(c, text[len(text)-10:])
@@ -77,13 +71,7 @@
 	if _, err := in.Peek(1); err != nil {
 		t.Fatal(err)
 	}
-	for end := time.Now().Add(10 * time.Second); time.Now().Before(end); { // until the endpoint has finished
-		open := 1
-		env.loop.Do(func() { open = len(env.dispatcher.requests) })
-		if open == 0 {
-			break
-		}
-	}
+	env.waitFor("the endpoint has finished", func() bool { return len(env.dispatcher.requests) == 0 })
 	env.shutDown()
 	env.await("the shutdown", env.drained)
 	select { // it reads nothing for longer than the process would wait without it
@@ -144,15 +132,8 @@
 	changes := listText(9, false, []string{drains.entry("DRAINING")})
 	older := []string{prefill.entry("SERVING"), drains.entry("SERVING"), stays.entry("SERVING")}
 	env.update(changes + "\n" + listText(8, true, older))
-	updates := func() (count uint64) {
-		env.loop.Do(func() { count = env.dispatcher.discovery.Updates })
-		return count
-	}
-	for end := time.Now().Add(10 * time.Second); updates() != 3; { // the cached list and both of the above
-		if time.Now().After(end) {
-			t.Fatalf("%d lists were applied in 10 s, want 3", updates())
-		}
-	}
+	const updates = 3 // the cached list and both of the above
+	env.waitFor("the lists are applied", func() bool { return env.dispatcher.discovery.Updates == updates })
 	for i := range 20 {
 		c, in := env.dial()
 		env.send(c, requestOf("post", fmt.Sprint(i), 100))
--- a/internal/platform/request_test.go
+++ b/internal/platform/request_test.go
@@ -7,7 +7,7 @@
 	"testing"
 )
 
-// TestRequestIsServedUnchanged: what client and endpoints send each other passes as it is.
+// TestRequestIsServedUnchanged: what client and endpoints send each other is forwarded unchanged.
 func TestRequestIsServedUnchanged(t *testing.T) {
 	env := newTestEnv(t, 256, usualEndpoints...)
 	client := env.sendRequest("explain", "Req-Id", "00ABcdef.x-1")
@@ -58,7 +58,7 @@
 	}
 }
 
-// TestBadRequests: each gets an error or a close within 3 s and never reaches a endpoint.
+// TestBadRequests: each gets an error or a close within 3 s and never reaches an endpoint.
 func TestBadRequests(t *testing.T) {
 	env := newTestEnv(t, 256, usualEndpoints...)
 	good := env.requestText("explain")
@@ -137,7 +137,7 @@
 	}
 }
 
-// TestBytesCutAnywhere: it is all the same however bytes are cut on their way.
+// TestBytesCutAnywhere: the result is the same wherever bytes are cut on their way.
 func TestBytesCutAnywhere(t *testing.T) {
 	for _, most := range []int{1, 3, 50} {
 		env := newTestEnv(t, 256, usualEndpoints...)
@@ -155,8 +155,8 @@
 	}
 }
 
-// TestThrottledAfterRejection: a client that repeats what can't be used is not read for a while.
-func TestThrottledAfterRejection(t *testing.T) {
+// TestPenaltyAfterRejection: a client that repeats what can't be used is not read for a while.
+func TestPenaltyAfterRejection(t *testing.T) {
 	env := newTestEnv(t, 256, usualEndpoints...)
 	bad := env.requestText("nonsense")
 	began := env.network.Now()
@@ -167,9 +167,8 @@
 	}
 }
 
-// TestHeaderFieldsAreForwarded: a endpoint gets the fields that the client sent, as the key by which repeats are
-// dropped, but for those that speak of the client's own connection; and the time that is left in place of the
-// client's.
+// TestHeaderFieldsAreForwarded: an endpoint gets the fields that the client sent, such as the idempotency key, except
+// those of the client's own connection. Its deadline is the time that remains of the client's.
 func TestHeaderFieldsAreForwarded(t *testing.T) {
 	env := newTestEnv(t, 256, usualEndpoints...)
 	text := strings.Replace(env.requestText("explain", "Req-Id", "77"), "Host: ", "Idempotency-Key: fc46\r\n"+
@@ -199,8 +198,8 @@
 	}
 }
 
-// TestPipelinedRequestDeadline: a request sent behind another counts its time from when it came, not from when its
-// turn comes.
+// TestPipelinedRequestDeadline: the time of a pipelined request counts from when it arrived, not from when its turn
+// comes.
 func TestPipelinedRequestDeadline(t *testing.T) {
 	env := newTestEnv(t, 256, usualEndpoints...)
 	serveSlowly := func(conn *endpointConn) {
--- a/internal/platform/server/harness_test.go
+++ b/internal/platform/server/harness_test.go
@@ -30,7 +30,7 @@
 	}
 	select {
 	case h.waiting <- response:
-	default: // nobody asks for so many
+	default: // no test asks for so many
 	}
 	return nil
 }
--- a/internal/platform/server/pipeline_test.go
+++ b/internal/platform/server/pipeline_test.go
@@ -8,7 +8,7 @@
 	"testing"
 )
 
-// TestDisconnectBehindPipelinedInput: a client's disconnect is heard at once, however much it sent behind the request
+// TestDisconnectBehindPipelinedInput: a client's disconnect is noticed at once, however much it sent behind the request
 // that waits, also more than the sockets and the server take in.
 func TestDisconnectBehindPipelinedInput(t *testing.T) {
 	for _, size := range []int{0, 40 << 10, 900 << 10, 12 << 20} {
--- a/internal/platform/server/request_test.go
+++ b/internal/platform/server/request_test.go
@@ -51,7 +51,7 @@
 	}
 	forwarded := request.Target + strings.Join(request.Fields, "")
 	if strings.ContainsAny(forwarded, "\r\n") || strings.Contains(request.ID, "/") {
-		c.t.Errorf("a field that can't be forwarded as it is: %+v", request)
+		c.t.Errorf("a field that can't be forwarded unchanged: %+v", request)
 	}
 	return nil
 }
--- a/internal/platform/shutdown_test.go
+++ b/internal/platform/shutdown_test.go
@@ -202,7 +202,7 @@
 }
 
 // TestUnusedConnectionAtShutdown: a connection that was opened before the shutdown, and brings its first request only
-// when the process has nothing else to do any more, is answered or closed unread, whatever the moment.
+// when nothing else is pending, is answered or closed unread, whatever the moment.
 func TestUnusedConnectionAtShutdown(t *testing.T) {
 	for after := drainTime; after < drainTime+2*eventloop.Second; after += 20 * eventloop.Millisecond {
 		env := newTestEnv(t, 256, usualEndpoints...)
--- a/internal/sockets/close_test.go
+++ b/internal/sockets/close_test.go
@@ -69,7 +69,7 @@
 	if turns != 1 {
 		t.Errorf("%d turns were handed over", turns)
 	}
-	// The client does not close: the connection ends all the same.
+	// The client does not close: the connection ends nevertheless.
 	waitFor(t, "the server's closing", server.closed)
 	_ = c.SetDeadline(time.Now().Add(30 * time.Second))
 	for err = nil; err == nil; {
--- a/internal/sockets/conn_test.go
+++ b/internal/sockets/conn_test.go
@@ -23,8 +23,8 @@
 	})
 }
 
-// A close reaches the other side also while a child process runs. Otherwise dispatchers that a scenario restarts left
-// their endpoints' connections open, and attempts were sent on them to nobody.
+// A close reaches the other side also while a child process runs. Otherwise a connection would seem open after its
+// process has ended, as where a scenario restarts one, and requests sent on it would be lost.
 func TestChildProcessesDoNotKeepConnectionsOpen(t *testing.T) {
 	for _, test := range []struct {
 		name  string
@@ -145,11 +145,11 @@
 	answered := 0
 	clientLoop.Do(func() {
 		for i := range connections {
-			word := fmt.Sprint("word ", i)
+			greeting := fmt.Sprint("greeting ", i)
 			client := newRecorder()
-			client.onOpened = func(r *recorder) { r.conn.Write([]byte(word)) }
+			client.onOpened = func(r *recorder) { r.conn.Write([]byte(greeting)) }
 			client.onData = func(r *recorder) {
-				if string(r.data) != word {
+				if string(r.data) != greeting {
 					return
 				}
 				if answered++; answered == connections {
--- a/internal/sockets/reserve_test.go
+++ b/internal/sockets/reserve_test.go
@@ -117,7 +117,7 @@
 	return n
 }
 
-// ask sends a word on a connection of its own and returns the answer, or the text of an error.
+// ask sends a few bytes on a connection of its own and returns the answer, or the text of an error.
 func (s *limitedServer) ask() string {
 	c, err := net.DialTimeout("tcp", s.addr, time.Second)
 	if err != nil {
