--- a/internal/testbed/soak/audit.go
+++ b/internal/testbed/soak/audit.go
@@ -7,16 +7,27 @@
 	"time"
 )
 
-// What the audit allows beyond the rules' own times, as processes share a machine that may be busy.
+// What the audit allows, beyond the rules' own times, as processes share a machine that may be busy.
 const (
-	slack        = 300 * time.Millisecond
-	letGoBy      = 500 * time.Millisecond
-	heldSlack    = 300 * time.Millisecond
-	repeatWindow = time.Second
-	drainTold    = 6 * time.Second        // after which a change counts as told, whether or not it arrived
-	drainGrace   = 300 * time.Millisecond // for what is on its way when a drain is told
-	goneFor      = 100 * time.Millisecond
-	toldSlack    = 150 * time.Millisecond
+	slack           = 300 * time.Millisecond
+	stateLease      = 500 * time.Millisecond // within which what a prefill left is used or released
+	maxStateTime    = stateLease + 300*time.Millisecond + slack
+	repeatWindow    = time.Second
+	drainKnownAfter = 6 * time.Second        // after which a drain counts as known, whether or not its update arrived
+	drainGrace      = 300 * time.Millisecond // for what is on its way when a drain is known
+	disconnectGrace = 100 * time.Millisecond // for what is on its way when a client closes
+	deadlineSlack   = 150 * time.Millisecond // of the time that an endpoint is given
+)
+
+// Names of the rules.
+const (
+	ruleOneAnswer      = "one answer"
+	ruleRepeatedEffect = "repeated effect"
+	ruleClientGone     = "client gone"
+	ruleDeadline       = "time told"
+	ruleState          = "held state"
+	ruleDrain          = "unwanted send"
+	ruleCrash          = "crash"
 )
 
 // Finding is a rule that the events show to be broken.
@@ -24,219 +35,212 @@
 
 func (f Finding) String() string { return f.Rule + ": " + f.Text }
 
-// trail is all that was seen of one request.
-type trail struct {
-	sent, left, final *Event
-	arrived, ran      []Event
-	held, released    []Event
+// requestTrail is all that was seen of one request.
+type requestTrail struct {
+	id                 string
+	sent, left, final  *Event
+	arrived, ran       []Event
+	reserved, released []Event
 }
 
-// Audit is what all processes saw.
+// Audit checks the rules against what all processes saw.
 type Audit struct {
-	events   []Event
-	trails   map[string]*trail
-	order    []string
+	events   []Event // in the order of their times
+	trails   map[string]*requestTrail
+	order    []*requestTrail // in the order of their first events
 	findings []Finding
 }
 
-// NewAudit puts the events in order.
+// NewAudit sorts the events by time and by request.
 func NewAudit(events []Event) *Audit {
-	a := &Audit{events: events, trails: map[string]*trail{}}
+	a := &Audit{events: events, trails: map[string]*requestTrail{}}
 	slices.SortStableFunc(a.events, func(x, y Event) int { return cmp.Compare(x.At, y.At) })
 	for i := range a.events {
-		a.follow(&a.events[i])
+		if event := &a.events[i]; event.ID != "" {
+			a.addToTrail(event)
+		}
 	}
 	return a
 }
 
-func (a *Audit) follow(e *Event) {
-	if e.ID == "" {
-		return
-	}
-	t := a.trails[e.ID]
+func (a *Audit) addToTrail(event *Event) {
+	t := a.trails[event.ID]
 	if t == nil {
-		t = &trail{}
-		a.trails[e.ID] = t
-		a.order = append(a.order, e.ID)
+		t = &requestTrail{id: event.ID}
+		a.trails[event.ID] = t
+		a.order = append(a.order, t)
 	}
-	switch e.Kind {
+	switch event.Kind {
 	case Sent:
-		t.sent = e
+		t.sent = event
 	case Left:
-		t.left = e
+		t.left = event
 	case Answered, Broken, Lost:
 		if t.final != nil {
-			a.found("one answer", "%s was ended twice", e.ID)
+			a.addFinding(ruleOneAnswer, "%s was ended twice", event.ID)
 		}
-		t.final = e
+		t.final = event
 	case Arrived:
-		t.arrived = append(t.arrived, *e)
+		t.arrived = append(t.arrived, *event)
 	case Ran:
-		t.ran = append(t.ran, *e)
+		t.ran = append(t.ran, *event)
 	case Reserved:
-		t.held = append(t.held, *e)
+		t.reserved = append(t.reserved, *event)
 	case Released:
-		t.released = append(t.released, *e)
+		t.released = append(t.released, *event)
 	}
 }
 
-func (a *Audit) found(rule, format string, arguments ...any) {
-	a.findings = append(a.findings, Finding{rule, fmt.Sprintf(format, arguments...)})
+func (a *Audit) addFinding(rule, format string, arguments ...any) {
+	a.findings = append(a.findings, Finding{Rule: rule, Text: fmt.Sprintf(format, arguments...)})
 }
 
-// Judge holds the rules against the events.
+// sentRequests is how many requests were sent completely.
+func (a *Audit) sentRequests() (count int) {
+	for _, t := range a.order {
+		if t.sent != nil {
+			count++
+		}
+	}
+	return count
+}
+
+// Judge checks all rules.
 func (a *Audit) Judge() []Finding {
-	for _, id := range a.order {
-		t := a.trails[id]
+	for _, t := range a.order {
 		if t.sent == nil {
 			continue // half a request, or one that was cut off as it was written
 		}
-		a.judgeAnswer(id, t)
-		a.judgeEffects(id, t)
-		a.judgeClient(id, t)
-		a.judgeHeld(id, t)
+		a.checkAnswer(t)
+		a.checkEffects(t)
+		a.checkAttempts(t)
+		a.checkReservedState(t)
 	}
-	a.judgeDrains()
+	a.checkDrains()
 	return a.findings
 }
 
-// judgeAnswer: one final answer in time, but where the dispatcher was killed.
-func (a *Audit) judgeAnswer(id string, t *trail) {
+// checkAnswer checks that there is one final answer in time, unless the dispatcher was killed.
+func (a *Audit) checkAnswer(t *requestTrail) {
 	if t.left != nil {
 		return
 	}
 	if t.final == nil {
-		a.found("one answer", "%s has no end", id)
+		a.addFinding(ruleOneAnswer, "%s has no end", t.id)
 		return
 	}
 	took := time.Duration(t.final.At-t.sent.Value) * time.Microsecond
 	switch {
-	case t.final.Kind == Lost && a.killed(t.sent.Dispatcher, t.sent.At, t.final.At):
-	case t.final.Kind == Lost && t.final.Text == "closed" && t.sent.Text == restingConnection && len(t.arrived) == 0: // it crossed the close of a resting connection
+	case t.final.Kind == Lost && a.dispatcherKilled(t.sent.Dispatcher, t.sent.At, t.final.At):
+	case t.crossedClose():
 	case t.final.Kind == Lost:
-		a.found("one answer", "%s (%s) to %s was lost after %d ms: %s; %d attempts arrived", id, t.sent.Class, t.sent.Dispatcher, took.Milliseconds(), t.final.Text, len(t.arrived))
-	case t.final.Kind == Answered && t.final.Status != 200 && took > deadline+500*time.Millisecond+slack:
-		a.found("one answer", "%s was answered %d after %d ms", id, t.final.Status, took.Milliseconds())
+		a.addFinding(ruleOneAnswer, "%s (%s) to %s was lost after %d ms: %s; %d attempts arrived", t.id, t.sent.Class,
+			t.sent.Dispatcher, took.Milliseconds(), t.final.Text, len(t.arrived))
+	case t.final.Kind == Answered && t.final.Status != 200 && took > lateAnswer+slack:
+		a.addFinding(ruleOneAnswer, "%s was answered %d after %d ms", t.id, t.final.Status, took.Milliseconds())
 	}
 }
 
-// killed tells whether a dispatcher was killed while a request was open there; what it ends with after a stop is its own.
-func (a *Audit) killed(dispatcher string, from, to int64) bool {
-	return slices.ContainsFunc(a.events, func(e Event) bool {
-		return e.Kind == Killed && e.Dispatcher == dispatcher && e.At >= from-int64(slack.Microseconds()) && e.At <= to
-	})
+// crossedClose is true for a request on a reused connection that crossed the dispatcher's close of it.
+func (t *requestTrail) crossedClose() bool {
+	return t.final.Kind == Lost && t.final.Text == closedConnection && t.sent.Text == reusedConnection &&
+		len(t.arrived) == 0
 }
 
-// judgeEffects: nothing runs twice that may not, and a rejection means that nothing has run.
-func (a *Audit) judgeEffects(id string, t *trail) {
-	if t.sent.Class == "chat" {
+// checkEffects checks that nothing runs twice that may not, and that a rejection means that nothing has run.
+func (a *Audit) checkEffects(t *requestTrail) {
+	if t.sent.Class == idempotentClass || len(t.ran) == 0 {
 		return
 	}
-	for i, e := range t.ran {
-		if i == 0 {
-			continue
-		}
-		if after := time.Duration(e.Value-t.ran[0].Value) * time.Microsecond; t.sent.Class == "post" || after > repeatWindow {
-			a.found("repeated effect", "%s (%s) ran at %s, and %d ms later at %s", id, t.sent.Class, t.ran[0].Endpoint, after.Milliseconds(), e.Endpoint)
+	first := t.ran[0]
+	for _, again := range t.ran[1:] {
+		after := time.Duration(again.Value-first.Value) * time.Microsecond
+		if t.sent.Class == nonIdempotentClass || after > repeatWindow {
+			a.addFinding(ruleRepeatedEffect, "%s (%s) ran at %s, and %d ms later at %s",
+				t.id, t.sent.Class, first.Endpoint, after.Milliseconds(), again.Endpoint)
 		}
 	}
-	if f := t.final; f != nil && f.Kind == Answered && f.Status == 503 && len(t.ran) > 0 {
-		a.found("repeated effect", "%s (%s) was rejected as safe to repeat and had run at %s", id, t.sent.Class, t.ran[0].Endpoint)
+	if t.final != nil && t.final.Kind == Answered && t.final.Status == 503 {
+		a.addFinding(ruleRepeatedEffect, "%s (%s) was rejected as safe to repeat and had run at %s",
+			t.id, t.sent.Class, first.Endpoint)
 	}
 }
 
-// judgeClient: nothing begins after a client's close, and no host is told more time than is left.
-func (a *Audit) judgeClient(id string, t *trail) {
-	for _, e := range t.arrived {
-		if t.left != nil && e.At > t.left.At+(goneFor+slack).Microseconds() {
-			a.found("client gone", "%s arrived at %s %d ms after its client closed", id, e.Endpoint, (e.At-t.left.At)/1000)
+// checkAttempts checks that nothing begins after a client's close, and that no endpoint is given more time than is
+// left.
+func (a *Audit) checkAttempts(t *requestTrail) {
+	for _, arrived := range t.arrived {
+		if t.left != nil && arrived.At > t.left.At+(disconnectGrace+slack).Microseconds() {
+			a.addFinding(ruleClientGone, "%s arrived at %s %d ms after its client closed",
+				t.id, arrived.Endpoint, (arrived.At-t.left.At)/1000)
 		}
-		if left := t.sent.Value + deadline.Microseconds() - e.At; e.Value > left+(toldSlack+slack).Microseconds()+a.heldBack(e.Dispatcher, e.At) {
-			a.found("time told", "%s told %s %d ms, %d ms are left", id, e.Endpoint, e.Value/1000, left/1000)
+		left := t.sent.Value + deadline.Microseconds() - arrived.At
+		allowed := left + (deadlineSlack + slack).Microseconds() + a.proxyDelay(arrived.Dispatcher, arrived.At)
+		if arrived.Value > allowed {
+			a.addFinding(ruleDeadline, "%s told %s %d ms, %d ms are left",
+				t.id, arrived.Endpoint, arrived.Value/1000, left/1000)
 		}
 	}
 }
 
-// heldBack is for how long a proxy may have kept what had left a dispatcher: it takes a connection at once that it carries on late.
-func (a *Audit) heldBack(dispatcher string, at int64) int64 {
-	held := slices.ContainsFunc(a.events, func(e Event) bool {
-		return e.Kind == FaultBegan && e.Text == lateText && e.Dispatcher == dispatcher && e.At <= at && e.At+e.Value+2*lateBy.Microseconds() >= at
-	})
-	if held {
-		return lateBy.Microseconds()
+// checkReservedState checks that what a prefill leaves is used or released in time, unless the dispatcher was killed or
+// could reach no endpoint, or the endpoint itself was killed.
+func (a *Audit) checkReservedState(t *requestTrail) {
+	for _, reserved := range t.reserved {
+		latest := reserved.At + maxStateTime.Microseconds()
+		end := t.endOfState(reserved)
+		switch {
+		case end > 0 && end <= latest:
+		case a.endpointKilled(reserved.Endpoint, reserved.At, latest):
+		case a.dispatcherKilled(t.sent.Dispatcher, reserved.At-deadline.Microseconds(), latest):
+		case a.wasCutOff(reserved.Dispatcher, reserved.At, latest):
+		case end == 0:
+			a.addFinding(ruleState, "%s (%s): what %s held was never used or released",
+				t.id, t.sent.Class, reserved.Endpoint)
+		default:
+			a.addFinding(ruleState, "%s (%s): what %s held was used or released after %d ms",
+				t.id, t.sent.Class, reserved.Endpoint, (end-reserved.At)/1000)
+		}
 	}
-	return 0
 }
 
-// judgeHeld: what a prefill leaves is used or released in time, but where the dispatcher was killed or nothing could be heard.
-func (a *Audit) judgeHeld(id string, t *trail) {
-	for _, h := range t.held {
-		end := int64(0)
-		for _, list := range [][]Event{t.arrived, t.released} {
-			for _, e := range list {
-				if e.At >= h.At && e.Text != "prefill" && (end == 0 || e.At < end) {
-					end = e.At
-				}
-			}
-		}
-		latest := h.At + (letGoBy + heldSlack + slack).Microseconds()
-		if end > 0 && end <= latest || a.hostKilled(h.Endpoint, h.At, latest) || a.killed(t.sent.Dispatcher, h.At-deadline.Microseconds(), latest) || a.cutOff(h.Dispatcher, h.At, latest) {
-			continue
-		}
-		if end == 0 {
-			a.found("held state", "%s (%s): what %s held was never used or released", id, t.sent.Class, h.Endpoint)
-		} else {
-			a.found("held state", "%s (%s): what %s held was used or released after %d ms", id, t.sent.Class, h.Endpoint, (end-h.At)/1000)
+// endOfState is when what a prefill left was first used or released; 0: never.
+func (t *requestTrail) endOfState(reserved Event) (end int64) {
+	for _, event := range slices.Concat(t.arrived, t.released) {
+		if event.At >= reserved.At && event.Text != prefillKind && (end == 0 || event.At < end) {
+			end = event.At
 		}
 	}
+	return end
 }
 
-// hostKilled tells whether a host was killed in a span; what it held is gone with it.
-func (a *Audit) hostKilled(host string, from, to int64) bool {
-	return slices.ContainsFunc(a.events, func(e Event) bool { return e.Kind == Killed && e.Endpoint == host && e.At >= from && e.At <= to })
-}
-
-// cutOff tells whether a dispatcher could reach no host in a part of a span: what is held can't be released then.
-func (a *Audit) cutOff(dispatcher string, from, to int64) bool {
-	return slices.ContainsFunc(a.events, func(e Event) bool {
-		return e.Kind == FaultBegan && e.Text == cutOffText && e.Dispatcher == dispatcher && e.At <= to && e.At+e.Value+slack.Microseconds() >= from
-	})
-}
-
-// judgeDrains: nothing new goes to a host that drains once that counts as told.
-func (a *Audit) judgeDrains() {
-	drained := map[string]int64{}
-	told := map[[2]string]int64{}
-	for _, e := range a.events {
-		switch e.Kind {
+// checkDrains checks that nothing new goes to an endpoint that drains once that is known.
+func (a *Audit) checkDrains() {
+	type watch struct{ endpoint, dispatcher string }
+	drainedAt := map[string]int64{}
+	notifiedAt := map[watch]int64{}
+	for _, event := range a.events {
+		key := watch{endpoint: event.Endpoint, dispatcher: event.Dispatcher}
+		switch event.Kind {
 		case Drained:
-			drained[e.Endpoint] = e.At
+			drainedAt[event.Endpoint] = event.At
 		case Notified:
-			if at := [2]string{e.Endpoint, e.Dispatcher}; told[at] == 0 {
-				told[at] = e.At
+			if notifiedAt[key] == 0 {
+				notifiedAt[key] = event.At
 			}
 		case Arrived:
-			at := drained[e.Endpoint]
-			if at == 0 {
+			drained := drainedAt[event.Endpoint]
+			if drained == 0 {
 				continue
 			}
-			known := at + drainTold.Microseconds() + a.away(at)
-			if heard := told[[2]string{e.Endpoint, e.Dispatcher}]; heard > 0 {
-				known = min(known, heard)
+			knownAt := drained + drainKnownAfter.Microseconds() + a.discoverySilence(drained)
+			if notified := notifiedAt[key]; notified > 0 {
+				knownAt = min(knownAt, notified)
 			}
-			if after := e.At - known; after > (drainGrace + slack).Microseconds() {
-				a.found("unwanted send", "%s arrived at %s %d ms after dispatcher %s was told of its drain", e.ID, e.Endpoint, after/1000, e.Dispatcher)
+			if after := event.At - knownAt; after > (drainGrace + slack).Microseconds() {
+				a.addFinding(ruleDrain, "%s arrived at %s %d ms after dispatcher %s was told of its drain",
+					event.ID, event.Endpoint, after/1000, event.Dispatcher)
 			}
 		}
 	}
 }
-
-// away is for how long discovery told nothing from a moment on.
-func (a *Audit) away(at int64) (longest int64) {
-	for _, e := range a.events {
-		if e.Kind == FaultBegan && e.Text == discoverySilentText && e.At <= at+drainTold.Microseconds() && e.At+e.Value > at {
-			longest = max(longest, e.At+e.Value-at)
-		}
-	}
-	return longest
-}
--- a/internal/testbed/soak/clients.go
+++ b/internal/testbed/soak/clients.go
@@ -12,150 +12,209 @@
 	"time"
 )
 
-// Terms of the clients' requests.
+// Times of the clients' requests.
 const (
-	deadline          = 3 * time.Second
-	lateAnswer        = deadline + 500*time.Millisecond
-	restingConnection = "on a connection that rested"
-	workers           = 5 // of one process, each with one connection at a time
+	deadline     = 3 * time.Second                   // that a request states
+	lateAnswer   = deadline + 500*time.Millisecond   // after which an answer is late
+	headTimeout  = lateAnswer + 500*time.Millisecond // after which a client no longer waits for an answer's head
+	bodyTimeout  = 12 * time.Second
+	dialTimeout  = time.Second
+	maxIdle      = 2500 * time.Millisecond
+	crowdPause   = 2 * time.Millisecond // between two connections of a crowd
+	maxCrowdIdle = 500 * time.Millisecond
 )
 
-var classes = []string{"chat", "note", "post"} // idempotent, deduplicated, with effects
+const (
+	workers             = 5 // of one process, each with one connection at a time
+	maxRequestsPerVisit = 8
+	idleVisits          = 12 // one of so many requests comes after the connection was idle
+	manners             = 40 // one of so many requests is of each kind of misbehaviour
+	maxBodyBits         = 15
+
+	reusedConnection = "on a connection that rested" // Text of a Sent event
+	closedConnection = "closed"                      // Text of a Lost event
+	lastChunk        = "data: [DONE]\n\n"
+
+	requestFormat = "POST /v1/chat/completions HTTP/1.1\r\nHost: origin.svc\r\nReq-Id: %s\r\n" +
+		"Req-Kind: %s\r\nReq-Key: %s\r\nReq-Deadline: %dm\r\nReq-Extra: prompt_len=%d,max_out=40\r\n" +
+		"Content-Length: %d\r\n\r\n%s"
+)
+
+// Classes of requests.
+const (
+	idempotentClass    = "chat"
+	deduplicatedClass  = "note"
+	nonIdempotentClass = "post"
+)
+
+var classes = []string{idempotentClass, deduplicatedClass, nonIdempotentClass}
 
-// clients ask the dispatchers, and some of them misbehave.
+// Ways in which a client sends a request; any other is the usual one.
+const (
+	sendHalf = iota
+	sendNonsense
+	sendSlowly
+	giveUp
+	giveUpToo // as clients give up twice as often
+)
+
+// clients send requests to the dispatchers, and some of them misbehave.
 type clients struct {
 	*role
-	asked atomic.Int64
+	sent atomic.Int64
 }
 
-func runClients(r *role) (func(string, []string), error) {
+// clientConn is a client's connection to a dispatcher.
+type clientConn struct {
+	net.Conn
+	reader *bufio.Reader
+	target string
+	reused bool // it carried a request before, or was idle: the dispatcher may close it at any moment
+}
+
+func startClients(r *role) handler {
 	k := &clients{role: r}
 	end := now() + r.Duration.Microseconds()
-	for i := range workers {
+	for range workers {
 		go func() {
 			for now() < end {
-				k.visit(k.Targets[k.draw(len(k.Targets))], i)
+				k.visit(k.Targets[k.draw(len(k.Targets))])
 			}
 		}()
 	}
 	return func(order string, arguments []string) {
-		if order == "crowd" { // connections that say nothing
-			go k.crowd(arguments[0], span(arguments, 1))
+		if order == orderCrowd {
+			go k.crowd(arguments[0], durationOf(arguments, 1))
 		}
-	}, nil
+	}
 }
 
-func (k *clients) crowd(target string, span time.Duration) {
-	for end := now() + span.Microseconds(); now() < end; {
-		c, err := net.DialTimeout("tcp", target, time.Second)
+// crowd opens connections that say nothing, for a while.
+func (k *clients) crowd(target string, duration time.Duration) {
+	for end := now() + duration.Microseconds(); now() < end; {
+		conn, err := net.DialTimeout("tcp", target, dialTimeout)
 		if err == nil {
-			time.AfterFunc(k.within(500*time.Millisecond), func() { c.Close() })
+			time.AfterFunc(k.drawDuration(maxCrowdIdle), func() { closeConn(conn) })
 		}
-		time.Sleep(2 * time.Millisecond)
+		time.Sleep(crowdPause)
 	}
 }
 
-// visit makes some requests on one connection.
-func (k *clients) visit(target string, worker int) {
-	c, err := net.DialTimeout("tcp", target, time.Second)
+// visit sends some requests on one connection.
+func (k *clients) visit(target string) {
+	conn, err := net.DialTimeout("tcp", target, dialTimeout)
 	if err != nil {
 		time.Sleep(50 * time.Millisecond)
 		return
 	}
-	defer c.Close()
-	in, rested := bufio.NewReader(c), false
-	for n := range 1 + k.draw(8) {
-		if k.draw(12) == 0 {
-			time.Sleep(k.within(2500 * time.Millisecond))
-			rested = true
+	defer closeConn(conn)
+	c := &clientConn{Conn: conn, reader: bufio.NewReader(conn), target: target}
+	for range 1 + k.draw(maxRequestsPerVisit) {
+		if k.draw(idleVisits) == 0 {
+			time.Sleep(k.drawDuration(maxIdle))
+			c.reused = true
 		}
-		if !k.ask(c, in, target, rested || n > 0) {
+		if !k.ask(c) {
 			return
 		}
+		c.reused = true
 	}
 }
 
-// ask makes one request and tells whether the connection goes on.
-func (k *clients) ask(c net.Conn, in *bufio.Reader, target string, resting bool) bool {
+// ask sends one request and reads its answer; it returns false where the connection must not be used again.
+func (k *clients) ask(c *clientConn) bool {
 	class := classes[k.draw(len(classes))]
-	id := fmt.Sprintf("%s-%d", k.Name, k.asked.Add(1))
-	body := fmt.Sprintf(`{"stream":true,"messages":["%s"]}`, strings.Repeat("x", 1<<k.draw(15)))
-	text := fmt.Sprintf("POST /v1/chat/completions HTTP/1.1\r\nHost: origin.svc\r\nReq-Id: %s\r\nReq-Kind: %s\r\nReq-Key: %s\r\nReq-Deadline: %dm\r\n"+
-		"Req-Extra: prompt_len=%d,max_out=40\r\nContent-Length: %d\r\n\r\n%s", id, class, k.Name, deadline.Milliseconds(), 100+len(body)/4, len(body), body)
-	manner := k.draw(40)
+	id := fmt.Sprintf("%s-%d", k.Name, k.sent.Add(1))
+	body := fmt.Sprintf(`{"stream":true,"messages":["%s"]}`, strings.Repeat("x", 1<<k.draw(maxBodyBits)))
+	text := fmt.Sprintf(requestFormat, id, class, k.Name, deadline.Milliseconds(), 100+len(body)/4, len(body), body)
+	manner := k.draw(manners)
 	began := now()
+	if !k.send(c, text, manner) {
+		return false
+	}
+	sent := Event{Kind: Sent, ID: id, Class: class, Dispatcher: c.target, Value: began}
+	if c.reused {
+		sent.Text = reusedConnection
+	}
+	k.record.add(sent)
+	if manner == giveUp || manner == giveUpToo {
+		k.leave(c, sent)
+		return false
+	}
+	return k.readAnswer(c, sent)
+}
+
+// send writes a request; it returns false where it was not written completely.
+func (k *clients) send(c *clientConn, text string, manner int) bool {
 	switch manner {
-	case 0: // half a request, and then it closes or stays
+	case sendHalf: // and then close or stay
 		_, _ = io.WriteString(c, text[:len(text)/2])
-		time.Sleep(k.within(2500 * time.Millisecond))
+		time.Sleep(k.drawDuration(maxIdle))
 		return false
-	case 1:
+	case sendNonsense:
 		_, _ = io.WriteString(c, "nonsense\r\n\r\n")
 		_ = c.SetReadDeadline(time.Now().Add(3 * time.Second))
-		_, _ = io.Copy(io.Discard, in)
+		_, _ = io.Copy(io.Discard, c.reader)
 		return false
-	case 2: // slowly
+	case sendSlowly:
 		for len(text) > 0 {
-			n := min(1+k.draw(len(text)), len(text))
-			if _, err := io.WriteString(c, text[:n]); err != nil {
+			size := min(1+k.draw(len(text)), len(text))
+			if _, err := io.WriteString(c, text[:size]); err != nil {
 				return false
 			}
-			text = text[n:]
-			time.Sleep(k.within(20 * time.Millisecond))
+			text = text[size:]
+			time.Sleep(k.drawDuration(20 * time.Millisecond))
 		}
+		return true
 	}
-	if _, err := io.WriteString(c, text); err != nil {
-		return false // it has not been taken whole
-	}
-	sent := Event{Kind: Sent, ID: id, Class: class, Dispatcher: target, Value: began}
-	if resting { // the dispatcher may close the connection in this moment
-		sent.Text = restingConnection
+	_, err := io.WriteString(c, text)
+	return err == nil
+}
+
+// leave closes a connection before the answer.
+func (k *clients) leave(c *clientConn, sent Event) {
+	if k.draw(2) == 0 {
+		time.Sleep(k.drawDuration(60 * time.Millisecond))
 	}
-	k.record.add(sent)
-	if manner == 3 || manner == 4 { // it gives up
-		if k.draw(2) == 0 {
-			time.Sleep(k.within(60 * time.Millisecond))
-		}
-		k.record.add(Event{Kind: Left, ID: id, Class: class, Dispatcher: target})
-		if k.draw(2) == 0 {
-			reset(c)
-		}
-		c.Close()
-		return false
+	k.record.add(Event{Kind: Left, ID: sent.ID, Class: sent.Class, Dispatcher: sent.Dispatcher})
+	if k.draw(2) == 0 {
+		resetConn(c.Conn)
+	} else {
+		closeConn(c.Conn)
 	}
-	return k.hear(c, in, sent)
 }
 
-// hear takes the answer.
-func (k *clients) hear(c net.Conn, in *bufio.Reader, sent Event) bool {
+// readAnswer reads the answer and records it; it returns false where the connection must not be used again.
+func (k *clients) readAnswer(c *clientConn, sent Event) bool {
 	record := func(kind Kind, status int, text string) {
-		k.record.add(Event{Kind: kind, ID: sent.ID, Class: sent.Class, Dispatcher: sent.Dispatcher, Status: status, Value: sent.At, Text: text})
+		k.record.add(Event{Kind: kind, ID: sent.ID, Class: sent.Class, Dispatcher: sent.Dispatcher, Status: status,
+			Value: sent.At, Text: text})
 	}
-	_ = c.SetReadDeadline(time.Now().Add(lateAnswer + 500*time.Millisecond))
-	answer, err := http.ReadResponse(in, nil)
+	_ = c.SetReadDeadline(time.Now().Add(headTimeout))
+	answer, err := http.ReadResponse(c.reader, nil)
 	if err != nil {
 		text := err.Error()
 		if errors.Is(err, io.EOF) || errors.Is(err, io.ErrUnexpectedEOF) {
-			text = "closed"
+			text = closedConnection
 		}
 		record(Lost, 0, text)
 		return false
 	}
-	defer answer.Body.Close()
-	_ = c.SetReadDeadline(time.Now().Add(12 * time.Second))
+	defer func() { _ = answer.Body.Close() }() // it was read to its end
+	_ = c.SetReadDeadline(time.Now().Add(bodyTimeout))
 	body, err := io.ReadAll(answer.Body)
 	switch {
 	case answer.StatusCode != http.StatusOK:
 		record(Answered, answer.StatusCode, "")
 	case err != nil:
 		record(Broken, answer.StatusCode, err.Error())
-	case !strings.HasSuffix(string(body), "data: [DONE]\n\n"):
-		record(Lost, answer.StatusCode, "a stream that is not whole was ended as if it were")
+	case !strings.HasSuffix(string(body), lastChunk):
+		record(Lost, answer.StatusCode, "a stream that is not complete was ended as if it were")
 	default:
 		record(Answered, answer.StatusCode, "")
 	}
 	if answer.StatusCode == http.StatusServiceUnavailable {
-		time.Sleep(k.within(100 * time.Millisecond))
+		time.Sleep(k.drawDuration(100 * time.Millisecond))
 	}
 	return err == nil && !answer.Close
 }
--- a/internal/testbed/soak/discovery.go
+++ b/internal/testbed/soak/discovery.go
@@ -6,74 +6,96 @@
 	"io"
 	"net"
 	"net/http"
+	"strconv"
 	"strings"
 	"sync"
 	"time"
 )
 
-// discovery tells the list of model hosts at one address for each dispatcher, as an agent on its machine would.
+// States of an endpoint in the list.
+const (
+	servingState  = "SERVING"
+	drainingState = "DRAINING"
+)
+
+const (
+	emptyLineInterval = 500 * time.Millisecond // on each watch
+	watchHead         = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
+	updateFormat      = `{"version":%d,"full":%v,"servers":[%s]}` + "\n"
+	addressVerb       = "%s" // in an entry, for the address that a dispatcher has the endpoint at
+)
+
+// discovery pushes the endpoint list at one address for each dispatcher, as an agent on its machine would.
 type discovery struct {
 	*role
-	mu      sync.Mutex
-	version int
-	entries map[string]string // by host: the entry, with %s for the address that a dispatcher has it at
-	watches map[*watch]bool
-	silent  int64 // until then nothing is told
+	mu          sync.Mutex
+	version     int
+	entries     map[string]string // by endpoint, with addressVerb
+	watches     map[*watch]bool
+	silentUntil int64 // nothing is written
 }
 
+// watch is a dispatcher's connection.
 type watch struct {
 	conn       net.Conn
-	dispatcher int
-	mute       bool // it fell silent for good
+	dispatcher int  // from 0
+	mute       bool // nothing is written to it any more
 }
 
-func runDiscovery(r *role) (func(string, []string), error) {
+func startDiscovery(r *role) (handler, error) {
 	d := &discovery{role: r, version: 1, entries: map[string]string{}, watches: map[*watch]bool{}}
 	for i, address := range r.Listen {
-		if err := listen(address, func(c net.Conn) { d.serve(c, i) }); err != nil {
+		if err := listen(address, func(conn net.Conn) { d.serve(conn, i) }); err != nil {
 			return nil, err
 		}
 	}
-	go func() {
-		for range time.Tick(500 * time.Millisecond) {
-			d.each(func(w *watch) { d.write(w, "\n") })
+	go func() { // until the process ends
+		for range time.Tick(emptyLineInterval) {
+			d.forEach(func(w *watch) { d.write(w, "\n") })
 		}
 	}()
-	return d.obey, nil
+	return d.handle, nil
 }
 
-// obey takes "entry HOST STATE JSON", which is told at once, "silent SPAN", "mute" for the open watches, and "reset".
-func (d *discovery) obey(order string, arguments []string) {
+func (d *discovery) handle(order string, arguments []string) {
 	switch order {
-	case "entry":
-		d.mu.Lock()
-		d.version++
-		d.entries[arguments[0]] = strings.Join(arguments[2:], " ")
-		d.mu.Unlock()
-		d.each(func(w *watch) {
-			d.write(w, fmt.Sprintf(`{"version":%d,"full":false,"servers":[%s]}`+"\n", d.version, d.entry(arguments[0], w.dispatcher)))
-			if arguments[1] == "DRAINING" {
-				d.told(w, arguments[0])
-			}
-		})
-	case "silent":
+	case orderEntry:
+		d.publish(arguments[0], arguments[1], strings.Join(arguments[2:], " "))
+	case orderSilent:
 		d.mu.Lock()
-		d.silent = now() + span(arguments, 0).Microseconds()
+		d.silentUntil = untilOf(arguments)
 		d.mu.Unlock()
-	case "mute":
-		d.each(func(w *watch) { w.mute = true })
-	case "reset":
-		d.each(func(w *watch) { reset(w.conn); w.conn.Close() })
+	case orderMute:
+		d.forEach(func(w *watch) { w.mute = true })
+	case orderReset:
+		d.forEach(func(w *watch) { resetConn(w.conn) })
 	}
 }
 
-func (d *discovery) told(w *watch, host string) {
-	if !w.mute && now() >= d.silent {
-		d.record.add(Event{Kind: Notified, Endpoint: host, Dispatcher: fmt.Sprint(w.dispatcher + 1)})
+// publish writes an endpoint's new entry to all watches.
+func (d *discovery) publish(endpoint, state, entry string) {
+	d.mu.Lock()
+	d.version++
+	d.entries[endpoint] = entry
+	d.mu.Unlock()
+	d.forEach(func(w *watch) {
+		d.write(w, fmt.Sprintf(updateFormat, d.version, false, d.entryFor(endpoint, w.dispatcher)))
+		if state == drainingState {
+			d.recordNotified(w, endpoint)
+		}
+	})
+}
+
+// writable is true while anything can be written to a watch.
+func (d *discovery) writable(w *watch) bool { return !w.mute && now() >= d.silentUntil }
+
+func (d *discovery) recordNotified(w *watch, endpoint string) {
+	if d.writable(w) {
+		d.record.add(Event{Kind: Notified, Endpoint: endpoint, Dispatcher: strconv.Itoa(w.dispatcher + 1)})
 	}
 }
 
-func (d *discovery) each(do func(*watch)) {
+func (d *discovery) forEach(do func(*watch)) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	for w := range d.watches {
@@ -81,43 +103,50 @@
 	}
 }
 
+// write writes a chunk to a watch; a watch that is broken ends by itself.
 func (d *discovery) write(w *watch, text string) {
-	if !w.mute && now() >= d.silent {
+	if d.writable(w) {
 		_, _ = fmt.Fprintf(w.conn, "%x\r\n%s\r\n", len(text), text)
 	}
 }
 
-func (d *discovery) entry(host string, dispatcher int) string {
-	return strings.Replace(d.entries[host], "%s", d.Targets[dispatcher], 1)
+// entryFor is an endpoint's entry with the address that a dispatcher has it at.
+func (d *discovery) entryFor(endpoint string, dispatcher int) string {
+	return strings.Replace(d.entries[endpoint], addressVerb, d.Targets[dispatcher], 1)
 }
 
-func (d *discovery) serve(c net.Conn, dispatcher int) {
-	w := &watch{conn: c, dispatcher: dispatcher}
-	defer func() {
-		d.mu.Lock()
-		delete(d.watches, w)
-		d.mu.Unlock()
-		c.Close()
-	}()
-	if _, err := http.ReadRequest(bufio.NewReader(c)); err != nil {
+func (d *discovery) serve(conn net.Conn, dispatcher int) {
+	defer closeConn(conn)
+	if _, err := http.ReadRequest(bufio.NewReader(conn)); err != nil {
 		return
 	}
+	w := &watch{conn: conn, dispatcher: dispatcher}
+	d.add(w)
+	defer d.remove(w)
+	_, _ = io.Copy(io.Discard, conn) // until the dispatcher closes, or the watch is reset
+}
+
+// add writes the complete list to a new watch. What is asked during a silence is never answered.
+func (d *discovery) add(w *watch) {
 	d.mu.Lock()
-	if now() < d.silent {
-		w.mute = true // what was asked while it was silent is never answered
-	}
-	var all []string
-	for host, e := range d.entries {
-		all = append(all, d.entry(host, dispatcher))
-		if strings.Contains(e, "DRAINING") {
-			d.told(w, host)
+	defer d.mu.Unlock()
+	w.mute = now() < d.silentUntil
+	var entries []string
+	for endpoint, entry := range d.entries {
+		entries = append(entries, d.entryFor(endpoint, w.dispatcher))
+		if strings.Contains(entry, drainingState) {
+			d.recordNotified(w, endpoint)
 		}
 	}
 	if !w.mute {
-		_, _ = io.WriteString(c, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
-		d.write(w, fmt.Sprintf(`{"version":%d,"full":true,"servers":[%s]}`+"\n", d.version, strings.Join(all, ",")))
+		_, _ = io.WriteString(w.conn, watchHead) // a watch that is broken ends by itself
+		d.write(w, fmt.Sprintf(updateFormat, d.version, true, strings.Join(entries, ",")))
 	}
 	d.watches[w] = true
-	d.mu.Unlock()
-	_, _ = io.Copy(io.Discard, c)
+}
+
+func (d *discovery) remove(w *watch) {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	delete(d.watches, w)
 }
--- /dev/null
+++ b/internal/testbed/soak/dispatcher.go
@@ -0,0 +1,120 @@
+package soak
+
+import (
+	"fmt"
+	"os"
+	"os/exec"
+	"path/filepath"
+	"sync"
+	"syscall"
+	"time"
+
+	"plumspindle/internal/testbed/syscallfaults"
+)
+
+// stopTimeout is how long a dispatcher may take to end after SIGTERM: what it accepted is answered by its deadline; a
+// stream that had begun may fall silent then, and is ended 4.2 s later.
+const stopTimeout = deadline + 700*time.Millisecond + 5*time.Second
+
+// Rates of faults of system calls, in a thousand calls, and which dispatchers have them.
+const (
+	shortCalls         = 30
+	interruptedCalls   = 20
+	failedCalls        = 5
+	dispatchersByFault = 2 // one of so many has system calls that fail
+	dispatchersByClock = 4 // one of so many has a wall clock that is stepped
+)
+
+// dispatcher is a place where a dispatcher runs, one process after the other.
+type dispatcher struct {
+	number      int // from 0
+	address     string
+	configPath  string
+	environment []string // beside the program's own
+	logs        *stampedLog
+
+	mu        sync.Mutex // held while the process is stopped, killed or started
+	process   *process
+	startedAt int64
+}
+
+// start starts the program that was built, with the platform's environment; the lock is held.
+func (d *dispatcher) start(binary string) error {
+	command := exec.Command(binary, "--log-level", "debug", "platform")
+	command.Env = append(append(os.Environ(), "BALANCER_CONFIG="+d.configPath), d.environment...)
+	command.Stderr = d.logs
+	if err := command.Start(); err != nil {
+		return fmt.Errorf("start dispatcher %d: %w", d.number, err)
+	}
+	d.process, d.startedAt = &process{command: command, exited: make(chan struct{})}, now()
+	go d.process.wait()
+	return nil
+}
+
+// signal sends a signal to the current process, which may have ended already.
+func (d *dispatcher) signal(s syscall.Signal) { _ = d.process.command.Process.Signal(s) }
+
+// addDispatcher adds a dispatcher and starts it.
+func (r *run) addDispatcher(number int) error {
+	logs, err := newStampedLog(filepath.Join(r.Dir, fmt.Sprintf("n%d.log", number)))
+	if err != nil {
+		return err
+	}
+	d := &dispatcher{number: number, address: r.address(dispatcherAddress, number, dispatcherPort),
+		configPath: filepath.Join(r.Dir, fmt.Sprintf("n%d.json", number)), logs: logs}
+	r.dispatchers, r.agentOf = append(r.dispatchers, d), append(r.agentOf, 0)
+	if r.SyscallFaults && number%dispatchersByFault == 0 {
+		d.environment = r.drawSyscallFaults(number).Environment(r.Library)
+	}
+	if err := r.writeConfig(d); err != nil {
+		return err
+	}
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	return d.start(r.Binary)
+}
+
+func (r *run) drawSyscallFaults(number int) syscallfaults.Faults {
+	faults := syscallfaults.Faults{Seed: r.Seed + int64(number),
+		Short: shortCalls, Interrupted: interruptedCalls, Errors: failedCalls}
+	if r.ClockSteps && number%dispatchersByClock == 0 {
+		steps := []time.Duration{-time.Hour, time.Hour, -3 * time.Second, 3 * time.Second}
+		faults.ClockStep = steps[r.random.Intn(len(steps))]
+		faults.ClockStepAfter = time.Duration(r.random.Int63n(int64(r.Duration)))
+	}
+	return faults
+}
+
+// stop tells a dispatcher to end, waits for it, and starts it again if that is wanted.
+func (r *run) stop(d *dispatcher, restart bool) {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	r.record.add(Event{Kind: Stopped, Dispatcher: d.address})
+	d.signal(syscall.SIGTERM)
+	select {
+	case <-d.process.exited:
+		if d.process.err != nil {
+			r.addFinding(ruleCrash, "dispatcher %d ended with %v", d.number, d.process.err)
+		}
+	case <-time.After(stopTimeout):
+		r.addFinding(ruleOneAnswer, "dispatcher %d has not ended %v after SIGTERM", d.number, stopTimeout)
+		r.kill(d)
+	}
+	r.record.add(Event{Kind: Ended, Dispatcher: d.address})
+	if restart {
+		r.restart(d)
+	}
+}
+
+// kill ends a dispatcher at once; its lock is held.
+func (r *run) kill(d *dispatcher) {
+	r.record.add(Event{Kind: Killed, Dispatcher: d.address})
+	d.process.kill()
+}
+
+// restart starts a dispatcher that has ended; its lock is held.
+func (r *run) restart(d *dispatcher) {
+	if err := d.start(r.Binary); err != nil {
+		r.addFinding(ruleCrash, "dispatcher %d was not started again: %v", d.number, err)
+	}
+}
--- /dev/null
+++ b/internal/testbed/soak/endpoint.go
@@ -0,0 +1,222 @@
+package soak
+
+import (
+	"bufio"
+	"fmt"
+	"io"
+	"net"
+	"net/http"
+	"strings"
+	"sync/atomic"
+	"time"
+
+	"golang.org/x/sys/unix"
+)
+
+// Parts of the answers of an endpoint.
+const (
+	streamHead     = "HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\nTransfer-Encoding: chunked\r\n\r\n"
+	tokenEvent     = `{"choices":[{"index":0,"delta":{"content":"Lamu"},"finish_reason":null}]}`
+	streamEnd      = "e\r\ndata: [DONE]\n\n\r\n0\r\n\r\n"
+	declinedAnswer = "HTTP/1.1 503 Service Unavailable\r\nSrv-Declined: 1\r\nContent-Length: 0\r\n\r\n"
+	failedAnswer   = "HTTP/1.1 500 Internal Server Error\r\nContent-Length: 0\r\n\r\n"
+	releasedAnswer = "HTTP/1.1 204 No Content\r\n\r\n"
+	prefilled      = "HTTP/1.1 202 Accepted\r\nContent-Length: 19\r\n\r\n{\"cached_tokens\":0}"
+	surplusAnswer  = "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n"
+
+	prefillKind = "prefill"
+	decodeKind  = "decode"
+)
+
+// How often an endpoint misbehaves: one of so many.
+const (
+	forgetsIdleConnection = 400 // requests
+	declines              = 50  // requests
+	misbehavesInPrefill   = 60  // for each way
+	misbehavesInDecode    = 80  // for each way
+)
+
+// Ways in which an endpoint misbehaves in a decode.
+const (
+	resetsAtOnce = iota
+	fails
+	answersNoise
+	resetsInStream
+	breaksChunking
+	fallsSilent
+	answersTwice
+)
+
+// endpoint is a model endpoint: it prefills, or decodes, and misbehaves now and then.
+type endpoint struct {
+	*role
+	silentUntil  atomic.Int64 // it answers nothing
+	declineUntil atomic.Int64 // it declines everything
+}
+
+func startEndpoint(r *role) (handler, error) {
+	e := &endpoint{role: r}
+	if err := listen(r.Listen[0], e.serve); err != nil {
+		return nil, err
+	}
+	return func(order string, arguments []string) {
+		switch order {
+		case orderSilent:
+			e.silentUntil.Store(untilOf(arguments))
+		case orderDecline:
+			e.declineUntil.Store(untilOf(arguments))
+		}
+	}, nil
+}
+
+// exchange is one request that an endpoint answers.
+type exchange struct {
+	conn       net.Conn
+	id         string
+	dispatcher string // the last number of the address of its proxy
+	arrivedAt  int64
+}
+
+// serve answers the requests of one connection. Each dispatcher's proxy comes from an address of its own.
+func (e *endpoint) serve(conn net.Conn) {
+	defer closeConn(conn)
+	host, _, _ := net.SplitHostPort(conn.RemoteAddr().String())
+	dispatcher := host[strings.LastIndexByte(host, '.')+1:]
+	reader := bufio.NewReader(conn)
+	for {
+		if e.draw(forgetsIdleConnection) == 0 && reader.Buffered() == 0 {
+			_ = conn.SetReadDeadline(time.Now().Add(e.drawDuration(500 * time.Millisecond)))
+		}
+		request, err := http.ReadRequest(reader)
+		if err != nil {
+			return
+		}
+		_ = conn.SetReadDeadline(time.Time{})
+		if _, err := io.Copy(io.Discard, request.Body); err != nil {
+			return
+		}
+		if !e.answer(request, exchange{conn: conn, dispatcher: dispatcher}) {
+			return
+		}
+	}
+}
+
+// answer answers a request; it returns false where the connection must not be used again.
+func (e *endpoint) answer(request *http.Request, x exchange) bool {
+	if request.Method == http.MethodDelete {
+		id := strings.TrimPrefix(request.URL.Path, "/v1/holds/")
+		e.record.add(Event{Kind: Released, ID: id, Endpoint: e.Name, Dispatcher: x.dispatcher})
+		e.waitWhileSilent()
+		return x.write(releasedAnswer)
+	}
+	x.id, x.arrivedAt = request.Header.Get("Req-Id"), now()
+	left, _ := time.ParseDuration(strings.Replace(request.Header.Get("Req-Deadline"), "u", "us", 1))
+	e.record.add(Event{At: x.arrivedAt, Kind: Arrived, ID: x.id, Endpoint: e.Name, Dispatcher: x.dispatcher,
+		Value: left.Microseconds(), Text: e.Kind})
+	e.waitWhileSilent()
+	if now() < e.declineUntil.Load() || e.draw(declines) == 0 {
+		return x.write(declinedAnswer)
+	}
+	time.Sleep(e.drawDuration(30 * time.Millisecond))
+	if isClosedByPeer(x.conn) { // what was abandoned is not run
+		return false
+	}
+	if e.Kind == prefillKind {
+		return e.prefill(x)
+	}
+	return e.decode(x)
+}
+
+// waitWhileSilent does nothing for as long as the endpoint hangs.
+func (e *endpoint) waitWhileSilent() {
+	for now() < e.silentUntil.Load() {
+		time.Sleep(10 * time.Millisecond)
+	}
+}
+
+// isClosedByPeer is true if the other side has closed a connection.
+func isClosedByPeer(conn net.Conn) (closed bool) {
+	tcp, ok := conn.(*net.TCPConn)
+	if !ok {
+		return true
+	}
+	raw, err := tcp.SyscallConn()
+	if err != nil {
+		return true
+	}
+	err = raw.Control(func(descriptor uintptr) {
+		poll := []unix.PollFd{{Fd: int32(descriptor), Events: unix.POLLRDHUP}}
+		ready, _ := unix.Poll(poll, 0)
+		closed = ready > 0
+	})
+	return closed || err != nil
+}
+
+// write writes a part of an answer; it returns false once the connection is broken.
+func (x exchange) write(text string) bool {
+	_, err := io.WriteString(x.conn, text)
+	return err == nil
+}
+
+func (x exchange) reset() bool {
+	resetConn(x.conn)
+	return false
+}
+
+func (e *endpoint) prefill(x exchange) bool {
+	e.record.add(Event{Kind: Reserved, ID: x.id, Endpoint: e.Name, Dispatcher: x.dispatcher})
+	switch e.draw(misbehavesInPrefill) {
+	case 0: // the prompt is prefilled, and the answer lost
+		return x.reset()
+	case 1:
+		return x.write(failedAnswer)
+	}
+	return x.write(prefilled)
+}
+
+func (e *endpoint) decode(x exchange) bool {
+	e.record.add(Event{Kind: Ran, ID: x.id, Endpoint: e.Name, Value: x.arrivedAt})
+	misbehaviour := e.draw(misbehavesInDecode)
+	switch misbehaviour {
+	case resetsAtOnce:
+		return x.reset()
+	case fails:
+		return x.write(failedAnswer)
+	case answersNoise:
+		x.write("\x00\x01noise\r\n")
+		time.Sleep(time.Second)
+		return false
+	}
+	if !x.write(streamHead) {
+		return false
+	}
+	events := 2 + e.draw(12)
+	for i := range events {
+		if i == events/2 && e.breakStream(x, misbehaviour) {
+			return false
+		}
+		if !x.write(fmt.Sprintf("%x\r\ndata: %s\n\n\r\n", len(tokenEvent)+len("data: \n\n"), tokenEvent)) {
+			return false
+		}
+		time.Sleep(e.drawDuration(8 * time.Millisecond))
+	}
+	if misbehaviour == answersTwice {
+		return x.write(streamEnd + surplusAnswer)
+	}
+	return x.write(streamEnd)
+}
+
+// breakStream breaks a stream, if the endpoint misbehaves so.
+func (e *endpoint) breakStream(x exchange, misbehaviour int) (broken bool) {
+	switch misbehaviour {
+	case resetsInStream:
+		x.reset()
+	case breaksChunking:
+		x.write("zz\r\n")
+	case fallsSilent:
+		time.Sleep(5 * time.Second)
+	default:
+		return false
+	}
+	return true
+}
--- /dev/null
+++ b/internal/testbed/soak/excuses.go
@@ -0,0 +1,50 @@
+package soak
+
+import "slices"
+
+// dispatcherKilled is true if a dispatcher was killed while a request was open there; what it ends with after a stop is
+// its own.
+func (a *Audit) dispatcherKilled(address string, from, to int64) bool {
+	return slices.ContainsFunc(a.events, func(event Event) bool {
+		return event.Kind == Killed && event.Dispatcher == address && event.At >= from-slack.Microseconds() && event.At <= to
+	})
+}
+
+// endpointKilled is true if an endpoint was killed in a span; what it reserved is gone with it.
+func (a *Audit) endpointKilled(endpoint string, from, to int64) bool {
+	return slices.ContainsFunc(a.events, func(event Event) bool {
+		return event.Kind == Killed && event.Endpoint == endpoint && event.At >= from && event.At <= to
+	})
+}
+
+// wasCutOff is true if a dispatcher could reach no endpoint in a part of a span: nothing can be released then.
+func (a *Audit) wasCutOff(dispatcher string, from, to int64) bool {
+	return slices.ContainsFunc(a.events, func(event Event) bool {
+		return event.Kind == FaultBegan && event.Text == cutOffText && event.Dispatcher == dispatcher &&
+			event.At <= to && event.At+event.Value+slack.Microseconds() >= from
+	})
+}
+
+// proxyDelay is for how long a proxy may have delayed what had left a dispatcher: it accepts a connection at once that
+// it passes on late.
+func (a *Audit) proxyDelay(dispatcher string, at int64) int64 {
+	delayed := slices.ContainsFunc(a.events, func(event Event) bool {
+		return event.Kind == FaultBegan && event.Text == lateText && event.Dispatcher == dispatcher &&
+			event.At <= at && event.At+event.Value+2*lateBy.Microseconds() >= at
+	})
+	if delayed {
+		return lateBy.Microseconds()
+	}
+	return 0
+}
+
+// discoverySilence is for how long discovery published nothing from a time on.
+func (a *Audit) discoverySilence(at int64) (longest int64) {
+	for _, event := range a.events {
+		if event.Kind == FaultBegan && event.Text == discoverySilentText &&
+			event.At <= at+drainKnownAfter.Microseconds() && event.At+event.Value > at {
+			longest = max(longest, event.At+event.Value-at)
+		}
+	}
+	return longest
+}
--- a/internal/testbed/soak/proxy.go
+++ b/internal/testbed/soak/proxy.go
@@ -1,6 +1,7 @@
 package soak
 
 import (
+	"errors"
 	"io"
 	"net"
 	"sync"
@@ -8,115 +9,136 @@
 	"time"
 )
 
-// proxy stands between one dispatcher and all model hosts: it resets connections, lets them fall silent, has new ones come up late and cuts
-// what passes into small pieces.
+const (
+	lateBy          = 400 * time.Millisecond // how late connections come up
+	proxyBufferSize = 16 << 10
+	maxPieceSize    = 200
+)
+
+// proxy stands between one dispatcher and all endpoints: it resets connections, lets them fall silent, has new ones
+// come up late and cuts what passes into small pieces.
 type proxy struct {
 	*role
-	mu     sync.Mutex
-	open   map[net.Conn]bool
-	silent atomic.Int64 // until then nothing passes, and nothing is told of it; what was open is reset afterwards
-	late   atomic.Int64 // until then new connections come up late
-	pieces atomic.Int64 // until then bytes pass in small pieces
+	mu          sync.Mutex
+	open        map[net.Conn]bool
+	silentUntil atomic.Int64 // nothing passes, and nothing is said of it; what was open is reset afterwards
+	lateUntil   atomic.Int64
+	piecesUntil atomic.Int64
 }
 
-const lateBy = 400 * time.Millisecond
-
-func runProxy(r *role) (func(string, []string), error) {
+func startProxy(r *role) (handler, error) {
 	p := &proxy{role: r, open: map[net.Conn]bool{}}
 	for i, address := range r.Listen {
-		if err := listen(address, func(c net.Conn) { p.carry(c, r.Targets[i]) }); err != nil {
+		if err := listen(address, func(conn net.Conn) { p.serve(conn, r.Targets[i]) }); err != nil {
 			return nil, err
 		}
 	}
-	return func(order string, arguments []string) {
-		until := now() + span(arguments, 0).Microseconds()
-		switch order {
-		case "silent":
-			p.silent.Store(until)
-		case "late":
-			p.late.Store(until)
-		case "pieces":
-			p.pieces.Store(until)
-		case "reset":
-			p.mu.Lock()
-			defer p.mu.Unlock()
-			for c := range p.open {
-				if p.draw(2) == 0 {
-					reset(c)
-					c.Close()
-				}
+	return p.handle, nil
+}
+
+func (p *proxy) handle(order string, arguments []string) {
+	switch order {
+	case orderSilent:
+		p.silentUntil.Store(untilOf(arguments))
+	case orderLate:
+		p.lateUntil.Store(untilOf(arguments))
+	case orderPieces:
+		p.piecesUntil.Store(untilOf(arguments))
+	case orderReset:
+		p.mu.Lock()
+		defer p.mu.Unlock()
+		for conn := range p.open {
+			if p.draw(2) == 0 {
+				resetConn(conn)
 			}
 		}
-	}, nil
+	}
 }
 
-// carry connects both sides; what comes from this proxy has its own source address.
-func (p *proxy) carry(c net.Conn, target string) {
-	defer c.Close()
-	if p.cut() {
-		reset(c)
+// serve connects both sides; what comes from this proxy has its own source address.
+func (p *proxy) serve(near net.Conn, target string) {
+	defer closeConn(near)
+	if p.waitWhileSilent() {
+		resetConn(near)
 		return
 	}
-	if now() < p.late.Load() {
+	if now() < p.lateUntil.Load() {
 		time.Sleep(lateBy)
-		if hungUp(c) { // it did not wait for the connection
+		if isClosedByPeer(near) { // it did not wait for the connection
 			return
 		}
 	}
 	dialer := net.Dialer{LocalAddr: &net.TCPAddr{IP: net.ParseIP(p.Name)}, Timeout: time.Second}
 	far, err := dialer.Dial("tcp", target)
 	if err != nil {
-		reset(c)
+		resetConn(near)
 		return
 	}
-	defer far.Close()
-	p.mu.Lock()
-	p.open[c] = true
-	p.mu.Unlock()
-	ended := make(chan bool, 2)
-	go p.pass(c, far, ended)
-	go p.pass(far, c, ended)
+	defer closeConn(far)
+	p.setOpen(near, true)
+	defer p.setOpen(near, false)
+	ended := make(chan struct{}, 2)
+	for _, direction := range [][2]net.Conn{{near, far}, {far, near}} {
+		go func() {
+			p.copy(direction[0], direction[1])
+			ended <- struct{}{}
+		}()
+	}
 	<-ended
+}
+
+func (p *proxy) setOpen(conn net.Conn, open bool) {
 	p.mu.Lock()
-	delete(p.open, c)
-	p.mu.Unlock()
+	defer p.mu.Unlock()
+	if open {
+		p.open[conn] = true
+	} else {
+		delete(p.open, conn)
+	}
 }
 
-// cut waits for the end of a silence, and tells whether there was one.
-func (p *proxy) cut() bool {
-	silent := false
-	for now() < p.silent.Load() {
-		silent = true
+// waitWhileSilent waits for the end of a silence, and returns whether there was one.
+func (p *proxy) waitWhileSilent() (wasSilent bool) {
+	for now() < p.silentUntil.Load() {
+		wasSilent = true
 		time.Sleep(5 * time.Millisecond)
 	}
-	return silent
+	return wasSilent
 }
 
-func (p *proxy) pass(from, to net.Conn, ended chan bool) {
-	defer func() { ended <- true }()
-	b := make([]byte, 16<<10)
+// copy passes bytes in one direction until it ends.
+func (p *proxy) copy(from, to net.Conn) {
+	buffer := make([]byte, proxyBufferSize)
 	for {
-		n, err := from.Read(b)
-		if p.cut() { // as packets that are dropped: it is never delivered
-			reset(from)
+		count, err := from.Read(buffer)
+		if p.waitWhileSilent() { // like packets that are dropped: what was read is never delivered
+			resetConn(from)
 			return
 		}
-		for part := b[:n]; len(part) > 0; {
-			size := len(part)
-			if now() < p.pieces.Load() {
-				size = min(1+p.draw(200), size)
-			}
-			if _, e := to.Write(part[:size]); e != nil {
-				return
-			}
-			part = part[size:]
+		if !p.write(to, buffer[:count]) {
+			return
 		}
-		if err == io.EOF {
+		if errors.Is(err, io.EOF) {
 			return
 		}
 		if err != nil {
-			reset(to)
+			resetConn(to)
 			return
 		}
 	}
 }
+
+// write writes bytes, in small pieces where that is ordered.
+func (p *proxy) write(to net.Conn, data []byte) bool {
+	for len(data) > 0 {
+		size := len(data)
+		if now() < p.piecesUntil.Load() {
+			size = min(1+p.draw(maxPieceSize), size)
+		}
+		if _, err := to.Write(data[:size]); err != nil {
+			return false
+		}
+		data = data[size:]
+	}
+	return true
+}
--- a/internal/testbed/soak/record.go
+++ b/internal/testbed/soak/record.go
@@ -1,12 +1,9 @@
-// Package soak runs the platform's dispatcher as it is built and released, a few dozen real processes on loopback, through overlapping
-// troubles that are drawn from a seed: stops, restarts, new configurations, clients and model hosts that misbehave, connections that break or
-// fall silent, system calls that fail, wall clocks that are stepped. Each process writes down what it sees; an audit holds the rules
-// against all of it. Model hosts, discovery, clients and a proxy are stand-ins, processes of their own too.
 package soak
 
 import (
 	"bufio"
 	"encoding/json"
+	"errors"
 	"fmt"
 	"os"
 	"sync"
@@ -17,33 +14,38 @@
 // Kind says what happened.
 type Kind string
 
+// What happens at an endpoint.
 const (
-	// At a model host.
 	Arrived  Kind = "arrived"  // a request's last byte
-	Ran      Kind = "ran"      // its effects took place; Value is when it arrived, which is what a window for repeats counts from
+	Ran      Kind = "ran"      // its effects took place; Value is when it arrived, from which a window for repeats counts
 	Reserved Kind = "held"     // what a prefill left
 	Released Kind = "released" // by a release
-	// At a client.
-	Sent     Kind = "sent"     // a request's last byte
-	Answered Kind = "answered" // with a status, whole
+)
+
+// What happens at a client.
+const (
+	Sent     Kind = "sent"     // a request's last byte; Value is when it began
+	Answered Kind = "answered" // with a status, completely
 	Broken   Kind = "broken"   // the stream ended before its last chunk
 	Lost     Kind = "lost"     // the connection ended without an answer, or none came in time
 	Left     Kind = "left"     // the client closed before its answer
-	// At discovery.
-	Notified Kind = "told" // a drain was written to a dispatcher's watch
-	// At the run's conductor.
-	Drained    Kind = "drained" // a host's drain was given to discovery
-	Stopped    Kind = "stopped" // a dispatcher was told to end
-	Killed     Kind = "killed"
-	Ended      Kind = "ended"
-	FaultBegan Kind = "troubled" // something else began; Value is for how long
+)
+
+// What else happens in a run.
+const (
+	Notified   Kind = "told"     // discovery wrote a drain to a dispatcher's watch
+	Drained    Kind = "drained"  // an endpoint's drain was given to discovery
+	Stopped    Kind = "stopped"  // a dispatcher was told to end
+	Killed     Kind = "killed"   // a dispatcher or an endpoint
+	Ended      Kind = "ended"    // a dispatcher
+	FaultBegan Kind = "troubled" // Text says which; Value is its duration
 )
 
 // Event is one thing that a process saw.
 type Event struct {
-	At         int64  `json:"at"` // microseconds of the machine's monotonic clock
+	At         int64  `json:"at"` // µs of the machine's monotonic clock
 	Kind       Kind   `json:"kind"`
-	ID         string `json:"id,omitempty"`
+	ID         string `json:"id,omitempty"` // of the request
 	Class      string `json:"class,omitempty"`
 	Endpoint   string `json:"host,omitempty"`
 	Dispatcher string `json:"dispatcher,omitempty"`
@@ -52,58 +54,67 @@
 	Text       string `json:"text,omitempty"`
 }
 
-// now is the machine's monotonic clock, alike in all processes.
+// now is the machine's monotonic clock, alike in all processes, in µs.
 func now() int64 {
 	var t unix.Timespec
-	_ = unix.ClockGettime(unix.CLOCK_MONOTONIC, &t)
+	if err := unix.ClockGettime(unix.CLOCK_MONOTONIC, &t); err != nil {
+		panic(err) // Linux always has that clock
+	}
 	return t.Nano() / 1000
 }
 
-// Record is one process's events on their way to its file.
+// Record is the file that one process writes its events to.
 type Record struct {
-	mu  sync.Mutex
-	out *bufio.Writer
+	mu      sync.Mutex
+	file    *os.File
+	failure error // of the first event that could not be written
 }
 
-// newRecord writes to a file; what is written is there after flush.
 func newRecord(path string) (*Record, error) {
-	f, err := os.Create(path)
+	file, err := os.Create(path)
 	if err != nil {
 		return nil, fmt.Errorf("record: %w", err)
 	}
-	return &Record{out: bufio.NewWriter(f)}, nil
+	return &Record{file: file}, nil
 }
 
-func (r *Record) add(e Event) {
-	if e.At == 0 {
-		e.At = now()
+// add writes an event at once, as the process may be killed.
+func (r *Record) add(event Event) {
+	if event.At == 0 {
+		event.At = now()
 	}
-	line, _ := json.Marshal(e)
+	line, err := json.Marshal(event)
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	_, _ = r.out.Write(append(line, '\n'))
-	_ = r.out.Flush() // the process may be killed
+	if err == nil {
+		_, err = r.file.Write(append(line, '\n'))
+	}
+	r.failure = errors.Join(r.failure, err)
 }
 
-func (r *Record) flush() {
+// close ends the record; it fails if any event was not written.
+func (r *Record) close() error {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	_ = r.out.Flush()
+	if err := errors.Join(r.failure, r.file.Close()); err != nil {
+		return fmt.Errorf("record %s: %w", r.file.Name(), err)
+	}
+	return nil
 }
 
 // readRecord reads a file of events.
 func readRecord(path string) (events []Event, err error) {
-	f, err := os.Open(path)
+	file, err := os.Open(path)
 	if err != nil {
-		return nil, err
+		return nil, fmt.Errorf("record: %w", err)
 	}
-	defer f.Close()
-	for lines := json.NewDecoder(bufio.NewReader(f)); lines.More(); {
-		var e Event
-		if err := lines.Decode(&e); err != nil {
+	defer func() { _ = file.Close() }() // it was only read
+	for decoder := json.NewDecoder(bufio.NewReader(file)); decoder.More(); {
+		var event Event
+		if err := decoder.Decode(&event); err != nil {
 			return nil, fmt.Errorf("%s: %w", path, err)
 		}
-		events = append(events, e)
+		events = append(events, event)
 	}
 	return events, nil
 }
--- a/internal/testbed/soak/role.go
+++ b/internal/testbed/soak/role.go
@@ -4,6 +4,7 @@
 	"bufio"
 	"encoding/json"
 	"fmt"
+	"io"
 	"math/rand"
 	"net"
 	"os"
@@ -12,112 +13,166 @@
 	"time"
 )
 
-// What a stand-in's process is started with.
+// Variables that a stand-in's process is started with.
 const (
 	roleVariable  = "SOAK_ROLE"
 	setupVariable = "SOAK_SETUP" // Setup, as JSON
 )
 
-// Setup is what a stand-in is told.
+// Names of the stand-ins.
+const (
+	endpointRole  = "host"
+	discoveryRole = "discovery"
+	proxyRole     = "proxy"
+	clientsRole   = "clients"
+)
+
+// readyLine is what a stand-in prints once it serves.
+const readyLine = "ready"
+
+// exitSetupFailed is the exit code of a stand-in that could not start.
+const exitSetupFailed = 2
+
+// Orders that stand-ins take on standard input, one a line, followed by their arguments.
+const (
+	orderEnd     = "end"     // to all: write the record and end
+	orderSilent  = "silent"  // endpoint, proxy, discovery: answer nothing, for a duration
+	orderDecline = "decline" // endpoint: decline everything, for a duration
+	orderLate    = "late"    // proxy: have new connections come up late, for a duration
+	orderPieces  = "pieces"  // proxy: pass bytes in small pieces, for a duration
+	orderReset   = "reset"   // proxy, discovery: reset connections
+	orderMute    = "mute"    // discovery: never write to the watches that are open now
+	orderEntry   = "entry"   // discovery: publish an endpoint's state and entry
+	orderCrowd   = "crowd"   // clients: connect to a dispatcher and say nothing, for a duration
+)
+
+// Setup is what a stand-in is started with.
 type Setup struct {
 	Name     string
 	Record   string // path
 	Seed     int64
-	Kind     string   // of a model host
+	Kind     string   // of an endpoint
 	Listen   []string // addresses
 	Targets  []string // of a proxy: what stands behind each address; of clients: dispatchers
 	Duration time.Duration
 }
 
-// role is what the stand-ins share: a record, chance, and orders that come line by line on standard input.
+// role is what the stand-ins share.
 type role struct {
 	Setup
 	record *Record
 	mu     sync.Mutex
-	chance *rand.Rand
+	random *rand.Rand
 }
 
-// draw is a number below n.
+// handler does what an order says.
+type handler func(order string, arguments []string)
+
+// draw is a random number below n.
 func (r *role) draw(n int) int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.chance.Intn(n)
+	return r.random.Intn(n)
 }
 
-func (r *role) within(most time.Duration) time.Duration { return time.Duration(r.draw(int(most))) }
+// drawDuration is a random duration below a limit.
+func (r *role) drawDuration(limit time.Duration) time.Duration {
+	return time.Duration(r.draw(int(limit)))
+}
 
-// Main runs a stand-in where the environment names one, and tells whether it did.
+// Main runs a stand-in where the environment names one, and returns whether it did.
 func Main() bool {
 	name := os.Getenv(roleVariable)
 	if name == "" {
 		return false
 	}
-	r := &role{}
-	if err := json.Unmarshal([]byte(os.Getenv(setupVariable)), &r.Setup); err != nil {
+	if err := runRole(name, os.Getenv(setupVariable), os.Stdin); err != nil {
 		fmt.Println(err)
-		os.Exit(2)
+		os.Exit(exitSetupFailed)
+	}
+	return true
+}
+
+// runRole runs a stand-in until it is told to end.
+func runRole(name, setup string, orders io.Reader) error {
+	r := &role{}
+	if err := json.Unmarshal([]byte(setup), &r.Setup); err != nil {
+		return fmt.Errorf("setup: %w", err)
 	}
-	r.chance = rand.New(rand.NewSource(r.Seed))
+	r.random = rand.New(rand.NewSource(r.Seed))
 	var err error
 	if r.record, err = newRecord(r.Record); err != nil {
-		fmt.Println(err)
-		os.Exit(2)
-	}
-	var obey func(order string, arguments []string)
-	switch name {
-	case "host":
-		obey, err = runHost(r)
-	case "discovery":
-		obey, err = runDiscovery(r)
-	case "proxy":
-		obey, err = runProxy(r)
-	case "clients":
-		obey, err = runClients(r)
-	default:
-		err = fmt.Errorf("no role %q", name)
+		return err
 	}
+	handle, err := r.start(name)
 	if err != nil {
-		fmt.Println(err)
-		os.Exit(2)
+		return err
 	}
-	fmt.Println("ready")
-	for lines := bufio.NewScanner(os.Stdin); lines.Scan(); {
+	fmt.Println(readyLine)
+	for lines := bufio.NewScanner(orders); lines.Scan(); {
 		words := strings.Fields(lines.Text())
 		if len(words) == 0 {
 			continue
 		}
-		if words[0] == "end" {
+		if words[0] == orderEnd {
 			break
 		}
-		obey(words[0], words[1:])
+		handle(words[0], words[1:])
 	}
-	r.record.flush()
-	return true
+	return r.record.close()
+}
+
+func (r *role) start(name string) (handler, error) {
+	switch name {
+	case endpointRole:
+		return startEndpoint(r)
+	case discoveryRole:
+		return startDiscovery(r)
+	case proxyRole:
+		return startProxy(r)
+	case clientsRole:
+		return startClients(r), nil
+	}
+	return nil, fmt.Errorf("no role %q", name)
 }
 
-// listen serves each connection that comes to an address.
+// listen serves each connection to an address until the process ends.
 func listen(address string, serve func(net.Conn)) error {
-	ln, err := net.Listen("tcp", address)
+	listener, err := net.Listen("tcp", address)
 	if err != nil {
 		return err
 	}
 	go func() {
 		for {
-			c, err := ln.Accept()
+			conn, err := listener.Accept()
 			if err != nil {
 				return
 			}
-			go serve(c)
+			go serve(conn)
 		}
 	}()
 	return nil
 }
 
-// span reads a duration of an order.
-func span(arguments []string, at int) time.Duration {
-	if at >= len(arguments) {
+// closeConn closes a connection; there is nothing to be done where that fails.
+func closeConn(conn net.Conn) { _ = conn.Close() }
+
+// resetConn closes a connection by a reset.
+func resetConn(conn net.Conn) {
+	if tcp, ok := conn.(*net.TCPConn); ok {
+		_ = tcp.SetLinger(0) // fails only for a connection that is closed
+	}
+	closeConn(conn)
+}
+
+// durationOf is an argument of an order, or 0.
+func durationOf(arguments []string, index int) time.Duration {
+	if index >= len(arguments) {
 		return 0
 	}
-	d, _ := time.ParseDuration(arguments[at])
-	return d
+	duration, _ := time.ParseDuration(arguments[index])
+	return duration
 }
+
+// untilOf is the time at which the duration of an order is over.
+func untilOf(arguments []string) int64 { return now() + durationOf(arguments, 0).Microseconds() }
--- a/internal/testbed/soak/soak_test.go
+++ b/internal/testbed/soak/soak_test.go
@@ -20,26 +20,26 @@
 	os.Exit(m.Run())
 }
 
-// number reads one from the environment.
-func number(name string, usual int) int {
-	if n, err := strconv.Atoi(os.Getenv(name)); err == nil {
-		return n
+// numberFromEnvironment is the value of a variable, or a default.
+func numberFromEnvironment(name string, fallback int) int {
+	if number, err := strconv.Atoi(os.Getenv(name)); err == nil {
+		return number
 	}
-	return usual
+	return fallback
 }
 
-// build makes the program as it is released, and the library that has system calls fail.
+// build builds the program as it is released, and the library that has system calls fail.
 func build(t *testing.T) (binary, library string) {
 	t.Helper()
-	folder := t.TempDir()
-	library, err := syscallfaults.Build(folder)
+	dir := t.TempDir()
+	library, err := syscallfaults.Build(dir)
 	if err != nil {
 		t.Fatal(err)
 	}
 	if other := os.Getenv("SOAK_BINARY"); other != "" { // a build to compare with
 		return other, library
 	}
-	binary = filepath.Join(folder, "plumspindle")
+	binary = filepath.Join(dir, "plumspindle")
 	cmd := exec.Command("go", "build", "-ldflags=-linkmode=external", "-o", binary, "plumspindle/cmd/plumspindle")
 	cmd.Env = append(os.Environ(), "CGO_ENABLED=1")
 	if output, err := cmd.CombinedOutput(); err != nil {
@@ -48,22 +48,42 @@
 	return binary, library
 }
 
-// TestSoak plays SOAK_SEEDS runs of SOAK_SECONDS from SOAK_SEED on; a short one where nothing is said. Logs and records stay in
-// SOAK_FOLDER, if there is one.
+// recordDir is where a run's logs and records go: a folder of SOAK_FOLDER, if there is one.
+func recordDir(t *testing.T, seed int) string {
+	t.Helper()
+	parent := os.Getenv("SOAK_FOLDER")
+	if parent == "" {
+		return t.TempDir()
+	}
+	dir := filepath.Join(parent, strconv.Itoa(seed))
+	if err := os.MkdirAll(dir, 0o700); err != nil {
+		t.Fatal(err)
+	}
+	return dir
+}
+
+// TestSoak runs SOAK_SEEDS plans of SOAK_SECONDS from SOAK_SEED on; a short one where nothing is said. Logs and records
+// stay in SOAK_FOLDER, if there is one.
 func TestSoak(t *testing.T) {
+	const minRequests = 100
 	binary, library := build(t)
-	for i := range number("SOAK_SEEDS", 1) {
-		seed := number("SOAK_SEED", 1) + i
+	for i := range numberFromEnvironment("SOAK_SEEDS", 1) {
+		seed := numberFromEnvironment("SOAK_SEED", 1) + i
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
-			folder := t.TempDir()
-			if to := os.Getenv("SOAK_FOLDER"); to != "" {
-				folder = filepath.Join(to, fmt.Sprint(seed))
-				if err := os.MkdirAll(folder, 0o700); err != nil {
-					t.Fatal(err)
-				}
+			plan := Plan{
+				Seed:              int64(seed),
+				Dispatchers:       6,
+				Prefills:          6,
+				Decodes:           8,
+				Clients:           8,
+				Duration:          time.Duration(numberFromEnvironment("SOAK_SECONDS", 8)) * time.Second,
+				MeanFaultInterval: time.Duration(numberFromEnvironment("SOAK_PAUSE_MS", 350)) * time.Millisecond,
+				Binary:            binary,
+				Library:           library,
+				Dir:               recordDir(t, seed),
+				SyscallFaults:     true,
+				ClockSteps:        true,
 			}
-			plan := Plan{Seed: int64(seed), MeanFaultInterval: time.Duration(number("SOAK_PAUSE_MS", 350)) * time.Millisecond, Dispatchers: 6, Prefills: 6, Decodes: 8, Clients: 8, Duration: time.Duration(number("SOAK_SECONDS", 8)) * time.Second,
-				Binary: binary, Library: library, Dir: folder, SyscallFaults: true, ClockSteps: true}
 			report, err := plan.Run()
 			if err != nil {
 				t.Fatal(err)
@@ -72,7 +92,7 @@
 			if len(report.Findings)+len(report.Violations) > 0 {
 				t.Error("rules were broken")
 			}
-			if report.Requests < 100 {
+			if report.Requests < minRequests {
 				t.Errorf("only %d requests", report.Requests)
 			}
 		})
