--- a/internal/dispatch/batch_manager.go
+++ b/internal/dispatch/batch_manager.go
@@ -99,7 +99,7 @@
 	for range t.calls {
 		call := t.calls[0]
 		t.calls = append(t.calls[1:], call)
-		if !call.closed && call.parts.HasReady(now) {
+		if !call.closed && call.parts.Ready(now) {
 			return call
 		}
 	}
--- a/internal/engine/openai.go
+++ b/internal/engine/openai.go
@@ -128,7 +128,7 @@
 }
 
 func (e *Engine) appendPost(target Target, path, addr string, body []byte) []byte {
-	return http1.AppendRequest(nil, "POST", path, addr, body,
+	return http1.AppendRequest(nil, http1.Request{Method: "POST", Target: path, Host: addr, Body: body},
 		"Content-Type", "application/json",
 		"x-request-id", target.RequestID,
 		"x-client-request-id", target.ClientID,
--- a/internal/frontend/wire_test.go
+++ b/internal/frontend/wire_test.go
@@ -156,7 +156,7 @@
 }
 
 func post(path, body string, fields ...string) string {
-	return string(http1.AppendRequest(nil, "POST", path, "host", []byte(body),
+	return string(http1.AppendRequest(nil, http1.Request{Method: "POST", Target: path, Host: "host", Body: []byte(body)},
 		append([]string{"Authorization", "Bearer good"}, fields...)...))
 }
 
@@ -166,7 +166,8 @@
 // TestWireForm compares all that a client receives, byte for byte, with golden files.
 func TestWireForm(t *testing.T) {
 	get := func(target, key string) string {
-		return string(http1.AppendRequest(nil, "GET", target, "host", nil, "Authorization", key))
+		return string(http1.AppendRequest(nil, http1.Request{Method: "GET", Target: target, Host: "host"},
+			"Authorization", key))
 	}
 	cases := map[string][]string{
 		"models":              {get("/v1/models", "Bearer good")},
--- a/internal/platform/endpoints.go
+++ b/internal/platform/endpoints.go
@@ -8,9 +8,6 @@
 	"plumspindle/scheduler"
 )
 
-// unknownKind stands for a kind or zone that the settings do not name; the scheduler sends nothing there.
-const unknownKind = 255
-
 // updateEndpoints takes an endpoint list, or what has changed in it.
 func (d *Dispatcher) updateEndpoints(entries []discovery.Entry, full bool) {
 	d.discoveryReady() // by this, if discovery speaks
@@ -37,42 +34,28 @@
 	}
 }
 
-func (d *Dispatcher) updateEndpoint(e discovery.Entry) {
-	zone, kind := d.zoneAndKind(&e)
-	if e.State == scheduler.Removed {
-		delete(d.endpoints, e.ID)
+func (d *Dispatcher) updateEndpoint(entry discovery.Entry) {
+	zone, kind := d.topology.Locate(&d.config.Log, entry.Name, entry.Zone, entry.Kind)
+	if entry.State == scheduler.Removed {
+		delete(d.endpoints, entry.ID)
 	} else {
-		d.endpoints[e.ID] = e
-		d.upstream.SetAddress(e.ID, e.Addr)
+		d.endpoints[entry.ID] = entry
+		d.upstream.SetAddress(entry.ID, entry.Addr)
 	}
-	d.config.Log.Debug().Str("endpoint", e.Name).Uint32("endpoint_id", uint32(e.ID)).Str("address", e.Addr).
-		Str("kind", e.Kind).Str("zone", e.Zone).Uint16("cell", uint16(e.Cell)).Int("state", int(e.State)).
-		Int64("started_us", int64(e.StartedAt)).Msg("endpoint updated")
+	d.config.Log.Debug().Str("endpoint", entry.Name).Uint32("endpoint_id", uint32(entry.ID)).Str("address", entry.Addr).
+		Str("kind", entry.Kind).Str("zone", entry.Zone).Uint16("cell", uint16(entry.Cell)).Int("state", int(entry.State)).
+		Int64("started_us", int64(entry.StartedAt)).Msg("endpoint updated")
 	now := d.loop.Now()
 	d.scheduler.EndpointUpdated(now, scheduler.EndpointStatus{
-		ID:        e.ID,
-		Zone:      scheduler.ZoneID(zone),
-		Kind:      scheduler.KindID(kind),
-		Cell:      e.Cell,
-		State:     e.State,
-		StartedAt: min(e.StartedAt, now),
+		ID:        entry.ID,
+		Zone:      zone,
+		Kind:      kind,
+		Cell:      entry.Cell,
+		State:     entry.State,
+		StartedAt: min(entry.StartedAt, now),
 	})
 }
 
-// zoneAndKind are an endpoint's places in the settings; where those do not name one of them, the kind is unknownKind.
-func (d *Dispatcher) zoneAndKind(e *discovery.Entry) (zone, kind int) {
-	zone, kind = slices.Index(d.settings.Zones, e.Zone), slices.Index(d.settings.Kinds, e.Kind)
-	if zone < 0 {
-		d.config.Log.Warn().Str("endpoint", e.Name).Str("zone", e.Zone).Msg("endpoint in an unknown zone")
-		return 0, unknownKind
-	}
-	if kind < 0 || kind >= len(d.settings.Scheduler.Kinds) {
-		d.config.Log.Warn().Str("endpoint", e.Name).Str("kind", e.Kind).Msg("endpoint of an unknown kind")
-		return zone, unknownKind
-	}
-	return zone, kind
-}
-
 // releaseTargets are the endpoints that accept new requests, or all that are listed, in order.
 func (d *Dispatcher) releaseTargets(all bool) []scheduler.EndpointID {
 	if !all {
@@ -100,19 +83,14 @@
 // cancelUnsentToUnready cancels what has not been written yet to endpoints that accept nothing new: a connection that
 // opens only now must not carry it.
 func (d *Dispatcher) cancelUnsentToUnready() {
-	for _, r := range d.requestsByID() {
-		inFlight := r.attempt.inFlight
-		if inFlight != nil && inFlight.Unsent() && !d.isReady(r.attempt.endpoint) {
-			d.cancelAttempt(r, newResult(scheduler.Unreachable, reasonEndpointNotReady))
+	for _, req := range d.requestsByID() {
+		inFlight := req.attempt.inFlight
+		if inFlight != nil && inFlight.Unsent() && !d.isReady(req.attempt.endpoint) {
+			d.cancelAttempt(req, newResult(scheduler.Unreachable, reasonEndpointNotReady))
 		}
 	}
 }
 
-// role is what an endpoint does; one of unknown kind counts as a decode endpoint.
 func (d *Dispatcher) role(id scheduler.EndpointID) scheduler.Role {
-	kind := slices.Index(d.settings.Kinds, d.endpoints[id].Kind)
-	if kind >= 0 && kind < len(d.settings.Scheduler.Kinds) {
-		return d.settings.Scheduler.Kinds[kind].Role
-	}
-	return scheduler.Decode
+	return d.topology.Role(d.endpoints[id].Kind)
 }
--- a/internal/subscribe/post.go
+++ b/internal/subscribe/post.go
@@ -22,8 +22,9 @@
 // was none in time.
 func Post(loop eventloop.Loop, request PostRequest, done func(status int)) {
 	header := slices.Concat(request.Header, []string{"Content-Type", "application/json", "Connection", "close"})
+	message := http1.Request{Method: "POST", Target: request.Target, Host: request.Address, Body: request.Body}
 	p := &post{
-		request:  http1.AppendRequest(nil, "POST", request.Target, request.Address, request.Body, header...),
+		request:  http1.AppendRequest(nil, message, header...),
 		response: http1.Parser{Response: true, Limits: http1.DefaultLimits},
 		done:     done,
 	}
--- a/internal/testbed/soak/judge.go
+++ b/internal/testbed/soak/judge.go
@@ -8,7 +8,7 @@
 	"strings"
 
 	"plumspindle/internal/platform/guard"
-	"plumspindle/internal/schedulerlog"
+	"plumspindle/internal/schedulerhost"
 )
 
 // maxLogLine is the longest line of a dispatcher's log that is read.
@@ -53,7 +53,7 @@
 		if isExcusedOverrun(d, audit, at, text) {
 			continue
 		}
-		if strings.Contains(text, guard.ViolationMessage) || strings.Contains(text, schedulerlog.SendBlocked) {
+		if strings.Contains(text, guard.ViolationMessage) || strings.Contains(text, schedulerhost.SendBlocked) {
 			r.report.Violations = append(r.report.Violations, fmt.Sprintf("n%d: %s", d.number, text))
 		}
 		if strings.HasPrefix(text, "panic:") || strings.HasPrefix(text, "fatal error:") {
