--- a/internal/cli/roster.go
+++ b/internal/cli/discovery.go
@@ -14,7 +14,7 @@
 )
 
 //nolint:lll // a struct tag is one line
-type rosterCommand struct {
+type discoveryCommand struct {
 	List      string `arg:"" type:"existingfile" help:"File with the endpoint list, as JSON: {\"hosts\":[{\"id\":1,\"addr\":\"127.0.0.1:9001\",\"zone\":...,\"kind\":...,\"cell\":0,\"condition\":\"ready\"}]}. It is read again when it changes."`
 	Listen    string `default:"127.0.0.1:8090" help:"Address that discovery listens on, loopback only; port 0 picks one."`
 	ReadyFile string `help:"File that is written, as JSON, once it serves."`
@@ -24,7 +24,7 @@
 const listPollInterval = 300 * time.Millisecond
 
 // Run serves the list until the program is asked to stop.
-func (c *rosterCommand) Run(ctx context.Context, env *environment) error {
+func (c *discoveryCommand) Run(ctx context.Context, env *environment) error {
 	entries, err := readEndpointList(c.List)
 	if err != nil {
 		return err
@@ -57,7 +57,7 @@
 
 // follow calls update with the list of a file each time that it changed, until the context ends. A missing or broken
 // file changes nothing, so that no endpoint is lost by it.
-func (c *rosterCommand) follow(ctx context.Context, env *environment, update func([]endpoints.Entry)) {
+func (c *discoveryCommand) follow(ctx context.Context, env *environment, update func([]endpoints.Entry)) {
 	ticker := time.NewTicker(listPollInterval)
 	defer ticker.Stop()
 	var last os.FileInfo
--- a/internal/cli/hosts.go
+++ b/internal/cli/endpoints.go
@@ -13,16 +13,16 @@
 )
 
 //nolint:lll // a struct tag is one line
-type hostsCommand struct {
+type endpointsCommand struct {
 	Deployment string `type:"existingfile" help:"Deployment with a fleet; the built-in one if none is given."`
-	Roster     string `default:"127.0.0.1:8090" help:"Address that discovery listens on, loopback only; port 0 picks one. Empty: no discovery, for use with --list-out."`
+	Discovery  string `name:"roster" default:"127.0.0.1:8090" help:"Address that discovery listens on, loopback only; port 0 picks one. Empty: no discovery, for use with --list-out."`
 	ListOut    string `type:"path" help:"File that the endpoint list is written to, for a discovery service of its own."`
 	ReadyFile  string `help:"File that is written, as JSON, once all endpoints serve."`
 	Seed       int64  `help:"Seed of all random choices; drawn if 0."`
 }
 
 // Run runs the stand-in endpoints until the program is asked to stop.
-func (c *hostsCommand) Run(ctx context.Context, env *environment) error {
+func (c *endpointsCommand) Run(ctx context.Context, env *environment) error {
 	dep, err := loadDeployment(c.Deployment)
 	if err != nil {
 		return err
@@ -32,7 +32,7 @@
 		return err
 	}
 	defer loop.Stop()
-	fleet, err := startFleet(loop, dep, c.Seed, c.Roster)
+	fleet, err := startFleet(loop, dep, c.Seed, c.Discovery)
 	if err != nil {
 		return err
 	}
--- a/internal/cli/program.go
+++ b/internal/cli/program.go
@@ -31,23 +31,23 @@
 type commands struct {
 	LogLevel string `enum:"debug,info,warn,error" default:"info" help:"Lowest level that is logged, on standard error: ${enum}."`
 
-	Up       upCommand       `cmd:"" help:"Run everything on this machine: stand-in endpoints, discovery and one dispatcher."`
-	Serve    serveCommand    `cmd:"" help:"Run one dispatcher."`
-	Platform platformCommand `cmd:"" help:"Run one dispatcher on the users' platform, configured by BALANCER_CONFIG and others."`
-	Admin    adminCommand    `cmd:"" help:"Run the administration, by which tenants are added, limited and removed."`
-	Tenant   tenantCommand   `cmd:"" help:"Add, limit and remove tenants, and make their keys, over the administration's API."`
-	Hosts    hostsCommand    `cmd:"" help:"Run the stand-in endpoints of a deployment, with their discovery."`
-	Roster   rosterCommand   `cmd:"" help:"Serve an endpoint list from a file, and push what changes in it."`
-	Day      dayCommand      `cmd:"" help:"Run a scenario with dispatchers as processes of their own, and audit it."`
-	Audit    auditCommand    `cmd:"" help:"Audit a recorded scenario again."`
-	Bench    benchCommand    `cmd:"" help:"Measure what the dispatcher adds, against the same endpoints called directly."`
-	Fairness fairnessCommand `cmd:"" help:"Run scenarios in which one tenant floods, and compare what the other tenants get."`
-	Restarts restartsCommand `cmd:"" help:"Restart all dispatchers at once, with and without discovery, from lists of several ages."`
-	Batches  batchesCommand  `cmd:"" help:"Run chat with a flood of calls for embeddings, under learnt and fixed limits, and compare."`
-	Sim      simCommand      `cmd:"" help:"Run scenarios in virtual time with faults drawn from seeds; find, shrink and replay failures."`
-	Store    storeCommand    `cmd:"" help:"Inspect an embedded store."`
-	Check    checkCommand    `cmd:"" help:"Check a deployment and name every fault."`
-	Version  versionCommand  `cmd:"" help:"Print the version."`
+	Up        upCommand        `cmd:"" help:"Run everything on this machine: stand-in endpoints, discovery and one dispatcher."`
+	Serve     serveCommand     `cmd:"" help:"Run one dispatcher."`
+	Platform  platformCommand  `cmd:"" help:"Run one dispatcher on the users' platform, configured by BALANCER_CONFIG and others."`
+	Admin     adminCommand     `cmd:"" help:"Run the administration, by which tenants are added, limited and removed."`
+	Tenant    tenantCommand    `cmd:"" help:"Add, limit and remove tenants, and make their keys, over the administration's API."`
+	Endpoints endpointsCommand `cmd:"" name:"hosts" help:"Run the stand-in endpoints of a deployment, with their discovery."`
+	Discovery discoveryCommand `cmd:"" name:"roster" help:"Serve an endpoint list from a file, and push what changes in it."`
+	Scenario  scenarioCommand  `cmd:"" name:"day" help:"Run a scenario with dispatchers as processes of their own, and audit it."`
+	Audit     auditCommand     `cmd:"" help:"Audit a recorded scenario again."`
+	Bench     benchCommand     `cmd:"" help:"Measure what the dispatcher adds, against the same endpoints called directly."`
+	Fairness  fairnessCommand  `cmd:"" help:"Run scenarios in which one tenant floods, and compare what the other tenants get."`
+	Restarts  restartsCommand  `cmd:"" help:"Restart all dispatchers at once, with and without discovery, from lists of several ages."`
+	Batches   batchesCommand   `cmd:"" help:"Run chat with a flood of calls for embeddings, under learnt and fixed limits, and compare."`
+	Sim       simCommand       `cmd:"" help:"Run scenarios in virtual time with faults drawn from seeds; find, shrink and replay failures."`
+	Store     storeCommand     `cmd:"" help:"Inspect an embedded store."`
+	Check     checkCommand     `cmd:"" help:"Check a deployment and name every fault."`
+	Version   versionCommand   `cmd:"" help:"Print the version."`
 }
 
 // environment is what every command writes to.
@@ -108,7 +108,7 @@
 	return runCommand(parsed, &root, stdout, stderr)
 }
 
-// runCommand runs the command that was parsed until it ends or the program is told to stop by a signal.
+// runCommand runs the command that was parsed until it ends or a signal asks the program to stop.
 func runCommand(parsed *kong.Context, root *commands, stdout, stderr io.Writer) int {
 	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
 	defer stop()
--- a/internal/cli/scenario.go
+++ b/internal/cli/scenario.go
@@ -13,7 +13,7 @@
 const maxLocalDispatchers = 64
 
 //nolint:lll // a struct tag is one line
-type dayCommand struct {
+type scenarioCommand struct {
 	Name        string `arg:"" help:"A built-in scenario (${days}) or a file with a scenario's script. Faults that a script may name: ${troubles}."`
 	Seed        int64  `default:"1" help:"Seed of all random choices."`
 	Record      string `type:"path" help:"Folder that the record of the scenario is written to."`
@@ -26,7 +26,7 @@
 }
 
 // Run runs the scenario; a broken rule is an error.
-func (c *dayCommand) Run(ctx context.Context, env *environment) error {
+func (c *scenarioCommand) Run(ctx context.Context, env *environment) error {
 	script, err := scenarios.Find(c.Name)
 	if err != nil {
 		return err
@@ -52,7 +52,7 @@
 	return printVerdict(env, verdict, err)
 }
 
-func (c *dayCommand) runVirtual(env *environment, run *scenarios.Run) error {
+func (c *scenarioCommand) runVirtual(env *environment, run *scenarios.Run) error {
 	verdict, leftOver, trace, err := run.RunVirtual(c.Segment)
 	if err == nil {
 		env.printf("in virtual time, trace %016x\n", trace)
--- a/internal/cli/serve.go
+++ b/internal/cli/serve.go
@@ -34,7 +34,7 @@
 type serveCommand struct {
 	Deployment string        `type:"existingfile" help:"Deployment, as protobuf text format; the built-in one if none is given."`
 	Listen     string        `default:"127.0.0.1:8080" help:"Address for clients, loopback only; port 0 picks one."`
-	Roster     string        `help:"Address of the discovery service that pushes the endpoint list."`
+	Discovery  string        `name:"roster" help:"Address of the discovery service that pushes the endpoint list."`
 	Zone       string        `help:"Zone that this dispatcher runs in; the deployment's first if none is given."`
 	Name       string        `help:"Name that differs from those of all other dispatchers and of this one's earlier incarnations; random if none is given."`
 	ReadyFile  string        `help:"File that is written, as JSON, once the dispatcher serves."`
@@ -54,7 +54,7 @@
 	if err != nil {
 		return err
 	}
-	if c.Roster == "" && c.ListFile == "" {
+	if c.Discovery == "" && c.ListFile == "" {
 		return errors.New("serve: neither --roster nor --list-file is given, so no endpoint could ever be known")
 	}
 	stopProfile, err := startProfile(c.Profile)
@@ -127,49 +127,50 @@
 	if err != nil {
 		return nil, fmt.Errorf("event loop: %w", err)
 	}
-	p := &dispatcherProcess{loop: loop, log: log}
-	config := c.config(p, dep)
+	process := &dispatcherProcess{loop: loop, log: log}
+	config := c.config(process, dep)
 	config.Secret = secret
 	loop.OverloadResponse = frontend.BusyResponse()
 	if c.StateDir != "" {
-		if config.Intents, err = p.openState(c.StateDir); err != nil {
-			p.close()
+		if config.Intents, err = process.openState(c.StateDir); err != nil {
+			process.close()
 			return nil, err
 		}
 	}
 	loop.Do(func() {
-		if p.dispatcher, err = dispatch.Start(loop, dep, config); err != nil {
+		if process.dispatcher, err = dispatch.Start(loop, dep, config); err != nil {
 			return
 		}
-		p.listener, err = loop.Listen(c.Listen, p.dispatcher.Frontend().Accept)
+		process.listener, err = loop.Listen(c.Listen, process.dispatcher.Frontend().Accept)
 	})
 	if err != nil {
-		p.close()
+		process.close()
 		return nil, err
 	}
-	return p, nil
+	return process, nil
 }
 
 // config is the dispatcher's configuration but for the secret and the record of intents.
-func (c *serveCommand) config(p *dispatcherProcess, dep deployment.Deployment) dispatch.Config {
+func (c *serveCommand) config(process *dispatcherProcess, dep deployment.Deployment) dispatch.Config {
 	seed := seedOrRandom(c.Seed)
-	p.name, p.zone = c.Name, c.Zone
-	if p.name == "" {
-		p.name = "d" + strconv.FormatUint(uint64(seed)%randomNames, randomNameBase)
+	process.name, process.zone = c.Name, c.Zone
+	if process.name == "" {
+		process.name = "d" + strconv.FormatUint(uint64(seed)%randomNames, randomNameBase)
 	}
-	if p.zone == "" {
-		p.zone = dep.Zones[0]
+	if process.zone == "" {
+		process.zone = dep.Zones[0]
 	}
-	config := dispatch.Config{Name: p.name, Zone: p.zone, Seed: seed, Discovery: c.Roster, Tenants: c.Tenants, Log: p.log}
+	config := dispatch.Config{Name: process.name, Zone: process.zone, Seed: seed, Discovery: c.Discovery,
+		Tenants: c.Tenants, Log: process.log}
 	if c.ListFile != "" {
 		for _, path := range []string{c.ListFile, c.ListFile + previousSuffix} {
-			config.CachedEndpoints = append(config.CachedEndpoints, p.readCache(path, "cached endpoint list unreadable"))
+			config.CachedEndpoints = append(config.CachedEndpoints, process.readCache(path, "cached endpoint list unreadable"))
 		}
-		config.CacheEndpoints = p.openCache(c.ListFile, true, "endpoint list not cached")
+		config.CacheEndpoints = process.openCache(c.ListFile, true, "endpoint list not cached")
 	}
 	if c.TenantFile != "" {
-		config.CachedTenants = p.readCache(c.TenantFile, "cached tenants unreadable")
-		config.CacheTenants = p.openCache(c.TenantFile, false, "tenants not cached")
+		config.CachedTenants = process.readCache(c.TenantFile, "cached tenants unreadable")
+		config.CacheTenants = process.openCache(c.TenantFile, false, "tenants not cached")
 	}
 	var limit syscall.Rlimit
 	if err := syscall.Getrlimit(syscall.RLIMIT_NOFILE, &limit); err == nil {
--- a/internal/cli/sim.go
+++ b/internal/cli/sim.go
@@ -32,10 +32,10 @@
 
 // drawnScenario names a scenario by its seed or by its script, and a mutant that it is run with.
 type drawnScenario struct {
-	Day    string  `arg:"" help:"Seed, or file of a script."`
-	Mutant string  `name:"plant" help:"Fault that is injected, by its name or number."`
-	Rate   float64 `default:"12" help:"Requests a second, about, where a seed is given."`
-	For    int     `default:"7" help:"Seconds of a scenario, where a seed is given."`
+	Scenario string  `arg:"" name:"day" help:"Seed, or file of a script."`
+	Mutant   string  `name:"plant" help:"Fault that is injected, by its name or number."`
+	Rate     float64 `default:"12" help:"Requests a second, about, where a seed is given."`
+	For      int     `default:"7" help:"Seconds of a scenario, where a seed is given."`
 }
 
 // load draws or reads the scenario, and finds the mutant; that is nil where none is named.
@@ -52,14 +52,14 @@
 }
 
 func (d drawnScenario) script() (*pb.Day, error) {
-	if seed, err := strconv.ParseInt(d.Day, 10, 64); err == nil {
+	if seed, err := strconv.ParseInt(d.Scenario, 10, 64); err == nil {
 		return faultsearch.Draw(seed, faultsearch.Size{Seconds: d.For, Rate: d.Rate}), nil
 	}
-	text, err := os.ReadFile(d.Day)
+	text, err := os.ReadFile(d.Scenario)
 	if err != nil {
 		return nil, fmt.Errorf("day: %w", err)
 	}
-	return scenarios.ReadScript(filepath.Base(d.Day), text)
+	return scenarios.ReadScript(filepath.Base(d.Scenario), text)
 }
 
 func findMutant(nameOrNumber string) (*scenarios.Mutant, error) {
--- a/internal/cli/sim_run.go
+++ b/internal/cli/sim_run.go
@@ -66,7 +66,7 @@
 		totals.add(seed, outcome)
 		if len(outcome.Faults) > 0 {
 			env.printf("seed %d: %s\n", seed, outcome.Faults[0])
-			if err := c.save(outcome.Day); err != nil {
+			if err := c.save(outcome.Script); err != nil {
 				return err
 			}
 		}
@@ -123,7 +123,7 @@
 			t.requests += row.Asked
 		}
 	}
-	for _, pair := range pairsOfFaults(outcome.Day) {
+	for _, pair := range pairsOfFaults(outcome.Script) {
 		if t.pairs[pair] == nil {
 			t.pairs[pair] = &pairCount{}
 		}
--- a/internal/cli/sim_worlds.go
+++ b/internal/cli/sim_worlds.go
@@ -14,9 +14,9 @@
 )
 
 type simInterleavings struct {
-	Depth   int    `default:"12" help:"Deliveries whose order is tried both ways."`
-	Late    int64  `default:"4000" help:"By how much one of them is late, µs."`
-	Trouble string `help:"Fault on top, such as crash, drain or kill_at; none if not given."`
+	Depth int    `default:"12" help:"Deliveries whose order is tried both ways."`
+	Late  int64  `default:"4000" help:"By how much one of them is late, µs."`
+	Fault string `name:"trouble" help:"Fault on top, such as crash, drain or kill_at; none if not given."`
 }
 
 const (
@@ -30,24 +30,24 @@
 		return fmt.Errorf("sim: a depth of 1 to %d, and a delay above 0", maxInterleavingDepth)
 	}
 	var faults []*pb.Day_Trouble
-	if c.Trouble != "" {
-		if !slices.Contains(scenarios.FaultKinds(), c.Trouble) {
-			return fmt.Errorf("sim: there is no trouble %q", c.Trouble)
+	if c.Fault != "" {
+		if !slices.Contains(scenarios.FaultKinds(), c.Fault) {
+			return fmt.Errorf("sim: there is no trouble %q", c.Fault)
 		}
-		faults = append(faults, &pb.Day_Trouble{Kind: c.Trouble, AtMs: 300, ForMs: 200, Share: 0.4, Factor: 0.5, Step: 30})
+		faults = append(faults, &pb.Day_Trouble{Kind: c.Fault, AtMs: 300, ForMs: 200, Share: 0.4, Factor: 0.5, Step: 30})
 	}
 	began, reported := time.Now(), time.Now()
 	result, err := faultsearch.Explore(c.Depth, eventloop.Micros(c.Late), faults, func(result *faultsearch.Interleavings) {
 		if time.Since(reported) > progressInterval {
 			reported = time.Now()
-			env.reportf("%d days, %d states, %d faults\n", result.Days, result.States, len(result.Faults))
+			env.reportf("%d days, %d states, %d faults\n", result.Runs, result.States, len(result.Faults))
 		}
 	})
 	if err != nil {
 		return err
 	}
 	env.printf("%d days in %.1f s, %d states told apart, %d choices not followed as their state was known; %d faults\n",
-		result.Days, time.Since(began).Seconds(), result.States, result.Pruned, len(result.Faults))
+		result.Runs, time.Since(began).Seconds(), result.States, result.Pruned, len(result.Faults))
 	for _, fault := range result.Faults[:min(len(result.Faults), maxPrintedFaults)] {
 		env.print(fault, "\n")
 	}
--- a/internal/cli/up.go
+++ b/internal/cli/up.go
@@ -72,7 +72,7 @@
 	if err != nil {
 		return err
 	}
-	serve := &serveCommand{Listen: c.Listen, Roster: fleet.Discovery.Addr, Seed: c.Seed, Tenants: adminListener.Addr()}
+	serve := &serveCommand{Listen: c.Listen, Discovery: fleet.Discovery.Addr, Seed: c.Seed, Tenants: adminListener.Addr()}
 	process, err := serve.start(env.log, dep, secrets.sealing[:])
 	if err != nil {
 		return err
--- a/internal/faultsearch/faultsearch.go
+++ b/internal/faultsearch/faultsearch.go
@@ -32,7 +32,7 @@
 
 // Outcome is what running a scenario showed.
 type Outcome struct {
-	Day     *pb.Day
+	Script  *pb.Day
 	Faults  []string // each begins with what was broken
 	Trace   uint64   // hash of all that happened
 	Steps   int
@@ -53,7 +53,7 @@
 
 // Run runs a scenario, with a mutant or, where that is nil, without.
 func Run(script *pb.Day, mutant *scenarios.Mutant) (*Outcome, error) {
-	outcome := &Outcome{Day: script}
+	outcome := &Outcome{Script: script}
 	run := &scenarios.Run{Script: proto.CloneOf(script), Deployment: deployment.Standard(),
 		Dispatchers: int(max(script.World.GetDispatchers(), 1)), Seed: script.World.GetSeed(),
 		Keyed: script.World.GetKeyed(), Intents: script.World.GetIntents(), Mutant: mutant}
--- a/internal/faultsearch/faultsearch_test.go
+++ b/internal/faultsearch/faultsearch_test.go
@@ -103,11 +103,11 @@
 		mutant := Mutants()[index]
 		t.Run(mutant.Name, func(t *testing.T) {
 			found := firstFailure(t, mutant)
-			least, runs, err := Shrink(found.Day, mutant, nil)
+			least, runs, err := Shrink(found.Script, mutant, nil)
 			if err != nil {
 				t.Fatal(err)
 			}
-			t.Logf("%d faults of %d after %d runs", len(least.Troubles), len(found.Day.Troubles), runs)
+			t.Logf("%d faults of %d after %d runs", len(least.Troubles), len(found.Script.Troubles), runs)
 			outcome, err := Run(least, mutant)
 			if err != nil {
 				t.Fatal(err)
@@ -197,7 +197,7 @@
 				t.Fatal(err)
 			}
 			if len(result.Faults) > 0 || result.States < 10 {
-				t.Errorf("%d runs, %d states, faults %v", result.Days, result.States, result.Faults)
+				t.Errorf("%d runs, %d states, faults %v", result.Runs, result.States, result.Faults)
 			}
 		})
 	}
--- a/internal/faultsearch/interleavings.go
+++ b/internal/faultsearch/interleavings.go
@@ -15,7 +15,7 @@
 
 // Interleavings are what a bounded search over the orders of deliveries found.
 type Interleavings struct {
-	Days   int // scenarios that were run
+	Runs   int // scenarios that were run
 	States int // that were distinguished
 	Pruned int // choices not followed, as their state had been met at that depth
 	Faults []string
@@ -27,7 +27,7 @@
 	late   = 1
 )
 
-// stateKey tells states apart by what dispatchers and endpoints have in flight, after so many choices.
+// stateKey distinguishes states by what dispatchers and endpoints have in flight, after so many choices.
 type stateKey struct {
 	depth   int
 	summary uint64
@@ -65,8 +65,8 @@
 // Explore runs all orders in which the first segments arrive on time or late, depth choices deep, each of them late by
 // lateness, with faults on top. progress, if it is not nil, is called after each run.
 //
-// A choice whose state was met before at that depth is not followed further. States are told apart by what dispatchers
-// and endpoints have in flight, so that two that differ in anything else count as one.
+// A choice whose state was met before at that depth is not followed further. States are distinguished by what
+// dispatchers and endpoints have in flight, so that two that differ in anything else count as one.
 func Explore(depth int, lateness eventloop.Micros, faults []*pb.Day_Trouble, progress func(*Interleavings)) (
 	*Interleavings, error) {
 	e := &exploration{depth: depth, lateness: lateness, seen: map[stateKey]bool{}, result: &Interleavings{}}
@@ -96,7 +96,7 @@
 	if err != nil {
 		return err
 	}
-	e.result.Days++
+	e.result.Runs++
 	e.result.States = len(e.seen)
 	for i, rule := range verdict.Rules {
 		if len(rule.Violations) > 0 {
--- a/internal/testbed/audit/audit.go
+++ b/internal/testbed/audit/audit.go
@@ -93,10 +93,11 @@
 	products   map[string]*pb.Product
 	// slack is socketSlack; in virtual time, where all events have one clock, they are apart by the network's latency
 	// only.
-	slack          int64
-	unavailable    map[string][]unavailability // by dispatcher
-	killed         map[string][]int64          // when a dispatcher was killed or told to end, by its name and by its place
-	refused        map[string]int64            // when an endpoint said that it had not run an attempt
+	slack       int64
+	unavailable map[string][]unavailability // by dispatcher
+	// when a dispatcher was killed or asked to stop, by its name and by its place
+	killed         map[string][]int64
+	refused        map[string]int64 // when an endpoint said that it had not run an attempt
 	clientAttempts map[clientAttemptKey]*clientAttempt
 	clientOrder    []clientAttemptKey
 	attempts       map[string][]*attempt // by the dispatcher's request
@@ -106,7 +107,7 @@
 
 // Judge judges a record.
 func Judge(dep deployment.Deployment, events []record.Event) *Verdict {
-	j := &judge{
+	judging := &judge{
 		deployment:     dep,
 		verdict:        &Verdict{},
 		products:       map[string]*pb.Product{},
@@ -120,19 +121,19 @@
 		ran:            map[string][]int{},
 	}
 	for i, name := range ruleNames {
-		j.verdict.Rules[i].Name = name
+		judging.verdict.Rules[i].Name = name
 	}
 	for _, product := range dep.Products {
-		j.products[product.Name] = product
+		judging.products[product.Name] = product
 	}
-	j.gather(events)
-	j.checkFinalAnswers(events)
-	j.checkSecondRuns(events)
-	j.checkDrains(events)
-	j.checkSlowStart(events)
-	j.checkPinnedState(events)
-	j.summariseService(events)
-	return j.verdict
+	judging.gather(events)
+	judging.checkFinalAnswers(events)
+	judging.checkSecondRuns(events)
+	judging.checkDrains(events)
+	judging.checkSlowStart(events)
+	judging.checkPinnedState(events)
+	judging.summariseService(events)
+	return judging.verdict
 }
 
 // checked counts a case of a rule.
--- a/internal/testbed/load/batches.go
+++ b/internal/testbed/load/batches.go
@@ -87,20 +87,28 @@
 
 // try makes the next attempt, if there is time and a dispatcher for it.
 func (c *batchCall) try() {
-	b := c.clients
-	g := b.Generator
-	left := c.since + timeLimit(b.Product) - g.loop.Now()
-	targets := g.targetsNear("")
+	clients := c.clients
+	generator := clients.Generator
+	left := c.since + timeLimit(clients.Product) - generator.loop.Now()
+	targets := generator.targetsNear("")
 	if left < minAttemptTime || len(targets) == 0 || c.attempts >= maxBatchAttempts {
 		c.over(record.Unserved)
 		return
 	}
 	c.attempts++
-	target := targets[g.random.Intn(len(targets))]
-	a := &batchAttempt{batch: c}
-	a.attempt = attempt{generator: g, request: c.id, number: c.attempts, product: b.Product.Name, tenant: b.Tenant,
-		timeLimit: left, onTimeout: a.giveUp, onOver: a.over}
-	a.send(target, c.call(), a)
+	target := targets[generator.random.Intn(len(targets))]
+	next := &batchAttempt{batch: c}
+	next.attempt = attempt{
+		generator: generator,
+		request:   c.id,
+		number:    c.attempts,
+		product:   clients.Product.Name,
+		tenant:    clients.Tenant,
+		timeLimit: left,
+		onTimeout: next.giveUp,
+		onOver:    next.over,
+	}
+	next.send(target, c.call(), next)
 }
 
 func (c *batchCall) call() call {
@@ -117,18 +125,20 @@
 
 // over ends the call for its client, which then begins the next.
 func (c *batchCall) over(outcome string) {
-	b := c.clients
-	g := b.Generator
-	b.Open--
-	b.Outcomes[outcome]++
+	clients := c.clients
+	generator := clients.Generator
+	clients.Open--
+	clients.Outcomes[outcome]++
 	if outcome == record.Completed {
-		b.InputsRead += len(c.inputs)
-		b.TokensRead += len(c.inputs) * b.Tokens
+		clients.InputsRead += len(c.inputs)
+		clients.TokensRead += len(c.inputs) * clients.Tokens
 	}
-	g.recorder.Add(record.Event{At: int64(g.loop.Now()), Type: record.RequestOver, Request: c.id, Detail: outcome,
-		Product: b.Product.Name, Tenant: g.deployment.Tenants[b.Tenant].Name, Count: int64(g.loop.Now() - c.since),
+	generator.recorder.Add(record.Event{At: int64(generator.loop.Now()), Type: record.RequestOver, Request: c.id,
+		Detail:  outcome,
+		Product: clients.Product.Name, Tenant: generator.deployment.Tenants[clients.Tenant].Name,
+		Count:         int64(generator.loop.Now() - c.since),
 		ClientAttempt: c.attempts, Exact: outcome == record.Completed})
-	g.loop.Defer(b.next)
+	generator.loop.Defer(clients.next)
 }
 
 // End takes the end of the HTTP message.
--- a/internal/testbed/load/chat.go
+++ b/internal/testbed/load/chat.go
@@ -61,26 +61,35 @@
 
 // try makes the next attempt, if there is time and a dispatcher for it.
 func (r *chatRequest) try() {
-	g, product := r.generator, r.session.product
-	left := r.since + r.timeLimit - g.loop.Now()
-	near := g.targetsNear(r.session.zone)
+	generator, product := r.generator, r.session.product
+	left := r.since + r.timeLimit - generator.loop.Now()
+	near := generator.targetsNear(r.session.zone)
 	if left < minAttemptTime || len(near) == 0 {
 		r.over(record.Unserved, 0, 0)
 		return
 	}
 	r.attempts++
-	limit := eventloop.Micros(float64(left) * (g.MinPatience + (1-g.MinPatience)*g.random.Float64()))
-	target := near[g.random.Intn(len(near))]
+	patience := generator.MinPatience + (1-generator.MinPatience)*generator.random.Float64()
+	limit := eventloop.Micros(float64(left) * patience)
+	target := near[generator.random.Intn(len(near))]
 	c := call{path: chatPath, body: r.body()}
-	if g.Keyed && product.Effect != pb.Product_IDEMPOTENT {
+	if generator.Keyed && product.Effect != pb.Product_IDEMPOTENT {
 		// A dispatcher knows only its own keys.
-		target = g.Targets[int(xxhash.Sum64String(r.id)%uint64(len(g.Targets)))]
+		target = generator.Targets[int(xxhash.Sum64String(r.id)%uint64(len(generator.Targets)))]
 		c.idempotencyKey = r.id
 	}
-	a := &chatAttempt{chat: r, events: sse.Parser{MaxEventBytes: maxEventSize}}
-	a.attempt = attempt{generator: g, request: r.id, number: r.attempts, product: product.Name,
-		tenant: r.session.tenant, timeLimit: limit, onTimeout: a.timeOut, onOver: a.over}
-	a.send(target, c, a)
+	next := &chatAttempt{chat: r, events: sse.Parser{MaxEventBytes: maxEventSize}}
+	next.attempt = attempt{
+		generator: generator,
+		request:   r.id,
+		number:    r.attempts,
+		product:   product.Name,
+		tenant:    r.session.tenant,
+		timeLimit: limit,
+		onTimeout: next.timeOut,
+		onOver:    next.over,
+	}
+	next.send(target, c, next)
 }
 
 func (r *chatRequest) body() []byte {
@@ -97,18 +106,18 @@
 
 // over ends the request for its client. firstToken is the time to it, pace that between two tokens.
 func (r *chatRequest) over(outcome string, firstToken, pace eventloop.Micros) {
-	g, s := r.generator, r.session
-	g.Open--
-	event := record.Event{At: int64(g.loop.Now()), Type: record.RequestOver, Request: r.id, Detail: outcome,
-		Product: s.product.Name, Tenant: g.deployment.Tenants[s.tenant].Name, Count: int64(firstToken),
+	generator, dialogue := r.generator, r.session
+	generator.Open--
+	event := record.Event{At: int64(generator.loop.Now()), Type: record.RequestOver, Request: r.id, Detail: outcome,
+		Product: dialogue.product.Name, Tenant: generator.deployment.Tenants[dialogue.tenant].Name, Count: int64(firstToken),
 		ClientAttempt: r.attempts}
 	event.Exact = outcome == record.Completed && firstToken <= r.firstTokenSLO() &&
-		pace <= eventloop.Micros(s.product.TokenSloMs)*eventloop.Millisecond
-	g.recorder.Add(event)
-	if outcome == record.Completed && s.turns > 1 {
-		s.turns--
-		s.messages = append(s.messages, message{Role: roleAssistant, Content: assistantText})
-		g.sessions[s.tenant] = append(g.sessions[s.tenant], s)
+		pace <= eventloop.Micros(dialogue.product.TokenSloMs)*eventloop.Millisecond
+	generator.recorder.Add(event)
+	if outcome == record.Completed && dialogue.turns > 1 {
+		dialogue.turns--
+		dialogue.messages = append(dialogue.messages, message{Role: roleAssistant, Content: assistantText})
+		generator.sessions[dialogue.tenant] = append(generator.sessions[dialogue.tenant], dialogue)
 	}
 }
 
@@ -207,20 +216,20 @@
 
 // over ends the request, or retries it where that is harmless.
 func (a *chatAttempt) over(outcome string) {
-	r, g := a.chat, a.generator
+	request, generator := a.chat, a.generator
 	if outcome == record.Completed {
 		firstToken, pace := a.latency()
-		r.over(record.Completed, firstToken, pace)
+		request.over(record.Completed, firstToken, pace)
 		return
 	}
 	harmless := outcome == record.Rejected || outcome == record.Unreached ||
-		r.session.product.Effect == pb.Product_IDEMPOTENT || g.Keyed && outcome == record.Broken
-	if !harmless || r.attempts >= maxAttempts {
-		r.over(outcome, 0, 0)
+		request.session.product.Effect == pb.Product_IDEMPOTENT || generator.Keyed && outcome == record.Broken
+	if !harmless || request.attempts >= maxAttempts {
+		request.over(outcome, 0, 0)
 		return
 	}
-	delay := retryDelay + eventloop.Micros(g.random.Int63n(int64(retryDelaySpread)))
-	g.loop.AfterFunc(a.retryAfter(delay), r.try)
+	delay := retryDelay + eventloop.Micros(generator.random.Int63n(int64(retryDelaySpread)))
+	generator.loop.AfterFunc(a.retryAfter(delay), request.try)
 }
 
 // latency is the time to the first token since the request began, and the time between two tokens.
--- a/internal/testbed/load/generator.go
+++ b/internal/testbed/load/generator.go
@@ -96,7 +96,7 @@
 
 // New makes a generator that does nothing until Run.
 func New(loop eventloop.Loop, config Config) *Generator {
-	g := &Generator{
+	generator := &Generator{
 		Targets:         config.Targets,
 		Keys:            config.Keys,
 		MinPatience:     defaultMinPatience,
@@ -108,20 +108,20 @@
 		prefixes:        map[string][]string{},
 	}
 	for range config.Deployment.Tenants {
-		g.TenantShares = append(g.TenantShares, 1)
-		g.sessions = append(g.sessions, nil)
+		generator.TenantShares = append(generator.TenantShares, 1)
+		generator.sessions = append(generator.sessions, nil)
 	}
 	for _, product := range config.Deployment.Products {
 		if product.Form != pb.Product_CHAT {
 			continue
 		}
-		g.products = append(g.products, product)
+		generator.products = append(generator.products, product)
 		for range sharedPrefixes {
-			prefix := g.words(minPrefixTokens + g.random.Intn(prefixTokensSpread))
-			g.prefixes[product.Name] = append(g.prefixes[product.Name], prefix)
+			prefix := generator.words(minPrefixTokens + generator.random.Intn(prefixTokensSpread))
+			generator.prefixes[product.Name] = append(generator.prefixes[product.Name], prefix)
 		}
 	}
-	return g
+	return generator
 }
 
 // Run sends requests until Stop.
--- a/internal/testbed/modelserver/attempt.go
+++ b/internal/testbed/modelserver/attempt.go
@@ -24,8 +24,8 @@
 	errorUnknown      = "unknown"
 )
 
-// attempt is one attempt of a dispatcher at an endpoint: a prefill, a decode, both, or a batch.
-type attempt struct {
+// endpointAttempt is one attempt of a dispatcher at an endpoint: a prefill, a decode, both, or a batch.
+type endpointAttempt struct {
 	conn        *endpointConn
 	id          string
 	clientID    string
@@ -57,96 +57,96 @@
 }
 
 // newAttempt reads what chat and batches have in common.
-func newAttempt(conn *endpointConn, head *http1.Head, body []byte) *attempt {
-	a := &attempt{
+func newAttempt(conn *endpointConn, head *http1.Head, body []byte) *endpointAttempt {
+	attempt := &endpointAttempt{
 		conn:       conn,
 		id:         head.Get("x-request-id"),
 		clientID:   head.Get("x-client-request-id"),
 		dispatcher: head.Get("x-dispatcher"),
 		product:    gjson.GetBytes(body, "model").String(),
 	}
-	if a.clientID == "" {
-		a.clientID = a.id
+	if attempt.clientID == "" {
+		attempt.clientID = attempt.id
 	}
-	return a
+	return attempt
 }
 
 // memoryNeeded is the tokens of memory that the attempt and its state take.
-func (a *attempt) memoryNeeded() int { return a.promptTokens + a.maxTokens/2 }
+func (a *endpointAttempt) memoryNeeded() int { return a.promptTokens + a.maxTokens/2 }
 
 // acceptChat accepts a chat request.
 func (e *Endpoint) acceptChat(conn *endpointConn, head *http1.Head, body []byte) {
 	messages := gjson.GetBytes(body, "messages")
 	params := gjson.GetBytes(body, "kv_transfer_params")
-	a := newAttempt(conn, head, body)
-	a.promptTokens = len(messages.Raw)/bytesPerToken + 1
-	a.maxTokens = int(gjson.GetBytes(body, "max_tokens").Int())
-	a.prefillOnly = params.Get("do_remote_decode").Bool()
-	a.includeUsage = gjson.GetBytes(body, "stream_options.include_usage").Bool()
+	attempt := newAttempt(conn, head, body)
+	attempt.promptTokens = len(messages.Raw)/bytesPerToken + 1
+	attempt.maxTokens = int(gjson.GetBytes(body, "max_tokens").Int())
+	attempt.prefillOnly = params.Get("do_remote_decode").Bool()
+	attempt.includeUsage = gjson.GetBytes(body, "stream_options.include_usage").Bool()
 	if first := messages.Get("0"); first.Get("role").String() == "system" {
-		a.prefixHash = xxhash.Sum64String(gjson.GetBytes(body, "cache_salt").String() + first.Raw)
-		a.prefixTokens = len(first.Raw) / bytesPerToken
+		attempt.prefixHash = xxhash.Sum64String(gjson.GetBytes(body, "cache_salt").String() + first.Raw)
+		attempt.prefixTokens = len(first.Raw) / bytesPerToken
 	}
-	a.cachedTokens = min(e.prefixes[a.prefixHash], a.promptTokens-1)
-	decodeWork := float64(a.maxTokens) / 2
-	if a.fetchAttempt = params.Get("remote_request_id").String(); a.fetchAttempt != "" {
-		a.fetchFrom = params.Get("remote_addr").String()
-		a.work = decodeWork
+	attempt.cachedTokens = min(e.prefixes[attempt.prefixHash], attempt.promptTokens-1)
+	decodeWork := float64(attempt.maxTokens) / 2
+	if attempt.fetchAttempt = params.Get("remote_request_id").String(); attempt.fetchAttempt != "" {
+		attempt.fetchFrom = params.Get("remote_addr").String()
+		attempt.work = decodeWork
 	} else {
-		a.toPrefill = a.promptTokens - a.cachedTokens
-		a.work = float64(a.toPrefill)
-		if !a.prefillOnly {
-			a.work += decodeWork
+		attempt.toPrefill = attempt.promptTokens - attempt.cachedTokens
+		attempt.work = float64(attempt.toPrefill)
+		if !attempt.prefillOnly {
+			attempt.work += decodeWork
 		}
 	}
-	e.accept(a)
+	e.accept(attempt)
 }
 
 // accept counts an attempt that has arrived and begins it, or has it wait until the endpoint can act.
-func (e *Endpoint) accept(a *attempt) {
-	e.fleet.record(e, record.AttemptArrived, a)
-	e.countSlowStartLoad(a.work)
-	conn := a.conn
-	conn.attempt = a
+func (e *Endpoint) accept(attempt *endpointAttempt) {
+	e.fleet.record(e, record.AttemptArrived, attempt)
+	e.countSlowStartLoad(attempt.work)
+	conn := attempt.conn
+	conn.attempt = attempt
 	if !e.alive {
 		return
 	}
 	if e.frozen || conn.partitioned() {
-		conn.deferred = append(conn.deferred, func() { e.begin(a) })
+		conn.deferred = append(conn.deferred, func() { e.begin(attempt) })
 		return
 	}
-	e.begin(a)
+	e.begin(attempt)
 }
 
 // begin refuses an attempt, fails it or queues it.
-func (e *Endpoint) begin(a *attempt) {
-	conn := a.conn
+func (e *Endpoint) begin(attempt *endpointAttempt) {
+	conn := attempt.conn
 	decodeOnly := e.kind.Role == pb.Kind_WRITER
-	prefillsHere := a.prefillOnly || a.toPrefill > 0 && !e.fleet.deployment.Dispatching.WritersRead
+	prefillsHere := attempt.prefillOnly || attempt.toPrefill > 0 && !e.fleet.deployment.Dispatching.WritersRead
 	switch {
 	case e.hung:
-		e.queued = append(e.queued, a)
+		e.queued = append(e.queued, attempt)
 	case e.draining:
 		conn.fail(http.StatusServiceUnavailable, errorDraining)
-	case e.rejectedProduct != "" && e.rejectedProduct == a.product, len(e.queued) >= int(e.group.Queue):
+	case e.rejectedProduct != "" && e.rejectedProduct == attempt.product, len(e.queued) >= int(e.group.Queue):
 		conn.fail(http.StatusTooManyRequests, errorFull)
-	case a.answer == nil && e.kind.Role == pb.Kind_EMBEDDER:
-		e.fleet.record(e, record.ChatAtEmbedder, a)
+	case attempt.answer == nil && e.kind.Role == pb.Kind_EMBEDDER:
+		e.fleet.record(e, record.ChatAtEmbedder, attempt)
 		conn.fail(http.StatusInternalServerError, errorInternal)
-	case a.forcedStatus == http.StatusInternalServerError:
+	case attempt.forcedStatus == http.StatusInternalServerError:
 		conn.fail(http.StatusInternalServerError, errorInternal)
-	case a.forcedStatus == http.StatusUnprocessableEntity:
+	case attempt.forcedStatus == http.StatusUnprocessableEntity:
 		conn.fail(http.StatusUnprocessableEntity, errorInvalidInput)
 	case decodeOnly && prefillsHere:
 		conn.fail(http.StatusConflict, errorStateLost)
 	case e.failShare > 0 && e.fleet.random.Float64() < e.failShare:
-		if !a.prefillOnly {
-			a.ran = true
-			e.fleet.record(e, record.AttemptRan, a) // it may have taken effect before it failed
+		if !attempt.prefillOnly {
+			attempt.ran = true
+			e.fleet.record(e, record.AttemptRan, attempt) // it may have taken effect before it failed
 		}
 		conn.fail(http.StatusInternalServerError, errorInternal)
 	default:
-		e.queued = append(e.queued, a)
+		e.queued = append(e.queued, attempt)
 		e.admit()
 		e.wake()
 	}
--- a/internal/testbed/modelserver/batch.go
+++ b/internal/testbed/modelserver/batch.go
@@ -50,37 +50,37 @@
 	if isRerank {
 		inputs = gjson.GetBytes(body, "documents")
 	}
-	a := newAttempt(conn, head, body)
-	a.prefillOnly = true
-	a.promptTokens = 1
+	attempt := newAttempt(conn, head, body)
+	attempt.prefillOnly = true
+	attempt.promptTokens = 1
 	inputs.ForEach(func(_, input gjson.Result) bool {
 		if input.IsArray() { // of tokens
-			a.promptTokens += len(input.Array())
+			attempt.promptTokens += len(input.Array())
 		} else {
-			a.promptTokens += (len(input.Raw) + len(query)) / bytesPerToken
+			attempt.promptTokens += (len(input.Raw) + len(query)) / bytesPerToken
 		}
 		return true
 	})
-	a.toPrefill = a.promptTokens
+	attempt.toPrefill = attempt.promptTokens
 	if strings.Contains(inputs.Raw, Poison) {
-		a.forcedStatus = http.StatusInternalServerError
+		attempt.forcedStatus = http.StatusInternalServerError
 	} else if strings.Contains(inputs.Raw, Unreadable) {
-		a.forcedStatus = http.StatusUnprocessableEntity
+		attempt.forcedStatus = http.StatusUnprocessableEntity
 	}
-	usage := batchUsage{PromptTokens: a.promptTokens, TotalTokens: a.promptTokens}
+	usage := batchUsage{PromptTokens: attempt.promptTokens, TotalTokens: attempt.promptTokens}
 	if isRerank {
-		a.answer = func() []byte {
-			return marshal(rerankAnswer{Model: a.product, Results: rerank(query, inputs),
+		attempt.answer = func() []byte {
+			return marshal(rerankAnswer{Model: attempt.product, Results: rerank(query, inputs),
 				Usage: usage})
 		}
 	} else {
 		dimensions := int(gjson.GetBytes(body, "dimensions").Int())
-		a.answer = func() []byte {
-			return marshal(embeddingsAnswer{Data: embed(inputs, dimensions), Model: a.product, Usage: usage})
+		attempt.answer = func() []byte {
+			return marshal(embeddingsAnswer{Data: embed(inputs, dimensions), Model: attempt.product, Usage: usage})
 		}
 	}
-	a.work = float64(a.promptTokens)
-	e.accept(a)
+	attempt.work = float64(attempt.promptTokens)
+	e.accept(attempt)
 }
 
 func embed(inputs gjson.Result, dimensions int) []embedding {
@@ -112,9 +112,9 @@
 }
 
 // finishBatch answers a batch, whose prefill is all that was asked for.
-func (e *Endpoint) finishBatch(a *attempt) {
-	e.finish(a)
-	if !a.abandoned {
-		a.conn.answer(http.StatusOK, a.answer())
+func (e *Endpoint) finishBatch(attempt *endpointAttempt) {
+	e.finish(attempt)
+	if !attempt.abandoned {
+		attempt.conn.answer(http.StatusOK, attempt.answer())
 	}
 }
--- a/internal/testbed/modelserver/conn.go
+++ b/internal/testbed/modelserver/conn.go
@@ -28,10 +28,10 @@
 	parser    http1.Parser
 	head      *http1.Head
 	body      []byte
-	attempt   *attempt // in flight
-	zone      string   // of whoever is at the other end
-	deferred  []func() // to be done once the endpoint can act and the network is whole
-	unsent    []byte   // what was written while partitioned; the network brings it once it can
+	attempt   *endpointAttempt // in flight
+	zone      string           // of whoever is at the other end
+	deferred  []func()         // to be done once the endpoint can act and the network is whole
+	unsent    []byte           // what was written while partitioned; the network brings it once it can
 	closed    bool
 	streaming bool
 }
@@ -56,17 +56,17 @@
 // Closed abandons the attempt in flight.
 func (c *endpointConn) Closed(error) {
 	c.closed = true
-	e, a := c.endpoint, c.attempt
-	delete(e.conns, c)
-	if a == nil {
+	endpoint, attempt := c.endpoint, c.attempt
+	delete(endpoint.conns, c)
+	if attempt == nil {
 		return
 	}
-	a.abandoned = true
-	e.fleet.record(e, record.ConnectionLost, a)
-	if i := slices.Index(e.queued, a); i >= 0 {
-		e.queued = slices.Delete(e.queued, i, i+1)
-	} else if a.fetching {
-		e.finish(a)
+	attempt.abandoned = true
+	endpoint.fleet.record(endpoint, record.ConnectionLost, attempt)
+	if i := slices.Index(endpoint.queued, attempt); i >= 0 {
+		endpoint.queued = slices.Delete(endpoint.queued, i, i+1)
+	} else if attempt.fetching {
+		endpoint.finish(attempt)
 	}
 }
 
@@ -85,8 +85,8 @@
 
 // End serves a request, or has it wait until the endpoint can act.
 func (c *endpointConn) End() error {
-	e := c.endpoint
-	if !e.alive {
+	endpoint := c.endpoint
+	if !endpoint.alive {
 		return nil
 	}
 	head, body := c.head, c.body
@@ -95,12 +95,12 @@
 	case releasePath:
 		c.releaseStates(body) // also while frozen or partitioned: the record is of what came over the socket, and when
 	case chatPath:
-		e.acceptChat(c, head, body)
+		endpoint.acceptChat(c, head, body)
 	case embeddingsPath, rerankPath:
-		e.acceptBatch(c, head, body)
+		endpoint.acceptBatch(c, head, body)
 	default:
 		serve := func() { c.serveOther(head) }
-		if e.frozen || c.partitioned() {
+		if endpoint.frozen || c.partitioned() {
 			c.deferred = append(c.deferred, serve)
 			return nil
 		}
@@ -157,13 +157,13 @@
 
 // answer answers a request. Its attempt is in flight until the answer is on the network.
 func (c *endpointConn) answer(status int, body []byte) {
-	e := c.endpoint
-	if c.closed || !e.alive {
+	endpoint := c.endpoint
+	if c.closed || !endpoint.alive {
 		return
 	}
-	if a := c.attempt; a != nil {
+	if attempt := c.attempt; attempt != nil {
 		answered := func() {
-			e.fleet.record(e, record.AttemptAnswered, a)
+			endpoint.fleet.record(endpoint, record.AttemptAnswered, attempt)
 			c.attempt = nil
 		}
 		if c.partitioned() {
--- a/internal/testbed/modelserver/decode.go
+++ b/internal/testbed/modelserver/decode.go
@@ -17,37 +17,38 @@
 )
 
 // emitToken sends the next token of an answer, and with the last one the end of the stream.
-func (e *Endpoint) emitToken(a *attempt) {
-	if !a.ran {
-		a.ran = true
-		e.fleet.record(e, record.AttemptRan, a)
+func (e *Endpoint) emitToken(attempt *endpointAttempt) {
+	if !attempt.ran {
+		attempt.ran = true
+		e.fleet.record(e, record.AttemptRan, attempt)
 	}
-	a.buffer = a.buffer[:0]
+	attempt.buffer = attempt.buffer[:0]
 	role := ""
-	if a.sent == 0 {
-		a.answerTokens = AnswerLength(a.clientID, a.maxTokens)
+	if attempt.sent == 0 {
+		attempt.answerTokens = AnswerLength(attempt.clientID, attempt.maxTokens)
 		role = `"role":"assistant",`
 	}
-	text := TokenText(a.clientID, a.sent)
+	text := TokenText(attempt.clientID, attempt.sent)
 	if padding := int(e.group.TokenBytes) - len(text); padding > 0 {
 		text += strings.Repeat("x", padding)
 	}
-	a.appendEvent(chunkFormat, a.id, a.product, `{`+role+`"content":"`+text+`"}`, "null")
-	a.sent++
-	last := a.sent >= a.answerTokens
+	attempt.appendEvent(chunkFormat, attempt.id, attempt.product, `{`+role+`"content":"`+text+`"}`, "null")
+	attempt.sent++
+	last := attempt.sent >= attempt.answerTokens
 	if last {
-		a.appendEvent(chunkFormat, a.id, a.product, "{}", `"stop"`)
-		if a.includeUsage {
-			a.appendEvent(usageFormat, a.id, a.product, a.promptTokens, a.sent, a.promptTokens+a.sent)
+		attempt.appendEvent(chunkFormat, attempt.id, attempt.product, "{}", `"stop"`)
+		if attempt.includeUsage {
+			attempt.appendEvent(usageFormat, attempt.id, attempt.product, attempt.promptTokens, attempt.sent,
+				attempt.promptTokens+attempt.sent)
 		}
-		a.buffer = sse.Append(a.buffer, []byte(lastEvent))
+		attempt.buffer = sse.Append(attempt.buffer, []byte(lastEvent))
 	}
-	a.conn.writeEvents(a.buffer, last)
+	attempt.conn.writeEvents(attempt.buffer, last)
 	if last {
-		e.finish(a)
+		e.finish(attempt)
 	}
 }
 
-func (a *attempt) appendEvent(format string, args ...any) {
+func (a *endpointAttempt) appendEvent(format string, args ...any) {
 	a.buffer = sse.Append(a.buffer, fmt.Appendf(nil, format, args...))
 }
--- a/internal/testbed/modelserver/discovery.go
+++ b/internal/testbed/modelserver/discovery.go
@@ -34,21 +34,21 @@
 // NewDiscovery serves a list on an address. It is called on the loop.
 func NewDiscovery(loop eventloop.Loop, address string, entries []endpoints.Entry, recorder *record.Recorder) (
 	*Discovery, error) {
-	d := &Discovery{loop: loop, recorder: recorder, epoch: strconv.FormatInt(int64(loop.Now()), 36), version: 1,
+	discovery := &Discovery{loop: loop, recorder: recorder, epoch: strconv.FormatInt(int64(loop.Now()), 36), version: 1,
 		entries: map[scheduler.EndpointID]endpoints.Entry{}}
 	for _, entry := range entries {
-		d.entries[entry.ID] = entry
+		discovery.entries[entry.ID] = entry
 	}
 	var err error
-	d.listener, err = loop.Listen(address, func(conn eventloop.Conn) eventloop.Handler {
-		return &watcher{discovery: d, conn: conn, parser: http1.Parser{Limits: http1.DefaultLimits}}
+	discovery.listener, err = loop.Listen(address, func(conn eventloop.Conn) eventloop.Handler {
+		return &watcher{discovery: discovery, conn: conn, parser: http1.Parser{Limits: http1.DefaultLimits}}
 	})
 	if err != nil {
 		return nil, fmt.Errorf("discovery: %w", err)
 	}
-	d.Addr = d.listener.Addr()
-	d.sendHeartbeats()
-	return d, nil
+	discovery.Addr = discovery.listener.Addr()
+	discovery.sendHeartbeats()
+	return discovery, nil
 }
 
 // Close stops listening; watches go on.
--- a/internal/testbed/modelserver/endpoint.go
+++ b/internal/testbed/modelserver/endpoint.go
@@ -32,8 +32,8 @@
 	conns     map[*endpointConn]int // with the order of their opening
 	lastConn  int
 
-	running       []*attempt // in slots
-	queued        []*attempt
+	running       []*endpointAttempt // in slots
+	queued        []*endpointAttempt
 	states        map[string]*pinnedState // by the prefill's attempt
 	releasedEarly map[string]bool         // attempts whose state was released before it was there
 	prefixes      map[uint64]int          // cached tokens of a prefix, by its hash
--- a/internal/testbed/modelserver/fleet.go
+++ b/internal/testbed/modelserver/fleet.go
@@ -43,7 +43,7 @@
 	if dep.Fleet == nil {
 		return nil, deployment.ErrNoFleet
 	}
-	f := &Fleet{loop: loop, deployment: dep, random: rand.New(rand.NewSource(seed)), recorder: recorder,
+	fleet := &Fleet{loop: loop, deployment: dep, random: rand.New(rand.NewSource(seed)), recorder: recorder,
 		linkFreeAt: map[uint16]*eventloop.Micros{}, lastID: firstID}
 	for zoneIndex, zone := range dep.Zones {
 		for _, group := range dep.Fleet.Groups {
@@ -51,18 +51,18 @@
 				cells := int(dep.Fleet.CellsPerZone)
 				cell := uint16(zoneIndex*cells + i%cells)
 				e := &Endpoint{Zone: zone, Cell: cell, group: group, kind: kindOf(dep, group.Kind)}
-				if err := f.add(e, 0); err != nil {
+				if err := fleet.add(e, 0); err != nil {
 					return nil, err
 				}
 			}
 		}
 	}
 	if discoveryAddress == "" {
-		return f, nil
+		return fleet, nil
 	}
 	var err error
-	f.Discovery, err = NewDiscovery(loop, discoveryAddress, f.Entries(), recorder)
-	return f, err
+	fleet.Discovery, err = NewDiscovery(loop, discoveryAddress, fleet.Entries(), recorder)
+	return fleet, err
 }
 
 func kindOf(d deployment.Deployment, name string) *pb.Kind {
@@ -75,14 +75,14 @@
 }
 
 // add starts an endpoint with an id of its own.
-func (f *Fleet) add(e *Endpoint, startedAt eventloop.Micros) error {
+func (f *Fleet) add(endpoint *Endpoint, startedAt eventloop.Micros) error {
 	f.lastID += 1 + uint32(f.random.Intn(maxIDGap))
-	e.fleet, e.ID, e.slowFactor = f, f.lastID, 1
-	if f.linkFreeAt[e.Cell] == nil {
-		f.linkFreeAt[e.Cell] = new(eventloop.Micros)
+	endpoint.fleet, endpoint.ID, endpoint.slowFactor = f, f.lastID, 1
+	if f.linkFreeAt[endpoint.Cell] == nil {
+		f.linkFreeAt[endpoint.Cell] = new(eventloop.Micros)
 	}
-	f.Endpoints = append(f.Endpoints, e)
-	return e.start(startedAt)
+	f.Endpoints = append(f.Endpoints, endpoint)
+	return endpoint.start(startedAt)
 }
 
 // Close stops discovery and all endpoints.
@@ -110,14 +110,14 @@
 }
 
 // announce publishes an endpoint's new condition, after a random delay.
-func (f *Fleet) announce(e *Endpoint, condition string) {
-	entry := e.Entry(condition)
+func (f *Fleet) announce(endpoint *Endpoint, condition string) {
+	entry := endpoint.Entry(condition)
 	maxDelay := int64(f.deployment.Fleet.RosterLateMs) * int64(eventloop.Millisecond)
 	f.loop.AfterFunc(eventloop.Micros(f.random.Int63n(maxDelay+1)), func() {
-		if condition == "draining" && !e.alive {
+		if condition == "draining" && !endpoint.alive {
 			return
 		}
-		restarted := e.alive && e.startedAt > 0 && entry.StartedAt != int64(e.startedAt)
+		restarted := endpoint.alive && endpoint.startedAt > 0 && entry.StartedAt != int64(endpoint.startedAt)
 		if condition == "gone" && restarted {
 			return // its start is announced by the change that follows
 		}
@@ -170,26 +170,26 @@
 }
 
 // record records what happened at an endpoint, to an attempt or, where that is nil, to the endpoint itself.
-func (f *Fleet) record(e *Endpoint, eventType record.EventType, a *attempt) {
+func (f *Fleet) record(endpoint *Endpoint, eventType record.EventType, attempt *endpointAttempt) {
 	if f.recorder == nil {
 		return
 	}
-	event := record.Event{At: int64(f.loop.Now()), Type: eventType, Endpoint: e.ID, Kind: e.kind.Name,
-		Zone: e.Zone, Cell: e.Cell}
-	if a != nil {
-		event.Attempt, event.Request, event.Dispatcher = a.id, a.clientID, a.dispatcher
-		event.Product, event.Count, event.Detail = a.product, int64(a.promptTokens), record.Decode
-		if a.prefillOnly {
+	event := record.Event{At: int64(f.loop.Now()), Type: eventType, Endpoint: endpoint.ID, Kind: endpoint.kind.Name,
+		Zone: endpoint.Zone, Cell: endpoint.Cell}
+	if attempt != nil {
+		event.Attempt, event.Request, event.Dispatcher = attempt.id, attempt.clientID, attempt.dispatcher
+		event.Product, event.Count, event.Detail = attempt.product, int64(attempt.promptTokens), record.Decode
+		if attempt.prefillOnly {
 			event.Detail = record.Prefill
 		}
 	}
 	switch eventType {
 	case record.AttemptArrived:
-		event.Value = a.work
+		event.Value = attempt.work
 	case record.AttemptRefused:
-		event.Detail = e.lastError
+		event.Detail = endpoint.lastError
 	case record.EndpointUp:
-		event.Count = int64(e.startedAt)
+		event.Count = int64(endpoint.startedAt)
 	}
 	f.recorder.Add(event)
 }
--- a/internal/testbed/modelserver/kvstate.go
+++ b/internal/testbed/modelserver/kvstate.go
@@ -27,27 +27,28 @@
 type pinnedState struct {
 	tokens  int
 	lease   eventloop.Timer
-	attempt *attempt
+	attempt *endpointAttempt
 }
 
 // finishPrefill ends a prefill: its state is pinned.
-func (e *Endpoint) finishPrefill(a *attempt) {
-	if i := slices.Index(e.running, a); i >= 0 {
+func (e *Endpoint) finishPrefill(attempt *endpointAttempt) {
+	if i := slices.Index(e.running, attempt); i >= 0 {
 		e.running = slices.Delete(e.running, i, i+1)
 	}
-	if a.abandoned || e.releasedEarly[a.id] {
-		e.usedMemory -= a.memoryNeeded()
-		e.fleet.record(e, record.AttemptLeft, a)
+	if attempt.abandoned || e.releasedEarly[attempt.id] {
+		e.usedMemory -= attempt.memoryNeeded()
+		e.fleet.record(e, record.AttemptLeft, attempt)
 		return
 	}
-	e.fleet.record(e, record.StatePinned, a)
-	state := &pinnedState{tokens: a.promptTokens, attempt: a}
+	e.fleet.record(e, record.StatePinned, attempt)
+	state := &pinnedState{tokens: attempt.promptTokens, attempt: attempt}
 	leaseTime := eventloop.Micros(e.fleet.deployment.Fleet.LeaseMs) * eventloop.Millisecond
-	state.lease = e.fleet.loop.AfterFunc(leaseTime, func() { e.release(a.id, record.StateLeaseExpired) })
-	e.states[a.id] = state
-	transfer := fmt.Sprintf(transferFormat, e.ID, a.promptTokens/tokensPerBlock, a.id, e.Addr, a.promptTokens)
-	a.conn.answer(http.StatusOK, fmt.Appendf(nil, prefilledFormat,
-		a.id, a.product, a.promptTokens, a.promptTokens+1, a.cachedTokens, transfer))
+	state.lease = e.fleet.loop.AfterFunc(leaseTime, func() { e.release(attempt.id, record.StateLeaseExpired) })
+	e.states[attempt.id] = state
+	transfer := fmt.Sprintf(transferFormat, e.ID, attempt.promptTokens/tokensPerBlock, attempt.id, e.Addr,
+		attempt.promptTokens)
+	attempt.conn.answer(http.StatusOK, fmt.Appendf(nil, prefilledFormat,
+		attempt.id, attempt.product, attempt.promptTokens, attempt.promptTokens+1, attempt.cachedTokens, transfer))
 }
 
 // release drops an attempt's state, whatever the reason; it returns false where there is none.
@@ -97,7 +98,7 @@
 // stateFetch is the connection on which an endpoint fetches the state of a prefill.
 type stateFetch struct {
 	endpoint *Endpoint
-	attempt  *attempt
+	attempt  *endpointAttempt
 	conn     eventloop.Conn
 	parser   http1.Parser
 	status   int
@@ -105,10 +106,10 @@
 }
 
 // fetchState fetches the state that an attempt decodes from.
-func (e *Endpoint) fetchState(a *attempt) {
-	a.fetching = true
-	fetch := &stateFetch{endpoint: e, attempt: a, parser: http1.Parser{Response: true, Limits: http1.DefaultLimits}}
-	fetch.conn = e.fleet.loop.Dial(a.fetchFrom, fetchConnectTimeout, fetch)
+func (e *Endpoint) fetchState(attempt *endpointAttempt) {
+	attempt.fetching = true
+	fetch := &stateFetch{endpoint: e, attempt: attempt, parser: http1.Parser{Response: true, Limits: http1.DefaultLimits}}
+	fetch.conn = e.fleet.loop.Dial(attempt.fetchFrom, fetchConnectTimeout, fetch)
 }
 
 // Opened sends the request.
@@ -142,22 +143,22 @@
 
 // finish lets the attempt decode, or fails it where the state was not there.
 func (f *stateFetch) finish() {
-	e, a := f.endpoint, f.attempt
+	endpoint, attempt := f.endpoint, f.attempt
 	if f.done {
 		return
 	}
 	f.done = true
-	if !slices.Contains(e.running, a) {
+	if !slices.Contains(endpoint.running, attempt) {
 		return
 	}
-	a.fetching = false
+	attempt.fetching = false
 	if f.status != http.StatusOK {
-		e.finish(a)
-		a.conn.fail(http.StatusConflict, errorStateLost)
+		endpoint.finish(attempt)
+		attempt.conn.fail(http.StatusConflict, errorStateLost)
 		return
 	}
-	if !e.frozen && !e.hung {
-		e.emitToken(a) // the first token comes with the state
+	if !endpoint.frozen && !endpoint.hung {
+		endpoint.emitToken(attempt) // the first token comes with the state
 	}
-	e.wake()
+	endpoint.wake()
 }
--- a/internal/testbed/modelserver/scheduling.go
+++ b/internal/testbed/modelserver/scheduling.go
@@ -15,7 +15,7 @@
 	e.stepping = true
 	length := float64(e.group.StepUs) + float64(e.group.StepUsPerStream)*float64(len(e.running))
 	duration := eventloop.Micros(length)
-	if slices.ContainsFunc(e.running, (*attempt).decoding) {
+	if slices.ContainsFunc(e.running, (*endpointAttempt).decoding) {
 		// Steps of a slow decode endpoint take longer; those of a slow prefill endpoint do less.
 		duration = eventloop.Micros(length / e.capacityFactor())
 	}
@@ -30,7 +30,7 @@
 }
 
 // decoding is true for an attempt that needs no more prefill.
-func (a *attempt) decoding() bool { return !a.prefillOnly && a.toPrefill == 0 }
+func (a *endpointAttempt) decoding() bool { return !a.prefillOnly && a.toPrefill == 0 }
 
 // step is one step of the batch: queued attempts take free slots, prefills go on, each answer gets a token.
 func (e *Endpoint) step(duration eventloop.Micros) {
@@ -45,57 +45,57 @@
 // admit lets queued attempts into free slots and memory, in their order.
 func (e *Endpoint) admit() {
 	for len(e.queued) > 0 && len(e.running) < int(e.group.Slots) {
-		a := e.queued[0]
+		attempt := e.queued[0]
 		// An attempt larger than all memory runs alone.
-		if e.usedMemory > 0 && e.usedMemory+a.memoryNeeded() > int(e.kind.MemoryTokens) {
+		if e.usedMemory > 0 && e.usedMemory+attempt.memoryNeeded() > int(e.kind.MemoryTokens) {
 			return
 		}
-		e.usedMemory += a.memoryNeeded()
+		e.usedMemory += attempt.memoryNeeded()
 		e.queued = e.queued[1:]
-		e.running = append(e.running, a)
-		if a.fetchAttempt != "" {
-			e.fetchState(a)
+		e.running = append(e.running, attempt)
+		if attempt.fetchAttempt != "" {
+			e.fetchState(attempt)
 		}
 	}
 }
 
 // advance advances each running attempt; the budget is the tokens that may be prefilled.
 func (e *Endpoint) advance(prefillBudget float64) {
-	for _, a := range slices.Clone(e.running) {
+	for _, attempt := range slices.Clone(e.running) {
 		switch {
-		case a.abandoned && e.fleet.deployment.Fleet.CancelStops:
-			e.finish(a)
-		case a.fetching:
-		case a.toPrefill > 0:
-			tokens := min(a.toPrefill, int(prefillBudget))
+		case attempt.abandoned && e.fleet.deployment.Fleet.CancelStops:
+			e.finish(attempt)
+		case attempt.fetching:
+		case attempt.toPrefill > 0:
+			tokens := min(attempt.toPrefill, int(prefillBudget))
 			prefillBudget -= float64(tokens)
-			if a.toPrefill -= tokens; a.toPrefill == 0 {
-				e.prefilled(a)
+			if attempt.toPrefill -= tokens; attempt.toPrefill == 0 {
+				e.prefilled(attempt)
 			}
-		case !a.prefillOnly:
-			e.emitToken(a)
+		case !attempt.prefillOnly:
+			e.emitToken(attempt)
 		}
 	}
 }
 
 // prefilled goes on with an attempt whose whole prompt is prefilled.
-func (e *Endpoint) prefilled(a *attempt) {
-	if a.prefixHash != 0 {
-		e.prefixes[a.prefixHash] = a.prefixTokens
+func (e *Endpoint) prefilled(attempt *endpointAttempt) {
+	if attempt.prefixHash != 0 {
+		e.prefixes[attempt.prefixHash] = attempt.prefixTokens
 	}
 	switch {
-	case a.answer != nil:
-		e.finishBatch(a)
-	case a.prefillOnly:
-		e.finishPrefill(a)
+	case attempt.answer != nil:
+		e.finishBatch(attempt)
+	case attempt.prefillOnly:
+		e.finishPrefill(attempt)
 	}
 }
 
 // finish frees an attempt's slot and memory.
-func (e *Endpoint) finish(a *attempt) {
-	if i := slices.Index(e.running, a); i >= 0 {
+func (e *Endpoint) finish(attempt *endpointAttempt) {
+	if i := slices.Index(e.running, attempt); i >= 0 {
 		e.running = slices.Delete(e.running, i, i+1)
-		e.usedMemory -= a.memoryNeeded()
+		e.usedMemory -= attempt.memoryNeeded()
 	}
-	e.fleet.record(e, record.AttemptLeft, a)
+	e.fleet.record(e, record.AttemptLeft, attempt)
 }
--- a/internal/testbed/scenarios/process.go
+++ b/internal/testbed/scenarios/process.go
@@ -172,7 +172,7 @@
 	return errors.Join(failures...)
 }
 
-// waitStopped waits for a process that was told to end, and checks how it did.
+// waitStopped waits for a process that was asked to stop, and checks how it did.
 func (d *process) waitStopped() error {
 	select {
 	case <-d.exited:
--- a/internal/testbed/scenarios/sockets.go
+++ b/internal/testbed/scenarios/sockets.go
@@ -24,7 +24,7 @@
 type socketRun struct {
 	dir       string // for temporary files
 	processes []*process
-	ended     chan struct{} // closed once the dispatchers are told to end
+	ended     chan struct{} // closed once the dispatchers are asked to stop
 	restarts  sync.WaitGroup
 }
 
--- a/internal/testbed/soak/audit.go
+++ b/internal/testbed/soak/audit.go
@@ -24,8 +24,8 @@
 	ruleOneAnswer      = "one answer"
 	ruleRepeatedEffect = "repeated effect"
 	ruleClientGone     = "client gone"
-	ruleDeadline       = "time told"
-	ruleState          = "held state"
+	ruleDeadline       = "deadline"
+	ruleState          = "reserved state"
 	ruleDrain          = "unwanted send"
 	ruleCrash          = "crash"
 )
@@ -177,7 +177,7 @@
 		left := t.sent.Value + deadline.Microseconds() - arrived.At
 		allowed := left + (deadlineSlack + slack).Microseconds() + a.proxyDelay(arrived.Dispatcher, arrived.At)
 		if arrived.Value > allowed {
-			a.addFinding(ruleDeadline, "%s told %s %d ms, %d ms are left",
+			a.addFinding(ruleDeadline, "%s gave %s %d ms, %d ms are left",
 				t.id, arrived.Endpoint, arrived.Value/1000, left/1000)
 		}
 	}
@@ -195,10 +195,10 @@
 		case a.dispatcherKilled(t.sent.Dispatcher, reserved.At-deadline.Microseconds(), latest):
 		case a.wasCutOff(reserved.Dispatcher, reserved.At, latest):
 		case end == 0:
-			a.addFinding(ruleState, "%s (%s): what %s held was never used or released",
+			a.addFinding(ruleState, "%s (%s): what %s reserved was never used or released",
 				t.id, t.sent.Class, reserved.Endpoint)
 		default:
-			a.addFinding(ruleState, "%s (%s): what %s held was used or released after %d ms",
+			a.addFinding(ruleState, "%s (%s): what %s reserved was used or released after %d ms",
 				t.id, t.sent.Class, reserved.Endpoint, (end-reserved.At)/1000)
 		}
 	}
@@ -238,7 +238,7 @@
 				knownAt = min(knownAt, notified)
 			}
 			if after := event.At - knownAt; after > (drainGrace + slack).Microseconds() {
-				a.addFinding(ruleDrain, "%s arrived at %s %d ms after dispatcher %s was told of its drain",
+				a.addFinding(ruleDrain, "%s arrived at %s %d ms after dispatcher %s was notified of its drain",
 					event.ID, event.Endpoint, after/1000, event.Dispatcher)
 			}
 		}
--- a/internal/testbed/soak/clients.go
+++ b/internal/testbed/soak/clients.go
@@ -122,44 +122,44 @@
 }
 
 // ask sends one request and reads its answer; it returns false where the connection must not be used again.
-func (k *clients) ask(c *clientConn) bool {
+func (k *clients) ask(conn *clientConn) bool {
 	class := classes[k.draw(len(classes))]
 	id := fmt.Sprintf("%s-%d", k.Name, k.sent.Add(1))
 	body := fmt.Sprintf(`{"stream":true,"messages":["%s"]}`, strings.Repeat("x", 1<<k.draw(maxBodyBits)))
 	text := fmt.Sprintf(requestFormat, id, class, k.Name, deadline.Milliseconds(), 100+len(body)/4, len(body), body)
 	manner := k.draw(manners)
 	began := now()
-	if !k.send(c, text, manner) {
+	if !k.send(conn, text, manner) {
 		return false
 	}
-	sent := Event{Kind: Sent, ID: id, Class: class, Dispatcher: c.target, Value: began}
-	if c.reused {
+	sent := Event{Kind: Sent, ID: id, Class: class, Dispatcher: conn.target, Value: began}
+	if conn.reused {
 		sent.Text = reusedConnection
 	}
 	k.record.add(sent)
 	if manner == giveUp || manner == giveUpToo {
-		k.leave(c, sent)
+		k.leave(conn, sent)
 		return false
 	}
-	return k.readAnswer(c, sent)
+	return k.readAnswer(conn, sent)
 }
 
 // send writes a request; it returns false where it was not written completely.
-func (k *clients) send(c *clientConn, text string, manner int) bool {
+func (k *clients) send(conn *clientConn, text string, manner int) bool {
 	switch manner {
 	case sendHalf: // and then close or stay
-		_, _ = io.WriteString(c, text[:len(text)/2])
+		_, _ = io.WriteString(conn, text[:len(text)/2])
 		time.Sleep(k.drawDuration(maxIdle))
 		return false
 	case sendNonsense:
-		_, _ = io.WriteString(c, "nonsense\r\n\r\n")
-		_ = c.SetReadDeadline(time.Now().Add(3 * time.Second))
-		_, _ = io.Copy(io.Discard, c.reader)
+		_, _ = io.WriteString(conn, "nonsense\r\n\r\n")
+		_ = conn.SetReadDeadline(time.Now().Add(3 * time.Second))
+		_, _ = io.Copy(io.Discard, conn.reader)
 		return false
 	case sendSlowly:
 		for len(text) > 0 {
 			size := min(1+k.draw(len(text)), len(text))
-			if _, err := io.WriteString(c, text[:size]); err != nil {
+			if _, err := io.WriteString(conn, text[:size]); err != nil {
 				return false
 			}
 			text = text[size:]
@@ -167,31 +167,31 @@
 		}
 		return true
 	}
-	_, err := io.WriteString(c, text)
+	_, err := io.WriteString(conn, text)
 	return err == nil
 }
 
 // leave closes a connection before the answer.
-func (k *clients) leave(c *clientConn, sent Event) {
+func (k *clients) leave(conn *clientConn, sent Event) {
 	if k.draw(2) == 0 {
 		time.Sleep(k.drawDuration(60 * time.Millisecond))
 	}
 	k.record.add(Event{Kind: Left, ID: sent.ID, Class: sent.Class, Dispatcher: sent.Dispatcher})
 	if k.draw(2) == 0 {
-		resetConn(c.Conn)
+		resetConn(conn.Conn)
 	} else {
-		closeConn(c.Conn)
+		closeConn(conn.Conn)
 	}
 }
 
 // readAnswer reads the answer and records it; it returns false where the connection must not be used again.
-func (k *clients) readAnswer(c *clientConn, sent Event) bool {
+func (k *clients) readAnswer(conn *clientConn, sent Event) bool {
 	record := func(kind Kind, status int, text string) {
 		k.record.add(Event{Kind: kind, ID: sent.ID, Class: sent.Class, Dispatcher: sent.Dispatcher, Status: status,
 			Value: sent.At, Text: text})
 	}
-	_ = c.SetReadDeadline(time.Now().Add(headTimeout))
-	answer, err := http.ReadResponse(c.reader, nil)
+	_ = conn.SetReadDeadline(time.Now().Add(headTimeout))
+	answer, err := http.ReadResponse(conn.reader, nil)
 	if err != nil {
 		text := err.Error()
 		if errors.Is(err, io.EOF) || errors.Is(err, io.ErrUnexpectedEOF) {
@@ -201,7 +201,7 @@
 		return false
 	}
 	defer func() { _ = answer.Body.Close() }() // it was read to its end
-	_ = c.SetReadDeadline(time.Now().Add(bodyTimeout))
+	_ = conn.SetReadDeadline(time.Now().Add(bodyTimeout))
 	body, err := io.ReadAll(answer.Body)
 	switch {
 	case answer.StatusCode != http.StatusOK:
--- a/internal/testbed/soak/discovery.go
+++ b/internal/testbed/soak/discovery.go
@@ -127,22 +127,22 @@
 }
 
 // add writes the complete list to a new watch. What is asked during a silence is never answered.
-func (d *discovery) add(w *watch) {
+func (d *discovery) add(added *watch) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	w.mute = now() < d.silentUntil
+	added.mute = now() < d.silentUntil
 	var entries []string
 	for endpoint, entry := range d.entries {
-		entries = append(entries, d.entryFor(endpoint, w.dispatcher))
+		entries = append(entries, d.entryFor(endpoint, added.dispatcher))
 		if strings.Contains(entry, drainingState) {
-			d.recordNotified(w, endpoint)
+			d.recordNotified(added, endpoint)
 		}
 	}
-	if !w.mute {
-		_, _ = io.WriteString(w.conn, watchHead) // a watch that is broken ends by itself
-		d.write(w, fmt.Sprintf(updateFormat, d.version, true, strings.Join(entries, ",")))
+	if !added.mute {
+		_, _ = io.WriteString(added.conn, watchHead) // a watch that is broken ends by itself
+		d.write(added, fmt.Sprintf(updateFormat, d.version, true, strings.Join(entries, ",")))
 	}
-	d.watches[w] = true
+	d.watches[added] = true
 }
 
 func (d *discovery) remove(w *watch) {
--- a/internal/testbed/soak/dispatcher.go
+++ b/internal/testbed/soak/dispatcher.go
@@ -60,18 +60,18 @@
 	if err != nil {
 		return err
 	}
-	d := &dispatcher{number: number, address: r.address(dispatcherAddress, number, dispatcherPort),
+	added := &dispatcher{number: number, address: r.address(dispatcherAddress, number, dispatcherPort),
 		configPath: filepath.Join(r.Dir, fmt.Sprintf("n%d.json", number)), logs: logs}
-	r.dispatchers, r.agentOf = append(r.dispatchers, d), append(r.agentOf, 0)
+	r.dispatchers, r.agentOf = append(r.dispatchers, added), append(r.agentOf, 0)
 	if r.SyscallFaults && number%dispatchersByFault == 0 {
-		d.environment = r.drawSyscallFaults(number).Environment(r.Library)
+		added.environment = r.drawSyscallFaults(number).Environment(r.Library)
 	}
-	if err := r.writeConfig(d); err != nil {
+	if err := r.writeConfig(added); err != nil {
 		return err
 	}
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	return d.start(r.Binary)
+	added.mu.Lock()
+	defer added.mu.Unlock()
+	return added.start(r.Binary)
 }
 
 func (r *run) drawSyscallFaults(number int) syscallfaults.Faults {
@@ -85,24 +85,24 @@
 	return faults
 }
 
-// stop tells a dispatcher to end, waits for it, and starts it again if that is wanted.
-func (r *run) stop(d *dispatcher, restart bool) {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	r.record.add(Event{Kind: Stopped, Dispatcher: d.address})
-	d.signal(syscall.SIGTERM)
+// stop asks a dispatcher to stop, waits for it, and starts it again if that is wanted.
+func (r *run) stop(stopping *dispatcher, restart bool) {
+	stopping.mu.Lock()
+	defer stopping.mu.Unlock()
+	r.record.add(Event{Kind: Stopped, Dispatcher: stopping.address})
+	stopping.signal(syscall.SIGTERM)
 	select {
-	case <-d.process.exited:
-		if d.process.err != nil {
-			r.addFinding(ruleCrash, "dispatcher %d ended with %v", d.number, d.process.err)
+	case <-stopping.process.exited:
+		if stopping.process.err != nil {
+			r.addFinding(ruleCrash, "dispatcher %d ended with %v", stopping.number, stopping.process.err)
 		}
 	case <-time.After(stopTimeout):
-		r.addFinding(ruleOneAnswer, "dispatcher %d has not ended %v after SIGTERM", d.number, stopTimeout)
-		r.kill(d)
+		r.addFinding(ruleOneAnswer, "dispatcher %d has not ended %v after SIGTERM", stopping.number, stopTimeout)
+		r.kill(stopping)
 	}
-	r.record.add(Event{Kind: Ended, Dispatcher: d.address})
+	r.record.add(Event{Kind: Ended, Dispatcher: stopping.address})
 	if restart {
-		r.restart(d)
+		r.restart(stopping)
 	}
 }
 
--- a/internal/testbed/soak/endpoint.go
+++ b/internal/testbed/soak/endpoint.go
@@ -102,29 +102,29 @@
 }
 
 // answer answers a request; it returns false where the connection must not be used again.
-func (e *endpoint) answer(request *http.Request, x exchange) bool {
+func (e *endpoint) answer(request *http.Request, call exchange) bool {
 	if request.Method == http.MethodDelete {
 		id := strings.TrimPrefix(request.URL.Path, "/v1/holds/")
-		e.record.add(Event{Kind: Released, ID: id, Endpoint: e.Name, Dispatcher: x.dispatcher})
+		e.record.add(Event{Kind: Released, ID: id, Endpoint: e.Name, Dispatcher: call.dispatcher})
 		e.waitWhileSilent()
-		return x.write(releasedAnswer)
+		return call.write(releasedAnswer)
 	}
-	x.id, x.arrivedAt = request.Header.Get("Req-Id"), now()
+	call.id, call.arrivedAt = request.Header.Get("Req-Id"), now()
 	left, _ := time.ParseDuration(strings.Replace(request.Header.Get("Req-Deadline"), "u", "us", 1))
-	e.record.add(Event{At: x.arrivedAt, Kind: Arrived, ID: x.id, Endpoint: e.Name, Dispatcher: x.dispatcher,
+	e.record.add(Event{At: call.arrivedAt, Kind: Arrived, ID: call.id, Endpoint: e.Name, Dispatcher: call.dispatcher,
 		Value: left.Microseconds(), Text: e.Kind})
 	e.waitWhileSilent()
 	if now() < e.declineUntil.Load() || e.draw(declines) == 0 {
-		return x.write(declinedAnswer)
+		return call.write(declinedAnswer)
 	}
 	time.Sleep(e.drawDuration(30 * time.Millisecond))
-	if isClosedByPeer(x.conn) { // what was abandoned is not run
+	if isClosedByPeer(call.conn) { // what was abandoned is not run
 		return false
 	}
 	if e.Kind == prefillKind {
-		return e.prefill(x)
+		return e.prefill(call)
 	}
-	return e.decode(x)
+	return e.decode(call)
 }
 
 // waitWhileSilent does nothing for as long as the endpoint hangs.
@@ -163,56 +163,56 @@
 	return false
 }
 
-func (e *endpoint) prefill(x exchange) bool {
-	e.record.add(Event{Kind: Reserved, ID: x.id, Endpoint: e.Name, Dispatcher: x.dispatcher})
+func (e *endpoint) prefill(call exchange) bool {
+	e.record.add(Event{Kind: Reserved, ID: call.id, Endpoint: e.Name, Dispatcher: call.dispatcher})
 	switch e.draw(misbehavesInPrefill) {
 	case 0: // the prompt is prefilled, and the answer lost
-		return x.reset()
+		return call.reset()
 	case 1:
-		return x.write(failedAnswer)
+		return call.write(failedAnswer)
 	}
-	return x.write(prefilled)
+	return call.write(prefilled)
 }
 
-func (e *endpoint) decode(x exchange) bool {
-	e.record.add(Event{Kind: Ran, ID: x.id, Endpoint: e.Name, Value: x.arrivedAt})
+func (e *endpoint) decode(call exchange) bool {
+	e.record.add(Event{Kind: Ran, ID: call.id, Endpoint: e.Name, Value: call.arrivedAt})
 	misbehaviour := e.draw(misbehavesInDecode)
 	switch misbehaviour {
 	case resetsAtOnce:
-		return x.reset()
+		return call.reset()
 	case fails:
-		return x.write(failedAnswer)
+		return call.write(failedAnswer)
 	case answersNoise:
-		x.write("\x00\x01noise\r\n")
+		call.write("\x00\x01noise\r\n")
 		time.Sleep(time.Second)
 		return false
 	}
-	if !x.write(streamHead) {
+	if !call.write(streamHead) {
 		return false
 	}
 	events := 2 + e.draw(12)
 	for i := range events {
-		if i == events/2 && e.breakStream(x, misbehaviour) {
+		if i == events/2 && e.breakStream(call, misbehaviour) {
 			return false
 		}
-		if !x.write(fmt.Sprintf("%x\r\ndata: %s\n\n\r\n", len(tokenEvent)+len("data: \n\n"), tokenEvent)) {
+		if !call.write(fmt.Sprintf("%x\r\ndata: %s\n\n\r\n", len(tokenEvent)+len("data: \n\n"), tokenEvent)) {
 			return false
 		}
 		time.Sleep(e.drawDuration(8 * time.Millisecond))
 	}
 	if misbehaviour == answersTwice {
-		return x.write(streamEnd + surplusAnswer)
+		return call.write(streamEnd + surplusAnswer)
 	}
-	return x.write(streamEnd)
+	return call.write(streamEnd)
 }
 
 // breakStream breaks a stream, if the endpoint misbehaves so.
-func (e *endpoint) breakStream(x exchange, misbehaviour int) (broken bool) {
+func (e *endpoint) breakStream(call exchange, misbehaviour int) (broken bool) {
 	switch misbehaviour {
 	case resetsInStream:
-		x.reset()
+		call.reset()
 	case breaksChunking:
-		x.write("zz\r\n")
+		call.write("zz\r\n")
 	case fallsSilent:
 		time.Sleep(5 * time.Second)
 	default:
--- a/internal/testbed/soak/judge.go
+++ b/internal/testbed/soak/judge.go
@@ -36,8 +36,8 @@
 }
 
 // readLog reads what a dispatcher's own guard reports, and whether it crashed.
-func (r *run) readLog(d *dispatcher, audit *Audit) error {
-	file, err := os.Open(d.logs.file.Name())
+func (r *run) readLog(from *dispatcher, audit *Audit) error {
+	file, err := os.Open(from.logs.file.Name())
 	if err != nil {
 		return err
 	}
@@ -50,14 +50,14 @@
 		if err != nil {
 			return fmt.Errorf("a line without its time: %w", err)
 		}
-		if isExcusedOverrun(d, audit, at, text) {
+		if isExcusedOverrun(from, audit, at, text) {
 			continue
 		}
 		if strings.Contains(text, guard.ViolationMessage) || strings.Contains(text, schedulerhost.SendBlocked) {
-			r.report.Violations = append(r.report.Violations, fmt.Sprintf("n%d: %s", d.number, text))
+			r.report.Violations = append(r.report.Violations, fmt.Sprintf("n%d: %s", from.number, text))
 		}
 		if strings.HasPrefix(text, "panic:") || strings.HasPrefix(text, "fatal error:") {
-			r.addFinding(ruleCrash, "n%d: %s", d.number, text)
+			r.addFinding(ruleCrash, "n%d: %s", from.number, text)
 		}
 	}
 	return lines.Err()
--- a/internal/testbed/soak/process.go
+++ b/internal/testbed/soak/process.go
@@ -31,8 +31,8 @@
 	command := exec.Command(os.Args[0])
 	command.Env = append(os.Environ(), roleVariable+"="+name, setupVariable+"="+string(setupText))
 	command.Stderr = os.Stderr
-	p := &process{command: command, exited: make(chan struct{})}
-	if p.orders, err = command.StdinPipe(); err != nil {
+	started := &process{command: command, exited: make(chan struct{})}
+	if started.orders, err = command.StdinPipe(); err != nil {
 		return nil, fmt.Errorf("start %s %s: %w", name, setup.Name, err)
 	}
 	out, err := command.StdoutPipe()
@@ -43,15 +43,15 @@
 		return nil, fmt.Errorf("start %s %s: %w", name, setup.Name, err)
 	}
 	line, err := bufio.NewReader(out).ReadString('\n')
-	go p.wait()
+	go started.wait()
 	if err == nil && strings.TrimSpace(line) != readyLine {
 		err = fmt.Errorf("said %q", line)
 	}
 	if err != nil {
-		p.kill()
+		started.kill()
 		return nil, fmt.Errorf("start %s %s: %w", name, setup.Name, err)
 	}
-	return p, nil
+	return started, nil
 }
 
 func (p *process) wait() {
--- a/internal/testbed/soak/record.go
+++ b/internal/testbed/soak/record.go
@@ -35,7 +35,7 @@
 const (
 	Notified   Kind = "told"     // discovery wrote a drain to a dispatcher's watch
 	Drained    Kind = "drained"  // an endpoint's drain was given to discovery
-	Stopped    Kind = "stopped"  // a dispatcher was told to end
+	Stopped    Kind = "stopped"  // a dispatcher was asked to stop
 	Killed     Kind = "killed"   // a dispatcher or an endpoint
 	Ended      Kind = "ended"    // a dispatcher
 	FaultBegan Kind = "troubled" // Text says which; Value is its duration
--- a/internal/testbed/soak/role.go
+++ b/internal/testbed/soak/role.go
@@ -93,18 +93,18 @@
 	return true
 }
 
-// runRole runs a stand-in until it is told to end.
+// runRole runs a stand-in until it is ordered to end.
 func runRole(name, setup string, orders io.Reader) error {
-	r := &role{}
-	if err := json.Unmarshal([]byte(setup), &r.Setup); err != nil {
+	standIn := &role{}
+	if err := json.Unmarshal([]byte(setup), &standIn.Setup); err != nil {
 		return fmt.Errorf("setup: %w", err)
 	}
-	r.random = rand.New(rand.NewSource(r.Seed))
+	standIn.random = rand.New(rand.NewSource(standIn.Seed))
 	var err error
-	if r.record, err = newRecord(r.Record); err != nil {
+	if standIn.record, err = newRecord(standIn.Record); err != nil {
 		return err
 	}
-	handle, err := r.start(name)
+	handle, err := standIn.start(name)
 	if err != nil {
 		return err
 	}
@@ -119,7 +119,7 @@
 		}
 		handle(words[0], words[1:])
 	}
-	return r.record.close()
+	return standIn.record.close()
 }
 
 func (r *role) start(name string) (handler, error) {
--- a/internal/testbed/soak/run.go
+++ b/internal/testbed/soak/run.go
@@ -84,23 +84,23 @@
 
 // Run runs a plan and judges it.
 func (p Plan) Run() (*Report, error) {
-	r := &run{Plan: p, random: rand.New(rand.NewSource(p.Seed)), block: 2 + os.Getpid()%250,
+	current := &run{Plan: p, random: rand.New(rand.NewSource(p.Seed)), block: 2 + os.Getpid()%250,
 		startedMs: map[int]int64{}, drained: map[int]bool{}, drains: map[string]int{}}
-	r.report.Faults = map[string]int{}
+	current.report.Faults = map[string]int{}
 	var err error
-	if r.record, err = newRecord(r.newRecordPath("conductor")); err != nil {
+	if current.record, err = newRecord(current.newRecordPath("conductor")); err != nil {
 		return nil, err
 	}
-	defer r.killAll()
-	if err := r.startAll(); err != nil {
+	defer current.killAll()
+	if err := current.startAll(); err != nil {
 		return nil, err
 	}
-	r.injectFaults()
+	current.injectFaults()
 	time.Sleep(lateAnswer + time.Second) // for the last requests to be answered
-	if err := r.endAll(); err != nil {
+	if err := current.endAll(); err != nil {
 		return nil, err
 	}
-	return &r.report, r.judge()
+	return &current.report, current.judge()
 }
 
 // address is one of the run's addresses on loopback; endpoints, proxies' dispatchers and so on are numbered from 0.
@@ -169,7 +169,7 @@
 
 // String describes a report in a few lines.
 func (r *Report) String() string {
-	text := fmt.Sprintf("%d requests over %d processes, troubles %v", r.Requests, r.Processes, r.Faults)
+	text := fmt.Sprintf("%d requests over %d processes, faults %v", r.Requests, r.Processes, r.Faults)
 	for _, finding := range r.Findings {
 		text += "\n  " + finding.String()
 	}
