--- a/internal/lifecycle/lifecycle.go
+++ b/internal/lifecycle/lifecycle.go
@@ -19,10 +19,10 @@
 	Closing                 // answered, or abandoned by its client, with an attempt still in flight
 	Done                    // answered, or abandoned by its client, with no attempt in flight
 
-	States = int(Done) + 1
+	StateCount = int(Done) + 1
 )
 
-var stateNames = [States]string{
+var stateNames = [StateCount]string{
 	Queued:     "queued",
 	Pending:    "pending",
 	Prefilling: "prefilling",
@@ -58,10 +58,10 @@
 	TenantStopped                     // its tenant was removed, and its running requests are to stop
 	PrefillOnlyCompleted              // its prefill attempt completed and is the whole answer
 
-	Events = int(PrefillOnlyCompleted) + 1
+	EventCount = int(PrefillOnlyCompleted) + 1
 )
 
-var eventNames = [Events]string{
+var eventNames = [EventCount]string{
 	PrefillOrdered:       "prefill ordered",
 	DecodeOrdered:        "decode ordered",
 	RejectOrdered:        "reject ordered",
@@ -109,10 +109,10 @@
 	ResumeAttempt                    // read from the attempt again
 	Forget                           // nothing is left of the request
 
-	Actions = int(Forget) + 1
+	ActionCount = int(Forget) + 1
 )
 
-var actionNames = [Actions]string{
+var actionNames = [ActionCount]string{
 	StartPrefill:       "start prefill",
 	StartDecode:        "start decode",
 	CloseAttempt:       "close attempt",
@@ -137,7 +137,7 @@
 func (a Action) String() string { return actionNames[a] }
 
 // Coverage counts how often each cell of the table was reached.
-type Coverage [States][Events]uint64
+type Coverage [StateCount][EventCount]uint64
 
 // Machine is one request's place in the table.
 type Machine struct {
--- a/internal/lifecycle/lifecycle_test.go
+++ b/internal/lifecycle/lifecycle_test.go
@@ -146,7 +146,7 @@
 			if m.forgotten && rapid.IntRange(0, 9).Draw(t, "another") == 0 {
 				m, machine = &model{t: t}, Machine{State: State(rapid.IntRange(0, 1).Draw(t, "queued"))}
 			}
-			if e := Event(rapid.IntRange(0, Events-1).Draw(t, "event")); m.possible(machine.State, e) {
+			if e := Event(rapid.IntRange(0, EventCount-1).Draw(t, "event")); m.possible(machine.State, e) {
 				m.fire(&machine, e, &coverage)
 			}
 		}
--- a/internal/lifecycle/table.go
+++ b/internal/lifecycle/table.go
@@ -13,7 +13,7 @@
 }
 
 // Transitions is the whole table.
-var Transitions = [States][Events]Transition{
+var Transitions = [StateCount][EventCount]Transition{
 	Queued: {
 		Admitted:           to(Pending, NotifyArrived),
 		DeadlineExceeded:   to(Done, AnswerRejected, Forget),
