--- a/internal/admin/tenants.go
+++ b/internal/admin/tenants.go
@@ -107,13 +107,15 @@
 	})
 }
 
-func (s *Server) suspendTenant(r *request) response { return s.setServing(r, "suspend", false) }
-
-func (s *Server) resumeTenant(r *request) response { return s.setServing(r, "resume", true) }
+func (s *Server) suspendTenant(r *request) response {
+	return s.changeTenant(r, "suspend", func(registry *tenancy.Registry) (*tenancy.Tenant, error) {
+		return registry.Suspend(r.tenant, r.version)
+	})
+}
 
-func (s *Server) setServing(r *request, what string, serving bool) response {
-	return s.changeTenant(r, what, func(registry *tenancy.Registry) (*tenancy.Tenant, error) {
-		return registry.SetServing(r.tenant, r.version, serving)
+func (s *Server) resumeTenant(r *request) response {
+	return s.changeTenant(r, "resume", func(registry *tenancy.Registry) (*tenancy.Tenant, error) {
+		return registry.Resume(r.tenant, r.version)
 	})
 }
 
--- a/internal/dispatch/tenants.go
+++ b/internal/dispatch/tenants.go
@@ -34,13 +34,6 @@
 	limits      tenancy.Limits
 }
 
-// tenantLimits are a tenant's limits, and those of its keys and products.
-type tenantLimits struct {
-	tenant   tenancy.Limits
-	keys     map[string]tenancy.Limits
-	products map[string]tenancy.Limits
-}
-
 // FeedToken returns the token that a dispatcher shows to the administration, made from the secret of both.
 func FeedToken(secret []byte) string {
 	mac := hmac.New(sha256.New, secret)
@@ -56,7 +49,8 @@
 	d.usage = tenancy.NewUsageMeter()
 	for i, tenant := range d.Deployment.Tenants {
 		slot := d.addTenant(tenant.Name, firstStaticID+tenancy.ID(i))
-		d.setTenantLimits(slot, tenantLimits{tenant: tenancy.Limits{SharePerS: tenant.QuotaPerS}}, true)
+		limits := tenancy.Limits{SharePerS: tenant.QuotaPerS}
+		d.setTenant(slot, tenancy.TenantSettings{Limits: limits, Serving: true})
 		for _, key := range tenant.KeySha256 {
 			digest, err := hex.DecodeString(key)
 			if err != nil || len(digest) != sha256.Size {
@@ -121,10 +115,10 @@
 	return slot
 }
 
-func (d *Dispatcher) setTenantLimits(slot *tenantSlot, limits tenantLimits, active bool) {
-	slot.limits, slot.active = limits.tenant, active
-	d.admission.SetTenant(slot.id, limits.tenant, limits.keys, limits.products, active)
-	quota := limits.tenant.SharePerS
+func (d *Dispatcher) setTenant(slot *tenantSlot, settings tenancy.TenantSettings) {
+	slot.limits, slot.active = settings.Limits, settings.Serving
+	d.admission.SetTenant(slot.id, settings)
+	quota := settings.Limits.SharePerS
 	if quota == 0 {
 		quota = deployment.UnlimitedQuota
 	}
@@ -169,15 +163,19 @@
 	for _, key := range tenant.Keys {
 		keys[key.ID] = key.Limits
 	}
-	limits := tenantLimits{tenant: tenant.Limits, keys: keys, products: tenant.Products}
-	d.setTenantLimits(slot, limits, tenant.State == tenancy.StateActive)
+	d.setTenant(slot, tenancy.TenantSettings{
+		Limits:   tenant.Limits,
+		Keys:     keys,
+		Products: tenant.Products,
+		Serving:  tenant.State == tenancy.StateActive,
+	})
 }
 
 // removeTenant stops serving a tenant. What runs of it goes on, or is stopped; the slot is freed once nothing does.
 func (d *Dispatcher) removeTenant(slot *tenantSlot, stopRunning bool) {
 	slot.removing, slot.active = true, false
 	if d.tenantSlots[slot.name] == slot {
-		d.admission.SetTenant(slot.id, slot.limits, nil, nil, false)
+		d.admission.SetTenant(slot.id, tenancy.TenantSettings{Limits: slot.limits})
 	}
 	if stopRunning {
 		for _, ticket := range d.admission.OpenTickets(slot.id) {
--- a/internal/tenancy/admission.go
+++ b/internal/tenancy/admission.go
@@ -35,17 +35,24 @@
 	}
 }
 
-// SetTenant adds a tenant or replaces its limits and those of its keys and products. Lowered limits bind the next
-// requests, not the running ones.
-func (a *AdmissionController) SetTenant(id ID, limits Limits, keys, products map[string]Limits, serving bool) {
+// TenantSettings is what a dispatcher's admission of one tenant goes by.
+type TenantSettings struct {
+	Limits   Limits
+	Keys     map[string]Limits // by the id of the key
+	Products map[string]Limits // by the name of the product
+	Serving  bool              // new requests may be admitted
+}
+
+// SetTenant adds a tenant or replaces its settings. Lowered limits bind the next requests, not the running ones.
+func (a *AdmissionController) SetTenant(id ID, settings TenantSettings) {
 	tenant := a.tenants[id]
 	if tenant == nil {
 		tenant = &tenantAccount{id: id, open: map[*Ticket]uint64{}}
 		a.tenants[id] = tenant
 	}
-	tenant.limiter.limits, tenant.serving = limits, serving
-	tenant.keys = setLimits(tenant.keys, keys)
-	tenant.products = setLimits(tenant.products, products)
+	tenant.limiter.limits, tenant.serving = settings.Limits, settings.Serving
+	tenant.keys = setLimits(tenant.keys, settings.Keys)
+	tenant.products = setLimits(tenant.products, settings.Products)
 }
 
 // RemoveTenant drops a tenant without open tickets. It reports false if there are some.
--- a/internal/tenancy/admission_test.go
+++ b/internal/tenancy/admission_test.go
@@ -16,7 +16,12 @@
 	controller := NewAdmissionController(4)
 	limits := Limits{SharePerS: 4, PerS: 1e6, TokensPerS: 1e9, Concurrent: 1000}
 	for i := range tenants {
-		controller.SetTenant(ID(i), limits, map[string]Limits{"k": {PerS: 1e6}}, map[string]Limits{"p": {PerS: 1e6}}, true)
+		controller.SetTenant(ID(i), TenantSettings{
+			Limits:   limits,
+			Keys:     map[string]Limits{"k": {PerS: 1e6}},
+			Products: map[string]Limits{"p": {PerS: 1e6}},
+			Serving:  true,
+		})
 	}
 	controller.SetPrefillEndpoints(100)
 	b.ReportAllocs()
@@ -54,7 +59,7 @@
 		}
 		for range dispatchers {
 			controller := NewAdmissionController(dispatchers)
-			controller.SetTenant(1, run.limits, nil, nil, true)
+			controller.SetTenant(1, TenantSettings{Limits: run.limits, Serving: true})
 			controller.SetPrefillEndpoints(1000)
 			run.controllers = append(run.controllers, controller)
 		}
@@ -123,7 +128,7 @@
 
 func (r *limitsRun) checkLoweredLimit() {
 	controller := r.controllers[0]
-	controller.SetTenant(1, Limits{PerS: 0.001}, nil, nil, true)
+	controller.SetTenant(1, TenantSettings{Limits: Limits{PerS: 0.001}, Serving: true})
 	request := AdmissionRequest{Tenant: 1, PromptTokens: 10, MaxOutputTokens: 10}
 	controller.Admit(r.now, request)
 	ticket, decision := controller.Admit(r.now, request)
@@ -172,7 +177,7 @@
 		controller: NewAdmissionController(1), now: testStart, queued: map[ID]int{}, served: map[ID]int{},
 	}
 	for _, id := range tenants {
-		fleet.controller.SetTenant(id, Limits{SharePerS: 5}, nil, nil, true)
+		fleet.controller.SetTenant(id, TenantSettings{Limits: Limits{SharePerS: 5}, Serving: true})
 	}
 	fleet.controller.SetPrefillEndpoints(8)
 	return fleet
--- a/internal/tenancy/directory_test.go
+++ b/internal/tenancy/directory_test.go
@@ -54,7 +54,11 @@
 			_, _ = f.registry.RevokeKey(f.now, name, 0, tenant.Keys[0].ID, 0)
 		}
 	case 3:
-		_, _ = f.registry.SetServing(name, 0, rapid.Bool().Draw(f.t, "serving"))
+		if rapid.Bool().Draw(f.t, "serving") {
+			_, _ = f.registry.Resume(name, 0)
+		} else {
+			_, _ = f.registry.Suspend(name, 0)
+		}
 	case 4:
 		_, _ = f.registry.Remove(name, 0, RemovalFinish)
 	case 5:
@@ -122,8 +126,8 @@
 		CodeInvalidName:     func() error { _, _, err := registry.Create(1, "A", Limits{}, nil); return err },
 		CodeInvalidLimit:    func() error { _, _, err := registry.Create(1, "b", Limits{PerS: -1}, nil); return err },
 		CodeExists:          func() error { _, _, err := registry.Create(1, "a", Limits{PerS: 1}, nil); return err },
-		CodeNoTenant:        func() error { _, err := registry.SetServing("b", 0, true); return err },
-		CodeVersionMismatch: func() error { _, err := registry.SetServing("a", 9, true); return err },
+		CodeNoTenant:        func() error { _, err := registry.Resume("b", 0); return err },
+		CodeVersionMismatch: func() error { _, err := registry.Resume("a", 9); return err },
 		CodeInvalidPolicy:   func() error { _, err := registry.Remove("a", 0, "later"); return err },
 		CodeNoKey:           func() error { _, err := registry.RevokeKey(1, "a", 0, "none", 0); return err },
 	} {
--- a/internal/tenancy/keys.go
+++ b/internal/tenancy/keys.go
@@ -57,7 +57,7 @@
 
 // IssueKey makes a new key for a tenant.
 func (r *Registry) IssueKey(now int64, name string, version uint64, request KeyRequest) (*IssuedKey, error) {
-	t, err := r.findServing(name, version)
+	t, err := r.findNotRemoved(name, version)
 	if err != nil {
 		return nil, err
 	}
--- a/internal/tenancy/registry.go
+++ b/internal/tenancy/registry.go
@@ -136,8 +136,8 @@
 	return t, nil
 }
 
-// findServing is find for changes that a removed tenant can't have.
-func (r *Registry) findServing(name string, version uint64) (*Tenant, error) {
+// findNotRemoved is find for changes that a removed tenant can't have.
+func (r *Registry) findNotRemoved(name string, version uint64) (*Tenant, error) {
 	t, err := r.find(name, version)
 	if err != nil {
 		return nil, err
@@ -150,7 +150,7 @@
 
 // SetLimits replaces a tenant's limits and those of its products; nil leaves them as they are.
 func (r *Registry) SetLimits(name string, version uint64, limits *Limits, products map[string]Limits) (*Tenant, error) {
-	t, err := r.findServing(name, version)
+	t, err := r.findNotRemoved(name, version)
 	if err != nil {
 		return nil, err
 	}
@@ -167,16 +167,21 @@
 	return t, nil
 }
 
-// SetServing suspends a tenant or takes it back into service.
-func (r *Registry) SetServing(name string, version uint64, serving bool) (*Tenant, error) {
-	t, err := r.findServing(name, version)
+// Suspend takes a tenant out of service: its new requests are rejected.
+func (r *Registry) Suspend(name string, version uint64) (*Tenant, error) {
+	return r.setState(name, version, StateSuspended)
+}
+
+// Resume takes a suspended tenant back into service.
+func (r *Registry) Resume(name string, version uint64) (*Tenant, error) {
+	return r.setState(name, version, StateActive)
+}
+
+func (r *Registry) setState(name string, version uint64, state State) (*Tenant, error) {
+	t, err := r.findNotRemoved(name, version)
 	if err != nil {
 		return nil, err
 	}
-	state := StateSuspended
-	if serving {
-		state = StateActive
-	}
 	if t.State != state {
 		t.State = state
 		r.changed(t)
