--- a/internal/dispatch/tenants.go
+++ b/internal/dispatch/tenants.go
@@ -49,7 +49,7 @@
 	d.usage = tenancy.NewUsageMeter()
 	for i, tenant := range d.Deployment.Tenants {
 		slot := d.addTenant(tenant.Name, firstStaticID+tenancy.ID(i))
-		limits := tenancy.Limits{SharePerS: tenant.QuotaPerS}
+		limits := tenancy.Limits{QuotaPerS: tenant.QuotaPerS}
 		d.setTenant(slot, tenancy.TenantSettings{Limits: limits, Serving: true})
 		for _, key := range tenant.KeySha256 {
 			digest, err := hex.DecodeString(key)
@@ -118,7 +118,7 @@
 func (d *Dispatcher) setTenant(slot *tenantSlot, settings tenancy.TenantSettings) {
 	slot.limits, slot.active = settings.Limits, settings.Serving
 	d.admission.SetTenant(slot.id, settings)
-	quota := settings.Limits.SharePerS
+	quota := settings.Limits.QuotaPerS
 	if quota == 0 {
 		quota = deployment.UnlimitedQuota
 	}
--- a/internal/tenancy/admission.go
+++ b/internal/tenancy/admission.go
@@ -7,14 +7,14 @@
 )
 
 const (
-	shareBurstS    = 2.0    // seconds of its share that a tenant may ask for at once
-	minShareBurst  = 4.0    // requests; with many dispatchers a small part each would be exceeded by chance alone
+	quotaBurstS    = 2.0    // seconds of its quota that a tenant may ask for at once
+	minQuotaBurst  = 4.0    // requests; the small part of one dispatcher among many would be exceeded by chance alone
 	queueQuantum   = 2000.0 // tokens; about what a request costs
 	queueFullRetry = second / 2
 )
 
-// AdmissionController enforces one dispatcher's even part of all limits and shares. A request inside its
-// tenant's share is admitted at once. One beyond it is surplus: it is admitted as far as the overload window
+// AdmissionController enforces one dispatcher's even part of all limits and quotas. A request inside its
+// tenant's quota is admitted at once. One beyond it is surplus: it is admitted as far as the surplus window
 // allows, and queued otherwise.
 type AdmissionController struct {
 	parts   float64 // dispatchers that share the limits
@@ -22,7 +22,7 @@
 	tenants map[ID]*tenantAccount
 	queue   *FairQueue[*Ticket] // of surplus
 	surplus surplusWindow
-	arrived uint64 // requests that got a ticket
+	arrived uint64 // requests that were given a ticket
 }
 
 // NewAdmissionController returns the controller of one of so many dispatchers.
@@ -100,7 +100,7 @@
 			return nil, Decision{Reason: reason, RetryAfter: retryAfter}
 		}
 	}
-	if !a.takeFromShare(tenant) {
+	if !a.takeFromQuota(tenant) {
 		t.overQuota = true
 		if a.queue.LenOf(tenant.id) >= a.maxQueued(tenant) {
 			return nil, Decision{Reason: QueueFull, RetryAfter: queueFullRetry}
@@ -120,15 +120,15 @@
 	}
 }
 
-// takeFromShare takes one request from a tenant's share. It reports false if that is used up.
-func (a *AdmissionController) takeFromShare(tenant *tenantAccount) bool {
-	sharePerS := partOf(tenant.limiter.limits.SharePerS, a.parts)
-	tenant.share.fill(a.now, sharePerS, max(sharePerS*shareBurstS, minShareBurst))
-	if tenant.share.level < 1 {
+// takeFromQuota takes one request from a tenant's quota. It reports false if that is used up.
+func (a *AdmissionController) takeFromQuota(tenant *tenantAccount) bool {
+	quotaPerS := partOf(tenant.limiter.limits.QuotaPerS, a.parts)
+	tenant.quota.fill(a.now, quotaPerS, max(quotaPerS*quotaBurstS, minQuotaBurst))
+	if tenant.quota.level < 1 {
 		return false
 	}
-	tenant.share.level--
-	a.surplus.noteInShare(a.now, tenant)
+	tenant.quota.level--
+	a.surplus.noteInQuota(a.now, tenant)
 	return true
 }
 
@@ -149,7 +149,7 @@
 	t.tenant.open[t] = a.arrived
 }
 
-// AdmitNext admits a queued request, if one may be admitted now.
+// AdmitNext admits a queued request, if one may be admitted now. It reports false if none is.
 func (a *AdmissionController) AdmitNext(now Micros) (*Ticket, bool) {
 	a.now = now
 	t, found := a.queue.Next(a.mayAdmitSurplus)
@@ -159,9 +159,9 @@
 	return t, found
 }
 
-// Release ends a request, also one that was rejected elsewhere or whose client has left, and corrects the reserved
-// tokens to those that it took. A second call for the same ticket does nothing.
-func (a *AdmissionController) Release(now Micros, t *Ticket, tookTokens int) {
+// Release ends a request, also one that was rejected elsewhere or whose client has disconnected, and corrects the
+// reserved tokens to those that it used. A second call for the same ticket does nothing.
+func (a *AdmissionController) Release(now Micros, t *Ticket, usedTokens int) {
 	if t.state == ticketReleased {
 		return
 	}
@@ -169,7 +169,7 @@
 	delete(t.tenant.open, t)
 	for _, l := range t.limiters {
 		if l != nil {
-			l.release(t.cost, tookTokens)
+			l.release(t.cost, usedTokens)
 		}
 	}
 	if t.state == ticketQueued {
--- a/internal/tenancy/admission_test.go
+++ b/internal/tenancy/admission_test.go
@@ -14,7 +14,7 @@
 func BenchmarkAdmit(b *testing.B) {
 	const tenants = 10000
 	controller := NewAdmissionController(4)
-	limits := Limits{SharePerS: 4, PerS: 1e6, TokensPerS: 1e9, Concurrent: 1000}
+	limits := Limits{QuotaPerS: 4, PerS: 1e6, TokensPerS: 1e9, Concurrent: 1000}
 	for i := range tenants {
 		controller.SetTenant(ID(i), TenantSettings{
 			Limits:   limits,
@@ -177,7 +177,7 @@
 		controller: NewAdmissionController(1), now: testStart, queued: map[ID]int{}, served: map[ID]int{},
 	}
 	for _, id := range tenants {
-		fleet.controller.SetTenant(id, TenantSettings{Limits: Limits{SharePerS: 5}, Serving: true})
+		fleet.controller.SetTenant(id, TenantSettings{Limits: Limits{QuotaPerS: 5}, Serving: true})
 	}
 	fleet.controller.SetPrefillEndpoints(8)
 	return fleet
--- a/internal/tenancy/cached_tenants_test.go
+++ b/internal/tenancy/cached_tenants_test.go
@@ -14,7 +14,7 @@
 // limitsFrom returns the limits that the fixture was made with: each has a value of its own.
 func limitsFrom(n int) tenancy.Limits {
 	f := float64(n)
-	return tenancy.Limits{SharePerS: f + 0.5, Weight: f + 0.25, PerS: f + 10, TokensPerS: f*1000 + 1, BurstS: f + 0.75,
+	return tenancy.Limits{QuotaPerS: f + 0.5, Weight: f + 0.25, PerS: f + 10, TokensPerS: f*1000 + 1, BurstS: f + 0.75,
 		Concurrent: n + 2, LargestPrompt: n*100 + 3, Waiting: n + 4}
 }
 
@@ -37,7 +37,7 @@
 			},
 		},
 		{
-			ID: 3, Name: "mto", State: tenancy.StateSuspended, Version: 3, Limits: tenancy.Limits{SharePerS: 7},
+			ID: 3, Name: "mto", State: tenancy.StateSuspended, Version: 3, Limits: tenancy.Limits{QuotaPerS: 7},
 			CreatedAt: 1796217369,
 			Keys: []tenancy.KeyRecord{{
 				ID: "b1b125e2c5f1", MAC: "f4efbb017516ed4f97d5b0832839eac7b2c38ae1e2197ed2f4d59dfb430fedd0", Label: "chat only",
--- a/internal/tenancy/directory.go
+++ b/internal/tenancy/directory.go
@@ -114,7 +114,7 @@
 // IsPublicText reports whether the operator lets tenants share a text, which is given by its digest.
 func (d *Directory) IsPublicText(digest string) bool { return d.publicTexts[digest] }
 
-// Authenticate returns the tenant and the record of a key. An unknown key leaves nothing behind.
+// Authenticate returns the tenant and the record of a key. It stores nothing about unknown keys.
 func (d *Directory) Authenticate(now int64, text string) (*Tenant, *KeyRecord, bool) {
 	id, ok := KeyID(text)
 	if !ok {
--- a/internal/tenancy/limits.go
+++ b/internal/tenancy/limits.go
@@ -64,7 +64,7 @@
 	}
 	burst := orDefault(limits.BurstS, defaultBurstS)
 
-	// A limit that was lifted does not bind any more, although its bucket may still be empty.
+	// The bucket of a limit that was removed may still be empty, so the limit is tested as well.
 	requestRate := partOf(limits.PerS, parts)
 	l.requests.fill(now, requestRate, max(requestRate*burst, 1))
 	if limits.PerS > 0 && l.requests.level < 1 {
@@ -97,8 +97,8 @@
 	l.inFlight++
 }
 
-// release ends a request, and corrects its cost to the tokens that it took.
-func (l *limiter) release(cost float64, tookTokens int) {
+// release ends a request, and corrects its cost to the tokens that it used.
+func (l *limiter) release(cost float64, usedTokens int) {
 	l.inFlight--
-	l.tokens.level += cost - float64(tookTokens)
+	l.tokens.level += cost - float64(usedTokens)
 }
--- a/internal/tenancy/registry.go
+++ b/internal/tenancy/registry.go
@@ -46,8 +46,8 @@
 // removed reports whether the tenant can't be changed any more.
 func (t *Tenant) removed() bool { return t.State == StateRemoving || t.State == StateRemoved }
 
-// nameReuseDelay is how many seconds the name of a removed tenant can't be used again: what is still on its
-// way under that name must not be taken for another's.
+// nameReuseDelay is how many seconds the name of a removed tenant can't be used again: reports and updates that
+// are still in transit under that name must not be taken for those of another tenant.
 const nameReuseDelay = 24 * 3600
 
 // Registry is the record of all tenants. Its version counts the changes; followers ask for what has changed
@@ -77,7 +77,7 @@
 // Names returns the names of all tenants in order.
 func (r *Registry) Names() []string { return slices.Sorted(maps.Keys(r.Tenants)) }
 
-// changed notes a change of a tenant.
+// changed counts a change of a tenant.
 func (r *Registry) changed(t *Tenant) {
 	r.Version++
 	t.Version++
@@ -208,7 +208,7 @@
 	return t, nil
 }
 
-// CompleteRemoval drops the data of a tenant that is being removed, once nothing of it runs any more. Its
+// CompleteRemoval drops the data of a tenant that is being removed, once none of its requests runs. Its
 // name stays reserved for a while.
 func (r *Registry) CompleteRemoval(now int64, name string) {
 	t := r.Tenants[name]
--- a/internal/tenancy/ticket.go
+++ b/internal/tenancy/ticket.go
@@ -62,13 +62,13 @@
 	tenant     *tenantAccount
 	limiters   [3]*limiter // of the tenant, the key and the product; nil if that has no limits
 	cost       float64     // tokens reserved
-	overQuota  bool        // beyond its tenant's share
+	overQuota  bool        // beyond its tenant's quota
 	state      ticketState
 	begun      bool // surplus only: the first token was seen, or the request has ended
 	admittedAt Micros
 }
 
-// OverQuota reports whether the request is beyond its tenant's share.
+// OverQuota reports whether the request is beyond its tenant's quota.
 func (t *Ticket) OverQuota() bool { return t.overQuota }
 
 // tenantAccount is what an AdmissionController knows of a tenant.
@@ -76,7 +76,7 @@
 	id       ID
 	serving  bool
 	limiter  limiter
-	share    tokenBucket // requests
+	quota    tokenBucket // requests
 	keys     map[string]*limiter
 	products map[string]*limiter
 	open     map[*Ticket]uint64 // by the order of their arrival
--- a/internal/tenancy/usage.go
+++ b/internal/tenancy/usage.go
@@ -48,7 +48,7 @@
 	Dispatcher     string   `json:"dispatcher"`
 	Number         uint64   `json:"number"` // from 1 on; a report that is sent again has the same
 	Usage          []Usage  `json:"used"`
-	RemovedTenants []string `json:"ended,omitempty"` // of which nothing runs at the dispatcher any more
+	RemovedTenants []string `json:"ended,omitempty"` // of which nothing runs at the dispatcher
 }
 
 // UsageMeter is a dispatcher's count of what was used and not yet reported. A report is numbered and repeated
@@ -73,7 +73,7 @@
 	m.unreported[u.Key()] = &u
 }
 
-// TenantEnded notes that nothing of a removed tenant runs here.
+// TenantEnded records that nothing of a removed tenant runs here.
 func (m *UsageMeter) TenantEnded(name string) {
 	if !slices.Contains(m.removedTenants, name) {
 		m.removedTenants = append(m.removedTenants, name)
@@ -102,7 +102,7 @@
 	return m.outstanding != nil || len(m.unreported) > 0 || len(m.removedTenants) > 0
 }
 
-// Acknowledge notes that a report was received.
+// Acknowledge records that the administration has received a report.
 func (m *UsageMeter) Acknowledge(number uint64) {
 	if m.outstanding != nil && m.outstanding.Number == number {
 		m.outstanding = nil
--- a/internal/tenancy/validation.go
+++ b/internal/tenancy/validation.go
@@ -39,7 +39,7 @@
 		name  string
 		value float64
 	}{
-		{"share_per_s", l.SharePerS},
+		{"share_per_s", l.QuotaPerS},
 		{"weight", l.Weight},
 		{"per_s", l.PerS},
 		{"tokens_per_s", l.TokensPerS},
--- a/internal/tenancy/window.go
+++ b/internal/tenancy/window.go
@@ -1,23 +1,23 @@
 package tenancy
 
-// Surplus fills the capacity that shares leave. How much of it may run is learnt from requests inside their shares:
+// Surplus fills the capacity that quotas leave. How much of it may run is learnt from requests inside their quotas:
 // when one of them is late, the window of admitted surplus is cut, and otherwise it grows.
 const (
 	initialWindow = 8.0 // requests
 	minWindow     = 1.0
 	maxWindow     = 4096.0
-	windowCut     = 0.6 // of the admitted surplus, when a request inside its share is late
+	windowCut     = 0.6 // of the admitted surplus, when a request inside its quota is late
 	cutInterval   = second / 4
 	windowGrowth  = 1.0    // requests, for each request of surplus that ends while the window is at most growthSpread
 	growthSpread  = 8.0    // requests; a larger window grows in proportion more slowly
 	growthDelay   = second // since the last late request
 	lateFraction  = 0.25   // of the latency objective; a first token after it is late
 
-	ownSurplus       = 2      // requests beyond its share that each tenant may have admitted in any case
-	prefillFraction  = 0.20   // of the prefill endpoints that surplus may use while others ask
-	contentionPeriod = second // after which a tenant that asked for something inside its share does not count
+	ownSurplus       = 2      // requests beyond its quota that each tenant may have admitted in any case
+	prefillFraction  = 0.20   // of the prefill endpoints that surplus may use while the window is contended
+	contentionPeriod = second // after which a tenant that asked for something inside its quota does not count
 
-	// While no other tenant asks, as many requests of surplus for each prefill endpoint may wait for their first
+	// While the window is not contended, so many requests of surplus for each prefill endpoint may wait for their first
 	// token.
 	unbegunPerEndpoint = 2
 	minUnbegun         = 2
@@ -34,29 +34,29 @@
 	surplusCount
 	size             float64 // requests of surplus that may be admitted at once
 	cutAt            Micros
-	lateAt           Micros // when a request inside its share was last late
+	lateAt           Micros // when a request inside its quota was last late
 	prefillEndpoints int
-	pausedUntil      Micros // no surplus is admitted before it, while others ask
-	inShare          [2]arrival
+	pausedUntil      Micros // no surplus is admitted before it while the window is contended
+	inQuota          [2]arrival
 }
 
-// arrival is when a tenant last asked for something inside its share.
+// arrival is when a tenant last asked for something inside its quota.
 type arrival struct {
 	tenant *tenantAccount
 	at     Micros
 }
 
-// noteInShare notes an arrival. The last two tenants are enough to know whether another than a given one asks.
-func (w *surplusWindow) noteInShare(now Micros, tenant *tenantAccount) {
-	if w.inShare[0].tenant != tenant {
-		w.inShare[1] = w.inShare[0]
+// noteInQuota records an arrival. The last two tenants are enough to know whether one other than a given one asks.
+func (w *surplusWindow) noteInQuota(now Micros, tenant *tenantAccount) {
+	if w.inQuota[0].tenant != tenant {
+		w.inQuota[1] = w.inQuota[0]
 	}
-	w.inShare[0] = arrival{tenant, now}
+	w.inQuota[0] = arrival{tenant, now}
 }
 
-// contended reports whether another tenant has lately asked for something inside its share.
+// contended reports whether another tenant has lately asked for something inside its quota.
 func (w *surplusWindow) contended(now Micros, tenant *tenantAccount) bool {
-	for _, last := range w.inShare {
+	for _, last := range w.inQuota {
 		if last.tenant != tenant && last.tenant != nil && now-last.at < contentionPeriod {
 			return true
 		}
@@ -80,17 +80,17 @@
 	}
 }
 
-// SetPrefillEndpoints sets how many endpoints read prompts now.
+// SetPrefillEndpoints sets how many endpoints can prefill now.
 func (a *AdmissionController) SetPrefillEndpoints(count int) { a.surplus.prefillEndpoints = count }
 
-// prefillAllowance returns how many prompts of surplus may be read at once while others ask. Surplus may fill
-// gaps, but it would otherwise stand before everyone's next prompt, so all dispatchers together send it to a
+// prefillAllowance returns how many prompts of surplus may be prefilled at once while the window is contended.
+// Surplus on all endpoints would delay every tenant's next prompt, so all dispatchers together send it to a
 // fraction of the endpoints only. Below 1 it is the fraction of the time in which there may be one.
 func (a *AdmissionController) prefillAllowance() float64 {
 	return float64(a.surplus.prefillEndpoints) * prefillFraction / a.parts
 }
 
-// mayAdmitAtOnce reports whether a new request of surplus need not be queued: nobody is queued before it.
+// mayAdmitAtOnce reports whether a new request of surplus need not be queued: none is queued before it.
 func (a *AdmissionController) mayAdmitAtOnce(t *Ticket) bool {
 	if a.queue.Len() == 0 && a.mayAdmitSurplus(t) {
 		return true
@@ -114,7 +114,7 @@
 }
 
 // withinOwnSurplus reports whether a tenant may have one more request of surplus whatever the others have: one that
-// exceeds its share by chance must not wait for what another floods the window with.
+// exceeds its quota by chance must not wait for a tenant that fills the window.
 func withinOwnSurplus(tenant *tenantAccount) bool {
 	return tenant.surplus.admitted < ownSurplus && tenant.surplus.unbegun == 0
 }
@@ -127,7 +127,7 @@
 	}
 }
 
-// beginSurplus notes that the prompt of a request of surplus is read.
+// beginSurplus records that the prompt of a request of surplus is prefilled.
 func (a *AdmissionController) beginSurplus(t *Ticket) {
 	if t.begun {
 		return
@@ -148,7 +148,7 @@
 	a.surplus.grow(a.now)
 }
 
-// FirstToken notes how long an admitted request took to its first token, and its latency objective.
+// FirstToken records how long an admitted request took to its first token, and its latency objective.
 func (a *AdmissionController) FirstToken(now Micros, t *Ticket, took, objective Micros) {
 	a.now = now
 	if t.overQuota {
@@ -162,7 +162,7 @@
 	}
 }
 
-// NoCapacity notes that the scheduler found no capacity for a request.
+// NoCapacity records that the scheduler found no capacity for a request.
 func (a *AdmissionController) NoCapacity(now Micros, t *Ticket) {
 	if !t.overQuota {
 		a.surplus.late(now)
