--- a/internal/platform/server/connection.go
+++ b/internal/platform/server/connection.go
@@ -15,7 +15,7 @@
 	idle              connectionState = iota // waits for a request's first byte
 	reading                                  // a request is coming in
 	answering                                // its response is pending
-	throttled                                // the client sent what can't be used, and is not served for a while
+	penalized                                // the client sent what can't be used, and is not served for a while
 	rejectingOverflow                        // pipelined requests that were not buffered are answered
 	closing                                  // nothing more is read
 )
@@ -43,7 +43,7 @@
 	head       *http1.Head
 	readiness  bool       // it asks whether the server is ready
 	request    *Request   // nil: it is rejected, or asks for readiness
-	rejection  *Rejection // nil: nothing speaks against it so far
+	rejection  *Rejection // nil: no fault has been found so far
 	body       []byte
 	receivedAt eventloop.Micros // its first byte
 	keepAlive  bool             // it lets others follow it
@@ -163,7 +163,7 @@
 func (c *connection) Data(data []byte) {
 	switch c.state {
 	case closing:
-	case answering, throttled:
+	case answering, penalized:
 		c.readPipelined(data)
 	case rejectingOverflow:
 		c.readOverflow(data)
@@ -210,12 +210,12 @@
 	c.dropRequest()
 	c.server.Rejected++
 	if c.writeResponse(shortResponse{status: r.Status, text: r.Reason}, c.staysOpen(), AfterResponse) {
-		c.state = throttled
-		c.wait.Set(c.server.loop, throttleTime, c.next)
+		c.state = penalized
+		c.wait.Set(c.server.loop, penaltyTime, c.next)
 	}
 }
 
-// reject answers what can't be read and closes, as the next request can't be found behind it.
+// reject answers what can't be parsed and closes the connection, as it is unknown where the next request begins.
 func (c *connection) reject(r *Rejection, reason CloseReason) {
 	if c.state == closing {
 		return
