--- a/internal/engine/engine_test.go
+++ b/internal/engine/engine_test.go
@@ -48,9 +48,9 @@
 	}}
 }
 
-// TestTimeoutOutcomeTellsWhetherTheRequestLeft: an attempt whose last byte never left cannot have run; one that left
-// whole may have.
-func TestTimeoutOutcomeTellsWhetherTheRequestLeft(t *testing.T) {
+// TestTimeoutOutcomeShowsWhetherTheRequestWasSent: an attempt whose last byte was never sent cannot have run; one that
+// was sent completely may have.
+func TestTimeoutOutcomeShowsWhetherTheRequestWasSent(t *testing.T) {
 	const window = 16 << 10
 	cases := []struct {
 		size int
--- a/internal/platform/dispatcher.go
+++ b/internal/platform/dispatcher.go
@@ -22,14 +22,14 @@
 
 // Config is a dispatcher's identity, its deployment's settings and the resources that it may use.
 type Config struct {
-	Name      string
-	Discovery string // address
-	Seed      int64
-	Settings  *settings.Settings
-	Known     []byte // the endpoint list as it was last known, in discovery's form; empty: none
-	Sockets   int    // descriptors
-	Memory    int    // bytes
-	Log       zerolog.Logger
+	Name       string
+	Discovery  string // address
+	Seed       int64
+	Settings   *settings.Settings
+	CachedList []byte // the endpoint list as it was last known, in discovery's form; empty: none
+	Sockets    int    // descriptors
+	Memory     int    // bytes
+	Log        zerolog.Logger
 }
 
 const (
@@ -119,8 +119,8 @@
 		Log:      config.Log,
 	})
 	d.scheduler = scheduler.New(loop.Now(), config.Seed, schedulerConfig, d)
-	if len(config.Known) > 0 {
-		if err := d.discovery.ApplyCached(config.Known); err != nil {
+	if len(config.CachedList) > 0 {
+		if err := d.discovery.ApplyCached(config.CachedList); err != nil {
 			config.Log.Warn().Err(err).Msg("cached endpoint list unreadable")
 		}
 	}
@@ -158,7 +158,7 @@
 func (d *Dispatcher) MoveDiscovery(address string) { d.discovery.SetAddress(address) }
 
 // discoveryReady reports whether discovery has responded since the start, or has not within discoveryTimeout. Until
-// then only the cached list is known, which may name endpoints that are gone.
+// then only the cached list is known, which may name endpoints that are gone. Once true it stays so.
 func (d *Dispatcher) discoveryReady() bool {
 	timedOut := d.loop.Now()-d.startedAt >= discoveryTimeout
 	d.discoveryWasReady = d.discoveryWasReady || d.discovery.Connected() || timedOut
--- a/internal/platform/endpoints.go
+++ b/internal/platform/endpoints.go
@@ -9,7 +9,7 @@
 )
 
 // updateEndpoints takes an endpoint list, or what has changed in it.
-func (d *Dispatcher) updateEndpoints(entries []discovery.Entry, full bool) {
+func (d *Dispatcher) updateEndpoints(entries []discovery.Entry, complete bool) {
 	d.discoveryReady() // remembers a first response, should the connection be lost before the next check
 	listed := map[scheduler.EndpointID]bool{}
 	for _, e := range entries {
@@ -17,19 +17,19 @@
 		d.updateEndpoint(e)
 	}
 	for id := range d.endpoints {
-		if full && !listed[id] {
+		if complete && !listed[id] {
 			delete(d.endpoints, id)
 		}
 	}
 	d.updateReady()
 	d.cancelUnsentToUnready()
-	d.scheduler.EndpointUpdateEnded(d.loop.Now(), full)
+	d.scheduler.EndpointUpdateEnded(d.loop.Now(), complete)
 	for _, e := range entries {
 		if e.State == scheduler.Removed {
 			d.engine.RemoveEndpoint(e.ID)
 		}
 	}
-	if full {
+	if complete {
 		d.engine.RetainEndpoints(listed)
 	}
 }
--- a/internal/platform/launch/config.go
+++ b/internal/platform/launch/config.go
@@ -75,7 +75,7 @@
 	}
 	config.Seed = parseSeed(root.Get("seed").String(), config.Name)
 	if known := root.Get("known"); known.IsObject() {
-		config.Known = []byte(known.Raw)
+		config.CachedList = []byte(known.Raw)
 	}
 	return config, nil
 }
--- a/internal/platform/launch/config_test.go
+++ b/internal/platform/launch/config_test.go
@@ -44,8 +44,8 @@
 	if config.Cores != 1 || config.Memory != 64*megabyte || config.Sockets != 256 {
 		t.Errorf("%v cores, %d bytes, %d sockets", config.Cores, config.Memory, config.Sockets)
 	}
-	if uint64(config.Seed) != 0x8c1f30d27a5be964 || !strings.Contains(string(config.Known), known) {
-		t.Errorf("seed %x, known %s", uint64(config.Seed), config.Known)
+	if uint64(config.Seed) != 0x8c1f30d27a5be964 || !strings.Contains(string(config.CachedList), known) {
+		t.Errorf("seed %x, known %s", uint64(config.Seed), config.CachedList)
 	}
 	if len(config.Settings.Classes) != 1 || config.Settings.Classes[0] != "explain" {
 		t.Errorf("settings %+v", config.Settings)
--- a/internal/platform/summary.go
+++ b/internal/platform/summary.go
@@ -76,7 +76,7 @@
 		Int("blocked_sends", s.BlockedSends)
 	s.Counts.marshal(event)
 	event.Uint64("releases", s.Releases.Releases).
-		Uint64("release_tries", s.Releases.ReleaseAttempts).
+		Uint64("release_attempts", s.Releases.ReleaseAttempts).
 		Uint64("late_releases", s.Releases.LateReleases).
 		Uint64("bad_requests", s.Server.Rejected).
 		Uint64("evicted_connections", s.Server.Evicted).
--- a/internal/platform/testenv_test.go
+++ b/internal/platform/testenv_test.go
@@ -40,14 +40,14 @@
 		t.Fatal(err)
 	}
 	return Config{
-		Name:      "n0",
-		Discovery: discovery,
-		Seed:      1,
-		Settings:  parsed,
-		Known:     []byte(listText(knownVersion, true, known)),
-		Sockets:   256,
-		Memory:    32 << 20,
-		Log:       zerolog.Nop(),
+		Name:       "n0",
+		Discovery:  discovery,
+		Seed:       1,
+		Settings:   parsed,
+		CachedList: []byte(listText(knownVersion, true, known)),
+		Sockets:    256,
+		Memory:     32 << 20,
+		Log:        zerolog.Nop(),
 	}
 }
 
