--- a/internal/deployment/pb/doc.go
+++ b/internal/deployment/pb/doc.go
@@ -1,2 +1,3 @@
-// Package pb holds the generated messages of a deployment and of a scripted day (proto/deployment.proto, proto/day.proto).
+// Package pb holds the generated messages of a deployment and of a scripted scenario (proto/deployment.proto,
+// proto/day.proto).
 package pb
--- a/internal/platform/server/connection.go
+++ b/internal/platform/server/connection.go
@@ -15,7 +15,7 @@
 	idle              connectionState = iota // waits for a request's first byte
 	reading                                  // a request is coming in
 	answering                                // its response is pending
-	penalized                                // the client sent what can't be used, and is not served for a while
+	penalised                                // the client sent what can't be used, and is not served for a while
 	rejectingOverflow                        // pipelined requests that were not buffered are answered
 	closing                                  // nothing more is read
 )
@@ -163,7 +163,7 @@
 func (c *connection) Data(data []byte) {
 	switch c.state {
 	case closing:
-	case answering, penalized:
+	case answering, penalised:
 		c.readPipelined(data)
 	case rejectingOverflow:
 		c.readOverflow(data)
@@ -210,7 +210,7 @@
 	c.dropRequest()
 	c.server.Rejected++
 	if c.writeResponse(shortResponse{status: r.Status, text: r.Reason}, c.staysOpen(), AfterResponse) {
-		c.state = penalized
+		c.state = penalised
 		c.wait.Set(c.server.loop, penaltyTime, c.next)
 	}
 }
