--- a/internal/platform/dispatcher.go
+++ b/internal/platform/dispatcher.go
@@ -143,6 +143,8 @@
 	}
 }
 
+// clientLimits are the limits of connections to clients: half of the descriptors, an eighth of the memory for bodies
+// and pipelined requests, and a quarter of it for streams that clients have not read.
 func clientLimits(sockets, memory int) server.Limits {
 	limits := server.DefaultLimits
 	limits.Connections = max(sockets/2, minConnections)
--- a/internal/platform/request.go
+++ b/internal/platform/request.go
@@ -102,8 +102,8 @@
 	return max(xxhash.Sum64String(id), 1)
 }
 
-// clientDisconnected closes a request whose client has disconnected. A stream that has started is cancelled; of any
-// other attempt the scheduler decides, unless it is unsent.
+// clientDisconnected closes a request whose client has disconnected. A started stream and an unsent attempt are
+// cancelled; the scheduler decides about any other attempt.
 func (d *Dispatcher) clientDisconnected(req *request) {
 	if req.client.closed {
 		return
--- a/internal/platform/server/server.go
+++ b/internal/platform/server/server.go
@@ -37,11 +37,10 @@
 }
 
 const (
-	// penaltyTime is how long a client is not served that sent an unusable request: one that repeats it at once would
+	// penaltyTime is how long a client is not served after an unusable request: a client that repeats it at once would
 	// take up the time of all others.
 	penaltyTime = 100 * eventloop.Millisecond
-	// busyIdleRetry is the time after which an idle connection is checked again that could not be closed, as something
-	// had just arrived on it.
+	// busyIdleRetry is the pause before another attempt to close an idle connection on which something had just arrived.
 	busyIdleRetry = 50 * eventloop.Millisecond
 	// maxFields bounds the fields of a request's head.
 	maxFields = 100
@@ -134,8 +133,8 @@
 	}
 }
 
-// evict closes the connection that has been idle for longest, so that another may be accepted, and reports whether
-// there was one. The newest connection is spared: clients send a request as soon as they are connected.
+// evict closes the connection that has been idle for longest, the newest excepted, and reports whether there was one.
+// Clients send a request soon after they connect: the longest idle connection is the least likely to bring one.
 func (s *Server) evict(newest *connection) bool {
 	for e := s.idleConnections.Front(); e != nil; e = e.Next() {
 		if c := e.Value.(*connection); c != newest && c.closeIdle(Evicted) {
