--- a/internal/admin/feed_test.go
+++ b/internal/admin/feed_test.go
@@ -25,7 +25,7 @@
 	}, "Authorization", "Bearer "+dispatch.FeedToken(secret))
 	e.clientLoop.Do(func() { follower.conn = e.clientLoop.Dial(e.serverAddr, eventloop.Second, follower) })
 	e.network.Run(100 * eventloop.Millisecond)
-	e.clientLoop.Do(func() { follower.conn.Pause(true) })
+	e.clientLoop.Do(func() { follower.conn.SetPaused(true) })
 	buffered := 0
 	for i := range 400 {
 		e.serverLoop.Do(func() { e.server.route(createTenantRequest(fmt.Sprint("t", i))) })
--- a/internal/cli/bench_streams.go
+++ b/internal/cli/bench_streams.go
@@ -114,7 +114,7 @@
 			last = now
 			s.tokens++
 			if stalls {
-				client.conn.Pause(true)
+				client.conn.SetPaused(true)
 			}
 		},
 		ended: func(bool) { s.ended++ },
--- a/internal/dispatch/clients_test.go
+++ b/internal/dispatch/clients_test.go
@@ -74,7 +74,7 @@
 	}
 	c := r.ask("explain")
 	r.world.Run(20 * eventloop.Millisecond)
-	r.remote.Do(func() { c.conn.Pause(true) })
+	r.remote.Do(func() { c.conn.SetPaused(true) })
 	r.world.Run(3 * eventloop.Second)
 	if most := 3*r.world.ReceiveWindow + int(r.deployment.Doors.UnsentMost); sent > most {
 		t.Errorf("%d bytes were taken from the endpoint, more than %d", sent, most)
--- a/internal/dispatch/storm_test.go
+++ b/internal/dispatch/storm_test.go
@@ -151,8 +151,8 @@
 		})
 	case 1:
 		const earliest = 60 * eventloop.Millisecond
-		s.remote.AfterFunc(s.upTo(earliest), func() { fate.call.conn.Pause(true) })
-		s.remote.AfterFunc(earliest+s.upTo(400*eventloop.Millisecond), func() { fate.call.conn.Pause(false) })
+		s.remote.AfterFunc(s.upTo(earliest), func() { fate.call.conn.SetPaused(true) })
+		s.remote.AfterFunc(earliest+s.upTo(400*eventloop.Millisecond), func() { fate.call.conn.SetPaused(false) })
 	}
 }
 
--- a/internal/dispatch/tenants.go
+++ b/internal/dispatch/tenants.go
@@ -77,7 +77,7 @@
 func (d *Dispatcher) subscribeTenants() {
 	d.tenantFeed = subscribe.NewClient(d.loop, d.config.Seed+1, d.config.Tenants, subscribe.Options{
 		Source: "administration",
-		Header: []string{"Authorization", "Bearer " + FeedToken(d.config.Secret), "x-dispatcher", d.config.Name},
+		Fields: []string{"Authorization", "Bearer " + FeedToken(d.config.Secret), "x-dispatcher", d.config.Name},
 		Target: func() string {
 			since := strconv.FormatUint(d.directory.Version, 10)
 			return "/internal/v1/tenants?epoch=" + d.directory.Epoch + "&since=" + since
--- a/internal/dispatch/transitions.go
+++ b/internal/dispatch/transitions.go
@@ -79,9 +79,9 @@
 	case lifecycle.AnswerCompleted, lifecycle.AnswerRejected, lifecycle.AnswerFailed:
 		d.answer(r, action, details)
 	case lifecycle.PauseAttempt:
-		r.attempt.PauseReading(true)
+		r.attempt.SetReadingPaused(true)
 	case lifecycle.ResumeAttempt:
-		r.attempt.PauseReading(false)
+		r.attempt.SetReadingPaused(false)
 	case lifecycle.Forget:
 		d.forget(r)
 	}
--- a/internal/dispatch/usage.go
+++ b/internal/dispatch/usage.go
@@ -99,7 +99,7 @@
 	subscribe.Post(d.loop, subscribe.PostRequest{
 		Address: d.config.Tenants,
 		Target:  "/internal/v1/usage",
-		Header:  []string{"Authorization", "Bearer " + FeedToken(d.config.Secret)},
+		Fields:  []string{"Authorization", "Bearer " + FeedToken(d.config.Secret)},
 		Body:    body,
 		Timeout: usageReportTimeout,
 	}, sent)
--- a/internal/endpoints/watcher.go
+++ b/internal/endpoints/watcher.go
@@ -36,7 +36,7 @@
 	w.Client = subscribe.NewClient(loop, options.Seed, options.Address, subscribe.Options{
 		Source:    "endpoint list",
 		Target:    w.target,
-		Header:    []string{"x-dispatcher", options.Dispatcher},
+		Fields:    []string{"x-dispatcher", options.Dispatcher},
 		OnMessage: w.update,
 		OnReset:   w.Reset,
 		Log:       options.Log,
--- a/internal/engine/attempt.go
+++ b/internal/engine/attempt.go
@@ -100,12 +100,12 @@
 	}
 }
 
-// PauseReading stops or resumes the reading of a stream, for a client that lags.
-func (a *Attempt) PauseReading(on bool) {
+// SetReadingPaused stops or resumes the reading of a stream, for a client that lags.
+func (a *Attempt) SetReadingPaused(on bool) {
 	if a.connection != nil && !a.ended && a.readingPaused != on {
 		a.readingPaused = on
 		a.lastReceived = a.engine.loop.Now()
-		a.connection.conn.Pause(on)
+		a.connection.conn.SetPaused(on)
 	}
 }
 
--- a/internal/engine/call.go
+++ b/internal/engine/call.go
@@ -29,8 +29,8 @@
 	Stream          Stream // nil: the response is never streamed
 	// IsRelease marks a call that releases KV state: it may use the spare connections and does not queue.
 	IsRelease bool
-	// SendWithin, where it is above 0 and below Limits.ConnectTimeout, bounds the time until the request has left.
-	SendWithin eventloop.Micros
+	// SendTimeout, where it is above 0 and below Limits.ConnectTimeout, bounds the time until the request has left.
+	SendTimeout eventloop.Micros
 }
 
 // Stream reads the events of one streamed response.
@@ -53,9 +53,9 @@
 }
 
 func (e *Engine) call(ep *endpoint, call Call, timeout eventloop.Micros, callbacks Callbacks) *Attempt {
-	sendWithin := e.limits.ConnectTimeout
-	if call.SendWithin > 0 {
-		sendWithin = min(sendWithin, call.SendWithin)
+	sendTimeout := e.limits.ConnectTimeout
+	if call.SendTimeout > 0 {
+		sendTimeout = min(sendTimeout, call.SendTimeout)
 	}
 	attempt := &Attempt{
 		engine:       e,
@@ -65,9 +65,9 @@
 		memoryUsage:  scheduler.NoLoadReport,
 		events:       sse.Parser{MaxEventBytes: maxEvent},
 		deadline:     e.loop.Now() + timeout,
-		sendDeadline: e.loop.Now() + sendWithin,
+		sendDeadline: e.loop.Now() + sendTimeout,
 	}
-	attempt.timer = e.loop.AfterFunc(min(timeout, sendWithin), attempt.timeout)
+	attempt.timer = e.loop.AfterFunc(min(timeout, sendTimeout), attempt.timeout)
 	if ep == nil || ep.addr == "" {
 		e.failLater(attempt, "endpoint has no address")
 		return attempt
--- a/internal/engine/connection.go
+++ b/internal/engine/connection.go
@@ -163,7 +163,7 @@
 	result := c.readResult()
 	attempt := c.release()
 	attempt.sent = true
-	c.conn.Pause(false)
+	c.conn.SetPaused(false)
 	switch {
 	case c.parser.Pipelined() > 0: // what follows a response must not be taken for the next one
 		c.conn.Abort()
--- a/internal/engine/engine_test.go
+++ b/internal/engine/engine_test.go
@@ -32,7 +32,7 @@
 func listen(t *testing.T, loop *virtual.Loop, paused bool) (addr string) {
 	t.Helper()
 	listener, err := loop.Listen("127.0.0.1:0", func(c eventloop.Conn) eventloop.Handler {
-		c.Pause(paused)
+		c.SetPaused(paused)
 		return silentEndpoint{}
 	})
 	if err != nil {
--- a/internal/eventloop/eventloop.go
+++ b/internal/eventloop/eventloop.go
@@ -84,9 +84,9 @@
 	// PeerClosed reports whether the other side has closed the connection, even if that is not handed over yet. It asks
 	// the network.
 	PeerClosed() bool
-	// Pause stops or resumes the handing over of data. While paused, little more than the socket's own buffer is read,
+	// SetPaused stops or resumes the handing over of data. While paused, little more than the socket's own buffer is read,
 	// so that the other side is slowed down.
-	Pause(paused bool)
+	SetPaused(paused bool)
 	// Close closes the connection once everything is sent. An accepted connection is closed by halves: what the other
 	// side sends until it has seen the close is dropped, as a close over unread bytes would reset the connection and
 	// lose what is still on its way.
--- a/internal/frontend/body.go
+++ b/internal/frontend/body.go
@@ -87,7 +87,7 @@
 		return
 	}
 	r.bodyPaused = on
-	c.conn.Pause(on)
+	c.conn.SetPaused(on)
 	if on {
 		c.timeout.Clear()
 	} else {
--- a/internal/frontend/connection.go
+++ b/internal/frontend/connection.go
@@ -61,7 +61,7 @@
 	}
 	c.checkParsed(c.parser.Feed(data, c))
 	if c.parser.Buffered() > c.server.messageLimits.HeadBytes {
-		c.conn.Pause(true) // further pipelined requests wait in the socket
+		c.conn.SetPaused(true) // further pipelined requests wait in the socket
 	}
 }
 
@@ -202,7 +202,7 @@
 	s := c.server
 	c.response, c.idleSince = nil, s.loop.Now()
 	c.timeout.Set(s.loop, s.limits.IdleTimeout, c.idleTimedOut)
-	c.conn.Pause(false)
+	c.conn.SetPaused(false)
 	c.checkParsed(c.parser.Resume(c))
 }
 
--- a/internal/platform/attempt.go
+++ b/internal/platform/attempt.go
@@ -94,7 +94,7 @@
 		Fields:      req.client.Fields,
 		Body:        req.client.Body,
 		SendTimeout: max(d.settings.ConnectTimeout-waited, 1),
-		OnSend:      func(left eventloop.Micros) { d.attemptWritten(req, number, left) },
+		OnSend:      func(remaining eventloop.Micros) { d.attemptWritten(req, number, remaining) },
 	}
 	timeout = max(timeout-waited, 0)
 	if req.attempt.prefill {
@@ -129,7 +129,7 @@
 		}
 	}
 	if req.client.response.WriteEvent(data) {
-		req.attempt.inFlight.PauseReading(true)
+		req.attempt.inFlight.SetReadingPaused(true)
 	}
 }
 
--- a/internal/platform/attempt_test.go
+++ b/internal/platform/attempt_test.go
@@ -201,7 +201,7 @@
 		endpoint.relisten(func(conn *endpointConn) {
 			if !broken { // it takes in what its window takes, reads nothing, and breaks
 				broken = true
-				conn.socket.Pause(true)
+				conn.socket.SetPaused(true)
 				endpoint.loop.AfterFunc(50*eventloop.Millisecond, conn.socket.Abort)
 			}
 		})
@@ -212,7 +212,7 @@
 	env.requireIdle()
 	// Nor can it have run where it times out, or is cancelled, before that: there is nothing to release.
 	for _, endpoint := range env.prefillEndpoints() {
-		endpoint.relisten(func(conn *endpointConn) { conn.socket.Pause(true) })
+		endpoint.relisten(func(conn *endpointConn) { conn.socket.SetPaused(true) })
 	}
 	env.network.Run(20 * eventloop.Second)
 	released := env.releases()
@@ -240,7 +240,7 @@
 				return
 			}
 			answered = true // its window takes a part, it reads nothing and answers nevertheless
-			conn.socket.Pause(true)
+			conn.socket.SetPaused(true)
 			endpoint.loop.AfterFunc(10*eventloop.Millisecond, func() {
 				conn.stream(`{"choices":[]}`)
 				conn.endStream()
@@ -265,7 +265,7 @@
 		endpoint.relisten(func(conn *endpointConn) {
 			if !paused {
 				paused = true
-				conn.socket.Pause(true)
+				conn.socket.SetPaused(true)
 			}
 		})
 	}
--- a/internal/platform/disconnect_test.go
+++ b/internal/platform/disconnect_test.go
@@ -15,12 +15,12 @@
 	env.endpoints[1].serve = serveLongStream(many)
 	client := env.sendRequest("explain")
 	env.waitFor(eventloop.Second, "its stream", func() bool { return len(client.events) > 0 })
-	env.remote.Do(func() { client.conn.Pause(true) })
+	env.remote.Do(func() { client.conn.SetPaused(true) })
 	env.network.Run(4 * eventloop.Second)
 	if n := env.dispatcher.server.Unsent(); n > 96<<10 { // the bound, and what one turn may bring past it
 		t.Errorf("%d bytes are buffered for it", n)
 	}
-	env.remote.Do(func() { client.conn.Pause(false) })
+	env.remote.Do(func() { client.conn.SetPaused(false) })
 	if got := env.finalStatus(client); got != 200 || len(client.events) != many+1 {
 		t.Errorf("answered %d with %d events", got, len(client.events))
 	}
@@ -140,7 +140,7 @@
 	}
 	client := env.sendRequest("explain")
 	env.waitFor(eventloop.Second, "its stream", func() bool { return len(client.events) > 0 })
-	env.remote.Do(func() { client.conn.Pause(true) })
+	env.remote.Do(func() { client.conn.SetPaused(true) })
 	env.network.Run(200 * eventloop.Millisecond)
 	env.remote.Do(client.conn.Abort)
 	env.network.Run(20 * eventloop.Millisecond)
--- a/internal/platform/guard/request.go
+++ b/internal/platform/guard/request.go
@@ -67,12 +67,12 @@
 }
 
 // Written checks an attempt again at the moment in which it is written, and the time that it gives its endpoint.
-func (r *Request) Written(now eventloop.Micros, endpoint Endpoint, timeout eventloop.Micros) {
+func (r *Request) Written(now eventloop.Micros, endpoint Endpoint, given eventloop.Micros) {
 	if b := r.checkSend(now, endpoint); b != nil {
 		r.violated(b.rule, &endpoint, "%s", b.detail)
 	}
-	if left := r.terms.Deadline - now; timeout > max(left, 0)+r.guard.limits.DeadlineSlack {
-		r.violated(DeadlineOverstated, &endpoint, "given %d us, %d us are left", timeout, left)
+	if left := r.terms.Deadline - now; given > max(left, 0)+r.guard.limits.DeadlineSlack {
+		r.violated(DeadlineOverstated, &endpoint, "given %d us, %d us are left", given, left)
 	}
 }
 
--- a/internal/platform/ledger.go
+++ b/internal/platform/ledger.go
@@ -85,9 +85,9 @@
 }
 
 // attemptWritten checks the attempt that is written now, with the time that it gives its endpoint.
-func (d *Dispatcher) attemptWritten(req *request, number scheduler.AttemptNo, timeout eventloop.Micros) {
+func (d *Dispatcher) attemptWritten(req *request, number scheduler.AttemptNo, remaining eventloop.Micros) {
 	if number == req.attempt.number() {
-		req.ledger.Written(d.loop.Now(), d.guardEndpoint(req), timeout)
+		req.ledger.Written(d.loop.Now(), d.guardEndpoint(req), remaining)
 	}
 }
 
--- a/internal/platform/random_test.go
+++ b/internal/platform/random_test.go
@@ -90,8 +90,8 @@
 	case 1:
 		span := run.within(eventloop.Second)
 		env.remote.AfterFunc(eventloop.Micros(random.Intn(20000)), func() {
-			visitor.conn.Pause(true)
-			env.remote.AfterFunc(span, func() { visitor.conn.Pause(false) })
+			visitor.conn.SetPaused(true)
+			env.remote.AfterFunc(span, func() { visitor.conn.SetPaused(false) })
 		})
 	}
 }
--- a/internal/platform/request.go
+++ b/internal/platform/request.go
@@ -70,7 +70,7 @@
 	}
 	response.OnWritable = func() {
 		if req.attempt.inFlight != nil {
-			req.attempt.inFlight.PauseReading(false)
+			req.attempt.inFlight.SetReadingPaused(false)
 		}
 	}
 	d.scheduler.RequestArrived(d.loop.Now(), d.arrival(req))
--- a/internal/platform/server/connection.go
+++ b/internal/platform/server/connection.go
@@ -52,12 +52,12 @@
 // --- Idle time ---
 
 // becomeIdle waits for a request's first byte.
-func (c *connection) becomeIdle(within eventloop.Micros) {
+func (c *connection) becomeIdle(timeout eventloop.Micros) {
 	c.state = idle
 	if c.idleElement == nil {
 		c.idleElement = c.server.idleConnections.PushBack(c)
 	}
-	c.wait.Set(c.server.loop, within, c.idleTimedOut)
+	c.wait.Set(c.server.loop, timeout, c.idleTimedOut)
 }
 
 // leaveIdle takes the connection out of the server's list of idle ones.
--- a/internal/platform/shutdown_test.go
+++ b/internal/platform/shutdown_test.go
@@ -111,14 +111,14 @@
 	env.endpoints[1].serve = serveLongStream(many)
 	client := env.sendRequest("explain")
 	env.waitFor(eventloop.Second, "its stream", func() bool { return len(client.events) > 0 })
-	env.remote.Do(func() { client.conn.Pause(true) })
+	env.remote.Do(func() { client.conn.SetPaused(true) })
 	env.network.Run(100 * eventloop.Millisecond)
 	ended := env.shutDown()
 	env.network.Run(3 * eventloop.Second)
 	if *ended {
 		t.Error("it ended with a stream that its client has not read")
 	}
-	env.remote.Do(func() { client.conn.Pause(false) })
+	env.remote.Do(func() { client.conn.SetPaused(false) })
 	env.waitFor(2*eventloop.Second, "the end", func() bool { return *ended })
 	if len(client.events) != many+1 || len(client.statuses) != 1 {
 		t.Errorf("%d events of %d, %d ends", len(client.events), many+1, len(client.statuses))
--- a/internal/platform/upstream/upstream.go
+++ b/internal/platform/upstream/upstream.go
@@ -65,32 +65,32 @@
 	return &Client{loop: loop, connections: connections, options: options}
 }
 
-// Prefill sends a prompt to be processed, in the time allowed. It does not call back before it has returned.
+// Prefill sends a prompt to be processed. The timeout is that of its response. No callback runs before it has returned.
 func (c *Client) Prefill(
-	id scheduler.EndpointID, request Request, allowed eventloop.Micros, callbacks engine.Callbacks,
+	id scheduler.EndpointID, request Request, timeout eventloop.Micros, callbacks engine.Callbacks,
 ) *engine.Attempt {
 	call := engine.Call{
 		BuildRequest:    request.write,
 		ReadResponse:    prefillResult,
 		MaxResponseBody: maxResponse,
-		SendWithin:      request.SendTimeout,
+		SendTimeout:     request.SendTimeout,
 	}
-	return c.connections.Call(id, call, allowed, callbacks)
+	return c.connections.Call(id, call, timeout, callbacks)
 }
 
-// Decode sends a request whose response is streamed, in the time allowed until the first event. It does not call back
-// before it has returned.
+// Decode sends a request whose response is streamed. The timeout is that of the first event. No callback runs before it
+// has returned.
 func (c *Client) Decode(
-	id scheduler.EndpointID, request Request, allowed eventloop.Micros, callbacks engine.Callbacks,
+	id scheduler.EndpointID, request Request, timeout eventloop.Micros, callbacks engine.Callbacks,
 ) *engine.Attempt {
 	call := engine.Call{
 		BuildRequest:    request.write,
 		ReadResponse:    rejectionResult,
 		Stream:          &responseStream{},
 		MaxResponseBody: maxResponse,
-		SendWithin:      request.SendTimeout,
+		SendTimeout:     request.SendTimeout,
 	}
-	return c.connections.Call(id, call, allowed, callbacks)
+	return c.connections.Call(id, call, timeout, callbacks)
 }
 
 // write encodes the request for an endpoint, with the time that remains for it.
--- a/internal/sockets/conn.go
+++ b/internal/sockets/conn.go
@@ -158,8 +158,8 @@
 	return current, true
 }
 
-// Pause implements eventloop.Conn.
-func (c *conn) Pause(paused bool) {
+// SetPaused implements eventloop.Conn.
+func (c *conn) SetPaused(paused bool) {
 	if c.paused == paused {
 		return
 	}
--- a/internal/sockets/conn_test.go
+++ b/internal/sockets/conn_test.go
@@ -57,7 +57,7 @@
 	const size = 16 << 20
 	server, client := newRecorder(), newRecorder()
 	server.onOpened = func(r *recorder) { r.conn.Write(make([]byte, size)) }
-	client.onOpened = func(r *recorder) { r.conn.Pause(true) }
+	client.onOpened = func(r *recorder) { r.conn.SetPaused(true) }
 	serverLoop, clientLoop := connect(t, server, client)
 	waitUntilStuck(t, serverLoop, server, size)
 	received := make(chan error, 1)
@@ -70,7 +70,7 @@
 				received <- nil
 			}
 		}
-		client.conn.Pause(false)
+		client.conn.SetPaused(false)
 	})
 	waitFor(t, "the rest", received)
 	serverLoop.Do(func() {
@@ -112,7 +112,7 @@
 	server := newRecorder()
 	paused := make(chan error, 1)
 	server.onData = func(r *recorder) {
-		r.conn.Pause(true)
+		r.conn.SetPaused(true)
 		r.onData = nil
 		paused <- nil
 	}
@@ -127,7 +127,7 @@
 	if err := c.Close(); err != nil {
 		t.Fatal(err)
 	}
-	server.conn.(*conn).loop.Do(func() { server.conn.Pause(false) })
+	server.conn.(*conn).loop.Do(func() { server.conn.SetPaused(false) })
 	waitFor(t, "the end", server.closed)
 	if len(server.data) != size+len("request") {
 		t.Errorf("%d bytes were handed over", len(server.data))
--- a/internal/subscribe/client.go
+++ b/internal/subscribe/client.go
@@ -39,8 +39,8 @@
 	Source string
 	// Target returns the request target; it is called for every connection, so that it can name the version known then.
 	Target func() string
-	// Header holds further request header fields, names and values in turn.
-	Header []string
+	// Fields holds further request header fields, names and values in turn.
+	Fields []string
 	// Format is that of the response.
 	Format Format
 	// OnMessage takes one message, whose bytes are valid only during the call. An error closes the connection and the
--- a/internal/subscribe/client_test.go
+++ b/internal/subscribe/client_test.go
@@ -187,7 +187,7 @@
 			request := PostRequest{
 				Address: sourceAddress,
 				Target:  "/usage",
-				Header:  []string{"Authorization", "Bearer x"},
+				Fields:  []string{"Authorization", "Bearer x"},
 				Body:    []byte(`{"n":1}`),
 				Timeout: eventloop.Second,
 			}
--- a/internal/subscribe/connection.go
+++ b/internal/subscribe/connection.go
@@ -68,9 +68,9 @@
 		return
 	}
 	client := c.client
-	header := append([]string{"Accept", "text/event-stream"}, client.options.Header...)
+	fields := append([]string{"Accept", "text/event-stream"}, client.options.Fields...)
 	request := http1.Request{Method: "GET", Target: client.options.Target(), Host: client.address}
-	c.conn.Write(http1.AppendRequest(nil, request, header...))
+	c.conn.Write(http1.AppendRequest(nil, request, fields...))
 	if client.options.ResponseTimeout == 0 {
 		c.silence.Set(client.loop, client.options.SilenceTimeout, c.silent)
 	}
--- a/internal/subscribe/post.go
+++ b/internal/subscribe/post.go
@@ -11,7 +11,7 @@
 type PostRequest struct {
 	Address string
 	Target  string
-	Header  []string // further header fields, names and values in turn
+	Fields  []string // further header fields, names and values in turn
 	Body    []byte
 	Timeout eventloop.Micros // until the response is complete, connecting included
 }
@@ -19,10 +19,10 @@
 // Post sends one message on a connection of its own. done is called once, with the status of the response; 0: there
 // was none in time.
 func Post(loop eventloop.Loop, request PostRequest, done func(status int)) {
-	header := slices.Concat(request.Header, []string{"Content-Type", "application/json", "Connection", "close"})
+	fields := slices.Concat(request.Fields, []string{"Content-Type", "application/json", "Connection", "close"})
 	message := http1.Request{Method: "POST", Target: request.Target, Host: request.Address, Body: request.Body}
 	p := &post{
-		request:  http1.AppendRequest(nil, message, header...),
+		request:  http1.AppendRequest(nil, message, fields...),
 		response: http1.Parser{Response: true, Limits: http1.DefaultLimits},
 		done:     done,
 	}
--- a/internal/testbed/modelserver/conn.go
+++ b/internal/testbed/modelserver/conn.go
@@ -45,8 +45,8 @@
 	e.lastConn++
 	e.conns[c] = e.lastConn
 	if e.connectDelay > 0 {
-		c.conn.Pause(true)
-		e.fleet.loop.AfterFunc(e.connectDelay, func() { c.conn.Pause(false) })
+		c.conn.SetPaused(true)
+		e.fleet.loop.AfterFunc(e.connectDelay, func() { c.conn.SetPaused(false) })
 	}
 }
 
--- a/internal/virtual/conn.go
+++ b/internal/virtual/conn.go
@@ -152,8 +152,8 @@
 	}
 }
 
-// Pause implements eventloop.Conn.
-func (c *conn) Pause(paused bool) {
+// SetPaused implements eventloop.Conn.
+func (c *conn) SetPaused(paused bool) {
 	if c.paused == paused {
 		return
 	}
