--- a/scheduler/attempt.go
+++ b/scheduler/attempt.go
@@ -121,7 +121,7 @@
 		s.recordPrefill(att, prefillTokens, float64(res.CachedTokens))
 	}
 	s.attemptResolved(att, res)
-	s.placeQueued(false)
+	s.placeQueued()
 	s.armDeadlineTimer()
 }
 
--- a/scheduler/endpoint_list.go
+++ b/scheduler/endpoint_list.go
@@ -95,7 +95,7 @@
 		delete(s.endpoints.byID, ep.id)
 		return true
 	})
-	s.placeQueued(false)
+	s.placeQueued()
 	s.armDeadlineTimer()
 }
 
--- a/scheduler/scheduler.go
+++ b/scheduler/scheduler.go
@@ -24,7 +24,7 @@
 	timers   timers
 
 	requests  map[RequestID]*request
-	queue     holdQueue
+	queue     requestQueue
 	quotas    quotas
 	endpoints endpointList
 
--- a/scheduler/timers.go
+++ b/scheduler/timers.go
@@ -5,13 +5,13 @@
 // periodicInterval is how often the queue is placed again, quotas are refilled and endpoints are checked for silence.
 const periodicInterval = 50 * ms
 
-// timers holds the due times of one instance; the caller keeps one timer for the earliest of them.
+// timers holds the due times of one instance; the caller has one timer for the earliest of them.
 type timers struct {
 	due     timerqueue.Queue
 	armedAt Micros // when the caller's deadline timer next fires; 0 if it is not set
 }
 
-// TimerFired takes the firing of one of the two timers.
+// TimerFired handles the firing of one of the two timers.
 func (s *Scheduler) TimerFired(now Micros, timer TimerID) {
 	s.now = now
 	if timer == PeriodicTimer {
@@ -19,7 +19,7 @@
 		s.quotas.refill(now)
 		s.detectSilentEndpoints()
 		s.measureWarmThroughput()
-		s.placeQueued(true)
+		s.placeQueuedByValue()
 	} else {
 		s.timers.armedAt = 0
 	}
@@ -27,10 +27,10 @@
 	s.armDeadlineTimer()
 }
 
-// armDeadlineTimer has the caller's timer fire at the earliest due time, at least one microsecond from now.
+// armDeadlineTimer sets the caller's timer to the earliest due time, at least one microsecond from now.
 func (s *Scheduler) armDeadlineTimer() {
 	t := &s.timers
-	if at, some := t.due.Next(); some && (t.armedAt == 0 || at < t.armedAt) {
+	if at, found := t.due.Next(); found && (t.armedAt == 0 || at < t.armedAt) {
 		t.armedAt = max(at, s.now+1)
 		s.executor.SetTimer(t.armedAt-s.now, DeadlineTimer)
 	}
