--- a/internal/benchadapter/actions.go
+++ b/internal/benchadapter/actions.go
@@ -17,8 +17,8 @@
 	memoryValue int // index of the memory share in a load report; negative if it has none
 }
 
-// appendAction opens the next action of this instance. Where the last one was another instance's, an action that
-// names this one goes before it.
+// appendAction adds an action of this instance. If the last one was another instance's, an action that names this one
+// is added before it.
 func (in *instance) appendAction(code byte) []byte {
 	a := in.adapter
 	if !a.named || a.instance != in.id {
@@ -78,7 +78,7 @@
 	binary.LittleEndian.PutUint64(action[setTimerID:], uint64(timer))
 }
 
-// Log implements scheduler.Executor: the event's text goes behind the actions.
+// Log implements scheduler.Executor: the event's text follows all actions in the reply.
 func (in *instance) Log(event scheduler.Event) {
 	text, action := describe(event), in.appendAction(actionLog)
 	binary.LittleEndian.PutUint32(action[logOffset:], uint32(len(in.adapter.text)))
--- a/internal/benchadapter/events.go
+++ b/internal/benchadapter/events.go
@@ -34,10 +34,10 @@
 		in.ClientDisconnected(a.now, scheduler.RequestID(event.uint64(disconnectRequest)))
 	case eventTimer:
 		in.TimerFired(a.now, scheduler.TimerID(event.uint64(timerID)))
-	case eventProbeResult: // the scheduler asks for no probes
+	case eventProbeResult: // the scheduler requests no health checks
 		_, err := event.outcome(probeOutcome)
 		return err
-	case eventPeerMessage, eventReservation: // the scheduler asks for neither
+	case eventPeerMessage, eventReservation: // the scheduler uses neither
 	case eventDetach:
 		delete(a.instances, id)
 	default:
@@ -46,7 +46,7 @@
 	return nil
 }
 
-// attach starts an instance, in place of any that had its id.
+// attach starts an instance. It replaces one with the same id.
 func (a *adapter) attach(id uint32, event record, tail []byte) error {
 	text, err := event.tail(attachSettings, tail, 1)
 	if err != nil {
@@ -95,7 +95,7 @@
 	return nil
 }
 
-// memoryUsage is the share of memory taken, from a load report that has it.
+// memoryUsage is the share of memory taken by a load report, or scheduler.NoLoadReport if that does not have it.
 func (in *instance) memoryUsage(report record) float64 {
 	values := min(int(report.byte(0)), maxLoadReportValues)
 	if in.memoryValue < 0 || in.memoryValue >= values {
--- a/internal/benchadapter/serve.go
+++ b/internal/benchadapter/serve.go
@@ -1,5 +1,5 @@
-// Package benchadapter speaks the bench simulator's wire for the scheduler: frames of events in, frames of actions
-// out. It owns the scheduler instances of one process and the endpoint lists that the frames refer to. It relies on
+// Package benchadapter connects the scheduler to the bench simulator by its wire protocol: frames of events in, frames
+// of actions out. It owns the scheduler instances of one process and the endpoint lists that the frames refer to. It relies on
 // the scheduler package for all decisions and on the settings package for an instance's configuration, and decides
 // nothing itself: a decoded event is one call of an instance, and an order of an instance is one action of the reply.
 package benchadapter
@@ -26,7 +26,7 @@
 		case errors.Is(err, io.EOF):
 			return nil
 		case errors.Is(err, ErrHeaderTruncated):
-			return &FrameError{Frame: n, Err: err} // its own number is not known
+			return &FrameError{Frame: n, Err: err} // its sequence number is not known
 		case err != nil:
 			return &FrameError{Frame: sequence, Err: err}
 		}
@@ -59,7 +59,7 @@
 	return sequence, body, nil
 }
 
-// adapter holds the instances of one process, the endpoint lists that their events refer to, and the reply being built.
+// adapter has the instances of one process, the endpoint lists that their events refer to, and the reply being built.
 type adapter struct {
 	instances map[uint32]*instance
 	lists     [listCount][]byte
@@ -68,7 +68,7 @@
 	actions  []byte
 	text     []byte // that the actions refer to
 	named    bool   // an action of this reply has named an instance
-	instance uint32 // that was named last
+	instance uint32 // the one named last
 }
 
 // handleFrame carries out the events of one frame.
@@ -79,7 +79,7 @@
 		return fmt.Errorf("%d records %w", count, ErrRecordsOverflow)
 	}
 	events, tail := rest[:int(count)*eventSize], rest[int(count)*eventSize:]
-	a.now = scheduler.Micros((clock + nanosPerMicro - 1) / nanosPerMicro) // up: what is late must not look in time
+	a.now = scheduler.Micros((clock + nanosPerMicro - 1) / nanosPerMicro) // rounded up: late must not look in time
 	a.actions, a.text, a.named = a.actions[:0], a.text[:0], false
 	var target *uint32
 	for i := 0; i < len(events); i += eventSize {
--- a/internal/benchadapter/wire.go
+++ b/internal/benchadapter/wire.go
@@ -16,7 +16,7 @@
 	frameHeaderSize = 8
 	frameSequence   = 0
 	frameLength     = 4
-	maxFrameLength  = 1 << 30 // a longer frame can only be a broken length
+	maxFrameLength  = 1 << 30 // a greater length is corrupt
 
 	bodyHeaderSize = 12
 	bodyClock      = 0
@@ -96,7 +96,7 @@
 // Scopes of a list update.
 const (
 	scopePartial = 0
-	scopeFailed  = 3 // the list could not be had
+	scopeFailed  = 3 // the list could not be fetched
 )
 
 // Offsets of an endpoint list's entry.
@@ -171,7 +171,7 @@
 func (r record) uint32(offset int) uint32 { return binary.LittleEndian.Uint32(r[offset:]) }
 func (r record) uint64(offset int) uint64 { return binary.LittleEndian.Uint64(r[offset:]) }
 
-// float takes what is not a number, or not above zero, as absent.
+// float reads a number; NaN, infinity and what is not above zero stand for an absent value, which is 0.
 func (r record) float(offset int) float64 {
 	v := float64(math.Float32frombits(r.uint32(offset)))
 	if !(v > 0) || math.IsInf(v, 0) {
--- a/internal/lifecycle/lifecycle.go
+++ b/internal/lifecycle/lifecycle.go
@@ -1,12 +1,12 @@
 // Package lifecycle defines the life of one request in a dispatcher as a table: for each state and event, the actions
 // to perform and the next state.
 //
-// It owns the table (Transitions), the machine that walks it and the counters of the cells that were reached. It relies
-// on nothing. It never performs an action, does no I/O and makes no scheduling decision: the scheduler's orders are
+// It owns the table (Transitions), the Machine that follows it and the Coverage of its cells. It depends on no other
+// package. It never performs an action, does no I/O and makes no scheduling decision: the scheduler's orders are
 // among its events. docs/streams.md prints the table, and a test compares the two.
 package lifecycle
 
-// State is where a request stands.
+// State is the stage of a request.
 type State uint8
 
 // The states of a request.
@@ -50,7 +50,7 @@
 	AttemptRejected                   // its attempt is known not to have run
 	AttemptFailed                     // its attempt ended in any other way
 	EventReceived                     // its decode endpoint sent an event
-	ClientDisconnected                // no client waits for it any more
+	ClientDisconnected                // its client has disconnected
 	DeadlineExceeded                  // its client's time limit has passed
 	ClientLagging                     // its client does not read what it is sent
 	ClientCaughtUp                    // its client reads again
@@ -100,14 +100,14 @@
 	NotifyEnded                      // the attempt has ended
 	NotifyDisconnected               // the client has disconnected
 	NotifyArrived                    // the request has arrived
-	NotifyWithdrawn                  // the request is to be given up
+	NotifyWithdrawn                  // the request is withdrawn
 	ForwardEvent                     // forward the event to the client
 	AnswerCompleted                  // the answer is complete
 	AnswerRejected                   // the request was rejected
 	AnswerFailed                     // the request failed
 	PauseAttempt                     // stop reading from the attempt
 	ResumeAttempt                    // read from the attempt again
-	Forget                           // nothing is left of the request
+	Forget                           // drop the request's data
 
 	ActionCount = int(Forget) + 1
 )
@@ -139,7 +139,7 @@
 // Coverage counts how often each cell of the table was reached.
 type Coverage [StateCount][EventCount]uint64
 
-// Machine is one request's place in the table.
+// Machine is the current state of one request.
 type Machine struct {
 	State State
 }
--- a/internal/lifecycle/table.go
+++ b/internal/lifecycle/table.go
@@ -1,7 +1,7 @@
 package lifecycle
 
-// Transition is one cell of the table. A cell that is not defined can't be reached, or its event comes too late to
-// matter: nothing is done.
+// Transition is one cell of the table. Where a cell is not defined, its event can't occur in that state or comes too
+// late to matter, and Fire does nothing.
 type Transition struct {
 	Next    State
 	Actions []Action
@@ -66,7 +66,7 @@
 		PrefillOnlyCompleted: to(Done, NotifyEnded, Forget),
 		AttemptRejected:      to(Done, NotifyEnded, Forget),
 		AttemptFailed:        to(Done, ReleaseAttempt, NotifyEnded, Forget),
-		// The answer began although nobody waits for it: the attempt could not be cancelled.
+		// The answer began although the client has its final answer or has disconnected: it could not be cancelled in time.
 		EventReceived: to(Done, CloseAttempt, NotifyEnded, Forget),
 	},
 	Done: {
--- a/internal/schedulerhost/topology.go
+++ b/internal/schedulerhost/topology.go
@@ -1,6 +1,6 @@
 // Package schedulerhost is what the programs that run a scheduler have in common: the names of zones and kinds in the
-// scheduler's terms, and its events in the log. It relies on the scheduler's types and on zerolog, keeps nothing but
-// names, and never decides anything.
+// scheduler's terms, and its events in the log. It relies on the scheduler's types and on zerolog, stores only names,
+// and decides nothing.
 package schedulerhost
 
 import (
@@ -21,8 +21,8 @@
 	roles []scheduler.Role // by kind
 }
 
-// NewTopology takes the names of zones and kinds in the order of the scheduler's numbers. A name beyond the scheduler's
-// kinds is of no known kind.
+// NewTopology takes the names of zones and kinds in the order of the scheduler's numbers. Names beyond the
+// scheduler's kinds are unknown kinds.
 func NewTopology(zones, kindNames []string, kinds []scheduler.Kind) Topology {
 	t := Topology{zones: zones, kinds: kindNames[:min(len(kindNames), len(kinds))]}
 	for i := range t.kinds {
@@ -47,8 +47,7 @@
 	return scheduler.ZoneID(zoneIndex), scheduler.KindID(kindIndex)
 }
 
-// Role returns what endpoints of a kind do; those of a kind that the configuration does not name count as decode
-// endpoints.
+// Role returns the role of a kind; one that the configuration does not name counts as scheduler.Decode.
 func (t Topology) Role(kind string) scheduler.Role {
 	if i := slices.Index(t.kinds, kind); i >= 0 {
 		return t.roles[i]
--- a/scheduler/api.go
+++ b/scheduler/api.go
@@ -31,21 +31,21 @@
 
 // Executor carries out what a scheduler orders, in the order of the calls.
 type Executor interface {
-	// Send makes the request's next attempt at an endpoint, which times out after a while.
+	// Send makes the request's next attempt at an endpoint; timeout counts from now.
 	Send(request RequestID, endpoint EndpointID, timeout Micros)
-	// Reject gives the final answer of a request that its client may send again.
+	// Reject gives the final answer of a request that its client may send again after a while.
 	Reject(request RequestID, retryAfter Micros)
 	// Fail gives the final answer of a request that failed.
 	Fail(request RequestID)
-	// Cancel stops an attempt, whose end is reported all the same.
+	// Cancel stops an attempt. Its end is still reported by AttemptEnded.
 	Cancel(request RequestID, attempt AttemptNo)
 	// Release has the prefill endpoints drop the request's state.
 	Release(request RequestID)
 	// WatchEndpoints asks for the endpoint list.
 	WatchEndpoints()
-	// SetTimer has TimerFired called once after a while; earlier calls stay in force.
+	// SetTimer calls TimerFired once after a while; it does not replace timers that are set.
 	SetTimer(after Micros, timer TimerID)
-	// Log takes an event for the log.
+	// Log writes an event to the log.
 	Log(event Event)
 }
 
@@ -54,8 +54,8 @@
 
 // The timers.
 const (
-	PeriodicTimer TimerID = 1 // the tick
-	DeadlineTimer TimerID = 2 // the earliest due time
+	PeriodicTimer TimerID = 1 // fires at each tick
+	DeadlineTimer TimerID = 2 // fires at the earliest due time
 )
 
 // Role is what a kind of endpoint can do.
@@ -63,7 +63,7 @@
 
 // The roles.
 const (
-	Prefill  Role = iota // reads prompts and keeps their state until it is fetched
+	Prefill  Role = iota // prefills prompts and stores their state until it is fetched
 	Decode               // fetches a state and generates the answer
 	Mixed                // does both
 	Embedder             // serves prefill-only requests, and nothing else
@@ -77,7 +77,7 @@
 // The effects.
 const (
 	Idempotent    Effect = iota // nothing
-	Deduplicated                // nothing at the endpoints of its group, within a window
+	Deduplicated                // nothing at the endpoints of its group within a window
 	NonIdempotent               // its effect would happen twice
 )
 
@@ -97,7 +97,7 @@
 // The states.
 const (
 	Ready    EndpointState = iota
-	Draining               // it finishes what it has and wants nothing new
+	Draining               // it finishes its requests and accepts no new ones
 	Removed
 )
 
@@ -132,7 +132,7 @@
 	TokenSLO         Micros // for each further token
 	Window           Micros // in which the repeats of a deduplicated request are recognised
 	Revenue          float64
-	LateRevenueShare float64 // of the revenue, that a late answer still earns
+	LateRevenueShare float64 // share of the revenue that a late answer still earns
 	Effect           Effect
 	Group            Group
 	PrefillOnly      bool // a request is complete with its prefill; it must be idempotent
@@ -153,22 +153,22 @@
 	Quotas          []float64 // requests a second inside each tenant's quota, over all dispatchers
 	OverQuotaWeight float64   // of the value of a request beyond its tenant's quota
 	DecodePrefills  bool      // decode endpoints can prefill what they decode
-	MaxAttempts     int       // for one request
+	MaxAttempts     int       // of one request
 	CancelAllowed   bool
 	MaxRetryAfter   Micros
-	WatchOnDemand   bool    // the endpoint list comes only to those that ask
-	TickInterval    Micros  // of the caller: it reports events at its ticks
-	IdleTimeout     Micros  // an unused connection is closed after it
-	ConnectTimeout  Micros  // an attempt that has not left by then, for want of a connection, never does
+	WatchOnDemand   bool    // the endpoint list is sent only after WatchEndpoints
+	TickInterval    Micros  // of the caller, which reports events at its ticks only
+	IdleTimeout     Micros  // after which an unused connection is closed
+	ConnectTimeout  Micros  // after which an attempt that got no connection is never sent
 	WarmUp          Micros  // of an endpoint whose process has just started
-	SlowStartFactor float64 // of its throughput when warm that such an endpoint has at its start
+	SlowStartFactor float64 // share of its warm throughput that an endpoint has at its start
 
-	// An endpoint is overloaded by more than the factor times what it can do within the window.
+	// The overload rule: an endpoint is overloaded by more than the factor times the work that it can do in the window.
 	OverloadWindow Micros
 	OverloadFactor float64
 }
 
-// Arrival is a client's request as the scheduler gets to know it. The counts are tokens.
+// Arrival is a client's request as it is reported to the scheduler. The counts are tokens.
 type Arrival struct {
 	ID              RequestID
 	Session         SessionID
@@ -176,9 +176,9 @@
 	Class           ClassID
 	Tenant          TenantID
 	PromptTokens    float64
-	PrefixTokens    float64 // of the prompt, those of its shared prefix
+	PrefixTokens    float64 // tokens of the prompt in its shared prefix
 	MaxOutputTokens float64
-	DecodeTime      Micros // that decoding is expected to take; 0 if it is not known
+	DecodeTime      Micros // expected for decoding; 0 if it is not known
 	Deadline        Micros // by which the client needs its final answer
 }
 
@@ -195,9 +195,9 @@
 // AttemptResult is how an attempt ended.
 type AttemptResult struct {
 	Outcome       Outcome
-	CachedTokens  int     // of the prompt, those the prefill endpoint had cached; with PrefillDone only
+	CachedTokens  int     // tokens of the prompt that the prefill endpoint had cached; with PrefillDone only
 	StateMissing  bool    // the decode endpoint found no state to fetch; with NoCapacity and ConnectionLost only
-	RequestClosed bool    // the client has its final answer, or has left
+	RequestClosed bool    // the client has its final answer, or has disconnected
 	MemoryUsage   float64 // share of the endpoint's memory that is taken, or NoLoadReport
 }
 
--- a/scheduler/attempt.go
+++ b/scheduler/attempt.go
@@ -13,15 +13,15 @@
 	memoryTokens  float64 // that its answer is expected to take
 	decodes       bool
 	started       bool
-	lateAt        Micros // when a start is late
-	crossesCells  bool   // its state comes out of another cell,
+	lateAt        Micros // after which its start is late
+	crossesCells  bool   // its state is fetched from another cell,
 	stateCell     CellID // this one
 	cancelled     bool   // by us
 	newConnection bool   // sent without an open connection to the endpoint
 	onResult      func(AttemptResult)
 }
 
-// send makes an attempt, unless the guard stops it or its time is up; onResult gets its result.
+// send makes an attempt, unless no attempt or time is left or the guard stops it. onResult is called with its result.
 func (s *Scheduler) send(req *request, ep *endpoint, prefillTokens float64, onResult func(AttemptResult)) {
 	switch {
 	case req.attemptsSent >= s.MaxAttempts:
@@ -55,8 +55,7 @@
 	s.executor.Send(req.id, ep.id, s.attemptTimeout(att))
 }
 
-// currentAttempt is the request's attempt in flight, if it is the one of this number; late and unknown events find
-// none.
+// currentAttempt is the request's attempt in flight if it has this number, otherwise nil: the event is late or unknown.
 func (s *Scheduler) currentAttempt(id RequestID, number AttemptNo) *attempt {
 	if req := s.requests[id]; req != nil && req.attempt != nil && req.attempt.number == number {
 		return req.attempt
@@ -64,7 +63,7 @@
 	return nil
 }
 
-// prefillFinished notes that an attempt's prompt is prefilled, or never will be, and nobody waits for its first token.
+// prefillFinished stops counting an attempt's prompt as work to prefill and its first token as pending.
 func (att *attempt) prefillFinished() {
 	ep := att.endpoint
 	ep.load.unprefilledTokens = max(ep.load.unprefilledTokens-att.prefillTokens, 0)
@@ -72,7 +71,7 @@
 	ep.pending = slices.DeleteFunc(ep.pending, func(other *attempt) bool { return other == att })
 }
 
-// AttemptStarted notes that the answer streams; the client receives it, and no deadline counts any more.
+// AttemptStarted records that the answer has begun to stream to the client. Its deadline timer is dropped.
 func (s *Scheduler) AttemptStarted(now Micros, id RequestID, number AttemptNo) {
 	s.now = now
 	att := s.currentAttempt(id, number)
@@ -102,7 +101,7 @@
 	}
 }
 
-// AttemptEnded learns from an attempt's result and takes its request on.
+// AttemptEnded records an attempt's result and continues its request.
 func (s *Scheduler) AttemptEnded(now Micros, id RequestID, number AttemptNo, res AttemptResult) {
 	s.now = now
 	att := s.currentAttempt(id, number)
@@ -125,7 +124,7 @@
 	s.armDeadlineTimer()
 }
 
-// attemptResolved takes the request of an attempt that has ended on, by its result.
+// attemptResolved continues the request of an attempt that has ended.
 func (s *Scheduler) attemptResolved(att *attempt, res AttemptResult) {
 	req := att.request
 	if att.decodes && req.mayHaveRun == nil && !res.Outcome.KnownNotRun() {
@@ -135,18 +134,18 @@
 	case res.RequestClosed || req.answered:
 		req.answered = true
 		if !att.decodes && !s.Classes[req.class].PrefillOnly {
-			req.stateAt = att.endpoint // a prefill that was cut off may have ended too, and a release costs nothing
+			req.stateAt = att.endpoint // a cancelled prefill may have ended too, and a needless release is harmless
 		}
 		s.finish(req)
 	case att.started:
-		// It ended without closing, as when our cancel crossed its start: the client still needs an answer.
+		// The stream ended before the answer was complete, as when a cancel crossed its start: the client needs an answer.
 		s.rejectOrFail(req, StreamEndedEarly)
 	default:
 		att.onResult(res)
 	}
 }
 
-// recordConnection learns how often new connections fail.
+// recordConnection updates how often new connections fail.
 func (s *Scheduler) recordConnection(att *attempt, outcome Outcome) {
 	if !att.newConnection {
 		return
--- a/scheduler/candidates.go
+++ b/scheduler/candidates.go
@@ -6,15 +6,14 @@
 )
 
 const (
-	// How many dispatchers may take the same endpoint for the least filled one.
+	// How many dispatchers may find the same endpoint to be the least filled one.
 	dispatchersPerChoice = 4
 
-	// Share of the attempts without an open connection that failed to open one, from which on endpoints with an open
-	// connection are preferred.
+	// Share of failed connection attempts from which on endpoints with an open connection are preferred.
 	connectFailureLimit = 0.3
 )
 
-// scratch is memory that decisions use again: a decision allocates nothing that it can reuse.
+// scratch is memory that decisions reuse, so that they do not allocate.
 type scratch struct {
 	endpoints []*endpoint // a stack of lists; release gives back those made since a mark
 	numbers   []float64
@@ -27,14 +26,14 @@
 func (s *scratch) release(mark int) { s.endpoints = s.endpoints[:mark] }
 
 // candidates are the endpoints of some roles that the request may be sent to now. Where none of them is acceptable,
-// health is ignored: when all look faulty, the cause is more likely the network or this dispatcher. What binds
-// (readiness, safe retries, slow start) binds all the same.
+// health is ignored: when all look faulty, the cause is more likely the network or this dispatcher. Readiness, safe
+// retries and slow start are never ignored.
 func (s *Scheduler) candidates(req *request, roles ...Role) []*endpoint {
 	from := s.scratch.mark()
 	s.examined += uint64(len(s.endpoints.all))
 	for _, ep := range s.endpoints.all {
 		if !slices.Contains(roles, ep.role) || !ep.ready || req.stateAt == nil && s.now < ep.memory.noCapacityUntil {
-			continue // one without capacity isn't faulty: sending to it anyway would only use up the attempts that are left
+			continue // one without capacity is never tried all the same: that would use up the remaining attempts
 		}
 		if slices.Contains(req.tried, ep) || !s.mayRetry(req, ep) || !s.slowStartAllows(ep) {
 			continue
@@ -50,16 +49,15 @@
 	return s.preferConnected(found)
 }
 
-// replaceableCandidates are the candidates of some roles where others could serve the request too: a dead endpoint
-// that is the only one of its role must not draw every request for want of a better one.
+// replaceableCandidates are the candidates of roles that others can stand in for. Health is judged among all roles: a
+// dead endpoint that is the only one of its role must not be accepted because nothing better has that role.
 func (s *Scheduler) replaceableCandidates(req *request, roles ...Role) []*endpoint {
 	all := s.candidates(req, Prefill, Decode, Mixed)
 	return slices.DeleteFunc(all, func(ep *endpoint) bool { return !slices.Contains(roles, ep.role) })
 }
 
-// preferConnected leaves the endpoints that this dispatcher has a connection to, and all of a role where it has none,
-// while new connections often fail: they are slow to set up, or the endpoints accept no more. Many dispatchers with
-// many endpoints open connections all the time.
+// preferConnected filters endpoints while new connections often fail, because they are slow to set up or the endpoints
+// accept no more: those with an open connection remain, and all of a role where none has one.
 func (s *Scheduler) preferConnected(endpoints []*endpoint) []*endpoint {
 	if s.connectFailures.valueAt(s.now, 0) < connectFailureLimit {
 		return endpoints
@@ -71,13 +69,13 @@
 	return slices.DeleteFunc(endpoints, func(ep *endpoint) bool { return connected[ep.role] && !s.hasConnection(ep) })
 }
 
-// hasConnection estimates whether a connection to the endpoint is open: it spoke within the idle timeout.
+// hasConnection estimates whether a connection to the endpoint is open: it replied within the idle timeout.
 func (s *Scheduler) hasConnection(ep *endpoint) bool {
 	return ep.outlier.lastHeard > 0 && s.now-ep.outlier.lastHeard < s.IdleTimeout
 }
 
-// sample takes some of the endpoints at random where there are many dispatchers: all of them get the same load
-// reports and know little else, and would all send to the endpoint that was last reported the least filled.
+// sample picks some of the endpoints at random where there are many dispatchers: all of them see the same load
+// reports, and would all send to the endpoint that was last reported the least filled.
 func (s *Scheduler) sample(endpoints []*endpoint) []*endpoint {
 	n := max(2, len(endpoints)*dispatchersPerChoice/max(s.Dispatchers, 1))
 	if n >= len(endpoints) {
--- a/scheduler/decode_memory.go
+++ b/scheduler/decode_memory.go
@@ -6,8 +6,8 @@
 )
 
 const (
-	noCapacityPause = 150 * ms // that an endpoint gets nothing after it had no capacity
-	reportMaxAge    = 5 * sec  // of a load report that is still relied on
+	noCapacityPause = 150 * ms // in which an endpoint is sent nothing after it had no capacity
+	reportMaxAge    = 5 * sec  // up to which a load report counts
 
 	// A first token that takes longer than this share of the SLO time is late: the endpoint, or the link to it, is
 	// overloaded.
@@ -16,7 +16,7 @@
 	limitCut         = 0.8 // of what was reserved when an answer began late may be reserved next,
 	limitCutInterval = sec // cut at most this often,
 	limitGrowth      = 0.1 // and grown by this share of the dispatcher's even part of the memory each second
-	leastLimitPart   = 8   // the limit is never less than the even part divided by this
+	minLimitDivisor  = 8   // the limit is never less than the even part divided by this
 )
 
 // memoryState is what is known of the memory of an endpoint, in tokens.
@@ -34,7 +34,7 @@
 // memoryTokens is the size of an endpoint's memory.
 func (s *Scheduler) memoryTokens(ep *endpoint) float64 { return max(s.Kinds[ep.kind].Memory, 1) }
 
-// recordUsage takes the memory usage from a load report, if there is one.
+// recordUsage stores the memory usage of a load report, if there is one.
 func (s *Scheduler) recordUsage(ep *endpoint, usage float64) {
 	if usage >= 0 {
 		ep.memory.reportedUsage, ep.memory.reservedAtReport, ep.memory.reportedAt = usage, ep.load.reservedTokens, s.now
@@ -45,9 +45,9 @@
 	return ep.memory.reportedUsage >= 0 && s.now-ep.memory.reportedAt < reportMaxAge
 }
 
-// memoryUsage is the share of an endpoint's memory that is taken: the last report and what this dispatcher has added
-// since, never under its own reservations; or without a report its own reservations alone, taken to be an even part
-// of the whole.
+// memoryUsage estimates the share of an endpoint's memory that is taken: by the last report and what this dispatcher
+// has added since, but never under its own reservations. Without a report the other dispatchers are assumed to reserve
+// this one's mean.
 func (s *Scheduler) memoryUsage(ep *endpoint) float64 {
 	size := s.memoryTokens(ep)
 	if s.usageReported(ep) {
@@ -58,16 +58,16 @@
 	return (ep.load.reservedTokens + ep.load.meanReservedTokens*float64(s.otherDispatchers())) / size
 }
 
-// reservationLimit is what this dispatcher may reserve at a decode endpoint, in tokens, whatever is reported of it.
-// How much others reserve there is not known and changes when a zone is cut off or a dispatcher dies, so the limit is
-// learned: cut when answers begin late, because then the memory has run out and answers are preempted and prefilled
-// again; grown again with time.
+// reservationLimit is what this dispatcher may reserve at a decode endpoint, in tokens, whatever its load reports say.
+// How much others reserve there is not known and changes when a zone is cut off or a dispatcher dies. So the limit is
+// cut when answers begin late, because then the memory has run out and answers are preempted and prefilled again, and
+// grows with time.
 func (s *Scheduler) reservationLimit(ep *endpoint) float64 {
 	if ep.memory.limitCutAt == 0 {
 		return math.Inf(1)
 	}
 	evenPart := s.memoryTokens(ep) / float64(max(s.Dispatchers, 1))
-	return max(ep.memory.limit, evenPart/leastLimitPart) + limitGrowth*evenPart*seconds(s.now-ep.memory.limitCutAt)
+	return max(ep.memory.limit, evenPart/minLimitDivisor) + limitGrowth*evenPart*seconds(s.now-ep.memory.limitCutAt)
 }
 
 // cutReservationLimit lowers the limit after an answer began late.
@@ -78,9 +78,9 @@
 	}
 }
 
-// startOverdue reports whether an answer is late to begin at this endpoint, so its memory, slots or decode rate are
-// used up, whoever uses them. It stands in for the memory ceiling where no usage is reported, and in overload it
-// keeps requests in this dispatcher's queue instead of in the endpoints' queues, where they would all be late.
+// startOverdue reports whether an answer is late to begin at this endpoint: its memory, slots or decode rate are
+// exhausted, by this dispatcher or others. It replaces the memory ceiling where no usage is reported. In overload,
+// requests then wait in this dispatcher's queue and not in the endpoints' queues, where they would all be late.
 func (s *Scheduler) startOverdue(ep *endpoint) bool {
 	return slices.ContainsFunc(ep.pending, func(att *attempt) bool {
 		return att.decodes && s.now > att.lateAt && !lateByLink(att)
--- a/scheduler/decode_placement.go
+++ b/scheduler/decode_placement.go
@@ -5,12 +5,12 @@
 const (
 	loadMargin     = 2.0 // streams above the median load at which a decode endpoint no longer fits
 	memoryCeiling  = 0.9 // memory usage above which a decode endpoint does not fit, where usage is reported
-	nearFactor     = 1.3 // times the mean usage of the decode endpoints in other cells that a near one may have, and
-	nearMargin     = 0.1 // this share more;
-	nearAlwaysFits = 0.6 // this share it may have however empty the others are
+	nearFactor     = 1.3 // a near decode endpoint is preferred up to this many times the mean usage in other cells,
+	nearMargin     = 0.1 // plus this usage,
+	nearAlwaysFits = 0.6 // and up to this usage in any case
 )
 
-// placementTier orders the decode endpoints for one decision: those of the lowest tier that has any are compared.
+// placementTier orders the decode endpoints for one decision: only those of the lowest tier found are compared.
 type placementTier int
 
 const (
@@ -21,12 +21,13 @@
 	tierNone
 )
 
-// sendToDecode sends a request to where its answer is made, which fetches the state or prefills so many tokens itself.
+// sendToDecode sends a request to the endpoint that decodes it, which fetches the state or prefills so many tokens.
 func (s *Scheduler) sendToDecode(req *request, ep *endpoint, prefillTokens float64) {
 	s.send(req, ep, prefillTokens, func(res AttemptResult) { s.decodeEnded(req, ep, res) })
 }
 
-// decode sends the prefilled state to a decode endpoint now: a state may not wait, so limits give way where none fits.
+// decode sends a request with a prefilled state to a decode endpoint, even to one that does not fit: a state must not
+// wait. If there is none, the state is released and the request placed again.
 func (s *Scheduler) decode(req *request) {
 	if ep, _ := s.pickDecode(req, req.stateAt); ep != nil && req.attemptsSent < s.MaxAttempts {
 		s.sendToDecode(req, ep, 0)
@@ -37,12 +38,12 @@
 	s.place(req)
 }
 
-// decodeEnded takes a request on from an attempt at a decode endpoint that did not answer it.
+// decodeEnded continues a request after an attempt that did not answer it.
 func (s *Scheduler) decodeEnded(req *request, ep *endpoint, res AttemptResult) {
 	if res.StateMissing && (res.Outcome == NoCapacity || res.Outcome == ConnectionLost) {
 		s.releaseState(req)
 	}
-	if res.Outcome != NoCapacity || !res.StateMissing { // else the endpoint is not at fault, and may be the only one
+	if res.Outcome != NoCapacity || !res.StateMissing { // otherwise the endpoint is not at fault, and may be the only one
 		req.tried = append(req.tried, ep)
 	}
 	switch {
@@ -95,15 +96,15 @@
 		case prefill == nil || ep.zone != prefill.zone || s.memoryUsage(ep) > nearLimit:
 			ep.tier = tierAnywhere
 		case ep.cell != prefill.cell && s.Dispatchers <= dispatchersPerChoice*len(endpoints):
-			ep.tier = tierSameZone // many dispatchers would all overfill a cell's few endpoints, and none of them see it
+			ep.tier = tierSameZone // many dispatchers together would overfill a cell's few endpoints
 		}
 		lowest = min(lowest, ep.tier)
 	}
 	return lowest
 }
 
-// nearUsageLimit is the memory usage up to which decode endpoints near the prefill endpoint are preferred: where most
-// of them stand in one cell, they are themselves the median, and would fill up while the others are idle.
+// nearUsageLimit is the memory usage up to which decode endpoints near the prefill endpoint are preferred. The load
+// margin is not enough: where most endpoints are in one cell, their own load is the median.
 func (s *Scheduler) nearUsageLimit(endpoints []*endpoint, prefill *endpoint) float64 {
 	outside := s.scratch.numbers[:0]
 	for _, ep := range endpoints {
@@ -127,16 +128,16 @@
 	return !s.usageReported(ep) || s.memoryUsage(ep)+adds/s.memoryTokens(ep) < memoryCeiling
 }
 
-// decodeCapacityAvailable reports whether a decode endpoint fits, and enough of their capacity is left beside the
-// requests that are being prefilled.
+// decodeCapacityAvailable reports whether a decode endpoint fits, and the endpoints that fit have capacity for this
+// request besides those that are being prefilled.
 func (s *Scheduler) decodeCapacityAvailable(req *request) bool {
 	_, fits := s.pickDecode(req, nil)
 	return fits && s.capacityBesidePrefills(req)
 }
 
-// capacityBesidePrefills compares what is being prefilled with what the decode endpoints that fit may still take: a
-// prefill that was started must be decoded somewhere, so without this the first free place would start a whole burst
-// of prefills. An endpoint that is warming up takes one more.
+// capacityBesidePrefills compares what is being prefilled with what the decode endpoints that fit can still reserve:
+// every prefill must be decoded, and without this check the first free slot would start a burst of prefills. An
+// endpoint that is warming up counts as capacity for one request.
 func (s *Scheduler) capacityBesidePrefills(req *request) bool {
 	adds := req.memoryTokens()
 	left := -s.prefilling - adds
--- a/scheduler/endpoint_list.go
+++ b/scheduler/endpoint_list.go
@@ -3,7 +3,7 @@
 import "slices"
 
 const (
-	forgetAfter = 600 * sec // that an endpoint has not been ready
+	forgetAfter = 600 * sec // in which an endpoint was not ready
 	watchRetry  = sec / 2   // least pause before the endpoint list is asked for again; up to watchJitter is added
 	watchJitter = sec
 )
@@ -16,8 +16,8 @@
 	cell             CellID
 	role             Role
 	ready            bool
-	listed           bool   // named by the list that is being taken in
-	unavailableSince Micros // by the lists; 0 if it is ready
+	listed           bool   // in the list that is being received
+	unavailableSince Micros // when a list first had it not ready; 0 if it is ready
 	startedAt        Micros // of its process; 0 if it is not known
 
 	pending        []*attempt // in flight without a first token, in the order of their sending
@@ -28,16 +28,16 @@
 	outlier        outlierState
 	slowStart      slowStart
 
-	tier placementTier // in the decision that is under way
+	tier placementTier // in the current decision
 }
 
-// endpointList holds the endpoints by id, so that no decision depends on the order of a map.
+// endpointList has the endpoints in the order of their ids, so that no decision depends on the order of a map.
 type endpointList struct {
 	all  []*endpoint
 	byID map[EndpointID]*endpoint
 }
 
-// getOrAdd finds an endpoint or adds a new one at its place.
+// getOrAdd finds an endpoint or inserts a new one in order.
 func (l *endpointList) getOrAdd(id EndpointID) *endpoint {
 	if ep := l.byID[id]; ep != nil {
 		return ep
@@ -49,7 +49,7 @@
 	return ep
 }
 
-// EndpointUpdated takes one entry of an endpoint list; EndpointUpdateEnded follows the last.
+// EndpointUpdated applies one entry of an endpoint list; EndpointUpdateEnded follows the last.
 func (s *Scheduler) EndpointUpdated(now Micros, status EndpointStatus) {
 	s.now = now
 	ep := s.endpoints.getOrAdd(status.ID)
@@ -75,8 +75,8 @@
 	clear(ep.cachedPrefixes)
 }
 
-// EndpointUpdateEnded closes a list. An endpoint that a complete list leaves out is gone, and forgotten after a
-// while: where endpoints are replaced under new ids for months, a decision must not look at all that there ever were.
+// EndpointUpdateEnded ends a list. An endpoint that a complete list does not name is not ready, and is forgotten after
+// forgetAfter: where endpoints are replaced under new ids for months, decisions must not look at all of them.
 func (s *Scheduler) EndpointUpdateEnded(now Micros, complete bool) {
 	s.now = now
 	s.endpoints.all = slices.DeleteFunc(s.endpoints.all, func(ep *endpoint) bool {
@@ -99,8 +99,8 @@
 	s.armDeadlineTimer()
 }
 
-// EndpointWatchFailed asks for the list again after a random pause, so that instances that were cut off together do
-// not all ask at once.
+// EndpointWatchFailed asks for the list again after a random pause: instances that lost it together must not all ask at
+// once.
 func (s *Scheduler) EndpointWatchFailed(now Micros) {
 	s.now = now
 	if s.WatchOnDemand {
--- a/scheduler/endpoint_load.go
+++ b/scheduler/endpoint_load.go
@@ -2,7 +2,8 @@
 
 import "math"
 
-const loadMeanTime = 0.25 // seconds, for each other dispatcher, over which the own load of an endpoint is averaged
+// loadMeanTime is the seconds, for each other dispatcher, over which this one's load of an endpoint is averaged.
+const loadMeanTime = 0.25
 
 // endpointLoad counts what this dispatcher has in flight at an endpoint.
 type endpointLoad struct {
@@ -14,14 +15,14 @@
 	meanAt                          Micros
 }
 
-// track counts an attempt that is sent.
+// track counts an attempt as in flight.
 func (s *Scheduler) track(att *attempt) {
 	ep := att.endpoint
 	s.updateLoadMeans(ep)
 	if att.decodes {
 		ep.load.reservedTokens += att.memoryTokens
 		ep.load.streams++
-	} else if !s.Classes[att.request.class].PrefillOnly { // what is only prefilled will never need a decode endpoint
+	} else if !s.Classes[att.request.class].PrefillOnly { // a prefill-only request needs no decode capacity
 		s.prefilling += att.memoryTokens
 	}
 	ep.load.unprefilledTokens += att.prefillTokens
@@ -30,7 +31,7 @@
 	att.request.attempt = att
 }
 
-// untrack takes back what track counted, when the attempt has ended.
+// untrack subtracts what track added, when the attempt has ended.
 func (s *Scheduler) untrack(att *attempt) {
 	ep := att.endpoint
 	s.updateLoadMeans(ep)
@@ -44,15 +45,14 @@
 	att.request.attempt = nil
 }
 
-// currentLoad is an endpoint's streams as one dispatcher's even part; those of the other dispatchers are taken to be
-// this one's mean.
+// currentLoad estimates an endpoint's streams for each dispatcher; the others are assumed to have this one's mean.
 func (s *Scheduler) currentLoad(ep *endpoint) float64 {
 	s.updateLoadMeans(ep)
 	others := float64(s.otherDispatchers())
 	return (float64(ep.load.streams) + ep.load.meanStreams*others) / float64(s.otherDispatchers()+1)
 }
 
-// loads are good until the next ones are asked for.
+// loads are the current loads of endpoints. The next call overwrites them.
 func (s *Scheduler) loads(endpoints []*endpoint) []float64 {
 	s.scratch.numbers = s.scratch.numbers[:0]
 	for _, ep := range endpoints {
@@ -61,9 +61,8 @@
 	return s.scratch.numbers
 }
 
-// updateLoadMeans averages what this dispatcher has at an endpoint, over the longer the more dispatchers there are,
-// because each of them sends there the more seldom: what is there now says next to nothing of what the others have
-// there.
+// updateLoadMeans updates the means of what this dispatcher has in flight at an endpoint. The more dispatchers there
+// are, the more seldom each sends there, so the longer it averages.
 func (s *Scheduler) updateLoadMeans(ep *endpoint) {
 	load := &ep.load
 	gap, others := s.now-load.meanAt, s.otherDispatchers()
--- a/scheduler/estimates.go
+++ b/scheduler/estimates.go
@@ -8,14 +8,14 @@
 	initialPrefillLatency    = 150 * ms
 	initialFirstTokenLatency = 100 * ms
 
-	assumedPrefillRate = 15000.0 // tokens a second that an endpoint is taken to prefill, for the first second of its work
+	assumedPrefillRate = 15000.0 // tokens a second that an endpoint is assumed to prefill, for its first second of work
 	prefillRateWindow  = 40000.0 // tokens over which an endpoint's prefill rate is averaged
 
-	meanFadeTime = 10.0 // seconds in which a decayingMean falls back to what is typical by a factor of e
+	meanFadeTime = 10.0 // seconds in which a decayingMean decays towards the typical value by a factor of e
 	meanWeight   = 0.3  // weight of one observation in a decayingMean
 )
 
-// estimates is what is typical in this fleet, by this dispatcher's own attempts.
+// estimates are running means over this dispatcher's own attempts.
 type estimates struct {
 	prefillLatency    float64   // Micros from the send to the end of a prefill
 	firstTokenLatency float64   // Micros from the send to the first token, where nothing had to be prefilled
@@ -30,7 +30,7 @@
 	}
 }
 
-// typicalLatency is what an attempt's stage takes at this load, or both stages where one endpoint does both.
+// typicalLatency is the usual Micros of an attempt's stage, or of both stages where one endpoint does both.
 func (e *estimates) typicalLatency(att *attempt) float64 {
 	switch {
 	case !att.decodes:
@@ -50,7 +50,7 @@
 	return largest
 }
 
-// blend moves a running mean towards a new value; the first value is taken as it is.
+// blend moves a running mean towards a new value; the first value becomes the mean.
 func blend(mean *float64, value float64) {
 	if *mean == 0 {
 		*mean = value
@@ -59,7 +59,7 @@
 	*mean += runningWeight * (value - *mean)
 }
 
-// prefillRate is how fast an endpoint was seen to prefill.
+// prefillRate is the observed prefill speed of an endpoint.
 type prefillRate struct {
 	tokens, seconds float64
 }
@@ -77,8 +77,8 @@
 	return (r.tokens + assumedPrefillRate) / (r.seconds + 1)
 }
 
-// decayingMean is a mean of recent observations that fades to what is typical: what one dispatcher sees of one endpoint
-// or cell is seldom and soon out of date.
+// decayingMean is a mean of recent observations that decays to the typical value: one dispatcher observes an endpoint
+// or cell seldom, and its observations are soon out of date.
 type decayingMean struct {
 	value float64
 	at    Micros // of the last observation; 0 if there is none
--- a/scheduler/event.go
+++ b/scheduler/event.go
@@ -1,7 +1,7 @@
 package scheduler
 
 // Event is something that an operator may want to find in the log. Its types are EndpointEjected and SendBlocked;
-// whoever runs the scheduler chooses their wording.
+// the host of the scheduler chooses their wording.
 type Event interface{ event() }
 
 // EndpointEjected reports that an endpoint gets no attempts for a while because it looks faulty.
--- a/scheduler/final_answer.go
+++ b/scheduler/final_answer.go
@@ -1,6 +1,6 @@
 package scheduler
 
-const rejectRetryAfter = sec / 2 // that a rejected client is asked to wait, at most
+const rejectRetryAfter = sec / 2 // that a rejected client is asked to wait; Config.MaxRetryAfter may be less
 
 // rejectOrFail ends a request without an answer: rejected where a retry by the client is harmless, otherwise failed.
 func (s *Scheduler) rejectOrFail(req *request, why Reason) {
@@ -25,8 +25,8 @@
 	s.finish(req)
 }
 
-// mayReject reports whether the client can come again without harm. An attempt that is still in flight is not known
-// to have done nothing, be it a prefill.
+// mayReject reports whether the client can safely retry. Any attempt that is still in flight, even a prefill, may have
+// an effect.
 func (s *Scheduler) mayReject(req *request) bool {
 	return s.Classes[req.class].Effect == Idempotent || req.mayHaveRun == nil && req.attempt == nil
 }
@@ -37,21 +37,20 @@
 	}
 }
 
-// finish ends an answered request and sees that nothing stays reserved: ending a request releases nothing by itself.
+// finish ends an answered request: it cancels its attempt, or releases its state and forgets it.
 func (s *Scheduler) finish(req *request) {
 	s.timers.due.Drop(req.deadlineTimer)
 	s.queue.remove(req)
 	if req.attempt != nil {
-		s.cancel(req.attempt) // the rest is released when the attempt ends
+		s.cancel(req.attempt) // finish is called again when the attempt ends
 		return
 	}
 	s.releaseState(req)
 	delete(s.requests, req.id)
 }
 
-// releaseState has the prefill endpoint drop the request's state. It does so too where a decode endpoint found none:
-// only a new prefill helps then, but a prefill endpoint that is merely cut off from that decode endpoint still holds
-// the state.
+// releaseState has the prefill endpoint drop the request's state, also after a decode endpoint found none: the prefill
+// endpoint may only be cut off from that decode endpoint and still store it.
 func (s *Scheduler) releaseState(req *request) {
 	if req.stateAt != nil {
 		s.executor.Release(req.id)
--- a/scheduler/guard.go
+++ b/scheduler/guard.go
@@ -4,8 +4,7 @@
 // decision is wrong.
 func (s *Scheduler) Violations() int { return s.violations }
 
-// blocked checks an attempt once more where it is sent, whatever chose it: the rules on retries, on endpoints that
-// are not ready and on those that are warming up bind on every path.
+// blocked checks the rules once more where an attempt is sent, so that they hold on every path through the decisions.
 func (s *Scheduler) blocked(req *request, ep *endpoint) bool {
 	var rule Rule
 	switch {
--- a/scheduler/prefill_placement.go
+++ b/scheduler/prefill_placement.go
@@ -7,16 +7,17 @@
 )
 
 const (
-	busyPrefillWait  = 0.5  // seconds of work at the least-loaded prefill endpoint, above which others may prefill
-	affinityFactor   = 2.0  // times the least wait that an affinity endpoint may have,
-	affinityWait     = 0.05 // and these seconds: on an idle fleet any work at all would be more than twice none
-	queuedShare      = 0.3  // of the SLO time; a prefill that would take longer waits in the queue, not at its endpoint
-	prefillOnlyWait  = 0.02 // seconds of other work before a prefill-only request, above which it waits in the queue
-	mixedLoadFactor  = 1.3  // times the decode endpoints' mean load, up to which mixed endpoints take whole requests
-	minAttemptsToRun = 2    // a prefill and a decode
+	busyPrefillWait     = 0.5  // seconds of work at the chosen prefill endpoint above which other roles may prefill
+	affinityFactor      = 2.0  // times the least wait that an affinity endpoint may have,
+	affinityWait        = 0.05 // plus these seconds: on an idle fleet any work is more than twice none
+	maxPrefillWaitShare = 0.3  // of the SLO time; a prefill that would take longer is queued
+	prefillOnlyWait     = 0.02 // seconds of other work before a prefill-only request, above which it is queued
+	mixedLoadFactor     = 1.3  // times the decode endpoints' mean load, up to which mixed endpoints get complete requests
+	minAttemptsToRun    = 2    // a prefill and a decode
 )
 
-// place starts a request on its way, or queues it while no decode endpoint fits or no prefill endpoint can be had.
+// place sends a request to its first endpoint, or queues it while no decode endpoint fits or no prefill endpoint is
+// available.
 func (s *Scheduler) place(req *request) {
 	if req.attemptsSent+minAttemptsToRun > s.MaxAttempts {
 		s.rejectOrFail(req, AttemptsExhausted)
@@ -45,14 +46,14 @@
 	s.queue.add(req)
 }
 
-// mayPrefill reports whether a request may be sent to its prefill endpoint now. Past some wait the endpoints' queues
-// only make all requests late, and what goes elsewhere than to its affinity endpoint is prefilled in full: a request
-// in our own queue can still be put in order, and given up when it is too late.
+// mayPrefill reports whether a request may be sent to its prefill endpoint now. A longer wait there would only make all
+// requests late, and other endpoints than its affinity endpoint would prefill it in full: in this dispatcher's queue a
+// request can still be sorted, and rejected when it is too late.
 func (s *Scheduler) mayPrefill(req *request, ep *endpoint, wait float64) bool {
 	prefillOnly := s.Classes[req.class].PrefillOnly
-	longest := queuedShare * seconds(req.sloAt-req.arrivedAt)
+	longest := maxPrefillWaitShare * seconds(req.sloAt-req.arrivedAt)
 	if prefillOnly {
-		// It yields: chat behind it at an affinity endpoint would go to another one and be prefilled in full there.
+		// It has the lower priority: chat queued behind it would move to another endpoint and be prefilled in full there.
 		longest = prefillOnlyWait + req.promptTokens/ep.prefillRate.tokensPerSecond()
 	}
 	if len(ep.pending) > 0 && wait > longest {
@@ -61,7 +62,7 @@
 	return prefillOnly || s.decodeCapacityAvailable(req)
 }
 
-// prefillEnded takes a request on from the end of its prefill.
+// prefillEnded continues a request after its prefill attempt.
 func (s *Scheduler) prefillEnded(req *request, ep *endpoint, outcome Outcome) {
 	if outcome == PrefillDone {
 		req.stateAt, req.tried = ep, nil
@@ -72,11 +73,11 @@
 	s.place(req)
 }
 
-// pickPrefill is an affinity endpoint of the prefix unless those are busy, else the prefill endpoint with the least
-// work. Endpoints whose states no decode endpoint could take in time are left out.
+// pickPrefill is an affinity endpoint of the prefix, or if those are busy the prefill endpoint with the least work.
+// Endpoints whose states no decode endpoint could fetch in time are left out.
 func (s *Scheduler) pickPrefill(req *request) *endpoint {
 	defer s.scratch.release(s.scratch.mark())
-	if s.Classes[req.class].PrefillOnly { // it leaves no state to be taken, nor a prefix worth caching
+	if s.Classes[req.class].PrefillOnly { // it leaves no state, and no prefix worth caching
 		endpoints := s.candidates(req, Prefill, Embedder)
 		return s.lowestCost(endpoints, func(ep *endpoint) float64 { return s.prefillWait(ep, req) })
 	}
@@ -112,8 +113,8 @@
 	})
 }
 
-// cellsAcceptingState are the cells, in order, with a decode endpoint that fits among the cell's own, which are all
-// that a state behind a congested link may go to. One search finds them for all prefill endpoints.
+// cellsAcceptingState are the cells, in order, with a decode endpoint of their own that fits: a state behind a
+// congested link stays in its cell. One search finds them for all prefill endpoints.
 func (s *Scheduler) cellsAcceptingState(req *request) []CellID {
 	defer s.scratch.release(s.scratch.mark())
 	endpoints, accepting := s.decodeCandidates(req), s.scratch.cells[:0]
@@ -139,8 +140,8 @@
 	return (ep.load.unprefilledTokens + s.tokensToPrefill(ep, req)) / ep.prefillRate.tokensPerSecond()
 }
 
-// pickMixed gives mixed endpoints their share of whole requests, by their load against the decode endpoints' mean. By
-// memory, of which they have the most, they would get more than they can prefill in time.
+// pickMixed gives mixed endpoints their share of complete requests, by their load relative to the decode endpoints'
+// mean. By memory, of which they have the most, they would get more than they can prefill in time.
 func (s *Scheduler) pickMixed(req *request) *endpoint {
 	defer s.scratch.release(s.scratch.mark())
 	mixed := s.replaceableCandidates(req, Mixed)
@@ -155,7 +156,7 @@
 	return best
 }
 
-// pickFallbackPrefill is an endpoint that prefills the prompt where it is decoded, as the prefill endpoints are busy.
+// pickFallbackPrefill is an endpoint that prefills and decodes the request while the prefill endpoints are busy.
 func (s *Scheduler) pickFallbackPrefill(req *request) *endpoint {
 	defer s.scratch.release(s.scratch.mark())
 	roles := []Role{Mixed}
--- a/scheduler/prefix_affinity.go
+++ b/scheduler/prefix_affinity.go
@@ -7,12 +7,12 @@
 )
 
 const (
-	affinityLoad = 0.5 // of a prefill endpoint's even part of the traffic, for each further affinity endpoint of a prefix
+	affinityLoad = 0.5 // of a prefill endpoint's even part of the traffic; a prefix gets an affinity endpoint for each
 
-	priorRequests     = 30.0 // requests that the traffic of a dispatcher which has seen little is taken to be diluted with
+	priorRequests     = 30.0 // assumed requests that the observed ones are averaged with
 	countedRequests   = 1000 // requests after which the counts are halved
 	forgetCountBelow  = 0.1
-	maxCachedPrefixes = 4096 // prefixes that an endpoint is remembered to have cached
+	maxCachedPrefixes = 4096 // that are remembered for an endpoint
 )
 
 // prefixStats counts the prefixes of the requests that arrived here.
@@ -21,8 +21,7 @@
 	requests      float64
 	pairs         float64 // pairs of requests with the same prefix
 
-	// Share of its prefix that an affinity endpoint turned out to have cached though this dispatcher had not prefilled
-	// it there.
+	// Mean share of its prefix that an affinity endpoint had cached though this dispatcher had not prefilled it there.
 	cachedShare float64
 }
 
@@ -30,7 +29,7 @@
 	return prefixStats{requestCounts: map[PrefixID]float64{}, cachedShare: 1}
 }
 
-// count adds a request; what was long ago counts for little.
+// count adds a request. The counts are halved from time to time, so that old requests count for little.
 func (p *prefixStats) count(prefix PrefixID) {
 	p.requests++
 	p.pairs += p.requestCounts[prefix]
@@ -48,10 +47,10 @@
 	}
 }
 
-// share estimates a prefix's part of the whole traffic. A dispatcher that has seen little must not take the one
-// prefix that it saw for all of it: each dispatcher would prefill each prefix at affinity endpoints of its own. So
-// only requests beyond the first count, among some more requests that are taken to be as alike as any two of those
-// seen were; but not for a prefix that would have been seen more often by now if its traffic were like that.
+// share estimates a prefix's share of the traffic. A dispatcher that has seen few requests must not overestimate it:
+// dispatchers would disagree on the affinity endpoints. So the first request of a prefix does not count, and the others
+// are averaged with priorRequests of which as many have the same prefix as among those seen; that prior fades for a
+// prefix that would have been seen more often by now.
 func (p *prefixStats) share(prefix PrefixID) float64 {
 	others := max(p.requests-1, 0)
 	alike := p.pairs / (p.requests*others/2 + priorRequests)
@@ -59,9 +58,9 @@
 }
 
 // affinityEndpoints are where a prefix, or a session without one, is prefilled first: one endpoint in the
-// dispatcher's own zone and one among all. The own zone's goes first, as links between zones are long and charged
-// for. Where it is busy, the one among all goes before the least-loaded endpoint, which may not have the prefix
-// cached.
+// dispatcher's own zone and one among all. The own zone's is preferred, as links between zones are slow and
+// charged for. Where it is busy, the one among all is preferred to the least-loaded endpoint, which may not have the
+// prefix cached.
 func (s *Scheduler) affinityEndpoints(req *request, endpoints []*endpoint) [2]*endpoint {
 	key := cmp.Or(uint64(req.prefix), uint64(req.session))
 	req.affinity = [2]*endpoint{}
@@ -81,9 +80,9 @@
 	return req.affinity
 }
 
-// affinityEndpoint is the prefix's endpoint by rendezvous hashing, alike at all dispatchers. A prefix that makes up
-// much of the traffic has further ones, shared out by session: many dispatchers that each see little would learn too
-// late that one endpoint can't prefill it all.
+// affinityEndpoint is the prefix's endpoint by rendezvous hashing, the same at all dispatchers. A prefix with much of
+// the traffic has several, among which sessions are hashed: dispatchers that each see few requests would learn too late
+// that one endpoint can't prefill all of it.
 func (s *Scheduler) affinityEndpoint(req *request, key uint64, endpoints []*endpoint) *endpoint {
 	count := 1
 	if req.prefix != 0 {
@@ -104,9 +103,9 @@
 	return ep == req.affinity[0] || ep == req.affinity[1]
 }
 
-// tokensToPrefill is what of a prompt the endpoint has likely not cached. An affinity endpoint caches what the other
-// dispatchers send there, which this one has not seen: taken to have nothing cached, it would look slower than any
-// endpoint that happened to prefill the prefix once, and each dispatcher would have affinity endpoints of its own.
+// tokensToPrefill estimates the tokens of a prompt that the endpoint has not cached. An affinity endpoint also caches
+// what other dispatchers send there. Without counting that it would look slower than any endpoint that prefilled the
+// prefix once, and dispatchers would disagree on the affinity endpoints.
 func (s *Scheduler) tokensToPrefill(ep *endpoint, req *request) float64 {
 	switch {
 	case ep.cachedPrefixes[req.prefix]:
@@ -117,8 +116,8 @@
 	return req.promptTokens
 }
 
-// recordPrefill learns from a prefill how fast the endpoint is and what it has cached. Where much less was cached than
-// expected, the endpoint has evicted, and likely more than this prefix.
+// recordPrefill updates the endpoint's prefill rate and cached prefixes. Where much less was cached than expected, the
+// endpoint has evicted this prefix, and probably others.
 func (s *Scheduler) recordPrefill(att *attempt, prefillTokens, cachedTokens float64) {
 	ep, req := att.endpoint, att.request
 	blend(&s.estimates.prefillLatency, float64(s.now-att.sentAt))
--- a/scheduler/quotas.go
+++ b/scheduler/quotas.go
@@ -4,7 +4,7 @@
 
 const quotaBurst = 2.0 // seconds of its quota that a tenant may send at once
 
-// quotas is a token bucket for each tenant. What a tenant sends beyond its quota is served too, at a lower priority.
+// quotas has a token bucket for each tenant. Requests beyond a quota are served too, at a lower priority.
 type quotas struct {
 	rates       []float64 // requests a second, over all dispatchers
 	tokens      []float64 // requests that may still be sent here inside the quota
@@ -20,7 +20,7 @@
 	return q
 }
 
-// QuotaChanged changes what a tenant may send inside its quota, over all dispatchers; an unknown tenant is new.
+// QuotaChanged changes what a tenant may send inside its quota, over all dispatchers; an unknown tenant is added.
 func (s *Scheduler) QuotaChanged(now Micros, tenant TenantID, perSecond float64) {
 	s.now = now
 	s.quotas.setRate(int(tenant), perSecond)
@@ -38,7 +38,7 @@
 	q.tokens[tenant] = min(q.tokens[tenant], q.burst(tenant))
 }
 
-// take counts a request and reports whether it is beyond its tenant's quota. A tenant without a quota never is.
+// take counts a request and reports whether it is beyond its tenant's quota. Without a quota it never is.
 func (q *quotas) take(tenant int) (over bool) {
 	if tenant >= len(q.rates) {
 		return false
@@ -57,7 +57,7 @@
 	q.refilledAt = now
 }
 
-// burst is what a tenant may send at once and still be inside its quota, of which this dispatcher has an even part.
+// burst is how many requests of a tenant may arrive here at once inside its quota. Each dispatcher has an even part.
 func (q *quotas) burst(tenant int) float64 {
 	return max(q.rates[tenant]/float64(max(q.dispatchers, 1))*quotaBurst, 1)
 }
--- a/scheduler/reason.go
+++ b/scheduler/reason.go
@@ -7,10 +7,10 @@
 const (
 	DeadlineReached   Reason = iota // its deadline is reached
 	AttemptsExhausted               // its attempts are used up
-	TooLate                         // it can't be in time any more, and others can
+	TooLate                         // it can't meet its SLO time, and others can
 	MayHaveRun                      // an attempt may have run, and a repeat could do harm
 	UnknownClass                    // its class is not one of the deployment's
-	Withdrawn                       // whoever runs the scheduler asked for it
+	Withdrawn                       // the caller withdrew it
 	RuleViolation                   // the attempt that was chosen would have broken a rule
 	StreamEndedEarly                // an answer had begun, and ended before it was complete
 )
--- a/scheduler/request.go
+++ b/scheduler/request.go
@@ -2,9 +2,10 @@
 
 import "plumspindle/scheduler/timerqueue"
 
-const expectedAnswerShare = 2 // an answer without a hint is expected to take its most tokens divided by this
+// expectedAnswerDivisor of the maximum output tokens gives those expected of a request without a decode time.
+const expectedAnswerDivisor = 2
 
-// request is one client's request while this dispatcher has anything to do for it.
+// request is one client's request until it is answered and has no attempt in flight.
 type request struct {
 	id           RequestID
 	class        ClassID
@@ -22,10 +23,10 @@
 	attemptsSent  int
 	attempt       *attempt     // in flight
 	affinity      [2]*endpoint // where its prefix should be prefilled
-	stateAt       *endpoint    // that holds its prefilled state
+	stateAt       *endpoint    // that stores its prefilled state
 	tried         []*endpoint  // without success in this stage
 	mayHaveRun    *attempt     // the first that may have taken effect
-	answered      bool         // its final answer is given, or its client is gone
+	answered      bool         // its final answer is given, or its client has disconnected
 	deadlineTimer *timerqueue.Item
 }
 
@@ -37,7 +38,7 @@
 // memoryTokens is the memory that its decode is expected to take.
 func (req *request) memoryTokens() float64 { return req.promptTokens + req.answerTokens }
 
-// RequestArrived takes a request, which gets exactly one final answer from here on.
+// RequestArrived accepts a request, which gets exactly one final answer.
 func (s *Scheduler) RequestArrived(now Micros, arrival Arrival) {
 	s.now = now
 	req := &request{
@@ -47,7 +48,7 @@
 		prefix:       arrival.Prefix,
 		promptTokens: arrival.PromptTokens,
 		prefixTokens: arrival.PrefixTokens,
-		answerTokens: arrival.MaxOutputTokens / expectedAnswerShare,
+		answerTokens: arrival.MaxOutputTokens / expectedAnswerDivisor,
 		arrivedAt:    now,
 		deadline:     arrival.Deadline,
 	}
@@ -71,7 +72,7 @@
 	s.armDeadlineTimer()
 }
 
-// RequestWithdrawn gives up a request whose answer has not begun, as when its tenant is removed.
+// RequestWithdrawn rejects or fails a request whose answer has not begun, as when its tenant is removed.
 func (s *Scheduler) RequestWithdrawn(now Micros, id RequestID) {
 	s.now = now
 	req := s.requests[id]
@@ -81,7 +82,7 @@
 	s.armDeadlineTimer()
 }
 
-// ClientDisconnected notes that nobody waits for the answer any more.
+// ClientDisconnected ends a request whose client has disconnected, without a final answer.
 func (s *Scheduler) ClientDisconnected(now Micros, id RequestID) {
 	s.now = now
 	if req := s.requests[id]; req != nil {
--- a/scheduler/scheduler.go
+++ b/scheduler/scheduler.go
@@ -1,5 +1,5 @@
 // Package scheduler decides where the requests of one dispatcher go: which prefill endpoint reads a prompt, which
-// decode endpoint answers it, what waits in the queue, what is retried and what gets which final answer.
+// decode endpoint answers it, which requests are queued or retried, and which final answer each gets.
 //
 // Its caller reports each event by one method call with the time now (RequestArrived, AttemptStarted, AttemptEnded,
 // ClientDisconnected, RequestWithdrawn, QuotaChanged, EndpointUpdated and EndpointUpdateEnded, EndpointWatchFailed,
@@ -33,14 +33,14 @@
 	connectFailures decayingMean // share of the attempts without an open connection that could not open one
 	estimates       estimates
 	warmThroughput  [roleCount]float64 // tokens a second that a warm endpoint of each role was last seen to complete
-	prefilling      float64            // tokens that the requests being prefilled will ask of decode endpoints
+	prefilling      float64            // tokens that the requests being prefilled will reserve at decode endpoints
 
 	scratch    scratch
 	violations int    // attempts that the guard stopped
 	examined   uint64 // endpoints that decisions looked at; tests compare it with the size of the fleet
 }
 
-// New makes an instance that knows its configuration and nothing else yet.
+// New returns an instance without endpoints. It asks for the endpoint list if WatchOnDemand is set.
 func New(now Micros, seed int64, config Config, executor Executor) *Scheduler {
 	s := &Scheduler{
 		Config:    config,
@@ -61,7 +61,7 @@
 	return s
 }
 
-// InFlight is what is under way now.
+// InFlight returns what is in flight now.
 func (s *Scheduler) InFlight() InFlight {
 	attempts := 0
 	for _, req := range s.requests {
--- a/scheduler/slow_start.go
+++ b/scheduler/slow_start.go
@@ -3,13 +3,15 @@
 import "math"
 
 const (
-	slowStartShare = 1.2 // of the overload rule's part; warm endpoints are seen to do much less than they could
+	slowStartHeadroom = 1.2 // times the overload rule's part: warm endpoints are seen to do much less than they could
 
-	// Of the rule's multiple of what the warming endpoint itself was seen to do, from so many mean requests lately on.
+	// Share of the overload rule's limit by the warming endpoint's own recent throughput, which counts from so many mean
+	// requests on.
 	provenShare    = 0.9
 	provenRequests = 2.0
 
-	// Mean requests in a window of the rule that any warming endpoint gets from all dispatchers together.
+	// Mean requests in a window of the rule that all dispatchers together may send to an endpoint of which nothing is
+	// known.
 	unknownRequests = 4.0
 
 	throughputTime = 5.0 // seconds over which completed work is counted
@@ -17,8 +19,8 @@
 
 // slowStart protects an endpoint whose process has just started.
 type slowStart struct {
-	completedTokens float64 // lately, decaying
-	completedAt     Micros  // up to when they have decayed
+	completedTokens float64 // decaying
+	completedAt     Micros  // when they were last decayed
 	credit          float64 // tokens that may still be sent to it while it is warming up, if not negative
 	creditAt        Micros  // when the credit was last refilled; 0 if it was not begun
 }
@@ -38,10 +40,10 @@
 	return ep.startedAt > 0 && s.now-ep.startedAt < s.WarmUp
 }
 
-// measureWarmThroughput learns what warm endpoints of each role lately did. It runs at each tick, not only while
-// endpoints are warming up, and keeps the last figure: where all of a role start together no warm one is left to go
-// by, and what was not seen before would let next to nothing through. Endpoints that look faulty do not count: dead
-// ones that the list still names would make the others' work look small.
+// measureWarmThroughput updates the recent throughput of warm endpoints of each role. It runs at each tick, not only
+// while endpoints are warming up, and the last value remains: when all endpoints of a role restart together, there is
+// no warm one to measure. Endpoints that look faulty do not count, as dead ones that are still listed would lower the
+// mean.
 func (s *Scheduler) measureWarmThroughput() {
 	var sum, count [roleCount]float64
 	s.examined += uint64(len(s.endpoints.all))
@@ -59,9 +61,9 @@
 	}
 }
 
-// slowStartAllows reports whether an endpoint can take one more attempt; only one that is warming up may not. All
-// dispatchers are taken to send alike, so each keeps to what the overload rule leaves of the work that warm endpoints
-// of the role were seen to do for it, and the warming one itself.
+// slowStartAllows reports whether an endpoint may be sent one more attempt; only one that is warming up may not. All
+// dispatchers are assumed to send alike, so each limits itself by the throughput that it has seen of warm endpoints of
+// the role and of the warming one.
 func (s *Scheduler) slowStartAllows(ep *endpoint) bool {
 	if !s.warmingUp(ep) {
 		return true
@@ -70,8 +72,8 @@
 	w.decay(s.now)
 	requestTokens := s.estimates.largestMeanRequest()
 	rate := s.slowStartRate(ep, requestTokens)
-	// Each dispatcher begins its part at a random phase, so that a part of less than one request is shared out by chance:
-	// otherwise all would send their first request at once.
+	// Each dispatcher begins at a random phase: with parts of less than one request, all would otherwise send their first
+	// request at once.
 	if w.creditAt == 0 {
 		w.credit, w.creditAt = -requestTokens*s.rand.Float64(), s.now
 	}
@@ -82,13 +84,13 @@
 
 // slowStartRate is the tokens a second that this dispatcher may send to a warming endpoint.
 func (s *Scheduler) slowStartRate(ep *endpoint, requestTokens float64) float64 {
-	rate := s.OverloadFactor * slowStartShare * s.SlowStartFactor * s.warmThroughput[ep.role]
-	// One answer is no measure: where each dispatcher sees few, those that saw one would all take it for many.
+	rate := s.OverloadFactor * slowStartHeadroom * s.SlowStartFactor * s.warmThroughput[ep.role]
+	// One completed request is no measure: each dispatcher that saw one would overestimate the rate.
 	if ep.slowStart.completedTokens > provenRequests*requestTokens {
 		rate = max(rate, s.OverloadFactor*provenShare*ep.slowStart.completedTokens/throughputTime)
 	}
-	// Where nothing is known, as after a restart: one mean request in each window of the rule, and no more than
-	// unknownRequests of them from all dispatchers together.
+	// Where nothing is known, as after a restart: one mean request in each window of the rule, and at most
+	// unknownRequests from all dispatchers together.
 	window := max(seconds(s.OverloadWindow), 1)
 	return max(rate, requestTokens/window*min(1, unknownRequests/float64(max(s.Dispatchers, 1))))
 }
--- a/scheduler/slow_start_test.go
+++ b/scheduler/slow_start_test.go
@@ -51,7 +51,7 @@
 	}
 	run(60)
 	sim.updateEndpoints(&simEndpoint{id: 13, kind: decodeKind, startedAt: sim.now})
-	share := sim.config.OverloadFactor * sim.config.SlowStartFactor * slowStartShare
+	share := sim.config.OverloadFactor * sim.config.SlowStartFactor * slowStartHeadroom
 	attempts := run(40)
 	if attempts[13] == 0 || float64(attempts[13]) > share*float64(min(attempts[11], attempts[12]))+1 {
 		t.Errorf("attempts by endpoint in the first four seconds: %v", attempts)
@@ -105,7 +105,7 @@
 	}
 	rate := float64(warm) / 2 / 14.4 // answers a second at each of the two warm endpoints
 	// Warm endpoints could do more than they were sent: the scheduler takes slowStartShare of what they were seen to do.
-	allowed := config.OverloadFactor * config.SlowStartFactor * slowStartShare * rate * seconds(config.OverloadWindow)
+	allowed := config.OverloadFactor * config.SlowStartFactor * slowStartHeadroom * rate * seconds(config.OverloadWindow)
 	for from := start; from < start+2*sec; from += 100 * ms {
 		if n := countWithin(sentAt, from, config.OverloadWindow); n > 1.1*allowed { // the rule leaves a little slack
 			t.Fatalf("%v attempts within a window from %d, %v allowed", n, from-start, allowed)
--- a/scheduler/timerqueue/timerqueue.go
+++ b/scheduler/timerqueue/timerqueue.go
@@ -1,5 +1,5 @@
-// Package timerqueue keeps due times in order: by time, then by the order in which they were set. It reads no clock and
-// starts nothing: whoever owns a queue runs what is due.
+// Package timerqueue is a queue of calls that are due at a time. They run by due time, then in the order in which they
+// were set. It reads no clock and starts no goroutine: the owner of a queue calls Run.
 package timerqueue
 
 import "container/heap"
@@ -21,7 +21,7 @@
 	sequence uint64
 }
 
-// Set has run called at the first Run that is not before at.
+// Set adds a call. The first Run at or after its due time runs it.
 func (q *Queue) Set(at Micros, run func()) *Item {
 	q.sequence++
 	item := &Item{at: at, sequence: q.sequence, run: run}
@@ -29,7 +29,7 @@
 	return item
 }
 
-// Drop takes an item back; one that has run or was dropped, or nil, is left alone.
+// Drop removes an item. It does nothing for nil and for one that has run or was dropped.
 func (q *Queue) Drop(item *Item) {
 	if item != nil && item.index >= 0 {
 		heap.Remove(&q.items, item.index)
@@ -51,7 +51,7 @@
 	}
 }
 
-// Run calls all that is due by now, in order, also what these calls add.
+// Run calls all that is due by now in order, including what these calls add.
 func (q *Queue) Run(now Micros) {
 	for len(q.items) > 0 && q.items[0].at <= now {
 		q.RunOne()
--- a/scheduler/units.go
+++ b/scheduler/units.go
@@ -9,7 +9,7 @@
 
 func seconds(t Micros) float64 { return float64(t) / float64(sec) }
 
-// median sorts the values.
+// median is the upper median of the values, which it sorts; 0 if there are none.
 func median(values []float64) float64 {
 	if len(values) == 0 {
 		return 0
@@ -25,7 +25,7 @@
 	return mean
 }
 
-// mixBits spreads ids evenly over 64 bits, alike in every scheduler (the finalizer of SplitMix64).
+// mixBits hashes an id (the finalizer of SplitMix64); all dispatchers must get the same value.
 func mixBits(x uint64) uint64 {
 	x ^= x >> 30
 	x *= 0xbf58476d1ce4e5b9
