--- a/internal/admin/stored.go
+++ b/internal/admin/stored.go
@@ -65,7 +65,7 @@
 			return err
 		}
 	}
-	return r.wait(func(done func(error)) error { return r.Commit(ops, nil, false, done) })
+	return r.wait(func(done func(error)) error { return r.Commit(ops, nil, store.WriteNow, done) })
 }
 
 // wait starts an operation of the store and waits for its end.
--- a/internal/benchadapter/serve.go
+++ b/internal/benchadapter/serve.go
@@ -1,7 +1,8 @@
 // Package benchadapter connects the scheduler to the bench simulator by its wire protocol: frames of events in, frames
-// of actions out. It owns the scheduler instances of one process and the endpoint lists that the frames refer to. It relies on
-// the scheduler package for all decisions and on the settings package for an instance's configuration, and decides
-// nothing itself: a decoded event is one call of an instance, and an order of an instance is one action of the reply.
+// of actions out. It owns the scheduler instances of one process and the endpoint lists that the frames refer to. It
+// relies on the scheduler package for all decisions and on the settings package for an instance's configuration, and
+// decides nothing itself: a decoded event is one call of an instance, and an order of an instance is one action of the
+// reply.
 package benchadapter
 
 import (
--- a/internal/deployment/checks.go
+++ b/internal/deployment/checks.go
@@ -9,7 +9,7 @@
 	"plumspindle/internal/deployment/pb"
 )
 
-// maxNames is how many zones, kinds or products the scheduler's identifiers can tell apart.
+// maxNames bounds the zones, kinds and products: the scheduler identifies each by one byte.
 const maxNames = 250
 
 // Bounds of what the settings of batches may ask for.
--- a/internal/deployment/deployment.go
+++ b/internal/deployment/deployment.go
@@ -1,9 +1,9 @@
-// Package deployment reads what the program is given at its start: a deployment, and scenarios to play against it, in
-// protobuf text format.
+// Package deployment reads the program's input files in protobuf text format: a deployment, and scenarios to play
+// against it.
 //
-// It owns the checks of both and the conversion to the scheduler's configuration. All errors of a text are reported at
-// once, each with its line, field and reason. It relies on the messages of package pb, whose field names are the
-// operators' settings. It never changes a value that it was given, and never repeats the value of a key in an error.
+// It owns the checks of both and the conversion to the scheduler's configuration. All errors of a text are reported
+// together, each with its line, field and reason. It relies on the messages of package pb, whose field names are the
+// operators' settings. It never changes a value of the text, and never repeats the value of a key in an error.
 package deployment
 
 import (
@@ -18,7 +18,7 @@
 	"plumspindle/internal/deployment/pb"
 )
 
-// ErrNoFleet is returned by what needs a simulated fleet where the deployment describes none.
+// ErrNoFleet is returned where a simulated fleet is needed and the deployment describes none.
 var ErrNoFleet = errors.New("the deployment describes no stand-in fleet (field fleet)")
 
 // Deployment is a deployment that has passed all checks.
@@ -27,11 +27,11 @@
 //go:embed standard.textproto
 var standard []byte
 
-// Standard returns the deployment that is served where none is given.
+// Standard returns the built-in deployment.
 func Standard() Deployment {
 	d, err := Read("standard", standard)
 	if err != nil {
-		panic(err) // it is built in, and a test reads it
+		panic(err) // the embedded text is tested
 	}
 	return d
 }
@@ -47,11 +47,11 @@
 
 // Read reads a deployment from a text; name is what errors call it. An error is an *InvalidError.
 func Read(name string, text []byte) (Deployment, error) {
-	m := &pb.Deployment{}
-	return Deployment{m}, read(name, text, m, func(v *validator) { v.checkDeployment(m) })
+	message := &pb.Deployment{}
+	return Deployment{message}, read(name, text, message, func(v *validator) { v.checkDeployment(message) })
 }
 
-// Text returns the deployment in the form that Read takes.
+// Text returns the deployment in the format that Read parses, or nil if it can't be encoded.
 func (d Deployment) Text() []byte {
 	b, err := prototext.MarshalOptions{Multiline: true}.Marshal(d.Deployment)
 	if err != nil {
@@ -60,7 +60,7 @@
 	return b
 }
 
-// BatchLimits returns the limits on calls with many inputs, with defaults for those that are not stated.
+// BatchLimits returns the limits on calls with many inputs, with defaults for those that are 0.
 func (d Deployment) BatchLimits() *pb.Batches {
 	batches := &pb.Batches{}
 	if d.Batches != nil {
--- a/internal/deployment/scenario.go
+++ b/internal/deployment/scenario.go
@@ -12,26 +12,26 @@
 	maxScenarioRate    = 10000 // requests a second
 )
 
-// ReadScenario reads a scenario from a text; name is what errors call it, and kinds are the faults that can be played.
-// An error is an *InvalidError.
-func ReadScenario(name string, text []byte, kinds []string) (*pb.Day, error) {
-	m := &pb.Day{}
-	return m, read(name, text, m, func(v *validator) { v.checkScenario(m, kinds) })
+// ReadScenario reads a scenario from a text; name is what errors call it, and faultKinds are the faults that can be
+// injected. An error is an *InvalidError.
+func ReadScenario(name string, text []byte, faultKinds []string) (*pb.Day, error) {
+	scenario := &pb.Day{}
+	return scenario, read(name, text, scenario, func(v *validator) { v.checkScenario(scenario, faultKinds) })
 }
 
-func (v *validator) checkScenario(script *pb.Day, kinds []string) {
-	if script.Seconds == 0 || script.Seconds > maxScenarioSeconds {
+func (v *validator) checkScenario(scenario *pb.Day, faultKinds []string) {
+	if scenario.Seconds == 0 || scenario.Seconds > maxScenarioSeconds {
 		v.fail("seconds", "must be from 1 to %d", maxScenarioSeconds)
 	}
-	if !(script.Rate > 0 && script.Rate <= maxScenarioRate) {
+	if !(scenario.Rate > 0 && scenario.Rate <= maxScenarioRate) {
 		v.fail("rate", "must be above 0 and at most %d generations a second", maxScenarioRate)
 	}
-	for i, fault := range script.Troubles {
+	for i, fault := range scenario.Troubles {
 		path := index("troubles", i)
-		if !slices.Contains(kinds, fault.Kind) {
-			v.fail(path+".kind", "there is no trouble %q; known are %s", fault.Kind, strings.Join(kinds, ", "))
+		if !slices.Contains(faultKinds, fault.Kind) {
+			v.fail(path+".kind", "there is no trouble %q; known are %s", fault.Kind, strings.Join(faultKinds, ", "))
 		}
-		if fault.AtMs >= script.Seconds*1000 {
+		if fault.AtMs >= scenario.Seconds*1000 {
 			v.fail(path+".at_ms", "lies past the day's end")
 		}
 		if !(fault.Share >= 0 && fault.Share <= 1) {
--- a/internal/deployment/scheduler.go
+++ b/internal/deployment/scheduler.go
@@ -5,11 +5,11 @@
 	"plumspindle/scheduler"
 )
 
-// UnlimitedQuota is the quota, in requests a second, of a tenant without one. Nobody reaches it; infinity would turn
-// into NaN where it is multiplied by a time of 0.
+// UnlimitedQuota stands for no quota, in requests a second. It is finite because infinity multiplied by a span of 0 is
+// NaN.
 const UnlimitedQuota = 1e9
 
-// tickInterval is the scheduler's; it gives up a request two of them before its client's deadline.
+// tickInterval is Config.TickInterval: the scheduler answers a request two of these before its deadline at the latest.
 const tickInterval = 4 * millisecond
 
 const millisecond scheduler.Micros = 1000
--- a/internal/deployment/textproto.go
+++ b/internal/deployment/textproto.go
@@ -29,7 +29,8 @@
 	return nil
 }
 
-// lineOfSyntaxError returns the line at which a text can't be parsed any further.
+// lineOfSyntaxError returns the line of the first syntax error. The position is taken from the text of
+// prototext's error, which has no other form.
 func lineOfSyntaxError(text []byte, m proto.Message) int {
 	err := prototext.Unmarshal(text, m.ProtoReflect().New().Interface())
 	var line, column int
@@ -41,8 +42,8 @@
 	return max(line, 1)
 }
 
-// readMessage takes the fields of one message out of the text's tree. Each scalar is parsed on its own, so that an
-// error in one does not hide the errors in the next.
+// readMessage reads the fields of one message from the nodes of the parsed text. Each scalar is parsed on its own, so
+// that an error in one does not hide the errors in the next.
 func (v *validator) readMessage(message protoreflect.Message, nodes []*ast.Node, path string) {
 	fields := message.Descriptor().Fields()
 	seen := map[string]int{}
--- a/internal/deployment/validator.go
+++ b/internal/deployment/validator.go
@@ -8,7 +8,7 @@
 	"strings"
 )
 
-// validator collects the errors of one text, and knows the line of each field in it.
+// validator collects the errors of one text and has the line of each field in it.
 type validator struct {
 	errors []FieldError
 	lines  map[string]int // by the field's path
@@ -18,7 +18,7 @@
 	v.errors = append(v.errors, FieldError{line, path, fmt.Sprintf(format, args...)})
 }
 
-// fail reports an error of a field that may be missing from the text; then its line is that of the closest message
+// fail reports an error of a field. If the text does not have the field, the line is that of the innermost message
 // around it.
 func (v *validator) fail(path, format string, args ...any) {
 	for around := path; ; {
@@ -35,7 +35,7 @@
 	}
 }
 
-// unique checks that n things of a repeated field have names and that no two share one.
+// unique checks that the n elements of a repeated field have names, all of them different.
 func (v *validator) unique(field string, n int, name func(int) string) {
 	known := map[string]bool{}
 	for i := range n {
@@ -51,7 +51,7 @@
 	}
 }
 
-// positive checks fields of one message, by their names.
+// positive checks that fields of one message, by their names, are finite and above 0.
 func (v *validator) positive(path string, fields map[string]float64) {
 	for _, name := range slices.Sorted(maps.Keys(fields)) {
 		if value := fields[name]; !(value > 0) || math.IsInf(value, 0) {
--- a/internal/dispatch/intents.go
+++ b/internal/dispatch/intents.go
@@ -78,7 +78,7 @@
 	}
 	d.idempotencyCache.OnExpire = func(key idempotency.Key) {
 		// Ignoring the error is safe: an intent that stays too long is dropped at the next start.
-		_ = d.config.Intents.Commit([]store.Op{{Key: intentKey(key)}}, nil, true, nil)
+		_ = d.config.Intents.Commit([]store.Op{{Key: intentKey(key)}}, nil, store.WriteLazy, nil)
 	}
 	d.config.Log.Info().Int("keys", len(records)).Msg("idempotency keys restored")
 }
@@ -123,7 +123,7 @@
 		Request: r.keyEntry.Request(),
 		Window:  d.keyWindow(r),
 	})
-	err := d.config.Intents.Commit([]store.Op{intent}, nil, false, func(err error) {
+	err := d.config.Intents.Commit([]store.Op{intent}, nil, store.WriteNow, func(err error) {
 		if err != nil {
 			d.recoverIntents()
 		}
@@ -195,5 +195,5 @@
 		Until:   entry.Until(),
 		Window:  window,
 	})
-	_ = d.config.Intents.Commit([]store.Op{end}, nil, true, nil)
+	_ = d.config.Intents.Commit([]store.Op{end}, nil, store.WriteLazy, nil)
 }
--- a/internal/idempotency/idempotency.go
+++ b/internal/idempotency/idempotency.go
@@ -1,8 +1,8 @@
-// Package idempotency decides how a request is answered that repeats an earlier one with the same Idempotency-Key.
+// Package idempotency decides how to answer a request that repeats an earlier one with the same Idempotency-Key.
 //
 // It owns the cache of keys and of the answers that can be replayed, within bounds on both. It relies on its caller for
-// the time and for the order of events. It never does I/O, and it never evicts a key to make space for another: a key
-// that is forgotten before its window has passed could run twice.
+// the time and for the order of events. It never does I/O, and it never evicts a key to make space for another: the
+// request of a key that is forgotten before its window has passed could run twice.
 package idempotency
 
 import "plumspindle/scheduler/timerqueue"
@@ -21,9 +21,9 @@
 	New        Decision = iota // not seen before: run it
 	Join                       // running with its events buffered: replay them, then follow
 	Replay                     // completed with its events buffered: replay them
-	AlreadyRan                 // ran or may have run, and its answer is not buffered any more
+	AlreadyRan                 // ran or may have run, and its answer is not buffered
 	Conflict                   // the key was used for another request
-	Full                       // no more keys can be remembered, so that nothing new may run
+	Full                       // the limit on keys is reached, so that no new request may run
 )
 
 // Limits bounds what a cache remembers.
@@ -50,13 +50,13 @@
 
 // Entry is one remembered request.
 type Entry struct {
-	Events [][]byte // what was streamed, while it is buffered
+	Events [][]byte // the streamed events, while they are buffered
 
 	key       Key
 	request   uint64 // digest of the request
 	until     Micros // when it expires; 0 while it runs
 	bytes     int    // of Events
-	buffered  bool   // Events holds everything that was streamed
+	buffered  bool   // Events has everything that was streamed
 	ended     bool
 	completed bool
 	expired   bool
@@ -73,17 +73,17 @@
 
 // Cache remembers keys and answers within its limits.
 type Cache struct {
-	// OnExpire, if set, is called with each key that is no longer remembered.
+	// OnExpire, if set, is called with each key that is forgotten.
 	OnExpire func(Key)
 
 	limits    Limits
 	entries   map[Key]*Entry
 	expiries  []*expiryQueue
-	completed []*Entry // buffered answers in the order of their ends; the first are dropped first
+	completed []*Entry // buffered answers in the order of their ends, in which they are dropped
 	bytes     int
 }
 
-// expiryQueue holds the ended entries of one window, which expire in the order in which they were added.
+// expiryQueue has the ended entries of one window, which expire in the order in which they were added.
 type expiryQueue struct {
 	window  Micros
 	entries []*Entry
@@ -101,7 +101,7 @@
 func (c *Cache) Bytes() int { return c.bytes }
 
 // Begin decides on a request. For New the caller reports the request's events and end on the entry; for Join and
-// Replay the entry holds what was streamed; otherwise the entry is nil.
+// Replay the entry has what was streamed; otherwise the entry is nil.
 func (c *Cache) Begin(now Micros, key Key, request uint64) (Decision, *Entry) {
 	c.expire(now)
 	e := c.entries[key]
@@ -124,8 +124,8 @@
 	return AlreadyRan, nil
 }
 
-// AddEvent buffers one more event of a running answer, as far as the limits allow. Space is made by dropping the
-// buffered answers that completed first, never by dropping a key.
+// AddEvent buffers one more event of a running answer, as far as the limits allow. Answers that completed earlier are
+// dropped to make space, but no keys.
 func (c *Cache) AddEvent(e *Entry, data []byte) {
 	if !e.buffered || e.expired {
 		return
@@ -160,14 +160,14 @@
 	if e.completed && e.buffered {
 		c.completed = append(c.completed, e)
 	} else {
-		c.dropEvents(e) // half an answer can't be replayed
+		c.dropEvents(e) // an incomplete answer can't be replayed
 	}
 	c.scheduleExpiry(e, outcome.Window)
 }
 
-// Restore adds a key that an earlier process remembered: its request ran or may have run, and its answer is lost. It is
-// for a cache that is new; records come in the order of Until. Records beyond the limit on entries are taken all the
-// same: the limit is on what may run, and these have.
+// Restore adds a key that an earlier process remembered: its request ran or may have run, and its answer is lost. It
+// must be called on a new cache, in the order of Until. Records beyond the limit on entries are added too: the limit
+// restricts what may run, and these have run.
 func (c *Cache) Restore(record Record) {
 	e := &Entry{key: record.Key, request: record.Request, until: record.Until, ended: true}
 	c.entries[record.Key] = e
--- a/internal/settings/errors.go
+++ b/internal/settings/errors.go
@@ -8,7 +8,7 @@
 var (
 	// ErrNotObject is text that is no JSON object.
 	ErrNotObject = errors.New("the start settings are not a JSON object")
-	// ErrUnknownValue is a value that is none of those that its key may have. An *Error wraps it.
+	// ErrUnknownValue is a value that its key does not allow. An *Error wraps it.
 	ErrUnknownValue = errors.New("unknown")
 )
 
@@ -16,15 +16,15 @@
 type Error struct {
 	Key   string // of the list
 	Index int
-	Fault error
+	Err   error
 }
 
-func (e *Error) Error() string { return fmt.Sprintf("%s %d: %v", e.Key, e.Index, e.Fault) }
+func (e *Error) Error() string { return fmt.Sprintf("%s %d: %v", e.Key, e.Index, e.Err) }
 
-// Unwrap returns the fault.
-func (e *Error) Unwrap() error { return e.Fault }
+// Unwrap returns what is wrong with the element.
+func (e *Error) Unwrap() error { return e.Err }
 
-// unknownValue names a value of a list's element that is not known.
+// unknownValue is the error of an element with a value that its field does not allow.
 func unknownValue(key string, index int, field, value string) *Error {
-	return &Error{Key: key, Index: index, Fault: fmt.Errorf("%w %s %q", ErrUnknownValue, field, value)}
+	return &Error{Key: key, Index: index, Err: fmt.Errorf("%w %s %q", ErrUnknownValue, field, value)}
 }
--- a/internal/settings/sections.go
+++ b/internal/settings/sections.go
@@ -8,7 +8,7 @@
 	"plumspindle/scheduler"
 )
 
-// The values that some keys may have.
+// Names of enumerated values.
 var (
 	roles = map[string]scheduler.Role{
 		"read":  scheduler.Prefill,
@@ -27,13 +27,13 @@
 	}
 )
 
-// Lists whose elements errors name.
+// Keys of lists whose elements are named in errors.
 const (
 	classesKey = "request_classes"
 	rolesKey   = "duty_by_kind"
 )
 
-// parseScheduler reads all of the scheduler's configuration but its classes, kinds and quotas.
+// parseScheduler reads the scheduler's configuration except for its classes, kinds and quotas.
 func parseScheduler(root gjson.Result) scheduler.Config {
 	config := scheduler.Config{
 		Dispatchers:     int(root.Get("group_size").Int()),
@@ -57,8 +57,7 @@
 	return config
 }
 
-// parseClasses reads the request classes. Two of their latency objectives stand in lists of their own, which may be
-// shorter.
+// parseClasses reads the request classes. Two of their latency objectives are in separate lists, which may be shorter.
 func (s *Settings) parseClasses(root gjson.Result) error {
 	microsPer1000Tokens := root.Get("domain.aim_us_per_1000_prompt_tokens").Array()
 	nanosPerToken := root.Get("domain.token_aim").Array()
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -1,7 +1,6 @@
-// Package settings decodes the settings of a deployment: as the bench hands them to an instance, and as the platform
-// writes them into a configuration file. Its job is the one translation from their keys into the scheduler's
-// configuration, with defaults for what is left out. It is free of I/O and owns nothing. It never judges whether
-// values make sense together.
+// Package settings decodes the JSON settings that the bench sends to an instance and the platform writes into a
+// configuration file. It translates their keys into the scheduler's configuration, with defaults for missing ones. It
+// does no I/O, has no state, and does not check whether values make sense together.
 package settings
 
 import (
@@ -14,8 +13,8 @@
 	"plumspindle/scheduler"
 )
 
-// Defaults for what the settings leave out. Without any time to connect nothing could be sent, and without any for a KV
-// state each would have to be released before it is there.
+// Defaults for missing settings. With a connect timeout of 0 no attempt could be sent, and with a state timeout of 0
+// each KV state would be released before it exists.
 const (
 	defaultConnectTimeout = eventloop.Second
 	defaultIdleTimeout    = 10 * eventloop.Second
@@ -30,7 +29,7 @@
 	Zones            []string         // names, by scheduler.ZoneID
 	Tenants          []string         // names, in the order of Scheduler.Quotas
 	ConnectTimeout   scheduler.Micros // until an endpoint counts as unreachable
-	StateTimeout     scheduler.Micros // until a KV state that nothing uses has to be released
+	StateTimeout     scheduler.Micros // until an unused KV state must be released
 	LoadReportFields []string         // names of the values of a load report
 }
 
@@ -59,7 +58,7 @@
 	return s, nil
 }
 
-// MicrosFromNanos rounds down: a time limit must not look longer than it is.
+// MicrosFromNanos converts nanoseconds to microseconds. It rounds down: a time limit must not become longer.
 func MicrosFromNanos(nanos uint64) scheduler.Micros {
 	const nanosPerMicro = 1000
 	return scheduler.Micros(min(nanos, math.MaxInt64) / nanosPerMicro)
--- a/internal/store/bench_test.go
+++ b/internal/store/bench_test.go
@@ -32,7 +32,7 @@
 				left--
 				outstanding++
 				op := Op{Key: fmt.Sprint("key", left%100000), Value: value}
-				if err := s.Commit([]Op{op}, nil, false, done); err != nil {
+				if err := s.Commit([]Op{op}, nil, WriteNow, done); err != nil {
 					b.Fatal(err)
 				}
 			}
@@ -68,7 +68,7 @@
 			}
 			for i := range records {
 				op := Op{Key: fmt.Sprintf("key%09d", i), Value: make([]byte, 50)}
-				if err := s.Commit([]Op{op}, nil, true, nil); err != nil {
+				if err := s.Commit([]Op{op}, nil, WriteLazy, nil); err != nil {
 					b.Fatal(err)
 				}
 				disk.answer(1)
--- a/internal/store/files.go
+++ b/internal/store/files.go
@@ -15,18 +15,18 @@
 	partialSuffix = ".part" // of a file that is being written
 )
 
-// Files is the Disk on a real folder. A lock file excludes a second process. One goroutine, which Close ends,
-// carries out the operations in order; their answers are posted to the event loop.
+// Files is the Disk of a real folder. A lock file excludes a second process. One goroutine, which Close ends, executes
+// the operations in order; their results are posted to the event loop.
 type Files struct {
 	dir  string
 	lock *os.File
 	post func(func())
 
-	mutex   sync.Mutex // guards the next two
+	mutex   sync.Mutex // guards queue and closing
 	queue   []func()
 	closing bool
-	changed sync.Cond // the queue or closing
-	stopped chan struct{}
+	changed sync.Cond     // signalled when queue or closing has changed
+	stopped chan struct{} // closed when the goroutine has ended
 
 	// The segment that is appended to stays open. Both are used by the goroutine only.
 	segment     *os.File
@@ -52,14 +52,14 @@
 	return f, nil
 }
 
-// Close carries out the operations that were asked for, ends the goroutine and releases the folder.
+// Close executes the remaining operations, ends the goroutine and unlocks the folder.
 func (f *Files) Close() {
 	f.mutex.Lock()
 	f.closing = true
 	f.changed.Signal()
 	f.mutex.Unlock()
 	<-f.stopped
-	_ = f.lock.Close() // the file is empty
+	_ = f.lock.Close() // nothing is written to it
 }
 
 func (f *Files) run() {
@@ -76,7 +76,7 @@
 	}
 }
 
-// nextOperations waits for operations and takes all of them. There are none once the folder is being closed.
+// nextOperations waits for operations and returns all of them; none if the folder is being closed.
 func (f *Files) nextOperations() []func() {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
@@ -88,7 +88,7 @@
 	return operations
 }
 
-// enqueue has the goroutine carry out an operation and post its result.
+// enqueue has the goroutine execute an operation and post its result.
 func (f *Files) enqueue(operation func() error, done func(error)) {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
@@ -134,7 +134,7 @@
 	}, done)
 }
 
-// openSegment opens a file for appending, in place of the one before it.
+// openSegment opens a file for appending and closes the previous one.
 func (f *Files) openSegment(name string) error {
 	if f.segment != nil && f.segmentName == name {
 		return nil
@@ -151,7 +151,7 @@
 
 func (f *Files) closeSegment() {
 	if f.segment != nil {
-		_ = f.segment.Close() // each append was synced, so that nothing is lost here
+		_ = f.segment.Close() // each append was synced, so no data can be lost
 		f.segment = nil
 	}
 }
@@ -162,7 +162,7 @@
 		path := filepath.Join(f.dir, name)
 		partial := path + partialSuffix
 		if err := writeSynced(partial, build()); err != nil {
-			_ = os.Remove(partial) // it would take up the space that is missing
+			_ = os.Remove(partial) // free its space; the disk may be full
 			return err
 		}
 		if err := os.Rename(partial, path); err != nil {
@@ -181,7 +181,7 @@
 	return errors.Join(err, file.Sync(), file.Close())
 }
 
-// syncDir makes the names in the folder durable.
+// syncDir makes the file names in the folder durable.
 func (f *Files) syncDir() error {
 	dir, err := os.Open(f.dir)
 	if err != nil {
--- a/internal/store/history_test.go
+++ b/internal/store/history_test.go
@@ -194,11 +194,11 @@
 		return false
 	}
 	ops, conditions := step.transaction()
-	err := s.store.Commit(ops, conditions, s.random.Intn(4) == 0, answered)
+	err := s.store.Commit(ops, conditions, WriteMode(s.random.Intn(4) == 0), answered)
 	if errors.Is(err, ErrConflict) {
 		operation.Output = outcome{conflict: true}
 		// What it conflicts with may not be durable itself, so the client waits for that.
-		err = s.store.Commit(nil, nil, false, answered)
+		err = s.store.Commit(nil, nil, WriteNow, answered)
 	}
 	if err != nil && !errors.Is(err, ErrFailed) {
 		s.t.Fatalf("seed %d: %v", s.seed, err)
--- a/internal/store/index.go
+++ b/internal/store/index.go
@@ -10,8 +10,8 @@
 // maxBlockKeys is how many keys a block has before it is split.
 const maxBlockKeys = 256
 
-// Index is an ordered map that can be copied at next to no cost. Keys lie in blocks, in order. A snapshot shares
-// the blocks with the index that it was taken of, which copies a block before it changes one that is shared.
+// Index is an ordered map with cheap snapshots. Keys are in blocks, in order. A snapshot shares the blocks with its
+// index, which copies a shared block before it changes it.
 type Index struct {
 	blocks       []*block
 	size         int
@@ -28,7 +28,7 @@
 // Len returns the number of keys.
 func (x *Index) Len() int { return x.size }
 
-// blockFor returns the position of the block that a key belongs into. There must be a block.
+// blockFor returns the position of the block that a key belongs to. There must be a block.
 func (x *Index) blockFor(key string) int {
 	after := sort.Search(len(x.blocks), func(i int) bool { return x.blocks[i].keys[0] > key })
 	return max(after-1, 0)
@@ -90,8 +90,8 @@
 	return true
 }
 
-// split splits a block into two. The new key was inserted at a position of it: at the end, keys probably come
-// in order, and then all the others stay together, so that blocks become full.
+// split splits a block into two. If the new key was inserted at the end, keys probably arrive in order: then only it
+// moves to the new block, so that blocks become full.
 func (x *Index) split(i, inserted int) {
 	b := x.blocks[i]
 	middle := len(b.keys) / 2
@@ -124,7 +124,7 @@
 	return true
 }
 
-// Snapshot returns an immutable copy of the index as it is now.
+// Snapshot returns an immutable copy of the current index.
 func (x *Index) Snapshot() *Index {
 	x.version++
 	x.sharedBlocks = true
--- a/internal/store/log.go
+++ b/internal/store/log.go
@@ -5,11 +5,11 @@
 	"slices"
 )
 
-// maxLazyBytes is how much lazy transactions may add up to before they are written without waiting for another one.
+// maxLazyBytes is how many bytes of lazy transactions may wait for another transaction before they are written.
 const maxLazyBytes = 1 << 20
 
-// Flush starts to write all that was submitted and not yet handed to the disk. While an append is under way it does
-// nothing: what is submitted meanwhile goes with the next append, which is the group commit.
+// Flush starts to append all pending records. While an append is in flight it does nothing: what is submitted meanwhile
+// is written by the next append, the group commit.
 func (s *Store) Flush() {
 	if s.appending || len(s.pending) == 0 || s.err != nil {
 		return
@@ -32,7 +32,7 @@
 	s.disk.Append(segmentName(s.segment), data, func(err error) {
 		s.appending = false
 		if err != nil {
-			// The data may be gone from the kernel although a later sync would succeed, so this file is not retried.
+			// After a failed sync the kernel may have dropped the data, and a later sync can still succeed: no retry.
 			s.fail(err, waiting)
 			return
 		}
@@ -40,7 +40,7 @@
 	})
 }
 
-// durable acknowledges the records up to lastSeq and goes on with what was submitted meanwhile.
+// durable acknowledges the records up to lastSeq and writes those that were submitted meanwhile.
 func (s *Store) durable(lastSeq uint64, waiting []func(error)) {
 	s.undo = slices.Delete(s.undo, 0, s.undoInFlight)
 	s.undoInFlight = 0
@@ -52,8 +52,8 @@
 	s.compactIfLarge()
 }
 
-// fail takes the store out of service. It takes back all changes that are not durable, so that nobody
-// continues from rejected ones, and notifies those who wait for them.
+// fail takes the store out of service. It undoes all changes that are not durable, so that none is read after it was
+// rejected, and reports the error to their callers.
 func (s *Store) fail(cause error, waiting []func(error)) {
 	s.err = cause
 	for _, op := range slices.Backward(s.undo) {
@@ -68,12 +68,11 @@
 	}
 }
 
-// Repair takes a store that has failed back into service if its disk accepts writes again. It writes what is
-// durable as a snapshot, and then drops the log that ended in the failure, with its possibly torn end. The
-// old log is not written to again: a sync that succeeds after a failed one does not mean that the data is
-// there.
+// Repair takes a store that has failed back into service if its disk accepts writes again. It writes what is durable as
+// a snapshot, and then removes the log that ended in the failure, which may be torn at its end. The old log is not
+// written to again: a sync that succeeds after a failed one does not mean that the data is durable.
 //
-// If it fails it may be called again. The caller sees to the backoff, as the store has no clock.
+// If it fails it may be called again. The caller is responsible for the backoff, as the store has no clock.
 func (s *Store) Repair(done func(error)) {
 	if s.err == nil {
 		done(nil)
--- a/internal/store/memorydisk_test.go
+++ b/internal/store/memorydisk_test.go
@@ -140,7 +140,7 @@
 
 // put commits one key.
 func put(s *Store, key, value string, done func(error)) error {
-	return s.Commit([]Op{{Key: key, Value: []byte(value)}}, nil, false, done)
+	return s.Commit([]Op{{Key: key, Value: []byte(value)}}, nil, WriteNow, done)
 }
 
 // contents returns all keys and values of a store.
@@ -178,7 +178,7 @@
 	}
 	for record := 1; record <= records; record++ {
 		ops := randomOps(random, record)
-		lazy := random.Intn(5) == 0
+		lazy := WriteMode(random.Intn(5) == 0)
 		err := s.Commit(ops, nil, lazy, func(err error) {
 			if err == nil {
 				acknowledged = record
--- a/internal/store/recovery.go
+++ b/internal/store/recovery.go
@@ -100,7 +100,7 @@
 	s.segment = s.snapshot
 	for i, number := range segments {
 		if number < s.snapshot {
-			continue // covered; the process died before it was removed
+			continue // covered by the snapshot; the process died before it was removed
 		}
 		if number > s.segment+1 {
 			reason := segmentName(s.segment+1) + " is missing"
@@ -172,8 +172,8 @@
 	return nil
 }
 
-// laterRecordIn reports whether a complete later record follows somewhere in data. Then what can't be read is
-// not a torn end but damage, as what follows it was acknowledged.
+// laterRecordIn reports whether a complete later record follows somewhere in data. Then the unreadable part
+// is not a torn end but corruption, because the records after it were acknowledged.
 func (s *Store) laterRecordIn(data []byte) bool {
 	for offset := 1; offset+recordHeaderBytes <= len(data); offset++ {
 		payload, _, ok := readRecord(data[offset:])
--- a/internal/store/repair_test.go
+++ b/internal/store/repair_test.go
@@ -116,7 +116,7 @@
 			{Key: fmt.Sprint("k", i), Value: []byte(rejectedValue)},
 			{Key: "new", Value: []byte(rejectedValue)},
 		}
-		err := r.store.Commit(ops, nil, r.random.Intn(2) == 0, func(err error) {
+		err := r.store.Commit(ops, nil, WriteMode(r.random.Intn(2) == 0), func(err error) {
 			if err != nil {
 				rejected++
 			}
--- a/internal/store/snapshot.go
+++ b/internal/store/snapshot.go
@@ -9,8 +9,8 @@
 // snapshotBatchOps is how many keys a record of a snapshot has at most.
 const snapshotBatchOps = 512
 
-// liveBytesFactor keeps a large store from writing snapshots too often: the log must have outgrown the live
-// data by it.
+// liveBytesFactor times the live data must have been logged before a snapshot is written: a large store would otherwise
+// write snapshots too often.
 const liveBytesFactor = 2
 
 // compactIfLarge starts a snapshot if the log has outgrown its limit and the live data.
@@ -21,9 +21,9 @@
 	}
 }
 
-// Compact writes a snapshot now and removes the log segments that it covers. Writes continue meanwhile, into
-// a segment of their own. If it fails the log is still complete without it; only space is lost until the next
-// one. done may be nil.
+// Compact writes a snapshot now and removes the log segments that it covers. Writes continue
+// meanwhile, into a new segment. If it fails the log is still complete; only its space is not freed until the next
+// snapshot. done may be nil.
 func (s *Store) Compact(done func(error)) {
 	if done == nil {
 		done = func(error) {}
@@ -34,18 +34,18 @@
 	}
 	s.Flush()
 	s.snapshotting = true
-	if s.segmentSize > 0 { // a segment without a record is never created: recovery would miss it before a later one
+	if s.segmentSize > 0 { // an empty segment has no file, and recovery would report its number as missing
 		s.segment++
 	}
 	s.segmentSize, s.logBytes = 0, 0
-	// The snapshot has all that was submitted, also records that are not written yet. Recovery skips these in the log.
+	// The snapshot has all that was submitted, including pending records. Recovery skips these in the log.
 	s.writeSnapshot(s.segment, func(err error) {
 		s.snapshotting = false
 		done(err)
 	})
 }
 
-// writeSnapshot writes the index as it is now as a snapshot and removes the files that it covers.
+// writeSnapshot writes the current index as a snapshot and removes the files that it covers.
 func (s *Store) writeSnapshot(number uint64, done func(error)) {
 	index, seq, size := s.index.Snapshot(), s.lastSeq, 0
 	build := func() []byte {
@@ -88,7 +88,7 @@
 	batch := &pb.Batch{}
 	appendBatch := func() {
 		payload, err := proto.Marshal(batch)
-		if err == nil { // without one of its batches recovery rejects the file by its number of keys
+		if err == nil { // a file that lacks a batch is rejected at recovery by its number of keys
 			data = appendRecord(data, payload)
 		}
 		batch = &pb.Batch{}
--- a/internal/store/snapshot_test.go
+++ b/internal/store/snapshot_test.go
@@ -91,7 +91,7 @@
 	}
 	commit := func(i int, value []byte) {
 		t.Helper()
-		if err := s.Commit([]Op{{Key: fmt.Sprint("key", i), Value: value}}, nil, true, nil); err != nil {
+		if err := s.Commit([]Op{{Key: fmt.Sprint("key", i), Value: value}}, nil, WriteLazy, nil); err != nil {
 			t.Fatal(err)
 		}
 	}
--- a/internal/store/store.go
+++ b/internal/store/store.go
@@ -1,13 +1,11 @@
 // Package store is an embedded key-value store for what must survive a restart.
 //
-// Its job is to lose no acknowledged write and to return no torn one. It owns the files of one folder: an
-// append-only log of checksummed records, and snapshots that shorten the log. It also owns an ordered index
-// of all keys in memory, which every read is answered from. Writes that arrive while an append is under way
-// are grouped into the next one.
+// It loses no acknowledged write and returns no torn one. It owns the files of one folder: an append-only log of
+// checksummed records, and snapshots that replace old parts of the log. All reads are answered from an ordered index of
+// all keys in memory. Writes that arrive while an append is in flight are grouped into the next one.
 //
-// A Store is a state machine over a Disk, without a clock or goroutines of its own. It relies on its caller
-// to make all calls, and to deliver the disk's answers, on one event loop. Files is the Disk on a real
-// folder.
+// A Store is a state machine over a Disk, without a clock or goroutines of its own. All calls to it and all results of
+// the disk must come on one event loop. Files is the Disk of a real folder.
 //
 // It never repeats a write to a file that has failed, never changes files that it can't read, and never applies a
 // transaction in part.
@@ -29,7 +27,7 @@
 // DefaultLimits suit a dispatcher's own records.
 var DefaultLimits = Limits{MaxKeys: 2_000_000, MaxBytes: 512 << 20, SegmentBytes: 8 << 20, CompactAfterBytes: 16 << 20}
 
-// Errors that callers distinguish with errors.Is.
+// Errors that callers test with errors.Is.
 var (
 	ErrFull     = errors.New("the store is full")
 	ErrFailed   = errors.New("the store has failed; nothing more is acknowledged until it is healed")
@@ -37,13 +35,13 @@
 	ErrCorrupt  = errors.New("the store is corrupt")
 )
 
-// wholeFile is the Offset of a CorruptError that concerns a file as a whole.
+// wholeFile is the Offset of a CorruptError that concerns a complete file.
 const wholeFile = -1
 
 // CorruptError says where a store is corrupt. It matches ErrCorrupt.
 type CorruptError struct {
 	File   string
-	Offset int    // of the first byte that can't be read; negative if the file as a whole is wrong
+	Offset int    // of the first byte that can't be read; negative if the complete file is invalid
 	Reason string // may be empty: the record is damaged
 }
 
@@ -64,7 +62,7 @@
 
 // Store is the store of one folder.
 type Store struct {
-	// Stats count what was done, for figures.
+	// Stats counts the store's work since it was opened.
 	Stats Stats
 
 	disk   Disk
@@ -76,8 +74,8 @@
 	lastSeq    uint64 // sequence number of the last record submitted
 	durableSeq uint64 // sequence number of the last record that is durable
 
-	// Values that submitted but not yet durable changes replaced, in the order of the changes. The first undoInFlight
-	// of them belong to the append that is under way.
+	// Values that were replaced by changes that are not durable yet, in the order of the changes. The first
+	// undoInFlight of them belong to the append in flight.
 	undo         []Op
 	undoInFlight int
 
@@ -86,12 +84,12 @@
 	logBytes    int    // written since the last snapshot
 	snapshot    uint64 // number of the last snapshot; it covers all segments with lower numbers
 
-	pending   []byte        // records that wait for the append that is under way
+	pending   []byte        // records that wait for the append in flight to end
 	waiting   []func(error) // callers to notify once these are durable
 	appending bool
 
-	snapshotting bool // Compact is under way
-	repairing    bool // Repair is under way
+	snapshotting bool // Compact is in progress
+	repairing    bool // Repair is in progress
 }
 
 // Stats are counts of one store since it was opened.
@@ -103,7 +101,7 @@
 	Snapshots    int
 }
 
-// Get returns the value last submitted for a key, which may not be durable yet.
+// Get returns the value last submitted for a key. It may not be durable yet.
 func (s *Store) Get(key string) ([]byte, bool) { return s.index.Get(key) }
 
 // Scan calls each for every key with a prefix, in order, until it returns false.
--- a/internal/store/stored_test.go
+++ b/internal/store/stored_test.go
@@ -77,7 +77,8 @@
 			dir := copied(t, fixture)
 			opened, answers, closeFiles := open(t, dir)
 			durable := false
-			err := opened.Commit([]store.Op{{Key: "written later", Value: []byte("whole")}}, nil, false, func(err error) {
+			later := []store.Op{{Key: "written later", Value: []byte("whole")}}
+			err := opened.Commit(later, nil, store.WriteNow, func(err error) {
 				if err != nil {
 					t.Error(err)
 				}
--- a/internal/store/transaction.go
+++ b/internal/store/transaction.go
@@ -21,15 +21,22 @@
 	Value []byte
 }
 
-// Commit submits a transaction: all of its changes are made, or none, if all conditions hold. Reads see the
-// changes at once. done may be nil; it is called once they are durable. An error given to done means that
-// they were taken back, and may be there or not after a restart.
-//
-// With lazy the changes are written together with the next transaction that is not lazy, or by Flush.
+// WriteMode says when the changes of a transaction are written to the log.
+type WriteMode bool
+
+// The modes.
+const (
+	WriteNow  WriteMode = false // at once, or after the append in flight
+	WriteLazy WriteMode = true  // together with the next transaction in mode WriteNow, or by Flush
+)
+
+// Commit submits a transaction: if all conditions are met, all of its changes are made. Reads see them at once. done is
+// called once they are durable; it may be nil. An error passed to done means that the changes were undone, and that a
+// restart may recover them or not.
 //
-// An error that is returned rejects the transaction: nothing was changed, and done is not called. It is
-// ErrConflict, ErrFull or ErrFailed.
-func (s *Store) Commit(ops []Op, conditions []Condition, lazy bool, done func(error)) error {
+// A returned error rejects the transaction: nothing was changed, and done is not called. It is ErrConflict, ErrFull or
+// ErrFailed.
+func (s *Store) Commit(ops []Op, conditions []Condition, mode WriteMode, done func(error)) error {
 	if s.err != nil {
 		return ErrFailed
 	}
@@ -55,7 +62,7 @@
 	if done != nil {
 		s.waiting = append(s.waiting, done)
 	}
-	if !lazy || len(s.pending) > maxLazyBytes {
+	if mode == WriteNow || len(s.pending) > maxLazyBytes {
 		s.Flush()
 	}
 	return nil
@@ -72,8 +79,8 @@
 	return nil
 }
 
-// checkLimits counts each written key as a new one, which errs on the safe side. A transaction that only deletes is
-// always within the limits.
+// checkLimits counts each written key as a new one, which may reject too early but never too late. A transaction that
+// only deletes is always within the limits.
 func (s *Store) checkLimits(ops []Op) error {
 	keys, size, writes := s.index.Len(), s.usedBytes, false
 	for _, op := range ops {
@@ -97,7 +104,7 @@
 	return batch
 }
 
-// submit makes a change in the index and notes how to undo it.
+// submit makes a change in the index and records how to undo it.
 func (s *Store) submit(op Op) {
 	replaced, _ := s.index.Get(op.Key)
 	s.undo = append(s.undo, Op{Key: op.Key, Value: replaced})
--- a/internal/store/transaction_test.go
+++ b/internal/store/transaction_test.go
@@ -29,7 +29,7 @@
 		{[]Op{{Key: "b"}}, nil, nil},
 		{[]Op{set("c", "3")}, nil, nil},
 	} {
-		if err := s.Commit(test.ops, test.conditions, false, nil); !errors.Is(err, test.want) {
+		if err := s.Commit(test.ops, test.conditions, WriteNow, nil); !errors.Is(err, test.want) {
 			t.Errorf("transaction %d, %v: got %v, want %v", i, test.ops, err, test.want)
 		}
 		disk.answer(10)
