--- a/internal/admin/authentication.go
+++ b/internal/admin/authentication.go
@@ -19,7 +19,7 @@
 
 // Roles of callers.
 const (
-	Operator    Role = "operator" // may do everything
+	Operator    Role = "operator" // may call everything
 	Viewer      Role = "viewer"   // may see everything
 	TenantAdmin Role = "tenant"   // may see one tenant and change its keys
 )
@@ -56,7 +56,7 @@
 
 const minSecretBytes = 32
 
-// ReadSecret reads the secret from a file that nobody but its owner may read.
+// ReadSecret reads the secret from a file. Only the file's owner may have access to it.
 func ReadSecret(path string) ([]byte, error) {
 	info, err := os.Stat(path)
 	if err != nil {
@@ -76,7 +76,7 @@
 	return secret, nil
 }
 
-// caller is who makes a call.
+// caller is the authenticated caller of the API.
 type caller struct {
 	name   string
 	role   Role
@@ -87,7 +87,8 @@
 	return subtle.ConstantTimeCompare([]byte(token), []byte(s.feedToken)) == 1
 }
 
-// identify returns whose token it is. It compares the digests of all staff, so that the time reveals nothing.
+// identify returns the caller with a token. It always compares the digests of all staff, so that its time reveals
+// nothing about them.
 func (s *Server) identify(token string) (who caller, known bool) {
 	digest := sha256.Sum256([]byte(token))
 	for _, member := range s.staff {
--- a/internal/admin/changes.go
+++ b/internal/admin/changes.go
@@ -20,13 +20,13 @@
 	Who     string `json:"who"`
 }
 
-// change makes a change for a call: on a copy of the registry, which takes the registry's place once the change is
-// durable. A dry run, and a call that changes nothing, end before that.
+// change makes a change for a call: on a copy of the registry, which replaces the registry once it is saved together
+// with an entry of the audit log. A dry run, or a call that changes nothing, saves nothing.
 func (s *Server) change(
-	r *request, what string, change func(*tenancy.Registry) (response, error),
+	r *request, what string, apply func(*tenancy.Registry) (response, error),
 ) response {
 	next := s.registry.Clone()
-	result, err := change(next)
+	result, err := apply(next)
 	if err != nil {
 		return failed(err)
 	}
@@ -53,19 +53,19 @@
 	return result
 }
 
-// notSaved is the answer to a call that was rejected because the records can't be written.
+// notSaved is the answer to a call whose records could not be written.
 func notSaved(message string) response {
 	return errorResponse(http.StatusInternalServerError, "not_kept", "", message)
 }
 
-// replaceRegistry makes a changed copy of the registry the one that counts, and notifies the followers.
+// replaceRegistry replaces the registry by a changed copy, and notifies the followers.
 func (s *Server) replaceRegistry(next *tenancy.Registry) {
 	before := s.registry
 	s.registry = next
 	s.notifyFollowers(before)
 }
 
-// completeRemovals completes the removals of tenants of which nothing runs at any live dispatcher.
+// completeRemovals completes the removals of tenants that have no running requests at any live dispatcher.
 func (s *Server) completeRemovals() {
 	for _, name := range s.registry.Names() {
 		removing := s.registry.Tenants[name].State == tenancy.StateRemoving
@@ -75,7 +75,7 @@
 		next := s.registry.Clone()
 		next.CompleteRemoval(s.now(), name)
 		ops := changedRecords(s.registry, next)
-		// The name may belong to another tenant one day, which must not find these keys.
+		// A later tenant of the same name must not get answers by these Idempotency-Keys.
 		prefix := createdKeyRecord(name, "")
 		s.records.ScanFrom(prefix, prefix, func(key string, _ []byte) bool {
 			ops = append(ops, store.Op{Key: key})
@@ -97,7 +97,7 @@
 }
 
 func (s *Server) getAuditLog(r *request) response {
-	first, _ := strconv.ParseUint(r.query["after"], 10, 64) // from the beginning if it is not a number
+	first, _ := strconv.ParseUint(r.query["after"], 10, 64) // 0, the beginning, if it is not a number
 	size := r.pageSize()
 	page := auditPage{Changes: []json.RawMessage{}}
 	s.records.ScanFrom(auditRecord(first), auditPrefix, func(_ string, entry []byte) bool {
--- a/internal/admin/connection.go
+++ b/internal/admin/connection.go
@@ -25,7 +25,8 @@
 	metricsPath    = "/metrics"
 )
 
-// connection is one client's. It handles the requests in turn; one that follows the updates gets nothing else.
+// connection is a client's connection. It handles requests one after the other; once it follows the updates it handles
+// no further requests.
 type connection struct {
 	server    *Server
 	conn      eventloop.Conn
@@ -46,7 +47,7 @@
 // Opened is called once the connection is open.
 func (c *connection) Opened() { c.abortAfter(idleTimeout) }
 
-// Drained is called when all data were sent. A lagging follower is found by what is not sent yet.
+// Drained is called when all data were sent. It does nothing: notify finds lagging followers by their unsent data.
 func (c *connection) Drained() {}
 
 // Closed is called once the connection is closed.
@@ -56,7 +57,7 @@
 	c.server.removeFollower(c)
 }
 
-// abortAfter replaces the timeout of the connection.
+// abortAfter sets a new timeout, after which the connection is aborted.
 func (c *connection) abortAfter(timeout eventloop.Micros) {
 	if c.timer != nil {
 		c.timer.Stop()
@@ -86,7 +87,7 @@
 	return nil
 }
 
-// Body is called with a part of its body.
+// Body is called with a part of a request's body.
 func (c *connection) Body(data []byte) error {
 	c.body = append(c.body, data...)
 	return nil
@@ -147,7 +148,7 @@
 func (c *connection) send(r response, fields ...string) {
 	body, contentType := r.text, r.contentType
 	if r.text == nil {
-		body, _ = json.Marshal(r.body) // only types that can always be encoded
+		body, _ = json.Marshal(r.body) // the types of bodies can always be encoded
 		contentType = "application/json"
 	}
 	if r.etag != 0 {
--- a/internal/admin/feed.go
+++ b/internal/admin/feed.go
@@ -18,17 +18,17 @@
 // heartbeatChunk is a comment in the event stream.
 const heartbeatChunk = ": here\n\n"
 
-// follow makes a connection one that gets updates.
+// follow starts to send updates on a connection: first what has changed since the version that the follower has.
 func (c *connection) follow(r *request) {
 	c.following = true
 	c.timer.Stop()
 	c.conn.Write(http1.AppendStreamHead(nil, http.StatusOK, "Content-Type", "text/event-stream"))
-	since, _ := strconv.ParseUint(r.query["since"], 10, 64) // a complete update if it is not a number
+	since, _ := strconv.ParseUint(r.query["since"], 10, 64) // 0, for a complete update, if it is not a number
 	c.notify(c.server.registry.UpdateSince(r.query["epoch"], since))
 	c.server.followers = append(c.server.followers, c)
 }
 
-// notify sends an update to a follower.
+// notify sends an update to a follower, or aborts the connection of one that lags too far.
 func (c *connection) notify(update tenancy.Update) {
 	if c.conn.Unsent() > maxUnsentBytes {
 		c.conn.Abort()
--- a/internal/admin/keys.go
+++ b/internal/admin/keys.go
@@ -22,7 +22,7 @@
 	return response{status: http.StatusOK, body: keyList{redacted(t).Keys}, etag: t.Version}
 }
 
-// createdKey shows a new key, this once.
+// createdKey is the only answer that shows a key.
 type createdKey struct {
 	ExpiresAt int64           `json:"expires_s"`
 	ID        string          `json:"id"`
--- a/internal/admin/message.go
+++ b/internal/admin/message.go
@@ -26,10 +26,10 @@
 	tenant  string // in the path; may be empty
 	version uint64 // from If-Match; 0 is any version
 
-	extraOps []store.Op // records to save together with the change that the call makes
+	extraOps []store.Op // records to save together with the call's change
 }
 
-// parseQuery parses a query string. Values are taken as they are, without decoding.
+// parseQuery parses a query string. It does not decode percent-encoded values.
 func parseQuery(text string) map[string]string {
 	query := map[string]string{}
 	for _, pair := range strings.Split(text, "&") {
@@ -40,7 +40,7 @@
 	return query
 }
 
-// segment returns a segment of the path; it is empty past the last one.
+// segment returns a segment of the path, or an empty string past the last one.
 func (r *request) segment(i int) string {
 	if i < len(r.path) {
 		return r.path[i]
@@ -61,7 +61,7 @@
 	return version, err == nil && version > 0
 }
 
-// decode decodes the body. It rejects unknown members: a misspelt limit would otherwise be none.
+// decode decodes the body. It rejects unknown members: a misspelt limit would otherwise be ignored.
 func (r *request) decode(to any) error {
 	decoder := json.NewDecoder(bytes.NewReader(r.body))
 	decoder.DisallowUnknownFields()
@@ -79,7 +79,7 @@
 	maxPageSize     = 1000
 )
 
-// pageSize returns how many entries of a list are wanted.
+// pageSize returns how many entries of a list to return.
 func (r *request) pageSize() int {
 	size, err := strconv.Atoi(r.query["limit"])
 	if err != nil || size < 1 {
@@ -91,7 +91,7 @@
 // response is the answer to a call.
 type response struct {
 	status      int
-	body        any    // is encoded as JSON
+	body        any    // to be encoded as JSON
 	etag        uint64 // 0: none
 	text        []byte // in place of the body
 	contentType string // of the text
@@ -119,7 +119,7 @@
 	return &tenancy.ChangeError{Status: http.StatusBadRequest, Code: "malformed", Field: field, Reason: reason}
 }
 
-// failed returns the response for an error of a change.
+// failed returns the response to a call that ended in an error.
 func failed(err error) response {
 	var change *tenancy.ChangeError
 	if errors.As(err, &change) {
--- a/internal/admin/records.go
+++ b/internal/admin/records.go
@@ -9,7 +9,7 @@
 	"plumspindle/internal/tenancy"
 )
 
-// Keys of the records. Names contain no zero byte; what comes from clients is at the end of a key.
+// Keys of the records. Names contain no zero byte; texts from clients are at the end of a key.
 const (
 	registryKey        = "registry"
 	tenantPrefix       = "tenant/" // name
@@ -55,7 +55,7 @@
 	return store.Op{Key: reportNumberPrefix + dispatcher, Value: encode(number)}
 }
 
-// changedRecords returns what takes the records from one state of the registry to the next.
+// changedRecords returns the changes of the records from one state of the registry to the next.
 func changedRecords(before, next *tenancy.Registry) []store.Op {
 	ops := []store.Op{registryOp(next)}
 	for _, name := range next.Names() {
@@ -71,7 +71,7 @@
 	return ops
 }
 
-// restore builds the state from the records. The registry stays nil if there are none.
+// restore restores the state from the records. The registry remains nil if there are none.
 func (s *Server) restore() error {
 	for _, kind := range []struct {
 		prefix  string
@@ -147,14 +147,14 @@
 	return nil
 }
 
-// MemoryRecords are records that last as long as the process, for trying things out.
+// MemoryRecords are records that are lost with the process, for tests and trials.
 type MemoryRecords struct {
 	store.Index
-	// SaveError, where it is set, is the error of the next Save.
+	// SaveError, if set, is returned by Save, which then changes nothing.
 	SaveError error
 }
 
-// Save makes changes.
+// Save applies the changes in memory.
 func (m *MemoryRecords) Save(ops []store.Op) error {
 	if m.SaveError != nil {
 		return m.SaveError
--- a/internal/admin/routes.go
+++ b/internal/admin/routes.go
@@ -44,7 +44,7 @@
 	idSegment   = 3
 )
 
-// matches reports whether the route is for a request.
+// matches reports whether the route handles a request.
 func (e route) matches(r *request) bool {
 	pattern := strings.Split(e.pattern, "/")
 	if e.method != r.method || len(pattern) != len(r.path) {
@@ -67,7 +67,7 @@
 	return route{}, false
 }
 
-// route answers a call of the API.
+// route passes a call of the API to its handler and returns the answer.
 func (s *Server) route(r *request) response {
 	if r.who.role == Viewer && r.method != http.MethodGet {
 		return errorResponse(http.StatusForbidden, "forbidden", "", "a viewer changes nothing")
@@ -79,7 +79,7 @@
 	r.version, r.tenant = version, r.segment(nameSegment)
 	found, known := findRoute(r)
 	if r.who.role == TenantAdmin {
-		// The same answer whether it exists or not.
+		// The answer must not reveal whether the tenant or the route exists.
 		ownTenant := r.tenant == "" || r.tenant == r.who.tenant
 		if !known || !found.forTenants || !ownTenant {
 			return errorResponse(http.StatusNotFound, "no_tenant", "", "there is nothing here for this key")
--- a/internal/admin/server.go
+++ b/internal/admin/server.go
@@ -1,13 +1,12 @@
 // Package admin is the administration of tenants: an HTTP API on a listener of its own.
 //
-// Operators, and tenants for themselves, add, limit and remove tenants and their keys over it. Dispatchers
-// follow the changes as a stream of updates and report what was used. The package owns the registry, the
-// usage ledger and their records, which it writes before a change counts or a call is answered. What a change
-// means is up to package tenancy.
+// Operators manage tenants and their keys with it, and tenants their own keys. Dispatchers follow the changes as a
+// stream of updates and report usage. The package owns the registry, the usage ledger and their records, which are
+// written before a change takes effect or a call is answered. The changes themselves are made by package tenancy.
 //
 // It relies on its caller for the listener and an event loop, which all of its code runs on, and on Records to be
-// durable when Save returns. It never shows or logs a key, except for the answer to its creation, or a key's MAC,
-// except to dispatchers.
+// durable when Save returns. It shows a key only in the answer to its creation and a key's MAC only to dispatchers, and
+// logs neither.
 package admin
 
 import (
@@ -44,7 +43,7 @@
 type Server struct {
 	loop      eventloop.Loop
 	secret    []byte
-	feedToken string // what dispatchers authenticate with
+	feedToken string // that dispatchers authenticate with
 	staff     []Staff
 	records   Records
 	random    io.Reader
@@ -81,7 +80,7 @@
 	return s, nil
 }
 
-// heartbeatInterval is how often followers are shown that the administration is alive.
+// heartbeatInterval is how often followers get a heartbeat.
 const heartbeatInterval = 4 * eventloop.Second
 
 func (s *Server) tick() {
--- a/internal/admin/stored.go
+++ b/internal/admin/stored.go
@@ -14,27 +14,26 @@
 )
 
 // StoredRecords are records in an embedded store in a folder. Save blocks the administration's event loop until the
-// disk has answered: a change is answered only once it is durable, and the next one begins from there.
+// changes are durable: only then is a call answered and the next change begun.
 type StoredRecords struct {
 	*store.Store
 
 	files   *store.Files
-	posted  chan func() // answers of the disk
+	posted  chan func() // results of the disk
 	timeout time.Duration
 }
 
 const (
 	diskTimeout   = 20 * time.Second // of one change
-	postedAnswers = 1024             // that are buffered
+	postedResults = 1024             // that are buffered
 )
 
 // ErrDiskTimeout is the error of a change that the disk did not confirm in time.
 var ErrDiskTimeout = errors.New("the disk does not answer; whether the change is kept shows at the next start")
 
-// OpenStoredRecords opens the store of a folder, or creates it. Records of versions without a store are moved
-// into it.
+// OpenStoredRecords opens the store of a folder, or creates it. Records of versions without a store are migrated.
 func OpenStoredRecords(dir string) (*StoredRecords, error) {
-	r := &StoredRecords{posted: make(chan func(), postedAnswers), timeout: diskTimeout}
+	r := &StoredRecords{posted: make(chan func(), postedResults), timeout: diskTimeout}
 	var err error
 	if r.files, err = store.OpenFiles(dir, func(answer func()) { r.posted <- answer }); err != nil {
 		return nil, err
@@ -53,8 +52,8 @@
 // Close releases the folder.
 func (r *StoredRecords) Close() { r.files.Close() }
 
-// Save commits changes together and waits until they are durable. A store that has failed is repaired first, if its
-// disk accepts writes again, so that the administration need not be restarted.
+// Save commits the changes in one transaction and waits until they are durable. A store that has failed is repaired
+// first, so that the administration need not be restarted once its disk accepts writes again.
 func (r *StoredRecords) Save(ops []store.Op) error {
 	if r.Err() != nil {
 		err := r.wait(func(done func(error)) error {
@@ -88,7 +87,7 @@
 	return result
 }
 
-// handlePosted handles what else the disk has answered meanwhile, as the end of a snapshot.
+// handlePosted handles the other results that have arrived meanwhile, such as the end of a snapshot.
 func (r *StoredRecords) handlePosted() {
 	for {
 		select {
@@ -170,7 +169,7 @@
 	}
 	for number := uint64(0); ; number++ {
 		line, rest, complete := bytes.Cut(audit, []byte("\n"))
-		if !complete { // a last line that was cut off belongs to a change that was not made
+		if !complete { // an incomplete last line belongs to a change that was not made
 			return ops
 		}
 		ops = append(ops, store.Op{Key: auditRecord(number), Value: line})
--- a/internal/admin/tenants.go
+++ b/internal/admin/tenants.go
@@ -81,12 +81,12 @@
 	})
 }
 
-// changeTenant makes a change that is answered with the changed tenant.
+// changeTenant makes a change of a tenant and answers with the changed tenant.
 func (s *Server) changeTenant(
-	r *request, what string, change func(*tenancy.Registry) (*tenancy.Tenant, error),
+	r *request, what string, apply func(*tenancy.Registry) (*tenancy.Tenant, error),
 ) response {
 	return s.change(r, what, func(registry *tenancy.Registry) (response, error) {
-		t, err := change(registry)
+		t, err := apply(registry)
 		if err != nil {
 			return response{}, err
 		}
@@ -128,7 +128,7 @@
 	result := s.changeTenant(r, what, func(registry *tenancy.Registry) (*tenancy.Tenant, error) {
 		return registry.Remove(r.tenant, r.version, policy)
 	})
-	s.loop.Defer(s.completeRemovals) // perhaps nothing of it runs
+	s.loop.Defer(s.completeRemovals) // at once if the tenant has no running requests
 	return result
 }
 
--- a/internal/admin/usage.go
+++ b/internal/admin/usage.go
@@ -17,8 +17,8 @@
 	Number uint64 `json:"taken"`
 }
 
-// addReport adds what a dispatcher used. The sums are saved before they count and before the report is
-// acknowledged, so that it counts once whatever fails in between: one that could not be saved is sent again,
+// addReport adds a dispatcher's usage report. The sums are saved together with the report's number before they count
+// and before the report is acknowledged, so that it counts exactly once: a report that could not be saved is sent again
 // and is then new.
 func (s *Server) addReport(body []byte) response {
 	var report tenancy.UsageReport
@@ -40,7 +40,7 @@
 	return okResponse(reportReceipt{report.Number})
 }
 
-// usageList is what one or all tenants used.
+// usageList is the usage of one tenant or of all.
 type usageList struct {
 	Usage []tenancy.Usage `json:"usage"`
 }
@@ -90,7 +90,7 @@
 	return []byte(text.String())
 }
 
-// usageByTenant returns the sums of the tenants, the busiest first, with the least busy ones in one sum at the end.
+// usageByTenant returns the tenants' sums, the busiest first. Those past maxTenantSeries are added up in the last one.
 func (s *Server) usageByTenant() []tenancy.Usage {
 	sums := map[string]tenancy.Usage{}
 	for _, u := range s.ledger.UsageOf("") {
--- a/internal/tenancy/fairqueue.go
+++ b/internal/tenancy/fairqueue.go
@@ -1,8 +1,7 @@
 package tenancy
 
 const (
-	// maxRounds bounds how many rounds the most expensive item waits for, so that a turn does not cost more rounds the
-	// more expensive it is.
+	// maxRounds bounds how many rounds of the ring an item waits for, however expensive it is.
 	maxRounds = 32
 	minWeight = 0.01
 	// minCompaction is how many served items a tenant's queue has at its front before their memory is reused.
@@ -94,7 +93,7 @@
 }
 
 // Next takes out the next item, among those that may go now. mayGo is called for each first item of a tenant
-// that could be served; a tenant whose first item may not go loses its turn, not its place.
+// that could be served; a tenant whose first item may not go loses its turn, but the item stays first.
 func (f *FairQueue[T]) Next(mayGo func(T) bool) (item T, found bool) {
 	for blocked := 0; f.current != nil && blocked < len(f.tenants); {
 		t := f.current
@@ -110,7 +109,7 @@
 			f.nextTurn()
 		case !mayGo(first.item):
 			blocked++
-			t.credit = min(t.credit, first.cost) // credit that can't be used is not saved up
+			t.credit = min(t.credit, first.cost) // unused credit does not accumulate
 			f.nextTurn()
 		default:
 			item = first.item
--- a/internal/tenancy/keys.go
+++ b/internal/tenancy/keys.go
@@ -17,7 +17,7 @@
 	ScopeAdmin Scope = "admin" // the tenant's own part of the administration
 )
 
-// KeyRecord is what is stored of a key, which is never the key itself. Times are in seconds since 1970.
+// KeyRecord is the stored form of a key, without its text. Times are in seconds since 1970.
 type KeyRecord struct {
 	ID        string  `json:"id"`
 	MAC       string  `json:"mac,omitempty"`
@@ -29,7 +29,7 @@
 	Limits    Limits  `json:"limits"`
 }
 
-// A key reads sk-ID-SECRET, both in hexadecimal digits.
+// A key has the form sk-ID-SECRET; the id and the secret are in hexadecimal digits.
 const (
 	keyPrefix      = "sk-"
 	keyIDBytes     = 6
@@ -103,7 +103,7 @@
 	return nil
 }
 
-// RevokeKey ends a key at once, or at a later time, so that a new one can overlap with it.
+// RevokeKey revokes a key at once, or at a later time so that it can overlap with a new one.
 func (r *Registry) RevokeKey(now int64, name string, version uint64, id string, at int64) (*Tenant, error) {
 	t, err := r.find(name, version)
 	if err != nil {
@@ -125,8 +125,8 @@
 	return nil, notFound(CodeNoKey, "the tenant has no key %q", id)
 }
 
-// keyMAC is an HMAC with the server's secret. Keys are random and long, so that a slow hash would add nothing
-// but its cost to each request.
+// keyMAC is an HMAC with the server's secret. Keys are random and long, so a slow hash would only make each
+// request more expensive.
 func keyMAC(secret []byte, key string) string {
 	mac := hmac.New(sha256.New, secret)
 	mac.Write([]byte(key))
--- a/internal/tenancy/ledger.go
+++ b/internal/tenancy/ledger.go
@@ -5,16 +5,16 @@
 	"slices"
 )
 
-// dispatcherTimeout is how long a dispatcher that reports nothing still counts as one that may serve.
+// dispatcherTimeout is after how long without a report a dispatcher counts as dead.
 const dispatcherTimeout = 10 * second
 
-// UsageLedger is the sum of all reports, at the administration.
+// UsageLedger is the administration's sum of all usage reports.
 type UsageLedger struct {
 	Sums    map[string]Usage  `json:"sums"`    // by their keys
 	Numbers map[string]uint64 `json:"numbers"` // of the last report of each dispatcher
 
 	lastReport map[string]Micros          // by dispatcher
-	ended      map[string]map[string]bool // by removed tenant: the dispatchers at which nothing of it runs
+	ended      map[string]map[string]bool // by removed tenant: the dispatchers without running requests of it
 }
 
 // NewUsageLedger returns an empty ledger.
@@ -32,7 +32,7 @@
 	return report.Number <= l.Numbers[report.Dispatcher]
 }
 
-// Preview returns the sums that a report changes, as they will be; none if it was added before.
+// Preview returns the new values of the sums that a report changes; none if it was added before.
 func (l *UsageLedger) Preview(report *UsageReport) []Usage {
 	if l.counted(report) {
 		return nil
@@ -71,7 +71,7 @@
 	l.Numbers[report.Dispatcher] = report.Number
 }
 
-// RemovedEverywhere reports whether each live dispatcher has reported that nothing of a removed tenant runs there.
+// RemovedEverywhere reports whether each live dispatcher has reported that a removed tenant has no running requests.
 func (l *UsageLedger) RemovedEverywhere(now Micros, tenant string) bool {
 	maps.DeleteFunc(l.lastReport, func(_ string, at Micros) bool { return now-at > dispatcherTimeout })
 	for dispatcher := range l.lastReport {
--- a/internal/tenancy/registry.go
+++ b/internal/tenancy/registry.go
@@ -15,17 +15,17 @@
 // States of a tenant.
 const (
 	StateActive    State = "active"
-	StateSuspended State = "suspended" // new requests are rejected; running ones go on
-	StateRemoving  State = "removing"  // keys are invalid; running requests go on or are stopped, by the policy
+	StateSuspended State = "suspended" // new requests are rejected; running ones continue
+	StateRemoving  State = "removing"  // keys are invalid; running requests continue or are stopped, by the policy
 	StateRemoved   State = "removed"   // only its name and its usage are left
 )
 
-// RemovalPolicy says what becomes of the running requests of a tenant that is removed.
+// RemovalPolicy says what happens to the running requests of a tenant that is removed.
 type RemovalPolicy string
 
 // Policies of removal.
 const (
-	RemovalFinish RemovalPolicy = "finish" // they run to their ends
+	RemovalFinish RemovalPolicy = "finish" // they are completed
 	RemovalStop   RemovalPolicy = "stop"   // they are ended at once
 )
 
@@ -53,7 +53,7 @@
 // Registry is the record of all tenants. Its version counts the changes; followers ask for what has changed
 // since one.
 type Registry struct {
-	Epoch       string             `json:"epoch"` // another one means that versions can't be compared
+	Epoch       string             `json:"epoch"` // versions of different epochs can't be compared
 	Version     uint64             `json:"version"`
 	LastID      ID                 `json:"last_id"`
 	Tenants     map[string]*Tenant `json:"tenants"` // by name
@@ -66,7 +66,7 @@
 	return &Registry{Epoch: epoch, Tenants: map[string]*Tenant{}, ChangedIn: map[string]uint64{}}
 }
 
-// Clone returns a deep copy, for dry runs and for changes that may fail half way.
+// Clone returns a deep copy, for dry runs and for changes that may fail.
 func (r *Registry) Clone() *Registry {
 	clone := NewRegistry("")
 	encoded, _ := json.Marshal(r) // its fields can always be encoded, as limits are finite
@@ -84,7 +84,7 @@
 	r.ChangedIn[t.Name] = r.Version
 }
 
-// Create adds a tenant. The same creation again, as after an answer that was lost, changes nothing. An error is a
+// Create adds a tenant. A repeated creation, as after a lost answer, changes nothing. An error is a
 // *ChangeError, as with all changes.
 func (r *Registry) Create(now int64, name string, limits Limits, products map[string]Limits) (
 	t *Tenant, created bool, err error,
@@ -123,7 +123,7 @@
 	return len(a) == 0 && len(b) == 0 || reflect.DeepEqual(a, b)
 }
 
-// find returns a tenant for a change that was made against a version of it; 0 is any version.
+// find returns a tenant to change. It must have the version that the change was made for; 0 is any version.
 func (r *Registry) find(name string, version uint64) (*Tenant, error) {
 	t := r.Tenants[name]
 	if t == nil {
@@ -167,7 +167,7 @@
 	return t, nil
 }
 
-// Suspend takes a tenant out of service: its new requests are rejected.
+// Suspend takes a tenant out of service: new requests are rejected.
 func (r *Registry) Suspend(name string, version uint64) (*Tenant, error) {
 	return r.setState(name, version, StateSuspended)
 }
@@ -198,9 +198,9 @@
 	if policy != RemovalFinish && policy != RemovalStop {
 		return nil, invalid(CodeInvalidPolicy, "policy", "must be %q or %q", RemovalFinish, RemovalStop)
 	}
-	// A removal can be made stricter while it is under way, not milder.
-	underWay := t.State == StateRemoving && (t.Removal == policy || policy == RemovalFinish)
-	if t.State == StateRemoved || underWay {
+	// A removal in progress can be made stricter, not milder.
+	inProgress := t.State == StateRemoving && (t.Removal == policy || policy == RemovalFinish)
+	if t.State == StateRemoved || inProgress {
 		return t, nil
 	}
 	t.State, t.Removal, t.Keys = StateRemoving, policy, nil
--- a/internal/tenancy/update.go
+++ b/internal/tenancy/update.go
@@ -10,7 +10,7 @@
 	PublicTexts []string  `json:"public_texts"`
 }
 
-// UpdateSince returns what a follower of a version has missed, or everything if that version is not known.
+// UpdateSince returns what a follower with a version has missed, or a complete update if that version is not known.
 func (r *Registry) UpdateSince(epoch string, version uint64) Update {
 	update := Update{
 		Epoch:       r.Epoch,
