--- a/internal/cli/admin.go
+++ b/internal/cli/admin.go
@@ -12,7 +12,6 @@
 	"plumspindle/internal/testbed/scenarios"
 )
 
-//nolint:lll // a struct tag is one line
 type adminCommand struct {
 	Listen    string `default:"127.0.0.1:8070" help:"Address of the administration, loopback only; port 0 picks one. Dispatchers follow it here too."`
 	Records   string `required:"" type:"path" help:"Folder that tenants, usage and the log of changes are stored in."`
--- a/internal/cli/bench.go
+++ b/internal/cli/bench.go
@@ -14,7 +14,6 @@
 	"plumspindle/internal/eventloop"
 )
 
-//nolint:lll // a struct tag is one line
 type benchCommand struct {
 	Rate    float64       `default:"160" help:"Requests a second, half of them through the dispatcher and half straight to the endpoints."`
 	For     time.Duration `default:"15s" help:"How long to ask at that rate."`
--- a/internal/cli/fairness.go
+++ b/internal/cli/fairness.go
@@ -16,7 +16,6 @@
 	"plumspindle/internal/testbed/scenarios"
 )
 
-//nolint:lll // a struct tag is one line
 type fairnessCommand struct {
 	Seeds       int       `default:"8" help:"Runs of each sort, whose tenants' times are put together."`
 	Rate        float64   `default:"18" help:"Requests a second of all three tenants without a flood."`
--- a/internal/cli/hosts.go
+++ b/internal/cli/hosts.go
@@ -12,7 +12,6 @@
 	"plumspindle/internal/testbed/scenarios"
 )
 
-//nolint:lll // a struct tag is one line
 type hostsCommand struct {
 	Deployment string `type:"existingfile" help:"Deployment with a fleet; the built-in one if none is given."`
 	Roster     string `default:"127.0.0.1:8090" help:"Address that discovery listens on, loopback only; port 0 picks one. Empty: no discovery, for use with --list-out."`
--- a/internal/cli/program.go
+++ b/internal/cli/program.go
@@ -26,8 +26,6 @@
 )
 
 // commands is the root of the command line; kong derives the names of commands and flags from its fields.
-//
-//nolint:lll // a struct tag is one line
 type commands struct {
 	LogLevel string `enum:"debug,info,warn,error" default:"info" help:"Lowest level that is logged, on standard error: ${enum}."`
 
--- a/internal/cli/restarts.go
+++ b/internal/cli/restarts.go
@@ -16,7 +16,6 @@
 	"plumspindle/internal/testbed/scenarios"
 )
 
-//nolint:lll // a struct tag is one line
 type restartsCommand struct {
 	Ages        []time.Duration `default:"1s,1m,1h,24h" help:"How old the cached lists are when the dispatchers come back."`
 	Replaced    []float64       `default:"0,0.2,0.8" help:"Shares of the endpoints that were replaced by others meanwhile."`
--- a/internal/cli/roster.go
+++ b/internal/cli/roster.go
@@ -13,7 +13,6 @@
 	"plumspindle/internal/testbed/scenarios"
 )
 
-//nolint:lll // a struct tag is one line
 type rosterCommand struct {
 	List      string `arg:"" type:"existingfile" help:"File with the endpoint list, as JSON: {\"hosts\":[{\"id\":1,\"addr\":\"127.0.0.1:9001\",\"zone\":...,\"kind\":...,\"cell\":0,\"condition\":\"ready\"}]}. It is read again when it changes."`
 	Listen    string `default:"127.0.0.1:8090" help:"Address that discovery listens on, loopback only; port 0 picks one."`
--- a/internal/cli/scenario.go
+++ b/internal/cli/scenario.go
@@ -12,7 +12,6 @@
 // maxLocalDispatchers is how many dispatcher processes one machine can run.
 const maxLocalDispatchers = 64
 
-//nolint:lll // a struct tag is one line
 type dayCommand struct {
 	Name        string `arg:"" help:"A built-in scenario (${days}) or a file with a scenario's script. Faults that a script may name: ${troubles}."`
 	Seed        int64  `default:"1" help:"Seed of all random choices."`
--- a/internal/cli/serve.go
+++ b/internal/cli/serve.go
@@ -30,7 +30,6 @@
 	localShutdownTimeout = 30 * time.Second // of a dispatcher that runs beside its endpoints
 )
 
-//nolint:lll // a struct tag is one line
 type serveCommand struct {
 	Deployment string        `type:"existingfile" help:"Deployment, as protobuf text format; the built-in one if none is given."`
 	Listen     string        `default:"127.0.0.1:8080" help:"Address for clients, loopback only; port 0 picks one."`
--- a/internal/cli/sim.go
+++ b/internal/cli/sim.go
@@ -16,7 +16,6 @@
 	"plumspindle/internal/testbed/scenarios"
 )
 
-//nolint:lll // a struct tag is one line
 type simCommand struct {
 	Run     simRun           `cmd:"" help:"Run scenarios whose faults are drawn from seeds, and check every rule."`
 	Replay  simReplay        `cmd:"" help:"Run one scenario again, from its seed or its script."`
--- a/internal/cli/store.go
+++ b/internal/cli/store.go
@@ -8,7 +8,6 @@
 	"plumspindle/internal/store"
 )
 
-//nolint:lll // a struct tag is one line
 type storeCommand struct {
 	Check   storeCheck   `cmd:"" help:"Recover a store as at a start, and say what is in it. A torn end is cut off, as a start would."`
 	Dump    storeDump    `cmd:"" help:"Print all keys and values, quoted, in order."`
--- a/internal/cli/tenants.go
+++ b/internal/cli/tenants.go
@@ -9,7 +9,6 @@
 	"time"
 )
 
-//nolint:lll // a struct tag is one line
 type tenantCommand struct {
 	Admin  string `default:"http://127.0.0.1:8070" env:"PLUMSPINDLE_ADMIN" help:"Address of the administration."`
 	Key    string `required:"" env:"PLUMSPINDLE_ADMIN_KEY" help:"An operator's key; better given by the environment than on the command line."`
@@ -28,8 +27,6 @@
 }
 
 // limitFlags are those of a tenant's limits; a limit that is not named is left as it is.
-//
-//nolint:lll // a struct tag is one line
 type limitFlags struct {
 	Share         *float64 `help:"Requests a second that come before all others' surplus, over all dispatchers; 0 for no limit."`
 	Weight        *float64 `help:"Weight of its turns for what is beyond the shares."`
@@ -93,7 +90,7 @@
 	}
 	tenantRemove struct {
 		Name   string `arg:""`
-		Policy string `enum:"finish,stop" default:"finish" help:"finish: what runs goes on to its end. stop: it is given its final answer now."` //nolint:lll // one tag
+		Policy string `enum:"finish,stop" default:"finish" help:"finish: what runs goes on to its end. stop: it is given its final answer now."`
 	}
 	tenantUsage struct {
 		Name string `arg:""`
--- a/internal/cli/up.go
+++ b/internal/cli/up.go
@@ -14,7 +14,6 @@
 	"plumspindle/internal/testbed/scenarios"
 )
 
-//nolint:lll // a struct tag is one line
 type upCommand struct {
 	Listen    string `default:"127.0.0.1:8080" help:"Address for clients, loopback only; port 0 picks one."`
 	Admin     string `default:"127.0.0.1:0" help:"Address of the administration, loopback only; port 0 picks one."`
