--- a/internal/dispatch/admission.go
+++ b/internal/dispatch/admission.go
@@ -13,7 +13,7 @@
 ) (admitted bool, problem *frontend.Problem) {
 	slot := d.tenantSlots[identity.Tenant]
 	if slot == nil || !identity.Active {
-		return false, tenantSuspended()
+		return false, frontend.TenantSuspended()
 	}
 	r.tenant = slot
 	now := d.loop.Now()
@@ -30,9 +30,9 @@
 		r.ticket = ticket
 		return decision.Admitted, nil
 	case tenancy.PromptTooLarge:
-		return false, promptTooLarge("messages", "The prompt has more tokens than this account may ask for.")
+		return false, frontend.PromptTooLarge("messages", "The prompt has more tokens than this account may ask for.")
 	case tenancy.NotServed:
-		return false, tenantSuspended()
+		return false, frontend.TenantSuspended()
 	}
 	d.OverQuota++
 	d.usage.Add(tenancy.Usage{Tenant: slot.name, Product: r.chat.Model, Day: tenancy.Day(now), Rejected: 1})
@@ -40,26 +40,6 @@
 	return false, nil
 }
 
-func tenantSuspended() *frontend.Problem {
-	return &frontend.Problem{
-		Status:  403,
-		Type:    "permission_error",
-		Code:    "tenant_suspended",
-		NoRetry: true,
-		Message: "This account is suspended.",
-	}
-}
-
-func promptTooLarge(param, message string) *frontend.Problem {
-	return &frontend.Problem{
-		Status:  400,
-		Type:    "invalid_request_error",
-		Param:   param,
-		Code:    "prompt_too_large",
-		Message: message,
-	}
-}
-
 // queue has a request wait until its tenant's turn comes.
 func (d *Dispatcher) queue(r *request) {
 	r.State = lifecycle.Queued
--- a/internal/dispatch/batch_answer.go
+++ b/internal/dispatch/batch_answer.go
@@ -95,12 +95,7 @@
 func (c *batchCall) rejectForMemory() {
 	c.dispatcher.Rejected++
 	c.closeAs(lifecycle.AnswerRejected)
-	c.response.SendProblem(&frontend.Problem{
-		Status:  429,
-		Type:    "rate_limit_error",
-		Code:    "throttled",
-		Message: "The service is busy. Please try again.",
-	})
+	c.response.SendProblem(frontend.OverloadedMidway())
 }
 
 // rejectOverQuota answers a call of which nothing was sent and that its tenant's limits reject.
@@ -109,7 +104,7 @@
 		return
 	}
 	if decision.Reason == tenancy.PromptTooLarge {
-		c.failWith(promptTooLarge("input", "An input has more tokens than this account may ask for."))
+		c.failWith(frontend.PromptTooLarge("input", "An input has more tokens than this account may ask for."))
 		return
 	}
 	c.dispatcher.Rejected++
@@ -138,13 +133,6 @@
 	if c.request.Kind == embeddings.Rerank {
 		list = "documents"
 	}
-	param := fmt.Sprintf("%s[%d]", list, slices.Index(c.request.Order, int32(c.parts.FailedInput)))
-	c.failWith(&frontend.Problem{
-		Status:  422,
-		Type:    "invalid_request_error",
-		Param:   param,
-		Code:    "input_not_served",
-		NoRetry: true,
-		Message: fmt.Sprintf("'%s' could not be read; the others could.", param),
-	})
+	place := slices.Index(c.request.Order, int32(c.parts.FailedInput))
+	c.failWith(frontend.InputNotServed(fmt.Sprintf("%s[%d]", list, place)))
 }
--- a/internal/dispatch/batch_call.go
+++ b/internal/dispatch/batch_call.go
@@ -95,11 +95,11 @@
 	}
 	slot := d.tenantSlots[c.identity.Tenant]
 	if slot == nil || !c.identity.Active {
-		return tenantSuspended()
+		return frontend.TenantSuspended()
 	}
 	if d.batches.openCalls >= int(d.Deployment.Doors.OpenMost) {
 		d.Shed++
-		return frontend.TooManyConnections()
+		return frontend.Overloaded()
 	}
 	timeout := milliseconds(product.TimeLimitMs)
 	if c.clientLimit > 0 {
--- a/internal/dispatch/idempotency.go
+++ b/internal/dispatch/idempotency.go
@@ -88,28 +88,21 @@
 	return milliseconds(d.Deployment.Doors.RememberMs)
 }
 
-func invalidIdempotencyKey(status int, code, message string) *frontend.Problem {
-	return &frontend.Problem{
-		Status:  status,
-		Type:    "invalid_request_error",
-		Param:   idempotencyKeyField,
-		Code:    code,
-		Message: message,
-	}
-}
-
 func idempotencyKeyTooLong() *frontend.Problem {
-	return invalidIdempotencyKey(400, "invalid_value",
-		fmt.Sprintf("The Idempotency-Key is longer than %d bytes.", maxIdempotencyKeyLength))
+	return frontend.Invalid(idempotencyKeyField, "invalid_value",
+		"The Idempotency-Key is longer than %d bytes.", maxIdempotencyKeyLength)
 }
 
 func idempotencyKeyReused() *frontend.Problem {
-	return invalidIdempotencyKey(422, "idempotency_key_reused", "The Idempotency-Key was used for another request.")
+	problem := frontend.Invalid(idempotencyKeyField, "idempotency_key_reused",
+		"The Idempotency-Key was used for another request.")
+	problem.Status = 422
+	return problem
 }
 
 func idempotencyKeyAlreadyRan() *frontend.Problem {
-	problem := invalidIdempotencyKey(409, "already_ran", "The generation of this Idempotency-Key ran, or may have run, "+
-		"and is not run again; its answer is no longer here.")
-	problem.NoRetry = true
+	problem := frontend.Invalid(idempotencyKeyField, "already_ran",
+		"The generation of this Idempotency-Key ran, or may have run, and is not run again; its answer is no longer here.")
+	problem.Status, problem.NoRetry = 409, true
 	return problem
 }
--- a/internal/frontend/errors.go
+++ b/internal/frontend/errors.go
@@ -13,6 +13,7 @@
 // Types of errors, as clients see them.
 const (
 	typeInvalidRequest = "invalid_request_error"
+	typePermission     = "permission_error"
 	typeRateLimit      = "rate_limit_error"
 	typeServer         = "server_error"
 )
@@ -75,13 +76,41 @@
 	return text
 }
 
-// TooManyConnections returns the problem of a request that is rejected for lack of capacity; nothing of it has run.
-func TooManyConnections() *Problem {
+// Overloaded returns the problem of a request that is rejected for lack of capacity; nothing of it has run.
+func Overloaded() *Problem { return overloaded("The service is busy; nothing was run. Please try again.") }
+
+// OverloadedMidway returns the problem of a request that is rejected for lack of capacity when parts of it may have run.
+func OverloadedMidway() *Problem { return overloaded("The service is busy. Please try again.") }
+
+func overloaded(message string) *Problem {
+	return &Problem{Status: 429, Type: typeRateLimit, Code: "throttled", Message: message}
+}
+
+// TenantSuspended returns the problem of a request whose tenant is not served now.
+func TenantSuspended() *Problem {
 	return &Problem{
-		Status:  429,
-		Type:    typeRateLimit,
-		Code:    "throttled",
-		Message: "The service is busy; nothing was run. Please try again.",
+		Status:  403,
+		Type:    typePermission,
+		Code:    "tenant_suspended",
+		NoRetry: true,
+		Message: "This account is suspended.",
+	}
+}
+
+// PromptTooLarge returns the problem of a request with more tokens in a parameter than its tenant may send.
+func PromptTooLarge(param, message string) *Problem {
+	return Invalid(param, "prompt_too_large", "%s", message)
+}
+
+// InputNotServed returns the problem of a call with many inputs of which no endpoint could process one.
+func InputNotServed(param string) *Problem {
+	return &Problem{
+		Status:  422,
+		Type:    typeInvalidRequest,
+		Param:   param,
+		Code:    "input_not_served",
+		NoRetry: true,
+		Message: fmt.Sprintf("'%s' could not be read; the others could.", param),
 	}
 }
 
@@ -175,7 +204,7 @@
 
 // BusyResponse returns the response to a connection that is not served for lack of capacity; nothing has run.
 func BusyResponse() []byte {
-	problem := TooManyConnections()
+	problem := Overloaded()
 	fields := append(retryFields(0), "Connection", "close", "Content-Type", "application/json")
 	return http1.AppendResponse(nil, problem.Status, problem.Body(), fields...)
 }
--- a/internal/frontend/response.go
+++ b/internal/frontend/response.go
@@ -72,7 +72,7 @@
 // Reject gives the final answer to a request of which nothing has run and which may come again, after a while if
 // retryAfter is above 0.
 func (r *Response) Reject(retryAfter eventloop.Micros) {
-	r.end(TooManyConnections(), retryFields(retryAfter)...)
+	r.end(Overloaded(), retryFields(retryAfter)...)
 }
 
 // Fail gives the final answer to a request that failed. The client learns whether it may retry, as common client
