--- a/internal/cli/serve.go
+++ b/internal/cli/serve.go
@@ -129,7 +129,7 @@
 	p := &dispatcherProcess{loop: loop, log: log}
 	config := c.config(p, dep)
 	config.Secret = secret
-	loop.OverloadResponse = frontend.BusyResponse()
+	loop.OverloadResponse = frontend.OverloadedResponse()
 	if c.StateDir != "" {
 		if config.Intents, err = p.openState(c.StateDir); err != nil {
 			p.close()
--- a/internal/dispatch/batch_answer.go
+++ b/internal/dispatch/batch_answer.go
@@ -5,7 +5,6 @@
 	"maps"
 	"slices"
 
-	"plumspindle/internal/embeddings"
 	"plumspindle/internal/eventloop"
 	"plumspindle/internal/frontend"
 	"plumspindle/internal/lifecycle"
@@ -129,10 +128,6 @@
 		c.failRetryable("Some of the call's inputs could not be read.")
 		return
 	}
-	list := "input"
-	if c.request.Kind == embeddings.Rerank {
-		list = "documents"
-	}
 	place := slices.Index(c.request.Order, int32(c.parts.FailedInput))
-	c.failWith(frontend.InputNotServed(fmt.Sprintf("%s[%d]", list, place)))
+	c.failWith(frontend.InputNotServed(fmt.Sprintf("%s[%d]", c.request.Kind.ListName(), place)))
 }
--- a/internal/dispatch/batch_call.go
+++ b/internal/dispatch/batch_call.go
@@ -148,7 +148,7 @@
 func (c *batchCall) growAnswer() bool {
 	inputs, known := len(c.request.Inputs), len(c.answer.Vectors)
 	b := &c.dispatcher.batches
-	bytes := vectorBytes(c.dimensions) * (inputs - known)
+	bytes := embeddings.VectorBytes(c.dimensions) * (inputs - known)
 	if b.answerBytes+bytes > maxBatchAnswerBytes {
 		return false
 	}
--- a/internal/dispatch/batch_manager.go
+++ b/internal/dispatch/batch_manager.go
@@ -5,6 +5,7 @@
 
 	"plumspindle/internal/batch"
 	"plumspindle/internal/deployment/pb"
+	"plumspindle/internal/embeddings"
 	"plumspindle/internal/eventloop"
 	"plumspindle/internal/vectors"
 )
@@ -34,7 +35,7 @@
 	queued int // parts that wait for admission
 }
 
-// vectorCacheKey tells one cache from another; no two tenants share one.
+// vectorCacheKey identifies a cache; no two tenants share one.
 type vectorCacheKey struct {
 	space      string
 	dimensions int
@@ -56,15 +57,12 @@
 		if len(b.caches) >= maxVectorCaches {
 			b.caches = slices.Delete(b.caches, 0, 1)
 		}
-		cache = &vectorCache{key, vectors.New(vectorBytes(dimensions), int(b.limits.Cache))}
+		cache = &vectorCache{key, vectors.New(embeddings.VectorBytes(dimensions), int(b.limits.Cache))}
 	}
 	b.caches = append(b.caches, cache)
 	return cache.Cache
 }
 
-// vectorBytes is the size of a vector: its numbers have four bytes each.
-func vectorBytes(dimensions int) int { return 4 * dimensions }
-
 // callsOf returns a tenant's calls.
 func (b *batchManager) callsOf(slot *tenantSlot) *tenantBatches {
 	for _, calls := range b.tenants {
--- a/internal/dispatch/chat.go
+++ b/internal/dispatch/chat.go
@@ -164,7 +164,7 @@
 	response.OnDrained = func() { d.fire(r, lifecycle.ClientCaughtUp) }
 }
 
-// scheduleHeartbeat keeps intermediaries from taking a stream that has nothing to say yet for dead.
+// scheduleHeartbeat sends comments on a stream that has no events yet, so that intermediaries don't time it out.
 func (d *Dispatcher) scheduleHeartbeat(r *request, response *frontend.Response, interval eventloop.Micros) {
 	r.heartbeatTimer = d.loop.AfterFunc(interval, func() {
 		if response.Heartbeat() {
@@ -198,7 +198,7 @@
 	}
 	d.fire(r, lifecycle.ClientCaughtUp) // the client that left may have been the one that lagged
 	if len(r.responses) == 0 && r.orphanedBytes == 0 {
-		r.orphanedBytes = len(r.chat.Passthrough) // no connection counts its body any more, and it is still in memory
+		r.orphanedBytes = len(r.chat.Passthrough) // no connection counts its body, which is still in memory
 		d.frontend.BufferedBytes += r.orphanedBytes
 	}
 }
--- a/internal/dispatch/dispatcher.go
+++ b/internal/dispatch/dispatcher.go
@@ -56,7 +56,7 @@
 	config     Config
 	engine     *engine.Engine
 	frontend   *frontend.Server
-	onDrained  func() // what to do once nothing runs any more; set by Shutdown
+	onDrained  func() // what to do once no request is open; set by Shutdown
 
 	scheduler       *scheduler.Scheduler
 	schedulerConfig scheduler.Config
@@ -156,8 +156,8 @@
 	routes := frontend.ModelRoutes(d.Models)
 	isPublic := func(digest string) bool { return d.directory.IsPublicText(digest) }
 	routes[chat.Path] = chat.Route(isPublic, d.HandleChat)
-	routes["/v1/embeddings"] = d.batchRoute(embeddings.Embeddings, pb.Product_EMBEDDING)
-	routes["/v1/rerank"] = d.batchRoute(embeddings.Rerank, pb.Product_RERANK)
+	routes[embeddings.Embeddings.Path()] = d.batchRoute(embeddings.Embeddings, pb.Product_EMBEDDING)
+	routes[embeddings.Rerank.Path()] = d.batchRoute(embeddings.Rerank, pb.Product_RERANK)
 	return routes
 }
 
@@ -230,7 +230,7 @@
 	d.finishShutdown()
 }
 
-// finishShutdown ends a shutdown once nothing runs any more.
+// finishShutdown ends a shutdown once no request and no batch call is open.
 func (d *Dispatcher) finishShutdown() {
 	if d.onDrained == nil || len(d.requests) > 0 || d.batches.openCalls > 0 {
 		return
--- a/internal/dispatch/idempotency.go
+++ b/internal/dispatch/idempotency.go
@@ -45,7 +45,7 @@
 	return false, idempotencyKeyAlreadyRan()
 }
 
-// requestDigest tells one request under a key from another. Digests are stored: their form must not change.
+// requestDigest identifies a request among those with the same key. Digests are stored: their form must not change.
 func requestDigest(r *request) uint64 {
 	form := fmt.Sprint(r.chat.Stream, r.chat.IncludeUsage, r.chat.MaxTokens, " ")
 	return xxhash.Sum64String(form + string(r.chat.Passthrough))
--- a/internal/dispatch/request.go
+++ b/internal/dispatch/request.go
@@ -11,7 +11,7 @@
 	"plumspindle/scheduler"
 )
 
-// request is one request's state in the dispatcher. The scheduler has its own; nothing stands in both.
+// request is one request's state in the dispatcher. What the scheduler knows of a request it stores itself.
 type request struct {
 	lifecycle.Machine
 	id              scheduler.RequestID
@@ -86,7 +86,8 @@
 	})
 }
 
-// forget ends what is left of a request.
+// forget ends a request that has its final answer or has lost its client: its timers, its idempotency key and its
+// admission.
 func (d *Dispatcher) forget(r *request) {
 	r.stopTimers()
 	if r.part != nil && r.finalAction == 0 {
--- a/internal/embeddings/inputs.go
+++ b/internal/embeddings/inputs.go
@@ -37,7 +37,7 @@
 
 // readElement reads one of the inputs.
 func (r *Request) readElement(name string, raw []byte) *frontend.Problem {
-	if name != r.Kind.list() {
+	if name != r.Kind.ListName() {
 		return frontend.UnknownParameter(name)
 	}
 	path := fmt.Sprintf("%s[%d]", name, len(r.Order))
@@ -97,7 +97,7 @@
 }
 
 func (r *Request) addLooseToken(raw []byte, value gjson.Result) *frontend.Problem {
-	list := r.Kind.list()
+	list := r.Kind.ListName()
 	if !isToken(value) {
 		return invalidToken(list)
 	}
@@ -118,7 +118,7 @@
 	r.loose = looseTokens{}
 	raw := append([]byte{'['}, loose.raw...)
 	raw[len(raw)-1] = ']'
-	return r.add(r.Kind.list(), raw, loose.count)
+	return r.add(r.Kind.ListName(), raw, loose.count)
 }
 
 func isToken(value gjson.Result) bool {
@@ -184,12 +184,10 @@
 	body = append(body, `{"model":`...)
 	body = appendString(body, r.Model)
 	if r.Kind == Rerank {
-		path = "/v1/rerank"
 		body = append(body, `,"query":`...)
 		body = appendString(body, r.Query)
 		body = append(body, `,"documents":[`...)
 	} else {
-		path = "/v1/embeddings"
 		body = fmt.Appendf(body, `,"encoding_format":"base64","dimensions":%d,"input":[`, dimensions)
 	}
 	for n, i := range inputs {
@@ -198,7 +196,7 @@
 		}
 		body = append(body, r.Inputs[i].Raw...)
 	}
-	return path, append(body, "]}"...)
+	return r.Kind.Path(), append(body, "]}"...)
 }
 
 // CountTokens returns how many tokens are read for some inputs: a query is read with each document.
--- a/internal/embeddings/part.go
+++ b/internal/embeddings/part.go
@@ -13,6 +13,9 @@
 // bytesPerDimension is the size of a 32-bit float.
 const bytesPerDimension = 4
 
+// VectorBytes returns the size of a vector.
+func VectorBytes(dimensions int) int { return bytesPerDimension * dimensions }
+
 // Why an endpoint's response to a part is not taken.
 var (
 	errNotJSON        = errors.New("response is not JSON")
@@ -121,7 +124,7 @@
 	default:
 		return nil, errNoVector
 	}
-	if len(vector) != bytesPerDimension*dimensions {
+	if len(vector) != VectorBytes(dimensions) {
 		return nil, fmt.Errorf("%w: %d bytes for %d dimensions", errVectorSize, len(vector), dimensions)
 	}
 	for i := 0; i < len(vector); i += bytesPerDimension {
--- a/internal/embeddings/request.go
+++ b/internal/embeddings/request.go
@@ -24,8 +24,16 @@
 	Rerank
 )
 
-// list returns the name of the member that holds the inputs.
-func (k Kind) list() string {
+// Path returns the API's one URL, both of clients and of endpoints.
+func (k Kind) Path() string {
+	if k == Rerank {
+		return "/v1/rerank"
+	}
+	return "/v1/embeddings"
+}
+
+// ListName returns the name of the member that holds the inputs.
+func (k Kind) ListName() string {
 	if k == Rerank {
 		return "documents"
 	}
@@ -87,7 +95,7 @@
 		places:   map[vectors.Key]int32{},
 	}
 	r.scanner = scanner{
-		lists:    []string{Embeddings.list(), Rerank.list()},
+		lists:    []string{Embeddings.ListName(), Rerank.ListName()},
 		maxValue: min(limits.MaxInputTokens*maxBytesPerToken+maxValueOverhead, limits.MaxBody),
 		member:   r.readMember,
 		element:  r.readElement,
@@ -226,7 +234,7 @@
 }
 
 func (r *Request) checkRequired() *frontend.Problem {
-	list := r.Kind.list()
+	list := r.Kind.ListName()
 	switch {
 	case r.Model == "":
 		return frontend.MissingParameter("model")
--- a/internal/frontend/body.go
+++ b/internal/frontend/body.go
@@ -13,7 +13,7 @@
 	End() *Problem
 }
 
-// BufferedBody is a Sink that collects the body and hands it over as a whole.
+// BufferedBody is a Sink that collects the body and passes it to Handle once it is complete.
 type BufferedBody struct {
 	body   []byte
 	Handle func(body []byte) *Problem
@@ -74,13 +74,13 @@
 	return true
 }
 
-// releaseBuffer counts nothing of the body as buffered any more.
+// releaseBuffer takes the body off the count of buffered bytes.
 func (r *Response) releaseBuffer() {
 	r.connection.server.BufferedBytes -= r.buffered
 	r.buffered = 0
 }
 
-// PauseBody stops or resumes the reading of the request's body, for a Sink that has enough to go on with.
+// PauseBody stops or resumes the reading of the request's body, for a Sink that has buffered enough.
 func (r *Response) PauseBody(on bool) {
 	c := r.connection
 	if r.received || r.done || r.bodyPaused == on {
--- a/internal/frontend/connection.go
+++ b/internal/frontend/connection.go
@@ -34,14 +34,14 @@
 		c.conn.Close()
 		return
 	}
-	if s.full() {
+	if s.atLimit() {
 		s.evictIdle()
 	}
-	if s.overfull() {
+	if s.aboveOverflow() {
 		c.closing = true
-		c.conn.Write(BusyResponse())
+		c.conn.Write(OverloadedResponse())
 		// What the client sends is taken in meanwhile, as a reset would overtake the response.
-		c.timeout.Set(s.loop, busyLinger, func() { c.conn.Close() })
+		c.timeout.Set(s.loop, overloadedLinger, func() { c.conn.Close() })
 		return
 	}
 	s.opened++
@@ -94,7 +94,7 @@
 	}
 }
 
-// evictable reports whether the connection has waited for a request for long enough to make way for another.
+// evictable reports whether the connection has waited for a request for long enough to be evicted for another.
 func (c *connection) evictable() bool {
 	idle := c.response == nil && !c.closing && c.parser.Idle()
 	return idle && c.server.loop.Now()-c.idleSince > minEvictionIdle
@@ -120,7 +120,7 @@
 	}
 	c.closing = true
 	if response := c.response; response != nil {
-		if response.received { // two answers could not be told apart by the client
+		if response.received { // the client could not match two answers to its requests
 			response.disconnect()
 			c.conn.Abort()
 			return
--- a/internal/frontend/errors.go
+++ b/internal/frontend/errors.go
@@ -77,9 +77,11 @@
 }
 
 // Overloaded returns the problem of a request that is rejected for lack of capacity; nothing of it has run.
-func Overloaded() *Problem { return overloaded("The service is busy; nothing was run. Please try again.") }
+func Overloaded() *Problem {
+	return overloaded("The service is busy; nothing was run. Please try again.")
+}
 
-// OverloadedMidway returns the problem of a request that is rejected for lack of capacity when parts of it may have run.
+// OverloadedMidway returns the problem of a request that is rejected for lack of capacity after parts of it have run.
 func OverloadedMidway() *Problem { return overloaded("The service is busy. Please try again.") }
 
 func overloaded(message string) *Problem {
@@ -202,8 +204,8 @@
 	return &Problem{Status: 415, Type: typeInvalidRequest, Code: code, Message: message}
 }
 
-// BusyResponse returns the response to a connection that is not served for lack of capacity; nothing has run.
-func BusyResponse() []byte {
+// OverloadedResponse returns the response to a connection that is not served for lack of capacity; nothing has run.
+func OverloadedResponse() []byte {
 	problem := Overloaded()
 	fields := append(retryFields(0), "Connection", "close", "Content-Type", "application/json")
 	return http1.AppendResponse(nil, problem.Status, problem.Body(), fields...)
--- a/internal/frontend/limits.go
+++ b/internal/frontend/limits.go
@@ -23,8 +23,8 @@
 	minEvictionIdle = eventloop.Second
 	// idleRecheck is when the closing of an idle connection is tried again on which something has just arrived.
 	idleRecheck = 50 * eventloop.Millisecond
-	// busyLinger is how long a connection that is not served may take to read the answer that says so.
-	busyLinger = 200 * eventloop.Millisecond
+	// overloadedLinger is how long a connection that is not served may take to read the answer that says so.
+	overloadedLinger = 200 * eventloop.Millisecond
 	// overflowShare: for MaxConnections/overflowShare connections beyond MaxConnections requests are read, and rejected.
 	overflowShare = 8
 	// extendEveryBytes is how much of a long body grants it MessageTimeout anew.
--- a/internal/frontend/response.go
+++ b/internal/frontend/response.go
@@ -27,7 +27,7 @@
 	OnDrained func()
 }
 
-// Done reports whether the final answer was given, or nobody waits for one.
+// Done reports whether the final answer was given, or the client has disconnected.
 func (r *Response) Done() bool { return r.done }
 
 // Started reports whether the first byte of a streamed answer has been sent.
@@ -114,7 +114,7 @@
 		return
 	}
 	fields = append(fields, "Content-Type", "application/json")
-	r.keepAlive = r.keepAlive && !r.connection.server.crowded()
+	r.keepAlive = r.keepAlive && !r.connection.server.aboveLimit()
 	if !r.keepAlive {
 		fields = append(fields, "Connection", "close")
 	}
@@ -138,7 +138,7 @@
 	c.closeWithin(c.server.limits.StallTimeout)
 }
 
-// disconnect ends a request whose client waits no more.
+// disconnect ends a request whose client has disconnected, and reports that to its owner.
 func (r *Response) disconnect() {
 	if r.done {
 		return
@@ -149,13 +149,13 @@
 	}
 }
 
-// abandon ends a request without a callback.
+// abandon ends a request without an answer, and without reporting it to its owner.
 func (r *Response) abandon() {
 	r.settle()
 	r.connection.response = nil
 }
 
-// settle counts the request as open, and its body as buffered, no more.
+// settle marks the request as done and takes it off the counts of open requests and buffered bytes.
 func (r *Response) settle() {
 	r.releaseBuffer()
 	r.done = true
--- a/internal/frontend/routes.go
+++ b/internal/frontend/routes.go
@@ -23,7 +23,7 @@
 
 // begin finds the route of a request and who makes it.
 func (s *Server) begin(head *http1.Head, response *Response) (Sink, *Problem) {
-	if s.shuttingDown || s.crowded() { // nothing ran: another dispatcher takes it
+	if s.shuttingDown || s.aboveLimit() { // nothing ran: another dispatcher takes it
 		response.keepAlive = false
 		return &discardingSink{end: func() { response.Reject(0) }}, nil
 	}
--- a/internal/frontend/server.go
+++ b/internal/frontend/server.go
@@ -105,19 +105,23 @@
 	return path
 }
 
-// crowded reports whether clients have more connections than they may.
-func (s *Server) crowded() bool { return s.MaxConnections > 0 && len(s.connections) > s.MaxConnections }
+// aboveLimit reports whether clients have more connections than they may.
+func (s *Server) aboveLimit() bool {
+	return s.MaxConnections > 0 && len(s.connections) > s.MaxConnections
+}
 
-// full reports whether clients have all connections that they may.
-func (s *Server) full() bool { return s.MaxConnections > 0 && len(s.connections) >= s.MaxConnections }
+// atLimit reports whether clients have all connections that they may.
+func (s *Server) atLimit() bool {
+	return s.MaxConnections > 0 && len(s.connections) >= s.MaxConnections
+}
 
-// overfull reports whether there are so many connections that a further one is not even read from.
-func (s *Server) overfull() bool {
+// aboveOverflow reports whether there are so many connections that a further one is closed without being read.
+func (s *Server) aboveOverflow() bool {
 	return s.MaxConnections > 0 && len(s.connections) >= s.MaxConnections+s.MaxConnections/overflowShare+1
 }
 
-// evictIdle closes the connection that has waited for a request for longest, if that is a while. One on which something
-// has just arrived is not idle any more.
+// evictIdle closes the oldest connection that has been idle for minEvictionIdle at least. A connection whose data has
+// arrived and is not read yet does not count as idle; the next one is tried then.
 func (s *Server) evictIdle() {
 	for {
 		oldest := s.oldestIdle()
--- a/internal/testbed/load/batches.go
+++ b/internal/testbed/load/batches.go
@@ -16,8 +16,6 @@
 )
 
 const (
-	embeddingsPath   = "/v1/embeddings"
-	rerankPath       = "/v1/rerank"
 	rerankQuery      = "why?"
 	maxBatchAttempts = 2 * maxAttempts
 )
@@ -107,10 +105,10 @@
 	model, inputs := c.clients.Product.Name, strings.Join(c.inputs, ",")
 	if c.isRerank() {
 		body := `{"model":"` + model + `","query":"` + rerankQuery + `","documents":[` + inputs + `]}`
-		return call{path: rerankPath, body: []byte(body)}
+		return call{path: modelserver.RerankPath, body: []byte(body)}
 	}
 	body := `{"model":"` + model + `","encoding_format":"base64","input":[` + inputs + `]}`
-	return call{path: embeddingsPath, body: []byte(body)}
+	return call{path: modelserver.EmbeddingsPath, body: []byte(body)}
 }
 
 func (c *batchCall) isRerank() bool { return c.clients.Product.Form == pb.Product_RERANK }
--- a/internal/testbed/load/chat.go
+++ b/internal/testbed/load/chat.go
@@ -17,7 +17,6 @@
 )
 
 const (
-	chatPath     = "/v1/chat/completions"
 	maxEventSize = 1 << 20
 	lastEvent    = "[DONE]"
 )
@@ -71,7 +70,7 @@
 	r.attempts++
 	limit := eventloop.Micros(float64(left) * (g.MinPatience + (1-g.MinPatience)*g.random.Float64()))
 	target := near[g.random.Intn(len(near))]
-	c := call{path: chatPath, body: r.body()}
+	c := call{path: modelserver.ChatPath, body: r.body()}
 	if g.Keyed && product.Effect != pb.Product_IDEMPOTENT {
 		// A dispatcher knows only its own keys.
 		target = g.Targets[int(xxhash.Sum64String(r.id)%uint64(len(g.Targets)))]
--- a/internal/testbed/modelserver/batch.go
+++ b/internal/testbed/modelserver/batch.go
@@ -11,11 +11,6 @@
 	"plumspindle/internal/http1"
 )
 
-const (
-	embeddingsPath = "/v1/embeddings"
-	rerankPath     = "/v1/rerank"
-)
-
 // Answers to batches; their fields stand in the order of their names.
 type (
 	embedding struct {
@@ -46,7 +41,7 @@
 // acceptBatch accepts a call for embeddings or for a reranking, which ends with its prefill.
 func (e *Endpoint) acceptBatch(conn *endpointConn, head *http1.Head, body []byte) {
 	inputs, query := gjson.GetBytes(body, "input"), gjson.GetBytes(body, "query").String()
-	isRerank := head.Target == rerankPath
+	isRerank := head.Target == RerankPath
 	if isRerank {
 		inputs = gjson.GetBytes(body, "documents")
 	}
--- a/internal/testbed/modelserver/conn.go
+++ b/internal/testbed/modelserver/conn.go
@@ -14,7 +14,6 @@
 )
 
 const (
-	chatPath    = "/v1/chat/completions"
 	statePath   = "/v1/kv/" // followed by the attempt that the state is of
 	releasePath = "/v1/kv/release"
 
@@ -94,9 +93,9 @@
 	switch head.Target {
 	case releasePath:
 		c.releaseStates(body) // also while frozen or partitioned: the record is of what came over the socket, and when
-	case chatPath:
+	case ChatPath:
 		e.acceptChat(c, head, body)
-	case embeddingsPath, rerankPath:
+	case EmbeddingsPath, RerankPath:
 		e.acceptBatch(c, head, body)
 	default:
 		serve := func() { c.serveOther(head) }
--- a/internal/testbed/modelserver/endpoint.go
+++ b/internal/testbed/modelserver/endpoint.go
@@ -11,6 +11,13 @@
 	"plumspindle/internal/testbed/record"
 )
 
+// Paths of the APIs that an endpoint serves.
+const (
+	ChatPath       = "/v1/chat/completions"
+	EmbeddingsPath = "/v1/embeddings"
+	RerankPath     = "/v1/rerank"
+)
+
 // requestLimits are those of requests to an endpoint.
 var requestLimits = http1.Limits{HeadBytes: 64 << 10, FieldCount: 100, BodyBytes: 64 << 20}
 
