--- a/internal/chat/golden_test.go
+++ b/internal/chat/golden_test.go
@@ -156,7 +156,7 @@
 	golden.Compare(t, out.Bytes())
 }
 
-func TestUsable(t *testing.T) {
+func TestIsChunkNeedsAListOfChoices(t *testing.T) {
 	for event, want := range map[string]bool{
 		`{"choices":[]}`:          true,
 		`{"choices":[{}],"id":1}`: true,
@@ -166,7 +166,7 @@
 		``:                        false,
 	} {
 		if got := IsChunk([]byte(event)); got != want {
-			t.Errorf("Usable(%q) = %t, want %t", event, got, want)
+			t.Errorf("IsChunk(%q) = %t, want %t", event, got, want)
 		}
 	}
 }
--- a/internal/cli/adminclient.go
+++ b/internal/cli/adminclient.go
@@ -116,7 +116,7 @@
 	return err
 }
 
-// tenantPath is the path of a tenant, or of something below it.
+// tenantPath returns the path of a tenant, or of something below it.
 func tenantPath(name string, rest ...string) string {
 	return strings.Join(append([]string{"tenants", url.PathEscape(name)}, rest...), "/")
 }
--- a/internal/cli/batches.go
+++ b/internal/cli/batches.go
@@ -118,7 +118,7 @@
 	return nil
 }
 
-// prefillCapacity is how many tokens a second the prefill endpoints read.
+// prefillCapacity returns how many tokens a second the prefill endpoints read.
 func prefillCapacity(dep deployment.Deployment) float64 {
 	capacity := 0.0
 	for _, group := range dep.Fleet.Groups {
--- a/internal/cli/bench_client.go
+++ b/internal/cli/bench_client.go
@@ -38,7 +38,7 @@
 	done    bool
 }
 
-// chatBody is the body of each request of the bench.
+// chatBody returns the body of each request of the bench.
 func chatBody(model string, maxTokens int) []byte {
 	return fmt.Appendf(nil, `{"model":%q,"stream":true,"max_tokens":%d,"messages":[{"role":"system","content":%q},`+
 		`{"role":"user","content":"why?"}]}`, model, maxTokens, strings.Repeat("the build log says ", benchPromptRepeat))
--- a/internal/cli/bench_target.go
+++ b/internal/cli/bench_target.go
@@ -147,11 +147,11 @@
 		t.fleetLoop = nil
 	}
 	if t.dir != "" {
-		_ = os.RemoveAll(t.dir) // what is left in the folder for temporary files does no harm
+		_ = os.RemoveAll(t.dir) // files that stay in the folder for temporary files do no harm
 	}
 }
 
-// residentBytes is the process's resident memory.
+// residentBytes returns the process's resident memory.
 func (t *benchTarget) residentBytes() int64 {
 	text, err := os.ReadFile(fmt.Sprintf("/proc/%d/statm", t.process.Process.Pid))
 	if err != nil {
@@ -162,7 +162,7 @@
 	return pages * int64(os.Getpagesize())
 }
 
-// cpuTime is what the process has used, in the steps of the kernel's count.
+// cpuTime returns what the process has used, in the steps of the kernel's count.
 func (t *benchTarget) cpuTime() time.Duration {
 	const userField, systemField = 11, 12 // after the command's name
 	text, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", t.process.Process.Pid))
@@ -175,7 +175,7 @@
 	return time.Duration(user+system) * kernelTick
 }
 
-// binary is the program under measurement.
+// binary returns the program under measurement.
 func (c *benchCommand) binary() (string, error) {
 	if c.Binary != "" {
 		return c.Binary, nil
--- a/internal/cli/cachefile.go
+++ b/internal/cli/cachefile.go
@@ -16,19 +16,28 @@
 // cacheFile writes the newest content that it was given to one small file, atomically and on a goroutine of its own: a
 // disk that stalls must not block the event loop. A failed write is retried until it succeeds.
 type cacheFile struct {
-	path         string
-	keepPrevious bool // the content before the last stays under previousSuffix
-	onError      func(error)
-	pending      chan []byte
-	stop         chan struct{}
-	stopped      chan struct{}
+	cacheOptions
+	path    string
+	pending chan []byte
+	stop    chan struct{}
+	stopped chan struct{}
 }
 
-// newCacheFile starts the writer; Close ends it. onError is called from its goroutine, once for each content that can't
-// be written at first.
-func newCacheFile(path string, keepPrevious bool, onError func(error)) *cacheFile {
-	f := &cacheFile{path: path, keepPrevious: keepPrevious, onError: onError,
-		pending: make(chan []byte, 1), stop: make(chan struct{}), stopped: make(chan struct{})}
+// cacheOptions say how a cacheFile is written.
+type cacheOptions struct {
+	keepPrevious bool        // the content before the last stays under previousSuffix
+	onError      func(error) // called from the writer's goroutine, once for each content that can't be written at first
+}
+
+// newCacheFile starts the writer; Close ends it.
+func newCacheFile(path string, options cacheOptions) *cacheFile {
+	f := &cacheFile{
+		path:         path,
+		cacheOptions: options,
+		pending:      make(chan []byte, 1),
+		stop:         make(chan struct{}),
+		stopped:      make(chan struct{}),
+	}
 	go f.run()
 	return f
 }
@@ -92,7 +101,7 @@
 	return replaceFile(f.path, content)
 }
 
-// Close waits a short while for content that is still to be written.
+// Close ends the writer, after a last attempt to write content that is still pending; it waits for cacheCloseTimeout.
 func (f *cacheFile) Close() {
 	close(f.stop)
 	select {
--- a/internal/cli/cachefile_test.go
+++ b/internal/cli/cachefile_test.go
@@ -15,7 +15,7 @@
 	if err := syscall.Mkfifo(path+".part", 0o600); err != nil { // opening it for writing waits for a reader
 		t.Fatal(err)
 	}
-	file := newCacheFile(path, true, func(error) {})
+	file := newCacheFile(path, cacheOptions{keepPrevious: true, onError: func(error) {}})
 	file.Put([]byte("one"))
 	waitUntil(t, 10*time.Second, "the write into the pipe begins", func() bool { return len(file.pending) == 0 })
 	done := make(chan struct{})
--- a/internal/cli/fairness.go
+++ b/internal/cli/fairness.go
@@ -119,7 +119,7 @@
 		r.shareInSLO()/calm.shareInSLO(), quantileMillis(r.firstToken, 50), p99, p99/p99Millis(calm.firstToken))
 }
 
-// distribution is the curve of the times to first token.
+// distribution returns the curve of the times to first token.
 func (r *fairnessResult) distribution() plotter.XYs {
 	var points plotter.XYs
 	for percent := 1.0; percent < 100; percent += 0.5 {
--- a/internal/cli/logs.go
+++ b/internal/cli/logs.go
@@ -15,7 +15,7 @@
 	logFlushTime = time.Second // for those that wait when the program ends
 )
 
-// logWriter writes log lines from a goroutine of its own: whoever reads them must not be able to hold the program up.
+// logWriter writes log lines from a goroutine of its own: a slow reader of the log must not block the program.
 type logWriter struct{ diode.Writer }
 
 // newLogWriter also keeps the program alive where the reader of its logs is gone, as by itself it would die of SIGPIPE.
@@ -28,7 +28,7 @@
 	return logWriter{diode.NewWriter(withoutClose, logLines, 0, dropped)}
 }
 
-// flush writes what waits, for as long as that may take.
+// flush writes the lines that wait and ends the goroutine; it waits for logFlushTime at most.
 func (w logWriter) flush() {
 	flushed := make(chan struct{})
 	go func() {
--- a/internal/cli/plot.go
+++ b/internal/cli/plot.go
@@ -18,7 +18,7 @@
 	return hdrhistogram.New(1, maxLatencyMicros, latencyDigits)
 }
 
-// quantileMillis is a quantile, in percent, in ms.
+// quantileMillis returns a quantile, in percent, in ms.
 func quantileMillis(h *hdrhistogram.Histogram, percent float64) float64 {
 	return float64(h.ValueAtQuantile(percent)) / 1000
 }
--- a/internal/cli/program.go
+++ b/internal/cli/program.go
@@ -106,7 +106,7 @@
 	return runCommand(parsed, &root, stdout, stderr)
 }
 
-// runCommand runs the command that was parsed until it ends or the program is told to stop by a signal.
+// runCommand runs the command that was parsed until it ends or a signal stops the program.
 func runCommand(parsed *kong.Context, root *commands, stdout, stderr io.Writer) int {
 	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
 	defer stop()
--- a/internal/cli/restarts.go
+++ b/internal/cli/restarts.go
@@ -45,7 +45,7 @@
 	violations   []string
 }
 
-// shareInSLO is that of some seconds.
+// shareInSLO returns that of some seconds.
 func (r *restartResult) shareInSLO(from, to int) float64 {
 	asked, inSLO := 0, 0
 	for second := from; second < to && second < len(r.asked); second++ {
@@ -55,7 +55,7 @@
 	return float64(inSLO) / float64(max(asked, 1))
 }
 
-// curve is the service second by second.
+// curve returns the service second by second.
 func (r *restartResult) curve(seconds int) plotter.XYs {
 	var points plotter.XYs
 	for second := range seconds {
@@ -146,7 +146,11 @@
 		group.HostsPerZone *= roomyFleetFactor
 	}
 	run := &scenarios.Run{Script: script, Deployment: dep, Dispatchers: c.Dispatchers, Seed: seed}
-	verdict, leftOver, err := run.RunRestart(eventloop.Micros(sort.age.Microseconds()), sort.replaced, sort.discovery)
+	verdict, leftOver, err := run.RunRestart(scenarios.Restart{
+		Downtime:      eventloop.Micros(sort.age.Microseconds()),
+		Replaced:      sort.replaced,
+		DiscoveryDown: !sort.discovery,
+	})
 	if err != nil {
 		return err
 	}
--- a/internal/cli/serve.go
+++ b/internal/cli/serve.go
@@ -105,7 +105,7 @@
 	}
 	return func() {
 		pprof.StopCPUProfile()
-		_ = file.Close() // a torn profile is of no consequence
+		_ = file.Close() // an incomplete profile does not matter
 	}, nil
 }
 
@@ -149,7 +149,7 @@
 	return p, nil
 }
 
-// config is the dispatcher's configuration but for the secret and the record of intents.
+// config returns the dispatcher's configuration but for the secret and the record of intents.
 func (c *serveCommand) config(p *dispatcherProcess, dep deployment.Deployment) dispatch.Config {
 	seed := seedOrRandom(c.Seed)
 	p.name, p.zone = c.Name, c.Zone
@@ -164,11 +164,16 @@
 		for _, path := range []string{c.ListFile, c.ListFile + previousSuffix} {
 			config.CachedEndpoints = append(config.CachedEndpoints, p.readCache(path, "cached endpoint list unreadable"))
 		}
-		config.CacheEndpoints = p.openCache(c.ListFile, true, "endpoint list not cached")
+		config.CacheEndpoints = p.openCache(c.ListFile, cacheOptions{
+			keepPrevious: true,
+			onError:      func(err error) { p.log.Error().Err(err).Msg("endpoint list not cached") },
+		})
 	}
 	if c.TenantFile != "" {
 		config.CachedTenants = p.readCache(c.TenantFile, "cached tenants unreadable")
-		config.CacheTenants = p.openCache(c.TenantFile, false, "tenants not cached")
+		config.CacheTenants = p.openCache(c.TenantFile, cacheOptions{
+			onError: func(err error) { p.log.Error().Err(err).Msg("tenants not cached") },
+		})
 	}
 	var limit syscall.Rlimit
 	if err := syscall.Getrlimit(syscall.RLIMIT_NOFILE, &limit); err == nil {
@@ -177,18 +182,19 @@
 	return config
 }
 
-// readCache reads what an earlier incarnation cached; without a file there is nothing.
-func (p *dispatcherProcess) readCache(path, failure string) []byte {
+// readCache reads what an earlier incarnation cached; without a file there is nothing. A file that can't be read is
+// logged with the message given.
+func (p *dispatcherProcess) readCache(path, failureMessage string) []byte {
 	content, err := os.ReadFile(path)
 	if err != nil && !errors.Is(err, os.ErrNotExist) {
-		p.log.Error().Err(err).Msg(failure)
+		p.log.Error().Err(err).Msg(failureMessage)
 	}
 	return content
 }
 
-// openCache returns the function that caches new content.
-func (p *dispatcherProcess) openCache(path string, keepPrevious bool, failure string) func([]byte) {
-	file := newCacheFile(path, keepPrevious, func(err error) { p.log.Error().Err(err).Msg(failure) })
+// openCache returns the function that caches new content; close ends its writer.
+func (p *dispatcherProcess) openCache(path string, options cacheOptions) func([]byte) {
+	file := newCacheFile(path, options)
 	p.caches = append(p.caches, file)
 	return file.Put
 }
@@ -225,8 +231,8 @@
 	// The bench command reads events, allocations and taken, also from the logs of earlier builds.
 	p.log.Info().Uint64("events", counts.Events).Uint64("allocations", memory.Mallocs).Uint64("taken", counts.Accepted).
 		Uint64("completed", counts.Completed).Uint64("rejected", counts.Rejected).Uint64("failed", counts.Failed).
-		Uint64("disconnected", counts.Disconnected).Uint64("attempts", counts.Attempts).Int("in_flight",
-		inFlight).Msg("ended")
+		Uint64("disconnected", counts.Disconnected).Uint64("attempts", counts.Attempts).
+		Int("in_flight", inFlight).Msg("ended")
 	if inFlight > 0 {
 		return fmt.Errorf("%d generations were still running after %v", inFlight, timeout)
 	}
--- a/internal/cli/sim.go
+++ b/internal/cli/sim.go
@@ -93,12 +93,12 @@
 	return seeds, nil
 }
 
-// scriptText is a scenario's script as it is written to a file.
+// scriptText returns a scenario's script as it is written to a file.
 func scriptText(script *pb.Day) string {
 	return prototext.MarshalOptions{Multiline: true}.Format(script)
 }
 
-// pairsOfFaults are the kinds of faults that began within a second of each other.
+// pairsOfFaults returns the kinds of faults that began within a second of each other.
 func pairsOfFaults(script *pb.Day) (pairs []string) {
 	const within = 1000 // ms
 	for i, first := range script.Troubles {
--- a/internal/cli/sim_run.go
+++ b/internal/cli/sim_run.go
@@ -156,7 +156,7 @@
 	}
 }
 
-// failingPairs are the pairs in whose scenarios any failed, those with most failures first.
+// failingPairs returns the pairs in whose scenarios any failed, those with most failures first.
 func (t *simTotals) failingPairs() (names []string) {
 	for name, count := range t.pairs {
 		if count.failed > 0 {
--- a/internal/dispatch/batch_call.go
+++ b/internal/dispatch/batch_call.go
@@ -44,7 +44,7 @@
 	closed      bool
 }
 
-// batchRoute is one of the APIs whose answers are complete with the prefill.
+// batchRoute returns one of the APIs whose answers are complete with the prefill.
 func (d *Dispatcher) batchRoute(kind embeddings.Kind, form pb.Product_Form) frontend.Route {
 	settings := d.batches.limits
 	limits := embeddings.Limits{
--- a/internal/dispatch/clients_test.go
+++ b/internal/dispatch/clients_test.go
@@ -103,7 +103,7 @@
 }
 
 // Comments keep a pending stream alive; the answer, or the rejection as an event, follows them.
-func TestHeartbeat(t *testing.T) {
+func TestHeartbeatsPrecedeTheAnswer(t *testing.T) {
 	r := newHarness(t, nil, "prefill west", "decode west")
 	r.updateEndpoints(r.endpoints[1].entry("gone"))
 	c := r.ask("explain", "x-heartbeat-ms", "250")
--- a/internal/dispatch/dispatcher.go
+++ b/internal/dispatch/dispatcher.go
@@ -151,7 +151,7 @@
 	return server
 }
 
-// routes are the clients' APIs.
+// routes returns the clients' APIs.
 func (d *Dispatcher) routes() map[string]frontend.Route {
 	routes := frontend.ModelRoutes(d.Models)
 	isPublic := func(digest string) bool { return d.directory.IsPublicText(digest) }
--- a/internal/dispatch/endpoint_cache.go
+++ b/internal/dispatch/endpoint_cache.go
@@ -74,8 +74,7 @@
 		d.applyEndpoints(entries, true)
 		return
 	}
-	d.config.Log.Warn().Int("ready", ready).Int("missing", len(missing)).
-		Msg("endpoint removals delayed")
+	d.config.Log.Warn().Int("ready", ready).Int("missing", len(missing)).Msg("endpoint removals delayed")
 	d.applyEndpoints(entries, false)
 	update := d.endpointUpdates
 	d.loop.AfterFunc(delay, func() {
@@ -105,7 +104,7 @@
 		}
 		ready++
 		if !listed[entry.ID] {
-			entry.Condition = conditionGone
+			entry.Condition = endpoints.Gone
 			missing = append(missing, entry)
 		}
 	}
--- a/internal/dispatch/endpoints.go
+++ b/internal/dispatch/endpoints.go
@@ -9,9 +9,6 @@
 	"plumspindle/scheduler"
 )
 
-// conditionGone is the condition of an endpoint that has left the list.
-const conditionGone = "gone"
-
 // startEndpoints begins with the cached endpoint list, and subscribes to its source.
 func (d *Dispatcher) startEndpoints() {
 	d.endpointWatch = endpoints.NewWatcher(d.loop, endpoints.WatcherOptions{
@@ -66,7 +63,7 @@
 
 func (d *Dispatcher) applyEndpoint(entry endpoints.Entry, listing starttimes.Listing) {
 	zone, kind := d.topology.Locate(&d.config.Log, strconv.FormatUint(uint64(entry.ID), 10), entry.Zone, entry.Kind)
-	if entry.Condition == conditionGone {
+	if entry.Condition == endpoints.Gone {
 		d.engine.RemoveEndpoint(entry.ID)
 		delete(d.endpoints, entry.ID)
 		delete(d.startTimes, entry.ID)
@@ -75,7 +72,7 @@
 		d.endpoints[entry.ID] = entry
 	}
 	start := starttimes.Next(d.startTimes[entry.ID], eventloop.Micros(entry.StartedAt), listing)
-	if entry.Condition != conditionGone {
+	if entry.Condition != endpoints.Gone {
 		d.startTimes[entry.ID] = start
 	}
 	d.scheduler.EndpointUpdated(listing.Now, scheduler.EndpointStatus{
--- a/internal/dispatch/idempotency.go
+++ b/internal/dispatch/idempotency.go
@@ -80,7 +80,7 @@
 	}
 }
 
-// keyWindow is how long a request's key is remembered after its end.
+// keyWindow returns how long a request's key is remembered after its end.
 func (d *Dispatcher) keyWindow(r *request) eventloop.Micros {
 	if product := d.Deployment.Products[r.class]; product.Effect == pb.Product_DEDUPLICATED {
 		return milliseconds(product.WindowMs)
--- a/internal/dispatch/limits_test.go
+++ b/internal/dispatch/limits_test.go
@@ -106,7 +106,7 @@
 }
 
 // Idle connections to other endpoints are closed for one that is needed.
-func TestIdleConnectionsGiveWay(t *testing.T) {
+func TestIdleConnectionsAreEvictedForNewOnes(t *testing.T) {
 	r := newHarness(t, nil, "prefill west", "decode west", "decode west", "decode west")
 	for range 12 { // each of the decode endpoints has an idle connection
 		r.expectFinal(r.ask("explain"), "streamed")
--- a/internal/faultsearch/faultsearch.go
+++ b/internal/faultsearch/faultsearch.go
@@ -41,8 +41,8 @@
 	Run     *scenarios.Run
 }
 
-// FailureClass is what was broken first, without its numbers: two scenarios that fail alike have it alike. It is empty
-// for a scenario that does not fail.
+// FailureClass returns what was broken first, without its numbers: two scenarios that fail alike have it alike. It is
+// empty for a scenario that does not fail.
 func (o *Outcome) FailureClass() string {
 	if len(o.Faults) == 0 {
 		return ""
--- a/internal/faultsearch/interleavings.go
+++ b/internal/faultsearch/interleavings.go
@@ -46,7 +46,7 @@
 	runMaxDepth int // at which the current run stops choosing
 }
 
-// smallWorld is two dispatchers, three endpoints and a few requests.
+// smallWorld returns two dispatchers, three endpoints and a few requests.
 func smallWorld() (deployment.Deployment, *pb.Day) {
 	d := deployment.Standard()
 	d.Zones = d.Zones[:1]
--- a/internal/faultsearch/mutants.go
+++ b/internal/faultsearch/mutants.go
@@ -11,14 +11,14 @@
 	"plumspindle/scheduler"
 )
 
-// Mutants are the faults that can be injected into the program itself: each is one that the rules, the checks of the
-// dispatchers' own state or the record have to find. They count what they meet, so each run needs mutants of its own.
-// Their order and names are what the command line knows them by.
+// Mutants returns the faults that can be injected into the program itself: each is one that the rules, the checks of
+// the dispatchers' own state or the record have to find. Mutants count the calls that they intercept, so each run needs
+// its own. Their order and names are what the command line knows them by.
 func Mutants() []*scenarios.Mutant {
 	return slices.Concat(executorMutants(), updateMutants(), configMutants(), loopMutants(), storeMutants())
 }
 
-// everyNth returns a function that is true at each nth call.
+// everyNth returns a function that returns true at each nth call.
 func everyNth(n int) func() bool {
 	calls := 0
 	return func() bool {
@@ -76,15 +76,15 @@
 	return []*scenarios.Mutant{
 		updateMutant("drains are not heard", func(entries []endpoints.Entry) []endpoints.Entry {
 			for i := range entries {
-				if entries[i].Condition == "draining" {
-					entries[i].Condition = "ready"
+				if entries[i].Condition == endpoints.Draining {
+					entries[i].Condition = endpoints.Ready
 				}
 			}
 			return entries
 		}),
 		updateMutant("ends are not heard", func(entries []endpoints.Entry) []endpoints.Entry {
 			return slices.DeleteFunc(slices.Clone(entries),
-				func(entry endpoints.Entry) bool { return entry.Condition == "gone" })
+				func(entry endpoints.Entry) bool { return entry.Condition == endpoints.Gone })
 		}),
 		updateMutant("starts are not heard", func(entries []endpoints.Entry) []endpoints.Entry {
 			for i := range entries {
--- a/internal/testbed/audit/audit.go
+++ b/internal/testbed/audit/audit.go
@@ -66,7 +66,7 @@
 var ruleNames = [5]string{"one final answer", "no effect twice", "drains kept", "no cold host pushed over",
 	"nothing left pinned"}
 
-// Passed is true if no rule was broken.
+// Passed reports whether no rule was broken.
 func (v *Verdict) Passed() bool {
 	for _, rule := range v.Rules {
 		if len(rule.Violations) > 0 {
@@ -95,7 +95,7 @@
 	// only.
 	slack          int64
 	unavailable    map[string][]unavailability // by dispatcher
-	killed         map[string][]int64          // when a dispatcher was killed or told to end, by its name and by its place
+	killed         map[string][]int64          // times, by a dispatcher's name with and without its incarnation
 	refused        map[string]int64            // when an endpoint said that it had not run an attempt
 	clientAttempts map[clientAttemptKey]*clientAttempt
 	clientOrder    []clientAttemptKey
@@ -144,7 +144,7 @@
 	r.Violations = append(r.Violations, Violation{Line: line, Request: request, Text: fmt.Sprintf(format, args...)})
 }
 
-// requestOf is the dispatcher's request that an attempt's id belongs to.
+// requestOf returns the dispatcher's request that an attempt's id belongs to.
 func requestOf(attemptID string) string {
 	if at := strings.LastIndexByte(attemptID, '-'); at >= 0 {
 		return attemptID[:at]
--- a/internal/testbed/audit/audit_test.go
+++ b/internal/testbed/audit/audit_test.go
@@ -142,7 +142,7 @@
 	}
 }
 
-func TestKilledDispatcherOwesNothing(t *testing.T) {
+func TestKilledDispatcherNeedNotAnswer(t *testing.T) {
 	events := insert(finalAnswer, record.Event{At: 500 * ms, Type: record.DispatcherKilled,
 		Dispatcher: "d1"})(cleanRecord())
 	events[finalAnswer+1].Detail = record.Broken
--- a/internal/testbed/audit/drains.go
+++ b/internal/testbed/audit/drains.go
@@ -2,8 +2,8 @@
 
 import "plumspindle/internal/testbed/record"
 
-// checkDrains is rule 3: nothing is sent to an endpoint that drains or is gone, a grace time after the dispatcher was
-// told so.
+// checkDrains checks rule 3: nothing is sent to an endpoint that drains or is gone, a grace time after the dispatcher
+// was notified of that.
 func (j *judge) checkDrains(events []record.Event) {
 	type watch struct {
 		dispatcher string
--- a/internal/testbed/audit/finalanswers.go
+++ b/internal/testbed/audit/finalanswers.go
@@ -24,8 +24,8 @@
 	return clientAttemptKey{request: event.Request, number: event.ClientAttempt}
 }
 
-// checkFinalAnswers is rule 1: one final answer for each attempt that a running dispatcher took, in time, and nothing
-// after it.
+// checkFinalAnswers checks rule 1: one final answer for each attempt that a running dispatcher took, in time, and
+// nothing after it.
 func (j *judge) checkFinalAnswers(events []record.Event) {
 	for i, event := range events {
 		line := i + 1
@@ -78,21 +78,22 @@
 	}
 }
 
-// isLate is true for an answer after the client's time limit from a dispatcher that could have answered before.
+// isLate reports whether an answer came after the client's time limit from a dispatcher that could have answered
+// before.
 func (j *judge) isLate(a *clientAttempt, event record.Event) bool {
 	due := a.sentAt + a.timeLimit
 	return a.timeLimit > 0 && event.At > due+j.slack &&
 		!j.wasFrozen(event.Dispatcher, a.sentAt) && !j.wasFrozen(event.Dispatcher, due)
 }
 
-// isExcused is true where a dispatcher could not give a final answer.
+// isExcused reports whether a dispatcher could not give a final answer.
 func (j *judge) isExcused(a *clientAttempt, event record.Event) bool {
 	switch event.Detail {
 	case record.Broken:
-		return j.wasKilled(place(event.Dispatcher), a.sentAt, event.At)
+		return j.wasKilled(withoutIncarnation(event.Dispatcher), a.sentAt, event.At)
 	case record.GaveUp:
 		// A dispatcher that was frozen when the request came counts the client's time from when it read it.
-		return j.wasKilled(place(event.Dispatcher), a.sentAt, event.At) ||
+		return j.wasKilled(withoutIncarnation(event.Dispatcher), a.sentAt, event.At) ||
 			j.wasFrozen(event.Dispatcher, a.sentAt) || j.wasFrozen(event.Dispatcher, event.At)
 	}
 	return false
--- a/internal/testbed/audit/pinnedstate.go
+++ b/internal/testbed/audit/pinnedstate.go
@@ -8,7 +8,7 @@
 	event record.Event
 }
 
-// checkPinnedState is rule 5: no state waits for longer than it may while no attempt of its request is in flight.
+// checkPinnedState checks rule 5: no state waits for longer than it may while no attempt of its request is in flight.
 func (j *judge) checkPinnedState(events []record.Event) {
 	if len(events) == 0 {
 		return
--- a/internal/testbed/audit/secondruns.go
+++ b/internal/testbed/audit/secondruns.go
@@ -8,13 +8,13 @@
 // maxClientAttempts is more than a client makes.
 const maxClientAttempts = 9
 
-// mayRunAgain is true for a product whose requests may run any number of times, at any endpoint.
+// mayRunAgain reports whether a product's requests may run any number of times, at any endpoint.
 func mayRunAgain(product *pb.Product) bool {
 	return product == nil || product.Effect == pb.Product_IDEMPOTENT ||
 		product.Effect == pb.Product_DEDUPLICATED && product.Group == pb.Product_ALL_HOSTS
 }
 
-// checkSecondRuns is rule 2: no effect twice, no rejection of what may have run, never two attempts in flight.
+// checkSecondRuns checks rule 2: no effect twice, no rejection of what may have run, never two attempts in flight.
 func (j *judge) checkSecondRuns(events []record.Event) {
 	for _, request := range sortedKeys(j.ran) {
 		j.checked(ruleNoSecondRun)
--- a/internal/testbed/audit/service.go
+++ b/internal/testbed/audit/service.go
@@ -75,7 +75,7 @@
 	}
 }
 
-// Text is the verdict as it is printed.
+// Text returns the verdict as it is printed.
 func (v *Verdict) Text() string {
 	var text strings.Builder
 	fmt.Fprintf(&text, "%-24s %6s %9s %7s %9s %10s %6s %9s %9s %5s\n", "", "asked", "streamed", "in SLO", "throttled",
--- a/internal/testbed/audit/slowstart.go
+++ b/internal/testbed/audit/slowstart.go
@@ -19,7 +19,7 @@
 	arrivals  []arrival
 }
 
-// checkSlowStart is rule 4: no endpoint gets more than it bears during its slow start. What the endpoints say of
+// checkSlowStart checks rule 4: no endpoint gets more than it bears during its slow start. What the endpoints say of
 // themselves counts, and what their sockets were seen to take is summed up here once more, by the deployment alone.
 func (j *judge) checkSlowStart(events []record.Event) {
 	starts := map[uint32]*slowStart{}
@@ -70,8 +70,8 @@
 	}
 }
 
-// slowStartCapacity is the work a second that an endpoint of a kind can do so long after its start; 0 where it is warm,
-// or no group says.
+// slowStartCapacity returns the work a second that an endpoint of a kind can do so long after its start; 0 where it is
+// warm, or no group says.
 func (j *judge) slowStartCapacity(kind string, age int64) float64 {
 	rules := j.deployment.Rules
 	if j.deployment.Fleet == nil || age >= int64(rules.ColdMs)*1000 {
--- a/internal/testbed/audit/unavailability.go
+++ b/internal/testbed/audit/unavailability.go
@@ -7,27 +7,26 @@
 )
 
 // unavailability is a span in which a dispatcher could not meet all its obligations: it was frozen, or it was
-// partitioned from its endpoints. While partitioned it still owes its clients their answers.
+// partitioned from its endpoints. While partitioned it still has to answer its clients.
 type unavailability struct {
 	from, to    int64
 	partitioned bool
 }
 
-// place is where a dispatcher stands, whichever of its incarnations it is: a client can't tell which one it has
-// reached.
-func place(dispatcher string) string {
+// withoutIncarnation returns a dispatcher's name without its incarnation: a client can't tell which one it has reached.
+func withoutIncarnation(dispatcher string) string {
 	name, _, _ := strings.Cut(dispatcher, ".")
 	return name
 }
 
 func (j *judge) gatherKill(event record.Event) {
 	j.killed[event.Dispatcher] = append(j.killed[event.Dispatcher], event.At)
-	if at, _, hasIncarnation := strings.Cut(event.Dispatcher, "."); hasIncarnation {
-		j.killed[at] = append(j.killed[at], event.At)
+	if name := withoutIncarnation(event.Dispatcher); name != event.Dispatcher {
+		j.killed[name] = append(j.killed[name], event.At)
 	}
 }
 
-// wasKilled is true if a dispatcher was killed in a span.
+// wasKilled reports whether a dispatcher was killed in a span.
 func (j *judge) wasKilled(dispatcher string, from, to int64) bool {
 	for _, at := range j.killed[dispatcher] {
 		if at >= from-socketSlack && at <= to+socketSlack {
@@ -37,7 +36,7 @@
 	return false
 }
 
-// wasFrozen is true if a dispatcher was frozen at a time.
+// wasFrozen reports whether a dispatcher was frozen at a time.
 func (j *judge) wasFrozen(dispatcher string, at int64) bool {
 	for _, span := range j.unavailable[dispatcher] {
 		if !span.partitioned && span.from-socketSlack <= at && span.to+socketSlack >= at {
@@ -47,7 +46,7 @@
 	return false
 }
 
-// wasPartitioned is true if a dispatcher was partitioned for a whole span.
+// wasPartitioned reports whether a dispatcher was partitioned for a whole span.
 func (j *judge) wasPartitioned(dispatcher string, from, to int64) bool {
 	for _, span := range j.unavailable[dispatcher] {
 		if span.partitioned && span.from-socketSlack <= from && to <= span.to+socketSlack {
@@ -57,8 +56,8 @@
 	return false
 }
 
-// availableFrom is the end of the span in which a dispatcher was unavailable at a time, or just before it; the time
-// itself where it was available. One span may run into the next.
+// availableFrom returns the end of the span in which a dispatcher was unavailable at a time, or just before it; the
+// time itself where it was available. One span may run into the next.
 func (j *judge) availableFrom(dispatcher string, at int64) int64 {
 	end := at
 	for extended := true; extended; {
@@ -72,8 +71,8 @@
 	return end
 }
 
-// longestAvailable is the longest time within a span in which a dispatcher was available without a break: what it owed
-// when it came back counts from then.
+// longestAvailable returns the longest time within a span in which a dispatcher was available without a break: an
+// obligation from before counts from its return.
 func (j *judge) longestAvailable(dispatcher string, from, to int64) (longest int64) {
 	for from < to {
 		if available := j.availableFrom(dispatcher, from); available > from {
--- a/internal/testbed/load/attempt.go
+++ b/internal/testbed/load/attempt.go
@@ -147,14 +147,14 @@
 	a.onOver(outcome)
 }
 
-// unexpectedStatus is the error for an answer that the API does not know.
+// unexpectedStatus returns the error for an answer that the API does not know.
 func (a *attempt) unexpectedStatus() error {
 	return fmt.Errorf("status %d: %.120s", a.head.Status, a.body)
 }
 
 func (a *attempt) errorCode() string { return gjson.GetBytes(a.body, "error.code").String() }
 
-// retryAfter is how long the answer asks to wait, or a default.
+// retryAfter returns how long the answer asks to wait, or a default.
 func (a *attempt) retryAfter(fallback eventloop.Micros) eventloop.Micros {
 	if a.head == nil {
 		return fallback
--- a/internal/testbed/load/batches.go
+++ b/internal/testbed/load/batches.go
@@ -20,8 +20,8 @@
 	maxBatchAttempts = 2 * maxAttempts
 )
 
-// BatchClients are clients that ask for embeddings or rerankings, so many calls at once; each asks again when it was
-// answered.
+// BatchClients are clients that call for embeddings or rerankings, Concurrency calls at once; each call is followed by
+// the next once it has its answer.
 type BatchClients struct {
 	Generator   *Generator
 	Product     *pb.Product
--- a/internal/testbed/load/chat.go
+++ b/internal/testbed/load/chat.go
@@ -111,7 +111,7 @@
 	}
 }
 
-// firstTokenSLO is the latency objective for the first token, which grows with the prompt.
+// firstTokenSLO returns the latency objective for the first token, which grows with the prompt.
 func (r *chatRequest) firstTokenSLO() eventloop.Micros {
 	product, promptTokens := r.session.product, 0
 	for _, m := range r.session.messages {
@@ -222,7 +222,7 @@
 	g.loop.AfterFunc(a.retryAfter(delay), r.try)
 }
 
-// latency is the time to the first token since the request began, and the time between two tokens.
+// latency returns the time to the first token since the request began, and the time between two tokens.
 func (a *chatAttempt) latency() (firstToken, pace eventloop.Micros) {
 	r := a.chat
 	firstToken = a.firstToken - r.since
--- a/internal/testbed/load/generator.go
+++ b/internal/testbed/load/generator.go
@@ -42,7 +42,7 @@
 // Target is one dispatcher that clients may go to.
 type Target struct {
 	Name, Zone, Addr string
-	Alive            bool // as a load balancer before the dispatchers believes
+	Alive            bool // in the view of the load balancer in front of the dispatchers
 }
 
 // Generator is all chat clients. Its fields may be changed on its loop while it runs.
@@ -53,7 +53,7 @@
 	TenantShares    []float64 // of the traffic, against each other
 	MinPatience     float64   // the least share of its product's time limit that a client waits in all; 1 at most
 	UnstreamedShare float64   // of the answers that are asked for in one piece
-	// what may not simply run again has an Idempotency-Key, and always goes to the same dispatcher
+	// Keyed has requests that are not idempotent sent with an Idempotency-Key, each always to the same dispatcher.
 	Keyed bool
 
 	Open  int // requests in flight
@@ -124,7 +124,7 @@
 	return g
 }
 
-// Run sends requests until Stop.
+// Run sends requests, at random times, until Stop.
 func (g *Generator) Run() {
 	if g.stopped {
 		return
@@ -211,7 +211,7 @@
 	return s
 }
 
-// targetsNear are the targets that are alive, those of a zone if there are any.
+// targetsNear returns the targets that are alive, those of a zone if there are any.
 func (g *Generator) targetsNear(zone string) []*Target {
 	var near, all []*Target
 	for _, target := range g.Targets {
--- a/internal/testbed/modelserver/attempt.go
+++ b/internal/testbed/modelserver/attempt.go
@@ -71,7 +71,7 @@
 	return a
 }
 
-// memoryNeeded is the tokens of memory that the attempt and its state take.
+// memoryNeeded returns the tokens of memory that the attempt and its state take.
 func (a *attempt) memoryNeeded() int { return a.promptTokens + a.maxTokens/2 }
 
 // acceptChat accepts a chat request.
--- a/internal/testbed/modelserver/conn.go
+++ b/internal/testbed/modelserver/conn.go
@@ -28,8 +28,8 @@
 	head      *http1.Head
 	body      []byte
 	attempt   *attempt // in flight
-	zone      string   // of whoever is at the other end
-	deferred  []func() // to be done once the endpoint can act and the network is whole
+	zone      string   // of the other end
+	deferred  []func() // to be done once the endpoint is neither frozen nor partitioned
 	unsent    []byte   // what was written while partitioned; the network brings it once it can
 	closed    bool
 	streaming bool
@@ -127,7 +127,7 @@
 	c.endpoint.serveState(c, attemptID, uint16(cell))
 }
 
-// loadReport is the endpoint's load as it is sent with each answer; a slow endpoint sends old ones.
+// loadReport returns the endpoint's load as it is sent with each answer; a slow endpoint sends old ones.
 func (c *endpointConn) loadReport() string {
 	e := c.endpoint
 	now := e.fleet.loop.Now()
@@ -140,7 +140,7 @@
 	return e.lastReport
 }
 
-// partitioned is true while the network brings nothing across.
+// partitioned reports whether the network carries nothing between the two ends.
 func (c *endpointConn) partitioned() bool {
 	e := c.endpoint
 	return e.partitionedZone != "" && (e.partitionedZone == c.zone) != (e.partitionedZone == e.Zone)
@@ -201,7 +201,7 @@
 	c.write(data)
 }
 
-// resume does what was deferred, as far as the network is whole.
+// resume sends what was written and does what was deferred while the endpoint was frozen or partitioned.
 func (c *endpointConn) resume() {
 	if len(c.unsent) > 0 {
 		c.conn.Write(c.unsent)
--- a/internal/testbed/modelserver/content.go
+++ b/internal/testbed/modelserver/content.go
@@ -30,8 +30,8 @@
 	return hash
 }
 
-// TokenText is the token at an index that any endpoint decodes for a client's request, so that a client can check each
-// byte. Some tokens are not ASCII.
+// TokenText returns the token at an index that any endpoint decodes for a client's request, so that a client can check
+// each byte. Some tokens are not ASCII.
 func TokenText(clientID string, index int) string {
 	hash := (hashText(fnvOffset, clientID) ^ uint32(index)) * fnvPrime
 	if hash%13 == 0 {
@@ -40,13 +40,13 @@
 	return " " + strconv.FormatUint(uint64(hash%99991), 36)
 }
 
-// AnswerLength is how many tokens the answer to a client's request has.
+// AnswerLength returns how many tokens the answer to a client's request has.
 func AnswerLength(clientID string, maxTokens int) int {
 	return 1 + int(hashText(lengthSeed, clientID)>>8)%max(maxTokens, 1)
 }
 
-// Vector is the embedding that any endpoint gives for an input, as JSON, so that its place and identity can be checked
-// from end to end.
+// Vector returns the embedding that any endpoint gives for an input, as JSON, so that its place and identity can be
+// checked from end to end.
 func Vector(rawInput string, dimensions int) []byte {
 	vector := make([]byte, 0, 4*dimensions)
 	hash := xxhash.Sum64String(rawInput)
@@ -59,7 +59,7 @@
 	return vector
 }
 
-// Score is what any endpoint gives for a document, as JSON.
+// Score returns what any endpoint gives for a document, as JSON.
 func Score(query, rawDocument string) float64 {
 	return float64(xxhash.Sum64String(query+"\x00"+rawDocument)>>40) / float64(1<<24)
 }
--- a/internal/testbed/modelserver/discovery.go
+++ b/internal/testbed/modelserver/discovery.go
@@ -76,8 +76,8 @@
 		}
 	}
 	for _, id := range slices.Sorted(maps.Keys(d.entries)) {
-		if entry := d.entries[id]; !listed[id] && entry.Condition != "gone" {
-			entry.Condition = "gone"
+		if entry := d.entries[id]; !listed[id] && entry.Condition != endpoints.Gone {
+			entry.Condition = endpoints.Gone
 			changes = append(changes, entry)
 		}
 	}
--- a/internal/testbed/modelserver/endpoint.go
+++ b/internal/testbed/modelserver/endpoint.go
@@ -55,7 +55,7 @@
 	lastError  string // its code
 }
 
-// Kind is the name of the endpoint's kind.
+// Kind returns the name of the endpoint's kind.
 func (e *Endpoint) Kind() string { return e.kind.Name }
 
 // start starts the endpoint with nothing in it; startedAt is 0 for one that has run for long.
@@ -93,7 +93,7 @@
 	e.fleet.record(e, record.EndpointDown, nil)
 }
 
-// connsInOrder are the connections in the order of their opening, so that nothing depends on the order of a map.
+// connsInOrder returns the connections in the order of their opening, so that nothing depends on the order of a map.
 func (e *Endpoint) connsInOrder() []*endpointConn {
 	return slices.SortedFunc(maps.Keys(e.conns), func(a, b *endpointConn) int { return e.conns[a] - e.conns[b] })
 }
--- a/internal/testbed/modelserver/faults.go
+++ b/internal/testbed/modelserver/faults.go
@@ -1,6 +1,9 @@
 package modelserver
 
-import "plumspindle/internal/eventloop"
+import (
+	"plumspindle/internal/endpoints"
+	"plumspindle/internal/eventloop"
+)
 
 // restartDelay is how long an endpoint is down that restarts after it hung or was silent.
 const restartDelay = 100 * eventloop.Millisecond
@@ -20,13 +23,13 @@
 // Crash kills the endpoint; it comes back after a while and warms up, or never if that is 0.
 func (e *Endpoint) Crash(back eventloop.Micros) {
 	e.stop()
-	e.fleet.announce(e, "gone")
+	e.fleet.announce(e, endpoints.Gone)
 	if back == 0 {
 		return
 	}
 	e.fleet.loop.AfterFunc(back, func() {
 		if err := e.start(e.fleet.loop.Now()); err == nil {
-			e.fleet.announce(e, "ready")
+			e.fleet.announce(e, endpoints.Ready)
 		}
 	})
 }
@@ -88,11 +91,11 @@
 // Drain has the endpoint announced as draining, then replaced after a while.
 func (e *Endpoint) Drain(duration, back eventloop.Micros) {
 	e.draining = true
-	e.fleet.announce(e, "draining")
+	e.fleet.announce(e, endpoints.Draining)
 	e.fleet.loop.AfterFunc(duration, func() { e.Crash(back) })
 }
 
-// resume does what waited while the endpoint was frozen or partitioned.
+// resume does what was deferred while the endpoint was frozen or partitioned.
 func (e *Endpoint) resume() {
 	if !e.alive || e.frozen {
 		return
--- a/internal/testbed/modelserver/fleet.go
+++ b/internal/testbed/modelserver/fleet.go
@@ -37,9 +37,9 @@
 
 // Start starts the whole fleet of a deployment, warm, with its discovery if that has an address. It is called on the
 // loop.
-func Start(loop eventloop.Loop, dep deployment.Deployment, seed int64, discoveryAddress string,
-	recorder *record.Recorder) (
-	*Fleet, error) {
+func Start(
+	loop eventloop.Loop, dep deployment.Deployment, seed int64, discoveryAddress string, recorder *record.Recorder,
+) (*Fleet, error) {
 	if dep.Fleet == nil {
 		return nil, deployment.ErrNoFleet
 	}
@@ -95,15 +95,15 @@
 	}
 }
 
-// Entries are all endpoints' entries in the endpoint list.
+// Entries returns all endpoints' entries in the endpoint list.
 func (f *Fleet) Entries() (entries []endpoints.Entry) {
 	for _, e := range f.Endpoints {
-		entries = append(entries, e.Entry("ready"))
+		entries = append(entries, e.Entry(endpoints.Ready))
 	}
 	return entries
 }
 
-// Entry is an endpoint's entry in the endpoint list.
+// Entry returns an endpoint's entry in the endpoint list.
 func (e *Endpoint) Entry(condition string) endpoints.Entry {
 	return endpoints.Entry{ID: scheduler.EndpointID(e.ID), Addr: e.Addr, Zone: e.Zone, Kind: e.kind.Name, Cell: e.Cell,
 		Condition: condition, StartedAt: int64(e.startedAt)}
@@ -114,11 +114,11 @@
 	entry := e.Entry(condition)
 	maxDelay := int64(f.deployment.Fleet.RosterLateMs) * int64(eventloop.Millisecond)
 	f.loop.AfterFunc(eventloop.Micros(f.random.Int63n(maxDelay+1)), func() {
-		if condition == "draining" && !e.alive {
+		if condition == endpoints.Draining && !e.alive {
 			return
 		}
 		restarted := e.alive && e.startedAt > 0 && entry.StartedAt != int64(e.startedAt)
-		if condition == "gone" && restarted {
+		if condition == endpoints.Gone && restarted {
 			return // its start is announced by the change that follows
 		}
 		if f.Discovery != nil {
@@ -151,7 +151,7 @@
 		if err := f.add(e, f.loop.Now()); err != nil {
 			return err
 		}
-		f.announce(e, "ready")
+		f.announce(e, endpoints.Ready)
 	}
 	return nil
 }
--- a/internal/testbed/modelserver/scheduling.go
+++ b/internal/testbed/modelserver/scheduling.go
@@ -29,7 +29,7 @@
 	})
 }
 
-// decoding is true for an attempt that needs no more prefill.
+// decoding reports whether an attempt needs no more prefill.
 func (a *attempt) decoding() bool { return !a.prefillOnly && a.toPrefill == 0 }
 
 // step is one step of the batch: queued attempts take free slots, prefills go on, each answer gets a token.
--- a/internal/testbed/modelserver/slowstart.go
+++ b/internal/testbed/modelserver/slowstart.go
@@ -14,7 +14,7 @@
 	work float64
 }
 
-// capacityFactor is the share of its capacity that the endpoint has now.
+// capacityFactor returns the share of its capacity that the endpoint has now.
 func (e *Endpoint) capacityFactor() float64 {
 	factor := 1 / e.slowFactor
 	if e.startedAt == 0 {
@@ -29,7 +29,7 @@
 	return factor
 }
 
-// fullCapacity is the work a second that the endpoint does once it is warm.
+// fullCapacity returns the work a second that the endpoint does once it is warm.
 func (e *Endpoint) fullCapacity() float64 {
 	if e.kind.Role == pb.Kind_WRITER {
 		return float64(e.group.Slots) * 1e6 / float64(e.group.StepUs+e.group.StepUsPerStream*e.group.Slots)
--- a/internal/testbed/modelserver/summary.go
+++ b/internal/testbed/modelserver/summary.go
@@ -2,7 +2,7 @@
 
 import "fmt"
 
-// Summary is what each endpoint has in flight.
+// Summary returns what each endpoint has in flight.
 func (f *Fleet) Summary() (lines []string) {
 	for _, e := range f.Endpoints {
 		line := fmt.Sprint(e.ID, e.alive, e.draining, e.frozen, e.hung, len(e.queued), len(e.states))
@@ -14,7 +14,7 @@
 	return lines
 }
 
-// Outstanding is what all endpoints that are up have for requests: attempts, pinned states and tokens of memory.
+// Outstanding returns what all endpoints that are up have for requests: attempts, pinned states and tokens of memory.
 func (f *Fleet) Outstanding() (attempts, states, tokens int) {
 	for _, e := range f.Endpoints {
 		if e.alive {
@@ -35,8 +35,8 @@
 	stageDecode   = "writing"
 )
 
-// Stage says where a client's request stands, and at which endpoint: waiting, reading, fetching or writing; read where
-// its state is pinned.
+// Stage returns the stage of a client's request, one of the names above, and the endpoint that it is at; empty where
+// there is no endpoint that has it.
 func (f *Fleet) Stage(clientID string) (stage string, at *Endpoint) {
 	for _, e := range f.Endpoints {
 		if stage := e.stageInBatch(clientID); stage != "" {
--- a/internal/testbed/scenarios/builtin.go
+++ b/internal/testbed/scenarios/builtin.go
@@ -59,10 +59,10 @@
 		troubles { at_ms: 18000 kind: "vanish" share: 0.1 for_ms: 3000 }`,
 }
 
-// Names are the built-in scenarios.
+// Names returns the built-in scenarios.
 func Names() []string { return slices.Sorted(maps.Keys(builtin)) }
 
-// Find is a built-in scenario by its name, or one from a file.
+// Find returns a built-in scenario by its name, or one from a file.
 func Find(name string) (*pb.Day, error) {
 	faults, known := builtin[name]
 	if known {
--- a/internal/testbed/scenarios/faults.go
+++ b/internal/testbed/scenarios/faults.go
@@ -48,26 +48,23 @@
 	}
 }
 
-// times is the fault's factor in some unit of time.
+// times returns the fault's factor in some unit of time.
 func (i injection) times(unit eventloop.Micros) eventloop.Micros {
 	return eventloop.Micros(i.fault.Factor * float64(unit))
 }
 
 // injectors are the kinds of fault that can be injected in virtual time and over sockets.
 var injectors = map[string]injector{
-	"crash":        ofEndpoints(crashEndpoint),
-	"mass_restart": ofEndpoints(crashEndpoint),
-	"vanish":       ofEndpoints(func(e *modelserver.Endpoint, i injection) { e.Blackhole(i.duration) }),
-	"hang":         ofEndpoints(func(e *modelserver.Endpoint, i injection) { e.Hang(i.duration) }),
-	"pauses":       ofEndpoints(func(e *modelserver.Endpoint, i injection) { e.Pause(i.duration) }),
-	"flush":        ofEndpoints(func(e *modelserver.Endpoint, _ injection) { e.ClearPrefixCache() }),
-	"drain":        ofEndpoints(func(e *modelserver.Endpoint, i injection) { e.Drain(i.duration, i.duration) }),
-	"slow":         ofEndpoints(slowDownEndpoint),
-	"neighbour":    ofEndpoints(slowDownEndpoint),
-	"fast_errors": ofEndpoints(func(e *modelserver.Endpoint,
-		i injection) {
-		e.FailAttempts(i.fault.Factor, i.duration)
-	}),
+	"crash":          ofEndpoints(crashEndpoint),
+	"mass_restart":   ofEndpoints(crashEndpoint),
+	"vanish":         ofEndpoints(func(e *modelserver.Endpoint, i injection) { e.Blackhole(i.duration) }),
+	"hang":           ofEndpoints(func(e *modelserver.Endpoint, i injection) { e.Hang(i.duration) }),
+	"pauses":         ofEndpoints(func(e *modelserver.Endpoint, i injection) { e.Pause(i.duration) }),
+	"flush":          ofEndpoints(func(e *modelserver.Endpoint, _ injection) { e.ClearPrefixCache() }),
+	"drain":          ofEndpoints(func(e *modelserver.Endpoint, i injection) { e.Drain(i.duration, i.duration) }),
+	"slow":           ofEndpoints(slowDownEndpoint),
+	"neighbour":      ofEndpoints(slowDownEndpoint),
+	"fast_errors":    ofEndpoints(failAttempts),
 	"handshake_slow": ofEndpoints(delayConnections),
 	"report_late":    ofEndpoints(delayLoadReports),
 	"throttle":       rejectProduct,
@@ -85,6 +82,10 @@
 	endpoint.SlowDown(max(i.fault.Factor, 1), i.duration)
 }
 
+func failAttempts(endpoint *modelserver.Endpoint, i injection) {
+	endpoint.FailAttempts(i.fault.Factor, i.duration)
+}
+
 func delayConnections(endpoint *modelserver.Endpoint, i injection) {
 	endpoint.DelayConnections(i.times(eventloop.Millisecond), i.duration)
 }
@@ -143,7 +144,7 @@
 	return func() { generator.MinPatience = before }
 }
 
-// FaultKinds are the kinds of fault that a script may name.
+// FaultKinds returns the kinds of fault that a script may name.
 func FaultKinds() []string {
 	kinds := slices.AppendSeq(slices.Collect(maps.Keys(injectors)), maps.Keys(virtualInjectors))
 	slices.Sort(kinds)
@@ -151,10 +152,10 @@
 }
 
 // inject begins a fault; it runs on the fleet's loop.
-func (p *Run) inject(ctx context.Context, fault *pb.Day_Trouble) {
-	p.recorder.Add(record.Event{At: int64(p.fleetLoop.Now()), Type: record.FaultInjected, Kind: fault.Kind,
+func (r *Run) inject(ctx context.Context, fault *pb.Day_Trouble) {
+	r.recorder.Add(record.Event{At: int64(r.fleetLoop.Now()), Type: record.FaultInjected, Kind: fault.Kind,
 		Detail: fault.String(), Value: fault.Share})
-	i := injection{run: p, fault: fault, duration: eventloop.Micros(fault.ForMs) * eventloop.Millisecond}
+	i := injection{run: r, fault: fault, duration: eventloop.Micros(fault.ForMs) * eventloop.Millisecond}
 	if inject := virtualInjectors[fault.Kind]; inject != nil {
 		inject(i)
 		return
@@ -163,6 +164,6 @@
 	if fault.Kind == "neighbour" && share == 0 {
 		share = defaultNeighbourShare
 	}
-	i.endpoints = p.fleet.Pick(fault.HostKind, share)
+	i.endpoints = r.fleet.Pick(fault.HostKind, share)
 	injectors[fault.Kind](ctx, i)
 }
--- a/internal/testbed/scenarios/mutant.go
+++ b/internal/testbed/scenarios/mutant.go
@@ -6,7 +6,8 @@
 	"plumspindle/internal/virtual"
 )
 
-// Mutant is a fault that is injected into the program itself, to see that it is found. What is nil stays as it is.
+// Mutant is a fault that is injected into the program itself, to see that it is found. Fields that are nil change
+// nothing.
 type Mutant struct {
 	Name       string
 	Dispatcher func() *dispatch.Mutation
@@ -15,7 +16,7 @@
 	Run        func(*Run)
 }
 
-// mutation is the mutant's change to a dispatcher; a nil mutant has none.
+// mutation returns the mutant's change to a dispatcher; a nil mutant has none.
 func (m *Mutant) mutation() *dispatch.Mutation {
 	if m == nil || m.Dispatcher == nil {
 		return nil
@@ -23,7 +24,7 @@
 	return m.Dispatcher()
 }
 
-// loop is the event loop that a dispatcher runs on.
+// loop returns the event loop that a dispatcher runs on.
 func (m *Mutant) loop(real *virtual.Loop) eventloop.Loop {
 	if m == nil || m.Loop == nil {
 		return real
--- a/internal/testbed/scenarios/process.go
+++ b/internal/testbed/scenarios/process.go
@@ -71,13 +71,13 @@
 func (d *process) path(name string) string { return filepath.Join(d.run.sockets.dir, name) }
 
 func (d *process) arguments(name, readyPath string) []string {
-	p := d.run
-	seed := p.Seed*100 + int64(d.number*10+d.incarnations)
+	run := d.run
+	seed := run.Seed*100 + int64(d.number*10+d.incarnations)
 	args := []string{"serve", "--deployment", d.path(deploymentFile),
-		"--roster", p.fleet.Discovery.Addr, "--zone", d.target.Zone, "--listen", d.target.Addr, "--name", name,
+		"--roster", run.fleet.Discovery.Addr, "--zone", d.target.Zone, "--listen", d.target.Addr, "--name", name,
 		"--ready-file", readyPath, "--list-file", d.path(fmt.Sprintf("list%d", d.number)),
 		"--seed", strconv.FormatInt(seed, 10)}
-	if p.Intents {
+	if run.Intents {
 		args = append(args, "--state-dir", d.path(fmt.Sprintf("state%d", d.number)))
 	}
 	return args
@@ -108,18 +108,18 @@
 
 // crash kills the process outright and brings it back after a while.
 func (d *process) crash(ctx context.Context, back eventloop.Micros) {
-	p, name, exited := d.run, d.target.Name, d.exited
+	run, name, exited := d.run, d.target.Name, d.exited
 	recordKilled := func() {
-		p.recorder.Add(record.Event{At: int64(p.fleetLoop.Now()), Type: record.DispatcherKilled, Dispatcher: name})
+		run.recorder.Add(record.Event{At: int64(run.fleetLoop.Now()), Type: record.DispatcherKilled, Dispatcher: name})
 	}
 	recordKilled()
 	_ = d.command.Process.Kill() // it may have ended already
-	p.sockets.restarts.Go(func() {
+	run.sockets.restarts.Go(func() {
 		<-exited
 		recordKilled() // on a busy machine a process outlives the signal by more than the audit's slack
 		select {
 		case <-ctx.Done():
-		case <-p.sockets.ended:
+		case <-run.sockets.ended:
 		case <-time.After(time.Duration(back) * time.Microsecond):
 			d.restart(ctx)
 		}
@@ -128,15 +128,15 @@
 
 // restart starts the next incarnation. Clients use its name only once it serves.
 func (d *process) restart(ctx context.Context) {
-	p := d.run
+	run := d.run
 	target := *d.target
-	next := &process{run: p, number: d.number, incarnations: d.incarnations, target: &target}
+	next := &process{run: run, number: d.number, incarnations: d.incarnations, target: &target}
 	if err := next.start(ctx); err != nil {
-		p.report("%v", err)
+		run.report("%v", err)
 		return
 	}
-	p.clientLoop.Do(func() { *d.target = target })
-	p.fleetLoop.Do(func() { d.command, d.exited, d.incarnations = next.command, next.exited, next.incarnations })
+	run.clientLoop.Do(func() { *d.target = target })
+	run.fleetLoop.Do(func() { d.command, d.exited, d.incarnations = next.command, next.exited, next.incarnations })
 }
 
 func (d *process) limitDescriptors(spare int) (undo func()) {
@@ -152,11 +152,11 @@
 }
 
 // stopProcesses ends the dispatchers gracefully.
-func (p *Run) stopProcesses() error {
-	close(p.sockets.ended)
+func (r *Run) stopProcesses() error {
+	close(r.sockets.ended)
 	var stopping []process
-	p.fleetLoop.Do(func() {
-		for _, dispatcher := range p.sockets.processes {
+	r.fleetLoop.Do(func() {
+		for _, dispatcher := range r.sockets.processes {
 			if dispatcher.exited != nil {
 				stopping = append(stopping, *dispatcher)
 			}
@@ -172,7 +172,7 @@
 	return errors.Join(failures...)
 }
 
-// waitStopped waits for a process that was told to end, and checks how it did.
+// waitStopped waits for a process that was sent SIGTERM, and checks its exit code.
 func (d *process) waitStopped() error {
 	select {
 	case <-d.exited:
--- a/internal/testbed/scenarios/ready.go
+++ b/internal/testbed/scenarios/ready.go
@@ -15,7 +15,7 @@
 	AdminKey string `json:"admin_key,omitempty"`
 }
 
-// WriteReady writes a ready file atomically, so that nobody reads half of it; an empty path writes none.
+// WriteReady writes a ready file atomically, so that no reader sees half of it; an empty path writes none.
 func WriteReady(path string, ready Ready) error {
 	if path == "" {
 		return nil
--- a/internal/testbed/scenarios/results.go
+++ b/internal/testbed/scenarios/results.go
@@ -2,13 +2,13 @@
 
 import "plumspindle/internal/testbed/record"
 
-// Events are what clients and endpoints saw.
-func (p *Run) Events() []record.Event { return p.events }
+// Events returns what clients and endpoints saw.
+func (r *Run) Events() []record.Event { return r.events }
 
-// firstAskSeconds is the second of the load in which each request was first sent, by its id.
-func (p *Run) firstAskSeconds() map[string]int {
+// firstAskSeconds returns the second of the load in which each request was first sent, by its id.
+func (r *Run) firstAskSeconds() map[string]int {
 	seconds, begin := map[string]int{}, int64(0)
-	for _, event := range p.events {
+	for _, event := range r.events {
 		if event.Type != record.RequestSent || event.ClientAttempt != 1 {
 			continue
 		}
@@ -20,11 +20,11 @@
 	return seconds
 }
 
-// CompletedInSecond is how many requests were first sent in one second of the load, and how many of them were
+// CompletedInSecond returns how many requests were first sent in one second of the load, and how many of them were
 // completed.
-func (p *Run) CompletedInSecond(second int) (asked, completed int) {
-	seconds := p.firstAskSeconds()
-	for _, event := range p.events {
+func (r *Run) CompletedInSecond(second int) (asked, completed int) {
+	seconds := r.firstAskSeconds()
+	for _, event := range r.events {
 		askedIn, known := seconds[event.Request]
 		if event.Type != record.RequestOver || !known || askedIn != second {
 			continue
@@ -39,10 +39,10 @@
 
 // WithinSLOBySecond is, for each second of the load, how many requests were first sent in it and how many of them got
 // their answer within the SLO time.
-func (p *Run) WithinSLOBySecond() (asked, inSLO []int) {
-	seconds := p.firstAskSeconds()
-	asked, inSLO = make([]int, p.Script.Seconds+1), make([]int, p.Script.Seconds+1)
-	for _, event := range p.events {
+func (r *Run) WithinSLOBySecond() (asked, inSLO []int) {
+	seconds := r.firstAskSeconds()
+	asked, inSLO = make([]int, r.Script.Seconds+1), make([]int, r.Script.Seconds+1)
+	for _, event := range r.events {
 		second, known := seconds[event.Request]
 		if event.Type != record.RequestOver || !known || second >= len(asked) {
 			continue
--- a/internal/testbed/scenarios/run.go
+++ b/internal/testbed/scenarios/run.go
@@ -50,7 +50,7 @@
 	Binary      string // of this program
 	RecordDir   string // that the record is written to; empty: it is not
 	Progress    io.Writer
-	// clients send Idempotency-Keys and retry, at the same dispatcher, what was cut off
+	// Keyed has clients send Idempotency-Keys and retry broken streams at the same dispatcher.
 	Keyed         bool
 	Intents       bool                     // dispatchers record intents across their incarnations
 	OnLoadStarted func(addresses []string) // over sockets: with the dispatchers' addresses, once the load has begun
@@ -109,28 +109,28 @@
 
 // prepare gives the deployment the scenario's tenants and its number of dispatchers, and begins the record. It returns
 // the deployment's text.
-func (p *Run) prepare() (text []byte, err error) {
-	p.random = rand.New(rand.NewSource(p.Seed))
-	p.tenantKeys = Tenants(p.Deployment, []string{"north", "middle", "south"}, quotaShare*p.Script.Rate,
-		func(i int) string { return fmt.Sprintf("sk-day-%d-%016x", i, p.random.Uint64()) })
-	p.Deployment.Dispatching.Dispatchers = uint32(p.Dispatchers)
-	if err := p.checkBatches(); err != nil {
-		return nil, fmt.Errorf("day %s: %w", p.Script.Name, err)
-	}
-	text = p.Deployment.Text()
-	p.recorder, err = openRecorder(p.RecordDir, text)
+func (r *Run) prepare() (text []byte, err error) {
+	r.random = rand.New(rand.NewSource(r.Seed))
+	r.tenantKeys = Tenants(r.Deployment, []string{"north", "middle", "south"}, quotaShare*r.Script.Rate,
+		func(i int) string { return fmt.Sprintf("sk-day-%d-%016x", i, r.random.Uint64()) })
+	r.Deployment.Dispatching.Dispatchers = uint32(r.Dispatchers)
+	if err := r.checkBatches(); err != nil {
+		return nil, fmt.Errorf("day %s: %w", r.Script.Name, err)
+	}
+	text = r.Deployment.Text()
+	r.recorder, err = openRecorder(r.RecordDir, text)
 	return text, err
 }
 
 // checkBatches checks that the deployment has what the script's batches ask for.
-func (p *Run) checkBatches() error {
-	for i, batch := range p.Script.Batches {
-		product := p.product(batch.Product)
+func (r *Run) checkBatches() error {
+	for i, batch := range r.Script.Batches {
+		product := r.product(batch.Product)
 		switch {
 		case product == nil || product.Form == pb.Product_CHAT:
 			return fmt.Errorf("batches[%d].product: the deployment has no product %q for batches", i, batch.Product)
-		case int(batch.Tenant) >= len(p.Deployment.Tenants):
-			return fmt.Errorf("batches[%d].tenant: there are %d tenants, numbered from 0", i, len(p.Deployment.Tenants))
+		case int(batch.Tenant) >= len(r.Deployment.Tenants):
+			return fmt.Errorf("batches[%d].tenant: there are %d tenants, numbered from 0", i, len(r.Deployment.Tenants))
 		case batch.Inputs < 1 || batch.Inputs > maxBatchInputs || batch.Tokens < minInputTokens ||
 			batch.Tokens > maxInputTokens:
 			return fmt.Errorf("batches[%d]: a call has 1 to %d inputs of %d to %d tokens",
@@ -140,9 +140,9 @@
 	return nil
 }
 
-// product is the deployment's product of a name, or nil.
-func (p *Run) product(name string) (found *pb.Product) {
-	for _, product := range p.Deployment.Products {
+// product returns the deployment's product of a name, or nil.
+func (r *Run) product(name string) (found *pb.Product) {
+	for _, product := range r.Deployment.Products {
 		if product.Name == name {
 			found = product
 		}
@@ -166,13 +166,13 @@
 }
 
 // judge ends the record and judges it.
-func (p *Run) judge() (*audit.Verdict, error) {
-	events, err := p.recorder.Close()
+func (r *Run) judge() (*audit.Verdict, error) {
+	events, err := r.recorder.Close()
 	if err != nil {
 		return nil, err
 	}
-	p.events = events
-	return audit.Judge(p.Deployment, events), nil
+	r.events = events
+	return audit.Judge(r.Deployment, events), nil
 }
 
 // JudgeRecorded judges the record of an earlier run.
@@ -188,58 +188,58 @@
 	return audit.Judge(d, events), nil
 }
 
-// newTarget is the target of a dispatcher that has not started; the zones take turns.
-func (p *Run) newTarget(index int) *load.Target {
-	return &load.Target{Zone: p.Deployment.Zones[index%len(p.Deployment.Zones)], Addr: anyLocalPort, Alive: true}
+// newTarget returns the target of a dispatcher that has not started; the zones take turns.
+func (r *Run) newTarget(index int) *load.Target {
+	return &load.Target{Zone: r.Deployment.Zones[index%len(r.Deployment.Zones)], Addr: anyLocalPort, Alive: true}
 }
 
 // startFleet starts the stand-in endpoints.
-func (p *Run) startFleet() (err error) {
-	p.fleetLoop.Do(func() {
-		p.fleet, err = modelserver.Start(p.fleetLoop, p.Deployment, p.Seed, anyLocalPort, p.recorder)
+func (r *Run) startFleet() (err error) {
+	r.fleetLoop.Do(func() {
+		r.fleet, err = modelserver.Start(r.fleetLoop, r.Deployment, r.Seed, anyLocalPort, r.recorder)
 	})
 	return err
 }
 
 // startLoad starts the clients and schedules the faults.
-func (p *Run) startLoad(ctx context.Context, targets []*load.Target) {
-	p.clientLoop.Do(func() {
-		p.generator = load.New(p.clientLoop, load.Config{Deployment: p.Deployment, Seed: p.Seed,
-			Keys: p.tenantKeys, Targets: targets, Recorder: p.recorder})
-		p.generator.Rate, p.generator.Keyed = p.Script.Rate, p.Keyed
-		p.generator.Run()
+func (r *Run) startLoad(ctx context.Context, targets []*load.Target) {
+	r.clientLoop.Do(func() {
+		r.generator = load.New(r.clientLoop, load.Config{Deployment: r.Deployment, Seed: r.Seed,
+			Keys: r.tenantKeys, Targets: targets, Recorder: r.recorder})
+		r.generator.Rate, r.generator.Keyed = r.Script.Rate, r.Keyed
+		r.generator.Run()
 	})
-	for _, batch := range p.Script.Batches {
-		p.clientLoop.Do(func() { p.scheduleBatch(batch) })
+	for _, batch := range r.Script.Batches {
+		r.clientLoop.Do(func() { r.scheduleBatch(batch) })
 	}
-	for _, fault := range p.Script.Troubles {
+	for _, fault := range r.Script.Troubles {
 		after := eventloop.Micros(fault.AtMs) * eventloop.Millisecond
-		p.fleetLoop.Do(func() { p.fleetLoop.AfterFunc(after, func() { p.inject(ctx, fault) }) })
+		r.fleetLoop.Do(func() { r.fleetLoop.AfterFunc(after, func() { r.inject(ctx, fault) }) })
 	}
 }
 
-func (p *Run) scheduleBatch(batch *pb.Day_Batch) {
-	clients := &load.BatchClients{Generator: p.generator, Product: p.product(batch.Product), Tenant: int(batch.Tenant),
+func (r *Run) scheduleBatch(batch *pb.Day_Batch) {
+	clients := &load.BatchClients{Generator: r.generator, Product: r.product(batch.Product), Tenant: int(batch.Tenant),
 		Concurrency: int(batch.AtOnce), Inputs: int(batch.Inputs), Tokens: int(batch.Tokens), Calls: int(batch.Calls)}
-	p.BatchClients = append(p.BatchClients, clients)
-	p.clientLoop.AfterFunc(eventloop.Micros(batch.FromMs)*eventloop.Millisecond, clients.Run)
+	r.BatchClients = append(r.BatchClients, clients)
+	r.clientLoop.AfterFunc(eventloop.Micros(batch.FromMs)*eventloop.Millisecond, clients.Run)
 	if batch.ForMs > 0 {
-		p.clientLoop.AfterFunc(eventloop.Micros(batch.FromMs+batch.ForMs)*eventloop.Millisecond, clients.Stop)
+		r.clientLoop.AfterFunc(eventloop.Micros(batch.FromMs+batch.ForMs)*eventloop.Millisecond, clients.Stop)
 	}
 }
 
 // stopLoad has the clients send nothing more; requests in flight go on.
-func (p *Run) stopLoad() {
-	p.generator.Stop()
-	for _, clients := range p.BatchClients {
+func (r *Run) stopLoad() {
+	r.generator.Stop()
+	for _, clients := range r.BatchClients {
 		clients.Stop()
 	}
 }
 
-// openCalls is how many calls of clients are in flight.
-func (p *Run) openCalls() int {
-	open := p.generator.Open
-	for _, clients := range p.BatchClients {
+// openCalls returns how many calls of clients are in flight.
+func (r *Run) openCalls() int {
+	open := r.generator.Open
+	for _, clients := range r.BatchClients {
 		open += clients.Open
 	}
 	return open
--- a/internal/testbed/scenarios/sockets.go
+++ b/internal/testbed/scenarios/sockets.go
@@ -24,38 +24,38 @@
 type socketRun struct {
 	dir       string // for temporary files
 	processes []*process
-	ended     chan struct{} // closed once the dispatchers are told to end
+	ended     chan struct{} // closed once the dispatchers are being stopped
 	restarts  sync.WaitGroup
 }
 
 // Run runs the scenario over sockets, with a process for each dispatcher, and judges it.
-func (p *Run) Run(ctx context.Context) (verdict *audit.Verdict, err error) {
-	for i, fault := range p.Script.Troubles {
+func (r *Run) Run(ctx context.Context) (verdict *audit.Verdict, err error) {
+	for i, fault := range r.Script.Troubles {
 		if virtualInjectors[fault.Kind] != nil {
-			return nil, fmt.Errorf("day %s: troubles[%d]: %s can be played in virtual time only", p.Script.Name, i, fault.Kind)
+			return nil, fmt.Errorf("day %s: troubles[%d]: %s can be played in virtual time only", r.Script.Name, i, fault.Kind)
 		}
 	}
-	text, err := p.prepare()
+	text, err := r.prepare()
 	if err != nil {
 		return nil, err
 	}
-	p.sockets = &socketRun{ended: make(chan struct{})}
-	if p.sockets.dir, err = os.MkdirTemp("", "plumspindle-day"); err != nil {
+	r.sockets = &socketRun{ended: make(chan struct{})}
+	if r.sockets.dir, err = os.MkdirTemp("", "plumspindle-day"); err != nil {
 		return nil, err
 	}
-	defer func() { err = errors.Join(err, os.RemoveAll(p.sockets.dir)) }()
-	if err := os.WriteFile(filepath.Join(p.sockets.dir, deploymentFile), text, 0o600); err != nil {
+	defer func() { err = errors.Join(err, os.RemoveAll(r.sockets.dir)) }()
+	if err := os.WriteFile(filepath.Join(r.sockets.dir, deploymentFile), text, 0o600); err != nil {
 		return nil, err
 	}
-	if err := p.runOverSockets(ctx); err != nil {
-		_, _ = p.recorder.Close() // the run's own error says more
+	if err := r.runOverSockets(ctx); err != nil {
+		_, _ = r.recorder.Close() // the run's own error says more
 		return nil, err
 	}
-	return p.judge()
+	return r.judge()
 }
 
 // runOverSockets starts everything, waits until the load is over and ends everything.
-func (p *Run) runOverSockets(ctx context.Context) error {
+func (r *Run) runOverSockets(ctx context.Context) error {
 	fleetLoop, err := sockets.Start()
 	if err != nil {
 		return err
@@ -66,46 +66,46 @@
 		return err
 	}
 	defer clientLoop.Stop()
-	p.fleetLoop, p.clientLoop = fleetLoop, clientLoop
-	if err := p.startFleet(); err != nil {
+	r.fleetLoop, r.clientLoop = fleetLoop, clientLoop
+	if err := r.startFleet(); err != nil {
 		return err
 	}
-	defer p.fleetLoop.Do(p.fleet.Close)
+	defer r.fleetLoop.Do(r.fleet.Close)
 	ctx, cancel := context.WithCancel(ctx)
-	defer p.sockets.restarts.Wait()
+	defer r.sockets.restarts.Wait()
 	defer cancel() // a dispatcher that comes back too late for the scenario's end goes with it
-	err = p.runLoad(ctx)
-	return errors.Join(err, p.stopProcesses())
+	err = r.runLoad(ctx)
+	return errors.Join(err, r.stopProcesses())
 }
 
 // runLoad starts the dispatchers and waits until the load is over.
-func (p *Run) runLoad(ctx context.Context) error {
+func (r *Run) runLoad(ctx context.Context) error {
 	var targets []*load.Target
-	for i := range p.Dispatchers {
-		dispatcher := &process{run: p, number: i + 1, target: p.newTarget(i)}
-		p.sockets.processes = append(p.sockets.processes, dispatcher)
-		p.servers = append(p.servers, dispatcher)
+	for i := range r.Dispatchers {
+		dispatcher := &process{run: r, number: i + 1, target: r.newTarget(i)}
+		r.sockets.processes = append(r.sockets.processes, dispatcher)
+		r.servers = append(r.servers, dispatcher)
 		targets = append(targets, dispatcher.target)
 		if err := dispatcher.start(ctx); err != nil {
 			return err
 		}
 	}
-	p.startLoad(ctx, targets)
-	if p.OnLoadStarted != nil {
+	r.startLoad(ctx, targets)
+	if r.OnLoadStarted != nil {
 		var addresses []string
 		for _, target := range targets {
 			addresses = append(addresses, target.Addr)
 		}
-		p.OnLoadStarted(addresses)
+		r.OnLoadStarted(addresses)
 	}
-	return p.waitForLoad(ctx, time.Now())
+	return r.waitForLoad(ctx, time.Now())
 }
 
 // waitForLoad waits for the scenario's time, and then for the calls that are in flight.
-func (p *Run) waitForLoad(ctx context.Context, started time.Time) error {
+func (r *Run) waitForLoad(ctx context.Context, started time.Time) error {
 	ticker := time.NewTicker(loadPollInterval)
 	defer ticker.Stop()
-	duration := time.Duration(p.Script.Seconds) * time.Second
+	duration := time.Duration(r.Script.Seconds) * time.Second
 	for polls := 1; ; polls++ {
 		select {
 		case <-ctx.Done():
@@ -114,14 +114,14 @@
 		}
 		elapsed := time.Since(started)
 		var asked, open int
-		p.clientLoop.Do(func() {
+		r.clientLoop.Do(func() {
 			if elapsed >= duration {
-				p.stopLoad()
+				r.stopLoad()
 			}
-			asked, open = p.generator.Asked, p.openCalls()
+			asked, open = r.generator.Asked, r.openCalls()
 		})
 		if polls%pollsBetweenReport == 0 {
-			p.report("%s: %d of %d s, %d asked, %d open", p.Script.Name, int(elapsed.Seconds()), p.Script.Seconds, asked, open)
+			r.report("%s: %d of %d s, %d asked, %d open", r.Script.Name, int(elapsed.Seconds()), r.Script.Seconds, asked, open)
 		}
 		if elapsed > duration && (open == 0 || elapsed > duration+drainTimeout) {
 			return nil
@@ -130,8 +130,8 @@
 }
 
 // report writes a line of progress, if anyone wants it.
-func (p *Run) report(format string, args ...any) {
-	if p.Progress != nil {
-		_, _ = fmt.Fprintf(p.Progress, format+"\n", args...) // progress that nobody reads ends nothing
+func (r *Run) report(format string, args ...any) {
+	if r.Progress != nil {
+		_, _ = fmt.Fprintf(r.Progress, format+"\n", args...) // a run goes on without a reader of its progress
 	}
 }
--- a/internal/testbed/scenarios/virtualdispatcher.go
+++ b/internal/testbed/scenarios/virtualdispatcher.go
@@ -32,25 +32,25 @@
 
 // start starts the next incarnation.
 func (d *virtualDispatcher) start() (err error) {
-	p := d.run
+	run := d.run
 	d.incarnations++
 	d.down = false
 	name := fmt.Sprintf("d%d.%d", d.number, d.incarnations)
-	d.loop = p.world.network.NewLoop(name)
+	d.loop = run.world.network.NewLoop(name)
 	d.loop.StepClock(d.clockSkew)
-	loop := p.Mutant.loop(d.loop)
-	config := dispatch.Config{Name: name, Zone: d.target.Zone, Seed: p.Seed*100 + int64(d.number*10+d.incarnations),
-		Mutation: p.Mutant.mutation(), Discovery: p.fleet.Discovery.Addr, Log: zerolog.Nop(),
+	loop := run.Mutant.loop(d.loop)
+	config := dispatch.Config{Name: name, Zone: d.target.Zone, Seed: run.Seed*100 + int64(d.number*10+d.incarnations),
+		Mutation: run.Mutant.mutation(), Discovery: run.fleet.Discovery.Addr, Log: zerolog.Nop(),
 		CachedEndpoints: [][]byte{d.cachedEndpoints},
 		CacheEndpoints:  func(list []byte) { d.cachedEndpoints = list }}
 	d.loop.Do(func() {
-		p.Mutant.changeDisk(d.disk)
-		if p.Intents {
+		run.Mutant.changeDisk(d.disk)
+		if run.Intents {
 			if config.Intents, err = store.Open(d.disk.AttachTo(d.loop), store.DefaultLimits); err != nil {
 				return
 			}
 		}
-		if d.dispatcher, err = dispatch.Start(loop, p.Deployment, config); err != nil {
+		if d.dispatcher, err = dispatch.Start(loop, run.Deployment, config); err != nil {
 			return
 		}
 		var listener eventloop.Listener
--- a/internal/testbed/scenarios/virtualfaults.go
+++ b/internal/testbed/scenarios/virtualfaults.go
@@ -30,7 +30,7 @@
 	"slow_disk":  slowDownDisks,
 }
 
-// dispatchers are a share of the dispatchers, drawn at random, one at least.
+// dispatchers returns a share of the dispatchers, drawn at random, one at least.
 func (i injection) dispatchers(share float64) []*virtualDispatcher {
 	return pickShare(i.run.random, i.run.world.dispatchers, share)
 }
