--- a/internal/testbed/audit/audit.go
+++ b/internal/testbed/audit/audit.go
@@ -106,7 +106,7 @@
 
 // Judge judges a record.
 func Judge(dep deployment.Deployment, events []record.Event) *Verdict {
-	j := &judge{
+	judging := &judge{
 		deployment:     dep,
 		verdict:        &Verdict{},
 		products:       map[string]*pb.Product{},
@@ -120,19 +120,19 @@
 		ran:            map[string][]int{},
 	}
 	for i, name := range ruleNames {
-		j.verdict.Rules[i].Name = name
+		judging.verdict.Rules[i].Name = name
 	}
 	for _, product := range dep.Products {
-		j.products[product.Name] = product
+		judging.products[product.Name] = product
 	}
-	j.gather(events)
-	j.checkFinalAnswers(events)
-	j.checkSecondRuns(events)
-	j.checkDrains(events)
-	j.checkSlowStart(events)
-	j.checkPinnedState(events)
-	j.summariseService(events)
-	return j.verdict
+	judging.gather(events)
+	judging.checkFinalAnswers(events)
+	judging.checkSecondRuns(events)
+	judging.checkDrains(events)
+	judging.checkSlowStart(events)
+	judging.checkPinnedState(events)
+	judging.summariseService(events)
+	return judging.verdict
 }
 
 // checked counts a case of a rule.
