--- a/internal/dispatch/batch_call.go
+++ b/internal/dispatch/batch_call.go
@@ -44,7 +44,7 @@
 	closed      bool
 }
 
-// batchRoute is one of the APIs whose answers are complete with the prefill.
+// batchRoute returns one of the APIs whose answers are complete with the prefill.
 func (d *Dispatcher) batchRoute(kind embeddings.Kind, form pb.Product_Form) frontend.Route {
 	settings := d.batches.limits
 	limits := embeddings.Limits{
@@ -95,11 +95,11 @@
 	}
 	slot := d.tenantSlots[c.identity.Tenant]
 	if slot == nil || !c.identity.Active {
-		return tenantSuspended()
+		return frontend.TenantSuspended()
 	}
 	if d.batches.openCalls >= int(d.Deployment.Doors.OpenMost) {
 		d.Shed++
-		return frontend.TooManyConnections()
+		return frontend.Overloaded()
 	}
 	timeout := milliseconds(product.TimeLimitMs)
 	if c.clientLimit > 0 {
@@ -148,7 +148,7 @@
 func (c *batchCall) growAnswer() bool {
 	inputs, known := len(c.request.Inputs), len(c.answer.Vectors)
 	b := &c.dispatcher.batches
-	bytes := vectorBytes(c.dimensions) * (inputs - known)
+	bytes := embeddings.VectorBytes(c.dimensions) * (inputs - known)
 	if b.answerBytes+bytes > maxBatchAnswerBytes {
 		return false
 	}
