--- a/internal/cli/program.go
+++ b/internal/cli/program.go
@@ -26,8 +26,6 @@
 )
 
 // commands is the root of the command line; kong derives the names of commands and flags from its fields.
-//
-//nolint:lll // a struct tag is one line
 type commands struct {
 	LogLevel string `enum:"debug,info,warn,error" default:"info" help:"Lowest level that is logged, on standard error: ${enum}."`
 
@@ -108,7 +106,7 @@
 	return runCommand(parsed, &root, stdout, stderr)
 }
 
-// runCommand runs the command that was parsed until it ends or a signal asks the program to stop.
+// runCommand runs the command that was parsed until it ends or a signal stops the program.
 func runCommand(parsed *kong.Context, root *commands, stdout, stderr io.Writer) int {
 	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
 	defer stop()
