--- a/internal/endpoints/endpoints.go
+++ b/internal/endpoints/endpoints.go
@@ -14,7 +14,7 @@
 
 // The conditions of an entry, as the source and cached lists name them.
 const (
-	Ready    = "ready"    // takes new requests
+	Ready    = "ready"    // accepts new requests
 	Draining = "draining" // completes what it has
 	Gone     = "gone"     // no longer exists
 )
--- a/internal/endpoints/view.go
+++ b/internal/endpoints/view.go
@@ -17,7 +17,7 @@
 	Endpoints map[scheduler.EndpointID]Entry
 }
 
-// Apply takes one message. It returns the entries to be passed on, and whether they are the complete list; no entries
+// Apply applies one message. It returns the entries to be passed on, and whether they are the complete list; no entries
 // for a message that is older than what is known. A message with an error changes nothing: one that does not follow on
 // what is known is a *subscribe.GapError, a faulty entry an *EntryError.
 func (v *View) Apply(data []byte) (entries []Entry, complete bool, err error) {
@@ -77,8 +77,8 @@
 	return data
 }
 
-// Restore takes a cached list, before anything was received from the source. It returns the entries and when they were
-// written. The cached version is forgotten, so that the first update from the source has to be a complete list.
+// Restore applies a cached list, before anything was received from the source. It returns the entries and when they
+// were written. The cached version is forgotten, so that the first update from the source has to be a complete list.
 func (v *View) Restore(cached []byte) (entries []Entry, savedAt int64, err error) {
 	defer v.Reset()
 	var update Update
--- a/internal/endpoints/watcher.go
+++ b/internal/endpoints/watcher.go
@@ -17,9 +17,9 @@
 	Dispatcher string
 	// Seed is that of the backoff's jitter.
 	Seed int64
-	// OnUpdate takes entries as they are received, and whether they are the complete list.
+	// OnUpdate is called with entries as they are received, and with whether they are the complete list.
 	OnUpdate func(entries []Entry, complete bool)
-	// Log takes lost subscriptions and rejected updates.
+	// Log receives warnings of lost subscriptions and rejected updates.
 	Log zerolog.Logger
 }
 
--- a/internal/engine/attempt.go
+++ b/internal/engine/attempt.go
@@ -150,7 +150,7 @@
 	return Result{Outcome: outcome, Reason: reason}
 }
 
-// receiveEvent takes one event of a streamed response.
+// receiveEvent handles one event of a streamed response.
 func (a *Attempt) receiveEvent(data []byte) error {
 	if a.ended {
 		return nil
@@ -163,7 +163,7 @@
 	return err
 }
 
-// receiveBody takes bytes of the response's body.
+// receiveBody handles bytes of the response's body.
 func (a *Attempt) receiveBody(data []byte) error {
 	if a.streamed() {
 		return a.events.Feed(data, a.receiveEvent)
--- a/internal/engine/engine.go
+++ b/internal/engine/engine.go
@@ -19,7 +19,7 @@
 type Limits struct {
 	ConnectTimeout    eventloop.Micros // a connection not made by then counts as unreachable
 	IdleTimeout       eventloop.Micros // an unused connection is closed after it; endpoints must keep theirs for longer
-	StreamIdleTimeout eventloop.Micros // a started stream that brings nothing for so long counts as broken
+	StreamIdleTimeout eventloop.Micros // a started stream without data for so long counts as broken
 	MaxPerEndpoint    int              // connections to one endpoint
 	// MaxOpening is how many connections to one endpoint may be opening at once; further attempts queue, for
 	// ConnectTimeout at most.
--- a/internal/engine/result.go
+++ b/internal/engine/result.go
@@ -20,12 +20,12 @@
 	State          string  // with PrefillDone: where the KV state lies, as the endpoint's kv_transfer_params say
 	ClosedLocally  bool    // the connection was reset by this side with the attempt on it
 	Undelivered    bool    // its last byte was not known to have reached the endpoint when it ended
-	InvalidRequest bool    // the endpoint says that the request is no good: no other would do better
+	InvalidRequest bool    // the endpoint has declared the request invalid, as any other would
 	Reason         string  // for logs
 }
 
 // ForScheduler returns the result in the scheduler's terms; requestClosed says whether the client has its final answer
-// or has left.
+// or has disconnected.
 func (r Result) ForScheduler(requestClosed bool) scheduler.AttemptResult {
 	return scheduler.AttemptResult{
 		Outcome:       r.Outcome,
--- a/internal/platform/attempt.go
+++ b/internal/platform/attempt.go
@@ -145,7 +145,7 @@
 	d.scheduler.AttemptStarted(d.loop.Now(), req.id, req.attempt.number())
 }
 
-// attemptEnded takes the end of an attempt.
+// attemptEnded handles the result of an attempt, unless another one has been ordered since.
 func (d *Dispatcher) attemptEnded(req *request, number scheduler.AttemptNo, result engine.Result) {
 	a := &req.attempt
 	if number != a.number() {
@@ -168,7 +168,7 @@
 	d.finishIfIdle(req)
 }
 
-// endStream gives the client the end of its stream.
+// endStream ends the client's stream, completely or not.
 func (d *Dispatcher) endStream(req *request, outcome scheduler.Outcome) {
 	req.client.closed = true
 	if outcome == scheduler.Completed {
--- a/internal/platform/discovery/discovery.go
+++ b/internal/platform/discovery/discovery.go
@@ -34,9 +34,9 @@
 	Address string
 	// Seed is that of the backoff's jitter.
 	Seed int64
-	// OnUpdate takes entries as they are received, and whether they are the complete list.
+	// OnUpdate is called with entries as they are received, and with whether they are the complete list.
 	OnUpdate func(entries []Entry, complete bool)
-	// Log takes lost subscriptions, rejected updates and skipped entries.
+	// Log receives warnings of lost subscriptions, rejected updates and skipped entries.
 	Log zerolog.Logger
 }
 
@@ -97,8 +97,8 @@
 // Connected reports whether discovery has responded on the current connection.
 func (w *Watcher) Connected() bool { return w.client.Connected() }
 
-// Apply takes a message from discovery: the complete list, or what has changed since the version known. Its errors are
-// ErrMalformedList and *VersionError, and the complete list is asked for after either.
+// Apply applies a message from discovery: the complete list, or what has changed since the version known. Its errors
+// are ErrMalformedList and *VersionError, and the complete list is asked for after either.
 func (w *Watcher) Apply(data []byte) error {
 	err := w.apply(data)
 	if err == nil {
@@ -107,7 +107,7 @@
 	return err
 }
 
-// ApplyCached takes a list that discovery sent to an earlier process.
+// ApplyCached applies a list that discovery sent to an earlier process.
 func (w *Watcher) ApplyCached(data []byte) error { return w.apply(data) }
 
 func (w *Watcher) apply(data []byte) error {
@@ -136,8 +136,8 @@
 	return nil
 }
 
-// entries reads a list and brings the records up to date. An entry that can't be read is skipped: it must not cost the
-// others.
+// entries decodes the entries of a list and updates the records. An entry that can't be decoded is skipped, as the
+// others can still be used.
 func (w *Watcher) entries(received *list, now eventloop.Micros) (entries []Entry) {
 	listing := starttimes.Listing{Now: now, Skew: received.skew(now), InService: w.inService}
 	for i, server := range received.servers {
--- a/internal/platform/discovery/record.go
+++ b/internal/platform/discovery/record.go
@@ -14,7 +14,7 @@
 	recordRetention = 1800 * eventloop.Second
 	cleanupInterval = recordRetention / 10
 	// newestPrecedence is how long a list takes precedence over an older one that is received after it, as from another
-	// replica of discovery that lags. After that the source may have begun to count anew.
+	// replica of discovery that lags. After that the source may have restarted its count.
 	newestPrecedence = 60 * eventloop.Second
 )
 
@@ -25,7 +25,7 @@
 
 	// As the newest list had it, and when that was.
 	start    starttimes.Start
-	retired  bool // it takes no new requests
+	retired  bool // it accepts no new requests
 	listedAt eventloop.Micros
 }
 
@@ -48,8 +48,8 @@
 	}
 }
 
-// reconcile stops an older list from taking back what a newer one said: that an endpoint takes no new requests, or that
-// it has restarted.
+// reconcile stops an older list from taking back what a newer one said: that an endpoint accepts no new requests, or
+// that it has restarted.
 func (w *Watcher) reconcile(known *record, entry *Entry, version uint64, now eventloop.Micros) {
 	if version < w.newest && now-known.listedAt < newestPrecedence {
 		if known.retired && entry.start.Timestamp <= known.start.Timestamp {
--- a/internal/platform/dispatcher.go
+++ b/internal/platform/dispatcher.go
@@ -2,8 +2,8 @@
 //
 // It reports events to the scheduler and executes its orders. It owns the requests from their acceptance to their last
 // byte: the client's response, the attempt in flight, the lease of the KV state that an endpoint may hold, and the
-// guard's ledger. Clients come by package server, attempts go by package upstream, the endpoint list comes by package
-// discovery. Everything runs on one event loop. It never decides where or whether an attempt is made.
+// guard's ledger. Package server serves the clients, package upstream sends the attempts, package discovery follows the
+// endpoint list. Everything runs on one event loop. It never decides where or whether an attempt is made.
 package platform
 
 import (
@@ -84,7 +84,7 @@
 	Counts
 }
 
-// Start makes a dispatcher on a loop; Server's Accept takes its clients.
+// Start makes a dispatcher on a loop. Its clients are accepted by the Accept method of Server.
 func Start(loop eventloop.Loop, config Config) *Dispatcher {
 	d := &Dispatcher{
 		loop:      loop,
--- a/internal/platform/endpoints.go
+++ b/internal/platform/endpoints.go
@@ -8,7 +8,7 @@
 	"plumspindle/scheduler"
 )
 
-// updateEndpoints takes an endpoint list, or what has changed in it.
+// updateEndpoints applies a complete endpoint list, or changes to it.
 func (d *Dispatcher) updateEndpoints(entries []discovery.Entry, complete bool) {
 	d.discoveryReady() // remembers a first response, should the connection be lost before the next check
 	listed := map[scheduler.EndpointID]bool{}
--- a/internal/platform/launch/config.go
+++ b/internal/platform/launch/config.go
@@ -20,7 +20,7 @@
 	// maxConfigFile is how many bytes a configuration file may have.
 	maxConfigFile = 64 * megabyte
 
-	// Limits where the configuration gives none.
+	// Limits if the configuration has none.
 	defaultMemory  = 2048 * megabyte
 	defaultSockets = 1024
 )
--- a/internal/platform/launch/reload.go
+++ b/internal/platform/launch/reload.go
@@ -9,9 +9,9 @@
 	maxReloadAttempts = 30
 )
 
-// reload takes discovery's address from the configuration file as it is now; attempts were made before. The file is
-// read with a spare descriptor, and again after a transient error: without it no endpoint would be known to drain once
-// the old address falls silent.
+// reload reads discovery's address from the configuration file again; attempts is how many have failed before. The file
+// is read with a reserved descriptor, and again after a transient error: without the new address no drain would be
+// known once the old one falls silent.
 func (p *process) reload(attempts int) {
 	var config *Config
 	err := p.loop.WithReservedDescriptor(func() (err error) {
--- a/internal/platform/ledger.go
+++ b/internal/platform/ledger.go
@@ -91,7 +91,7 @@
 	}
 }
 
-// reportUnansweredClose takes a connection that the server closes over a request that it has read.
+// reportUnansweredClose reports a connection that the server closes although it has read a request on it.
 func (d *Dispatcher) reportUnansweredClose(requestID, reason string) {
 	d.guard.Violated(guard.Violation{Rule: guard.UnansweredClose, RequestID: requestID, Detail: reason})
 }
--- a/internal/platform/request.go
+++ b/internal/platform/request.go
@@ -134,7 +134,7 @@
 }
 
 // finishIfIdle completes a request that has no attempt in flight: its KV state is released, and after that, once the
-// request is closed, its record is dropped. The scheduler gives no orders for this, so it follows each call of it.
+// request is closed, its record is dropped. It follows each call of the scheduler, which gives no order for this.
 func (d *Dispatcher) finishIfIdle(req *request) {
 	if req.attempt.inFlight != nil || req.lease.waiting != nil || req.lease.releasing || d.requests[req.id] != req {
 		return
--- a/internal/platform/server/pipeline.go
+++ b/internal/platform/server/pipeline.go
@@ -29,7 +29,7 @@
 // pending reports whether pipelined requests may wait for their turn.
 func (p *pipeline) pending() bool { return len(p.buffered) > 0 || p.overflow != nil }
 
-// readPipelined takes what comes while a request is being answered.
+// readPipelined handles what arrives while a request is being answered.
 func (c *connection) readPipelined(data []byte) {
 	s, p := c.server, &c.pipeline
 	if len(p.buffered) == 0 {
@@ -73,7 +73,7 @@
 	p.overflow.feed(data)
 }
 
-// readOverflow takes what comes while the requests that were not buffered have their turn.
+// readOverflow handles what arrives while the requests that were not buffered have their turn.
 func (c *connection) readOverflow(data []byte) {
 	p := &c.pipeline
 	before := p.overflow.pending
--- a/internal/platform/server/receive.go
+++ b/internal/platform/server/receive.go
@@ -9,7 +9,7 @@
 	"plumspindle/internal/http1"
 )
 
-// minBodyBytes is the least memory that is taken for a body that comes in chunks.
+// minBodyBytes is the least memory that is reserved for a chunked body.
 const minBodyBytes = 4 << 10
 
 // beginRequest waits for a complete request from its first byte; bytes that trickle in do not extend the time.
@@ -73,7 +73,7 @@
 	return nil
 }
 
-// reserveBody takes memory for a body; where too little is left, nothing of it is buffered and the request is rejected.
+// reserveBody reserves memory for a body. If too little is left, nothing of it is buffered and the request is rejected.
 func (c *connection) reserveBody(size int) {
 	s, in := c.server, &c.incoming
 	if size <= cap(in.body) {
@@ -121,7 +121,7 @@
 	return nil
 }
 
-// accept judges a request that is complete and passes it on, or says why not.
+// accept checks a complete request and passes it on, or returns why it is rejected.
 func (c *connection) accept() *Rejection {
 	if c.incoming.rejection != nil {
 		return c.incoming.rejection
--- a/internal/platform/server/request.go
+++ b/internal/platform/server/request.go
@@ -66,7 +66,7 @@
 	return p
 }
 
-// parseRequest reads what a head says of a request, or why it is rejected.
+// parseRequest decodes a request's head, or returns why the request is rejected.
 func parseRequest(head *http1.Head) (*Request, *Rejection) {
 	if requestPath(head) != chatPath {
 		return nil, &Rejection{Status: http.StatusNotFound, Reason: "there is nothing at this path"}
--- a/internal/platform/server/response.go
+++ b/internal/platform/server/response.go
@@ -15,9 +15,9 @@
 	id         string // the request's
 	bodyBytes  int    // of the request's body
 	started    bool   // its head has been written
-	staysOpen  bool   // which says that another request may follow
+	staysOpen  bool   // its head allows another request to follow
 	done       bool
-	// OnDisconnect is called once when the client goes away before the response's end.
+	// OnDisconnect is called once when the client disconnects before the response's end.
 	OnDisconnect func()
 	// OnWritable is called when a client that lagged has caught up.
 	OnWritable func()
@@ -77,7 +77,7 @@
 	}
 }
 
-// Reject says that the request may be sent again safely, after a while if one is given.
+// Reject answers that nothing was run, so that the request may be retried, after a while if one is given.
 func (r *Response) Reject(retryAfter eventloop.Micros) {
 	response := shortResponse{status: http.StatusServiceUnavailable, text: "nothing was run; please try again"}
 	if retryAfter > 0 {
--- a/internal/platform/server/server.go
+++ b/internal/platform/server/server.go
@@ -50,7 +50,7 @@
 type Handler interface {
 	// Ready reports whether there is anything to serve with.
 	Ready() bool
-	// Handle takes a request and answers it through the response, or returns why it does not take it.
+	// Handle accepts a request, to be answered through the response, or returns why it is rejected.
 	Handle(*Request, *Response) *Rejection
 }
 
--- a/internal/platform/upstream/release.go
+++ b/internal/platform/upstream/release.go
@@ -38,8 +38,9 @@
 	done     func(confirmed bool)
 }
 
-// Release frees all KV state that is reserved for a request, whichever endpoints have it: any endpoint takes a release.
-// The one given comes first if it has sent something lately and a connection to it is idle. done is called once.
+// Release frees all KV state that is reserved for a request, whichever endpoints have it: any endpoint accepts a
+// release. The one given comes first if it has sent something lately and a connection to it is idle. done is called
+// once.
 func (c *Client) Release(id string, first scheduler.EndpointID, done func(confirmed bool)) {
 	c.Releases++
 	now := c.loop.Now()
@@ -146,7 +147,7 @@
 	r.send(r.next(r.last))
 }
 
-// attemptEnded takes the end of one attempt. After a failure the next one follows at once, but with a pause between
+// attemptEnded handles the end of one attempt. After a failure the next one follows at once, but with a pause between
 // two rounds: endpoints that all refuse must not be called in a loop without one.
 func (r *release) attemptEnded(attempt *engine.Attempt, result engine.Result) {
 	if r.ended {
--- a/internal/platform/upstream/upstream.go
+++ b/internal/platform/upstream/upstream.go
@@ -39,7 +39,7 @@
 	ReadyEndpoints func() []scheduler.EndpointID
 	// ListedEndpoints returns all endpoints.
 	ListedEndpoints func() []scheduler.EndpointID
-	// Log takes releases that failed.
+	// Log receives a warning of each release that failed.
 	Log zerolog.Logger
 }
 
--- a/internal/sockets/dial.go
+++ b/internal/sockets/dial.go
@@ -55,7 +55,7 @@
 	a.loop.Post(func() { a.connected(raw, err, mayRetry) })
 }
 
-// connected takes the result of connect. If no descriptor was left it retries with one of the reserve.
+// connected handles the result of connect. If no descriptor was left it retries with one of the reserve.
 func (a *dialAttempt) connected(raw net.Conn, err error, mayRetry bool) {
 	outOfDescriptors := isOutOfDescriptors(err)
 	if outOfDescriptors && mayRetry && !a.conn.ended && a.loop.reserve.release() {
--- a/internal/sockets/loop.go
+++ b/internal/sockets/loop.go
@@ -29,7 +29,7 @@
 type Loop struct {
 	// OverloadResponse is written to connections that are rejected because no descriptor is left.
 	OverloadResponse []byte
-	// AllowAnyAddress lets Listen take other addresses than those of the loopback interface.
+	// AllowAnyAddress allows Listen other addresses than those of the loopback interface.
 	AllowAnyAddress bool
 	// ReadBufferLimit, if above 0, is how many bytes of one connection are read ahead of the loop, in place of a default.
 	ReadBufferLimit int
--- a/internal/subscribe/client.go
+++ b/internal/subscribe/client.go
@@ -43,8 +43,8 @@
 	Fields []string
 	// Format is that of the response.
 	Format Format
-	// OnMessage takes one message, whose bytes are valid only during the call. An error closes the connection and the
-	// client subscribes again; where the error is a *GapError, OnReset is called before that.
+	// OnMessage is called with each message, whose bytes are valid only during the call. An error closes the connection
+	// and the client subscribes again; where the error is a *GapError, OnReset is called before that.
 	OnMessage func(data []byte) error
 	// OnReset makes Target ask for everything.
 	OnReset func()
@@ -58,7 +58,7 @@
 	// Standby leaves a silent connection open beside the next ones until one of them receives something: a source that
 	// was unreachable may go on with any of them, and what it sends at its return would be lost between two retries.
 	Standby bool
-	// Log takes lost subscriptions and rejected messages.
+	// Log receives warnings of lost subscriptions and rejected messages.
 	Log zerolog.Logger
 }
 
--- a/internal/subscribe/messages.go
+++ b/internal/subscribe/messages.go
@@ -14,7 +14,7 @@
 
 // messageParser cuts the body of a response into messages, however its bytes arrive.
 type messageParser interface {
-	// feed takes bytes that arrived at a time, and hands over each message that they complete. It stops at the first
+	// feed parses bytes that arrived at a time, and delivers each message that they complete. It stops at the first
 	// error. A message's bytes are valid only until deliver returns.
 	feed(now eventloop.Micros, data []byte, deliver func(message []byte) error) error
 	// incompleteSince returns when the message began that is not complete yet. 0: there is none, or it is not known.
