--- a/internal/platform/server/connection.go
+++ b/internal/platform/server/connection.go
@@ -3,6 +3,7 @@
 import (
 	"container/list"
 	"net/http"
+	"slices"
 
 	"plumspindle/internal/eventloop"
 	"plumspindle/internal/http1"
@@ -209,7 +210,7 @@
 func (c *connection) rejectAndKeep(r *Rejection) {
 	c.dropRequest()
 	c.server.Rejected++
-	if c.writeResponse(shortResponse{status: r.Status, text: r.Reason}, c.staysOpen(), AfterResponse) {
+	if c.writeResponse(shortResponse{status: r.Status, text: r.Reason}, c.staysOpen()) {
 		c.state = penalised
 		c.wait.Set(c.server.loop, penaltyTime, c.next)
 	}
@@ -222,7 +223,7 @@
 	}
 	c.server.Rejected++
 	c.dropRequest()
-	c.writeResponse(shortResponse{status: r.Status, text: r.Reason}, false, reason)
+	c.writeLastResponse(shortResponse{status: r.Status, text: r.Reason}, reason)
 }
 
 // answerReadiness answers whether there is anything to serve with.
@@ -232,7 +233,7 @@
 		response = shortResponse{status: http.StatusServiceUnavailable, text: "no model host is known yet"}
 	}
 	c.dropRequest()
-	if c.writeResponse(response, c.staysOpen(), AfterResponse) {
+	if c.writeResponse(response, c.staysOpen()) {
 		c.state = answering
 		c.server.loop.Defer(c.next)
 	}
@@ -251,15 +252,24 @@
 	fields []string // name and value in turn
 }
 
+// encode returns the response's bytes, with further header fields.
+func (r shortResponse) encode(fields ...string) []byte {
+	fields = slices.Concat(r.fields, []string{"Content-Type", "text/plain"}, fields)
+	return http1.AppendResponse(nil, r.status, []byte(r.text+"\n"), fields...)
+}
+
 // writeResponse writes a response, and closes the connection unless it stays open; it returns whether it does.
-func (c *connection) writeResponse(r shortResponse, staysOpen bool, reason CloseReason) bool {
-	fields := append(r.fields, "Content-Type", "text/plain")
-	if !staysOpen {
-		fields = append(fields, "Connection", "close")
-	}
-	c.conn.Write(http1.AppendResponse(nil, r.status, []byte(r.text+"\n"), fields...))
+func (c *connection) writeResponse(r shortResponse, staysOpen bool) bool {
 	if !staysOpen {
-		c.close(reason)
+		c.writeLastResponse(r, AfterResponse)
+		return false
 	}
-	return staysOpen
+	c.conn.Write(r.encode())
+	return true
+}
+
+// writeLastResponse writes a response and closes the connection.
+func (c *connection) writeLastResponse(r shortResponse, reason CloseReason) {
+	c.conn.Write(r.encode("Connection", "close"))
+	c.close(reason)
 }
--- a/internal/platform/server/pipeline.go
+++ b/internal/platform/server/pipeline.go
@@ -100,7 +100,7 @@
 		s.Rejected++
 		last := p.overflow.lastRequest && p.overflow.pending == 0
 		response := shortResponse{status: http.StatusServiceUnavailable, text: "too much was sent ahead"}
-		if !c.writeResponse(response, !last, AfterResponse) {
+		if !c.writeResponse(response, !last) {
 			return
 		}
 	}
--- a/internal/platform/server/response.go
+++ b/internal/platform/server/response.go
@@ -98,7 +98,7 @@
 	c := r.connection
 	r.finish()
 	c.response = nil
-	if c.writeResponse(response, c.staysOpen(), AfterResponse) {
+	if c.writeResponse(response, c.staysOpen()) {
 		c.server.loop.Defer(c.next)
 	}
 }
