--- a/internal/platform/attempt.go
+++ b/internal/platform/attempt.go
@@ -52,7 +52,7 @@
 	a := &req.attempt
 	a.count++
 	a.endpoint, a.orderedAt, a.started = endpoint, d.loop.Now(), false
-	a.prefill = d.role(endpoint) == scheduler.Prefill
+	a.prefill = d.roleOf(endpoint) == scheduler.Prefill
 	number := a.number()
 	d.Attempts++
 	// A prefill does not fetch the state that waits, and what it leaves must not be released with that.
@@ -84,7 +84,7 @@
 		return
 	}
 	callbacks := engine.Callbacks{
-		Event: func(data []byte) { d.streamEvent(req, number, data) },
+		Event: func(data []byte) { d.forwardEvent(req, number, data) },
 		Ended: func(result engine.Result) { d.attemptEnded(req, number, result) },
 	}
 	waited := d.loop.Now() - req.attempt.orderedAt
@@ -117,8 +117,8 @@
 	}
 }
 
-// streamEvent forwards an event to the client.
-func (d *Dispatcher) streamEvent(req *request, number scheduler.AttemptNo, data []byte) {
+// forwardEvent forwards an event to the client.
+func (d *Dispatcher) forwardEvent(req *request, number scheduler.AttemptNo, data []byte) {
 	if number != req.attempt.number() || req.attempt.inFlight == nil || req.client.closed {
 		return
 	}
--- a/internal/platform/dispatcher.go
+++ b/internal/platform/dispatcher.go
@@ -189,7 +189,7 @@
 func (d *Dispatcher) canServe() bool {
 	var prefill, decode bool
 	for _, id := range d.ready {
-		switch d.role(id) {
+		switch d.roleOf(id) {
 		case scheduler.Prefill:
 			prefill = true
 		case scheduler.Decode:
--- a/internal/platform/endpoints.go
+++ b/internal/platform/endpoints.go
@@ -88,6 +88,6 @@
 	}
 }
 
-func (d *Dispatcher) role(id scheduler.EndpointID) scheduler.Role {
+func (d *Dispatcher) roleOf(id scheduler.EndpointID) scheduler.Role {
 	return d.topology.Role(d.endpoints[id].Kind)
 }
