--- a/internal/platform/connections_test.go
+++ b/internal/platform/connections_test.go
@@ -2,10 +2,11 @@
 
 import (
 	"fmt"
-	"plumspindle/internal/eventloop"
-	"plumspindle/scheduler"
 	"strings"
 	"testing"
+
+	"plumspindle/internal/eventloop"
+	"plumspindle/scheduler"
 )
 
 // TestIdleConnectionsDoNotStarveOthers: connections that bring nothing do not take the places of others.
--- a/internal/platform/disconnect_test.go
+++ b/internal/platform/disconnect_test.go
@@ -1,9 +1,10 @@
 package platform
 
 import (
-	"plumspindle/internal/eventloop"
 	"strings"
 	"testing"
+
+	"plumspindle/internal/eventloop"
 )
 
 // TestSlowClient: what is buffered for one that does not read is bounded, its endpoint is slowed, and all arrives once
--- a/internal/platform/discovery_test.go
+++ b/internal/platform/discovery_test.go
@@ -2,10 +2,11 @@
 
 import (
 	"fmt"
-	"plumspindle/internal/eventloop"
-	"plumspindle/internal/http1"
 	"strings"
 	"testing"
+
+	"plumspindle/internal/eventloop"
+	"plumspindle/internal/http1"
 )
 
 // TestDiscoveryWatch: lists are asked for from what is known on, and a watch survives what can't be read, a reset and a
--- a/internal/platform/drain_test.go
+++ b/internal/platform/drain_test.go
@@ -1,8 +1,9 @@
 package platform
 
 import (
-	"plumspindle/internal/eventloop"
 	"testing"
+
+	"plumspindle/internal/eventloop"
 )
 
 // TestDrainDuringRelease: a prefill that waits for a release does not go to an endpoint that has begun to drain
--- a/internal/platform/lease_test.go
+++ b/internal/platform/lease_test.go
@@ -1,10 +1,11 @@
 package platform
 
 import (
-	"plumspindle/internal/eventloop"
 	"slices"
 	"strconv"
 	"testing"
+
+	"plumspindle/internal/eventloop"
 )
 
 // TestStateIsReleasedAfterDisconnect: a state is released in time after its client left, also where its prefill
--- a/internal/platform/loopback_env_test.go
+++ b/internal/platform/loopback_env_test.go
@@ -7,13 +7,14 @@
 	"io"
 	"net"
 	"net/http"
-	"plumspindle/internal/eventloop"
-	"plumspindle/internal/sockets"
 	"strings"
 	"sync/atomic"
 	"syscall"
 	"testing"
 	"time"
+
+	"plumspindle/internal/eventloop"
+	"plumspindle/internal/sockets"
 )
 
 // loopback is a dispatcher over real sockets, with peers that send and read exactly what a test orders, when it
--- a/internal/platform/request_test.go
+++ b/internal/platform/request_test.go
@@ -1,10 +1,11 @@
 package platform
 
 import (
-	"plumspindle/internal/eventloop"
 	"slices"
 	"strings"
 	"testing"
+
+	"plumspindle/internal/eventloop"
 )
 
 // TestRequestIsServedUnchanged: what client and endpoints send each other is forwarded unchanged.
--- a/internal/platform/server/harness_test.go
+++ b/internal/platform/server/harness_test.go
@@ -5,11 +5,12 @@
 	"fmt"
 	"net"
 	"net/http"
-	"plumspindle/internal/sockets"
 	"runtime"
 	"strings"
 	"testing"
 	"time"
+
+	"plumspindle/internal/sockets"
 )
 
 // silentHandler takes requests and, unless it is to reject them, answers none; it reports clients that disconnect.
