--- a/internal/faultsearch/interceptors.go
+++ b/internal/faultsearch/interceptors.go
@@ -9,7 +9,8 @@
 	"plumspindle/scheduler"
 )
 
-// interceptingExecutor stands between the scheduler and its dispatcher. A call whose function is nil passes through.
+// interceptingExecutor stands between the scheduler and its dispatcher. Each call goes to its function, which is the
+// real executor's until a mutant replaces it.
 type interceptingExecutor struct {
 	scheduler.Executor
 	send     func(request scheduler.RequestID, endpoint scheduler.EndpointID, allowance scheduler.Micros)
@@ -20,59 +21,36 @@
 	setTimer func(after scheduler.Micros, timer scheduler.TimerID)
 }
 
+func newInterceptingExecutor(real scheduler.Executor) *interceptingExecutor {
+	return &interceptingExecutor{Executor: real, send: real.Send, reject: real.Reject, fail: real.Fail,
+		cancel: real.Cancel, release: real.Release, setTimer: real.SetTimer}
+}
+
 // Send sends an attempt.
 func (e *interceptingExecutor) Send(request scheduler.RequestID, endpoint scheduler.EndpointID,
 	allowance scheduler.Micros) {
-	if e.send != nil {
-		e.send(request, endpoint, allowance)
-		return
-	}
-	e.Executor.Send(request, endpoint, allowance)
+	e.send(request, endpoint, allowance)
 }
 
 // Reject rejects a request.
 func (e *interceptingExecutor) Reject(request scheduler.RequestID, retryAfter scheduler.Micros) {
-	if e.reject != nil {
-		e.reject(request, retryAfter)
-		return
-	}
-	e.Executor.Reject(request, retryAfter)
+	e.reject(request, retryAfter)
 }
 
 // Fail fails a request.
-func (e *interceptingExecutor) Fail(request scheduler.RequestID) {
-	if e.fail != nil {
-		e.fail(request)
-		return
-	}
-	e.Executor.Fail(request)
-}
+func (e *interceptingExecutor) Fail(request scheduler.RequestID) { e.fail(request) }
 
 // Cancel cancels an attempt.
 func (e *interceptingExecutor) Cancel(request scheduler.RequestID, attempt scheduler.AttemptNo) {
-	if e.cancel != nil {
-		e.cancel(request, attempt)
-		return
-	}
-	e.Executor.Cancel(request, attempt)
+	e.cancel(request, attempt)
 }
 
 // Release releases the state of a request.
-func (e *interceptingExecutor) Release(request scheduler.RequestID) {
-	if e.release != nil {
-		e.release(request)
-		return
-	}
-	e.Executor.Release(request)
-}
+func (e *interceptingExecutor) Release(request scheduler.RequestID) { e.release(request) }
 
 // SetTimer sets a timer.
 func (e *interceptingExecutor) SetTimer(after scheduler.Micros, timer scheduler.TimerID) {
-	if e.setTimer != nil {
-		e.setTimer(after, timer)
-		return
-	}
-	e.Executor.SetTimer(after, timer)
+	e.setTimer(after, timer)
 }
 
 // interceptingLoop stands between a dispatcher and the world.
@@ -112,7 +90,7 @@
 // executorMutant changes what the scheduler's calls do.
 func executorMutant(name string, change func(*interceptingExecutor)) *scenarios.Mutant {
 	return dispatcherMutant(name, dispatch.Mutation{Executor: func(real scheduler.Executor) scheduler.Executor {
-		executor := &interceptingExecutor{Executor: real}
+		executor := newInterceptingExecutor(real)
 		change(executor)
 		return executor
 	}})
