--- a/internal/platform/upstream/release.go
+++ b/internal/platform/upstream/release.go
@@ -31,7 +31,7 @@
 	began    eventloop.Micros
 	last     scheduler.EndpointID // of the latest attempt
 	tried    map[scheduler.EndpointID]bool
-	useAll   bool // also endpoints that take no new requests, as none of the others has confirmed
+	useAll   bool // also endpoints that accept no new requests, as none of the others has confirmed
 	attempts []*engine.Attempt
 	pause    eventloop.Timeout // until the next attempt
 	ended    bool
@@ -44,20 +44,20 @@
 	c.Releases++
 	now := c.loop.Now()
 	r := &release{client: c, id: id, done: done, began: now, tried: map[scheduler.EndpointID]bool{}}
-	if c.IdleConnections(first) == 0 || now-c.LastReceived(first) > c.options.StateTimeout {
+	if c.connections.IdleConnections(first) == 0 || now-c.connections.LastReceived(first) > c.options.StateTimeout {
 		first = r.next(first)
 	}
 	r.send(first)
 }
 
 // next chooses an endpoint: one that was not tried before all others, then one with an idle connection, then the one
-// that has sent something last. Where many have fallen silent together their connections look idle all the same, and a
-// KV state can't wait for one after the other.
+// that has sent something last. Where many have fallen silent together their connections still look idle, and a KV
+// state can't wait for one after the other.
 func (r *release) next(fallback scheduler.EndpointID) scheduler.EndpointID {
 	best, bestRank, bestReceived := fallback, -1, eventloop.Micros(0)
-	for _, id := range r.client.options.Endpoints(r.useAll) {
+	for _, id := range r.candidates() {
 		rank := r.rank(id)
-		received := r.client.LastReceived(id)
+		received := r.client.connections.LastReceived(id)
 		if rank > bestRank || rank == bestRank && received > bestReceived {
 			best, bestRank, bestReceived = id, rank, received
 		}
@@ -65,25 +65,32 @@
 	return best
 }
 
+// candidates are the endpoints that the release may be sent to.
+func (r *release) candidates() []scheduler.EndpointID {
+	if r.useAll {
+		return r.client.options.ListedEndpoints()
+	}
+	return r.client.options.ReadyEndpoints()
+}
+
 func (r *release) rank(id scheduler.EndpointID) (rank int) {
 	if !r.tried[id] {
 		rank += 2
 	}
-	if r.client.IdleConnections(id) > 0 {
+	if r.client.connections.IdleConnections(id) > 0 {
 		rank++
 	}
 	return rank
 }
 
-// triedAll reports whether every endpoint had an attempt since the last pause. Once all that take new requests had, the
-// others count too.
+// triedAll reports whether every candidate had an attempt since the last pause. Once all that accept new requests had,
+// the other endpoints become candidates.
 func (r *release) triedAll() bool {
 	untried := func(id scheduler.EndpointID) bool { return !r.tried[id] }
-	endpoints := r.client.options.Endpoints
-	if !r.useAll && !slices.ContainsFunc(endpoints(false), untried) {
+	if !r.useAll && !slices.ContainsFunc(r.candidates(), untried) {
 		r.useAll = true
 	}
-	return !slices.ContainsFunc(endpoints(r.useAll), untried)
+	return !slices.ContainsFunc(r.candidates(), untried)
 }
 
 // send starts one attempt, and has another one follow soon if there is no response. Where too many are in flight the
@@ -104,7 +111,7 @@
 		BuildRequest:    r.write,
 	}
 	var attempt *engine.Attempt
-	attempt = c.Call(id, call, c.options.StateTimeout, engine.Callbacks{
+	attempt = c.connections.Call(id, call, c.options.StateTimeout, engine.Callbacks{
 		Ended: func(result engine.Result) { r.attemptEnded(attempt, result) },
 	})
 	r.attempts = append(r.attempts, attempt)
--- a/internal/tenancy/registry.go
+++ b/internal/tenancy/registry.go
@@ -46,8 +46,8 @@
 // removed reports whether the tenant can't be changed any more.
 func (t *Tenant) removed() bool { return t.State == StateRemoving || t.State == StateRemoved }
 
-// nameReuseDelay is how many seconds the name of a removed tenant can't be used again: what is still on its
-// way under that name must not be taken for another's.
+// nameReuseDelay is how many seconds the name of a removed tenant can't be used again: reports and updates that
+// are still in transit under that name must not be taken for those of another tenant.
 const nameReuseDelay = 24 * 3600
 
 // Registry is the record of all tenants. Its version counts the changes; followers ask for what has changed
@@ -77,7 +77,7 @@
 // Names returns the names of all tenants in order.
 func (r *Registry) Names() []string { return slices.Sorted(maps.Keys(r.Tenants)) }
 
-// changed notes a change of a tenant.
+// changed counts a change of a tenant.
 func (r *Registry) changed(t *Tenant) {
 	r.Version++
 	t.Version++
@@ -136,8 +136,8 @@
 	return t, nil
 }
 
-// findServing is find for changes that a removed tenant can't have.
-func (r *Registry) findServing(name string, version uint64) (*Tenant, error) {
+// findNotRemoved is find for changes that a removed tenant can't have.
+func (r *Registry) findNotRemoved(name string, version uint64) (*Tenant, error) {
 	t, err := r.find(name, version)
 	if err != nil {
 		return nil, err
@@ -150,7 +150,7 @@
 
 // SetLimits replaces a tenant's limits and those of its products; nil leaves them as they are.
 func (r *Registry) SetLimits(name string, version uint64, limits *Limits, products map[string]Limits) (*Tenant, error) {
-	t, err := r.findServing(name, version)
+	t, err := r.findNotRemoved(name, version)
 	if err != nil {
 		return nil, err
 	}
@@ -167,16 +167,21 @@
 	return t, nil
 }
 
-// SetServing suspends a tenant or takes it back into service.
-func (r *Registry) SetServing(name string, version uint64, serving bool) (*Tenant, error) {
-	t, err := r.findServing(name, version)
+// Suspend takes a tenant out of service: its new requests are rejected.
+func (r *Registry) Suspend(name string, version uint64) (*Tenant, error) {
+	return r.setState(name, version, StateSuspended)
+}
+
+// Resume takes a suspended tenant back into service.
+func (r *Registry) Resume(name string, version uint64) (*Tenant, error) {
+	return r.setState(name, version, StateActive)
+}
+
+func (r *Registry) setState(name string, version uint64, state State) (*Tenant, error) {
+	t, err := r.findNotRemoved(name, version)
 	if err != nil {
 		return nil, err
 	}
-	state := StateSuspended
-	if serving {
-		state = StateActive
-	}
 	if t.State != state {
 		t.State = state
 		r.changed(t)
@@ -203,7 +208,7 @@
 	return t, nil
 }
 
-// CompleteRemoval drops the data of a tenant that is being removed, once nothing of it runs any more. Its
+// CompleteRemoval drops the data of a tenant that is being removed, once none of its requests runs. Its
 // name stays reserved for a while.
 func (r *Registry) CompleteRemoval(now int64, name string) {
 	t := r.Tenants[name]
