--- a/internal/admin/isolation_test.go
+++ b/internal/admin/isolation_test.go
@@ -11,9 +11,9 @@
 	"plumspindle/internal/eventloop"
 )
 
-// A hundred thousand requests come with mixed credentials: the same Idempotency-Keys, the same texts, the
-// same sessions, keys of others, of nobody, of the past. No answer of one tenant is ever seen by another, and
-// none is revealed to exist.
+// A hundred thousand requests come with mixed credentials: the same Idempotency-Keys, the same texts, the same sessions,
+// and keys of other tenants, unknown keys and revoked ones. No answer of one tenant is ever seen by another, and none is
+// revealed to exist.
 func TestNoRequestCrossesTenants(t *testing.T) {
 	requests := 100_000
 	if testing.Short() {
@@ -46,11 +46,11 @@
 	wrong  int
 }
 
-const nobody = -1
+const noTenant = -1
 
 type crossingCall struct {
 	*clientCall
-	tenant int // whose answer it must be; nobody for none
+	tenant int // whose answer it must be; noTenant for none
 	want   []string
 }
 
@@ -89,16 +89,16 @@
 		r.expectLater(call, tenant, completed, "429")
 	case 1, 2, 3:
 		invalid := []string{r.revoked, r.adminKeys[tenant], r.chatKeys[tenant] + "0", fmt.Sprint("sk-", count), ""}
-		r.expectLater(get(dispatcherAddr, "/v1/models", invalid[r.random.Intn(len(invalid))]), nobody, "401")
+		r.expectLater(get(dispatcherAddr, "/v1/models", invalid[r.random.Intn(len(invalid))]), noTenant, "401")
 	case 4, 5, 6:
 		other := r.names[(tenant+1)%len(r.names)]
 		target := apiPrefix + "tenants/" + other + []string{"", "/usage", "/keys"}[r.random.Intn(3)]
-		r.expectLater(get(r.serverAddr, target, r.adminKeys[tenant]), nobody, "404")
+		r.expectLater(get(r.serverAddr, target, r.adminKeys[tenant]), noTenant, "404")
 	case 7:
 		target := apiPrefix + "tenants/" + r.names[tenant]
-		r.expectLater(get(r.serverAddr, target, r.chatKeys[tenant]), nobody, "401")
+		r.expectLater(get(r.serverAddr, target, r.chatKeys[tenant]), noTenant, "401")
 	default:
-		r.expectLater(get(dispatcherAddr, "/v1/models", r.chatKeys[tenant]), nobody, "200")
+		r.expectLater(get(dispatcherAddr, "/v1/models", r.chatKeys[tenant]), noTenant, "200")
 	}
 }
 
@@ -122,7 +122,7 @@
 			r.errorf("tenant %d got %s, want %v: %s", call.tenant, got, call.want, call.body)
 		}
 		id := call.head.Get("x-request-id")
-		if call.tenant == nobody || id == "" {
+		if call.tenant == noTenant || id == "" {
 			continue
 		}
 		if owner, seen := r.owners[id]; seen && owner != call.tenant {
@@ -133,7 +133,7 @@
 	r.open = r.open[:0]
 }
 
-// errorf reports the first faults and counts all.
+// errorf reports the first errors and counts all.
 func (r *crossingRun) errorf(format string, args ...any) {
 	r.t.Helper()
 	r.wrong++
--- a/internal/lifecycle/lifecycle_test.go
+++ b/internal/lifecycle/lifecycle_test.go
@@ -11,8 +11,7 @@
 	"pgregory.net/rapid"
 )
 
-// model is a plain account of one request, kept beside the table and independent of it: what the endpoints and the
-// client have seen.
+// model is what the endpoints and the client have seen of one request, independent of the table.
 type model struct {
 	t            *rapid.T
 	inFlight     bool // an attempt was started and neither ended nor was closed
@@ -60,7 +59,7 @@
 
 func (m *model) answer(a Action) {
 	if m.disconnected {
-		return // nobody is there to be sent it
+		return // it is not sent
 	}
 	if m.answers++; m.answers > 1 {
 		m.t.Fatal("a second final answer")
@@ -76,12 +75,12 @@
 	return oneOf(e, PrefillCompleted, PrefillOnlyCompleted, DecodeCompleted, AttemptRejected, AttemptFailed)
 }
 
-// possible tells whether the event can happen in the state, by what the model has seen.
+// possible reports whether the event can happen in the state, by what the model has seen.
 func (m *model) possible(s State, e Event) bool {
 	over := m.answers > 0 || m.disconnected
 	switch {
 	case oneOf(e, PrefillOrdered, DecodeOrdered) && (m.inFlight || m.closed || over),
-		// A closed attempt is only ever reported as failed.
+		// A closed attempt can only be reported as failed.
 		(endsAttempt(e) || e == EventReceived) && !m.inFlight && !(m.closed && e == AttemptFailed),
 		e == DecodeCompleted && !m.begun,
 		oneOf(e, PrefillCompleted, PrefillOnlyCompleted) && m.begun,
@@ -108,7 +107,7 @@
 	return true
 }
 
-// fire has the machine and the model take one event, and compares them.
+// fire passes one event to the machine and the model, and compares them.
 func (m *model) fire(machine *Machine, e Event, coverage *Coverage) {
 	ends := endsAttempt(e)
 	if ends {
--- a/internal/store/index_test.go
+++ b/internal/store/index_test.go
@@ -50,6 +50,7 @@
 
 // changeBoth makes one random change to an index and a map. Their answers must agree.
 func changeBoth(t *rapid.T, random *rand.Rand, index *Index, plain map[string]string, value string) {
+	t.Helper()
 	key := fmt.Sprintf("%03x", random.Intn(1200))
 	_, found := plain[key]
 	if random.Intn(3) == 0 {
--- a/internal/store/repair_test.go
+++ b/internal/store/repair_test.go
@@ -134,6 +134,7 @@
 }
 
 func (r *repairRun) repairWithoutSpace() {
+	r.t.Helper()
 	for range r.random.Intn(3) {
 		r.store.Repair(func(err error) {
 			if err == nil {
--- a/internal/tenancy/admission.go
+++ b/internal/tenancy/admission.go
@@ -20,7 +20,7 @@
 	parts   float64 // dispatchers that share the limits
 	now     Micros
 	tenants map[ID]*tenantAccount
-	queue   *FairQueue[*Ticket] // of surplus
+	queue   *fairQueue[*Ticket] // of surplus
 	surplus surplusWindow
 	arrived uint64 // requests that were given a ticket
 }
@@ -30,7 +30,7 @@
 	return &AdmissionController{
 		parts:   float64(max(dispatchers, 1)),
 		tenants: map[ID]*tenantAccount{},
-		queue:   NewFairQueue[*Ticket](queueQuantum),
+		queue:   newFairQueue[*Ticket](queueQuantum),
 		surplus: surplusWindow{size: initialWindow},
 	}
 }
--- a/internal/tenancy/admission_test.go
+++ b/internal/tenancy/admission_test.go
@@ -113,6 +113,7 @@
 }
 
 func (r *limitsRun) checkRates() {
+	r.t.Helper()
 	seconds := float64(r.latest-testStart) / float64(second)
 	parts := float64(len(r.controllers))
 	// Each part begins full: a second of the limit in all, or one request where its part is smaller.
@@ -127,6 +128,7 @@
 }
 
 func (r *limitsRun) checkLoweredLimit() {
+	r.t.Helper()
 	controller := r.controllers[0]
 	controller.SetTenant(1, TenantSettings{Limits: Limits{PerS: 0.001}, Serving: true})
 	request := AdmissionRequest{Tenant: 1, PromptTokens: 10, MaxOutputTokens: 10}
@@ -137,8 +139,8 @@
 	}
 }
 
-// What one tenant does not use is lent at once, and its owner is served at once when it comes back.
-func TestUnusedShareIsLentAndReturned(t *testing.T) {
+// The quota that one tenant does not use serves others at once, and again its own requests as soon as there are some.
+func TestUnusedQuotaIsLentAndReturned(t *testing.T) {
 	const (
 		borrower ID = 1
 		owner    ID = 2
@@ -149,7 +151,7 @@
 		fleet.step(borrower)
 	}
 	if served := fleet.served[borrower]; served < 500 {
-		t.Errorf("alone, the first was served %d in 10 s; ten times its share of 50 was available", served)
+		t.Errorf("alone, the first was served %d in 10 s; ten times its quota of 50 was available", served)
 	}
 	for i := range steps {
 		if i%20 == 19 {
@@ -163,7 +165,7 @@
 	}
 }
 
-// lendingFleet serves two tenants with equal shares.
+// lendingFleet serves two tenants with equal quotas.
 type lendingFleet struct {
 	controller *AdmissionController
 	now        Micros
--- a/internal/tenancy/directory_test.go
+++ b/internal/tenancy/directory_test.go
@@ -80,6 +80,7 @@
 
 // follow applies what has changed, sometimes twice.
 func (f *follower) follow() {
+	f.t.Helper()
 	update := f.registry.UpdateSince(f.directory.Epoch, f.directory.Version)
 	encoded, err := json.Marshal(update)
 	if err != nil {
@@ -98,6 +99,7 @@
 
 // checkKeys compares the directory's verdict on each key with the registry's record of it.
 func (f *follower) checkKeys() {
+	f.t.Helper()
 	for text, name := range f.keys {
 		tenant := f.registry.Tenants[name]
 		want := false
--- a/internal/tenancy/fairqueue.go
+++ b/internal/tenancy/fairqueue.go
@@ -8,11 +8,11 @@
 	minCompaction = 64
 )
 
-// FairQueue gives turns to queued tenants by weight. It is a deficit round robin (Shreedhar and Varghese):
-// tenants with queued items stand in a ring, and each gains credit on its turn in proportion to its weight.
+// fairQueue serves queued tenants by weight. It is a deficit round robin (Shreedhar and Varghese): tenants with queued
+// items are in a ring, and each gains credit on its turn in proportion to its weight.
 // An operation takes the same time however many tenants there are, as no order among them is maintained. A
 // tenant without queued items has no credit.
-type FairQueue[T any] struct {
+type fairQueue[T any] struct {
 	tenants map[ID]*tenantQueue[T]
 	current *tenantQueue[T] // whose turn it is
 	size    int
@@ -38,17 +38,17 @@
 
 func (t *tenantQueue[T]) length() int { return len(t.items) - t.first }
 
-// NewFairQueue returns an empty queue. The quantum is what a weight of 1 gains on one turn. It should be near
+// newFairQueue returns an empty queue. The quantum is what a weight of 1 gains on one turn. It should be near
 // the usual cost, so that most turns serve one item.
-func NewFairQueue[T any](quantum float64) *FairQueue[T] {
-	return &FairQueue[T]{tenants: map[ID]*tenantQueue[T]{}, quantum: quantum}
+func newFairQueue[T any](quantum float64) *fairQueue[T] {
+	return &fairQueue[T]{tenants: map[ID]*tenantQueue[T]{}, quantum: quantum}
 }
 
 // Len returns the number of queued items.
-func (f *FairQueue[T]) Len() int { return f.size }
+func (f *fairQueue[T]) Len() int { return f.size }
 
 // LenOf returns the number of one tenant's queued items. It includes removed ones that still have a place.
-func (f *FairQueue[T]) LenOf(id ID) int {
+func (f *fairQueue[T]) LenOf(id ID) int {
 	if t := f.tenants[id]; t != nil {
 		return t.length()
 	}
@@ -56,7 +56,7 @@
 }
 
 // Add puts an item at the end of its tenant's queue.
-func (f *FairQueue[T]) Add(id ID, weight float64, item T, cost float64) {
+func (f *fairQueue[T]) Add(id ID, weight float64, item T, cost float64) {
 	t := f.tenants[id]
 	if t == nil {
 		t = &tenantQueue[T]{id: id}
@@ -69,7 +69,7 @@
 }
 
 // link makes a tenant the last in the ring.
-func (f *FairQueue[T]) link(t *tenantQueue[T]) {
+func (f *fairQueue[T]) link(t *tenantQueue[T]) {
 	if f.current == nil {
 		f.current, t.next, t.prev = t, t, t
 		return
@@ -79,7 +79,7 @@
 }
 
 // unlink takes a tenant without items out of the ring.
-func (f *FairQueue[T]) unlink(t *tenantQueue[T]) {
+func (f *fairQueue[T]) unlink(t *tenantQueue[T]) {
 	if t.next == t {
 		f.current = nil
 	} else {
@@ -94,7 +94,7 @@
 
 // Next takes out the next item, among those that may go now. mayGo is called for each first item of a tenant
 // that could be served; a tenant whose first item may not go loses its turn, but the item stays first.
-func (f *FairQueue[T]) Next(mayGo func(T) bool) (item T, found bool) {
+func (f *fairQueue[T]) Next(mayGo func(T) bool) (item T, found bool) {
 	for blocked := 0; f.current != nil && blocked < len(f.tenants); {
 		t := f.current
 		if !t.credited {
@@ -122,13 +122,13 @@
 	return item, false
 }
 
-func (f *FairQueue[T]) nextTurn() {
+func (f *fairQueue[T]) nextTurn() {
 	f.current.credited = false
 	f.current = f.current.next
 }
 
 // dropFirst drops the first item of a tenant, and the tenant with its last one.
-func (f *FairQueue[T]) dropFirst(t *tenantQueue[T]) {
+func (f *fairQueue[T]) dropFirst(t *tenantQueue[T]) {
 	t.items[t.first] = queuedItem[T]{}
 	t.first++
 	switch {
@@ -142,7 +142,7 @@
 
 // Remove removes the first item of a tenant that matches, and reports whether there was one. The item may keep its
 // place in the queue until that is its turn.
-func (f *FairQueue[T]) Remove(id ID, matches func(T) bool) bool {
+func (f *fairQueue[T]) Remove(id ID, matches func(T) bool) bool {
 	t := f.tenants[id]
 	if t == nil {
 		return false
--- a/internal/tenancy/fairqueue_test.go
+++ b/internal/tenancy/fairqueue_test.go
@@ -17,7 +17,7 @@
 	const queuedPerTenant = 3 // all tenants always have items queued
 	weights := map[ID]float64{1: 1, 2: 2, 3: 4}
 	rapid.Check(t, func(t *rapid.T) {
-		queue := NewFairQueue[int](100)
+		queue := newFairQueue[int](100)
 		random := rand.New(rand.NewSource(rapid.Int64().Draw(t, "seed")))
 		type queued struct {
 			tenant ID
@@ -84,7 +84,7 @@
 	const quantum, cost = 2000, 1500
 	for _, tenants := range []int{10, 1000, 100000} {
 		b.Run(fmt.Sprintf("ring/%d", tenants), func(b *testing.B) {
-			queue := NewFairQueue[int](quantum)
+			queue := newFairQueue[int](quantum)
 			for i := range tenants {
 				queue.Add(ID(i), 1, i, cost)
 			}
--- a/scheduler/endpoint_list_test.go
+++ b/scheduler/endpoint_list_test.go
@@ -29,6 +29,6 @@
 	sim.now += 60 * sec
 	sim.updateEndpoints(&simEndpoint{id: ep.id, kind: ep.kind, startedAt: ep.startedAt})
 	if sim.endpoint(ep.id) != ep || !ep.ready {
-		t.Error("one that came back is not known any more")
+		t.Error("one that came back was forgotten")
 	}
 }
--- a/scheduler/request_queue_test.go
+++ b/scheduler/request_queue_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-// In overload, what can't be in time any more yields at once to what can, and the newest goes first.
+// In overload, requests that can't meet their SLO time yield at once to those that can, and the newest is placed first.
 func TestLateRequestsYieldAndTheNewestGoesFirst(t *testing.T) {
 	sim := newFleetSim(t, testConfig(Idempotent), 1)
 	sim.addEndpoints(1, prefillKind)
--- a/scheduler/rules_test.go
+++ b/scheduler/rules_test.go
@@ -63,7 +63,7 @@
 	}
 }
 
-// A decode endpoint that is cut off from the prefill endpoint finds no state, which the prefill endpoint still holds.
+// A decode endpoint that is cut off from the prefill endpoint finds no state, which the prefill endpoint still stores.
 func TestMissingStateIsReleased(t *testing.T) {
 	sim := newFleetSim(t, testConfig(NonIdempotent), 1)
 	sim.addEndpoints(2, prefillKind, decodeKind)
--- a/scheduler/slow_start_test.go
+++ b/scheduler/slow_start_test.go
@@ -7,7 +7,7 @@
 	"testing"
 )
 
-// When all endpoints of a role restart together no warm one is left to go by.
+// When all endpoints of a role restart together there is no warm one to measure.
 func TestAllEndpointsOfARoleWarmingUpAtOnceStillServe(t *testing.T) {
 	sim := newFleetSim(t, testConfig(Idempotent), 1)
 	sim.addEndpoints(2, prefillKind, decodeKind)
@@ -30,8 +30,7 @@
 	}
 }
 
-// A dispatcher keeps to its part of what the overload rule leaves of a warming endpoint, though that looks the
-// emptiest.
+// A dispatcher sends a warming endpoint no more than its part by the overload rule, though that looks the emptiest.
 func TestWarmingEndpointGetsItsShare(t *testing.T) {
 	sim := newFleetSim(t, testConfig(Idempotent), 1)
 	sim.addEndpoints(1, prefillKind)
@@ -58,8 +57,8 @@
 	}
 }
 
-// What warm endpoints do has to be known before all of a role restart at once: with the first one that is warming up
-// it is too late to look.
+// The throughput of warm endpoints must be known before all of a role restart at once: once the first one is warming up
+// it is too late to measure.
 func TestWarmThroughputIsMeasuredBeforeAnyEndpointRestarts(t *testing.T) {
 	sim := newFleetSim(t, testConfig(Idempotent), 1)
 	sim.addEndpoints(2, prefillKind, decodeKind)
@@ -104,7 +103,7 @@
 		sentAt = append(sentAt, sim.endpoints[13].sentAt...)
 	}
 	rate := float64(warm) / 2 / 14.4 // answers a second at each of the two warm endpoints
-	// Warm endpoints could do more than they were sent: the scheduler takes slowStartShare of what they were seen to do.
+	// Warm endpoints could do more than they were sent: the scheduler multiplies what it saw by slowStartHeadroom.
 	allowed := config.OverloadFactor * config.SlowStartFactor * slowStartHeadroom * rate * seconds(config.OverloadWindow)
 	for from := start; from < start+2*sec; from += 100 * ms {
 		if n := countWithin(sentAt, from, config.OverloadWindow); n > 1.1*allowed { // the rule leaves a little slack
