--- a/internal/cli/restarts.go
+++ b/internal/cli/restarts.go
@@ -16,7 +16,6 @@
 	"plumspindle/internal/testbed/scenarios"
 )
 
-//nolint:lll // a struct tag is one line
 type restartsCommand struct {
 	Ages        []time.Duration `default:"1s,1m,1h,24h" help:"How old the cached lists are when the dispatchers come back."`
 	Replaced    []float64       `default:"0,0.2,0.8" help:"Shares of the endpoints that were replaced by others meanwhile."`
@@ -46,7 +45,7 @@
 	violations   []string
 }
 
-// shareInSLO is that of some seconds.
+// shareInSLO returns that of some seconds.
 func (r *restartResult) shareInSLO(from, to int) float64 {
 	asked, inSLO := 0, 0
 	for second := from; second < to && second < len(r.asked); second++ {
@@ -56,7 +55,7 @@
 	return float64(inSLO) / float64(max(asked, 1))
 }
 
-// curve is the service second by second.
+// curve returns the service second by second.
 func (r *restartResult) curve(seconds int) plotter.XYs {
 	var points plotter.XYs
 	for second := range seconds {
@@ -147,7 +146,11 @@
 		group.HostsPerZone *= roomyFleetFactor
 	}
 	run := &scenarios.Run{Script: script, Deployment: dep, Dispatchers: c.Dispatchers, Seed: seed}
-	verdict, leftOver, err := run.RunRestart(eventloop.Micros(sort.age.Microseconds()), sort.replaced, sort.discovery)
+	verdict, leftOver, err := run.RunRestart(scenarios.Restart{
+		Downtime:      eventloop.Micros(sort.age.Microseconds()),
+		Replaced:      sort.replaced,
+		DiscoveryDown: !sort.discovery,
+	})
 	if err != nil {
 		return err
 	}
--- a/internal/dispatch/idempotency.go
+++ b/internal/dispatch/idempotency.go
@@ -45,7 +45,7 @@
 	return false, idempotencyKeyAlreadyRan()
 }
 
-// requestDigest tells one request under a key from another. Digests are stored: their form must not change.
+// requestDigest identifies a request among those with the same key. Digests are stored: their form must not change.
 func requestDigest(r *request) uint64 {
 	form := fmt.Sprint(r.chat.Stream, r.chat.IncludeUsage, r.chat.MaxTokens, " ")
 	return xxhash.Sum64String(form + string(r.chat.Passthrough))
@@ -80,7 +80,7 @@
 	}
 }
 
-// keyWindow is how long a request's key is remembered after its end.
+// keyWindow returns how long a request's key is remembered after its end.
 func (d *Dispatcher) keyWindow(r *request) eventloop.Micros {
 	if product := d.Deployment.Products[r.class]; product.Effect == pb.Product_DEDUPLICATED {
 		return milliseconds(product.WindowMs)
@@ -88,28 +88,21 @@
 	return milliseconds(d.Deployment.Doors.RememberMs)
 }
 
-func invalidIdempotencyKey(status int, code, message string) *frontend.Problem {
-	return &frontend.Problem{
-		Status:  status,
-		Type:    "invalid_request_error",
-		Param:   idempotencyKeyField,
-		Code:    code,
-		Message: message,
-	}
-}
-
 func idempotencyKeyTooLong() *frontend.Problem {
-	return invalidIdempotencyKey(400, "invalid_value",
-		fmt.Sprintf("The Idempotency-Key is longer than %d bytes.", maxIdempotencyKeyLength))
+	return frontend.Invalid(idempotencyKeyField, "invalid_value",
+		"The Idempotency-Key is longer than %d bytes.", maxIdempotencyKeyLength)
 }
 
 func idempotencyKeyReused() *frontend.Problem {
-	return invalidIdempotencyKey(422, "idempotency_key_reused", "The Idempotency-Key was used for another request.")
+	problem := frontend.Invalid(idempotencyKeyField, "idempotency_key_reused",
+		"The Idempotency-Key was used for another request.")
+	problem.Status = 422
+	return problem
 }
 
 func idempotencyKeyAlreadyRan() *frontend.Problem {
-	problem := invalidIdempotencyKey(409, "already_ran", "The generation of this Idempotency-Key ran, or may have run, "+
-		"and is not run again; its answer is no longer here.")
-	problem.NoRetry = true
+	problem := frontend.Invalid(idempotencyKeyField, "already_ran",
+		"The generation of this Idempotency-Key ran, or may have run, and is not run again; its answer is no longer here.")
+	problem.Status, problem.NoRetry = 409, true
 	return problem
 }
--- a/internal/testbed/load/chat.go
+++ b/internal/testbed/load/chat.go
@@ -17,7 +17,6 @@
 )
 
 const (
-	chatPath     = "/v1/chat/completions"
 	maxEventSize = 1 << 20
 	lastEvent    = "[DONE]"
 )
@@ -72,7 +71,7 @@
 	patience := generator.MinPatience + (1-generator.MinPatience)*generator.random.Float64()
 	limit := eventloop.Micros(float64(left) * patience)
 	target := near[generator.random.Intn(len(near))]
-	c := call{path: chatPath, body: r.body()}
+	c := call{path: modelserver.ChatPath, body: r.body()}
 	if generator.Keyed && product.Effect != pb.Product_IDEMPOTENT {
 		// A dispatcher knows only its own keys.
 		target = generator.Targets[int(xxhash.Sum64String(r.id)%uint64(len(generator.Targets)))]
@@ -121,7 +120,7 @@
 	}
 }
 
-// firstTokenSLO is the latency objective for the first token, which grows with the prompt.
+// firstTokenSLO returns the latency objective for the first token, which grows with the prompt.
 func (r *chatRequest) firstTokenSLO() eventloop.Micros {
 	product, promptTokens := r.session.product, 0
 	for _, m := range r.session.messages {
@@ -232,7 +231,7 @@
 	generator.loop.AfterFunc(a.retryAfter(delay), request.try)
 }
 
-// latency is the time to the first token since the request began, and the time between two tokens.
+// latency returns the time to the first token since the request began, and the time between two tokens.
 func (a *chatAttempt) latency() (firstToken, pace eventloop.Micros) {
 	r := a.chat
 	firstToken = a.firstToken - r.since
