--- a/internal/benchadapter/serve.go
+++ b/internal/benchadapter/serve.go
@@ -17,12 +17,12 @@
 
 const bufferSize = 1 << 20
 
-// Serve answers frames until the input ends. Any other end is a *FrameError.
+// Serve answers frames until the input ends between two of them. Any other end is a *FrameError.
 func Serve(in io.Reader, out io.Writer) error {
-	r, writer := bufio.NewReaderSize(in, bufferSize), bufio.NewWriterSize(out, bufferSize)
+	input, output := bufio.NewReaderSize(in, bufferSize), bufio.NewWriterSize(out, bufferSize)
 	a := &adapter{instances: map[uint32]*instance{}}
 	for n := uint32(0); ; n++ {
-		sequence, body, err := readFrame(r)
+		sequence, body, err := readFrame(input)
 		switch {
 		case errors.Is(err, io.EOF):
 			return nil
@@ -34,13 +34,13 @@
 		if err := a.handleFrame(body); err != nil {
 			return &FrameError{Frame: sequence, Err: err}
 		}
-		if err := a.writeReply(writer, sequence); err != nil {
+		if err := a.writeReply(output, sequence); err != nil {
 			return &FrameError{Frame: sequence, Err: fmt.Errorf("reply not written: %w", err)}
 		}
 	}
 }
 
-// readFrame returns io.EOF only where the input ends between frames.
+// readFrame reads one frame. It returns io.EOF only if the input ends between two frames.
 func readFrame(input io.Reader) (sequence uint32, body []byte, err error) {
 	var header [frameHeaderSize]byte
 	if _, err := io.ReadFull(input, header[:]); errors.Is(err, io.EOF) {
--- a/internal/store/history_test.go
+++ b/internal/store/history_test.go
@@ -87,8 +87,7 @@
 	t      *testing.T
 	seed   int64
 	random *rand.Rand
-	// awaitReads makes clients wait until what they read is durable.
-	awaitReads bool
+	reads  readMode
 
 	time        int64
 	disk        *memoryDisk
@@ -98,11 +97,19 @@
 	history     []porcupine.Operation
 }
 
-// simulateClients returns what the clients of one simulation saw.
-func simulateClients(t *testing.T, seed int64, awaitReads bool) []porcupine.Operation {
+// readMode says when a client's read is answered.
+type readMode int
+
+const (
+	awaitReads readMode = iota // once what it read is durable
+	trustReads                 // at once, which is wrong
+)
+
+// simulateClients returns the operations of the clients of one simulation.
+func simulateClients(t *testing.T, seed int64, reads readMode) []porcupine.Operation {
 	t.Helper()
 	s := &clientSimulation{
-		t: t, seed: seed, random: rand.New(rand.NewSource(seed)), awaitReads: awaitReads, disk: newMemoryDisk(),
+		t: t, seed: seed, random: rand.New(rand.NewSource(seed)), reads: reads, disk: newMemoryDisk(),
 	}
 	for range historyRestarts {
 		s.runUntilCrash()
@@ -189,7 +196,7 @@
 		s.history = append(s.history, *operation)
 		delete(s.outstanding, client)
 	}
-	if step.reads && !s.awaitReads {
+	if step.reads && s.reads == trustReads {
 		answered(nil)
 		return false
 	}
@@ -244,14 +251,14 @@
 	}
 }
 
-// Five clients at once, crashes at any byte and full disks: what the clients saw is what a store would show
-// that does one step at a time and loses nothing that it has answered. The check can fail: it does where a
-// client trusts a read before what it read is durable.
+// With five concurrent clients, crashes at any byte and full disks, the results are those of a store that does one step
+// at a time and loses no answered one. The check can fail: it does where a client trusts a read before what it read is
+// durable.
 func TestConcurrentHistories(t *testing.T) {
 	const seeds = 400
 	steps, unanswered := 0, 0
 	for seed := range int64(seeds) {
-		history := simulateClients(t, seed, true)
+		history := simulateClients(t, seed, awaitReads)
 		steps += len(history)
 		for _, operation := range history {
 			if operation.Output.(outcome).unknown {
@@ -264,10 +271,10 @@
 	}
 	t.Logf("%d histories, %d steps, %d of them not answered", seeds, steps, unanswered)
 	for seed := range int64(200) {
-		history := simulateClients(t, seed, false)
+		history := simulateClients(t, seed, trustReads)
 		if porcupine.CheckOperationsTimeout(sequential, history, checkTimeout) == porcupine.Illegal {
 			return
 		}
 	}
-	t.Error("reads that trust what is not durable yet were never found out")
+	t.Error("reads of what is not durable yet were never detected")
 }
--- a/scheduler/cost_test.go
+++ b/scheduler/cost_test.go
@@ -10,7 +10,7 @@
 	"time"
 )
 
-// sendRecorder is an Executor that remembers where each request went last, and nothing else.
+// sendRecorder is an Executor that records the endpoint and the attempt of each request.
 type sendRecorder struct {
 	endpoints map[RequestID]EndpointID
 	attempts  map[RequestID]AttemptNo
@@ -47,13 +47,13 @@
 	last      RequestID
 }
 
-// fleetState is what the measured decisions find.
+// fleetState is the state in which decisions are measured.
 type fleetState string
 
 const (
 	flowing        fleetState = ""
 	saturated      fleetState = ", saturated"       // no decode endpoint fits, so requests are queued
-	linksCongested fleetState = ", links congested" // states come late out of all cells
+	linksCongested fleetState = ", links congested" // states from all cells are late
 )
 
 func newCostFleet(scale int, state fleetState) *costFleet {
@@ -80,7 +80,7 @@
 		}
 	}
 	if state == saturated {
-		fleet.blockDecode(true)
+		fleet.blockDecode()
 		for range costInFlight * scale {
 			fleet.arrive()
 		}
@@ -105,12 +105,17 @@
 	fleet.scheduler.EndpointUpdateEnded(fleet.now, true)
 }
 
-// blockDecode has no decode endpoint fit any more, so that arriving requests are queued.
-func (fleet *costFleet) blockDecode(on bool) {
+// blockDecode makes no decode endpoint fit, so that arriving requests are queued.
+func (fleet *costFleet) blockDecode() { fleet.setNoCapacityUntil(fleet.now + 3600*sec) }
+
+// unblockDecode makes the decode endpoints fit again.
+func (fleet *costFleet) unblockDecode() { fleet.setNoCapacityUntil(0) }
+
+func (fleet *costFleet) setNoCapacityUntil(until Micros) {
 	for _, ep := range fleet.scheduler.endpoints.all {
 		ep.memory.noCapacityUntil = 0
-		if on && ep.role == Decode {
-			ep.memory.noCapacityUntil = fleet.now + 3600*sec
+		if ep.role == Decode {
+			ep.memory.noCapacityUntil = until
 		}
 	}
 }
@@ -152,7 +157,7 @@
 	costs  map[string]eventCost
 }
 
-// measure calls do n times and notes what one call took.
+// measure calls do several times and records the mean cost of a call.
 func (meter *costMeter) measure(event string, count int, do func(i int)) {
 	fleet := meter.fleet
 	var before, after runtime.MemStats
@@ -201,17 +206,17 @@
 	meter.measure("disconnect", 1, func(int) { fleet.scheduler.ClientDisconnected(fleet.now, fleet.arrive()) })
 }
 
-// decodeBesideQueue takes some requests to their answers while others stay in the queue.
+// decodeBesideQueue starts some answers while other requests remain in the queue.
 func (fleet *costFleet) decodeBesideQueue() (ids [costBatch]RequestID) {
 	queued := fleet.scheduler.queue.requests
 	fleet.scheduler.queue.requests = nil
-	fleet.blockDecode(false)
+	fleet.unblockDecode()
 	for i := range ids {
 		ids[i] = fleet.arrive()
 		fleet.endPrefill(ids[i])
 		fleet.startAnswer(ids[i])
 	}
-	fleet.blockDecode(true)
+	fleet.blockDecode()
 	fleet.scheduler.queue.requests = queued
 	return ids
 }
@@ -243,7 +248,7 @@
 	return (float64(after.HeapAlloc) - float64(before.HeapAlloc)) / float64(len(fleets))
 }
 
-// What a decision costs grows with the fleet and no faster, and what it allocates hardly: counted, not timed.
+// The cost of a decision grows in proportion to the fleet, and its allocations hardly; both are counted, not timed.
 func TestCostGrowsWithTheFleet(t *testing.T) {
 	small, smallState := measureCosts(1, 4)
 	large, largeState := measureCosts(10, 4)
--- a/scheduler/event.go
+++ b/scheduler/event.go
@@ -21,8 +21,13 @@
 	EndpointSilent                        // replies are overdue and nothing comes from the endpoint
 )
 
-var ejectionReasonNames = [...]string{"attempt failed", "attempt timed out", "no reply"}
+var ejectionReasonNames = [...]string{
+	AttemptFailed:   "attempt failed",
+	AttemptTimedOut: "attempt timed out",
+	EndpointSilent:  "no reply",
+}
 
+// String is the reason's text in logs.
 func (r EjectionReason) String() string { return ejectionReasonNames[r] }
 
 // SendBlocked reports that the guard stopped an attempt that would have broken a rule: a fault in a decision.
@@ -45,10 +50,14 @@
 )
 
 var ruleNames = [...]string{
-	"an attempt is in flight", "already answered", "endpoint not ready", "retry could repeat an effect",
-	"endpoint is warming up",
+	SingleAttempt:   "an attempt is in flight",
+	NotAnswered:     "already answered",
+	EndpointReady:   "endpoint not ready",
+	SafeRetry:       "retry could repeat an effect",
+	WarmUpProtected: "endpoint is warming up",
 }
 
+// String is the rule's text in logs.
 func (r Rule) String() string { return ruleNames[r] }
 
 func (EndpointEjected) event() {}
--- a/scheduler/fleet_sim_test.go
+++ b/scheduler/fleet_sim_test.go
@@ -105,7 +105,7 @@
 	return sim
 }
 
-// endpoint is what the scheduler knows of an endpoint.
+// endpoint returns the scheduler's state of an endpoint.
 func (sim *fleetSim) endpoint(id EndpointID) *endpoint { return sim.scheduler.endpoints.byID[id] }
 
 // updateEndpoints sends an incomplete endpoint list.
@@ -201,7 +201,7 @@
 	})
 }
 
-// prefilled takes a request through its prefill, up to its attempt at a decode endpoint.
+// prefilled sends a request and completes its prefill, so that it has an attempt at a decode endpoint.
 func (sim *fleetSim) prefilled(id RequestID, prompt float64) *simRequest {
 	sim.t.Helper()
 	req := sim.arrive(id, 0, prompt, 6*sec)
@@ -219,7 +219,7 @@
 	sim.endAttempt(req, Completed, 0)
 }
 
-// advance lets time go by, fires the timers that are due and checks what the rules say of time.
+// advance advances the time, fires the timers that are due and checks the rules on deadlines.
 func (sim *fleetSim) advance(span Micros) {
 	sim.t.Helper()
 	for end := sim.now + span; sim.now < end; {
@@ -305,7 +305,7 @@
 	sim.scheduler.ClientDisconnected(sim.now, 1<<40)
 }
 
-// stepAttempt carries an attempt one step on.
+// stepAttempt makes the next event of an attempt happen.
 func (sim *fleetSim) stepAttempt(req *simRequest, random *rand.Rand) {
 	att := req.inFlight()
 	prefill := sim.config.Kinds[att.endpoint.kind].Role == Prefill || sim.prefillOnly(req)
@@ -324,7 +324,7 @@
 	}
 }
 
-// stepAll ends prefills at once, starts answers and ends those of a second ago.
+// stepAll ends prefills, starts answers and ends those that are a second old.
 func (sim *fleetSim) stepAll(requests []*simRequest) {
 	for range 2 {
 		for _, req := range requests {
@@ -358,7 +358,7 @@
 	sim.updateEndpoints(ep)
 }
 
-// countWithin counts the times from a start on for a span.
+// countWithin counts the times within a span from a start.
 func countWithin(times []Micros, from, span Micros) (n float64) {
 	for _, at := range times {
 		if at >= from && at < from+span {
--- a/scheduler/reason.go
+++ b/scheduler/reason.go
@@ -3,7 +3,7 @@
 // Reason is why a request got its final answer from the scheduler.
 type Reason uint8
 
-// The reasons; their texts are in the log.
+// The reasons.
 const (
 	DeadlineReached   Reason = iota // its deadline is reached
 	AttemptsExhausted               // its attempts are used up
@@ -15,11 +15,18 @@
 	StreamEndedEarly                // an answer had begun, and ended before it was complete
 )
 
-var reasonNames = [...]string{
-	"no time left", "no attempts left", "too late", "may have run", "no such class", "withdrawn",
-	"send refused", "closed behind",
+var reasonNames = [ReasonCount]string{
+	DeadlineReached:   "no time left",
+	AttemptsExhausted: "no attempts left",
+	TooLate:           "too late",
+	MayHaveRun:        "may have run",
+	UnknownClass:      "no such class",
+	Withdrawn:         "withdrawn",
+	RuleViolation:     "send refused",
+	StreamEndedEarly:  "closed behind",
 }
 
+// String is the reason's text in logs.
 func (r Reason) String() string { return reasonNames[r] }
 
 // Explainer is implemented by an Executor that wants the reason of a final answer. It is called just before Reject or
