--- a/internal/admin/isolation_test.go
+++ b/internal/admin/isolation_test.go
@@ -11,9 +11,9 @@
 	"plumspindle/internal/eventloop"
 )
 
-// A hundred thousand requests come with mixed credentials: the same Idempotency-Keys, the same texts, the same sessions,
-// and keys of other tenants, unknown keys and revoked ones. No answer of one tenant is ever seen by another, and none is
-// revealed to exist.
+// A hundred thousand requests come with mixed credentials: the same Idempotency-Keys, the same texts, the same
+// sessions, and keys of other tenants, unknown keys and revoked ones. No answer of one tenant is ever seen by
+// another, and none is revealed to exist.
 func TestNoRequestCrossesTenants(t *testing.T) {
 	requests := 100_000
 	if testing.Short() {
