--- a/internal/chat/route.go
+++ b/internal/chat/route.go
@@ -7,6 +7,7 @@
 package chat
 
 import (
+	"net/http"
 	"plumspindle/internal/frontend"
 	"plumspindle/internal/http1"
 )
@@ -39,5 +40,5 @@
 			return handle(request, identity, head, response)
 		}}, nil
 	}
-	return frontend.Route{Method: "POST", Begin: begin}
+	return frontend.Route{Method: http.MethodPost, Begin: begin}
 }
--- a/internal/cli/bench_client.go
+++ b/internal/cli/bench_client.go
@@ -2,8 +2,10 @@
 
 import (
 	"fmt"
+	"net/http"
 	"strings"
 
+	"plumspindle/internal/chat"
 	"plumspindle/internal/eventloop"
 	"plumspindle/internal/http1"
 	"plumspindle/internal/sse"
@@ -51,7 +53,7 @@
 	headers := append(call.headers, "Authorization", "Bearer "+benchKey, "Content-Type", "application/json",
 		"x-client-request-id", call.id, "Connection", "close")
 	client.request = http1.AppendRequest(nil, http1.Request{
-		Method: "POST", Target: "/v1/chat/completions", Host: t.address, Body: chatBody(call.model, call.maxTokens),
+		Method: http.MethodPost, Target: chat.Path, Host: t.address, Body: chatBody(call.model, call.maxTokens),
 	}, headers...)
 	client.conn = t.clients.Dial(t.address, benchDialTimeout, client)
 	return client
--- a/internal/dispatch/admission.go
+++ b/internal/dispatch/admission.go
@@ -43,7 +43,7 @@
 // queue has a request wait until its tenant's turn comes.
 func (d *Dispatcher) queue(r *request) {
 	r.State = lifecycle.Queued
-	r.limitTimer = d.loop.AfterFunc(max(r.deadline-queueGrace-d.loop.Now(), 0), func() {
+	r.deadlineTimer = d.loop.AfterFunc(max(r.deadline-queueGrace-d.loop.Now(), 0), func() {
 		if r.State == lifecycle.Queued {
 			d.fire(r, lifecycle.DeadlineExceeded)
 		}
@@ -58,8 +58,8 @@
 			return
 		}
 		r := ticket.Owner.(*request)
-		r.limitTimer.Stop()
-		r.limitTimer = nil
+		r.deadlineTimer.Stop()
+		r.deadlineTimer = nil
 		d.fire(r, lifecycle.Admitted)
 	}
 }
--- a/internal/dispatch/batch_answer.go
+++ b/internal/dispatch/batch_answer.go
@@ -13,7 +13,7 @@
 
 // finishIfDone answers the call once all inputs have arrived and all parts are back.
 func (c *batchCall) finishIfDone() {
-	if c.closed || !c.complete || c.parts.Pending() > 0 {
+	if c.closed || !c.allInputsArrived || c.parts.Pending() > 0 {
 		return
 	}
 	d := c.dispatcher
@@ -45,7 +45,7 @@
 		return
 	}
 	c.parts.Cancel()
-	for _, timer := range []eventloop.Timer{c.limitTimer, c.retryTimer} {
+	for _, timer := range []eventloop.Timer{c.deadlineTimer, c.retryTimer} {
 		if timer != nil {
 			timer.Stop()
 		}
--- a/internal/dispatch/batch_call.go
+++ b/internal/dispatch/batch_call.go
@@ -1,6 +1,7 @@
 package dispatch
 
 import (
+	"net/http"
 	"slices"
 
 	"plumspindle/internal/batch"
@@ -27,21 +28,21 @@
 	clientLimit     eventloop.Micros // that the client asked for; 0: none
 
 	// From Begin on, when the product is known.
-	class       scheduler.ClassID
-	dimensions  int
-	deadline    eventloop.Micros
-	limitTimer  eventloop.Timer
-	cache       *vectors.Cache // nil: there is none
-	tenantCalls *tenantBatches // nil: the call has not begun
+	class         scheduler.ClassID
+	dimensions    int
+	deadline      eventloop.Micros
+	deadlineTimer eventloop.Timer
+	cache         *vectors.Cache // nil: there is none
+	tenantCalls   *tenantBatches // nil: the call has not begun
 
-	parts       *batch.Call
-	splitInputs int  // how many inputs are in parts or cached
-	complete    bool // all inputs have arrived
-	inFlight    map[batch.PartID]*request
-	retryTimer  eventloop.Timer
-	answer      embeddings.Answer
-	answerBytes int // that the answer is going to have
-	closed      bool
+	parts            *batch.Call
+	splitInputs      int // how many inputs are in parts or cached
+	allInputsArrived bool
+	inFlight         map[batch.PartID]*request
+	retryTimer       eventloop.Timer
+	answer           embeddings.Answer
+	answerBytes      int // that the answer is going to have
+	closed           bool
 }
 
 // batchRoute returns one of the APIs whose answers are complete with the prefill.
@@ -79,7 +80,12 @@
 		response.OnDisconnect = func() { d.loop.Defer(call.clientDisconnected) }
 		return call.request, nil
 	}
-	return frontend.Route{Method: "POST", MaxBody: limits.MaxBody, MaxBuffered: limits.MaxBuffered, Begin: begin}
+	return frontend.Route{
+		Method:      http.MethodPost,
+		MaxBody:     limits.MaxBody,
+		MaxBuffered: limits.MaxBuffered,
+		Begin:       begin,
+	}
 }
 
 // Begin starts the call, once all is known that a part needs.
@@ -106,7 +112,7 @@
 		timeout = min(timeout, c.clientLimit)
 	}
 	c.class, c.deadline = class, d.loop.Now()+timeout
-	c.limitTimer = d.loop.AfterFunc(max(timeout-batchGrace, 0), c.deadlineExceeded)
+	c.deadlineTimer = d.loop.AfterFunc(max(timeout-batchGrace, 0), c.deadlineExceeded)
 	c.parts = batch.NewCall(nil, batch.PartLimits{})
 	if d.batches.limits.Cache > 0 && c.form == pb.Product_EMBEDDING {
 		c.cache = d.batches.vectorCache(c.identity.Space, c.dimensions)
@@ -129,11 +135,11 @@
 }
 
 // InputsAdded takes further inputs, or the end of them.
-func (c *batchCall) InputsAdded(complete bool) *frontend.Problem {
+func (c *batchCall) InputsAdded(last bool) *frontend.Problem {
 	if c.closed {
 		return nil
 	}
-	c.complete = c.complete || complete
+	c.allInputsArrived = c.allInputsArrived || last
 	if !c.growAnswer() {
 		c.rejectForMemory()
 		return nil
--- a/internal/dispatch/chat.go
+++ b/internal/dispatch/chat.go
@@ -40,9 +40,9 @@
 	heartbeat eventloop.Micros // 0: none
 }
 
-// HandleChat takes a chat completion. A returned problem is the answer; otherwise the response is answered later, or
+// handleChat takes a chat completion. A returned problem is the answer; otherwise the response is answered later, or
 // has been rejected.
-func (d *Dispatcher) HandleChat(
+func (d *Dispatcher) handleChat(
 	chatRequest *chat.Request, identity frontend.Identity, head *http1.Head, response *frontend.Response,
 ) *frontend.Problem {
 	class, problem := d.classFor(chatRequest.Model, pb.Product_CHAT)
--- a/internal/dispatch/dispatcher.go
+++ b/internal/dispatch/dispatcher.go
@@ -155,7 +155,7 @@
 func (d *Dispatcher) routes() map[string]frontend.Route {
 	routes := frontend.ModelRoutes(d.Models)
 	isPublic := func(digest string) bool { return d.directory.IsPublicText(digest) }
-	routes[chat.Path] = chat.Route(isPublic, d.HandleChat)
+	routes[chat.Path] = chat.Route(isPublic, d.handleChat)
 	routes[embeddings.Embeddings.Path()] = d.batchRoute(embeddings.Embeddings, pb.Product_EMBEDDING)
 	routes[embeddings.Rerank.Path()] = d.batchRoute(embeddings.Rerank, pb.Product_RERANK)
 	return routes
--- a/internal/dispatch/endpoint_cache.go
+++ b/internal/dispatch/endpoint_cache.go
@@ -49,12 +49,12 @@
 			planned = append(planned, entry)
 		}
 		if part.Delay == 0 {
-			d.applyEndpoints(planned, false)
+			d.applyChanges(planned)
 			continue
 		}
 		d.loop.AfterFunc(part.Delay, func() {
 			if d.endpointUpdates == 0 { // discovery is still unreachable
-				d.applyEndpoints(planned, false)
+				d.applyChanges(planned)
 			}
 		})
 	}
@@ -64,22 +64,22 @@
 // as discovery may just have restarted; what an update says of an endpoint by name is always taken as true.
 func (d *Dispatcher) confirmRemovals(entries []endpoints.Entry, complete bool) {
 	if !complete {
-		d.applyEndpoints(entries, false)
+		d.applyChanges(entries)
 		return
 	}
 	missing, ready := d.missingFrom(entries)
 	drainGrace := milliseconds(d.Deployment.Rules.DrainGraceMs)
 	delay := endpointcache.RemovalDelay(ready, len(missing), drainGrace)
 	if delay == 0 {
-		d.applyEndpoints(entries, true)
+		d.applyCompleteList(entries)
 		return
 	}
 	d.config.Log.Warn().Int("ready", ready).Int("missing", len(missing)).Msg("endpoint removals delayed")
-	d.applyEndpoints(entries, false)
+	d.applyChanges(entries)
 	update := d.endpointUpdates
 	d.loop.AfterFunc(delay, func() {
 		if d.endpointUpdates == update { // discovery has not corrected itself
-			d.applyEndpoints(entries, true)
+			d.applyCompleteList(entries)
 			return
 		}
 		var gone []endpoints.Entry
@@ -88,7 +88,7 @@
 				gone = append(gone, entry)
 			}
 		}
-		d.applyEndpoints(gone, false)
+		d.applyChanges(gone)
 	})
 }
 
--- a/internal/dispatch/endpoints.go
+++ b/internal/dispatch/endpoints.go
@@ -41,7 +41,12 @@
 	})
 }
 
-// applyEndpoints takes entries as true, and reports them to the scheduler.
+// applyChanges reports changed entries to the scheduler; all other endpoints stay as they were.
+func (d *Dispatcher) applyChanges(entries []endpoints.Entry) { d.applyEndpoints(entries, false) }
+
+// applyCompleteList reports a complete list to the scheduler: endpoints that it does not name are gone.
+func (d *Dispatcher) applyCompleteList(entries []endpoints.Entry) { d.applyEndpoints(entries, true) }
+
 func (d *Dispatcher) applyEndpoints(entries []endpoints.Entry, complete bool) {
 	now := d.loop.Now()
 	var startedAt []eventloop.Micros
--- a/internal/dispatch/idempotency.go
+++ b/internal/dispatch/idempotency.go
@@ -3,6 +3,7 @@
 import (
 	"crypto/sha256"
 	"fmt"
+	"net/http"
 
 	"github.com/cespare/xxhash/v2"
 
@@ -96,13 +97,13 @@
 func idempotencyKeyReused() *frontend.Problem {
 	problem := frontend.Invalid(idempotencyKeyField, "idempotency_key_reused",
 		"The Idempotency-Key was used for another request.")
-	problem.Status = 422
+	problem.Status = http.StatusUnprocessableEntity
 	return problem
 }
 
 func idempotencyKeyAlreadyRan() *frontend.Problem {
 	problem := frontend.Invalid(idempotencyKeyField, "already_ran",
 		"The generation of this Idempotency-Key ran, or may have run, and is not run again; its answer is no longer here.")
-	problem.Status, problem.NoRetry = 409, true
+	problem.Status, problem.NoRetry = http.StatusConflict, true
 	return problem
 }
--- a/internal/dispatch/intents.go
+++ b/internal/dispatch/intents.go
@@ -24,8 +24,8 @@
 const intentRetryInterval = 500 * eventloop.Millisecond
 
 // intentRecord is the state of one request's intent. With a prefill it is written as the prefill goes out, so that the
-// disk works while the endpoint does; what died in between then counts as run although it did not. Before the decode it
-// costs the time of a sync.
+// disk works while the endpoint does; a request whose dispatcher dies before its decode then counts as run, although it
+// was not. Before the decode it costs the time of a sync.
 type intentRecord struct {
 	requested bool
 	durable   bool
--- a/internal/dispatch/request.go
+++ b/internal/dispatch/request.go
@@ -24,7 +24,7 @@
 
 	responseID     string
 	responses      []*frontend.Response // to its client, and to those that came with the same key
-	limitTimer     eventloop.Timer      // of the deadline, while the dispatcher watches it
+	deadlineTimer  eventloop.Timer      // of the deadline, while the dispatcher watches it
 	heartbeatTimer eventloop.Timer
 	outputTokens   int              // events forwarded, or the endpoint's own count
 	promptTokens   int              // as counted by its decode endpoint
@@ -64,7 +64,7 @@
 func (r *request) forgetState() { r.kvState, r.stateLocations = "", nil }
 
 func (r *request) stopTimers() {
-	for _, timer := range []eventloop.Timer{r.limitTimer, r.heartbeatTimer} {
+	for _, timer := range []eventloop.Timer{r.deadlineTimer, r.heartbeatTimer} {
 		if timer != nil {
 			timer.Stop()
 		}
--- a/internal/dispatch/transitions.go
+++ b/internal/dispatch/transitions.go
@@ -105,7 +105,7 @@
 	r.attempt.Started()
 	if !r.chat.Stream {
 		// The client of an answer in one piece has nothing yet, so that its deadline still counts.
-		r.limitTimer = d.loop.AfterFunc(r.deadline-unstreamedGrace-now, func() {
+		r.deadlineTimer = d.loop.AfterFunc(r.deadline-unstreamedGrace-now, func() {
 			d.fireWith(r, lifecycle.DeadlineExceeded,
 				eventDetails{reason: "The answer was not whole within the client's time."})
 		})
@@ -124,7 +124,7 @@
 
 var usageMember = []byte(`"usage":{`)
 
-// forwardEvent forwards one event to all that wait, and buffers it for repeats with the request's key.
+// forwardEvent forwards one event to all clients that wait, and buffers it for repeats with the request's key.
 func (d *Dispatcher) forwardEvent(r *request, data []byte) {
 	r.outputTokens++
 	if bytes.Contains(data, usageMember) {
@@ -156,16 +156,16 @@
 	case lifecycle.AnswerCompleted:
 		d.Completed++
 		d.logAnswer(r, "completed", details.reason)
-		d.respond(r, true, func(response *frontend.Response) { response.Complete() })
+		d.respond(r, func(response *frontend.Response) { response.Complete() })
 	case lifecycle.AnswerRejected:
 		d.Rejected++
 		d.logAnswer(r, "rejected", details.reason)
-		d.respond(r, false, func(response *frontend.Response) { response.Reject(details.retryAfter) })
+		d.respond(r, func(response *frontend.Response) { response.Reject(details.retryAfter) })
 	default:
 		d.Failed++
 		reason, retryable := d.failure(r, details)
 		d.logAnswer(r, "failed", reason)
-		d.respond(r, false, func(response *frontend.Response) { response.Fail(retryable, reason) })
+		d.respond(r, func(response *frontend.Response) { response.Fail(retryable, reason) })
 	}
 }
 
@@ -182,13 +182,13 @@
 	return reason, retryable
 }
 
-// respond gives the final answer to all that wait for it, and ends the request's key.
-func (d *Dispatcher) respond(r *request, completed bool, send func(*frontend.Response)) {
+// respond gives the final answer to all clients that wait for it, and ends the request's key.
+func (d *Dispatcher) respond(r *request, send func(*frontend.Response)) {
 	for _, response := range r.responses {
 		send(response)
 	}
 	r.responses = nil
-	d.endIdempotencyKey(r, completed)
+	d.endIdempotencyKey(r, r.finalAction == lifecycle.AnswerCompleted)
 }
 
 func (d *Dispatcher) logAnswer(r *request, outcome, reason string) {
--- a/internal/dispatch/usage.go
+++ b/internal/dispatch/usage.go
@@ -2,6 +2,7 @@
 
 import (
 	"encoding/json"
+	"net/http"
 
 	"plumspindle/internal/eventloop"
 	"plumspindle/internal/lifecycle"
@@ -72,7 +73,7 @@
 // Usage returns what was used and is not reported yet.
 func (d *Dispatcher) Usage() []tenancy.Usage { return d.usage.Report(d.config.Name).Usage }
 
-// reportUsage reports to the administration what was used, again and again; the last report ends a shutdown.
+// reportUsage reports to the administration what was used, each usageReportInterval.
 func (d *Dispatcher) reportUsage() {
 	report := d.usage.Report(d.config.Name)
 	body, err := json.Marshal(report)
@@ -80,27 +81,32 @@
 		d.config.Log.Error().Err(err).Msg("usage report not encoded")
 		return
 	}
-	sent := func(status int) {
-		if status == 200 {
-			d.usage.Acknowledge(report.Number)
-		}
-		if d.onReported == nil {
-			d.loop.AfterFunc(usageReportInterval, d.reportUsage)
-			return
-		}
-		if status == 200 && d.usage.Pending() {
-			d.reportUsage()
-			return
-		}
-		done := d.onReported
-		d.onReported = nil
-		done()
-	}
 	subscribe.Post(d.loop, subscribe.PostRequest{
 		Address: d.config.Tenants,
 		Target:  "/internal/v1/usage",
 		Header:  []string{"Authorization", "Bearer " + FeedToken(d.config.Secret)},
 		Body:    body,
 		Timeout: usageReportTimeout,
-	}, sent)
+	}, func(status int) {
+		acknowledged := status == http.StatusOK
+		if acknowledged {
+			d.usage.Acknowledge(report.Number)
+		}
+		d.usageReported(acknowledged)
+	})
+}
+
+// usageReported schedules the next report. During a shutdown it reports what is left at once instead, and ends the
+// shutdown after the last report or the first that is not acknowledged.
+func (d *Dispatcher) usageReported(acknowledged bool) {
+	switch {
+	case d.onReported == nil:
+		d.loop.AfterFunc(usageReportInterval, d.reportUsage)
+	case acknowledged && d.usage.Pending():
+		d.reportUsage()
+	default:
+		done := d.onReported
+		d.onReported = nil
+		done()
+	}
 }
--- a/internal/frontend/errors.go
+++ b/internal/frontend/errors.go
@@ -3,6 +3,7 @@
 import (
 	"encoding/json"
 	"fmt"
+	"net/http"
 	"strconv"
 	"strings"
 
@@ -85,13 +86,13 @@
 func OverloadedMidway() *Problem { return overloaded("The service is busy. Please try again.") }
 
 func overloaded(message string) *Problem {
-	return &Problem{Status: 429, Type: typeRateLimit, Code: "throttled", Message: message}
+	return &Problem{Status: http.StatusTooManyRequests, Type: typeRateLimit, Code: "throttled", Message: message}
 }
 
 // TenantSuspended returns the problem of a request whose tenant is not served now.
 func TenantSuspended() *Problem {
 	return &Problem{
-		Status:  403,
+		Status:  http.StatusForbidden,
 		Type:    typePermission,
 		Code:    "tenant_suspended",
 		NoRetry: true,
@@ -107,7 +108,7 @@
 // InputNotServed returns the problem of a call with many inputs of which no endpoint could process one.
 func InputNotServed(param string) *Problem {
 	return &Problem{
-		Status:  422,
+		Status:  http.StatusUnprocessableEntity,
 		Type:    typeInvalidRequest,
 		Param:   param,
 		Code:    "input_not_served",
@@ -122,7 +123,7 @@
 		name = name[:maxNameInError]
 	}
 	return &Problem{
-		Status:  404,
+		Status:  http.StatusNotFound,
 		Type:    typeInvalidRequest,
 		Param:   "model",
 		Code:    "model_not_found",
@@ -133,7 +134,7 @@
 // BodyTooLarge returns the problem of a request whose body, or what of it must be buffered, is too large.
 func BodyTooLarge(format string, args ...any) *Problem {
 	return &Problem{
-		Status:  413,
+		Status:  http.StatusRequestEntityTooLarge,
 		Type:    typeInvalidRequest,
 		Code:    "body_too_large",
 		Message: fmt.Sprintf(format, args...),
@@ -142,7 +143,7 @@
 
 func overQuota(reason string) *Problem {
 	return &Problem{
-		Status:  429,
+		Status:  http.StatusTooManyRequests,
 		Type:    typeRateLimit,
 		Code:    "rate_limit_exceeded",
 		Message: "Rate limit reached: " + reason + ".",
@@ -150,16 +151,16 @@
 }
 
 func failed(message string) *Problem {
-	return &Problem{Status: 503, Type: typeServer, Code: "terminated", Message: message}
+	return &Problem{Status: http.StatusServiceUnavailable, Type: typeServer, Code: "terminated", Message: message}
 }
 
 func missingKey() *Problem {
-	return &Problem{Status: 401, Type: typeInvalidRequest, Message: "You didn't provide an API key."}
+	return &Problem{Status: http.StatusUnauthorized, Type: typeInvalidRequest, Message: "You didn't provide an API key."}
 }
 
 func unknownKey() *Problem {
 	return &Problem{
-		Status:  401,
+		Status:  http.StatusUnauthorized,
 		Type:    typeInvalidRequest,
 		Code:    "invalid_api_key",
 		Message: "Incorrect API key provided.",
@@ -168,7 +169,7 @@
 
 func unknownURL(method, path string) *Problem {
 	return &Problem{
-		Status:  404,
+		Status:  http.StatusNotFound,
 		Type:    typeInvalidRequest,
 		Code:    "unknown_url",
 		Message: "Unknown request URL: " + method + " " + path + ".",
@@ -177,7 +178,7 @@
 
 func methodNotAllowed(method string) *Problem {
 	return &Problem{
-		Status:  405,
+		Status:  http.StatusMethodNotAllowed,
 		Type:    typeInvalidRequest,
 		Message: "Not allowed to " + strings.ToUpper(method) + " on this URL.",
 	}
@@ -185,7 +186,7 @@
 
 func requestTimeout() *Problem {
 	return &Problem{
-		Status:  408,
+		Status:  http.StatusRequestTimeout,
 		Type:    typeInvalidRequest,
 		Code:    "request_timeout",
 		Message: "The request did not come in time.",
@@ -201,7 +202,7 @@
 }
 
 func unsupported(code, message string) *Problem {
-	return &Problem{Status: 415, Type: typeInvalidRequest, Code: code, Message: message}
+	return &Problem{Status: http.StatusUnsupportedMediaType, Type: typeInvalidRequest, Code: code, Message: message}
 }
 
 // OverloadedResponse returns the response to a connection that is not served for lack of capacity; nothing has run.
--- a/internal/frontend/models.go
+++ b/internal/frontend/models.go
@@ -1,6 +1,7 @@
 package frontend
 
 import (
+	"net/http"
 	"slices"
 	"strings"
 
@@ -31,24 +32,26 @@
 
 // ModelRoutes returns the routes by which clients list the models on offer and ask for one of them.
 func ModelRoutes(names func() []string) map[string]Route {
+	list := func(_ *http1.Head, _ Identity, response *Response) (Sink, *Problem) {
+		return &BufferedBody{Handle: func([]byte) *Problem {
+			response.finish(http.StatusOK, listModels(names()))
+			return nil
+		}}, nil
+	}
+	show := func(head *http1.Head, _ Identity, response *Response) (Sink, *Problem) {
+		path := pathOf(head.Target)
+		name := path[strings.LastIndexByte(path, '/')+1:]
+		if !slices.Contains(names(), name) {
+			return nil, ModelNotFound(name)
+		}
+		return &BufferedBody{Handle: func([]byte) *Problem {
+			response.finish(http.StatusOK, mustMarshal(newModelObject(name)))
+			return nil
+		}}, nil
+	}
 	return map[string]Route{
-		modelsPath: {Method: "GET", Begin: func(_ *http1.Head, _ Identity, response *Response) (Sink, *Problem) {
-			return &BufferedBody{Handle: func([]byte) *Problem {
-				response.finish(200, listModels(names()))
-				return nil
-			}}, nil
-		}},
-		modelsPath + "/": {Method: "GET", Begin: func(head *http1.Head, _ Identity, response *Response) (Sink, *Problem) {
-			path := pathOf(head.Target)
-			name := path[strings.LastIndexByte(path, '/')+1:]
-			if !slices.Contains(names(), name) {
-				return nil, ModelNotFound(name)
-			}
-			return &BufferedBody{Handle: func([]byte) *Problem {
-				response.finish(200, mustMarshal(newModelObject(name)))
-				return nil
-			}}, nil
-		}},
+		modelsPath:       {Method: http.MethodGet, Begin: list},
+		modelsPath + "/": {Method: http.MethodGet, Begin: show},
 	}
 }
 
--- a/internal/frontend/parameters.go
+++ b/internal/frontend/parameters.go
@@ -1,11 +1,15 @@
 package frontend
 
-import "fmt"
+import (
+	"net/http"
+
+	"fmt"
+)
 
 // Invalid returns the problem of a request whose parameter is no good.
 func Invalid(param, code, format string, args ...any) *Problem {
 	return &Problem{
-		Status:  400,
+		Status:  http.StatusBadRequest,
 		Type:    typeInvalidRequest,
 		Param:   param,
 		Code:    code,
--- a/internal/frontend/response.go
+++ b/internal/frontend/response.go
@@ -1,6 +1,7 @@
 package frontend
 
 import (
+	"net/http"
 	"strconv"
 
 	"plumspindle/internal/eventloop"
@@ -30,9 +31,6 @@
 // Done reports whether the final answer was given, or the client has disconnected.
 func (r *Response) Done() bool { return r.done }
 
-// Started reports whether the first byte of a streamed answer has been sent.
-func (r *Response) Started() bool { return r.started }
-
 // SendProblem gives the final answer to a request that can't be carried out, whether or not its body has arrived.
 func (r *Response) SendProblem(problem *Problem) {
 	if r.done {
@@ -52,7 +50,7 @@
 		return
 	}
 	if !r.format.Streaming() {
-		r.finish(200, r.format.Object(), "x-request-id", r.format.RequestID())
+		r.finish(http.StatusOK, r.format.Object(), "x-request-id", r.format.RequestID())
 		return
 	}
 	var out []byte
@@ -99,7 +97,7 @@
 // finishProblem gives a problem as the final answer to a request that has arrived and not begun.
 func (r *Response) finishProblem(problem *Problem) {
 	var fields []string
-	if problem.Status == 401 {
+	if problem.Status == http.StatusUnauthorized {
 		fields = append(fields, "WWW-Authenticate", "Bearer")
 	}
 	if problem.NoRetry {
--- a/internal/frontend/stream.go
+++ b/internal/frontend/stream.go
@@ -1,6 +1,10 @@
 package frontend
 
-import "plumspindle/internal/http1"
+import (
+	"net/http"
+
+	"plumspindle/internal/http1"
+)
 
 // heartbeatComment is an event stream's comment, which clients pass over.
 const heartbeatComment = ": waiting\n\n"
@@ -62,7 +66,7 @@
 }
 
 func (r *Response) appendStreamHead(out []byte) []byte {
-	return http1.AppendStreamHead(out, 200,
+	return http1.AppendStreamHead(out, http.StatusOK,
 		"Content-Type", "text/event-stream; charset=utf-8",
 		"Cache-Control", "no-cache",
 		"x-request-id", r.format.RequestID())
@@ -75,7 +79,7 @@
 	}
 	r.started = true
 	fields = append(fields, "Content-Type", contentType)
-	r.connection.conn.Write(http1.AppendStreamHead(nil, 200, fields...))
+	r.connection.conn.Write(http1.AppendStreamHead(nil, http.StatusOK, fields...))
 	r.OnDrained = func() { r.writePieces(next) }
 	r.writePieces(next)
 }
--- a/internal/testbed/load/attempt.go
+++ b/internal/testbed/load/attempt.go
@@ -2,6 +2,7 @@
 
 import (
 	"fmt"
+	"net/http"
 	"strconv"
 
 	"github.com/tidwall/gjson"
@@ -60,7 +61,7 @@
 	a.dispatcher, a.answer = target.Name, answer
 	a.parser = http1.Parser{Response: true, Limits: http1.DefaultLimits}
 	a.data = http1.AppendRequest(nil, http1.Request{
-		Method: "POST", Target: c.path, Host: target.Addr, Body: c.body,
+		Method: http.MethodPost, Target: c.path, Host: target.Addr, Body: c.body,
 	}, "Content-Type", "application/json",
 		"Authorization", "Bearer "+a.generator.Keys[a.tenant], "x-client-request-id", a.request,
 		"x-time-limit-ms", strconv.FormatInt(int64(a.timeLimit/eventloop.Millisecond), 10), "Connection", "close",
