--- a/internal/chat/members.go
+++ b/internal/chat/members.go
@@ -45,12 +45,17 @@
 	return frontend.WrongType(name, want, strings.ToLower(value.Type.String()))
 }
 
-func readModel(p *parser, name string, value gjson.Result) *frontend.Problem {
+// readString returns the value of a member that must be a string.
+func readString(name string, value gjson.Result) (string, *frontend.Problem) {
 	if value.Type != gjson.String {
-		return wrongType(name, "a string", value)
+		return "", wrongType(name, "a string", value)
 	}
-	p.request.Model = value.String()
-	return nil
+	return value.String(), nil
+}
+
+func readModel(p *parser, name string, value gjson.Result) (problem *frontend.Problem) {
+	p.request.Model, problem = readString(name, value)
+	return problem
 }
 
 func readMessages(p *parser, name string, value gjson.Result) *frontend.Problem {
@@ -61,12 +66,9 @@
 	return nil
 }
 
-func readCacheKey(p *parser, name string, value gjson.Result) *frontend.Problem {
-	if value.Type != gjson.String {
-		return wrongType(name, "a string", value)
-	}
-	p.cacheKey = value.String()
-	return nil
+func readCacheKey(p *parser, name string, value gjson.Result) (problem *frontend.Problem) {
+	p.cacheKey, problem = readString(name, value)
+	return problem
 }
 
 func readStream(p *parser, name string, value gjson.Result) *frontend.Problem {
--- a/internal/cli/batches.go
+++ b/internal/cli/batches.go
@@ -176,17 +176,17 @@
 			dep := deployment.Standard()
 			dep.Batches = &pb.Batches{FixedLimit: uint32(max(sort.limit, 0)), PartTokens: uint32(c.Part)}
 			run := &scenarios.Run{Script: script, Deployment: dep, Dispatchers: batchDispatchers, Seed: int64(seed + 1)}
-			verdict, leftOver, _, err := run.RunVirtual(0)
+			outcome, err := run.RunVirtual(0)
 			if err != nil {
 				return err
 			}
 			mu.Lock()
 			defer mu.Unlock()
-			if !verdict.Passed() || leftOver > 0 {
+			if !outcome.Passed() {
 				result.violations = append(result.violations, fmt.Sprintf("%s, limit %d, seed %d, %d left over:\n%s",
-					sort.scenario.name, sort.limit, seed+1, leftOver, verdict.Text()))
+					sort.scenario.name, sort.limit, seed+1, outcome.OpenRequests, outcome.Verdict.Text()))
 			}
-			result.add(run, verdict)
+			result.add(run, outcome.Verdict)
 			return nil
 		})
 	}
--- a/internal/cli/fairness.go
+++ b/internal/cli/fairness.go
@@ -140,8 +140,11 @@
 	}
 	run := &scenarios.Run{Script: script, Deployment: deployment.Standard(), Dispatchers: dispatchers, Seed: seed}
 	if !c.Sockets {
-		verdict, _, _, err := run.RunVirtual(0)
-		return verdict, err
+		outcome, err := run.RunVirtual(0)
+		if err != nil {
+			return nil, err
+		}
+		return outcome.Verdict, nil
 	}
 	if run.Binary, err = os.Executable(); err != nil {
 		return nil, fmt.Errorf("path of this program: %w", err)
--- a/internal/cli/restarts.go
+++ b/internal/cli/restarts.go
@@ -146,7 +146,7 @@
 		group.HostsPerZone *= roomyFleetFactor
 	}
 	run := &scenarios.Run{Script: script, Deployment: dep, Dispatchers: c.Dispatchers, Seed: seed}
-	verdict, leftOver, err := run.RunRestart(scenarios.Restart{
+	outcome, err := run.RunRestart(scenarios.Restart{
 		Downtime:      eventloop.Micros(sort.age.Microseconds()),
 		Replaced:      sort.replaced,
 		DiscoveryDown: !sort.discovery,
@@ -156,10 +156,10 @@
 	}
 	mu.Lock()
 	defer mu.Unlock()
-	if !verdict.Passed() || leftOver > 0 {
+	if !outcome.Passed() {
 		result.violations = append(result.violations,
 			fmt.Sprintf("list of %v, %v replaced, discovery %v, seed %d, %d left over:\n%s",
-				sort.age, sort.replaced, sort.discovery, seed, leftOver, verdict.Text()))
+				sort.age, sort.replaced, sort.discovery, seed, outcome.OpenRequests, outcome.Verdict.Text()))
 	}
 	asked, inSLO := run.WithinSLOBySecond()
 	for second := range asked {
--- a/internal/cli/scenario.go
+++ b/internal/cli/scenario.go
@@ -52,14 +52,15 @@
 }
 
 func (c *scenarioCommand) runVirtual(env *environment, run *scenarios.Run) error {
-	verdict, leftOver, trace, err := run.RunVirtual(c.Segment)
-	if err == nil {
-		env.printf("in virtual time, trace %016x\n", trace)
-		if leftOver > 0 {
-			err = fmt.Errorf("%d generations were left over in the dispatchers", leftOver)
-		}
+	outcome, err := run.RunVirtual(c.Segment)
+	if err != nil {
+		return err
 	}
-	return printVerdict(env, verdict, err)
+	env.printf("in virtual time, trace %016x\n", outcome.Trace)
+	if outcome.OpenRequests > 0 {
+		err = fmt.Errorf("%d generations were left over in the dispatchers", outcome.OpenRequests)
+	}
+	return printVerdict(env, outcome.Verdict, err)
 }
 
 // printVerdict prints a verdict, if there is one; the run's own error goes before a broken rule.
--- a/internal/cli/sim_worlds.go
+++ b/internal/cli/sim_worlds.go
@@ -84,16 +84,16 @@
 	}
 	run := &scenarios.Run{Script: script, Deployment: dep, Dispatchers: c.Dispatchers, Seed: 1}
 	began := time.Now()
-	verdict, leftOver, _, err := run.RunVirtual(0)
+	outcome, err := run.RunVirtual(0)
 	if err != nil {
 		return err
 	}
 	took := time.Since(began).Seconds()
-	env.print(verdict.Text())
+	env.print(outcome.Verdict.Text())
 	env.printf("%d dispatchers, 54 hosts, %.0f generations a second for %d s: %.1f s, %.1f times as fast as real; "+
 		"%d steps, %.0f a second; %d left over\n", c.Dispatchers, c.Rate, c.For, took, float64(c.For)/took,
-		run.Steps, float64(run.Steps)/took, leftOver)
-	if !verdict.Passed() || leftOver > 0 {
+		run.Steps, float64(run.Steps)/took, outcome.OpenRequests)
+	if !outcome.Passed() {
 		return errRuleBroken
 	}
 	return nil
--- a/internal/faultsearch/faultsearch.go
+++ b/internal/faultsearch/faultsearch.go
@@ -68,14 +68,14 @@
 			}
 		}
 	}
-	verdict, leftOver, trace, err := run.RunVirtual(0)
+	result, err := run.RunVirtual(0)
 	if err != nil {
 		return nil, fmt.Errorf("%s: %w", script.Name, err)
 	}
-	outcome.Verdict, outcome.Trace, outcome.Steps, outcome.Run = verdict, trace, run.Steps, run
-	outcome.addViolations(verdict)
-	if leftOver > 0 {
-		outcome.addFault("left over: %d generations", leftOver)
+	outcome.Verdict, outcome.Trace, outcome.Steps, outcome.Run = result.Verdict, result.Trace, run.Steps, run
+	outcome.addViolations(result.Verdict)
+	if result.OpenRequests > 0 {
+		outcome.addFault("left over: %d generations", result.OpenRequests)
 	}
 	for _, clients := range run.BatchClients {
 		if clients.Wrong > 0 {
--- a/internal/faultsearch/interleavings.go
+++ b/internal/faultsearch/interleavings.go
@@ -92,19 +92,19 @@
 		Deployment:  deployment.Deployment{Deployment: proto.CloneOf(e.deployment.Deployment)},
 		Dispatchers: int(e.script.World.Dispatchers), Seed: e.script.World.Seed}
 	world.Delay = func() eventloop.Micros { return e.choose(world) }
-	verdict, leftOver, _, err := world.RunVirtual(0)
+	outcome, err := world.RunVirtual(0)
 	if err != nil {
 		return err
 	}
 	e.result.Runs++
 	e.result.States = len(e.seen)
-	for i, rule := range verdict.Rules {
+	for i, rule := range outcome.Verdict.Rules {
 		if len(rule.Violations) > 0 {
 			e.addFault("rule %d: %s", i+1, rule.Violations[0].Text)
 		}
 	}
-	if leftOver > 0 {
-		e.addFault("left over: %d generations", leftOver)
+	if outcome.OpenRequests > 0 {
+		e.addFault("left over: %d generations", outcome.OpenRequests)
 	}
 	return nil
 }
--- a/internal/testbed/audit/audit.go
+++ b/internal/testbed/audit/audit.go
@@ -76,8 +76,19 @@
 	return true
 }
 
-// socketSlack is how far apart two sockets' events may be in one process's record, µs.
-const socketSlack = 50_000
+// Times of a record are in µs.
+const (
+	millisecond = 1000
+	second      = 1000 * millisecond
+)
+
+const (
+	// socketSlack is how far apart two sockets' events may be in one process's record.
+	socketSlack = 50 * millisecond
+	// virtualSlack is that in virtual time, beyond the network's latency on virtualHops hops.
+	virtualSlack = 2 * millisecond
+	virtualHops  = 4
+)
 
 // attempt is a dispatcher's attempt at an endpoint.
 type attempt struct {
@@ -161,7 +172,7 @@
 	for i, event := range events {
 		switch event.Type {
 		case record.NetworkLatency:
-			j.slack = 4*event.Count + 2000
+			j.slack = virtualHops*event.Count + virtualSlack
 		case record.DispatcherUnavailable:
 			j.unavailable[event.Dispatcher] = append(j.unavailable[event.Dispatcher], unavailability{
 				from: event.At, to: event.At + event.Count, partitioned: event.Detail == record.Partitioned})
--- a/internal/testbed/audit/drains.go
+++ b/internal/testbed/audit/drains.go
@@ -10,7 +10,7 @@
 		endpoint   uint32
 	}
 	notReady := map[watch]record.Event{} // the first update that said so
-	grace := int64(j.deployment.Rules.DrainGraceMs)*1000 + j.slack
+	grace := int64(j.deployment.Rules.DrainGraceMs)*millisecond + j.slack
 	for i, event := range events {
 		key := watch{dispatcher: event.Dispatcher, endpoint: event.Endpoint}
 		switch event.Type {
@@ -30,7 +30,7 @@
 			// What was sent in time may arrive late where the way to the endpoints was cut.
 			if event.At > due && !j.wasPartitioned(event.Dispatcher, due, event.At) {
 				j.violation(ruleDrains, i+1, event.Request, "sent to host %d, %d ms after %s was told that it is %s",
-					event.Endpoint, (event.At-update.At)/1000, event.Dispatcher, update.Detail)
+					event.Endpoint, (event.At-update.At)/millisecond, event.Dispatcher, update.Detail)
 			}
 		}
 	}
--- a/internal/testbed/audit/finalanswers.go
+++ b/internal/testbed/audit/finalanswers.go
@@ -70,7 +70,7 @@
 		j.violation(ruleFinalAnswer, line, event.Request, "streamed, but not byte for byte what the writer gave")
 	case event.Detail != record.Completed && event.Count == 0 && j.isLate(attempt, event):
 		j.violation(ruleFinalAnswer, line, event.Request, "answered %d ms after the client's time (%s, try %d)",
-			(event.At-attempt.sentAt-attempt.timeLimit)/1000, event.Detail, event.ClientAttempt)
+			(event.At-attempt.sentAt-attempt.timeLimit)/millisecond, event.Detail, event.ClientAttempt)
 	case event.Detail == record.Completed, event.Detail == record.Rejected, event.Detail == record.Failed:
 	case !j.isExcused(attempt, event):
 		j.violation(ruleFinalAnswer, line, event.Request, "no final answer to try %d: %s",
--- a/internal/testbed/audit/pinnedstate.go
+++ b/internal/testbed/audit/pinnedstate.go
@@ -60,8 +60,8 @@
 		}
 	}
 	longest = max(longest, j.longestAvailable(dispatcher, idleFrom, until))
-	if longest > int64(j.deployment.Rules.LetGoMs)*1000+j.slack {
+	if longest > int64(j.deployment.Rules.LetGoMs)*millisecond+j.slack {
 		j.violation(rulePinnedState, state.line, state.event.Request, "the state of leg %s waited for %d ms with no leg out",
-			state.event.Attempt, longest/1000)
+			state.event.Attempt, longest/millisecond)
 	}
 }
--- a/internal/testbed/audit/secondruns.go
+++ b/internal/testbed/audit/secondruns.go
@@ -52,9 +52,9 @@
 	case product == nil || product.Effect == pb.Product_IDEMPOTENT:
 	case product.Effect == pb.Product_SIDE_EFFECTING:
 		j.violation(ruleNoSecondRun, line, request, "a side-effecting write ran again (first on line %d)", firstLine)
-	case again.At-first.At > int64(product.WindowMs)*1000+socketSlack:
+	case again.At-first.At > int64(product.WindowMs)*millisecond+socketSlack:
 		j.violation(ruleNoSecondRun, line, request, "a deduplicated write ran %d ms after the first",
-			(again.At-first.At)/1000)
+			(again.At-first.At)/millisecond)
 	case product.Group == pb.Product_SAME_ZONE && again.Zone != first.Zone,
 		product.Group == pb.Product_SAME_CELL && again.Cell != first.Cell:
 		j.violation(ruleNoSecondRun, line, request, "a deduplicated write ran outside its group")
--- a/internal/testbed/audit/service.go
+++ b/internal/testbed/audit/service.go
@@ -10,9 +10,9 @@
 )
 
 const (
-	maxFirstTokenMicros = 60_000_000
-	latencyDigits       = 3
-	maxShownViolations  = 20 // of a rule
+	maxFirstToken      = 60 * second
+	latencyDigits      = 3
+	maxShownViolations = 20 // of a rule
 )
 
 // summariseService sums up the service by product and tenant.
@@ -42,7 +42,7 @@
 		}
 		for _, name := range []string{"all", "product " + event.Product, "tenant " + event.Tenant} {
 			if rows[name] == nil {
-				rows[name] = &Row{Name: name, FirstToken: hdrhistogram.New(1, maxFirstTokenMicros, latencyDigits)}
+				rows[name] = &Row{Name: name, FirstToken: hdrhistogram.New(1, maxFirstToken, latencyDigits)}
 			}
 			rows[name].add(event, attempts[event.Request])
 		}
@@ -94,7 +94,7 @@
 func (r *Row) text() string {
 	asked := float64(max(r.Asked, 1))
 	share := func(count int) float64 { return float64(count) / asked }
-	millis := func(percent float64) float64 { return float64(r.FirstToken.ValueAtQuantile(percent)) / 1000 }
+	millis := func(percent float64) float64 { return float64(r.FirstToken.ValueAtQuantile(percent)) / millisecond }
 	return fmt.Sprintf("%-24s %6d %9.3f %7.3f %9.3f %10.3f %6.3f %9.0f %9.0f %5.2f\n", r.Name, r.Asked,
 		share(r.Completed), share(r.InSLO), share(r.Rejected), share(r.Failed), share(r.Lost),
 		millis(50), millis(99), share(r.Attempts))
--- a/internal/testbed/audit/slowstart.go
+++ b/internal/testbed/audit/slowstart.go
@@ -54,19 +54,19 @@
 		return
 	}
 	rules := j.deployment.Rules
-	span := int64(rules.FallMs) * 1000
+	span := int64(rules.FallMs) * millisecond
 	start.arrivals = slices.DeleteFunc(start.arrivals, func(a arrival) bool { return a.at < event.At-span })
 	sum := event.Value
 	for _, a := range start.arrivals {
 		sum += a.work
 	}
 	start.arrivals = append(start.arrivals, arrival{at: event.At, work: event.Value})
-	used := sum / (rules.FallMultiple * capacity * float64(span) / 1e6)
+	used := sum / (rules.FallMultiple * capacity * float64(span) / second)
 	j.checked(ruleSlowStart)
 	if count := len(start.arrivals); used > 1 && count > 1 {
 		j.violation(ruleSlowStart, line, event.Request,
 			"cold host %d was sent %.2f of what a sound one bears %d ms after its start, in %d legs",
-			event.Endpoint, used, age/1000, count)
+			event.Endpoint, used, age/millisecond, count)
 	}
 }
 
@@ -74,7 +74,7 @@
 // warm, or no group says.
 func (j *judge) slowStartCapacity(kind string, age int64) float64 {
 	rules := j.deployment.Rules
-	if j.deployment.Fleet == nil || age >= int64(rules.ColdMs)*1000 {
+	if j.deployment.Fleet == nil || age >= int64(rules.ColdMs)*millisecond {
 		return 0
 	}
 	for _, group := range j.deployment.Fleet.Groups {
@@ -83,9 +83,10 @@
 		}
 		capacity := group.ReadTokensPerS
 		if j.isDecodeOnly(kind) {
-			capacity = float64(group.Slots) * 1e6 / float64(group.StepUs+group.StepUsPerStream*group.Slots)
+			capacity = float64(group.Slots) * second / float64(group.StepUs+group.StepUsPerStream*group.Slots)
 		}
-		warmUp := float64(rules.ColdMs) * 1000 * 9 / 10
+		// An endpoint has its full capacity a little before it counts as warm.
+		warmUp := float64(rules.ColdMs) * millisecond * 9 / 10
 		return capacity * min(rules.ColdFrom+(1-rules.ColdFrom)*float64(age)/warmUp, 1)
 	}
 	return 0
--- a/internal/testbed/scenarios/faults.go
+++ b/internal/testbed/scenarios/faults.go
@@ -113,14 +113,14 @@
 }
 
 func crashDispatchers(ctx context.Context, i injection) {
-	for _, dispatcher := range pickShare(i.run.random, i.run.servers, i.fault.Share) {
+	for _, dispatcher := range pickShare(i.run.random, i.run.faultTargets, i.fault.Share) {
 		dispatcher.crash(ctx, i.duration)
 	}
 }
 
 // limitDescriptors leaves dispatchers only a few descriptors beyond those that they have open.
 func limitDescriptors(_ context.Context, i injection) {
-	for _, dispatcher := range pickShare(i.run.random, i.run.servers, i.fault.Share) {
+	for _, dispatcher := range pickShare(i.run.random, i.run.faultTargets, i.fault.Share) {
 		i.run.fleetLoop.AfterFunc(i.duration, dispatcher.limitDescriptors(int(i.fault.Factor)))
 	}
 }
--- a/internal/testbed/scenarios/restart.go
+++ b/internal/testbed/scenarios/restart.go
@@ -4,7 +4,6 @@
 	"errors"
 
 	"plumspindle/internal/eventloop"
-	"plumspindle/internal/testbed/audit"
 	"plumspindle/internal/virtual"
 )
 
@@ -20,22 +19,23 @@
 
 // RunRestart runs one restart of all dispatchers in virtual time: they cache their endpoint lists, die together, and
 // come back after their downtime. The script's seconds and rate are those after the return.
-func (r *Run) RunRestart(restart Restart) (verdict *audit.Verdict, leftOver int, err error) {
+func (r *Run) RunRestart(restart Restart) (*VirtualOutcome, error) {
 	if _, err := r.prepare(); err != nil {
-		return nil, 0, err
+		return nil, err
 	}
 	network := virtual.NewNetwork(r.Seed)
 	if err := r.startWorld(network); err != nil {
-		return nil, 0, err
+		return nil, err
 	}
 	network.Run(cachingTime)
 	for _, dispatcher := range r.world.dispatchers {
 		if len(dispatcher.cachedEndpoints) == 0 {
-			return nil, 0, errors.New("a dispatcher cached no endpoint list")
+			return nil, errors.New("a dispatcher cached no endpoint list")
 		}
 		dispatcher.kill()
 	}
 	network.Run(restart.Downtime / 2)
+	var err error
 	r.fleetLoop.Do(func() {
 		err = r.fleet.Replace(restart.Replaced)
 		if restart.DiscoveryDown {
@@ -43,18 +43,13 @@
 		}
 	})
 	if err != nil {
-		return nil, 0, err
+		return nil, err
 	}
 	network.Run(restart.Downtime - restart.Downtime/2)
 	for _, dispatcher := range r.world.dispatchers {
 		if err := dispatcher.start(); err != nil {
-			return nil, 0, err
+			return nil, err
 		}
 	}
-	leftOver = r.runVirtualLoad()
-	verdict, err = r.judge()
-	if err = errors.Join(err, r.world.failure); err != nil {
-		return nil, leftOver, err
-	}
-	return verdict, leftOver, nil
+	return r.finishVirtual()
 }
--- a/internal/testbed/scenarios/run.go
+++ b/internal/testbed/scenarios/run.go
@@ -66,15 +66,15 @@
 	Steps   int                  // of the world
 	Reached []lifecycle.Coverage // by each dispatcher's last incarnation
 
-	random     *rand.Rand
-	tenantKeys []string
-	recorder   *record.Recorder
-	events     []record.Event
-	fleetLoop  loop
-	clientLoop loop
-	fleet      *modelserver.Fleet
-	generator  *load.Generator
-	servers    []server
+	random       *rand.Rand
+	tenantKeys   []string
+	recorder     *record.Recorder
+	events       []record.Event
+	fleetLoop    loop
+	clientLoop   loop
+	fleet        *modelserver.Fleet
+	generator    *load.Generator
+	faultTargets []faultTarget
 
 	sockets *socketRun  // nil in virtual time
 	world   *virtualRun // nil over sockets
@@ -87,8 +87,8 @@
 	Post(f func())
 }
 
-// server is one dispatcher of a run.
-type server interface {
+// faultTarget is one dispatcher of a run, as faults act on it.
+type faultTarget interface {
 	// crash kills it outright and brings it back after a while.
 	crash(ctx context.Context, back eventloop.Micros)
 	// limitDescriptors leaves it so many descriptors beyond those that it has open, until the function returned is called.
--- a/internal/testbed/scenarios/scenarios_test.go
+++ b/internal/testbed/scenarios/scenarios_test.go
@@ -20,15 +20,15 @@
 // runCleanly runs a scenario in virtual time; every rule has to be kept and nothing left over.
 func runCleanly(t *testing.T, run *Run, segment int) (verdict *audit.Verdict, trace uint64) {
 	t.Helper()
-	verdict, leftOver, trace, err := run.RunVirtual(segment)
+	outcome, err := run.RunVirtual(segment)
 	if err != nil {
 		t.Fatal(err)
 	}
-	if !verdict.Passed() || leftOver > 0 {
-		t.Errorf("scenario %s, seed %d, %d dispatchers: %d requests left over\n%s",
-			run.Script.Name, run.Seed, run.Dispatchers, leftOver, verdict.Text())
+	if !outcome.Passed() {
+		t.Errorf("scenario %s, seed %d, %d dispatchers: %d requests open\n%s",
+			run.Script.Name, run.Seed, run.Dispatchers, outcome.OpenRequests, outcome.Verdict.Text())
 	}
-	return verdict, trace
+	return outcome.Verdict, outcome.Trace
 }
 
 // runBuiltin runs a built-in scenario, which must give the audit something to judge by, and returns the hash of the
--- a/internal/testbed/scenarios/sockets.go
+++ b/internal/testbed/scenarios/sockets.go
@@ -84,7 +84,7 @@
 	for i := range r.Dispatchers {
 		dispatcher := &process{run: r, number: i + 1, target: r.newTarget(i)}
 		r.sockets.processes = append(r.sockets.processes, dispatcher)
-		r.servers = append(r.servers, dispatcher)
+		r.faultTargets = append(r.faultTargets, dispatcher)
 		targets = append(targets, dispatcher.target)
 		if err := dispatcher.start(ctx); err != nil {
 			return err
--- a/internal/testbed/scenarios/tenants_test.go
+++ b/internal/testbed/scenarios/tenants_test.go
@@ -106,7 +106,7 @@
 		t.Fatal(err)
 	}
 	run := &Run{Script: script, Deployment: deployment.Standard(), Dispatchers: 3, Seed: 8}
-	if _, _, _, err := run.RunVirtual(0); err != nil {
+	if _, err := run.RunVirtual(0); err != nil {
 		t.Fatal(err)
 	}
 	reported := reportedUsage(run)
@@ -150,15 +150,16 @@
 	const segment = 600
 	run := &Run{Script: parseScript(t, text), Deployment: deployment.Standard(), Dispatchers: 3, Seed: seed,
 		Keyed: true, Intents: intents}
-	verdict, leftOver, _, err := run.RunVirtual(segment)
+	outcome, err := run.RunVirtual(segment)
 	if err != nil {
 		t.Fatal(err)
 	}
-	for i, rule := range verdict.Rules {
+	for i, rule := range outcome.Verdict.Rules {
 		if i == 1 {
 			secondRuns = len(rule.Violations)
 		} else if len(rule.Violations) > 0 {
-			t.Errorf("intents %v, seed %d: %d left over\n%s", intents, seed, leftOver, verdict.Text())
+			t.Errorf("intents %v, seed %d: %d requests open\n%s",
+				intents, seed, outcome.OpenRequests, outcome.Verdict.Text())
 		}
 	}
 	return secondRuns
--- a/internal/testbed/scenarios/virtual.go
+++ b/internal/testbed/scenarios/virtual.go
@@ -25,12 +25,21 @@
 	failure     error // of what should have come back
 }
 
+// VirtualOutcome is what a run in virtual time showed.
+type VirtualOutcome struct {
+	Verdict      *audit.Verdict
+	OpenRequests int    // in the dispatchers at the end, where none should be
+	Trace        uint64 // hash of all that happened
+}
+
+// Passed reports whether no rule was broken and no request was left open.
+func (o *VirtualOutcome) Passed() bool { return o.Verdict.Passed() && o.OpenRequests == 0 }
+
 // RunVirtual runs the scenario in virtual time, in this one process: the dispatchers' own code, the same stand-ins, the
-// same clients. It returns the verdict, how many requests are left over in the dispatchers, and the hash of all that
-// happened.
-func (r *Run) RunVirtual(segment int) (verdict *audit.Verdict, leftOver int, trace uint64, err error) {
+// same clients. Segments have so many bytes at most, 0 for no limit, unless the script says.
+func (r *Run) RunVirtual(segment int) (*VirtualOutcome, error) {
 	if _, err := r.prepare(); err != nil {
-		return nil, 0, 0, err
+		return nil, err
 	}
 	network := virtual.NewNetwork(r.Seed)
 	network.MaxSegment = segment
@@ -39,16 +48,21 @@
 	}
 	r.recorder.Add(record.Event{At: int64(network.Now()), Type: record.NetworkLatency, Count: int64(network.Latency)})
 	if err := r.startWorld(network); err != nil {
-		return nil, 0, 0, err
+		return nil, err
 	}
 	network.Run(settlingTime)
 	network.AfterStep, network.ExtraLatency = r.AfterStep, r.Delay
-	leftOver = r.runVirtualLoad()
-	verdict, err = r.judge()
+	return r.finishVirtual()
+}
+
+// finishVirtual runs the load on a world that has started, and judges the run.
+func (r *Run) finishVirtual() (*VirtualOutcome, error) {
+	openRequests := r.runVirtualLoad()
+	verdict, err := r.judge()
 	if err = errors.Join(err, r.world.failure); err != nil {
-		return nil, leftOver, network.TraceHash, err
+		return nil, err
 	}
-	return verdict, leftOver, network.TraceHash, nil
+	return &VirtualOutcome{Verdict: verdict, OpenRequests: openRequests, Trace: r.world.network.TraceHash}, nil
 }
 
 // startWorld starts the endpoints and dispatchers on loops in virtual time.
@@ -64,13 +78,13 @@
 			return err
 		}
 		r.world.dispatchers = append(r.world.dispatchers, dispatcher)
-		r.servers = append(r.servers, dispatcher)
+		r.faultTargets = append(r.faultTargets, dispatcher)
 	}
 	return nil
 }
 
-// runVirtualLoad runs the load to its last answer and returns how many requests are left over in the dispatchers.
-func (r *Run) runVirtualLoad() (leftOver int) {
+// runVirtualLoad runs the load to its last answer and returns how many requests are still open in the dispatchers.
+func (r *Run) runVirtualLoad() (openRequests int) {
 	var targets []*load.Target
 	for _, dispatcher := range r.world.dispatchers {
 		targets = append(targets, dispatcher.target)
@@ -85,12 +99,12 @@
 	for _, d := range r.world.dispatchers {
 		r.Reached = append(r.Reached, d.dispatcher.Coverage)
 		r.Usage = append(r.Usage, d.dispatcher.Usage()...)
-		leftOver += d.dispatcher.OpenRequests()
+		openRequests += d.dispatcher.OpenRequests()
 		for _, line := range d.dispatcher.DescribeOpenRequests() {
 			r.report("%s", line)
 		}
 	}
-	return leftOver
+	return openRequests
 }
 
 // Check checks the own state of each dispatcher that is up.
