--- a/internal/platform/attempt.go
+++ b/internal/platform/attempt.go
@@ -139,10 +139,11 @@
 	req.lease.expiry.Clear()
 	req.ledger.LeaseTaken()
 	req.attempt.inFlight.Started()
+	now := d.loop.Now()
 	if e := d.debugAttempt(req); e.Enabled() {
-		e.Int64("duration_us", int64(d.loop.Now()-req.attempt.orderedAt)).Msg("stream started")
+		e.Int64("duration_us", int64(now-req.attempt.orderedAt)).Msg("stream started")
 	}
-	d.scheduler.AttemptStarted(d.loop.Now(), req.id, req.attempt.number())
+	d.scheduler.AttemptStarted(now, req.id, req.attempt.number())
 }
 
 // attemptEnded handles the result of an attempt, unless another one has been ordered since.
