--- a/internal/dispatch/idempotency_test.go
+++ b/internal/dispatch/idempotency_test.go
@@ -1,10 +1,12 @@
 package dispatch
 
 import (
+	"net/http"
 	"strings"
 	"testing"
 
 	"plumspindle/internal/eventloop"
+	"plumspindle/internal/frontend"
 )
 
 // repeatHarness sends requests of one product with keys.
@@ -109,3 +111,31 @@
 	}
 	r.expectFinal(r.ask("review-post", "Idempotency-Key", "k"), "streamed") // its answer is replayed
 }
+
+// Client libraries act on these bodies: they are part of the API, byte for byte.
+func TestIdempotencyKeyProblemsKeepTheirWireForm(t *testing.T) {
+	for _, test := range []struct {
+		problem *frontend.Problem
+		status  int
+		noRetry bool
+		body    string
+	}{
+		{idempotencyKeyTooLong(), http.StatusBadRequest, false,
+			`{"error":{"code":"invalid_value","message":"The Idempotency-Key is longer than 255 bytes.",` +
+				`"param":"Idempotency-Key","type":"invalid_request_error"}}`},
+		{idempotencyKeyReused(), http.StatusUnprocessableEntity, false,
+			`{"error":{"code":"idempotency_key_reused","message":"The Idempotency-Key was used for another request.",` +
+				`"param":"Idempotency-Key","type":"invalid_request_error"}}`},
+		{idempotencyKeyAlreadyRan(), http.StatusConflict, true,
+			`{"error":{"code":"already_ran","message":"The generation of this Idempotency-Key ran, or may have run, ` +
+				`and is not run again; its answer is no longer here.",` +
+				`"param":"Idempotency-Key","type":"invalid_request_error"}}`},
+	} {
+		if body := string(test.problem.Body()); body != test.body {
+			t.Errorf("body %s, want %s", body, test.body)
+		}
+		if test.problem.Status != test.status || test.problem.NoRetry != test.noRetry {
+			t.Errorf("%s: status %d, no retry %v", test.problem.Code, test.problem.Status, test.problem.NoRetry)
+		}
+	}
+}
--- a/internal/frontend/wire_test.go
+++ b/internal/frontend/wire_test.go
@@ -44,8 +44,8 @@
 func (r *recorder) Drained()      {}
 func (r *recorder) Closed(error)  { r.received = append(r.received, "<closed>"...) }
 
-// rig is a server with routes that answer in every way that a Response knows.
-type rig struct {
+// harness is a server with routes that answer in every way that a Response knows.
+type harness struct {
 	network *virtual.Network
 	server  *Server
 	client  *virtual.Loop
@@ -54,34 +54,34 @@
 	disconnects int
 }
 
-func newRig(t *testing.T, configure func(s *Server)) *rig {
+func newHarness(t *testing.T, configure func(s *Server)) *harness {
 	t.Helper()
-	y := &rig{network: virtual.NewNetwork(1)}
-	loop := y.network.NewLoop("server")
-	y.client = y.network.NewLoop("client")
+	h := &harness{network: virtual.NewNetwork(1)}
+	loop := h.network.NewLoop("server")
+	h.client = h.network.NewLoop("client")
 	loop.Do(func() {
 		routes := ModelRoutes(func() []string { return []string{"first", `sec"ond`} })
-		routes["/v1/answer"] = Route{Method: "POST", MaxBody: 2 << 20, Begin: y.begin}
-		routes["/v1/buffered"] = Route{Method: "POST", MaxBuffered: 8, Begin: y.begin}
-		y.server = New(loop, keyService{}, routes, http1.DefaultLimits, DefaultClientLimits)
+		routes["/v1/answer"] = Route{Method: "POST", MaxBody: 2 << 20, Begin: h.begin}
+		routes["/v1/buffered"] = Route{Method: "POST", MaxBuffered: 8, Begin: h.begin}
+		h.server = New(loop, keyService{}, routes, http1.DefaultLimits, DefaultClientLimits)
 		if configure != nil {
-			configure(y.server)
+			configure(h.server)
 		}
-		listener, err := loop.Listen("127.0.0.1:0", y.server.Accept)
+		listener, err := loop.Listen("127.0.0.1:0", h.server.Accept)
 		if err != nil {
 			t.Fatal(err)
 		}
-		y.addr = listener.Addr()
+		h.addr = listener.Addr()
 	})
-	return y
+	return h
 }
 
 // begin answers as the body says.
-func (y *rig) begin(head *http1.Head, _ Identity, response *Response) (Sink, *Problem) {
+func (h *harness) begin(head *http1.Head, _ Identity, response *Response) (Sink, *Problem) {
 	if p := RequireJSON(head, "gzip"); p != nil {
 		return nil, p
 	}
-	response.OnDisconnect = func() { y.disconnects++ }
+	response.OnDisconnect = func() { h.disconnects++ }
 	return &BufferedBody{Handle: func(body []byte) *Problem {
 		events := &textFormat{stream: true}
 		switch string(body) {
@@ -134,14 +134,14 @@
 }
 
 // connect opens a connection that sends parts 10 ms apart.
-func (y *rig) connect(parts ...string) (*recorder, eventloop.Conn) {
+func (h *harness) connect(parts ...string) (*recorder, eventloop.Conn) {
 	r := &recorder{}
 	var conn eventloop.Conn
-	y.client.Do(func() {
-		conn = y.client.Dial(y.addr, eventloop.Second, r)
+	h.client.Do(func() {
+		conn = h.client.Dial(h.addr, eventloop.Second, r)
 		r.onOpened = func() {
 			for i, part := range parts {
-				y.client.AfterFunc(eventloop.Micros(i)*10*eventloop.Millisecond, func() { conn.Write([]byte(part)) })
+				h.client.AfterFunc(eventloop.Micros(i)*10*eventloop.Millisecond, func() { conn.Write([]byte(part)) })
 			}
 		}
 	})
@@ -149,9 +149,9 @@
 }
 
 // exchange sends parts 10 ms apart on a connection of its own and returns all that comes back within the span.
-func (y *rig) exchange(span eventloop.Micros, parts ...string) []byte {
-	r, _ := y.connect(parts...)
-	y.network.Run(span)
+func (h *harness) exchange(span eventloop.Micros, parts ...string) []byte {
+	r, _ := h.connect(parts...)
+	h.network.Run(span)
 	return r.received
 }
 
@@ -204,13 +204,13 @@
 	}
 	for name, parts := range cases {
 		t.Run(name, func(t *testing.T) {
-			y := newRig(t, nil)
-			got := y.exchange(2*DefaultClientLimits.IdleTimeout, parts...)
-			if y.server.OpenRequests != 0 {
-				t.Errorf("%d requests are open at the end", y.server.OpenRequests)
+			h := newHarness(t, nil)
+			got := h.exchange(2*DefaultClientLimits.IdleTimeout, parts...)
+			if h.server.OpenRequests != 0 {
+				t.Errorf("%d requests are open at the end", h.server.OpenRequests)
 			}
-			if y.server.BufferedBytes != 0 {
-				t.Errorf("%d bytes are buffered at the end", y.server.BufferedBytes)
+			if h.server.BufferedBytes != 0 {
+				t.Errorf("%d bytes are buffered at the end", h.server.BufferedBytes)
 			}
 			golden.Compare(t, got)
 		})
@@ -220,52 +220,52 @@
 // TestWireFormUnderLimits compares what clients receive where connections, buffers or the shutdown bound them.
 func TestWireFormUnderLimits(t *testing.T) {
 	t.Run("shutdown", func(t *testing.T) {
-		y := newRig(t, nil)
-		y.client.AfterFunc(5*eventloop.Millisecond, y.server.Shutdown)
-		golden.Compare(t, y.exchange(eventloop.Second, post("/v1/answer", "object"), post("/v1/answer", "object")))
+		h := newHarness(t, nil)
+		h.client.AfterFunc(5*eventloop.Millisecond, h.server.Shutdown)
+		golden.Compare(t, h.exchange(eventloop.Second, post("/v1/answer", "object"), post("/v1/answer", "object")))
 	})
 	t.Run("request over the connection limit", func(t *testing.T) {
-		y := newRig(t, func(s *Server) { s.MaxConnections = 1 })
-		y.exchange(10*eventloop.Millisecond, post("/v1/answer", "wait"))
-		golden.Compare(t, y.exchange(eventloop.Second, post("/v1/answer", "object")))
+		h := newHarness(t, func(s *Server) { s.MaxConnections = 1 })
+		h.exchange(10*eventloop.Millisecond, post("/v1/answer", "wait"))
+		golden.Compare(t, h.exchange(eventloop.Second, post("/v1/answer", "object")))
 	})
 	t.Run("connection over the connection limit", func(t *testing.T) {
-		y := newRig(t, func(s *Server) { s.MaxConnections = 1 })
+		h := newHarness(t, func(s *Server) { s.MaxConnections = 1 })
 		for range 2 {
-			y.exchange(10*eventloop.Millisecond, post("/v1/answer", "wait"))
+			h.exchange(10*eventloop.Millisecond, post("/v1/answer", "wait"))
 		}
-		golden.Compare(t, y.exchange(eventloop.Second, post("/v1/answer", "object")))
+		golden.Compare(t, h.exchange(eventloop.Second, post("/v1/answer", "object")))
 	})
 	t.Run("idle connection evicted", func(t *testing.T) {
-		y := newRig(t, func(s *Server) { s.MaxConnections = 1 })
-		y.exchange(2 * eventloop.Second)
-		golden.Compare(t, y.exchange(eventloop.Second, post("/v1/answer", "object")))
+		h := newHarness(t, func(s *Server) { s.MaxConnections = 1 })
+		h.exchange(2 * eventloop.Second)
+		golden.Compare(t, h.exchange(eventloop.Second, post("/v1/answer", "object")))
 	})
 	t.Run("body over the buffer limit", func(t *testing.T) {
-		y := newRig(t, func(s *Server) { s.MaxBufferedBytes = 4 })
-		golden.Compare(t, y.exchange(eventloop.Second, post("/v1/answer", "object")))
-		if y.disconnects != 1 {
-			t.Errorf("%d requests were reported as disconnected, want 1", y.disconnects)
+		h := newHarness(t, func(s *Server) { s.MaxBufferedBytes = 4 })
+		golden.Compare(t, h.exchange(eventloop.Second, post("/v1/answer", "object")))
+		if h.disconnects != 1 {
+			t.Errorf("%d requests were reported as disconnected, want 1", h.disconnects)
 		}
 	})
 	t.Run("body within the buffer share of its route", func(t *testing.T) {
-		y := newRig(t, func(s *Server) { s.MaxBufferedBytes = 8 })
-		golden.Compare(t, y.exchange(eventloop.Second, post("/v1/buffered", "over quota")))
+		h := newHarness(t, func(s *Server) { s.MaxBufferedBytes = 8 })
+		golden.Compare(t, h.exchange(eventloop.Second, post("/v1/buffered", "over quota")))
 	})
 }
 
 // TestDisconnectIsReportedOnce: a client that goes away before its final answer is reported, and nothing stays counted.
 func TestDisconnectIsReportedOnce(t *testing.T) {
-	y := newRig(t, nil)
-	_, conn := y.connect(post("/v1/answer", "wait"))
-	y.network.Run(eventloop.Second)
-	if y.server.OpenRequests != 1 || y.server.BufferedBytes != len("wait") {
-		t.Fatalf("%d requests open, %d bytes buffered", y.server.OpenRequests, y.server.BufferedBytes)
+	h := newHarness(t, nil)
+	_, conn := h.connect(post("/v1/answer", "wait"))
+	h.network.Run(eventloop.Second)
+	if h.server.OpenRequests != 1 || h.server.BufferedBytes != len("wait") {
+		t.Fatalf("%d requests open, %d bytes buffered", h.server.OpenRequests, h.server.BufferedBytes)
 	}
-	y.client.Do(conn.Abort)
-	y.network.Run(eventloop.Second)
-	if y.server.OpenRequests != 0 || y.server.BufferedBytes != 0 || y.disconnects != 1 {
+	h.client.Do(conn.Abort)
+	h.network.Run(eventloop.Second)
+	if h.server.OpenRequests != 0 || h.server.BufferedBytes != 0 || h.disconnects != 1 {
 		t.Errorf("%d requests open, %d bytes buffered, %d disconnects reported",
-			y.server.OpenRequests, y.server.BufferedBytes, y.disconnects)
+			h.server.OpenRequests, h.server.BufferedBytes, h.disconnects)
 	}
 }
