--- a/internal/endpoints/watcher.go
+++ b/internal/endpoints/watcher.go
@@ -17,9 +17,9 @@
 	Dispatcher string
 	// Seed is that of the backoff's jitter.
 	Seed int64
-	// OnUpdate takes entries as they are received, and whether they are the complete list.
+	// OnUpdate is called with entries as they are received, and with whether they are the complete list.
 	OnUpdate func(entries []Entry, complete bool)
-	// Log takes lost subscriptions and rejected updates.
+	// Log receives warnings of lost subscriptions and rejected updates.
 	Log zerolog.Logger
 }
 
@@ -36,7 +36,7 @@
 	w.Client = subscribe.NewClient(loop, options.Seed, options.Address, subscribe.Options{
 		Source:    "endpoint list",
 		Target:    w.target,
-		Header:    []string{"x-dispatcher", options.Dispatcher},
+		Fields:    []string{"x-dispatcher", options.Dispatcher},
 		OnMessage: w.update,
 		OnReset:   w.Reset,
 		Log:       options.Log,
--- a/internal/platform/attempt.go
+++ b/internal/platform/attempt.go
@@ -52,7 +52,7 @@
 	a := &req.attempt
 	a.count++
 	a.endpoint, a.orderedAt, a.started = endpoint, d.loop.Now(), false
-	a.prefill = d.role(endpoint) == scheduler.Prefill
+	a.prefill = d.roleOf(endpoint) == scheduler.Prefill
 	number := a.number()
 	d.Attempts++
 	// A prefill does not fetch the state that waits, and what it leaves must not be released with that.
@@ -84,7 +84,7 @@
 		return
 	}
 	callbacks := engine.Callbacks{
-		Event: func(data []byte) { d.streamEvent(req, number, data) },
+		Event: func(data []byte) { d.forwardEvent(req, number, data) },
 		Ended: func(result engine.Result) { d.attemptEnded(req, number, result) },
 	}
 	waited := d.loop.Now() - req.attempt.orderedAt
@@ -94,7 +94,7 @@
 		Fields:      req.client.Fields,
 		Body:        req.client.Body,
 		SendTimeout: max(d.settings.ConnectTimeout-waited, 1),
-		OnSend:      func(left eventloop.Micros) { d.attemptWritten(req, number, left) },
+		OnSend:      func(remaining eventloop.Micros) { d.attemptWritten(req, number, remaining) },
 	}
 	timeout = max(timeout-waited, 0)
 	if req.attempt.prefill {
@@ -117,8 +117,8 @@
 	}
 }
 
-// streamEvent forwards an event to the client.
-func (d *Dispatcher) streamEvent(req *request, number scheduler.AttemptNo, data []byte) {
+// forwardEvent forwards an event to the client.
+func (d *Dispatcher) forwardEvent(req *request, number scheduler.AttemptNo, data []byte) {
 	if number != req.attempt.number() || req.attempt.inFlight == nil || req.client.closed {
 		return
 	}
@@ -129,7 +129,7 @@
 		}
 	}
 	if req.client.response.WriteEvent(data) {
-		req.attempt.inFlight.PauseReading(true)
+		req.attempt.inFlight.SetReadingPaused(true)
 	}
 }
 
@@ -145,7 +145,7 @@
 	d.scheduler.AttemptStarted(d.loop.Now(), req.id, req.attempt.number())
 }
 
-// attemptEnded takes the end of an attempt.
+// attemptEnded handles the result of an attempt, unless another one has been ordered since.
 func (d *Dispatcher) attemptEnded(req *request, number scheduler.AttemptNo, result engine.Result) {
 	a := &req.attempt
 	if number != a.number() {
@@ -168,7 +168,7 @@
 	d.finishIfIdle(req)
 }
 
-// endStream gives the client the end of its stream.
+// endStream ends the client's stream, completely or not.
 func (d *Dispatcher) endStream(req *request, outcome scheduler.Outcome) {
 	req.client.closed = true
 	if outcome == scheduler.Completed {
--- a/internal/platform/ledger.go
+++ b/internal/platform/ledger.go
@@ -85,13 +85,13 @@
 }
 
 // attemptWritten checks the attempt that is written now, with the time that it gives its endpoint.
-func (d *Dispatcher) attemptWritten(req *request, number scheduler.AttemptNo, timeout eventloop.Micros) {
+func (d *Dispatcher) attemptWritten(req *request, number scheduler.AttemptNo, remaining eventloop.Micros) {
 	if number == req.attempt.number() {
-		req.ledger.Written(d.loop.Now(), d.guardEndpoint(req), timeout)
+		req.ledger.Written(d.loop.Now(), d.guardEndpoint(req), remaining)
 	}
 }
 
-// reportUnansweredClose takes a connection that the server closes over a request that it has read.
+// reportUnansweredClose reports a connection that the server closes although it has read a request on it.
 func (d *Dispatcher) reportUnansweredClose(requestID, reason string) {
 	d.guard.Violated(guard.Violation{Rule: guard.UnansweredClose, RequestID: requestID, Detail: reason})
 }
