--- a/internal/dispatch/attempts_test.go
+++ b/internal/dispatch/attempts_test.go
@@ -270,7 +270,7 @@
 }
 
 // The client of a request with a key disconnects during the decode, and the decode endpoint then says that it has not
-// run it: nobody waits, and nothing is left. Its key is free.
+// run it: no client waits, and nothing is left. Its key is free.
 func TestRejectedDecodeAfterClientDisconnect(t *testing.T) {
 	r := newHarness(t, nil, "prefill west", "decode west")
 	r.endpoints[1].serve = func(c *fakeConn) {
--- a/internal/dispatch/dispatcher.go
+++ b/internal/dispatch/dispatcher.go
@@ -88,7 +88,7 @@
 	recoveringIntents bool                            // the intent store has failed, and is tried again
 }
 
-// Start starts a dispatcher on a loop; its Frontend accepts the clients.
+// Start starts a dispatcher on a loop; its Frontend accepts the clients, and Shutdown ends it.
 func Start(loop eventloop.Loop, dep deployment.Deployment, config Config) (*Dispatcher, error) {
 	if !slices.Contains(dep.Zones, config.Zone) {
 		return nil, fmt.Errorf("the deployment has no zone %q", config.Zone)
--- a/internal/dispatch/harness_test.go
+++ b/internal/dispatch/harness_test.go
@@ -148,13 +148,14 @@
 	if r.world != nil {
 		return r.world.RunUntil(timeout, condition)
 	}
-	for end := r.remote.Now() + timeout; ; {
+	ticker := time.NewTicker(time.Millisecond) // real sockets take real time
+	defer ticker.Stop()
+	for end := r.remote.Now() + timeout; ; <-ticker.C {
 		var holds bool
 		r.remote.Do(func() { holds = condition() })
 		if holds || r.remote.Now() > end {
 			return holds
 		}
-		time.Sleep(time.Millisecond) // real sockets take real time
 	}
 }
 
--- a/internal/embeddings/inputs.go
+++ b/internal/embeddings/inputs.go
@@ -24,7 +24,7 @@
 
 // Input is one text, document or list of tokens; equal ones are one input.
 type Input struct {
-	Raw    []byte // as JSON; nil once it is not needed any more
+	Raw    []byte // as JSON; nil once its result is there
 	Tokens int
 	Key    vectors.Key // identifies the input by its content
 }
--- a/internal/embeddings/part.go
+++ b/internal/embeddings/part.go
@@ -36,9 +36,8 @@
 	Tokens  int       // as the endpoint counted
 }
 
-// ReadPart reads an endpoint's response to a part of so many inputs. It is refused as a whole unless each input has
-// exactly one vector, or score, of the right size whose numbers are all numbers: a wrong vector is worse than none, as
-// nobody would notice.
+// ReadPart reads an endpoint's response to a part of so many inputs. It is refused unless each input has exactly
+// one vector or score, of the right size and finite: a client would not notice a wrong vector, but it does notice none.
 func (r *Request) ReadPart(body []byte, inputs, dimensions int) (PartResult, error) {
 	if !gjson.ValidBytes(body) {
 		return PartResult{}, errNotJSON
--- a/internal/embeddings/request.go
+++ b/internal/embeddings/request.go
@@ -120,15 +120,15 @@
 	return r.decode()
 }
 
-// Close gives back what decoding takes.
+// Close frees the memory that decoding takes.
 func (r *Request) Close() {
 	if r.decoder != nil {
 		r.decoder.close()
 	}
 }
 
-// DiscardInput drops an input that is not needed any more. Where more of the body may be buffered then,
-// reading goes on; the problem is one that shows in there.
+// DiscardInput drops an input whose result is there. If that makes space for more of the body, reading goes on; a
+// problem that is returned is one of the inputs read then.
 func (r *Request) DiscardInput(i int) *frontend.Problem {
 	input := &r.Inputs[i]
 	r.BufferedBytes -= len(input.Raw)
@@ -182,7 +182,7 @@
 		return nil
 	}
 	r.begun = true
-	if !r.ReturnDocuments { // it can't be asked for any more
+	if !r.ReturnDocuments { // later members can't ask for it
 		r.Texts = nil
 	}
 	return r.handler.Begin()
--- a/internal/faultsearch/faultsearch.go
+++ b/internal/faultsearch/faultsearch.go
@@ -1,6 +1,6 @@
-// Package faultsearch looks for failures that nobody has thought of. It runs scenarios in virtual time whose faults are
-// drawn from a seed, checks the rules and the dispatchers' own state, and reduces a scenario that fails to the least
-// that still does.
+// Package faultsearch looks for failures that no test was written for. It runs scenarios in virtual time whose faults
+// are drawn from a seed, checks the rules and the dispatchers' own state, and reduces a scenario that fails to the
+// least that still does.
 //
 // It owns the drawing, the reduction, the search over orders of delivery, and the mutants by which the checks
 // themselves are tested. It relies on testbed/scenarios to run and judge a scenario. It never reads a clock or a random
