--- a/internal/sockets/dial_test.go
+++ b/internal/sockets/dial_test.go
@@ -38,7 +38,10 @@
 	client.onOpened, client.closed = onOpened, closed
 	l.Do(func() { l.Dial(ln.Addr().String(), 5*eventloop.Second, client) })
 	select {
-	case <-opened:
+	case err := <-opened:
+		if err != nil {
+			t.Error(err)
+		}
 	case err := <-closed:
 		t.Errorf("closed, and not connected: %v", err)
 	case <-time.After(patience):
--- a/internal/store/snapshot_test.go
+++ b/internal/store/snapshot_test.go
@@ -54,6 +54,17 @@
 	}, done)
 }
 
+// holdSnapshots returns a disk that holds snapshots back, and what releases each hold; the test's end releases both.
+func holdSnapshots(t *testing.T, files *Files) (disk heldDisk, encode, write func()) {
+	t.Helper()
+	disk = heldDisk{Files: files, encode: make(chan struct{}), write: make(chan struct{})}
+	encode = sync.OnceFunc(func() { close(disk.encode) })
+	write = sync.OnceFunc(func() { close(disk.write) })
+	t.Cleanup(encode)
+	t.Cleanup(write)
+	return disk, encode, write
+}
+
 // threadTime is the processor time that the calling goroutine's thread has used. What other processes do to the machine
 // is not in it.
 func threadTime(t *testing.T) time.Duration {
@@ -86,12 +97,7 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(files.Close)
-	disk := heldDisk{Files: files, encode: make(chan struct{}), write: make(chan struct{})}
-	encode, write := sync.OnceFunc(func() { close(disk.encode) }), sync.OnceFunc(func() { close(disk.write) })
-	t.Cleanup(func() { // before the files are closed
-		encode()
-		write()
-	})
+	disk, encode, write := holdSnapshots(t, files)
 	s, err := Open(disk, DefaultLimits)
 	if err != nil {
 		t.Fatal(err)
