--- a/internal/platform/attempt.go
+++ b/internal/platform/attempt.go
@@ -55,7 +55,7 @@
 	a.prefill = d.role(endpoint) == scheduler.Prefill
 	number := a.number()
 	d.Attempts++
-	// A prefill does not fetch the state that is held, and what it leaves must not be released with that.
+	// A prefill does not fetch the state that waits, and what it leaves must not be released with that.
 	if r.lease.active && !r.lease.releasing && (a.prefill || r.lease.unconfirmed) {
 		d.release(r)
 	}
@@ -200,8 +200,8 @@
 	d.cancelAttempt(r, result)
 }
 
-// cancelAttempt ends the attempt that is in flight, or that waits for a release; its result comes after the call that is
-// under way.
+// cancelAttempt ends the attempt that is in flight, or that waits for a release; its result comes after the call that
+// is under way.
 func (d *Dispatcher) cancelAttempt(r *request, result engine.Result) {
 	inFlight, number := r.attempt.inFlight, r.attempt.number()
 	if inFlight != nil {
--- /dev/null
+++ b/internal/platform/attempt_timing_test.go
@@ -0,0 +1,274 @@
+package platform
+
+import (
+	"math/rand"
+	"strconv"
+	"strings"
+	"testing"
+
+	"plumspindle/internal/eventloop"
+	"plumspindle/scheduler"
+)
+
+// TestLateSecondAnswer: it comes while the connection would be in use again, and is not taken for the next request's.
+func TestLateSecondAnswer(t *testing.T) {
+	for span := eventloop.Micros(500); span <= 10*eventloop.Millisecond; span += 500 {
+		env := newTestEnv(t, 256, "prefill", "decode")
+		n := 0
+		ownEvent := func() string { return strings.Replace(tokenEvent, "Lamu", "Lamu "+strconv.Itoa(n), 1) }
+		env.endpoints[1].serve = func(conn *endpointConn) {
+			n++
+			event := ownEvent()
+			answer := func() {
+				conn.stream(event, stopEvent, usageEvent, "[DONE]")
+				conn.endStream()
+			}
+			if answer(); n == 1 {
+				conn.endpoint.loop.AfterFunc(span, answer)
+			}
+		}
+		for i := range 6 {
+			client := env.sendRequest("post")
+			env.waitFor(eventloop.Second, "an answer", client.done)
+			if len(client.events) == 0 || client.events[0] != ownEvent() || n != i+1 {
+				t.Fatalf("after %d µs: request %d was answered %q and run %d times in all", span, i+1, client.events, n)
+			}
+		}
+	}
+}
+
+// TestAttemptExpiresBehindSlowRelease: an attempt that waited longer for a release than for any connection is not sent
+// any more, as by then what was checked when it was ordered may no longer hold.
+func TestAttemptExpiresBehindSlowRelease(t *testing.T) {
+	env := newTestEnv(t, 256, usualEndpoints...)
+	serveAll(env.decodeEndpoints(), serveFirst(decline(410), serveDecode))
+	for _, endpoint := range env.endpoints {
+		endpoint.releaseDelay = eventloop.Second
+	}
+	client := env.sendRequest("explain")
+	env.waitFor(eventloop.Second, "a release", func() bool { return env.releases() > 0 })
+	env.network.Run(300 * eventloop.Millisecond)
+	for _, endpoint := range env.endpoints {
+		endpoint.releaseDelay = 0
+	}
+	if got := env.finalStatus(client); got != 200 || env.dispatcher.Outcomes[scheduler.NotSent] != 1 {
+		t.Errorf("answered %d with outcomes %v", got, env.dispatcher.Outcomes)
+	}
+	env.requireIdle()
+}
+
+// timeGiven is the time that an attempt gives its endpoint.
+func timeGiven(t *testing.T, conn *endpointConn) eventloop.Micros {
+	t.Helper()
+	given, err := strconv.ParseInt(strings.TrimSuffix(conn.head.Get("Req-Deadline"), "u"), 10, 64)
+	if err != nil {
+		t.Errorf("the time given is %v", err)
+	}
+	return eventloop.Micros(given)
+}
+
+// TestRemainingTimeIsSent: an endpoint is given what the client has left when the attempt is written, not when its
+// connection was asked for.
+func TestRemainingTimeIsSent(t *testing.T) {
+	env := newTestEnv(t, 256, "prefill", "decode")
+	env.network.Latency = 80 * eventloop.Millisecond
+	env.endpoints[0].serve = func(conn *endpointConn) {
+		given := timeGiven(t, conn)
+		left := 900*eventloop.Millisecond - 2*env.network.Latency // its connection took two ways
+		if given > left {
+			t.Errorf("given %d µs, %d are left", given, left)
+		}
+		servePrefill(conn)
+	}
+	env.finalStatus(env.sendRequest("explain", "Req-Deadline", "900m"))
+	if env.endpoints[0].count("POST") == 0 {
+		t.Error("nothing was read")
+	}
+}
+
+// TestRemainingTimeAfterRelease: an attempt that waited for a release gives its endpoint what the client has left then.
+func TestRemainingTimeAfterRelease(t *testing.T) {
+	env := newTestEnv(t, 256, usualEndpoints...)
+	const limit = 480 * eventloop.Millisecond // short enough for an endpoint to be given all of it
+	began := env.network.Now()
+	check := func(then func(*endpointConn)) func(*endpointConn) {
+		return func(conn *endpointConn) {
+			given := timeGiven(t, conn)
+			if left := limit - (env.network.Now() - began); given > left+eventloop.Millisecond {
+				t.Errorf("given %d ms, %d ms are left", given/eventloop.Millisecond, left/eventloop.Millisecond)
+			}
+			then(conn)
+		}
+	}
+	serveAll(env.prefillEndpoints(), check(servePrefill))
+	serveAll(env.decodeEndpoints(), check(serveFirst(decline(410), serveDecode)))
+	for _, endpoint := range env.endpoints {
+		endpoint.releaseDelay = 60 * eventloop.Millisecond
+	}
+	got := env.finalStatus(env.sendRequest("explain", "Req-Deadline", "480m"))
+	if got != 200 || env.releases() == 0 {
+		t.Errorf("answered %d after %d releases", got, env.releases())
+	}
+	env.requireIdle()
+}
+
+// TestNeverTwoAttemptsInFlight: an attempt that was cancelled is in flight until its endpoint has seen its connection
+// close, and ways through the network differ: neither another attempt nor a rejection may overtake that.
+func TestNeverTwoAttemptsInFlight(t *testing.T) {
+	for _, mayCancel := range []bool{true, false} {
+		env := newTestEnvWith(t, settingsWithCancel(mayCancel), 256, "prefill", "prefill", "prefill", "decode", "decode")
+		random := rand.New(rand.NewSource(5))
+		hanging := map[string]*endpointConn{}
+		overtaken := 0
+		for i, endpoint := range env.endpoints {
+			usual, hangs := endpoint.serve, i < 2
+			endpoint.serve = func(conn *endpointConn) {
+				id := conn.head.Get("Req-Id")
+				if before := hanging[id]; before != nil && !before.closed {
+					overtaken++
+				}
+				if hangs {
+					hanging[id] = conn
+					return
+				}
+				delete(hanging, id)
+				usual(conn)
+			}
+		}
+		env.network.ExtraLatency = func() eventloop.Micros { return eventloop.Micros(random.Intn(8000)) }
+		for i := range 60 {
+			class, limit := "post", "1500m"
+			if i%2 > 0 {
+				class = "explain"
+			}
+			if i%3 > 0 {
+				limit = "4000m"
+			}
+			env.finalStatus(env.sendRequest(class, "Req-Key", strconv.Itoa(i),
+				"Req-Extra", "prompt_len=512,max_out=80", "Req-Deadline", limit))
+		}
+		env.network.ExtraLatency = nil
+		if overtaken > 0 {
+			t.Errorf("may cancel %v: %d attempts overtook the close of the one before", mayCancel, overtaken)
+		}
+		if n := countAll(env.endpoints[:2], "POST"); n < 5 || env.dispatcher.Completed < 40 {
+			t.Errorf("%d attempts hung, %d requests were completed", n, env.dispatcher.Completed)
+		}
+		env.requireIdle()
+	}
+}
+
+// TestCancelledTwice: what is asked of an attempt in the moment after it was cancelled does not shorten that, nor is it
+// taken for one that was never sent: a drain of its endpoint, a cancellation, the end of its state's lease.
+func TestCancelledTwice(t *testing.T) {
+	for name, meanwhile := range map[string]func(d *Dispatcher, request *request){
+		"cancel": func(d *Dispatcher, request *request) { d.Cancel(request.id, request.attempt.number()) },
+		"drain": func(d *Dispatcher, _ *request) {
+			d.ready = nil
+			d.cancelUnsentToUnready()
+		},
+		"expired": func(d *Dispatcher, request *request) {
+			request.lease.active = true
+			d.leaseExpired(request)
+		},
+	} {
+		t.Run(name, func(t *testing.T) {
+			env := newTestEnv(t, 256, usualEndpoints...)
+			d := env.dispatcher
+			serveAll(env.decodeEndpoints(), hang)
+			env.sendRequest("post")
+			env.waitFor(eventloop.Second, "the decode attempt", func() bool { return d.Attempts == 2 })
+			env.network.Run(100 * eventloop.Millisecond)
+			for _, request := range d.requests { // as its time runs out
+				env.loop.Do(func() { d.Cancel(request.id, request.attempt.number()) })
+			}
+			request := cancelledRequest(d)
+			if request == nil {
+				t.Fatal("no attempt is being cancelled")
+			}
+			env.loop.Do(func() { meanwhile(d, request) })
+			if env.network.Run(cancelDelivery - 2*eventloop.Millisecond); !request.attempt.cancelling {
+				t.Error("it was taken for over at once")
+			}
+			env.network.Run(2 * cancelDelivery)
+			others := d.Outcomes[scheduler.Unreachable] + d.Outcomes[scheduler.NoCapacity] + d.Outcomes[scheduler.NotSent]
+			if d.Outcomes[scheduler.Cancelled] != 1 || others > 0 {
+				t.Errorf("outcomes %v", d.Outcomes)
+			}
+		})
+	}
+}
+
+// cancelledRequest is a request whose attempt is being cancelled, or nil.
+func cancelledRequest(d *Dispatcher) *request {
+	for _, request := range d.requests {
+		if request.attempt.cancelling {
+			return request
+		}
+	}
+	return nil
+}
+
+// TestNoRetryAfterItsWindow: a retry that waits for a release and then for a connection does not arrive after its
+// window.
+func TestNoRetryAfterItsWindow(t *testing.T) {
+	const window = 300 * eventloop.Millisecond
+	text := strings.Replace(testSettings, `"repeat": "non_idempotent"`,
+		`"repeat": "idempotency_key", "group": "all", "window": 300000000`, 1)
+	text = strings.Replace(text, `"let_go_by"`, `"local_read": true, "let_go_by"`, 1)
+	env := newTestEnvWith(t, text, 256, usualEndpoints...)
+	var first eventloop.Micros
+	attempts := 0
+	serveAll(env.decodeEndpoints(), func(conn *endpointConn) {
+		switch attempts++; attempts {
+		case 1: // it may have run
+			first = env.network.Now()
+			conn.socket.Abort()
+		case 2: // where the state is missing: it is released, and the next attempt waits for that
+			// With these draining a decode endpoint does the prefill too.
+			env.agent.update(false, env.endpoints[0].entry("DRAINING"), env.endpoints[1].entry("DRAINING"))
+			conn.endpoint.loop.AfterFunc(2*env.network.Latency, func() {
+				conn.answer(410, "", "Srv-Declined", "1", "Connection", "close")
+			})
+		default:
+			if late := env.network.Now() - first; late > window+env.network.Latency { // it was sent after the window
+				t.Errorf("a retry arrived %d ms after the first attempt", late/eventloop.Millisecond)
+			}
+			serveDecode(conn)
+		}
+	})
+	for _, endpoint := range env.endpoints {
+		endpoint.releaseDelay = eventloop.Second
+	}
+	client := env.sendRequest("post")
+	env.waitFor(eventloop.Second, "a release", func() bool { return env.releases() > 0 })
+	env.network.Run(120 * eventloop.Millisecond)
+	// The release arrives at last, and what follows it needs a new connection, which is slow to come up.
+	for _, endpoint := range env.endpoints {
+		endpoint.releaseDelay = 0
+		endpoint.onReleased = func() { env.network.Latency = 100 * eventloop.Millisecond }
+		endpoint.resetConnections()
+	}
+	env.finalStatus(client)
+	if attempts < 2 {
+		t.Errorf("%d attempts", attempts)
+	}
+	env.requireIdle()
+}
+
+// TestNoAttemptAfterTheAnswer: an attempt that waits for its connection when the request's time is over is never sent,
+// also where attempts may not be cancelled.
+func TestNoAttemptAfterTheAnswer(t *testing.T) {
+	for latency := 95 * eventloop.Millisecond; latency < 101*eventloop.Millisecond; latency += 500 {
+		env := newTestEnvWith(t, settingsWithCancel(false), 256, usualEndpoints...)
+		serveAll(env.prefillEndpoints(), func(conn *endpointConn) {
+			env.network.Latency = latency // the connection comes up as the time is over, at one of these
+			servePrefill(conn)
+		})
+		client := env.sendRequest("explain", "Req-Deadline", "300m")
+		if got := env.finalStatus(client); got == 200 {
+			t.Errorf("answered %d", got)
+		}
+		env.requireIdle()
+	}
+}
--- /dev/null
+++ b/internal/platform/connections_test.go
@@ -0,0 +1,153 @@
+package platform
+
+import (
+	"fmt"
+	"plumspindle/internal/eventloop"
+	"plumspindle/scheduler"
+	"strings"
+	"testing"
+)
+
+// TestIdleConnectionsDoNotStarveOthers: connections that bring nothing do not take the places of others.
+func TestIdleConnectionsDoNotStarveOthers(t *testing.T) {
+	env := newTestEnv(t, 64, usualEndpoints...)
+	env.loop.DescriptorLimit = 64
+	var silent []*testClient
+	for i := 0; i < 300; i++ {
+		silent = append(silent, env.connect(""))
+		if i%10 == 0 {
+			if got := env.finalStatus(env.sendRequest("post")); got != 200 {
+				t.Fatalf("after %d silent ones: answered %d", i, got)
+			}
+		}
+		if env.loop.OpenConnections() > 64 {
+			t.Fatalf("%d descriptors", env.loop.OpenConnections())
+		}
+	}
+	env.network.Run(3 * eventloop.Second)
+	for i, client := range silent {
+		if !client.closed {
+			t.Fatalf("silent connection %d is still there", i)
+		}
+	}
+	env.requireIdle()
+}
+
+// TestConnectionClosedByEndpoint: a connection that its endpoint closed while it was idle is not written to, and idle
+// ones are closed in time. Where that has not been handed over yet, the socket is asked (package sockets).
+func TestConnectionClosedByEndpoint(t *testing.T) {
+	env := newTestEnv(t, 256, "prefill", "decode")
+	var used []*endpointConn
+	record := func(then func(*endpointConn)) func(*endpointConn) {
+		return func(conn *endpointConn) {
+			used = append(used, conn)
+			then(conn)
+		}
+	}
+	env.endpoints[0].serve, env.endpoints[1].serve = record(servePrefill), record(serveDecode)
+	for i := 0; i < 5; i++ {
+		if got := env.finalStatus(env.sendRequest("post")); got != 200 {
+			t.Fatalf("answered %d", got)
+		}
+		for _, conn := range used {
+			conn.endpoint.loop.Do(conn.socket.Close)
+		}
+		used = nil
+	}
+	if env.endpoints[0].opened != 5 || env.attempts() != 10 {
+		t.Errorf("%d connections, %d attempts", env.endpoints[0].opened, env.attempts())
+	}
+	// A request is on its way up, and so is, behind it, the end of the connection that would carry it.
+	env.finalStatus(env.sendRequest("post"))
+	env.network.DeliveryDelay = 5 * eventloop.Millisecond
+	env.network.Run(20 * eventloop.Millisecond)
+	client := env.sendRequest("post")
+	env.network.Run(3 * eventloop.Millisecond)
+	for _, conn := range used {
+		conn.endpoint.loop.Do(conn.socket.Close)
+	}
+	if got := env.finalStatus(client); got != 200 || env.dispatcher.Outcomes[scheduler.ConnectionLost] != 0 {
+		t.Errorf("answered %d, with %d attempts lost", got, env.dispatcher.Outcomes[scheduler.ConnectionLost])
+	}
+}
+
+// TestConnectionReuse: one connection to each endpoint carries what comes one after the other.
+func TestConnectionReuse(t *testing.T) {
+	env := newTestEnv(t, 256, "prefill", "decode")
+	for i := 0; i < 10; i++ {
+		env.finalStatus(env.sendRequest("post"))
+	}
+	if env.endpoints[0].opened != 1 || env.endpoints[1].opened != 1 {
+		t.Errorf("%d and %d connections", env.endpoints[0].opened, env.endpoints[1].opened)
+	}
+	env.network.Run(10 * eventloop.Second)
+	if env.dispatcher.upstream.Connections() != 2 {
+		t.Errorf("%d connections after 10 s", env.dispatcher.upstream.Connections())
+	}
+	env.network.Run(7 * eventloop.Second)
+	if env.dispatcher.upstream.Connections() != 0 { // endpoints close them after 30 s
+		t.Errorf("%d connections after 17 s", env.dispatcher.upstream.Connections())
+	}
+}
+
+// TestTotalConnectionLimit: idle connections to some endpoints make way for those to others.
+func TestTotalConnectionLimit(t *testing.T) {
+	var many []string
+	for range 10 {
+		many = append(many, "prefill", "decode")
+	}
+	env := newTestEnv(t, 20, many...)
+	for i := range 60 {
+		client := env.sendRequest("post", "Req-Extra", fmt.Sprintf("prefix=%d,prompt_len=100", i))
+		if got := env.finalStatus(client); got != 200 {
+			t.Fatalf("answered %d", got)
+		}
+		if n := env.dispatcher.upstream.Connections(); n > 8 {
+			t.Fatalf("%d connections of 8", n)
+		}
+	}
+}
+
+// TestTotalBodyLimit: bodies that do not come to their end can't take more than their part of the memory, nor for ever.
+func TestTotalBodyLimit(t *testing.T) {
+	env := newTestEnv(t, 256, usualEndpoints...)
+	for range 40 {
+		text := env.requestText("explain", "body", `"`+strings.Repeat("x", 200<<10)+`"`)
+		env.connect(text[:len(text)-10])
+	}
+	env.network.Run(eventloop.Second)
+	if n := env.dispatcher.server.Buffered(); n > 4<<20 || n < 3<<20 {
+		t.Errorf("%d bytes are buffered of 32 MB", n)
+	}
+	big := `{"messages":["` + strings.Repeat("x", 250<<10) + `"]}`
+	if got := env.finalStatus(env.sendRequest("post", "body", big)); got != 503 {
+		t.Errorf("without memory: answered %d", got)
+	}
+	env.network.Run(3 * eventloop.Second)
+	if got := env.finalStatus(env.sendRequest("post", "body", big)); got != 200 || env.dispatcher.server.Buffered() != 0 {
+		t.Errorf("with memory again: answered %d, %d bytes are buffered", got, env.dispatcher.server.Buffered())
+	}
+}
+
+// TestNoLeakOverReplacements: endpoints replaced all day under new ids, and clients that send one request and stay,
+// leave nothing behind.
+func TestNoLeakOverReplacements(t *testing.T) {
+	env := newTestEnv(t, 128, usualEndpoints...)
+	for i := 0; i < 150; i++ {
+		old := env.endpoints[i]
+		endpoint := env.addEndpoint(fmt.Sprintf("n-%d", i), old.kind)
+		env.agent.update(false, old.entry("DELETED"), endpoint.entry("SERVING"))
+		env.network.Run(eventloop.Second)
+		if got := env.finalStatus(env.sendRequest("post")); got != 200 {
+			t.Fatalf("after %d replacements: answered %d", i, got)
+		}
+	}
+	env.network.Run(70 * eventloop.Second)
+	if n := env.dispatcher.upstream.EndpointCount(); n > 4 {
+		t.Errorf("%d endpoints are still known to the engine", n)
+	}
+	if n := env.dispatcher.server.Connections(); n > 0 {
+		t.Errorf("%d clients' connections are left", n)
+	}
+	env.requireIdle()
+}
--- /dev/null
+++ b/internal/platform/disconnect_test.go
@@ -0,0 +1,176 @@
+package platform
+
+import (
+	"plumspindle/internal/eventloop"
+	"strings"
+	"testing"
+)
+
+// TestSlowClient: what is buffered for one that does not read is bounded, its endpoint is slowed, and all arrives once
+// it reads.
+func TestSlowClient(t *testing.T) {
+	env := newTestEnv(t, 256, "prefill", "decode")
+	env.network.ReceiveWindow = 4 << 10
+	const many = 2000
+	env.endpoints[1].serve = serveLongStream(many)
+	client := env.sendRequest("explain")
+	env.waitFor(eventloop.Second, "its stream", func() bool { return len(client.events) > 0 })
+	env.remote.Do(func() { client.conn.Pause(true) })
+	env.network.Run(4 * eventloop.Second)
+	if n := env.dispatcher.server.Unsent(); n > 96<<10 { // the bound, and what one turn may bring past it
+		t.Errorf("%d bytes are buffered for it", n)
+	}
+	env.remote.Do(func() { client.conn.Pause(false) })
+	if got := env.finalStatus(client); got != 200 || len(client.events) != many+1 {
+		t.Errorf("answered %d with %d events", got, len(client.events))
+	}
+}
+
+// TestNoAttemptAfterDisconnect: no attempt begins over 0.1 s after a client has disconnected, wherever its request is:
+// with pipelined requests behind it, waiting for a connection, or where attempts may not be cancelled.
+func TestNoAttemptAfterDisconnect(t *testing.T) {
+	for _, mayCancel := range []bool{true, false} {
+		rawSettings := settingsWithCancel(mayCancel)
+		// More is behind it than is read.
+		env := newTestEnvWith(t, rawSettings, 256, usualEndpoints...)
+		serveAll(env.prefillEndpoints(), hang)
+		first := env.requestText("explain")
+		client := env.connect(first + strings.Repeat(env.requestText("explain"), 2000))
+		env.waitFor(eventloop.Second, "the prefill", func() bool { return env.attempts() == 1 })
+		env.network.Run(100 * eventloop.Millisecond)
+		env.remote.Do(client.conn.Abort)
+		env.network.Run(100 * eventloop.Millisecond)
+		for _, request := range env.dispatcher.requests {
+			if !request.client.answered {
+				t.Error("its disconnect was not seen")
+			}
+		}
+		if env.network.Run(10 * eventloop.Second); env.attempts() != 1 {
+			t.Errorf("%d attempts", env.attempts())
+		}
+		// The attempt waits for its connection, which takes twice as long as the disconnect.
+		env = newTestEnvWith(t, rawSettings, 256, usualEndpoints...)
+		env.network.Latency = 60 * eventloop.Millisecond
+		client = env.sendRequest("explain")
+		env.waitFor(eventloop.Second, "the attempt's order", func() bool { return env.dispatcher.Attempts == 1 })
+		env.remote.Do(client.conn.Abort)
+		env.network.Run(5 * eventloop.Second)
+		if env.attempts() > 0 || env.dispatcher.ClientDisconnects != 1 {
+			t.Errorf("may cancel %v: %d attempts, %d disconnects",
+				mayCancel, env.attempts(), env.dispatcher.ClientDisconnects)
+		}
+	}
+}
+
+// TestEventsInOnePollRound: what a client and an endpoint send is heard in one round, in either order: nothing is left
+// behind, and no attempt begins after the close was heard.
+func TestEventsInOnePollRound(t *testing.T) {
+	const pause = 50 * eventloop.Millisecond
+	for name, arrive := range map[string]func(env *testEnv, client *testClient, conn *endpointConn){
+		"the close, then the first event": func(env *testEnv, client *testClient, conn *endpointConn) {
+			env.remote.Do(client.conn.Abort)
+			env.network.Run(5 * eventloop.Millisecond)
+			conn.stream(tokenEvent)
+		},
+		"the first event, then the close": func(env *testEnv, client *testClient, conn *endpointConn) {
+			conn.stream(tokenEvent)
+			env.network.Run(5 * eventloop.Millisecond)
+			env.remote.Do(client.conn.Abort)
+		},
+		"the close, then a refusal": func(env *testEnv, client *testClient, conn *endpointConn) {
+			env.remote.Do(client.conn.Abort)
+			env.network.Run(5 * eventloop.Millisecond)
+			conn.decline(503)
+		},
+		"the close, then the endpoint's reset": func(env *testEnv, client *testClient, conn *endpointConn) {
+			env.remote.Do(client.conn.Abort)
+			env.network.Run(5 * eventloop.Millisecond)
+			conn.socket.Abort()
+		},
+	} {
+		for _, class := range []string{"explain", "post"} {
+			env := newTestEnv(t, 256, usualEndpoints...)
+			var out *endpointConn
+			serveAll(env.decodeEndpoints(), func(conn *endpointConn) { out = conn })
+			client := env.sendRequest(class)
+			env.waitFor(eventloop.Second, "the decode attempt", func() bool { return out != nil })
+			env.loop.Freeze(pause)
+			attempts := env.attempts()
+			arrive(env, client, out)
+			env.network.Run(pause + 50*eventloop.Millisecond)
+			if !out.closed {
+				t.Errorf("%s, %s: the attempt's connection is still open", name, class)
+			}
+			env.requireIdle()
+			if n := env.attempts() - attempts; n > 0 {
+				t.Errorf("%s, %s: %d attempts began after the close", name, class, n)
+			}
+		}
+	}
+}
+
+// TestRequestAndCloseInOnePollRound: the attempt that begins in the very moment is cancelled at once, and no other
+// follows.
+func TestRequestAndCloseInOnePollRound(t *testing.T) {
+	env := newTestEnv(t, 256, usualEndpoints...)
+	serveAll(env.endpoints, hang)
+	client := env.connect("")
+	env.network.Run(10 * eventloop.Millisecond)
+	env.loop.Freeze(50 * eventloop.Millisecond)
+	env.remote.Do(func() {
+		client.conn.Write([]byte(env.requestText("explain")))
+		client.conn.Close()
+	})
+	env.network.Run(eventloop.Second)
+	if env.dispatcher.Accepted > 1 || env.attempts() > 1 || len(env.dispatcher.requests) > 0 {
+		t.Errorf("%d were accepted, %d attempts arrived, %d requests are left",
+			env.dispatcher.Accepted, env.attempts(), len(env.dispatcher.requests))
+	}
+	env.requireIdle()
+}
+
+// TestSlowClientDisconnects: a client's disconnect is heard while its stream is slowed for it.
+func TestSlowClientDisconnects(t *testing.T) {
+	env := newTestEnv(t, 256, "prefill", "decode")
+	env.network.ReceiveWindow = 4 << 10
+	var out *endpointConn
+	env.endpoints[1].serve = func(conn *endpointConn) {
+		out = conn
+		serveLongStream(2000)(conn)
+	}
+	client := env.sendRequest("explain")
+	env.waitFor(eventloop.Second, "its stream", func() bool { return len(client.events) > 0 })
+	env.remote.Do(func() { client.conn.Pause(true) })
+	env.network.Run(200 * eventloop.Millisecond)
+	env.remote.Do(client.conn.Abort)
+	env.network.Run(20 * eventloop.Millisecond)
+	if !out.closed || env.dispatcher.ClientDisconnects != 1 {
+		t.Errorf("its endpoint's connection is closed: %v; %d disconnects", out.closed, env.dispatcher.ClientDisconnects)
+	}
+	env.requireIdle()
+}
+
+// TestDisconnectNotYetHandedOver: where a client's close has reached this machine and not the loop, as after the
+// process was suspended, no attempt begins for it.
+func TestDisconnectNotYetHandedOver(t *testing.T) {
+	env := newTestEnv(t, 256, usualEndpoints...)
+	declined := 0
+	serveAll(env.prefillEndpoints(), func(conn *endpointConn) {
+		declined++
+		conn.decline(503)
+	})
+	first := env.sendRequest("post")
+	env.waitFor(eventloop.Second, "two refusals", func() bool { return declined == 2 })
+	client := env.sendRequest("post") // the endpoints get no attempts for a moment
+	env.network.Run(5 * eventloop.Millisecond)
+	env.network.DeliveryDelay = 400 * eventloop.Millisecond
+	env.remote.Do(client.conn.Abort)
+	env.network.Run(390 * eventloop.Millisecond)
+	env.network.DeliveryDelay = 0
+	env.remote.Do(first.conn.Abort)
+	env.network.Run(eventloop.Second)
+	if declined > 2 {
+		t.Errorf("%d attempts began after the client's close", declined-2)
+	}
+	env.requireIdle()
+}
--- a/internal/platform/lease.go
+++ b/internal/platform/lease.go
@@ -108,7 +108,7 @@
 	})
 }
 
-// Release implements scheduler.Executor: what is held is released now; an attempt that follows waits for that.
+// Release implements scheduler.Executor: the state is released now; an attempt that follows waits for that.
 func (d *Dispatcher) Release(id scheduler.RequestID) {
 	r := d.requests[id]
 	if r != nil && r.lease.active && !r.lease.releasing && r.attempt.inFlight == nil {
--- /dev/null
+++ b/internal/platform/lease_test.go
@@ -0,0 +1,269 @@
+package platform
+
+import (
+	"plumspindle/internal/eventloop"
+	"slices"
+	"strconv"
+	"testing"
+)
+
+// TestStateIsReleasedAfterDisconnect: a state is released in time after its client left, also where its prefill
+// endpoint can't be reached.
+func TestStateIsReleasedAfterDisconnect(t *testing.T) {
+	for _, unreachable := range []bool{false, true} {
+		env := newTestEnv(t, 256, usualEndpoints...)
+		serveAll(env.decodeEndpoints(), hang)
+		client := env.sendRequest("explain")
+		env.waitFor(eventloop.Second, "the decode attempt", func() bool { return env.decodeAttempts() > 0 })
+		if unreachable {
+			for _, endpoint := range env.prefillEndpoints() {
+				env.network.Block(env.loop, endpoint.loop, 5*eventloop.Second)
+			}
+		}
+		env.remote.Do(client.conn.Abort)
+		env.waitFor(500*eventloop.Millisecond, "a release", func() bool { return env.releases() > 0 })
+		env.requireIdle()
+	}
+}
+
+// TestStateOfACancelledPrefill: the state is released, as the prefill may have ended well just then.
+func TestStateOfACancelledPrefill(t *testing.T) {
+	env := newTestEnv(t, 256, usualEndpoints...)
+	serveAll(env.prefillEndpoints(), hang)
+	client := env.sendRequest("explain")
+	env.waitFor(eventloop.Second, "the prefill", func() bool { return env.attempts() > 0 })
+	env.remote.Do(client.conn.Abort)
+	env.waitFor(500*eventloop.Millisecond, "a release", func() bool { return env.releases() > 0 })
+	env.requireIdle()
+}
+
+// TestReleaseBeforeNextPrefill: a release drops all states of a request, so a prefill behind it has to wait for its
+// answer.
+func TestReleaseBeforeNextPrefill(t *testing.T) {
+	env := newTestEnv(t, 256, usualEndpoints...)
+	var order []string
+	serveAll(env.prefillEndpoints(), func(conn *endpointConn) {
+		order = append(order, "prefill")
+		servePrefill(conn)
+	})
+	for _, endpoint := range env.endpoints {
+		endpoint.releaseDelay = 30 * eventloop.Millisecond
+	}
+	serveAll(env.decodeEndpoints(), serveFirst(decline(410), serveDecode))
+	releasing := func(request *request) bool { return request.lease.releasing }
+	env.network.AfterStep = func() { // it is over once the endpoint has answered it
+		d := env.dispatcher
+		if env.releases() == 0 || d.upstream.Releases == 0 || slices.Contains(order, "release") {
+			return
+		}
+		if !slices.ContainsFunc(d.requestsByID(), releasing) {
+			order = append(order, "release")
+		}
+	}
+	got := env.finalStatus(env.sendRequest("explain"))
+	if want := []string{"prefill", "release", "prefill"}; got != 200 || !slices.Equal(order, want) {
+		t.Errorf("answered %d in the order %v", got, order)
+	}
+	env.requireIdle()
+}
+
+// TestUnsentPrefillHasNoState: a prefill that was cancelled before it was sent has left no state, so that nothing is
+// released.
+func TestUnsentPrefillHasNoState(t *testing.T) {
+	env := newTestEnv(t, 256, usualEndpoints...)
+	env.network.Latency = 40 * eventloop.Millisecond
+	client := env.sendRequest("explain")
+	env.waitFor(eventloop.Second, "the prefill", func() bool { return env.dispatcher.Attempts > 0 })
+	env.remote.Do(client.conn.Abort)
+	env.requireIdle()
+	if env.attempts() != 0 || env.releases() != 0 {
+		t.Errorf("%d attempts, %d releases", env.attempts(), env.releases())
+	}
+}
+
+// TestUnfetchedStateIsReleased: while decode endpoints can't be reached, a state that waits at its prefill endpoint is
+// released in time, however many there are to try; what comes after is prefilled anew.
+func TestUnfetchedStateIsReleased(t *testing.T) {
+	for _, class := range []string{"explain", "post"} {
+		env := newTestEnv(t, 256, "prefill", "prefill", "decode", "decode", "decode", "decode", "decode")
+		for _, endpoint := range env.decodeEndpoints() {
+			env.network.Block(env.loop, endpoint.loop, 500*eventloop.Millisecond)
+		}
+		client := env.sendRequest(class)
+		env.waitFor(eventloop.Second, "the prefill", func() bool { return env.attempts() == 1 })
+		env.waitFor(500*eventloop.Millisecond, "a release", func() bool { return env.releases() == 1 })
+		prefills := 0
+		// One that is asked for a state that is missing says so, and the attempt is lost.
+		serveAll(env.decodeEndpoints(), func(conn *endpointConn) {
+			if prefills == 0 {
+				t.Errorf("%s: decoded without a state", class)
+			}
+			serveDecode(conn)
+		})
+		serveAll(env.prefillEndpoints(), func(conn *endpointConn) {
+			prefills++
+			conn.answer(202, "")
+		})
+		if got := env.finalStatus(client); got != 200 {
+			t.Errorf("%s: answered %d", class, got)
+		}
+		env.requireIdle()
+	}
+}
+
+// TestLeaseRestartsAfterAnAttempt: it counts from the end of the last attempt that was sent, and then it binds again.
+func TestLeaseRestartsAfterAnAttempt(t *testing.T) {
+	env := newTestEnv(t, 256, "prefill", "prefill", "decode", "decode", "decode", "decode", "decode")
+	refused := false
+	for _, endpoint := range env.decodeEndpoints() {
+		endpoint.serve = func(conn *endpointConn) {
+			for _, other := range env.decodeEndpoints() {
+				env.network.Block(env.loop, other.loop, 3*eventloop.Second)
+			}
+			// The first says only then that it has no capacity, when no other can be reached.
+			endpoint.loop.AfterFunc(400*eventloop.Millisecond, func() {
+				conn.decline(503)
+				refused = true
+			})
+		}
+	}
+	client := env.sendRequest("explain")
+	env.waitFor(eventloop.Second, "a refusal", func() bool { return refused })
+	if env.releases() > 0 {
+		t.Error("released while an attempt was in flight")
+	}
+	env.waitFor(500*eventloop.Millisecond, "a release", func() bool { return env.releases() > 0 })
+	env.remote.Do(client.conn.Abort)
+	env.network.Run(5 * eventloop.Second)
+	env.requireIdle()
+}
+
+// TestReleaseWhenMostAreSilent: connections to endpoints that have fallen silent are idle like any others; a release
+// goes to one that spoke.
+func TestReleaseWhenMostAreSilent(t *testing.T) {
+	env := newTestEnv(t, 256, slices.Concat([]string{"prefill", "prefill"}, slices.Repeat([]string{"decode"}, 8))...)
+	for range 40 { // a connection to each
+		env.sendRequest("explain")
+	}
+	env.network.Run(eventloop.Second)
+	serveAll(env.decodeEndpoints(), hang)
+	client := env.sendRequest("post")
+	before := env.decodeAttempts()
+	env.waitFor(eventloop.Second, "the decode attempt", func() bool { return env.decodeAttempts() > before })
+	for _, endpoint := range env.endpoints[1:] {
+		env.network.Block(env.loop, endpoint.loop, 5*eventloop.Second)
+		env.network.Block(endpoint.loop, env.loop, 5*eventloop.Second)
+	}
+	env.network.Run(300 * eventloop.Millisecond)
+	spoke := env.endpoints[0].count("POST")
+	// Until one endpoint speaks, the affinity endpoint of a prefix.
+	for i := 0; i < 20 && env.endpoints[0].count("POST") == spoke; i++ {
+		env.sendRequest("explain", "Req-Extra", "prefix="+strconv.Itoa(i)+",prompt_len=512,prefix_len=256,max_out=80")
+		env.network.Run(5 * eventloop.Millisecond)
+	}
+	env.network.Run(200 * eventloop.Millisecond)
+	env.remote.Do(client.conn.Abort)
+	env.waitFor(200*eventloop.Millisecond, "a release", func() bool { return env.endpoints[0].count("DELETE") > 0 })
+}
+
+// TestStateBehindASilentConnection: an attempt that has left this machine and not reached its endpoint fetches nothing.
+// The state that it was to fetch is released in time, and the request, which may have run, is not retried where that
+// would do harm.
+func TestStateBehindASilentConnection(t *testing.T) {
+	for class, want := range map[string]int{"explain": 200, "post": 500} {
+		t.Run(class, func(t *testing.T) {
+			env := newTestEnv(t, 256, usualEndpoints...)
+			for range 40 { // a connection to each
+				env.sendRequest("explain")
+			}
+			env.network.Run(eventloop.Second)
+			for _, endpoint := range env.decodeEndpoints()[1:] { // only until the attempt was sent
+				env.agent.update(false, endpoint.entry("DELETED"))
+			}
+			silent := env.decodeEndpoints()[0]
+			env.network.Run(100 * eventloop.Millisecond)
+			var prefilledAt eventloop.Micros
+			serveAll(env.prefillEndpoints(), func(conn *endpointConn) {
+				if prefilledAt == 0 {
+					prefilledAt = env.network.Now()
+					// Nothing arrives there, and no error comes back.
+					env.network.Block(env.loop, silent.loop, eventloop.Second)
+				}
+				conn.answer(202, `{"cached_tokens":0}`)
+			})
+			client := env.sendRequest(class)
+			before := env.releases()
+			env.waitFor(eventloop.Second, "the prefill", func() bool { return prefilledAt > 0 })
+			env.network.Run(100 * eventloop.Millisecond)
+			for _, endpoint := range env.decodeEndpoints()[1:] {
+				env.agent.update(false, endpoint.entry("SERVING"))
+			}
+			env.waitFor(eventloop.Second, "the release", func() bool { return env.releases() > before })
+			if took := env.network.Now() - prefilledAt; took > 500*eventloop.Millisecond {
+				t.Errorf("released after %d ms", took/eventloop.Millisecond)
+			}
+			if got := env.finalStatus(client); got != want {
+				t.Errorf("answered %d", got)
+			}
+			env.requireIdle()
+		})
+	}
+}
+
+// TestReleaseOverSlowConnections: where no connection waits and new ones are slow to come up, a release is not given
+// up before it could arrive: other endpoints are asked beside the first.
+func TestReleaseOverSlowConnections(t *testing.T) {
+	env := newTestEnv(t, 256, usualEndpoints...)
+	serveAll(env.decodeEndpoints(), hang)
+	client := env.sendRequest("explain")
+	env.waitFor(eventloop.Second, "the decode attempt", func() bool { return env.decodeAttempts() > 0 })
+	for _, endpoint := range env.endpoints {
+		endpoint.resetConnections()
+	}
+	env.network.Latency = 55 * eventloop.Millisecond // 110 for a connection, 110 for an answer
+	env.remote.Do(client.conn.Abort)
+	env.network.Run(60 * eventloop.Millisecond)
+	began := env.network.Now()
+	env.waitFor(5*eventloop.Second, "the release's end", func() bool { return len(env.dispatcher.requests) == 0 })
+	if took := env.network.Now() - began; took > 500*eventloop.Millisecond {
+		t.Errorf("released after %d ms", took/eventloop.Millisecond)
+	}
+	env.requireIdle()
+}
+
+// TestReleaseWhenAllOthersDrain: where no endpoint that accepts new requests can be reached, one that drains is asked:
+// it runs, and a release is nothing new.
+func TestReleaseWhenAllOthersDrain(t *testing.T) {
+	env := newTestEnv(t, 256, usualEndpoints...)
+	serveAll(env.decodeEndpoints(), hang)
+	client := env.sendRequest("explain")
+	env.waitFor(eventloop.Second, "the decode attempt", func() bool { return env.decodeAttempts() > 0 })
+	var entries []string
+	for _, endpoint := range env.endpoints[1:] {
+		entries = append(entries, endpoint.entry("DRAINING"))
+	}
+	env.agent.update(false, entries...)
+	env.network.Run(10 * eventloop.Millisecond)
+	env.network.Block(env.loop, env.endpoints[0].loop, 3*eventloop.Second)
+	env.remote.Do(client.conn.Abort)
+	env.waitFor(500*eventloop.Millisecond, "the release's end", func() bool { return len(env.dispatcher.requests) == 0 })
+	env.requireIdle()
+}
+
+// TestStateOfABrokenPrefill: what a prefill attempt may have left whose answer was lost is released in time, also
+// while the prompt is being prefilled elsewhere.
+func TestStateOfABrokenPrefill(t *testing.T) {
+	for _, mayCancel := range []bool{true, false} {
+		env := newTestEnvWith(t, settingsWithCancel(mayCancel), 256, usualEndpoints...)
+		attempts := 0
+		serveAll(env.prefillEndpoints(), func(conn *endpointConn) {
+			if attempts++; attempts == 1 {
+				conn.socket.Abort() // it may have ended well
+			} // the other one hangs
+		})
+		env.sendRequest("explain")
+		env.waitFor(eventloop.Second, "the first attempt", func() bool { return attempts > 0 })
+		env.waitFor(500*eventloop.Millisecond, "a release", func() bool { return env.releases() > 0 })
+		env.waitFor(eventloop.Second, "the second attempt", func() bool { return attempts > 1 })
+	}
+}
--- /dev/null
+++ b/internal/platform/request_test.go
@@ -0,0 +1,217 @@
+package platform
+
+import (
+	"plumspindle/internal/eventloop"
+	"slices"
+	"strings"
+	"testing"
+)
+
+// TestRequestIsServedUnchanged: what client and endpoints send each other passes as it is.
+func TestRequestIsServedUnchanged(t *testing.T) {
+	env := newTestEnv(t, 256, usualEndpoints...)
+	client := env.sendRequest("explain", "Req-Id", "00ABcdef.x-1")
+	if got := env.finalStatus(client); got != 200 {
+		t.Fatalf("answered %d", got)
+	}
+	if !slices.Equal(client.events, completeStream) {
+		t.Errorf("events %q, want them unchanged", client.events)
+	}
+	for _, endpoint := range env.endpoints {
+		for i, head := range endpoint.received {
+			unchanged := head.Get("Req-Id") == "00ABcdef.x-1" && head.Target == "/v1/chat/completions?a=b"
+			if !unchanged || endpoint.bodies[i] != usualBody || !strings.HasSuffix(head.Get("Req-Deadline"), "u") {
+				t.Errorf("%s was sent %+v %q", endpoint.id, head, endpoint.bodies[i])
+			}
+		}
+	}
+	if env.attempts() != 2 || env.releases() != 0 {
+		t.Errorf("%d attempts, %d releases", env.attempts(), env.releases())
+	}
+	if client.closed {
+		t.Error("the client's connection was closed")
+	}
+	env.requireIdle()
+}
+
+// TestDeadline: whatever can't be had in time is answered before the client's deadline, and a request with side effects
+// whose decode attempt is in flight is not said to be safe to retry.
+func TestDeadline(t *testing.T) {
+	for class, want := range map[string]int{"explain": 503, "post": 500} {
+		env := newTestEnv(t, 256, usualEndpoints...)
+		serveAll(env.decodeEndpoints(), hang)
+		began := env.network.Now()
+		client := env.sendRequest(class, "Req-Deadline", "1500000u")
+		if got := env.finalStatus(client); got != want {
+			t.Errorf("%s: answered %d, want %d", class, got, want)
+		}
+		if late := client.answeredAt - began - 1500*eventloop.Millisecond; late > 0 {
+			t.Errorf("%s: answered %d µs late", class, late)
+		}
+		if want == 503 && client.head.Get("Retry-After") == "" {
+			t.Error("no Retry-After is given")
+		}
+		env.requireIdle()
+		if env.releases() == 0 && class == "explain" {
+			t.Error("its state was not released")
+		}
+	}
+}
+
+// TestBadRequests: each gets an error or a close within 3 s and never reaches a endpoint.
+func TestBadRequests(t *testing.T) {
+	env := newTestEnv(t, 256, usualEndpoints...)
+	good := env.requestText("explain")
+	twice := func(field string) string { return strings.Replace(good, "Host: ", field+"\r\nHost: ", 1) }
+	if !strings.Contains(good, "Content-Length: 44") {
+		t.Fatal("the request's length has changed")
+	}
+	withLength := func(field string) string { return strings.Replace(good, "Content-Length: 44", field, 1) }
+	for name, test := range map[string]struct {
+		input string
+		want  int // 0: a close will do
+	}{
+		"no id":                  {env.requestText("explain", "Req-Id", "-"), 400},
+		"unreadable id":          {env.requestText("explain", "Req-Id", "a b"), 400},
+		"id with a path":         {env.requestText("explain", "Req-Id", "../x"), 400},
+		"id of dots":             {env.requestText("explain", "Req-Id", ".."), 400},
+		"two ids":                {twice("Req-Id: 12"), 400},
+		"two lengths":            {twice("Content-Length: 44"), 400},
+		"length and coding":      {twice("Transfer-Encoding: chunked"), 400},
+		"unknown kind":           {env.requestText("nonsense"), 400},
+		"no kind":                {env.requestText("-"), 400},
+		"no time limit":          {env.requestText("explain", "Req-Deadline", "-"), 400},
+		"time limit in seconds":  {env.requestText("explain", "Req-Deadline", "4s"), 400},
+		"time limit no number":   {env.requestText("explain", "Req-Deadline", "soon"), 400},
+		"time limit without m":   {env.requestText("explain", "Req-Deadline", "4000"), 400},
+		"negative time limit":    {env.requestText("explain", "Req-Deadline", "-5m"), 400},
+		"extra no number":        {env.requestText("explain", "Req-Extra", "prompt_len=many"), 400},
+		"extra not a number":     {env.requestText("explain", "Req-Extra", "prompt_len=NaN"), 400},
+		"extra below zero":       {env.requestText("explain", "Req-Extra", "max_out=-1"), 400},
+		"extra without a value":  {env.requestText("explain", "Req-Extra", "prompt_len"), 400},
+		"body cut by its length": {withLength("Content-Length: 20"), 400},
+		"body no JSON":           {env.requestText("explain", "body", "hello"), 400},
+		"body no object":         {env.requestText("explain", "body", "[1]"), 400},
+		"body too long":          {env.requestText("explain", "body", strings.Repeat("x", 257<<10)), 413},
+		"length too long":        {withLength("Content-Length: 60000000"), 413},
+		"negative length":        {withLength("Content-Length: -44"), 400},
+		"length no number":       {withLength("Content-Length: 99999999999999999999999"), 400},
+		"half a request":         {good[:len(good)-5], 408},
+		"half a head":            {good[:60], 408},
+		"endless head":           {"GET /up HTTP/1.1\r\nX: " + strings.Repeat("x", 40<<10), 431},
+		"noise":                  {"\x00\xff\r\n\r\n", 400},
+		"nothing":                {"", 0},
+		"another path":           {strings.Replace(good, "/v1/chat/completions", "/v1/models", 1), 404},
+		"another method":         {strings.Replace(good, "POST", "PUT", 1), 405},
+		"unknown coding":         {withLength("Transfer-Encoding: zip"), 501},
+		"endless chunks": {strings.TrimSuffix(withLength("Transfer-Encoding: chunked"), usualBody) +
+			strings.Repeat("8000\r\n"+strings.Repeat("x", 0x8000)+"\r\n", 20), 413},
+	} {
+		client := env.connect(test.input)
+		env.waitFor(3*eventloop.Second, name+": an end", client.done)
+		if test.want != 0 && !slices.Equal(client.statuses, []int{test.want}) {
+			t.Errorf("%s: answered %v, want %d", name, client.statuses, test.want)
+		}
+	}
+	if env.attempts() != 0 || env.dispatcher.Accepted != 0 {
+		t.Errorf("%d were accepted, %d attempts were made", env.dispatcher.Accepted, env.attempts())
+	}
+	env.requireIdle()
+}
+
+// TestDuplicateRequestID: the id of a request that is open, or was a moment ago, is rejected.
+func TestDuplicateRequestID(t *testing.T) {
+	env := newTestEnv(t, 256, usualEndpoints...)
+	serveAll(env.decodeEndpoints(), func(conn *endpointConn) { conn.stream(tokenEvent) })
+	client := env.sendRequest("explain", "Req-Id", "77")
+	env.waitFor(eventloop.Second, "its stream", func() bool { return len(client.events) > 0 })
+	if got := env.finalStatus(env.sendRequest("explain", "Req-Id", "77")); got != 409 {
+		t.Errorf("the copy was answered %d", got)
+	}
+	env.finalStatus(client)
+	if got := env.finalStatus(env.sendRequest("explain", "Req-Id", "77")); got != 409 {
+		t.Errorf("the late copy was answered %d", got)
+	}
+	if env.attempts() != 2 {
+		t.Errorf("%d attempts", env.attempts())
+	}
+}
+
+// TestBytesCutAnywhere: it is all the same however bytes are cut on their way.
+func TestBytesCutAnywhere(t *testing.T) {
+	for _, most := range []int{1, 3, 50} {
+		env := newTestEnv(t, 256, usualEndpoints...)
+		env.network.MaxSegment = most
+		env.agent.update(true, env.serving(0, 2)...)
+		env.network.Run(eventloop.Second)
+		if len(env.dispatcher.ready) != 2 {
+			t.Errorf("pieces of %d: %d endpoints are ready", most, len(env.dispatcher.ready))
+		}
+		client := env.sendRequest("post")
+		if got := env.finalStatus(client); got != 200 || !slices.Equal(client.events, completeStream) {
+			t.Errorf("pieces of %d: answered %d with %q", most, got, client.events)
+		}
+		env.requireIdle()
+	}
+}
+
+// TestThrottledAfterRejection: a client that repeats what can't be used is not read for a while.
+func TestThrottledAfterRejection(t *testing.T) {
+	env := newTestEnv(t, 256, usualEndpoints...)
+	bad := env.requestText("nonsense")
+	began := env.network.Now()
+	client := env.connect(bad + bad + bad)
+	env.waitFor(eventloop.Second, "three answers", func() bool { return len(client.statuses) == 3 })
+	if !slices.Equal(client.statuses, []int{400, 400, 400}) || client.answeredAt-began < 200*eventloop.Millisecond {
+		t.Errorf("answered %v in %d µs", client.statuses, client.answeredAt-began)
+	}
+}
+
+// TestHeaderFieldsAreForwarded: a endpoint gets the fields that the client sent, as the key by which repeats are
+// dropped, but for those that speak of the client's own connection; and the time that is left in place of the
+// client's.
+func TestHeaderFieldsAreForwarded(t *testing.T) {
+	env := newTestEnv(t, 256, usualEndpoints...)
+	text := strings.Replace(env.requestText("explain", "Req-Id", "77"), "Host: ", "Idempotency-Key: fc46\r\n"+
+		"X-Custom:  a, b\r\nConnection: keep-alive, X-Hop, Req-Id\r\nX-Hop: 1\r\nTE: trailers\r\nHost: ", 1)
+	if got := env.finalStatus(env.connect(text)); got != 200 {
+		t.Fatalf("answered %d", got)
+	}
+	for _, endpoint := range env.endpoints {
+		for _, head := range endpoint.received {
+			for name, want := range map[string]string{
+				"Idempotency-Key": "fc46", "X-Custom": "a, b", "Req-Id": "77", "Req-Kind": "explain",
+				"Req-Key": "7f3a9c21e0b4d655", "Host": endpoint.address, "X-Hop": "", "TE": "", "Connection": "",
+			} {
+				if got := head.Get(name); got != want {
+					t.Errorf("%s: %s is %q, want %q", endpoint.id, name, got, want)
+				}
+			}
+			seen := map[string]bool{}
+			for _, f := range head.Fields {
+				if name := strings.ToLower(f.Name); seen[name] {
+					t.Errorf("%s: two fields %s", endpoint.id, f.Name)
+				} else {
+					seen[name] = true
+				}
+			}
+		}
+	}
+}
+
+// TestPipelinedRequestDeadline: a request sent behind another counts its time from when it came, not from when its
+// turn comes.
+func TestPipelinedRequestDeadline(t *testing.T) {
+	env := newTestEnv(t, 256, usualEndpoints...)
+	serveSlowly := func(conn *endpointConn) {
+		conn.endpoint.loop.AfterFunc(800*eventloop.Millisecond, func() { serveDecode(conn) })
+	}
+	serveAll(env.decodeEndpoints(), serveFirst(serveSlowly, hang))
+	began := env.network.Now()
+	client := env.connect(env.requestText("explain") + env.requestText("explain", "Req-Deadline", "1500m"))
+	env.waitFor(10*eventloop.Second, "two answers", func() bool { return len(client.statuses) == 2 })
+	if took := client.answeredAt - began; took > 1500*eventloop.Millisecond {
+		t.Errorf("the second was answered after %d ms of 1500", took/eventloop.Millisecond)
+	}
+	env.requireIdle()
+}
