--- a/internal/platform/guard/guard.go
+++ b/internal/platform/guard/guard.go
@@ -1,12 +1,12 @@
-// Package guard checks a dispatcher against its promises while it runs.
+// Package guard checks at run time that a dispatcher obeys its rules for requests, attempts and connections.
 //
-// It keeps a ledger for each request, independent of the scheduler's own records, and is consulted where each thing is
-// done: an attempt is sent or written, a response is given, a connection is closed, a KV state is released, requests
-// begin to be accepted. It owns these ledgers and the counts of violations. What would break a rule is counted,
-// reported with its ids and, where that is possible, prevented.
+// It keeps a record of each request, independent of the scheduler's own records. The dispatcher calls it at each event
+// that a rule concerns: an attempt is sent or written, a response is given, a connection is closed, a KV state is
+// released, the first requests are accepted. The package owns these records and the counts of violations. It counts
+// each event that breaks a rule, reports it with its request ID and, where possible, prevents it.
 //
-// It relies on its caller for the time and for calling it in the order of events. It never schedules anything, never
-// reads a clock and decides nothing beyond refusing an attempt.
+// The caller passes the time and calls the package in the order of events. The package never schedules anything, never
+// reads a clock, and decides nothing but whether an attempt may be sent.
 package guard
 
 import (
@@ -15,23 +15,23 @@
 	"plumspindle/internal/eventloop"
 )
 
-// ViolationMessage is the log message of each violation. Tools that read the logs of dispatchers search for it.
+// ViolationMessage is the message that each violation is logged with. Tools that read the logs search for it.
 const ViolationMessage = "rule violation"
 
-// Rule is one of the promises that are checked.
+// Rule identifies a rule that the guard checks.
 type Rule uint8
 
 // The rules.
 const (
-	OneAnswer          Rule = iota // a request gets exactly one final answer, in time
-	RepeatedEffect                 // no effect twice, and no response that says a retry is safe where it may not be
-	ConcurrentAttempts             // never two attempts of a request in flight
-	EndpointNotReady               // nothing new to an endpoint that drains or is gone
-	ClientDisconnected             // no attempt begins after its client has disconnected
-	DeadlineOverstated             // an endpoint is not given more time than the client has left
+	OneAnswer          Rule = iota // a request gets exactly one final answer, and gets it in time
+	RepeatedEffect                 // a request takes effect at most once, and is rejected as safe to retry only if it is
+	ConcurrentAttempts             // a request has at most one attempt in flight
+	EndpointNotReady               // no attempt is sent to an endpoint that drains or is no longer listed
+	ClientDisconnected             // no attempt begins after the client has disconnected
+	DeadlineOverstated             // an endpoint is told no more time than the client's deadline leaves
 	StateLease                     // a KV state is fetched or released within its lease
-	UnansweredClose                // no connection is closed over a request that was read
-	NotServing                     // no request is accepted before discovery is ready, or after the shutdown
+	UnansweredClose                // no connection is closed while a request that was read from it has no response
+	NotServing                     // no request is accepted before discovery is ready or after the shutdown
 	ruleCount
 )
 
@@ -47,40 +47,40 @@
 	NotServing:         "not serving",
 }
 
-// String is the rule's name in logs.
+// String returns the rule's name in logs.
 func (r Rule) String() string { return ruleNames[r] }
 
-// Violation is one event that broke a rule, or would have.
+// Violation is an event that broke a rule, or would have if the guard had not prevented it.
 type Violation struct {
 	Rule      Rule
-	RequestID string // as the client gave it
-	Endpoint  string // name; empty where none is concerned
+	RequestID string // as the client sent it
+	Endpoint  string // its name; empty if the violation concerns no endpoint
 	Detail    string
-	Prevented bool
+	Prevented bool // the event did not happen
 }
 
-// Error implements error.
+// Error returns the rule and the detail.
 func (v *Violation) Error() string { return fmt.Sprintf("%s: %s", v.Rule, v.Detail) }
 
-// Limits are the tolerances that the rules are checked with.
+// Limits are the tolerances of the rules.
 type Limits struct {
-	AnswerSlack     eventloop.Micros // for a final answer after its deadline
-	DisconnectSlack eventloop.Micros // for an attempt after its client's disconnect
-	DeadlineSlack   eventloop.Micros // for the time that an endpoint is given
-	StateLease      eventloop.Micros // within which a KV state is fetched or released
+	AnswerSlack     eventloop.Micros // how long after the deadline a final answer may be given
+	DisconnectSlack eventloop.Micros // how long after the client's disconnect an attempt may begin
+	DeadlineSlack   eventloop.Micros // how much more than the remaining time an endpoint may be told
+	StateLease      eventloop.Micros // how long a KV state may be held until it is fetched or released
 }
 
-// Guard counts violations.
+// Guard checks the rules, and counts and reports violations.
 type Guard struct {
 	limits Limits
 	report func(Violation)
 	counts [ruleCount]uint64
 }
 
-// New makes a guard that reports each violation.
+// New returns a guard that calls report for each violation.
 func New(limits Limits, report func(Violation)) *Guard { return &Guard{limits: limits, report: report} }
 
-// Violations is how many there were of all rules.
+// Violations returns the number of violations of all rules.
 func (g *Guard) Violations() (total uint64) {
 	for _, n := range g.counts {
 		total += n
--- a/internal/platform/guard/request.go
+++ b/internal/platform/guard/request.go
@@ -6,25 +6,25 @@
 	"plumspindle/internal/eventloop"
 )
 
-// RetryPolicy is whether a request of a class may be run again.
+// RetryPolicy states whether a request may be run again after an attempt that may have run.
 type RetryPolicy uint8
 
 // The retry policies.
 const (
-	RetryAlways       RetryPolicy = iota // the class is idempotent
-	RetryWithinWindow                    // endpoints of one group drop duplicates for a while
-	RetryNever
+	RetryAlways       RetryPolicy = iota // the request is idempotent
+	RetryWithinWindow                    // endpoints of one group drop duplicates for the length of the retry window
+	RetryNever                           // a second run would repeat the request's effects
 )
 
-// Endpoint is the target of an attempt as the dispatcher knows it at the moment.
+// Endpoint is the target of an attempt, in its current state as the dispatcher knows it.
 type Endpoint struct {
 	Name       string
-	Group      string // endpoints of one group drop each other's duplicates; "" where a class has no groups
-	Ready      bool   // it is listed, and accepts new requests
-	HasEffects bool   // an attempt there has the effects of the request; a prefill has none
+	Group      string // endpoints of one group drop each other's duplicates; "" if the request class has no groups
+	Ready      bool   // discovery lists it, and it accepts new requests
+	HasEffects bool   // an attempt there has the request's effects; a prefill has none
 }
 
-// Terms are what a request is bound by.
+// Terms are the properties of a request that the rules depend on.
 type Terms struct {
 	RequestID   string
 	Retry       RetryPolicy
@@ -32,57 +32,58 @@
 	Deadline    eventloop.Micros
 }
 
-// sentAttempt is an attempt in the ledger.
+// sentAttempt is an attempt that Send has allowed.
 type sentAttempt struct {
 	endpoint Endpoint
 	sentAt   eventloop.Micros
 }
 
-// Request is the ledger of one request.
+// Request is the guard's record of one request.
 type Request struct {
 	guard          *Guard
-	terms          Terms
+	properties     Terms
 	inFlight       *sentAttempt
-	mayHaveRun     *sentAttempt // the first attempt that may have had effects
+	mayHaveRun     *sentAttempt // the first attempt that may have had effects; nil if there is none
 	answered       bool
-	disconnectedAt eventloop.Micros // when its client disconnected; 0: it has not
-	leasedAt       eventloop.Micros // since when an endpoint may hold a KV state for it; 0: none does
+	disconnectedAt eventloop.Micros // when the client disconnected; 0: it has not
+	leasedAt       eventloop.Micros // since when an endpoint may hold a KV state; 0: none holds one
 }
 
-// Begin opens a request's ledger.
-func (g *Guard) Begin(terms Terms) *Request { return &Request{guard: g, terms: terms} }
+// Begin returns a new record for a request.
+func (g *Guard) Begin(properties Terms) *Request { return &Request{guard: g, properties: properties} }
 
-// Send is called before an attempt is handed to the network; where it returns an error, always a *Violation, the
-// attempt must not be made.
+// Send checks and records an attempt before the caller hands it to the network. If it returns an error, which is
+// always a *Violation, the caller must not make the attempt.
 func (r *Request) Send(now eventloop.Micros, endpoint Endpoint) error {
 	if r.inFlight != nil {
-		return r.prevented(ConcurrentAttempts, &endpoint, "the attempt to %s is in flight since %d us",
+		return r.reportPrevented(ConcurrentAttempts, &endpoint, "the attempt to %s is in flight since %d us",
 			r.inFlight.endpoint.Name, now-r.inFlight.sentAt)
 	}
 	if b := r.checkSend(now, endpoint); b != nil {
-		return r.prevented(b.rule, &endpoint, "%s", b.detail)
+		return r.reportPrevented(b.rule, &endpoint, "%s", b.detail)
 	}
 	r.inFlight = &sentAttempt{endpoint: endpoint, sentAt: now}
 	return nil
 }
 
-// Written checks an attempt again at the moment in which it is written, and the time that it gives its endpoint.
-func (r *Request) Written(now eventloop.Micros, endpoint Endpoint, given eventloop.Micros) {
+// Written checks an attempt again when it is written to the connection, and the remaining time that it states to the
+// endpoint.
+func (r *Request) Written(now eventloop.Micros, endpoint Endpoint, remaining eventloop.Micros) {
 	if b := r.checkSend(now, endpoint); b != nil {
-		r.violated(b.rule, &endpoint, "%s", b.detail)
+		r.reportViolation(b.rule, &endpoint, "%s", b.detail)
 	}
-	if left := r.terms.Deadline - now; given > max(left, 0)+r.guard.limits.DeadlineSlack {
-		r.violated(DeadlineOverstated, &endpoint, "given %d us, %d us are left", given, left)
+	if left := r.properties.Deadline - now; remaining > max(left, 0)+r.guard.limits.DeadlineSlack {
+		r.reportViolation(DeadlineOverstated, &endpoint, "given %d us, %d us are left", remaining, left)
 	}
 }
 
-// breach is a rule that an attempt would break, and how.
+// breach is the rule that an attempt would break, and the detail to report.
 type breach struct {
 	rule   Rule
 	detail string
 }
 
-// checkSend is the rule that an attempt begun now would break, or nil.
+// checkSend returns the rule that an attempt would break if it began now, or nil.
 func (r *Request) checkSend(now eventloop.Micros, endpoint Endpoint) *breach {
 	switch {
 	case r.answered:
@@ -96,19 +97,19 @@
 	return r.checkRetry(now, endpoint)
 }
 
-// checkRetry is the breach of an attempt that repeats one that may have had effects, or nil.
+// checkRetry returns a breach if the attempt could repeat the effects of an earlier one, or nil.
 func (r *Request) checkRetry(now eventloop.Micros, endpoint Endpoint) *breach {
 	earlier := r.mayHaveRun
-	if earlier == nil || !endpoint.HasEffects || r.terms.Retry == RetryAlways {
+	if earlier == nil || !endpoint.HasEffects || r.properties.Retry == RetryAlways {
 		return nil
 	}
 	name, group := earlier.endpoint.Name, earlier.endpoint.Group
-	if r.terms.Retry == RetryNever {
+	if r.properties.Retry == RetryNever {
 		return &breach{RepeatedEffect, fmt.Sprintf("the attempt to %s may have run", name)}
 	}
-	if elapsed := now - earlier.sentAt; elapsed > r.terms.RetryWindow {
+	if elapsed := now - earlier.sentAt; elapsed > r.properties.RetryWindow {
 		return &breach{RepeatedEffect, fmt.Sprintf("%d us after the attempt to %s, the window is %d us",
-			elapsed, name, r.terms.RetryWindow)}
+			elapsed, name, r.properties.RetryWindow)}
 	}
 	if group != endpoint.Group {
 		return &breach{RepeatedEffect, fmt.Sprintf("the attempt to %s may have run in group %q, this is %q",
@@ -117,7 +118,7 @@
 	return nil
 }
 
-// AttemptEnded notes that the attempt in flight is over, and whether it may have run.
+// AttemptEnded records that the attempt in flight has ended, and whether it may have run.
 func (r *Request) AttemptEnded(mayHaveRun bool) {
 	if r.inFlight != nil && r.inFlight.endpoint.HasEffects && mayHaveRun && r.mayHaveRun == nil {
 		r.mayHaveRun = r.inFlight
@@ -125,87 +126,90 @@
 	r.inFlight = nil
 }
 
-// Answer is a final answer.
+// Answer is the kind of a request's final answer.
 type Answer uint8
 
 // The final answers.
 const (
 	Completed Answer = iota // a complete stream
-	Rejected                // with the promise that a retry is safe
-	Failed
-	Broken // a stream that had begun in time
+	Rejected                // a response that says that a retry is safe
+	Failed                  // a response that does not say whether anything was run
+	Broken                  // a stream that began in time, and ended incomplete
 )
 
-// Answered checks a final answer as it is given.
+// Answered checks and records a final answer when it is given.
 func (r *Request) Answered(now eventloop.Micros, answer Answer) {
-	idempotent := r.terms.Retry == RetryAlways
+	idempotent := r.properties.Retry == RetryAlways
 	switch {
 	case r.answered:
-		r.violated(OneAnswer, nil, "a second final answer")
-	case answer != Completed && answer != Broken && now > r.terms.Deadline+r.guard.limits.AnswerSlack:
-		r.violated(OneAnswer, nil, "answered %d us after its deadline", now-r.terms.Deadline)
+		r.reportViolation(OneAnswer, nil, "a second final answer")
+	case answer != Completed && answer != Broken && now > r.properties.Deadline+r.guard.limits.AnswerSlack:
+		r.reportViolation(OneAnswer, nil, "answered %d us after its deadline", now-r.properties.Deadline)
 	case answer == Rejected && !idempotent && r.mayHaveRun != nil:
 		target := &r.mayHaveRun.endpoint
-		r.violated(RepeatedEffect, target, "rejected as safe to retry, and the attempt to %s may have run", target.Name)
+		r.reportViolation(RepeatedEffect, target,
+			"rejected as safe to retry, and the attempt to %s may have run", target.Name)
 	case answer == Rejected && !idempotent && r.inFlight != nil:
 		target := &r.inFlight.endpoint
-		r.violated(RepeatedEffect, target, "rejected as safe to retry, and the attempt to %s is in flight", target.Name)
+		r.reportViolation(RepeatedEffect, target,
+			"rejected as safe to retry, and the attempt to %s is in flight", target.Name)
 	}
 	r.answered = true
 }
 
-// ClientDisconnected notes when the client disconnected; only the first call counts.
+// ClientDisconnected records when the client disconnected. Only the first call has an effect.
 func (r *Request) ClientDisconnected(now eventloop.Micros) {
 	if r.disconnectedAt == 0 {
 		r.disconnectedAt = now
 	}
 }
 
-// LeaseStarted notes that an endpoint may hold a KV state for the request from now on, for all that is known: a caller
-// calls it again only for what an endpoint's response, or a release, has proved.
+// LeaseStarted records that an endpoint may hold a KV state for the request from now on. The caller calls it again only
+// if an endpoint's response or a release has proved that the lease starts now.
 func (r *Request) LeaseStarted(now eventloop.Micros) { r.leasedAt = now }
 
-// LeaseOverdue reports a state that is still held although its lease is over.
+// LeaseOverdue reports a violation if the KV state is still held after its lease has expired.
 func (r *Request) LeaseOverdue(now eventloop.Micros) {
 	if elapsed := now - r.leasedAt; r.leasedAt > 0 && elapsed > r.guard.limits.StateLease {
-		r.violated(StateLease, nil, "held for %d us, and not released yet", elapsed)
+		r.reportViolation(StateLease, nil, "held for %d us, and not released yet", elapsed)
 		r.leasedAt = 0
 	}
 }
 
-// LeaseTaken notes that the state has been fetched.
+// LeaseTaken records that an endpoint has fetched the KV state.
 func (r *Request) LeaseTaken() { r.leasedAt = 0 }
 
-// LeaseReleased checks that the state was released within its lease.
+// LeaseReleased records the release of the KV state, and checks that it came within the lease.
 func (r *Request) LeaseReleased(now eventloop.Micros) {
 	if elapsed := now - r.leasedAt; r.leasedAt > 0 && elapsed > r.guard.limits.StateLease {
-		r.violated(StateLease, nil, "released after %d us", elapsed)
+		r.reportViolation(StateLease, nil, "released after %d us", elapsed)
 	}
 	r.leasedAt = 0
 }
 
-// Closed checks the ledger when the dispatcher forgets the request.
+// Closed checks the record when the dispatcher drops the request.
 func (r *Request) Closed() {
 	if !r.answered && r.disconnectedAt == 0 {
-		r.violated(OneAnswer, nil, "no final answer was given")
+		r.reportViolation(OneAnswer, nil, "no final answer was given")
 	}
 	if r.inFlight != nil {
-		r.violated(ConcurrentAttempts, &r.inFlight.endpoint, "its attempt is still in flight")
+		r.reportViolation(ConcurrentAttempts, &r.inFlight.endpoint, "its attempt is still in flight")
 	}
 }
 
-// violated reports what has broken a rule.
-func (r *Request) violated(rule Rule, endpoint *Endpoint, format string, args ...any) {
+// reportViolation reports an event that broke a rule.
+func (r *Request) reportViolation(rule Rule, endpoint *Endpoint, format string, args ...any) {
 	_ = r.report(Violation{Rule: rule, Detail: fmt.Sprintf(format, args...)}, endpoint)
 }
 
-// prevented reports what would have broken a rule and is not done.
-func (r *Request) prevented(rule Rule, endpoint *Endpoint, format string, args ...any) error {
+// reportPrevented reports an event that would have broken a rule and is prevented.
+func (r *Request) reportPrevented(rule Rule, endpoint *Endpoint, format string, args ...any) error {
 	return r.report(Violation{Rule: rule, Detail: fmt.Sprintf(format, args...), Prevented: true}, endpoint)
 }
 
+// report adds the request ID and the endpoint's name to a violation, counts and reports it.
 func (r *Request) report(v Violation, endpoint *Endpoint) *Violation {
-	v.RequestID = r.terms.RequestID
+	v.RequestID = r.properties.RequestID
 	if endpoint != nil {
 		v.Endpoint = endpoint.Name
 	}
