--- a/internal/platform/discovery/discovery.go
+++ b/internal/platform/discovery/discovery.go
@@ -1,7 +1,7 @@
-// Package discovery follows the platform's discovery service. Its job is the list of endpoints at the version known:
-// it applies complete lists and changes, gives endpoints their IDs, and corrects their start times. It owns the
-// subscription and the record of each endpoint listed lately. It relies on package subscribe for the connection and on
-// package starttimes for clock skew. It never decides what follows from a list.
+// Package discovery keeps a list of endpoints up to date from the platform's discovery service. It applies complete
+// lists and changes to the version that it has, assigns the endpoints' IDs, and corrects their start times for clock
+// skew. It owns the subscription and a record of each endpoint that was listed recently. It relies on package subscribe
+// for the connection and on package starttimes for the clock skew. What a list means for requests its caller decides.
 package discovery
 
 import (
@@ -17,46 +17,46 @@
 )
 
 const (
-	// silenceTimeout is one and a half of the agent's heartbeats. What a silent subscription misses has to be known 6 s
-	// after it fell silent; with two lost retries a second of that is left.
+	// silenceTimeout is 1.5 times the agent's heartbeat interval. If a subscription falls silent, the changes that it
+	// misses must be known within 6 s; this timeout and two lost retries leave one second of that.
 	silenceTimeout = 3 * eventloop.Second
-	// responseTimeout is short, as the agent runs on this very machine: it responds at once, or is down.
+	// responseTimeout is short because the agent runs on the same machine: it responds at once, or is down.
 	responseTimeout = 500 * eventloop.Millisecond
 	minRetryDelay   = 40 * eventloop.Millisecond
 	maxRetryDelay   = 400 * eventloop.Millisecond
-	// maxLoggedState is how many bytes of an unknown state are logged.
+	// maxLoggedState is the number of bytes of an unknown state that are logged.
 	maxLoggedState = 20
 )
 
-// Options say whose list to follow.
+// Options configure a Watcher.
 type Options struct {
-	// Address is the discovery agent's.
+	// Address is the address of the discovery agent.
 	Address string
-	// Seed is that of the backoff's jitter.
+	// Seed seeds the jitter of the backoff.
 	Seed int64
-	// OnUpdate is called with entries as they are received, and with whether they are the complete list.
+	// OnUpdate is called with the entries of each list or change, and with whether they are the complete list.
 	OnUpdate func(entries []Entry, complete bool)
-	// Log receives warnings of lost subscriptions, rejected updates and skipped entries.
+	// Log receives warnings about lost subscriptions, rejected updates and skipped entries.
 	Log zerolog.Logger
 }
 
-// Watcher follows the list.
+// Watcher subscribes to the list of endpoints and applies its updates.
 type Watcher struct {
-	Updates uint64 // lists and changes applied
+	Updates uint64 // number of lists and changes that were applied
 
 	client   *subscribe.Client
 	loop     eventloop.Loop
 	onUpdate func(entries []Entry, complete bool)
 	log      zerolog.Logger
 
-	version     uint64 // 0: the complete list is needed
-	newest      uint64 // the highest version that was ever received
-	inService   bool   // discovery has sent a list since this process began
-	records     map[scheduler.EndpointID]*record
-	lastCleanup eventloop.Micros
+	version       uint64 // of the current list; 0: the next subscription requests the complete list
+	newestVersion uint64 // the highest version that was ever received
+	inService     bool   // discovery has sent a list since this process started
+	records       map[scheduler.EndpointID]*record
+	lastCleanup   eventloop.Micros
 }
 
-// New makes a watcher that has not subscribed yet.
+// New returns a watcher that has not subscribed yet.
 func New(loop eventloop.Loop, options Options) *Watcher {
 	w := &Watcher{
 		loop:     loop,
@@ -80,15 +80,15 @@
 	return w
 }
 
-// target asks for what has changed since the version known.
+// target returns the request target that subscribes to the changes since the current version.
 func (w *Watcher) target() string {
 	return "/discovery/hosts?stream=1&index=" + strconv.FormatUint(w.version, 10)
 }
 
-// Start subscribes, from the version known on.
+// Start subscribes to the changes since the current version.
 func (w *Watcher) Start() { w.client.Subscribe() }
 
-// SetAddress subscribes at another address, from the version known on.
+// SetAddress subscribes at another address to the changes since the current version.
 func (w *Watcher) SetAddress(address string) { w.client.SetAddress(address) }
 
 // Close ends the subscription.
@@ -97,8 +97,8 @@
 // Connected reports whether discovery has responded on the current connection.
 func (w *Watcher) Connected() bool { return w.client.Connected() }
 
-// Apply applies a message from discovery: the complete list, or what has changed since the version known. Its errors
-// are ErrMalformedList and *VersionError, and the complete list is asked for after either.
+// Apply applies a message from discovery: the complete list, or the changes since the current version. Its errors are
+// ErrMalformedList and *VersionError; after either, the next subscription requests the complete list.
 func (w *Watcher) Apply(data []byte) error {
 	err := w.apply(data)
 	if err == nil {
@@ -107,7 +107,7 @@
 	return err
 }
 
-// ApplyCached applies a list that discovery sent to an earlier process.
+// ApplyCached applies a list that discovery sent to an earlier process, from a cache.
 func (w *Watcher) ApplyCached(data []byte) error { return w.apply(data) }
 
 func (w *Watcher) apply(data []byte) error {
@@ -122,9 +122,9 @@
 		return &VersionError{Received: received.version, Known: known}
 	}
 	now := w.loop.Now()
-	entries := w.entries(&received, now)
+	entries := w.decodeEntries(&received, now)
 	w.version = received.version
-	w.newest = max(w.newest, received.version)
+	w.newestVersion = max(w.newestVersion, received.version)
 	w.Updates++
 	w.removeExpired(now)
 	if received.complete {
@@ -136,9 +136,9 @@
 	return nil
 }
 
-// entries decodes the entries of a list and updates the records. An entry that can't be decoded is skipped, as the
-// others can still be used.
-func (w *Watcher) entries(received *list, now eventloop.Micros) (entries []Entry) {
+// decodeEntries decodes the entries of a list and updates the endpoints' records. It skips an entry that can't be
+// decoded, so that the others can still be used.
+func (w *Watcher) decodeEntries(received *list, now eventloop.Micros) (entries []Entry) {
 	listing := starttimes.Listing{Now: now, Skew: received.skew(now), InService: w.inService}
 	for i, server := range received.servers {
 		entry, stateKnown, err := parseEntry(server)
@@ -150,13 +150,13 @@
 			w.logUnknownState(&entry, server)
 		}
 		entry.ID = w.EndpointID(entry.Name)
-		known := w.records[entry.ID]
-		known.removedAt = 0
+		stored := w.records[entry.ID]
+		stored.removedAt = 0
 		if entry.State == scheduler.Removed {
-			known.removedAt = now
+			stored.removedAt = now
 		}
-		entry.start = starttimes.Next(known.start, timestampOf(server), listing)
-		w.reconcile(known, &entry, received.version, now)
+		entry.start = starttimes.Next(stored.start, timestampOf(server), listing)
+		w.reconcile(stored, &entry, received.version, now)
 		entry.StartedAt = entry.start.At
 		entries = append(entries, entry)
 	}
--- a/internal/platform/discovery/discovery_test.go
+++ b/internal/platform/discovery/discovery_test.go
@@ -16,8 +16,8 @@
 	return New(loop, Options{Address: "127.0.0.1:1", Seed: 1, OnUpdate: onUpdate})
 }
 
-// TestEndpointIDFollowsFromNameAlone: an endpoint's ID is the same whenever it is first listed, and two names with one
-// hash stay two endpoints.
+// TestEndpointIDFollowsFromNameAlone checks that an endpoint's ID does not depend on the order in which endpoints are
+// first listed, and that two names with the same hash get different IDs.
 func TestEndpointIDFollowsFromNameAlone(t *testing.T) {
 	loop := virtual.NewNetwork(1).NewLoop("d")
 	one, other := newWatcher(loop, nil), newWatcher(loop, nil)
@@ -29,7 +29,7 @@
 	}
 	for _, name := range []string{"s-1", "s-2", "s-5be2a07c"} {
 		if one.EndpointID(name) != other.EndpointID(name) {
-			t.Errorf("%s is %d here and %d there", name, one.EndpointID(name), other.EndpointID(name))
+			t.Errorf("%s has the ID %d in one watcher and %d in the other", name, one.EndpointID(name), other.EndpointID(name))
 		}
 	}
 	first := one.EndpointID("s-1")
@@ -60,7 +60,8 @@
 	}
 }
 
-// TestUnusableMessageAsksForCompleteList: after a message that can't be applied nothing is known for sure.
+// TestUnusableMessageAsksForCompleteList checks that after a message that can't be applied the watcher requests the
+// complete list: its own list may have missed a change.
 func TestUnusableMessageAsksForCompleteList(t *testing.T) {
 	for name, test := range map[string]struct {
 		message string
@@ -71,7 +72,7 @@
 			return errors.As(err, &version) && *version == VersionError{Received: 2, Known: 3}
 		}},
 		"no servers": {`{"version":4}`, func(err error) bool { return errors.Is(err, ErrMalformedList) }},
-		"no JSON":    {`{"version":4`, func(err error) bool { return errors.Is(err, ErrMalformedList) }},
+		"not JSON":   {`{"version":4`, func(err error) bool { return errors.Is(err, ErrMalformedList) }},
 	} {
 		t.Run(name, func(t *testing.T) {
 			w := newWatcher(virtual.NewNetwork(1).NewLoop("d"), func([]Entry, bool) {})
@@ -103,9 +104,9 @@
 	}
 }
 
-// TestRestartCountsFromNowWhateverTheWallClock: a start that is listed in service was a moment ago, whatever the wall
-// clocks say by then, and counts once however often it is listed. At the beginning nothing but the clock says how long
-// ago a start was.
+// TestRestartCountsFromNowWhateverTheWallClock checks the start time of an endpoint that restarts while the watcher is
+// connected: it is the time at which the new start was first listed, however far the wall clocks have been stepped, and
+// it does not change when the start is listed again. In the first list the timestamp is all that is known, and is used.
 func TestRestartCountsFromNowWhateverTheWallClock(t *testing.T) {
 	loop := virtual.NewNetwork(1).NewLoop("d")
 	loop.StepClock(1700000000 * eventloop.Second)
@@ -124,24 +125,24 @@
 	}
 	begin := loop.Now()
 	if at := list(true, begin-5*eventloop.Second); at != begin-5*eventloop.Second {
-		t.Errorf("at the beginning: started %d us ago, want 5 s", begin-at)
+		t.Errorf("in the first list: started %d us ago, want 5 s", begin-at)
 	}
 	for name, step := range map[string]eventloop.Micros{
-		"no step":      0,
-		"an hour back": -hour,
-		"an hour on":   hour,
-		"3 s back":     -3 * eventloop.Second,
+		"no step":       0,
+		"an hour back":  -hour,
+		"an hour ahead": hour,
+		"3 s back":      -3 * eventloop.Second,
 	} {
 		loop.StepClock(60 * eventloop.Second)
 		listedAt := loop.Now()
 		timestamp := listedAt + step - 200*eventloop.Millisecond
 		first := list(false, timestamp)
 		if listedAt-first > eventloop.Second || first > listedAt {
-			t.Errorf("%s: a start that is listed now was %d ms ago", name, (listedAt-first)/eventloop.Millisecond)
+			t.Errorf("%s: a start that is first listed now has an age of %d ms", name, (listedAt-first)/eventloop.Millisecond)
 		}
 		loop.StepClock(eventloop.Second)
 		if at := list(true, timestamp); at != first {
-			t.Errorf("%s: listed again it has started %d ms later", name, (at-first)/eventloop.Millisecond)
+			t.Errorf("%s: when it is listed again, its start is %d ms later", name, (at-first)/eventloop.Millisecond)
 		}
 	}
 }
--- a/internal/platform/discovery/entry.go
+++ b/internal/platform/discovery/entry.go
@@ -11,10 +11,10 @@
 	"plumspindle/scheduler"
 )
 
-// maxStartedMillis bounds a timestamp so that it can be converted to microseconds, and be added to another.
+// maxStartedMillis bounds a timestamp so that neither its conversion to microseconds nor the sum of two overflows.
 const maxStartedMillis = math.MaxInt64 / 2000
 
-// Entry is one endpoint, as the list has it.
+// Entry is an endpoint as discovery lists it.
 type Entry struct {
 	ID         scheduler.EndpointID
 	Name       string
@@ -23,16 +23,17 @@
 	Cell       scheduler.CellID
 	State      scheduler.EndpointState
 	StartedAt  scheduler.Micros // on this process's clock; 0: long ago
-	start      starttimes.Start
+	start      starttimes.Start // with the timestamp as it was listed
 }
 
-var states = map[string]scheduler.EndpointState{
+// statesByName are the states that the platform's protocol defines.
+var statesByName = map[string]scheduler.EndpointState{
 	"SERVING":  scheduler.Ready,
 	"DRAINING": scheduler.Draining,
 	"DELETED":  scheduler.Removed,
 }
 
-// list is one message: the complete list, or what has changed in it.
+// list is one message from discovery: the complete list of endpoints, or the changes to it.
 type list struct {
 	version  uint64
 	complete bool
@@ -52,7 +53,7 @@
 	}, nil
 }
 
-// skew is by how much the list's clock is fast.
+// skew returns by how much the clock behind the list's timestamps runs ahead of this process's clock.
 func (l *list) skew(now eventloop.Micros) eventloop.Micros {
 	var timestamps []eventloop.Micros
 	for _, server := range l.servers {
@@ -61,14 +62,14 @@
 	return starttimes.ClockSkew(now, timestamps...)
 }
 
-// timestampOf is when an entry says that its endpoint started, on the list's clock.
+// timestampOf returns an endpoint's start time as its entry states it, by the clock of the list.
 func timestampOf(server gjson.Result) eventloop.Micros {
 	millis := min(server.Get("started_ms").Int(), maxStartedMillis)
 	return eventloop.Micros(millis) * eventloop.Millisecond
 }
 
-// parseEntry reads what an entry says by itself: all but ID and start. An unknown state counts as draining, as the
-// endpoint is not known to serve; stateKnown is false then.
+// parseEntry decodes an entry, except for ID and start time, which depend on earlier lists. It treats an unknown state
+// as draining, because the endpoint may not accept new requests, and returns false as stateKnown.
 func parseEntry(server gjson.Result) (entry Entry, stateKnown bool, err error) {
 	name := server.Get("id").String()
 	if name == "" {
@@ -78,7 +79,7 @@
 	if cell < 0 || cell > math.MaxUint16 {
 		return Entry{}, false, &CellError{Endpoint: name, Cell: cell}
 	}
-	state, stateKnown := states[server.Get("state").String()]
+	state, stateKnown := statesByName[server.Get("state").String()]
 	if !stateKnown {
 		state = scheduler.Draining
 	}
--- a/internal/platform/discovery/errors.go
+++ b/internal/platform/discovery/errors.go
@@ -6,20 +6,20 @@
 )
 
 var (
-	// ErrMalformedList is a message that is no list; the complete list is asked for after it.
+	// ErrMalformedList is the error for a message that is not a list. The watcher then requests the complete list.
 	ErrMalformedList = errors.New("malformed list")
-	// ErrNoID is an entry without the endpoint's name.
+	// ErrNoID is the error for an entry without the endpoint's name.
 	ErrNoID = errors.New("no id")
 )
 
-// VersionError is a change that is older than the list known; the complete list is asked for after it.
+// VersionError reports a change that is older than the current list. The watcher then requests the complete list.
 type VersionError struct{ Received, Known uint64 }
 
 func (e *VersionError) Error() string {
 	return fmt.Sprintf("a change of version %d, where version %d is known", e.Received, e.Known)
 }
 
-// CellError is an entry whose cell is no 16-bit number.
+// CellError reports an entry whose cell is not an unsigned 16-bit number.
 type CellError struct {
 	Endpoint string
 	Cell     int64
--- a/internal/platform/discovery/record.go
+++ b/internal/platform/discovery/record.go
@@ -9,81 +9,84 @@
 )
 
 const (
-	// recordRetention is how long the ID of a removed endpoint is not given to another: longer than the scheduler
-	// remembers endpoints.
+	// recordRetention is how long the ID of a removed endpoint is not assigned to another. It is longer than the
+	// scheduler keeps its own state of removed endpoints.
 	recordRetention = 1800 * eventloop.Second
 	cleanupInterval = recordRetention / 10
-	// newestPrecedence is how long a list takes precedence over an older one that is received after it, as from another
-	// replica of discovery that lags. After that the source may have restarted its count.
+	// newestPrecedence is how long a list takes precedence over one with a lower version that arrives later, as from a
+	// replica of discovery that lags behind. After that time the lower version counts as newer, because discovery may
+	// have restarted its version count.
 	newestPrecedence = 60 * eventloop.Second
 )
 
-// record is what is remembered of an endpoint between two lists.
+// record is the state of an endpoint that the watcher keeps from one list to the next.
 type record struct {
 	name      string
-	removedAt eventloop.Micros // 0: it is listed
+	removedAt eventloop.Micros // 0: the endpoint is listed
 
-	// As the newest list had it, and when that was.
+	// These fields come from the newest list.
 	start    starttimes.Start
-	retired  bool // it accepts no new requests
-	listedAt eventloop.Micros
+	notReady bool             // the endpoint accepts no new requests
+	listedAt eventloop.Micros // when that list was received
 }
 
-// EndpointID returns the ID of an endpoint: a hash of its name and nothing else, so that all dispatchers agree on the
-// affinity endpoints of a prefix, also after a restart. Where two names have the same hash, the later one is hashed
-// again with a suffix.
+// EndpointID returns the ID of an endpoint. The ID is a hash of the name alone, so that all dispatchers choose the same
+// affinity endpoints for a prefix, also after a restart. If two names have the same hash, the one that is listed later
+// is hashed again with a suffix.
 func (w *Watcher) EndpointID(name string) scheduler.EndpointID {
 	hashed := name
 	for {
 		id := scheduler.EndpointID(xxhash.Sum64String(hashed))
-		known := w.records[id]
-		if known == nil {
+		stored := w.records[id]
+		if stored == nil {
 			w.records[id] = &record{name: name}
 			return id
 		}
-		if known.name == name {
+		if stored.name == name {
 			return id
 		}
 		hashed += "+"
 	}
 }
 
-// reconcile stops an older list from taking back what a newer one said: that an endpoint accepts no new requests, or
-// that it has restarted.
-func (w *Watcher) reconcile(known *record, entry *Entry, version uint64, now eventloop.Micros) {
-	if version < w.newest && now-known.listedAt < newestPrecedence {
-		if known.retired && entry.start.Timestamp <= known.start.Timestamp {
+// reconcile updates an endpoint's record from an entry. If the entry is from an older list than the record, it changes
+// the entry instead, so that the older list does not undo a newer one, which said that the endpoint accepts no new
+// requests or that it has restarted.
+func (w *Watcher) reconcile(stored *record, entry *Entry, version uint64, now eventloop.Micros) {
+	if version < w.newestVersion && now-stored.listedAt < newestPrecedence {
+		if stored.notReady && entry.start.Timestamp <= stored.start.Timestamp {
 			entry.State = scheduler.Draining
 		}
-		entry.start = known.start
+		entry.start = stored.start
 		return
 	}
-	known.start = entry.start
-	known.retired = entry.State != scheduler.Ready
-	known.listedAt = now
+	stored.start = entry.start
+	stored.notReady = entry.State != scheduler.Ready
+	stored.listedAt = now
 }
 
-// markUnlisted marks what a complete list leaves out as removed.
+// markUnlisted marks the endpoints that a complete list does not contain as removed.
 func (w *Watcher) markUnlisted(entries []Entry, now eventloop.Micros) {
 	listed := map[scheduler.EndpointID]bool{}
 	for _, entry := range entries {
 		listed[entry.ID] = true
 	}
-	for id, known := range w.records {
-		if known.removedAt == 0 && !listed[id] {
-			known.removedAt, known.retired, known.listedAt = now, true, now
+	for id, stored := range w.records {
+		if stored.removedAt == 0 && !listed[id] {
+			stored.removedAt, stored.notReady, stored.listedAt = now, true, now
 		}
 	}
 }
 
-// removeExpired drops the records of endpoints that were removed long ago: in months many are replaced under new names.
+// removeExpired deletes the records of endpoints that were removed long ago. Without it the records would grow without
+// bound, because over months many endpoints are replaced by others with new names.
 func (w *Watcher) removeExpired(now eventloop.Micros) {
 	if now-w.lastCleanup < cleanupInterval {
 		return
 	}
 	w.lastCleanup = now
-	for id, known := range w.records {
-		if known.removedAt > 0 && now-known.removedAt > recordRetention {
+	for id, stored := range w.records {
+		if stored.removedAt > 0 && now-stored.removedAt > recordRetention {
 			delete(w.records, id)
 		}
 	}
