--- a/internal/platform/upstream/release.go
+++ b/internal/platform/upstream/release.go
@@ -12,48 +12,50 @@
 )
 
 const (
-	// releaseAttempts divides the state timeout into pauses between two attempts, so that an endpoint that can't be
-	// reached leaves time for others. It is also the most that are in flight for one release.
-	releaseAttempts = 6
-	// releasePatience times the state timeout is how long a release is tried: a KV state that could not be released in
-	// time is still worth freeing.
-	releasePatience = 10
-	minReleasePause = eventloop.Millisecond
+	// attemptsPerStateTimeout is the number of attempts that a release starts within one state timeout while none is
+	// answered, so that an endpoint that can't be reached leaves time for others. It is also the maximum number of
+	// attempts in flight for one release.
+	attemptsPerStateTimeout = 6
+	// releaseTimeoutFactor is how many state timeouts a release is retried for. A KV state that could not be released
+	// within one is still worth freeing.
+	releaseTimeoutFactor = 10
+	minAttemptInterval   = eventloop.Millisecond
 )
 
 var errReleaseTimeout = errors.New("no endpoint confirmed the release")
 
-// release is a release under way. An endpoint that does not respond soon is not waited for: further attempts go to
-// others beside it, as connections may be slow to open everywhere, and the first confirmation ends them all.
+// release is a release in progress. If an endpoint does not respond soon, attempts to other endpoints follow while the
+// earlier ones go on, because connections may be slow to open everywhere. The first confirmation ends all attempts.
 type release struct {
-	client   *Client
-	id       string
-	began    eventloop.Micros
-	last     scheduler.EndpointID // of the latest attempt
-	tried    map[scheduler.EndpointID]bool
-	useAll   bool // also endpoints that accept no new requests, as none of the others has confirmed
-	attempts []*engine.Attempt
-	pause    eventloop.Timeout // until the next attempt
-	ended    bool
-	done     func(confirmed bool)
+	client     *Client
+	id         string // the request's
+	startedAt  eventloop.Micros
+	lastTried  scheduler.EndpointID          // the endpoint of the latest attempt
+	tried      map[scheduler.EndpointID]bool // the endpoints that had an attempt in this round
+	useAll     bool                          // also try endpoints that accept no new requests, as no other confirmed
+	attempts   []*engine.Attempt             // in flight, oldest first
+	retryTimer eventloop.Timeout             // until the next attempt
+	ended      bool
+	done       func(confirmed bool)
 }
 
-// Release frees all KV state that is reserved for a request, whichever endpoints have it: any endpoint accepts a
-// release. The one given comes first if it has sent something lately and a connection to it is idle. done is called
-// once.
+// Release frees all KV state that is reserved for a request, on whichever endpoints it is, because any endpoint accepts
+// a release. The parameter first is the endpoint to try first, if it has sent something within the state timeout and
+// has an idle connection. Release calls done once.
 func (c *Client) Release(id string, first scheduler.EndpointID, done func(confirmed bool)) {
 	c.Releases++
 	now := c.loop.Now()
-	r := &release{client: c, id: id, done: done, began: now, tried: map[scheduler.EndpointID]bool{}}
+	r := &release{client: c, id: id, done: done, startedAt: now, tried: map[scheduler.EndpointID]bool{}}
 	if c.connections.IdleConnections(first) == 0 || now-c.connections.LastReceived(first) > c.options.StateTimeout {
 		first = r.next(first)
 	}
 	r.send(first)
 }
 
-// next chooses an endpoint: one that was not tried before all others, then one with an idle connection, then the one
-// that has sent something last. Where many have fallen silent together their connections still look idle, and a KV
-// state can't wait for one after the other.
+// next chooses the endpoint of the next attempt. It prefers endpoints that were not tried in this round, then those
+// with an idle connection, then the one that has sent something most recently. The last criterion matters if many
+// endpoints have fallen silent together: their connections still look idle, and trying them one after the other takes
+// longer than the KV state may wait.
 func (r *release) next(fallback scheduler.EndpointID) scheduler.EndpointID {
 	best, bestRank, bestReceived := fallback, -1, eventloop.Micros(0)
 	for _, id := range r.candidates() {
@@ -66,7 +68,7 @@
 	return best
 }
 
-// candidates are the endpoints that the release may be sent to.
+// candidates returns the endpoints that the release may be sent to.
 func (r *release) candidates() []scheduler.EndpointID {
 	if r.useAll {
 		return r.client.options.ListedEndpoints()
@@ -74,6 +76,7 @@
 	return r.client.options.ReadyEndpoints()
 }
 
+// rank returns the preference for an endpoint, apart from when it last sent something; higher is better.
 func (r *release) rank(id scheduler.EndpointID) (rank int) {
 	if !r.tried[id] {
 		rank += 2
@@ -84,8 +87,8 @@
 	return rank
 }
 
-// triedAll reports whether every candidate had an attempt since the last pause. Once all that accept new requests had,
-// the other endpoints become candidates.
+// triedAll reports whether every candidate had an attempt in this round. Once all endpoints that accept new requests
+// had one, it makes the other endpoints candidates.
 func (r *release) triedAll() bool {
 	untried := func(id scheduler.EndpointID) bool { return !r.tried[id] }
 	if !r.useAll && !slices.ContainsFunc(r.candidates(), untried) {
@@ -94,14 +97,14 @@
 	return !slices.ContainsFunc(r.candidates(), untried)
 }
 
-// send starts one attempt, and has another one follow soon if there is no response. Where too many are in flight the
-// oldest is cancelled.
+// send starts one attempt, and schedules another in case there is no response soon. If the maximum number of attempts
+// is in flight, it cancels the oldest.
 func (r *release) send(id scheduler.EndpointID) {
 	c := r.client
 	c.ReleaseAttempts++
-	r.last = id
+	r.lastTried = id
 	r.tried[id] = true
-	if len(r.attempts) == releaseAttempts {
+	if len(r.attempts) == attemptsPerStateTimeout {
 		r.attempts[0].Cancel()
 		r.attempts = r.attempts[1:]
 	}
@@ -109,21 +112,21 @@
 		IsRelease:       true,
 		MaxResponseBody: maxResponse,
 		ReadResponse:    releaseResult,
-		BuildRequest:    r.write,
+		BuildRequest:    r.buildRequest,
 	}
 	var attempt *engine.Attempt
 	attempt = c.connections.Call(id, call, c.options.StateTimeout, engine.Callbacks{
 		Ended: func(result engine.Result) { r.attemptEnded(attempt, result) },
 	})
 	r.attempts = append(r.attempts, attempt)
-	r.pause.Set(c.loop, r.pauseLength(), r.sendNext)
+	r.retryTimer.Set(c.loop, r.attemptInterval(), r.sendNext)
 }
 
-func (r *release) write(address string, _ eventloop.Micros) []byte {
+func (r *release) buildRequest(address string, _ eventloop.Micros) []byte {
 	return http1.AppendRequest(nil, http1.Request{Method: "DELETE", Target: "/v1/holds/" + r.id, Host: address})
 }
 
-// releaseResult is what the response to a release means.
+// releaseResult returns the result of a release attempt from its response.
 func releaseResult(head *http1.Head, _ []byte) engine.Result {
 	if head.Status == http.StatusNoContent || head.Status == http.StatusOK {
 		return engine.Result{Outcome: scheduler.PrefillDone}
@@ -131,24 +134,25 @@
 	return engine.Result{Outcome: scheduler.Errored, Reason: statusReason(head)}
 }
 
-// pauseLength is the time between two attempts without a response.
-func (r *release) pauseLength() eventloop.Micros {
-	return max(r.client.options.StateTimeout/releaseAttempts, minReleasePause)
+// attemptInterval returns the time from one attempt to the next if there is no response.
+func (r *release) attemptInterval() eventloop.Micros {
+	return max(r.client.options.StateTimeout/attemptsPerStateTimeout, minAttemptInterval)
 }
 
+// sendNext starts the next attempt, or ends the release if it has taken too long.
 func (r *release) sendNext() {
-	if r.client.loop.Now()-r.began > releasePatience*r.client.options.StateTimeout {
+	if r.client.loop.Now()-r.startedAt > releaseTimeoutFactor*r.client.options.StateTimeout {
 		r.end(errReleaseTimeout)
 		return
 	}
 	if r.triedAll() {
 		clear(r.tried)
 	}
-	r.send(r.next(r.last))
+	r.send(r.next(r.lastTried))
 }
 
-// attemptEnded handles the end of one attempt. After a failure the next one follows at once, but with a pause between
-// two rounds: endpoints that all refuse must not be called in a loop without one.
+// attemptEnded handles the end of one attempt. After a failure it starts the next attempt at once, except at the end of
+// a round, when it waits first: otherwise endpoints that all refuse at once would be called in a busy loop.
 func (r *release) attemptEnded(attempt *engine.Attempt, result engine.Result) {
 	if r.ended {
 		return
@@ -159,7 +163,7 @@
 		r.end(nil)
 	case r.triedAll():
 		clear(r.tried)
-		r.pause.Set(r.client.loop, r.pauseLength(), r.sendNext)
+		r.retryTimer.Set(r.client.loop, r.attemptInterval(), r.sendNext)
 	default:
 		r.sendNext()
 	}
@@ -169,14 +173,14 @@
 func (r *release) end(err error) {
 	c := r.client
 	r.ended = true
-	r.pause.Clear()
+	r.retryTimer.Clear()
 	for _, attempt := range r.attempts {
 		attempt.Cancel()
 	}
 	if err != nil {
 		c.options.Log.Warn().Str("request_id", r.id).Err(err).Msg("KV state not released")
 	}
-	if err != nil || c.loop.Now()-r.began > c.options.StateTimeout {
+	if err != nil || c.loop.Now()-r.startedAt > c.options.StateTimeout {
 		c.LateReleases++
 	}
 	r.done(err == nil)
--- a/internal/platform/upstream/response.go
+++ b/internal/platform/upstream/response.go
@@ -14,15 +14,15 @@
 	"plumspindle/scheduler"
 )
 
-// declined are the statuses by which an endpoint states that it has not run the attempt. They prove that only together
-// with the header field that says so.
-var declined = map[int]engine.Result{
+// declinedResults are the results of the statuses by which an endpoint states that it has not run the attempt. A status
+// proves this only together with the header field Srv-Declined.
+var declinedResults = map[int]engine.Result{
 	http.StatusServiceUnavailable: {Outcome: scheduler.NoCapacity, Reason: "rejected"},
 	http.StatusGatewayTimeout:     {Outcome: scheduler.NoCapacity, Reason: "rejected, as its deadline has passed"},
 	http.StatusGone:               {Outcome: scheduler.NoCapacity, StateMissing: true, Reason: "KV state missing"},
 }
 
-// prefillResult is what the response to a prefill means.
+// prefillResult returns the result of a prefill from its response.
 func prefillResult(head *http1.Head, body []byte) engine.Result {
 	if head.Status != http.StatusAccepted {
 		return rejectionResult(head, body)
@@ -34,9 +34,9 @@
 	return engine.Result{Outcome: scheduler.PrefillDone, CachedTokens: cached, Reason: "prefilled"}
 }
 
-// rejectionResult is what a response means that is neither a stream nor a completed prefill.
+// rejectionResult returns the result of an attempt whose response is neither a stream nor a completed prefill.
 func rejectionResult(head *http1.Head, _ []byte) engine.Result {
-	result, known := declined[head.Status]
+	result, known := declinedResults[head.Status]
 	if known && head.Get("Srv-Declined") == "1" {
 		return result
 	}
@@ -45,7 +45,7 @@
 
 func statusReason(head *http1.Head) string { return "status " + strconv.Itoa(head.Status) }
 
-// cachedTokens reads a count from valid JSON; it is never negative.
+// cachedTokens reads a number of tokens from valid JSON; it returns 0 for a negative one.
 func cachedTokens(data []byte, path string) int { return int(max(gjson.GetBytes(data, path).Int(), 0)) }
 
 const (
@@ -54,14 +54,14 @@
 )
 
 var (
-	errAfterLast      = errors.New("an event after the last")
+	errEventAfterLast = errors.New("an event after the last")
 	errMalformedEvent = errors.New("malformed event")
-	usageMark         = []byte(`"usage"`)
+	usageKey          = []byte(`"usage"`)
 )
 
-// responseStream implements engine.Stream: it validates the events of one response.
+// responseStream implements engine.Stream for one response. It validates the events.
 type responseStream struct {
-	received     bool // some event was
+	received     bool // an event was received
 	complete     bool // the last event was received
 	cachedTokens int
 }
@@ -70,13 +70,13 @@
 func (s *responseStream) Event(data []byte) (pass bool, err error) {
 	switch {
 	case s.complete:
-		return false, errAfterLast
+		return false, errEventAfterLast
 	case string(data) == lastEvent:
 		s.complete = true
 	case !gjson.ValidBytes(data):
 		return false, fmt.Errorf("%w: %.40q", errMalformedEvent, data)
 	}
-	if bytes.Contains(data, usageMark) {
+	if bytes.Contains(data, usageKey) {
 		s.cachedTokens = cachedTokens(data, usageTokensField)
 	}
 	s.received = true
@@ -94,8 +94,8 @@
 // Complete implements engine.Stream.
 func (s *responseStream) Complete() bool { return s.complete }
 
-// Broken implements engine.Stream. A stream without its last chunk is incomplete whatever its events say: the client
-// must not be led to believe otherwise.
+// Broken implements engine.Stream. A stream without its last chunk counts as incomplete even if its last event was
+// received, so that the client is not told that the response is complete.
 func (s *responseStream) Broken(outcome scheduler.Outcome, reason string) engine.Result {
 	return engine.Result{Outcome: outcome, Reason: reason}
 }
--- a/internal/platform/upstream/upstream.go
+++ b/internal/platform/upstream/upstream.go
@@ -1,7 +1,7 @@
-// Package upstream carries attempts to the platform's endpoints. Its job is the platform's protocol: it writes
+// Package upstream sends attempts to the platform's endpoints. It implements the platform's protocol: it writes
 // requests, interprets what each response means for the scheduler, and releases the KV state that endpoints reserve
-// for a request. It owns the releases under way. It relies on package engine for connections and on http1 for messages.
-// It never decides which endpoint an attempt goes to.
+// for a request. It owns the releases in progress. It relies on package engine for connections and on package http1 for
+// messages. It never decides which endpoint an attempt goes to.
 package upstream
 
 import (
@@ -16,41 +16,41 @@
 	"plumspindle/scheduler"
 )
 
-// maxResponse is how many bytes a response may have that is not streamed.
+// maxResponse is the maximum size of a response that is not streamed, in bytes.
 const maxResponse = 64 << 10
 
-// Request is what an endpoint receives of a client's request.
+// Request is a client's request as an endpoint receives it.
 type Request struct {
 	ID     string
 	Target string
-	Fields []string // header fields, names and values in turn; they are forwarded unchanged
+	Fields []string // header fields to forward unchanged, as alternating names and values
 	Body   []byte
-	// SendTimeout is how long the request may take until it has been sent; 0: the connect timeout.
+	// SendTimeout is the time within which the request has to be sent; 0: the connect timeout.
 	SendTimeout eventloop.Micros
-	// OnSend is called as the request is written, with the time remaining that the endpoint is given.
+	// OnSend is called when the request is written, with the remaining time that it states to the endpoint.
 	OnSend func(remaining eventloop.Micros)
 }
 
-// Options say how releases are made.
+// Options configure the releases of a Client.
 type Options struct {
 	// StateTimeout is how long an endpoint keeps the KV state of a request that nothing uses.
 	StateTimeout eventloop.Micros
 	// ReadyEndpoints returns the endpoints that accept new requests. Releases are sent to these first.
 	ReadyEndpoints func() []scheduler.EndpointID
-	// ListedEndpoints returns all endpoints.
+	// ListedEndpoints returns all endpoints, including those that accept no new requests.
 	ListedEndpoints func() []scheduler.EndpointID
-	// Log receives a warning of each release that failed.
+	// Log receives a warning for each release that failed.
 	Log zerolog.Logger
 }
 
-// Counts are of releases since the start.
+// Counts are the numbers of releases since the start.
 type Counts struct {
 	Releases        uint64
 	ReleaseAttempts uint64
 	LateReleases    uint64 // failed, or confirmed only after the state timeout
 }
 
-// Client makes the attempts and releases of one dispatcher.
+// Client sends the attempts and releases of one dispatcher.
 type Client struct {
 	Counts
 
@@ -59,18 +59,19 @@
 	options     Options
 }
 
-// New makes a client that sends over an engine's connections. The caller gives the engine the endpoints' addresses, and
-// closes it.
+// New returns a client that sends over an engine's connections. The caller sets the endpoints' addresses in the engine,
+// and closes it.
 func New(loop eventloop.Loop, connections *engine.Engine, options Options) *Client {
 	return &Client{loop: loop, connections: connections, options: options}
 }
 
-// Prefill sends a prompt to be processed. The timeout is that of its response. No callback runs before it has returned.
+// Prefill sends a prompt to an endpoint that processes it and reserves its KV state. The timeout is the one for its
+// response. No callback runs before Prefill has returned.
 func (c *Client) Prefill(
 	id scheduler.EndpointID, request Request, timeout eventloop.Micros, callbacks engine.Callbacks,
 ) *engine.Attempt {
 	call := engine.Call{
-		BuildRequest:    request.write,
+		BuildRequest:    request.buildRequest,
 		ReadResponse:    prefillResult,
 		MaxResponseBody: maxResponse,
 		SendTimeout:     request.SendTimeout,
@@ -78,13 +79,13 @@
 	return c.connections.Call(id, call, timeout, callbacks)
 }
 
-// Decode sends a request whose response is streamed. The timeout is that of the first event. No callback runs before it
-// has returned.
+// Decode sends a request whose response is streamed. The timeout is the one for the first event. No callback runs
+// before Decode has returned.
 func (c *Client) Decode(
 	id scheduler.EndpointID, request Request, timeout eventloop.Micros, callbacks engine.Callbacks,
 ) *engine.Attempt {
 	call := engine.Call{
-		BuildRequest:    request.write,
+		BuildRequest:    request.buildRequest,
 		ReadResponse:    rejectionResult,
 		Stream:          &responseStream{},
 		MaxResponseBody: maxResponse,
@@ -93,8 +94,8 @@
 	return c.connections.Call(id, call, timeout, callbacks)
 }
 
-// write encodes the request for an endpoint, with the time that remains for it.
-func (r Request) write(address string, remaining eventloop.Micros) []byte {
+// buildRequest encodes the request for an endpoint, with the time that remains until the client's deadline.
+func (r Request) buildRequest(address string, remaining eventloop.Micros) []byte {
 	if r.OnSend != nil {
 		r.OnSend(remaining)
 	}
--- a/internal/platform/upstream/upstream_test.go
+++ b/internal/platform/upstream/upstream_test.go
@@ -11,9 +11,9 @@
 	"plumspindle/scheduler"
 )
 
-// TestResponseResults compares the platform's table of responses with the results of the simulator's wire: the same
-// outcome, and the same knowledge of whether the attempt has run. What no response decides (connections, time) is
-// tested in package platform.
+// TestResponseResults compares the results of the platform's responses with those of the simulator's protocol: the same
+// outcome, and the same knowledge of whether the attempt has run. Results without a response, such as lost connections
+// and timeouts, are tested in package platform.
 func TestResponseResults(t *testing.T) {
 	declinedField := []http1.Field{{Name: "Srv-Declined", Value: "1"}}
 	for _, test := range []struct {
@@ -23,7 +23,7 @@
 		prefill bool
 		outcome scheduler.Outcome
 		cached  int
-		missing bool // the KV state
+		missing bool // whether the KV state is missing
 	}{
 		{202, nil, `{"cached_tokens":4096}`, true, scheduler.PrefillDone, 4096, false},
 		{202, nil, `{"cached_tokens":-1}`, true, scheduler.PrefillDone, 0, false},
@@ -56,7 +56,7 @@
 func TestStreamResults(t *testing.T) {
 	for _, test := range []struct {
 		events  []string
-		fault   error // of one of the events
+		fault   error // the error of one of the events
 		outcome scheduler.Outcome
 		cached  int
 	}{
@@ -66,7 +66,7 @@
 			[]string{`{"choices":[]}`, `{"usage":{"prompt_tokens_details":{"cached_tokens":7}}}`, `[DONE]`},
 			nil, scheduler.Completed, 7,
 		},
-		{[]string{`{"choices":[]}`, `[DONE]`, `{"choices":[]}`}, errAfterLast, scheduler.Completed, 0},
+		{[]string{`{"choices":[]}`, `[DONE]`, `{"choices":[]}`}, errEventAfterLast, scheduler.Completed, 0},
 		{[]string{`{"cho`}, errMalformedEvent, scheduler.Errored, 0},
 	} {
 		stream := &responseStream{}
@@ -87,7 +87,7 @@
 		}
 		// Without its last chunk a stream is never complete.
 		if broken := stream.Broken(scheduler.ConnectionLost, ""); broken.Outcome != scheduler.ConnectionLost {
-			t.Errorf("%q: broken, and yet %d", test.events, broken.Outcome)
+			t.Errorf("%q: broken with the outcome %d, want a lost connection", test.events, broken.Outcome)
 		}
 	}
 }
@@ -110,11 +110,11 @@
 	})
 }
 
-// TestRefusedReleasePausesBetweenRounds: where every endpoint refuses at once they are asked in turn, with a pause
-// between two rounds, also where a release has next to no time.
+// TestRefusedReleasePausesBetweenRounds checks that a release which every endpoint refuses at once waits between two
+// rounds of attempts, also with a very short state timeout. Without the wait it would call them in a busy loop.
 func TestRefusedReleasePausesBetweenRounds(t *testing.T) {
 	for timeout, mostAttempts := range map[eventloop.Micros]uint64{
-		releaseAttempts - 1:         10,
+		attemptsPerStateTimeout - 1: 10,
 		500 * eventloop.Millisecond: 200,
 	} {
 		world := virtual.NewNetwork(1)
@@ -146,7 +146,7 @@
 		}
 		world.Run(10 * eventloop.Second)
 		if !done {
-			t.Errorf("%d µs: the release never ends", timeout)
+			t.Errorf("%d µs: the release did not end", timeout)
 		}
 	}
 }
