--- a/internal/platform/launch/config.go
+++ b/internal/platform/launch/config.go
@@ -17,23 +17,23 @@
 	configVariable = "BALANCER_CONFIG"
 
 	megabyte = 1 << 20
-	// maxConfigFile is how many bytes a configuration file may have.
+	// maxConfigFile is the maximum size of a configuration file, in bytes.
 	maxConfigFile = 64 * megabyte
 
-	// Limits if the configuration has none.
+	// These limits apply if the configuration sets none.
 	defaultMemory  = 2048 * megabyte
 	defaultSockets = 1024
 )
 
-// Config is what the platform gives a dispatcher at its start.
+// Config is the configuration that the platform starts a dispatcher with.
 type Config struct {
 	platform.Config
 	Listen string  // address for clients
-	Cores  float64 // 0: no limit is given
+	Cores  float64 // CPU limit; 0: the configuration sets none
 }
 
-// Load reads the configuration file that the environment names. A faulty file is a *ConfigError, and its text is one
-// line with place and fault.
+// Load reads the configuration file that the environment names. Its error is ErrNoConfigVariable, or a *ConfigError
+// whose text is one line with the location and the cause.
 func Load(getenv func(string) string) (*Config, error) {
 	path := getenv(configVariable)
 	if path == "" {
@@ -41,23 +41,23 @@
 	}
 	info, err := os.Stat(path)
 	if err != nil {
-		return nil, &ConfigError{Place: configVariable, Fault: err}
+		return nil, &ConfigError{Location: configVariable, Err: err}
 	}
 	if info.Size() > maxConfigFile {
-		return nil, &ConfigError{Place: path, Fault: fmt.Errorf("%d bytes are %w", info.Size(), ErrTooLarge)}
+		return nil, &ConfigError{Location: path, Err: fmt.Errorf("%d bytes: %w", info.Size(), ErrTooLarge)}
 	}
 	raw, err := os.ReadFile(path)
 	if err != nil {
-		return nil, &ConfigError{Place: configVariable, Fault: err}
+		return nil, &ConfigError{Location: configVariable, Err: err}
 	}
 	config, err := Parse(raw, getenv)
 	if err != nil {
-		return nil, &ConfigError{Place: path, Fault: err}
+		return nil, &ConfigError{Location: path, Err: err}
 	}
 	return config, nil
 }
 
-// Parse decodes the text of a configuration file. The environment stands in for a name or address that it leaves out.
+// Parse decodes the text of a configuration file. A name or address that the file omits is read from the environment.
 func Parse(raw []byte, getenv func(string) string) (*Config, error) {
 	root := gjson.ParseBytes(raw)
 	if !gjson.ValidBytes(raw) || !root.IsObject() {
@@ -96,12 +96,12 @@
 			value = getenv(field.variable)
 		}
 		if value == "" {
-			fault := fmt.Errorf("%w, and the variable %s is not set", ErrMissing, field.variable)
-			return &ConfigError{Place: field.key, Fault: fault}
+			err := fmt.Errorf("%w, and the variable %s is not set", ErrMissing, field.variable)
+			return &ConfigError{Location: field.key, Err: err}
 		}
 		if field.isAddress {
 			if err := checkAddress(value); err != nil {
-				return &ConfigError{Place: field.key, Fault: err}
+				return &ConfigError{Location: field.key, Err: err}
 			}
 		}
 		*field.value = value
@@ -128,7 +128,7 @@
 	c.Memory = int(memory) * megabyte
 	c.Sockets = int(sockets)
 	if c.Memory < 0 || c.Sockets < 0 || c.Cores < 0 {
-		return &ConfigError{Place: "limits", Fault: ErrNegative}
+		return &ConfigError{Location: "limits", Err: ErrNegative}
 	}
 	if c.Memory == 0 {
 		c.Memory = defaultMemory
@@ -141,17 +141,17 @@
 
 func (c *Config) parseSettings(section gjson.Result) error {
 	if !section.Exists() {
-		return &ConfigError{Place: "settings", Fault: ErrMissing}
+		return &ConfigError{Location: "settings", Err: ErrMissing}
 	}
 	parsed, err := settings.Parse([]byte(section.Raw))
 	if err != nil {
-		return &ConfigError{Place: "settings", Fault: err}
+		return &ConfigError{Location: "settings", Err: err}
 	}
 	c.Settings = parsed
 	return nil
 }
 
-// parseSeed reads a hexadecimal seed. From any other text one is derived that differs between dispatchers.
+// parseSeed decodes a hexadecimal seed. From any other text it derives a seed that differs between dispatchers.
 func parseSeed(text, name string) int64 {
 	seed, err := strconv.ParseUint(text, 16, 64)
 	if err != nil {
--- a/internal/platform/launch/config_test.go
+++ b/internal/platform/launch/config_test.go
@@ -20,7 +20,8 @@
 "request_classes": [{"name": "explain", "aim": 1000000000, "deadline": 4000000000, "repeat": "read_like",
 	"points": 2.0}]}`
 
-// configText is a sound configuration; known are the entries of the list that discovery sent to an earlier process.
+// configText returns a valid configuration; known are the entries of the list that discovery sent to an earlier
+// process.
 func configText(listen, discovery, known string) string {
 	return fmt.Sprintf(`{"name":"n3","listen":%q,"discovery":%q,"seed":"8c1f30d27a5be964",
 "limits":{"cores":1.0,"memory_mb":64,"sockets":256},
@@ -52,13 +53,14 @@
 	}
 }
 
-// TestFaultyConfigurationIsNamed: the error is one line with place and fault.
+// TestFaultyConfigurationIsNamed checks that the error for an invalid configuration is one line with location and
+// cause.
 func TestFaultyConfigurationIsNamed(t *testing.T) {
 	good := configText("127.0.0.1:7070", "127.0.0.1:8500", "")
 	replace := func(old, new string) string { return strings.Replace(good, old, new, 1) }
 	for name, test := range map[string]struct {
 		text, want string
-		fault      error // nil: of another package, and not exported there
+		cause      error // nil: not checked, because another package does not export it
 	}{
 		"not JSON": {good[:len(good)-1], "not a JSON object", ErrNotObject},
 		"no listen": {
@@ -66,7 +68,7 @@
 		},
 		"no port": {replace("127.0.0.1:7070", "127.0.0.1"), "listen: address 127.0.0.1: missing port", nil},
 		"port 0": {
-			replace("127.0.0.1:8500", "127.0.0.1:0"), `discovery: "127.0.0.1:0" names no port`, ErrNoPort,
+			replace("127.0.0.1:8500", "127.0.0.1:0"), `discovery: "127.0.0.1:0" has no valid port`, ErrNoPort,
 		},
 		"negative limit": {replace(`"sockets":256`, `"sockets":-1`), "limits: below zero", ErrNegative},
 		"no settings":    {replace(`"settings"`, `"setting"`), "settings: missing", ErrMissing},
@@ -74,7 +76,7 @@
 			replace(`"read", "write"`, `"read", "wrote"`),
 			`settings: duty_by_kind 1: unknown duty "wrote"`, settings.ErrUnknownValue,
 		},
-		"settings no JSON": {
+		"settings not an object": {
 			replace(`"settings":{`, `"settings":"x","s":{`),
 			"settings: the start settings are not a JSON object", settings.ErrNotObject,
 		},
@@ -84,8 +86,8 @@
 			if err == nil || !strings.Contains(err.Error(), test.want) || strings.Contains(err.Error(), "\n") {
 				t.Errorf("error %v, want one line with %q", err, test.want)
 			}
-			if test.fault != nil && !errors.Is(err, test.fault) {
-				t.Errorf("error %v is not %v", err, test.fault)
+			if test.cause != nil && !errors.Is(err, test.cause) {
+				t.Errorf("error %v is not %v", err, test.cause)
 			}
 		})
 	}
@@ -106,8 +108,8 @@
 		t.Fatal(err)
 	}
 	_, err = Load(environment)
-	var fault *ConfigError
-	if !errors.As(err, &fault) || fault.Place != path || !errors.Is(err, ErrNotObject) {
+	var configError *ConfigError
+	if !errors.As(err, &configError) || configError.Location != path || !errors.Is(err, ErrNotObject) {
 		t.Errorf("with nonsense in the file: %v", err)
 	}
 	if err := os.Truncate(path, maxConfigFile+1); err != nil {
--- a/internal/platform/launch/descriptors_test.go
+++ b/internal/platform/launch/descriptors_test.go
@@ -17,10 +17,10 @@
 	"plumspindle/internal/testbed/syscallfaults"
 )
 
-// dispatcherVariable makes the test binary a dispatcher.
+// dispatcherVariable is the environment variable that makes the test binary run a dispatcher instead of the tests.
 const dispatcherVariable = "PLUMSPINDLE_DISPATCHER"
 
-// TestMain is also the dispatcher that runs as a process of its own, where a test has something done to the process.
+// TestMain runs the tests, or a dispatcher for a test that needs one in a separate process.
 func TestMain(m *testing.M) {
 	if os.Getenv(dispatcherVariable) == "" {
 		os.Exit(m.Run())
@@ -31,16 +31,17 @@
 	}
 }
 
-// watchedAgent is discovery at one address: it hands over each watch that is opened, and keeps it open.
-type watchedAgent struct {
+// discoveryAgent is a discovery agent that responds to each subscription, passes its connection to the test and keeps
+// it open.
+type discoveryAgent struct {
 	address string
 	opened  chan net.Conn
 }
 
-func newWatchedAgent(t *testing.T) *watchedAgent {
+func newDiscoveryAgent(t *testing.T) *discoveryAgent {
 	t.Helper()
 	listener := listenTCP(t)
-	a := &watchedAgent{address: listener.Addr().String(), opened: make(chan net.Conn, 100)}
+	a := &discoveryAgent{address: listener.Addr().String(), opened: make(chan net.Conn, 100)}
 	go func() {
 		for {
 			conn, err := listener.Accept()
@@ -54,7 +55,7 @@
 	return a
 }
 
-func (a *watchedAgent) respond(conn net.Conn) {
+func (a *discoveryAgent) respond(conn net.Conn) {
 	if _, err := bufio.NewReader(conn).ReadString('\n'); err != nil {
 		return
 	}
@@ -62,20 +63,20 @@
 	a.opened <- conn
 }
 
-// await waits for the next watch; what discovery has counts as known after that time.
-func (a *watchedAgent) await(t *testing.T, what string) net.Conn {
+// await waits for the next subscription, for at most the 6 s within which a dispatcher must know what discovery sends.
+func (a *discoveryAgent) await(t *testing.T, what string) net.Conn {
 	t.Helper()
 	const limit = 6 * time.Second
 	select {
 	case conn := <-a.opened:
 		return conn
 	case <-time.After(limit):
-		t.Fatalf("not in %v: %s", limit, what)
+		t.Fatalf("timed out after %v waiting for %s", limit, what)
 		return nil
 	}
 }
 
-// startDispatcher runs a dispatcher as a process of its own until the test ends.
+// startDispatcher runs a dispatcher in a separate process until the test ends.
 func startDispatcher(t *testing.T, file *configFile) *os.Process {
 	t.Helper()
 	child := exec.Command(os.Args[0])
@@ -95,7 +96,7 @@
 	return child.Process
 }
 
-// connect opens a client's connection and keeps it until the test ends.
+// connect opens a client connection and keeps it open until the test ends.
 func connect(t *testing.T, address string) error {
 	t.Helper()
 	conn, err := net.Dial("tcp", address)
@@ -106,20 +107,21 @@
 	return nil
 }
 
-// TestFollowsDiscoveryWithoutFreeDescriptors: a dispatcher whose clients occupy all descriptors still follows
-// discovery: it reads a new configuration, follows it, and opens a watch anew that was reset.
+// TestFollowsDiscoveryWithoutFreeDescriptors checks that a dispatcher still follows discovery when its clients have
+// taken all file descriptors: it reads a new configuration, subscribes at the new address, and subscribes again after
+// a reset.
 func TestFollowsDiscoveryWithoutFreeDescriptors(t *testing.T) {
-	before, after := newWatchedAgent(t), newWatchedAgent(t)
+	before, after := newDiscoveryAgent(t), newDiscoveryAgent(t)
 	listen := freeAddress(t)
 	file := newConfigFile(t, configText(listen, before.address, ""))
 	process := startDispatcher(t, file)
-	before.await(t, "the first watch")
-	// Until it listens, and has all descriptors that it needs.
+	before.await(t, "the first subscription")
+	// Once it accepts a connection it listens, and has opened all descriptors that it needs.
 	eventually(t, "a connection", func() bool { return connect(t, listen) == nil })
 	if err := syscallfaults.NoDescriptors(process.Pid); err != nil {
 		t.Fatal(err)
 	}
-	const clients = 20 // they wait for a descriptor, and take any that becomes free
+	const clients = 20 // these wait for a descriptor, and take each that becomes free
 	for range clients {
 		if err := connect(t, listen); err != nil {
 			t.Fatal(err)
@@ -129,11 +131,11 @@
 	if err := process.Signal(syscall.SIGHUP); err != nil {
 		t.Fatal(err)
 	}
-	watch := after.await(t, "the watch at the new address")
+	subscription := after.await(t, "the subscription at the new address")
 	for range 3 {
-		if err := watch.Close(); err != nil {
+		if err := subscription.Close(); err != nil {
 			t.Fatal(err)
 		}
-		watch = after.await(t, "the watch that was reset")
+		subscription = after.await(t, "the subscription after the reset")
 	}
 }
--- a/internal/platform/launch/errors.go
+++ b/internal/platform/launch/errors.go
@@ -6,27 +6,27 @@
 )
 
 var (
-	// ErrNoConfigVariable is an environment that names no configuration file.
+	// ErrNoConfigVariable is the error for an environment that names no configuration file.
 	ErrNoConfigVariable = errors.New("the variable " + configVariable + " is not set")
-	// ErrNotObject is a configuration file that is no JSON object.
+	// ErrNotObject is the error for a configuration file that is not a JSON object.
 	ErrNotObject = errors.New("not a JSON object")
-	// ErrTooLarge is a configuration file beyond the size limit.
-	ErrTooLarge = errors.New("too many for a configuration")
-	// ErrMissing is a needed key that the file does not have.
+	// ErrTooLarge is the error for a configuration file that exceeds the size limit.
+	ErrTooLarge = errors.New("configuration too large")
+	// ErrMissing is the error for a required key that the file does not have.
 	ErrMissing = errors.New("missing")
-	// ErrNoPort is an address whose port can't be used.
-	ErrNoPort = errors.New("names no port")
-	// ErrNegative is a limit below zero.
+	// ErrNoPort is the error for an address without a port number from 1 to 65535.
+	ErrNoPort = errors.New("has no valid port")
+	// ErrNegative is the error for a negative limit.
 	ErrNegative = errors.New("below zero")
 )
 
-// ConfigError is a fault of the configuration and its place: a key, the file, or the variable that names the file.
+// ConfigError is an error in the configuration and its location: a key, the file, or the variable that names the file.
 type ConfigError struct {
-	Place string
-	Fault error
+	Location string
+	Err      error
 }
 
-func (e *ConfigError) Error() string { return fmt.Sprintf("%s: %v", e.Place, e.Fault) }
+func (e *ConfigError) Error() string { return fmt.Sprintf("%s: %v", e.Location, e.Err) }
 
-// Unwrap returns the fault.
-func (e *ConfigError) Unwrap() error { return e.Fault }
+// Unwrap returns the underlying error.
+func (e *ConfigError) Unwrap() error { return e.Err }
--- a/internal/platform/launch/launch.go
+++ b/internal/platform/launch/launch.go
@@ -1,7 +1,7 @@
-// Package launch runs a dispatcher as the users' platform expects it. Its job is the process around the dispatcher: the
-// environment and configuration file, the limits of the Go runtime, the listener, reloads at SIGHUP and the graceful
-// shutdown at SIGTERM. It owns the event loop, the signal handler and the listener, and ends them when Run returns. It
-// relies on package platform for everything that happens to requests, and never touches one itself.
+// Package launch runs a dispatcher as a process in the way that the users' platform expects. It handles the environment
+// and the configuration file, the limits of the Go runtime, the listener, reloads on SIGHUP and the graceful shutdown
+// on SIGTERM. It owns the event loop, the signal handler and the listener, and stops them when Run returns. Package
+// platform handles the requests; this package never touches one.
 package launch
 
 import (
@@ -19,18 +19,18 @@
 )
 
 const (
-	// signalBacklog is how many signals may wait while one is handled.
+	// signalBacklog is the number of signals that are queued while one is handled.
 	signalBacklog = 16
-	// heapPercent is the part of the memory limit that the Go runtime is given. The limit holds for all of the process:
-	// code, stacks, and what sockets and the garbage collector have in progress need the rest.
+	// heapPercent is the percentage of the memory limit that the Go runtime may use. The limit applies to the whole
+	// process: the rest is for code, stacks, the buffers of sockets, and the garbage collector's work in progress.
 	heapPercent = 60
-	// minReadBuffer and maxReadBuffer bound what one connection may have read and not yet handled, in bytes. Between
-	// them it is an equal part of a quarter of the memory limit.
+	// minReadBuffer and maxReadBuffer bound the read buffer of one connection, in bytes. Between these bounds, a quarter
+	// of the memory limit is divided equally among all connections.
 	minReadBuffer = 8 << 10
 	maxReadBuffer = 128 << 10
 )
 
-// Run serves until a signal ends it, and returns nil after a graceful shutdown.
+// Run serves until a signal shuts the dispatcher down, and returns nil after a graceful shutdown.
 func Run(log zerolog.Logger, getenv func(string) string) error {
 	signals := make(chan os.Signal, signalBacklog)
 	signal.Notify(signals, syscall.SIGHUP, syscall.SIGTERM, os.Interrupt)
@@ -56,10 +56,10 @@
 	p := newProcess(log.With().Str("dispatcher", config.Name).Logger(), getenv, loop)
 	p.logStart(config)
 	loop.Post(func() { p.start(config) })
-	return p.handle(signals)
+	return p.handleSignals(signals)
 }
 
-// limitRuntime sets what the Go runtime may use. A part of a core counts as a core.
+// limitRuntime sets the cores and memory that the Go runtime may use. A fraction of a core is rounded up to one core.
 func (c *Config) limitRuntime() {
 	const almostOne = 0.99
 	runtime.GOMAXPROCS(max(1, int(c.Cores+almostOne)))
--- a/internal/platform/launch/process.go
+++ b/internal/platform/launch/process.go
@@ -14,15 +14,15 @@
 // statusInterval is the time between two status lines in the log.
 const statusInterval = 5 * eventloop.Second
 
-// process is one running dispatcher. Signals are handled on Run's goroutine, all else on the loop.
+// process is one running dispatcher. Run's goroutine handles signals, the event loop handles everything else.
 type process struct {
 	log     zerolog.Logger
 	getenv  func(string) string
 	loop    *sockets.Loop
-	ended   chan error // the result of Run
-	reloads chan int   // a failed reload is due again, after so many attempts
+	result  chan error // what Run returns
+	reloads chan int   // requests to retry a failed reload, each with the number of attempts that have failed
 
-	// Only the loop uses these.
+	// Only the loop's goroutine uses the following fields.
 	dispatcher   *platform.Dispatcher
 	listener     eventloop.Listener // nil until it listens
 	shuttingDown bool
@@ -33,13 +33,13 @@
 		log:     log,
 		getenv:  getenv,
 		loop:    loop,
-		ended:   make(chan error, 1),
+		result:  make(chan error, 1),
 		reloads: make(chan int, 1),
 	}
 }
 
-// handle handles signals until the process ends, and returns its result.
-func (p *process) handle(signals <-chan os.Signal) error {
+// handleSignals handles signals and retries of reloads until the process ends, and returns the result of Run.
+func (p *process) handleSignals(signals <-chan os.Signal) error {
 	for {
 		select {
 		case received := <-signals:
@@ -50,13 +50,14 @@
 			}
 		case attempts := <-p.reloads:
 			p.reload(attempts)
-		case err := <-p.ended:
+		case err := <-p.result:
 			return err
 		}
 	}
 }
 
-// start makes the dispatcher, which listens once discovery has sent its list or had its chance to.
+// start starts the dispatcher, and listens once the dispatcher reports that discovery is ready: the list has arrived,
+// or the wait for it is over.
 func (p *process) start(config *Config) {
 	dispatcherConfig := config.Config
 	dispatcherConfig.Log = p.log
@@ -65,7 +66,7 @@
 	p.loop.AfterFunc(statusInterval, p.logStatus)
 }
 
-// listen retries for a while, as an address may be in use for a moment by the process before.
+// listen opens the listener. It retries for a short time, because a previous process may still use the address.
 func (p *process) listen(address string, since eventloop.Micros) {
 	if p.shuttingDown {
 		return
@@ -75,15 +76,15 @@
 	case err == nil:
 		p.listener = listener
 		p.log.Info().Str("listen", address).Msg("serving")
-	case transient(err) && p.loop.Now()-since <= startPatience:
+	case isTransient(err) && p.loop.Now()-since <= startRetryTimeout:
 		p.log.Warn().Err(err).Msg("listen failed")
-		p.loop.AfterFunc(startPause, func() { p.listen(address, since) })
+		p.loop.AfterFunc(startRetryInterval, func() { p.listen(address, since) })
 	default:
 		p.end(err)
 	}
 }
 
-// shutDown answers the requests that were accepted, and ends the process; a second signal changes nothing.
+// shutDown waits until the accepted requests are answered, then ends the process. Further calls have no effect.
 func (p *process) shutDown() {
 	if p.shuttingDown {
 		return
@@ -101,10 +102,10 @@
 	})
 }
 
-// end has Run return; only the first call counts.
+// end makes Run return err. Only the first call has an effect.
 func (p *process) end(err error) {
 	select {
-	case p.ended <- err:
+	case p.result <- err:
 	default:
 	}
 }
--- a/internal/platform/launch/process_test.go
+++ b/internal/platform/launch/process_test.go
@@ -16,11 +16,11 @@
 
 // testPlatform is a prefill endpoint, a decode endpoint and two discovery agents over real sockets.
 type testPlatform struct {
-	agents      [2]string
-	watches     [2]atomic.Int32 // opened at each agent
-	known       string          // the list's entries
-	slowArrived atomic.Bool     // the request "slow" is at its decode endpoint
-	finishSlow  chan struct{}   // has it answered
+	agents        [2]string
+	subscriptions [2]atomic.Int32 // number opened at each agent
+	known         string          // the list's entries
+	slowArrived   atomic.Bool     // the request "slow" has arrived at its decode endpoint
+	finishSlow    chan struct{}   // closed to let the decode endpoint answer the request "slow"
 }
 
 func newTestPlatform(t *testing.T) *testPlatform {
@@ -41,7 +41,7 @@
 	})
 	for i := range platform.agents {
 		platform.agents[i] = serveHTTP(t, func(w http.ResponseWriter, r *http.Request) {
-			platform.watches[i].Add(1)
+			platform.subscriptions[i].Add(1)
 			sendHeartbeats(w, r)
 		})
 	}
@@ -54,7 +54,7 @@
 		id, address, kind)
 }
 
-// sendHeartbeats is a watch on which nothing changes.
+// sendHeartbeats serves a subscription on which nothing but heartbeats is sent.
 func sendHeartbeats(w http.ResponseWriter, r *http.Request) {
 	heartbeat := time.NewTicker(50 * time.Millisecond)
 	defer heartbeat.Stop()
@@ -69,8 +69,9 @@
 	}
 }
 
-// TestServesReloadsAndShutsDown runs a dispatcher over real sockets: it serves, follows a new configuration, keeps the
-// old one where the new can't be read, and ends in good order with a request still open.
+// TestServesReloadsAndShutsDown runs a dispatcher over real sockets. It checks that the dispatcher serves, applies a
+// new configuration, keeps the old one if the new one is invalid, and shuts down gracefully while a request is in
+// flight.
 func TestServesReloadsAndShutsDown(t *testing.T) {
 	platform := newTestPlatform(t)
 	listen := freeAddress(t)
@@ -92,7 +93,7 @@
 	raise(t, syscall.SIGHUP)
 	file.write(t, configText(listen, platform.agents[1], ""))
 	raise(t, syscall.SIGHUP)
-	eventually(t, "the second agent's watch", func() bool { return platform.watches[1].Load() > 0 })
+	eventually(t, "the second agent's subscription", func() bool { return platform.subscriptions[1].Load() > 0 })
 	if status, _ := post(listen, "second"); status != http.StatusOK {
 		t.Errorf("after the new configuration: answered %d", status)
 	}
@@ -117,20 +118,21 @@
 	awaitEnd(t, ended)
 }
 
-// TestShutdownBeforeListening: a process that gets SIGTERM while it still waits for discovery ends, and never listens.
+// TestShutdownBeforeListening checks that a process that receives SIGTERM while it waits for discovery ends without
+// listening.
 func TestShutdownBeforeListening(t *testing.T) {
 	silent := listenTCP(t)
-	watches := make(chan net.Conn, 8)
+	subscriptions := make(chan net.Conn, 8)
 	go func() {
 		for {
 			conn, err := silent.Accept()
 			if err != nil {
 				return
 			}
-			watches <- conn
+			subscriptions <- conn
 		}
 	}()
-	inUse := listenTCP(t) // where it would listen: it would end with an error
+	inUse := listenTCP(t) // the configured address: listening there would end Run with an error
 	file := newConfigFile(t, configText(inUse.Addr().String(), silent.Addr().String(), ""))
 	shuttingDown := make(chan bool, 1)
 	ended := startRun(logHook(func(message string) {
@@ -138,11 +140,11 @@
 			shuttingDown <- true
 		}
 	}), file)
-	agent := <-watches
+	agent := <-subscriptions
 	t.Cleanup(func() { _ = agent.Close() })
 	raise(t, syscall.SIGTERM)
 	<-shuttingDown
-	// Now discovery responds, which would have it listen.
+	// Now discovery responds. Without the shutdown, the process would listen after this.
 	response := "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n1\r\n\n\r\n"
 	if _, err := io.WriteString(agent, response); err != nil {
 		t.Fatal(err)
@@ -150,8 +152,8 @@
 	awaitEnd(t, ended)
 }
 
-// TestListensOnceAddressIsFree: a dispatcher whose address is still in use by the process before listens once that has
-// ended.
+// TestListensOnceAddressIsFree checks that a dispatcher whose address is still in use by a previous process listens
+// once the address is free.
 func TestListensOnceAddressIsFree(t *testing.T) {
 	inUse := listenTCP(t)
 	file := newConfigFile(t, configText(inUse.Addr().String(), "127.0.0.1:1", ""))
@@ -167,9 +169,9 @@
 	select {
 	case <-serving:
 	case err := <-ended:
-		t.Fatalf("ended with %v", err)
-	case <-time.After(patience):
-		t.Fatal("it does not serve")
+		t.Fatalf("Run ended with %v", err)
+	case <-time.After(waitTimeout):
+		t.Fatal("the dispatcher does not listen")
 	}
 	raise(t, syscall.SIGTERM)
 	awaitEnd(t, ended)
@@ -179,6 +181,6 @@
 	inUse := listenTCP(t)
 	file := newConfigFile(t, configText(inUse.Addr().String(), "127.0.0.1:1", ""))
 	if err := Run(zerolog.Nop(), file.environment); !errors.Is(err, syscall.EADDRINUSE) {
-		t.Errorf("ended with %v", err)
+		t.Errorf("Run ended with %v", err)
 	}
 }
--- a/internal/platform/launch/reload.go
+++ b/internal/platform/launch/reload.go
@@ -2,16 +2,16 @@
 
 import "plumspindle/internal/eventloop"
 
-// A configuration file that can't be read for the moment is retried for 3 s: the platform expects what discovery sends
-// at its new address to be in use 4 s after SIGHUP.
+// If the configuration file can't be read because of a transient error, the reload is retried for 3 s. The platform
+// expects that 4 s after SIGHUP the dispatcher uses what discovery sends at its new address.
 const (
-	reloadPause       = 100 * eventloop.Millisecond
-	maxReloadAttempts = 30
+	reloadRetryInterval = 100 * eventloop.Millisecond
+	maxReloadAttempts   = 30
 )
 
-// reload reads discovery's address from the configuration file again; attempts is how many have failed before. The file
-// is read with a reserved descriptor, and again after a transient error: without the new address no drain would be
-// known once the old one falls silent.
+// reload reads discovery's address from the configuration file again; attempts is the number of attempts that have
+// failed so far. It reads the file with a reserved file descriptor and retries after a transient error, because without
+// the new address the dispatcher would learn of no drain once the old address falls silent.
 func (p *process) reload(attempts int) {
 	var config *Config
 	err := p.loop.WithReservedDescriptor(func() (err error) {
@@ -22,17 +22,17 @@
 	case err == nil:
 		p.log.Info().Str("discovery", config.Discovery).Msg("configuration reloaded")
 		p.loop.Post(func() { p.dispatcher.MoveDiscovery(config.Discovery) })
-	case transient(err) && attempts < maxReloadAttempts:
+	case isTransient(err) && attempts < maxReloadAttempts:
 		p.log.Warn().Err(err).Int("attempt", attempts+1).Msg("configuration not readable")
 		p.loop.Post(func() {
-			p.loop.AfterFunc(reloadPause, func() { p.requestReload(attempts + 1) })
+			p.loop.AfterFunc(reloadRetryInterval, func() { p.requestReload(attempts + 1) })
 		})
 	default:
 		p.log.Error().Err(err).Msg("configuration rejected")
 	}
 }
 
-// requestReload asks Run's goroutine for another attempt, unless one is due anyway.
+// requestReload asks Run's goroutine for another attempt, unless one is already requested.
 func (p *process) requestReload(attempts int) {
 	select {
 	case p.reloads <- attempts:
--- a/internal/platform/launch/retry.go
+++ b/internal/platform/launch/retry.go
@@ -9,14 +9,14 @@
 	"plumspindle/internal/eventloop"
 )
 
-// A call at the start that fails for want of something that may be there a moment later is retried for so long.
+// A call during the start that fails with a transient error is retried at this interval until the timeout.
 const (
-	startPatience = 3 * eventloop.Second
-	startPause    = 20 * eventloop.Millisecond
+	startRetryTimeout  = 3 * eventloop.Second
+	startRetryInterval = 20 * eventloop.Millisecond
 )
 
-// transientErrors are those that Linux documents for a shortage that passes, and for an address in use, which the
-// process before may keep for a moment.
+// transientErrors are the errors that Linux documents for a temporary shortage of resources, and those for an address
+// in use, which a previous process may keep for a moment.
 var transientErrors = []syscall.Errno{
 	syscall.EINTR,
 	syscall.EAGAIN,
@@ -30,20 +30,22 @@
 	syscall.EADDRNOTAVAIL,
 }
 
-// transient reports whether a call that failed with an error may succeed a moment later.
-func transient(err error) bool {
+// isTransient reports whether a call that failed with this error may succeed a moment later.
+func isTransient(err error) bool {
 	return slices.ContainsFunc(transientErrors, func(errno syscall.Errno) bool { return errors.Is(err, errno) })
 }
 
-// retry calls f until it succeeds, fails for good, or has been retried for long enough. It blocks, and is for the time
-// before there is a loop.
+// retry calls f until it succeeds, fails with an error that is not transient, or startRetryTimeout has passed. It
+// blocks, so it is only for use before the event loop runs.
 func retry(f func() error) error {
-	for began := time.Now(); ; time.Sleep(duration(startPause)) {
+	for began := time.Now(); ; time.Sleep(toDuration(startRetryInterval)) {
 		err := f()
-		if !transient(err) || time.Since(began) > duration(startPatience) {
+		if !isTransient(err) || time.Since(began) > toDuration(startRetryTimeout) {
 			return err
 		}
 	}
 }
 
-func duration(span eventloop.Micros) time.Duration { return time.Duration(span) * time.Microsecond }
+func toDuration(micros eventloop.Micros) time.Duration {
+	return time.Duration(micros) * time.Microsecond
+}
--- a/internal/platform/launch/retry_test.go
+++ b/internal/platform/launch/retry_test.go
@@ -7,18 +7,18 @@
 	"testing"
 )
 
-// TestRetryOnlyTransientErrors: a shortage that may pass is retried, anything else ends it at once.
+// TestRetryOnlyTransientErrors checks that retry calls again after a transient error, and returns any other at once.
 func TestRetryOnlyTransientErrors(t *testing.T) {
-	passing := fmt.Errorf("open: %w", syscall.ENFILE)
-	lasting := errors.New("not JSON")
+	transient := fmt.Errorf("open: %w", syscall.ENFILE)
+	permanent := errors.New("not JSON")
 	for name, test := range map[string]struct {
 		results []error
 		want    error
 	}{
 		"success":         {[]error{nil}, nil},
-		"transient twice": {[]error{passing, passing, nil}, nil},
-		"lasting":         {[]error{lasting}, lasting},
-		"lasting later":   {[]error{passing, lasting}, lasting},
+		"transient twice": {[]error{transient, transient, nil}, nil},
+		"permanent":       {[]error{permanent}, permanent},
+		"permanent later": {[]error{transient, permanent}, permanent},
 	} {
 		t.Run(name, func(t *testing.T) {
 			calls := 0
--- a/internal/platform/launch/support_test.go
+++ b/internal/platform/launch/support_test.go
@@ -14,8 +14,8 @@
 	"github.com/rs/zerolog"
 )
 
-// patience is how long tests wait for what sockets, signals and processes take their time for.
-const patience = 10 * time.Second
+// waitTimeout is how long tests wait for effects of sockets, signals and processes.
+const waitTimeout = 10 * time.Second
 
 // listenTCP listens on a loopback address until the test ends.
 func listenTCP(t *testing.T) net.Listener {
@@ -28,7 +28,7 @@
 	return listener
 }
 
-// freeAddress is an address that nothing listens on.
+// freeAddress returns an address that nothing listens on.
 func freeAddress(t *testing.T) string {
 	t.Helper()
 	listener := listenTCP(t)
@@ -48,7 +48,7 @@
 	return listener.Addr().String()
 }
 
-// configFile is a configuration file that a test may replace.
+// configFile is a configuration file that a test may overwrite.
 type configFile struct{ path string }
 
 func newConfigFile(t *testing.T, text string) *configFile {
@@ -65,10 +65,10 @@
 	}
 }
 
-// environment stands for os.Getenv.
+// environment replaces os.Getenv, and returns the file's path for each variable.
 func (f *configFile) environment(string) string { return f.path }
 
-// startRun has Run begin; its result follows on the channel.
+// startRun calls Run on a new goroutine, and returns the channel that receives its result.
 func startRun(log zerolog.Logger, file *configFile) chan error {
 	ended := make(chan error, 1)
 	go func() { ended <- Run(log, file.environment) }()
@@ -81,24 +81,24 @@
 	select {
 	case err := <-ended:
 		if err != nil {
-			t.Errorf("ended with %v", err)
+			t.Errorf("Run ended with %v", err)
 		}
-	case <-time.After(patience):
-		t.Error("it did not end")
+	case <-time.After(waitTimeout):
+		t.Error("Run did not return")
 	}
 }
 
-// eventually polls a condition.
+// eventually waits until a condition holds.
 func eventually(t *testing.T, what string, holds func() bool) {
 	t.Helper()
 	poll := time.NewTicker(5 * time.Millisecond)
 	defer poll.Stop()
-	deadline := time.After(patience)
+	deadline := time.After(waitTimeout)
 	for !holds() {
 		select {
 		case <-poll.C:
 		case <-deadline:
-			t.Fatalf("not in %v: %s", patience, what)
+			t.Fatalf("timed out after %v waiting for %s", waitTimeout, what)
 		}
 	}
 }
@@ -111,7 +111,7 @@
 	}
 }
 
-// logHook is a logger that calls f with each message.
+// logHook returns a logger that calls f with each message.
 func logHook(f func(message string)) zerolog.Logger {
 	hook := func(_ *zerolog.Event, _ zerolog.Level, message string) { f(message) }
 	return zerolog.New(io.Discard).Hook(zerolog.HookFunc(hook))
