--- a/internal/platform/server/close.go
+++ b/internal/platform/server/close.go
@@ -1,18 +1,18 @@
 package server
 
-// CloseReason is why a client's connection was closed.
+// CloseReason is the reason why a client's connection was closed.
 type CloseReason uint8
 
 // The reasons for a close.
 const (
-	ClosedByClient   CloseReason = iota // its client closed it, or the network did
-	AfterResponse                       // its last response said so
-	IdleTimeout                         // no request came in time
+	ClosedByClient   CloseReason = iota // the client closed the connection, or the network failed
+	AfterResponse                       // the last response announced the close
+	IdleTimeout                         // no request arrived in time
 	Evicted                             // there were too many connections
-	BadInput                            // what came can't be read, or did not come in time
-	StreamBroken                        // its stream ended before its end
-	ClientStalled                       // its client read nothing for too long
-	PipelineOverflow                    // its client pipelined more than is read
+	BadInput                            // a request could not be parsed, or did not arrive completely in time
+	StreamBroken                        // the response's stream ended incomplete
+	ClientStalled                       // the client read nothing for too long
+	PipelineOverflow                    // the client pipelined more than the server reads
 	closeReasonCount
 )
 
@@ -27,8 +27,8 @@
 	PipelineOverflow: "pipeline overflow",
 }
 
-// String is the reason's name in logs.
+// String returns the reason's name in logs.
 func (r CloseReason) String() string { return closeReasonNames[r] }
 
-// CloseCounts counts closed connections by reason.
+// CloseCounts are the numbers of closed connections by reason.
 type CloseCounts [closeReasonCount]uint64
--- a/internal/platform/server/close_test.go
+++ b/internal/platform/server/close_test.go
@@ -11,21 +11,21 @@
 	"plumspindle/internal/eventloop"
 )
 
-// TestRequestCrossesClose: a request that has come before an idle connection is closed is answered, whether the
-// poller has read it by then or not; one that comes after the close is neither read nor passed on, and its client
-// sees a clean end.
+// TestRequestCrossesClose checks requests that arrive around the close of an idle connection. One that arrives before
+// the close is answered, whether or not the poller has read it by then. One that arrives after the close is neither
+// read nor passed to the handler, and its client sees a clean end of the connection.
 func TestRequestCrossesClose(t *testing.T) {
 	for _, before := range []bool{true, false} {
 		for _, read := range []bool{true, false} {
 			if !before && read {
 				continue
 			}
-			handler := &silentHandler{answer: true}
+			handler := &silentHandler{rejectAll: true}
 			loop, s, address := serve(t, testLimits(), handler)
 			conn := dial(t, address)
 			exchange(t, conn, http.StatusServiceUnavailable)
-			receive(t, "the first", handler.handled)
-			loop.Do(func() { // the loop is busy meanwhile
+			receive(t, "the first request", handler.handled)
+			loop.Do(func() { // the loop handles no events until this returns
 				send := func() {
 					if _, err := conn.Write([]byte(requestText("crossing", 100))); err != nil {
 						t.Error(err)
@@ -45,19 +45,19 @@
 			response, err := http.ReadResponse(bufio.NewReader(conn), nil)
 			switch {
 			case before && (err != nil || response.StatusCode != http.StatusServiceUnavailable):
-				t.Errorf("read %v: %v", read, err)
+				t.Errorf("request before the close, read %v: %v", read, err)
 			case !before && (err == nil || !strings.Contains(err.Error(), "EOF")):
-				t.Errorf("after the close: %v, %v", response, err)
+				t.Errorf("request after the close: %v, %v", response, err)
 			}
 			if n := len(handler.handled); n > 0 {
-				t.Errorf("before %v, read %v: %d were passed on after the shutdown", before, read, n)
+				t.Errorf("before %v, read %v: %d requests were passed to the handler after the shutdown", before, read, n)
 			}
 		}
 	}
 }
 
-// TestIdleClientThatReadsNothingIsClosed: a connection that is idle with an answer that its client does not read is
-// closed in the end.
+// TestIdleClientThatReadsNothingIsClosed checks that an idle connection is closed although its client does not read the
+// last response.
 func TestIdleClientThatReadsNothingIsClosed(t *testing.T) {
 	handler := &silentHandler{}
 	limits := testLimits()
@@ -74,7 +74,7 @@
 			response = conn.response
 		}
 		event := []byte(strings.Repeat("z", 64<<10))
-		for range 200 { // more than the sockets hold
+		for range 200 { // more than the socket buffers hold
 			response.WriteEvent(event)
 		}
 		response.Complete()
@@ -86,7 +86,7 @@
 			return
 		}
 		if time.Now().After(deadline) {
-			t.Fatal("it is still there")
+			t.Fatal("the connection is still there")
 		}
 	}
 }
--- a/internal/platform/server/connection.go
+++ b/internal/platform/server/connection.go
@@ -9,59 +9,59 @@
 	"plumspindle/internal/http1"
 )
 
-// connectionState is what a connection is doing.
+// connectionState is the state of a connection.
 type connectionState uint8
 
 const (
-	idle              connectionState = iota // waits for a request's first byte
-	reading                                  // a request is coming in
-	answering                                // its response is pending
-	penalised                                // the client sent what can't be used, and is not served for a while
-	rejectingOverflow                        // pipelined requests that were not buffered are answered
-	closing                                  // nothing more is read
+	idle              connectionState = iota // waiting for the first byte of a request
+	reading                                  // part of a request has arrived
+	answering                                // a request was read, and its response is not complete
+	throttled                                // a request was rejected, and none is served for throttleDelay
+	rejectingOverflow                        // pipelined requests that were not buffered are being rejected
+	closing                                  // the connection is being closed, and what arrives is ignored
 )
 
-// connection is one client connection, with one request at a time.
+// connection is one client connection. It serves one request at a time.
 type connection struct {
 	server      *Server
 	conn        eventloop.Conn
 	state       connectionState
-	wait        eventloop.Timeout // the one time-out that counts in this state
-	idleElement *list.Element     // its place among the server's idle connections
-	hadRequest  bool              // a request has begun on it
+	timer       eventloop.Timeout // the timeout of the current state
+	idleElement *list.Element     // the connection's element in Server.idleConnections; nil: not idle
+	hadRequest  bool              // a request has begun on the connection
 
 	parser   http1.Parser
 	incoming incoming
 	pipeline pipeline
 	response *Response
 
-	buffer []byte // scratch
-	event  []byte // scratch
+	buffer []byte // reused for the bytes to write
+	event  []byte // reused for an encoded event
 }
 
-// incoming is the request that is coming in.
+// incoming is the request that is being read.
 type incoming struct {
 	head       *http1.Head
-	readiness  bool       // it asks whether the server is ready
-	request    *Request   // nil: it is rejected, or asks for readiness
-	rejection  *Rejection // nil: no fault has been found so far
+	isProbe    bool       // the request is a readiness probe
+	request    *Request   // nil: the request is rejected or a readiness probe
+	rejection  *Rejection // nil: no error has been found so far
 	body       []byte
-	receivedAt eventloop.Micros // its first byte
-	keepAlive  bool             // it lets others follow it
+	receivedAt eventloop.Micros // when the first byte arrived
+	keepAlive  bool             // the connection may stay open after the response
 }
 
 // --- Idle time ---
 
-// becomeIdle waits for a request's first byte.
-func (c *connection) becomeIdle(timeout eventloop.Micros) {
+// enterIdle makes the connection wait for the first byte of a request until the timeout.
+func (c *connection) enterIdle(timeout eventloop.Micros) {
 	c.state = idle
 	if c.idleElement == nil {
 		c.idleElement = c.server.idleConnections.PushBack(c)
 	}
-	c.wait.Set(c.server.loop, timeout, c.idleTimedOut)
+	c.timer.Set(c.server.loop, timeout, c.idleTimedOut)
 }
 
-// leaveIdle takes the connection out of the server's list of idle ones.
+// leaveIdle removes the connection from the server's list of idle connections.
 func (c *connection) leaveIdle() {
 	if c.idleElement != nil {
 		c.server.idleConnections.Remove(c.idleElement)
@@ -69,34 +69,36 @@
 	}
 }
 
-// awaitNextRequest becomes idle behind a request.
+// awaitNextRequest makes the connection idle after a request, or closes it after a shutdown.
 func (c *connection) awaitNextRequest() {
-	c.becomeIdle(c.server.limits.IdleTimeout)
+	c.enterIdle(c.server.limits.IdleTimeout)
 	if c.server.stopped {
 		c.idleTimedOut()
 	}
 }
 
-// closeIdle closes a connection without a request, unless something has come that was not handed over yet: a request
-// that was read must not meet a close. It reports whether the connection is being closed.
+// closeIdle closes an idle connection, unless something has arrived that the loop has not passed to it yet: that may be
+// a request, which must be answered. It reports whether the connection is being closed.
 func (c *connection) closeIdle(reason CloseReason) bool {
 	if !c.conn.CloseIfIdle() {
 		return false
 	}
-	c.becomeClosing(reason)
+	c.enterClosing(reason)
 	return true
 }
 
+// idleTimedOut closes the connection, or tries again later if something has just arrived on it.
 func (c *connection) idleTimedOut() {
 	if !c.closeIdle(IdleTimeout) {
-		c.wait.Set(c.server.loop, busyIdleRetry, c.idleTimedOut)
+		c.timer.Set(c.server.loop, idleCloseRetryDelay, c.idleTimedOut)
 	}
 }
 
 // --- Closing ---
 
-// becomeClosing reads nothing more. What is written still goes out, for as long as the client takes any of it.
-func (c *connection) becomeClosing(reason CloseReason) {
+// enterClosing ignores what arrives from now on. What has been written is still sent, for as long as the client takes
+// any of it.
+func (c *connection) enterClosing(reason CloseReason) {
 	c.leaveIdle()
 	if c.state != closing {
 		c.server.Closed[reason]++
@@ -109,28 +111,28 @@
 		c.state = closing
 		c.server.openCount--
 	}
-	c.wait.Set(c.server.loop, c.server.limits.StallTimeout, c.conn.Abort)
+	c.timer.Set(c.server.loop, c.server.limits.StallTimeout, c.conn.Abort)
 }
 
-// close closes once all is sent.
+// close closes the connection once everything written has been sent.
 func (c *connection) close(reason CloseReason) {
-	c.becomeClosing(reason)
+	c.enterClosing(reason)
 	c.conn.Close()
 }
 
-// abort resets the connection. A request that is being answered is abandoned, as by its client.
+// abort resets the connection. A request that is being answered is handled as if its client had disconnected.
 func (c *connection) abort(reason CloseReason) {
-	c.becomeClosing(reason)
+	c.enterClosing(reason)
 	if c.response != nil {
 		c.response.abandon()
 	}
 	c.conn.Abort()
 }
 
-// abortStalled resets the connection of a client that reads nothing.
+// abortStalled resets the connection because its client has read nothing for too long.
 func (c *connection) abortStalled() { c.abort(ClientStalled) }
 
-// reportUnanswered reports a request that was read and will not be answered, as its connection is closed from here.
+// reportUnanswered reports a request that was read and will get no response because the server closes the connection.
 func (c *connection) reportUnanswered(reason CloseReason) {
 	report := c.server.OnUnansweredClose
 	if report == nil {
@@ -139,18 +141,18 @@
 	if c.response != nil && !c.response.started {
 		report(c.response.id, reason.String())
 	}
-	// Behind a stream that broke nothing can be answered.
+	// For any other reason pipelined requests are not reported: after a broken stream they can't be answered.
 	if len(c.pipeline.buffered) > 0 && reason == PipelineOverflow {
 		report("", reason.String()+", with pipelined requests")
 	}
 }
 
-// --- Events of the connection ---
+// --- Connection events ---
 
 // Opened implements eventloop.Handler.
 func (c *connection) Opened() {
 	s := c.server
-	c.becomeIdle(s.limits.RequestTimeout)
+	c.enterIdle(s.limits.RequestTimeout)
 	if s.openCount <= s.limits.Connections {
 		return
 	}
@@ -164,7 +166,7 @@
 func (c *connection) Data(data []byte) {
 	switch c.state {
 	case closing:
-	case answering, penalised:
+	case answering, throttled:
 		c.readPipelined(data)
 	case rejectingOverflow:
 		c.readOverflow(data)
@@ -179,15 +181,15 @@
 // Drained implements eventloop.Handler.
 func (c *connection) Drained() {
 	if c.state == rejectingOverflow {
-		c.wait.Clear()
-		c.pipeline.overflowTimed = false
+		c.timer.Clear()
+		c.pipeline.overflowTimerSet = false
 		c.rejectOverflow()
 		return
 	}
 	if c.response == nil || c.state != answering {
 		return
 	}
-	c.wait.Clear()
+	c.timer.Clear()
 	if c.response.OnWritable != nil {
 		c.response.OnWritable()
 	}
@@ -195,8 +197,8 @@
 
 // Closed implements eventloop.Handler.
 func (c *connection) Closed(error) {
-	c.becomeClosing(ClosedByClient)
-	c.wait.Clear()
+	c.enterClosing(ClosedByClient)
+	c.timer.Clear()
 	delete(c.server.connections, c)
 	c.dropRequest()
 	if c.response != nil {
@@ -204,62 +206,63 @@
 	}
 }
 
-// --- Responses without a stream ---
+// --- Responses that are not streamed ---
 
-// rejectAndKeep answers a request that can't be used but whose end is known, so that others may follow it.
+// rejectAndKeep rejects a request whose end is known, so that the connection can serve further requests.
 func (c *connection) rejectAndKeep(r *Rejection) {
 	c.dropRequest()
 	c.server.Rejected++
-	if c.writeResponse(shortResponse{status: r.Status, text: r.Reason}, c.staysOpen()) {
-		c.state = penalised
-		c.wait.Set(c.server.loop, penaltyTime, c.next)
+	if c.writeResponse(textResponse{status: r.Status, text: r.Reason}, c.staysOpen()) {
+		c.state = throttled
+		c.timer.Set(c.server.loop, throttleDelay, c.serveNext)
 	}
 }
 
-// reject answers what can't be parsed and closes the connection, as it is unknown where the next request begins.
+// reject writes a rejection and closes the connection. It is used if it is unknown where the next request begins, or if
+// there are too many connections.
 func (c *connection) reject(r *Rejection, reason CloseReason) {
 	if c.state == closing {
 		return
 	}
 	c.server.Rejected++
 	c.dropRequest()
-	c.writeLastResponse(shortResponse{status: r.Status, text: r.Reason}, reason)
+	c.writeLastResponse(textResponse{status: r.Status, text: r.Reason}, reason)
 }
 
-// answerReadiness answers whether there is anything to serve with.
-func (c *connection) answerReadiness() {
-	response := shortResponse{status: http.StatusOK, text: "ready"}
+// answerProbe answers a readiness probe.
+func (c *connection) answerProbe() {
+	response := textResponse{status: http.StatusOK, text: "ready"}
 	if c.server.stopped || !c.server.handler.Ready() {
-		response = shortResponse{status: http.StatusServiceUnavailable, text: "no model host is known yet"}
+		response = textResponse{status: http.StatusServiceUnavailable, text: "no model host is known yet"}
 	}
 	c.dropRequest()
 	if c.writeResponse(response, c.staysOpen()) {
 		c.state = answering
-		c.server.loop.Defer(c.next)
+		c.server.loop.Defer(c.serveNext)
 	}
 }
 
-// staysOpen reports whether another request may follow the response that is written now. While the server drains only
-// what is pipelined may.
+// staysOpen reports whether the connection stays open after the response that is written now. While the server drains,
+// it stays open only for requests that are already pipelined.
 func (c *connection) staysOpen() bool {
 	return c.incoming.keepAlive && (!c.server.draining || c.pipeline.pending() || c.parser.Pipelined() > 0)
 }
 
-// shortResponse is a response that is written as one piece.
-type shortResponse struct {
+// textResponse is a plain-text response that is not streamed.
+type textResponse struct {
 	status int
 	text   string
-	fields []string // name and value in turn
+	fields []string // alternating names and values
 }
 
-// encode returns the response's bytes, with further header fields.
-func (r shortResponse) encode(fields ...string) []byte {
+// encode returns the encoded response with additional header fields.
+func (r textResponse) encode(fields ...string) []byte {
 	fields = slices.Concat(r.fields, []string{"Content-Type", "text/plain"}, fields)
 	return http1.AppendResponse(nil, r.status, []byte(r.text+"\n"), fields...)
 }
 
-// writeResponse writes a response, and closes the connection unless it stays open; it returns whether it does.
-func (c *connection) writeResponse(r shortResponse, staysOpen bool) bool {
+// writeResponse writes a response, and closes the connection unless it stays open. It returns staysOpen.
+func (c *connection) writeResponse(r textResponse, staysOpen bool) bool {
 	if !staysOpen {
 		c.writeLastResponse(r, AfterResponse)
 		return false
@@ -269,7 +272,7 @@
 }
 
 // writeLastResponse writes a response and closes the connection.
-func (c *connection) writeLastResponse(r shortResponse, reason CloseReason) {
+func (c *connection) writeLastResponse(r textResponse, reason CloseReason) {
 	c.conn.Write(r.encode("Connection", "close"))
 	c.close(reason)
 }
--- a/internal/platform/server/harness_test.go
+++ b/internal/platform/server/harness_test.go
@@ -13,11 +13,11 @@
 	"plumspindle/internal/sockets"
 )
 
-// silentHandler takes requests and, unless it is to reject them, answers none; it reports clients that disconnect.
+// silentHandler accepts requests and answers none, unless rejectAll is set. It reports requests and disconnects.
 type silentHandler struct {
 	handled, disconnected chan string
-	waiting               chan *Response // of requests that are not answered
-	answer                bool
+	waiting               chan *Response // the responses of requests that are not answered
+	rejectAll             bool
 }
 
 func (h *silentHandler) Ready() bool { return true }
@@ -25,18 +25,18 @@
 func (h *silentHandler) Handle(r *Request, response *Response) *Rejection {
 	response.OnDisconnect = func() { h.disconnected <- r.ID }
 	h.handled <- r.ID
-	if h.answer {
+	if h.rejectAll {
 		response.Reject(0)
 		return nil
 	}
 	select {
 	case h.waiting <- response:
-	default: // no test asks for so many
+	default: // no test needs this many
 	}
 	return nil
 }
 
-// maxReported is how many events of each kind a silentHandler reports.
+// maxReported is the number of events of each kind that a silentHandler can hold.
 const maxReported = 1000
 
 // serve runs a server on a loop over real sockets.
@@ -93,12 +93,12 @@
 	case id := <-from:
 		return id
 	case <-time.After(10 * time.Second):
-		t.Fatalf("not in 10 s: %s", what)
+		t.Fatalf("timed out after 10 s waiting for %s", what)
 		return ""
 	}
 }
 
-// pipelinedBytesRead is how many bytes all clients have pipelined, buffered or not.
+// pipelinedBytesRead returns the number of pipelined bytes read from all clients, buffered or not.
 func (s *Server) pipelinedBytesRead() (n int) {
 	for c := range s.connections {
 		if c.pipeline.overflow != nil {
@@ -110,17 +110,17 @@
 	return n
 }
 
-// until waits for what real sockets take their time for.
-func until(t *testing.T, what string, holds func() bool) {
+// waitUntil polls until a condition holds.
+func waitUntil(t *testing.T, what string, holds func() bool) {
 	t.Helper()
 	for end := time.Now().Add(10 * time.Second); !holds(); runtime.Gosched() {
 		if time.Now().After(end) {
-			t.Fatalf("not in 10 s: %s", what)
+			t.Fatalf("timed out after 10 s waiting for %s", what)
 		}
 	}
 }
 
-// hasUnreadInput reports whether something has come that was not handed over.
+// hasUnreadInput reports whether something has arrived that the loop has not passed to a connection.
 func (s *Server) hasUnreadInput() bool {
 	for c := range s.connections {
 		if !c.conn.Idle() {
@@ -130,7 +130,7 @@
 	return false
 }
 
-// exchange sends a request and reads its answer.
+// exchange sends a request and checks the status of its response.
 func exchange(t *testing.T, c net.Conn, want int) {
 	t.Helper()
 	if _, err := c.Write([]byte(requestText("exchange", 100))); err != nil {
--- a/internal/platform/server/pipeline.go
+++ b/internal/platform/server/pipeline.go
@@ -8,40 +8,43 @@
 )
 
 const (
-	// maxPipelinedBodies bodies of the maximum size are buffered of one connection's pipelined requests while a request
-	// is being answered; further ones are rejected in their turn. They are read rather than left in the socket so that
-	// the client's disconnect is noticed.
+	// maxPipelinedBodies times Limits.BodyBytes is how much of one connection's pipelined requests is buffered while a
+	// request is being answered. Requests beyond it are read, not left in the socket, so that the server notices if the
+	// client disconnects; each is rejected when its turn to be answered comes.
 	maxPipelinedBodies = 4
-	// minPipelinedBytes are buffered even if half of Limits.BufferedBytes is used up; the other half is for requests.
+	// minPipelinedBytes is how much of one connection's pipelined requests is buffered even if half of
+	// Limits.BufferedBytes is in use. Beyond it they are only buffered within that half; the other half is kept free for
+	// requests that are being read.
 	minPipelinedBytes = 16 << 10
-	// maxOverflowBytes of one connection are read that are not buffered; a client that sends more is disconnected.
+	// maxOverflowBytes bounds the bytes of one connection that are read without being buffered. A client that sends more
+	// is disconnected.
 	maxOverflowBytes = 16 << 20
 )
 
-// pipeline is what a client has sent behind the request that is being answered.
+// pipeline is what a client has sent after the request that is being answered.
 type pipeline struct {
-	buffered      []byte
-	receivedAt    eventloop.Micros // when it began to come
-	overflow      *overflow        // what was not buffered; nil: all was
-	overflowTimed bool             // the rest of a request that is not buffered has a time-out
+	buffered         []byte
+	receivedAt       eventloop.Micros // when the first of the buffered bytes arrived
+	overflow         *overflow        // the requests that were not buffered; nil: all were
+	overflowTimerSet bool             // the timeout for the rest of a partial request in the overflow runs
 }
 
 // pending reports whether pipelined requests may wait for their turn.
 func (p *pipeline) pending() bool { return len(p.buffered) > 0 || p.overflow != nil }
 
-// readPipelined handles what arrives while a request is being answered.
+// readPipelined buffers what arrives while a request is being answered, or passes it to the overflow.
 func (c *connection) readPipelined(data []byte) {
 	s, p := c.server, &c.pipeline
 	if len(p.buffered) == 0 {
 		p.receivedAt = s.loop.Now()
 	}
 	size := len(p.buffered) + len(data)
-	tooMuchHere := size > maxPipelinedBodies*s.limits.BodyBytes
-	tooMuchInAll := size > minPipelinedBytes && s.bufferedBytes+len(data) > s.limits.BufferedBytes/2
+	exceedsConnectionLimit := size > maxPipelinedBodies*s.limits.BodyBytes
+	exceedsTotalLimit := size > minPipelinedBytes && s.bufferedBytes+len(data) > s.limits.BufferedBytes/2
 	switch {
 	case p.overflow != nil:
 		p.overflow.feed(data)
-	case tooMuchHere || tooMuchInAll:
+	case exceedsConnectionLimit || exceedsTotalLimit:
 		c.startOverflow(data)
 	default:
 		c.bufferPipelined(data)
@@ -62,25 +65,25 @@
 	c.pipeline.buffered = nil
 }
 
-// startOverflow stops buffering: the requests that are complete stay, and what follows is only parsed.
+// startOverflow stops buffering. The complete requests stay in the buffer; what follows them is parsed and not kept.
 func (c *connection) startOverflow(data []byte) {
 	p := &c.pipeline
 	p.overflow = newOverflow(c.parser.Limits)
 	p.overflow.feed(p.buffered)
 	c.server.bufferedBytes -= len(p.buffered) - p.overflow.completeBytes
 	p.buffered = p.buffered[:p.overflow.completeBytes]
-	p.overflow.pending = 0 // they are buffered, and have their turn
+	p.overflow.pending = 0 // the complete requests are served from the buffer
 	p.overflow.feed(data)
 }
 
-// readOverflow handles what arrives while the requests that were not buffered have their turn.
+// readOverflow handles what arrives while the requests that were not buffered are being rejected.
 func (c *connection) readOverflow(data []byte) {
 	p := &c.pipeline
 	before := p.overflow.pending
 	p.overflow.feed(data)
-	if p.overflow.pending > before { // the one that was waited for has come
-		p.overflowTimed = false
-		c.wait.Clear()
+	if p.overflow.pending > before { // the partial request is complete
+		p.overflowTimerSet = false
+		c.timer.Clear()
 	}
 	if p.overflow.bytesRead > maxOverflowBytes {
 		c.abort(PipelineOverflow)
@@ -89,17 +92,18 @@
 	c.rejectOverflow()
 }
 
-// rejectOverflow answers, in their turn, the requests that were not buffered, as far as the client reads the responses.
+// rejectOverflow rejects the requests that were not buffered, in order. It stops while the client is slow to read the
+// responses.
 func (c *connection) rejectOverflow() {
 	s, p := c.server, &c.pipeline
 	for p.overflow.pending > 0 {
-		if c.wait.LimitUnsent(s.loop, c.conn, s.limits.UnsentBytes, s.limits.StallTimeout, c.abortStalled) {
+		if c.timer.LimitUnsent(s.loop, c.conn, s.limits.UnsentBytes, s.limits.StallTimeout, c.abortStalled) {
 			return
 		}
 		p.overflow.pending--
 		s.Rejected++
 		last := p.overflow.lastRequest && p.overflow.pending == 0
-		response := shortResponse{status: http.StatusServiceUnavailable, text: "too much was sent ahead"}
+		response := textResponse{status: http.StatusServiceUnavailable, text: "too much was sent ahead"}
 		if !c.writeResponse(response, !last) {
 			return
 		}
@@ -108,25 +112,25 @@
 	case p.overflow.err != nil:
 		c.malformed(p.overflow.err)
 	case p.overflow.partial():
-		if c.conn.Unsent() == 0 && !p.overflowTimed {
-			p.overflowTimed = true
-			c.wait.Set(s.loop, s.limits.RequestTimeout, c.requestTimedOut)
+		if c.conn.Unsent() == 0 && !p.overflowTimerSet {
+			p.overflowTimerSet = true
+			c.timer.Set(s.loop, s.limits.RequestTimeout, c.requestTimedOut)
 		}
 	default:
-		p.overflow, p.overflowTimed = nil, false
-		c.wait.Clear()
+		p.overflow, p.overflowTimerSet = nil, false
+		c.timer.Clear()
 		c.awaitNextRequest()
 	}
 }
 
-// overflow follows pipelined requests beyond what is buffered: it finds where each ends, and keeps nothing else. Each
-// of these requests is rejected in its turn, so that all that were read are answered.
+// overflow parses pipelined requests that are not buffered. It finds where each one ends, and keeps nothing else. Each
+// is rejected in its turn, so that all requests that were read are answered.
 type overflow struct {
 	parser        http1.Parser
-	pending       int  // requests that are complete and not answered
-	completeBytes int  // up to the end of the last of them
-	bytesRead     int  // in all
-	lastRequest   bool // the last one asked for the connection's end: nothing counts behind it
+	pending       int  // number of complete requests that are not answered
+	completeBytes int  // number of bytes up to the end of the last complete request
+	bytesRead     int  // number of all bytes that were read
+	lastRequest   bool // the last request asked to close the connection, so what follows it is ignored
 	err           error
 }
 
@@ -134,7 +138,7 @@
 	return &overflow{parser: http1.Parser{Limits: limits}}
 }
 
-// feed follows the next bytes.
+// feed parses the next bytes.
 func (o *overflow) feed(data []byte) {
 	o.bytesRead += len(data)
 	if o.err == nil && !o.lastRequest {
--- a/internal/platform/server/pipeline_test.go
+++ b/internal/platform/server/pipeline_test.go
@@ -8,8 +8,8 @@
 	"testing"
 )
 
-// TestDisconnectBehindPipelinedInput: a client's disconnect is noticed at once, however much it sent behind the request
-// that waits, also more than the sockets and the server take in.
+// TestDisconnectBehindPipelinedInput checks that a client's disconnect is noticed at once however much it has pipelined
+// after the request that is being answered, even if that is more than the sockets and the server buffer.
 func TestDisconnectBehindPipelinedInput(t *testing.T) {
 	for _, size := range []int{0, 40 << 10, 900 << 10, 12 << 20} {
 		handler := &silentHandler{}
@@ -19,13 +19,13 @@
 			_, _ = c.Write([]byte(requestText("first", 100)))
 			for sent := 0; sent < size; sent += 20 << 10 {
 				if _, err := c.Write([]byte(requestText("next", 20<<10))); err != nil {
-					return // cut off
+					return // the server has closed the connection
 				}
 			}
 			_ = c.Close()
 		}()
 		receive(t, "the request", handler.handled)
-		if got := receive(t, fmt.Sprintf("the end behind %d bytes", size), handler.disconnected); got != "first" {
+		if got := receive(t, fmt.Sprintf("the disconnect after %d bytes", size), handler.disconnected); got != "first" {
 			t.Errorf("%q disconnected", got)
 		}
 		loop.Do(func() {
@@ -34,32 +34,33 @@
 			}
 		})
 		if n := len(handler.handled); n > 0 {
-			t.Errorf("%d requests were passed on for a client that disconnected", n)
+			t.Errorf("%d requests were passed to the handler for a client that disconnected", n)
 		}
 	}
 }
 
-// TestTotalBufferLimit: what all clients pipeline is bounded, and an honest one gets through beside them.
+// TestTotalBufferLimit checks that the bytes buffered for all clients that pipeline are bounded, and that a request of
+// another client is still accepted.
 func TestTotalBufferLimit(t *testing.T) {
 	handler := &silentHandler{}
 	limits := testLimits()
 	limits.BufferedBytes = 2 << 20
 	loop, s, address := serve(t, limits, handler)
-	const clients, size = 20, 300 << 10 // of each, which one alone may send
-	var floods []net.Conn
+	const clients, size = 20, 300 << 10 // of each client; within the limit for one connection
+	var floodingClients []net.Conn
 	for range clients {
 		c := dial(t, address)
 		if _, err := c.Write([]byte(requestText("flood", 100))); err != nil {
 			t.Fatal(err)
 		}
 		receive(t, "a request", handler.handled)
-		floods = append(floods, c)
+		floodingClients = append(floodingClients, c)
 	}
-	for _, c := range floods {
+	for _, c := range floodingClients {
 		go func() { _, _ = c.Write([]byte(requestText("flood", size))) }()
 	}
-	buffered := 0 // connections of which all is
-	until(t, "all is read", func() (read bool) {
+	buffered := 0 // number of connections whose pipelined bytes are all buffered
+	waitUntil(t, "all input to be read", func() (read bool) {
 		loop.Do(func() { read = s.pipelinedBytesRead() >= clients*size })
 		return read
 	})
@@ -78,16 +79,16 @@
 			buffered, size, limits.BufferedBytes)
 	}
 	c := dial(t, address)
-	if _, err := c.Write([]byte(requestText("honest", 50<<10))); err != nil {
+	if _, err := c.Write([]byte(requestText("other", 50<<10))); err != nil {
 		t.Fatal(err)
 	}
-	if id := receive(t, "the honest one", handler.handled); id != "honest" {
-		t.Errorf("%q was passed on", id)
+	if id := receive(t, "the other client's request", handler.handled); id != "other" {
+		t.Errorf("request %q was passed to the handler", id)
 	}
 }
 
-// TestPipelineLimitPerConnection: of what a client pipelines no more is buffered than one may, also where memory is
-// left, and one that goes on without an end is cut off.
+// TestPipelineLimitPerConnection checks that the pipelined bytes buffered for one client are bounded even if memory is
+// left, and that a client that pipelines without an end is disconnected.
 func TestPipelineLimitPerConnection(t *testing.T) {
 	handler := &silentHandler{}
 	limits := testLimits()
@@ -97,7 +98,7 @@
 		_, _ = c.Write([]byte(requestText("first", 100)))
 		for next := []byte(requestText("next", 100<<10)); ; {
 			if _, err := c.Write(next); err != nil {
-				return // cut off
+				return // the server has closed the connection
 			}
 			loop.Do(func() {
 				if s.Buffered() > maxPipelinedBodies*limits.BodyBytes+minPipelinedBytes {
@@ -106,13 +107,13 @@
 			})
 		}
 	}()
-	if id := receive(t, "its end", handler.disconnected); id != "first" {
+	if id := receive(t, "the disconnect", handler.disconnected); id != "first" {
 		t.Errorf("%q disconnected", id)
 	}
 }
 
-// TestPipelineOverflowIsRejectedInTurn: a client that pipelines more requests than are buffered has an answer to each,
-// in their order, and the connection goes on; what is not buffered is rejected in its turn.
+// TestPipelineOverflowIsRejectedInTurn checks a client that pipelines more requests than are buffered: each request
+// gets a response, in order, those that are not buffered are rejected, and the connection can be used afterwards.
 func TestPipelineOverflowIsRejectedInTurn(t *testing.T) {
 	handler := &silentHandler{}
 	limits := testLimits()
@@ -128,12 +129,12 @@
 		_, err := conn.Write([]byte(text))
 		sent <- err
 	}()
-	receive(t, "the first", handler.handled)
+	receive(t, "the first request", handler.handled)
 	first := <-handler.waiting
-	if err := <-sent; err != nil { // it is read on, without an answer
+	if err := <-sent; err != nil { // the server reads everything although nothing is answered
 		t.Fatal(err)
 	}
-	until(t, "all is read", func() (read bool) {
+	waitUntil(t, "all input to be read", func() (read bool) {
 		loop.Do(func() { read = s.openCount == 0 || s.pipelinedBytesRead() >= pipelined*size })
 		return read
 	})
@@ -142,7 +143,7 @@
 		if s.Buffered() > maxPipelinedBodies*limits.BodyBytes+minPipelinedBytes {
 			t.Errorf("%d bytes are buffered", s.Buffered())
 		}
-		handler.answer = true
+		handler.rejectAll = true
 		first.Fail()
 	})
 	want := http.StatusInternalServerError
@@ -158,12 +159,12 @@
 		want = http.StatusServiceUnavailable
 	}
 	if n := len(handler.handled); n < 10 || n >= pipelined {
-		t.Errorf("%d of %d were passed on", n, pipelined)
+		t.Errorf("%d of %d requests were passed to the handler", n, pipelined)
 	}
 	if _, err := conn.Write([]byte(requestText("last", 100))); err != nil {
 		t.Fatal(err)
 	}
 	if response, err := http.ReadResponse(in, nil); err != nil || response.StatusCode != http.StatusServiceUnavailable {
-		t.Errorf("behind them: %v", err)
+		t.Errorf("request after the pipelined ones: %v", err)
 	}
 }
--- a/internal/platform/server/receive.go
+++ b/internal/platform/server/receive.go
@@ -9,15 +9,16 @@
 	"plumspindle/internal/http1"
 )
 
-// minBodyBytes is the least memory that is reserved for a chunked body.
+// minBodyBytes is the minimum size of the memory that is reserved for a chunked body.
 const minBodyBytes = 4 << 10
 
-// beginRequest waits for a complete request from its first byte; bytes that trickle in do not extend the time.
+// beginRequest starts reading a request whose first byte arrived at the given time. The complete request has to arrive
+// within the request timeout, which further bytes do not extend.
 func (c *connection) beginRequest(at eventloop.Micros) {
 	c.leaveIdle()
 	c.state, c.hadRequest = reading, true
 	c.incoming.receivedAt = at
-	c.wait.Set(c.server.loop, c.server.limits.RequestTimeout, c.requestTimedOut)
+	c.timer.Set(c.server.loop, c.server.limits.RequestTimeout, c.requestTimedOut)
 }
 
 func (c *connection) requestTimedOut() {
@@ -25,7 +26,7 @@
 	c.reject(&Rejection{Status: http.StatusRequestTimeout, Reason: "the request did not come in time"}, BadInput)
 }
 
-// feed reads on in the request that is coming in.
+// feed parses the next bytes of the request that is being read.
 func (c *connection) feed(data []byte) {
 	if err := c.parser.Feed(data, c); err != nil {
 		c.malformed(err)
@@ -34,7 +35,7 @@
 	rest := c.parser.TakeBuffered()
 	switch {
 	case len(rest) == 0 || c.state == closing:
-	case c.pipeline.overflow != nil: // it was buffered before
+	case c.pipeline.overflow != nil: // the rest was buffered before the overflow began
 		c.bufferPipelined(rest)
 	default:
 		c.readPipelined(rest)
@@ -54,7 +55,7 @@
 func (c *connection) Head(head *http1.Head) error {
 	in := &c.incoming
 	in.head = head
-	if in.readiness = asksReadiness(head); !in.readiness {
+	if in.isProbe = isReadinessProbe(head); !in.isProbe {
 		in.request, in.rejection = parseRequest(head)
 	}
 	if in.rejection != nil {
@@ -73,7 +74,7 @@
 	return nil
 }
 
-// reserveBody reserves memory for a body. If too little is left, nothing of it is buffered and the request is rejected.
+// reserveBody reserves memory for a body. If too little is left, it drops the body and rejects the request.
 func (c *connection) reserveBody(size int) {
 	s, in := c.server, &c.incoming
 	if size <= cap(in.body) {
@@ -109,10 +110,10 @@
 func (c *connection) End() error {
 	in := &c.incoming
 	c.parser.Pause()
-	c.wait.Clear()
+	c.timer.Clear()
 	in.keepAlive = in.head.KeepAlive()
-	if in.readiness {
-		c.answerReadiness()
+	if in.isProbe {
+		c.answerProbe()
 		return nil
 	}
 	if rejection := c.accept(); rejection != nil {
@@ -121,7 +122,7 @@
 	return nil
 }
 
-// accept checks a complete request and passes it on, or returns why it is rejected.
+// accept checks a complete request and passes it to the handler, or returns why the request is rejected.
 func (c *connection) accept() *Rejection {
 	if c.incoming.rejection != nil {
 		return c.incoming.rejection
@@ -135,7 +136,7 @@
 	return c.handle()
 }
 
-// handle passes the request on.
+// handle passes the request to the handler, and returns the handler's rejection, if any.
 func (c *connection) handle() *Rejection {
 	in := &c.incoming
 	request, response := in.request, &Response{connection: c, id: in.request.ID, bodyBytes: cap(in.body)}
@@ -150,20 +151,20 @@
 	return rejection
 }
 
-// dropRequest releases what is buffered of a request.
+// dropRequest drops the request that is being read and releases its buffered body.
 func (c *connection) dropRequest() {
 	in := &c.incoming
 	c.server.bufferedBytes -= cap(in.body)
 	in.head, in.request, in.body, in.rejection = nil, nil, nil, nil
 }
 
-// next makes the connection ready for another request.
-func (c *connection) next() {
+// serveNext continues after a response: with the buffered pipelined requests, then with the overflow, then idle.
+func (c *connection) serveNext() {
 	if c.state == closing {
 		return
 	}
 	c.response = nil
-	_ = c.parser.Resume(c) // nothing waits in it
+	_ = c.parser.Resume(c) // TakeBuffered has emptied the parser's buffer
 	if len(c.pipeline.buffered) > 0 {
 		data := c.pipeline.buffered
 		c.dropPipelined()
--- a/internal/platform/server/request.go
+++ b/internal/platform/server/request.go
@@ -16,20 +16,20 @@
 	"plumspindle/internal/http1"
 )
 
-// Request is a client's request that is well formed.
+// Request is a well-formed request of a client.
 type Request struct {
-	ID              string // as the client wrote it, byte for byte
+	ID              string // exactly as the client sent it
 	Class           string
 	Tenant          string
 	Session         string
 	Prefix          string
 	Target          string   // path and query
-	Fields          []string // of the head, name and value in turn, that are forwarded to an endpoint
+	Fields          []string // head fields to forward to an endpoint, as alternating names and values
 	PromptTokens    float64
-	PrefixTokens    float64 // of the prompt
+	PrefixTokens    float64 // part of PromptTokens
 	MaxOutputTokens float64
-	ReceivedAt      eventloop.Micros // its first byte
-	Timeout         eventloop.Micros // counted from when the client sent it
+	ReceivedAt      eventloop.Micros // when the first byte arrived
+	Timeout         eventloop.Micros // counted from when the client sent the request
 	Body            []byte
 }
 
@@ -40,7 +40,7 @@
 	maxTimeout = 3600 * eventloop.Second
 )
 
-// Fields of a request's head.
+// These are the names of fields of a request's head that the server reads.
 const (
 	idField       = "Req-Id"
 	classField    = "Req-Kind"
@@ -50,14 +50,15 @@
 	extraField    = "Req-Extra"
 )
 
-// singleFields may occur once at most: of two, an endpoint could read another one than this server does.
+// singleFields are the fields that may occur at most once. Of two fields with the same name, an endpoint could read
+// another one than this server does.
 var singleFields = []string{
 	idField, classField, sessionField, tenantField, deadlineField, extraField,
 	"Content-Length", "Transfer-Encoding", "Host",
 }
 
-// asksReadiness reports whether a request asks if the dispatcher is ready.
-func asksReadiness(head *http1.Head) bool {
+// isReadinessProbe reports whether a request asks whether the dispatcher is ready.
+func isReadinessProbe(head *http1.Head) bool {
 	return head.Method == http.MethodGet && requestPath(head) == readyPath
 }
 
@@ -83,7 +84,7 @@
 		Session: head.Get(sessionField),
 		Tenant:  head.Get(tenantField),
 		Target:  head.Target,
-		Fields:  endToEnd(head),
+		Fields:  endToEndFields(head),
 	}
 	if !validID(r.ID) {
 		return nil, badRequest("the field Req-Id is missing or can't be read")
@@ -101,7 +102,7 @@
 	return r, nil
 }
 
-// duplicateField is the name of a field that is there twice and must not be, or "".
+// duplicateField returns the name of one of singleFields that occurs more than once, or "".
 func duplicateField(head *http1.Head) string {
 	seen := make([]bool, len(singleFields))
 	for _, f := range head.Fields {
@@ -118,16 +119,16 @@
 	return ""
 }
 
-// hopByHop are the fields that speak of this connection, or of how the body is sent on it, and those that the
-// dispatcher writes itself.
+// hopByHop are the fields that are not forwarded: those that concern only this connection or how the body is sent on
+// it, and those that the dispatcher writes itself.
 var hopByHop = []string{
 	"Connection", "Content-Length", "Expect", "Host", "Keep-Alive", "Proxy-Authenticate", "Proxy-Authorization",
 	"Proxy-Connection", deadlineField, "Te", "Trailer", "Transfer-Encoding", "Upgrade",
 }
 
-// endToEnd returns the fields that are forwarded unchanged, names and values in turn. Idempotency-Key is one of them,
-// by which endpoints drop duplicates.
-func endToEnd(head *http1.Head) (fields []string) {
+// endToEndFields returns the fields that are forwarded unchanged, as alternating names and values. They include
+// Idempotency-Key, by which endpoints drop duplicates.
+func endToEndFields(head *http1.Head) (fields []string) {
 	named := strings.Split(head.Get("Connection"), ",")
 	for _, f := range head.Fields {
 		is := func(name string) bool { return strings.EqualFold(strings.TrimSpace(name), f.Name) }
@@ -139,18 +140,19 @@
 	return fields
 }
 
-// validID reports whether an id may be forwarded. It is forwarded as it is, in heads and paths, and so may have only
-// characters that are plain in both.
+// validID reports whether an ID may be forwarded. IDs are forwarded unescaped in heads and paths, so they may contain
+// only characters that need no escaping in either.
 func validID(id string) bool {
 	for i := 0; i < len(id); i++ {
-		if !plainInID(id[i]) {
+		if !allowedInID(id[i]) {
 			return false
 		}
 	}
 	return id != "" && len(id) <= maxID && strings.Trim(id, ".") != ""
 }
 
-func plainInID(c byte) bool {
+// allowedInID reports whether a character may occur in an ID.
+func allowedInID(c byte) bool {
 	switch {
 	case c >= '0' && c <= '9', c >= 'a' && c <= 'z', c >= 'A' && c <= 'Z':
 		return true
@@ -160,10 +162,10 @@
 
 var errMissing = errors.New("is missing")
 
-// timeoutBits bounds the digits of a time-out, so that none overflows in microseconds.
+// timeoutBits bounds the number in a timeout so that its conversion to microseconds does not overflow.
 const timeoutBits = 40
 
-// parseTimeout reads a number with its unit, m for milliseconds or u for microseconds.
+// parseTimeout decodes a timeout: a number followed by a unit, m for milliseconds or u for microseconds.
 func parseTimeout(text string) (eventloop.Micros, error) {
 	if text == "" {
 		return 0, errMissing
@@ -180,7 +182,7 @@
 	return min(t, maxTimeout), nil
 }
 
-// parseExtra reads pairs like prompt_len=5120; names that it does not know are ignored.
+// parseExtra decodes a list of pairs such as prompt_len=5120. It ignores unknown names.
 func (r *Request) parseExtra(text string) error {
 	if text == "" {
 		return nil
@@ -212,8 +214,8 @@
 	return nil
 }
 
-// checkBody judges a body: one that is not complete, as where a length was wrong, would be rejected by every endpoint
-// in turn.
+// checkBody returns a rejection unless the body is a JSON object. An invalid body, such as one that is cut off because
+// its length was wrong, would be rejected by every endpoint that it is sent to.
 func checkBody(body []byte) *Rejection {
 	if !gjson.ValidBytes(body) || bytes.TrimLeft(body, " \t\r\n")[0] != '{' {
 		return badRequest("the body is not a JSON object")
--- a/internal/platform/server/request_test.go
+++ b/internal/platform/server/request_test.go
@@ -23,19 +23,19 @@
 		"", "m", "4800", "4.5m", "+4m", "-4m", " 4m", "4 m", "4ms", "4s", "0x4m", "99999999999999999999m",
 	} {
 		if got, err := parseTimeout(text); err == nil {
-			t.Errorf("%q was taken for %d", text, got)
+			t.Errorf("%q was decoded as %d, want an error", text, got)
 		}
 	}
 }
 
-// requestChecker parses what a client sends as the server does, and checks what is accepted.
+// requestChecker parses requests in the way that the server does, and checks those that are accepted.
 type requestChecker struct {
 	t    *testing.T
 	body []byte
 }
 
 func (c *requestChecker) Head(head *http1.Head) error {
-	if asksReadiness(head) {
+	if isReadinessProbe(head) {
 		return nil
 	}
 	request, rejection := parseRequest(head)
@@ -45,8 +45,8 @@
 	if request == nil {
 		return nil
 	}
-	lengthsSound := request.PromptTokens >= 0 && request.PrefixTokens >= 0 && request.MaxOutputTokens >= 0
-	if !validID(request.ID) || request.Timeout < 0 || !lengthsSound {
+	lengthsValid := request.PromptTokens >= 0 && request.PrefixTokens >= 0 && request.MaxOutputTokens >= 0
+	if !validID(request.ID) || request.Timeout < 0 || !lengthsValid {
 		c.t.Errorf("%+v", request)
 	}
 	forwarded := request.Target + strings.Join(request.Fields, "")
--- a/internal/platform/server/response.go
+++ b/internal/platform/server/response.go
@@ -9,31 +9,32 @@
 	"plumspindle/internal/sse"
 )
 
-// Response carries the one final response to a request; calls that follow it have no effect.
+// Response sends the one final response to a request. Calls after the response's end have no effect.
 type Response struct {
 	connection *connection
-	id         string // the request's
-	bodyBytes  int    // of the request's body
-	started    bool   // its head has been written
-	staysOpen  bool   // its head allows another request to follow
+	id         string // the request's ID
+	bodyBytes  int    // size of the memory that is reserved for the request's body
+	started    bool   // the head of the stream has been written
+	staysOpen  bool   // the head of the stream does not announce the connection's close
 	done       bool
-	// OnDisconnect is called once when the client disconnects before the response's end.
+	// OnDisconnect is called once if the client disconnects before the response's end.
 	OnDisconnect func()
-	// OnWritable is called when a client that lagged has caught up.
+	// OnWritable is called when a client that lagged has taken everything that was written.
 	OnWritable func()
 }
 
-// Disconnected reports whether the client has closed its connection, even if OnDisconnect has not been called yet. It
-// is true of a finished response, too.
+// Disconnected reports whether the client has closed its connection, even if OnDisconnect has not been called yet. For
+// a finished response it always returns true.
 func (r *Response) Disconnected() bool { return r.done || r.connection.conn.PeerClosed() }
 
-// finish notes that nothing more follows, and releases what is buffered of the request.
+// finish marks the response as done, and releases the memory that is reserved for the request's body.
 func (r *Response) finish() {
 	r.done = true
 	r.connection.server.bufferedBytes -= r.bodyBytes
 }
 
-// WriteEvent forwards one event, unchanged, and reports whether the client lags behind.
+// WriteEvent forwards one event unchanged, and reports whether the client lags: more than Limits.UnsentBytes are
+// unsent.
 func (r *Response) WriteEvent(data []byte) (lags bool) {
 	if r.done {
 		return false
@@ -47,10 +48,10 @@
 	c.buffer = http1.AppendChunk(b, c.event)
 	c.conn.Write(c.buffer)
 	limits := &c.server.limits
-	return c.wait.LimitUnsent(c.server.loop, c.conn, limits.UnsentBytes, limits.StallTimeout, c.abortStalled)
+	return c.timer.LimitUnsent(c.server.loop, c.conn, limits.UnsentBytes, limits.StallTimeout, c.abortStalled)
 }
 
-// appendHead starts the stream.
+// appendHead appends the head of a streamed response, and marks the stream as started.
 func (r *Response) appendHead(b []byte) []byte {
 	r.started = true
 	r.staysOpen = r.connection.staysOpen()
@@ -61,7 +62,7 @@
 	return http1.AppendStreamHead(b, http.StatusOK, fields...)
 }
 
-// Complete ends a stream that is complete.
+// Complete ends a complete stream.
 func (r *Response) Complete() {
 	if !r.done {
 		r.connection.conn.Write(http1.AppendLastChunk(nil))
@@ -69,7 +70,7 @@
 	}
 }
 
-// Break ends a stream that is not complete: the connection is closed without the last chunk.
+// Break ends an incomplete stream: it closes the connection without the last chunk.
 func (r *Response) Break() {
 	if !r.done {
 		r.staysOpen = false
@@ -77,9 +78,10 @@
 	}
 }
 
-// Reject answers that nothing was run, so that the request may be retried, after a while if one is given.
+// Reject answers that nothing was run, so that the client may retry the request. A retryAfter above 0 tells the client
+// how long to wait.
 func (r *Response) Reject(retryAfter eventloop.Micros) {
-	response := shortResponse{status: http.StatusServiceUnavailable, text: "nothing was run; please try again"}
+	response := textResponse{status: http.StatusServiceUnavailable, text: "nothing was run; please try again"}
 	if retryAfter > 0 {
 		response.fields = []string{"Retry-After", seconds(retryAfter)}
 	}
@@ -88,10 +90,10 @@
 
 // Fail answers that the request failed, without saying whether anything was run.
 func (r *Response) Fail() {
-	r.answer(shortResponse{status: http.StatusInternalServerError, text: "the generation failed"})
+	r.answer(textResponse{status: http.StatusInternalServerError, text: "the generation failed"})
 }
 
-func (r *Response) answer(response shortResponse) {
+func (r *Response) answer(response textResponse) {
 	if r.done || r.started {
 		return
 	}
@@ -99,7 +101,7 @@
 	r.finish()
 	c.response = nil
 	if c.writeResponse(response, c.staysOpen()) {
-		c.server.loop.Defer(c.next)
+		c.server.loop.Defer(c.serveNext)
 	}
 }
 
@@ -112,11 +114,11 @@
 		c.close(reason)
 		return
 	}
-	c.wait.Clear()
-	c.server.loop.Defer(c.next)
+	c.timer.Clear()
+	c.server.loop.Defer(c.serveNext)
 }
 
-// abandon ends the response to a client that has disconnected.
+// abandon ends the response because the client has disconnected.
 func (r *Response) abandon() {
 	if r.done {
 		return
@@ -128,6 +130,7 @@
 	}
 }
 
+// seconds formats a duration in seconds.
 func seconds(t eventloop.Micros) string {
 	return strconv.FormatFloat(float64(t)/float64(eventloop.Second), 'f', -1, 64)
 }
--- a/internal/platform/server/server.go
+++ b/internal/platform/server/server.go
@@ -1,8 +1,8 @@
-// Package server serves the platform's clients over HTTP/1.1: it reads requests, rejects what can't be read or could do
-// harm, and gives each request that it passes on exactly one final response.
+// Package server serves the platform's clients over HTTP/1.1. It reads requests, rejects malformed and unsafe ones, and
+// sends exactly one final response to each request that it passes to its Handler.
 //
-// It owns the clients' connections, the bytes buffered for them and their time-outs. It relies on package http1 for
-// parsing and on an event loop for connections. It never decides what becomes of a request; its Handler does.
+// It owns the clients' connections, the bytes buffered for them and their timeouts. It relies on package http1 for
+// parsing and on an event loop for connections. It never decides how a request is handled; the Handler does.
 package server
 
 import (
@@ -13,21 +13,21 @@
 	"plumspindle/internal/http1"
 )
 
-// Limits are what clients may take.
+// Limits bound the resources and time that clients may use.
 type Limits struct {
-	HeadBytes     int // of a request's head
-	BodyBytes     int // of a request's body
-	Connections   int // that are not being closed
-	BufferedBytes int // request bodies and pipelined requests, over all connections
-	UnsentBytes   int // of a stream that are buffered for a slow client; past it its endpoint is slowed
+	HeadBytes     int // size of a request's head
+	BodyBytes     int // size of a request's body
+	Connections   int // open connections, without those that are being closed
+	BufferedBytes int // total size of the buffered bodies and pipelined requests of all connections
+	UnsentBytes   int // size of the part of a stream that a slow client has not taken; beyond it, its endpoint is slowed
 
 	RequestTimeout eventloop.Micros // from the connection's opening or the request's first byte to its last
-	IdleTimeout    eventloop.Micros // for the next request on a connection
-	StallTimeout   eventloop.Micros // for a client that reads nothing of what it is sent
+	IdleTimeout    eventloop.Micros // until the next request on a connection begins
+	StallTimeout   eventloop.Micros // while a client reads nothing of what it is sent
 }
 
-// DefaultLimits are those that do not depend on the dispatcher's size. The platform asks that a connection that brings
-// nothing readable is ended within 3 s.
+// DefaultLimits are the limits that do not depend on the dispatcher's size. The platform requires that a connection on
+// which no readable request arrives is closed within 3 s.
 var DefaultLimits = Limits{
 	HeadBytes:      16 << 10,
 	BodyBytes:      256 << 10,
@@ -37,24 +37,25 @@
 }
 
 const (
-	// penaltyTime is how long a client is not served after an unusable request: a client that repeats it at once would
-	// take up the time of all others.
-	penaltyTime = 100 * eventloop.Millisecond
-	// busyIdleRetry is the pause before another attempt to close an idle connection on which something had just arrived.
-	busyIdleRetry = 50 * eventloop.Millisecond
-	// maxFields bounds the fields of a request's head.
+	// throttleDelay is how long a connection is not served after a rejected request. Otherwise a client that repeats such
+	// a request in a loop would use up the time of all others.
+	throttleDelay = 100 * eventloop.Millisecond
+	// idleCloseRetryDelay is the time until the next attempt to close an idle connection, if something had just arrived on
+	// it.
+	idleCloseRetryDelay = 50 * eventloop.Millisecond
+	// maxFields is the maximum number of fields in a request's head.
 	maxFields = 100
 )
 
-// Handler decides what becomes of requests.
+// Handler handles the requests that the server has accepted.
 type Handler interface {
-	// Ready reports whether there is anything to serve with.
+	// Ready reports whether the handler knows any endpoint to serve requests with.
 	Ready() bool
-	// Handle accepts a request, to be answered through the response, or returns why it is rejected.
+	// Handle accepts a request and answers it through the response, now or later, or returns why it rejects the request.
 	Handle(*Request, *Response) *Rejection
 }
 
-// Rejection is the response to a request that is not passed on.
+// Rejection is the response to a request that is rejected.
 type Rejection struct {
 	Status int
 	Reason string // the response's body
@@ -68,11 +69,11 @@
 	return &Rejection{Status: http.StatusServiceUnavailable, Reason: reason}
 }
 
-// Counts are what the server has done since its start.
+// Counts are the numbers of events since the server's start.
 type Counts struct {
-	Rejected uint64 // requests
-	Evicted  uint64 // connections closed or rejected as there were too many
-	TimedOut uint64 // connections that brought no request in time
+	Rejected uint64 // rejected requests
+	Evicted  uint64 // connections that were closed or rejected because there were too many
+	TimedOut uint64 // connections on which no request arrived in time
 	Closed   CloseCounts
 }
 
@@ -81,60 +82,62 @@
 	loop            eventloop.Loop
 	handler         Handler
 	limits          Limits
-	connections     map[*connection]bool // until they are closed
-	openCount       int                  // of these, those that are not being closed
-	idleConnections list.List            // of *connection, the one that has waited longest first
+	connections     map[*connection]bool // all that are not closed yet
+	openCount       int                  // the number of these that are not being closed
+	idleConnections list.List            // elements are *connection, the one that has been idle longest first
 	bufferedBytes   int
-	draining        bool // connections end with their next response
-	stopped         bool // nothing more is passed on
-	// OnUnansweredClose, where it is set, is called for each connection that is closed from here over a request that
-	// was read.
+	draining        bool // connections are closed after their next response
+	stopped         bool // no request is passed to the handler any more
+	// OnUnansweredClose, if set, is called for each connection that this server closes although a request that was read
+	// from it has no response.
 	OnUnansweredClose func(requestID, reason string)
 	Counts
 }
 
-// New makes a server; its Accept goes to the loop's Listen.
+// New returns a server. The caller passes its Accept method to the loop's Listen.
 func New(loop eventloop.Loop, limits Limits, handler Handler) *Server {
 	return &Server{loop: loop, limits: limits, handler: handler, connections: map[*connection]bool{}}
 }
 
-// Accept makes the handler of a connection that was accepted.
+// Accept returns the event handler of a new connection.
 func (s *Server) Accept(conn eventloop.Conn) eventloop.Handler {
 	c := &connection{server: s, conn: conn}
 	c.parser.Limits = http1.Limits{HeadBytes: s.limits.HeadBytes, FieldCount: maxFields, BodyBytes: s.limits.BodyBytes}
-	s.connections[c] = true // even before it is opened, so that a shutdown waits for it
+	s.connections[c] = true // already before Opened is called, so that a shutdown waits for it
 	s.openCount++
 	return c
 }
 
-// Drain has connections end with their next response; requests are still passed on.
+// Drain makes the server close each connection after its next response. Requests are still passed to the handler.
 func (s *Server) Drain() { s.draining = true }
 
-// Shutdown passes no request on from now on: one whose last byte has not been read yet is rejected, as a retry
-// elsewhere is safe. Idle connections are closed, new ones only after their first request, which may be on its way.
+// Shutdown stops the server from passing requests to the handler. A request whose last byte has not been read yet is
+// rejected, because a retry on another dispatcher is safe. Shutdown closes idle connections, except those that have had
+// no request yet, because their first request may be on its way; these are closed after it.
 func (s *Server) Shutdown() {
 	s.draining, s.stopped = true, true
 	s.closeIdle(func(c *connection) bool { return c.hadRequest })
 }
 
-// CloseIdle closes all connections without a request, unless something has just come on one.
+// CloseIdle closes all idle connections, except those on which something has just arrived.
 func (s *Server) CloseIdle() {
 	s.closeIdle(func(*connection) bool { return true })
 }
 
-// closeIdle closes the idle connections that are chosen.
-func (s *Server) closeIdle(chosen func(*connection) bool) {
+// closeIdle closes the idle connections for which selected returns true.
+func (s *Server) closeIdle(selected func(*connection) bool) {
 	for e := s.idleConnections.Front(); e != nil; {
 		c := e.Value.(*connection)
-		e = e.Next() // before c leaves the list
-		if chosen(c) {
+		e = e.Next() // before closing removes c from the list
+		if selected(c) {
 			c.idleTimedOut()
 		}
 	}
 }
 
-// evict closes the connection that has been idle for longest, the newest excepted, and reports whether there was one.
-// Clients send a request soon after they connect: the longest idle connection is the least likely to bring one.
+// evict closes the connection that has been idle longest, except the newest connection, and reports whether it closed
+// one. Clients send a request soon after they connect, so the connection that has been idle longest is the least likely
+// to carry one soon.
 func (s *Server) evict(newest *connection) bool {
 	for e := s.idleConnections.Front(); e != nil; e = e.Next() {
 		if c := e.Value.(*connection); c != newest && c.closeIdle(Evicted) {
@@ -144,21 +147,21 @@
 	return false
 }
 
-// Connections is how many there are, with those that are being closed.
+// Connections returns the number of connections, including those that are being closed.
 func (s *Server) Connections() int { return len(s.connections) }
 
-// Open is how many of them are not being closed.
+// Open returns the number of connections that are not being closed.
 func (s *Server) Open() int { return s.openCount }
 
-// Active is how many connections bring a request or wait for a response's end.
+// Active returns the number of connections on which a request is being read or answered.
 func (s *Server) Active() int {
-	return s.inState(reading) + s.inState(answering) + s.inState(rejectingOverflow)
+	return s.countInState(reading) + s.countInState(answering) + s.countInState(rejectingOverflow)
 }
 
-// Answering is how many connections wait for a response's end.
-func (s *Server) Answering() int { return s.inState(answering) }
+// Answering returns the number of connections on which a request is being answered.
+func (s *Server) Answering() int { return s.countInState(answering) }
 
-func (s *Server) inState(state connectionState) (n int) {
+func (s *Server) countInState(state connectionState) (n int) {
 	for c := range s.connections {
 		if c.state == state {
 			n++
@@ -167,10 +170,10 @@
 	return n
 }
 
-// Buffered is how many bytes are buffered of requests.
+// Buffered returns the number of bytes of requests that are buffered.
 func (s *Server) Buffered() int { return s.bufferedBytes }
 
-// Unsent is how many bytes are buffered for the client that lags most.
+// Unsent returns the largest number of bytes that are buffered for one client.
 func (s *Server) Unsent() (most int) {
 	for c := range s.connections {
 		most = max(most, c.conn.Unsent())
--- a/internal/platform/server/streams_test.go
+++ b/internal/platform/server/streams_test.go
@@ -16,9 +16,9 @@
 	"plumspindle/internal/sockets"
 )
 
-// BenchmarkManyStreams measures how long events take from their writing to the client, over loopback, with many
-// streams open and some clients that read nothing for a moment. Events are due each 50 ms on each stream; those of a
-// client that paused count from its return.
+// BenchmarkManyStreams measures the time from writing an event to its arrival at the client, over loopback, with many
+// open streams. Each stream has an event every 50 ms. Some clients stop reading for a moment; the delays of events that
+// were written in that time are measured from when the client reads again.
 func BenchmarkManyStreams(b *testing.B) {
 	for _, streams := range []int{100, 1000, 4000} {
 		b.Run(fmt.Sprint(streams), func(b *testing.B) { measureStreams(b, streams) })
@@ -70,11 +70,11 @@
 	b.ReportMetric(float64(delays[len(delays)*99/100].Microseconds())/1000, "ms-p99")
 	b.ReportMetric(float64(delays[len(delays)-1].Microseconds())/1000, "ms-max")
 	if want := streams * events; len(delays) != want {
-		b.Errorf("%d events of %d came", len(delays), want)
+		b.Errorf("%d events of %d arrived", len(delays), want)
 	}
 }
 
-// writeEvents writes a stream's events, each with the time of its writing.
+// writeEvents writes a stream's events. Each contains the time at which it is written.
 func writeEvents(loop eventloop.Loop, r *Response, every eventloop.Micros, left int, padding string) {
 	if left == 0 {
 		r.Complete()
@@ -86,16 +86,17 @@
 	loop.AfterFunc(every, func() { writeEvents(loop, r, every, left-1, padding) })
 }
 
-// resumeAfter closes the channel, by the loop's clock, when a pause is over.
+// resumeAfter returns a channel that is closed when a pause by the loop's clock is over.
 func resumeAfter(loop *sockets.Loop, pause eventloop.Micros) <-chan bool {
 	over := make(chan bool)
 	loop.Post(func() { loop.AfterFunc(pause, func() { close(over) }) })
 	return over
 }
 
-// readDelays reads a stream to its end; one with a resume reads nothing in its midst until that is closed.
+// readDelays reads a stream to its end and returns the delay of each event. If resume is set, it stops reading after 10
+// events until the channel that resume returns is closed.
 func readDelays(c net.Conn, resume func() <-chan bool) (delays []time.Duration) {
-	var back time.Time
+	var resumedAt time.Time
 	lines := bufio.NewScanner(c)
 	for lines.Scan() {
 		text, event := strings.CutPrefix(lines.Text(), "data: ")
@@ -110,12 +111,12 @@
 			return delays
 		}
 		written := time.Unix(0, int64(binary.BigEndian.Uint64(raw)))
-		if written.Before(back) {
-			written = back
+		if written.Before(resumedAt) {
+			written = resumedAt
 		}
 		if delays = append(delays, time.Since(written)); resume != nil && len(delays) == 10 {
 			<-resume()
-			back = time.Now()
+			resumedAt = time.Now()
 		}
 	}
 	return delays
