--- a/internal/platform/launch/descriptors_test.go
+++ b/internal/platform/launch/descriptors_test.go
@@ -109,7 +109,7 @@
 
 // TestFollowsDiscoveryWithoutFreeDescriptors checks that a dispatcher still follows discovery when its clients have
 // taken all file descriptors: it reads a new configuration, subscribes at the new address, and subscribes again after
-// a reset.
+// the connection is closed.
 func TestFollowsDiscoveryWithoutFreeDescriptors(t *testing.T) {
 	before, after := newDiscoveryAgent(t), newDiscoveryAgent(t)
 	listen := freeAddress(t)
@@ -136,6 +136,6 @@
 		if err := subscription.Close(); err != nil {
 			t.Fatal(err)
 		}
-		subscription = after.await(t, "the subscription after the reset")
+		subscription = after.await(t, "the subscription after the connection was closed")
 	}
 }
--- a/internal/platform/launch/retry.go
+++ b/internal/platform/launch/retry.go
@@ -15,8 +15,8 @@
 	startRetryInterval = 20 * eventloop.Millisecond
 )
 
-// transientErrors are the errors that Linux documents for a temporary shortage of resources, and those for an address
-// in use, which a previous process may keep for a moment.
+// transientErrors are the errors that Linux documents for an interrupted call, a temporary shortage of resources and an
+// I/O error, and those for an address that can't be used, which a previous process may keep for a moment.
 var transientErrors = []syscall.Errno{
 	syscall.EINTR,
 	syscall.EAGAIN,
--- a/internal/platform/server/connection.go
+++ b/internal/platform/server/connection.go
@@ -96,8 +96,8 @@
 
 // --- Closing ---
 
-// enterClosing ignores what arrives from now on. What has been written is still sent, for as long as the client takes
-// any of it.
+// enterClosing ignores what arrives from now on. What has been written is still sent, until the connection is reset
+// after the stall timeout.
 func (c *connection) enterClosing(reason CloseReason) {
 	c.leaveIdle()
 	if c.state != closing {
--- a/internal/platform/server/server.go
+++ b/internal/platform/server/server.go
@@ -73,7 +73,7 @@
 type Counts struct {
 	Rejected uint64 // rejected requests
 	Evicted  uint64 // connections that were closed or rejected because there were too many
-	TimedOut uint64 // connections on which no request arrived in time
+	TimedOut uint64 // requests that began and did not arrive completely in time
 	Closed   CloseCounts
 }
 
--- a/internal/platform/upstream/upstream_test.go
+++ b/internal/platform/upstream/upstream_test.go
@@ -11,9 +11,9 @@
 	"plumspindle/scheduler"
 )
 
-// TestResponseResults compares the results of the platform's responses with those of the simulator's protocol: the same
-// outcome, and the same knowledge of whether the attempt has run. Results without a response, such as lost connections
-// and timeouts, are tested in package platform.
+// TestResponseResults checks the result of each kind of response: its outcome, which also states whether the attempt
+// may have run, the cached tokens and a missing KV state. The expected results are those of the simulator's protocol.
+// Results without a response, such as lost connections and timeouts, are tested in package platform.
 func TestResponseResults(t *testing.T) {
 	declinedField := []http1.Field{{Name: "Srv-Declined", Value: "1"}}
 	for _, test := range []struct {
