--- a/internal/sockets/barrier.go
+++ b/internal/sockets/barrier.go
@@ -9,22 +9,24 @@
 	"github.com/lesismal/nbio"
 )
 
-// pollBarrier keeps events of a closed connection from reaching another one that has its descriptor. nbio's poller
-// takes up to a thousand events at once and finds the connection of each by its descriptor: if a connection was closed
-// meanwhile and its descriptor given to a new one, the old one's hang-up would close the new one. (nbio reports a
-// closing only after the descriptor is free, so that it can't be known which descriptors are concerned.)
+// pollBarrier prevents stale events of a closed connection from being applied to a new connection that reuses its file
+// descriptor. nbio's poller fetches up to a thousand events at once and looks up the connection of each event by its
+// descriptor. If a connection is closed in between and a new one gets its descriptor, the old connection's hang-up
+// event would close the new one. nbio reports that a connection was closed only after it has released the descriptor,
+// so this package can't tell which descriptors are affected.
 //
-// So a connection is handed to the poller only after the poller has begun a new round: a byte that is written to a
-// socket pair now is read in a round whose events were taken after that.
+// A connection is therefore added to the poller only after the poller has fetched a new batch of events. To detect
+// this, the barrier writes a byte to a socket pair: the poller reads the byte in a batch that it fetched after the
+// write.
 type pollBarrier struct {
 	loop     *Loop
 	writeEnd net.Conn // closed by Stop
 	readEnd  *nbio.Conn
 
-	// What follows is used by the loop's goroutine only.
-	inFlight bool     // a byte was written and has not been read
-	waiting  []func() // until it is read
-	next     []func() // until the byte after it is read
+	// The fields below are used by the loop's goroutine only.
+	inFlight bool     // a byte was written, and the poller has not read it yet
+	waiting  []func() // are called once the byte in flight is read
+	next     []func() // are called once the byte after the one in flight is read
 }
 
 func (l *Loop) startBarrier() error {
@@ -48,7 +50,7 @@
 	var ends [len(pair)]net.Conn
 	for i, fd := range pair {
 		f := os.NewFile(uintptr(fd), "poll barrier")
-		ends[i], err = net.FileConn(f) // which duplicates the descriptor
+		ends[i], err = net.FileConn(f) // duplicates the descriptor, so f can be closed
 		_ = f.Close()
 		if err != nil {
 			return nil, err
@@ -61,8 +63,8 @@
 	return &pollBarrier{loop: l, writeEnd: ends[0], readEnd: readEnd}, nil
 }
 
-// after calls f once no event of an earlier owner of any descriptor can arrive.
-func (b *pollBarrier) after(f func()) {
+// afterStaleEvents calls f once the poller has handled all events of connections that are already closed.
+func (b *pollBarrier) afterStaleEvents(f func()) {
 	if b.inFlight {
 		b.next = append(b.next, f)
 		return
@@ -74,11 +76,11 @@
 func (b *pollBarrier) send() {
 	b.inFlight = true
 	if _, err := b.writeEnd.Write([]byte{1}); err != nil {
-		b.passed() // the loop is being stopped
+		b.runWaiting() // the write fails only while the loop is being stopped
 	}
 }
 
-// read is called by the poller when the byte has arrived.
+// read consumes the byte. The poller calls it when the byte has arrived.
 func (b *pollBarrier) read() {
 	var buffer [16]byte
 	for {
@@ -87,15 +89,16 @@
 			break
 		}
 	}
-	b.loop.Post(b.passed)
+	b.loop.Post(b.runWaiting)
 }
 
-// passed calls what has waited: the events that the poller had taken before the byte was written have been handled.
-func (b *pollBarrier) passed() {
+// runWaiting calls the waiting functions. At this point the poller has handled all events that it fetched before the
+// byte was written.
+func (b *pollBarrier) runWaiting() {
 	b.inFlight = false
-	passed := b.waiting
+	ready := b.waiting
 	b.waiting, b.next = b.next, nil
-	for _, f := range passed {
+	for _, f := range ready {
 		f()
 	}
 	if len(b.waiting) > 0 {
--- a/internal/sockets/barrier_test.go
+++ b/internal/sockets/barrier_test.go
@@ -10,44 +10,45 @@
 	"plumspindle/internal/eventloop"
 )
 
-// oneByteAnswer is a handler that answers each connection with one byte and closes.
-type oneByteAnswer struct{ conn eventloop.Conn }
+// oneByteResponder is a handler that answers its connection with one byte and closes it.
+type oneByteResponder struct{ conn eventloop.Conn }
 
-func (oneByteAnswer) Opened()      {}
-func (oneByteAnswer) Drained()     {}
-func (oneByteAnswer) Closed(error) {}
-func (a oneByteAnswer) Data([]byte) {
+func (oneByteResponder) Opened()      {}
+func (oneByteResponder) Drained()     {}
+func (oneByteResponder) Closed(error) {}
+func (a oneByteResponder) Data([]byte) {
 	a.conn.Write([]byte("!"))
 	a.conn.Close()
 }
 
-// Events of a closed connection never end another one that has its descriptor: each client is answered, however fast
-// they come and go. Without the barrier about one in some thousands was closed without an answer.
+// Stale events of a closed connection must not close a new connection that reuses its descriptor. Many clients connect
+// and disconnect quickly, and each one must be answered. Without the poll barrier, about one connection in several
+// thousand was closed without an answer.
 func TestEventsOfAClosedConnectionDoNotReachItsSuccessor(t *testing.T) {
 	const clients, requests = 300, 60
 	l := startLoop(t)
-	addr := listen(t, l, func(c eventloop.Conn) eventloop.Handler { return oneByteAnswer{c} }).Addr()
-	var group sync.WaitGroup
+	addr := listen(t, l, func(c eventloop.Conn) eventloop.Handler { return oneByteResponder{c} }).Addr()
+	var clientGroup sync.WaitGroup
 	var unanswered atomic.Int64
 	for range clients {
-		group.Go(func() {
+		clientGroup.Go(func() {
 			for range requests {
-				if err := askOneByte(addr); err != nil {
+				if err := exchangeOneByte(addr); err != nil {
 					unanswered.Add(1)
 					t.Log(err)
 				}
 			}
 		})
 	}
-	group.Wait()
+	clientGroup.Wait()
 	if n := unanswered.Load(); n > 0 {
-		t.Errorf("%d of %d were not answered", n, clients*requests)
+		t.Errorf("%d of %d requests were not answered", n, clients*requests)
 	}
 }
 
-// askOneByte sends one byte and reads the answer. A dial that fails is no error: the machine may have no more ports for
-// so many connections at once.
-func askOneByte(addr string) error {
+// exchangeOneByte sends one byte and reads the answer. It ignores a failed dial, because the machine may run out of
+// ports with so many connections at once.
+func exchangeOneByte(addr string) error {
 	c, err := net.DialTimeout("tcp", addr, 20*time.Second)
 	if err != nil {
 		return nil
--- a/internal/sockets/close.go
+++ b/internal/sockets/close.go
@@ -6,7 +6,7 @@
 	"plumspindle/internal/eventloop"
 )
 
-// lingerTimeout is how long the other side has to close a connection that was shut down here.
+// lingerTimeout is how long the peer of an accepted connection has to close it after this side has shut down writing.
 const lingerTimeout = eventloop.Second
 
 // Close implements eventloop.Conn.
@@ -24,8 +24,8 @@
 	}
 }
 
-// CloseIfIdle implements eventloop.Conn. The poller reads nothing between the check and the shutdown: what it reads
-// after that is dropped, as it came too late.
+// CloseIfIdle implements eventloop.Conn. It holds the lock from the check to the shutdown, so that the poller reads
+// nothing in between. Data that the poller reads after the shutdown is dropped.
 func (c *conn) CloseIfIdle() bool {
 	if c.socket == nil || c.closing || c.ended || len(c.unsent) > 0 {
 		c.Close()
@@ -41,8 +41,8 @@
 	return true
 }
 
-// shutDown closes a connection on which everything is sent: by halves if it was accepted, as the other side may still
-// be sending.
+// shutDown closes a connection that has no unsent data. An accepted connection is half-closed first, because its peer
+// may still be sending.
 func (c *conn) shutDown() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -63,7 +63,7 @@
 		return
 	}
 	c.lingerTimer = c.loop.AfterFunc(lingerTimeout, func() { _ = c.socket.Close() })
-	c.postHandOverLocked() // drops what has arrived, and makes capacity for what still arrives
+	c.postDeliveryLocked() // discards the received data, so that the buffer has capacity for what still arrives
 }
 
 // Abort implements eventloop.Conn.
--- a/internal/sockets/close_test.go
+++ b/internal/sockets/close_test.go
@@ -15,7 +15,7 @@
 )
 
 func TestCloseSendsEverythingInOrderFirst(t *testing.T) {
-	want := strings.Repeat("0123456789abcdef", 1<<17) // 2 MB, more than any socket takes at once
+	want := strings.Repeat("0123456789abcdef", 1<<17) // 2 MB, more than any socket accepts at once
 	server, client := newRecorder(), newRecorder()
 	server.onOpened = func(r *recorder) {
 		r.conn.Write([]byte(want))
@@ -25,7 +25,7 @@
 	waitFor(t, "the end", client.closed)
 	clientLoop.Do(func() {
 		if !bytes.Equal(client.data, []byte(want)) {
-			t.Errorf("%d bytes of %d came", len(client.data), len(want))
+			t.Errorf("received %d of %d bytes", len(client.data), len(want))
 		}
 	})
 }
@@ -35,18 +35,19 @@
 	server.onOpened = func(r *recorder) { r.conn.Abort() }
 	connect(t, server, client)
 	waitFor(t, "the reset", client.closed)
-	waitFor(t, "the server's own end", server.closed)
+	waitFor(t, "the end of the server's connection", server.closed)
 }
 
-// What the other side sends in the moment of a close neither resets the connection, and with it an answer that is on
-// its way, nor is it handed over; and it does not keep the connection open for long.
+// Data that the peer sends after this side has closed the connection is dropped. It must not reset the connection,
+// which could lose a response in transit, must not be delivered to the handler, and must not keep the connection open
+// for long.
 func TestCloseDropsWhatArrivesLaterWithoutReset(t *testing.T) {
-	answer := bytes.Repeat([]byte("0123456789abcdef"), 1<<15) // more than the sockets between take at once
+	answer := bytes.Repeat([]byte("0123456789abcdef"), 1<<15) // more than both sockets' buffers accept at once
 	answered := make(chan error, 1)
-	turns := 0
+	deliveries := 0
 	server := newRecorder()
 	server.onData = func(r *recorder) {
-		if turns++; turns == 1 {
+		if deliveries++; deliveries == 1 {
 			r.conn.Write(answer)
 			r.conn.Close()
 			answered <- nil
@@ -57,44 +58,44 @@
 		t.Fatal(err)
 	}
 	waitFor(t, "the answer", answered)
-	for range 20 { // sent before anything of the answer is read
+	for range 20 { // sent before any of the answer is read
 		if _, err := c.Write(make([]byte, 32<<10)); err != nil {
-			t.Fatalf("sent behind the request: %v", err)
+			t.Fatalf("send after the request: %v", err)
 		}
 	}
 	got, err := io.ReadAll(c)
 	if err != nil || !bytes.Equal(got, answer) {
-		t.Errorf("%d bytes of %d came: %v", len(got), len(answer), err)
+		t.Errorf("received %d of %d bytes: %v", len(got), len(answer), err)
 	}
-	if turns != 1 {
-		t.Errorf("%d turns were handed over", turns)
+	if deliveries != 1 {
+		t.Errorf("%d deliveries, want 1", deliveries)
 	}
-	// The client does not close: the connection ends nevertheless.
+	// The connection must end although the client does not close it.
 	waitFor(t, "the server's closing", server.closed)
 	_ = c.SetDeadline(time.Now().Add(30 * time.Second))
 	for err = nil; err == nil; {
 		_, err = c.Write(make([]byte, 1<<10))
 	}
 	if !errors.Is(err, syscall.EPIPE) && !errors.Is(err, syscall.ECONNRESET) {
-		t.Errorf("writing on: %v", err)
+		t.Errorf("write after the end: %v", err)
 	}
 }
 
-// CloseIfIdle does not close a connection on which something has arrived, whether the poller has read it yet or not;
-// what arrives after it is dropped.
+// CloseIfIdle must not close a connection on which data has arrived, whether or not the poller has read the data. Data
+// that arrives after the close is dropped.
 func TestCloseIfIdleKeepsConnectionsWithData(t *testing.T) {
 	for _, test := range []struct {
-		name              string
-		sentBefore        bool
-		readByPoller      bool
-		sentAfter         bool
-		wantClosed        bool
-		wantDataHandedOut bool
+		name          string
+		sentBefore    bool
+		readByPoller  bool
+		sentAfter     bool
+		wantClosed    bool
+		wantDelivered bool
 	}{
 		{name: "nothing has arrived", wantClosed: true},
-		{name: "it is in the socket", sentBefore: true, wantDataHandedOut: true},
-		{name: "the poller has read it", sentBefore: true, readByPoller: true, wantDataHandedOut: true},
-		{name: "it arrives after the close", sentAfter: true, wantClosed: true},
+		{name: "data is in the socket", sentBefore: true, wantDelivered: true},
+		{name: "the poller has read data", sentBefore: true, readByPoller: true, wantDelivered: true},
+		{name: "data arrives after the close", sentAfter: true, wantClosed: true},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			server := newRecorder()
@@ -107,7 +108,7 @@
 				if test.sentBefore {
 					_, _ = client.Write([]byte("request"))
 				}
-				for test.readByPoller && !c.hasRead() {
+				for test.readByPoller && !c.hasReceived() {
 					runtime.Gosched()
 				}
 				closed = c.CloseIfIdle()
@@ -125,15 +126,15 @@
 				_ = client.Close()
 				waitFor(t, "the end", server.closed)
 			}
-			if got := handedOver(server, test.wantDataHandedOut); (got > 0) != test.wantDataHandedOut {
-				t.Errorf("%d bytes were handed over", got)
+			if got := deliveredBytes(server, test.wantDelivered); (got > 0) != test.wantDelivered {
+				t.Errorf("%d bytes were delivered", got)
 			}
 		})
 	}
 }
 
-// handedOver returns how many bytes a recorder was handed, and waits for some if they are expected.
-func handedOver(r *recorder, expected bool) (n int) {
+// deliveredBytes returns how many bytes were delivered to a recorder, and waits for some if they are expected.
+func deliveredBytes(r *recorder, expected bool) (n int) {
 	loop := r.conn.(*conn).loop
 	for end := time.Now().Add(10 * time.Second); ; runtime.Gosched() {
 		loop.Do(func() { n = len(r.data) })
@@ -143,8 +144,8 @@
 	}
 }
 
-// hasRead reports whether the poller has read something that was not handed over.
-func (c *conn) hasRead() bool {
+// hasReceived reports whether the poller has read data that is not delivered yet.
+func (c *conn) hasReceived() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return len(c.received) > 0
@@ -162,7 +163,7 @@
 		t.Run(test.name, func(t *testing.T) {
 			l := startLoop(t)
 			server := newRecorder()
-			server.onOpened = func(*recorder) { t.Error("it opened") }
+			server.onOpened = func(*recorder) { t.Error("the connection opened") }
 			addr := listen(t, l, func(c eventloop.Conn) eventloop.Handler {
 				l.Defer(func() { test.close(c) })
 				return server
@@ -170,11 +171,11 @@
 			c, err := net.Dial("tcp", addr)
 			switch {
 			case err == nil:
-				closeAtEnd(t, c)
-			case !errors.Is(err, syscall.ECONNRESET): // the abort may have overtaken it
+				closeOnCleanup(t, c)
+			case !errors.Is(err, syscall.ECONNRESET): // the abort may come before the dial has completed
 				t.Fatal(err)
 			}
-			waitFor(t, "its end", server.closed)
+			waitFor(t, "the connection's end", server.closed)
 		})
 	}
 }
--- a/internal/sockets/conn.go
+++ b/internal/sockets/conn.go
@@ -11,65 +11,69 @@
 )
 
 const (
-	// maxTurnBytes of one connection are handed over in one turn, so that connections take turns.
-	maxTurnBytes = 32 << 10
-	// defaultReadBufferLimit is how many bytes of one connection are read ahead of the loop; beyond it they are left in
-	// the socket, whose other side is slowed down once it is full.
+	// maxDeliveryBytes is how much of one connection's data is passed to its handler at once, so that a busy connection
+	// doesn't delay the others.
+	maxDeliveryBytes = 32 << 10
+	// defaultReadBufferLimit is how many bytes of one connection are buffered until the loop delivers them. Above it,
+	// data stays in the socket's receive buffer; once that is full, TCP flow control slows the peer down.
 	defaultReadBufferLimit = 128 << 10
-	// readChunkBytes are read with one system call.
+	// readChunkBytes is the size of the buffer for one read system call.
 	readChunkBytes = 16 << 10
-	// maxIdleBufferBytes is how large a buffer a connection keeps that has nothing to hand over.
+	// maxIdleBufferBytes is the size of the largest delivery buffer that a connection keeps while it has no data.
 	maxIdleBufferBytes = 4 << 10
 )
 
-// conn implements eventloop.Conn over one of nbio's connections. The poller reads; only the loop writes, so that what
-// was sent does not change between a check of it and the action that follows from it.
+// conn implements eventloop.Conn on an nbio connection. The poller's and the loop's goroutines read from the socket.
+// Only the loop's goroutine writes to it, so that what has been sent can't change between a check of it and the action
+// based on that check.
 type conn struct {
 	loop      *Loop
 	handler   eventloop.Handler
-	socket    *nbio.Conn // nil until it is handed to the poller
+	socket    *nbio.Conn // nil while the connection is being dialled
 	dialTimer eventloop.Timer
 
-	mu             sync.Mutex // guards what the poller and the loop share
-	received       []byte     // read, and not handed over
-	handOverPosted bool
-	readStalled    bool // the limit of received was reached, and the socket was not read until it was empty
-	peerEnded      bool
-
-	// What follows is used by the loop's goroutine only.
-	unsent      []byte // written, and not taken by the socket
-	flushTimer  eventloop.Timer
-	lingerTimer eventloop.Timer
-	turnBuffer  []byte // reused for what is handed over
-	accepted    bool
-	paused      bool
-	closing     bool
-	ended       bool // Closed was called
-	cause       error
+	mu             sync.Mutex // guards the fields that the poller and the loop share, up to peerClosed
+	received       []byte     // read from the socket, but not yet delivered to the handler
+	deliveryPosted bool
+	readStalled    bool // received reached its limit, so the socket may still hold data
+	peerClosed     bool
+
+	// The fields below are used by the loop's goroutine only.
+	unsent         []byte // written by the handler, but not yet accepted by the socket
+	flushTimer     eventloop.Timer
+	lingerTimer    eventloop.Timer
+	deliveryBuffer []byte // reused for the data passed to the handler
+	accepted       bool
+	paused         bool
+	closing        bool
+	ended          bool  // the handler's Closed was called
+	cause          error // why the connection ended; nil while it is open
 }
 
-// read reads what has arrived, up to the limit. It is called by the poller, and by the loop once there is capacity.
+// read reads the available data into the receive buffer, up to its limit. The poller calls it when the socket is
+// readable; the loop calls it, for example, when the buffer has capacity again.
 func (c *conn) read(socket *nbio.Conn) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.readLocked(socket)
 	if len(c.received) > 0 {
-		c.postHandOverLocked()
+		c.postDeliveryLocked()
 	}
 }
 
 func (c *conn) readLocked(socket *nbio.Conn) {
 	var buffer [readChunkBytes]byte
 	for {
-		// Beyond the limit the socket is left to fill. But what the other side sent before it closed has to be read now,
-		// as nbio closes with the rest unread as soon as it sees the close. That is at most what the socket holds.
+		// Above the limit, data is left in the socket's receive buffer. If the peer has closed, everything it sent
+		// before has to be read now, because nbio closes the socket as soon as it sees the close and drops unread data.
+		// The socket's receive buffer bounds how much that is.
 		if len(c.received) >= c.loop.readBufferLimit() && !isHungUp(socket.Hash()) {
 			c.readStalled = true
 			return
 		}
 		n, err := socket.Read(buffer[:])
 		switch {
-		case n > 0: // a short read does not mean that nothing is left; only EAGAIN does
+		case n > 0: // a short read does not mean that the socket is empty; only EAGAIN does
 			c.received = append(c.received, buffer[:n]...)
 		case errors.Is(err, syscall.EINTR):
 		case errors.Is(err, syscall.EAGAIN):
@@ -81,18 +85,19 @@
 	}
 }
 
-// readFailedLocked closes a connection whose other side has closed it. nbio closes on a half-close too, after this.
+// readFailedLocked has the loop close the socket after a read met an error or the end of the stream. nbio itself
+// closes the socket after this, even if the peer has only half-closed the connection.
 func (c *conn) readFailedLocked(socket *nbio.Conn, err error) {
-	if !c.peerEnded {
-		c.peerEnded = true
+	if !c.peerClosed {
+		c.peerClosed = true
 		c.loop.Post(func() { _ = socket.CloseWithError(err) })
 	}
 }
 
-func (c *conn) postHandOverLocked() {
-	if !c.handOverPosted {
-		c.handOverPosted = true
-		c.loop.Post(c.handOver)
+func (c *conn) postDeliveryLocked() {
+	if !c.deliveryPosted {
+		c.deliveryPosted = true
+		c.loop.Post(c.deliver)
 	}
 }
 
@@ -103,59 +108,60 @@
 	return defaultReadBufferLimit
 }
 
-// handOver gives the handler one turn's worth of what was read.
-func (c *conn) handOver() {
-	turn, proceed := c.takeTurn()
+// deliver passes the next part of the received data to the handler.
+func (c *conn) deliver() {
+	part, proceed := c.takeDelivery()
 	if !proceed {
 		return
 	}
-	if len(turn.data) > 0 && !c.closing {
-		c.handler.Data(turn.data)
+	if len(part.data) > 0 && !c.closing {
+		c.handler.Data(part.data)
 	}
-	if turn.left == 0 && cap(c.turnBuffer) > maxIdleBufferBytes {
-		c.turnBuffer = nil
+	if part.remaining == 0 && cap(c.deliveryBuffer) > maxIdleBufferBytes {
+		c.deliveryBuffer = nil
 	}
-	if turn.readOn {
+	if part.resumeReading {
 		c.read(c.socket)
 	}
-	if c.cause != nil && turn.left == 0 {
+	if c.cause != nil && part.remaining == 0 {
 		c.end()
 	}
 }
 
-// turn is what is handed over at once.
-type turn struct {
-	data   []byte
-	left   int  // bytes that are left for later turns
-	readOn bool // reading was stalled, and there is capacity again
+// delivery is the data that is passed to the handler at once.
+type delivery struct {
+	data          []byte
+	remaining     int  // received bytes that later deliveries pass on
+	resumeReading bool // reading was stalled, and the buffer has capacity again
 }
 
-// takeTurn takes one turn's worth of what was read, and has the rest follow later.
-func (c *conn) takeTurn() (current turn, proceed bool) {
+// takeDelivery takes up to maxDeliveryBytes of the received data, and posts another delivery if some remains. It
+// reports false if nothing may be delivered now.
+func (c *conn) takeDelivery() (next delivery, proceed bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.handOverPosted = false
+	c.deliveryPosted = false
 	if c.paused && !c.closing || c.ended {
-		return turn{}, false
+		return delivery{}, false
 	}
-	n := min(len(c.received), maxTurnBytes)
-	current.data = append(c.turnBuffer[:0], c.received[:n]...)
-	c.turnBuffer = current.data
+	n := min(len(c.received), maxDeliveryBytes)
+	next.data = append(c.deliveryBuffer[:0], c.received[:n]...)
+	c.deliveryBuffer = next.data
 	if n < len(c.received) {
 		c.received = c.received[:copy(c.received, c.received[n:])]
-		c.postHandOverLocked()
+		c.postDeliveryLocked()
 	} else {
 		c.received = c.received[:0]
-		if cap(c.received) > maxTurnBytes {
-			c.received = nil // an idle connection must not keep the buffer of a burst
+		if cap(c.received) > maxDeliveryBytes {
+			c.received = nil // don't keep a large buffer for an idle connection
 		}
 	}
-	current.left = len(c.received)
-	current.readOn = c.readStalled && current.left < c.loop.readBufferLimit()/2
-	if current.readOn {
+	next.remaining = len(c.received)
+	next.resumeReading = c.readStalled && next.remaining < c.loop.readBufferLimit()/2
+	if next.resumeReading {
 		c.readStalled = false
 	}
-	return current, true
+	return next, true
 }
 
 // SetPaused implements eventloop.Conn.
@@ -169,11 +175,11 @@
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.postHandOverLocked()
+	c.postDeliveryLocked()
 }
 
-// socketClosed records that the socket is closed. What was read before is handed over first, unless this
-// side is closing too.
+// socketClosed records that the socket is closed and ends the connection. Received data is delivered before the end,
+// unless this side is closing the connection too.
 func (c *conn) socketClosed(err error) {
 	if c.ended {
 		return
@@ -183,9 +189,9 @@
 		c.cause = eventloop.ErrPeerClosed
 	}
 	c.mu.Lock()
-	left := len(c.received)
+	remaining := len(c.received)
 	c.mu.Unlock()
-	if left == 0 || c.closing {
+	if remaining == 0 || c.closing {
 		c.end()
 	}
 }
@@ -197,7 +203,7 @@
 	}
 }
 
-// end stops the connection's timers and reports its end, once.
+// end stops the connection's timers and calls the handler's Closed. Further calls have no effect.
 func (c *conn) end() {
 	if c.ended {
 		return
@@ -211,7 +217,7 @@
 	c.handler.Closed(c.cause)
 }
 
-// failBeforeOpen ends a connection that has not been handed to the poller.
+// failBeforeOpen ends a connection whose socket has not been added to the poller.
 func (c *conn) failBeforeOpen(cause error) {
 	if c.socket == nil && !c.ended {
 		c.cause = cause
--- a/internal/sockets/conn_test.go
+++ b/internal/sockets/conn_test.go
@@ -10,7 +10,7 @@
 	"plumspindle/internal/eventloop"
 )
 
-// startChild starts a process that inherits this one's descriptors, but for those that are closed on exec.
+// startChild starts a child process, which inherits the descriptors of this process that are not close-on-exec.
 func startChild(t *testing.T) {
 	t.Helper()
 	child := exec.Command("sleep", "60")
@@ -23,8 +23,9 @@
 	})
 }
 
-// A close reaches the other side also while a child process runs. Otherwise a connection would seem open after its
-// process has ended, as where a scenario restarts one, and requests sent on it would be lost.
+// A close must reach the peer while a child process of this process runs. If the child inherited the connection, the
+// peer would see it as open after this process has ended, for example when a scenario restarts it, and requests sent on
+// it would be lost.
 func TestChildProcessesDoNotKeepConnectionsOpen(t *testing.T) {
 	for _, test := range []struct {
 		name  string
@@ -43,27 +44,27 @@
 			opened, onOpened := signal(2)
 			server.onOpened, client.onOpened = onOpened, onOpened
 			serverLoop, clientLoop := connect(t, server, client)
-			waitFor(t, "one opening", opened)
-			waitFor(t, "the other opening", opened)
+			waitFor(t, "the opening of one side", opened)
+			waitFor(t, "the opening of the other side", opened)
 			startChild(t)
 			test.close(serverLoop, clientLoop, server, client)
-			waitFor(t, "the closing at the other side", test.other(server, client).closed)
+			waitFor(t, "the close at the peer", test.other(server, client).closed)
 		})
 	}
 }
 
-// A reader that pauses slows its writer down, with a bound on what is buffered; resumed, it gets everything.
+// A paused reader must slow its writer down, with bounded buffering. Once resumed, it must receive everything.
 func TestPausedReaderSlowsItsWriter(t *testing.T) {
 	const size = 16 << 20
 	server, client := newRecorder(), newRecorder()
 	server.onOpened = func(r *recorder) { r.conn.Write(make([]byte, size)) }
 	client.onOpened = func(r *recorder) { r.conn.SetPaused(true) }
 	serverLoop, clientLoop := connect(t, server, client)
-	waitUntilStuck(t, serverLoop, server, size)
+	waitUntilBlocked(t, serverLoop, server, size)
 	received := make(chan error, 1)
 	clientLoop.Do(func() {
 		if len(client.data) > 2*defaultReadBufferLimit {
-			t.Errorf("%d bytes were handed over while paused", len(client.data))
+			t.Errorf("%d bytes were delivered while paused", len(client.data))
 		}
 		client.onData = func(r *recorder) {
 			if len(r.data) == size {
@@ -80,11 +81,11 @@
 	})
 }
 
-// waitUntilStuck waits until the sockets of a writer and its reader are full.
-func waitUntilStuck(t *testing.T, l *Loop, writer *recorder, size int) {
+// waitUntilBlocked waits until the socket buffers of a writer and its reader are full.
+func waitUntilBlocked(t *testing.T, l *Loop, writer *recorder, size int) {
 	t.Helper()
-	const enough = 20 // looks in a row without a change
-	same, last := 0, -1
+	const stableChecks = 20 // consecutive checks without a change
+	unchanged, last := 0, -1
 	for range 2000 {
 		unsent := 0
 		l.Do(func() {
@@ -93,20 +94,21 @@
 			}
 		})
 		if unsent == last && unsent > 0 && unsent < size {
-			same++
+			unchanged++
 		} else {
-			same = 0
+			unchanged = 0
 		}
-		if same == enough {
+		if unchanged == stableChecks {
 			return
 		}
 		last = unsent
-		time.Sleep(time.Millisecond) // the kernel's buffers fill at their own pace, and no event says when
+		time.Sleep(time.Millisecond) // no event reports that the kernel's buffers are full
 	}
-	t.Fatalf("%d bytes unsent; the writer was not held up", last)
+	t.Fatalf("%d bytes unsent; the writer was not blocked", last)
 }
 
-// A connection that pauses is handed everything that came before the other side's end once it resumes, and then ends.
+// Data that arrives on a paused connection before the peer closes it must be delivered once the connection is resumed.
+// Only then may the connection end.
 func TestPausedConnectionGetsDataThatCameBeforeItsEnd(t *testing.T) {
 	const size = 40 << 10
 	server := newRecorder()
@@ -130,7 +132,7 @@
 	server.conn.(*conn).loop.Do(func() { server.conn.SetPaused(false) })
 	waitFor(t, "the end", server.closed)
 	if len(server.data) != size+len("request") {
-		t.Errorf("%d bytes were handed over", len(server.data))
+		t.Errorf("%d bytes were delivered", len(server.data))
 	}
 }
 
@@ -162,14 +164,15 @@
 	waitFor(t, "the last answer", done)
 }
 
-// What the system delays would be lost with a close over unread bytes.
+// Connections must disable Nagle's algorithm: data that the kernel delays would be lost if the connection is closed
+// with unread bytes.
 func TestSmallWritesAreSentAtOnce(t *testing.T) {
 	server, client := newRecorder(), newRecorder()
 	opened, onOpened := signal(2)
 	server.onOpened, client.onOpened = onOpened, onOpened
 	connect(t, server, client)
-	waitFor(t, "one side", opened)
-	waitFor(t, "the other", opened)
+	waitFor(t, "the opening of one side", opened)
+	waitFor(t, "the opening of the other side", opened)
 	for _, r := range []*recorder{server, client} {
 		c, noDelay := r.conn.(*conn), 0
 		c.loop.Do(func() {
--- a/internal/sockets/dial.go
+++ b/internal/sockets/dial.go
@@ -24,7 +24,7 @@
 	return l.dial(addr, timeout, handler, true)
 }
 
-// dialAttempt is the opening of one connection.
+// dialAttempt holds the state of one outgoing connection until it is open.
 type dialAttempt struct {
 	loop          *Loop
 	conn          *conn
@@ -39,8 +39,8 @@
 		loop: l,
 		conn: &conn{loop: l, handler: handler},
 		addr: addr,
-		// Not nbio's own dialling: it takes the first four bytes of an address that has sixteen, and so connects to
-		// this machine whatever the address is.
+		// nbio's own dialling is not used: it takes the first four bytes of a 16-byte address and so always connects
+		// to this machine.
 		dialer:        net.Dialer{Timeout: time.Duration(timeout) * time.Microsecond, KeepAlive: -1},
 		mayUseReserve: reserved,
 	}
@@ -49,13 +49,14 @@
 	return a.conn
 }
 
-// connect dials, in a goroutine of its own, which ends with the dialer's timeout at the latest.
+// connect dials and posts the result to the loop. It runs in its own goroutine, which ends no later than the dialer's
+// timeout.
 func (a *dialAttempt) connect(mayRetry bool) {
 	raw, err := a.dialer.Dial("tcp", a.addr)
 	a.loop.Post(func() { a.connected(raw, err, mayRetry) })
 }
 
-// connected handles the result of connect. If no descriptor was left it retries with one of the reserve.
+// connected handles the result of connect. If no descriptor was left, it releases one from the reserve and retries.
 func (a *dialAttempt) connected(raw net.Conn, err error, mayRetry bool) {
 	outOfDescriptors := isOutOfDescriptors(err)
 	if outOfDescriptors && mayRetry && !a.conn.ended && a.loop.reserve.release() {
@@ -68,15 +69,15 @@
 		a.conn.failBeforeOpen(fmt.Errorf("%w: %w", eventloop.ErrNoDescriptors, err))
 	case err != nil:
 		a.conn.failBeforeOpen(fmt.Errorf("%w: %w", errNoConnection, err))
-	case a.endIfUnwanted():
+	case a.endIfClosed():
 		_ = raw.Close()
 	default:
-		a.handToPoller(raw)
+		a.addToPoller(raw)
 	}
 }
 
-// endIfUnwanted reports whether the connection was closed before it opened, and ends it in that case.
-func (a *dialAttempt) endIfUnwanted() bool {
+// endIfClosed ends the connection if Close or Abort was called before it opened, and reports whether it has ended.
+func (a *dialAttempt) endIfClosed() bool {
 	if a.conn.ended {
 		return true
 	}
@@ -88,7 +89,7 @@
 	return false
 }
 
-func (a *dialAttempt) handToPoller(raw net.Conn) {
+func (a *dialAttempt) addToPoller(raw net.Conn) {
 	socket, err := toPollerConn(raw)
 	if isOutOfDescriptors(err) && a.mayUseReserve && a.loop.reserve.release() {
 		socket, err = toPollerConn(raw)
@@ -100,13 +101,13 @@
 	}
 	a.loop.register(socket, a.conn)
 	a.loop.configure(socket)
-	a.loop.barrier.after(func() { a.open(socket) })
+	a.loop.barrier.afterStaleEvents(func() { a.open(socket) })
 }
 
-// open completes the attempt, once no event of an earlier owner of the descriptor can arrive.
+// open adds the socket to the poller and reports the connection as open. It must run after the poll barrier.
 func (a *dialAttempt) open(socket *nbio.Conn) {
 	c := a.conn
-	if a.endIfUnwanted() {
+	if a.endIfClosed() {
 		_ = socket.Close()
 		return
 	}
@@ -120,10 +121,10 @@
 		return
 	}
 	c.handler.Opened()
-	c.read(socket) // an edge may have come before the session was set
+	c.read(socket) // an edge-triggered event may have come before the session was set
 }
 
-// configure has small writes sent at once, and sets the size of the send buffer.
+// configure disables Nagle's algorithm, so that small writes are sent at once, and sets the send buffer size.
 func (l *Loop) configure(socket *nbio.Conn) {
 	_ = socket.SetNoDelay(true)
 	if l.SendBufferSize > 0 {
@@ -131,9 +132,10 @@
 	}
 }
 
-// toPollerConn makes one of nbio's connections of a connection, which nbio closes if it succeeds. nbio duplicates the
-// descriptor without the close-on-exec flag: a child process would keep the connection open after this process has
-// closed it, and its other side would wait for a response that never comes.
+// toPollerConn converts a connection to an nbio connection. If it succeeds, nbio has closed the original. nbio
+// duplicates the descriptor without the close-on-exec flag, so this function sets the flag: otherwise a child process
+// would keep the connection open after this process has closed it, and the peer would wait for a response that never
+// comes.
 func toPollerConn(raw net.Conn) (*nbio.Conn, error) {
 	syscall.ForkLock.RLock()
 	defer syscall.ForkLock.RUnlock()
--- a/internal/sockets/dial_test.go
+++ b/internal/sockets/dial_test.go
@@ -20,17 +20,18 @@
 	})
 	err := outcomeOf(t, "the refusal", client.closed)
 	if !errors.Is(err, errNoConnection) || !errors.Is(err, syscall.ECONNREFUSED) {
-		t.Errorf("refused: %v", err)
+		t.Errorf("closed with %v, want a refused connection", err)
 	}
 }
 
-// nbio's own dialling connects to this machine's first address whatever the address is.
+// Dial must connect to the given address. nbio's own dialling connects to this machine's first
+// address, whatever address is given.
 func TestDialConnectsToTheGivenAddress(t *testing.T) {
 	ln, err := net.Listen("tcp", "127.8.1.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	closeAtEnd(t, ln)
+	closeOnCleanup(t, ln)
 	l := startLoop(t)
 	client := newRecorder()
 	opened, onOpened := signal(1)
@@ -43,8 +44,8 @@
 			t.Error(err)
 		}
 	case err := <-closed:
-		t.Errorf("closed, and not connected: %v", err)
-	case <-time.After(patience):
+		t.Errorf("closed instead of connected: %v", err)
+	case <-time.After(testTimeout):
 		t.Error("neither connected nor closed")
 	}
 }
--- a/internal/sockets/earlyanswer_test.go
+++ b/internal/sockets/earlyanswer_test.go
@@ -11,14 +11,14 @@
 
 const earlyAnswer = "HTTP/1.1 503 Service Unavailable\r\nSrv-Declined: 1\r\nContent-Length: 0\r\n\r\n"
 
-// answerEarly listens for connections of which it reads the first bytes, answers and closes.
-func answerEarly(t *testing.T) (address string) {
+// startEarlyAnswerServer starts a server that answers and closes each connection after reading only its first bytes.
+func startEarlyAnswerServer(t *testing.T) (address string) {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	closeAtEnd(t, listener)
+	closeOnCleanup(t, listener)
 	go func() {
 		for {
 			c, err := listener.Accept()
@@ -27,8 +27,8 @@
 			}
 			go func() {
 				defer func() { _ = c.Close() }()
-				const taken = 1000
-				if _, err := io.CopyN(io.Discard, c, taken); err == nil {
+				const bytesRead = 1000
+				if _, err := io.CopyN(io.Discard, c, bytesRead); err == nil {
 					_, _ = io.WriteString(c, earlyAnswer)
 				}
 			}()
@@ -37,12 +37,12 @@
 	return listener.Addr().String()
 }
 
-// An endpoint that declines a large request answers before it has read it, and closes, which resets the connection. The
-// write that meets the reset fails, and closed the connection with the answer unread: of 300 rounds of 1 MB 285 lost it
-// on an idle machine, though the answer had come before the reset and the system still had it.
+// An endpoint that declines a large request answers before it has read the whole request, then closes, which resets the
+// connection. The next write fails. It used to close the connection with the answer unread, although the answer had
+// arrived before the reset and was still in the socket: on an idle machine, 285 of 300 rounds of 1 MB lost the answer.
 func TestAnswerBeforeTheRequestIsSentIsNotLost(t *testing.T) {
 	const rounds = 100
-	address := answerEarly(t)
+	address := startEarlyAnswerServer(t)
 	l := startLoop(t)
 	for _, size := range []int{4 << 10, 64 << 10, 1 << 20, 8 << 20} {
 		t.Run(fmt.Sprintf("%d kB", size>>10), func(t *testing.T) {
--- a/internal/sockets/helpers_test.go
+++ b/internal/sockets/helpers_test.go
@@ -10,16 +10,17 @@
 	"plumspindle/internal/eventloop"
 )
 
-// patience is how long tests wait for what has to happen.
-const patience = 40 * time.Second
+// testTimeout is how long tests wait for an expected event.
+const testTimeout = 40 * time.Second
 
-// Environment variables that have TestMain be a process of its own.
+// Environment variables that make TestMain run a server process instead of the tests.
 const (
 	fewDescriptorsVariable = "PLUMSPINDLE_FEW_DESCRIPTORS"
 	echoVariable           = "PLUMSPINDLE_ECHO"
 )
 
-// TestMain is also the process that runs out of descriptors, and the one that meets faults of system calls.
+// TestMain runs the tests. With one of the environment variables set, it instead runs the server process that runs out
+// of descriptors, or the echo server into whose system calls faults are injected.
 func TestMain(m *testing.M) {
 	switch {
 	case os.Getenv(fewDescriptorsVariable) != "":
@@ -59,7 +60,7 @@
 func (r *recorder) Drained()         { r.drains++ }
 func (r *recorder) Closed(err error) { r.closed <- err }
 
-// accept returns a function for Listen that gives each connection a recorder of its own.
+// accept returns a function for Listen that creates a recorder for each connection.
 func accept(onData func(r *recorder)) func(eventloop.Conn) eventloop.Handler {
 	return func(c eventloop.Conn) eventloop.Handler {
 		r := newRecorder()
@@ -90,7 +91,7 @@
 	return ln
 }
 
-// serve listens for one connection, whose handler is the recorder.
+// serve listens for a connection and makes the recorder its handler.
 func serve(t *testing.T, l *Loop, server *recorder) (addr string) {
 	t.Helper()
 	ln := listen(t, l, func(c eventloop.Conn) eventloop.Handler {
@@ -100,7 +101,7 @@
 	return ln.Addr()
 }
 
-// connect connects two loops, one for each recorder.
+// connect starts two loops, one for each recorder, and connects them.
 func connect(t *testing.T, server, client *recorder) (serverLoop, clientLoop *Loop) {
 	t.Helper()
 	serverLoop, clientLoop = startLoop(t), startLoop(t)
@@ -109,7 +110,7 @@
 	return serverLoop, clientLoop
 }
 
-// connectRaw connects a recorder with a connection of the standard library, whose reads and writes the test orders.
+// connectRaw connects a recorder with a standard library connection, which the test reads and writes itself.
 func connectRaw(t *testing.T, server *recorder, readBufferLimit int) net.Conn {
 	t.Helper()
 	l := startLoop(t)
@@ -123,35 +124,35 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	closeAtEnd(t, c)
+	closeOnCleanup(t, c)
 	return c
 }
 
-// closeAtEnd closes something when the test ends, if the test has not.
-func closeAtEnd(t *testing.T, c io.Closer) {
+// closeOnCleanup closes c when the test ends.
+func closeOnCleanup(t *testing.T, c io.Closer) {
 	t.Helper()
 	t.Cleanup(func() { _ = c.Close() })
 }
 
-// waitFor waits for an event.
+// waitFor waits for an event, and fails the test if it doesn't arrive in time.
 func waitFor(t *testing.T, what string, events <-chan error) {
 	t.Helper()
 	_ = outcomeOf(t, what, events)
 }
 
-// outcomeOf waits for an event and returns its error.
+// outcomeOf waits for an event and returns the error that it carries.
 func outcomeOf(t *testing.T, what string, events <-chan error) error {
 	t.Helper()
 	select {
 	case err := <-events:
 		return err
-	case <-time.After(patience):
-		t.Fatalf("%s did not come", what)
+	case <-time.After(testTimeout):
+		t.Fatalf("timed out waiting for %s", what)
 		return nil
 	}
 }
 
-// signal returns a channel of events, and a function that sends one.
+// signal returns a channel of events, and a function that sends an event without an error.
 func signal(capacity int) (events chan error, send func(*recorder)) {
 	events = make(chan error, capacity)
 	return events, func(*recorder) { events <- nil }
--- a/internal/sockets/listen.go
+++ b/internal/sockets/listen.go
@@ -14,9 +14,9 @@
 )
 
 const (
-	acceptRetryDelay = 20 * time.Millisecond // after an accept that failed, as when no descriptor is left
-	drainTimeout     = 10 * time.Millisecond // for connections in the backlog when the listener is closed
-	maxDrainRetries  = 100                   // while connections still wait, as when the process is suspended
+	acceptRetryDelay   = 20 * time.Millisecond // after a failed accept, for example if no descriptor is left
+	drainTimeout       = 10 * time.Millisecond // how long a draining listener waits for the next connection of its backlog
+	maxDrainExtensions = 100                   // while connections wait, e.g. after the process was suspended
 )
 
 var (
@@ -24,16 +24,18 @@
 	errNotTCP      = errors.New("not a TCP listener")
 )
 
-// acceptFunc makes the handler of an accepted connection.
+// acceptFunc returns the handler of an accepted connection.
 type acceptFunc = func(eventloop.Conn) eventloop.Handler
 
-// listener implements eventloop.Listener. Its goroutine ends with Close, or at the end of Drain.
+// listener implements eventloop.Listener. Its accepting goroutine ends after Close, or when Drain has emptied the
+// backlog.
 type listener struct {
 	loop     *Loop
 	tcp      *net.TCPListener
 	accept   acceptFunc
 	draining atomic.Bool
-	drains   int // used by the accepting goroutine only: how often it has drained
+	// drainExtensions counts how often the drain deadline was extended. Only the accepting goroutine uses it.
+	drainExtensions int
 }
 
 // Listen implements eventloop.Loop.
@@ -83,13 +85,13 @@
 		case errors.Is(err, net.ErrClosed):
 			return
 		case ln.draining.Load() && errors.Is(err, os.ErrDeadlineExceeded):
-			if ln.hasBacklog() && ln.drainAgain() { // the deadline was over before anything was accepted
+			if ln.hasBacklog() && ln.extendDrain() { // the deadline passed before the backlog was accepted
 				continue
 			}
 			_ = ln.tcp.Close()
 			return
 		case err != nil:
-			raw = ln.recoverAccept(err)
+			raw = ln.handleAcceptError(err)
 		}
 		if raw != nil {
 			ln.serveOrReject(raw)
@@ -97,20 +99,20 @@
 	}
 }
 
-// serveOrReject passes a connection on to the loop. A descriptor that was released from the reserve must not go to a
-// client: while one is missing, the connection is rejected.
+// serveOrReject passes an accepted connection to the loop. Reserved descriptors must not be used up by clients, so it
+// rejects the connection while the reserve is incomplete.
 func (ln *listener) serveOrReject(raw net.Conn) {
 	if !ln.loop.reserve.isComplete() {
 		ln.loop.rejections.waitForCapacity()
 		ln.loop.rejections.start(raw)
 		return
 	}
-	ln.loop.Post(func() { ln.handToPoller(raw) })
+	ln.loop.Post(func() { ln.addToPoller(raw) })
 }
 
-// handToPoller hands a connection to the poller, and opens it once no event of an earlier owner of its descriptor can
-// arrive.
-func (ln *listener) handToPoller(raw net.Conn) {
+// addToPoller converts an accepted connection for the poller, and opens it after the poll barrier, when no stale event
+// of an earlier connection with the same descriptor can arrive.
+func (ln *listener) addToPoller(raw net.Conn) {
 	c := &conn{loop: ln.loop, accepted: true}
 	c.handler = ln.accept(c)
 	socket, err := toPollerConn(raw)
@@ -123,10 +125,10 @@
 	c.socket = socket
 	ln.loop.register(socket, c)
 	ln.loop.configure(socket)
-	ln.loop.barrier.after(func() { ln.open(c) })
+	ln.loop.barrier.afterStaleEvents(func() { ln.open(c) })
 }
 
-// open reports that a connection is open, unless it was closed meanwhile.
+// open adds a connection to the poller and reports it as open, unless it was closed while it waited for the barrier.
 func (ln *listener) open(c *conn) {
 	if c.ended {
 		return
@@ -140,7 +142,7 @@
 		c.socketClosed(err)
 		return
 	}
-	c.handler.Opened() // only now: nbio can't write before it knows the connection
+	c.handler.Opened() // after AddConn, because nbio can't write to a connection that it doesn't know
 	c.read(c.socket)
 }
 
@@ -153,7 +155,8 @@
 	_ = ln.tcp.Close()
 }
 
-// Drain implements eventloop.Listener: the listener accepts for a moment more.
+// Drain implements eventloop.Listener: the listener goes on accepting until the drain timeout, and longer while
+// connections are waiting.
 func (ln *listener) Drain() {
 	ln.draining.Store(true)
 	if err := ln.resetDeadline(); err != nil {
@@ -161,27 +164,27 @@
 	}
 }
 
-// hasBacklog reports whether a connection waits to be accepted.
-func (ln *listener) hasBacklog() (waits bool) {
+// hasBacklog reports whether a connection is waiting to be accepted.
+func (ln *listener) hasBacklog() (waiting bool) {
 	raw, err := ln.tcp.SyscallConn()
 	if err != nil {
 		return false
 	}
-	_ = raw.Control(func(fd uintptr) { waits = hasEvent(int(fd), unix.POLLIN) })
-	return waits
+	_ = raw.Control(func(fd uintptr) { waiting = hasEvent(int(fd), unix.POLLIN) })
+	return waiting
 }
 
-// drainAgain has the listener accept for a moment more, unless it has done so too often.
-func (ln *listener) drainAgain() bool {
-	ln.drains++
-	return ln.drains < maxDrainRetries && ln.resetDeadline() == nil
+// extendDrain extends the drain deadline, and reports false if it has been extended too often or can't be set.
+func (ln *listener) extendDrain() bool {
+	ln.drainExtensions++
+	return ln.drainExtensions < maxDrainExtensions && ln.resetDeadline() == nil
 }
 
-// resetDeadline removes the deadline of accepting, or sets that of draining.
+// resetDeadline sets the accept deadline of a draining listener, and removes that of any other.
 func (ln *listener) resetDeadline() error {
 	if !ln.draining.Load() {
 		err := ln.tcp.SetDeadline(time.Time{})
-		if !ln.draining.Load() { // else Drain may have set its deadline before it was removed
+		if !ln.draining.Load() { // otherwise the call above may have removed the deadline that Drain has just set
 			return err
 		}
 	}
--- a/internal/sockets/listen_test.go
+++ b/internal/sockets/listen_test.go
@@ -13,25 +13,26 @@
 	l := startLoop(t)
 	l.Do(func() {
 		if _, err := l.Listen("0.0.0.0:0", nil); !errors.Is(err, errNotLoopback) {
-			t.Errorf("an address that is not loopback: %v", err)
+			t.Errorf("listen on an address that is not loopback: %v", err)
 		}
 	})
 }
 
-// Drain accepts the connections of the backlog, with what their clients have sent, before the listener is closed.
+// Drain must accept the connections in the backlog, with the data that their clients have sent, before it closes the
+// listener.
 func TestDrainAcceptsTheBacklog(t *testing.T) {
 	for _, test := range []struct {
-		name   string
-		heldUp time.Duration
+		name  string
+		delay time.Duration
 	}{
 		{"at once", 0},
-		{"held up for longer than the drain timeout", 10 * drainTimeout},
+		{"delayed for longer than the drain timeout", 10 * drainTimeout},
 	} {
-		t.Run(test.name, func(t *testing.T) { drainAcceptsTheBacklog(t, test.heldUp) })
+		t.Run(test.name, func(t *testing.T) { drainAcceptsTheBacklog(t, test.delay) })
 	}
 }
 
-func drainAcceptsTheBacklog(t *testing.T, heldUp time.Duration) {
+func drainAcceptsTheBacklog(t *testing.T, delay time.Duration) {
 	t.Helper()
 	const connections = 20
 	l := startLoop(t)
@@ -45,10 +46,10 @@
 		}
 	}
 	l.Do(ln.Drain)
-	<-time.After(heldUp)
+	<-time.After(delay)
 	close(proceed)
 	for range connections {
-		waitFor(t, "a request that waited", requests)
+		waitFor(t, "a request from the backlog", requests)
 	}
 	waitUntilRefused(t, ln.Addr())
 }
@@ -65,7 +66,7 @@
 			_ = c.Close()
 		}
 		if time.Now().After(end) {
-			t.Fatal("it goes on listening")
+			t.Fatal("the listener is still open")
 		}
 	}
 }
--- a/internal/sockets/loop.go
+++ b/internal/sockets/loop.go
@@ -1,10 +1,10 @@
-// Package sockets implements package eventloop with TCP sockets, which lesismal/nbio polls. The poller's goroutine
-// reads from the sockets; the one goroutine of the loop writes to them, runs the timers and calls the handlers.
+// Package sockets implements package eventloop with TCP sockets that are polled by lesismal/nbio. The poller's
+// goroutine reads from the sockets. The loop's single goroutine writes to them, runs the timers and calls the handlers.
 //
 // A Loop owns its poller, its connections and listeners, their goroutines and a reserve of file descriptors; Stop ends
-// them all. It relies on handlers not to block, and on being used from within its own calls, but for Do, Post, Stop and
-// WithReservedDescriptor. It never listens on other than loopback addresses unless AllowAnyAddress is set, and never
-// leaves a connection open in child processes.
+// them all. Handlers must not block. The methods of a Loop may be called only from its own callbacks, except Do, Post,
+// Stop and WithReservedDescriptor. It listens only on loopback addresses unless AllowAnyAddress is set, and child
+// processes never inherit its connections.
 package sockets
 
 import (
@@ -21,53 +21,53 @@
 )
 
 const (
-	stopTimeout       = 150 * time.Millisecond // for the poller to end its connections
-	pollerBufferBytes = 4 << 10                // of nbio's own reads; this package reads by itself
+	stopTimeout       = 150 * time.Millisecond // how long Stop waits for the poller to close its connections
+	pollerBufferBytes = 4 << 10                // size of nbio's own read buffer, which this package doesn't use
 )
 
-// Loop implements eventloop.Loop. Its exported fields are set before anything is opened.
+// Loop implements eventloop.Loop. Its exported fields have to be set before the first connection or listener is opened.
 type Loop struct {
 	// OverloadResponse is written to connections that are rejected because no descriptor is left.
 	OverloadResponse []byte
-	// AllowAnyAddress allows Listen other addresses than those of the loopback interface.
+	// AllowAnyAddress allows Listen to use addresses other than those of the loopback interface.
 	AllowAnyAddress bool
-	// ReadBufferLimit, if above 0, is how many bytes of one connection are read ahead of the loop, in place of a default.
+	// ReadBufferLimit, if above 0, overrides the default limit of received bytes that are buffered for one connection.
 	ReadBufferLimit int
-	// SendBufferSize, if above 0, is the size of the sockets' send buffers in bytes, in place of the system's default;
-	// tests make writes partial by it.
+	// SendBufferSize, if above 0, overrides the system's default size of the sockets' send buffers, in bytes. Tests set
+	// it to make writes partial.
 	SendBufferSize int
 
-	// beforeAccept, if set, is called before each connection is accepted; tests hold the listener up by it.
+	// beforeAccept, if set, is called before each connection is accepted. Tests set it to delay the listener.
 	beforeAccept func()
 
 	engine     *nbio.Engine
-	epoch      time.Time
+	startTime  time.Time
 	barrier    *pollBarrier
 	reserve    *descriptorReserve
 	rejections *rejections
 
-	// registered counts connections that were handed to the poller. What a connection consists of is written before it is
-	// counted, and the poller reads the count before it uses a connection: the way in which nbio passes connections on
-	// does not order memory accesses by Go's memory model.
+	// registered counts the connections given to the poller. It also orders memory accesses: the loop writes a
+	// connection's fields before it increments the count, and the poller loads the count before it uses the connection.
+	// nbio passes connections to its poller without a synchronisation that Go's memory model recognises.
 	registered atomic.Int64
 
-	mu       sync.Mutex // guards inbox and stopping
-	inbox    []func()
+	mu       sync.Mutex // guards posted and stopping
+	posted   []func()
 	stopping bool
 	wake     chan struct{}
 	done     chan struct{}
 
-	// What follows is used by the loop's goroutine only.
+	// The fields below are used by the loop's goroutine only.
 	timers    timerqueue.Queue
 	deferred  []func()
 	listeners map[*listener]bool
 }
 
-// Start makes a loop and runs it in a goroutine of its own until Stop.
+// Start creates a loop and runs it in its own goroutine until Stop is called.
 func Start() (*Loop, error) {
-	logging.SetLevel(logging.LevelNone) // it would write lines of its own to the program's output
+	logging.SetLevel(logging.LevelNone) // nbio would otherwise log to the program's output
 	l := &Loop{
-		epoch:     time.Now(),
+		startTime: time.Now(),
 		wake:      make(chan struct{}, 1),
 		done:      make(chan struct{}),
 		listeners: map[*listener]bool{},
@@ -87,14 +87,14 @@
 		l.engine.Stop()
 		return nil, err
 	}
-	rejectionsAtOnce := rejectionLimit(descriptorLimit())
-	l.reserve = newDescriptorReserve(loopDescriptors + rejectionsAtOnce)
-	l.rejections = newRejections(l, rejectionsAtOnce)
+	concurrentRejections := rejectionLimit(descriptorLimit())
+	l.reserve = newDescriptorReserve(loopDescriptors + concurrentRejections)
+	l.rejections = newRejections(l, concurrentRejections)
 	go l.run()
 	return l, nil
 }
 
-// readable is called by the poller when a socket has something to read.
+// readable reads from a socket. The poller calls it when the socket has data or was closed by the peer.
 func (l *Loop) readable(socket *nbio.Conn) {
 	l.registered.Load()
 	switch owner := socket.Session().(type) {
@@ -105,7 +105,8 @@
 	}
 }
 
-// socketClosed is called by the poller when a socket was closed, by either side.
+// socketClosed has the loop end the connection of a closed socket. nbio calls it when either side has closed the
+// connection.
 func (l *Loop) socketClosed(socket *nbio.Conn, err error) {
 	l.registered.Load()
 	if c, ok := socket.Session().(*conn); ok {
@@ -113,13 +114,14 @@
 	}
 }
 
-// register associates a socket with its owner, for the poller's events.
+// register sets the owner of a socket, which receives the poller's events.
 func (l *Loop) register(socket *nbio.Conn, owner any) {
 	l.registered.Add(1)
 	socket.SetSession(owner)
 }
 
-// Do calls f in the loop and waits until it has returned. It must not be called from within the loop.
+// Do calls f in the loop's goroutine and waits until f has returned or the loop has ended. It must not be called from
+// the loop's goroutine.
 func (l *Loop) Do(f func()) {
 	returned := make(chan struct{})
 	l.Post(func() {
@@ -132,11 +134,11 @@
 	}
 }
 
-// Post has f called in the loop, and may be called from anywhere.
+// Post schedules f to be called in the loop's goroutine. It may be called from any goroutine.
 func (l *Loop) Post(f func()) {
 	l.mu.Lock()
-	l.inbox = append(l.inbox, f)
-	first := len(l.inbox) == 1
+	l.posted = append(l.posted, f)
+	first := len(l.posted) == 1
 	l.mu.Unlock()
 	if first {
 		l.wakeUp()
@@ -155,8 +157,9 @@
 	l.mu.Unlock()
 	l.wakeUp()
 	<-l.done
-	// nbio waits for the end of each connection that it ever counted, and closes those that it knows when it begins to
-	// stop; one that opens just then would be waited for without end.
+	// The shutdown has a time limit because nbio closes only the connections that it knows when the shutdown begins, but
+	// waits for every connection that it has counted. Without the limit it would wait forever for a connection that opens
+	// at that moment.
 	ctx, cancel := context.WithTimeout(context.Background(), stopTimeout)
 	defer cancel()
 	_ = l.barrier.writeEnd.Close()
--- a/internal/sockets/loop_test.go
+++ b/internal/sockets/loop_test.go
@@ -23,7 +23,7 @@
 	waitFor(t, "the last timer", done)
 	l.Do(func() {
 		if !slices.Equal(order, []int{0, 1, 2, 3}) {
-			t.Errorf("order %v", order)
+			t.Errorf("timers ran in order %v", order)
 		}
 	})
 }
--- a/internal/sockets/overload.go
+++ b/internal/sockets/overload.go
@@ -13,20 +13,22 @@
 )
 
 const (
-	// rejectReceiveTimeout is how long a client that is rejected has, from its connecting on, to send its request.
+	// rejectReceiveTimeout is the time limit for a rejected client to send its request, counted from its connecting.
 	rejectReceiveTimeout = 100 * time.Millisecond
-	// rejectLingerTimeout is how long a client has to take the response and close, unless its descriptor is needed.
+	// rejectLingerTimeout is how long a client has to read the response and close the connection. The time is cut short
+	// if the descriptor is needed.
 	rejectLingerTimeout = 200 * time.Millisecond
-	rejectReadBytes     = 16 << 10 // are read of it at once
+	// rejectReadBytes is the size of the buffer for one read of the request.
+	rejectReadBytes = 16 << 10
 )
 
-// rejectedLimits are those of requests that are rejected: nothing of them is kept.
+// rejectedLimits are the limits for rejected requests. They are generous because nothing of a request is kept.
 var rejectedLimits = http1.Limits{HeadBytes: 64 << 10, FieldCount: 1000, BodyBytes: 1 << 30}
 
-// recoverAccept continues after an accept that failed. If no descriptor is left, each connection that arrives is
-// rejected with one of the reserve; if that is used up too, connections wait in the backlog. It returns a connection
-// that can be served after all, or nil.
-func (ln *listener) recoverAccept(err error) net.Conn {
+// handleAcceptError handles a failed accept. If no descriptor is left, it releases one from the reserve to accept and
+// reject the next connection. If the reserve is used up too, it waits for acceptRetryDelay, and connections stay in the
+// backlog. It returns a connection that can be served after all, or nil.
+func (ln *listener) handleAcceptError(err error) net.Conn {
 	if isOutOfDescriptors(err) {
 		if raw, done := ln.acceptWithReserve(); done {
 			return raw
@@ -36,8 +38,9 @@
 	return nil
 }
 
-// acceptWithReserve accepts the next connection, if one arrives soon, with a descriptor of the reserve, and rejects it.
-// Some are left for the loop. If the reserve is complete again by then, the connection is returned, to be served.
+// acceptWithReserve releases a reserved descriptor, accepts the next connection if one arrives soon, and rejects it.
+// It leaves some reserved descriptors for the loop. If the reserve can be refilled after the accept, it returns the
+// connection to be served instead. done is false if the caller should wait before the next accept.
 func (ln *listener) acceptWithReserve() (served net.Conn, done bool) {
 	reserve, rejections := ln.loop.reserve, ln.loop.rejections
 	rejections.waitForCapacity()
@@ -45,7 +48,7 @@
 	if size := reserve.size(); size < 2 || size <= loopDescriptors && rejections.running() > 0 || !reserve.release() {
 		return nil, false
 	}
-	// Without a deadline the descriptor would be missing for as long as no connection arrives.
+	// Without a deadline the reserve would lack the released descriptor until the next connection arrives.
 	_ = ln.tcp.SetDeadline(time.Now().Add(acceptRetryDelay))
 	defer func() { _ = ln.resetDeadline() }()
 	raw, err := ln.tcp.Accept()
@@ -60,54 +63,56 @@
 	return nil, true
 }
 
-// rejection is one connection that is rejected: its request is received, answered with the overload response, and the
-// connection closed. It has a goroutine of its own, so that others need not wait for a client that is slow or silent.
+// rejection is a connection that is being rejected: it receives the request, sends the overload response and closes the
+// connection. Each rejection runs in its own goroutine, so that a slow or silent client doesn't delay the others.
 type rejection struct {
 	raw      net.Conn
 	response []byte
 	parser   http1.Parser
-	received bool // the request has arrived, or is none that can be read to its end
-	// onAnswered is called once the response is written. From then on the descriptor may be taken back.
-	onAnswered func()
+	// requestDone is set once the whole request has been received, can't be parsed, or needs no further reading.
+	requestDone bool
+	// onResponseSent is called once the response is written. From then on the connection may be closed at any time to
+	// free its descriptor.
+	onResponseSent func()
 }
 
-func (l *Loop) newRejection(raw net.Conn, onAnswered func()) *rejection {
+func (l *Loop) newRejection(raw net.Conn, onResponseSent func()) *rejection {
 	return &rejection{raw: raw, response: l.OverloadResponse, parser: http1.Parser{Limits: rejectedLimits},
-		onAnswered: onAnswered}
+		onResponseSent: onResponseSent}
 }
 
 func (r *rejection) run() {
 	defer func() { _ = r.raw.Close() }()
-	_ = r.raw.SetReadDeadline(time.Now().Add(rejectReceiveTimeout - silentFor(r.raw)))
-	for !r.received && r.read() {
+	_ = r.raw.SetReadDeadline(time.Now().Add(rejectReceiveTimeout - sinceLastSegment(r.raw)))
+	for !r.requestDone && r.read() {
 	}
-	// There is no time limit on the write, which could pass before it has begun: a new connection has space for the
-	// response.
+	// The write has no deadline, because on a busy machine the deadline could pass before the write begins. The write
+	// doesn't block: the empty send buffer of a new connection has space for the response.
 	if _, err := r.raw.Write(r.response); err != nil {
 		return
 	}
 	if halfCloser, ok := r.raw.(interface{ CloseWrite() error }); ok {
 		_ = halfCloser.CloseWrite()
 	}
-	// A connection that is closed with something unread is reset, and the response might be lost.
-	r.onAnswered()
+	// Reads on before closing: closing a socket with unread data resets the connection, which may lose the response.
+	r.onResponseSent()
 	for r.read() {
 	}
 }
 
-// read reads what has arrived, or arrives in time, and reports whether more may come.
+// read reads once, waiting for data until the read deadline, and reports whether more may follow.
 func (r *rejection) read() bool {
 	var buffer [rejectReadBytes]byte
 	n, err := r.raw.Read(buffer[:])
 	r.feed(buffer[:n])
 	if errors.Is(err, os.ErrDeadlineExceeded) {
-		r.readArrived(buffer[:]) // the time may have passed while this process could not read
+		r.readAvailable(buffer[:]) // the deadline may have passed while this process could not run
 	}
 	return err == nil
 }
 
-// readArrived reads what has arrived, whatever time it is.
-func (r *rejection) readArrived(buffer []byte) {
+// readAvailable reads the data that has already arrived, regardless of the read deadline.
+func (r *rejection) readAvailable(buffer []byte) {
 	_ = withRawDescriptor(r.raw, func(fd int) {
 		for {
 			n, err := unix.Read(fd, buffer)
@@ -123,14 +128,15 @@
 }
 
 func (r *rejection) feed(data []byte) {
-	if !r.received && r.parser.Feed(data, r) != nil {
-		r.received = true
+	if !r.requestDone && r.parser.Feed(data, r) != nil {
+		r.requestDone = true
 	}
 }
 
-// Head implements http1.Handler. A client that asks before it sends its body is answered with the response.
+// Head implements http1.Handler. A client that sent an Expect field waits for an answer before it sends its body, so
+// the overload response is sent at once.
 func (r *rejection) Head(head *http1.Head) error {
-	r.received = head.Get("Expect") != ""
+	r.requestDone = head.Get("Expect") != ""
 	return nil
 }
 
@@ -139,22 +145,22 @@
 
 // End implements http1.Handler.
 func (r *rejection) End() error {
-	r.received = true
+	r.requestDone = true
 	return nil
 }
 
-// silentFor returns how long ago the last segment of a connection came, its handshake's if there is none after it: a
-// connection may have waited to be accepted.
-func silentFor(raw net.Conn) (silent time.Duration) {
+// sinceLastSegment returns the time since the last TCP segment arrived on a connection, which is a segment of the
+// handshake if the client has sent nothing yet. It includes the time that the connection waited to be accepted.
+func sinceLastSegment(raw net.Conn) (elapsed time.Duration) {
 	_ = withRawDescriptor(raw, func(fd int) {
 		if info, err := unix.GetsockoptTCPInfo(fd, unix.IPPROTO_TCP, unix.TCP_INFO); err == nil {
-			silent = time.Duration(info.Last_ack_recv) * time.Millisecond
+			elapsed = time.Duration(info.Last_ack_recv) * time.Millisecond
 		}
 	})
-	return silent
+	return elapsed
 }
 
-// withRawDescriptor calls f with the descriptor of a connection of the standard library.
+// withRawDescriptor calls f with the descriptor of a standard library connection.
 func withRawDescriptor(raw net.Conn, f func(fd int)) error {
 	owner, ok := raw.(syscall.Conn)
 	if !ok {
--- a/internal/sockets/overload_test.go
+++ b/internal/sockets/overload_test.go
@@ -14,52 +14,53 @@
 
 const (
 	overloadResponse = "HTTP/1.1 503 Service Unavailable\r\nConnection: close\r\nContent-Length: 4\r\n\r\nbusy"
-	answerPatience   = 5 * time.Second
+	answerTimeout    = 5 * time.Second
 )
 
-// heldUpConn is a connection of a process that is held up, for longer than the time it has just set, whenever it sets a
-// time: a busy machine does not let it run.
-type heldUpConn struct{ *net.TCPConn }
+// delayedConn simulates a process that a busy machine does not let run: whenever a deadline is set, the call returns
+// only after that deadline has passed.
+type delayedConn struct{ *net.TCPConn }
 
-func (c heldUpConn) holdUp(until time.Time) {
+func (c delayedConn) delay(until time.Time) {
 	if wait := time.Until(until); wait > 0 && wait < time.Second {
 		<-time.After(wait + time.Millisecond)
 	}
 }
 
-func (c heldUpConn) SetDeadline(t time.Time) error {
+func (c delayedConn) SetDeadline(t time.Time) error {
 	err := c.TCPConn.SetDeadline(t)
-	c.holdUp(t)
+	c.delay(t)
 	return err
 }
 
-func (c heldUpConn) SetReadDeadline(t time.Time) error {
+func (c delayedConn) SetReadDeadline(t time.Time) error {
 	err := c.TCPConn.SetReadDeadline(t)
-	c.holdUp(t)
+	c.delay(t)
 	return err
 }
 
-func (c heldUpConn) SetWriteDeadline(t time.Time) error {
+func (c delayedConn) SetWriteDeadline(t time.Time) error {
 	err := c.TCPConn.SetWriteDeadline(t)
-	c.holdUp(t)
+	c.delay(t)
 	return err
 }
 
-// reject answers a connection with the overload response and closes it.
+// reject sends the overload response on a connection and closes it.
 func (l *Loop) reject(raw net.Conn) {
 	l.newRejection(raw, func() { _ = raw.SetReadDeadline(time.Now().Add(rejectLingerTimeout)) }).run()
 }
 
-// A dispatcher on a busy machine rejects a client for want of a descriptor, and has to answer it all the same. It did
-// not: the 3 ms that it gave the write were over before the write began, which then wrote nothing; the connection was
-// closed, and its client read a clean end without an answer. Of 160,000 rejections beside 90 busy processes 8 ended so,
-// and each of the 8 logged "write: i/o timeout" with 0 bytes written; no read failed and nothing was reset.
+// A dispatcher on a busy machine that rejects a client for lack of a descriptor must still answer it. An earlier
+// version set a write deadline of 3 ms, which could pass before the write began: the write then wrote nothing, the
+// connection was closed, and the client read a clean end without an answer. That happened to 8 of 160,000 rejections
+// beside 90 busy processes. Each of the 8 logged "write: i/o timeout" with 0 bytes written; no read failed and nothing
+// was reset.
 func TestRejectionByAProcessThatIsHeldUp(t *testing.T) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	closeAtEnd(t, listener)
+	closeOnCleanup(t, listener)
 	client := dialRaw(t, listener.Addr().String())
 	raw, err := listener.Accept()
 	if err != nil {
@@ -70,15 +71,15 @@
 	}
 	l := startLoop(t)
 	l.OverloadResponse = []byte(overloadResponse)
-	go l.reject(heldUpConn{raw.(*net.TCPConn)})
+	go l.reject(delayedConn{raw.(*net.TCPConn)})
 	if got := readAnswer(client); got != overloadResponse {
 		t.Errorf("the client got %q", got)
 	}
 }
 
-// readAnswer returns all that comes up to the connection's end, or why it did not end well.
+// readAnswer returns everything that arrives up to the connection's end, with the error if reading fails.
 func readAnswer(c net.Conn) string {
-	_ = c.SetReadDeadline(time.Now().Add(answerPatience))
+	_ = c.SetReadDeadline(time.Now().Add(answerTimeout))
 	answer, err := io.ReadAll(c)
 	if err != nil {
 		return fmt.Sprintf("%q, then %v", answer, err)
@@ -86,32 +87,33 @@
 	return string(answer)
 }
 
-// piece is a part of a request, and when it is sent, counted from the connecting.
+// piece is a part of a request and the time when it is sent.
 type piece struct {
-	at    time.Duration
-	bytes int // -1: all that is left
+	at    time.Duration // since the client connected
+	bytes int           // or rest
 }
 
-const all = -1
+// rest is the size of a piece that holds all bytes that are not sent yet.
+const rest = -1
 
-// Clients that connect while a process has no descriptor left, and have sent their request within 100 ms, each get the
-// whole answer, however the request comes; a client that sends nothing every 20 ms does not keep them from it. Before,
-// a connection was shut 3 ms after its first bytes had come, and what came later was met with a reset.
+// Clients that connect while the process has no descriptor left must get the whole answer if they send their request
+// within 100 ms, in whatever pieces it arrives, and even if a further client that sends nothing connects every 20 ms.
+// Earlier, a connection was shut down 3 ms after its first bytes had arrived, and later bytes were answered by a reset.
 func TestRejectedClientsGetTheWholeAnswer(t *testing.T) {
 	small, large := requestOfSize(100), requestOfSize(200_000)
 	inThree := func(size int) []piece {
-		return []piece{{0, size}, {10 * time.Millisecond, size}, {20 * time.Millisecond, all}}
+		return []piece{{0, size}, {10 * time.Millisecond, size}, {20 * time.Millisecond, rest}}
 	}
 	clients := map[string]rejectedClient{
-		"small, at once":                  {small, []piece{{0, all}}},
-		"small, after 5 ms":               {small, []piece{{5 * time.Millisecond, all}}},
-		"small, after 15 ms":              {small, []piece{{15 * time.Millisecond, all}}},
-		"small, after 60 ms":              {small, []piece{{60 * time.Millisecond, all}}},
+		"small, at once":                  {small, []piece{{0, rest}}},
+		"small, after 5 ms":               {small, []piece{{5 * time.Millisecond, rest}}},
+		"small, after 15 ms":              {small, []piece{{15 * time.Millisecond, rest}}},
+		"small, after 60 ms":              {small, []piece{{60 * time.Millisecond, rest}}},
 		"small, three pieces 10 ms apart": {small, inThree(30)},
-		"small, the end after 80 ms":      {small, []piece{{0, 60}, {80 * time.Millisecond, all}}},
-		"large, at once":                  {large, []piece{{0, all}}},
+		"small, the end after 80 ms":      {small, []piece{{0, 60}, {80 * time.Millisecond, rest}}},
+		"large, at once":                  {large, []piece{{0, rest}}},
 		"large, three pieces 10 ms apart": {large, inThree(70_000)},
-		"large, the end after 80 ms":      {large, []piece{{5 * time.Millisecond, 199_000}, {80 * time.Millisecond, all}}},
+		"large, the end after 80 ms":      {large, []piece{{5 * time.Millisecond, 199_000}, {80 * time.Millisecond, rest}}},
 	}
 	for _, atOnce := range []int{maxRejections, 1} {
 		t.Run(fmt.Sprintf("%d at once", atOnce), func(t *testing.T) {
@@ -146,23 +148,23 @@
 				}
 			}
 			if answered != rounds {
-				t.Errorf("%s: %d of %d were answered; the others got %v", name, answered, rounds, lost)
+				t.Errorf("%s: %d of %d requests were answered; the others got %v", name, answered, rounds, lost)
 			}
 		})
 	}
 	group.Wait()
 }
 
-// requestOfSize returns a request whose body has so many bytes.
+// requestOfSize returns a request with a body of the given size.
 func requestOfSize(size int) []byte {
 	head := fmt.Sprintf("POST / HTTP/1.1\r\nHost: x\r\nContent-Length: %d\r\n\r\n", size)
 	return append([]byte(head), bytes.Repeat([]byte("x"), size)...)
 }
 
-// sendInPieces sends a request on a connection of its own, and returns the answer. A client that can't send on gives
-// up: its connection was reset, which may take the answer away.
+// sendInPieces sends a request on a new connection and returns the answer. If a write fails, it returns the error: the
+// connection was reset, so the answer may be lost.
 func sendInPieces(address string, request []byte, pieces []piece) string {
-	c, err := net.DialTimeout("tcp", address, answerPatience)
+	c, err := net.DialTimeout("tcp", address, answerTimeout)
 	if err != nil {
 		return err.Error()
 	}
@@ -171,7 +173,7 @@
 	for _, p := range pieces {
 		<-time.After(time.Until(connected.Add(p.at)))
 		size := p.bytes
-		if size == all {
+		if size == rest {
 			size = len(request)
 		}
 		if _, err := c.Write(request[:size]); err != nil {
@@ -182,7 +184,7 @@
 	return readAnswer(c)
 }
 
-// connectSilentClients connects a client that sends nothing at each interval, until the function that it returns is
+// connectSilentClients connects another client that sends nothing after each interval, until the returned function is
 // called.
 func connectSilentClients(t *testing.T, address string, interval time.Duration) (stop func()) {
 	t.Helper()
@@ -197,14 +199,14 @@
 				return
 			case <-ticker.C:
 			}
-			c, err := net.DialTimeout("tcp", address, answerPatience)
+			c, err := net.DialTimeout("tcp", address, answerTimeout)
 			if err != nil {
 				if !errors.Is(err, syscall.ECONNREFUSED) {
 					t.Error(err)
 				}
 				return
 			}
-			defer func() { _ = c.Close() }() // at the end: they stay
+			defer func() { _ = c.Close() }() // all clients stay connected until stop is called
 		}
 	}()
 	return func() {
@@ -213,29 +215,31 @@
 	}
 }
 
-// The time that a client has to send its request counts from its connecting, also where it waited to be accepted.
+// The time that a client has to send its request starts when it connects, even if it waits in the backlog to be
+// accepted.
 func TestSilentTimeCountsFromTheConnecting(t *testing.T) {
-	const waited = 60 * time.Millisecond
+	const backlogTime = 60 * time.Millisecond
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	closeAtEnd(t, listener)
+	closeOnCleanup(t, listener)
 	_ = dialRaw(t, listener.Addr().String())
-	<-time.After(waited)
+	<-time.After(backlogTime)
 	raw, err := listener.Accept()
 	if err != nil {
 		t.Fatal(err)
 	}
-	closeAtEnd(t, raw)
-	if silent := silentFor(raw); silent < waited-10*time.Millisecond {
-		t.Errorf("silent for %v, connected %v ago", silent, waited)
+	closeOnCleanup(t, raw)
+	if elapsed := sinceLastSegment(raw); elapsed < backlogTime-10*time.Millisecond {
+		t.Errorf("the last segment came %v ago, want %v", elapsed, backlogTime)
 	}
 }
 
-// Many more silent clients than can be held at once do not keep others from their answer.
+// Silent clients must not delay the answers to others, even if there are many more of them than can be rejected at
+// once.
 func TestSilentClientsDoNotHoldUpRejections(t *testing.T) {
-	const aim = time.Second
+	const maxDuration = time.Second
 	s := startLimitedServer(t)
 	s.command("respond %d", maxRejections)
 	s.command("free 0")
@@ -243,9 +247,9 @@
 	defer stopSilentClients()
 	request := requestOfSize(100)
 	for round := range 40 {
-		began := time.Now()
-		got := sendInPieces(s.addr, request, []piece{{0, 30}, {10 * time.Millisecond, all}})
-		if took := time.Since(began); got != overloadResponse || took > aim {
+		start := time.Now()
+		got := sendInPieces(s.addr, request, []piece{{0, 30}, {10 * time.Millisecond, rest}})
+		if took := time.Since(start); got != overloadResponse || took > maxDuration {
 			t.Errorf("round %d: %v after %v", round, got, took)
 		}
 	}
--- a/internal/sockets/poll.go
+++ b/internal/sockets/poll.go
@@ -7,8 +7,8 @@
 	"golang.org/x/sys/unix"
 )
 
-// withDescriptor calls f with the connection's descriptor, and reports whether it did. The connection can't be closed
-// meanwhile; once it is closed, the number may be that of another connection.
+// withDescriptor calls f with the connection's descriptor if the connection is open, and reports whether it did. The
+// connection can't be closed during the call; after a close, another connection may get the same descriptor number.
 func (c *conn) withDescriptor(f func(fd int)) bool {
 	if c.socket == nil {
 		return false
@@ -22,7 +22,8 @@
 	return true
 }
 
-// Idle implements eventloop.Conn. It asks the socket, as what the poller has seen may not have reached the loop yet.
+// Idle implements eventloop.Conn. It polls the socket, because data or a close that the poller has not reported to the
+// loop yet also counts.
 func (c *conn) Idle() bool {
 	if c.socket == nil || c.ended || c.closing || c.cause != nil {
 		return false
@@ -32,10 +33,10 @@
 	return c.isIdleLocked()
 }
 
-// isIdleLocked reports whether nothing has arrived that was not handed over, nor the other side's end. The lock keeps
-// the poller from reading meanwhile.
+// isIdleLocked reports whether the connection is open, has no undelivered data, and was not closed by the peer. The
+// lock keeps the poller from reading during the check.
 func (c *conn) isIdleLocked() bool {
-	if c.peerEnded || len(c.received) > 0 {
+	if c.peerClosed || len(c.received) > 0 {
 		return false
 	}
 	idle := false
@@ -56,7 +57,7 @@
 	return hungUp || !open
 }
 
-// Undelivered implements eventloop.Conn: it asks the system for bytes that the other side has not acknowledged.
+// Undelivered implements eventloop.Conn. It asks the kernel how many sent bytes the peer has not acknowledged.
 func (c *conn) Undelivered() bool {
 	unacknowledged := 0
 	c.withDescriptor(func(fd int) {
@@ -67,22 +68,22 @@
 	return len(c.unsent) > 0 || unacknowledged > 0
 }
 
-// isHungUp reports whether the other side of a descriptor's connection has closed it.
+// isHungUp reports whether the peer has closed a descriptor's connection, or shut down its sending side.
 func isHungUp(fd int) bool { return hasEvent(fd, unix.POLLRDHUP) }
 
-// isIdle reports whether a descriptor's connection was not closed by the other side and has nothing to read.
+// isIdle reports whether a descriptor's connection has no data to read and was not closed by the peer.
 func isIdle(fd int) bool {
 	n, err := poll(fd, unix.POLLIN|unix.POLLRDHUP)
 	return err == nil && n == 0
 }
 
-// hasEvent reports whether one of the events is pending on a descriptor.
+// hasEvent reports whether any of the poll events is pending on a descriptor.
 func hasEvent(fd int, events int16) bool {
 	n, err := poll(fd, events)
 	return err == nil && n > 0
 }
 
-// poll asks for the events of a descriptor without waiting.
+// poll polls a descriptor for events without waiting. n is 0 if none is pending.
 func poll(fd int, events int16) (n int, err error) {
 	descriptors := []unix.PollFd{{Fd: int32(fd), Events: events}}
 	for {
--- a/internal/sockets/poll_test.go
+++ b/internal/sockets/poll_test.go
@@ -9,8 +9,8 @@
 	"plumspindle/internal/eventloop"
 )
 
-// The loop is busy, so that what the poller has seen can't have reached it, and yet it is known that the other side has
-// closed, or has sent something.
+// Idle must notice at once that the peer has closed or sent data. The test keeps the loop busy, so that the poller
+// can't have reported it to the loop.
 func TestIdleAsksTheSocket(t *testing.T) {
 	for _, test := range []struct {
 		name string
@@ -20,12 +20,12 @@
 		{"sends", func(c net.Conn) error { _, err := c.Write([]byte("x")); return err }},
 	} {
 		t.Run(test.name, func(t *testing.T) {
-			far, l, c := dialFromLoop(t)
+			peer, l, c := dialFromLoop(t)
 			l.Do(func() {
 				if !c.Idle() {
 					t.Error("not idle before")
 				}
-				if err := test.act(far); err != nil {
+				if err := test.act(peer); err != nil {
 					t.Error(err)
 				}
 				for end := l.Now() + 5*eventloop.Second; c.Idle(); {
@@ -39,26 +39,27 @@
 	}
 }
 
-// dialFromLoop connects a loop with a connection of the standard library that was accepted.
-func dialFromLoop(t *testing.T) (far net.Conn, l *Loop, conn eventloop.Conn) {
+// dialFromLoop dials from a loop to a standard library listener. It returns the accepted connection, the loop and the
+// loop's connection.
+func dialFromLoop(t *testing.T) (peer net.Conn, l *Loop, conn eventloop.Conn) {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	closeAtEnd(t, ln)
+	closeOnCleanup(t, ln)
 	l = startLoop(t)
 	client := newRecorder()
 	opened, onOpened := signal(1)
 	client.onOpened = onOpened
 	l.Do(func() { conn = l.Dial(ln.Addr().String(), 5*eventloop.Second, client) })
-	far, err = ln.Accept()
+	peer, err = ln.Accept()
 	if err != nil {
 		t.Fatal(err)
 	}
-	closeAtEnd(t, far)
+	closeOnCleanup(t, peer)
 	waitFor(t, "the opening", opened)
-	return far, l, conn
+	return peer, l, conn
 }
 
 func TestIsIdleSeesDataAndTheEnd(t *testing.T) {
@@ -74,17 +75,17 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			near, far := os.NewFile(uintptr(pair[0]), "near"), os.NewFile(uintptr(pair[1]), "far")
-			closeAtEnd(t, near)
-			closeAtEnd(t, far)
+			local, peer := os.NewFile(uintptr(pair[0]), "local"), os.NewFile(uintptr(pair[1]), "peer")
+			closeOnCleanup(t, local)
+			closeOnCleanup(t, peer)
 			if !isIdle(pair[0]) {
 				t.Error("not idle before")
 			}
-			if err := test.act(far); err != nil {
+			if err := test.act(peer); err != nil {
 				t.Fatal(err)
 			}
 			if isIdle(pair[0]) {
-				t.Error("idle after")
+				t.Error("idle after the peer acted")
 			}
 		})
 	}
--- a/internal/sockets/rejections.go
+++ b/internal/sockets/rejections.go
@@ -7,19 +7,20 @@
 	"time"
 )
 
-// At most maxRejections connections are rejected at once, fewer where the process may have few descriptors: each takes
-// one, of the reserve if need be. Clients are answered with one at a time, too, only later.
+// Each connection that is being rejected takes a descriptor, if need be from the reserve. The number of concurrent
+// rejections is therefore limited, and depends on the process's descriptor limit. Even a limit of 1 is enough to answer
+// all clients, only later.
 const (
 	maxRejections           = 8
-	descriptorsPerRejection = 50 // that the process may have
+	descriptorsPerRejection = 50 // descriptors of the process's limit that allow one more concurrent rejection
 )
 
-// rejectionLimit returns how many connections are rejected at once by a process with so many descriptors.
+// rejectionLimit returns the maximum number of concurrent rejections for a process with the given descriptor limit.
 func rejectionLimit(descriptors uint64) int {
 	return int(min(max(descriptors/descriptorsPerRejection, 1), maxRejections))
 }
 
-// descriptorLimit returns how many descriptors this process may have.
+// descriptorLimit returns the maximum number of file descriptors of this process, or 0 if it is unknown.
 func descriptorLimit() uint64 {
 	var limit syscall.Rlimit
 	if err := syscall.Getrlimit(syscall.RLIMIT_NOFILE, &limit); err != nil {
@@ -28,22 +29,22 @@
 	return limit.Cur
 }
 
-// rejections are the connections that are being rejected. It is used by the loop, by the goroutines that accept and by
-// those of the rejections.
+// rejections tracks the connections that are being rejected. It is safe for concurrent use: the loop, the accepting
+// goroutines and the goroutines of the rejections call it.
 type rejections struct {
 	loop *Loop
-	max  int // at once
+	max  int // maximum number of concurrent rejections
 
-	mu       sync.Mutex
-	ended    *sync.Cond // a rejection has ended
-	active   int
-	answered []net.Conn // those that linger, in the order of their answers
-	stopping bool
+	mu        sync.Mutex
+	changed   *sync.Cond // a rejection has ended, or has begun to linger
+	active    int
+	lingering []net.Conn // connections that have been sent their response, the oldest first
+	stopping  bool
 }
 
 func newRejections(loop *Loop, limit int) *rejections {
 	r := &rejections{loop: loop, max: limit}
-	r.ended = sync.NewCond(&r.mu)
+	r.changed = sync.NewCond(&r.mu)
 	return r
 }
 
@@ -54,26 +55,26 @@
 	return r.active
 }
 
-// waitForCapacity waits until another connection may be rejected. One that was answered makes way at once; others are
-// answered when their time to receive is over.
+// waitForCapacity waits until another rejection may start. To free capacity it closes lingering connections, oldest
+// first. The other rejections send their response after their receive timeout at the latest, and linger from then on.
 func (r *rejections) waitForCapacity() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for r.active >= r.max {
-		r.evictLocked()
-		r.ended.Wait()
+		r.evictOldestLocked()
+		r.changed.Wait()
 	}
 }
 
-// evictLocked ends the connection that was answered first.
-func (r *rejections) evictLocked() {
-	if len(r.answered) > 0 {
-		_ = r.answered[0].SetReadDeadline(time.Now())
-		r.answered = r.answered[1:]
+// evictOldestLocked ends the connection that has lingered longest.
+func (r *rejections) evictOldestLocked() {
+	if len(r.lingering) > 0 {
+		_ = r.lingering[0].SetReadDeadline(time.Now())
+		r.lingering = r.lingering[1:]
 	}
 }
 
-// start rejects a connection.
+// start rejects a connection in a new goroutine.
 func (r *rejections) start(raw net.Conn) {
 	r.mu.Lock()
 	r.active++
@@ -84,7 +85,7 @@
 	}()
 }
 
-// linger lets a connection that was answered wait for its client to close.
+// linger gives the client of a connection that has been sent its response time to close it.
 func (r *rejections) linger(raw net.Conn) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -93,32 +94,32 @@
 		return
 	}
 	_ = raw.SetReadDeadline(time.Now().Add(rejectLingerTimeout))
-	r.answered = append(r.answered, raw)
-	r.ended.Broadcast() // whoever waits for capacity may evict it
+	r.lingering = append(r.lingering, raw)
+	r.changed.Broadcast() // a goroutine that waits for capacity may evict this connection
 }
 
-// end takes the connection's descriptor back.
+// end refills the reserve with the descriptor of a closed connection, and forgets the connection.
 func (r *rejections) end(raw net.Conn) {
 	_ = r.loop.reserve.fill()
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	for i, answered := range r.answered {
-		if answered == raw {
-			r.answered = append(r.answered[:i], r.answered[i+1:]...)
+	for i, other := range r.lingering {
+		if other == raw {
+			r.lingering = append(r.lingering[:i], r.lingering[i+1:]...)
 			break
 		}
 	}
 	r.active--
-	r.ended.Broadcast()
+	r.changed.Broadcast()
 }
 
-// stop waits until all are answered; they linger no longer.
+// stop waits until all clients have been sent their response, and ends the connections without lingering.
 func (r *rejections) stop() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.stopping = true
 	for r.active > 0 {
-		r.evictLocked()
-		r.ended.Wait()
+		r.evictOldestLocked()
+		r.changed.Wait()
 	}
 }
--- a/internal/sockets/reserve.go
+++ b/internal/sockets/reserve.go
@@ -7,13 +7,14 @@
 	"syscall"
 )
 
-// loopDescriptors are reserved for the loop: for the endpoint list, and for releasing what endpoints hold for requests.
-// A connection that is dialled takes two for a moment, as nbio duplicates its descriptor. Further ones are reserved for
-// rejecting clients.
+// loopDescriptors is the number of descriptors reserved for the loop: to read the endpoint list, and to connect to
+// endpoints to release the state that they hold for requests. Dialling takes two descriptors for a moment, because nbio
+// duplicates the connection's descriptor. Further descriptors are reserved for rejecting clients.
 const loopDescriptors = 5
 
-// descriptorReserve holds descriptors that are released when something that must not wait finds none left, and are
-// taken again as soon as possible. It is used by the loop and by the goroutines that accept; Stop closes it.
+// descriptorReserve keeps file descriptors open, to release them when the process has none left for an operation that
+// must not wait. It reopens them as soon as possible. It is safe for concurrent use by the loop and the accepting
+// goroutines; Loop.Stop closes it.
 type descriptorReserve struct {
 	capacity int
 
@@ -27,7 +28,7 @@
 	return r
 }
 
-// fill takes descriptors until the reserve is complete, or returns the error that prevents it.
+// fill opens descriptors until the reserve is complete, or returns the error that prevents it.
 func (r *descriptorReserve) fill() error {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -41,7 +42,8 @@
 	return nil
 }
 
-// release closes one of the descriptors, for the caller's use, and reports whether there was one.
+// release closes one reserved descriptor, so that the caller can open another file or socket. It reports false if the
+// reserve is empty.
 func (r *descriptorReserve) release() bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -61,7 +63,7 @@
 	return len(r.files)
 }
 
-// isComplete fills the reserve and reports whether it is not short of descriptors.
+// isComplete refills the reserve. It reports false if the process or the system has too few descriptors for that.
 func (r *descriptorReserve) isComplete() bool { return !isOutOfDescriptors(r.fill()) }
 
 func (r *descriptorReserve) close() {
@@ -74,8 +76,8 @@
 	return errors.Is(err, syscall.EMFILE) || errors.Is(err, syscall.ENFILE)
 }
 
-// WithReservedDescriptor calls f, and again with descriptors of the reserve while it fails for lack of one. It may be
-// called from anywhere.
+// WithReservedDescriptor calls f. While f fails because no descriptor is left, it releases one from the reserve and
+// calls f again. It may be called from any goroutine.
 func (l *Loop) WithReservedDescriptor(f func() error) error {
 	defer func() { _ = l.reserve.fill() }()
 	for {
--- a/internal/sockets/reserve_test.go
+++ b/internal/sockets/reserve_test.go
@@ -11,10 +11,11 @@
 	"time"
 )
 
-// serveWithFewDescriptors is the process that runs out of descriptors: it answers each connection with its first bytes,
-// and obeys commands on its standard input, each with a line of output. "free N" leaves so many descriptors, "free"
-// restores the limit, "fds" prints how many are open, "cpu" how many milliseconds the process has worked; "respond N"
-// has it reject connections with a whole response, so many at once.
+// serveWithFewDescriptors is the main function of the process that runs out of descriptors. It answers each connection
+// with the first bytes that it received. It reads commands from its standard input and prints one line for each:
+// "free N" lowers the descriptor limit so that N descriptors are free, "free" restores the limit, "fds" prints how many
+// descriptors are open, "cpu" prints the CPU time of the process in milliseconds, and "respond N" makes it reject up to
+// N connections at once, with a complete HTTP response.
 func serveWithFewDescriptors() {
 	l, err := Start()
 	if err != nil {
@@ -55,7 +56,7 @@
 			}
 			free := 0
 			_, _ = fmt.Sscanf(command, "free %d", &free)
-			_ = syscall.Setrlimit(syscall.RLIMIT_NOFILE, &syscall.Rlimit{Cur: limitThatLeaves(free), Max: limit.Max})
+			_ = syscall.Setrlimit(syscall.RLIMIT_NOFILE, &syscall.Rlimit{Cur: limitWithFree(free), Max: limit.Max})
 			fmt.Println("ok")
 		}
 	}
@@ -66,7 +67,7 @@
 	entries, _ := os.ReadDir("/proc/self/fd")
 	for _, entry := range entries {
 		if _, err := os.Readlink("/proc/self/fd/" + entry.Name()); err != nil {
-			continue // the directory's own
+			continue // the descriptor of the directory that was read above
 		}
 		fd := 0
 		if _, err := fmt.Sscan(entry.Name(), &fd); err == nil {
@@ -76,8 +77,8 @@
 	return open
 }
 
-// limitThatLeaves returns the limit of descriptors with which so many are free.
-func limitThatLeaves(free int) uint64 {
+// limitWithFree returns the descriptor limit that leaves the given number of descriptors free.
+func limitWithFree(free int) uint64 {
 	open := openDescriptors()
 	for limit := 0; ; limit++ {
 		switch {
@@ -90,7 +91,7 @@
 	}
 }
 
-// limitedServer is a process that serves with few descriptors.
+// limitedServer controls a server process whose descriptor limit the test lowers.
 type limitedServer struct {
 	t     *testing.T
 	addr  string
@@ -114,7 +115,7 @@
 	return s.lines.Text()
 }
 
-// command sends a command and returns the number that it prints.
+// command sends a command to the process and returns the number that the process prints.
 func (s *limitedServer) command(format string, args ...any) (n int) {
 	s.t.Helper()
 	if _, err := fmt.Fprintf(s.in, format+"\n", args...); err != nil {
@@ -124,7 +125,7 @@
 	return n
 }
 
-// ask sends a few bytes on a connection of its own and returns the answer, or the text of an error.
+// ask sends a few bytes on a new connection and returns the answer, or the text of an error.
 func (s *limitedServer) ask() string {
 	c, err := net.DialTimeout("tcp", s.addr, time.Second)
 	if err != nil {
@@ -142,8 +143,9 @@
 	return string(answer)
 }
 
-// A process without descriptors rejects each connection, also if they run out while it takes one over; it keeps none of
-// them open, does not spin, and serves again once there are some.
+// A process without free descriptors must reject each connection, even if the last descriptor is used up while a
+// connection is handed to the poller. It must close the rejected connections, must not busy-loop, and must serve again
+// once descriptors are free.
 func TestConnectionsAreRejectedWithoutDescriptors(t *testing.T) {
 	for _, free := range []int{0, 1} {
 		t.Run(fmt.Sprintf("%d free", free), func(t *testing.T) {
@@ -155,14 +157,14 @@
 			s.command("free %d", free)
 			checkRejections(t, s, free)
 			s.command("free")
-			if got := s.ask(); got != "hello" && got != "busy" { // the first may still meet the shortage
-				t.Errorf("with capacity again: %q", got)
+			if got := s.ask(); got != "hello" && got != "busy" { // the first connection may still be rejected
+				t.Errorf("answer with free descriptors: %q", got)
 			}
 			if got := s.ask(); got != "hello" {
-				t.Errorf("with capacity again: %q", got)
+				t.Errorf("second answer with free descriptors: %q", got)
 			}
 			if after := s.command("fds"); after > before+1 {
-				t.Errorf("%d descriptors are open, %d were", after, before)
+				t.Errorf("%d descriptors are open, %d were before", after, before)
 			}
 		})
 	}
@@ -170,22 +172,22 @@
 
 func checkRejections(t *testing.T, s *limitedServer, free int) {
 	t.Helper()
-	cpu, begun := s.command("cpu"), time.Now()
+	cpuBefore, start := s.command("cpu"), time.Now()
 	rejected := 0
 	for range 40 {
 		switch got := s.ask(); got {
 		case "busy":
 			rejected++
-		case "hello": // a descriptor was left for it after all
+		case "hello": // a descriptor was free after all
 		default:
-			t.Fatalf("answered with %q", got)
+			t.Fatalf("unexpected answer %q", got)
 		}
 	}
-	if free == 0 && rejected < 20 { // with one free, the reserve may do for the second
+	if free == 0 && rejected < 20 { // with one free, the reserve may suffice for the second one
 		t.Errorf("only %d of 40 were rejected", rejected)
 	}
-	time.Sleep(300 * time.Millisecond) // another process' work is looked at, with nothing to do
-	if worked := s.command("cpu") - cpu; worked > 200+int(time.Since(begun).Milliseconds())/4 {
-		t.Errorf("it worked for %d ms in %v", worked, time.Since(begun))
+	time.Sleep(300 * time.Millisecond) // measures the CPU time of the other process while it is idle, too
+	if used := s.command("cpu") - cpuBefore; used > 200+int(time.Since(start).Milliseconds())/4 {
+		t.Errorf("the process used %d ms of CPU time in %v", used, time.Since(start))
 	}
 }
--- a/internal/sockets/run.go
+++ b/internal/sockets/run.go
@@ -7,18 +7,18 @@
 	"plumspindle/scheduler/timerqueue"
 )
 
-// maxWait is how long the loop waits if no timer is set.
+// maxWait is how long the loop waits for new work if no timer is set.
 const maxWait = time.Hour
 
-// run is the loop's goroutine. It ends with Stop.
+// run is the body of the loop's goroutine. It returns after Stop was called.
 func (l *Loop) run() {
 	defer close(l.done)
-	clock := time.NewTimer(maxWait)
-	defer clock.Stop()
+	waitTimer := time.NewTimer(maxWait)
+	defer waitTimer.Stop()
 	var batch []func()
 	for {
 		var stopping bool
-		batch, stopping = l.takeInbox(batch)
+		batch, stopping = l.takePosted(batch)
 		if stopping {
 			return
 		}
@@ -29,25 +29,25 @@
 		}
 		l.runTimers()
 		if len(batch) > 0 {
-			continue // something may have been posted meanwhile
+			continue // check for functions posted by the batch before waiting
 		}
 		wait := l.untilNextTimer()
 		if wait <= 0 {
 			continue
 		}
-		clock.Reset(wait)
+		waitTimer.Reset(wait)
 		select {
 		case <-l.wake:
-		case <-clock.C:
+		case <-waitTimer.C:
 		}
 	}
 }
 
-// takeInbox returns what was posted, and reuses the slice that it returned before.
-func (l *Loop) takeInbox(reuse []func()) (batch []func(), stopping bool) {
+// takePosted returns the posted functions. It reuses the slice that it returned before for the next ones.
+func (l *Loop) takePosted(reuse []func()) (batch []func(), stopping bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	batch, l.inbox = l.inbox, reuse[:0]
+	batch, l.posted = l.posted, reuse[:0]
 	return batch, l.stopping
 }
 
@@ -81,12 +81,13 @@
 	}
 }
 
-// Now implements eventloop.Loop: it is the system's time as it was when the loop was started, going forward evenly from
-// there.
+// Now implements eventloop.Loop. It returns the wall-clock time at the loop's start plus the time elapsed since then on
+// the monotonic clock, so later adjustments of the system clock have no effect.
 func (l *Loop) Now() eventloop.Micros {
-	return eventloop.Micros(l.epoch.UnixMicro()) + eventloop.Micros(time.Since(l.epoch).Microseconds())
+	return eventloop.Micros(l.startTime.UnixMicro()) + eventloop.Micros(time.Since(l.startTime).Microseconds())
 }
 
+// timer implements eventloop.Timer.
 type timer struct {
 	loop *Loop
 	item *timerqueue.Item
@@ -103,6 +104,6 @@
 // Defer implements eventloop.Loop.
 func (l *Loop) Defer(f func()) {
 	if l.deferred = append(l.deferred, f); len(l.deferred) == 1 {
-		l.Post(func() {}) // so that it is called even if nothing else is posted
+		l.Post(func() {}) // wakes the loop, so that f runs even if nothing else is posted
 	}
 }
--- a/internal/sockets/syscallfaults_test.go
+++ b/internal/sockets/syscallfaults_test.go
@@ -16,7 +16,8 @@
 	"plumspindle/internal/testbed/syscallfaults"
 )
 
-// serveEcho is the process that meets faults of system calls: it sends back what arrives, and prints its address.
+// serveEcho is the main function of the process into whose system calls faults are injected. It prints its address and
+// sends back the bytes that it receives.
 func serveEcho() {
 	l, err := Start()
 	if err != nil {
@@ -37,7 +38,7 @@
 	_, _ = io.Copy(io.Discard, os.Stdin) // until the test ends
 }
 
-// startEcho starts the echo process and returns its address.
+// startEcho starts the echo process with injected faults and returns its address.
 func startEcho(t *testing.T, faults syscallfaults.Faults) string {
 	t.Helper()
 	library, err := syscallfaults.Build(t.TempDir())
@@ -48,12 +49,13 @@
 	_, out := startServerProcess(t, variables...)
 	line, err := bufio.NewReader(out).ReadString('\n')
 	if err != nil {
-		t.Fatalf("the echo did not start: %q, %v", line, err)
+		t.Fatalf("the echo process did not start: %q, %v", line, err)
 	}
 	return strings.TrimSpace(line)
 }
 
-// startServerProcess starts this test binary as a process of its own, which ends when its standard input is closed.
+// startServerProcess starts this test binary as a separate server process. The process ends when its standard input is
+// closed.
 func startServerProcess(t *testing.T, variables ...string) (in io.Writer, out io.Reader) {
 	t.Helper()
 	child := exec.Command(os.Args[0])
@@ -77,7 +79,8 @@
 	return input, output
 }
 
-// exchange sends messages and reads them back, one after the other, on several connections at once.
+// exchange sends messages on several connections concurrently. On each connection it reads a message back before it
+// sends the next.
 func exchange(t *testing.T, addr string) {
 	t.Helper()
 	const connections, messages, size = 4, 20, 40 << 10
@@ -96,7 +99,7 @@
 			for message := range messages {
 				go func() { _, _ = c.Write(sent) }()
 				if n, err := io.ReadFull(c, back); err != nil || !bytes.Equal(sent, back) {
-					t.Errorf("connection %d, message %d: %d bytes of %d came back: %v", i, message, n, size, err)
+					t.Errorf("connection %d, message %d: %d of %d bytes came back: %v", i, message, n, size, err)
 					return
 				}
 			}
@@ -104,7 +107,7 @@
 	}
 }
 
-// System calls may read and write less than they could, and be interrupted.
+// Reads and writes must be repeated when system calls transfer fewer bytes than they could, or are interrupted.
 func TestShortAndInterruptedSystemCallsAreRepeated(t *testing.T) {
 	for _, test := range []struct {
 		name   string
--- a/internal/sockets/write.go
+++ b/internal/sockets/write.go
@@ -9,7 +9,7 @@
 	"plumspindle/internal/eventloop"
 )
 
-// What the socket did not take is offered to it again after a delay, which doubles while it takes nothing.
+// Bytes that the socket did not accept are written again after a delay, which doubles while the socket accepts nothing.
 const (
 	minFlushDelay = eventloop.Millisecond
 	maxFlushDelay = 32 * eventloop.Millisecond
@@ -33,19 +33,19 @@
 // Unsent implements eventloop.Conn.
 func (c *conn) Unsent() int { return len(c.unsent) }
 
-// send writes to the socket and returns the rest that it did not take. Only EAGAIN means that the socket is full: a
-// write may be short, after which nbio's own writing would wait for an edge that does not come.
+// send writes to the socket and returns the bytes that the socket did not accept. nbio's own Write isn't used: after a
+// short write it waits for an edge-triggered event, which doesn't come, as only EAGAIN means that the socket is full.
 func (c *conn) send(b []byte) (rest []byte) {
 	var failure error
 	c.withDescriptor(func(fd int) { b, failure = writeAll(fd, b) })
 	if failure != nil {
-		c.read(c.socket)                     // what the other side sent before it closed has arrived
-		_ = c.socket.CloseWithError(failure) // socketClosed follows
+		c.read(c.socket)                     // data that the peer sent before it closed has already arrived
+		_ = c.socket.CloseWithError(failure) // nbio calls socketClosed
 	}
 	return b
 }
 
-// writeAll writes until the descriptor takes no more, or fails.
+// writeAll writes until all bytes are written, the socket accepts no more, or a write fails.
 func writeAll(fd int, b []byte) (rest []byte, failure error) {
 	for len(b) > 0 {
 		n, err := unix.Write(fd, b)
@@ -62,7 +62,7 @@
 	return nil, nil
 }
 
-// isTemporary reports whether a write that failed may succeed later.
+// isTemporary reports whether a failed write may succeed later.
 func isTemporary(err error) bool {
 	return errors.Is(err, syscall.EAGAIN) || errors.Is(err, syscall.ENOBUFS) || errors.Is(err, syscall.ENOMEM)
 }
@@ -71,7 +71,7 @@
 	c.flushTimer = c.loop.AfterFunc(delay, func() { c.flush(delay) })
 }
 
-// flush offers to the socket again what it did not take.
+// flush writes the unsent bytes again, and schedules the next attempt if some are left.
 func (c *conn) flush(delay eventloop.Micros) {
 	if c.ended {
 		return
