--- a/internal/sockets/dial.go
+++ b/internal/sockets/dial.go
@@ -121,7 +121,7 @@
 		return
 	}
 	c.handler.Opened()
-	c.read(socket) // an edge-triggered event may have come before the session was set
+	c.read(socket) // data may already have arrived
 }
 
 // configure disables Nagle's algorithm, so that small writes are sent at once, and sets the send buffer size.
--- a/internal/sockets/overload.go
+++ b/internal/sockets/overload.go
@@ -13,7 +13,8 @@
 )
 
 const (
-	// rejectReceiveTimeout is the time limit for a rejected client to send its request, counted from its connecting.
+	// rejectReceiveTimeout is the time limit for a rejected client to send its request. It is counted from the last
+	// segment that arrived before the rejection began, which is the handshake's if the client has sent nothing yet.
 	rejectReceiveTimeout = 100 * time.Millisecond
 	// rejectLingerTimeout is how long a client has to read the response and close the connection. The time is cut short
 	// if the descriptor is needed.
