--- a/internal/eventloop/eventloop.go
+++ b/internal/eventloop/eventloop.go
@@ -1,10 +1,11 @@
-// Package eventloop defines the interface between the program and time, timers and the network. The code above it is
-// written for a single-threaded loop: it is called with events and asks for things, and never blocks, starts a
-// goroutine or reads a clock. Package sockets implements the interface with real sockets, package virtual with a
-// simulated network in virtual time.
+// Package eventloop defines the interface through which the program uses the clock, timers and the network. Code that
+// uses it runs on a single-threaded event loop: it handles events in callbacks, and never blocks, starts a goroutine or
+// reads a clock itself. Package sockets implements the interface with real sockets, package virtual with a simulated
+// network in virtual time.
 //
-// Whoever asks a Loop for a connection, a listener or a timer owns it and ends it. An implementation relies on its
-// callers to use it only from within its own calls, and never reports an outcome within the call that asked for it.
+// The caller that gets a connection, a listener or a timer from a Loop owns it and has to end it. The methods may be
+// called only from callbacks of the same Loop. An implementation never reports the outcome of an operation within the
+// call that started the operation, but in a later callback.
 package eventloop
 
 import (
@@ -13,7 +14,7 @@
 	"plumspindle/scheduler/timerqueue"
 )
 
-// Micros is a point in time since 1970, or a duration, in whole microseconds.
+// Micros is a number of whole microseconds: a point in time since 1970, or a duration.
 type Micros = timerqueue.Micros
 
 // Common durations.
@@ -22,80 +23,83 @@
 	Second             = 1000 * Millisecond
 )
 
-// The causes of failed and closed connections that callers distinguish.
+// The causes of failed and closed connections that are passed to Handler.Closed and that callers may distinguish.
 var (
-	// ErrNoDescriptors means that this process has no file descriptor left; the other side is not to blame.
+	// ErrNoDescriptors means that this process has no file descriptor left. The peer did not cause the failure.
 	ErrNoDescriptors    = errors.New("too many open files")
 	ErrConnectTimeout   = errors.New("no connection in time")
 	ErrClosedBeforeOpen = errors.New("closed before it opened")
 	ErrPeerClosed       = errors.New("closed by the other side")
 )
 
-// Loop runs all code of one dispatcher, or of one simulated process, one call at a time. Its methods may be called only
-// from within those calls.
+// Loop runs all code of one dispatcher, or of one simulated process, as callbacks that run one at a time. Its methods
+// may be called only from those callbacks.
 type Loop interface {
+	// Now returns the current time.
 	Now() Micros
-	// AfterFunc calls f once the duration has passed, unless the timer is stopped before.
+	// AfterFunc calls f after the duration, unless the timer is stopped before that.
 	AfterFunc(duration Micros, f func()) Timer
-	// Defer calls f after the current call has returned, before anything that comes from outside.
+	// Defer calls f after the current callback has returned, before the next event is handled.
 	Defer(f func())
-	// Dial opens a connection. The handler's Opened is called once it is open, or Closed with the cause if it can't be
-	// opened within the timeout.
+	// Dial opens a connection. It calls the handler's Opened once the connection is open, or Closed with the cause if the
+	// connection can't be opened within the timeout.
 	Dial(addr string, timeout Micros, handler Handler) Conn
-	// DialReserved is Dial for connections that must not wait for others: it may use one of a few descriptors that are
-	// reserved for them.
+	// DialReserved is Dial for connections that must not wait until other connections free a descriptor. It may use one of
+	// a few descriptors that are reserved for such connections.
 	DialReserved(addr string, timeout Micros, handler Handler) Conn
-	// Listen accepts connections until the listener is closed. Only loopback addresses are allowed unless the
-	// implementation is configured otherwise.
+	// Listen accepts connections until the listener is closed, and calls accept to get the handler of each. Only loopback
+	// addresses are allowed unless the implementation is configured otherwise.
 	Listen(addr string, accept func(Conn) Handler) (Listener, error)
 }
 
-// Timer is a call that is due at some time. Stop prevents it if it has not been made yet.
+// Timer is a scheduled function call. Stop cancels the call if it has not been made yet.
 type Timer interface{ Stop() }
 
 // Listener accepts connections.
 type Listener interface {
 	Addr() string
 	Close()
-	// Drain accepts the connections that wait in the backlog, as their clients may have sent requests, and then closes.
+	// Drain accepts the connections in the backlog, as their clients may already have sent requests, and then closes the
+	// listener.
 	Drain()
 }
 
-// Handler receives the events of one connection. Closed is the last of them.
+// Handler receives the events of one connection. Closed is the last event.
 type Handler interface {
 	Opened()
-	// Data hands over bytes that are valid only until it returns.
+	// Data passes received bytes to the handler. The slice is valid only until Data returns.
 	Data(b []byte)
-	// Drained is called once everything that was written has been taken by the network.
+	// Drained is called once the network has accepted all bytes that were buffered in the connection.
 	Drained()
 	Closed(cause error)
 }
 
-// Conn is one connection. Its methods don't block; what the network doesn't take is buffered.
+// Conn is one connection. Its methods don't block.
 type Conn interface {
+	// Write sends b. Bytes that the network does not accept at once are buffered.
 	Write(b []byte)
-	// Unsent returns how many written bytes the network has not taken yet.
+	// Unsent returns how many written bytes the network has not accepted yet.
 	Unsent() int
-	// Undelivered reports whether some written bytes are known not to have reached the other side's machine yet. Where
-	// none are, no process on the other side need have taken them.
+	// Undelivered reports whether some written bytes are known not to have reached the peer's machine yet. If it reports
+	// false, the peer's process may still not have read the bytes.
 	Undelivered() bool
-	// Idle reports whether the connection is open on both sides and the other side has sent nothing that is not handed
-	// over yet. It asks the network, as what has arrived may still be on its way to the loop.
+	// Idle reports whether both sides of the connection are open and all data that has arrived from the peer has been
+	// passed to the handler. It asks the network, because data that has arrived may not have reached the loop yet.
 	Idle() bool
-	// PeerClosed reports whether the other side has closed the connection, even if that is not handed over yet. It asks
-	// the network.
+	// PeerClosed reports whether the peer has closed the connection, even if the handler's Closed was not called yet. It
+	// asks the network.
 	PeerClosed() bool
-	// SetPaused stops or resumes the handing over of data. While paused, little more than the socket's own buffer is read,
-	// so that the other side is slowed down.
+	// SetPaused pauses or resumes the calls of the handler's Data. While a connection is paused, only a limited amount of
+	// data is buffered in addition to the socket's own buffer, so that flow control slows the peer down.
 	SetPaused(paused bool)
-	// Close closes the connection once everything is sent. An accepted connection is closed by halves: what the other
-	// side sends until it has seen the close is dropped, as a close over unread bytes would reset the connection and
-	// lose what is still on its way.
+	// Close closes the connection once all written bytes are sent. An accepted connection is half-closed first, and data
+	// that the peer sends until it has seen the close is dropped: closing a socket with unread data would reset the
+	// connection and lose bytes that are still in transit to the peer.
 	Close()
-	// Abort closes the connection at once, with a reset.
+	// Abort closes the connection immediately with a reset.
 	Abort()
-	// CloseIfIdle is Close for a connection that carries no request, unless something has arrived that was not handed
-	// over yet, as its sender would wait for an answer. It reports whether the connection is being closed; if not, Data
-	// or Closed follows.
+	// CloseIfIdle closes a connection that carries no request, as Close does, unless data has arrived that was not passed
+	// to the handler yet: the peer would wait for an answer to it. It reports whether the connection is being closed. If
+	// not, a call of the handler's Data or Closed follows.
 	CloseIfIdle() bool
 }
--- a/internal/eventloop/timeout.go
+++ b/internal/eventloop/timeout.go
@@ -1,16 +1,16 @@
 package eventloop
 
-// Timeout is the one thing that a connection waits for: setting it replaces what was set before. Its owner clears it
-// when the connection ends.
+// Timeout is a timer for a connection that waits for at most one event at a time: setting it replaces the timer that
+// was set before. The owner of the Timeout has to clear it when the connection ends.
 type Timeout struct{ timer Timer }
 
-// Set calls f after the duration, in place of what was set before.
+// Set calls f after the duration, and cancels the call that was set before, if any.
 func (t *Timeout) Set(loop Loop, duration Micros, f func()) {
 	t.Clear()
 	t.timer = loop.AfterFunc(duration, f)
 }
 
-// Clear stops the timeout, if one is set.
+// Clear cancels the call that is set, if any.
 func (t *Timeout) Clear() {
 	if t.timer != nil {
 		t.timer.Stop()
@@ -18,8 +18,9 @@
 	}
 }
 
-// LimitUnsent reports whether more than limit bytes of a connection are unsent. While any are, the other side has to
-// take some within the duration, else stalled is called; a timeout that is set already is not extended.
+// LimitUnsent reports whether more than limit bytes of a connection are unsent. If any bytes are unsent, the peer has to
+// accept some of them within the duration, otherwise stalled is called. LimitUnsent does not postpone a call that is
+// already set.
 func (t *Timeout) LimitUnsent(loop Loop, c Conn, limit int, duration Micros, stalled func()) (exceeded bool) {
 	unsent := c.Unsent()
 	if unsent == 0 {
--- a/internal/eventloop/timeout_test.go
+++ b/internal/eventloop/timeout_test.go
@@ -7,7 +7,7 @@
 	"plumspindle/internal/virtual"
 )
 
-// unsentConn is a connection of which only the number of unsent bytes is asked for.
+// unsentConn is a connection that only reports a number of unsent bytes.
 type unsentConn struct {
 	eventloop.Conn
 	unsent int
@@ -24,14 +24,14 @@
 	timeout.Set(loop, eventloop.Second, func() { calls = append(calls, "second") })
 	network.Run(2 * eventloop.Second)
 	if len(calls) != 1 || calls[0] != "second" {
-		t.Errorf("called %v", calls)
+		t.Errorf("calls %v, want only the second", calls)
 	}
 }
 
 func TestClearedTimeoutIsNotCalled(t *testing.T) {
 	network := virtual.NewNetwork(1)
 	var timeout eventloop.Timeout
-	timeout.Set(network.NewLoop("process"), eventloop.Second, func() { t.Error("called") })
+	timeout.Set(network.NewLoop("process"), eventloop.Second, func() { t.Error("a cleared timeout was called") })
 	timeout.Clear()
 	network.Run(2 * eventloop.Second)
 }
@@ -53,18 +53,18 @@
 			loop := network.NewLoop("process")
 			var timeout eventloop.Timeout
 			stalled := 0
-			look := func() bool {
+			check := func() bool {
 				return timeout.LimitUnsent(loop, unsentConn{unsent: test.unsent}, limit, eventloop.Second,
 					func() { stalled++ })
 			}
-			if exceeded := look(); exceeded != test.wantExceeded {
-				t.Errorf("exceeded %v", exceeded)
+			if exceeded := check(); exceeded != test.wantExceeded {
+				t.Errorf("exceeded is %v, want %v", exceeded, test.wantExceeded)
 			}
 			network.Run(eventloop.Second / 2)
-			look() // does not extend the timeout
+			check() // must not extend the timeout
 			network.Run(eventloop.Second / 2)
 			if (stalled == 1) != test.wantStalled {
-				t.Errorf("stalled %d times", stalled)
+				t.Errorf("stalled was called %d times, want a call: %v", stalled, test.wantStalled)
 			}
 		})
 	}
