--- a/internal/http1/chunked.go
+++ b/internal/http1/chunked.go
@@ -6,15 +6,15 @@
 	"strings"
 )
 
-// maxChunkLineBytes is the length limit of the lines that delimit chunks, and of those of the trailer.
+// maxChunkLineBytes limits the length of the lines that delimit chunks and of the lines of the trailer.
 const maxChunkLineBytes = 256
 
 // chunkSizeBits limits the size of one chunk: sizes of 2 GB and more are malformed.
 const chunkSizeBits = 31
 
-// chunkLine parses a line of the chunked coding: the size of a chunk, its end, or a field of the trailer. It returns
-// what follows the line.
-func (p *Parser) chunkLine(b []byte, handler Handler) (rest []byte, err error) {
+// parseChunkLine parses a line of the chunked coding: the size of a chunk, the line end after its data, or a field of
+// the trailer. It returns the bytes that follow the line.
+func (p *Parser) parseChunkLine(b []byte, handler Handler) (rest []byte, err error) {
 	at := bytes.IndexByte(b, '\n')
 	if at < 0 {
 		p.partial = append(p.partial, b...)
@@ -32,10 +32,10 @@
 	if len(line) > maxChunkLineBytes || !complete {
 		return nil, protocolError(ErrMalformed, "a malformed line in the chunked body")
 	}
-	p.partial = p.partial[:0] // text may point into it, and is used before anything is appended
+	p.partial = p.partial[:0] // text may alias p.partial; it is used before p.partial is appended to
 	switch p.state {
 	case inChunkSize:
-		return rest, p.chunkSize(string(text))
+		return rest, p.parseChunkSize(string(text))
 	case inChunkEnd:
 		if len(text) > 0 {
 			return nil, protocolError(ErrMalformed, "a chunk is longer than its size")
@@ -43,20 +43,20 @@
 		p.state = inChunkSize
 	case inTrailer:
 		if len(text) == 0 {
-			return rest, p.end(handler, len(rest))
+			return rest, p.endMessage(handler, len(rest))
 		}
 	}
 	return rest, nil
 }
 
-// chunkSize parses the size of a chunk; extensions behind it are ignored.
-func (p *Parser) chunkSize(text string) error {
+// parseChunkSize parses the size of a chunk, and ignores chunk extensions.
+func (p *Parser) parseChunkSize(text string) error {
 	digits, _, _ := strings.Cut(text, ";")
 	size, err := strconv.ParseUint(strings.TrimRight(digits, " \t"), 16, chunkSizeBits)
 	if err != nil {
 		return protocolError(ErrMalformed, "malformed chunk size %.20q", text)
 	}
-	p.left = int64(size)
+	p.remaining = int64(size)
 	p.state = inChunk
 	if size == 0 {
 		p.state = inTrailer
--- a/internal/http1/errors.go
+++ b/internal/http1/errors.go
@@ -16,9 +16,9 @@
 	ErrUnsupportedCoding  = errors.New("unsupported transfer coding")
 )
 
-// ProtocolError is the error of a message that can't be parsed. Its text is meant for the sender of the message.
+// ProtocolError is the error for a message that can't be parsed. Its text is written for the sender of the message.
 type ProtocolError struct {
-	Status int // the status code with which a server answers such a request
+	Status int // the status code of a server's response to such a request
 	Reason string
 	kind   error // one of the errors above
 }
@@ -26,11 +26,11 @@
 // Error returns the reason.
 func (e *ProtocolError) Error() string { return e.Reason }
 
-// Unwrap returns the kind of the error, such as ErrBodyTooLarge.
+// Unwrap returns the kind of the error, for example ErrBodyTooLarge.
 func (e *ProtocolError) Unwrap() error { return e.kind }
 
-// statuses are the status codes that stand for the kinds of errors.
-var statuses = map[error]int{
+// statusCodes maps each kind of error to the status code of the response.
+var statusCodes = map[error]int{
 	ErrMalformed:          http.StatusBadRequest,
 	ErrTruncated:          http.StatusBadRequest,
 	ErrHeadTooLarge:       http.StatusRequestHeaderFieldsTooLarge,
@@ -40,5 +40,5 @@
 }
 
 func protocolError(kind error, format string, args ...any) *ProtocolError {
-	return &ProtocolError{Status: statuses[kind], Reason: fmt.Sprintf(format, args...), kind: kind}
+	return &ProtocolError{Status: statusCodes[kind], Reason: fmt.Sprintf(format, args...), kind: kind}
 }
--- a/internal/http1/head.go
+++ b/internal/http1/head.go
@@ -8,17 +8,19 @@
 )
 
 const (
-	protocolPrefix = "HTTP/1." // a digit follows, the minor version
-	// maxReusedHeadBytes is how large a buffer for heads may be to be reused; an idle connection keeps none larger.
+	protocolPrefix = "HTTP/1." // followed by one digit, the minor version
+	// maxReusedHeadBytes is the size of the largest head buffer that is kept for reuse, so that an idle connection doesn't
+	// hold a larger one.
 	maxReusedHeadBytes = 4 << 10
-	// lengthBits limits the declared length of a body: those of 2^62 bytes and more are malformed.
-	lengthBits = 62
+	// contentLengthBits limits Content-Length: values of 2^62 and more are malformed.
+	contentLengthBits = 62
 )
 
 var headEnd = []byte("\r\n\r\n")
 
-// head collects the bytes of a head and parses it once it is complete. It returns what follows.
-func (p *Parser) head(b []byte, handler Handler) (rest []byte, err error) {
+// parseHeadBytes collects the bytes of a head, parses the head once it is complete, and returns the bytes that follow
+// it.
+func (p *Parser) parseHeadBytes(b []byte, handler Handler) (rest []byte, err error) {
 	if len(p.partial) == 0 {
 		if b = p.skipEmptyLines(b); len(b) == 0 {
 			return nil, nil
@@ -37,16 +39,16 @@
 		p.partial = nil
 	}
 	if p.Response && h.Status < http.StatusOK && h.Status != http.StatusSwitchingProtocols {
-		return rest, nil // an interim response
+		return rest, nil // skip an interim response
 	}
-	if err := p.framing(h); err != nil {
+	if err := p.setFraming(h); err != nil {
 		return nil, err
 	}
 	if err := handler.Head(h); err != nil {
 		return nil, err
 	}
-	if p.state == inBody && p.left == 0 {
-		return rest, p.end(handler, len(rest))
+	if p.state == inBody && p.remaining == 0 {
+		return rest, p.endMessage(handler, len(rest))
 	}
 	return rest, nil
 }
@@ -59,27 +61,27 @@
 	return bytes.TrimLeft(b, "\r\n")
 }
 
-// collectHead appends to the head that has arrived so far. Once it is complete, its text without the empty line at
-// the end is returned, and the bytes that follow it.
+// collectHead appends data to the part of the head that has arrived. Once the head is complete, it returns the text of
+// the head without the empty line at its end, and the bytes that follow the head.
 func (p *Parser) collectHead(data []byte) (text string, rest []byte, complete bool, err error) {
-	before := len(p.partial)
+	collected := len(p.partial)
 	limit := p.Limits.HeadBytes + len(headEnd)
-	taken := data[:min(len(data), max(limit-before, 0))]
+	taken := data[:min(len(data), max(limit-collected, 0))]
 	p.partial = append(p.partial, taken...)
 	if n := min(len(p.partial), len(protocolPrefix)); p.Response && string(p.partial[:n]) != protocolPrefix[:n] {
-		// Reported at once, as bytes that are not HTTP may never contain the end of a head.
+		// Bytes that are not HTTP may never contain the end of a head, so the error is reported without waiting for it.
 		return "", nil, false, protocolError(ErrMalformed, "no status line but %.20q", p.partial)
 	}
-	from := max(before-len(headEnd)+1, 0)
-	at := bytes.Index(p.partial[from:], headEnd)
+	searchStart := max(collected-len(headEnd)+1, 0)
+	at := bytes.Index(p.partial[searchStart:], headEnd)
 	if at < 0 {
 		if len(taken) < len(data) || len(p.partial) >= limit {
 			return "", nil, false, protocolError(ErrHeadTooLarge, "the head is larger than %d bytes", p.Limits.HeadBytes)
 		}
 		return "", nil, false, nil
 	}
-	at += from
-	return string(p.partial[:at]), data[at+len(headEnd)-before:], true, nil
+	at += searchStart
+	return string(p.partial[:at]), data[at+len(headEnd)-collected:], true, nil
 }
 
 func (p *Parser) parseHead(text string) (*Head, error) {
@@ -158,7 +160,7 @@
 	return Field{name, value}, nil
 }
 
-// isToken reports whether a text is a token by RFC 9110, as methods and field names must be.
+// isToken reports whether s is a token as defined by RFC 9110. Methods and field names must be tokens.
 func isToken(s string) bool {
 	for i := range len(s) {
 		if c := s[i]; !isLetter(c) && !isDigit(c) && strings.IndexByte("!#$%&'*+-.^_`|~", c) < 0 {
@@ -172,8 +174,8 @@
 
 func isDigit(c byte) bool { return c >= '0' && c <= '9' }
 
-// framing finds out how the body of a message is delimited, and sets the state to parse it.
-func (p *Parser) framing(h *Head) error {
+// setFraming determines how the body of a message is delimited, and sets the parser's state accordingly.
+func (p *Parser) setFraming(h *Head) error {
 	length, coding, err := framingFields(h)
 	if err != nil {
 		return err
@@ -190,18 +192,19 @@
 	case coding != "":
 		return protocolError(ErrUnsupportedCoding, "unknown transfer coding %.20q", coding)
 	case p.Response && (h.Status == http.StatusNoContent || h.Status == http.StatusNotModified):
-		p.state, p.left = inBody, 0
+		p.state, p.remaining = inBody, 0
 	case length != "":
-		return p.declaredLength(h, length)
+		return p.setContentLength(h, length)
 	case p.Response:
-		p.state, h.ContentLength = untilClose, UnknownLength
+		p.state, h.ContentLength = inBodyUntilClose, UnknownLength
 	default:
-		p.state, p.left = inBody, 0
+		p.state, p.remaining = inBody, 0
 	}
 	return nil
 }
 
-// framingFields returns the values of Content-Length and Transfer-Encoding. A length may be repeated if it is the same.
+// framingFields returns the values of Content-Length and Transfer-Encoding. Content-Length may be repeated with the
+// same value.
 func framingFields(h *Head) (length, coding string, err error) {
 	for _, f := range h.Fields {
 		switch {
@@ -220,14 +223,15 @@
 	return length, coding, nil
 }
 
-func (p *Parser) declaredLength(h *Head, length string) error {
-	n, err := strconv.ParseUint(length, 10, lengthBits)
+// setContentLength prepares the parser for a body with the length given by Content-Length.
+func (p *Parser) setContentLength(h *Head, length string) error {
+	n, err := strconv.ParseUint(length, 10, contentLengthBits)
 	if err != nil {
 		return protocolError(ErrMalformed, "malformed length %.20q", length)
 	}
 	if !p.Response && n > uint64(p.bodyLimit) {
 		return protocolError(ErrBodyTooLarge, "the body of %d bytes is larger than %d", n, p.bodyLimit)
 	}
-	p.state, p.left, h.ContentLength = inBody, int64(n), int64(n)
+	p.state, p.remaining, h.ContentLength = inBody, int64(n), int64(n)
 	return nil
 }
--- a/internal/http1/message.go
+++ b/internal/http1/message.go
@@ -1,42 +1,42 @@
 // Package http1 parses and writes HTTP/1.1 messages (RFC 9112). It does no I/O: the caller feeds a Parser the bytes of
-// a connection as they arrive, cut anywhere, and the Parser reports heads, bodies and ends to a Handler.
+// a connection as they arrive, in pieces of any size, and the Parser reports heads, bodies and ends to a Handler.
 //
-// A Parser owns the parsing state of one connection and the bytes that are not reported yet; it has no timers and
-// starts no goroutine. It relies on its caller for timeouts, and to feed it from one goroutine at a time. It never
-// accepts a message of which two readings are possible, as those are how requests are smuggled, and never buffers more
-// of a head than its Limits allow.
+// A Parser owns the parsing state of one connection and the bytes that it has not reported yet. It has no timers and
+// starts no goroutines: its caller is responsible for timeouts, and has to feed it from one goroutine at a time. It
+// rejects messages that can be interpreted in two ways, because they allow request smuggling, and never buffers more of
+// a head than its Limits allow.
 package http1
 
 import "strings"
 
-// Limits bound what one message may take.
+// Limits are the limits for one message.
 type Limits struct {
-	HeadBytes  int // of the start line and all fields
+	HeadBytes  int // size of the start line and all fields
 	FieldCount int
-	BodyBytes  int // of a request; responses are not limited
-	// BodyBytesFor, if set, returns the limit in place of BodyBytes, by the target of the request.
+	BodyBytes  int // size of a request's body; those of responses are not limited
+	// BodyBytesFor, if set, returns the limit for a request with the given target, and replaces BodyBytes.
 	BodyBytesFor func(target string) int
 }
 
-// DefaultLimits are limits that common clients stay far below.
+// DefaultLimits are far above what common clients send.
 var DefaultLimits = Limits{HeadBytes: 32 << 10, FieldCount: 100, BodyBytes: 4 << 20}
 
 // Field is one header field.
 type Field struct{ Name, Value string }
 
-// UnknownLength is the ContentLength of a body that is chunked or ends with the connection.
+// UnknownLength is the ContentLength of a body that is chunked or ends when the connection is closed.
 const UnknownLength = -1
 
-// Head is a start line with its fields.
+// Head is the head of a message: its start line and its fields.
 type Head struct {
 	Method, Target string // of a request
 	Status         int    // of a response
-	MinorVersion   int    // of HTTP/1
+	MinorVersion   int    // the minor version of HTTP/1.x
 	Fields         []Field
 	ContentLength  int64 // of the body in bytes, or UnknownLength
 }
 
-// Get returns the value of the first field with a name, in whatever case, or an empty string.
+// Get returns the value of the first field with the given name, ignoring case, or an empty string if there is none.
 func (h *Head) Get(name string) string {
 	for i := range h.Fields {
 		if strings.EqualFold(h.Fields[i].Name, name) {
@@ -55,7 +55,7 @@
 	return !strings.Contains(connection, "close")
 }
 
-// Handler receives the parts of messages. An error that it returns ends the parsing and is returned by Feed.
+// Handler receives the parts of messages. If a method returns an error, the Parser stops and returns that error.
 type Handler interface {
 	Head(h *Head) error
 	Body(b []byte) error // b is valid only until Body returns
--- a/internal/http1/parser.go
+++ b/internal/http1/parser.go
@@ -1,5 +1,6 @@
 package http1
 
+// state is the part of a message that the parser expects next.
 type state uint8
 
 const (
@@ -9,26 +10,26 @@
 	inChunk
 	inChunkEnd
 	inTrailer
-	untilClose
+	inBodyUntilClose
 	paused
 )
 
-// Parser parses the messages of one connection, one after the other. Its zero value with Limits set is ready for use.
+// Parser parses the messages of one connection in sequence. Its zero value with Limits set is ready for use.
 type Parser struct {
-	Response bool // parse responses, not requests
+	Response bool // parse responses instead of requests
 	Limits   Limits
 
 	state     state
 	partial   []byte // the part of the head, or of a line of the chunked coding, that has arrived
-	left      int64  // bytes of the body or chunk that have not arrived
-	bodyRead  int    // bytes of this body that have arrived
-	bodyLimit int    // bytes that this body may have
-	buffered  []byte // what has arrived while paused
-	pipelined int    // bytes behind the message that has just ended
+	remaining int64  // bytes of the current body or chunk that have not arrived
+	bodyRead  int    // bytes of the current body that have arrived
+	bodyLimit int    // maximum size of the current body in bytes
+	buffered  []byte // bytes that have arrived while paused
+	pipelined int    // bytes that arrived after the message that has just ended, in the same call of Feed
 }
 
-// Pipelined returns how many bytes arrived together with the message that has just ended, behind it. It is meant for
-// use within Handler.End.
+// Pipelined returns how many bytes of the data passed to Feed follow the message that has just ended. It is meant to be
+// called from Handler.End.
 func (p *Parser) Pipelined() int { return p.pipelined }
 
 // Idle reports whether no part of a message has been parsed since the last one ended.
@@ -36,10 +37,11 @@
 	return (p.state == inHead || p.state == paused) && len(p.partial) == 0
 }
 
-// Pause buffers what follows the message that has just ended, until Resume. It is meant for use within Handler.End.
+// Pause makes the parser buffer the bytes that follow the message that has just ended, until Resume is called. It is
+// meant to be called from Handler.End.
 func (p *Parser) Pause() { p.state = paused }
 
-// Resume ends a pause and parses what was buffered.
+// Resume ends a pause and parses the buffered bytes.
 func (p *Parser) Resume(handler Handler) error {
 	if p.state != paused {
 		return nil
@@ -51,7 +53,7 @@
 // Buffered returns how many bytes have arrived while paused.
 func (p *Parser) Buffered() int { return len(p.buffered) }
 
-// TakeBuffered hands the bytes that have arrived while paused over to the caller.
+// TakeBuffered returns the bytes that have arrived while paused, and removes them from the parser.
 func (p *Parser) TakeBuffered() []byte {
 	b := p.buffered
 	p.buffered = nil
@@ -67,14 +69,14 @@
 			p.buffered = append(p.buffered, data...)
 			return nil
 		case inHead:
-			data, err = p.head(data, handler)
+			data, err = p.parseHeadBytes(data, handler)
 		case inBody, inChunk:
-			data, err = p.sizedBody(data, handler)
-		case untilClose:
-			err = p.deliver(data, handler)
+			data, err = p.parseSizedBody(data, handler)
+		case inBodyUntilClose:
+			err = p.deliverBody(data, handler)
 			data = nil
 		default:
-			data, err = p.chunkLine(data, handler)
+			data, err = p.parseChunkLine(data, handler)
 		}
 		if err != nil {
 			return err
@@ -83,44 +85,47 @@
 	return nil
 }
 
-// Close ends the parsing when the connection has ended. A message that is not complete by then is an error.
+// Close has to be called when the connection has ended. It ends a body that is delimited by the connection's end, and
+// returns an error if a message is incomplete.
 func (p *Parser) Close(handler Handler) error {
 	switch {
-	case p.state == untilClose:
-		return p.end(handler, 0)
+	case p.state == inBodyUntilClose:
+		return p.endMessage(handler, 0)
 	case p.Idle():
 		return nil
 	}
 	return protocolError(ErrTruncated, "the message was cut short")
 }
 
-// sizedBody parses bytes of a body or chunk whose length is known, and returns what follows it.
-func (p *Parser) sizedBody(b []byte, handler Handler) (rest []byte, err error) {
-	n := int(min(int64(len(b)), p.left))
-	p.left -= int64(n)
-	if err := p.deliver(b[:n], handler); err != nil {
+// parseSizedBody parses bytes of a body or chunk of known length, and returns the bytes that follow it.
+func (p *Parser) parseSizedBody(b []byte, handler Handler) (rest []byte, err error) {
+	n := int(min(int64(len(b)), p.remaining))
+	p.remaining -= int64(n)
+	if err := p.deliverBody(b[:n], handler); err != nil {
 		return nil, err
 	}
 	rest = b[n:]
 	switch {
-	case p.left > 0:
+	case p.remaining > 0:
 		return rest, nil
 	case p.state == inChunk:
 		p.state = inChunkEnd
 		return rest, nil
 	default:
-		return rest, p.end(handler, len(rest))
+		return rest, p.endMessage(handler, len(rest))
 	}
 }
 
-func (p *Parser) deliver(b []byte, handler Handler) error {
+// deliverBody passes bytes of the body to the handler, unless a request's body exceeds its limit.
+func (p *Parser) deliverBody(b []byte, handler Handler) error {
 	if p.bodyRead += len(b); !p.Response && p.bodyRead > p.bodyLimit {
 		return protocolError(ErrBodyTooLarge, "the body is larger than %d bytes", p.bodyLimit)
 	}
 	return handler.Body(b)
 }
 
-func (p *Parser) end(handler Handler, pipelined int) error {
+// endMessage reports the end of a message, which is followed by the given number of bytes.
+func (p *Parser) endMessage(handler Handler, pipelined int) error {
 	p.state, p.bodyRead, p.partial, p.pipelined = inHead, 0, p.partial[:0], pipelined
 	return handler.End()
 }
--- a/internal/http1/parser_test.go
+++ b/internal/http1/parser_test.go
@@ -7,7 +7,7 @@
 	"testing"
 )
 
-// recorder is a Handler that writes down what it is given.
+// recorder is a Handler that logs its calls.
 type recorder struct {
 	log  []string
 	body []byte
@@ -29,7 +29,8 @@
 	return nil
 }
 
-// parse feeds the text to a parser in pieces of a size, closes it, and returns what the handler was given.
+// parse feeds text to a parser in pieces of the given size, closes the parser, and returns the log of the handler's
+// calls.
 func parse(text string, size int, response bool) (string, error) {
 	p := Parser{Response: response, Limits: Limits{HeadBytes: 200, FieldCount: 5, BodyBytes: 50}}
 	r := &recorder{}
@@ -48,7 +49,7 @@
 type parserTest struct {
 	text string
 	want string
-	// Of the error, if one is expected.
+	// The status code and the kind of the expected error, if any.
 	status int
 	kind   error
 }
@@ -138,30 +139,31 @@
 	})
 }
 
-// Bytes that are no status line may never contain the end of a head, so that waiting for it would wait for ever.
+// A response parser must reject bytes that don't begin with a status line without waiting for the end of the head,
+// which may never come.
 func TestResponseParserRejectsOtherProtocolsAtOnce(t *testing.T) {
 	for _, text := range []string{"\x01", "HTTP/2", "HTTX", "<html>"} {
 		p := Parser{Response: true, Limits: DefaultLimits}
 		if err := p.Feed([]byte(text), nil); !errors.Is(err, ErrMalformed) {
-			t.Errorf("%q was waited for: %v", text, err)
+			t.Errorf("%q was not rejected at once: %v", text, err)
 		}
 	}
 	p := Parser{Response: true, Limits: DefaultLimits}
 	for _, c := range "HTTP/1.1 2" {
 		if err := p.Feed([]byte(string(c)), nil); err != nil {
-			t.Fatalf("a status line that comes in pieces: %v", err)
+			t.Fatalf("a status line in pieces was rejected: %v", err)
 		}
 	}
 }
 
-// discard is a Handler that ignores what it is given.
-type discard struct{}
+// discardHandler is a Handler that ignores all calls.
+type discardHandler struct{}
 
-func (discard) Head(*Head) error  { return nil }
-func (discard) Body([]byte) error { return nil }
-func (discard) End() error        { return nil }
+func (discardHandler) Head(*Head) error  { return nil }
+func (discardHandler) Body([]byte) error { return nil }
+func (discardHandler) End() error        { return nil }
 
-// BenchmarkParser parses a request with a body of known length, and a response in chunks.
+// BenchmarkParser parses a request with a body of known length, and a response with a chunked body.
 func BenchmarkParser(b *testing.B) {
 	request := []byte("POST /v1/chat/completions HTTP/1.1\r\nHost: 127.0.0.1:8080\r\nContent-Type: application/json\r\n" +
 		"Authorization: Bearer 0123456789abcdef\r\nContent-Length: 1024\r\n\r\n" + strings.Repeat("x", 1024))
@@ -180,7 +182,7 @@
 			b.SetBytes(int64(len(run.message)))
 			b.ReportAllocs()
 			for b.Loop() {
-				if err := p.Feed(run.message, discard{}); err != nil {
+				if err := p.Feed(run.message, discardHandler{}); err != nil {
 					b.Fatal(err)
 				}
 			}
--- a/internal/http1/write.go
+++ b/internal/http1/write.go
@@ -6,7 +6,8 @@
 	"strings"
 )
 
-// reasonPhrases are the phrases of status lines. They are not those of net/http, which names 413 and 422 otherwise.
+// reasonPhrases are the reason phrases of status lines. http.StatusText isn't used because its phrases for 413 and 422
+// differ.
 var reasonPhrases = map[int]string{
 	http.StatusOK:                          "OK",
 	http.StatusCreated:                     "Created",
@@ -31,14 +32,14 @@
 	http.StatusHTTPVersionNotSupported:     "HTTP Version Not Supported",
 }
 
-// Request is a request to be written: its start line, the Host field and its body.
+// Request is a request to be written, without its fields other than Host.
 type Request struct {
 	Method, Target, Host string
 	Body                 []byte
 }
 
-// AppendRequest appends a request to b. The other fields come as name, value, name, value; those without a value are
-// left out.
+// AppendRequest appends a request to b. Further fields are passed as alternating names and values; a field with an
+// empty value is omitted.
 func AppendRequest(b []byte, request Request, fields ...string) []byte {
 	b = append(b, request.Method...)
 	b = append(b, ' ')
@@ -54,7 +55,7 @@
 	return append(b, request.Body...)
 }
 
-// AppendResponse appends a complete response to b; fields are as for AppendRequest.
+// AppendResponse appends a complete response to b. The fields are passed as for AppendRequest.
 func AppendResponse(b []byte, status int, body []byte, fields ...string) []byte {
 	b = appendStatus(b, status)
 	b = appendFields(b, fields)
@@ -63,14 +64,14 @@
 	return append(b, body...)
 }
 
-// AppendStreamHead appends the head of a response with a chunked body; fields are as for AppendRequest.
+// AppendStreamHead appends the head of a response with a chunked body. The fields are passed as for AppendRequest.
 func AppendStreamHead(b []byte, status int, fields ...string) []byte {
 	b = appendStatus(b, status)
 	b = appendFields(b, fields)
 	return append(b, "Transfer-Encoding: chunked\r\n\r\n"...)
 }
 
-// AppendChunk appends one chunk of a body; an empty one is left out, as it would end the body.
+// AppendChunk appends one chunk of a body. It omits an empty chunk, which would end the body.
 func AppendChunk(b, chunk []byte) []byte {
 	if len(chunk) == 0 {
 		return b
@@ -81,7 +82,7 @@
 	return append(b, "\r\n"...)
 }
 
-// AppendLastChunk appends the end of a chunked body.
+// AppendLastChunk appends the last chunk and the empty trailer, which end a chunked body.
 func AppendLastChunk(b []byte) []byte { return append(b, "0\r\n\r\n"...) }
 
 func appendStatus(b []byte, status int) []byte {
@@ -112,5 +113,5 @@
 	return b
 }
 
-// valueSanitizer replaces the bytes by which a value could end its line and begin a field of its own.
+// valueSanitizer replaces the bytes with which a value could end its line and inject another field.
 var valueSanitizer = strings.NewReplacer("\r", " ", "\n", " ", "\x00", " ")
--- a/internal/sse/sse.go
+++ b/internal/sse/sse.go
@@ -1,9 +1,9 @@
 // Package sse parses and writes server-sent events (text/event-stream). It does no I/O: the caller feeds a Parser the
-// bytes of a stream as they arrive, cut anywhere.
+// bytes of a stream as they arrive, in pieces of any size.
 //
-// A Parser owns the part of an event that has arrived; it has no timers and starts no goroutine. It relies on its
-// caller to feed it from one goroutine at a time, and never buffers more than its limit for one event. Of the fields
-// of an event only the data is read.
+// A Parser owns the part of an event that has arrived. It has no timers and starts no goroutines, and its caller has to
+// feed it from one goroutine at a time. It never buffers more than its limit for one event. It reads only the data
+// field of events and ignores the other fields.
 package sse
 
 import (
@@ -11,27 +11,27 @@
 	"errors"
 )
 
-// ErrEventTooLong is the error of an event that exceeds Parser.MaxEventBytes.
+// ErrEventTooLong is the error for an event that exceeds Parser.MaxEventBytes.
 var ErrEventTooLong = errors.New("a streamed event is too long")
 
 var dataField = []byte("data")
 
-// Parser extracts the data of events. Comments and events without data are skipped. Lines end with LF, CRLF or CR, as
+// Parser extracts the data of events. It skips comments and events without data. Lines may end with LF, CRLF or CR, as
 // the specification allows. Its zero value with MaxEventBytes set is ready for use.
 type Parser struct {
 	MaxEventBytes int
 
-	line    []byte // the part of a line that has arrived
-	data    []byte // of the event whose end has not arrived
+	line    []byte // the part of an incomplete line that has arrived
+	data    []byte // the data of the event whose end has not arrived
 	hasData bool
-	afterCR bool // the last line ended with a CR: an LF that follows belongs to it
+	afterCR bool // the last line ended with a CR, so an LF that follows belongs to its line end
 }
 
-// Idle reports whether no part of an event is waiting for its rest.
+// Idle reports whether the parser holds no part of an incomplete event.
 func (p *Parser) Idle() bool { return len(p.line) == 0 && !p.hasData }
 
-// Feed parses the next bytes and calls handle for each event that they complete. The data are valid only until handle
-// returns. The first error of handle ends the parsing and is returned.
+// Feed parses the next bytes and calls handle for each event that they complete. The slice passed to handle is valid
+// only until handle returns. If handle returns an error, Feed stops and returns that error.
 func (p *Parser) Feed(chunk []byte, handle func(data []byte) error) error {
 	for len(chunk) > 0 {
 		if p.afterCR && chunk[0] == '\n' {
@@ -40,18 +40,18 @@
 			continue
 		}
 		p.afterCR = false
-		at := bytes.IndexAny(chunk, "\r\n")
-		if at < 0 {
+		lineEnd := bytes.IndexAny(chunk, "\r\n")
+		if lineEnd < 0 {
 			p.line = append(p.line, chunk...)
 			return p.checkLength(len(p.line))
 		}
-		line := chunk[:at]
+		line := chunk[:lineEnd]
 		if len(p.line) > 0 {
 			p.line = append(p.line, line...)
 			line = p.line
 		}
-		p.afterCR = chunk[at] == '\r'
-		chunk = chunk[at+1:]
+		p.afterCR = chunk[lineEnd] == '\r'
+		chunk = chunk[lineEnd+1:]
 		if err := p.checkLength(len(line)); err != nil {
 			return err
 		}
@@ -71,6 +71,7 @@
 	return nil
 }
 
+// completeLine handles a line whose end has arrived.
 func (p *Parser) completeLine(line []byte, handle func([]byte) error) error {
 	if len(line) == 0 {
 		return p.completeEvent(handle)
@@ -90,6 +91,7 @@
 	return nil
 }
 
+// completeEvent handles the empty line that ends an event.
 func (p *Parser) completeEvent(handle func([]byte) error) error {
 	if !p.hasData {
 		return nil
@@ -99,7 +101,7 @@
 	return handle(data)
 }
 
-// Append appends one event to b, with each line of its data as a line of its own.
+// Append appends one event to b, with a separate data field for each line of its data.
 func Append(b, data []byte) []byte {
 	for more := true; more; {
 		var line []byte
--- a/internal/sse/sse_test.go
+++ b/internal/sse/sse_test.go
@@ -9,7 +9,8 @@
 
 const testMaxEventBytes = 40
 
-// feed feeds the text to a parser in pieces of a size, and returns the events and whether the parser is idle then.
+// feed feeds text to a parser in pieces of the given size. It returns a text that holds the data of the events and
+// whether the parser is idle afterwards.
 func feed(text string, size int) (string, error) {
 	p := Parser{MaxEventBytes: testMaxEventBytes}
 	var events []string
@@ -43,7 +44,7 @@
 	text := "data: " + strings.Repeat("x", 50) + "\n"
 	for _, size := range []int{1, 2, 3, 100} {
 		if got, err := feed(text, size); !errors.Is(err, ErrEventTooLong) {
-			t.Errorf("in pieces of %d: %s, %v", size, got, err)
+			t.Errorf("in pieces of %d: %s, %v, want ErrEventTooLong", size, got, err)
 		}
 	}
 }
@@ -74,7 +75,7 @@
 	}
 }
 
-// BenchmarkParser parses a stream of chat events, in reads of 4 kB.
+// BenchmarkParser parses a stream of chat events in pieces of 4 kB.
 func BenchmarkParser(b *testing.B) {
 	const readBytes = 4 << 10
 	event := []byte(`{"id":"chat-1","object":"chat.completion.chunk","choices":[{"index":0,"delta":{"content":"token"}}]}`)
