--- a/internal/sockets/barrier.go
+++ b/internal/sockets/barrier.go
@@ -25,8 +25,8 @@
 
 	// The fields below are used by the loop's goroutine only.
 	inFlight bool     // a byte was written, and the poller has not read it yet
-	waiting  []func() // are called once the byte in flight is read
-	next     []func() // are called once the byte after the one in flight is read
+	waiting  []func() // functions to call once the byte in flight is read
+	next     []func() // functions to call once the byte after that one is read
 }
 
 func (l *Loop) startBarrier() error {
--- a/internal/sockets/conn.go
+++ b/internal/sockets/conn.go
@@ -85,8 +85,8 @@
 	}
 }
 
-// readFailedLocked has the loop close the socket after a read met an error or the end of the stream. nbio itself
-// closes the socket after this, even if the peer has only half-closed the connection.
+// readFailedLocked has the loop close the socket after a read returned an error or the end of the stream. nbio does the
+// same after this call, even if the peer has only half-closed the connection.
 func (c *conn) readFailedLocked(socket *nbio.Conn, err error) {
 	if !c.peerClosed {
 		c.peerClosed = true
--- a/internal/sockets/listen.go
+++ b/internal/sockets/listen.go
@@ -15,7 +15,7 @@
 
 const (
 	acceptRetryDelay   = 20 * time.Millisecond // after a failed accept, for example if no descriptor is left
-	drainTimeout       = 10 * time.Millisecond // how long a draining listener waits for the next connection of its backlog
+	drainTimeout       = 10 * time.Millisecond // how long a draining listener accepts before it checks its backlog
 	maxDrainExtensions = 100                   // while connections wait, e.g. after the process was suspended
 )
 
--- a/internal/sockets/overload_test.go
+++ b/internal/sockets/overload_test.go
@@ -215,8 +215,8 @@
 	}
 }
 
-// The time that a client has to send its request starts when it connects, even if it waits in the backlog to be
-// accepted.
+// The receive timeout of a client that has sent nothing must start when the client connects, even if the connection
+// waits in the backlog before it is accepted.
 func TestSilentTimeCountsFromTheConnecting(t *testing.T) {
 	const backlogTime = 60 * time.Millisecond
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
--- a/internal/sockets/write.go
+++ b/internal/sockets/write.go
@@ -33,8 +33,9 @@
 // Unsent implements eventloop.Conn.
 func (c *conn) Unsent() int { return len(c.unsent) }
 
-// send writes to the socket and returns the bytes that the socket did not accept. nbio's own Write isn't used: after a
-// short write it waits for an edge-triggered event, which doesn't come, as only EAGAIN means that the socket is full.
+// send writes to the socket and returns the bytes that the socket did not accept. It doesn't use nbio's own Write,
+// which takes a short write for a full socket and then waits for an edge-triggered event. Only EAGAIN means that the
+// socket is full, so that event would not come.
 func (c *conn) send(b []byte) (rest []byte) {
 	var failure error
 	c.withDescriptor(func(fd int) { b, failure = writeAll(fd, b) })
