--- a/internal/dispatch/dispatcher.go
+++ b/internal/dispatch/dispatcher.go
@@ -7,7 +7,7 @@
 // are rejected for lack of capacity: those are the scheduler's decisions.
 //
 // A dispatcher lives on one event loop, and all of its methods are called on it. The way of a request: the frontend
-// hands it in (HandleChat), the scheduler is notified of its arrival, each of the scheduler's Sends becomes an attempt
+// hands it in (handleChat), the scheduler is notified of its arrival, each of the scheduler's Sends becomes an attempt
 // of the engine, the start and the end of each attempt are reported back, and a Reject, a Fail or a completed stream
 // becomes the one final answer.
 package dispatch
@@ -40,7 +40,7 @@
 type Counters struct {
 	Accepted, Completed, Rejected, Failed, Disconnected uint64
 
-	Shed      uint64 // rejected on arrival, as the dispatcher had too much open
+	Shed      uint64 // rejected on arrival: too many open requests, open batch calls or remembered idempotency keys
 	OverQuota uint64 // rejected or delayed by their tenants' limits
 	Attempts  uint64
 	Events    uint64 // received from endpoints
