--- a/internal/idempotency/idempotency.go
+++ b/internal/idempotency/idempotency.go
@@ -1,65 +1,65 @@
 // Package idempotency decides how to answer a request that repeats an earlier one with the same Idempotency-Key.
 //
-// It owns the cache of keys and of the answers that can be replayed, within bounds on both. It relies on its caller for
-// the time and for the order of events. It never does I/O, and it never evicts a key to make space for another: the
-// request of a key that is forgotten before its window has passed could run twice.
+// It has a cache of keys and of the answers that can be replayed, and bounds both. The caller supplies the time and the
+// order of events. The package does no I/O, and it never evicts a key to make space for another: if a key were
+// forgotten before its window has passed, its request could run twice.
 package idempotency
 
 import "plumspindle/scheduler/timerqueue"
 
-// Micros is a time or a span in whole microseconds.
+// Micros is a time or a duration in whole microseconds.
 type Micros = timerqueue.Micros
 
-// Key is the digest of a tenant's product and of the Idempotency-Key that its client sent.
+// Key is the digest of the tenant, the product and the Idempotency-Key that the client sent.
 type Key [16]byte
 
-// Decision is how a request with a key is answered.
+// Decision says how to answer a request with a key.
 type Decision uint8
 
 // The decisions that Begin can return.
 const (
-	New        Decision = iota // not seen before: run it
-	Join                       // running with its events buffered: replay them, then follow
-	Replay                     // completed with its events buffered: replay them
-	AlreadyRan                 // ran or may have run, and its answer is not buffered
-	Conflict                   // the key was used for another request
-	Full                       // the limit on keys is reached, so that no new request may run
+	New        Decision = iota // the key is not remembered: run the request
+	Join                       // the first request is running and its events are buffered: replay them, then follow it
+	Replay                     // the first request completed and its events are buffered: replay them
+	AlreadyRan                 // the first request ran or may have run, and its answer is not buffered
+	Conflict                   // the key was used for a different request
+	Full                       // the limit on keys is reached: a request with a new key may not run
 )
 
-// Limits bounds what a cache remembers.
+// Limits bounds the size of a cache.
 type Limits struct {
-	Entries     int // keys
-	Bytes       int // buffered answers, all together
-	AnswerBytes int // one buffered answer
+	Entries     int // number of keys
+	Bytes       int // of all buffered answers together
+	AnswerBytes int // of one buffered answer
 }
 
-// Outcome is how a request ended.
+// Outcome says how a request ended.
 type Outcome struct {
 	Completed  bool
 	MayHaveRun bool
-	Window     Micros // how long its key is remembered
+	Window     Micros // how long the key is remembered after the end
 }
 
-// Record is a key that outlives its dispatcher.
+// Record is a key as it is stored for a restart of the dispatcher.
 type Record struct {
 	Key     Key
 	Request uint64 // digest of the request
-	Until   Micros // when the key expires
-	Window  Micros
+	Until   Micros // when the key expires; 0 while its request runs
+	Window  Micros // how long the key is remembered after the request's end
 }
 
-// Entry is one remembered request.
+// Entry is one remembered key with its request's answer.
 type Entry struct {
-	Events [][]byte // the streamed events, while they are buffered
+	Events [][]byte // the events of the answer, while they are buffered
 
 	key       Key
 	request   uint64 // digest of the request
-	until     Micros // when it expires; 0 while it runs
-	bytes     int    // of Events
-	buffered  bool   // Events has everything that was streamed
+	until     Micros // when the key expires; 0 while the request runs
+	bytes     int    // total size of Events
+	buffered  bool   // Events has every event that was streamed
 	ended     bool
 	completed bool
-	expired   bool
+	removed   bool // from the cache
 }
 
 // Key returns the entry's key.
@@ -68,22 +68,23 @@
 // Request returns the digest of the entry's request.
 func (e *Entry) Request() uint64 { return e.request }
 
-// Until returns when the entry expires, 0 while its request runs.
+// Until returns when the entry expires; 0 while its request runs.
 func (e *Entry) Until() Micros { return e.until }
 
-// Cache remembers keys and answers within its limits.
+// Cache holds keys and answers within its limits.
 type Cache struct {
-	// OnExpire, if set, is called with each key that is forgotten.
+	// OnExpire, if set, is called with each key that is removed: when it expires, or at the end of a request that did
+	// not run.
 	OnExpire func(Key)
 
 	limits    Limits
 	entries   map[Key]*Entry
 	expiries  []*expiryQueue
-	completed []*Entry // buffered answers in the order of their ends, in which they are dropped
+	completed []*Entry // entries with a buffered answer, the one that ended first in front; dropped in this order
 	bytes     int
 }
 
-// expiryQueue has the ended entries of one window, which expire in the order in which they were added.
+// expiryQueue holds the ended entries with the same window, which expire in the order in which they were added.
 type expiryQueue struct {
 	window  Micros
 	entries []*Entry
@@ -94,14 +95,14 @@
 	return &Cache{limits: limits, entries: map[Key]*Entry{}}
 }
 
-// Len returns the number of remembered keys.
+// Len returns the number of keys in the cache.
 func (c *Cache) Len() int { return len(c.entries) }
 
-// Bytes returns the size of all buffered answers.
+// Bytes returns the total size of all buffered answers.
 func (c *Cache) Bytes() int { return c.bytes }
 
-// Begin decides on a request. For New the caller reports the request's events and end on the entry; for Join and
-// Replay the entry has what was streamed; otherwise the entry is nil.
+// Begin decides how to answer a request with a key. For New the caller reports the request's events and its end on the
+// entry; for Join and Replay the entry has the events that were streamed; otherwise the entry is nil.
 func (c *Cache) Begin(now Micros, key Key, request uint64) (Decision, *Entry) {
 	c.expire(now)
 	e := c.entries[key]
@@ -124,10 +125,10 @@
 	return AlreadyRan, nil
 }
 
-// AddEvent buffers one more event of a running answer, as far as the limits allow. Answers that completed earlier are
-// dropped to make space, but no keys.
+// AddEvent buffers the next event of a running answer. If there is no space left, it drops the buffered answers that
+// completed first, but keeps their keys. An answer that exceeds the limits is no longer buffered.
 func (c *Cache) AddEvent(e *Entry, data []byte) {
-	if !e.buffered || e.expired {
+	if !e.buffered || e.removed {
 		return
 	}
 	if e.bytes+len(data) > c.limits.AnswerBytes {
@@ -146,14 +147,14 @@
 	c.bytes += len(data)
 }
 
-// End reports how a request ended. Where nothing ran, its key is free again at once.
+// End records how a request ended. If nothing ran, the key can be used again at once.
 func (c *Cache) End(now Micros, e *Entry, outcome Outcome) {
-	if e.ended || e.expired {
+	if e.ended || e.removed {
 		return
 	}
 	e.ended, e.completed = true, outcome.Completed
 	if !outcome.MayHaveRun {
-		c.forget(e)
+		c.remove(e)
 		return
 	}
 	e.until = now + outcome.Window
@@ -165,9 +166,9 @@
 	c.scheduleExpiry(e, outcome.Window)
 }
 
-// Restore adds a key that an earlier process remembered: its request ran or may have run, and its answer is lost. It
-// must be called on a new cache, in the order of Until. Records beyond the limit on entries are added too: the limit
-// restricts what may run, and these have run.
+// Restore adds a key that an earlier process recorded: its request ran or may have run, and its answer is lost. The
+// caller must restore into a new cache, in the order of Until. Restore adds records beyond the limit on entries too:
+// the limit decides which requests may run, and these requests may already have run.
 func (c *Cache) Restore(record Record) {
 	e := &Entry{key: record.Key, request: record.Request, until: record.Until, ended: true}
 	c.entries[record.Key] = e
@@ -188,13 +189,13 @@
 	for _, queue := range c.expiries {
 		n := 0
 		for n < len(queue.entries) && queue.entries[n].until <= now {
-			c.forget(queue.entries[n])
+			c.remove(queue.entries[n])
 			queue.entries[n] = nil
 			n++
 		}
 		queue.entries = queue.entries[n:]
 	}
-	for len(c.completed) > 0 && c.completed[0].expired {
+	for len(c.completed) > 0 && c.completed[0].removed {
 		c.popCompleted()
 	}
 }
@@ -211,9 +212,9 @@
 	e.Events, e.bytes, e.buffered = nil, 0, false
 }
 
-func (c *Cache) forget(e *Entry) {
+func (c *Cache) remove(e *Entry) {
 	c.dropEvents(e)
-	e.expired = true
+	e.removed = true
 	delete(c.entries, e.key)
 	if c.OnExpire != nil {
 		c.OnExpire(e.key)
--- a/internal/idempotency/idempotency_test.go
+++ b/internal/idempotency/idempotency_test.go
@@ -10,7 +10,7 @@
 
 var testLimits = Limits{Entries: 6, Bytes: 60, AnswerBytes: 25}
 
-// modelEntry is what the plain model knows of a key.
+// modelEntry is what the model knows of one key.
 type modelEntry struct {
 	entry     *Entry
 	request   uint64
@@ -20,7 +20,7 @@
 	streamed  string
 }
 
-// model is a plain account of the keys beside the cache.
+// model tracks the remembered keys in a plain map, independently of the cache.
 type model struct {
 	t       *rapid.T
 	cache   *Cache
@@ -44,21 +44,21 @@
 	switch {
 	case known == nil && len(m.entries) >= testLimits.Entries:
 		if decision != Full {
-			m.t.Fatalf("%d keys remembered, and got %d", len(m.entries), decision)
+			m.t.Fatalf("%d keys are remembered, and a new key got decision %d, want Full", len(m.entries), decision)
 		}
 	case known == nil:
 		if decision != New {
-			m.t.Fatalf("a new key got %d", decision)
+			m.t.Fatalf("a new key got decision %d, want New", decision)
 		}
 		m.entries[key] = &modelEntry{entry: entry, request: request}
 	case known.request != request:
 		if decision != Conflict {
-			m.t.Fatalf("another request got %d", decision)
+			m.t.Fatalf("another request with a known key got decision %d, want Conflict", decision)
 		}
 	case decision == New || decision == Full:
-		m.t.Fatalf("a remembered key got %d", decision)
+		m.t.Fatalf("a remembered key got decision %d", decision)
 	case decision == Replay && !(known.ended && known.completed), decision == Join && known.ended:
-		m.t.Fatalf("ended %v, completed %v, and got %d", known.ended, known.completed, decision)
+		m.t.Fatalf("a request with ended %v and completed %v got decision %d", known.ended, known.completed, decision)
 	case decision == Replay || decision == Join:
 		if buffered := string(bytes.Join(entry.Events, nil)); buffered != known.streamed {
 			m.t.Fatalf("buffered %q, streamed %q", buffered, known.streamed)
@@ -84,8 +84,8 @@
 	}
 }
 
-// No key whose request may have run is new again inside its window, whatever the limits; bytes and keys stay within
-// them; what is replayed is what was streamed.
+// Checks that a key whose request may have run is not New again within its window, however small the limits; that the
+// bytes and keys stay within the limits; and that the replayed events are those that were streamed.
 func TestCacheAgreesWithModel(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		m := &model{t: t, cache: NewCache(testLimits), entries: map[Key]*modelEntry{}}
@@ -103,20 +103,20 @@
 				m.end(key, known)
 			}
 			if keys, size := m.cache.Len(), m.cache.Bytes(); keys > testLimits.Entries || size > testLimits.Bytes || size < 0 {
-				t.Fatalf("%d keys, %d bytes", keys, size)
+				t.Fatalf("%d keys and %d bytes exceed the limits", keys, size)
 			}
 		}
 	})
 }
 
-// A flood of keys is refused at the limit, and keys are free again with time only.
+// Checks that keys beyond the limit are refused, and that a key is free again only once its window has passed.
 func TestKeysBeyondTheLimitAreRefused(t *testing.T) {
 	const limit, window = 1000, 10000
 	cache := NewCache(Limits{Entries: limit, Bytes: 1 << 20, AnswerBytes: 1 << 10})
 	for i := range 5 * limit {
 		decision, entry := cache.Begin(Micros(i), Key{byte(i), byte(i >> 8)}, 1)
 		if (decision == New) != (i < limit) || decision != New && decision != Full {
-			t.Fatalf("key %d got %d", i, decision)
+			t.Fatalf("key %d got decision %d", i, decision)
 		}
 		if entry != nil {
 			cache.AddEvent(entry, make([]byte, 500))
@@ -124,9 +124,9 @@
 		}
 	}
 	if decision, _ := cache.Begin(10500, Key{1}, 1); decision != New {
-		t.Errorf("after its window a key got %d", decision)
+		t.Errorf("after its window a key got decision %d, want New", decision)
 	}
 	if decision, _ := cache.Begin(10500, Key{99, 3}, 1); decision != Replay {
-		t.Errorf("within its window a key got %d", decision)
+		t.Errorf("within its window a key got decision %d, want Replay", decision)
 	}
 }
--- a/internal/lifecycle/lifecycle.go
+++ b/internal/lifecycle/lifecycle.go
@@ -1,23 +1,23 @@
-// Package lifecycle defines the life of one request in a dispatcher as a table: for each state and event, the actions
-// to perform and the next state.
+// Package lifecycle defines the state machine of one request in a dispatcher as a transition table: for each state and
+// event, the actions to perform and the next state.
 //
-// It owns the table (Transitions), the Machine that follows it and the Coverage of its cells. It depends on no other
-// package. It never performs an action, does no I/O and makes no scheduling decision: the scheduler's orders are
-// among its events. docs/streams.md prints the table, and a test compares the two.
+// The package has the table (Transitions), the Machine that applies it, and the Coverage that counts how often each
+// cell was used. It depends on no other package. It performs no action, does no I/O and makes no scheduling decision:
+// the scheduler's orders reach it as events. docs/streams.md documents the table, and a test compares the two.
 package lifecycle
 
-// State is the stage of a request.
+// State is a stage in the life cycle of a request.
 type State uint8
 
 // The states of a request.
 const (
-	Queued     State = iota // waits for its tenant's admission; the scheduler does not know it yet
+	Queued     State = iota // waits for admission by its tenant's limits; the scheduler does not know it yet
 	Pending                 // known to the scheduler, without an attempt in flight
 	Prefilling              // a prefill attempt is in flight
 	Decoding                // a decode attempt is in flight and has sent no event yet
-	Streaming               // the answer has begun
-	Closing                 // answered, or abandoned by its client, with an attempt still in flight
-	Done                    // answered, or abandoned by its client, with no attempt in flight
+	Streaming               // the decode endpoint has sent the first event of the answer
+	Closing                 // answered, or its client has disconnected, with an attempt still in flight
+	Done                    // answered, or its client has disconnected, with no attempt in flight
 
 	StateCount = int(Done) + 1
 )
@@ -34,29 +34,29 @@
 
 func (s State) String() string { return stateNames[s] }
 
-// Event is what can happen to a request.
+// Event is something that happens to a request and can change its state.
 type Event uint8
 
-// The events: the scheduler's orders, the ends of attempts, and what clients and tenants do.
+// The events: the scheduler's orders, the ends of attempts, and changes at clients and tenants.
 const (
-	PrefillOrdered       Event = iota // the scheduler sends it to a prefill endpoint
-	DecodeOrdered                     // the scheduler sends it to the endpoint that will answer it
-	RejectOrdered                     // the scheduler rejects it
-	FailOrdered                       // the scheduler fails it
-	CancelOrdered                     // the scheduler cancels its attempt
-	ReleaseOrdered                    // its prefill state is released, by the scheduler or as its lease is over
-	PrefillCompleted                  // its prefill attempt completed
-	DecodeCompleted                   // its decode attempt completed
-	AttemptRejected                   // its attempt is known not to have run
-	AttemptFailed                     // its attempt ended in any other way
-	EventReceived                     // its decode endpoint sent an event
-	ClientDisconnected                // its client has disconnected
-	DeadlineExceeded                  // its client's time limit has passed
-	ClientLagging                     // its client does not read what it is sent
-	ClientCaughtUp                    // its client reads again
-	Admitted                          // its tenant's turn has come
-	TenantStopped                     // its tenant was removed, and its running requests are to stop
-	PrefillOnlyCompleted              // its prefill attempt completed and is the whole answer
+	PrefillOrdered       Event = iota // the scheduler sends the request to a prefill endpoint
+	DecodeOrdered                     // the scheduler sends the request to the endpoint that will answer it
+	RejectOrdered                     // the scheduler rejects the request
+	FailOrdered                       // the scheduler fails the request
+	CancelOrdered                     // the scheduler cancels the attempt
+	ReleaseOrdered                    // the prefill state is released, by the scheduler or because its lease has expired
+	PrefillCompleted                  // the prefill attempt completed
+	DecodeCompleted                   // the decode attempt completed
+	AttemptRejected                   // the attempt ended and is known not to have run
+	AttemptFailed                     // the attempt ended in any other way
+	EventReceived                     // the decode endpoint sent an event of the answer
+	ClientDisconnected                // the client has disconnected
+	DeadlineExceeded                  // the client's time limit has passed
+	ClientLagging                     // the client reads its answer too slowly
+	ClientCaughtUp                    // the client has caught up with its answer
+	Admitted                          // the tenant's limits admit the queued request
+	TenantStopped                     // the tenant was removed, and its running requests have to stop
+	PrefillOnlyCompleted              // the prefill attempt completed and is the whole answer
 
 	EventCount = int(PrefillOnlyCompleted) + 1
 )
@@ -84,16 +84,16 @@
 
 func (e Event) String() string { return eventNames[e] }
 
-// Action is one thing that the dispatcher has to do.
+// Action is one step that the dispatcher performs on a transition.
 type Action uint8
 
-// The actions. The Notify actions report to the scheduler, the Answer actions give the client its one final answer.
+// The actions. The Notify actions report to the scheduler; the Answer actions send the client its one final answer.
 const (
 	StartPrefill       Action = iota // start a prefill attempt
 	StartDecode                      // start a decode attempt
 	CloseAttempt                     // close the attempt's connection
-	ReportCancelled                  // after the scheduler's call, report the closed attempt as failed
-	ReleaseAttempt                   // release the state that the attempt may have left at its prefill endpoint
+	ReportCancelled                  // report the closed attempt as failed, once the scheduler's current call has returned
+	ReleaseAttempt                   // release the state that the last attempt may have left at its prefill endpoint
 	ReleaseState                     // release all prefill state of the request
 	StateFetched                     // the prefill state has been fetched; nothing is left to release
 	NotifyStarted                    // the attempt has sent its first event
@@ -107,7 +107,7 @@
 	AnswerFailed                     // the request failed
 	PauseAttempt                     // stop reading from the attempt
 	ResumeAttempt                    // read from the attempt again
-	Forget                           // drop the request's data
+	Forget                           // remove the request from the dispatcher
 
 	ActionCount = int(Forget) + 1
 )
@@ -136,17 +136,17 @@
 
 func (a Action) String() string { return actionNames[a] }
 
-// Coverage counts how often each cell of the table was reached.
+// Coverage counts how often each cell of the table was used.
 type Coverage [StateCount][EventCount]uint64
 
-// Machine is the current state of one request.
+// Machine is the state machine of one request.
 type Machine struct {
 	State State
 }
 
 // Fire moves the machine to its next state and returns the actions to perform, in order. The state changes before the
-// first action, since an action can bring the next event within its call. An event that the table does not define for
-// the state does nothing.
+// first action, since an action can cause the next event before it returns. Fire ignores an event that the table does
+// not define for the state.
 func (m *Machine) Fire(e Event, coverage *Coverage) []Action {
 	transition := Transitions[m.State][e]
 	if !transition.Defined {
@@ -159,7 +159,7 @@
 	return transition.Actions
 }
 
-// AttemptInFlight reports whether an attempt is in flight.
+// AttemptInFlight reports whether the request has an attempt in flight.
 func (m *Machine) AttemptInFlight() bool {
 	return m.State == Prefilling || m.State == Decoding || m.State == Streaming || m.State == Closing
 }
--- a/internal/lifecycle/lifecycle_test.go
+++ b/internal/lifecycle/lifecycle_test.go
@@ -11,12 +11,12 @@
 	"pgregory.net/rapid"
 )
 
-// model is what the endpoints and the client have seen of one request, independent of the table.
+// model records what the endpoints and the client have seen of one request, independently of the table.
 type model struct {
 	t            *rapid.T
-	inFlight     bool // an attempt was started and neither ended nor was closed
-	closed       bool // the attempt was closed and its end is not reported yet
-	begun        bool
+	inFlight     bool // an attempt was started and has neither ended nor been closed
+	closed       bool // the attempt was closed and its end has not been reported yet
+	begun        bool // an event was forwarded to the client
 	answers      int
 	disconnected bool
 	forgotten    bool
@@ -27,10 +27,10 @@
 	switch a {
 	case StartPrefill, StartDecode:
 		if m.inFlight || m.closed {
-			m.t.Fatal("a second attempt in flight")
+			m.t.Fatal("a second attempt was started while one is in flight")
 		}
 		if m.answers > 0 || m.disconnected {
-			m.t.Fatal("an attempt after the answer")
+			m.t.Fatal("an attempt was started after the final answer")
 		}
 		m.inFlight = true
 	case CloseAttempt:
@@ -44,14 +44,14 @@
 		m.endsNotified++
 	case ForwardEvent:
 		if m.answers > 0 || m.disconnected {
-			m.t.Fatal("an event after the answer")
+			m.t.Fatal("an event was forwarded after the final answer")
 		}
 		m.begun = true
 	case AnswerCompleted, AnswerRejected, AnswerFailed:
 		m.answer(a)
 	case Forget:
 		if m.inFlight || m.closed {
-			m.t.Fatal("forgotten with an attempt in flight")
+			m.t.Fatal("the request was forgotten with an attempt in flight")
 		}
 		m.forgotten = true
 	}
@@ -59,13 +59,13 @@
 
 func (m *model) answer(a Action) {
 	if m.disconnected {
-		return // it is not sent
+		return // the answer is not sent
 	}
 	if m.answers++; m.answers > 1 {
-		m.t.Fatal("a second final answer")
+		m.t.Fatal("a second final answer was sent")
 	}
 	if a == AnswerRejected && m.begun {
-		m.t.Fatal("rejected after its stream began")
+		m.t.Fatal("the request was rejected after its stream began")
 	}
 }
 
@@ -75,7 +75,7 @@
 	return oneOf(e, PrefillCompleted, PrefillOnlyCompleted, DecodeCompleted, AttemptRejected, AttemptFailed)
 }
 
-// possible reports whether the event can happen in the state, by what the model has seen.
+// possible reports whether the event can happen in the state, given what the model has seen.
 func (m *model) possible(s State, e Event) bool {
 	over := m.answers > 0 || m.disconnected
 	switch {
@@ -93,7 +93,7 @@
 		oneOf(e, ClientLagging, ClientCaughtUp) && !m.begun:
 		return false
 	}
-	// No endpoint does the following; the engine knows a prefill from a decode.
+	// The engine reports no such events, since it distinguishes prefill attempts from decode attempts.
 	switch s {
 	case Prefilling:
 		return !oneOf(e, EventReceived, DecodeCompleted)
@@ -107,7 +107,7 @@
 	return true
 }
 
-// fire passes one event to the machine and the model, and compares them.
+// fire passes one event to the machine and the model, and compares their states.
 func (m *model) fire(machine *Machine, e Event, coverage *Coverage) {
 	ends := endsAttempt(e)
 	if ends {
@@ -121,22 +121,25 @@
 		m.perform(a)
 	}
 	if ends && m.endsNotified != notified+1 {
-		m.t.Fatalf("the end of an attempt (%v in %v) was notified %d times", e, before, m.endsNotified-notified)
+		m.t.Fatalf("the end of an attempt (%v in %v) was notified %d times, want once", e, before, m.endsNotified-notified)
 	}
 	inFlight := m.inFlight || m.closed
 	over := (m.answers > 0 || m.disconnected) && !inFlight
 	if over != (machine.State == Done) || over != m.forgotten {
-		m.t.Fatalf("after %v in %v: over %v, forgotten %v, and in %v", e, before, over, m.forgotten, machine.State)
+		m.t.Fatalf("after %v in %v: over %v, forgotten %v, but the state is %v", e, before, over, m.forgotten, machine.State)
 	}
 	if machine.AttemptInFlight() != inFlight {
-		m.t.Fatalf("after %v in %v: an attempt in flight %v, and in %v", e, before, inFlight, machine.State)
+		m.t.Fatalf("after %v in %v: an attempt in flight %v, but the state is %v", e, before, inFlight, machine.State)
 	}
 }
 
-// Random orders of events, those that are possible at each point: never a second answer, no event after it, no two
-// attempts, every attempt's end notified once, and once answered and without an attempt nothing is left.
+// Fires random events, at each step one that is possible there, and checks: a request gets one final answer at most and
+// no event after it, has one attempt in flight at most, each attempt's end is notified once, and an answered request
+// without an attempt in flight is forgotten.
 func TestRandomEventOrdersKeepInvariants(t *testing.T) {
-	const cells, reachedAtLeast = 45, 43 // the rest depend on who closes first; the storms of package dispatch reach them
+	// Whether the other cells are reached depends on which side closes first; the random faults in the tests of package
+	// dispatch reach all of them.
+	const cells, reachedAtLeast = 45, 43
 	var coverage Coverage
 	rapid.Check(t, func(t *rapid.T) {
 		m := &model{t: t}
@@ -160,7 +163,7 @@
 				reached++
 			}
 			if transition.Defined && slices.Contains(transition.Actions, Forget) && transition.Next != Done {
-				t.Errorf("%v in %v forgets without being done", Event(e), State(s))
+				t.Errorf("%v in %v forgets the request but does not move to done", Event(e), State(s))
 			}
 		}
 	}
@@ -169,7 +172,7 @@
 	}
 }
 
-// The page that prints the table has exactly the cells that the code has.
+// Checks that docs/streams.md documents exactly the cells that the code defines.
 func TestDocumentedTableMatchesTransitions(t *testing.T) {
 	page, err := os.ReadFile("../../docs/streams.md")
 	if err != nil {
@@ -195,6 +198,6 @@
 	slices.Sort(rows)
 	slices.Sort(documentedRows)
 	if !slices.Equal(rows, documentedRows) {
-		t.Errorf("docs/streams.md prints\n%s\nthe code has\n%s", strings.Join(documentedRows, "\n"), strings.Join(rows, "\n"))
+		t.Errorf("docs/streams.md has\n%s\nthe code has\n%s", strings.Join(documentedRows, "\n"), strings.Join(rows, "\n"))
 	}
 }
--- a/internal/lifecycle/table.go
+++ b/internal/lifecycle/table.go
@@ -1,7 +1,7 @@
 package lifecycle
 
-// Transition is one cell of the table. Where a cell is not defined, its event can't occur in that state or comes too
-// late to matter, and Fire does nothing.
+// Transition is one cell of the table. If Defined is false, the event can't occur in that state or comes too late to
+// matter, and Fire ignores it.
 type Transition struct {
 	Next    State
 	Actions []Action
@@ -12,7 +12,7 @@
 	return Transition{Next: next, Actions: actions, Defined: true}
 }
 
-// Transitions is the whole table.
+// Transitions is the complete table, indexed by state and event.
 var Transitions = [StateCount][EventCount]Transition{
 	Queued: {
 		Admitted:           to(Pending, NotifyArrived),
@@ -68,7 +68,7 @@
 		AttemptRejected:      to(Done, NotifyEnded, Forget),
 		AttemptFailed:        to(Done, ReleaseAttempt, NotifyEnded, Forget),
 		ReleaseOrdered:       to(Closing, ReleaseState),
-		// The answer began although the client has its final answer or has disconnected: it could not be cancelled in time.
+		// The decode started after the client got its final answer or disconnected: it was not cancelled in time.
 		EventReceived: to(Done, CloseAttempt, NotifyEnded, Forget),
 	},
 	Done: {
