--- a/internal/dispatch/admission.go
+++ b/internal/dispatch/admission.go
@@ -6,8 +6,9 @@
 	"plumspindle/internal/tenancy"
 )
 
-// admit takes a request to its tenant's admission control. It reports whether the request is admitted now; otherwise it
-// is queued if it has got a ticket, and has been answered if not.
+// admit applies the limits of the tenant to a request, and reports whether the request is admitted now. If it is not,
+// the caller has to queue a request that has a ticket; one without a ticket was rejected, or gets the returned problem
+// as its answer.
 func (d *Dispatcher) admit(
 	r *request, identity frontend.Identity, response *frontend.Response,
 ) (admitted bool, problem *frontend.Problem) {
@@ -40,7 +41,7 @@
 	return false, nil
 }
 
-// queue has a request wait until its tenant's turn comes.
+// queue lets a request wait for admission, until shortly before its deadline.
 func (d *Dispatcher) queue(r *request) {
 	r.State = lifecycle.Queued
 	r.deadlineTimer = d.loop.AfterFunc(max(r.deadline-queueGrace-d.loop.Now(), 0), func() {
@@ -50,7 +51,7 @@
 	})
 }
 
-// admitQueued admits the queued requests whose tenants' turns have come.
+// admitQueued admits the queued requests that the limits of their tenants allow now.
 func (d *Dispatcher) admitQueued() {
 	for {
 		ticket, found := d.admission.AdmitNext(d.loop.Now())
--- a/internal/dispatch/attempts.go
+++ b/internal/dispatch/attempts.go
@@ -7,14 +7,14 @@
 	"plumspindle/scheduler"
 )
 
-// attemptSpec is what the engine is given to make one attempt.
+// attemptSpec describes one attempt for the engine.
 type attemptSpec struct {
 	number    scheduler.AttemptNo
 	target    engine.Target
 	callbacks engine.Callbacks
 }
 
-// newAttempt counts a new attempt as the request's last one.
+// newAttempt makes a new attempt the request's last one, and returns its specification.
 func (d *Dispatcher) newAttempt(r *request, details eventDetails) attemptSpec {
 	number := r.attempts
 	r.attempts++
@@ -55,7 +55,7 @@
 	r.attempt = d.engine.Prefill(spec.target, r.chat, spec.callbacks)
 }
 
-// startDecode starts a decode attempt once the request's intent is recorded, where it needs to be.
+// startDecode starts a decode attempt, after the request's intent is recorded if its product requires that.
 func (d *Dispatcher) startDecode(r *request, details eventDetails) {
 	spec := d.newAttempt(r, details)
 	if r.part != nil {
@@ -68,8 +68,8 @@
 	d.awaitIntent(r, func(recorded bool) { d.sendDecode(r, spec, recorded) })
 }
 
-// awaitsDecode reports whether a decode attempt that was not sent yet is still to be sent: it may have been cancelled,
-// or the request answered, while its intent was recorded.
+// awaitsDecode reports whether a decode attempt that was not sent yet still has to be sent. The attempt may have been
+// cancelled, or the request answered, while the intent was being recorded.
 func (r *request) awaitsDecode(number scheduler.AttemptNo) bool {
 	return r.isCurrent(number) && r.State == lifecycle.Decoding
 }
@@ -79,10 +79,10 @@
 		return
 	}
 	entry, known := d.endpoints[spec.target.Endpoint]
-	// Without a durable record it could run twice after a restart; and an endpoint that has begun to drain gets nothing
-	// new.
+	// Without a durable intent, the request could run twice after a restart. An endpoint that is draining must not get
+	// new attempts.
 	if !recorded || !known || entry.State() != scheduler.Ready {
-		d.loop.Defer(func() { // never within the scheduler's own call
+		d.loop.Defer(func() { // the scheduler must not be called back within its own call
 			if r.awaitsDecode(spec.number) {
 				d.attemptEnded(r, engine.Result{
 					Outcome:     scheduler.NotSent,
@@ -100,11 +100,12 @@
 	}, spec.callbacks)
 }
 
-// attemptEnded takes the end of a request's last attempt.
+// attemptEnded handles the end of a request's last attempt.
 func (d *Dispatcher) attemptEnded(r *request, result engine.Result) {
 	event := r.endEvent(result)
-	if r.part != nil && r.part.attemptEnded(result) {
-		d.fire(r, lifecycle.ClientDisconnected) // no other endpoint would do better; the call finds out why
+	if r.part != nil && r.part.recordAttemptEnd(result) {
+		// A retry at another endpoint would not help: the request is withdrawn, and its call handles the failure.
+		d.fire(r, lifecycle.ClientDisconnected)
 	}
 	if result.Outcome != scheduler.Completed && result.Outcome != scheduler.PrefillDone {
 		d.config.Log.Debug().
@@ -117,12 +118,13 @@
 	}
 	d.fireWith(r, event, eventDetails{result: result})
 	if len(r.responses) == 0 && r.part == nil && (r.State == lifecycle.Pending || r.State == lifecycle.Prefilling) {
-		// Its client disconnected during a decode that did not run: what has not run need not go on.
+		// The client disconnected during a decode that did not run, so that the request need not go on.
 		d.fire(r, lifecycle.ClientDisconnected)
 	}
 }
 
-// endEvent returns the event of an attempt's end, and notes on the request what the end proves.
+// endEvent returns the lifecycle event for the end of an attempt, and updates the request: where its prefill state is,
+// and whether it may have run.
 func (r *request) endEvent(result engine.Result) lifecycle.Event {
 	switch result.Outcome {
 	case scheduler.PrefillDone:
@@ -145,8 +147,8 @@
 	return lifecycle.AttemptFailed
 }
 
-// attemptEnded notes the end of a part's attempt. It reports whether the part is to be given up.
-func (p *batchPart) attemptEnded(result engine.Result) bool {
+// recordAttemptEnd records the end of a part's attempt, and reports whether the part has failed for good.
+func (p *batchPart) recordAttemptEnd(result engine.Result) bool {
 	if result.Outcome == scheduler.Errored || result.Outcome == scheduler.ConnectionLost {
 		p.failures++
 	}
@@ -154,8 +156,8 @@
 	return p.invalid || p.failures == batch.MaxEndpoints
 }
 
-// releaseAttempt releases what the last attempt may have left: a prefill that was cancelled may have completed all the
-// same, without anybody knowing where its state is.
+// releaseAttempt releases the state that the last prefill attempt may have left at its endpoint. A cancelled prefill
+// may have completed nevertheless, and its response with the location of the state is lost.
 func (d *Dispatcher) releaseAttempt(r *request) {
 	n := len(r.stateLocations)
 	if n == 0 {
@@ -168,7 +170,7 @@
 	}
 }
 
-// releaseState releases all prefill state of a request.
+// releaseState releases all prefill state of a request at its endpoints.
 func (d *Dispatcher) releaseState(r *request) {
 	for _, location := range r.stateLocations {
 		d.engine.Release(location.endpoint, []string{location.attempt})
--- a/internal/dispatch/batch_answer.go
+++ b/internal/dispatch/batch_answer.go
@@ -11,7 +11,7 @@
 	"plumspindle/internal/tenancy"
 )
 
-// finishIfDone answers the call once all inputs have arrived and all parts are back.
+// finishIfDone answers the call if all inputs have arrived and all parts are complete.
 func (c *batchCall) finishIfDone() {
 	if c.closed || !c.allInputsArrived || c.parts.Pending() > 0 {
 		return
@@ -23,7 +23,7 @@
 	c.response.Stream("application/json", c.answer.Next, "x-request-id", c.answer.ID)
 }
 
-// closeAs counts the call's outcome for its tenant, and closes it.
+// closeAs adds the call's outcome to its tenant's usage, and closes the call.
 func (c *batchCall) closeAs(final lifecycle.Action) {
 	usage := tenancy.Usage{
 		Tenant:   c.identity.Tenant,
@@ -36,7 +36,7 @@
 	c.close()
 }
 
-// close ends the call: nothing more is sent, what is in flight is withdrawn, and the call is forgotten.
+// close ends the call: it sends no further parts, withdraws the parts in flight and removes the call.
 func (c *batchCall) close() {
 	d := c.dispatcher
 	c.closed = true
@@ -71,7 +71,7 @@
 	c.closeAs(lifecycle.Forget)
 }
 
-// failWith answers a call with a problem that shows after parts of it were sent.
+// failWith answers the call with a problem that was found after Begin, when parts may have been sent.
 func (c *batchCall) failWith(problem *frontend.Problem) {
 	if c.closed {
 		return
@@ -81,7 +81,7 @@
 	c.response.SendProblem(problem)
 }
 
-// failRetryable answers a call that the client may repeat.
+// failRetryable answers the call with a failure after which the client may repeat it.
 func (c *batchCall) failRetryable(reason string) {
 	c.dispatcher.Failed++
 	c.closeAs(lifecycle.AnswerFailed)
@@ -90,14 +90,14 @@
 	}
 }
 
-// rejectForMemory rejects a call where the answers of all calls would take more memory than they may.
+// rejectForMemory rejects the call because the answers of all calls would exceed their memory limit.
 func (c *batchCall) rejectForMemory() {
 	c.dispatcher.Rejected++
 	c.closeAs(lifecycle.AnswerRejected)
 	c.response.SendProblem(frontend.OverloadedMidway())
 }
 
-// rejectOverQuota answers a call of which nothing was sent and that its tenant's limits reject.
+// rejectOverQuota answers the call when its tenant's limits reject it before any part was sent.
 func (c *batchCall) rejectOverQuota(decision tenancy.Decision) {
 	if c.closed {
 		return
@@ -119,7 +119,7 @@
 		c.parts.Pending()))
 }
 
-// abandon answers a call of which a part has failed for good.
+// abandon answers the call after one of its parts has failed for good.
 func (c *batchCall) abandon() {
 	if c.closed {
 		return
--- a/internal/dispatch/batch_call.go
+++ b/internal/dispatch/batch_call.go
@@ -14,10 +14,10 @@
 	"plumspindle/scheduler"
 )
 
-// batchGrace is how long before its client's deadline a call is given up that is not complete.
+// batchGrace is how long before its client's deadline an incomplete call is given up.
 const batchGrace = 20 * eventloop.Millisecond
 
-// batchCall is one client's call with many inputs.
+// batchCall is one client's embeddings or rerank call. Its inputs are split into parts, which are sent as requests.
 type batchCall struct {
 	dispatcher      *Dispatcher
 	request         *embeddings.Request
@@ -25,27 +25,27 @@
 	identity        frontend.Identity
 	response        *frontend.Response
 	clientRequestID string
-	clientLimit     eventloop.Micros // that the client asked for; 0: none
+	clientLimit     eventloop.Micros // time limit from the client's header; 0: none
 
-	// From Begin on, when the product is known.
+	// Set by Begin, when the product is known.
 	class         scheduler.ClassID
 	dimensions    int
 	deadline      eventloop.Micros
 	deadlineTimer eventloop.Timer
-	cache         *vectors.Cache // nil: there is none
+	cache         *vectors.Cache // nil: vectors are not cached
 	tenantCalls   *tenantBatches // nil: the call has not begun
 
 	parts            *batch.Call
-	splitInputs      int // how many inputs are in parts or cached
+	splitInputs      int // number of inputs that are in a part or were cached
 	allInputsArrived bool
 	inFlight         map[batch.PartID]*request
 	retryTimer       eventloop.Timer
 	answer           embeddings.Answer
-	answerBytes      int // that the answer is going to have
+	answerBytes      int // size that the complete answer will have
 	closed           bool
 }
 
-// batchRoute returns one of the APIs whose answers are complete with the prefill.
+// batchRoute returns the route of an API whose answers need a prefill only.
 func (d *Dispatcher) batchRoute(kind embeddings.Kind, form pb.Product_Form) frontend.Route {
 	settings := d.batches.limits
 	limits := embeddings.Limits{
@@ -88,7 +88,7 @@
 	}
 }
 
-// Begin starts the call, once all is known that a part needs.
+// Begin starts the call. The request calls it once everything is known that a part needs.
 func (c *batchCall) Begin() *frontend.Problem {
 	d := c.dispatcher
 	class, problem := d.classFor(c.request.Model, c.form)
@@ -134,7 +134,7 @@
 	return nil
 }
 
-// InputsAdded takes further inputs, or the end of them.
+// InputsAdded handles further inputs of the call; last is true once the call has all of its inputs.
 func (c *batchCall) InputsAdded(last bool) *frontend.Problem {
 	if c.closed {
 		return nil
@@ -150,7 +150,8 @@
 	return nil
 }
 
-// growAnswer makes space in the answer for all inputs that have arrived, as far as the limit on all answers allows.
+// growAnswer makes space in the answer for all inputs that have arrived. It returns false if that would exceed the
+// limit on the answers of all calls.
 func (c *batchCall) growAnswer() bool {
 	inputs, known := len(c.request.Inputs), len(c.answer.Vectors)
 	b := &c.dispatcher.batches
@@ -165,8 +166,7 @@
 	return true
 }
 
-// splitIntoParts makes parts of the inputs that are not in one yet, neighbours together. Inputs whose vectors are
-// cached need none.
+// splitIntoParts splits the new inputs into parts of neighbouring inputs. Inputs whose vectors are cached need no part.
 func (c *batchCall) splitIntoParts() {
 	settings := c.dispatcher.batches.limits
 	limits := batch.PartLimits{Tokens: int(settings.PartTokens), Inputs: int(settings.PartInputs)}
@@ -174,19 +174,19 @@
 	for c.splitInputs < inputs {
 		first := c.splitInputs
 		var tokens []int
-		for c.splitInputs < inputs && !c.takeCached(c.splitInputs) {
+		for c.splitInputs < inputs && !c.useCachedVector(c.splitInputs) {
 			tokens = append(tokens, c.request.CountTokens([]int{c.splitInputs}))
 			c.splitInputs++
 		}
 		c.parts.Add(first, tokens, limits)
-		for c.splitInputs < inputs && c.takeCached(c.splitInputs) {
+		for c.splitInputs < inputs && c.useCachedVector(c.splitInputs) {
 			c.splitInputs++
 		}
 	}
 }
 
-// takeCached takes an input's vector from the cache, if it is there.
-func (c *batchCall) takeCached(input int) bool {
+// useCachedVector copies an input's vector from the cache into the answer, and reports whether it was cached.
+func (c *batchCall) useCachedVector(input int) bool {
 	if c.cache == nil {
 		return false
 	}
@@ -196,14 +196,14 @@
 	vector, cached := c.cache.Get(c.request.CacheKey(input, c.dimensions))
 	if cached {
 		c.answer.Vectors[input] = slices.Clone(vector)
-		// Discarding an input can read on in the body, and this is called while its inputs are split.
+		// Discarding an input can add further inputs from the body, which must not happen while splitIntoParts runs.
 		c.dispatcher.loop.Defer(func() { c.discardInputs(input) })
 	}
 	return cached
 }
 
-// discardInputs frees the memory of inputs that are done with, which can make the body's next inputs arrive. It reports
-// whether the body is still valid; if not, the call has failed.
+// discardInputs frees the memory of inputs whose results are known. That can make space for further inputs from the
+// body. If one of those is invalid, discardInputs fails the call and returns false.
 func (c *batchCall) discardInputs(inputs ...int) bool {
 	for _, input := range inputs {
 		if problem := c.request.DiscardInput(input); problem != nil {
--- a/internal/dispatch/batch_manager.go
+++ b/internal/dispatch/batch_manager.go
@@ -11,31 +11,31 @@
 )
 
 const (
-	// maxVectorCaches is how many tenants' caches there are at once; the one unused for longest is evicted.
+	// maxVectorCaches is the number of tenants that have caches at once; the least recently used one is evicted.
 	maxVectorCaches = 64
-	// maxBatchAnswerBytes bounds the answers of all running calls together.
+	// maxBatchAnswerBytes is the limit on the answers of all running calls together.
 	maxBatchAnswerBytes = 256 << 20
 )
 
-// batchManager holds the calls with many inputs of one dispatcher. Their parts are requests like any other; package
-// batch decides which of them goes next, and how many may be in flight.
+// batchManager holds the batch calls of one dispatcher. The parts of the calls are requests like any other; package
+// batch decides which part is sent next, and how many may be in flight.
 type batchManager struct {
 	limits      *pb.Batches
 	limiter     *batch.Limiter
-	tenants     []*tenantBatches // that have calls; the first is the next to send a part
+	tenants     []*tenantBatches // tenants with calls; the first one is the next to send a part
 	openCalls   int
-	caches      []*vectorCache // the one used last is the last
-	answerBytes int            // that the answers of all running calls are going to have
+	caches      []*vectorCache // the most recently used one is the last
+	answerBytes int            // size that the answers of all running calls will have
 }
 
-// tenantBatches are one tenant's calls, which send their parts in turn.
+// tenantBatches holds one tenant's calls, which send their parts in turn.
 type tenantBatches struct {
 	tenant *tenantSlot
 	calls  []*batchCall
-	queued int // parts that wait for admission
+	queued int // number of parts that wait for admission
 }
 
-// vectorCacheKey identifies a cache; no two tenants share one.
+// vectorCacheKey identifies a cache. No two tenants have the same space, so that they never share a cache.
 type vectorCacheKey struct {
 	space      string
 	dimensions int
@@ -46,7 +46,7 @@
 	*vectors.Cache
 }
 
-// vectorCache returns a tenant's own cache of vectors of one size.
+// vectorCache returns a tenant's own cache of vectors with the given number of dimensions.
 func (b *batchManager) vectorCache(space string, dimensions int) *vectors.Cache {
 	key := vectorCacheKey{space, dimensions}
 	var cache *vectorCache
@@ -63,7 +63,7 @@
 	return cache.Cache
 }
 
-// callsOf returns a tenant's calls.
+// callsOf returns a tenant's calls, and adds the tenant if it has none.
 func (b *batchManager) callsOf(slot *tenantSlot) *tenantBatches {
 	for _, calls := range b.tenants {
 		if calls.tenant == slot {
@@ -75,13 +75,13 @@
 	return calls
 }
 
-// add counts a call as open.
+// add adds a call to its tenant's calls.
 func (b *batchManager) add(c *batchCall) {
 	b.openCalls++
 	c.tenantCalls.calls = append(c.tenantCalls.calls, c)
 }
 
-// remove forgets a call.
+// remove removes a call, and its tenant if that was its last call.
 func (b *batchManager) remove(c *batchCall) {
 	tenant := c.tenantCalls
 	tenant.calls = slices.DeleteFunc(tenant.calls, func(other *batchCall) bool { return other == c })
@@ -92,7 +92,7 @@
 	b.answerBytes -= c.answerBytes
 }
 
-// next returns the next call of a tenant that has a part to send; nil: none has.
+// next returns the tenant's next call that has a part to send; nil: no call has one.
 func (t *tenantBatches) next(now eventloop.Micros) *batchCall {
 	for range t.calls {
 		call := t.calls[0]
@@ -104,7 +104,7 @@
 	return nil
 }
 
-// sendParts sends parts as far as the limiter allows, tenants in turn, and each tenant's calls in turn.
+// sendParts sends as many parts as the limiter allows. It serves the tenants in turn, and each tenant's calls in turn.
 func (d *Dispatcher) sendParts() {
 	b := &d.batches
 	now := d.loop.Now()
--- a/internal/dispatch/batch_parts.go
+++ b/internal/dispatch/batch_parts.go
@@ -12,25 +12,25 @@
 )
 
 const (
-	// maxPartResponse is how many bytes an endpoint's response to a part may have.
+	// maxPartResponse is the limit on an endpoint's response to a part, in bytes.
 	maxPartResponse = 32 << 20
-	// quotaRetryDelay is the delay before a part is tried again that its tenant's limits reject without naming a delay.
+	// quotaRetryDelay is the delay before the retry of a part that the tenant's limits reject without naming a delay.
 	quotaRetryDelay = 100 * eventloop.Millisecond
 )
 
-// batchPart ties a request to the call that it is a part of.
+// batchPart links a request to the batch call that it is a part of.
 type batchPart struct {
 	call     *batchCall
 	id       batch.PartID
 	inputs   []int
 	result   embeddings.PartResult
-	sentAt   eventloop.Micros // to the scheduler
-	queued   bool             // for admission
-	failures int              // endpoints that failed on it
-	invalid  bool             // an endpoint says that an input is invalid
+	sentAt   eventloop.Micros // when the part was reported to the scheduler
+	queued   bool             // waits for admission
+	failures int              // number of endpoints that failed on it
+	invalid  bool             // an endpoint reported that an input is invalid
 }
 
-// sendPart makes a request of the call's next part.
+// sendPart makes the call's next part a request, and submits it for admission.
 func (c *batchCall) sendPart(now eventloop.Micros) {
 	d, slot := c.dispatcher, c.tenantCalls.tenant
 	id, inputs := c.parts.SendNext()
@@ -71,8 +71,9 @@
 	d.queue(r)
 }
 
-// partOverQuota takes a part that its tenant's limits reject. A limit delays a call of which something was sent; one of
-// which nothing was is rejected as a chat request would be.
+// partOverQuota handles a part that the tenant's limits reject. If the call has sent any part before, this part is
+// retried later; otherwise the call is rejected, as a chat request would be. A call also ends if no retry can succeed:
+// the part is larger than the limit, or the tenant is not served.
 func (c *batchCall) partOverQuota(now eventloop.Micros, id batch.PartID, decision tenancy.Decision) {
 	c.dispatcher.OverQuota++
 	retryAfter := decision.RetryAfter
@@ -87,13 +88,13 @@
 	c.partFailed(id, batch.Overloaded, retryAfter)
 }
 
-// sentAny reports whether any part of the call was sent.
+// sentAny reports whether the call has sent any part.
 func (c *batchCall) sentAny() bool {
 	return len(c.inFlight) > 0 || c.answer.Tokens > 0 || c.parts.Retries > 0 || c.parts.Splits > 0
 }
 
-// admitted notes that a queued part was admitted.
-func (p *batchPart) admitted(now eventloop.Micros) {
+// onAdmitted handles the admission of a queued part.
+func (p *batchPart) onAdmitted(now eventloop.Micros) {
 	if p.queued {
 		p.queued = false
 		p.call.tenantCalls.queued--
@@ -102,7 +103,7 @@
 	}
 }
 
-// startAttempt starts a part's attempt.
+// startAttempt starts an attempt of a part.
 func (p *batchPart) startAttempt(r *request, spec attemptSpec) {
 	call := p.call
 	path, body := call.request.BuildPart(p.inputs, call.dimensions)
@@ -126,25 +127,25 @@
 	return engine.Result{Outcome: scheduler.PrefillDone, Reason: "read"}
 }
 
-// finished takes the final answer of a part's request; Forget means that the call has withdrawn it.
+// finished handles the end of a part's request. The action is Forget if the request was withdrawn.
 func (p *batchPart) finished(r *request, final lifecycle.Action, retryAfter eventloop.Micros) {
 	call := p.call
 	d := call.dispatcher
 	delete(call.inFlight, p.id)
 	completed := final == lifecycle.AnswerCompleted
-	p.leaveLimiter(r, completed)
+	p.releaseLimiter(r, completed)
 	switch {
 	case call.closed:
 		d.loop.Defer(d.sendParts)
 	case completed:
-		p.takeResult(r)
+		p.storeResult(r)
 	default:
 		call.partFailed(p.id, p.failure(), retryAfter)
 	}
 }
 
-// leaveLimiter ends the part's place in the limiter, or in the queue.
-func (p *batchPart) leaveLimiter(r *request, completed bool) {
+// releaseLimiter frees the part's place in the limiter, or in the queue for admission.
+func (p *batchPart) releaseLimiter(r *request, completed bool) {
 	limiter := p.call.dispatcher.batches.limiter
 	switch {
 	case p.queued:
@@ -168,8 +169,8 @@
 	return batch.Overloaded
 }
 
-// takeResult puts a part's result into the call's answer.
-func (p *batchPart) takeResult(r *request) {
+// storeResult stores a part's result in the call's answer.
+func (p *batchPart) storeResult(r *request) {
 	call := p.call
 	call.parts.PartCompleted(p.id)
 	r.promptTokens = max(p.result.Tokens, 1)
@@ -185,7 +186,7 @@
 			call.cache.Put(call.request.CacheKey(input, call.dimensions), p.result.Vectors[i])
 		}
 	}
-	call.dispatcher.loop.Defer(func() { // never within the scheduler's own call
+	call.dispatcher.loop.Defer(func() { // the scheduler must not be called back within its own call
 		if !call.discardInputs(p.inputs...) {
 			return
 		}
@@ -194,7 +195,7 @@
 	})
 }
 
-// partFailed takes a part that did not come back with its result: it is retried, or the call is given up.
+// partFailed handles a part that ended without a result: it is retried, or the call is given up.
 func (c *batchCall) partFailed(id batch.PartID, failure batch.Failure, retryAfter eventloop.Micros) {
 	d := c.dispatcher
 	if c.parts.PartFailed(d.loop.Now(), id, failure, retryAfter) == batch.Abandoned {
@@ -207,7 +208,7 @@
 	})
 }
 
-// scheduleRetry sets the timer of the next part that is to be retried.
+// scheduleRetry sets the timer for the next retry of a part.
 func (c *batchCall) scheduleRetry() {
 	if c.retryTimer != nil {
 		c.retryTimer.Stop()
--- a/internal/dispatch/chat.go
+++ b/internal/dispatch/chat.go
@@ -17,10 +17,10 @@
 	"plumspindle/scheduler"
 )
 
-// Fields of a request's head that are the router's own.
+// Header fields of a request that the dispatcher reads.
 const (
-	timeLimitField       = "x-time-limit-ms" // the client gives up sooner than its product's time limit
-	heartbeatField       = "x-heartbeat-ms"  // a stream begins with comments this often, and so can't be answered by a 429
+	timeLimitField       = "x-time-limit-ms" // the client's time limit, if it is shorter than the product's
+	heartbeatField       = "x-heartbeat-ms"  // interval of comments before the first event; they rule out a 429 answer
 	idempotencyKeyField  = "Idempotency-Key"
 	clientRequestIDField = "x-client-request-id"
 )
@@ -31,17 +31,17 @@
 	maxIdempotencyKeyLength = 255 // bytes
 )
 
-// responseIDBytes is how much of a digest names an answer.
+// responseIDBytes is the length of the digest in a response's id.
 const responseIDBytes = 14
 
-// chatOptions are what a chat request's head asks for.
+// chatOptions are the options from the header of a chat request.
 type chatOptions struct {
 	deadline  eventloop.Micros
 	heartbeat eventloop.Micros // 0: none
 }
 
-// handleChat takes a chat completion. A returned problem is the answer; otherwise the response is answered later, or
-// has been rejected.
+// handleChat handles a request for a chat completion. A returned problem is the answer. Without a problem, the answer
+// follows later on the response, unless handleChat has already rejected the request there.
 func (d *Dispatcher) handleChat(
 	chatRequest *chat.Request, identity frontend.Identity, head *http1.Head, response *frontend.Response,
 ) *frontend.Problem {
@@ -93,7 +93,7 @@
 	return nil
 }
 
-// classFor finds the product of a model that one of the APIs serves.
+// classFor returns the class of the product with a model's name, if the API with the given form serves it.
 func (d *Dispatcher) classFor(model string, form pb.Product_Form) (scheduler.ClassID, *frontend.Problem) {
 	class, known := d.classes[model]
 	if !known {
@@ -123,7 +123,7 @@
 	return chatOptions{deadline: receivedAt + timeout, heartbeat: heartbeat}, nil
 }
 
-// readMilliseconds reads a field that holds a number of milliseconds; 0 where there is none.
+// readMilliseconds reads a header field with a number of milliseconds. It returns 0 if there is no such field.
 func readMilliseconds(head *http1.Head, field string, least uint64) (eventloop.Micros, *frontend.Problem) {
 	text := head.Get(field)
 	if text == "" {
@@ -137,7 +137,7 @@
 	return eventloop.Micros(ms) * eventloop.Millisecond, nil
 }
 
-// acceptChat takes responsibility for a request: from here on its response gets exactly one final answer.
+// acceptChat adds a request to the open ones. From then on, its response gets exactly one final answer.
 func (d *Dispatcher) acceptChat(r *request, response *frontend.Response, heartbeat eventloop.Micros) {
 	d.lastRequestID++
 	d.Accepted++
@@ -151,7 +151,7 @@
 	}
 }
 
-// addResponse makes a response one that the request's answer goes to.
+// addResponse adds a response that the request's answer is sent to.
 func (d *Dispatcher) addResponse(r *request, response *frontend.Response) {
 	response.SetFormat(&chat.Answer{
 		ID:      r.responseID,
@@ -161,12 +161,12 @@
 	})
 	r.responses = append(r.responses, response)
 	response.OnDisconnect = func() {
-		d.loop.Defer(func() { d.clientDisconnected(r, response) }) // never within the scheduler's own call
+		d.loop.Defer(func() { d.clientDisconnected(r, response) }) // the scheduler must not be called within its own call
 	}
 	response.OnDrained = func() { d.fire(r, lifecycle.ClientCaughtUp) }
 }
 
-// scheduleHeartbeat sends comments on a stream that has no events yet, so that intermediaries don't time it out.
+// scheduleHeartbeat sends comments on a stream until its first event, so that intermediaries don't time it out.
 func (d *Dispatcher) scheduleHeartbeat(r *request, response *frontend.Response, interval eventloop.Micros) {
 	r.heartbeatTimer = d.loop.AfterFunc(interval, func() {
 		if response.Heartbeat() {
@@ -175,7 +175,8 @@
 	})
 }
 
-// responseID names an answer; it reveals neither how many there were nor whose they are.
+// responseID returns the id of an answer. It is a digest, which reveals neither the number of requests nor their
+// clients.
 func (d *Dispatcher) responseID(id scheduler.RequestID) string {
 	unique := []byte(d.config.Name)
 	unique = binary.LittleEndian.AppendUint64(unique, uint64(d.config.Seed))
@@ -184,8 +185,9 @@
 	return "chatcmpl-" + hex.EncodeToString(digest[:responseIDBytes])
 }
 
-// clientDisconnected ends one client's part in a request. A request with a key that may be running goes on without a
-// client, as its client can only repeat it: it must not run a second time.
+// clientDisconnected removes a client from the ones that wait for a request's answer. If no client is left, the request
+// is cancelled, unless it has an idempotency key and may be running. Such a request goes on: it must not run a second
+// time, and a client that repeats it gets its answer.
 func (d *Dispatcher) clientDisconnected(r *request, response *frontend.Response) {
 	i := slices.Index(r.responses, response)
 	if i < 0 {
@@ -198,9 +200,9 @@
 		d.fire(r, lifecycle.ClientDisconnected)
 		return
 	}
-	d.fire(r, lifecycle.ClientCaughtUp) // the client that left may have been the one that lagged
+	d.fire(r, lifecycle.ClientCaughtUp) // the client that left may have been the lagging one
 	if len(r.responses) == 0 && r.orphanedBytes == 0 {
-		r.orphanedBytes = len(r.chat.Passthrough) // no connection counts its body, which is still in memory
+		r.orphanedBytes = len(r.chat.Passthrough) // the body is still in memory, but no connection counts it any more
 		d.frontend.BufferedBytes += r.orphanedBytes
 	}
 }
--- a/internal/dispatch/checks.go
+++ b/internal/dispatch/checks.go
@@ -7,21 +7,21 @@
 	"plumspindle/internal/lifecycle"
 )
 
-// overdueGrace is how long after its deadline a request may still be unanswered: the loop's own work, and the grace of
-// answers in one piece.
+// overdueGrace is how long after its deadline a request may still be unanswered. It allows for delays of the event loop
+// and for unstreamedGrace.
 const overdueGrace = 100 * eventloop.Millisecond
 
-// CheckInvariants checks the dispatcher's own state between any two events: each request's fields fit its state, none
-// is unanswered past its deadline, and what is counted is what there is.
+// CheckInvariants checks the dispatcher's own state; it may be called between any two events. Each request's fields
+// must fit its state, no request may be unanswered past its deadline, and the counters must agree with the requests.
 func (d *Dispatcher) CheckInvariants() error {
 	now := d.loop.Now()
 	parts, attempts := 0, 0
 	for id, r := range d.requests {
-		if violation := d.violationOf(r, now); violation != "" {
+		if violation := d.invariantViolation(r, now); violation != "" {
 			return fmt.Errorf("request %d (%s), %v: %s", id, r.clientRequestID, r.State, violation)
 		}
 		if r.id != id {
-			return fmt.Errorf("request %d is stored as %d", r.id, id)
+			return fmt.Errorf("request %d is stored under the id %d", r.id, id)
 		}
 		if r.AttemptInFlight() {
 			attempts++
@@ -31,40 +31,40 @@
 		}
 	}
 	if counted := d.batches.limiter.InFlight(); counted != parts {
-		return fmt.Errorf("%d parts are in flight, and %d are counted", parts, counted)
+		return fmt.Errorf("%d parts are in flight, but the limiter counts %d", parts, counted)
 	}
 	if open := d.scheduler.InFlight(); open.Attempts != attempts || open.Requests > len(d.requests) {
 		return fmt.Errorf("the scheduler has %d requests and %d attempts in flight, the dispatcher %d and %d",
 			open.Requests, open.Attempts, len(d.requests), attempts)
 	}
 	if n := d.frontend.OpenRequests; n < 0 {
-		return fmt.Errorf("%d requests are open", n)
+		return fmt.Errorf("the frontend counts %d open requests", n)
 	}
 	return nil
 }
 
-// violationOf describes what is wrong with a request; empty: nothing.
-func (d *Dispatcher) violationOf(r *request, now eventloop.Micros) string {
+// invariantViolation describes the invariant that a request violates; empty: none.
+func (d *Dispatcher) invariantViolation(r *request, now eventloop.Micros) string {
 	waiting := r.State == lifecycle.Pending || r.State == lifecycle.Queued
 	switch {
 	case waiting && len(r.responses) == 0 && r.part == nil:
-		return "nobody waits for it"
+		return "no client waits for it"
 	case r.State == lifecycle.Prefilling && r.attempt == nil:
-		return "prefilling without an attempt"
+		return "it is prefilling without an attempt"
 	case r.State == lifecycle.Streaming && r.attempt == nil:
-		return "streaming without an attempt"
+		return "it is streaming without an attempt"
 	case !r.Answered() && r.ticket == nil:
-		return "without a ticket of its tenant"
-	case r.State != lifecycle.Streaming && !r.Answered() && now > r.deadline+overdueGrace && r.isOnClock(now):
-		return fmt.Sprintf("unanswered %d ms after its deadline", (now-r.deadline)/eventloop.Millisecond)
+		return "it has no admission ticket"
+	case r.State != lifecycle.Streaming && !r.Answered() && now > r.deadline+overdueGrace && r.arrivedOnCurrentClock(now):
+		return fmt.Sprintf("it is unanswered %d ms after its deadline", (now-r.deadline)/eventloop.Millisecond)
 	case int(r.attempts) > d.schedulerConfig.MaxAttempts:
-		return "more attempts than allowed"
+		return "it has more attempts than allowed"
 	}
 	return ""
 }
 
-// isOnClock reports whether a request arrived by the present clock: one that was stepped makes what arrived before look
-// overdue.
-func (r *request) isOnClock(now eventloop.Micros) bool {
+// arrivedOnCurrentClock reports whether a request's arrival time is plausible by the current clock. A clock that was
+// stepped forward makes requests that arrived before the step look overdue.
+func (r *request) arrivedOnCurrentClock(now eventloop.Micros) bool {
 	return now-r.arrivedAt < 2*(r.deadline-r.arrivedAt)+eventloop.Second
 }
--- a/internal/dispatch/config.go
+++ b/internal/dispatch/config.go
@@ -9,31 +9,32 @@
 	"plumspindle/scheduler"
 )
 
-// Config is what one dispatcher is given besides its deployment.
+// Config has the settings of one dispatcher that its deployment does not have.
 type Config struct {
-	Name string // distinct from all other dispatchers, also from the one that it replaces
+	Name string // unique among all dispatchers, also the one that this one replaces after a restart
 	Zone string
 	Seed int64
 	Log  zerolog.Logger
 
-	Discovery       string   // address of the endpoint list's source; empty: only the cached list is used
-	CachedEndpoints [][]byte // what CacheEndpoints was given last, newest first; the first that can be read is used
+	Discovery       string   // address of the discovery service; empty: only the cached endpoint list is used
+	CachedEndpoints [][]byte // lists that CacheEndpoints stored, the newest first; the first readable one is used
 	CacheEndpoints  func(list []byte)
 
-	// Intents keeps, across restarts, which requests with an idempotency key may have run; nil: a restart forgets them.
+	// Intents stores which requests with an idempotency key may have run, so that a restart does not run them again. If
+	// it is nil, they are lost in a restart.
 	Intents *store.Store
 
 	Tenants       string // address of the administration; empty: only the deployment's and the cached tenants are served
-	Secret        []byte // shared with the administration; the digests of keys are sealed with it
-	CachedTenants []byte // what CacheTenants was given last
+	Secret        []byte // shared with the administration; protects the digests of API keys
+	CachedTenants []byte // the tenants that CacheTenants stored last
 	CacheTenants  func([]byte)
 
-	Descriptors int // that this process may have open; 0: not known, and clients are not limited
+	Descriptors int // limit on this process's open file descriptors; 0: not known, and client connections are not limited
 
-	Mutation *Mutation // nil in service
+	Mutation *Mutation // set by the test bed only
 }
 
-// Mutation injects faults on purpose, to show that tests detect them. It is never used in service.
+// Mutation injects faults, to show that tests detect them. It is never set in production.
 type Mutation struct {
 	Executor       func(scheduler.Executor) scheduler.Executor
 	Config         func(*scheduler.Config)
@@ -41,17 +42,18 @@
 }
 
 const (
-	// maxBufferedBodies is how many bodies of the largest size clients may have buffered at once, in all. Each attempt
-	// sends its request's body again, so that the memory that goes with them is a few times as much.
+	// maxBufferedBodies bounds the bodies of all clients that are buffered at once, as a number of bodies of the largest
+	// size. Each attempt sends its request's body again, so that the memory in use is a few times as much.
 	maxBufferedBodies = 64
-	// maxReplayBytes bounds one answer that is buffered for repeats with its key.
+	// maxReplayBytes is the limit on one answer that is buffered for repeats with the same idempotency key.
 	maxReplayBytes = 256 << 10
-	// endpointCacheInterval is how often the endpoint list is cached at most.
+	// endpointCacheInterval is the shortest time between two writes of the cached endpoint list.
 	endpointCacheInterval = eventloop.Second
-	// reservedDescriptors are for neither clients nor attempts: discovery, the administration, files, the poller.
-	// Clients may have half of the rest, as each request needs one on either side.
+	// reservedDescriptors is the number of file descriptors kept free of clients and attempts: for discovery, the
+	// administration, files and the poller. Clients may use half of the rest, since each request needs a connection to
+	// its client and one to an endpoint.
 	reservedDescriptors = 64
 )
 
-// milliseconds converts a setting.
+// milliseconds converts a setting in milliseconds.
 func milliseconds(ms uint32) eventloop.Micros { return eventloop.Micros(ms) * eventloop.Millisecond }
--- a/internal/dispatch/dispatcher.go
+++ b/internal/dispatch/dispatcher.go
@@ -1,15 +1,16 @@
-// Package dispatch hosts the scheduler: it reports to it what happens and executes its orders.
+// Package dispatch connects the scheduler with clients and model endpoints: it reports events to the scheduler and
+// executes the scheduler's orders.
 //
-// A Dispatcher owns the clients' requests from their admission to their final answer, the attempts that are made for
-// them, the record of their idempotency keys, and what it reports to the scheduler of tenants and endpoints. It
-// relies on the frontend for connections to clients, on the engine for those to endpoints, and on package lifecycle for
-// what each event does to a request. It never decides where an attempt goes, whether it is retried, or which requests
-// are rejected for lack of capacity: those are the scheduler's decisions.
+// A Dispatcher owns the clients' requests from admission to the final answer, their attempts, the record of their
+// idempotency keys, and the state of tenants and endpoints that it reports to the scheduler. Package frontend handles
+// the connections to clients, package engine those to endpoints, and package lifecycle defines how each event changes a
+// request. A dispatcher never decides where an attempt goes, whether it is retried, or which requests are rejected for
+// lack of capacity: the scheduler does.
 //
-// A dispatcher lives on one event loop, and all of its methods are called on it. The way of a request: the frontend
-// hands it in (handleChat), the scheduler is notified of its arrival, each of the scheduler's Sends becomes an attempt
-// of the engine, the start and the end of each attempt are reported back, and a Reject, a Fail or a completed stream
-// becomes the one final answer.
+// A dispatcher runs on one event loop, and all of its methods must be called there. A request passes through these
+// steps: the frontend passes it to handleChat; the dispatcher reports its arrival to the scheduler; for each Send of
+// the scheduler, the engine starts an attempt, whose start and end are reported back; and a Reject, a Fail or the end
+// of the stream becomes the one final answer.
 package dispatch
 
 import (
@@ -36,27 +37,27 @@
 	"plumspindle/scheduler"
 )
 
-// Counters are what a dispatcher has done since its start.
+// Counters count what a dispatcher has done since its start.
 type Counters struct {
 	Accepted, Completed, Rejected, Failed, Disconnected uint64
 
 	Shed      uint64 // rejected on arrival: too many open requests, open batch calls or remembered idempotency keys
-	OverQuota uint64 // rejected or delayed by their tenants' limits
+	OverQuota uint64 // requests or parts that were rejected or delayed by their tenants' limits
 	Attempts  uint64
-	Events    uint64 // received from endpoints
-	Repeats   uint64 // with a key that was in use or used before
+	Events    uint64 // stream events received from endpoints
+	Repeats   uint64 // requests whose idempotency key was in use or had been used before
 	Coverage  lifecycle.Coverage
 }
 
 // Dispatcher serves clients through the model endpoints of one deployment.
 type Dispatcher struct {
 	Counters
-	Deployment deployment.Deployment // what it serves; not to be changed
+	Deployment deployment.Deployment // must not be changed
 	loop       eventloop.Loop
 	config     Config
 	engine     *engine.Engine
 	frontend   *frontend.Server
-	onDrained  func() // what to do once no request is open; set by Shutdown
+	onDrained  func() // called once no request is open; set by Shutdown
 
 	scheduler       *scheduler.Scheduler
 	schedulerConfig scheduler.Config
@@ -70,25 +71,25 @@
 	admission     *tenancy.AdmissionController
 	directory     *tenancy.Directory
 	usage         *tenancy.UsageMeter
-	onReported    func() // what to do once the last usage report was acknowledged; set while shutting down
+	onReported    func() // called once the last usage report was acknowledged; set during a shutdown
 	tenantFeed    *subscribe.Client
 	tenantSlots   map[string]*tenantSlot
-	staticKeys    map[[sha256.Size]byte]*tenantSlot // by the digest of a key that the deployment states
+	staticKeys    map[[sha256.Size]byte]*tenantSlot // by the digest of an API key that the deployment lists
 	freeTenantIDs []scheduler.TenantID
 	nextTenantID  scheduler.TenantID
 
 	endpoints       map[scheduler.EndpointID]endpoints.Entry
 	startTimes      map[scheduler.EndpointID]starttimes.Start
 	endpointWatch   *endpoints.Watcher
-	endpointUpdates uint64 // received from discovery
-	cacheScheduled  bool   // the endpoint list is to be cached
+	endpointUpdates uint64 // number of updates received from discovery
+	cacheScheduled  bool   // a timer is running that caches the endpoint list
 
 	idempotencyCache  *idempotency.Cache
-	runningByKey      map[*idempotency.Entry]*request // requests with a key that are not answered yet
-	recoveringIntents bool                            // the intent store has failed, and is tried again
+	runningByKey      map[*idempotency.Entry]*request // requests with an idempotency key that are not answered yet
+	recoveringIntents bool                            // the intent store has failed, and its repair is being retried
 }
 
-// Start starts a dispatcher on a loop; its Frontend accepts the clients, and Shutdown ends it.
+// Start starts a dispatcher on a loop. The caller passes clients' connections to Frontend, and stops it by Shutdown.
 func Start(loop eventloop.Loop, dep deployment.Deployment, config Config) (*Dispatcher, error) {
 	if !slices.Contains(dep.Zones, config.Zone) {
 		return nil, fmt.Errorf("the deployment has no zone %q", config.Zone)
@@ -151,7 +152,7 @@
 	return server
 }
 
-// routes returns the clients' APIs.
+// routes returns the routes of the APIs for clients, by path.
 func (d *Dispatcher) routes() map[string]frontend.Route {
 	routes := frontend.ModelRoutes(d.Models)
 	isPublic := func(digest string) bool { return d.directory.IsPublicText(digest) }
@@ -163,7 +164,7 @@
 
 func (d *Dispatcher) startScheduler() {
 	d.schedulerConfig = d.Deployment.SchedulerConfig()
-	d.schedulerConfig.Quotas = nil // reported tenant by tenant, as they come
+	d.schedulerConfig.Quotas = nil // setTenant reports each tenant's quota to the scheduler
 	d.schedulerConfig.Zone = scheduler.ZoneID(slices.Index(d.Deployment.Zones, d.config.Zone))
 	kinds := make([]string, len(d.Deployment.Kinds))
 	for i, kind := range d.Deployment.Kinds {
@@ -183,10 +184,10 @@
 	d.scheduler = scheduler.New(d.loop.Now(), d.config.Seed, config, executor)
 }
 
-// Frontend returns the clients' side.
+// Frontend returns the server for the clients' connections.
 func (d *Dispatcher) Frontend() *frontend.Server { return d.frontend }
 
-// Models returns the names of the products.
+// Models returns the names of the products, which clients use as model names.
 func (d *Dispatcher) Models() []string {
 	names := make([]string, len(d.Deployment.Products))
 	for i, product := range d.Deployment.Products {
@@ -195,7 +196,7 @@
 	return names
 }
 
-// Ready reports whether an endpoint is known that may be sent to.
+// Ready reports whether at least one known endpoint accepts new attempts.
 func (d *Dispatcher) Ready() bool {
 	for _, entry := range d.endpoints {
 		if entry.State() == scheduler.Ready {
@@ -205,10 +206,10 @@
 	return false
 }
 
-// OpenRequests returns how many requests are accepted and not forgotten yet.
+// OpenRequests returns the number of requests that the dispatcher has accepted and not finished yet.
 func (d *Dispatcher) OpenRequests() int { return len(d.requests) }
 
-// DescribeOpenRequests returns a line for each open request, for the diagnosis of a shutdown that does not end.
+// DescribeOpenRequests returns one line for each open request, to diagnose a shutdown that does not end.
 func (d *Dispatcher) DescribeOpenRequests() []string {
 	var lines []string
 	for id, r := range d.requests {
@@ -219,7 +220,7 @@
 	return lines
 }
 
-// Shutdown accepts nothing new, lets what runs complete, and then calls done.
+// Shutdown stops accepting requests, lets the open ones complete, and then calls done.
 func (d *Dispatcher) Shutdown(done func()) {
 	d.onDrained = done
 	d.frontend.Shutdown()
@@ -230,7 +231,7 @@
 	d.finishShutdown()
 }
 
-// finishShutdown ends a shutdown once no request and no batch call is open.
+// finishShutdown completes a shutdown once no request and no batch call is open.
 func (d *Dispatcher) finishShutdown() {
 	if d.onDrained == nil || len(d.requests) > 0 || d.batches.openCalls > 0 {
 		return
@@ -246,5 +247,5 @@
 		return
 	}
 	d.onReported = done
-	d.reportUsage() // what was used since the last report
+	d.reportUsage() // the usage since the last report
 }
--- a/internal/dispatch/endpoint_cache.go
+++ b/internal/dispatch/endpoint_cache.go
@@ -7,7 +7,7 @@
 	"plumspindle/scheduler"
 )
 
-// restoreEndpoints begins with the newest cached list that can be read, as far as its age lets it be trusted.
+// restoreEndpoints applies the newest readable cached list. Its age decides how far the list is trusted.
 func (d *Dispatcher) restoreEndpoints() {
 	for i, cached := range d.config.CachedEndpoints {
 		if len(cached) == 0 {
@@ -53,15 +53,16 @@
 			continue
 		}
 		d.loop.AfterFunc(part.Delay, func() {
-			if d.endpointUpdates == 0 { // discovery is still unreachable
+			if d.endpointUpdates == 0 { // discovery has not sent an update yet
 				d.applyChanges(planned)
 			}
 		})
 	}
 }
 
-// confirmRemovals applies an update. Where a complete list leaves out most endpoints at once, their removal is delayed,
-// as discovery may just have restarted; what an update says of an endpoint by name is always taken as true.
+// confirmRemovals applies an update from discovery. If a complete list leaves out most endpoints at once, discovery may
+// have just restarted, so that confirmRemovals delays their removal. What an update says about a listed endpoint is
+// applied at once in any case.
 func (d *Dispatcher) confirmRemovals(entries []endpoints.Entry, complete bool) {
 	if !complete {
 		d.applyChanges(entries)
@@ -78,7 +79,7 @@
 	d.applyChanges(entries)
 	update := d.endpointUpdates
 	d.loop.AfterFunc(delay, func() {
-		if d.endpointUpdates == update { // discovery has not corrected itself
+		if d.endpointUpdates == update { // discovery has not sent another update
 			d.applyCompleteList(entries)
 			return
 		}
@@ -92,7 +93,8 @@
 	})
 }
 
-// missingFrom returns the ready endpoints that a complete list leaves out, as gone, and how many are ready.
+// missingFrom returns the ready endpoints that a complete list leaves out, marked as gone, and the number of all ready
+// endpoints.
 func (d *Dispatcher) missingFrom(entries []endpoints.Entry) (missing []endpoints.Entry, ready int) {
 	listed := map[scheduler.EndpointID]bool{}
 	for _, entry := range entries {
--- a/internal/dispatch/endpoints.go
+++ b/internal/dispatch/endpoints.go
@@ -9,7 +9,7 @@
 	"plumspindle/scheduler"
 )
 
-// startEndpoints begins with the cached endpoint list, and subscribes to its source.
+// startEndpoints applies the cached endpoint list, and subscribes to discovery.
 func (d *Dispatcher) startEndpoints() {
 	d.endpointWatch = endpoints.NewWatcher(d.loop, endpoints.WatcherOptions{
 		Address:    d.config.Discovery,
@@ -24,7 +24,7 @@
 	}
 }
 
-// endpointsUpdated takes an update from discovery; a complete one names all endpoints that there are.
+// endpointsUpdated handles an update from discovery. A complete update lists all endpoints.
 func (d *Dispatcher) endpointsUpdated(entries []endpoints.Entry, complete bool) {
 	if mutation := d.config.Mutation; mutation != nil && mutation.EndpointUpdate != nil {
 		entries = mutation.EndpointUpdate(entries)
@@ -41,10 +41,10 @@
 	})
 }
 
-// applyChanges reports changed entries to the scheduler; all other endpoints stay as they were.
+// applyChanges reports changed entries to the scheduler; all other endpoints stay unchanged.
 func (d *Dispatcher) applyChanges(entries []endpoints.Entry) { d.applyEndpoints(entries, false) }
 
-// applyCompleteList reports a complete list to the scheduler: endpoints that it does not name are gone.
+// applyCompleteList reports a complete list to the scheduler; endpoints that are not listed are removed.
 func (d *Dispatcher) applyCompleteList(entries []endpoints.Entry) { d.applyEndpoints(entries, true) }
 
 func (d *Dispatcher) applyEndpoints(entries []endpoints.Entry, complete bool) {
@@ -90,7 +90,7 @@
 	})
 }
 
-// countPrefillEndpoints reports to the admission control how many endpoints can prefill.
+// countPrefillEndpoints reports the number of endpoints that can prefill to the admission control.
 func (d *Dispatcher) countPrefillEndpoints() {
 	n := 0
 	for id, entry := range d.endpoints {
--- a/internal/dispatch/idempotency.go
+++ b/internal/dispatch/idempotency.go
@@ -13,8 +13,8 @@
 	"plumspindle/internal/idempotency"
 )
 
-// answerRepeat answers a request whose idempotency key was used before. It reports whether the request was answered; if
-// not, and without a problem, it is to run.
+// answerRepeat answers a request whose idempotency key was used before. It reports whether it has answered the request.
+// A returned problem is the answer. A request with neither has to run.
 func (d *Dispatcher) answerRepeat(
 	r *request, space, key string, response *frontend.Response,
 ) (answered bool, problem *frontend.Problem) {
@@ -46,17 +46,18 @@
 	return false, idempotencyKeyAlreadyRan()
 }
 
-// requestDigest identifies a request among those with the same key. Digests are stored: their form must not change.
+// requestDigest distinguishes requests with the same key. Digests are stored, so that their format must not change.
 func requestDigest(r *request) uint64 {
 	form := fmt.Sprint(r.chat.Stream, r.chat.IncludeUsage, r.chat.MaxTokens, " ")
 	return xxhash.Sum64String(form + string(r.chat.Passthrough))
 }
 
-// replay sends what was streamed for the key. Where its request still runs, the response follows it from then on.
+// replay sends the events that were streamed for the key. If its request still runs, the response gets the following
+// events too.
 func (d *Dispatcher) replay(r *request, entry *idempotency.Entry, response *frontend.Response) {
 	running := d.runningByKey[entry]
 	if running == nil {
-		running = r // it has ended; its answer is formatted anew
+		running = r // the first request has ended; r formats the replayed answer
 	}
 	d.addResponse(running, response)
 	for _, event := range entry.Events {
@@ -64,7 +65,7 @@
 	}
 }
 
-// endIdempotencyKey reports the end of a request to the cache of keys.
+// endIdempotencyKey reports the end of a request to the idempotency cache, and records when the key expires.
 func (d *Dispatcher) endIdempotencyKey(r *request, completed bool) {
 	if r.keyEntry == nil {
 		return
@@ -81,7 +82,7 @@
 	}
 }
 
-// keyWindow returns how long a request's key is remembered after its end.
+// keyWindow returns how long a request's key is remembered after the request's end.
 func (d *Dispatcher) keyWindow(r *request) eventloop.Micros {
 	if product := d.Deployment.Products[r.class]; product.Effect == pb.Product_DEDUPLICATED {
 		return milliseconds(product.WindowMs)
--- a/internal/dispatch/intents.go
+++ b/internal/dispatch/intents.go
@@ -10,24 +10,26 @@
 	"plumspindle/internal/store"
 )
 
-// An intent is the durable record that a request with a key may run. It is written before the first decode attempt is
-// sent, so that a client that repeats the request after this dispatcher died is not served a second run. Its value is
-// the request's digest, when the key expires (0: the request was running) and its window.
+// An intent is the durable record that a request with an idempotency key may run. It is written before the first decode
+// attempt is sent, so that a repeat of the request after a crash of this dispatcher does not run a second time. Its
+// value is the request's digest, the time when the key expires (0: the request was running) and the key's window.
 const (
 	intentPrefix      = "intent/"
 	intentValueLength = 3 * 8
 )
 
-// intentRetryInterval is the pause between attempts to write to a disk that has failed. Each writes all records.
+// intentRetryInterval is the delay between attempts to repair the store after its disk failed. Each attempt writes all
+// records.
 const intentRetryInterval = 500 * eventloop.Millisecond
 
-// intentRecord is the state of one request's intent. With a prefill it is written as the prefill goes out, so that the
-// disk works while the endpoint does; a request whose dispatcher dies before its decode then counts as run, although it
-// was not. Before the decode it costs the time of a sync.
+// intentRecord is the state of one request's intent. Depending on the product, the intent is written when the prefill
+// or when the decode starts. With the prefill, the disk works while the endpoint does, but if the dispatcher crashes
+// before the decode, the request counts as run although it was not. With the decode, the request is delayed by a disk
+// sync.
 type intentRecord struct {
 	requested bool
 	durable   bool
-	waiting   func(recorded bool) // a decode attempt that waits for the record
+	waiting   func(recorded bool) // sends the decode attempt that waits for the intent
 }
 
 func intentKey(key idempotency.Key) string { return intentPrefix + string(key[:]) }
@@ -50,8 +52,8 @@
 	return record, true
 }
 
-// restoreIntents reads what an earlier process recorded. What was running when it died may have run, and is remembered
-// from now on.
+// restoreIntents restores the keys that an earlier process recorded. A request that was running when that process ended
+// may have run, and its window starts now.
 func (d *Dispatcher) restoreIntents() {
 	if d.config.Intents == nil {
 		return
@@ -63,7 +65,7 @@
 		if !valid {
 			return true
 		}
-		// It was running; or the clock was ahead then, and a window is enough.
+		// The request was running, or the clock was ahead when the record was written: a window from now is enough.
 		if record.Until == 0 || record.Until > now+record.Window {
 			record.Until = now + record.Window
 		}
@@ -75,32 +77,33 @@
 		d.idempotencyCache.Restore(record)
 	}
 	d.idempotencyCache.OnExpire = func(key idempotency.Key) {
-		// Ignoring the error is safe: an intent that stays too long is dropped at the next start.
+		// Ignoring the error is safe: an intent that is not deleted expires again after the next start.
 		_ = d.config.Intents.Commit([]store.Op{{Key: intentKey(key)}}, nil, store.WriteLazy, nil)
 	}
 	d.config.Log.Info().Int("keys", len(records)).Msg("idempotency keys restored")
 }
 
-// needsIntent reports whether a request's product asks for its intent to be recorded at a point.
+// needsIntent reports whether the request's product requires its intent at the given point.
 func (d *Dispatcher) needsIntent(r *request, when pb.Product_Intent) bool {
 	return r.keyEntry != nil && d.config.Intents != nil && d.Deployment.Products[r.class].Intent == when
 }
 
-// recordIntentEarly begins to record the intent as the prefill goes out.
+// recordIntentEarly starts to record the intent with the prefill, if the product requires it then.
 func (d *Dispatcher) recordIntentEarly(r *request) {
 	if d.needsIntent(r, pb.Product_WITH_READ) && !r.intent.requested {
 		d.recordIntent(r)
 	}
 }
 
-// awaitIntent goes on once it is known whether the request's intent is durable, where it needs to be.
+// awaitIntent calls then once the request's intent is durable or can't be recorded, or at once if the request needs
+// none.
 func (d *Dispatcher) awaitIntent(r *request, then func(recorded bool)) {
 	notNeeded := r.keyEntry == nil || d.config.Intents == nil || d.needsIntent(r, pb.Product_NO_RECORD)
 	if notNeeded || r.intent.durable {
 		then(true)
 		return
 	}
-	// Where another attempt waits already, it was cancelled, and this one waits in its place.
+	// An attempt that is already waiting was cancelled, and this one replaces it.
 	if r.intent.waiting == nil && !r.intent.requested {
 		d.recordIntent(r)
 	}
@@ -134,8 +137,8 @@
 	}
 }
 
-// recoverIntents takes the intent store into service again once the disk takes writes, without a restart. Until then
-// requests with a key are not run.
+// recoverIntents retries the repair of a failed intent store until the disk accepts writes again, without a restart of
+// the process. Until then, requests with an idempotency key are not run.
 func (d *Dispatcher) recoverIntents() {
 	if d.recoveringIntents || d.config.Intents.Err() == nil {
 		return
@@ -156,13 +159,13 @@
 	})
 }
 
-// recordKeyEnd records when a key expires. It is written with the next group of records: if it is lost, the key is
-// remembered for longer.
+// recordKeyEnd records when a key expires. The record is written together with the next intent; if it is lost, the key
+// is remembered for longer.
 func (d *Dispatcher) recordKeyEnd(entry *idempotency.Entry, window eventloop.Micros) {
 	if d.config.Intents == nil {
 		return
 	}
-	if entry.Until() == 0 { // nothing ran, and the key is free: a crash now must not bring it back
+	if entry.Until() == 0 { // nothing ran and the key is free: a restart after a crash must not restore it
 		d.config.Intents.Flush()
 		return
 	}
--- a/internal/dispatch/orders.go
+++ b/internal/dispatch/orders.go
@@ -6,7 +6,7 @@
 	"plumspindle/scheduler"
 )
 
-// Send starts an attempt.
+// Send starts an attempt of a request at an endpoint.
 func (d *Dispatcher) Send(id scheduler.RequestID, endpoint scheduler.EndpointID, timeout scheduler.Micros) {
 	r := d.requests[id]
 	if r == nil {
@@ -19,28 +19,28 @@
 	d.fireWith(r, event, eventDetails{endpoint: endpoint, timeout: timeout})
 }
 
-// Reject gives the final answer of a request that may be retried.
+// Reject sends the final answer of a request that the client may retry.
 func (d *Dispatcher) Reject(id scheduler.RequestID, retryAfter scheduler.Micros) {
 	if r := d.requests[id]; r != nil {
 		d.fireWith(r, lifecycle.RejectOrdered, eventDetails{retryAfter: retryAfter})
 	}
 }
 
-// Fail gives the final answer of a request that failed.
+// Fail sends the final answer of a request that failed.
 func (d *Dispatcher) Fail(id scheduler.RequestID) {
 	if r := d.requests[id]; r != nil {
 		d.fireWith(r, lifecycle.FailOrdered, eventDetails{reason: "The generation failed."})
 	}
 }
 
-// Cancel closes an attempt. That it was cancelled is reported after the scheduler's call.
+// Cancel closes an attempt. Its end is reported once the scheduler's current call has returned.
 func (d *Dispatcher) Cancel(id scheduler.RequestID, attempt scheduler.AttemptNo) {
 	if r := d.requests[id]; r != nil && r.isCurrent(attempt) {
 		d.fire(r, lifecycle.CancelOrdered)
 	}
 }
 
-// Release has every prefill endpoint that may hold state of the request drop it.
+// Release tells each prefill endpoint that may hold state of the request to drop it.
 func (d *Dispatcher) Release(id scheduler.RequestID) {
 	if r := d.requests[id]; r != nil {
 		d.fire(r, lifecycle.ReleaseOrdered)
--- a/internal/dispatch/request.go
+++ b/internal/dispatch/request.go
@@ -11,39 +11,39 @@
 	"plumspindle/scheduler"
 )
 
-// request is one request's state in the dispatcher. What the scheduler knows of a request it stores itself.
+// request is the dispatcher's state of one request. The scheduler has its own state for each request.
 type request struct {
 	lifecycle.Machine
 	id              scheduler.RequestID
 	class           scheduler.ClassID
 	chat            *chat.Request
-	part            *batchPart // of a call with many inputs; nil: it is a chat completion
+	part            *batchPart // set for a part of a batch call; nil for a chat completion
 	clientRequestID string
 	arrivedAt       eventloop.Micros
 	deadline        eventloop.Micros
 
 	responseID     string
-	responses      []*frontend.Response // to its client, and to those that came with the same key
-	deadlineTimer  eventloop.Timer      // of the deadline, while the dispatcher watches it
+	responses      []*frontend.Response // to its client, and to the clients that repeated it with the same key
+	deadlineTimer  eventloop.Timer      // fires shortly before the deadline; nil while the scheduler watches the deadline
 	heartbeatTimer eventloop.Timer
-	outputTokens   int              // events forwarded, or the endpoint's own count
-	promptTokens   int              // as counted by its decode endpoint
-	finalAction    lifecycle.Action // how it was answered; 0: not yet
-	orphanedBytes  int              // of its body, where it goes on without a client
+	outputTokens   int              // number of forwarded events, or the endpoint's own token count
+	promptTokens   int              // as counted by the endpoint; 0: not known
+	finalAction    lifecycle.Action // the Answer action that was performed; 0: none
+	orphanedBytes  int              // size of its body, while it goes on without a client
 
 	tenant *tenantSlot
 	ticket *tenancy.Ticket
 
-	attempts       scheduler.AttemptNo // made so far
-	attempt        *engine.Attempt     // the last one; nil while its intent is being recorded
+	attempts       scheduler.AttemptNo // number of attempts so far
+	attempt        *engine.Attempt     // the last attempt; nil while the intent is being recorded
 	endpoint       scheduler.EndpointID
-	kvState        string          // where the prefill state is, in the prefill endpoint's words
+	kvState        string          // the location of the prefill state, in the prefill endpoint's own format
 	stateLocations []stateLocation // prefill attempts that may have left state at their endpoints
 	lease          stateLease
 
-	keyEntry         *idempotency.Entry // where it came with a key that counts
-	mayHaveRun       bool               // some decode of it may have run
-	mayHaveRunBefore bool               // some decode before the last attempt may have run
+	keyEntry         *idempotency.Entry // nil: the request has no idempotency key, or its product needs none
+	mayHaveRun       bool               // a decode attempt may have run
+	mayHaveRunBefore bool               // a decode attempt before the last one may have run
 	intent           intentRecord
 }
 
@@ -53,7 +53,7 @@
 	attempt  string
 }
 
-// isCurrent reports whether an attempt is the request's last one.
+// isCurrent reports whether the attempt with this number is the request's last one.
 func (r *request) isCurrent(number scheduler.AttemptNo) bool { return number == r.attempts-1 }
 
 func (r *request) dropLastStateLocation() {
@@ -73,7 +73,7 @@
 	r.lease.expiry.Clear()
 }
 
-// notifyArrived reports a request to the scheduler.
+// notifyArrived reports a request's arrival to the scheduler.
 func (d *Dispatcher) notifyArrived(r *request) {
 	d.scheduler.RequestArrived(d.loop.Now(), scheduler.Arrival{
 		ID:              r.id,
@@ -88,18 +88,18 @@
 	})
 }
 
-// forget ends a request that has its final answer or has lost its client: its timers, its idempotency key and its
-// admission.
+// forget cleans up after a request that has its final answer or whose client has disconnected: it stops the timers,
+// ends the idempotency key and the admission, and removes the request.
 func (d *Dispatcher) forget(r *request) {
 	r.stopTimers()
 	if r.part != nil && r.finalAction == 0 {
-		r.part.finished(r, lifecycle.Forget, 0) // withdrawn by its call
+		r.part.finished(r, lifecycle.Forget, 0) // withdrawn without an answer
 	}
 	d.frontend.BufferedBytes -= r.orphanedBytes
 	r.orphanedBytes = 0
-	d.endIdempotencyKey(r, false) // where its client disconnected before it was answered
-	d.settle(r)
-	d.loop.Defer(func() { // the scheduler answers first and then releases, in one call
+	d.endIdempotencyKey(r, false) // has no effect if respond has ended the key
+	d.releaseAdmission(r)
+	d.loop.Defer(func() { // within one call, the scheduler first orders the answer and then the release of state
 		delete(d.requests, r.id)
 		d.finishShutdown()
 	})
--- a/internal/dispatch/statelease.go
+++ b/internal/dispatch/statelease.go
@@ -7,25 +7,27 @@
 	"plumspindle/scheduler"
 )
 
-// stateLease is how long a request's prefill state may wait for a decode endpoint. Its time runs until the state is
-// fetched or released, but for an attempt whose endpoint was seen running with it. That an attempt was written, or
-// waits for its connection or its intent, does not stop it.
+// stateLease limits how long a request's prefill state may wait for a decode endpoint. The lease ends early only if the
+// state is fetched or released. If the lease expires while the attempt's endpoint is known to be running the attempt,
+// the state is kept. A decode attempt that was only sent, or that still waits for its connection or its intent, does
+// not keep the state.
 type stateLease struct {
 	expiry   eventloop.Timeout
-	inUse    bool // the attempt's endpoint was seen running as the lease was over
+	inUse    bool // the attempt's endpoint was known to be running when the lease expired
 	released bool // the state was released during the attempt
 }
 
-// startStateLease begins the lease anew: a prefill has completed, or an endpoint that had taken an attempt has not used
-// the state.
+// startStateLease starts the lease anew, after a prefill has completed or an endpoint has ended an attempt without
+// using the state.
 func (d *Dispatcher) startStateLease(r *request) {
 	r.lease.inUse = false
 	time := scheduler.StateLease(milliseconds(d.Deployment.Rules.LetGoMs))
 	r.lease.expiry.Set(d.loop, time, func() { d.stateLeaseExpired(r) })
 }
 
-// stateLeaseExpired releases a state that no running endpoint is known to use. An attempt that was sent goes on: it may
-// still be answered, and finds out that the state is missing where it arrives late. One that was not is given up.
+// stateLeaseExpired releases the state, unless an endpoint that is known to be running may use it. An attempt that was
+// sent goes on: it may still be answered, or the endpoint reports that the state is missing if the attempt arrives
+// late. An attempt that was not sent fails.
 func (d *Dispatcher) stateLeaseExpired(r *request) {
 	if len(r.stateLocations) == 0 || r.State != lifecycle.Decoding && r.State != lifecycle.Closing {
 		return
@@ -41,20 +43,20 @@
 		Bool("unsent", r.isUnsent()).
 		Msg("state lease expired")
 	if r.isUnsent() && r.State == lifecycle.Decoding {
-		d.giveUpUnsent(r)
+		d.failUnsentAttempt(r)
 		return
 	}
 	r.lease.released = true
 	d.fire(r, lifecycle.ReleaseOrdered)
 }
 
-// isUnsent reports whether the last attempt has not left this process, as its connection is not up or its intent not
+// isUnsent reports whether the last attempt was not sent yet, since its connection is not open or its intent is not
 // recorded.
 func (r *request) isUnsent() bool { return r.attempt == nil || r.attempt.Unsent() }
 
-// giveUpUnsent ends a decode attempt that was not sent. The state counts as missing for it, and the scheduler repeats
-// the prefill or gives up.
-func (d *Dispatcher) giveUpUnsent(r *request) {
+// failUnsentAttempt ends a decode attempt that was not sent, with the result that its state is missing. The scheduler
+// then repeats the prefill or gives up the request.
+func (d *Dispatcher) failUnsentAttempt(r *request) {
 	r.intent.waiting = nil
 	if r.attempt != nil {
 		r.attempt.Cancel()
@@ -67,8 +69,8 @@
 	})
 }
 
-// updateStateLease takes the end of an attempt. A prefill that has completed begins a lease; so does the end of a
-// decode attempt that its endpoint had taken, as its answer or the endpoint's other answers prove.
+// updateStateLease handles the end of an attempt. A completed prefill starts a lease. So does the end of a decode
+// attempt that had reached its endpoint, as shown by its own response or by the endpoint's responses to other attempts.
 func (d *Dispatcher) updateStateLease(r *request, result engine.Result) {
 	switch {
 	case r.part != nil:
--- a/internal/dispatch/tenants.go
+++ b/internal/dispatch/tenants.go
@@ -17,31 +17,33 @@
 	"plumspindle/scheduler"
 )
 
-// firstStaticID is the first id of a tenant that the deployment names itself.
+// firstStaticID is the id of the first tenant that the deployment itself lists. Ids from it on are those of such
+// tenants.
 const firstStaticID tenancy.ID = 1 << 31
 
-// queueGrace is how long before its client's deadline a request is given up that is still queued for admission.
+// queueGrace is how long before its client's deadline a request that is still queued for admission is rejected.
 const queueGrace = 30 * eventloop.Millisecond
 
-// tenantSlot is a tenant's place in this dispatcher, and the identifier that the scheduler knows it by.
+// tenantSlot is the dispatcher's state of one tenant, with the identifier that the scheduler knows the tenant by.
 type tenantSlot struct {
 	id          tenancy.ID
 	name        string
-	space       string // apart from all other tenants' texts and sessions
+	space       string // separates the tenant's prompts and sessions from those of all other tenants
 	schedulerID scheduler.TenantID
 	active      bool
 	removing    bool
 	limits      tenancy.Limits
 }
 
-// FeedToken returns the token that a dispatcher shows to the administration, made from the secret of both.
+// FeedToken returns the token by which a dispatcher authenticates to the administration. It is derived from the secret
+// that both share.
 func FeedToken(secret []byte) string {
 	mac := hmac.New(sha256.New, secret)
 	mac.Write([]byte("dispatcher"))
 	return hex.EncodeToString(mac.Sum(nil))
 }
 
-// startTenants adds the deployment's own tenants and the cached ones, and subscribes to the administration's.
+// startTenants adds the tenants that the deployment lists and the cached ones, and subscribes to the administration.
 func (d *Dispatcher) startTenants() error {
 	d.tenantSlots, d.staticKeys = map[string]*tenantSlot{}, map[[sha256.Size]byte]*tenantSlot{}
 	d.admission = tenancy.NewAdmissionController(int(d.Deployment.Dispatching.Dispatchers))
@@ -63,7 +65,7 @@
 		if err := d.applyTenants(d.config.CachedTenants); err != nil {
 			d.config.Log.Error().Err(err).Msg("cached tenants unreadable")
 		}
-		d.resetDirectory() // the administration's first message has to name all of them
+		d.resetDirectory() // the administration's first message has to list all tenants
 	}
 	if d.config.Tenants != "" {
 		d.subscribeTenants()
@@ -89,7 +91,7 @@
 	d.tenantFeed.Subscribe()
 }
 
-// tenantsUpdated takes a message of the administration.
+// tenantsUpdated applies a message from the administration, and caches the resulting tenants.
 func (d *Dispatcher) tenantsUpdated(data []byte) error {
 	if err := d.applyTenants(data); err != nil {
 		return err
@@ -100,8 +102,8 @@
 	return nil
 }
 
-// addTenant gives a tenant a slot. The scheduler's identifiers of removed tenants are used again, so that its table
-// does not grow.
+// addTenant adds a slot for a tenant. It reuses the scheduler's identifiers of removed tenants, so that the scheduler's
+// table does not grow.
 func (d *Dispatcher) addTenant(name string, id tenancy.ID) *tenantSlot {
 	slot := &tenantSlot{id: id, name: name, space: fmt.Sprintf("%d-%s", id, name)}
 	if n := len(d.freeTenantIDs); n > 0 {
@@ -125,7 +127,7 @@
 	d.scheduler.QuotaChanged(d.loop.Now(), slot.schedulerID, quota)
 }
 
-// applyTenants takes a message of the administration, or a cached one.
+// applyTenants applies a message from the administration or the cached tenants.
 func (d *Dispatcher) applyTenants(data []byte) error {
 	changed, err := d.directory.Apply(data)
 	if err != nil {
@@ -140,7 +142,7 @@
 func (d *Dispatcher) applyTenant(tenant *tenancy.Tenant) {
 	slot := d.tenantSlots[tenant.Name]
 	stopRunning := tenant.Removal == tenancy.RemovalStop
-	if slot != nil && slot.id != tenant.ID { // another tenant of the same name
+	if slot != nil && slot.id != tenant.ID { // the slot belongs to another tenant of the same name
 		if slot.id >= firstStaticID {
 			d.config.Log.Error().Str("tenant", tenant.Name).Msg("tenant name is taken by the deployment")
 			return
@@ -171,7 +173,8 @@
 	})
 }
 
-// removeTenant stops serving a tenant. What runs of it goes on, or is stopped; the slot is freed once nothing does.
+// removeTenant stops serving a tenant. Its running requests go on, or stop if stopRunning is true; the slot is freed
+// once none is left.
 func (d *Dispatcher) removeTenant(slot *tenantSlot, stopRunning bool) {
 	slot.removing, slot.active = true, false
 	if d.tenantSlots[slot.name] == slot {
@@ -195,7 +198,7 @@
 	d.usage.TenantEnded(slot.name)
 }
 
-// Identify finds the owner of a key.
+// Identify returns the tenant that an API key belongs to.
 func (d *Dispatcher) Identify(key string) (frontend.Identity, bool) {
 	if slot := d.staticKeys[sha256.Sum256([]byte(key))]; slot != nil {
 		return frontend.Identity{Tenant: slot.name, Space: slot.space, Active: true}, true
--- a/internal/dispatch/transitions.go
+++ b/internal/dispatch/transitions.go
@@ -14,10 +14,10 @@
 	"plumspindle/scheduler"
 )
 
-// unstreamedGrace is how long before its client's deadline an answer in one piece is given up that is not complete.
+// unstreamedGrace is how long before the client's deadline an incomplete answer without streaming is given up.
 const unstreamedGrace = 20 * eventloop.Millisecond
 
-// eventDetails are what comes with an event; which of them are set depends on the event.
+// eventDetails are the parameters of a lifecycle event; which of them are set depends on the event.
 type eventDetails struct {
 	endpoint   scheduler.EndpointID
 	timeout    scheduler.Micros
@@ -27,8 +27,8 @@
 	reason     string
 }
 
-// cancelled is the result of an attempt that was closed on this side; its endpoint is not at fault.
-var cancelled = engine.Result{
+// cancelledResult is the result of an attempt that the dispatcher closed; its endpoint is not at fault.
+var cancelledResult = engine.Result{
 	Outcome:     scheduler.Cancelled,
 	MemoryUsage: scheduler.NoLoadReport,
 	Reason:      "closed on this side",
@@ -36,7 +36,7 @@
 
 func (d *Dispatcher) fire(r *request, event lifecycle.Event) { d.fireWith(r, event, eventDetails{}) }
 
-// fireWith moves a request on by the table of package lifecycle, and performs the actions that the table names.
+// fireWith applies an event to a request by the table of package lifecycle, and performs the resulting actions.
 func (d *Dispatcher) fireWith(r *request, event lifecycle.Event, details eventDetails) {
 	for _, action := range r.Fire(event, &d.Coverage) {
 		d.perform(r, action, details)
@@ -50,7 +50,7 @@
 	case lifecycle.StartDecode:
 		d.startDecode(r, details)
 	case lifecycle.CloseAttempt:
-		if r.attempt != nil { // else its intent is still being recorded
+		if r.attempt != nil { // nil while its intent is being recorded
 			r.attempt.Cancel()
 		}
 	case lifecycle.ReportCancelled:
@@ -67,7 +67,7 @@
 		d.notifyEnded(r, details.result)
 	case lifecycle.NotifyArrived:
 		if r.part != nil {
-			r.part.admitted(d.loop.Now())
+			r.part.onAdmitted(d.loop.Now())
 		}
 		d.notifyArrived(r)
 	case lifecycle.NotifyWithdrawn:
@@ -87,12 +87,12 @@
 	}
 }
 
-// reportCancelled reports the closed attempt's end after the scheduler's call.
+// reportCancelled reports the end of the closed attempt, once the scheduler's current call has returned.
 func (d *Dispatcher) reportCancelled(r *request) {
 	number := r.attempts
 	d.loop.Defer(func() {
 		if number == r.attempts {
-			d.fireWith(r, lifecycle.AttemptFailed, eventDetails{result: cancelled})
+			d.fireWith(r, lifecycle.AttemptFailed, eventDetails{result: cancelledResult})
 		}
 	})
 }
@@ -104,7 +104,7 @@
 	d.batches.limiter.ChatStarted(now, now-r.arrivedAt, slo)
 	r.attempt.Started()
 	if !r.chat.Stream {
-		// The client of an answer in one piece has nothing yet, so that its deadline still counts.
+		// The client of an answer without streaming has received nothing yet, so that its deadline still applies.
 		r.deadlineTimer = d.loop.AfterFunc(r.deadline-unstreamedGrace-now, func() {
 			d.fireWith(r, lifecycle.DeadlineExceeded,
 				eventDetails{reason: "The answer was not whole within the client's time."})
@@ -117,7 +117,7 @@
 
 func (d *Dispatcher) notifyEnded(r *request, result engine.Result) {
 	if result == (engine.Result{}) {
-		result = cancelled
+		result = cancelledResult
 	}
 	d.updateStateLease(r, result)
 	ended := result.ForScheduler(r.Answered())
@@ -127,7 +127,8 @@
 
 var usageMember = []byte(`"usage":{`)
 
-// forwardEvent forwards one event to all clients that wait, and buffers it for repeats with the request's key.
+// forwardEvent sends one event to all clients that wait for the answer, and buffers it for repeats with the request's
+// idempotency key.
 func (d *Dispatcher) forwardEvent(r *request, data []byte) {
 	r.outputTokens++
 	if bytes.Contains(data, usageMember) {
@@ -148,7 +149,7 @@
 	}
 }
 
-// answer gives the one final answer.
+// answer sends the one final answer.
 func (d *Dispatcher) answer(r *request, action lifecycle.Action, details eventDetails) {
 	r.finalAction = action
 	if r.part != nil {
@@ -172,7 +173,7 @@
 	}
 }
 
-// failure returns the reason that the client of a failed request gets, and whether it may retry.
+// failure returns the reason that the client of a failed request is told, and whether it may retry.
 func (d *Dispatcher) failure(r *request, details eventDetails) (reason string, retryable bool) {
 	reason = details.reason
 	if r.outputTokens > 0 && details.result.Reason != "" {
@@ -185,7 +186,7 @@
 	return reason, retryable
 }
 
-// respond gives the final answer to all clients that wait for it, and ends the request's key.
+// respond sends the final answer to all clients that wait for it, and reports the end to the idempotency cache.
 func (d *Dispatcher) respond(r *request, send func(*frontend.Response)) {
 	for _, response := range r.responses {
 		send(response)
--- a/internal/dispatch/usage.go
+++ b/internal/dispatch/usage.go
@@ -15,14 +15,14 @@
 	usageReportTimeout  = 3 * eventloop.Second
 )
 
-// settle ends a request's admission, and counts what it used for its tenant.
-func (d *Dispatcher) settle(r *request) {
+// releaseAdmission ends a request's admission, and adds its usage to its tenant's.
+func (d *Dispatcher) releaseAdmission(r *request) {
 	if r.ticket == nil {
 		return
 	}
 	now := d.loop.Now()
 	if r.finalAction == lifecycle.AnswerRejected {
-		d.admission.NoCapacity(now, r.ticket) // one within its share was rejected
+		d.admission.NoCapacity(now, r.ticket) // counts as overload if the request was within its tenant's quota
 	}
 	usage := r.usage(now)
 	if r.part == nil || usage.PromptTokens > 0 {
@@ -37,8 +37,8 @@
 	})
 }
 
-// usage returns what a request used. Of a call with many inputs the call is counted, not its parts; the tokens of the
-// parts are.
+// usage returns the usage of one request. A part of a batch call has only its tokens counted here, since closeAs counts
+// the outcome of the call itself.
 func (r *request) usage(now eventloop.Micros) tenancy.Usage {
 	usage := tenancy.Usage{Tenant: r.tenant.name, Product: r.chat.Model, Day: tenancy.Day(now)}
 	if r.part == nil {
@@ -56,7 +56,7 @@
 	return usage
 }
 
-// countOutcome counts a final answer; without one the client has disconnected.
+// countOutcome counts a final answer; any action but an Answer action counts as a client that has disconnected.
 func countOutcome(usage *tenancy.Usage, final lifecycle.Action) {
 	switch final {
 	case lifecycle.AnswerCompleted:
@@ -70,10 +70,10 @@
 	}
 }
 
-// Usage returns what was used and is not reported yet.
+// Usage returns the usage that is not reported yet.
 func (d *Dispatcher) Usage() []tenancy.Usage { return d.usage.Report(d.config.Name).Usage }
 
-// reportUsage reports to the administration what was used, each usageReportInterval.
+// reportUsage sends a usage report to the administration. usageReported schedules the next report.
 func (d *Dispatcher) reportUsage() {
 	report := d.usage.Report(d.config.Name)
 	body, err := json.Marshal(report)
@@ -96,8 +96,8 @@
 	})
 }
 
-// usageReported schedules the next report. During a shutdown it reports what is left at once instead, and ends the
-// shutdown after the last report or the first that is not acknowledged.
+// usageReported schedules the next report. During a shutdown it sends the remaining usage at once instead, and
+// completes the shutdown after the last report or after the first one that is not acknowledged.
 func (d *Dispatcher) usageReported(acknowledged bool) {
 	switch {
 	case d.onReported == nil:
