--- a/internal/dispatch/batch_manager.go
+++ b/internal/dispatch/batch_manager.go
@@ -11,7 +11,7 @@
 )
 
 const (
-	// maxVectorCaches is the number of tenants that have caches at once; the least recently used one is evicted.
+	// maxVectorCaches is the number of caches at once; the least recently used one is evicted.
 	maxVectorCaches = 64
 	// maxBatchAnswerBytes is the limit on the answers of all running calls together.
 	maxBatchAnswerBytes = 256 << 20
--- a/internal/dispatch/batch_parts.go
+++ b/internal/dispatch/batch_parts.go
@@ -26,7 +26,7 @@
 	result   embeddings.PartResult
 	sentAt   eventloop.Micros // when the part was reported to the scheduler
 	queued   bool             // waits for admission
-	failures int              // number of endpoints that failed on it
+	failures int              // attempts that an endpoint failed, or whose connection broke
 	invalid  bool             // an endpoint reported that an input is invalid
 }
 
--- a/internal/dispatch/chat.go
+++ b/internal/dispatch/chat.go
@@ -41,7 +41,7 @@
 }
 
 // handleChat handles a request for a chat completion. A returned problem is the answer. Without a problem, the answer
-// follows later on the response, unless handleChat has already rejected the request there.
+// follows later on the response, unless handleChat has already rejected or answered the request there.
 func (d *Dispatcher) handleChat(
 	chatRequest *chat.Request, identity frontend.Identity, head *http1.Head, response *frontend.Response,
 ) *frontend.Problem {
--- a/internal/dispatch/intents.go
+++ b/internal/dispatch/intents.go
@@ -138,7 +138,7 @@
 }
 
 // recoverIntents retries the repair of a failed intent store until the disk accepts writes again, without a restart of
-// the process. Until then, requests with an idempotency key are not run.
+// the process. Until then, requests that need an intent are not run.
 func (d *Dispatcher) recoverIntents() {
 	if d.recoveringIntents || d.config.Intents.Err() == nil {
 		return
