--- a/internal/dispatch/attempts_test.go
+++ b/internal/dispatch/attempts_test.go
@@ -11,8 +11,8 @@
 	"plumspindle/scheduler"
 )
 
-// decodeFailure is a way in which a first decode attempt goes wrong, and the final answer that the client of an
-// idempotent and of a side-effecting product gets. A second decode, where one is allowed, goes well.
+// decodeFailure is a way in which the first decode attempt of a request fails, with the final answers that the clients
+// of an idempotent and of a side-effecting product get. A second decode attempt, where one is allowed, succeeds.
 type decodeFailure struct {
 	name          string
 	serve         func(*fakeConn)
@@ -87,8 +87,8 @@
 	return f.idempotent
 }
 
-// Whatever a decode endpoint does, the client has one final answer, nothing comes after it, nothing is left out, and a
-// side-effecting request is decoded again only where the first endpoint has said that it did not run it.
+// However a decode endpoint fails, the client gets exactly one final answer with nothing after it, a streamed text is
+// complete, and a side-effecting request is decoded again only if the first endpoint reported that it did not run it.
 func TestDecodeEndpointFailures(t *testing.T) {
 	endpoints := []string{"prefill west", "decode west", "decode west"}
 	for _, failure := range decodeFailures {
@@ -124,10 +124,10 @@
 	r.expectFinal(c, want)
 	r.remote.Do(func() {
 		if want == "streamed" && c.text != completeText {
-			t.Errorf("the client was sent %q", c.text)
+			t.Errorf("the client got the text %q, want %q", c.text, completeText)
 		}
 		if decodes := r.endpoints[1].attempts() + r.endpoints[2].attempts(); want == "terminated" && decodes != 1 {
-			t.Errorf("%d decodes", decodes)
+			t.Errorf("%d decode attempts, want 1", decodes)
 		}
 		if c.head == nil {
 			return
@@ -139,7 +139,8 @@
 	})
 }
 
-// A prefill that fails has had no effect: any product is prefilled again elsewhere, and what may be left is released.
+// A failed prefill has no side effects: a request of any product is prefilled again at another endpoint, and the state
+// that the failed prefill may have left is released.
 func TestPrefillEndpointFailureIsRetried(t *testing.T) {
 	for name, serve := range map[string]func(*fakeConn){
 		"closed":   closeConn,
@@ -165,14 +166,14 @@
 			}
 			r.expectFinal(r.ask("review-post"), "streamed")
 			if name != "full" && broken.releases() == 0 {
-				t.Error("what the broken prefill may have left was not released")
+				t.Error("the state that the failed prefill may have left was not released")
 			}
 		})
 	}
 }
 
-// A prefill endpoint dies while its state waits: the decode endpoint finds nothing to fetch, and the prompt is
-// prefilled again.
+// A prefill endpoint fails before its state was fetched: the decode endpoint reports that the state is lost, and the
+// prompt is prefilled again at another endpoint.
 func TestPrefillIsRepeatedWhenItsStateIsLost(t *testing.T) {
 	r := newHarness(t, nil, "prefill west", "prefill west", "decode west", "decode west")
 	var died *fakeEndpoint
@@ -192,11 +193,11 @@
 	r.endpoints[3].serve = r.endpoints[2].serve
 	r.expectFinal(r.ask("review-post"), "streamed")
 	if died == nil || died.attempts() != 1 {
-		t.Error("the endpoint that died was not the first, or got another attempt")
+		t.Error("no prefill endpoint was stopped, or the stopped one got another attempt")
 	}
 }
 
-// A decode endpoint begins to drain between a prefill and its decode: it gets nothing.
+// A decode endpoint that begins to drain between a request's prefill and its decode gets no attempt.
 func TestDrainBetweenPrefillAndDecode(t *testing.T) {
 	r := newHarness(t, nil, "prefill west", "decode west", "decode west")
 	r.endpoints[0].serve = func(c *fakeConn) {
@@ -211,23 +212,24 @@
 	}
 }
 
-// Two ends in one turn of the loop: the client disconnects while its endpoint's last bytes wait to be read.
+// A client disconnects while the last bytes of its endpoint wait to be read, so that the dispatcher handles both in one
+// turn of the event loop: the request gets one final answer at most, and nothing of it is left.
 func TestClientAndEndpointEndInOneTurn(t *testing.T) {
 	for _, frozen := range []bool{false, true} {
 		r := newHarness(t, nil, "prefill west", "decode west")
 		var decode *fakeConn
 		r.endpoints[1].serve = func(c *fakeConn) { decode = c; streamFirstEvent(c) }
 		c := r.ask("review-post")
-		r.world.Run(20 * eventloop.Millisecond)
+		r.network.Run(20 * eventloop.Millisecond)
 		if frozen {
-			r.virtual().Freeze(300 * eventloop.Millisecond) // all of it is found at once when the dispatcher wakes
+			r.virtual().Freeze(300 * eventloop.Millisecond) // the dispatcher finds both events at once when it continues
 		}
 		r.remote.Do(func() {
 			decode.writeChunk(lastEvent + doneEvent)
 			decode.conn.Close()
 			c.conn.Abort()
 		})
-		r.world.Run(eventloop.Second)
+		r.network.Run(eventloop.Second)
 		r.expectIdle()
 		if len(c.finals) > 1 {
 			t.Errorf("finals %v", c.finals)
@@ -235,13 +237,13 @@
 	}
 }
 
-// A hundred requests at once to endpoints without a connection: few connections open at a time, each carries one
-// attempt at a time, and all requests are completed.
+// A hundred requests arrive at once while there is no connection to an endpoint: the number of connections being opened
+// at the same time stays within its limit, each connection carries one attempt at a time, and all requests complete.
 func TestLimitsOpeningConnections(t *testing.T) {
 	r := newHarness(t, func(dep deployment.Deployment) {
 		dep.Dispatching.Openings, dep.Dispatching.ConnectMs = 4, 1000
 	}, "prefill west", "decode west")
-	r.world.Latency = 5 * eventloop.Millisecond
+	r.network.Latency = 5 * eventloop.Millisecond
 	for _, endpoint := range r.endpoints {
 		serve := endpoint.serve
 		endpoint.serve = func(c *fakeConn) { c.after(30*eventloop.Millisecond, func() { serve(c) }) }
@@ -252,40 +254,40 @@
 	}
 	most := 0
 	for range 1000 {
-		r.world.Run(eventloop.Millisecond)
+		r.network.Run(eventloop.Millisecond)
 		for _, endpoint := range r.endpoints {
 			most = max(most, r.dispatcher.engine.OpeningConnections(scheduler.EndpointID(endpoint.id)))
 		}
 	}
-	r.world.Run(5 * eventloop.Second)
+	r.network.Run(5 * eventloop.Second)
 	for i, c := range calls {
 		if fmt.Sprint(c.finals) != "[streamed]" {
 			t.Fatalf("call %d: %v", i, c.finals)
 		}
 	}
 	if most > 4 || most < 2 {
-		t.Errorf("%d connections were opening at once", most)
+		t.Errorf("%d connections were being opened at once, want 2 to 4", most)
 	}
 	r.expectIdle()
 }
 
-// The client of a request with a key disconnects during the decode, and the decode endpoint then says that it has not
-// run it: no client waits, and nothing is left. Its key is free.
+// The client of a request with an idempotency key disconnects during the decode, and the decode endpoint then reports
+// that it did not run the request: the request ends, its state is released, and its key is free again.
 func TestRejectedDecodeAfterClientDisconnect(t *testing.T) {
 	r := newHarness(t, nil, "prefill west", "decode west")
 	r.endpoints[1].serve = func(c *fakeConn) {
 		c.after(100*eventloop.Millisecond, func() { answerError(429, "full")(c) })
 	}
 	c := r.ask("review-post", "Idempotency-Key", "k")
-	r.world.Run(50 * eventloop.Millisecond)
+	r.network.Run(50 * eventloop.Millisecond)
 	r.remote.Do(c.conn.Abort)
-	r.world.Run(100 * eventloop.Millisecond)
+	r.network.Run(100 * eventloop.Millisecond)
 	if err := r.dispatcher.CheckInvariants(); err != nil {
 		t.Error(err)
 	}
 	r.expectIdle()
 	if n := r.endpoints[0].releases(); n != 1 {
-		t.Errorf("%d releases", n)
+		t.Errorf("%d releases, want 1", n)
 	}
 	r.endpoints[1].serve = answerDecode
 	r.expectFinal(r.ask("review-post", "Idempotency-Key", "k"), "streamed")
--- a/internal/dispatch/batch_api_test.go
+++ b/internal/dispatch/batch_api_test.go
@@ -11,7 +11,7 @@
 	"plumspindle/internal/deployment/pb"
 )
 
-// What a call is rejected for: each error with its parameter.
+// Checks the status and the error's parameter for each kind of invalid call.
 func TestInvalidBatchesAreRejected(t *testing.T) {
 	r := newBatchHarness(t, withBatches(&pb.Batches{InputsMost: 3, InputTokensMost: 50}), "prefill west", "decode west")
 	for _, test := range []struct{ path, body, want, param string }{
@@ -51,7 +51,7 @@
 	r.expectFinal(got, "415")
 }
 
-// rerankItem is one document's score in an endpoint's response.
+// rerankItem is one document's score in the response of an endpoint.
 type rerankItem struct {
 	Index int     `json:"index"`
 	Score float64 `json:"relevance_score"`
@@ -68,8 +68,7 @@
 	c.answer(200, string(b))
 }
 
-// Documents come back sorted, the best first, equal ones in the order in which they came, with their true places and
-// texts.
+// Documents are returned with their index and text, sorted by falling score; those with equal scores keep their order.
 func TestRerankSortsDocuments(t *testing.T) {
 	r := newBatchHarness(t, withBatches(&pb.Batches{PartInputs: 3}), "prefill west", "prefill west", "decode west")
 	r.serveAll(answerRerank)
@@ -81,11 +80,11 @@
 		order = append(order, fmt.Sprint(v.Get("index").Int(), v.Get("document.text").Str, v.Get("relevance_score").Num))
 	}
 	if got := strings.Join(order, ","); got != "0aaa3,4eee3,6aaa3,2cc2,7gg2,1b1" {
-		t.Errorf("order: %s", got)
+		t.Errorf("got the documents %s", got)
 	}
 }
 
-// A tenant's vectors are cached for itself alone.
+// A tenant's vectors are cached, and the cache is not shared with another tenant.
 func TestVectorCacheIsPerTenant(t *testing.T) {
 	r := newBatchHarness(t, withBatches(&pb.Batches{Cache: 1 << 20}), "prefill west", "decode west")
 	inputs := inputTexts(50, 0)
@@ -97,9 +96,9 @@
 		attempts += len(endpoint.seen)
 	}
 	if attempts > 8 {
-		t.Errorf("%d attempts for 50 inputs that were asked for three times", attempts)
+		t.Errorf("%d attempts for the same 50 inputs in three calls, want 8 at most", attempts)
 	}
-	for _, dimensions := range []int{64, 256} { // another size is another vector
+	for _, dimensions := range []int{64, 256} { // vectors are cached by their number of dimensions
 		c := r.embed(inputs[:2], fmt.Sprintf(`,"dimensions":%d`, dimensions))
 		r.expectEmbeddings(c, inputs[:2], dimensions)
 	}
@@ -109,7 +108,8 @@
 	}
 }
 
-// Cached vectors let more of a compressed body arrive while its inputs are split into parts; none is skipped for that.
+// A cached vector frees space for more of a compressed body while the inputs are still being split into parts. No input
+// may be skipped because of that.
 func TestCachedVectorsInACompressedBody(t *testing.T) {
 	r := newBatchHarness(t, withBatches(&pb.Batches{Cache: 4 << 20, Window: 16 << 10}), "prefill west", "decode west")
 	inputs := inputTexts(900, 40)
--- a/internal/dispatch/batch_harness_test.go
+++ b/internal/dispatch/batch_harness_test.go
@@ -20,13 +20,13 @@
 	"plumspindle/internal/testbed/modelserver"
 )
 
-// embeddingItem is one vector of an endpoint's response.
+// embeddingItem is one vector in the response of an endpoint.
 type embeddingItem struct {
 	Index     int    `json:"index"`
 	Embedding string `json:"embedding"`
 }
 
-// answerEmbeddings answers a part as every endpoint should.
+// answerEmbeddings answers a part correctly.
 func answerEmbeddings(c *fakeConn) {
 	dimensions := int(gjson.GetBytes(c.body, "dimensions").Int())
 	items := []embeddingItem{}
@@ -47,12 +47,12 @@
 	}
 }
 
-// withBatches sets the limits of calls with many inputs.
+// withBatches returns a change of the deployment that sets the limits of batch calls.
 func withBatches(limits *pb.Batches) func(dep deployment.Deployment) {
 	return func(dep deployment.Deployment) { dep.Batches = limits }
 }
 
-// newBatchHarness starts a dispatcher with endpoints that answer parts.
+// newBatchHarness starts a dispatcher with endpoints that answer parts of embeddings calls.
 func newBatchHarness(t *testing.T, change func(dep deployment.Deployment), endpoints ...string) *harness {
 	t.Helper()
 	r := newHarness(t, change, endpoints...)
@@ -60,14 +60,14 @@
 	return r
 }
 
-// serveAll sets what all endpoints do.
+// serveAll sets how all endpoints serve requests.
 func (r *harness) serveAll(serve func(*fakeConn)) {
 	for _, endpoint := range r.endpoints {
 		endpoint.serve = serve
 	}
 }
 
-// embed sends a call for embeddings; members are further members of its body, each after a comma.
+// embed sends an embeddings call. The members are added to its JSON body; each has to begin with a comma.
 func (r *harness) embed(inputs []string, members string, fields ...string) *clientCall {
 	return r.post("/v1/embeddings", embeddingsBody(inputs, members), fields...)
 }
@@ -77,7 +77,7 @@
 	return []byte(`{"model":"embed"` + members + `,"input":` + string(b) + `}`)
 }
 
-// gzipped compresses a body.
+// gzipped returns a body compressed by gzip.
 func gzipped(t *testing.T, body []byte) []byte {
 	t.Helper()
 	var compressed bytes.Buffer
@@ -91,7 +91,7 @@
 	return compressed.Bytes()
 }
 
-// inputTexts returns texts that differ, each with further words.
+// inputTexts returns n different texts, each followed by a number of further words.
 func inputTexts(n, words int) (all []string) {
 	more := strings.Repeat(" long", words)
 	for i := range n {
@@ -101,14 +101,14 @@
 	return all
 }
 
-// expectEmbeddings waits for the answer to a call, and checks it.
+// expectEmbeddings waits for the answer to a call, and checks its vectors.
 func (r *harness) expectEmbeddings(c *clientCall, inputs []string, dimensions int) {
 	r.t.Helper()
 	r.expectFinal(c, "streamed")
 	c.expectVectors(r.t, inputs, dimensions)
 }
 
-// expectVectors compares an answer with what each input's vector has to be.
+// expectVectors compares the vectors of an answer with those that the model server returns for the inputs.
 func (c *clientCall) expectVectors(t *testing.T, inputs []string, dimensions int) {
 	t.Helper()
 	body := c.dechunk(t)
@@ -129,7 +129,7 @@
 			t.Fatalf("vector %d is wrong", i)
 		}
 		if index := item.Get("index").Int(); index != int64(i) {
-			t.Fatalf("index %d at place %d", index, i)
+			t.Fatalf("item %[2]d has the index %[1]d", index, i)
 		}
 	}
 }
@@ -141,7 +141,7 @@
 	return all
 }
 
-// sameBits distinguishes zeros by their sign.
+// sameBits reports whether two numbers have the same bits; it distinguishes zeros by their sign.
 func sameBits(a, b float32) bool { return math.Float32bits(a) == math.Float32bits(b) }
 
 func floatsOf(vector []byte) (all []float32) {
--- a/internal/dispatch/batch_test.go
+++ b/internal/dispatch/batch_test.go
@@ -16,26 +16,27 @@
 	"plumspindle/internal/lifecycle"
 )
 
-// A call is split into parts that endpoints answer in any order, and joined in its own; inputs that repeat are
-// prefilled once; both formats, fewer dimensions, token lists and compressed bodies.
+// A call is split into parts, which endpoints answer in any order, and its answer has the vectors in the order of the
+// inputs. Repeated inputs are prefilled once. Also covers both encoding formats, fewer dimensions, lists of tokens and
+// compressed bodies.
 func TestBatchIsJoinedInOrder(t *testing.T) {
 	r := newBatchHarness(t, nil, "prefill west", "prefill west", "prefill east", "decode west")
-	chance := rand.New(rand.NewSource(4))
+	random := rand.New(rand.NewSource(4))
 	prefilled := 0
 	r.serveAll(func(c *fakeConn) {
 		prefilled += len(gjson.GetBytes(c.body, "input").Array())
-		answerEmbeddingsAfter(eventloop.Micros(chance.Intn(40_000)))(c)
+		answerEmbeddingsAfter(eventloop.Micros(random.Intn(40_000)))(c)
 	})
 	inputs := append(inputTexts(300, 0), inputTexts(40, 0)...)
 	r.expectEmbeddings(r.embed(inputs, `,"encoding_format":"base64"`), inputs, 256)
 	if prefilled != 300 {
-		t.Errorf("%d inputs were prefilled; 300 differ", prefilled)
+		t.Errorf("%d inputs were prefilled, want the 300 different ones", prefilled)
 	}
 	r.expectEmbeddings(r.embed(inputs[:5], `,"dimensions":64`), inputs[:5], 64)
 	c := r.post("/v1/embeddings", []byte(`{"input":[5,6,7],"model":"embed"}`))
 	r.expectFinal(c, "streamed")
 	if n := gjson.GetBytes(c.dechunk(t), "data.#").Int(); n != 1 {
-		t.Errorf("a list of tokens gave %d vectors", n)
+		t.Errorf("a list of tokens gave %d vectors, want 1", n)
 	}
 	plain := embeddingsBody(inputs, "")
 	c = r.post("/v1/embeddings", gzipped(t, plain), "Content-Encoding", "gzip")
@@ -48,8 +49,8 @@
 	r.expectEmbeddings(c, inputs, 256)
 }
 
-// One endpoint dies with parts on it, another sends vectors that are none, a third falls silent for a while: single
-// parts are retried, the endpoints are avoided, and the call completes.
+// One endpoint crashes while it has parts, another sends invalid vectors, and a third does not answer its first parts:
+// the dispatcher retries single parts, avoids these endpoints, and completes the call.
 func TestBatchCompletesDespiteBadEndpoints(t *testing.T) {
 	r := newBatchHarness(t, withBatches(&pb.Batches{PartInputs: 4}),
 		"prefill west", "prefill west", "prefill east", "prefill east", "decode west")
@@ -74,16 +75,16 @@
 	}
 	inputs := inputTexts(400, 0)
 	c := r.embed(inputs, "")
-	r.world.Run(60 * eventloop.Millisecond)
+	r.network.Run(60 * eventloop.Millisecond)
 	r.remote.Do(r.endpoints[0].crash)
 	r.expectEmbeddings(c, inputs, 256)
 	if invalidAnswers == 0 || invalidAnswers > 60 {
-		t.Errorf("an endpoint whose vectors are none got %d parts", invalidAnswers)
+		t.Errorf("the endpoint that sends invalid vectors got %d parts, want 1 to 60", invalidAnswers)
 	}
 }
 
-// One input that always fails is found and named; the call fails with it, at once where an endpoint says that it is
-// invalid.
+// If one input always fails, the call fails with an error that names this input, and at once if an endpoint reports the
+// input as invalid.
 func TestFailingInputIsNamed(t *testing.T) {
 	for name, serve := range map[string]func(*fakeConn){
 		"fails":      func(c *fakeConn) { c.answer(500, `{"error":{"message":"x"}}`) },
@@ -102,13 +103,13 @@
 		c := r.embed(inputs, "")
 		r.expectFinal(c, "422")
 		if param := gjson.GetBytes(c.dechunk(t), "error.param").Str; param != "input[37]" {
-			t.Errorf("%s: named %q: %s", name, param, c.raw)
+			t.Errorf("%s: the error names %q: %s", name, param, c.raw)
 		}
 	}
 }
 
-// A client that disconnects during a call leaves nothing; a call with parts missing at its deadline gets one answer in
-// time.
+// Nothing is left of a call whose client disconnects. A call with parts missing at its deadline gets one final answer
+// in time.
 func TestBatchEndingEarlyLeavesNothing(t *testing.T) {
 	r := newBatchHarness(t, nil, "prefill west", "prefill west", "decode west")
 	parts := 0
@@ -120,12 +121,12 @@
 	c := r.embed(inputTexts(2000, 0), "")
 	r.runUntil(5*eventloop.Second, func() bool { return parts > 10 })
 	r.remote.Do(c.conn.Abort)
-	r.world.Run(eventloop.Second)
+	r.network.Run(eventloop.Second)
 	r.expectIdle()
 	batches := &r.dispatcher.batches
 	calls, tenants, inFlight := batches.openCalls, len(batches.tenants), batches.limiter.InFlight()
 	if calls != 0 || tenants != 0 || inFlight != 0 {
-		t.Errorf("left: %d calls, %d tenants, %d parts in flight", calls, tenants, inFlight)
+		t.Errorf("%d calls, %d tenants and %d parts in flight are left", calls, tenants, inFlight)
 	}
 	began := r.remote.Now()
 	c = r.embed(inputTexts(100, 0), "", "x-time-limit-ms", "700")
@@ -136,12 +137,12 @@
 	r.expectFinal(c, "terminated")
 }
 
-// A thousand small calls beside a huge one, which does not delay them.
+// A thousand small calls that arrive during a huge one complete before it.
 func TestHugeBatchDoesNotDelaySmallOnes(t *testing.T) {
 	r := newBatchHarness(t, nil, "prefill west", "prefill west", "prefill east", "decode west")
 	r.serveAll(answerEmbeddingsAfter(4 * eventloop.Millisecond))
 	huge := r.embed(inputTexts(2048, 150), "")
-	r.world.Run(100 * eventloop.Millisecond)
+	r.network.Run(100 * eventloop.Millisecond)
 	var small []*clientCall
 	began, last := r.remote.Now(), eventloop.Micros(0)
 	for i := range 1000 {
@@ -157,7 +158,7 @@
 		return true
 	})
 	if len(huge.finals) > 0 {
-		t.Error("the huge call was over before the small ones")
+		t.Error("the huge call completed before the small ones")
 	}
 	t.Logf("a thousand small calls took %d ms beside the huge one", (last-began)/eventloop.Millisecond)
 	r.runUntil(60*eventloop.Second, func() bool { return len(huge.finals) > 0 })
@@ -166,12 +167,12 @@
 			t.Fatalf("finals %v: %.200q", c.finals, c.raw)
 		}
 	}
-	r.world.Run(eventloop.Second)
+	r.network.Run(eventloop.Second)
 	r.expectIdle()
 }
 
-// A body far larger than the buffer for it: its inputs go out while it arrives, and what is buffered stays within the
-// bound.
+// The inputs of a body that is far larger than its buffer are sent while the body arrives, and the buffered bytes stay
+// within the limit.
 func TestBatchBodyLargerThanItsWindow(t *testing.T) {
 	r := newBatchHarness(t, withBatches(&pb.Batches{Window: 256 << 10, PartTokens: 4096}),
 		"prefill west", "prefill west", "prefill east", "decode west")
@@ -188,19 +189,19 @@
 	c := r.embed(inputs, "")
 	r.expectEmbeddings(c, inputs, 256)
 	if most > 512<<10 || most == 0 {
-		t.Errorf("%d bytes of inputs were buffered, of %d that came", most, len(c.request))
+		t.Errorf("up to %d bytes of inputs were buffered, of a request with %d bytes", most, len(c.request))
 	}
 	list, err := json.Marshal(inputs)
 	if err != nil {
 		t.Fatal(err)
 	}
 	c = r.post("/v1/embeddings", []byte(`{"input":`+string(list)+`,"model":"embed"}`))
-	r.expectFinal(c, "413") // nothing can go out before the model is known, and the body is larger than the buffer
+	r.expectFinal(c, "413") // no part can be sent before the model is known, and the body is larger than the buffer
 	c = r.embed(append(inputs, "x"), `,"dimensions":900`)
 	r.expectFinal(c, "400")
 }
 
-// Where an attempt can't be cancelled its prefill completes after the client has disconnected: the cells of the
+// If the scheduler may not cancel, a prefill completes after its client has disconnected. This covers the cells of the
 // lifecycle's table that chat requests never reach.
 func TestPrefillOnlyCompletesAfterClientDisconnect(t *testing.T) {
 	noCancel := func(dep deployment.Deployment) { dep.Dispatching.MayCancel = false }
@@ -208,13 +209,13 @@
 	r.serveAll(answerEmbeddingsAfter(100 * eventloop.Millisecond))
 	r.expectFinal(r.embed(inputTexts(3, 0), ""), "streamed")
 	c := r.embed(inputTexts(3, 0), "")
-	r.world.Run(50 * eventloop.Millisecond)
+	r.network.Run(50 * eventloop.Millisecond)
 	r.remote.Do(c.conn.Abort)
-	r.world.Run(eventloop.Second)
+	r.network.Run(eventloop.Second)
 	r.expectIdle()
 	for _, state := range []lifecycle.State{lifecycle.Prefilling, lifecycle.Closing} {
 		if r.dispatcher.Coverage[state][lifecycle.PrefillOnlyCompleted] == 0 {
-			t.Errorf("never completed while %v", state)
+			t.Errorf("no prefill-only request completed in the state %v", state)
 		}
 	}
 }
--- a/internal/dispatch/clients_test.go
+++ b/internal/dispatch/clients_test.go
@@ -10,7 +10,8 @@
 	"plumspindle/internal/eventloop"
 )
 
-// A client may disconnect in any state: its attempt is closed, its prefill state released, and nothing is left.
+// When a client disconnects, in any state of its request, the attempt is closed, the prefill state released, and the
+// request removed.
 func TestClientDisconnectLeavesNothing(t *testing.T) {
 	for _, test := range []struct {
 		state    string
@@ -26,30 +27,30 @@
 			r := newHarness(t, nil, "prefill west", "decode west")
 			test.prepare(r)
 			c := r.ask("explain")
-			r.world.Run(100 * eventloop.Millisecond)
+			r.network.Run(100 * eventloop.Millisecond)
 			for _, request := range r.dispatcher.requests {
 				if request.State.String() != test.state {
-					t.Fatalf("it is %v", request.State)
+					t.Fatalf("the request is %v, want %s", request.State, test.state)
 				}
 			}
 			if r.dispatcher.OpenRequests() != 1 {
-				t.Fatalf("%d requests are open", r.dispatcher.OpenRequests())
+				t.Fatalf("%d requests are open, want 1", r.dispatcher.OpenRequests())
 			}
 			r.remote.Do(c.conn.Abort)
-			r.world.Run(100 * eventloop.Millisecond)
+			r.network.Run(100 * eventloop.Millisecond)
 			r.expectIdle()
 			if test.releases && r.endpoints[0].releases() == 0 {
-				t.Error("its prefill state was not released")
+				t.Error("the prefill state was not released")
 			}
 			if r.dispatcher.Disconnected != 1 {
-				t.Errorf("disconnected: %d", r.dispatcher.Disconnected)
+				t.Errorf("%d disconnected clients were counted, want 1", r.dispatcher.Disconnected)
 			}
 		})
 	}
 }
 
-// A client that does not read slows its own stream only, within a bound, and is disconnected after a while; another's
-// stream goes on meanwhile.
+// If a client stops reading, the dispatcher stops reading from its endpoint after a bounded number of bytes, and closes
+// the client's connection after a while. Another client's stream is not affected.
 func TestLaggingClientSlowsOnlyItsOwnStream(t *testing.T) {
 	r := newHarness(t, nil, "prefill west", "decode west")
 	long := strings.Repeat("x", 8<<10)
@@ -74,40 +75,40 @@
 		streamOn()
 	}
 	c := r.ask("explain")
-	r.world.Run(20 * eventloop.Millisecond)
+	r.network.Run(20 * eventloop.Millisecond)
 	r.remote.Do(func() { c.conn.SetPaused(true) })
-	r.world.Run(3 * eventloop.Second)
-	if most := 3*r.world.ReceiveWindow + int(r.deployment.Doors.UnsentMost); sent > most {
-		t.Errorf("%d bytes were taken from the endpoint, more than %d", sent, most)
+	r.network.Run(3 * eventloop.Second)
+	if most := 3*r.network.ReceiveWindow + int(r.deployment.Doors.UnsentMost); sent > most {
+		t.Errorf("the endpoint could send %d bytes, more than %d", sent, most)
 	}
-	r.world.Run(200 * eventloop.Millisecond)
+	r.network.Run(200 * eventloop.Millisecond)
 	other := r.ask("explain")
-	r.world.Run(300 * eventloop.Millisecond)
+	r.network.Run(300 * eventloop.Millisecond)
 	if other.text != completeText {
-		t.Errorf("the other client was sent %q", other.text)
+		t.Errorf("the other client got the text %q", other.text)
 	}
-	r.world.Run(15 * eventloop.Second)
+	r.network.Run(15 * eventloop.Second)
 	r.expectIdle()
 }
 
-// An answer in one piece that is not complete before the client's deadline fails before it.
+// An answer without streaming that will not be complete by the client's deadline fails before the deadline.
 func TestUnstreamedAnswerFailsAtItsDeadline(t *testing.T) {
 	r := newHarness(t, nil, "prefill west", "decode west")
 	r.endpoints[1].serve = streamFirstEvent
-	began := r.world.Now()
+	began := r.network.Now()
 	c := r.send(`{"model":"explain","messages":[{"role":"user","content":"why?"}]}`, "x-time-limit-ms", "900")
-	r.world.RunUntil(5*eventloop.Second, func() bool { return len(c.finals) > 0 })
-	if took := r.world.Now() - began; took > 900*eventloop.Millisecond {
+	r.network.RunUntil(5*eventloop.Second, func() bool { return len(c.finals) > 0 })
+	if took := r.network.Now() - began; took > 900*eventloop.Millisecond {
 		t.Errorf("answered after %d ms", took/eventloop.Millisecond)
 	}
 	r.expectFinal(c, "terminated")
 }
 
-// A request may take a while to arrive, and wait behind another one on its connection; its client has counted from the
-// moment it sent the first byte. Where the dispatcher counted from the last byte, or from the request's turn, the
-// answer came after the client had given up: in the seeds of faultsearch/testdata/small-segments-*, whose requests
-// arrive within 0.6 to 22 ms, 18 answers did. The debug figure that showed it was the time between a request's first
-// byte and its handling.
+// The time limit of a request starts when its first byte arrives, as the client counts from the moment it sends that
+// byte. The request may arrive slowly or wait behind another one on its connection. When the dispatcher counted from
+// the last byte, or from when it handled the request, it answered after the client had given up: 18 answers were late
+// in the seeds of faultsearch/testdata/small-segments-*, whose requests take 0.6 to 22 ms to arrive. The time between a
+// request's first byte and its handling showed the fault.
 func TestTimeLimitCountsFromTheFirstByte(t *testing.T) {
 	const limit = 900 * eventloop.Millisecond
 	body := `{"model":"explain","messages":[{"role":"user","content":"why?"}]}`
@@ -125,33 +126,33 @@
 		c := r.send(body, "x-time-limit-ms", "900")
 		request := c.request
 		c.request = nil
-		r.world.Run(10 * eventloop.Millisecond) // connected
-		began := r.world.Now()
+		r.network.Run(10 * eventloop.Millisecond) // the client connects
+		began := r.network.Now()
 		r.remote.Do(func() { write(r, c, request) })
-		r.world.RunUntil(5*eventloop.Second, func() bool { return len(c.finals) > 0 })
-		if took := r.world.Now() - began; took > limit {
+		r.network.RunUntil(5*eventloop.Second, func() bool { return len(c.finals) > 0 })
+		if took := r.network.Now() - began; took > limit {
 			t.Errorf("%s: answered after %d ms", name, took/eventloop.Millisecond)
 		}
-		r.world.RunUntil(limit/10, func() bool { return len(c.finals) > 1 })
+		r.network.RunUntil(limit/10, func() bool { return len(c.finals) > 1 })
 		if name == "behind another request" && len(c.finals) != 2 {
-			t.Errorf("%s: %d ms later it has %v", name, limit/10/eventloop.Millisecond, c.finals)
+			t.Errorf("%s: %d ms later the final answers are %v, want two", name, limit/10/eventloop.Millisecond, c.finals)
 		}
 	}
 }
 
-// Comments keep a pending stream alive; the answer, or the rejection as an event, follows them.
+// A pending stream gets comments as heartbeats, and then the answer, or the rejection as an error event.
 func TestHeartbeatsPrecedeTheAnswer(t *testing.T) {
 	r := newHarness(t, nil, "prefill west", "decode west")
 	r.updateEndpoints(r.endpoints[1].entry("gone"))
 	c := r.ask("explain", "x-heartbeat-ms", "250")
-	r.world.Run(1100 * eventloop.Millisecond)
+	r.network.Run(1100 * eventloop.Millisecond)
 	if n := strings.Count(string(c.raw), ": waiting"); n != 4 {
-		t.Errorf("%d comments", n)
+		t.Errorf("%d comments, want 4", n)
 	}
 	r.updateEndpoints(r.endpoints[1].entry("ready"))
 	r.expectFinal(c, "streamed")
 	if c.text != completeText {
-		t.Errorf("text %q", c.text)
+		t.Errorf("got the text %q", c.text)
 	}
 	r.updateEndpoints(r.endpoints[1].entry("gone"))
 	c = r.ask("explain", "x-heartbeat-ms", "250")
@@ -161,7 +162,7 @@
 	}
 }
 
-// Malformed requests get the specified status and an error object; the dispatcher goes on.
+// Malformed requests get the specified status and an error object, and the dispatcher goes on serving.
 func TestBadRequests(t *testing.T) {
 	r := newHarness(t, func(dep deployment.Deployment) { dep.Doors.BodyMost = 2000 }, "prefill west", "decode west")
 	ok := `"messages":[{"role":"user","content":"a"}]`
@@ -194,11 +195,12 @@
 		}
 	}
 	c := r.send(`{"model":"explain",`+ok+`}`, "Authorization", "Bearer sk-other")
-	c.request = []byte(strings.Replace(string(c.request), "Authorization: Bearer "+key+"\r\n", "", 1))
+	c.request = []byte(strings.Replace(string(c.request), "Authorization: Bearer "+apiKey+"\r\n", "", 1))
 	r.expectFinal(c, "401")
 }
 
-// A head that trickles in, one that never ends, and many fields: answered, closed, and bounded.
+// A request whose header arrives too slowly, is too long, has too many fields or contradicts itself gets an error
+// status, and its connection is closed.
 func TestSlowAndEndlessHeads(t *testing.T) {
 	r := newHarness(t, nil)
 	writes := func(text string) func(*clientCall) { return func(c *clientCall) { c.conn.Write([]byte(text)) } }
@@ -216,41 +218,41 @@
 		"both":    {writes("Content-Length: 3\r\nTransfer-Encoding: chunked\r\n\r\n"), "400"},
 	} {
 		c := r.dial(r.newClientCall([]byte("POST /v1/chat/completions HTTP/1.1\r\n")))
-		r.world.Run(10 * eventloop.Millisecond)
+		r.network.Run(10 * eventloop.Millisecond)
 		r.remote.Do(func() { test.send(c) })
-		r.world.Run(40 * eventloop.Second)
+		r.network.Run(40 * eventloop.Second)
 		wanted := fmt.Sprint(c.finals) == "["+test.want+"]" || test.want == "408" && len(c.finals) == 1
 		if !wanted || !c.closed {
 			t.Errorf("%s: finals %v, closed %v", name, c.finals, c.closed)
 		}
 	}
 	if n := r.dispatcher.Frontend().OpenRequests; n != 0 {
-		t.Errorf("%d requests open", n)
+		t.Errorf("%d requests are open, want none", n)
 	}
 }
 
-// A request that was read in the instant in which its idle connection would be closed is answered, whatever closes it:
-// the dispatcher's shutdown, or another connection that needs its place.
+// A request that arrives on an idle connection just before the dispatcher closes that connection is answered, whether
+// the reason to close it is the dispatcher's shutdown or a new connection beyond the limit.
 func TestRequestRacingAConnectionClose(t *testing.T) {
 	for name, closeIdle := range map[string]func(r *harness){
 		"shutdown": func(r *harness) { r.loop.Do(r.dispatcher.frontend.Shutdown) },
 		"too many connections": func(r *harness) {
 			r.loop.Do(func() { r.dispatcher.frontend.MaxConnections = 1 })
 			r.ask("explain")
-			r.world.Run(r.world.Latency)
+			r.network.Run(r.network.Latency)
 		},
 	} {
 		r := newHarness(t, nil, "prefill west", "decode west")
 		c := r.ask("explain")
 		r.expectFinal(c, "streamed")
-		r.world.Run(2 * eventloop.Second)
-		r.world.DeliveryDelay = 5 * eventloop.Millisecond // what has arrived is not handed over yet
+		r.network.Run(2 * eventloop.Second)
+		r.network.DeliveryDelay = 5 * eventloop.Millisecond // the request has arrived but is not delivered yet
 		r.remote.Do(func() { c.conn.Write(c.request) })
-		r.world.Run(eventloop.Millisecond)
+		r.network.Run(eventloop.Millisecond)
 		closeIdle(r)
 		r.runUntil(5*eventloop.Second, func() bool { return len(c.finals) > 1 || c.closed })
 		if len(c.finals) < 2 {
-			t.Errorf("%s: its connection was closed without an answer", name)
+			t.Errorf("%s: the connection was closed without an answer", name)
 		}
 	}
 }
--- a/internal/dispatch/config.go
+++ b/internal/dispatch/config.go
@@ -25,7 +25,7 @@
 	Intents *store.Store
 
 	Tenants       string // address of the administration; empty: only the deployment's and the cached tenants are served
-	Secret        []byte // shared with the administration; protects the digests of API keys
+	Secret        []byte // shared with the administration; the key of the MACs of API keys
 	CachedTenants []byte // the tenants that CacheTenants stored last
 	CacheTenants  func([]byte)
 
--- a/internal/dispatch/endpoints_test.go
+++ b/internal/dispatch/endpoints_test.go
@@ -9,14 +9,14 @@
 	"plumspindle/scheduler"
 )
 
-// A list names unknown kinds, zones and conditions: those endpoints get nothing, the others work.
+// Endpoints of an unknown kind or zone get no attempts, and the others are used. Malformed lists are rejected.
 func TestEndpointsOfUnknownKindOrZoneGetNothing(t *testing.T) {
 	r := newHarness(t, nil, "prefill west", "decode west", "abacus west", "decode moon")
 	for range 4 {
 		r.expectFinal(r.ask("explain"), "streamed")
 	}
 	if r.endpoints[2].attempts()+r.endpoints[3].attempts() != 0 {
-		t.Error("an endpoint of an unknown kind or zone was sent something")
+		t.Error("an endpoint of an unknown kind or zone got an attempt")
 	}
 	view := endpoints.View{}
 	for _, bad := range []string{
@@ -30,13 +30,13 @@
 	}
 }
 
-// What a dispatcher caches of the endpoint list can be restored.
+// The endpoint list that a dispatcher caches can be restored.
 func TestCachedEndpointListIsRestored(t *testing.T) {
 	r := newHarness(t, nil, "prefill west", "decode west")
 	var cached []byte
 	r.dispatcher.config.CacheEndpoints = func(list []byte) { cached = list }
 	r.updateEndpoints(r.endpoints[1].entry("ready"))
-	r.world.Run(2 * eventloop.Second)
+	r.network.Run(2 * eventloop.Second)
 	view := endpoints.View{}
 	entries, _, err := view.Restore(cached)
 	if err != nil || len(entries) == 0 || view.Version != 0 {
@@ -47,16 +47,16 @@
 	}
 }
 
-// With discovery down a fresh list is used as it is, a stale one as if each endpoint had just started, an old one in
-// parts; a torn one gives way to the one before.
+// Without discovery, a dispatcher uses a fresh cached list as it is, a stale one as if each endpoint had just started,
+// and an old one step by step. If the newest list is truncated, it uses the one before.
 func TestStartWithoutDiscovery(t *testing.T) {
 	const hour = 3600 * eventloop.Second
 	for _, test := range []struct {
 		name string
 		age  eventloop.Micros
 		torn bool
-		// Of 60 requests in the first six seconds, how many have to be completed; and how many attempts one endpoint may
-		// have got.
+		// Of 60 requests in the first six seconds, the fewest that must complete, and the most attempts that one endpoint
+		// may get.
 		minCompleted, maxAttempts int
 	}{
 		{"fresh", eventloop.Second, false, 60, 60},
@@ -71,7 +71,7 @@
 			var calls []*clientCall
 			for range 60 {
 				calls = append(calls, r.ask("explain"))
-				r.world.Run(100 * eventloop.Millisecond)
+				r.network.Run(100 * eventloop.Millisecond)
 			}
 			completed := 0
 			for _, c := range calls {
@@ -88,24 +88,25 @@
 			}
 			t.Logf("%d of 60 completed in six seconds, %d attempts at most at one of %d endpoints", completed, attempts, used)
 			if completed < test.minCompleted || attempts > test.maxAttempts {
-				t.Error("too few completed, or too many attempts at one endpoint")
+				t.Error("too few requests completed, or one endpoint got too many attempts")
 			}
-			r.world.Run(20 * eventloop.Second)
+			r.network.Run(20 * eventloop.Second)
 			for i, c := range calls {
 				if len(c.finals) != 1 {
-					t.Errorf("call %d: finals %v", i, c.finals)
+					t.Errorf("call %d: final answers %v", i, c.finals)
 				}
 			}
-			r.expectFinal(r.ask("explain"), "streamed") // it is warm by then, without discovery
+			r.expectFinal(r.ask("explain"), "streamed") // slow start is over by then, also without discovery
 		})
 	}
 }
 
-// restartWithCachedList starts a dispatcher anew that has only a cached list, with a torn copy of it before it or not.
+// restartWithCachedList starts another dispatcher, which has no discovery, with a cached list of the given age. If torn
+// is true, a truncated copy of the list is the newest one.
 func (r *harness) restartWithCachedList(age eventloop.Micros, torn bool) {
 	r.t.Helper()
 	list := r.list
-	list.SavedAt = int64(r.world.Now() - age)
+	list.SavedAt = int64(r.network.Now() - age)
 	cached, err := json.Marshal(list)
 	if err != nil {
 		r.t.Fatal(err)
@@ -114,13 +115,13 @@
 	if torn {
 		lists = [][]byte{cached[:len(cached)/2], cached}
 	}
-	r.startDispatcher(r.world.NewLoop("d.2"), func(config *Config) error {
+	r.startDispatcher(r.network.NewLoop("d.2"), func(config *Config) error {
 		config.Name, config.Seed, config.CachedEndpoints = "d.2", 5, lists
 		return nil
 	})
 }
 
-// With a cached list of dead endpoints nobody is served; discovery corrects that.
+// If all endpoints of the cached list are down, requests are rejected until discovery sends a new list.
 func TestDeadCachedEndpointsAreReplacedByDiscovery(t *testing.T) {
 	r := newHarness(t, nil, "prefill west", "decode west")
 	for _, endpoint := range r.endpoints {
@@ -131,23 +132,24 @@
 		endpoint.listen()
 	}
 	r.replaceEndpoints(r.endpoints[0].entry("ready"), r.endpoints[1].entry("ready"))
-	r.world.Run(8 * eventloop.Second)
+	r.network.Run(8 * eventloop.Second)
 	r.expectFinal(r.ask("explain"), "streamed")
 }
 
-// A list from discovery that leaves most endpoints out, and then names them again within the grace, changes nothing. If
-// it goes on to leave them out, they are removed within the grace. A drain by name counts at once in any case.
+// If a complete list from discovery leaves out most endpoints, and lists them again within the grace period, nothing
+// changes. If it does not list them again, they are removed at the end of the grace period. An endpoint that is listed
+// as draining gets no attempts from then on in either case.
 func TestMassRemovalIsConfirmedBeforeItCounts(t *testing.T) {
 	for _, back := range []bool{true, false} {
 		r := newHarness(t, nil, "prefill west", "decode west", "decode west")
 		r.expectFinal(r.ask("explain"), "streamed")
 		r.replaceEndpoints(r.endpoints[1].entry("draining"))
 		drained := r.endpoints[1].attempts()
-		r.world.Run(50 * eventloop.Millisecond)
+		r.network.Run(50 * eventloop.Millisecond)
 		c := r.ask("review-post")
-		r.world.Run(50 * eventloop.Millisecond)
+		r.network.Run(50 * eventloop.Millisecond)
 		if len(c.finals) != 1 || c.finals[0] != "streamed" || r.endpoints[1].attempts() != drained {
-			t.Errorf("within the delay: %v; %d attempts to the one that drains", c.finals, r.endpoints[1].attempts()-drained)
+			t.Errorf("within the delay: %v; %d attempts at the draining endpoint", c.finals, r.endpoints[1].attempts()-drained)
 		}
 		if back {
 			prefill, decode := r.endpoints[0].entry("ready"), r.endpoints[2].entry("ready")
@@ -159,32 +161,32 @@
 			})
 			r.replaceEndpoints(prefill, decode)
 		}
-		r.world.Run(100 * eventloop.Millisecond) // 200 ms after the list: still within the grace of 250
+		r.network.Run(100 * eventloop.Millisecond) // 200 ms after the list, which is still within the grace period of 250 ms
 		want := map[bool]string{true: "streamed", false: "throttled"}[back]
 		r.expectFinal(r.ask("review-post", "x-time-limit-ms", "600"), want)
 	}
 }
 
-// Endpoints are replaced for months: nothing is remembered of those that are gone, and prefill state at one that is
-// listed as gone is released.
+// After endpoints were replaced thousands of times, the dispatcher has no data left of those that are gone. Prefill
+// state at an endpoint that is listed as gone is released.
 func TestReplacedEndpointsLeaveNothing(t *testing.T) {
 	r := newHarness(t, nil, "prefill west", "decode west")
 	for i := range 3000 {
 		entry := r.endpoints[1].entry("ready")
 		entry.ID, entry.Addr = scheduler.EndpointID(1000+i), "127.0.0.1:9"
 		r.updateEndpoints(entry)
-		r.world.Run(500 * eventloop.Millisecond)
+		r.network.Run(500 * eventloop.Millisecond)
 		entry.Condition = "gone"
 		r.updateEndpoints(entry)
 	}
-	r.world.Run(120 * eventloop.Second)
+	r.network.Run(120 * eventloop.Second)
 	if n := r.dispatcher.engine.EndpointCount(); n != 2 || len(r.dispatcher.endpoints) != 2 {
-		t.Errorf("%d endpoints are known to the engine, %d to the dispatcher", n, len(r.dispatcher.endpoints))
+		t.Errorf("the engine has %d endpoints and the dispatcher %d, want 2", n, len(r.dispatcher.endpoints))
 	}
 	r.expectFinal(r.ask("explain"), "streamed")
 	r.endpoints[1].serve = neverAnswer
 	c := r.ask("review-post", "x-time-limit-ms", "900")
-	r.world.Run(100 * eventloop.Millisecond)
+	r.network.Run(100 * eventloop.Millisecond)
 	r.updateEndpoints(r.endpoints[0].entry("gone"))
 	before := r.endpoints[0].releases()
 	r.runUntil(eventloop.Second, func() bool { return len(c.finals) > 0 })
--- a/internal/dispatch/fake_client_test.go
+++ b/internal/dispatch/fake_client_test.go
@@ -11,8 +11,8 @@
 	"plumspindle/internal/sse"
 )
 
-// clientCall is one client's request and all that came back. Its finals are the final answers that it got: streamed,
-// throttled, terminated, or a status.
+// clientCall is one client's request with everything that the client received. Its finals are the final answers:
+// streamed, throttled, terminated, or another status.
 type clientCall struct {
 	harness          *harness
 	conn             eventloop.Conn
@@ -73,7 +73,7 @@
 	return nil
 }
 
-// countFinals counts the calls with just one final answer of a sort.
+// countFinals counts the calls with exactly one final answer, which is the given one.
 func countFinals(calls []*clientCall, final string) (n int) {
 	for _, c := range calls {
 		if len(c.finals) == 1 && c.finals[0] == final {
@@ -99,9 +99,9 @@
 	return c
 }
 
-// post sends a whole body to a URL.
+// post sends a request with a body to a path.
 func (r *harness) post(path string, body []byte, fields ...string) *clientCall {
-	all := append([]string{"Authorization", "Bearer " + key, "Content-Type", "application/json"}, fields...)
+	all := append([]string{"Authorization", "Bearer " + apiKey, "Content-Type", "application/json"}, fields...)
 	return r.dial(r.newClientCall(http1.AppendRequest(nil, http1.Request{
 		Method: "POST", Target: path, Host: r.addr, Body: body,
 	}, all...)))
@@ -118,7 +118,7 @@
 	return r.send(body, fields...)
 }
 
-// connectSilently has a client connect that sends nothing.
+// connectSilently connects a client that sends nothing.
 func (r *harness) connectSilently() *silentClient {
 	client := &silentClient{}
 	r.remote.Do(func() { client.conn = r.remote.Dial(r.addr, eventloop.Second, client) })
@@ -136,14 +136,14 @@
 	return collector.body
 }
 
-// bodyCollector takes the body of one response.
+// bodyCollector collects the body of one response.
 type bodyCollector struct{ body []byte }
 
 func (b *bodyCollector) Head(*http1.Head) error { return nil }
 func (b *bodyCollector) Body(data []byte) error { b.body = append(b.body, data...); return nil }
 func (b *bodyCollector) End() error             { return nil }
 
-// silentClient keeps a connection open and sends nothing.
+// silentClient keeps its connection open and sends nothing.
 type silentClient struct {
 	conn   eventloop.Conn
 	closed bool
--- a/internal/dispatch/fake_endpoint_test.go
+++ b/internal/dispatch/fake_endpoint_test.go
@@ -11,7 +11,7 @@
 	"plumspindle/scheduler"
 )
 
-// What a decode endpoint streams when all goes well.
+// What a decode endpoint streams if nothing fails.
 const (
 	completeText = "Lamu é"
 	doneEvent    = "data: [DONE]\n\n"
@@ -22,7 +22,7 @@
 	lastEvent  = chunkEvent("é", "stop")
 )
 
-// fakeEndpoint is one model endpoint; serve is called for each request.
+// fakeEndpoint is a fake model endpoint, which calls serve for each request except releases.
 type fakeEndpoint struct {
 	harness  *harness
 	id       uint32
@@ -30,7 +30,7 @@
 	zone     string
 	listener eventloop.Listener
 	serve    func(c *fakeConn)
-	seen     []*fakeConn // the requests, one a value
+	seen     []*fakeConn // all requests, each with its own copy of the connection
 	conns    map[*fakeConn]bool
 }
 
@@ -43,7 +43,7 @@
 	})
 }
 
-// crash ends the endpoint's listener and all of its connections.
+// crash closes the endpoint's listener and resets all of its connections.
 func (e *fakeEndpoint) crash() {
 	e.listener.Close()
 	for c := range e.conns {
@@ -61,7 +61,7 @@
 	}
 }
 
-// attempts counts the attempts that the endpoint has seen.
+// attempts counts the attempts that the endpoint has received.
 func (e *fakeEndpoint) attempts() (n int) {
 	for _, c := range e.seen {
 		if c.target == "/v1/chat/completions" {
@@ -71,10 +71,10 @@
 	return n
 }
 
-// releases counts the releases that the endpoint has seen.
+// releases counts the release requests that the endpoint has received.
 func (e *fakeEndpoint) releases() int { return len(e.seen) - e.attempts() }
 
-// fakeConn is one connection to a fake endpoint, with its last request.
+// fakeConn is a connection to a fake endpoint, with its last request.
 type fakeConn struct {
 	endpoint *fakeEndpoint
 	conn     eventloop.Conn
@@ -107,13 +107,13 @@
 	return nil
 }
 
-// request is a copy of the present request, for what answers it later.
+// request returns a copy of the current request, which can be answered after the next one has arrived.
 func (c *fakeConn) request() *fakeConn {
 	request := *c
 	return &request
 }
 
-// after runs something later on the endpoint's loop.
+// after calls f on the endpoint's loop after a delay.
 func (c *fakeConn) after(delay eventloop.Micros, f func()) {
 	c.endpoint.harness.remote.AfterFunc(delay, f)
 }
@@ -122,7 +122,7 @@
 	c.conn.Write(http1.AppendResponse(nil, status, []byte(body), "Content-Type", "application/json"))
 }
 
-// stream answers with a head and some chunks.
+// stream sends the header of a streamed answer and its first chunks.
 func (c *fakeConn) stream(chunks ...string) {
 	b := http1.AppendStreamHead(nil, 200, "Content-Type", "text/event-stream")
 	for _, chunk := range chunks {
@@ -131,15 +131,15 @@
 	c.conn.Write(b)
 }
 
-// writeChunk goes on with a stream.
+// writeChunk sends one more chunk of a stream.
 func (c *fakeConn) writeChunk(chunk string) { c.conn.Write(http1.AppendChunk(nil, []byte(chunk))) }
 
-// finishStream ends a stream that has brought its first event.
+// finishStream completes a stream of which streamFirstEvent sent the beginning.
 func (c *fakeConn) finishStream() {
 	c.conn.Write(http1.AppendLastChunk(http1.AppendChunk(nil, []byte(lastEvent+doneEvent))))
 }
 
-// chunkEvent is one event of a streamed chat completion.
+// chunkEvent returns one event of a streamed chat completion.
 func chunkEvent(text, finishReason string) string {
 	reason := "null"
 	if finishReason != "" {
--- a/internal/dispatch/harness_test.go
+++ b/internal/dispatch/harness_test.go
@@ -19,36 +19,36 @@
 	"plumspindle/internal/virtual"
 )
 
-const key = "sk-test"
+const apiKey = "sk-test"
 
-// harness is one dispatcher with fake endpoints and clients that do what a test scripts, in virtual time or over
-// sockets.
+// harness runs one dispatcher with fake endpoints and clients, whose behaviour each test defines, in virtual time or
+// over sockets.
 type harness struct {
 	t          *testing.T
-	world      *virtual.Network // nil over sockets
+	network    *virtual.Network // nil over sockets
 	loop       testLoop
-	remote     testLoop // of endpoints and clients
+	remote     testLoop // the loop of the endpoints and clients
 	deployment deployment.Deployment
 	dispatcher *Dispatcher
 	addr       string
 	endpoints  []*fakeEndpoint
 	list       endpoints.Update
-	cachedList []byte // the list, as it is cached
+	cachedList []byte // list, encoded as a cached list
 }
 
-// testLoop is a loop in virtual time or over sockets.
+// testLoop is an event loop in virtual time or over sockets.
 type testLoop interface {
 	eventloop.Loop
 	Do(f func())
 }
 
-// testTenant is the tenant of the tests' key.
+// testTenant returns the tenant that the tests' API key belongs to.
 func testTenant() *pb.Tenant {
-	digest := sha256.Sum256([]byte(key))
+	digest := sha256.Sum256([]byte(apiKey))
 	return &pb.Tenant{Name: "one", KeySha256: []string{hex.EncodeToString(digest[:])}}
 }
 
-// newHarness starts a dispatcher in virtual time with a list of endpoints like "prefill west".
+// newHarness starts a dispatcher in virtual time. Each endpoint is given by its kind and zone, such as "prefill west".
 func newHarness(t *testing.T, change func(dep deployment.Deployment), kindsAndZones ...string) *harness {
 	t.Helper()
 	dep := deployment.Standard()
@@ -56,15 +56,15 @@
 	if change != nil {
 		change(dep)
 	}
-	world := virtual.NewNetwork(1)
-	r := &harness{t: t, world: world, loop: world.NewLoop("d"), remote: world.NewLoop("far"), deployment: dep}
+	network := virtual.NewNetwork(1)
+	r := &harness{t: t, network: network, loop: network.NewLoop("d"), remote: network.NewLoop("far"), deployment: dep}
 	r.start(kindsAndZones)
 	return r
 }
 
-// newSocketHarness does the same over real sockets, with shorter timeouts. A silent endpoint's attempt is cancelled
-// after 0.8 s, so that the time limit leaves as much again for the retry, also where processors are short; what must
-// happen within the limit is checked in virtual time.
+// newSocketHarness starts a dispatcher over real sockets, with shorter timeouts. An attempt at a silent endpoint is
+// cancelled after 0.8 s. The time limit leaves as much time again for the retry, so that a test also passes on a busy
+// machine. Tests in virtual time check what must happen within the limit.
 func newSocketHarness(t *testing.T, kindsAndZones ...string) *harness {
 	t.Helper()
 	dep := deployment.Standard()
@@ -86,7 +86,7 @@
 	return r
 }
 
-// start brings up the endpoints and the dispatcher.
+// start starts the endpoints and the dispatcher.
 func (r *harness) start(kindsAndZones []string) {
 	r.t.Helper()
 	r.list = endpoints.Update{Epoch: "e", Version: 1, Complete: true, SavedAt: int64(r.remote.Now())}
@@ -107,7 +107,8 @@
 	r.startDispatcher(r.loop, func(*Config) error { return nil })
 }
 
-// startDispatcher starts a dispatcher on a loop, in place of the one before; configure runs on the loop.
+// startDispatcher starts a dispatcher on a loop, which replaces the one before in the harness. It calls configure on
+// the loop.
 func (r *harness) startDispatcher(loop testLoop, configure func(*Config) error) {
 	r.t.Helper()
 	r.loop = loop
@@ -134,10 +135,10 @@
 	}
 }
 
-// startWithIntents starts a dispatcher anew, with its intents on a disk of the virtual network.
+// startWithIntents starts another dispatcher, which stores its intents on a virtual disk.
 func (r *harness) startWithIntents(disk *virtual.Disk) {
 	r.t.Helper()
-	loop := r.world.NewLoop("durable")
+	loop := r.network.NewLoop("durable")
 	r.startDispatcher(loop, func(config *Config) (err error) {
 		config.Name = "durable"
 		config.Intents, err = store.Open(disk.AttachTo(loop), store.DefaultLimits)
@@ -145,12 +146,12 @@
 	})
 }
 
-// runUntil lets time pass until a condition holds of the endpoints and clients.
+// runUntil lets time pass until a condition on the endpoints and clients holds, and reports whether it does.
 func (r *harness) runUntil(timeout eventloop.Micros, condition func() bool) bool {
-	if r.world != nil {
-		return r.world.RunUntil(timeout, condition)
+	if r.network != nil {
+		return r.network.RunUntil(timeout, condition)
 	}
-	ticker := time.NewTicker(time.Millisecond) // real sockets take real time
+	ticker := time.NewTicker(time.Millisecond) // real sockets need real time
 	defer ticker.Stop()
 	for end := r.remote.Now() + timeout; ; <-ticker.C {
 		var holds bool
@@ -161,25 +162,25 @@
 	}
 }
 
-// updateEndpoints passes a change of the list to the dispatcher.
+// updateEndpoints passes changed entries of the endpoint list to the dispatcher.
 func (r *harness) updateEndpoints(entries ...endpoints.Entry) {
 	r.loop.Do(func() { r.dispatcher.endpointsUpdated(entries, false) })
 }
 
-// replaceEndpoints passes a complete list to the dispatcher.
+// replaceEndpoints passes a complete endpoint list to the dispatcher.
 func (r *harness) replaceEndpoints(entries ...endpoints.Entry) {
 	r.loop.Do(func() { r.dispatcher.endpointsUpdated(entries, true) })
 }
 
-// virtual is the dispatcher's loop as one of the virtual network's.
+// virtual returns the dispatcher's loop, which must be one of the virtual network.
 func (r *harness) virtual() *virtual.Loop { return r.loop.(*virtual.Loop) }
 
-// expectFinal waits for the final answer, and checks that it is the only one and that nothing is left.
+// expectFinal waits for the final answer, and checks that it is the only one and that no request is left open.
 func (r *harness) expectFinal(c *clientCall, want string) {
 	r.t.Helper()
 	r.runUntil(30*eventloop.Second, func() bool { return len(c.finals) > 0 })
-	if r.world != nil {
-		r.world.Run(eventloop.Second)
+	if r.network != nil {
+		r.network.Run(eventloop.Second)
 	} else {
 		r.runUntil(2*eventloop.Second, func() bool {
 			running := 0
@@ -188,7 +189,7 @@
 		})
 	}
 	if len(c.finals) != 1 || c.finals[0] != want || c.eventsAfterFinal > 0 {
-		r.t.Errorf("final answers %v (%d events after), want %s; raw %.300q", c.finals, c.eventsAfterFinal, want, c.raw)
+		r.t.Errorf("final answers %v (%d events after them), want %s; raw %.300q", c.finals, c.eventsAfterFinal, want, c.raw)
 	}
 	r.expectIdle()
 }
@@ -197,12 +198,12 @@
 	r.t.Helper()
 	r.loop.Do(func() {
 		if r.dispatcher.OpenRequests() != 0 {
-			r.t.Errorf("left over: %v", r.dispatcher.DescribeOpenRequests())
+			r.t.Errorf("requests are left open: %v", r.dispatcher.DescribeOpenRequests())
 		}
 	})
 }
 
-// decodes counts the attempts at all endpoints but the first, which is a prefill endpoint in the tests that ask.
+// decodes counts the attempts at all endpoints but the first, which is a prefill endpoint in the tests that call it.
 func (r *harness) decodes() (n int) {
 	for _, endpoint := range r.endpoints[1:] {
 		n += endpoint.attempts()
@@ -210,14 +211,14 @@
 	return n
 }
 
-// serveDecodes sets what all endpoints but the first do.
+// serveDecodes sets how all endpoints but the first serve requests.
 func (r *harness) serveDecodes(serve func(*fakeConn)) {
 	for _, endpoint := range r.endpoints[1:] {
 		endpoint.serve = serve
 	}
 }
 
-// expectRelease lets time pass until a prefill endpoint has got a release, and fails where that takes too long.
+// expectRelease waits until a prefill endpoint has got a further release, and fails if that takes too long.
 func (r *harness) expectRelease(endpoint *fakeEndpoint, before int, what string) {
 	r.t.Helper()
 	timeout := milliseconds(r.deployment.Rules.LetGoMs)
--- a/internal/dispatch/idempotency_test.go
+++ b/internal/dispatch/idempotency_test.go
@@ -9,14 +9,15 @@
 	"plumspindle/internal/frontend"
 )
 
-// repeatHarness sends requests of one product with keys.
+// repeatHarness sends requests of one product with idempotency keys.
 type repeatHarness struct {
 	*harness
 	product string
 }
 
-// A repeat with the key of a running request joins it, from its first token; of a completed one it is sent the same
-// answer; of one that may have run and was lost it is rejected for good. Nothing is run twice.
+// A repeat with the key of a running request gets its answer from the first token on. A repeat of a completed request
+// gets the same answer again. A repeat of a request that may have run, and whose answer is lost, is rejected without a
+// retry. No request runs twice.
 func TestIdempotencyKeyJoinsAndReplays(t *testing.T) {
 	for _, product := range []string{"build-note", "review-post"} {
 		r := &repeatHarness{newHarness(t, nil, "prefill west", "decode west", "decode west"), product}
@@ -32,15 +33,15 @@
 	var decode *fakeConn
 	r.serveDecodes(func(c *fakeConn) { decode = c; streamFirstEvent(c) })
 	first := r.ask(r.product, "Idempotency-Key", "k")
-	r.world.Run(50 * eventloop.Millisecond)
+	r.network.Run(50 * eventloop.Millisecond)
 	second := r.ask(r.product, "Idempotency-Key", "k")
-	r.world.Run(50 * eventloop.Millisecond)
-	r.remote.Do(first.conn.Abort) // the request goes on for the other client
-	r.world.Run(50 * eventloop.Millisecond)
-	r.remote.Do(second.conn.Abort) // and for one that may come
-	r.world.Run(50 * eventloop.Millisecond)
+	r.network.Run(50 * eventloop.Millisecond)
+	r.remote.Do(first.conn.Abort) // the request goes on for the second client
+	r.network.Run(50 * eventloop.Millisecond)
+	r.remote.Do(second.conn.Abort) // the request goes on without a client, for a further repeat
+	r.network.Run(50 * eventloop.Millisecond)
 	third := r.ask(r.product, "Idempotency-Key", "k")
-	r.world.Run(50 * eventloop.Millisecond)
+	r.network.Run(50 * eventloop.Millisecond)
 	r.remote.Do(decode.finishStream)
 	r.expectFinal(third, "streamed")
 	fourth := r.ask(r.product, "Idempotency-Key", "k")
@@ -61,7 +62,7 @@
 	r.endpoints[0].serve = func(c *fakeConn) { c.after(100*eventloop.Millisecond, func() { answerPrefill(c) }) }
 	r.serveDecodes(answerDecode)
 	first := r.ask(r.product, "Idempotency-Key", "m")
-	r.world.Run(10 * eventloop.Millisecond)
+	r.network.Run(10 * eventloop.Millisecond)
 	joined := r.ask(r.product, "Idempotency-Key", "m")
 	r.expectFinal(joined, "streamed")
 	r.expectFinal(first, "streamed")
@@ -75,11 +76,12 @@
 	repeat := r.ask("review-post", "Idempotency-Key", "l")
 	r.expectFinal(repeat, "409")
 	if retry := repeat.head.Get("x-should-retry"); retry != "false" || r.decodes() != before {
-		r.t.Errorf("a lost one: x-should-retry %q, %d more decodes", retry, r.decodes()-before)
+		r.t.Errorf("after a lost answer: x-should-retry %q, %d more decodes", retry, r.decodes()-before)
 	}
 }
 
-// What was rejected did not run, so that its key is free; so is that of an idempotent product, which needs none.
+// The key of a rejected request is free again, since the request did not run. The key of a request of an idempotent
+// product is ignored.
 func TestIdempotencyKeyIsFreeIfNothingRan(t *testing.T) {
 	r := newHarness(t, nil, "prefill west", "decode west")
 	r.updateEndpoints(r.endpoints[1].entry("gone"))
@@ -89,30 +91,31 @@
 	r.expectFinal(r.ask("explain", "Idempotency-Key", "k"), "streamed")
 	r.expectFinal(r.ask("explain", "Idempotency-Key", "k"), "streamed")
 	if n := r.endpoints[1].attempts(); n != 3 {
-		t.Errorf("%d decodes", n)
+		t.Errorf("%d decodes, want 3", n)
 	}
 	r.expectFinal(r.ask("review-post", "Idempotency-Key", strings.Repeat("k", 300)), "400")
 }
 
-// The body of a request with a key that goes on without its client counts as buffered until the request ends.
+// The body of a request that goes on without its client, as it has an idempotency key, counts as buffered until the
+// request ends.
 func TestOrphanedBodyCountsUntilItsRequestEnds(t *testing.T) {
 	r := newHarness(t, nil, "prefill west", "decode west")
 	r.endpoints[1].serve = func(c *fakeConn) { c.after(eventloop.Second, func() { answerDecode(c) }) }
 	c := r.ask("review-post", "Idempotency-Key", "k")
-	r.world.Run(100 * eventloop.Millisecond)
+	r.network.Run(100 * eventloop.Millisecond)
 	r.remote.Do(c.conn.Abort)
-	r.world.Run(100 * eventloop.Millisecond)
+	r.network.Run(100 * eventloop.Millisecond)
 	if bytes, open := r.dispatcher.frontend.BufferedBytes, r.dispatcher.OpenRequests(); bytes == 0 || open != 1 {
-		t.Errorf("%d bytes are counted, %d requests are open", bytes, open)
+		t.Errorf("%d bytes are counted and %d requests are open", bytes, open)
 	}
-	r.world.Run(2 * eventloop.Second)
+	r.network.Run(2 * eventloop.Second)
 	if bytes, open := r.dispatcher.frontend.BufferedBytes, r.dispatcher.OpenRequests(); bytes != 0 || open != 0 {
-		t.Errorf("at the end %d bytes are counted, %d requests are open", bytes, open)
+		t.Errorf("at the end %d bytes are counted and %d requests are open", bytes, open)
 	}
-	r.expectFinal(r.ask("review-post", "Idempotency-Key", "k"), "streamed") // its answer is replayed
+	r.expectFinal(r.ask("review-post", "Idempotency-Key", "k"), "streamed") // the answer is replayed
 }
 
-// Client libraries act on these bodies: they are part of the API, byte for byte.
+// Client libraries evaluate these error bodies, so that every byte of them is part of the API.
 func TestIdempotencyKeyProblemsKeepTheirWireForm(t *testing.T) {
 	for _, test := range []struct {
 		problem *frontend.Problem
--- a/internal/dispatch/intents_test.go
+++ b/internal/dispatch/intents_test.go
@@ -9,7 +9,7 @@
 	"plumspindle/internal/virtual"
 )
 
-// memoryDisk is a store.Disk in memory, which completes each operation after the call.
+// memoryDisk is a store.Disk in memory, which completes each operation after the call has returned.
 type memoryDisk struct {
 	loop  eventloop.Loop
 	files map[string][]byte
@@ -55,7 +55,7 @@
 	d.loop.AfterFunc(2*eventloop.Millisecond, func() { done(err) })
 }
 
-// diskFailures are ways in which a disk fails; each is switched on and off.
+// diskFailures are ways in which a disk fails. Each function starts or ends the failure.
 var diskFailures = map[string]func(disk *virtual.Disk, on bool){
 	"no space": func(disk *virtual.Disk, on bool) {
 		disk.Capacity = 0
@@ -71,13 +71,13 @@
 	},
 }
 
-// The disk has no space, writes short, or fails a sync, while requests with keys arrive: none runs whose intent is not
-// durable, what needs none goes on, and once the disk works again, requests with keys run without a restart. What was
-// rejected is free to run.
+// While the disk has no space, writes only in part or fails a sync, no request runs whose intent is not durable, and
+// requests that need no intent are served. Once the disk works again, requests with idempotency keys run without a
+// restart, also those that were rejected before.
 func TestKeyedRequestsNeedADurableIntent(t *testing.T) {
 	for name, fail := range diskFailures {
 		r := newHarness(t, nil, "prefill west", "decode west", "decode west")
-		disk := r.world.NewDisk()
+		disk := r.network.NewDisk()
 		r.startWithIntents(disk)
 		r.expectFinal(r.ask("review-post", "Idempotency-Key", "before"), "streamed")
 		fail(disk, true)
@@ -91,29 +91,29 @@
 			t.Errorf("%s: %d decodes without an intent", name, n)
 		}
 		fail(disk, false)
-		r.world.Run(3 * eventloop.Second)
+		r.network.Run(3 * eventloop.Second)
 		for _, key := range []string{"a", "c"} {
 			r.expectFinal(r.ask("review-post", "Idempotency-Key", key), "streamed")
 		}
 		before = r.decodes()
 		r.virtual().Kill()
-		r.startWithIntents(disk) // what was acknowledged is there, and the torn tail is gone
+		r.startWithIntents(disk) // restores the acknowledged records and drops the truncated end of the log
 		for _, key := range []string{"before", "a", "c"} {
 			r.expectFinal(r.ask("review-post", "Idempotency-Key", key), "409")
 		}
 		r.expectFinal(r.ask("review-post", "Idempotency-Key", "b"), "streamed")
 		if n := r.decodes() - before; n != 1 {
-			t.Errorf("%s: after the restart %d decodes, want one", name, n)
+			t.Errorf("%s: %d decodes after the restart, want one", name, n)
 		}
 	}
 }
 
-// The disk stalls between a prefill and its decode: the state that waits at the prefill endpoint is released within its
-// time all the same, the request is answered within its own, and nothing runs without its intent.
+// If the disk stalls between a prefill and its decode, the state at the prefill endpoint is released in time, the
+// request is answered within its time limit, and no decode starts without a durable intent.
 func TestStalledDiskReleasesPrefillState(t *testing.T) {
 	for _, product := range []string{"review-post", "build-note"} {
 		r := newHarness(t, nil, "prefill west", "decode west", "decode west")
-		disk := r.world.NewDisk()
+		disk := r.network.NewDisk()
 		r.startWithIntents(disk)
 		disk.SyncTime = 20 * eventloop.Second
 		prefill := r.endpoints[0]
@@ -124,7 +124,7 @@
 		}
 		c := r.ask(product, "Idempotency-Key", "k")
 		seen := 0
-		r.world.AfterStep = func() {
+		r.network.AfterStep = func() {
 			n := len(prefill.seen)
 			if n == seen {
 				return
@@ -135,27 +135,27 @@
 			}
 		}
 		r.expectFinal(c, "throttled")
-		r.world.AfterStep = nil
+		r.network.AfterStep = nil
 		if waitsSince > 0 || longest == 0 || longest > milliseconds(r.deployment.Rules.LetGoMs) {
-			t.Errorf("%s: a state waited for %d ms (still there: %v)", product, longest/1000, waitsSince > 0)
+			t.Errorf("%s: a prefill state waited for %d ms (still there: %v)", product, longest/1000, waitsSince > 0)
 		}
 		if n := r.decodes(); n != 0 {
 			t.Errorf("%s: %d decodes without an intent", product, n)
 		}
 		disk.SyncTime = eventloop.Millisecond
-		r.world.Run(90 * eventloop.Second) // the syncs that were asked for take their time
+		r.network.Run(90 * eventloop.Second) // until the slow syncs that were started before are done
 		r.expectFinal(r.ask(product, "Idempotency-Key", "m"), "streamed")
 	}
 }
 
-// A dispatcher is killed during the decode of a side-effecting request with a key. Its successor does not run the
-// client's repeat; without a store of intents it does.
+// A dispatcher is killed during the decode of a side-effecting request with an idempotency key. Its successor does not
+// run the client's repeat if it has the store of intents, and does if there is none.
 func TestIntentSurvivesAKill(t *testing.T) {
 	for _, durable := range []bool{false, true} {
 		r := newHarness(t, nil, "prefill west", "decode west", "decode west")
 		disk := &memoryDisk{files: map[string][]byte{}}
 		start := func(name string) {
-			loop := r.world.NewLoop(name)
+			loop := r.network.NewLoop(name)
 			disk.loop = loop
 			r.startDispatcher(loop, func(config *Config) (err error) {
 				config.Name = name
@@ -168,7 +168,7 @@
 		start("d.1")
 		r.serveDecodes(streamFirstEvent)
 		r.ask("review-post", "Idempotency-Key", "k")
-		r.world.Run(200 * eventloop.Millisecond)
+		r.network.Run(200 * eventloop.Millisecond)
 		if n := r.decodes(); n != 1 {
 			t.Fatalf("durable %v: %d decodes", durable, n)
 		}
@@ -185,11 +185,11 @@
 			continue
 		}
 		before := r.decodes()
-		disk.fails = true // what can't be recorded is not run, and may be retried
+		disk.fails = true // a request whose intent can't be recorded is not run, and its client may retry it
 		r.expectFinal(r.ask("review-post", "Idempotency-Key", "third"), "throttled")
 		r.expectFinal(r.ask("review-post"), "streamed")
 		if n := r.decodes() - before; n != 1 {
-			t.Errorf("%d more decodes", n)
+			t.Errorf("%d more decodes, want 1", n)
 		}
 	}
 }
--- a/internal/dispatch/official_client_test.go
+++ b/internal/dispatch/official_client_test.go
@@ -10,8 +10,8 @@
 	"github.com/openai/openai-go/option"
 )
 
-// The official client library retries some errors by itself. With its default settings, through every failure, a
-// side-effecting request is never decoded a second time unless the first endpoint has said that it did not run it.
+// The official client library retries some errors by itself. Whatever the failure, with its default settings a
+// side-effecting request is only decoded a second time if the first endpoint reported that it did not run it.
 func TestOfficialClientNeverRepeatsADecode(t *testing.T) {
 	for _, failure := range decodeFailures {
 		for _, stream := range []bool{false, true} {
@@ -40,28 +40,28 @@
 			}
 		}
 	})
-	text, err := askOfficially(r.addr, stream)
+	text, err := askWithOfficialClient(r.addr, stream)
 	r.remote.Do(func() {
 		if repeated > 0 && !failure.provesNotRun() || repeated > 1 {
-			t.Errorf("stream %v: repeated %d times; the client has %q, %v", stream, repeated, text, err)
+			t.Errorf("stream %v: decoded %d more times; the client got %q, %v", stream, repeated, text, err)
 		}
 	})
 	if err == nil && text != completeText {
-		t.Errorf("stream %v: no error, and %q", stream, text)
+		t.Errorf("stream %v: no error, but the text %q", stream, text)
 	}
 	if want := failure.sideEffecting == "streamed"; (err == nil) != want {
-		t.Errorf("stream %v: want success %v, got %v", stream, want, err)
+		t.Errorf("stream %v: want success %v, got the error %v", stream, want, err)
 	}
-	if err != nil && strings.Contains(err.Error(), key) {
-		t.Error("the key is in the error")
+	if err != nil && strings.Contains(err.Error(), apiKey) {
+		t.Error("the error contains the API key")
 	}
 }
 
-// askOfficially asks for a chat completion with the official client, as its settings come.
-func askOfficially(addr string, stream bool) (text string, err error) {
+// askWithOfficialClient asks for a chat completion with the official client library in its default settings.
+func askWithOfficialClient(addr string, stream bool) (text string, err error) {
 	ctx, cancel := context.WithTimeout(context.Background(), 20*time.Second)
 	defer cancel()
-	client := openai.NewClient(option.WithBaseURL("http://"+addr+"/v1/"), option.WithAPIKey(key))
+	client := openai.NewClient(option.WithBaseURL("http://"+addr+"/v1/"), option.WithAPIKey(apiKey))
 	params := openai.ChatCompletionNewParams{
 		Model:    "review-post",
 		Messages: []openai.ChatCompletionMessageParamUnion{openai.UserMessage("why?")},
--- a/internal/dispatch/stage_harness_test.go
+++ b/internal/dispatch/stage_harness_test.go
@@ -15,15 +15,15 @@
 	"plumspindle/internal/virtual"
 )
 
-// fleetHarness is a dispatcher with simulated endpoints, one for prefill and two for decode, and a record of what they
-// and the client see.
+// fleetHarness runs a dispatcher with simulated endpoints, one for prefill and two for decode, and records what the
+// endpoints and the client see.
 type fleetHarness struct {
 	*harness
 	fleet    *modelserver.Fleet
 	recorder *record.Recorder
 }
 
-// fleetMode says whether endpoints stop what is cancelled, and whether the scheduler may cancel.
+// fleetMode says whether endpoints stop cancelled attempts, and whether the scheduler may cancel attempts.
 type fleetMode struct{ stops, cancels bool }
 
 func newFleetHarness(t *testing.T, mode fleetMode) *fleetHarness {
@@ -38,11 +38,11 @@
 	}
 	dep.Dispatching.MayCancel = mode.cancels
 	dep.Tenants = []*pb.Tenant{testTenant()}
-	world := virtual.NewNetwork(1)
-	r := &harness{t: t, world: world, loop: world.NewLoop("d"), remote: world.NewLoop("far"), deployment: dep}
+	network := virtual.NewNetwork(1)
+	r := &harness{t: t, network: network, loop: network.NewLoop("d"), remote: network.NewLoop("far"), deployment: dep}
 	f := &fleetHarness{harness: r}
 	f.recorder, _ = record.Open("")
-	f.record(record.Event{Type: record.NetworkLatency, Count: int64(world.Latency)})
+	f.record(record.Event{Type: record.NetworkLatency, Count: int64(network.Latency)})
 	var err error
 	f.remote.Do(func() { f.fleet, err = modelserver.Start(f.remote, dep, 1, "127.0.0.1:0", f.recorder) })
 	if err != nil {
@@ -52,13 +52,13 @@
 		config.CachedEndpoints, config.Discovery = nil, f.fleet.Discovery.Addr
 		return nil
 	})
-	world.Run(100 * eventloop.Millisecond)
+	network.Run(100 * eventloop.Millisecond)
 	return f
 }
 
-// record adds an event of now.
+// record adds an event with the current time.
 func (f *fleetHarness) record(event record.Event) {
-	event.At = int64(f.world.Now())
+	event.At = int64(f.network.Now())
 	f.recorder.Add(event)
 }
 
@@ -66,12 +66,12 @@
 type fleetRequest struct {
 	id         string
 	product    string
-	tokens     int // of its prompt
+	tokens     int // length of the prompt
 	unstreamed bool
-	limit      eventloop.Micros // 0: the product's
+	limit      eventloop.Micros // time limit; 0: the product's
 }
 
-// askRecorded sends a request and has what its client sees recorded.
+// askRecorded sends a request, and records that it was sent.
 func (f *fleetHarness) askRecorded(request fleetRequest) *clientCall {
 	fields := []string{"x-client-request-id", request.id}
 	if request.limit > 0 {
@@ -87,7 +87,7 @@
 	return f.send(body, fields...)
 }
 
-// effectOf is a product's effect.
+// effectOf returns the effect of a product.
 func (f *fleetHarness) effectOf(product string) pb.Product_Effect {
 	for _, p := range f.deployment.Products {
 		if p.Name == product {
@@ -98,13 +98,13 @@
 	return 0
 }
 
-// stage is where a request stands when it ends, and how it gets there.
+// stage is a point in the life of a request at which a test ends it, and how the request gets there.
 type stage struct {
 	name       string
 	tokens     int
 	after      eventloop.Micros
-	seen       string // where the endpoints have it by then
-	unstreamed bool   // only an answer in one piece has a deadline once it is being decoded
+	seen       string // the stage that the endpoints report; empty: the request is at no endpoint
+	unstreamed bool   // a request in decode has a deadline only if its answer is not streamed
 	before     func(f *fleetHarness)
 }
 
@@ -124,24 +124,25 @@
 			}
 		}
 	})
-	f.world.Run(100 * eventloop.Millisecond)
+	f.network.Run(100 * eventloop.Millisecond)
 }
 
 func (f *fleetHarness) occupyPrefill() {
 	f.askRecorded(fleetRequest{id: "blocker", product: "explain", tokens: 1800})
-	f.world.Run(10 * eventloop.Millisecond)
+	f.network.Run(10 * eventloop.Millisecond)
 }
 
-// ending is how a request ends at its stage. It knows which final answers are right, by effect; none where the client
-// has disconnected.
+// ending is a way in which a request ends early. The function want returns the final answers that are right for a stage
+// and the product's effect; none if the client has disconnected.
 type ending struct {
 	name         string
-	end          func(f *fleetHarness, c *clientCall, at *modelserver.Endpoint) // nil: its deadline does
+	end          func(f *fleetHarness, c *clientCall, at *modelserver.Endpoint) // nil: the request reaches its deadline
 	want         func(s stage, effect pb.Product_Effect) []string
 	disconnected bool
 }
 
-// wantAtDeadline: what is known not to have run, or may run again, is rejected; all else fails.
+// wantAtDeadline returns the right final answers at a deadline. A request that is known not to have run, or that may
+// run again, is rejected; any other fails.
 func wantAtDeadline(s stage, effect pb.Product_Effect) []string {
 	switch {
 	case s.unstreamed:
@@ -149,7 +150,7 @@
 	case effect == pb.Product_IDEMPOTENT || s.seen == "":
 		return []string{"throttled"}
 	}
-	return []string{"terminated"} // an attempt is in flight, be it a prefill
+	return []string{"terminated"} // an attempt is in flight, even if it is a prefill
 }
 
 func wantAfterCrash(s stage, effect pb.Product_Effect) []string {
@@ -173,33 +174,33 @@
 }
 
 func (f *fleetHarness) crash(_ *clientCall, at *modelserver.Endpoint) {
-	if at == nil { // it is pending: the prefill endpoint crashes
+	if at == nil { // the request is at no endpoint: the prefill endpoint crashes
 		at = f.fleet.Endpoints[0]
 	}
 	f.remote.Do(func() { at.Crash(500 * eventloop.Millisecond) })
 }
 
-// expectation is how a request with the id "g" has to end.
+// expectation says how the request with the id "g" must end.
 type expectation struct {
 	product      string
-	finals       []string // that are right
+	finals       []string // the right final answers
 	disconnected bool
 }
 
-// expectCleanEnd ends a test: one final answer or none, as it should be; no rule broken; nothing left at the
-// dispatcher, in the scheduler or at the endpoints.
+// expectCleanEnd checks at the end of a test that the client got the right final answer, or none if it disconnected,
+// that no rule of the audit was violated, and that nothing is left in the dispatcher, the scheduler or the endpoints.
 func (f *fleetHarness) expectCleanEnd(c *clientCall, want expectation) {
 	f.t.Helper()
 	f.recordFinal(c, want)
-	f.world.Run(eventloop.Second)
+	f.network.Run(eventloop.Second)
 	if f.deployment.Fleet.CancelStops {
 		f.expectIdleFleet("a second later")
 	}
-	f.world.Run(15 * eventloop.Second)
+	f.network.Run(15 * eventloop.Second)
 	n := len(c.finals)
 	switch {
 	case want.disconnected && n > 0, !want.disconnected && n != 1, c.eventsAfterFinal > 0:
-		f.t.Errorf("final answers %v, %d events after; disconnected: %v", c.finals, c.eventsAfterFinal, want.disconnected)
+		f.t.Errorf("final answers %v, %d events after them, disconnected %v", c.finals, c.eventsAfterFinal, want.disconnected)
 	case !want.disconnected && !slices.Contains(want.finals, c.finals[0]):
 		f.t.Errorf("final answer %s, want %v; raw %.200q", c.finals[0], want.finals, c.raw)
 	}
@@ -225,7 +226,7 @@
 func (f *fleetHarness) expectIdleFleet(when string) {
 	f.t.Helper()
 	if jobs, states, tokens := f.fleet.Outstanding(); jobs > 0 || states > 0 || tokens > 0 {
-		f.t.Errorf("%s the endpoints have %d jobs, %d states, %d tokens\n%s",
+		f.t.Errorf("%s the endpoints still have %d jobs, %d states, %d tokens\n%s",
 			when, jobs, states, tokens, strings.Join(f.fleet.Summary(), "\n"))
 	}
 }
@@ -233,15 +234,15 @@
 func (f *fleetHarness) expectNothingOpen() {
 	f.t.Helper()
 	if open := f.dispatcher.scheduler.InFlight(); open.Requests+open.Attempts+open.Queued > 0 || open.PrefillTokens > 0.5 {
-		f.t.Errorf("the scheduler has %+v in flight", open)
+		f.t.Errorf("the scheduler still has %+v in flight", open)
 	}
 	f.expectIdle()
 	if n := f.dispatcher.frontend.OpenRequests; n != 0 {
-		f.t.Errorf("%d requests are open", n)
+		f.t.Errorf("%d requests are still open", n)
 	}
 	for _, endpoint := range f.fleet.Endpoints {
 		if n := f.dispatcher.engine.InFlight(endpoint.Entry("ready").ID); n != 0 {
-			f.t.Errorf("%d attempts are in flight at endpoint %d", n, endpoint.ID)
+			f.t.Errorf("%d attempts are still in flight at endpoint %d", n, endpoint.ID)
 		}
 	}
 	if err := f.dispatcher.CheckInvariants(); err != nil {
@@ -263,7 +264,7 @@
 	}
 	for _, event := range events {
 		if event.Type == record.StateLeaseExpired {
-			f.t.Errorf("the state of attempt %s was released by its endpoint's lease alone", event.Attempt)
+			f.t.Errorf("the state of attempt %s was not released before its lease expired at its endpoint", event.Attempt)
 		}
 	}
 }
--- a/internal/dispatch/stages_test.go
+++ b/internal/dispatch/stages_test.go
@@ -10,8 +10,9 @@
 
 var chatProducts = []string{"explain", "build-note", "review-post"}
 
-// A request ends at each stage, in each way, for each effect, at endpoints that do or don't stop what is cancelled,
-// with a scheduler that may or may not cancel: each case keeps the rules and leaves nothing behind.
+// Ends a request early at each stage, in each way and for each product's effect, with endpoints that do or don't stop
+// cancelled attempts and a scheduler that may or may not cancel. In each case the rules of the audit hold and nothing
+// is left.
 func TestEndAtEachStage(t *testing.T) {
 	cases := 0
 	for _, mode := range []fleetMode{{true, true}, {false, true}, {false, false}} {
@@ -41,10 +42,10 @@
 		}
 	}
 	c := f.askRecorded(request)
-	f.world.Run(atStage.after)
+	f.network.Run(atStage.after)
 	seen, at := f.fleet.Stage("g")
 	if seen != atStage.seen {
-		f.t.Fatalf("after %d ms it is %q", atStage.after/eventloop.Millisecond, seen)
+		f.t.Fatalf("after %d ms the request is in the stage %q", atStage.after/eventloop.Millisecond, seen)
 	}
 	if how.end != nil {
 		how.end(f, c, at)
@@ -52,17 +53,17 @@
 	f.expectCleanEnd(c, expectation{product, how.want(atStage, f.effectOf(product)), how.disconnected})
 }
 
-// crossing is an outcome and an end of one request that reach the dispatcher in the same turn.
-type crossing struct {
+// endRace is an outcome and an early end of one request that reach the dispatcher in the same turn of its event loop.
+type endRace struct {
 	request  fleetRequest
 	outcome  string
-	at       eventloop.Micros // of the outcome, after the request
+	at       eventloop.Micros // when the outcome happens, after the request was sent
 	ending   ending
 	endFirst bool
 }
 
-// An outcome and the end of its request reach the dispatcher in the same turn, in either order: it is frozen for a
-// moment and finds both when it goes on.
+// An outcome and an early end of the same request reach the dispatcher in one turn of its event loop, in either order.
+// The test freezes the dispatcher for a moment, so that it finds both when it continues.
 func TestOutcomeAndEndInOneTurn(t *testing.T) {
 	cases := 0
 	for _, product := range chatProducts {
@@ -71,30 +72,30 @@
 			outcomes := outcomeTimes(newFleetHarness(t, fleetMode{true, true}), request)
 			for _, outcome := range []string{"answered", "ran", "streamed"} {
 				for _, how := range endings[:3] {
-					if how.end == nil && outcome == "streamed" && !unstreamed { // a stream that has begun has no deadline
+					if how.end == nil && outcome == "streamed" && !unstreamed { // a stream that has begun has no deadline any more
 						continue
 					}
 					for _, endFirst := range []bool{false, true} {
 						cases++
 						name := fmt.Sprintf("%s, unstreamed %v/%s/%s/the end first: %v", product, unstreamed, outcome, how.name, endFirst)
-						x := crossing{request, outcome, outcomes[outcome], how, endFirst}
-						t.Run(name, func(t *testing.T) { x.test(newFleetHarness(t, fleetMode{true, true})) })
+						race := endRace{request, outcome, outcomes[outcome], how, endFirst}
+						t.Run(name, func(t *testing.T) { race.test(newFleetHarness(t, fleetMode{true, true})) })
 					}
 				}
 			}
 		}
 	}
-	t.Logf("%d crossings", cases)
+	t.Logf("%d cases", cases)
 }
 
-// outcomeTimes returns when a request's outcomes happen where nothing ends it early: its prefill is answered, its
-// decode has run, its answer is complete.
+// outcomeTimes returns when the outcomes of a request happen if nothing ends it early: the prefill is answered, the
+// decode has run, and the answer is complete.
 func outcomeTimes(f *fleetHarness, request fleetRequest) map[string]eventloop.Micros {
 	f.t.Helper()
-	began := f.world.Now()
+	began := f.network.Now()
 	c := f.askRecorded(request)
 	f.runUntil(20*eventloop.Second, func() bool { return len(c.finals) > 0 })
-	times := map[string]eventloop.Micros{"streamed": f.world.Now() - began - f.world.Latency}
+	times := map[string]eventloop.Micros{"streamed": f.network.Now() - began - f.network.Latency}
 	events, _ := f.recorder.Close()
 	for _, event := range events {
 		isPrefill := event.Type == record.AttemptAnswered && event.Detail == "read"
@@ -105,7 +106,7 @@
 	return times
 }
 
-func (x crossing) test(f *fleetHarness) {
+func (x endRace) test(f *fleetHarness) {
 	f.t.Helper()
 	const frozen = 60 * eventloop.Millisecond
 	freezesAt := x.at - 20*eventloop.Millisecond
@@ -115,16 +116,16 @@
 	}
 	request := x.request
 	if x.ending.end == nil {
-		request.limit = endsAt + 9*eventloop.Millisecond // the scheduler gives up so much earlier
+		request.limit = endsAt + 9*eventloop.Millisecond // the scheduler gives up 9 ms before the deadline
 		if x.outcome == "streamed" {
 			request.limit = endsAt + unstreamedGrace
 		}
 	}
 	c := f.askRecorded(request)
-	f.world.Run(freezesAt)
+	f.network.Run(freezesAt)
 	f.record(record.Event{Type: record.DispatcherUnavailable, Dispatcher: "d", Detail: "stands", Count: int64(frozen)})
 	f.virtual().Freeze(frozen)
-	f.world.Run(endsAt - freezesAt)
+	f.network.Run(endsAt - freezesAt)
 	if x.ending.end != nil {
 		x.ending.end(f, c, nil)
 	}
@@ -132,9 +133,9 @@
 	f.expectCleanEnd(c, expectation{request.product, finals, x.ending.disconnected})
 }
 
-// The subscription to discovery breaks while clients take each descriptor that is given back: it is made again all the
-// same, with a reserved one. Where not even that is free, the known list is served from, and once descriptors are free
-// discovery is heard again, without a restart, with what it said meanwhile.
+// The subscription to discovery breaks while clients take each file descriptor that becomes free. The dispatcher
+// subscribes again with a reserved descriptor. If no reserved descriptor is free either, it goes on with the known
+// endpoint list, and once descriptors are free it gets the missed updates without a restart.
 func TestEndpointWatchReconnectsOnceDescriptorsAreFree(t *testing.T) {
 	for _, reserved := range []bool{true, false} {
 		t.Run(fmt.Sprintf("reserved %v", reserved), func(t *testing.T) {
@@ -149,17 +150,17 @@
 	c := f.askRecorded(fleetRequest{id: "warm", product: "explain", tokens: 500})
 	f.runUntil(5*eventloop.Second, func() bool { return len(c.finals) > 0 })
 	clients := f.takeDescriptors(6000, 500)
-	f.world.Run(10 * eventloop.Millisecond)
+	f.network.Run(10 * eventloop.Millisecond)
 	if !reserved {
 		f.virtual().DescriptorLimit = 1
 	}
 	f.remote.Do(f.fleet.Discovery.ResetWatches)
-	f.world.Run(500 * eventloop.Millisecond)
+	f.network.Run(500 * eventloop.Millisecond)
 	updates := f.dispatcher.endpointUpdates
 	f.remote.Do(func() { f.fleet.Endpoints[1].Drain(60*eventloop.Second, 0) })
-	f.world.Run(2 * eventloop.Second)
+	f.network.Run(2 * eventloop.Second)
 	if (f.dispatcher.endpointUpdates != updates) != reserved {
-		t.Fatalf("discovery was heard: %v", !reserved)
+		t.Fatalf("an update from discovery arrived: %v", !reserved)
 	}
 	if reserved {
 		updates = 0
@@ -168,7 +169,7 @@
 	for _, client := range *clients {
 		f.remote.Do(client.conn.Abort)
 	}
-	f.world.Run(8 * eventloop.Second)
+	f.network.Run(8 * eventloop.Second)
 	entry := f.dispatcher.endpoints[f.fleet.Endpoints[1].Entry("").ID]
 	if f.dispatcher.endpointUpdates == updates || entry.Condition != "draining" {
 		t.Errorf("%d updates, then %d; the endpoint is %q", updates, f.dispatcher.endpointUpdates, entry.Condition)
@@ -176,6 +177,6 @@
 	c = f.askRecorded(fleetRequest{id: "after", product: "review-post", tokens: 500})
 	f.runUntil(5*eventloop.Second, func() bool { return len(c.finals) > 0 })
 	if len(c.finals) != 1 || c.finals[0] != "streamed" {
-		t.Errorf("afterwards: %v", c.finals)
+		t.Errorf("afterwards: final answers %v", c.finals)
 	}
 }
--- a/internal/dispatch/statelease_test.go
+++ b/internal/dispatch/statelease_test.go
@@ -6,14 +6,14 @@
 	"plumspindle/internal/eventloop"
 )
 
-// A decode that was written, and that nothing shows to be with a running endpoint, does not keep the prefill state: it
-// is released in time, and the attempt goes on.
+// A decode attempt was sent, but nothing shows that its endpoint is running: the prefill state is released in time, and
+// the attempt goes on.
 func TestStateOfAnUnansweredDecode(t *testing.T) {
 	for _, test := range []struct {
 		product string
 		final   string
 	}{
-		{"explain", "streamed"}, // by another endpoint
+		{"explain", "streamed"}, // the answer of another endpoint
 		{"review-post", "terminated"},
 	} {
 		r := newHarness(t, nil, "prefill west", "decode west", "decode west")
@@ -34,8 +34,9 @@
 	}
 }
 
-// An endpoint that sends events of another request, and has answered on the attempt's connection before, is running
-// with the attempt: its state stays until it has fetched it. A new connection may be with its machine alone.
+// If an endpoint sends events of another request, and has answered before on the attempt's connection, it is known to
+// be running with the attempt: the prefill state is kept until the endpoint has fetched it. A new connection is no such
+// sign, since the endpoint's machine may have accepted it without the endpoint's process.
 func TestStateAtAnEndpointThatIsSeenRunning(t *testing.T) {
 	const (
 		interval = 20 * eventloop.Millisecond
@@ -51,7 +52,7 @@
 		for range test.connections {
 			r.ask("explain")
 		}
-		r.world.Run(eventloop.Second)
+		r.network.Run(eventloop.Second)
 		decode.serve = func(c *fakeConn) {
 			streamFirstEvent(c)
 			for i := range events {
@@ -60,26 +61,26 @@
 			c.after(events*interval, c.finishStream)
 		}
 		r.ask("explain")
-		r.world.Run(100 * eventloop.Millisecond)
+		r.network.Run(100 * eventloop.Millisecond)
 		decode.serve = func(c *fakeConn) { c.after(queued, func() { answerDecode(c) }) }
 		prefills := prefill.attempts()
 		r.expectFinal(r.ask("review-post"), "streamed")
 		if prefill.attempts() != prefills+1 || prefill.releases() != test.wantReleases {
-			t.Errorf("%s: %d prefills, %d releases", name, prefill.attempts()-prefills, prefill.releases())
+			t.Errorf("%s: %d prefill attempts, %d releases", name, prefill.attempts()-prefills, prefill.releases())
 		}
 	}
 }
 
-// A decode whose connection does not come up is given up in time, however many endpoints there are to try, and the
-// state is released.
+// A decode attempt whose connection is never established is given up in time, however many endpoints are left to try,
+// and the prefill state is released.
 func TestStateOfAnUnsentDecode(t *testing.T) {
 	r := newHarness(t, nil, "prefill west", "decode west", "decode west", "decode west", "decode west")
-	away := r.world.NewLoop("away")
+	away := r.network.NewLoop("away")
 	listener, err := away.Listen("127.0.0.1:0", func(eventloop.Conn) eventloop.Handler { return &fakeConn{} })
 	if err != nil {
 		t.Fatal(err)
 	}
-	r.world.Block(r.virtual(), away, 10*eventloop.Second)
+	r.network.Block(r.virtual(), away, 10*eventloop.Second)
 	for _, endpoint := range r.endpoints[1:] {
 		entry := endpoint.entry("ready")
 		entry.Addr = listener.Addr()
--- a/internal/dispatch/stored_intents_test.go
+++ b/internal/dispatch/stored_intents_test.go
@@ -10,20 +10,20 @@
 	"plumspindle/internal/store"
 )
 
-// When the folder in testdata was written, in microseconds since 1970. Its dispatcher was killed at intentsKilled; the
-// windows are those of the standard deployment.
+// intentsKilled is when the dispatcher that wrote the folder in testdata was killed, in microseconds since 1970. The
+// windows are those of the products in the standard deployment.
 const (
-	intentsKilled eventloop.Micros = 1796217380651553
-	reviewPost                     = 600 * eventloop.Second
-	buildNote                      = 5 * eventloop.Second
+	intentsKilled    eventloop.Micros = 1796217380651553
+	reviewPostWindow                  = 600 * eventloop.Second
+	buildNoteWindow                   = 5 * eventloop.Second
 )
 
-// storedRequest is one whose intent is in the folder.
+// storedRequest is a request whose intent is stored in the folder.
 type storedRequest struct {
 	product string
 	key     string
 	tokens  int
-	until   eventloop.Micros // its key is remembered, by a dispatcher that starts at intentsKilled
+	until   eventloop.Micros // when its key expires in a dispatcher that starts at intentsKilled
 }
 
 var storedRequests = []storedRequest{
@@ -32,17 +32,17 @@
 	{"review-post", "makes the lazy records durable", 3, 1796217976589874},
 	{"review-post", "ended after the snapshot", 5, 1796217980260315},
 	{"build-note", "ended in its window", 3, 1796217385300671},
-	{"review-post", "cut off in its stream", 250, intentsKilled + reviewPost},
-	{"build-note", "cut off in its window", 190, intentsKilled + buildNote},
+	{"review-post", "cut off in its stream", 250, intentsKilled + reviewPostWindow},
+	{"build-note", "cut off in its window", 190, intentsKilled + buildNoteWindow},
 }
 
-// body is the request as it was sent when the folder was written; its digest is in the intent.
+// body returns the request's body as it was sent when the folder was written; the intent has its digest.
 func (s storedRequest) body(tokens int) string {
 	return fmt.Sprintf(`{"model": %q, "stream": true, "max_tokens": %d, "messages": [{"role": "user", "content": %q}]}`,
 		s.product, tokens, "why "+s.key+"?")
 }
 
-// storedDisk is a copy in memory of the folder in testdata.
+// storedDisk returns a copy of the folder in testdata on a disk in memory.
 func storedDisk(t *testing.T, loop eventloop.Loop) *memoryDisk {
 	t.Helper()
 	const folder = "testdata/intents-v1"
@@ -59,11 +59,11 @@
 	return disk
 }
 
-// startFromStored starts a dispatcher from the folder in testdata, at a time.
+// startFromStored starts a dispatcher with the intents from the folder in testdata, at the given time.
 func startFromStored(t *testing.T, at eventloop.Micros) *harness {
 	t.Helper()
 	r := newHarness(t, nil, "prefill west", "decode west")
-	loop := r.world.NewLoop("d.stored")
+	loop := r.network.NewLoop("d.stored")
 	loop.StepClock(at - loop.Now())
 	r.list.SavedAt = int64(at)
 	list, err := json.Marshal(r.list)
@@ -79,11 +79,11 @@
 	return r
 }
 
-// Each intent that an earlier version recorded is restored with its key, the digest of its request, and when it
-// expires: until then a repeat is rejected as one that ran, another request under its key as a misuse, and after it the
-// key is free.
+// Each intent that an earlier version recorded is restored with its key, the digest of its request and its expiry.
+// Until it expires, a repeat is rejected because the request ran, and another request with the key because the key was
+// reused. Afterwards the key is free.
 func TestRecallsIntentsOfEarlierVersion(t *testing.T) {
-	const around = 100 * eventloop.Millisecond // a request takes less to arrive
+	const around = 100 * eventloop.Millisecond // a request needs less time to arrive
 	for _, s := range storedRequests {
 		t.Run(s.key, func(t *testing.T) {
 			for _, ask := range []struct {
@@ -106,11 +106,11 @@
 	}
 }
 
-// A key whose time had passed before the start is free.
+// A key that expired before the dispatcher starts is free.
 func TestForgetsIntentsOfEarlierVersionInTime(t *testing.T) {
 	for _, s := range storedRequests {
-		// What was cut off is remembered from the start on.
-		if s.product != "build-note" || s.until == intentsKilled+buildNote {
+		// The window of a request that was running at the kill starts with the dispatcher.
+		if s.product != "build-note" || s.until == intentsKilled+buildNoteWindow {
 			continue
 		}
 		r := startFromStored(t, s.until+1)
