--- a/internal/dispatch/attempts_test.go
+++ b/internal/dispatch/attempts_test.go
@@ -75,7 +75,7 @@
 	}, "streamed", "streamed"},
 }
 
-// provesNotRun reports whether the endpoint has said that it did not run the attempt.
+// provesNotRun reports whether the endpoint's answer proves that it did not run the attempt.
 func (f decodeFailure) provesNotRun() bool {
 	return f.name == "full" || f.name == "draining" || f.name == "state lost"
 }
--- a/internal/dispatch/batch_call.go
+++ b/internal/dispatch/batch_call.go
@@ -63,7 +63,7 @@
 		if problem := frontend.RequireJSON(head, "gzip", "zstd"); problem != nil {
 			return nil, problem
 		}
-		limit, problem := readMilliseconds(head, timeLimitField, minTimeLimit)
+		limit, problem := readMilliseconds(head, timeLimitField, minTimeLimitMs)
 		if problem != nil {
 			return nil, problem
 		}
--- a/internal/dispatch/chat.go
+++ b/internal/dispatch/chat.go
@@ -26,9 +26,9 @@
 )
 
 const (
-	minTimeLimit            = 1   // ms
-	minHeartbeat            = 250 // ms
-	maxIdempotencyKeyLength = 255 // bytes
+	minTimeLimitMs         = 1
+	minHeartbeatMs         = 250
+	maxIdempotencyKeyBytes = 255
 )
 
 // responseIDBytes is the length of the digest in a response's id.
@@ -37,7 +37,7 @@
 // chatOptions are the options from the header of a chat request.
 type chatOptions struct {
 	deadline  eventloop.Micros
-	heartbeat eventloop.Micros // 0: none
+	heartbeat eventloop.Micros // interval of the heartbeats; 0: none
 }
 
 // handleChat handles a request for a chat completion. A returned problem is the answer. Without a problem, the answer
@@ -108,11 +108,11 @@
 func readChatOptions(
 	head *http1.Head, product *pb.Product, receivedAt eventloop.Micros,
 ) (chatOptions, *frontend.Problem) {
-	limit, problem := readMilliseconds(head, timeLimitField, minTimeLimit)
+	limit, problem := readMilliseconds(head, timeLimitField, minTimeLimitMs)
 	if problem != nil {
 		return chatOptions{}, problem
 	}
-	heartbeat, problem := readMilliseconds(head, heartbeatField, minHeartbeat)
+	heartbeat, problem := readMilliseconds(head, heartbeatField, minHeartbeatMs)
 	if problem != nil {
 		return chatOptions{}, problem
 	}
@@ -124,15 +124,15 @@
 }
 
 // readMilliseconds reads a header field with a number of milliseconds. It returns 0 if there is no such field.
-func readMilliseconds(head *http1.Head, field string, least uint64) (eventloop.Micros, *frontend.Problem) {
+func readMilliseconds(head *http1.Head, field string, minimum uint64) (eventloop.Micros, *frontend.Problem) {
 	text := head.Get(field)
 	if text == "" {
 		return 0, nil
 	}
 	ms, err := strconv.ParseUint(text, 10, 31)
-	if err != nil || ms < least {
+	if err != nil || ms < minimum {
 		return 0, frontend.Invalid(field, "invalid_value",
-			"The field %s must be a number of milliseconds, %d at least.", field, least)
+			"The field %s must be a number of milliseconds, %d at least.", field, minimum)
 	}
 	return eventloop.Micros(ms) * eventloop.Millisecond, nil
 }
--- a/internal/dispatch/dispatcher.go
+++ b/internal/dispatch/dispatcher.go
@@ -62,7 +62,7 @@
 	scheduler       *scheduler.Scheduler
 	schedulerConfig scheduler.Config
 	topology        schedulerhost.Topology
-	classes         map[string]scheduler.ClassID // by the product's name
+	classes         map[string]scheduler.ClassID // by the name of the product
 
 	requests      map[scheduler.RequestID]*request
 	lastRequestID scheduler.RequestID
--- a/internal/dispatch/idempotency.go
+++ b/internal/dispatch/idempotency.go
@@ -18,7 +18,7 @@
 func (d *Dispatcher) answerRepeat(
 	r *request, space, key string, response *frontend.Response,
 ) (answered bool, problem *frontend.Problem) {
-	if len(key) > maxIdempotencyKeyLength {
+	if len(key) > maxIdempotencyKeyBytes {
 		return false, idempotencyKeyTooLong()
 	}
 	keyDigest := sha256.Sum256([]byte(space + "\x00" + r.chat.Model + "\x00" + key))
@@ -92,7 +92,7 @@
 
 func idempotencyKeyTooLong() *frontend.Problem {
 	return frontend.Invalid(idempotencyKeyField, "invalid_value",
-		"The Idempotency-Key is longer than %d bytes.", maxIdempotencyKeyLength)
+		"The Idempotency-Key is longer than %d bytes.", maxIdempotencyKeyBytes)
 }
 
 func idempotencyKeyReused() *frontend.Problem {
--- a/internal/dispatch/intents.go
+++ b/internal/dispatch/intents.go
@@ -36,7 +36,7 @@
 
 func encodeIntent(record idempotency.Record) store.Op {
 	value := binary.LittleEndian.AppendUint64(nil, record.Request)
-	value = binary.LittleEndian.AppendUint64(value, uint64(record.Until))
+	value = binary.LittleEndian.AppendUint64(value, uint64(record.ExpiresAt))
 	value = binary.LittleEndian.AppendUint64(value, uint64(record.Window))
 	return store.Op{Key: intentKey(record.Key), Value: value}
 }
@@ -47,7 +47,7 @@
 	}
 	copy(record.Key[:], key[len(intentPrefix):])
 	record.Request = binary.LittleEndian.Uint64(value)
-	record.Until = eventloop.Micros(binary.LittleEndian.Uint64(value[8:]))
+	record.ExpiresAt = eventloop.Micros(binary.LittleEndian.Uint64(value[8:]))
 	record.Window = eventloop.Micros(binary.LittleEndian.Uint64(value[16:]))
 	return record, true
 }
@@ -66,13 +66,13 @@
 			return true
 		}
 		// The request was running, or the clock was ahead when the record was written: a window from now is enough.
-		if record.Until == 0 || record.Until > now+record.Window {
-			record.Until = now + record.Window
+		if record.ExpiresAt == 0 || record.ExpiresAt > now+record.Window {
+			record.ExpiresAt = now + record.Window
 		}
 		records = append(records, record)
 		return true
 	})
-	slices.SortStableFunc(records, func(a, b idempotency.Record) int { return int(a.Until - b.Until) })
+	slices.SortStableFunc(records, func(a, b idempotency.Record) int { return int(a.ExpiresAt - b.ExpiresAt) })
 	for _, record := range records {
 		d.idempotencyCache.Restore(record)
 	}
@@ -165,15 +165,15 @@
 	if d.config.Intents == nil {
 		return
 	}
-	if entry.Until() == 0 { // nothing ran and the key is free: a restart after a crash must not restore it
+	if entry.ExpiresAt() == 0 { // nothing ran and the key is free: a restart after a crash must not restore it
 		d.config.Intents.Flush()
 		return
 	}
 	end := encodeIntent(idempotency.Record{
-		Key:     entry.Key(),
-		Request: entry.Request(),
-		Until:   entry.Until(),
-		Window:  window,
+		Key:       entry.Key(),
+		Request:   entry.Request(),
+		ExpiresAt: entry.ExpiresAt(),
+		Window:    window,
 	})
 	_ = d.config.Intents.Commit([]store.Op{end}, nil, store.WriteLazy, nil)
 }
--- a/internal/dispatch/stored_intents_test.go
+++ b/internal/dispatch/stored_intents_test.go
@@ -20,10 +20,10 @@
 
 // storedRequest is a request whose intent is stored in the folder.
 type storedRequest struct {
-	product string
-	key     string
-	tokens  int
-	until   eventloop.Micros // when its key expires in a dispatcher that starts at intentsKilled
+	product   string
+	key       string
+	tokens    int
+	expiresAt eventloop.Micros // when its key expires in a dispatcher that starts at intentsKilled
 }
 
 var storedRequests = []storedRequest{
@@ -95,8 +95,8 @@
 				{intentsKilled, s.key, s.tokens, "409"},
 				{intentsKilled, s.key, s.tokens + 1, "422"},
 				{intentsKilled, "never used", s.tokens, "streamed"},
-				{s.until - around, s.key, s.tokens, "409"},
-				{s.until + 1, s.key, s.tokens, "streamed"},
+				{s.expiresAt - around, s.key, s.tokens, "409"},
+				{s.expiresAt + 1, s.key, s.tokens, "streamed"},
 			} {
 				r := startFromStored(t, intentsKilled)
 				r.virtual().StepClock(ask.at - r.virtual().Now())
@@ -110,10 +110,10 @@
 func TestForgetsIntentsOfEarlierVersionInTime(t *testing.T) {
 	for _, s := range storedRequests {
 		// The window of a request that was running at the kill starts with the dispatcher.
-		if s.product != "build-note" || s.until == intentsKilled+buildNoteWindow {
+		if s.product != "build-note" || s.expiresAt == intentsKilled+buildNoteWindow {
 			continue
 		}
-		r := startFromStored(t, s.until+1)
+		r := startFromStored(t, s.expiresAt+1)
 		r.expectFinal(r.send(s.body(s.tokens), "Idempotency-Key", s.key), "streamed")
 	}
 }
--- a/internal/idempotency/idempotency.go
+++ b/internal/idempotency/idempotency.go
@@ -42,10 +42,10 @@
 
 // Record is a key as it is stored for a restart of the dispatcher.
 type Record struct {
-	Key     Key
-	Request uint64 // digest of the request
-	Until   Micros // when the key expires; 0 while its request runs
-	Window  Micros // how long the key is remembered after the request's end
+	Key       Key
+	Request   uint64 // digest of the request
+	ExpiresAt Micros // when the key expires; 0 while its request runs
+	Window    Micros // how long the key is remembered after the request's end
 }
 
 // Entry is one remembered key with its request's answer.
@@ -54,7 +54,7 @@
 
 	key       Key
 	request   uint64 // digest of the request
-	until     Micros // when the key expires; 0 while the request runs
+	expiresAt Micros // when the key expires; 0 while the request runs
 	bytes     int    // total size of Events
 	buffered  bool   // Events has every event that was streamed
 	ended     bool
@@ -68,8 +68,8 @@
 // Request returns the digest of the entry's request.
 func (e *Entry) Request() uint64 { return e.request }
 
-// Until returns when the entry expires; 0 while its request runs.
-func (e *Entry) Until() Micros { return e.until }
+// ExpiresAt returns when the entry expires; 0 while its request runs.
+func (e *Entry) ExpiresAt() Micros { return e.expiresAt }
 
 // Cache holds keys and answers within its limits.
 type Cache struct {
@@ -157,7 +157,7 @@
 		c.remove(e)
 		return
 	}
-	e.until = now + outcome.Window
+	e.expiresAt = now + outcome.Window
 	if e.completed && e.buffered {
 		c.completed = append(c.completed, e)
 	} else {
@@ -167,10 +167,10 @@
 }
 
 // Restore adds a key that an earlier process recorded: its request ran or may have run, and its answer is lost. The
-// caller must restore into a new cache, in the order of Until. Restore adds records beyond the limit on entries too:
-// the limit decides which requests may run, and these requests may already have run.
+// caller must restore into a new cache, in the order of ExpiresAt. Restore adds records beyond the limit on entries
+// too: the limit decides which requests may run, and these requests may already have run.
 func (c *Cache) Restore(record Record) {
-	e := &Entry{key: record.Key, request: record.Request, until: record.Until, ended: true}
+	e := &Entry{key: record.Key, request: record.Request, expiresAt: record.ExpiresAt, ended: true}
 	c.entries[record.Key] = e
 	c.scheduleExpiry(e, record.Window)
 }
@@ -188,7 +188,7 @@
 func (c *Cache) expire(now Micros) {
 	for _, queue := range c.expiries {
 		n := 0
-		for n < len(queue.entries) && queue.entries[n].until <= now {
+		for n < len(queue.entries) && queue.entries[n].expiresAt <= now {
 			c.remove(queue.entries[n])
 			queue.entries[n] = nil
 			n++
--- a/internal/idempotency/idempotency_test.go
+++ b/internal/idempotency/idempotency_test.go
@@ -16,7 +16,7 @@
 	request   uint64
 	ended     bool
 	completed bool
-	until     Micros
+	expiresAt Micros
 	streamed  string
 }
 
@@ -31,7 +31,7 @@
 func (m *model) advance() {
 	m.now += Micros(rapid.IntRange(0, 30).Draw(m.t, "wait"))
 	for key, e := range m.entries {
-		if e.ended && e.until <= m.now {
+		if e.ended && e.expiresAt <= m.now {
 			delete(m.entries, key)
 		}
 	}
@@ -78,7 +78,7 @@
 	known.completed = ran && rapid.Bool().Draw(m.t, "completed")
 	window := windows[rapid.IntRange(0, 1).Draw(m.t, "window")]
 	m.cache.End(m.now, known.entry, Outcome{Completed: known.completed, MayHaveRun: ran, Window: window})
-	known.ended, known.until = true, m.now+window
+	known.ended, known.expiresAt = true, m.now+window
 	if !ran {
 		delete(m.entries, key)
 	}
--- a/internal/lifecycle/lifecycle.go
+++ b/internal/lifecycle/lifecycle.go
@@ -95,16 +95,16 @@
 	ReportCancelled                  // report the closed attempt as failed, once the scheduler's current call has returned
 	ReleaseAttempt                   // release the state that the last attempt may have left at its prefill endpoint
 	ReleaseState                     // release all prefill state of the request
-	StateFetched                     // the prefill state has been fetched; nothing is left to release
-	NotifyStarted                    // the attempt has sent its first event
-	NotifyEnded                      // the attempt has ended
-	NotifyDisconnected               // the client has disconnected
-	NotifyArrived                    // the request has arrived
-	NotifyWithdrawn                  // the request is withdrawn
+	StateFetched                     // record that the prefill state has been fetched, so that none is left to release
+	NotifyStarted                    // report that the attempt has sent its first event
+	NotifyEnded                      // report that the attempt has ended
+	NotifyDisconnected               // report that the client has disconnected
+	NotifyArrived                    // report that the request has arrived
+	NotifyWithdrawn                  // report that the request is withdrawn
 	ForwardEvent                     // forward the event to the client
-	AnswerCompleted                  // the answer is complete
-	AnswerRejected                   // the request was rejected
-	AnswerFailed                     // the request failed
+	AnswerCompleted                  // answer that the request completed
+	AnswerRejected                   // answer that the request was rejected
+	AnswerFailed                     // answer that the request failed
 	PauseAttempt                     // stop reading from the attempt
 	ResumeAttempt                    // read from the attempt again
 	Forget                           // remove the request from the dispatcher
