--- a/scheduler/api.go
+++ b/scheduler/api.go
@@ -5,7 +5,8 @@
 // Micros is a time or a span in whole microseconds, on the clock that the caller hands in.
 type Micros = timerqueue.Micros
 
-// Ids carry no meaning beyond equality. Each kind of id is a type of its own so that none passes for another.
+// Each kind of id has its own type, so that the compiler rejects a mix-up. TenantID, ClassID and KindID are indexes into
+// Config. The values of the other ids have no meaning: the scheduler compares, sorts and hashes them.
 type (
 	// RequestID names a client's request.
 	RequestID uint64
@@ -54,7 +55,7 @@
 
 // The timers.
 const (
-	PeriodicTimer TimerID = 1 // fires at each tick
+	PeriodicTimer TimerID = 1 // fires every periodicInterval, which is independent of Config.TickInterval
 	DeadlineTimer TimerID = 2 // fires at the earliest due time
 )
 
@@ -207,5 +208,5 @@
 	Requests      int
 	Attempts      int
 	Queued        int     // requests that wait for capacity
-	PrefillTokens float64 // of the requests that are being prefilled
+	PrefillTokens float64 // prompt and expected answer tokens of the requests that are prefilled before a decode
 }
--- a/scheduler/cell_links.go
+++ b/scheduler/cell_links.go
@@ -5,11 +5,12 @@
 // linkHealth is what is known of the links between cells, by the cell that states are fetched from.
 type linkHealth struct {
 	lastLateAt    map[CellID]Micros       // when a state was last late though its decode endpoint began others in time
-	handoverDelay map[CellID]decayingMean // seconds from the send of a state to its first token
+	handoverDelay map[CellID]decayingMean // seconds from sending a decode attempt that fetches a state to its first token
 }
 
-// handoverDelay is the recent mean of the seconds from the send of a state out of a cell to its first token. It counts
-// as prefill work there, so that cells whose link or decode endpoints are overloaded get fewer prefills.
+// handoverDelay is the recent mean of the seconds from sending a decode attempt that fetches a state from the cell to
+// its first token. pickPrefill adds the excess over half the late-start limit to the wait of the cell's prefill
+// endpoints, so that cells whose link or decode endpoints are overloaded get fewer prefills.
 func (s *Scheduler) handoverDelay(cell CellID) float64 {
 	return s.links.handoverDelay[cell].valueAt(s.now, s.typicalHandoverDelay())
 }
@@ -18,7 +19,8 @@
 	return s.estimates.firstTokenLatency / float64(sec)
 }
 
-// recordHandover updates the delay by an attempt that fetches a state, when its answer begins or it ends without one.
+// recordHandover adds the delay of an attempt that fetches a state. It is called when the attempt's answer begins, and
+// when the attempt times out or is cancelled without one.
 func (s *Scheduler) recordHandover(att *attempt) {
 	if att.decodes && att.prefillTokens == 0 {
 		delay := s.links.handoverDelay[att.stateCell]
--- a/scheduler/decode_memory.go
+++ b/scheduler/decode_memory.go
@@ -23,7 +23,7 @@
 type memoryState struct {
 	noCapacityUntil Micros  // after an attempt that it had no capacity for
 	timelyStartAt   Micros  // when an answer last began in time
-	limit           float64 // of this dispatcher's reservations when an answer began late
+	limit           float64 // on this dispatcher's reservations, in tokens, as set by the last cut
 	limitCutAt      Micros  // 0 if the limit was never cut: there is none
 
 	reportedUsage    float64 // share of its memory that was last reported as taken, or NoLoadReport
--- a/scheduler/decode_placement.go
+++ b/scheduler/decode_placement.go
@@ -26,8 +26,8 @@
 	s.send(req, ep, prefillTokens, func(res AttemptResult) { s.decodeEnded(req, ep, res) })
 }
 
-// decode sends a request with a prefilled state to a decode endpoint, even to one that does not fit: a state must not
-// wait. If there is none, the state is released and the request placed again.
+// decode sends a request with a prefilled state to a decode endpoint, even to one that does not fit, because a state
+// must not wait. If there is no decode endpoint or no attempt left, it releases the state and places the request again.
 func (s *Scheduler) decode(req *request) {
 	if ep, _ := s.pickDecode(req, req.stateAt); ep != nil && req.attemptsSent < s.MaxAttempts {
 		s.sendToDecode(req, ep, 0)
@@ -135,9 +135,10 @@
 	return fits && s.capacityBesidePrefills(req)
 }
 
-// capacityBesidePrefills compares what is being prefilled with what the decode endpoints that fit can still reserve:
-// every prefill must be decoded, and without this check the first free slot would start a burst of prefills. An
-// endpoint that is warming up counts as capacity for one request.
+// capacityBesidePrefills reports whether the decode and mixed endpoints that fit can still reserve the tokens of this
+// request and of all requests that are being prefilled. Every prefill must be decoded, and without this check the first
+// free slot would start a burst of prefills. An endpoint that is warming up counts as capacity for one request. While
+// nothing is being prefilled, a request always passes.
 func (s *Scheduler) capacityBesidePrefills(req *request) bool {
 	adds := req.memoryTokens()
 	left := -s.prefilling - adds
--- a/scheduler/estimates.go
+++ b/scheduler/estimates.go
@@ -15,7 +15,8 @@
 	meanWeight   = 0.3  // weight of one observation in a decayingMean
 )
 
-// estimates are running means over this dispatcher's own attempts.
+// estimates holds running means: the latencies over this dispatcher's own attempts, and the request sizes over the
+// requests that arrived here.
 type estimates struct {
 	prefillLatency    float64   // Micros from the send to the end of a prefill
 	firstTokenLatency float64   // Micros from the send to the first token, where nothing had to be prefilled
--- a/scheduler/request_queue.go
+++ b/scheduler/request_queue.go
@@ -7,7 +7,7 @@
 
 const (
 	maxMisses  = 6  // queued requests that find no capacity before the rest is not tried
-	shortQueue = 64 // queued requests from which on they are sorted at ticks only
+	shortQueue = 64 // number of queued requests from which the queue is sorted only when the periodic timer fires
 )
 
 // requestQueue has the requests that wait for capacity.
--- a/scheduler/slow_start.go
+++ b/scheduler/slow_start.go
@@ -40,10 +40,10 @@
 	return ep.startedAt > 0 && s.now-ep.startedAt < s.WarmUp
 }
 
-// measureWarmThroughput updates the recent throughput of warm endpoints of each role. It runs at each tick, not only
-// while endpoints are warming up, and the last value remains: when all endpoints of a role restart together, there is
-// no warm one to measure. Endpoints that look faulty do not count, as dead ones that are still listed would lower the
-// mean.
+// measureWarmThroughput updates the recent throughput of warm endpoints of each role. It runs each time the periodic
+// timer fires, not only while endpoints are warming up, and keeps the last value: when all endpoints of a role restart
+// together, there is no warm one to measure. Endpoints that look faulty do not count, because dead ones that are still
+// listed would lower the mean.
 func (s *Scheduler) measureWarmThroughput() {
 	var sum, count [roleCount]float64
 	s.examined += uint64(len(s.endpoints.all))
