--- a/internal/schedulerhost/log.go
+++ b/internal/schedulerhost/log.go
@@ -8,13 +8,13 @@
 	"plumspindle/scheduler"
 )
 
-// Messages of the scheduler's events; all that varies is in the keys.
+// Log messages of the scheduler's events. The messages are constant; the details are in the structured fields.
 const (
 	EndpointEjected = "endpoint ejected"
 	SendBlocked     = "send blocked by guard"
 )
 
-// WriteLog writes one of the scheduler's events to a structured log.
+// WriteLog writes a scheduler event to a structured log.
 func WriteLog(log *zerolog.Logger, event scheduler.Event) {
 	switch e := event.(type) {
 	case scheduler.EndpointEjected:
--- a/internal/schedulerhost/topology.go
+++ b/internal/schedulerhost/topology.go
@@ -1,6 +1,6 @@
-// Package schedulerhost is what the programs that run a scheduler have in common: the names of zones and kinds in the
-// scheduler's terms, and its events in the log. It relies on the scheduler's types and on zerolog, stores only names,
-// and decides nothing.
+// Package schedulerhost is shared by the programs that run a scheduler. It translates the names of zones and endpoint
+// kinds to the scheduler's ids and roles, and writes the scheduler's events to the log. It makes no scheduling
+// decisions.
 package schedulerhost
 
 import (
@@ -11,18 +11,19 @@
 	"plumspindle/scheduler"
 )
 
-// UnknownKind is a kind that the configuration does not name; the scheduler sends nothing to its endpoints.
+// UnknownKind stands for a kind that the configuration does not name. The scheduler sends nothing to endpoints of an
+// unknown kind.
 const UnknownKind scheduler.KindID = 255
 
-// Topology is the zones and the kinds of endpoints that the configuration names.
+// Topology holds the zones and the endpoint kinds that the configuration names.
 type Topology struct {
 	zones []string
 	kinds []string
 	roles []scheduler.Role // by kind
 }
 
-// NewTopology takes the names of zones and kinds in the order of the scheduler's numbers. Names beyond the
-// scheduler's kinds are unknown kinds.
+// NewTopology returns a topology. The index of a name in zones or kindNames is its id in the scheduler. Names of kinds
+// beyond the length of kinds count as unknown.
 func NewTopology(zones, kindNames []string, kinds []scheduler.Kind) Topology {
 	t := Topology{zones: zones, kinds: kindNames[:min(len(kindNames), len(kinds))]}
 	for i := range t.kinds {
@@ -31,8 +32,8 @@
 	return t
 }
 
-// Locate returns the numbers of an endpoint's zone and kind. Where the configuration does not name one of them the kind
-// is UnknownKind, and a warning is logged.
+// Locate returns the ids of an endpoint's zone and kind. If the configuration does not name the zone or the kind,
+// Locate returns UnknownKind and logs a warning.
 func (t Topology) Locate(log *zerolog.Logger, endpoint, zone, kind string) (scheduler.ZoneID, scheduler.KindID) {
 	zoneIndex := slices.Index(t.zones, zone)
 	if zoneIndex < 0 {
@@ -47,7 +48,7 @@
 	return scheduler.ZoneID(zoneIndex), scheduler.KindID(kindIndex)
 }
 
-// Role returns the role of a kind; one that the configuration does not name counts as scheduler.Decode.
+// Role returns the role of a kind, or scheduler.Decode if the configuration does not name the kind.
 func (t Topology) Role(kind string) scheduler.Role {
 	if i := slices.Index(t.kinds, kind); i >= 0 {
 		return t.roles[i]
--- a/scheduler/api.go
+++ b/scheduler/api.go
@@ -2,49 +2,49 @@
 
 import "plumspindle/scheduler/timerqueue"
 
-// Micros is a time or a span in whole microseconds, on the clock that the caller hands in.
+// Micros is a time or a duration in whole microseconds. Times are on the caller's clock.
 type Micros = timerqueue.Micros
 
-// Each kind of id has its own type, so that the compiler rejects a mix-up. TenantID, ClassID and KindID are indexes into
-// Config. The values of the other ids have no meaning: the scheduler compares, sorts and hashes them.
+// Each kind of id has its own type, so that the compiler rejects a mix-up. TenantID, ClassID and KindID are indexes
+// into Config. The values of the other ids have no meaning: the scheduler compares, sorts and hashes them.
 type (
 	// RequestID names a client's request.
 	RequestID uint64
 	// EndpointID names a model server.
 	EndpointID uint32
-	// SessionID names the requests of one conversation.
+	// SessionID names a conversation, which may have several requests.
 	SessionID uint64
 	// PrefixID names a prefix that prompts share.
 	PrefixID uint64
-	// TenantID is a tenant's place in Config.Quotas.
+	// TenantID is a tenant's index in Config.Quotas.
 	TenantID uint16
-	// ClassID is a request class's place in Config.Classes.
+	// ClassID is a request class's index in Config.Classes.
 	ClassID uint8
 	// ZoneID names a zone.
 	ZoneID uint8
-	// KindID is an endpoint kind's place in Config.Kinds.
+	// KindID is an endpoint kind's index in Config.Kinds.
 	KindID uint8
-	// CellID names a cell: endpoints with fast links between them.
+	// CellID names a cell: a group of endpoints with fast links between them.
 	CellID uint16
-	// AttemptNo counts the attempts of one request from zero.
+	// AttemptNo numbers the attempts of one request from zero.
 	AttemptNo uint16
 )
 
-// Executor carries out what a scheduler orders, in the order of the calls.
+// Executor carries out a scheduler's actions, in the order of the calls.
 type Executor interface {
-	// Send makes the request's next attempt at an endpoint; timeout counts from now.
+	// Send sends the request to an endpoint as its next attempt. The timeout starts now.
 	Send(request RequestID, endpoint EndpointID, timeout Micros)
-	// Reject gives the final answer of a request that its client may send again after a while.
+	// Reject gives the client a final answer that lets it send the request again after retryAfter.
 	Reject(request RequestID, retryAfter Micros)
-	// Fail gives the final answer of a request that failed.
+	// Fail gives the client a final answer that says that the request failed.
 	Fail(request RequestID)
-	// Cancel stops an attempt. Its end is still reported by AttemptEnded.
+	// Cancel stops an attempt. The caller still reports the attempt's end by AttemptEnded.
 	Cancel(request RequestID, attempt AttemptNo)
-	// Release has the prefill endpoints drop the request's state.
+	// Release tells the prefill endpoints to drop the request's state.
 	Release(request RequestID)
 	// WatchEndpoints asks for the endpoint list.
 	WatchEndpoints()
-	// SetTimer calls TimerFired once after a while; it does not replace timers that are set.
+	// SetTimer has TimerFired called once after the given duration. Timers that are already set stay set.
 	SetTimer(after Micros, timer TimerID)
 	// Log writes an event to the log.
 	Log(event Event)
@@ -56,7 +56,7 @@
 // The timers.
 const (
 	PeriodicTimer TimerID = 1 // fires every periodicInterval, which is independent of Config.TickInterval
-	DeadlineTimer TimerID = 2 // fires at the earliest due time
+	DeadlineTimer TimerID = 2 // fires when the first deadline or delayed call of the instance is due
 )
 
 // Role is what a kind of endpoint can do.
@@ -67,42 +67,42 @@
 	Prefill  Role = iota // prefills prompts and stores their state until it is fetched
 	Decode               // fetches a state and generates the answer
 	Mixed                // does both
-	Embedder             // serves prefill-only requests, and nothing else
+	Embedder             // serves only prefill-only requests
 
 	roleCount = iota
 )
 
-// Effect says what sending a request of a class twice would do.
+// Effect says whether it is safe to run a request of a class twice.
 type Effect uint8
 
 // The effects.
 const (
-	Idempotent    Effect = iota // nothing
-	Deduplicated                // nothing at the endpoints of its group within a window
-	NonIdempotent               // its effect would happen twice
+	Idempotent    Effect = iota // a repeat is always harmless
+	Deduplicated                // a repeat within Class.Window is harmless at the endpoints of Class.Group
+	NonIdempotent               // a repeat would repeat the request's effect
 )
 
-// Group names the endpoints that recognise each other's repeats of a deduplicated request.
+// Group is the set of endpoints that recognise a repeat of a deduplicated request, relative to its first attempt.
 type Group uint8
 
 // The groups.
 const (
 	AllEndpoints Group = iota
-	SameZone           // as the first attempt
-	SameCell
+	SameZone           // endpoints in the zone of the first attempt
+	SameCell           // endpoints in the cell of the first attempt
 )
 
-// EndpointState is what the endpoint list says of an endpoint.
+// EndpointState is the state of an endpoint as given by the endpoint list.
 type EndpointState uint8
 
 // The states.
 const (
 	Ready    EndpointState = iota
-	Draining               // it finishes its requests and accepts no new ones
+	Draining               // the endpoint finishes its requests and accepts no new ones
 	Removed
 )
 
-// Outcome is how an attempt ended.
+// Outcome says how an attempt ended.
 type Outcome uint8
 
 // The outcomes.
@@ -112,8 +112,8 @@
 	Errored
 	NoCapacity
 	TimedOut
-	Unreachable    // no connection in time
-	ConnectionLost // the connection broke with the attempt on it
+	Unreachable    // no connection was established in time
+	ConnectionLost // the connection broke during the attempt
 	Cancelled
 	NotSent
 )
@@ -123,16 +123,16 @@
 	return o == NoCapacity || o == Unreachable || o == NotSent || o == PrefillDone
 }
 
-// NoLoadReport stands for the memory usage of a result that came without a load report.
+// NoLoadReport is the MemoryUsage of a result that came without a load report.
 const NoLoadReport = -1.0
 
-// Class is what the deployment promises for one class of requests.
+// Class describes one class of requests: its latency targets, its revenue, and whether its requests may be repeated.
 type Class struct {
-	SLO              Micros // to the first token
-	SLOPer1000       Micros // added for each 1,000 tokens of the prompt
-	TokenSLO         Micros // for each further token
-	Window           Micros // in which the repeats of a deduplicated request are recognised
-	Revenue          float64
+	SLO              Micros  // target for the time from arrival to the first token
+	SLOPer1000       Micros  // added to SLO for each 1,000 tokens of the prompt
+	TokenSLO         Micros  // target for the time between tokens after the first
+	Window           Micros  // time in which endpoints recognise the repeats of a deduplicated request
+	Revenue          float64 // earned by an answer that meets its SLO
 	LateRevenueShare float64 // share of the revenue that a late answer still earns
 	Effect           Effect
 	Group            Group
@@ -142,45 +142,46 @@
 // Kind is one kind of endpoint.
 type Kind struct {
 	Role   Role
-	Memory float64 // tokens
+	Memory float64 // size of the KV cache in tokens
 }
 
 // Config describes the deployment that an instance serves in.
 type Config struct {
 	Dispatchers     int
-	Zone            ZoneID // of this dispatcher
+	Zone            ZoneID // zone of this dispatcher
 	Classes         []Class
 	Kinds           []Kind
-	Quotas          []float64 // requests a second inside each tenant's quota, over all dispatchers
-	OverQuotaWeight float64   // of the value of a request beyond its tenant's quota
-	DecodePrefills  bool      // decode endpoints can prefill what they decode
-	MaxAttempts     int       // of one request
+	Quotas          []float64 // each tenant's quota in requests per second, over all dispatchers
+	OverQuotaWeight float64   // factor for the value of a request that exceeds its tenant's quota
+	DecodePrefills  bool      // decode endpoints can prefill the requests that they decode
+	MaxAttempts     int       // per request
 	CancelAllowed   bool
 	MaxRetryAfter   Micros
 	WatchOnDemand   bool    // the endpoint list is sent only after WatchEndpoints
-	TickInterval    Micros  // of the caller, which reports events at its ticks only
+	TickInterval    Micros  // period of the caller's ticks; the caller reports events only at its ticks
 	IdleTimeout     Micros  // after which an unused connection is closed
 	ConnectTimeout  Micros  // after which an attempt that got no connection is never sent
-	WarmUp          Micros  // of an endpoint whose process has just started
-	SlowStartFactor float64 // share of its warm throughput that an endpoint has at its start
+	WarmUp          Micros  // time that an endpoint needs after its process has started to reach its full throughput
+	SlowStartFactor float64 // share of its warm throughput that an endpoint has when its process starts
 
-	// The overload rule: an endpoint is overloaded by more than the factor times the work that it can do in the window.
+	// The overload rule: an endpoint that gets more than OverloadFactor times the work that it can do within
+	// OverloadWindow is overloaded.
 	OverloadWindow Micros
 	OverloadFactor float64
 }
 
-// Arrival is a client's request as it is reported to the scheduler. The counts are tokens.
+// Arrival is a client's request as the caller reports it to the scheduler.
 type Arrival struct {
 	ID              RequestID
 	Session         SessionID
-	Prefix          PrefixID // of the prompt, shared with other requests; 0 if none is named
+	Prefix          PrefixID // prefix that the prompt shares with other requests; 0 if none is named
 	Class           ClassID
 	Tenant          TenantID
 	PromptTokens    float64
-	PrefixTokens    float64 // tokens of the prompt in its shared prefix
+	PrefixTokens    float64 // tokens of the prompt that belong to its shared prefix
 	MaxOutputTokens float64
-	DecodeTime      Micros // expected for decoding; 0 if it is not known
-	Deadline        Micros // by which the client needs its final answer
+	DecodeTime      Micros // expected time for decoding; 0 if it is not known
+	Deadline        Micros // time by which the client needs its final answer
 }
 
 // EndpointStatus is one entry of the endpoint list.
@@ -190,20 +191,20 @@
 	Kind      KindID
 	Cell      CellID
 	State     EndpointState
-	StartedAt Micros // of its process, on the caller's clock; 0 if it is not known
+	StartedAt Micros // when its process started, on the caller's clock; 0 if it is not known
 }
 
-// AttemptResult is how an attempt ended.
+// AttemptResult is the result of an attempt that has ended.
 type AttemptResult struct {
 	Outcome       Outcome
-	CachedTokens  int     // tokens of the prompt that the prefill endpoint had cached; with PrefillDone only
-	StateMissing  bool    // the decode endpoint found no state to fetch; with NoCapacity only
-	StateReleased bool    // the state's lease ran out during the decode attempt, and the state was released
+	CachedTokens  int     // tokens of the prompt that the prefill endpoint had cached; set with PrefillDone only
+	StateMissing  bool    // there was no state for the decode endpoint to fetch; set with NoCapacity only
+	StateReleased bool    // the state's lease expired during the decode attempt, and the state was released
 	RequestClosed bool    // the client has its final answer, or has disconnected
-	MemoryUsage   float64 // share of the endpoint's memory that is taken, or NoLoadReport
+	MemoryUsage   float64 // share of the endpoint's memory that is in use, or NoLoadReport
 }
 
-// InFlight is what a scheduler has in flight.
+// InFlight counts the requests and the work that a scheduler has in flight.
 type InFlight struct {
 	Requests      int
 	Attempts      int
--- a/scheduler/attempt.go
+++ b/scheduler/attempt.go
@@ -2,26 +2,27 @@
 
 import "slices"
 
-// attempt is one send of a request to an endpoint.
+// attempt is one attempt of a request at an endpoint.
 type attempt struct {
 	number        AttemptNo
 	request       *request
 	endpoint      *endpoint
 	sentAt        Micros
-	prefillTokens float64 // of the prompt that are still to be prefilled there
-	tokensAhead   float64 // of other requests that were to be prefilled before it
-	memoryTokens  float64 // that its answer is expected to take
+	prefillTokens float64 // tokens of the prompt that the endpoint still has to prefill
+	tokensAhead   float64 // tokens of other requests that the endpoint had to prefill first when the attempt was sent
+	memoryTokens  float64 // memory that the request is expected to take at its decode endpoint
 	decodes       bool
-	started       bool
-	lateAt        Micros // after which its start is late
-	crossesCells  bool   // its state is fetched from another cell,
-	stateCell     CellID // this one
-	cancelled     bool   // by us
-	newConnection bool   // sent without an open connection to the endpoint
+	started       bool   // the answer has begun to stream
+	lateAt        Micros // time after which the start of the answer is late
+	crossesCells  bool   // the state is fetched from another cell than the endpoint's
+	stateCell     CellID // cell of the endpoint that stores the state
+	cancelled     bool   // the scheduler has cancelled it
+	newConnection bool   // there was probably no open connection to the endpoint
 	onResult      func(AttemptResult)
 }
 
-// send makes an attempt, unless no attempt or time is left or the guard stops it. onResult is called with its result.
+// send sends a request to an endpoint and calls onResult when that attempt has ended. If the request has no attempt or
+// time left, or the guard blocks the attempt, send ends the request with a final answer instead.
 func (s *Scheduler) send(req *request, ep *endpoint, prefillTokens float64, onResult func(AttemptResult)) {
 	switch {
 	case req.attemptsSent >= s.MaxAttempts:
@@ -55,7 +56,8 @@
 	s.executor.Send(req.id, ep.id, s.attemptTimeout(att))
 }
 
-// currentAttempt is the request's attempt in flight if it has this number, otherwise nil: the event is late or unknown.
+// currentAttempt returns the request's attempt in flight if it has this number. Otherwise it returns nil: the event is
+// late, or its request is unknown.
 func (s *Scheduler) currentAttempt(id RequestID, number AttemptNo) *attempt {
 	if req := s.requests[id]; req != nil && req.attempt != nil && req.attempt.number == number {
 		return req.attempt
@@ -63,7 +65,8 @@
 	return nil
 }
 
-// prefillFinished stops counting an attempt's prompt as work to prefill and its first token as pending.
+// prefillFinished stops counting the attempt's prompt as prefill work of its endpoint, and stops waiting for its first
+// token.
 func (att *attempt) prefillFinished() {
 	ep := att.endpoint
 	ep.load.unprefilledTokens = max(ep.load.unprefilledTokens-att.prefillTokens, 0)
@@ -71,7 +74,7 @@
 	ep.pending = slices.DeleteFunc(ep.pending, func(other *attempt) bool { return other == att })
 }
 
-// AttemptStarted records that the answer has begun to stream to the client. Its deadline timer is dropped.
+// AttemptStarted records that the answer has begun to stream to the client, which ends the request's deadline timer.
 func (s *Scheduler) AttemptStarted(now Micros, id RequestID, number AttemptNo) {
 	s.now = now
 	att := s.currentAttempt(id, number)
@@ -79,7 +82,7 @@
 		return
 	}
 	if att.prefillTokens == 0 {
-		blend(&s.estimates.firstTokenLatency, float64(now-att.sentAt))
+		updateRunningMean(&s.estimates.firstTokenLatency, float64(now-att.sentAt))
 	}
 	s.recordHandover(att)
 	att.started, att.request.stateAt = true, nil
@@ -87,14 +90,14 @@
 	att.prefillFinished()
 	ep := att.endpoint
 	ep.outlier.recordSuccess()
-	ep.outlier.lastHeard = now
+	ep.outlier.lastReplyAt = now
 	switch {
 	case now <= att.lateAt:
-		ep.memory.timelyStartAt = now
+		ep.memory.lastTimelyStartAt = now
 		if att.crossesCells {
 			delete(s.links.lastLateAt, att.stateCell)
 		}
-	case lateByLink(att):
+	case delayedByLink(att):
 		s.links.lastLateAt[att.stateCell] = now
 	default:
 		s.cutReservationLimit(ep)
@@ -134,18 +137,19 @@
 	case res.RequestClosed || req.answered:
 		req.answered = true
 		if !att.decodes && !s.Classes[req.class].PrefillOnly {
-			req.stateAt = att.endpoint // a cancelled prefill may have ended too, and a needless release is harmless
+			req.stateAt = att.endpoint // a cancelled prefill may have completed, and a needless release is harmless
 		}
 		s.finish(req)
 	case att.started:
-		// The stream ended before the answer was complete, as when a cancel crossed its start: the client needs an answer.
+		// The stream ended before the answer was complete, for example because the attempt was cancelled while its first
+		// token was on the way. The client still needs a final answer.
 		s.rejectOrFail(req, StreamEndedEarly)
 	default:
 		att.onResult(res)
 	}
 }
 
-// recordConnection updates how often new connections fail.
+// recordConnection updates the share of new connections that fail.
 func (s *Scheduler) recordConnection(att *attempt, outcome Outcome) {
 	if !att.newConnection {
 		return
--- a/scheduler/candidates.go
+++ b/scheduler/candidates.go
@@ -6,34 +6,34 @@
 )
 
 const (
-	// How many dispatchers may find the same endpoint to be the least filled one.
+	// Mean number of dispatchers that may choose the same endpoint because it looks the least filled to all of them.
 	dispatchersPerChoice = 4
 
-	// Share of failed connection attempts from which on endpoints with an open connection are preferred.
+	// Share of new connections that fail from which endpoints with an open connection are preferred.
 	connectFailureLimit = 0.3
 )
 
-// scratch is memory that decisions reuse, so that they do not allocate.
+// scratch holds buffers that decisions reuse, so that they do not allocate.
 type scratch struct {
-	endpoints []*endpoint // a stack of lists; release gives back those made since a mark
+	endpoints []*endpoint // a stack of lists; release pops the lists that were pushed since mark
 	numbers   []float64
 	cells     []CellID
 }
 
 func (s *scratch) mark() int { return len(s.endpoints) }
 
-// release gives back the lists that were made since the mark: one decision makes several, and none outlives it.
+// release pops the lists that were pushed since the mark. A decision pushes several lists and must not keep any.
 func (s *scratch) release(mark int) { s.endpoints = s.endpoints[:mark] }
 
-// candidates are the endpoints of some roles that the request may be sent to now. Where none of them is acceptable,
-// health is ignored: when all look faulty, the cause is more likely the network or this dispatcher. Readiness, safe
-// retries and slow start are never ignored.
+// candidates returns the endpoints of the given roles that the request may be sent to now. If outlier ejection would
+// exclude all of them, it is ignored: when all endpoints look faulty, the cause is more likely the network or this
+// dispatcher. The other conditions, such as readiness, safe retries and slow start, always apply.
 func (s *Scheduler) candidates(req *request, roles ...Role) []*endpoint {
 	from := s.scratch.mark()
 	s.examined += uint64(len(s.endpoints.all))
 	for _, ep := range s.endpoints.all {
 		if !slices.Contains(roles, ep.role) || !ep.ready || req.stateAt == nil && s.now < ep.memory.noCapacityUntil {
-			continue // one without capacity is never tried all the same: that would use up the remaining attempts
+			continue // trying an endpoint without capacity would use up the remaining attempts
 		}
 		if slices.Contains(req.tried, ep) || !s.mayRetry(req, ep) || !s.slowStartAllows(ep) {
 			continue
@@ -49,15 +49,17 @@
 	return s.preferConnected(found)
 }
 
-// replaceableCandidates are the candidates of roles that others can stand in for. Health is judged among all roles: a
-// dead endpoint that is the only one of its role must not be accepted because nothing better has that role.
+// replaceableCandidates returns the candidates of roles whose work endpoints of other roles can do. Outlier ejection is
+// ignored only if it would exclude the candidates of all roles: a dead endpoint must not be accepted because it is the
+// only one of its role.
 func (s *Scheduler) replaceableCandidates(req *request, roles ...Role) []*endpoint {
 	all := s.candidates(req, Prefill, Decode, Mixed)
 	return slices.DeleteFunc(all, func(ep *endpoint) bool { return !slices.Contains(roles, ep.role) })
 }
 
-// preferConnected filters endpoints while new connections often fail, because they are slow to set up or the endpoints
-// accept no more: those with an open connection remain, and all of a role where none has one.
+// preferConnected filters endpoints while new connections often fail, because they are slow to establish or because the
+// endpoints accept no more of them. It drops the endpoints without an open connection if another endpoint of the same
+// role has one.
 func (s *Scheduler) preferConnected(endpoints []*endpoint) []*endpoint {
 	if s.connectFailures.valueAt(s.now, 0) < connectFailureLimit {
 		return endpoints
@@ -69,13 +71,14 @@
 	return slices.DeleteFunc(endpoints, func(ep *endpoint) bool { return connected[ep.role] && !s.hasConnection(ep) })
 }
 
-// hasConnection estimates whether a connection to the endpoint is open: it replied within the idle timeout.
+// hasConnection estimates whether a connection to the endpoint is open, by whether the endpoint has replied within the
+// idle timeout.
 func (s *Scheduler) hasConnection(ep *endpoint) bool {
-	return ep.outlier.lastHeard > 0 && s.now-ep.outlier.lastHeard < s.IdleTimeout
+	return ep.outlier.lastReplyAt > 0 && s.now-ep.outlier.lastReplyAt < s.IdleTimeout
 }
 
-// sample picks some of the endpoints at random where there are many dispatchers: all of them see the same load
-// reports, and would all send to the endpoint that was last reported the least filled.
+// sample returns a random subset of the endpoints if there are many dispatchers. All dispatchers see the same load
+// reports, and without sampling they would all choose the endpoint with the lowest reported usage.
 func (s *Scheduler) sample(endpoints []*endpoint) []*endpoint {
 	n := max(2, len(endpoints)*dispatchersPerChoice/max(s.Dispatchers, 1))
 	if n >= len(endpoints) {
@@ -85,8 +88,8 @@
 	return endpoints[:n]
 }
 
-// lowestCost is the endpoint of the lowest cost below infinity. The search starts at random, because after a restart
-// all costs are equal and the requests must not all go to the same endpoint.
+// lowestCost returns the endpoint with the lowest finite cost, or nil if there is none. The search starts at a random
+// endpoint, because after a restart all costs are equal and the requests must not all go to the same endpoint.
 func (s *Scheduler) lowestCost(endpoints []*endpoint, cost func(*endpoint) float64) (best *endpoint) {
 	if len(endpoints) == 0 {
 		return nil
--- a/scheduler/cell_links.go
+++ b/scheduler/cell_links.go
@@ -2,9 +2,10 @@
 
 import "slices"
 
-// linkHealth is what is known of the links between cells, by the cell that states are fetched from.
+// linkHealth is what this dispatcher knows about the links between cells. Its maps are keyed by the cell that states
+// are fetched from.
 type linkHealth struct {
-	lastLateAt    map[CellID]Micros       // when a state was last late though its decode endpoint began others in time
+	lastLateAt    map[CellID]Micros       // when a state last arrived late because of the cell's link
 	handoverDelay map[CellID]decayingMean // seconds from sending a decode attempt that fetches a state to its first token
 }
 
@@ -29,15 +30,15 @@
 	}
 }
 
-// lateByLink reports whether a late start is the link's fault: the state is fetched from another cell, and the endpoint
-// has since begun another answer in time.
-func lateByLink(att *attempt) bool {
-	return att.crossesCells && att.endpoint.memory.timelyStartAt > att.sentAt
+// delayedByLink reports whether the link between cells is the cause of an attempt's late start. That is so if the state
+// is fetched from another cell and the decode endpoint has meanwhile begun another answer in time.
+func delayedByLink(att *attempt) bool {
+	return att.crossesCells && att.endpoint.memory.lastTimelyStartAt > att.sentAt
 }
 
-// linkCongested reports whether states from a cell are late though their decode endpoints are healthy, so that its link
-// is overloaded or failing. Meanwhile its states go to decode endpoints inside the cell, and prompts are prefilled
-// where a decode endpoint accepts their state.
+// linkCongested reports whether the link out of a cell is overloaded or failing: states from the cell arrive late
+// although their decode endpoints are healthy. While a link is congested, states of the cell are decoded inside the
+// cell, and a prompt is prefilled in the cell only if a decode endpoint there has capacity for it.
 func (s *Scheduler) linkCongested(cell CellID, req *request, congested []CellID) bool {
 	if at, seen := s.links.lastLateAt[cell]; seen && s.now-at < req.sloTimeShare(lateStartShare) {
 		return true
@@ -45,13 +46,13 @@
 	return slices.Contains(congested, cell)
 }
 
-// congestedCells are those from which a state that is being fetched now is late. They are found once for a decision:
-// a search for each prefill endpoint would cost the square of the fleet.
+// congestedCells returns the cells from which a state that is being fetched now is late because of the link. A decision
+// calls it once: a search for each prefill endpoint would take time quadratic in the size of the fleet.
 func (s *Scheduler) congestedCells() (cells []CellID) {
 	s.examined += uint64(len(s.endpoints.all))
 	for _, ep := range s.endpoints.all {
 		for _, att := range ep.pending {
-			late := att.crossesCells && s.now > att.lateAt && lateByLink(att)
+			late := att.crossesCells && s.now > att.lateAt && delayedByLink(att)
 			if late && !slices.Contains(cells, att.stateCell) {
 				cells = append(cells, att.stateCell)
 			}
--- a/scheduler/cost_test.go
+++ b/scheduler/cost_test.go
@@ -67,8 +67,8 @@
 	fleet.scheduler = New(fleet.now, 1, config, fleet)
 	fleet.updateEndpoints()
 	for _, ep := range fleet.scheduler.endpoints.all { // each has done something lately
-		ep.slowStart.completedTokens, ep.slowStart.completedAt = 9000, fleet.now
-		ep.outlier.lastHeard = fleet.now
+		ep.slowStart.completedTokens, ep.slowStart.decayedAt = 9000, fleet.now
+		ep.outlier.lastReplyAt = fleet.now
 		ep.prefillRate = prefillRate{tokens: 20000, seconds: 1}
 	}
 	for range costInFlight * scale {
--- a/scheduler/decode_memory.go
+++ b/scheduler/decode_memory.go
@@ -6,35 +6,40 @@
 )
 
 const (
-	noCapacityPause = 150 * ms // in which an endpoint is sent nothing after it had no capacity
-	reportMaxAge    = 5 * sec  // up to which a load report counts
+	noCapacityPause = 150 * ms // time in which an endpoint gets no new requests after it had no capacity for one
+	reportMaxAge    = 5 * sec  // age from which a load report is ignored
 
-	// A first token that takes longer than this share of the SLO time is late: the endpoint, or the link to it, is
-	// overloaded.
+	// A first token is late if it takes longer than this share of the SLO time. That shows that the endpoint, or the link
+	// to it, is overloaded.
 	lateStartShare = 0.25
 
-	limitCut         = 0.8 // of what was reserved when an answer began late may be reserved next,
-	limitCutInterval = sec // cut at most this often,
-	limitGrowth      = 0.1 // and grown by this share of the dispatcher's even part of the memory each second
-	minLimitDivisor  = 8   // the limit is never less than the even part divided by this
+	// When an answer begins late, the limit on this dispatcher's reservations at the endpoint is cut to limitCutFactor
+	// times its reservations or times the old limit, whichever is less, and at most once in limitCutInterval.
+	limitCutFactor   = 0.8
+	limitCutInterval = sec
+
+	// Each second, the limit grows by limitGrowth times the dispatcher's even part of the endpoint's memory. It starts
+	// from at least the even part divided by minLimitDivisor.
+	limitGrowth     = 0.1
+	minLimitDivisor = 8
 )
 
-// memoryState is what is known of the memory of an endpoint, in tokens.
+// memoryState is what this dispatcher knows about the memory of an endpoint. Memory is counted in tokens.
 type memoryState struct {
-	noCapacityUntil Micros  // after an attempt that it had no capacity for
-	timelyStartAt   Micros  // when an answer last began in time
-	limit           float64 // on this dispatcher's reservations, in tokens, as set by the last cut
-	limitCutAt      Micros  // 0 if the limit was never cut: there is none
+	noCapacityUntil   Micros  // end of the pause after an attempt for which the endpoint had no capacity
+	lastTimelyStartAt Micros  // when an answer last began in time
+	limit             float64 // on this dispatcher's reservations, in tokens, as set by the last cut
+	limitCutAt        Micros  // when the limit was last cut; 0 if never, and then there is no limit
 
-	reportedUsage    float64 // share of its memory that was last reported as taken, or NoLoadReport
+	reportedUsage    float64 // share of the memory that was in use by the last load report, or NoLoadReport
 	reservedAtReport float64
 	reportedAt       Micros
 }
 
-// memoryTokens is the size of an endpoint's memory.
+// memoryTokens is the size of an endpoint's memory in tokens.
 func (s *Scheduler) memoryTokens(ep *endpoint) float64 { return max(s.Kinds[ep.kind].Memory, 1) }
 
-// recordUsage stores the memory usage of a load report, if there is one.
+// recordUsage stores the memory usage of a load report. It does nothing if usage is NoLoadReport.
 func (s *Scheduler) recordUsage(ep *endpoint, usage float64) {
 	if usage >= 0 {
 		ep.memory.reportedUsage, ep.memory.reservedAtReport, ep.memory.reportedAt = usage, ep.load.reservedTokens, s.now
@@ -45,9 +50,9 @@
 	return ep.memory.reportedUsage >= 0 && s.now-ep.memory.reportedAt < reportMaxAge
 }
 
-// memoryUsage estimates the share of an endpoint's memory that is taken: by the last report and what this dispatcher
-// has added since, but never under its own reservations. Without a report the other dispatchers are assumed to reserve
-// this one's mean.
+// memoryUsage estimates the share of an endpoint's memory that is in use. With a recent load report, it is the reported
+// usage plus what this dispatcher has reserved since, and at least this dispatcher's reservations. Without one, it
+// assumes that each other dispatcher reserves as much as this one does on average.
 func (s *Scheduler) memoryUsage(ep *endpoint) float64 {
 	size := s.memoryTokens(ep)
 	if s.usageReported(ep) {
@@ -58,10 +63,10 @@
 	return (ep.load.reservedTokens + ep.load.meanReservedTokens*float64(s.otherDispatchers())) / size
 }
 
-// reservationLimit is what this dispatcher may reserve at a decode endpoint, in tokens, whatever its load reports say.
-// How much others reserve there is not known and changes when a zone is cut off or a dispatcher dies. So the limit is
-// cut when answers begin late, because then the memory has run out and answers are preempted and prefilled again, and
-// grows with time.
+// reservationLimit returns the tokens that this dispatcher may reserve at a decode endpoint, regardless of load
+// reports. How much the other dispatchers reserve there is not known, and changes when a zone is cut off or a
+// dispatcher dies. So the limit adapts: it is cut when answers begin late, which shows that the memory is exhausted and
+// that the endpoint preempts answers and prefills them again, and it grows with time.
 func (s *Scheduler) reservationLimit(ep *endpoint) float64 {
 	if ep.memory.limitCutAt == 0 {
 		return math.Inf(1)
@@ -70,19 +75,20 @@
 	return max(ep.memory.limit, evenPart/minLimitDivisor) + limitGrowth*evenPart*seconds(s.now-ep.memory.limitCutAt)
 }
 
-// cutReservationLimit lowers the limit after an answer began late.
+// cutReservationLimit lowers the reservation limit after an answer has begun late.
 func (s *Scheduler) cutReservationLimit(ep *endpoint) {
 	if s.now-ep.memory.limitCutAt > limitCutInterval {
-		ep.memory.limit = limitCut * min(ep.load.reservedTokens, s.reservationLimit(ep))
+		ep.memory.limit = limitCutFactor * min(ep.load.reservedTokens, s.reservationLimit(ep))
 		ep.memory.limitCutAt = s.now
 	}
 }
 
-// startOverdue reports whether an answer is late to begin at this endpoint: its memory, slots or decode rate are
-// exhausted, by this dispatcher or others. It replaces the memory ceiling where no usage is reported. In overload,
-// requests then wait in this dispatcher's queue and not in the endpoints' queues, where they would all be late.
+// startOverdue reports whether the start of an answer is overdue at this endpoint, other than by a congested link. That
+// shows that this dispatcher or others have exhausted the endpoint's memory, slots or decode rate. The check takes the
+// place of memoryCeiling if no usage is reported. In overload it keeps requests in this dispatcher's queue: in the
+// endpoints' queues they would all be late.
 func (s *Scheduler) startOverdue(ep *endpoint) bool {
 	return slices.ContainsFunc(ep.pending, func(att *attempt) bool {
-		return att.decodes && s.now > att.lateAt && !lateByLink(att)
+		return att.decodes && s.now > att.lateAt && !delayedByLink(att)
 	})
 }
--- a/scheduler/decode_placement.go
+++ b/scheduler/decode_placement.go
@@ -3,25 +3,32 @@
 import "slices"
 
 const (
-	loadMargin     = 2.0 // streams above the median load at which a decode endpoint no longer fits
-	memoryCeiling  = 0.9 // memory usage above which a decode endpoint does not fit, where usage is reported
-	nearFactor     = 1.3 // a near decode endpoint is preferred up to this many times the mean usage in other cells,
-	nearMargin     = 0.1 // plus this usage,
-	nearAlwaysFits = 0.6 // and up to this usage in any case
+	// Number of streams by which the load of a decode endpoint that fits may exceed the median load.
+	loadMargin = 2.0
+
+	// Memory usage above which a decode endpoint does not fit, if its usage is reported.
+	memoryCeiling = 0.9
+
+	// A decode endpoint near the prefill endpoint is preferred while its memory usage is at most nearUsageFactor times the
+	// mean usage in other cells plus nearUsageMargin, or at most minNearUsageLimit.
+	nearUsageFactor   = 1.3
+	nearUsageMargin   = 0.1
+	minNearUsageLimit = 0.6
 )
 
-// placementTier orders the decode endpoints for one decision: only those of the lowest tier found are compared.
+// placementTier ranks the decode endpoints for one decision. The endpoint is chosen from the lowest tier that has any.
 type placementTier int
 
 const (
-	tierSameCell placementTier = iota // as the prefill endpoint
-	tierSameZone
-	tierAnywhere
-	tierOverLimits
+	tierSameCell   placementTier = iota // in the prefill endpoint's cell
+	tierSameZone                        // in the prefill endpoint's zone
+	tierAnywhere                        // fits, but is in another zone or fuller than nearUsageLimit
+	tierOverLimits                      // does not fit
 	tierNone
 )
 
-// sendToDecode sends a request to the endpoint that decodes it, which fetches the state or prefills so many tokens.
+// sendToDecode sends a request to the endpoint that decodes it. The endpoint fetches the prefilled state if
+// prefillTokens is 0, and prefills that many tokens itself otherwise.
 func (s *Scheduler) sendToDecode(req *request, ep *endpoint, prefillTokens float64) {
 	s.send(req, ep, prefillTokens, func(res AttemptResult) { s.decodeEnded(req, ep, res) })
 }
@@ -38,12 +45,13 @@
 	s.place(req)
 }
 
-// decodeEnded continues a request after an attempt that did not answer it.
+// decodeEnded continues a request after an attempt at the decoding endpoint that did not answer it.
 func (s *Scheduler) decodeEnded(req *request, ep *endpoint, res AttemptResult) {
 	if res.StateReleased || res.StateMissing && res.Outcome == NoCapacity {
 		s.releaseState(req)
 	}
-	if res.Outcome != NoCapacity || !res.StateMissing { // otherwise the endpoint is not at fault, and may be the only one
+	// If the state was missing, the endpoint is not at fault and may be the only one, so it may be tried again.
+	if res.Outcome != NoCapacity || !res.StateMissing {
 		req.tried = append(req.tried, ep)
 	}
 	switch {
@@ -56,7 +64,8 @@
 	}
 }
 
-// decodeCandidates are the candidates for a decode; without any decode endpoint, mixed endpoints are.
+// decodeCandidates returns the decode endpoints that the request may be sent to now, or the mixed endpoints if there
+// are no such decode endpoints.
 func (s *Scheduler) decodeCandidates(req *request) []*endpoint {
 	if endpoints := s.candidates(req, Decode); len(endpoints) > 0 {
 		return endpoints
@@ -64,8 +73,9 @@
 	return s.candidates(req, Mixed)
 }
 
-// pickDecode is the least filled decode endpoint that fits, in the prefill endpoint's cell, else its zone, else
-// anywhere; if none fits, the least filled past the limits. It reports whether the one it returns fits.
+// pickDecode returns the decode endpoint with the lowest memory usage in the first of these groups that is not empty:
+// those that fit in the prefill endpoint's cell, in its zone, and anywhere; then those that do not fit. It also reports
+// whether the endpoint fits. If there are many dispatchers, it compares a random sample of the group only.
 func (s *Scheduler) pickDecode(req *request, prefill *endpoint) (*endpoint, bool) {
 	defer s.scratch.release(s.scratch.mark())
 	endpoints := s.decodeCandidates(req)
@@ -83,7 +93,7 @@
 	return s.lowestCost(s.sample(endpoints), s.memoryUsage), lowest < tierOverLimits
 }
 
-// setTiers puts each endpoint in its tier and returns the lowest tier that has any.
+// setTiers sets the tier of each endpoint and returns the lowest tier that has any endpoint.
 func (s *Scheduler) setTiers(req *request, endpoints []*endpoint, prefill *endpoint) placementTier {
 	medianLoad := median(s.loads(endpoints))
 	nearLimit := s.nearUsageLimit(endpoints, prefill)
@@ -96,15 +106,18 @@
 		case prefill == nil || ep.zone != prefill.zone || s.memoryUsage(ep) > nearLimit:
 			ep.tier = tierAnywhere
 		case ep.cell != prefill.cell && s.Dispatchers <= dispatchersPerChoice*len(endpoints):
-			ep.tier = tierSameZone // many dispatchers together would overfill a cell's few endpoints
+			// With more dispatchers, the endpoints of the zone share a tier, because many dispatchers together would overfill
+			// the few endpoints of a cell.
+			ep.tier = tierSameZone
 		}
 		lowest = min(lowest, ep.tier)
 	}
 	return lowest
 }
 
-// nearUsageLimit is the memory usage up to which decode endpoints near the prefill endpoint are preferred. The load
-// margin is not enough: where most endpoints are in one cell, their own load is the median.
+// nearUsageLimit returns the memory usage up to which decode endpoints near the prefill endpoint are preferred. The
+// load margin alone does not limit their load: if most endpoints are in one cell, the median load is the load of that
+// cell.
 func (s *Scheduler) nearUsageLimit(endpoints []*endpoint, prefill *endpoint) float64 {
 	outside := s.scratch.numbers[:0]
 	for _, ep := range endpoints {
@@ -113,10 +126,10 @@
 		}
 	}
 	s.scratch.numbers = outside
-	return max(nearFactor*mean(outside)+nearMargin, nearAlwaysFits)
+	return max(nearUsageFactor*mean(outside)+nearUsageMargin, minNearUsageLimit)
 }
 
-// fits reports whether a decode endpoint can take the request without being overfilled or overloaded.
+// fits reports whether a decode endpoint has capacity for the request in memory and in load.
 func (s *Scheduler) fits(ep *endpoint, req *request, medianLoad float64) bool {
 	if s.currentLoad(ep) > medianLoad+loadMargin || s.now < ep.memory.noCapacityUntil || s.startOverdue(ep) {
 		return false
@@ -128,18 +141,18 @@
 	return !s.usageReported(ep) || s.memoryUsage(ep)+adds/s.memoryTokens(ep) < memoryCeiling
 }
 
-// decodeCapacityAvailable reports whether a decode endpoint fits, and the endpoints that fit have capacity for this
-// request besides those that are being prefilled.
+// decodeCapacityAvailable reports whether a decode endpoint fits, and whether the endpoints that fit have capacity for
+// this request in addition to the requests that are being prefilled.
 func (s *Scheduler) decodeCapacityAvailable(req *request) bool {
 	_, fits := s.pickDecode(req, nil)
-	return fits && s.capacityBesidePrefills(req)
+	return fits && s.capacityBeyondPrefills(req)
 }
 
-// capacityBesidePrefills reports whether the decode and mixed endpoints that fit can still reserve the tokens of this
+// capacityBeyondPrefills reports whether the decode and mixed endpoints that fit can still reserve the tokens of this
 // request and of all requests that are being prefilled. Every prefill must be decoded, and without this check the first
 // free slot would start a burst of prefills. An endpoint that is warming up counts as capacity for one request. While
 // nothing is being prefilled, a request always passes.
-func (s *Scheduler) capacityBesidePrefills(req *request) bool {
+func (s *Scheduler) capacityBeyondPrefills(req *request) bool {
 	adds := req.memoryTokens()
 	left := -s.prefilling - adds
 	defer s.scratch.release(s.scratch.mark())
--- a/scheduler/decode_placement_test.go
+++ b/scheduler/decode_placement_test.go
@@ -61,7 +61,7 @@
 		if test.warmingUp {
 			sim.updateEndpoints(&simEndpoint{id: 12, kind: decodeKind, startedAt: sim.now})
 			sim.endpoint(12).memory.limit, sim.endpoint(12).memory.limitCutAt = 9000, sim.now
-			sim.endpoint(12).slowStart.creditAt = sim.now // its part may begin at once
+			sim.endpoint(12).slowStart.creditRefilledAt = sim.now // its part may begin at once
 		}
 		for i := range 4 {
 			sim.arrive(RequestID(i+1), 0, 4000, 6*sec)
--- a/scheduler/endpoint_list.go
+++ b/scheduler/endpoint_list.go
@@ -3,12 +3,12 @@
 import "slices"
 
 const (
-	forgetAfter = 600 * sec // in which an endpoint was not ready
-	watchRetry  = sec / 2   // least pause before the endpoint list is asked for again; up to watchJitter is added
-	watchJitter = sec
+	unavailableRetention = 600 * sec // time after which an endpoint that is not ready is forgotten
+	watchRetryDelay      = sec / 2   // minimum delay before asking for the endpoint list again
+	watchRetryJitter     = sec       // upper bound of the random delay that is added to watchRetryDelay
 )
 
-// endpoint is what one dispatcher knows of one model server.
+// endpoint is what this dispatcher knows about one model server.
 type endpoint struct {
 	id               EndpointID
 	zone             ZoneID
@@ -16,11 +16,11 @@
 	cell             CellID
 	role             Role
 	ready            bool
-	listed           bool   // in the list that is being received
-	unavailableSince Micros // when a list first had it not ready; 0 if it is ready
-	startedAt        Micros // of its process; 0 if it is not known
+	listed           bool   // named by the list that is being received
+	unavailableSince Micros // when a list first showed it as not ready; 0 if it is ready
+	startedAt        Micros // when its process started; 0 if it is not known
 
-	pending        []*attempt // in flight without a first token, in the order of their sending
+	pending        []*attempt // attempts in flight that have no first token yet, in the order in which they were sent
 	cachedPrefixes map[PrefixID]bool
 	prefillRate    prefillRate
 	load           endpointLoad
@@ -28,16 +28,17 @@
 	outlier        outlierState
 	slowStart      slowStart
 
-	tier placementTier // in the current decision
+	tier placementTier // valid during one decision only
 }
 
-// endpointList has the endpoints in the order of their ids, so that no decision depends on the order of a map.
+// endpointList holds the endpoints in the order of their ids, so that no decision depends on the iteration order of a
+// map.
 type endpointList struct {
 	all  []*endpoint
 	byID map[EndpointID]*endpoint
 }
 
-// getOrAdd finds an endpoint or inserts a new one in order.
+// getOrAdd returns the endpoint with this id. If there is none, it inserts a new one.
 func (l *endpointList) getOrAdd(id EndpointID) *endpoint {
 	if ep := l.byID[id]; ep != nil {
 		return ep
@@ -49,7 +50,7 @@
 	return ep
 }
 
-// EndpointUpdated applies one entry of an endpoint list; EndpointUpdateEnded follows the last.
+// EndpointUpdated applies one entry of an endpoint list. The caller calls EndpointUpdateEnded after the last entry.
 func (s *Scheduler) EndpointUpdated(now Micros, status EndpointStatus) {
 	s.now = now
 	ep := s.endpoints.getOrAdd(status.ID)
@@ -58,15 +59,15 @@
 	}
 	ep.zone, ep.kind, ep.cell = status.Zone, status.Kind, status.Cell
 	ep.startedAt, ep.listed = status.StartedAt, true
-	// The role of a kind that the configuration does not name is unknown: nothing is sent there.
+	// An endpoint whose kind is not in the configuration has no known role and must get no requests.
 	ep.ready = status.State == Ready && int(status.Kind) < len(s.Kinds)
 	if ep.ready {
 		ep.role = s.Kinds[status.Kind].Role
 	}
 }
 
-// processRestarted drops what was learned of the old process: its cache is gone, and its failures say nothing of the
-// new one.
+// processRestarted drops what was learned about the endpoint's previous process: the cache of that process is gone, and
+// its failures say nothing about the new process.
 func (ep *endpoint) processRestarted() {
 	ep.outlier = outlierState{}
 	ep.slowStart = slowStart{}
@@ -75,8 +76,9 @@
 	clear(ep.cachedPrefixes)
 }
 
-// EndpointUpdateEnded ends a list. An endpoint that a complete list does not name is not ready, and is forgotten after
-// forgetAfter: where endpoints are replaced under new ids for months, decisions must not look at all of them.
+// EndpointUpdateEnded ends a list. An endpoint that a complete list does not name is no longer ready. An endpoint that
+// has not been ready for unavailableRetention is forgotten: over months, endpoints are replaced under new ids, and
+// decisions must not examine all that ever existed.
 func (s *Scheduler) EndpointUpdateEnded(now Micros, complete bool) {
 	s.now = now
 	s.endpoints.all = slices.DeleteFunc(s.endpoints.all, func(ep *endpoint) bool {
@@ -89,7 +91,7 @@
 		if ep.unavailableSince == 0 {
 			ep.unavailableSince = now
 		}
-		if now-ep.unavailableSince < forgetAfter || len(ep.pending) > 0 || ep.load.streams > 0 {
+		if now-ep.unavailableSince < unavailableRetention || len(ep.pending) > 0 || ep.load.streams > 0 {
 			return false
 		}
 		delete(s.endpoints.byID, ep.id)
@@ -99,12 +101,12 @@
 	s.armDeadlineTimer()
 }
 
-// EndpointWatchFailed asks for the list again after a random pause: instances that lost it together must not all ask at
-// once.
+// EndpointWatchFailed asks for the endpoint list again after a random delay, so that dispatchers that lost their watch
+// at the same time do not all ask at once.
 func (s *Scheduler) EndpointWatchFailed(now Micros) {
 	s.now = now
 	if s.WatchOnDemand {
-		s.timers.due.Set(now+watchRetry+Micros(s.rand.Int63n(int64(watchJitter))), s.executor.WatchEndpoints)
+		s.timers.due.Set(now+watchRetryDelay+Micros(s.rand.Int63n(int64(watchRetryJitter))), s.executor.WatchEndpoints)
 	}
 	s.armDeadlineTimer()
 }
--- a/scheduler/endpoint_load.go
+++ b/scheduler/endpoint_load.go
@@ -2,17 +2,18 @@
 
 import "math"
 
-// loadMeanTime is the seconds, for each other dispatcher, over which this one's load of an endpoint is averaged.
+// loadMeanTime is the time constant, in seconds for each other dispatcher, of the means of this dispatcher's load at an
+// endpoint.
 const loadMeanTime = 0.25
 
-// endpointLoad counts what this dispatcher has in flight at an endpoint.
+// endpointLoad is the load that this dispatcher has in flight at an endpoint.
 type endpointLoad struct {
-	unprefilledTokens float64 // of prompts that are still to be prefilled there
-	reservedTokens    float64 // memory that its answers are expected to take
-	streams           int     // attempts that decode there
+	unprefilledTokens float64 // prompt tokens that the endpoint still has to prefill
+	reservedTokens    float64 // memory that the requests decoded there are expected to take
+	streams           int     // number of attempts that decode there
 
 	meanReservedTokens, meanStreams float64
-	meanAt                          Micros
+	meansUpdatedAt                  Micros
 }
 
 // track counts an attempt as in flight.
@@ -22,7 +23,7 @@
 	if att.decodes {
 		ep.load.reservedTokens += att.memoryTokens
 		ep.load.streams++
-	} else if !s.Classes[att.request.class].PrefillOnly { // a prefill-only request needs no decode capacity
+	} else if !s.Classes[att.request.class].PrefillOnly { // prefill-only requests need no decode capacity
 		s.prefilling += att.memoryTokens
 	}
 	ep.load.unprefilledTokens += att.prefillTokens
@@ -31,7 +32,7 @@
 	att.request.attempt = att
 }
 
-// untrack subtracts what track added, when the attempt has ended.
+// untrack reverses track when an attempt has ended.
 func (s *Scheduler) untrack(att *attempt) {
 	ep := att.endpoint
 	s.updateLoadMeans(ep)
@@ -45,14 +46,15 @@
 	att.request.attempt = nil
 }
 
-// currentLoad estimates an endpoint's streams for each dispatcher; the others are assumed to have this one's mean.
+// currentLoad estimates the number of streams at an endpoint per dispatcher. It assumes that each other dispatcher has
+// as many streams there as this one has on average.
 func (s *Scheduler) currentLoad(ep *endpoint) float64 {
 	s.updateLoadMeans(ep)
 	others := float64(s.otherDispatchers())
 	return (float64(ep.load.streams) + ep.load.meanStreams*others) / float64(s.otherDispatchers()+1)
 }
 
-// loads are the current loads of endpoints. The next call overwrites them.
+// loads returns the current loads of the endpoints. The next call overwrites the result.
 func (s *Scheduler) loads(endpoints []*endpoint) []float64 {
 	s.scratch.numbers = s.scratch.numbers[:0]
 	for _, ep := range endpoints {
@@ -61,16 +63,16 @@
 	return s.scratch.numbers
 }
 
-// updateLoadMeans updates the means of what this dispatcher has in flight at an endpoint. The more dispatchers there
-// are, the more seldom each sends there, so the longer it averages.
+// updateLoadMeans updates the moving averages of this dispatcher's load at an endpoint. The averaging time grows with
+// the number of dispatchers, because each of them then sends to the endpoint less often.
 func (s *Scheduler) updateLoadMeans(ep *endpoint) {
 	load := &ep.load
-	gap, others := s.now-load.meanAt, s.otherDispatchers()
+	gap, others := s.now-load.meansUpdatedAt, s.otherDispatchers()
 	if gap <= 0 || others == 0 {
 		return
 	}
 	weight := 1 - math.Exp(-seconds(gap)/(loadMeanTime*float64(others)))
 	load.meanReservedTokens += weight * (load.reservedTokens - load.meanReservedTokens)
 	load.meanStreams += weight * (float64(load.streams) - load.meanStreams)
-	load.meanAt = s.now
+	load.meansUpdatedAt = s.now
 }
--- a/scheduler/estimates.go
+++ b/scheduler/estimates.go
@@ -3,24 +3,24 @@
 import "math"
 
 const (
-	runningWeight = 0.1 // weight of one observation in a running mean
+	runningMeanWeight = 0.1 // weight of one observation in a running mean
 
 	initialPrefillLatency    = 150 * ms
 	initialFirstTokenLatency = 100 * ms
 
-	assumedPrefillRate = 15000.0 // tokens a second that an endpoint is assumed to prefill, for its first second of work
+	assumedPrefillRate = 15000.0 // assumed prefill rate, tokens per second; weighs as much as one observed second of work
 	prefillRateWindow  = 40000.0 // tokens over which an endpoint's prefill rate is averaged
 
-	meanFadeTime = 10.0 // seconds in which a decayingMean decays towards the typical value by a factor of e
-	meanWeight   = 0.3  // weight of one observation in a decayingMean
+	decayingMeanTime   = 10.0 // time constant of a decayingMean's decay to the typical value, in seconds
+	decayingMeanWeight = 0.3  // weight of one observation in a decayingMean
 )
 
 // estimates holds running means: the latencies over this dispatcher's own attempts, and the request sizes over the
 // requests that arrived here.
 type estimates struct {
-	prefillLatency    float64   // Micros from the send to the end of a prefill
-	firstTokenLatency float64   // Micros from the send to the first token, where nothing had to be prefilled
-	requestTokens     []float64 // mean size of a class's requests, prompt and expected answer
+	prefillLatency    float64   // Micros from sending a prefill attempt to its end
+	firstTokenLatency float64   // Micros from sending an attempt that has nothing to prefill to its first token
+	requestTokens     []float64 // mean request size by class: tokens of the prompt and of the expected answer
 }
 
 func newEstimates(classes int) estimates {
@@ -31,7 +31,8 @@
 	}
 }
 
-// typicalLatency is the usual Micros of an attempt's stage, or of both stages where one endpoint does both.
+// typicalLatency returns the mean latency, in Micros, of an attempt's stage, or of both stages if the attempt does
+// both.
 func (e *estimates) typicalLatency(att *attempt) float64 {
 	switch {
 	case !att.decodes:
@@ -42,7 +43,7 @@
 	return e.prefillLatency + e.firstTokenLatency
 }
 
-// largestMeanRequest is the mean size of the class with the largest requests.
+// largestMeanRequest returns the mean request size, in tokens, of the class with the largest mean.
 func (e *estimates) largestMeanRequest() float64 {
 	largest := 1.0
 	for _, tokens := range e.requestTokens {
@@ -51,20 +52,21 @@
 	return largest
 }
 
-// blend moves a running mean towards a new value; the first value becomes the mean.
-func blend(mean *float64, value float64) {
+// updateRunningMean adds a value to an exponentially weighted mean. The first value becomes the mean.
+func updateRunningMean(mean *float64, value float64) {
 	if *mean == 0 {
 		*mean = value
 		return
 	}
-	*mean += runningWeight * (value - *mean)
+	*mean += runningMeanWeight * (value - *mean)
 }
 
-// prefillRate is the observed prefill speed of an endpoint.
+// prefillRate is the observed prefill rate of an endpoint.
 type prefillRate struct {
 	tokens, seconds float64
 }
 
+// record adds an observation. Older observations lose weight once prefillRateWindow is reached.
 func (r *prefillRate) record(tokens, seconds float64) {
 	r.tokens += tokens
 	r.seconds += seconds
@@ -78,22 +80,22 @@
 	return (r.tokens + assumedPrefillRate) / (r.seconds + 1)
 }
 
-// decayingMean is a mean of recent observations that decays to the typical value: one dispatcher observes an endpoint
-// or cell seldom, and its observations are soon out of date.
+// decayingMean is an exponentially weighted mean of recent observations. Without observations it decays to a typical
+// value: a single dispatcher observes an endpoint or a cell seldom, and its observations are soon out of date.
 type decayingMean struct {
 	value float64
-	at    Micros // of the last observation; 0 if there is none
+	at    Micros // time of the last observation; 0 if there is none
 }
 
 func (m decayingMean) valueAt(now Micros, typical float64) float64 {
 	if m.at == 0 {
 		return typical
 	}
-	return typical + (m.value-typical)*math.Exp(-seconds(now-m.at)/meanFadeTime)
+	return typical + (m.value-typical)*math.Exp(-seconds(now-m.at)/decayingMeanTime)
 }
 
 func (m *decayingMean) record(now Micros, typical, observed float64) {
 	m.value = m.valueAt(now, typical)
-	m.value += meanWeight * (observed - m.value)
+	m.value += decayingMeanWeight * (observed - m.value)
 	m.at = now
 }
--- a/scheduler/event.go
+++ b/scheduler/event.go
@@ -1,24 +1,23 @@
 package scheduler
 
-// Event is something that an operator may want to find in the log. Its types are EndpointEjected and SendBlocked;
-// the host of the scheduler chooses their wording.
+// Event is an event for the operator's log: EndpointEjected or SendBlocked. The Executor formats the log message.
 type Event interface{ event() }
 
-// EndpointEjected reports that an endpoint gets no attempts for a while because it looks faulty.
+// EndpointEjected reports that outlier ejection took an endpoint out of use for a while because it looks faulty.
 type EndpointEjected struct {
 	Endpoint EndpointID
 	Reason   EjectionReason
 	For      Micros
 }
 
-// EjectionReason is what made an endpoint look faulty.
+// EjectionReason says why an endpoint was ejected.
 type EjectionReason uint8
 
 // The reasons for an ejection.
 const (
 	AttemptFailed   EjectionReason = iota // an attempt ended in an error or lost its connection
-	AttemptTimedOut                       // an attempt timed out and nothing else came from the endpoint meanwhile
-	EndpointSilent                        // replies are overdue and nothing comes from the endpoint
+	AttemptTimedOut                       // an attempt timed out, and the endpoint sent no other reply meanwhile
+	EndpointSilent                        // replies are overdue, and the endpoint sends none
 )
 
 var ejectionReasonNames = [...]string{
@@ -27,10 +26,10 @@
 	EndpointSilent:  "no reply",
 }
 
-// String is the reason's text in logs.
+// String returns the reason's text in logs.
 func (r EjectionReason) String() string { return ejectionReasonNames[r] }
 
-// SendBlocked reports that the guard stopped an attempt that would have broken a rule: a fault in a decision.
+// SendBlocked reports that the guard blocked an attempt that would have broken a rule. It shows a bug in the scheduler.
 type SendBlocked struct {
 	Request  RequestID
 	Endpoint EndpointID
@@ -42,11 +41,11 @@
 
 // The rules that the guard checks.
 const (
-	SingleAttempt   Rule = iota // a request has one attempt in flight at most
-	NotAnswered                 // a request with its final answer is not sent again
-	EndpointReady               // an endpoint that is draining or removed gets nothing new
-	SafeRetry                   // a retry must not repeat an effect
-	WarmUpProtected             // an endpoint that is warming up gets no more than its part
+	SingleAttempt   Rule = iota // a request has at most one attempt in flight
+	NotAnswered                 // a request that has its final answer is not sent again
+	EndpointReady               // an endpoint that is draining or removed gets no new attempts
+	SafeRetry                   // a retry must not repeat a request's effect
+	WarmUpProtected             // an endpoint that is warming up gets no more than slow start allows
 )
 
 var ruleNames = [...]string{
@@ -57,7 +56,7 @@
 	WarmUpProtected: "endpoint is warming up",
 }
 
-// String is the rule's text in logs.
+// String returns the rule's text in logs.
 func (r Rule) String() string { return ruleNames[r] }
 
 func (EndpointEjected) event() {}
--- a/scheduler/final_answer.go
+++ b/scheduler/final_answer.go
@@ -1,14 +1,16 @@
 package scheduler
 
-const rejectRetryAfter = sec / 2 // that a rejected client is asked to wait; Config.MaxRetryAfter may be less
+// rejectRetryAfter is how long a rejected client is asked to wait. Config.MaxRetryAfter can shorten it.
+const rejectRetryAfter = sec / 2
 
-// rejectOrFail ends a request without an answer: rejected where a retry by the client is harmless, otherwise failed.
-func (s *Scheduler) rejectOrFail(req *request, why Reason) {
+// rejectOrFail ends a request that will not be served. It rejects the request if a retry by the client is harmless, and
+// fails it otherwise.
+func (s *Scheduler) rejectOrFail(req *request, reason Reason) {
 	if !s.mayReject(req) {
-		s.fail(req, why)
+		s.fail(req, reason)
 		return
 	}
-	s.explain(req, why)
+	s.explain(req, reason)
 	if !req.answered {
 		req.answered = true
 		s.executor.Reject(req.id, min(rejectRetryAfter, s.MaxRetryAfter))
@@ -16,8 +18,8 @@
 	s.finish(req)
 }
 
-func (s *Scheduler) fail(req *request, why Reason) {
-	s.explain(req, why)
+func (s *Scheduler) fail(req *request, reason Reason) {
+	s.explain(req, reason)
 	if !req.answered {
 		req.answered = true
 		s.executor.Fail(req.id)
@@ -25,32 +27,33 @@
 	s.finish(req)
 }
 
-// mayReject reports whether the client can safely retry. Any attempt that is still in flight, even a prefill, may have
-// an effect.
+// mayReject reports whether the client can safely send the request again. An attempt that is still in flight may have
+// an effect, even if it is a prefill.
 func (s *Scheduler) mayReject(req *request) bool {
 	return s.Classes[req.class].Effect == Idempotent || req.mayHaveRun == nil && req.attempt == nil
 }
 
-func (s *Scheduler) explain(req *request, why Reason) {
+func (s *Scheduler) explain(req *request, reason Reason) {
 	if explainer, ok := s.executor.(Explainer); ok && !req.answered {
-		explainer.Explain(req.id, why)
+		explainer.Explain(req.id, reason)
 	}
 }
 
-// finish ends an answered request: it cancels its attempt, or releases its state and forgets it.
+// finish ends an answered request. If an attempt is in flight, finish cancels it and is called again at its end;
+// otherwise it releases the state and forgets the request.
 func (s *Scheduler) finish(req *request) {
 	s.timers.due.Drop(req.deadlineTimer)
 	s.queue.remove(req)
 	if req.attempt != nil {
-		s.cancel(req.attempt) // finish is called again when the attempt ends
+		s.cancel(req.attempt)
 		return
 	}
 	s.releaseState(req)
 	delete(s.requests, req.id)
 }
 
-// releaseState has the prefill endpoint drop the request's state, also after a decode endpoint found none: the prefill
-// endpoint may only be cut off from that decode endpoint and still store it.
+// releaseState tells the prefill endpoint to drop the request's state. It does so even after a decode endpoint found no
+// state: the prefill endpoint may still store it and only be unreachable from that decode endpoint.
 func (s *Scheduler) releaseState(req *request) {
 	if req.stateAt != nil {
 		s.executor.Release(req.id)
--- a/scheduler/guard.go
+++ b/scheduler/guard.go
@@ -1,10 +1,11 @@
 package scheduler
 
-// Violations is how many attempts the guard stopped because they would have broken a rule. It stays 0 unless a
-// decision is wrong.
+// Violations returns the number of attempts that the guard blocked because they would have broken a rule. Any value
+// above 0 shows a bug in the scheduler.
 func (s *Scheduler) Violations() int { return s.violations }
 
-// blocked checks the rules once more where an attempt is sent, so that they hold on every path through the decisions.
+// blocked reports whether an attempt would break a rule. The check is repeated immediately before each send, so that
+// the rules hold whichever code path chose the endpoint.
 func (s *Scheduler) blocked(req *request, ep *endpoint) bool {
 	var rule Rule
 	switch {
--- a/scheduler/guard_test.go
+++ b/scheduler/guard_test.go
@@ -17,7 +17,7 @@
 		{EndpointReady, request{}, &endpoint{id: 7}},
 		{SafeRetry, request{mayHaveRun: &attempt{endpoint: ready()}}, ready()},
 		{WarmUpProtected, request{}, &endpoint{id: 7, ready: true, startedAt: 999 * sec,
-			slowStart: slowStart{credit: -1e9, creditAt: 1000 * sec}}},
+			slowStart: slowStart{credit: -1e9, creditRefilledAt: 1000 * sec}}},
 	}
 	sim := newFleetSim(t, testConfig(NonIdempotent), 1)
 	for i, test := range tests {
--- a/scheduler/names.go
+++ b/scheduler/names.go
@@ -1,6 +1,6 @@
 package scheduler
 
-// Sizes of tables by outcome and by reason.
+// The numbers of outcomes and of reasons, which are the lengths of tables indexed by them.
 const (
 	OutcomeCount = int(NotSent) + 1
 	ReasonCount  = int(StreamEndedEarly) + 1
@@ -18,5 +18,5 @@
 	NotSent:        "not_sent",
 }
 
-// String is the outcome's name in logs.
+// String returns the outcome's name in logs.
 func (o Outcome) String() string { return outcomeNames[o] }
--- a/scheduler/outlier_ejection.go
+++ b/scheduler/outlier_ejection.go
@@ -6,78 +6,85 @@
 )
 
 const (
-	firstEjection   = 400 * ms // doubles with each further failure,
-	maxFailureScore = 5.0      // up to this score
-	successFactor   = 0.5      // applied to the failure score at each success
-	recoveredBelow  = 0.4      // a lower score becomes 0
+	firstEjection   = 400 * ms // duration of the first ejection; each further failure doubles it
+	maxFailureScore = 5.0      // upper bound of the failure score, which bounds the duration of an ejection
+	successFactor   = 0.5      // factor applied to the failure score at each success
+	recoveredBelow  = 0.4      // failure score below which the score is set to 0
 
-	minSilence          = 400 * ms // least silence of an endpoint with replies pending that gets it ejected,
-	silenceFactor       = 4        // or this many times the typical latency,
-	silentPrefillFactor = 2        // plus this many times what its prefills take
-	cancelFactor        = 2        // times that silence, after which attempts are cancelled
+	// An endpoint with pending replies is ejected after a silence of silenceFactor times the typical latency, at least
+	// minSilence, plus silentPrefillFactor times the time that its prefills take.
+	minSilence          = 400 * ms
+	silenceFactor       = 4
+	silentPrefillFactor = 2
+
+	// Attempts are cancelled after cancelFactor times the silence that leads to an ejection.
+	cancelFactor = 2
 )
 
-// outlierState is the recent failures of an endpoint.
+// outlierState is the recent failures and the ejection of an endpoint.
 type outlierState struct {
-	failureScore float64 // one for each failure, halved by each success
+	failureScore float64 // increased by one by each failure, halved by each success
 	ejectedUntil Micros
-	lastHeard    Micros // when the endpoint last replied; 0 if never, or since a connection failed
+	lastReplyAt  Micros // when the endpoint last replied; 0 if it has not replied since its last connection failure
 }
 
-// acceptable reports whether an endpoint is neither ejected nor has recent failures. After an ejection it gets one
-// attempt at a time, of idempotent requests only, until it has recovered.
+// acceptable reports whether an endpoint is healthy enough for the request: it is not ejected and has no recent
+// failures. After an ejection, the endpoint gets one attempt at a time, of idempotent requests only, until it has
+// recovered.
 func (s *Scheduler) acceptable(ep *endpoint, req *request) bool {
 	mayTry := len(ep.pending) == 0 && s.Classes[req.class].Effect == Idempotent
 	return s.now >= ep.outlier.ejectedUntil && (ep.outlier.failureScore == 0 || mayTry)
 }
 
-// recordOutcome updates the endpoint's state by an attempt's result.
+// recordOutcome updates the state of the endpoint after an attempt has ended.
 func (s *Scheduler) recordOutcome(att *attempt, res AttemptResult) {
 	ep := att.endpoint
 	switch res.Outcome {
 	case Completed, PrefillDone:
-		ep.outlier.lastHeard = s.now
+		ep.outlier.lastReplyAt = s.now
 		ep.outlier.recordSuccess()
 		ep.slowStart.recordCompleted(s.now, s.estimates.requestTokens[att.request.class])
 	case NoCapacity:
-		if !res.StateMissing { // a missing state may have been found without a reply from the endpoint
-			ep.outlier.lastHeard = s.now
+		if !res.StateMissing { // that a state is missing may be known without a reply from the endpoint
+			ep.outlier.lastReplyAt = s.now
 			ep.memory.noCapacityUntil = s.now + noCapacityPause
 		}
 	case Unreachable, ConnectionLost:
-		ep.outlier.lastHeard = 0
+		ep.outlier.lastReplyAt = 0
 		s.recordFailure(ep, AttemptFailed)
 	case Errored:
 		s.recordFailure(ep, AttemptFailed)
 	case TimedOut:
-		if ep.outlier.lastHeard <= att.sentAt {
+		if ep.outlier.lastReplyAt <= att.sentAt {
 			s.recordFailure(ep, AttemptTimedOut)
 		}
 	}
 }
 
+// recordSuccess lowers the failure score.
 func (o *outlierState) recordSuccess() {
 	if o.failureScore *= successFactor; o.failureScore < recoveredBelow {
 		o.failureScore = 0
 	}
 }
 
-// recordFailure ejects an endpoint, longer each time. An endpoint that fails quickly would otherwise look the emptiest
-// and draw every request. Ejection also covers a dead endpoint that is still listed, a network partition and an
-// endpoint out of connections.
+// recordFailure ejects an endpoint, for a longer time with each failure. Without ejection, an endpoint that fails
+// quickly would look the least loaded and attract every request. Ejection also covers a dead endpoint that is still
+// listed, a network partition and an endpoint that is out of connections.
 func (s *Scheduler) recordFailure(ep *endpoint, reason EjectionReason) {
 	o := &ep.outlier
 	if s.now < o.ejectedUntil {
-		return // attempts that fail together count as one failure
+		return // failures during an ejection, as of attempts that were in flight together, count as one
 	}
 	o.failureScore = min(o.failureScore+1, maxFailureScore)
 	o.ejectedUntil = s.now + Micros(float64(firstEjection)*math.Exp2(o.failureScore-1))
 	s.executor.Log(EndpointEjected{Endpoint: ep.id, Reason: reason, For: o.ejectedUntil - s.now})
 }
 
-// detectSilentEndpoints finds endpoints that hang or vanished, long before attempts time out: replies are pending and
-// none arrives. Such an endpoint is ejected first; when it stays silent, attempts that can be retried elsewhere are
-// cancelled. An endpoint that is only overloaded must not lose its attempts, so the limit follows the typical latency.
+// detectSilentEndpoints finds endpoints that hang or are gone, long before their attempts time out: replies are pending
+// and none arrives. It first ejects such an endpoint. If the endpoint stays silent, it cancels the attempts that can be
+// retried elsewhere. An endpoint that is only overloaded must not lose its attempts, so the limit depends on the
+// typical latency.
 func (s *Scheduler) detectSilentEndpoints() {
 	for _, ep := range s.endpoints.all {
 		i := slices.IndexFunc(ep.pending, func(att *attempt) bool { return !att.cancelled })
@@ -86,7 +93,7 @@
 		}
 		oldest := ep.pending[i]
 		limit := s.silenceLimit(oldest)
-		silence := s.now - max(oldest.sentAt, ep.outlier.lastHeard)
+		silence := s.now - max(oldest.sentAt, ep.outlier.lastReplyAt)
 		if silence >= limit {
 			s.recordFailure(ep, EndpointSilent)
 		}
@@ -101,7 +108,7 @@
 	}
 }
 
-// silenceLimit is how long an endpoint may send no reply while this attempt is its oldest.
+// silenceLimit is the time that an endpoint may go without a reply while the given attempt is its oldest pending one.
 func (s *Scheduler) silenceLimit(oldest *attempt) Micros {
 	limit := max(minSilence, Micros(silenceFactor*s.estimates.typicalLatency(oldest)))
 	work := oldest.tokensAhead + oldest.prefillTokens
--- a/scheduler/outlier_ejection_test.go
+++ b/scheduler/outlier_ejection_test.go
@@ -69,7 +69,7 @@
 	req := sim.prefilled(1, 2000)
 	ep := sim.endpoint(req.inFlight().endpoint.id)
 	sim.endAttempt(req, NoCapacity, 1)
-	if ep.outlier.lastHeard != 0 || ep.memory.noCapacityUntil != 0 {
-		t.Errorf("last heard at %d, no capacity until %d", ep.outlier.lastHeard, ep.memory.noCapacityUntil)
+	if ep.outlier.lastReplyAt != 0 || ep.memory.noCapacityUntil != 0 {
+		t.Errorf("last heard at %d, no capacity until %d", ep.outlier.lastReplyAt, ep.memory.noCapacityUntil)
 	}
 }
--- a/scheduler/prefill_placement.go
+++ b/scheduler/prefill_placement.go
@@ -7,23 +7,37 @@
 )
 
 const (
-	busyPrefillWait     = 0.5  // seconds of work at the chosen prefill endpoint above which other roles may prefill
-	affinityFactor      = 2.0  // times the least wait that an affinity endpoint may have,
-	affinityWait        = 0.05 // plus these seconds: on an idle fleet any work is more than twice none
-	maxPrefillWaitShare = 0.3  // of the SLO time; a prefill that would take longer is queued
-	prefillOnlyWait     = 0.02 // seconds of other work before a prefill-only request, above which it is queued
-	mixedLoadFactor     = 1.3  // times the decode endpoints' mean load, up to which mixed endpoints get complete requests
-	minAttemptsToRun    = 2    // a prefill and a decode
+	// Wait at the chosen prefill endpoint, in seconds, above which endpoints of other roles may prefill.
+	busyPrefillWait = 0.5
+
+	// An affinity endpoint is chosen if its wait is at most affinityWaitFactor times the shortest wait, plus
+	// affinityWaitMargin seconds. The margin is needed on an idle fleet, where the shortest wait is close to zero and any
+	// other wait is more than twice as long.
+	affinityWaitFactor = 2.0
+	affinityWaitMargin = 0.05
+
+	// Share of the time to the SLO that the wait for a prefill may take; with a longer wait, the request is queued.
+	maxPrefillWaitShare = 0.3
+
+	// Seconds of other work before a prefill-only request above which the request is queued.
+	maxPrefillOnlyWait = 0.02
+
+	// Mixed endpoints get complete requests while their mean load is at most this multiple of the decode endpoints' mean
+	// load.
+	mixedLoadFactor = 1.3
+
+	// Attempts that a request needs: a prefill and a decode.
+	minAttemptsToRun = 2
 )
 
-// place sends a request to its first endpoint, or queues it while no decode endpoint fits or no prefill endpoint is
-// available.
+// place sends a request to its first endpoint. It queues the request if no decode endpoint has capacity or no prefill
+// endpoint is available.
 func (s *Scheduler) place(req *request) {
 	if req.attemptsSent+minAttemptsToRun > s.MaxAttempts {
 		s.rejectOrFail(req, AttemptsExhausted)
 		return
 	}
-	prefillOnly := s.Classes[req.class].PrefillOnly // it goes to mixed endpoints only where the prefill endpoints are busy
+	prefillOnly := s.Classes[req.class].PrefillOnly // uses mixed endpoints only while the prefill endpoints are busy
 	if mixed := s.pickMixed(req); mixed != nil && !prefillOnly {
 		s.sendToDecode(req, mixed, req.promptTokens)
 		return
@@ -32,7 +46,8 @@
 	if ep != nil {
 		wait = s.prefillWait(ep, req)
 	}
-	// With no prefill endpoint at all, as when all are drained at once, long prompts too are prefilled elsewhere.
+	// If the prefill endpoints are busy, only prompts of up to the mean request size are prefilled elsewhere. If there is
+	// no prefill endpoint at all, for example because all are drained at once, longer prompts are too.
 	if wait > busyPrefillWait && (ep == nil || req.promptTokens <= s.estimates.requestTokens[req.class]) {
 		if other := s.pickFallbackPrefill(req); other != nil {
 			s.sendToDecode(req, other, req.promptTokens)
@@ -46,15 +61,17 @@
 	s.queue.add(req)
 }
 
-// mayPrefill reports whether a request may be sent to its prefill endpoint now. A longer wait there would only make all
-// requests late, and other endpoints than its affinity endpoint would prefill it in full: in this dispatcher's queue a
-// request can still be sorted, and rejected when it is too late.
+// mayPrefill reports whether a request may be sent to its prefill endpoint now. It may not if the wait there is long:
+// that would only make all requests late, and an endpoint other than the affinity endpoint would have to prefill the
+// whole prompt. While a request waits in this dispatcher's queue, it can still be reordered, and rejected when it is
+// too late.
 func (s *Scheduler) mayPrefill(req *request, ep *endpoint, wait float64) bool {
 	prefillOnly := s.Classes[req.class].PrefillOnly
 	longest := maxPrefillWaitShare * seconds(req.sloAt-req.arrivedAt)
 	if prefillOnly {
-		// It has the lower priority: chat queued behind it would move to another endpoint and be prefilled in full there.
-		longest = prefillOnlyWait + req.promptTokens/ep.prefillRate.tokensPerSecond()
+		// Prefill-only requests have a lower priority than chat: a chat request that had to wait for one would move to
+		// another endpoint, which would have to prefill its whole prompt.
+		longest = maxPrefillOnlyWait + req.promptTokens/ep.prefillRate.tokensPerSecond()
 	}
 	if len(ep.pending) > 0 && wait > longest {
 		return false
@@ -73,31 +90,31 @@
 	s.place(req)
 }
 
-// pickPrefill is an affinity endpoint of the prefix, or if those are busy the prefill endpoint with the least work.
-// Endpoints whose states no decode endpoint could fetch in time are left out.
+// pickPrefill returns an affinity endpoint of the prefix, or the prefill endpoint with the shortest wait if the
+// affinity endpoints are busy. It leaves out endpoints whose states no decode endpoint could fetch in time.
 func (s *Scheduler) pickPrefill(req *request) *endpoint {
 	defer s.scratch.release(s.scratch.mark())
-	if s.Classes[req.class].PrefillOnly { // it leaves no state, and no prefix worth caching
+	if s.Classes[req.class].PrefillOnly { // leaves no state to fetch, and no prefix worth caching
 		endpoints := s.candidates(req, Prefill, Embedder)
 		return s.lowestCost(endpoints, func(ep *endpoint) float64 { return s.prefillWait(ep, req) })
 	}
-	endpoints := s.withoutBlockedCells(req, s.candidates(req, Prefill))
+	endpoints := s.excludeCongestedCells(req, s.candidates(req, Prefill))
 	affinity := s.affinityEndpoints(req, endpoints)
 	wait := func(ep *endpoint) float64 {
 		return s.prefillWait(ep, req) + max(s.handoverDelay(ep.cell)-seconds(req.sloTimeShare(lateStartShare/2)), 0)
 	}
-	least := s.lowestCost(endpoints, wait)
+	shortest := s.lowestCost(endpoints, wait)
 	for _, ep := range affinity {
-		if ep != nil && wait(ep) <= affinityFactor*wait(least)+affinityWait {
+		if ep != nil && wait(ep) <= affinityWaitFactor*wait(shortest)+affinityWaitMargin {
 			return ep
 		}
 	}
-	return least
+	return shortest
 }
 
-// withoutBlockedCells leaves out the endpoints behind a congested link, unless a decode endpoint in their own cell
-// fits.
-func (s *Scheduler) withoutBlockedCells(req *request, endpoints []*endpoint) []*endpoint {
+// excludeCongestedCells drops the endpoints in cells whose link is congested, except in cells with a decode endpoint
+// that has capacity for the request.
+func (s *Scheduler) excludeCongestedCells(req *request, endpoints []*endpoint) []*endpoint {
 	congested := s.congestedCells()
 	var accepting []CellID
 	searched := false
@@ -113,8 +130,9 @@
 	})
 }
 
-// cellsAcceptingState are the cells, in order, with a decode endpoint of their own that fits: a state behind a
-// congested link stays in its cell. One search finds them for all prefill endpoints.
+// cellsAcceptingState returns the cells, sorted, that have a decode endpoint with capacity for the request. Only there
+// can a prompt be prefilled while the cell's link is congested, because its state has to stay in the cell. One search
+// serves all prefill endpoints.
 func (s *Scheduler) cellsAcceptingState(req *request) []CellID {
 	defer s.scratch.release(s.scratch.mark())
 	endpoints, accepting := s.decodeCandidates(req), s.scratch.cells[:0]
@@ -134,14 +152,15 @@
 	return accepting
 }
 
-// prefillWait is the seconds until an endpoint would have prefilled the request, by its own rate and this
-// dispatcher's counts.
+// prefillWait estimates the seconds until an endpoint would have prefilled the request, from the endpoint's observed
+// prefill rate and the prefill work that this dispatcher has sent there.
 func (s *Scheduler) prefillWait(ep *endpoint, req *request) float64 {
 	return (ep.load.unprefilledTokens + s.tokensToPrefill(ep, req)) / ep.prefillRate.tokensPerSecond()
 }
 
-// pickMixed gives mixed endpoints their share of complete requests, by their load relative to the decode endpoints'
-// mean. By memory, of which they have the most, they would get more than they can prefill in time.
+// pickMixed returns the least loaded mixed endpoint if mixed endpoints should get another complete request. It compares
+// the loads of mixed and decode endpoints and not their memory usage: mixed endpoints have the most memory, and would
+// get more requests than they can prefill in time.
 func (s *Scheduler) pickMixed(req *request) *endpoint {
 	defer s.scratch.release(s.scratch.mark())
 	mixed := s.replaceableCandidates(req, Mixed)
@@ -156,7 +175,8 @@
 	return best
 }
 
-// pickFallbackPrefill is an endpoint that prefills and decodes the request while the prefill endpoints are busy.
+// pickFallbackPrefill returns an endpoint of another role that can both prefill and decode the request, for use while
+// the prefill endpoints are busy.
 func (s *Scheduler) pickFallbackPrefill(req *request) *endpoint {
 	defer s.scratch.release(s.scratch.mark())
 	roles := []Role{Mixed}
@@ -167,6 +187,7 @@
 	return s.leastLoaded(endpoints, req, median(s.loads(endpoints)))
 }
 
+// leastLoaded returns the endpoint with the lowest load among those that have capacity for the request.
 func (s *Scheduler) leastLoaded(endpoints []*endpoint, req *request, medianLoad float64) *endpoint {
 	return s.lowestCost(endpoints, func(ep *endpoint) float64 {
 		if !s.fits(ep, req, medianLoad) {
--- a/scheduler/prefix_affinity.go
+++ b/scheduler/prefix_affinity.go
@@ -7,21 +7,23 @@
 )
 
 const (
-	affinityLoad = 0.5 // of a prefill endpoint's even part of the traffic; a prefix gets an affinity endpoint for each
+	// A prefix has one affinity endpoint, and one more for each affinityLoad of a prefill endpoint's even part of the
+	// traffic.
+	affinityLoad = 0.5
 
-	priorRequests     = 30.0 // assumed requests that the observed ones are averaged with
-	countedRequests   = 1000 // requests after which the counts are halved
-	forgetCountBelow  = 0.1
-	maxCachedPrefixes = 4096 // that are remembered for an endpoint
+	priorRequests      = 30.0 // weight of the prior in prefixStats.share, in requests
+	maxCountedRequests = 1000 // number of requests above which prefixStats halves its counts
+	minRequestCount    = 0.1  // request count of a prefix below which prefixStats forgets it
+	maxCachedPrefixes  = 4096 // number of cached prefixes of an endpoint above which all of them are forgotten
 )
 
-// prefixStats counts the prefixes of the requests that arrived here.
+// prefixStats counts how often each prefix occurs among the requests that arrived at this dispatcher.
 type prefixStats struct {
 	requestCounts map[PrefixID]float64
 	requests      float64
-	pairs         float64 // pairs of requests with the same prefix
+	pairs         float64 // number of pairs of requests with the same prefix
 
-	// Mean share of its prefix that an affinity endpoint had cached though this dispatcher had not prefilled it there.
+	// Mean share of a prefix that its affinity endpoint had cached without a prefill of it by this dispatcher.
 	cachedShare float64
 }
 
@@ -29,38 +31,40 @@
 	return prefixStats{requestCounts: map[PrefixID]float64{}, cachedShare: 1}
 }
 
-// count adds a request. The counts are halved from time to time, so that old requests count for little.
+// count counts a request. It halves all counts from time to time, so that old requests have little weight.
 func (p *prefixStats) count(prefix PrefixID) {
 	p.requests++
 	p.pairs += p.requestCounts[prefix]
 	p.requestCounts[prefix]++
-	if p.requests <= countedRequests {
+	if p.requests <= maxCountedRequests {
 		return
 	}
 	p.requests /= 2
 	p.pairs /= 4
 	for prefix, n := range p.requestCounts {
 		p.requestCounts[prefix] = n / 2
-		if n < forgetCountBelow {
+		if n < minRequestCount {
 			delete(p.requestCounts, prefix)
 		}
 	}
 }
 
-// share estimates a prefix's share of the traffic. A dispatcher that has seen few requests must not overestimate it:
-// dispatchers would disagree on the affinity endpoints. So the first request of a prefix does not count, and the others
-// are averaged with priorRequests of which as many have the same prefix as among those seen; that prior fades for a
-// prefix that would have been seen more often by now.
+// share estimates a prefix's share of the traffic. A dispatcher that has seen few requests must not overestimate the
+// share, because dispatchers would then disagree on the affinity endpoints. So the first request of a prefix does not
+// count, and the others are averaged with a prior of priorRequests requests. The prior's share of the prefix is the
+// observed probability that two requests have the same prefix. It decays with the number of requests seen, because a
+// frequent prefix would have occurred more often by then.
 func (p *prefixStats) share(prefix PrefixID) float64 {
 	others := max(p.requests-1, 0)
-	alike := p.pairs / (p.requests*others/2 + priorRequests)
-	return (max(p.requestCounts[prefix]-1, 0) + priorRequests*alike*math.Exp(-others*alike)) / (others + priorRequests)
+	samePrefix := p.pairs / (p.requests*others/2 + priorRequests)
+	return (max(p.requestCounts[prefix]-1, 0) + priorRequests*samePrefix*math.Exp(-others*samePrefix)) /
+		(others + priorRequests)
 }
 
-// affinityEndpoints are where a prefix, or a session without one, is prefilled first: one endpoint in the
-// dispatcher's own zone and one among all. The own zone's is preferred, as links between zones are slow and
-// charged for. Where it is busy, the one among all is preferred to the least-loaded endpoint, which may not have the
-// prefix cached.
+// affinityEndpoints returns the endpoints that should prefill the request's prefix, or its session if it has no prefix:
+// one in the dispatcher's own zone and one among all endpoints. The one in the own zone is preferred, because links
+// between zones are slow and charged for. If it is busy, the one among all is preferred to the least loaded endpoint,
+// which may not have cached the prefix.
 func (s *Scheduler) affinityEndpoints(req *request, endpoints []*endpoint) [2]*endpoint {
 	key := cmp.Or(uint64(req.prefix), uint64(req.session))
 	req.affinity = [2]*endpoint{}
@@ -80,9 +84,10 @@
 	return req.affinity
 }
 
-// affinityEndpoint is the prefix's endpoint by rendezvous hashing, the same at all dispatchers. A prefix with much of
-// the traffic has several, among which sessions are hashed: dispatchers that each see few requests would learn too late
-// that one endpoint can't prefill all of it.
+// affinityEndpoint chooses the endpoint for a prefix by rendezvous hashing, so that all dispatchers choose the same. A
+// prefix with a large share of the traffic has several endpoints, among which its sessions are hashed. Loads alone
+// would not spread such a prefix: dispatchers that each see few requests would learn too late that one endpoint can't
+// prefill all of it.
 func (s *Scheduler) affinityEndpoint(req *request, key uint64, endpoints []*endpoint) *endpoint {
 	count := 1
 	if req.prefix != 0 {
@@ -103,9 +108,9 @@
 	return ep == req.affinity[0] || ep == req.affinity[1]
 }
 
-// tokensToPrefill estimates the tokens of a prompt that the endpoint has not cached. An affinity endpoint also caches
-// what other dispatchers send there. Without counting that it would look slower than any endpoint that prefilled the
-// prefix once, and dispatchers would disagree on the affinity endpoints.
+// tokensToPrefill estimates the tokens of a prompt that the endpoint has not cached. It takes into account that an
+// affinity endpoint also caches what other dispatchers send there. Otherwise the affinity endpoint would look slower
+// than any endpoint that prefilled the prefix once, and dispatchers would disagree on the affinity endpoints.
 func (s *Scheduler) tokensToPrefill(ep *endpoint, req *request) float64 {
 	switch {
 	case ep.cachedPrefixes[req.prefix]:
@@ -116,15 +121,15 @@
 	return req.promptTokens
 }
 
-// recordPrefill updates the endpoint's prefill rate and cached prefixes. Where much less was cached than expected, the
+// recordPrefill updates the endpoint's prefill rate and cached prefixes. If much less was cached than expected, the
 // endpoint has evicted this prefix, and probably others.
 func (s *Scheduler) recordPrefill(att *attempt, prefillTokens, cachedTokens float64) {
 	ep, req := att.endpoint, att.request
-	blend(&s.estimates.prefillLatency, float64(s.now-att.sentAt))
+	updateRunningMean(&s.estimates.prefillLatency, float64(s.now-att.sentAt))
 	ep.prefillRate.record(att.tokensAhead+max(req.promptTokens-cachedTokens, 1), seconds(s.now-att.sentAt))
 	expected := ep.cachedPrefixes[req.prefix]
 	if !expected && req.prefixTokens > 0 && req.hasAffinity(ep) {
-		blend(&s.prefixes.cachedShare, min(cachedTokens/req.prefixTokens, 1))
+		updateRunningMean(&s.prefixes.cachedShare, min(cachedTokens/req.prefixTokens, 1))
 	}
 	evicted := expected && cachedTokens < (req.promptTokens-prefillTokens)/2
 	if evicted || len(ep.cachedPrefixes) > maxCachedPrefixes {
--- a/scheduler/quotas.go
+++ b/scheduler/quotas.go
@@ -2,12 +2,13 @@
 
 import "slices"
 
-const quotaBurst = 2.0 // seconds of its quota that a tenant may send at once
+// quotaBurst is the size of a tenant's token bucket in seconds of its quota.
+const quotaBurst = 2.0
 
-// quotas has a token bucket for each tenant. Requests beyond a quota are served too, at a lower priority.
+// quotas holds a token bucket for each tenant. Requests that exceed the quota are served too, at a lower priority.
 type quotas struct {
-	rates       []float64 // requests a second, over all dispatchers
-	tokens      []float64 // requests that may still be sent here inside the quota
+	rates       []float64 // quotas in requests per second, over all dispatchers
+	tokens      []float64 // requests within the quota that may still arrive at this dispatcher
 	refilledAt  Micros
 	dispatchers int
 }
@@ -20,7 +21,7 @@
 	return q
 }
 
-// QuotaChanged changes what a tenant may send inside its quota, over all dispatchers; an unknown tenant is added.
+// QuotaChanged sets a tenant's quota in requests per second, over all dispatchers. An unknown tenant is added.
 func (s *Scheduler) QuotaChanged(now Micros, tenant TenantID, perSecond float64) {
 	s.now = now
 	s.quotas.setRate(int(tenant), perSecond)
@@ -38,7 +39,8 @@
 	q.tokens[tenant] = min(q.tokens[tenant], q.burst(tenant))
 }
 
-// take counts a request and reports whether it is beyond its tenant's quota. Without a quota it never is.
+// take takes a token for a request and reports whether the request exceeds its tenant's quota. A request of a tenant
+// without a quota never does.
 func (q *quotas) take(tenant int) (over bool) {
 	if tenant >= len(q.rates) {
 		return false
@@ -57,7 +59,8 @@
 	q.refilledAt = now
 }
 
-// burst is how many requests of a tenant may arrive here at once inside its quota. Each dispatcher has an even part.
+// burst is the size of a tenant's token bucket at this dispatcher, in requests. Quotas are divided evenly among the
+// dispatchers.
 func (q *quotas) burst(tenant int) float64 {
 	return max(q.rates[tenant]/float64(max(q.dispatchers, 1))*quotaBurst, 1)
 }
--- a/scheduler/reason.go
+++ b/scheduler/reason.go
@@ -1,18 +1,18 @@
 package scheduler
 
-// Reason is why a request got its final answer from the scheduler.
+// Reason says why the scheduler gave a request its final answer.
 type Reason uint8
 
 // The reasons.
 const (
-	DeadlineReached   Reason = iota // its deadline is reached
-	AttemptsExhausted               // its attempts are used up
-	TooLate                         // it can't meet its SLO time, and others can
-	MayHaveRun                      // an attempt may have run, and a repeat could do harm
-	UnknownClass                    // its class is not one of the deployment's
-	Withdrawn                       // the caller withdrew it
-	RuleViolation                   // the attempt that was chosen would have broken a rule
-	StreamEndedEarly                // an answer had begun, and ended before it was complete
+	DeadlineReached   Reason = iota // the request's deadline is due
+	AttemptsExhausted               // the request's attempts are used up
+	TooLate                         // the request can no longer meet its SLO, and another queued request can
+	MayHaveRun                      // an attempt may have run, and a retry could repeat its effect
+	UnknownClass                    // the configuration has no such class
+	Withdrawn                       // the caller withdrew the request
+	RuleViolation                   // the guard blocked the attempt because it would have broken a rule
+	StreamEndedEarly                // the answer's stream ended before the answer was complete
 )
 
 var reasonNames = [ReasonCount]string{
@@ -26,11 +26,11 @@
 	StreamEndedEarly:  "closed behind",
 }
 
-// String is the reason's text in logs.
+// String returns the reason's text in logs.
 func (r Reason) String() string { return reasonNames[r] }
 
-// Explainer is implemented by an Executor that wants the reason of a final answer. It is called just before Reject or
-// Fail.
+// Explainer is an optional interface of an Executor that wants to know the reason for a final answer. The scheduler
+// calls Explain just before Reject or Fail.
 type Explainer interface {
-	Explain(request RequestID, why Reason)
+	Explain(request RequestID, reason Reason)
 }
--- a/scheduler/request.go
+++ b/scheduler/request.go
@@ -2,10 +2,11 @@
 
 import "plumspindle/scheduler/timerqueue"
 
-// expectedAnswerDivisor of the maximum output tokens gives those expected of a request without a decode time.
+// expectedAnswerDivisor divides the maximum output tokens to estimate the length of an answer whose decode time is not
+// known.
 const expectedAnswerDivisor = 2
 
-// request is one client's request until it is answered and has no attempt in flight.
+// request is the state of a client's request. It is kept until the request is answered and has no attempt in flight.
 type request struct {
 	id           RequestID
 	class        ClassID
@@ -13,7 +14,7 @@
 	prefix       PrefixID
 	promptTokens float64
 	prefixTokens float64
-	answerTokens float64 // expected
+	answerTokens float64 // expected length of the answer
 	arrivedAt    Micros
 	sloAt        Micros
 	deadline     Micros
@@ -21,24 +22,24 @@
 
 	queued        bool
 	attemptsSent  int
-	attempt       *attempt     // in flight
-	affinity      [2]*endpoint // where its prefix should be prefilled
-	stateAt       *endpoint    // that stores its prefilled state
-	tried         []*endpoint  // without success in this stage
-	mayHaveRun    *attempt     // the first that may have taken effect
-	answered      bool         // its final answer is given, or its client has disconnected
+	attempt       *attempt     // the attempt in flight; nil if there is none
+	affinity      [2]*endpoint // endpoints where its prefix should be prefilled: in the dispatcher's zone, and in any
+	stateAt       *endpoint    // endpoint that stores its prefilled state; nil if there is none
+	tried         []*endpoint  // endpoints that were tried without success in the current stage (prefill or decode)
+	mayHaveRun    *attempt     // first attempt that may have taken effect
+	answered      bool         // the client has its final answer, or has disconnected
 	deadlineTimer *timerqueue.Item
 }
 
-// sloTimeShare is a share of the time from a request's arrival to its SLO time.
+// sloTimeShare returns a share of the time from the request's arrival to its SLO time.
 func (req *request) sloTimeShare(share float64) Micros {
 	return Micros(share * float64(req.sloAt-req.arrivedAt))
 }
 
-// memoryTokens is the memory that its decode is expected to take.
+// memoryTokens is the memory that the request is expected to take at its decode endpoint, in tokens.
 func (req *request) memoryTokens() float64 { return req.promptTokens + req.answerTokens }
 
-// RequestArrived accepts a request, which gets exactly one final answer.
+// RequestArrived accepts a request. Each accepted request gets exactly one final answer.
 func (s *Scheduler) RequestArrived(now Micros, arrival Arrival) {
 	s.now = now
 	req := &request{
@@ -63,16 +64,18 @@
 	}
 	req.sloAt = now + class.SLO + Micros(float64(class.SLOPer1000)*req.promptTokens/1000)
 	s.prefixes.count(req.prefix)
-	blend(&s.estimates.requestTokens[req.class], req.memoryTokens())
+	updateRunningMean(&s.estimates.requestTokens[req.class], req.memoryTokens())
 	req.overQuota = s.quotas.take(int(arrival.Tenant))
-	// Two ticks early: an answer given at the deadline itself would reach the client after it has hung up.
+	// The final answer is given two ticks early: given at the deadline, it would reach the client after the client has
+	// disconnected.
 	answerBy := req.deadline - 2*s.TickInterval - ms
 	req.deadlineTimer = s.timers.due.Set(answerBy, func() { s.rejectOrFail(req, DeadlineReached) })
 	s.place(req)
 	s.armDeadlineTimer()
 }
 
-// RequestWithdrawn rejects or fails a request whose answer has not begun, as when its tenant is removed.
+// RequestWithdrawn rejects or fails a request whose answer has not begun. The caller withdraws requests, for example,
+// when their tenant is removed.
 func (s *Scheduler) RequestWithdrawn(now Micros, id RequestID) {
 	s.now = now
 	req := s.requests[id]
@@ -82,7 +85,7 @@
 	s.armDeadlineTimer()
 }
 
-// ClientDisconnected ends a request whose client has disconnected, without a final answer.
+// ClientDisconnected ends a request without a final answer because its client has disconnected.
 func (s *Scheduler) ClientDisconnected(now Micros, id RequestID) {
 	s.now = now
 	if req := s.requests[id]; req != nil {
--- a/scheduler/request_queue.go
+++ b/scheduler/request_queue.go
@@ -6,15 +6,15 @@
 )
 
 const (
-	maxMisses  = 6  // queued requests that find no capacity before the rest is not tried
-	shortQueue = 64 // number of queued requests from which the queue is sorted only when the periodic timer fires
+	maxPlacementFailures = 6  // number of queued requests that find no capacity after which no more are tried
+	eagerSortLimit       = 64 // queue length from which the queue is sorted only when the periodic timer fires
 )
 
-// requestQueue has the requests that wait for capacity.
+// requestQueue holds the requests that wait for capacity.
 type requestQueue struct {
-	requests []*request // including removed ones, until the next compact
-	removed  int        // how many of these are removed
-	missed   []*request // scratch of placeInOrder
+	requests []*request // includes removed requests until the next compact
+	removed  int        // number of removed requests in requests
+	unplaced []*request // buffer that placeInOrder reuses
 }
 
 func (q *requestQueue) length() int { return len(q.requests) - q.removed }
@@ -26,7 +26,7 @@
 	}
 }
 
-// remove only marks a request; compact drops it later, because many may end at once.
+// remove marks a request as removed. Because many requests may end at once, compact later drops them all in one pass.
 func (q *requestQueue) remove(req *request) {
 	if req.queued {
 		req.queued = false
@@ -41,19 +41,20 @@
 	}
 }
 
-// placeQueued tries the queue again after an event that may have freed capacity. A long queue is not sorted then: a
-// flood would cost its square.
+// placeQueued tries to place queued requests after an event that may have freed capacity. It does not sort a long
+// queue: in a flood of requests, sorting at each event would take time quadratic in the number of requests.
 func (s *Scheduler) placeQueued() {
 	s.queue.compact()
-	if len(s.queue.requests) < shortQueue {
+	if len(s.queue.requests) < eagerSortLimit {
 		s.placeQueuedByValue()
 		return
 	}
 	s.placeInOrder()
 }
 
-// placeQueuedByValue tries the most valuable requests first, and among equals the newest, which have the most time
-// left: by the earliest SLO time all would barely miss it.
+// placeQueuedByValue tries the most valuable requests first, and among requests of equal value the newest, which have
+// the most time left. In overload, placing the request with the earliest SLO time first would make every request barely
+// miss its SLO time.
 func (s *Scheduler) placeQueuedByValue() {
 	s.queue.compact()
 	slices.SortStableFunc(s.queue.requests, func(a, b *request) int {
@@ -63,22 +64,22 @@
 	s.rejectLate()
 }
 
-// placeInOrder places requests from the front of the queue until several find no capacity.
+// placeInOrder places requests from the front of the queue until maxPlacementFailures requests have found no capacity.
 func (s *Scheduler) placeInOrder() {
 	q := &s.queue
 	waiting, next := q.requests, 0
-	q.requests = q.missed[:0]
-	for ; next < len(waiting) && len(q.requests) < maxMisses; next++ {
+	q.requests = q.unplaced[:0] // place adds the requests that find no capacity
+	for ; next < len(waiting) && len(q.requests) < maxPlacementFailures; next++ {
 		waiting[next].queued = false
 		s.place(waiting[next])
 	}
-	// The missed ones go back to the front, into the space before the rest that they came from.
-	q.missed = q.requests
-	q.requests = waiting[next-len(q.missed):]
-	copy(q.requests, q.missed)
+	// Move the unplaced requests back to the front of the queue, into the slots before the requests that were not tried.
+	q.unplaced = q.requests
+	q.requests = waiting[next-len(q.unplaced):]
+	copy(q.requests, q.unplaced)
 }
 
-// rejectLate ends the queued requests that can't meet their SLO time, where others still can.
+// rejectLate ends the queued requests that can no longer meet their SLO time, if any other queued request still can.
 func (s *Scheduler) rejectLate() {
 	if !slices.ContainsFunc(s.queue.requests, s.canMeetSLO) {
 		return
@@ -90,12 +91,13 @@
 	}
 }
 
-// canMeetSLO reports whether a typical prefill and first token still fit into the SLO time.
+// canMeetSLO reports whether a request that is placed now would get its first token by its SLO time, at the typical
+// latencies.
 func (s *Scheduler) canMeetSLO(req *request) bool {
 	return s.now+Micros(s.estimates.prefillLatency+s.estimates.firstTokenLatency) <= req.sloAt
 }
 
-// value is the revenue that a request placed now would still earn, weighted by its quota.
+// value is the revenue that a request placed now would still earn, weighted down if it exceeds its tenant's quota.
 func (s *Scheduler) value(req *request) float64 {
 	class := s.Classes[req.class]
 	value := class.Revenue
--- a/scheduler/retries.go
+++ b/scheduler/retries.go
@@ -1,19 +1,22 @@
 package scheduler
 
+// An attempt's timeout is timeoutLatencyFactor times the typical latency, plus timeoutPrefillFactor times the prefill
+// time at its endpoint, plus timeoutMargin. It is at least the remaining time divided by timeoutDivisor.
 const (
-	timeoutLatencyFactor = 6       // times the typical latency, plus
-	timeoutPrefillFactor = 3       // times what its prefill takes at its endpoint, plus
-	timeoutMargin        = sec / 2 // is the timeout of an attempt,
-	timeoutDivisor       = 2       // or the remaining time divided by this, if that is more
+	timeoutLatencyFactor = 6
+	timeoutPrefillFactor = 3
+	timeoutMargin        = sec / 2
+	timeoutDivisor       = 2
 )
 
-// mayRetry reports whether the class lets the request be sent again (to ep, or to any endpoint at all if ep is nil).
+// mayRetry reports whether the request may be sent to ep without repeating an effect. If ep is nil, it reports whether
+// the request may still be sent to any endpoint.
 func (s *Scheduler) mayRetry(req *request, ep *endpoint) bool {
 	class := s.Classes[req.class]
 	if req.mayHaveRun == nil || class.Effect == Idempotent {
 		return true
 	}
-	// The window ends when the repeat arrives at the endpoint, and the attempt may first wait for a connection.
+	// The repeat must arrive at the endpoint within the window, and may first wait for a tick and for a connection.
 	latest := s.now + s.TickInterval + s.ConnectTimeout
 	if class.Effect == NonIdempotent || latest >= req.mayHaveRun.sentAt+class.Window {
 		return false
@@ -28,8 +31,8 @@
 	return ep.cell == first.cell
 }
 
-// attemptTimeout is enough for a typical attempt. Where another endpoint could still serve the request, it is not all
-// of the remaining time, so that a stalled endpoint leaves time for a retry.
+// attemptTimeout returns a timeout that is long enough for a typical attempt. If the request can be retried at another
+// endpoint, the timeout may be shorter than the remaining time, so that a stalled endpoint leaves time for a retry.
 func (s *Scheduler) attemptTimeout(att *attempt) Micros {
 	left := att.request.deadline - s.now
 	if att.decodes && s.Classes[att.request.class].Effect != Idempotent {
@@ -41,7 +44,7 @@
 	return min(left, max(enough, left/timeoutDivisor))
 }
 
-// cancel cancels an attempt that has not begun to answer; its end is reported like any other.
+// cancel cancels an attempt whose answer has not begun. The caller still reports the attempt's end by AttemptEnded.
 func (s *Scheduler) cancel(att *attempt) {
 	if s.CancelAllowed && !att.cancelled && !att.started {
 		att.cancelled = true
--- a/scheduler/scheduler.go
+++ b/scheduler/scheduler.go
@@ -1,21 +1,22 @@
-// Package scheduler decides where the requests of one dispatcher go: which prefill endpoint reads a prompt, which
-// decode endpoint answers it, which requests are queued or retried, and which final answer each gets.
+// Package scheduler decides where the requests of one dispatcher go: which endpoint prefills a prompt, which endpoint
+// decodes the answer, which requests are queued or retried, and which final answer the scheduler gives itself.
 //
-// Its caller reports each event by one method call with the time now (RequestArrived, AttemptStarted, AttemptEnded,
+// The caller reports each event by one method call with the current time (RequestArrived, AttemptStarted, AttemptEnded,
 // ClientDisconnected, RequestWithdrawn, QuotaChanged, EndpointUpdated and EndpointUpdateEnded, EndpointWatchFailed,
-// TimerFired) and carries out what the scheduler orders through Executor before that call returns. The package owns
-// the state of one instance. It reads no clock, does no input or output, starts no goroutine and is not safe for
-// concurrent use: the same events and seed give the same orders.
+// TimerFired). During that call the scheduler calls Executor for each action that the caller is to carry out. A
+// Scheduler reads no clock, does no input or output, starts no goroutine and is not safe for concurrent use. The same
+// events and seed always give the same actions.
 //
-// A request is placed when it arrives (or queued until a decode endpoint fits), prefilled at an affinity endpoint of
-// its prefix, decoded at the least filled decode endpoint that fits, and ends when its answer is complete.
+// A request usually takes this path. When it arrives, it is sent to an affinity endpoint of its prefix for the prefill,
+// or queued until a decode endpoint has capacity. After the prefill it is sent to a decode endpoint with low memory
+// usage, and it ends when its answer is complete.
 package scheduler
 
 import (
 	"math/rand"
 )
 
-// Scheduler is one instance. It shares nothing with any other.
+// Scheduler schedules the requests of one dispatcher. Instances share no state.
 type Scheduler struct {
 	Config
 	now      Micros
@@ -30,17 +31,17 @@
 
 	prefixes        prefixStats
 	links           linkHealth
-	connectFailures decayingMean // share of the attempts without an open connection that could not open one
+	connectFailures decayingMean // share of the attempts that needed a new connection and could not open one
 	estimates       estimates
-	warmThroughput  [roleCount]float64 // tokens a second that a warm endpoint of each role was last seen to complete
+	warmThroughput  [roleCount]float64 // last observed mean tokens per second of a warm endpoint, by role
 	prefilling      float64            // tokens that the requests being prefilled will reserve at decode endpoints
 
 	scratch    scratch
-	violations int    // attempts that the guard stopped
-	examined   uint64 // endpoints that decisions looked at; tests compare it with the size of the fleet
+	violations int    // number of attempts that the guard blocked
+	examined   uint64 // number of endpoints that decisions examined; tests check how it grows with the fleet
 }
 
-// New returns an instance without endpoints. It asks for the endpoint list if WatchOnDemand is set.
+// New returns a scheduler without endpoints. It asks for the endpoint list if Config.WatchOnDemand is set.
 func New(now Micros, seed int64, config Config, executor Executor) *Scheduler {
 	s := &Scheduler{
 		Config:    config,
@@ -61,7 +62,7 @@
 	return s
 }
 
-// InFlight returns what is in flight now.
+// InFlight returns the counts of what is in flight now.
 func (s *Scheduler) InFlight() InFlight {
 	attempts := 0
 	for _, req := range s.requests {
@@ -72,5 +73,5 @@
 	return InFlight{Requests: len(s.requests), Attempts: attempts, Queued: s.queue.length(), PrefillTokens: s.prefilling}
 }
 
-// otherDispatchers is how many dispatchers send to the same endpoints.
+// otherDispatchers is the number of other dispatchers that send to the same endpoints.
 func (s *Scheduler) otherDispatchers() int { return max(s.Dispatchers-1, 0) }
--- a/scheduler/slow_start.go
+++ b/scheduler/slow_start.go
@@ -3,34 +3,37 @@
 import "math"
 
 const (
-	slowStartHeadroom = 1.2 // times the overload rule's part: warm endpoints are seen to do much less than they could
+	// Factor on the rate that the overload rule allows by the observed throughput of warm endpoints, which is much less
+	// than they could do.
+	slowStartHeadroom = 1.2
 
-	// Share of the overload rule's limit by the warming endpoint's own recent throughput, which counts from so many mean
-	// requests on.
-	provenShare    = 0.9
-	provenRequests = 2.0
+	// An endpoint that has recently completed more than minCompletedRequests mean requests may be sent ownThroughputShare
+	// of what the overload rule allows by its own throughput.
+	ownThroughputShare   = 0.9
+	minCompletedRequests = 2.0
 
-	// Mean requests in a window of the rule that all dispatchers together may send to an endpoint of which nothing is
-	// known.
-	unknownRequests = 4.0
+	// Number of mean requests in a window of the overload rule that all dispatchers together may send to an endpoint whose
+	// throughput is not known.
+	unknownThroughputRequests = 4.0
 
-	throughputTime = 5.0 // seconds over which completed work is counted
+	// Time constant, in seconds, of the decay of completedTokens.
+	throughputDecayTime = 5.0
 )
 
-// slowStart protects an endpoint whose process has just started.
+// slowStart limits what is sent to an endpoint whose process has just started.
 type slowStart struct {
-	completedTokens float64 // decaying
-	completedAt     Micros  // when they were last decayed
-	credit          float64 // tokens that may still be sent to it while it is warming up, if not negative
-	creditAt        Micros  // when the credit was last refilled; 0 if it was not begun
+	completedTokens  float64 // tokens of completed requests, decaying exponentially
+	decayedAt        Micros  // when completedTokens was last decayed
+	credit           float64 // tokens that may still be sent to it while it is warming up, if not negative
+	creditRefilledAt Micros  // when credit was last refilled; 0 if it was never set
 }
 
 func (w *slowStart) decay(now Micros) {
-	w.completedTokens *= math.Exp(-seconds(now-w.completedAt) / throughputTime)
-	w.completedAt = now
+	w.completedTokens *= math.Exp(-seconds(now-w.decayedAt) / throughputDecayTime)
+	w.decayedAt = now
 }
 
-// recordCompleted counts a prefill or an answer that was completed.
+// recordCompleted adds the tokens of a completed prefill or answer.
 func (w *slowStart) recordCompleted(now Micros, tokens float64) {
 	w.decay(now)
 	w.completedTokens += tokens
@@ -50,7 +53,7 @@
 	for _, ep := range s.endpoints.all {
 		if ep.ready && ep.outlier.failureScore == 0 && !s.warmingUp(ep) {
 			ep.slowStart.decay(s.now)
-			sum[ep.role] += ep.slowStart.completedTokens / throughputTime
+			sum[ep.role] += ep.slowStart.completedTokens / throughputDecayTime
 			count[ep.role]++
 		}
 	}
@@ -61,9 +64,9 @@
 	}
 }
 
-// slowStartAllows reports whether an endpoint may be sent one more attempt; only one that is warming up may not. All
-// dispatchers are assumed to send alike, so each limits itself by the throughput that it has seen of warm endpoints of
-// the role and of the warming one.
+// slowStartAllows reports whether an endpoint may be sent one more attempt. Only an endpoint that is warming up may be
+// refused. Each dispatcher assumes that all dispatchers send alike, so it limits its own sends by the throughput that
+// it has observed itself, of warm endpoints of the same role and of the warming endpoint.
 func (s *Scheduler) slowStartAllows(ep *endpoint) bool {
 	if !s.warmingUp(ep) {
 		return true
@@ -72,30 +75,30 @@
 	w.decay(s.now)
 	requestTokens := s.estimates.largestMeanRequest()
 	rate := s.slowStartRate(ep, requestTokens)
-	// Each dispatcher begins at a random phase: with parts of less than one request, all would otherwise send their first
-	// request at once.
-	if w.creditAt == 0 {
-		w.credit, w.creditAt = -requestTokens*s.rand.Float64(), s.now
+	// Each dispatcher begins with a random credit. Otherwise, dispatchers whose even parts of the endpoint are less than
+	// one request would all send their first request at once.
+	if w.creditRefilledAt == 0 {
+		w.credit, w.creditRefilledAt = -requestTokens*s.rand.Float64(), s.now
 	}
-	w.credit = min(w.credit+rate*seconds(s.now-w.creditAt), 0)
-	w.creditAt = s.now
+	w.credit = min(w.credit+rate*seconds(s.now-w.creditRefilledAt), 0)
+	w.creditRefilledAt = s.now
 	return w.credit >= 0
 }
 
-// slowStartRate is the tokens a second that this dispatcher may send to a warming endpoint.
+// slowStartRate returns the tokens per second that this dispatcher may send to an endpoint that is warming up.
 func (s *Scheduler) slowStartRate(ep *endpoint, requestTokens float64) float64 {
 	rate := s.OverloadFactor * slowStartHeadroom * s.SlowStartFactor * s.warmThroughput[ep.role]
-	// One completed request is no measure: each dispatcher that saw one would overestimate the rate.
-	if ep.slowStart.completedTokens > provenRequests*requestTokens {
-		rate = max(rate, s.OverloadFactor*provenShare*ep.slowStart.completedTokens/throughputTime)
+	// A single completed request must not count: each dispatcher that saw one would overestimate the rate.
+	if ep.slowStart.completedTokens > minCompletedRequests*requestTokens {
+		rate = max(rate, s.OverloadFactor*ownThroughputShare*ep.slowStart.completedTokens/throughputDecayTime)
 	}
-	// Where nothing is known, as after a restart: one mean request in each window of the rule, and at most
-	// unknownRequests from all dispatchers together.
+	// If no throughput is known, as after a restart of this dispatcher, it may send one mean request in each window of the
+	// overload rule, but all dispatchers together at most unknownThroughputRequests.
 	window := max(seconds(s.OverloadWindow), 1)
-	return max(rate, requestTokens/window*min(1, unknownRequests/float64(max(s.Dispatchers, 1))))
+	return max(rate, requestTokens/window*min(1, unknownThroughputRequests/float64(max(s.Dispatchers, 1))))
 }
 
-// spendSlowStart charges an attempt that is sent.
+// spendSlowStart charges an attempt to the credit of its endpoint.
 func (s *Scheduler) spendSlowStart(ep *endpoint, class ClassID) {
 	ep.slowStart.credit -= max(s.estimates.requestTokens[class], 1)
 }
--- a/scheduler/state_lease.go
+++ b/scheduler/state_lease.go
@@ -1,9 +1,10 @@
 package scheduler
 
-// stateLeaseShare is the part of the time that a prefilled state may wait after which it is released unless a decode
-// endpoint has responded. The rest is needed to reach an endpoint that releases it.
+// stateLeaseShare is the lease of a prefilled state as a share of the longest time that the state may be kept. The rest
+// of that time is needed to reach the endpoint that releases the state.
 const stateLeaseShare = 0.6
 
-// StateLease is how long after its prefill a state is left to the decode attempts that are to fetch it, where it may
-// wait for so long in all. What has only been written to an endpoint does not extend it.
-func StateLease(mayWait Micros) Micros { return Micros(stateLeaseShare * float64(mayWait)) }
+// StateLease returns the lease of a prefilled state that may be kept for at most maxWait: the time after its prefill in
+// which a decode endpoint has to respond before the state is released. Writing an attempt to an endpoint does not
+// extend the lease.
+func StateLease(maxWait Micros) Micros { return Micros(stateLeaseShare * float64(maxWait)) }
--- a/scheduler/timerqueue/timerqueue.go
+++ b/scheduler/timerqueue/timerqueue.go
@@ -1,27 +1,28 @@
-// Package timerqueue is a queue of calls that are due at a time. They run by due time, then in the order in which they
-// were set. It reads no clock and starts no goroutine: the owner of a queue calls Run.
+// Package timerqueue provides a queue of function calls that run at or after a due time. Calls run in the order of
+// their due times, and calls with the same due time in the order in which they were added. The package reads no clock
+// and starts no goroutine: the owner of a queue calls Run.
 package timerqueue
 
 import "container/heap"
 
-// Micros is a time or a span in whole microseconds.
+// Micros is a time or a duration in whole microseconds.
 type Micros int64
 
-// Item is one call that falls due.
+// Item is one call in a Queue.
 type Item struct {
 	at       Micros
 	sequence uint64
-	index    int // in the heap; negative once it has run or was dropped
+	index    int // position in the heap; negative once the call has run or was dropped
 	run      func()
 }
 
-// Queue is an ordered queue of calls. Its zero value is ready for use.
+// Queue is a priority queue of calls. Its zero value is ready for use.
 type Queue struct {
 	items    itemHeap
-	sequence uint64
+	sequence uint64 // number of calls that were ever added
 }
 
-// Set adds a call. The first Run at or after its due time runs it.
+// Set adds a call that is due at the given time. The first Run at or after that time runs it.
 func (q *Queue) Set(at Micros, run func()) *Item {
 	q.sequence++
 	item := &Item{at: at, sequence: q.sequence, run: run}
@@ -29,14 +30,14 @@
 	return item
 }
 
-// Drop removes an item. It does nothing for nil and for one that has run or was dropped.
+// Drop removes an item from the queue. It does nothing if the item is nil, has run or was dropped before.
 func (q *Queue) Drop(item *Item) {
 	if item != nil && item.index >= 0 {
 		heap.Remove(&q.items, item.index)
 	}
 }
 
-// Next is the earliest due time, and whether there is any.
+// Next returns the earliest due time and reports whether the queue has any call.
 func (q *Queue) Next() (Micros, bool) {
 	if len(q.items) == 0 {
 		return 0, false
@@ -44,14 +45,14 @@
 	return q.items[0].at, true
 }
 
-// RunOne calls the earliest item, if there is any.
+// RunOne removes the earliest call and runs it. It does nothing if the queue is empty.
 func (q *Queue) RunOne() {
 	if len(q.items) > 0 {
 		heap.Pop(&q.items).(*Item).run()
 	}
 }
 
-// Run calls all that is due by now in order, including what these calls add.
+// Run runs all calls that are due by now, in order, including due calls that these calls add.
 func (q *Queue) Run(now Micros) {
 	for len(q.items) > 0 && q.items[0].at <= now {
 		q.RunOne()
--- a/scheduler/timers.go
+++ b/scheduler/timers.go
@@ -2,16 +2,17 @@
 
 import "plumspindle/scheduler/timerqueue"
 
-// periodicInterval is how often the queue is placed again, quotas are refilled and endpoints are checked for silence.
+// periodicInterval is the period at which the scheduler tries the queued requests again, refills the quotas, checks for
+// silent endpoints and measures the throughput of warm endpoints.
 const periodicInterval = 50 * ms
 
-// timers holds the due times of one instance; the caller has one timer for the earliest of them.
+// timers holds the delayed calls of one instance. The caller's deadline timer is set for the earliest of them.
 type timers struct {
 	due     timerqueue.Queue
-	armedAt Micros // when the caller's deadline timer next fires; 0 if it is not set
+	armedAt Micros // when the caller's deadline timer fires next; 0 if it is not set
 }
 
-// TimerFired handles the firing of one of the two timers.
+// TimerFired handles the expiry of a timer that was set by Executor.SetTimer.
 func (s *Scheduler) TimerFired(now Micros, timer TimerID) {
 	s.now = now
 	if timer == PeriodicTimer {
@@ -27,7 +28,8 @@
 	s.armDeadlineTimer()
 }
 
-// armDeadlineTimer sets the caller's timer to the earliest due time, at least one microsecond from now.
+// armDeadlineTimer sets the caller's deadline timer to the earliest due time, but at least one microsecond from now. It
+// does nothing if the timer already fires that early.
 func (s *Scheduler) armDeadlineTimer() {
 	t := &s.timers
 	if at, found := t.due.Next(); found && (t.armedAt == 0 || at < t.armedAt) {
--- a/scheduler/units.go
+++ b/scheduler/units.go
@@ -9,7 +9,7 @@
 
 func seconds(t Micros) float64 { return float64(t) / float64(sec) }
 
-// median is the upper median of the values, which it sorts; 0 if there are none.
+// median returns the upper median of the values, or 0 if there are none. It sorts the values in place.
 func median(values []float64) float64 {
 	if len(values) == 0 {
 		return 0
@@ -18,6 +18,7 @@
 	return values[len(values)/2]
 }
 
+// mean returns the arithmetic mean of the values, or 0 if there are none.
 func mean(values []float64) (mean float64) {
 	for _, v := range values {
 		mean += v / float64(len(values))
@@ -25,7 +26,7 @@
 	return mean
 }
 
-// mixBits hashes an id (the finalizer of SplitMix64); all dispatchers must get the same value.
+// mixBits hashes an id with the finalizer of SplitMix64. All dispatchers must compute the same hash.
 func mixBits(x uint64) uint64 {
 	x ^= x >> 30
 	x *= 0xbf58476d1ce4e5b9
