--- a/scheduler/event.go
+++ b/scheduler/event.go
@@ -15,7 +15,7 @@
 
 // The reasons for an ejection.
 const (
-	AttemptFailed   EjectionReason = iota // an attempt ended in an error or lost its connection
+	AttemptFailed   EjectionReason = iota // an attempt ended in an error, got no connection or lost its connection
 	AttemptTimedOut                       // an attempt timed out, and the endpoint sent no other reply meanwhile
 	EndpointSilent                        // replies are overdue, and the endpoint sends none
 )
--- a/scheduler/reason.go
+++ b/scheduler/reason.go
@@ -6,7 +6,7 @@
 // The reasons.
 const (
 	DeadlineReached   Reason = iota // the request's deadline is due
-	AttemptsExhausted               // the request's attempts are used up
+	AttemptsExhausted               // the request has too few attempts left
 	TooLate                         // the request can no longer meet its SLO, and another queued request can
 	MayHaveRun                      // an attempt may have run, and a retry could repeat its effect
 	UnknownClass                    // the configuration has no such class
--- a/scheduler/request.go
+++ b/scheduler/request.go
@@ -39,7 +39,7 @@
 // memoryTokens is the memory that the request is expected to take at its decode endpoint, in tokens.
 func (req *request) memoryTokens() float64 { return req.promptTokens + req.answerTokens }
 
-// RequestArrived accepts a request. Each accepted request gets exactly one final answer.
+// RequestArrived accepts a request. Each accepted request gets exactly one final answer, unless its client disconnects.
 func (s *Scheduler) RequestArrived(now Micros, arrival Arrival) {
 	s.now = now
 	req := &request{
--- a/scheduler/slow_start.go
+++ b/scheduler/slow_start.go
@@ -24,7 +24,7 @@
 type slowStart struct {
 	completedTokens  float64 // tokens of completed requests, decaying exponentially
 	decayedAt        Micros  // when completedTokens was last decayed
-	credit           float64 // tokens that may still be sent to it while it is warming up, if not negative
+	credit           float64 // at most 0, in tokens; the next attempt may be sent when it has reached 0
 	creditRefilledAt Micros  // when credit was last refilled; 0 if it was never set
 }
 
