--- a/scheduler/candidates_test.go
+++ b/scheduler/candidates_test.go
@@ -2,7 +2,7 @@
 
 import "testing"
 
-// hundredDispatchers are simulations of 100 dispatchers of one deployment, each of which fill gives its endpoints.
+// hundredDispatchers returns simulations of 100 dispatchers of one deployment. It calls fill to add endpoints to each.
 func hundredDispatchers(t *testing.T, fill func(sim *fleetSim)) (sims []*fleetSim) {
 	t.Helper()
 	config := testConfig(Idempotent)
@@ -15,27 +15,27 @@
 	return sims
 }
 
-// After a restart all endpoints look alike.
+// After a restart of the dispatchers, all endpoints look alike. Different dispatchers must choose different ones.
 func TestTiesAreSpreadOverEndpoints(t *testing.T) {
 	chosen := map[EndpointID]bool{}
 	for seed := range int64(12) {
 		sim := newFleetSim(t, testConfig(Idempotent), seed)
 		sim.addEndpoints(4, prefillKind, decodeKind)
-		chosen[sim.prefilled(1, 1000).inFlight().endpoint.id] = true
+		chosen[sim.arriveAndPrefill(1, 1000).inFlight().endpoint.id] = true
 	}
 	if len(chosen) < 3 {
-		t.Errorf("twelve fresh dispatchers decode at %v", chosen)
+		t.Errorf("twelve new dispatchers decode only at %v", chosen)
 	}
 }
 
-// All dispatchers get the same reports: they must not all send to the endpoint that was the emptiest then.
+// All dispatchers get the same load reports. They must not all send to the endpoint with the lowest reported usage.
 func TestSharedReportsDoNotDrawAllDispatchersToOneEndpoint(t *testing.T) {
 	choices := map[EndpointID]int{}
 	for _, sim := range hundredDispatchers(t, func(sim *fleetSim) { sim.addEndpoints(5, prefillKind, decodeKind) }) {
 		for i, ep := range sim.scheduler.endpoints.all[5:] {
 			sim.scheduler.recordUsage(ep, 0.2+0.01*float64(i))
 		}
-		choices[sim.prefilled(1, 2000).inFlight().endpoint.id]++
+		choices[sim.arriveAndPrefill(1, 2000).inFlight().endpoint.id]++
 	}
 	if choices[11] > 60 || len(choices) < 4 {
 		t.Errorf("decode endpoints by the number of dispatchers that chose them: %v", choices)
@@ -44,14 +44,15 @@
 
 func TestOpenConnectionsArePreferredWhileNewOnesFail(t *testing.T) {
 	sim := hundredDispatchers(t, func(sim *fleetSim) { sim.addEndpoints(5, prefillKind, decodeKind) })[0]
-	req := sim.prefilled(1, 2000)
+	req := sim.arriveAndPrefill(1, 2000)
 	prefill, decode := req.attempts[0].endpoint.id, req.inFlight().endpoint.id
 	sim.complete(req)
 	sim.scheduler.connectFailures = decayingMean{1, sim.now}
 	for id := range RequestID(8) {
-		req := sim.prefilled(id+2, 2000)
+		req := sim.arriveAndPrefill(id+2, 2000)
 		if req.attempts[0].endpoint.id != prefill || req.inFlight().endpoint.id != decode {
-			t.Errorf("prefilled at %d, decoded at %d", req.attempts[0].endpoint.id, req.inFlight().endpoint.id)
+			t.Errorf("prefilled at %d, decoded at %d, want %d and %d, which have an open connection",
+				req.attempts[0].endpoint.id, req.inFlight().endpoint.id, prefill, decode)
 		}
 	}
 }
--- a/scheduler/cell_links_test.go
+++ b/scheduler/cell_links_test.go
@@ -6,14 +6,14 @@
 	"testing"
 )
 
-// States that come late out of a cell show a congested link, not an overloaded decode endpoint, where that endpoint
-// begins others in time.
-func TestLateStateIsPutDownToItsLink(t *testing.T) {
+// If a state from another cell is late while its decode endpoint begins other answers in time, the cell's link is
+// congested, and the decode endpoint is not overloaded.
+func TestLateStateIsAttributedToItsLink(t *testing.T) {
 	sim := newFleetSim(t, testConfig(Idempotent), 1)
 	sim.updateEndpoints(&simEndpoint{id: 1}, &simEndpoint{id: 2, cell: 1}, &simEndpoint{id: 11, kind: decodeKind, cell: 1})
 	far, near := sim.arrive(1, 0, 1000, 6*sec), sim.arrive(2, 0, 1000, 6*sec)
 	if far.inFlight().endpoint.cell == near.inFlight().endpoint.cell {
-		t.Fatal("both prompts are prefilled in one cell")
+		t.Fatal("both prompts are prefilled in the same cell")
 	} else if far.inFlight().endpoint.cell == 1 {
 		far, near = near, far
 	}
@@ -28,11 +28,11 @@
 		return sim.scheduler.linkCongested(cell, req, sim.scheduler.congestedCells())
 	}
 	if sim.scheduler.startOverdue(decode) || !congested(0) || congested(1) {
-		t.Error("the late state is not put down to its cell's link")
+		t.Error("the late state is not attributed to its cell's link")
 	}
 	sim.startAnswer(far)
 	if _, late := sim.scheduler.links.lastLateAt[0]; !late || decode.memory.limitCutAt != 0 {
-		t.Error("the late start is put down to the decode endpoint")
+		t.Error("the late start is attributed to the decode endpoint")
 	}
 }
 
@@ -45,12 +45,12 @@
 	cell := req.inFlight().endpoint.cell
 	sim.scheduler.links.handoverDelay[cell] = decayingMean{1.5, sim.now}
 	if ep := sim.arrive(4, 0, 2000, 6*sec).inFlight().endpoint; ep.cell == cell {
-		t.Error("prefilled again in the cell whose states begin late")
+		t.Error("prefilled again in the cell whose handovers are late")
 	}
 }
 
-// Which cells' decode endpoints accept a state is found by one search for all prefill endpoints; it must agree with
-// asking for each prefill endpoint's decode endpoint.
+// cellsAcceptingState finds by one search the cells in which a state can be decoded. The result must agree with a call
+// of pickDecode for each prefill endpoint.
 func TestCellsAcceptingStateAgreeWithPickDecode(t *testing.T) {
 	seen := map[bool]int{}
 	for seed := range int64(300) {
@@ -65,18 +65,18 @@
 			decode, fits := sim.scheduler.pickDecode(req, ep)
 			want := fits && decode.cell == ep.cell
 			if slices.Contains(accepting, ep.cell) != want {
-				t.Fatalf("seed %d: cells %v accept a state, pickDecode for a prefill endpoint in %d says %v",
+				t.Fatalf("seed %d: cells %v accept a state, but pickDecode for a prefill endpoint in cell %d says %v",
 					seed, accepting, ep.cell, want)
 			}
 			seen[want]++
 		}
 	}
 	if seen[true] < 50 || seen[false] < 50 {
-		t.Errorf("seen: %v", seen)
+		t.Errorf("too few cells of one sort were compared: %v", seen)
 	}
 }
 
-// randomFleet lists endpoints in five cells, with random loads and random congested links.
+// randomFleet adds endpoints in five cells, with random loads and random congested links.
 func randomFleet(sim *fleetSim, random *rand.Rand) {
 	for i := range 4 + random.Intn(20) {
 		cell := CellID(random.Intn(5))
--- a/scheduler/cost_test.go
+++ b/scheduler/cost_test.go
@@ -10,7 +10,7 @@
 	"time"
 )
 
-// sendRecorder is an Executor that records the endpoint and the attempt of each request.
+// sendRecorder is an Executor that records the endpoint and the number of each request's last attempt.
 type sendRecorder struct {
 	endpoints map[RequestID]EndpointID
 	attempts  map[RequestID]AttemptNo
@@ -30,15 +30,15 @@
 func (r *sendRecorder) SetTimer(Micros, TimerID)           {}
 func (r *sendRecorder) Log(Event)                          {}
 
-// The deployment at scale 1.
+// The size of the deployment at scale 1.
 const (
 	costPrefillEndpoints = 22
 	costDecodeEndpoints  = 44
 	costDispatchers      = 160
-	costInFlight         = 48 // requests at the one dispatcher that is measured
+	costInFlight         = 48 // requests in flight at the dispatcher that is measured
 )
 
-// costFleet is one dispatcher in a fleet of the deployment's size, or a multiple of it.
+// costFleet is one dispatcher in a fleet of the deployment's size times scale.
 type costFleet struct {
 	*sendRecorder
 	scheduler *Scheduler
@@ -47,11 +47,11 @@
 	last      RequestID
 }
 
-// fleetState is the state in which decisions are measured.
+// fleetState is the state of the fleet in which decisions are measured. Its value is appended to the names of events.
 type fleetState string
 
 const (
-	flowing        fleetState = ""
+	normalLoad     fleetState = ""
 	saturated      fleetState = ", saturated"       // no decode endpoint fits, so requests are queued
 	linksCongested fleetState = ", links congested" // states from all cells are late
 )
@@ -66,7 +66,7 @@
 		Class{SLO: sec, TokenSLO: 50 * ms, Revenue: 6, LateRevenueShare: 0.2, Effect: NonIdempotent})
 	fleet.scheduler = New(fleet.now, 1, config, fleet)
 	fleet.updateEndpoints()
-	for _, ep := range fleet.scheduler.endpoints.all { // each has done something lately
+	for _, ep := range fleet.scheduler.endpoints.all { // each has recently completed requests
 		ep.slowStart.completedTokens, ep.slowStart.decayedAt = 9000, fleet.now
 		ep.outlier.lastReplyAt = fleet.now
 		ep.prefillRate = prefillRate{tokens: 20000, seconds: 1}
@@ -144,12 +144,12 @@
 	delete(fleet.endpoints, id)
 }
 
-// eventCost is what one event of a kind took, on average.
+// eventCost is the mean cost of an event of one kind.
 type eventCost struct{ nanoseconds, bytes, allocations, examined float64 }
 
-const costBatch = 24 // events of a kind in a round
+const costBatch = 24 // number of events of a kind in a round
 
-// costMeter adds up the costs of events by their kind.
+// costMeter sums the costs of events by their kind.
 type costMeter struct {
 	fleet  *costFleet
 	state  fleetState
@@ -157,7 +157,7 @@
 	costs  map[string]eventCost
 }
 
-// measure calls do several times and records the mean cost of a call.
+// measure calls do count times and adds the mean cost of a call.
 func (meter *costMeter) measure(event string, count int, do func(i int)) {
 	fleet := meter.fleet
 	var before, after runtime.MemStats
@@ -178,7 +178,7 @@
 	meter.costs[key] = cost
 }
 
-// round measures each kind of event.
+// round measures a batch of events of each kind.
 func (meter *costMeter) round() {
 	fleet := meter.fleet
 	var ids, decoding [costBatch]RequestID
@@ -201,7 +201,7 @@
 	meter.measure("tick", 2, func(int) { fleet.scheduler.TimerFired(fleet.now, PeriodicTimer) })
 	meter.measure("endpoint list", 1, func(int) { fleet.updateEndpoints() })
 	for _, id := range ids {
-		fleet.scheduler.ClientDisconnected(fleet.now, id) // those that were queued
+		fleet.scheduler.ClientDisconnected(fleet.now, id) // ends the requests that are still queued
 	}
 	meter.measure("disconnect", 1, func(int) { fleet.scheduler.ClientDisconnected(fleet.now, fleet.arrive()) })
 }
@@ -221,11 +221,11 @@
 	return ids
 }
 
-// measureCosts measures each kind of event in each state of the fleet, and the bytes of an instance's state.
+// measureCosts measures each kind of event in each state of the fleet, and the memory that one scheduler's state takes.
 func measureCosts(scale, rounds int) (costs map[string]eventCost, stateBytes float64) {
 	stateBytes = measureState(scale)
 	costs = map[string]eventCost{}
-	for _, state := range []fleetState{flowing, saturated, linksCongested} {
+	for _, state := range []fleetState{normalLoad, saturated, linksCongested} {
 		meter := &costMeter{fleet: newCostFleet(scale, state), state: state, rounds: rounds, costs: costs}
 		for range rounds {
 			meter.round()
@@ -248,7 +248,9 @@
 	return (float64(after.HeapAlloc) - float64(before.HeapAlloc)) / float64(len(fleets))
 }
 
-// The cost of a decision grows in proportion to the fleet, and its allocations hardly; both are counted, not timed.
+// The cost of a decision must grow at most in proportion to the fleet, and its number of allocations must hardly grow.
+// The cost is measured by the endpoints that are examined and the bytes allocated, not by time, so that the result does
+// not depend on the machine.
 func TestCostGrowsWithTheFleet(t *testing.T) {
 	small, smallState := measureCosts(1, 4)
 	large, largeState := measureCosts(10, 4)
@@ -270,7 +272,7 @@
 	}
 	t.Logf("state of an instance: %.0f -> %.0f bytes (%.2f)", smallState, largeState, math.Log10(largeState/smallState))
 	if largeState > 13*smallState {
-		t.Errorf("the state of an instance grows from %.0f to %.0f bytes", smallState, largeState)
+		t.Errorf("at ten times the fleet, the state of an instance grows from %.0f to %.0f bytes", smallState, largeState)
 	}
 }
 
--- a/scheduler/decode_memory_test.go
+++ b/scheduler/decode_memory_test.go
@@ -2,30 +2,30 @@
 
 import "testing"
 
-// Answers that begin late show that a decode endpoint is overloaded, whoever filled it: then requests are queued before
-// their prefill, in overload as well.
+// Answers that begin late show that a decode endpoint is overloaded, whichever dispatchers filled it. New requests are
+// then queued before their prefill.
 func TestLateStartsQueueRequestsAndCutTheLimit(t *testing.T) {
 	sim := newFleetSim(t, testConfig(Idempotent), 1)
 	sim.addEndpoints(1, prefillKind, decodeKind)
-	req := sim.prefilled(1, 20000)
+	req := sim.arriveAndPrefill(1, 20000)
 	sim.advance(400 * ms)
 	queued := sim.arrive(2, 0, 1000, 6*sec)
 	if queued.inFlight() != nil {
-		t.Fatal("prefilled while the only decode endpoint keeps an answer waiting")
+		t.Fatal("prefilled while an answer is overdue at the only decode endpoint")
 	}
 	sim.startAnswer(req)
 	if ep := sim.endpoint(11); sim.scheduler.reservationLimit(ep) >= ep.load.reservedTokens {
-		t.Errorf("limit %v with %v reserved when an answer began late",
+		t.Errorf("limit %v, want less than the %v reserved when an answer began late",
 			sim.scheduler.reservationLimit(ep), ep.load.reservedTokens)
 	}
 	sim.endAttempt(req, Completed, 0)
 	sim.advance(sec)
 	if queued.inFlight() == nil && len(queued.finalAnswers) == 0 {
-		t.Error("still queued when the decode endpoint is free")
+		t.Error("still queued after the decode endpoint became free")
 	}
 }
 
-// Endpoints without capacity must not use up all attempts of a request within milliseconds.
+// Attempts at endpoints without capacity must not use up all attempts of a request within milliseconds.
 func TestNoCapacityPausesTheEndpoint(t *testing.T) {
 	sim := newFleetSim(t, testConfig(Idempotent), 1)
 	sim.addEndpoints(1, prefillKind, decodeKind)
@@ -37,10 +37,10 @@
 	sim.advance(20 * ms)
 	other := sim.arrive(2, 0, 1000, 6*sec)
 	if other.inFlight() != nil {
-		t.Error("sent to a prefill endpoint that had no capacity a moment ago")
+		t.Error("sent to a prefill endpoint that had no capacity 20 ms ago")
 	}
 	sim.advance(300 * ms)
 	if other.inFlight() == nil {
-		t.Error("never tried again")
+		t.Error("the endpoint was not tried again after the pause")
 	}
 }
--- a/scheduler/endpoint_list_test.go
+++ b/scheduler/endpoint_list_test.go
@@ -2,7 +2,8 @@
 
 import "testing"
 
-// Endpoints are replaced for months: what is gone is forgotten, and what a decision looks at does not grow.
+// Over months, endpoints are replaced under new ids. Endpoints that are gone must be forgotten, so that the number of
+// endpoints that a decision examines does not grow.
 func TestReplacedEndpointsAreForgotten(t *testing.T) {
 	sim := newFleetSim(t, testConfig(Idempotent), 1)
 	sim.addEndpoints(3, prefillKind, decodeKind)
@@ -20,15 +21,15 @@
 		most = max(most, len(sim.scheduler.endpoints.all))
 	}
 	if most > 400 || len(sim.scheduler.endpoints.byID) != len(sim.scheduler.endpoints.all) {
-		t.Errorf("%d endpoints are remembered, %d by id", most, len(sim.scheduler.endpoints.byID))
+		t.Errorf("up to %d endpoints were known at once; now %d by id", most, len(sim.scheduler.endpoints.byID))
 	}
-	// One that drains and comes back before it is forgotten is known as before.
+	// An endpoint that drains and becomes ready again before it is forgotten keeps its state.
 	ep := sim.scheduler.endpoints.all[len(sim.scheduler.endpoints.all)-1]
-	sim.now += 7200 * sec // with no list
+	sim.now += 7200 * sec // no list arrives meanwhile
 	sim.updateEndpoints(&simEndpoint{id: ep.id, kind: ep.kind, state: Draining})
 	sim.now += 60 * sec
 	sim.updateEndpoints(&simEndpoint{id: ep.id, kind: ep.kind, startedAt: ep.startedAt})
 	if sim.endpoint(ep.id) != ep || !ep.ready {
-		t.Error("one that came back was forgotten")
+		t.Error("the endpoint that became ready again was forgotten")
 	}
 }
--- a/scheduler/fleet_sim_test.go
+++ b/scheduler/fleet_sim_test.go
@@ -12,10 +12,10 @@
 	prefillKind KindID = iota
 	decodeKind
 	mixedKind
-	embedderKind // not in testConfig; tests add it
+	embedderKind // not in testConfig; tests that need it add it
 )
 
-// testConfig is a deployment of one class, with a kind of endpoint for each role but Embedder.
+// testConfig returns a configuration with one class, and with an endpoint kind for each role except Embedder.
 func testConfig(effect Effect) Config {
 	return Config{
 		Dispatchers:     2,
@@ -35,8 +35,8 @@
 	}
 }
 
-// fleetSim is the Executor of one dispatcher and simulates its clients and endpoints step by step. rule_model_test.go
-// checks every order against the rules.
+// fleetSim is the Executor of one dispatcher. It simulates the dispatcher's clients and endpoints step by step. The
+// methods in rule_model_test.go check every action of the scheduler against the rules.
 type fleetSim struct {
 	t         testing.TB
 	scheduler *Scheduler
@@ -45,9 +45,9 @@
 	timers    []simTimer
 	endpoints map[EndpointID]*simEndpoint
 	requests  map[RequestID]*simRequest
-	order     []RequestID // of the requests' arrival
-	log       []string    // of the orders
-	events    []Event     // for the log
+	arrivals  []RequestID // all requests, in the order of their arrival
+	actions   []string    // the scheduler's actions, each with its time
+	events    []Event     // what the scheduler logged
 }
 
 type simTimer struct {
@@ -62,8 +62,8 @@
 	cell      CellID
 	state     EndpointState
 	startedAt Micros
-	sentAt    []Micros // of the attempts since it started
-	doneAt    []Micros // of the attempts that it completed
+	sentAt    []Micros // when attempts were sent to it, since its last start in changeEndpoint
+	doneAt    []Micros // when it completed attempts
 }
 
 type simRequest struct {
@@ -72,7 +72,7 @@
 	deadline          Micros
 	attempts          []*simAttempt
 	finalAnswers      []finalAnswer
-	stateWaitingSince Micros // with no attempt in flight; 0 if no state waits
+	stateWaitingSince Micros // when its state began to wait without an attempt in flight; 0 if there is no state
 	disconnected      bool
 	closed            bool
 }
@@ -108,7 +108,7 @@
 // endpoint returns the scheduler's state of an endpoint.
 func (sim *fleetSim) endpoint(id EndpointID) *endpoint { return sim.scheduler.endpoints.byID[id] }
 
-// updateEndpoints sends an incomplete endpoint list.
+// updateEndpoints sends a partial endpoint list.
 func (sim *fleetSim) updateEndpoints(endpoints ...*simEndpoint) {
 	for _, ep := range endpoints {
 		sim.endpoints[ep.id] = ep
@@ -119,7 +119,7 @@
 	sim.scheduler.EndpointUpdateEnded(sim.now, false)
 }
 
-// addEndpoints lists n endpoints of each of some kinds, in one cell, with ids 10*kind+1 and on.
+// addEndpoints adds n endpoints of each of the given kinds, all in one cell. The ids of a kind start at 10*kind+1.
 func (sim *fleetSim) addEndpoints(n int, kinds ...KindID) {
 	for _, kind := range kinds {
 		for i := range n {
@@ -128,7 +128,7 @@
 	}
 }
 
-// arrive sends a request, with a prefix of half its prompt that a third of the requests share.
+// arrive sends a request with a prefix of half its prompt, which a third of the requests share.
 func (sim *fleetSim) arrive(id RequestID, class ClassID, prompt float64, timeLeft Micros) *simRequest {
 	return sim.arriveAs(Arrival{
 		ID: id, Class: class, Prefix: PrefixID(id % 3), PromptTokens: prompt, PrefixTokens: prompt / 2,
@@ -146,7 +146,7 @@
 func (sim *fleetSim) arriveAs(arrival Arrival) *simRequest {
 	req := &simRequest{id: arrival.ID, class: arrival.Class, deadline: arrival.Deadline}
 	sim.requests[req.id] = req
-	sim.order = append(sim.order, req.id)
+	sim.arrivals = append(sim.arrivals, req.id)
 	arrival.Session, arrival.MaxOutputTokens = SessionID(req.id), 100
 	sim.scheduler.RequestArrived(sim.now, arrival)
 	return req
@@ -173,13 +173,13 @@
 	sim.scheduler.AttemptStarted(sim.now, req.id, AttemptNo(len(req.attempts)-1))
 }
 
-// endAttempt ends the request's attempt. The detail is the cached tokens of a prefill; otherwise 1 says that the
-// state is missing.
+// endAttempt ends the request's attempt. For PrefillDone, detail is the number of cached tokens. For other outcomes, a
+// detail of 1 says that the state is missing.
 func (sim *fleetSim) endAttempt(req *simRequest, outcome Outcome, detail int) {
 	sim.endAttemptWith(req, AttemptResult{Outcome: outcome, CachedTokens: detail, StateMissing: detail == 1})
 }
 
-// endAttemptWith ends the request's attempt with a result, to which it adds what the sim itself knows.
+// endAttemptWith ends the request's attempt with a result. It sets RequestClosed and MemoryUsage itself.
 func (sim *fleetSim) endAttemptWith(req *simRequest, result AttemptResult) {
 	outcome := result.Outcome
 	att := req.inFlight()
@@ -203,8 +203,8 @@
 	sim.scheduler.AttemptEnded(sim.now, req.id, AttemptNo(len(req.attempts)-1), result)
 }
 
-// prefilled sends a request and completes its prefill, so that it has an attempt at a decode endpoint.
-func (sim *fleetSim) prefilled(id RequestID, prompt float64) *simRequest {
+// arriveAndPrefill sends a request and completes its prefill, so that it has an attempt at a decode endpoint.
+func (sim *fleetSim) arriveAndPrefill(id RequestID, prompt float64) *simRequest {
 	sim.t.Helper()
 	req := sim.arrive(id, 0, prompt, 6*sec)
 	if req.inFlight() == nil || req.inFlight().endpoint.kind != prefillKind {
@@ -215,13 +215,13 @@
 	return req
 }
 
-// complete answers a request that is at a decode endpoint.
+// complete starts and completes the answer of a request that is at a decode endpoint.
 func (sim *fleetSim) complete(req *simRequest) {
 	sim.startAnswer(req)
 	sim.endAttempt(req, Completed, 0)
 }
 
-// advance advances the time, fires the timers that are due and checks the rules on deadlines.
+// advance advances the time by span, fires the timers that fall due and checks the deadlines.
 func (sim *fleetSim) advance(span Micros) {
 	sim.t.Helper()
 	for end := sim.now + span; sim.now < end; {
@@ -242,12 +242,12 @@
 }
 
 func (sim *fleetSim) record(format string, args ...any) {
-	sim.log = append(sim.log, fmt.Sprint(sim.now, " ")+fmt.Sprintf(format, args...))
+	sim.actions = append(sim.actions, fmt.Sprint(sim.now, " ")+fmt.Sprintf(format, args...))
 }
 
 // wasCancelled reports whether an attempt of the request was cancelled.
 func (sim *fleetSim) wasCancelled(id RequestID) bool {
-	return slices.ContainsFunc(sim.log, func(line string) bool {
+	return slices.ContainsFunc(sim.actions, func(line string) bool {
 		var at, request, attempt int
 		n, _ := fmt.Sscanf(line, "%d cancel %d %d", &at, &request, &attempt)
 		return n == 3 && RequestID(request) == id
@@ -258,13 +258,13 @@
 func (sim *fleetSim) Log(event Event) { sim.events = append(sim.events, event) }
 func (sim *fleetSim) SetTimer(after Micros, timer TimerID) {
 	if after <= 0 {
-		sim.t.Fatalf("a timer set for after %d", after)
+		sim.t.Fatalf("timer %d set to fire after %d, want a positive duration", timer, after)
 	}
 	sim.timers = append(sim.timers, simTimer{sim.now + after, timer})
 }
 
-// playScenario generates random events, lets all requests end, and checks that nothing is left over.
-func (sim *fleetSim) playScenario(random *rand.Rand, steps int) {
+// runScenario generates random events, lets all requests end, and checks that the scheduler's counts are back to zero.
+func (sim *fleetSim) runScenario(random *rand.Rand, steps int) {
 	sim.t.Helper()
 	var id RequestID
 	for range steps {
@@ -279,7 +279,7 @@
 		case 5:
 			sim.sendUnknownEvents(random)
 		}
-		for _, id := range sim.order {
+		for _, id := range sim.arrivals {
 			if req := sim.requests[id]; req.inFlight() != nil && random.Intn(8) == 0 {
 				sim.stepAttempt(req, random)
 			} else if !req.settled() && req.inFlight() == nil && random.Intn(200) == 0 {
@@ -290,7 +290,7 @@
 	}
 	for range 400 {
 		sim.advance(20 * ms)
-		for _, id := range sim.order {
+		for _, id := range sim.arrivals {
 			if req := sim.requests[id]; req.inFlight() != nil {
 				sim.stepAttempt(req, random)
 			}
@@ -307,7 +307,7 @@
 	sim.scheduler.ClientDisconnected(sim.now, 1<<40)
 }
 
-// stepAttempt makes the next event of an attempt happen.
+// stepAttempt reports the next event of an attempt: its start or a random end.
 func (sim *fleetSim) stepAttempt(req *simRequest, random *rand.Rand) {
 	att := req.inFlight()
 	prefill := sim.config.Kinds[att.endpoint.kind].Role == Prefill || sim.prefillOnly(req)
@@ -327,7 +327,7 @@
 	}
 }
 
-// stepAll ends prefills, starts answers and ends those that are a second old.
+// stepAll completes prefills, starts answers, and completes answers whose attempt was sent more than a second ago.
 func (sim *fleetSim) stepAll(requests []*simRequest) {
 	for range 2 {
 		for _, req := range requests {
@@ -361,7 +361,7 @@
 	sim.updateEndpoints(ep)
 }
 
-// countWithin counts the times within a span from a start.
+// countWithin counts the times at or after from and before from+span.
 func countWithin(times []Micros, from, span Micros) (n float64) {
 	for _, at := range times {
 		if at >= from && at < from+span {
--- a/scheduler/guard_test.go
+++ b/scheduler/guard_test.go
@@ -34,7 +34,7 @@
 		t.Errorf("%d violations counted, want %d", n, len(tests))
 	}
 	if sim.scheduler.blocked(&request{}, ready()) {
-		t.Error("an allowed send is blocked")
+		t.Error("an allowed send was blocked")
 	}
 }
 
@@ -44,7 +44,7 @@
 	for _, ejection := range []Micros{400 * ms, 800 * ms, 1600 * ms} {
 		sim.events = nil
 		sim.scheduler.recordFailure(sim.endpoint(11), AttemptFailed)
-		sim.scheduler.recordFailure(sim.endpoint(11), AttemptFailed) // at the same time counts as one
+		sim.scheduler.recordFailure(sim.endpoint(11), AttemptFailed) // ignored: the endpoint is ejected already
 		want := []Event{EndpointEjected{Endpoint: 11, Reason: AttemptFailed, For: ejection}}
 		if !slices.Equal(sim.events, want) {
 			t.Errorf("events %v, want %v", sim.events, want)
--- a/scheduler/prefill_placement_test.go
+++ b/scheduler/prefill_placement_test.go
@@ -2,7 +2,7 @@
 
 import "testing"
 
-// All prefill endpoints may be drained at once while mixed endpoints stand by.
+// All prefill endpoints may be drained at once. Mixed endpoints then have to prefill.
 func TestMixedEndpointsPrefillWhenNoPrefillEndpointIsLeft(t *testing.T) {
 	sim := newFleetSim(t, testConfig(Idempotent), 1)
 	sim.addEndpoints(1, prefillKind, decodeKind, mixedKind)
--- a/scheduler/prefix_affinity_test.go
+++ b/scheduler/prefix_affinity_test.go
@@ -2,36 +2,37 @@
 
 import "testing"
 
-// fortyOfEach lists forty prefill and forty decode endpoints.
+// fortyOfEach adds forty prefill and forty decode endpoints.
 func fortyOfEach(sim *fleetSim) { addPairs(sim, 40) }
 
-// addPairs lists n prefill endpoints with ids from 100 on and n decode endpoints with ids from 200 on.
+// addPairs adds n prefill endpoints with ids from 100 and n decode endpoints with ids from 200.
 func addPairs(sim *fleetSim, n EndpointID) {
 	for i := range n {
 		sim.updateEndpoints(&simEndpoint{id: 100 + i}, &simEndpoint{id: 200 + i, kind: decodeKind})
 	}
 }
 
-// Endpoints that evict all that they had cached at once show it by the number of cached tokens.
+// An endpoint that has evicted its cached prefixes reports few cached tokens. The scheduler must then forget what it
+// assumed to be cached there.
 func TestEvictionForgetsCachedPrefixes(t *testing.T) {
 	sim := newFleetSim(t, testConfig(Idempotent), 1)
 	sim.addEndpoints(1, prefillKind, decodeKind)
-	sim.prefilled(1, 4000)
+	sim.arriveAndPrefill(1, 4000)
 	ep := sim.scheduler.endpoints.all[0]
 	req := sim.arrive(4, 0, 4000, 6*sec)
 	if tokens := sim.scheduler.tokensToPrefill(ep, sim.scheduler.requests[4]); tokens != 2000 {
-		t.Errorf("expects to prefill %v tokens with a cached prefix", tokens)
+		t.Errorf("estimated %v tokens to prefill with a cached prefix, want 2000", tokens)
 	}
 	sim.advance(10 * ms)
 	sim.endAttempt(req, PrefillDone, 0)
 	sim.arrive(7, 0, 4000, 6*sec)
 	if len(ep.cachedPrefixes) != 1 {
-		t.Errorf("still counts on %d prefixes", len(ep.cachedPrefixes))
+		t.Errorf("%d prefixes are taken to be cached, want 1", len(ep.cachedPrefixes))
 	}
 }
 
-// A prefix is prefilled in its dispatcher's own zone, at the same endpoint by all dispatchers there; where that one is
-// busy, at the affinity endpoint among all zones, which has the prefix cached too, before any other.
+// All dispatchers of a zone prefill a prefix at the same endpoint of their zone. If that endpoint is busy, they prefer
+// the affinity endpoint among all zones to any other, because it has cached the prefix too.
 func TestAffinityEndpointIsInTheOwnZone(t *testing.T) {
 	chosen := map[ZoneID]EndpointID{}
 	for seed := range int64(8) {
@@ -50,20 +51,20 @@
 			t.Errorf("prefilled in zone %d by a dispatcher of zone %d", first.zone, config.Zone)
 		}
 		if before, known := chosen[config.Zone]; known && before != first.id {
-			t.Errorf("zone %d: prefilled at %d and at %d", config.Zone, before, first.id)
+			t.Errorf("dispatchers of zone %d prefilled at %d and at %d", config.Zone, before, first.id)
 		}
 		chosen[config.Zone] = first.id
 		next := sim.arrive(4, 0, 2000, 6*sec).inFlight().endpoint
 		prefill := []*endpoint{sim.endpoint(1), sim.endpoint(2), sim.endpoint(3), sim.endpoint(4)}
 		common := sim.scheduler.affinityEndpoint(sim.scheduler.requests[4], 1, prefill)
 		if common.id != first.id && next.id != common.id {
-			t.Errorf("with its affinity endpoint busy it is prefilled at %d and not at %d", next.id, common.id)
+			t.Errorf("while the affinity endpoint in the zone was busy, prefilled at %d, want %d", next.id, common.id)
 		}
 	}
 }
 
-// An affinity endpoint that turns out not to have cached a prefix that only others had prefilled there has evicted
-// nothing that this dispatcher knows of.
+// An affinity endpoint may not have cached a prefix that only other dispatchers could have prefilled there. That is no
+// sign that it has evicted the prefixes that this dispatcher prefilled there.
 func TestUnexpectedCacheMissForgetsNothing(t *testing.T) {
 	sim := newFleetSim(t, testConfig(Idempotent), 1)
 	sim.updateEndpoints(&simEndpoint{id: 1}, &simEndpoint{id: 11, kind: decodeKind})
@@ -72,12 +73,12 @@
 	req := sim.arriveWithPrefix(1, 5)
 	sim.endAttempt(req, PrefillDone, 0)
 	if !cached[77] || !cached[5] {
-		t.Errorf("known prefixes: %v", cached)
+		t.Errorf("prefixes taken to be cached: %v, want 5 and 77", cached)
 	}
 }
 
-// The sessions of a prefix that makes up much of the traffic are prefilled at several endpoints, each at the same one
-// by every dispatcher; other prefixes stay at one.
+// The sessions of a prefix that makes up much of the traffic are divided among several endpoints, in the same way by
+// all dispatchers. A rare prefix has a single endpoint.
 func TestFrequentPrefixHasSeveralAffinityEndpoints(t *testing.T) {
 	chosen := map[SessionID]EndpointID{}
 	sims := hundredDispatchers(t, func(sim *fleetSim) { sim.addEndpoints(9, prefillKind, decodeKind) })
@@ -93,7 +94,7 @@
 		for session := range SessionID(12) {
 			id := affinity(7, session)
 			if before := chosen[session]; before != 0 && before != id {
-				t.Errorf("session %d belongs to %d and %d", session, before, id)
+				t.Errorf("session %d has the affinity endpoints %d and %d", session, before, id)
 			}
 			chosen[session] = id
 		}
@@ -107,14 +108,15 @@
 		endpoints[id] = true
 	}
 	if len(endpoints) < 2 {
-		t.Errorf("half the traffic has the affinity endpoints %v", endpoints)
+		t.Errorf("a prefix with half the traffic has only the affinity endpoints %v", endpoints)
 	}
 }
 
-// Dispatchers that have seen next to nothing, as each of three hundred for most of a day, agree on where a prefix is
-// prefilled: one that takes the few requests it saw for all of the traffic would have affinity endpoints of its own,
-// and all of them would prefill the prefix anew. That an affinity endpoint caches what others prefill there is what
-// makes it the best one, also before one where this dispatcher happened to prefill.
+// Dispatchers that have seen few requests must agree on where a prefix is prefilled. With three hundred dispatchers,
+// that is the case of each of them for most of a day. A dispatcher that took the few requests it saw for all of the
+// traffic would choose affinity endpoints of its own, and each of these would prefill the prefix again. Because an
+// affinity endpoint caches what other dispatchers prefill there, it is also better than an endpoint where this
+// dispatcher happened to prefill the prefix.
 func TestDispatchersThatSawLittleAgreeOnAffinityEndpoints(t *testing.T) {
 	choices := map[PrefixID]map[EndpointID]int{}
 	total := 0
@@ -137,12 +139,12 @@
 		elsewhere -= largest(attempts)
 	}
 	if elsewhere > total/20 {
-		t.Errorf("%d of %d first prefills went elsewhere than most of their prefix", elsewhere, total)
+		t.Errorf("%d of %d prefills went to another endpoint than most prefills of their prefix", elsewhere, total)
 	}
 }
 
-// A prefix in a third of all traffic is prefilled at many endpoints, by dispatchers that have each seen a dozen
-// requests: one affinity endpoint in a zone of twenty would be busy six times over.
+// Dispatchers that have each seen a dozen requests must spread a prefix with a third of all traffic over many
+// endpoints. A single affinity endpoint in a zone of twenty would get six times the prefill work that it can do.
 func TestPopularPrefixIsSpreadEarly(t *testing.T) {
 	const popular PrefixID = 1
 	attempts, total := map[EndpointID]int{}, 0
@@ -189,7 +191,7 @@
 	}
 	sim.advance(sec)
 	if ep := sim.arriveWithPrefix(2, 7).inFlight().endpoint; ep.id != affinity.id {
-		t.Errorf("prefilled at %d and not at %d, where all others prefill it", ep.id, affinity.id)
+		t.Errorf("prefilled at %d, want the affinity endpoint %d", ep.id, affinity.id)
 	}
 }
 
@@ -204,6 +206,6 @@
 	req := sim.arriveWithPrefix(99, 99)
 	ep := sim.endpoint(req.inFlight().endpoint.id)
 	if tokens := sim.scheduler.tokensToPrefill(ep, sim.scheduler.requests[99]); tokens < 5800 {
-		t.Errorf("an affinity endpoint is still taken to need %v of 6000", tokens)
+		t.Errorf("an affinity endpoint is estimated to prefill %v of 6000 tokens, want at least 5800", tokens)
 	}
 }
--- a/scheduler/quotas_test.go
+++ b/scheduler/quotas_test.go
@@ -7,19 +7,19 @@
 	quotas := newQuotas(0, []float64{10}, 2) // 5 requests a second here, 10 at once
 	for i := range 10 {
 		if quotas.take(tenant) {
-			t.Fatalf("request %d of the burst is over the quota", i+1)
+			t.Fatalf("request %d of the burst exceeds the quota", i+1)
 		}
 	}
 	if !quotas.take(tenant) {
-		t.Error("a request beyond the burst is inside the quota")
+		t.Error("a request beyond the burst does not exceed the quota")
 	}
 	if quotas.take(unknown) {
-		t.Error("a tenant without a quota is over it")
+		t.Error("a request of a tenant without a quota exceeds a quota")
 	}
 	quotas.refill(sec)
 	for i := range 5 {
 		if quotas.take(tenant) {
-			t.Fatalf("request %d of the next second is over the quota", i+1)
+			t.Fatalf("request %d of the next second exceeds the quota", i+1)
 		}
 	}
 	if !quotas.take(tenant) {
@@ -27,7 +27,7 @@
 	}
 	quotas.refill(1000 * sec)
 	if quotas.tokens[tenant] != 10 {
-		t.Errorf("refilled to %v, want the burst", quotas.tokens[tenant])
+		t.Errorf("refilled to %v tokens, want the burst", quotas.tokens[tenant])
 	}
 }
 
@@ -38,11 +38,11 @@
 	quotas := &sim.scheduler.quotas
 	sim.scheduler.QuotaChanged(sim.now, 0, 4)
 	if quotas.tokens[0] != 4 {
-		t.Errorf("%v requests left after a cut to a burst of 4", quotas.tokens[0])
+		t.Errorf("%v tokens left after the burst was cut to 4", quotas.tokens[0])
 	}
 	sim.scheduler.QuotaChanged(sim.now, 2, 6)
 	if quotas.tokens[2] != 6 {
-		t.Errorf("%v requests for a new tenant with a burst of 6", quotas.tokens[2])
+		t.Errorf("a new tenant has %v tokens, want its burst of 6", quotas.tokens[2])
 	}
 	if config.Quotas[0] != 10 {
 		t.Error("the caller's configuration was changed")
--- a/scheduler/request_queue_test.go
+++ b/scheduler/request_queue_test.go
@@ -5,7 +5,8 @@
 	"testing"
 )
 
-// In overload, requests that can't meet their SLO time yield at once to those that can, and the newest is placed first.
+// In overload, queued requests that can no longer meet their SLO time are rejected at once if others still can, and the
+// newest request is placed first.
 func TestLateRequestsYieldAndTheNewestGoesFirst(t *testing.T) {
 	sim := newFleetSim(t, testConfig(Idempotent), 1)
 	sim.addEndpoints(1, prefillKind)
@@ -14,17 +15,18 @@
 	fresh := sim.arrive(2, 0, 1000, 6*sec)
 	sim.advance(100 * ms)
 	if len(late.finalAnswers) != 1 || len(fresh.finalAnswers) != 0 {
-		t.Fatalf("late %v, fresh %v", late.finalAnswers, fresh.finalAnswers)
+		t.Fatalf("final answers: late request %v, want one; fresh request %v, want none",
+			late.finalAnswers, fresh.finalAnswers)
 	}
 	sim.arrive(3, 0, 1000, 6*sec)
 	sim.addEndpoints(1, decodeKind)
 	var at, first int
-	for _, line := range sim.log {
+	for _, line := range sim.actions {
 		if n, _ := fmt.Sscanf(line, "%d send %d", &at, &first); n == 2 {
 			break
 		}
 	}
 	if first != 3 {
-		t.Errorf("request %d went first, not the newest", first)
+		t.Errorf("request %d was sent first, want the newest", first)
 	}
 }
--- a/scheduler/rule_model_test.go
+++ b/scheduler/rule_model_test.go
@@ -1,9 +1,9 @@
 package scheduler
 
-// maxStateWait is how long a state may wait with no attempt in flight.
+// maxStateWait is the longest time that a prefilled state may wait with no attempt in flight.
 const maxStateWait = 500 * ms
 
-// knownNotRun reports whether an attempt has ended in a way that proves that it had no effect.
+// knownNotRun reports whether the attempt has ended, and provably had no effect.
 func (att *simAttempt) knownNotRun(config Config) bool {
 	if att.inFlight {
 		return false
@@ -21,24 +21,24 @@
 	sim.record("send %d %d %d", request, id, timeout)
 	req, ep := sim.requests[request], sim.endpoints[id]
 	if req == nil || ep == nil {
-		sim.t.Fatalf("send of unknown request %d to endpoint %d", request, id)
+		sim.t.Fatalf("sent request %d to endpoint %d, one of which is unknown", request, id)
 	}
 	role := sim.config.Kinds[ep.kind].Role
 	switch {
 	case req.settled():
-		sim.t.Fatalf("request %d sent after its end", request)
+		sim.t.Fatalf("request %d was sent after its end", request)
 	case req.inFlight() != nil:
 		sim.t.Fatalf("request %d: two attempts in flight", request)
 	case len(req.attempts) >= sim.config.MaxAttempts:
 		sim.t.Fatalf("request %d: too many attempts", request)
 	case ep.state != Ready:
-		sim.t.Fatalf("send to endpoint %d, which is draining or removed", id)
+		sim.t.Fatalf("request %d was sent to endpoint %d, which is draining or removed", request, id)
 	case role == Embedder && !sim.prefillOnly(req):
-		sim.t.Fatalf("request %d, which needs a decode, sent to endpoint %d, which only embeds", request, id)
+		sim.t.Fatalf("request %d needs a decode and was sent to endpoint %d, an embedder", request, id)
 	case role == Decode && sim.prefillOnly(req) && !sim.config.DecodePrefills:
-		sim.t.Fatalf("request %d, which is prefill-only, sent to endpoint %d, which does not prefill", request, id)
+		sim.t.Fatalf("request %d is prefill-only and was sent to endpoint %d, which does not prefill", request, id)
 	case timeout <= 0 || sim.now+timeout > req.deadline:
-		sim.t.Fatalf("request %d: an attempt of %d with %d left", request, timeout, req.deadline-sim.now)
+		sim.t.Fatalf("request %d: attempt with timeout %d, %d left to the deadline", request, timeout, req.deadline-sim.now)
 	}
 	sim.checkRetry(req, ep)
 	ep.sentAt = append(ep.sentAt, sim.now)
@@ -59,20 +59,21 @@
 			class.Group == SameCell && att.endpoint.cell == ep.cell
 		arrivesBy := sim.now + sim.config.ConnectTimeout
 		if class.Effect == NonIdempotent || !sameGroup || arrivesBy >= att.sentAt+class.Window {
-			sim.t.Fatalf("request %d may have run and is sent again", req.id)
+			sim.t.Fatalf("request %d may have run and was sent again", req.id)
 		}
 	}
 }
 
-// checkOverload: within any window of the rule a warming endpoint takes no more attempts from this dispatcher than the
-// rule's multiple of what the best warm endpoint of its role was seen to complete in such a window, scaled to a slow
-// start, or of what it was itself seen to complete; two are slack.
+// checkOverload checks that an endpoint that is warming up gets no more attempts from this dispatcher than the overload
+// rule allows. In any OverloadWindow the limit is OverloadFactor times the larger of two numbers, plus a slack of two.
+// The first number is the most attempts that a warm endpoint of the role has completed in such a window, times
+// SlowStartFactor. The second is the most that this endpoint has completed in such a window since it started.
 func (sim *fleetSim) checkOverload(ep *simEndpoint) {
 	upTo := func(times []Micros, end Micros) float64 {
 		return countWithin(times, end-sim.config.OverloadWindow+1, sim.config.OverloadWindow)
 	}
 	best, own := 0.0, 0.0
-	for _, at := range ep.doneAt { // what it did while warming up needs no scaling
+	for _, at := range ep.doneAt { // what the endpoint completed while warming up needs no scaling
 		if at >= ep.startedAt {
 			own = max(own, upTo(ep.doneAt, at))
 		}
@@ -86,19 +87,19 @@
 	}
 	n := upTo(ep.sentAt, sim.now)
 	if n > sim.config.OverloadFactor*max(sim.config.SlowStartFactor*best, own)+2 {
-		sim.t.Fatalf("warming endpoint %d was sent %v attempts; the best of its role completed %v, it itself %v",
+		sim.t.Fatalf("endpoint %d got %v attempts while warming up; the best of its role completed %v, it completed %v",
 			ep.id, n, best, own)
 	}
 }
 
-// Reject checks a final answer.
+// Reject checks and records a final answer.
 func (sim *fleetSim) Reject(request RequestID, _ Micros) { sim.checkFinalAnswer(request, rejected) }
 
-// Fail checks a final answer.
+// Fail checks and records a final answer.
 func (sim *fleetSim) Fail(request RequestID) { sim.checkFinalAnswer(request, failed) }
 
-// checkFinalAnswer checks that a final answer is the first, and rejects exactly where a retry by the client is
-// harmless.
+// checkFinalAnswer checks that a final answer is the request's first, and that it is a rejection if and only if a retry
+// by the client is harmless.
 func (sim *fleetSim) checkFinalAnswer(request RequestID, answer finalAnswer) {
 	sim.record("%s %d", answer, request)
 	req := sim.requests[request]
@@ -124,21 +125,22 @@
 	}
 }
 
-// Release checks that there can be a state.
+// Release checks that the request can have a state.
 func (sim *fleetSim) Release(request RequestID) {
 	sim.record("release %d", request)
 	req := sim.requests[request]
 	if sim.prefillOnly(req) {
-		sim.t.Fatalf("request %d has no state to release", request)
+		sim.t.Fatalf("release for request %d, which is prefill-only and has no state", request)
 	}
 	if req.inFlight() == nil {
 		req.stateWaitingSince = 0
 	}
 }
 
-// checkDeadlines checks that no state waits too long and that all requests have their final answer in time.
+// checkDeadlines checks that no state waits longer than maxStateWait, and that each request has its final answer or the
+// start of its answer by its deadline.
 func (sim *fleetSim) checkDeadlines() {
-	for _, id := range sim.order {
+	for _, id := range sim.arrivals {
 		req := sim.requests[id]
 		if req.stateWaitingSince != 0 && req.inFlight() == nil && sim.now > req.stateWaitingSince+maxStateWait {
 			sim.t.Fatalf("request %d: its state has waited since %d", id, req.stateWaitingSince)
@@ -150,7 +152,7 @@
 	}
 }
 
-// checkNothingLeft checks that the scheduler counts nothing after all requests have ended.
+// checkNothingLeft checks that the scheduler's counts are back to zero after all requests have ended.
 func (sim *fleetSim) checkNothingLeft() {
 	sim.t.Helper()
 	requests, queued := len(sim.scheduler.requests), sim.scheduler.queue.length()
--- a/scheduler/rules_test.go
+++ b/scheduler/rules_test.go
@@ -6,27 +6,28 @@
 	"testing"
 )
 
-// FuzzRules plays random scenarios: the model in rule_model_test.go fails at the first order that the rules forbid. The
-// same scenario twice must give the same orders.
+// FuzzRules runs random scenarios. The model in rule_model_test.go fails the test at the first action that the rules
+// forbid. Running the same scenario twice must give the same actions.
 func FuzzRules(f *testing.F) {
 	for seed := range int64(60) {
 		f.Add(seed, uint8(seed%5))
 	}
 	f.Fuzz(func(t *testing.T, seed int64, shape uint8) {
 		config := fuzzConfig(shape)
-		var logs [2][]string
-		for i := range logs {
+		var actions [2][]string
+		for i := range actions {
 			sim := newFleetSim(t, config, seed)
-			sim.playScenario(rand.New(rand.NewSource(seed)), 1500)
-			logs[i] = sim.log
+			sim.runScenario(rand.New(rand.NewSource(seed)), 1500)
+			actions[i] = sim.actions
 		}
-		if !slices.Equal(logs[0], logs[1]) {
-			t.Fatal("the same events gave other orders")
+		if !slices.Equal(actions[0], actions[1]) {
+			t.Fatal("the same events gave different actions")
 		}
 	})
 }
 
-// fuzzConfig has a class of each effect and group, a prefill-only one, and settings by the bits of shape.
+// fuzzConfig returns a configuration with a class for each effect and group and a prefill-only class. The other
+// settings depend on shape.
 func fuzzConfig(shape uint8) Config {
 	config := testConfig(Idempotent)
 	for i, class := range []Class{
@@ -48,7 +49,8 @@
 	return config
 }
 
-// A prefill in flight has not been seen to do nothing.
+// While a prefill is in flight, it is not known to have had no effect, so a non-idempotent request must fail and not be
+// rejected.
 func TestNonIdempotentFailsWhilePrefillInFlight(t *testing.T) {
 	sim := newFleetSim(t, testConfig(NonIdempotent), 1)
 	sim.addEndpoints(1, prefillKind, decodeKind)
@@ -59,15 +61,16 @@
 	}
 	sim.endAttempt(req, PrefillDone, 0)
 	if req.stateWaitingSince != 0 {
-		t.Error("the prefill that ended after the final answer keeps its state")
+		t.Error("the state of a prefill that completed after the final answer was not released")
 	}
 }
 
-// A decode endpoint that is cut off from the prefill endpoint finds no state, which the prefill endpoint still stores.
+// A decode endpoint that is cut off from the prefill endpoint finds no state, although the prefill endpoint still
+// stores it. The state must be released.
 func TestMissingStateIsReleased(t *testing.T) {
 	sim := newFleetSim(t, testConfig(NonIdempotent), 1)
 	sim.addEndpoints(2, prefillKind, decodeKind)
-	req := sim.prefilled(1, 3000)
+	req := sim.arriveAndPrefill(1, 3000)
 	sim.endAttempt(req, NoCapacity, 1)
 	if req.stateWaitingSince != 0 {
 		t.Error("the state was not released")
@@ -77,13 +80,13 @@
 	}
 }
 
-// A state whose lease ran out during a decode is gone, however the decode ends: it is released once more, and no decode
-// is sent without a new prefill.
+// A state whose lease expires during a decode attempt is gone, however the attempt ends. The scheduler must release it
+// once more and must not send another decode attempt without a new prefill.
 func TestStateReleasedDuringADecode(t *testing.T) {
 	for _, outcome := range []Outcome{NoCapacity, TimedOut, ConnectionLost, Errored, Cancelled} {
 		sim := newFleetSim(t, testConfig(Idempotent), 1)
 		sim.addEndpoints(2, prefillKind, decodeKind)
-		req := sim.prefilled(1, 3000)
+		req := sim.arriveAndPrefill(1, 3000)
 		sim.advance(50 * ms)
 		sim.endAttemptWith(req, AttemptResult{Outcome: outcome, StateReleased: true})
 		if req.inFlight() == nil || req.inFlight().endpoint.kind != prefillKind || req.stateWaitingSince != 0 {
@@ -92,11 +95,12 @@
 	}
 }
 
-// A cancel may cross the start of its stream: an end without closing still needs a final answer.
+// An attempt may be cancelled while the start of its stream is on the way. If the stream then ends before the answer is
+// complete, the client still needs a final answer.
 func TestStreamEndingUnclosedGetsFinalAnswer(t *testing.T) {
 	sim := newFleetSim(t, testConfig(NonIdempotent), 1)
 	sim.addEndpoints(1, prefillKind, decodeKind)
-	req := sim.prefilled(1, 3000)
+	req := sim.arriveAndPrefill(1, 3000)
 	sim.startAnswer(req)
 	req.inFlight().inFlight, req.inFlight().outcome = false, Cancelled
 	sim.scheduler.AttemptEnded(sim.now, 1, 1, AttemptResult{Outcome: Cancelled, MemoryUsage: NoLoadReport})
@@ -107,7 +111,7 @@
 
 func TestUnknownClassFailsAndUnknownKindGetsNothing(t *testing.T) {
 	sim := newFleetSim(t, testConfig(Idempotent), 1)
-	sim.config.Kinds = append(sim.config.Kinds, Kind{}) // the model knows a kind that the scheduler does not
+	sim.config.Kinds = append(sim.config.Kinds, Kind{}) // a kind that only the model knows
 	sim.updateEndpoints(&simEndpoint{id: 1, kind: 3})
 	if req := sim.arrive(1, 9, 3000, 4*sec); len(req.finalAnswers) != 1 {
 		t.Errorf("unknown class: final answers %v", req.finalAnswers)
@@ -117,8 +121,8 @@
 	}
 }
 
-// A prefill-only request needs no decode endpoint, leaves no state, and is not sent where only decodes are done; and
-// endpoints that only embed never get chat, even where they are all that is left.
+// A prefill-only request needs no decode endpoint, leaves no state, and is not sent to endpoints that only decode.
+// Embedder endpoints never get chat requests, even if no other endpoint can prefill.
 func TestPrefillOnlyRequestsGoWherePrefillsAreDone(t *testing.T) {
 	const chat, prefillOnly ClassID = 0, 1
 	config := testConfig(Idempotent)
--- a/scheduler/slow_start_test.go
+++ b/scheduler/slow_start_test.go
@@ -7,12 +7,13 @@
 	"testing"
 )
 
-// When all endpoints of a role restart together there is no warm one to measure.
+// When all endpoints of a role restart together, there is no warm endpoint whose throughput could be measured. They
+// must be sent requests nevertheless.
 func TestAllEndpointsOfARoleWarmingUpAtOnceStillServe(t *testing.T) {
 	sim := newFleetSim(t, testConfig(Idempotent), 1)
 	sim.addEndpoints(2, prefillKind, decodeKind)
 	sim.scheduler.warmThroughput[Prefill] = 20000
-	before := slices.Repeat([]Micros{sim.now}, 16) // what they completed when they were warm
+	before := slices.Repeat([]Micros{sim.now}, 16) // attempts that they completed while warm
 	sim.updateEndpoints(&simEndpoint{id: 1, startedAt: sim.now, doneAt: before},
 		&simEndpoint{id: 2, startedAt: sim.now, doneAt: before})
 	prefills := 0
@@ -26,11 +27,12 @@
 		}
 	}
 	if prefills < 8 {
-		t.Errorf("%d of 60 prefilled", prefills)
+		t.Errorf("%d of 60 requests were prefilled, want at least 8", prefills)
 	}
 }
 
-// A dispatcher sends a warming endpoint no more than its part by the overload rule, though that looks the emptiest.
+// A dispatcher sends an endpoint that is warming up no more than the overload rule allows, although that endpoint has
+// the lowest memory usage.
 func TestWarmingEndpointGetsItsShare(t *testing.T) {
 	sim := newFleetSim(t, testConfig(Idempotent), 1)
 	sim.addEndpoints(1, prefillKind)
@@ -40,7 +42,7 @@
 		attempts := map[EndpointID]int{}
 		for range n {
 			id++
-			req := sim.prefilled(id, 2000)
+			req := sim.arriveAndPrefill(id, 2000)
 			attempts[req.inFlight().endpoint.id]++
 			sim.startAnswer(req)
 			sim.advance(90 * ms)
@@ -57,43 +59,43 @@
 	}
 }
 
-// The throughput of warm endpoints must be known before all of a role restart at once: once the first one is warming up
-// it is too late to measure.
+// The throughput of warm endpoints must be measured before the endpoints of a role restart together: once they are
+// warming up, there is nothing to measure.
 func TestWarmThroughputIsMeasuredBeforeAnyEndpointRestarts(t *testing.T) {
 	sim := newFleetSim(t, testConfig(Idempotent), 1)
 	sim.addEndpoints(2, prefillKind, decodeKind)
 	for i := range 20 {
-		sim.complete(sim.prefilled(RequestID(i+1), 2000))
+		sim.complete(sim.arriveAndPrefill(RequestID(i+1), 2000))
 		sim.advance(50 * ms)
 	}
 	before := sim.scheduler.warmThroughput[Decode]
 	if before == 0 {
-		t.Fatal("nothing was seen of the warm decode endpoints")
+		t.Fatal("no throughput of the warm decode endpoints was measured")
 	}
-	// Dead ones that the list still names do not make it look small.
+	// Dead endpoints that are still listed must not lower the measured throughput.
 	for _, id := range []EndpointID{11, 12} {
 		sim.endpoint(id).outlier.failureScore = 1
 	}
 	sim.advance(5 * sec)
 	if after := sim.scheduler.warmThroughput[Decode]; after < before {
-		t.Errorf("%v was seen, and %v is left while all are dead", before, after)
+		t.Errorf("the measured throughput fell from %v to %v while all endpoints were dead", before, after)
 	}
 }
 
-// A hundred dispatchers that each see little learn of a warming endpoint at once: what they send it together stays
-// within the rule, and it gets some work.
+// A hundred dispatchers, each of which sees little traffic, learn of a new endpoint at the same time. What they send to
+// it together must stay within the overload rule, and the endpoint must get some work.
 func TestManyDispatchersTogetherKeepToTheOverloadRule(t *testing.T) {
 	sims := hundredDispatchers(t, func(sim *fleetSim) { sim.addEndpoints(2, prefillKind, decodeKind) })
 	config, start := sims[0].config, sims[0].now+15*sec
 	var sentAt []Micros
 	warm := 0
 	for n, sim := range sims {
-		sim.advance(Micros(n) * 9 * ms) // they don't act in step
+		sim.advance(Micros(n) * 9 * ms) // offset the dispatchers from each other
 		for i := range 32 {
 			if i == 16 {
 				sim.updateEndpoints(&simEndpoint{id: 13, kind: decodeKind, startedAt: start})
 			}
-			req := sim.prefilled(RequestID(i+1), 2000)
+			req := sim.arriveAndPrefill(RequestID(i+1), 2000)
 			if sim.startAnswer(req); i < 16 {
 				warm++
 			}
@@ -102,40 +104,41 @@
 		}
 		sentAt = append(sentAt, sim.endpoints[13].sentAt...)
 	}
-	rate := float64(warm) / 2 / 14.4 // answers a second at each of the two warm endpoints
-	// Warm endpoints could do more than they were sent: the scheduler multiplies what it saw by slowStartHeadroom.
+	rate := float64(warm) / 2 / 14.4 // answers per second at each of the two warm endpoints
+	// Warm endpoints could do more than they were sent, so the scheduler multiplies their throughput by slowStartHeadroom.
 	allowed := config.OverloadFactor * config.SlowStartFactor * slowStartHeadroom * rate * seconds(config.OverloadWindow)
 	for from := start; from < start+2*sec; from += 100 * ms {
-		if n := countWithin(sentAt, from, config.OverloadWindow); n > 1.1*allowed { // the rule leaves a little slack
+		if n := countWithin(sentAt, from, config.OverloadWindow); n > 1.1*allowed { // the rule leaves some slack
 			t.Fatalf("%v attempts within a window from %d, %v allowed", n, from-start, allowed)
 		}
 	}
 	if len(sentAt) < 20 {
-		t.Errorf("the warming endpoint got %d attempts in 14 s", len(sentAt))
+		t.Errorf("the endpoint that is warming up got %d attempts in 14 s", len(sentAt))
 	}
 }
 
-// unevenTraffic is a fleet whose dispatchers share nothing and get unequal parts of the traffic.
+// unevenTraffic describes traffic that is divided unevenly among dispatchers that share no state.
 type unevenTraffic struct {
 	perSecond     float64
 	warmEndpoints EndpointID
-	weights       []float64 // of the dispatchers
+	weights       []float64 // by dispatcher
 	weightSum     float64
 }
 
 func newUnevenTraffic(random *rand.Rand, dispatchers int) *unevenTraffic {
 	traffic := &unevenTraffic{perSecond: 40, warmEndpoints: 4, weights: make([]float64, dispatchers)}
 	for i := range traffic.weights {
-		traffic.weights[i] = math.Exp(random.NormFloat64()) // some see several times the mean
+		traffic.weights[i] = math.Exp(random.NormFloat64()) // some dispatchers get several times the mean
 		traffic.weightSum += traffic.weights[i]
 	}
 	return traffic
 }
 
-const restartAfter = 20 * sec // of the start of the simulation
+const restartAfter = 20 * sec // time from the start of the simulation to the restart of the endpoint
 
-// sendsToRestarted runs one dispatcher until an endpoint that restarts, while all other decode endpoints leave, is
-// warm. It returns when the dispatcher sent to that endpoint, and when the endpoint restarted.
+// sendsToRestarted runs one dispatcher in a fleet in which one decode endpoint restarts and all other decode endpoints
+// drain, until the restarted endpoint is warm. It returns the times at which the dispatcher sent to the restarted
+// endpoint, and the time of the restart.
 func (traffic *unevenTraffic) sendsToRestarted(
 	sim *fleetSim, dispatcher int, random *rand.Rand,
 ) (sentAt []Micros, start Micros) {
@@ -156,7 +159,7 @@
 			break
 		}
 		if sim.now >= start && sim.endpoints[restarted] == nil {
-			// All others leave: only what the rule allows keeps attempts from the restarted one.
+			// All other decode endpoints drain, so that only slow start limits what the restarted one is sent.
 			sim.updateEndpoints(&simEndpoint{id: restarted, kind: decodeKind, startedAt: start})
 			for i := range traffic.warmEndpoints {
 				sim.endpoints[11+i].state = Draining
@@ -173,10 +176,9 @@
 	return sentAt, start
 }
 
-// Whatever the number of dispatchers that share nothing, and however unevenly the traffic falls on them, an endpoint
-// that has just started gets no more than the rule's part of what warm endpoints do and the chance that the users
-// allow beside it: N + 2 root of N + 2 in any window. A floor of one request for each dispatcher would be three
-// hundred.
+// An endpoint that has just started must not be overloaded, whatever the number of dispatchers and however unevenly the
+// traffic is divided among them. With N attempts in a window allowed by the overload rule, the users tolerate random
+// variation up to N + 2*sqrt(N) + 2. A minimum of one request for each dispatcher would let 300 attempts through.
 func TestSlowStartHoldsForAnyNumberOfDispatchers(t *testing.T) {
 	for _, dispatchers := range []int{3, 30, 300} {
 		config := testConfig(Idempotent)
@@ -192,7 +194,8 @@
 		warmRate := traffic.perSecond / float64(traffic.warmEndpoints)
 		for from := start; from+config.OverloadWindow <= start+config.WarmUp; from += 50 * ms {
 			got := countWithin(sentAt, from, config.OverloadWindow)
-			// What it can do at the window's end, if warm endpoints do what they can.
+			// The rule's limit by the throughput that the endpoint has reached at the end of the window. It assumes that the
+			// warm endpoints were fully loaded.
 			warmedUp := float64(from+config.OverloadWindow-start) / float64(config.WarmUp)
 			factor := config.SlowStartFactor + (1-config.SlowStartFactor)*warmedUp
 			allowed := config.OverloadFactor * min(factor, 1) * warmRate * seconds(config.OverloadWindow)
@@ -202,7 +205,7 @@
 			}
 		}
 		if len(sentAt) < 10 {
-			t.Errorf("%d dispatchers: the warming endpoint got %d attempts in 10 s", dispatchers, len(sentAt))
+			t.Errorf("%d dispatchers: the endpoint got %d attempts while warming up for 10 s", dispatchers, len(sentAt))
 		}
 	}
 }
--- a/scheduler/timerqueue/timerqueue_test.go
+++ b/scheduler/timerqueue/timerqueue_test.go
@@ -24,12 +24,12 @@
 	if want := []string{"a", "b", "c", "added"}; !slices.Equal(ran, want) {
 		t.Errorf("ran %v, want %v", ran, want)
 	}
-	if at, some := queue.Next(); at != 30 || !some {
-		t.Errorf("next at %d, %v", at, some)
+	if at, found := queue.Next(); at != 30 || !found {
+		t.Errorf("next call at %d, found %v, want 30 and true", at, found)
 	}
 	queue.RunOne()
-	if _, some := queue.Next(); some || ran[len(ran)-1] != "later" {
-		t.Errorf("ran %v, more %v", ran, some)
+	if _, found := queue.Next(); found || ran[len(ran)-1] != "later" {
+		t.Errorf("ran %v, want \"later\" last; calls left: %v", ran, found)
 	}
-	queue.RunOne() // of an empty queue
+	queue.RunOne() // the queue is empty
 }
