--- a/scheduler/fleet_sim_test.go
+++ b/scheduler/fleet_sim_test.go
@@ -128,7 +128,8 @@
 	}
 }
 
-// arrive sends a request with a prefix of half its prompt, which a third of the requests share.
+// arrive sends a request. Its prefix is half of its prompt and one of two that requests share. Each third request has
+// no prefix.
 func (sim *fleetSim) arrive(id RequestID, class ClassID, prompt float64, timeLeft Micros) *simRequest {
 	return sim.arriveAs(Arrival{
 		ID: id, Class: class, Prefix: PrefixID(id % 3), PromptTokens: prompt, PrefixTokens: prompt / 2,
--- a/scheduler/rule_model_test.go
+++ b/scheduler/rule_model_test.go
@@ -66,8 +66,8 @@
 
 // checkOverload checks that an endpoint that is warming up gets no more attempts from this dispatcher than the overload
 // rule allows. In any OverloadWindow the limit is OverloadFactor times the larger of two numbers, plus a slack of two.
-// The first number is the most attempts that a warm endpoint of the role has completed in such a window, times
-// SlowStartFactor. The second is the most that this endpoint has completed in such a window since it started.
+// The first number is the most attempts that any endpoint of the role, warm or not, has completed in such a window,
+// times SlowStartFactor. The second is the most that this endpoint has completed in such a window since it started.
 func (sim *fleetSim) checkOverload(ep *simEndpoint) {
 	upTo := func(times []Micros, end Micros) float64 {
 		return countWithin(times, end-sim.config.OverloadWindow+1, sim.config.OverloadWindow)
