--- a/scheduler/decode_memory.go
+++ b/scheduler/decode_memory.go
@@ -18,8 +18,8 @@
 	limitCutFactor   = 0.8
 	limitCutInterval = sec
 
-	// Each second, the limit grows by limitGrowth times the dispatcher's even part of the endpoint's memory. It starts
-	// from at least the even part divided by minLimitDivisor.
+	// Each second, the limit grows by limitGrowth times the dispatcher's even share of the endpoint's memory. It starts
+	// from at least the even share divided by minLimitDivisor.
 	limitGrowth     = 0.1
 	minLimitDivisor = 8
 )
--- a/scheduler/decode_placement.go
+++ b/scheduler/decode_placement.go
@@ -24,7 +24,7 @@
 	tierSameZone                        // in the prefill endpoint's zone
 	tierAnywhere                        // fits, but is in another zone or fuller than nearUsageLimit
 	tierOverLimits                      // does not fit
-	tierNone
+	tierNone                            // higher than all tiers of endpoints
 )
 
 // sendToDecode sends a request to the endpoint that decodes it. The endpoint fetches the prefilled state if
@@ -75,7 +75,9 @@
 
 // pickDecode returns the decode endpoint with the lowest memory usage in the first of these groups that is not empty:
 // those that fit in the prefill endpoint's cell, in its zone, and anywhere; then those that do not fit. It also reports
-// whether the endpoint fits. If there are many dispatchers, it compares a random sample of the group only.
+// whether the endpoint fits. While the link out of the prefill endpoint's cell is congested, it considers only
+// endpoints in that cell if there are any. If there are many dispatchers, it compares a random sample of the group
+// only.
 func (s *Scheduler) pickDecode(req *request, prefill *endpoint) (*endpoint, bool) {
 	defer s.scratch.release(s.scratch.mark())
 	endpoints := s.decodeCandidates(req)
@@ -154,7 +156,7 @@
 // nothing is being prefilled, a request always passes.
 func (s *Scheduler) capacityBeyondPrefills(req *request) bool {
 	adds := req.memoryTokens()
-	left := -s.prefilling - adds
+	left := -s.prefillingTokens - adds
 	defer s.scratch.release(s.scratch.mark())
 	endpoints := s.candidates(req, Decode, Mixed)
 	medianLoad := median(s.loads(endpoints))
@@ -165,5 +167,5 @@
 			left += max(s.reservationLimit(ep)-ep.load.reservedTokens, 0)
 		}
 	}
-	return left >= 0 || s.prefilling == 0
+	return left >= 0 || s.prefillingTokens == 0
 }
--- a/scheduler/endpoint_load.go
+++ b/scheduler/endpoint_load.go
@@ -24,7 +24,7 @@
 		ep.load.reservedTokens += att.memoryTokens
 		ep.load.streams++
 	} else if !s.Classes[att.request.class].PrefillOnly { // prefill-only requests need no decode capacity
-		s.prefilling += att.memoryTokens
+		s.prefillingTokens += att.memoryTokens
 	}
 	ep.load.unprefilledTokens += att.prefillTokens
 	ep.pending = append(ep.pending, att)
@@ -40,7 +40,7 @@
 		ep.load.reservedTokens = max(ep.load.reservedTokens-att.memoryTokens, 0)
 		ep.load.streams--
 	} else if !s.Classes[att.request.class].PrefillOnly {
-		s.prefilling = max(s.prefilling-att.memoryTokens, 0)
+		s.prefillingTokens = max(s.prefillingTokens-att.memoryTokens, 0)
 	}
 	att.prefillFinished()
 	att.request.attempt = nil
--- a/scheduler/prefix_affinity.go
+++ b/scheduler/prefix_affinity.go
@@ -7,7 +7,7 @@
 )
 
 const (
-	// A prefix has one affinity endpoint, and one more for each affinityLoad of a prefill endpoint's even part of the
+	// A prefix has one affinity endpoint, and one more for each affinityLoad of a prefill endpoint's even share of the
 	// traffic.
 	affinityLoad = 0.5
 
--- a/scheduler/retries.go
+++ b/scheduler/retries.go
@@ -1,7 +1,8 @@
 package scheduler
 
 // An attempt's timeout is timeoutLatencyFactor times the typical latency, plus timeoutPrefillFactor times the prefill
-// time at its endpoint, plus timeoutMargin. It is at least the remaining time divided by timeoutDivisor.
+// time at its endpoint, plus timeoutMargin. It is at least the remaining time divided by timeoutDivisor, and at most
+// the remaining time.
 const (
 	timeoutLatencyFactor = 6
 	timeoutPrefillFactor = 3
--- a/scheduler/rule_model_test.go
+++ b/scheduler/rule_model_test.go
@@ -156,9 +156,9 @@
 func (sim *fleetSim) checkNothingLeft() {
 	sim.t.Helper()
 	requests, queued := len(sim.scheduler.requests), sim.scheduler.queue.length()
-	if requests+queued > 0 || sim.scheduler.prefilling > 0.5 {
+	if requests+queued > 0 || sim.scheduler.prefillingTokens > 0.5 {
 		sim.t.Fatalf("left over: %d requests, %d queued, %v tokens being prefilled",
-			requests, queued, sim.scheduler.prefilling)
+			requests, queued, sim.scheduler.prefillingTokens)
 	}
 	for _, ep := range sim.scheduler.endpoints.all {
 		if len(ep.pending) > 0 || ep.load.streams != 0 || ep.load.reservedTokens > 0.5 {
--- a/scheduler/rules_test.go
+++ b/scheduler/rules_test.go
@@ -156,9 +156,9 @@
 		}
 		sim.endAttempt(req, PrefillDone, 0)
 		sim.advance(sec)
-		if len(req.finalAnswers) > 0 || len(sim.scheduler.requests) > 0 || sim.scheduler.prefilling != 0 {
+		if len(req.finalAnswers) > 0 || len(sim.scheduler.requests) > 0 || sim.scheduler.prefillingTokens != 0 {
 			t.Errorf("kinds %v: %v, %d requests left, %v tokens being prefilled",
-				test.kinds, req.finalAnswers, len(sim.scheduler.requests), sim.scheduler.prefilling)
+				test.kinds, req.finalAnswers, len(sim.scheduler.requests), sim.scheduler.prefillingTokens)
 		}
 	}
 }
--- a/scheduler/scheduler.go
+++ b/scheduler/scheduler.go
@@ -29,12 +29,12 @@
 	quotas    quotas
 	endpoints endpointList
 
-	prefixes        prefixStats
-	links           linkHealth
-	connectFailures decayingMean // share of the attempts that needed a new connection and could not open one
-	estimates       estimates
-	warmThroughput  [roleCount]float64 // last observed mean tokens per second of a warm endpoint, by role
-	prefilling      float64            // tokens that the requests being prefilled will reserve at decode endpoints
+	prefixes         prefixStats
+	links            linkHealth
+	connectFailures  decayingMean // share of the attempts that needed a new connection and could not open one
+	estimates        estimates
+	warmThroughput   [roleCount]float64 // last observed mean tokens per second of a warm endpoint, by role
+	prefillingTokens float64            // tokens that the requests being prefilled will reserve at decode endpoints
 
 	scratch    scratch
 	violations int    // number of attempts that the guard blocked
@@ -70,7 +70,12 @@
 			attempts++
 		}
 	}
-	return InFlight{Requests: len(s.requests), Attempts: attempts, Queued: s.queue.length(), PrefillTokens: s.prefilling}
+	return InFlight{
+		Requests:      len(s.requests),
+		Attempts:      attempts,
+		Queued:        s.queue.length(),
+		PrefillTokens: s.prefillingTokens,
+	}
 }
 
 // otherDispatchers is the number of other dispatchers that send to the same endpoints.
--- a/scheduler/slow_start.go
+++ b/scheduler/slow_start.go
@@ -75,7 +75,7 @@
 	w.decay(s.now)
 	requestTokens := s.estimates.largestMeanRequest()
 	rate := s.slowStartRate(ep, requestTokens)
-	// Each dispatcher begins with a random credit. Otherwise, dispatchers whose even parts of the endpoint are less than
+	// Each dispatcher begins with a random credit. Otherwise, dispatchers whose even shares of the endpoint are less than
 	// one request would all send their first request at once.
 	if w.creditRefilledAt == 0 {
 		w.credit, w.creditRefilledAt = -requestTokens*s.rand.Float64(), s.now
