--- a/internal/platform/attempt.go
+++ b/internal/platform/attempt.go
@@ -8,12 +8,13 @@
 	"plumspindle/scheduler"
 )
 
-// cancelDelivery is for how long an attempt that is cancelled still counts as in flight: until its endpoint sees the
-// connection closed, which takes one way through the network, between zones at the most. Nothing else is done for its
-// request for so long.
-const cancelDelivery = 20 * eventloop.Millisecond
+// cancelDeliveryTime is how long a cancelled attempt still counts as in flight. Its endpoint learns of the cancellation
+// when it sees the connection close, which takes one network latency, at most that between two zones. Until then the
+// dispatcher does nothing else for the request.
+const cancelDeliveryTime = 20 * eventloop.Millisecond
 
-// Why attempts ended, for logs. Package upstream has the reasons that endpoints give.
+// The reasons why the dispatcher itself ended an attempt, for logs. Package upstream defines the reasons that come from
+// endpoints.
 const (
 	reasonCancelled          = "cancelled"
 	reasonCancelledUnsent    = "cancelled before it was sent"
@@ -23,26 +24,27 @@
 	reasonLeaseExpired       = "lease expired before the connection was up"
 )
 
-// attempt is the request's attempt in flight, or its last one.
+// attempt describes the attempt that the scheduler ordered last for a request, whether it is still in flight or not.
 type attempt struct {
-	count      scheduler.AttemptNo // ordered so far
-	inFlight   *engine.Attempt     // nil: none has been handed to the network, or it has ended
+	count      scheduler.AttemptNo // attempts of the request that the scheduler has ordered so far
+	inFlight   *engine.Attempt     // nil before the attempt is handed to the network and after it has ended
 	endpoint   scheduler.EndpointID
 	orderedAt  eventloop.Micros
 	prefill    bool
-	cancelling bool // it was cancelled, and its endpoint may not have seen that yet
-	started    bool // its stream has, and the client has it
+	cancelling bool // the attempt was cancelled, and its endpoint may not have seen that yet
+	started    bool // the first event of its stream has arrived, so the client's response has begun
 }
 
-// number is that of the last attempt.
+// number returns the number of the attempt that was ordered last.
 func (a *attempt) number() scheduler.AttemptNo { return a.count - 1 }
 
-// newResult is the result of an attempt that brought no load report.
+// newResult returns the result of an attempt that returned no load report.
 func newResult(outcome scheduler.Outcome, reason string) engine.Result {
 	return engine.Result{Outcome: outcome, MemoryUsage: scheduler.NoLoadReport, Reason: reason}
 }
 
-// Send implements scheduler.Executor: it makes an attempt.
+// Send implements scheduler.Executor: it starts an attempt at an endpoint, or has it wait until a release of the
+// request's KV state is over.
 func (d *Dispatcher) Send(id scheduler.RequestID, endpoint scheduler.EndpointID, timeout scheduler.Micros) {
 	req := d.requests[id]
 	if req == nil {
@@ -54,21 +56,24 @@
 	a.prefill = d.roleOf(endpoint) == scheduler.Prefill
 	number := a.number()
 	d.Attempts++
-	// A prefill does not fetch the state that waits, and what it leaves must not be released with that.
+	// A prefill attempt doesn't fetch the KV state that an earlier prefill left, so that state is released first: a
+	// release drops all states of the request, and must not drop the one that this attempt will leave. A state that an
+	// unanswered prefill may have left is released before any attempt.
 	if req.lease.active && !req.lease.releasing && (a.prefill || req.lease.unconfirmed) {
 		d.release(req)
 	}
 	if req.lease.releasing {
-		req.lease.waiting = func() { d.startAfterRelease(req, number, timeout) }
+		req.lease.startWaiting = func() { d.startAfterRelease(req, number, timeout) }
 		return
 	}
 	d.startAttempt(req, number, timeout)
 }
 
-// startAttempt hands the attempt to the network. Its time-outs count from when it was ordered: whether it may still be
-// sent, as a retry within its window, was checked then.
+// startAttempt hands the attempt to the network. Its timeouts count from the time at which the scheduler ordered it,
+// because the scheduler checked at that time whether the attempt may be sent, for example as a retry within its window.
 func (d *Dispatcher) startAttempt(req *request, number scheduler.AttemptNo, timeout eventloop.Micros) {
-	// The disconnect may not have been handed over yet, as after the process was suspended.
+	// The client may have disconnected without OnDisconnect having been called yet, for example if the process was
+	// suspended.
 	if req.client.response.Disconnected() {
 		d.loop.Defer(func() {
 			d.clientDisconnected(req)
@@ -76,8 +81,8 @@
 		})
 		return
 	}
-	if err := req.ledger.Send(d.loop.Now(), d.guardEndpoint(req)); err != nil {
-		d.loop.Defer(func() { // never within the scheduler's own call
+	if err := req.ledger.Send(d.loop.Now(), d.endpointForGuard(req)); err != nil {
+		d.loop.Defer(func() { // the scheduler must not be called back from within its own call
 			d.attemptEnded(req, number, newResult(scheduler.NotSent, err.Error()))
 		})
 		return
@@ -93,7 +98,7 @@
 		Fields:      req.client.Fields,
 		Body:        req.client.Body,
 		SendTimeout: max(d.settings.ConnectTimeout-waited, 1),
-		OnSend:      func(remaining eventloop.Micros) { d.attemptWritten(req, number, remaining) },
+		OnSend:      func(remaining eventloop.Micros) { d.checkWrittenAttempt(req, number, remaining) },
 	}
 	timeout = max(timeout-waited, 0)
 	if req.attempt.prefill {
@@ -103,8 +108,9 @@
 	}
 }
 
-// startAfterRelease starts an attempt that waited for a release, unless its endpoint has begun to drain meanwhile, or
-// the time for a retry may be over, which was checked when it was ordered.
+// startAfterRelease starts an attempt that waited for a release. It doesn't start the attempt if its endpoint has begun
+// to drain meanwhile, nor if it has waited for longer than the connect timeout: the scheduler checked the retry window
+// when it ordered the attempt, and the window may be over by now.
 func (d *Dispatcher) startAfterRelease(req *request, number scheduler.AttemptNo, timeout eventloop.Micros) {
 	switch {
 	case !d.isReady(req.attempt.endpoint):
@@ -116,7 +122,8 @@
 	}
 }
 
-// forwardEvent forwards an event to the client.
+// forwardEvent forwards an event of the endpoint's stream to the client, and pauses the endpoint's stream if the client
+// reads too slowly.
 func (d *Dispatcher) forwardEvent(req *request, number scheduler.AttemptNo, data []byte) {
 	if number != req.attempt.number() || req.attempt.inFlight == nil || req.client.closed {
 		return
@@ -132,10 +139,11 @@
 	}
 }
 
-// streamStarted takes the first event as proof that the endpoint has fetched the KV state.
+// streamStarted handles the first event of a stream. The event proves that the endpoint has fetched the KV state, so it
+// ends the state's lease.
 func (d *Dispatcher) streamStarted(req *request) {
 	req.attempt.started = true
-	req.lease.active, req.lease.awaited = false, false
+	req.lease.active, req.lease.releasedDuringAttempt = false, false
 	req.lease.expiry.Clear()
 	req.ledger.LeaseTaken()
 	req.attempt.inFlight.Started()
@@ -146,7 +154,8 @@
 	d.scheduler.AttemptStarted(now, req.id, req.attempt.number())
 }
 
-// attemptEnded handles the result of an attempt, unless another one has been ordered since.
+// attemptEnded handles the result of an attempt, unless the scheduler has ordered another one since. The result of an
+// attempt that was cancelled before its stream started is handled only after cancelDeliveryTime.
 func (d *Dispatcher) attemptEnded(req *request, number scheduler.AttemptNo, result engine.Result) {
 	a := &req.attempt
 	if number != a.number() {
@@ -154,7 +163,7 @@
 	}
 	if result.ClosedLocally && !a.started && !a.cancelling && result.Outcome != scheduler.Unreachable {
 		a.cancelling = true
-		d.loop.AfterFunc(cancelDelivery, func() { d.attemptEnded(req, number, result) })
+		d.loop.AfterFunc(cancelDeliveryTime, func() { d.attemptEnded(req, number, result) })
 		return
 	}
 	a.inFlight, a.cancelling = nil, false
@@ -171,7 +180,8 @@
 	d.finishIfIdle(req)
 }
 
-// endStream ends the client's stream, completely or not.
+// endStream ends the client's stream: with its last chunk if the attempt completed, otherwise by breaking the
+// connection.
 func (d *Dispatcher) endStream(req *request, outcome scheduler.Outcome) {
 	req.client.closed = true
 	if outcome == scheduler.Completed {
@@ -185,14 +195,15 @@
 	req.client.response.Break()
 }
 
-// Cancel implements scheduler.Executor: it cancels an attempt. The result is reported after the call that is under way;
-// an attempt that was never written is known not to have run.
+// Cancel implements scheduler.Executor: it cancels an attempt that is in flight or waits for a release. It reports the
+// result only after the current call of the scheduler has returned. An attempt that was never written completely is
+// reported as NotSent, since it can't have run.
 func (d *Dispatcher) Cancel(id scheduler.RequestID, number scheduler.AttemptNo) {
 	req := d.requests[id]
 	if req == nil || number != req.attempt.number() || req.attempt.started || req.attempt.cancelling {
 		return
 	}
-	if req.attempt.inFlight == nil && req.lease.waiting == nil {
+	if req.attempt.inFlight == nil && req.lease.startWaiting == nil {
 		return
 	}
 	result := newResult(scheduler.Cancelled, reasonCancelled)
@@ -203,14 +214,14 @@
 	d.cancelAttempt(req, result)
 }
 
-// cancelAttempt ends the attempt that is in flight, or that waits for a release; its result comes after the call that
-// is under way.
+// cancelAttempt ends the attempt that is in flight, or that waits for a release. It reports the result only after the
+// current call of the scheduler has returned.
 func (d *Dispatcher) cancelAttempt(req *request, result engine.Result) {
 	inFlight, number := req.attempt.inFlight, req.attempt.number()
 	if inFlight != nil {
 		inFlight.Cancel()
 	}
-	req.lease.waiting = nil
+	req.lease.startWaiting = nil
 	d.loop.Defer(func() {
 		if number == req.attempt.number() && req.attempt.inFlight == inFlight {
 			d.attemptEnded(req, number, result)
--- a/internal/platform/attempt_timing_test.go
+++ b/internal/platform/attempt_timing_test.go
@@ -187,10 +187,10 @@
 				t.Fatal("no attempt is being cancelled")
 			}
 			env.loop.Do(func() { meanwhile(d, request) })
-			if env.network.Run(cancelDelivery - 2*eventloop.Millisecond); !request.attempt.cancelling {
+			if env.network.Run(cancelDeliveryTime - 2*eventloop.Millisecond); !request.attempt.cancelling {
 				t.Error("it was taken for over at once")
 			}
-			env.network.Run(2 * cancelDelivery)
+			env.network.Run(2 * cancelDeliveryTime)
 			others := d.Outcomes[scheduler.Unreachable] + d.Outcomes[scheduler.NoCapacity] + d.Outcomes[scheduler.NotSent]
 			if d.Outcomes[scheduler.Cancelled] != 1 || others > 0 {
 				t.Errorf("outcomes %v", d.Outcomes)
--- a/internal/platform/dispatcher.go
+++ b/internal/platform/dispatcher.go
@@ -1,9 +1,10 @@
 // Package platform runs the scheduler on the users' platform, as package dispatch does for the chat API.
 //
-// It reports events to the scheduler and executes its orders. It owns the requests from their acceptance to their last
-// byte: the client's response, the attempt in flight, the lease of the KV state that an endpoint may hold, and the
-// guard's ledger. Package server serves the clients, package upstream sends the attempts, package discovery follows the
-// endpoint list. Everything runs on one event loop. It never decides where or whether an attempt is made.
+// It reports events to the scheduler and executes its orders. It owns each request from its acceptance to the last byte
+// of its response: the client's response, the attempt in flight, the lease of the KV state that an endpoint may hold,
+// and the ledger in which the guard checks the request. Package server serves the clients, package upstream sends the
+// attempts, and package discovery follows the endpoint list. Everything runs on one event loop. The scheduler alone
+// decides whether and where an attempt is made.
 package platform
 
 import (
@@ -20,40 +21,42 @@
 	"plumspindle/scheduler"
 )
 
-// Config is a dispatcher's identity, its deployment's settings and the resources that it may use.
+// Config holds a dispatcher's name, its deployment's settings and the resources that it may use.
 type Config struct {
 	Name       string
-	Discovery  string // address
+	Discovery  string // address of the discovery agent
 	Seed       int64
 	Settings   *settings.Settings
-	CachedList []byte // the endpoint list as it was last known, in discovery's form; empty: none
-	Sockets    int    // descriptors
-	Memory     int    // bytes
+	CachedList []byte // the last known endpoint list, in discovery's format; empty if there is none
+	Sockets    int    // maximum number of file descriptors for sockets
+	Memory     int    // bytes of memory
 	Log        zerolog.Logger
 }
 
 const (
-	// streamSilence is how long a started stream may bring nothing until it counts as broken: the platform allows a
-	// client to be left waiting for less than 5 s.
-	streamSilence = 4200 * eventloop.Millisecond
-	// discoveryTimeout is how long the discovery agent has to respond, which runs on this machine and sends what it has
-	// at once. After that the cached list is used.
-	discoveryTimeout = eventloop.Second
-	discoveryPoll    = 10 * eventloop.Millisecond
-	// readyWithoutEndpoints is the time after which a dispatcher reports ready even if it knows no endpoint to serve
-	// with. It rejects requests with a Retry-After then; a process that never becomes ready counts as failed to start.
-	readyWithoutEndpoints = 5 * eventloop.Second
+	// streamIdleTimeout is how long a started stream may stay silent until it counts as broken. The platform requires
+	// that a client is left waiting for less than 5 s.
+	streamIdleTimeout = 4200 * eventloop.Millisecond
+	// discoveryTimeout is how long a new dispatcher waits for the discovery agent before it uses the cached list. The
+	// agent runs on the same machine and sends the list that it has at once.
+	discoveryTimeout      = eventloop.Second
+	discoveryPollInterval = 10 * eventloop.Millisecond
+	// readyWithoutEndpointsDelay is the time after which a dispatcher reports ready even if it knows no endpoint that
+	// can serve requests. It then rejects requests with a Retry-After. If it never reported ready, the platform would
+	// treat its start as failed.
+	readyWithoutEndpointsDelay = 5 * eventloop.Second
 )
 
-// Bounds of what is derived from the resources in Config.
+// Bounds of the limits that are derived from the resources in Config.
 const (
-	minConnections = 8 // on either side
-	minConnecting  = 4
-	minUnsentBytes = 8 << 10
-	maxUnsentBytes = 64 << 10
+	minConnections = 8        // to clients, and to endpoints
+	minConnecting  = 4        // connections to endpoints that are being opened
+	minUnsentBytes = 8 << 10  // buffered for one client
+	maxUnsentBytes = 64 << 10 // buffered for one client
 )
 
-// Dispatcher serves the clients of one process.
+// Dispatcher serves the clients of one process: it accepts their requests, sends attempts to endpoints as the scheduler
+// orders, and forwards the responses.
 type Dispatcher struct {
 	loop      eventloop.Loop
 	config    Config
@@ -65,26 +68,28 @@
 	discovery *discovery.Watcher
 	guard     *guard.Guard
 
-	requests    map[scheduler.RequestID]*request
-	lastRequest scheduler.RequestID
-	activeIDs   map[string]bool
-	recentIDs   [2]map[string]bool // of requests that have ended, the latest first
+	requests      map[scheduler.RequestID]*request
+	lastRequestID scheduler.RequestID
+	activeIDs     map[string]bool
+	recentIDs     [2]map[string]bool // ids of requests that have ended recently; the first set holds the newest
 
 	topology  schedulerhost.Topology
 	endpoints map[scheduler.EndpointID]discovery.Entry
-	ready     []scheduler.EndpointID // that accept new requests, in order
+	ready     []scheduler.EndpointID // endpoints that accept new requests, sorted by id
 
 	startedAt         eventloop.Micros
 	discoveryWasReady bool
 	shuttingDown      bool
-	lastActiveAt      eventloop.Micros // while it is shutting down; 0: requests are accepted
+	// lastActiveAt is when something was last pending during the shutdown; 0 as long as requests are accepted.
+	lastActiveAt eventloop.Micros
 
-	// onViolation, where it is set, is called with each violation that the guard reports.
+	// onViolation, if set, is called with each violation that the guard reports.
 	onViolation func(guard.Violation)
 	Counts
 }
 
-// Start makes a dispatcher on a loop. Its clients are accepted by the Accept method of Server.
+// Start creates a dispatcher on an event loop and subscribes it to discovery. The caller opens the listener for clients
+// and passes each connection to the Accept method of Server.
 func Start(loop eventloop.Loop, config Config) *Dispatcher {
 	d := &Dispatcher{
 		loop:      loop,
@@ -98,8 +103,8 @@
 	}
 	schedulerConfig := d.settings.Scheduler
 	d.topology = schedulerhost.NewTopology(d.settings.Zones, d.settings.Kinds, schedulerConfig.Kinds)
-	// Idle connections are closed here well before the endpoints close them: a request that is written to a connection
-	// closed by its endpoint counts as lost.
+	// The dispatcher closes idle connections well before the endpoints do, because a request that is written to a
+	// connection that its endpoint has closed counts as lost.
 	schedulerConfig.IdleTimeout /= 2
 	d.guard = d.newGuard()
 	limits := upstreamLimits(d.settings, config.Sockets, schedulerConfig.IdleTimeout)
@@ -129,22 +134,23 @@
 	return d
 }
 
-// upstreamLimits are the limits of connections to endpoints. Clients may use about half of the descriptors, and each
-// request needs one on either side; what is left is for releases, discovery and the poller.
+// upstreamLimits returns the limits for connections to endpoints. Clients may use about half of the descriptors, and
+// each request needs one connection to its client and one to its endpoint. The rest of the descriptors is for releases,
+// discovery and the poller.
 func upstreamLimits(s *settings.Settings, sockets int, idle eventloop.Micros) engine.Limits {
 	total := max(sockets*2/5, minConnections)
 	return engine.Limits{
 		ConnectTimeout:    s.ConnectTimeout,
 		IdleTimeout:       idle,
-		StreamIdleTimeout: streamSilence,
+		StreamIdleTimeout: streamIdleTimeout,
 		MaxPerEndpoint:    total,
 		MaxOpening:        max(total/4, minConnecting),
 		MaxTotal:          total,
 	}
 }
 
-// clientLimits are the limits of connections to clients: half of the descriptors, an eighth of the memory for bodies
-// and pipelined requests, and a quarter of it for streams that clients have not read.
+// clientLimits returns the limits for connections to clients: half of the descriptors, an eighth of the memory for
+// bodies and pipelined requests, and a quarter of the memory for streamed bytes that clients have not read yet.
 func clientLimits(sockets, memory int) server.Limits {
 	limits := server.DefaultLimits
 	limits.Connections = max(sockets/2, minConnections)
@@ -153,39 +159,42 @@
 	return limits
 }
 
-// Server is the clients' side.
+// Server returns the HTTP server that serves the dispatcher's clients.
 func (d *Dispatcher) Server() *server.Server { return d.server }
 
-// MoveDiscovery watches discovery at another address.
+// MoveDiscovery continues to watch the endpoint list at another address of the discovery agent.
 func (d *Dispatcher) MoveDiscovery(address string) { d.discovery.SetAddress(address) }
 
-// discoveryReady reports whether discovery has responded since the start, or has not within discoveryTimeout. Until
-// then only the cached list is known, which may name endpoints that are gone. Once true it stays so.
+// discoveryReady reports whether discovery has responded since the start, or discoveryTimeout has passed. Before that,
+// the dispatcher knows only the cached list, which may name endpoints that no longer exist. Once the result is true, it
+// stays true.
 func (d *Dispatcher) discoveryReady() bool {
 	timedOut := d.loop.Now()-d.startedAt >= discoveryTimeout
 	d.discoveryWasReady = d.discoveryWasReady || d.discovery.Connected() || timedOut
 	return d.discoveryWasReady
 }
 
-// WhenDiscoveryReady calls do once discovery has responded, or has had its time to: until then no request should be
-// accepted.
+// WhenDiscoveryReady calls do once discovery has responded or discoveryTimeout has passed. The caller should accept no
+// request before that.
 func (d *Dispatcher) WhenDiscoveryReady(do func()) {
 	if d.discoveryReady() {
 		do()
 		return
 	}
-	d.loop.AfterFunc(discoveryPoll, func() { d.WhenDiscoveryReady(do) })
+	d.loop.AfterFunc(discoveryPollInterval, func() { d.WhenDiscoveryReady(do) })
 }
 
-// Ready implements server.Handler: it reports whether requests can be served, or at least rejected.
+// Ready implements server.Handler. It reports whether the dispatcher can serve requests, or, after
+// readyWithoutEndpointsDelay, at least reject them.
 func (d *Dispatcher) Ready() bool {
 	if !d.discoveryReady() {
 		return false
 	}
-	return d.canServe() || d.loop.Now()-d.startedAt >= readyWithoutEndpoints
+	return d.canServe() || d.loop.Now()-d.startedAt >= readyWithoutEndpointsDelay
 }
 
-// canServe reports whether there is an endpoint for prefill and one to decode.
+// canServe reports whether some endpoint that accepts new requests can prefill and some such endpoint can decode. A
+// mixed endpoint can do both.
 func (d *Dispatcher) canServe() bool {
 	var prefill, decode bool
 	for _, id := range d.ready {
--- a/internal/platform/drain_test.go
+++ b/internal/platform/drain_test.go
@@ -17,7 +17,7 @@
 	client := env.sendRequest("post")
 	waits := func() *request {
 		for _, request := range env.dispatcher.requestsByID() {
-			if request.lease.waiting != nil {
+			if request.lease.startWaiting != nil {
 				return request
 			}
 		}
--- a/internal/platform/endpoints.go
+++ b/internal/platform/endpoints.go
@@ -8,9 +8,10 @@
 	"plumspindle/scheduler"
 )
 
-// updateEndpoints applies a complete endpoint list, or changes to it.
+// updateEndpoints applies a complete endpoint list, or changes to the list, from discovery.
 func (d *Dispatcher) updateEndpoints(entries []discovery.Entry, complete bool) {
-	d.discoveryReady() // remembers a first response, should the connection be lost before the next check
+	// discoveryReady records here that discovery has responded, in case the connection is lost before its next call.
+	d.discoveryReady()
 	listed := map[scheduler.EndpointID]bool{}
 	for _, e := range entries {
 		listed[e.ID] = true
@@ -21,7 +22,7 @@
 			delete(d.endpoints, id)
 		}
 	}
-	d.updateReady()
+	d.updateReadyEndpoints()
 	d.cancelUnsentToUnready()
 	d.scheduler.EndpointUpdateEnded(d.loop.Now(), complete)
 	for _, e := range entries {
@@ -56,7 +57,7 @@
 	})
 }
 
-// listedEndpoints returns the endpoints of the list in order, those that accept no new requests included.
+// listedEndpoints returns all listed endpoints sorted by id, including those that accept no new requests.
 func (d *Dispatcher) listedEndpoints() []scheduler.EndpointID {
 	return slices.Sorted(maps.Keys(d.endpoints))
 }
@@ -67,7 +68,7 @@
 	return found
 }
 
-func (d *Dispatcher) updateReady() {
+func (d *Dispatcher) updateReadyEndpoints() {
 	d.ready = d.ready[:0]
 	for id, e := range d.endpoints {
 		if e.State == scheduler.Ready {
@@ -77,8 +78,8 @@
 	slices.Sort(d.ready)
 }
 
-// cancelUnsentToUnready cancels attempts that have not been written yet at endpoints that accept no new requests: they
-// must not be sent on a connection that opens later.
+// cancelUnsentToUnready cancels each attempt that has not been written yet and whose endpoint accepts no new requests.
+// Otherwise the attempt would still be sent once its connection opens.
 func (d *Dispatcher) cancelUnsentToUnready() {
 	for _, req := range d.requestsByID() {
 		inFlight := req.attempt.inFlight
--- a/internal/platform/lease.go
+++ b/internal/platform/lease.go
@@ -6,38 +6,42 @@
 	"plumspindle/scheduler"
 )
 
-// lease is that of the KV state that an endpoint may hold for the request. Its time runs until the state is known to
-// have been fetched or released. That an attempt to fetch it was written proves nothing: the network, a proxy or the
-// machine of a stopped process confirms bytes that no endpoint has taken. Only a response does.
+// lease tracks the KV state that an endpoint may hold for a request. The lease runs until the state is known to have
+// been fetched or released. Only a response proves that the state was fetched. A written attempt proves nothing,
+// because the network, a proxy or the machine of a stopped process may acknowledge bytes that no endpoint has read.
 type lease struct {
 	active      bool
 	unconfirmed bool                 // the prefill that may have left the state was not answered
-	endpoint    scheduler.EndpointID // the likely one
+	endpoint    scheduler.EndpointID // the endpoint that most likely holds the state
 	startedAt   eventloop.Micros
-	expiry      eventloop.Timeout // then, while the state is being released, the time by which that has to be done
-	releasing   bool              // the state is being released
-	awaited     bool              // it was, while an attempt to fetch it was in flight, for which endpoints keep it
-	again       bool              // it is to be released once more, after the release under way
-	waiting     func()            // starts the attempt that waits for the release, which would take what that leaves
+	expiry      eventloop.Timeout // the end of the lease; during a release, the time by which the release must be done
+	releasing   bool              // a release of the state is under way
+	// releasedDuringAttempt is set if the state was released while an attempt to fetch it was in flight. Endpoints keep
+	// the state for an attempt that they have accepted, even if it is released.
+	releasedDuringAttempt bool
+	releaseAgain          bool // another release has to follow the one under way
+	// startWaiting starts the attempt that waits for the release; nil if none waits. If the attempt started before, the
+	// release would drop the state that it leaves.
+	startWaiting func()
 }
 
-// updateLease notes what an endpoint may hold for the request after an attempt. It reports whether the state that the
-// attempt was to fetch has been released meanwhile.
+// updateLease updates the lease after an attempt, by what an endpoint may hold for the request now. It reports whether
+// the state that the attempt was meant to fetch was released while the attempt was in flight.
 func (d *Dispatcher) updateLease(req *request, result *engine.Result) (released bool) {
 	switch {
 	case req.attempt.prefill:
 		d.updateLeaseAfterPrefill(req, result)
-	case req.lease.awaited:
-		d.stateNoLongerAwaited(req)
+	case req.lease.releasedDuringAttempt:
+		d.attemptEndedAfterRelease(req)
 		return true
 	case req.lease.active && result.Outcome == scheduler.NoCapacity:
-		d.startLease(req) // the endpoint had the attempt until now, as its response proves
+		d.startLease(req) // the response proves that the endpoint had the attempt until now
 	}
 	return false
 }
 
-// updateLeaseAfterPrefill starts the lease of the state that a prefill attempt may have left: even one that broke or
-// was cancelled may have completed.
+// updateLeaseAfterPrefill starts the lease of the state that a prefill attempt may have left. Even a prefill that was
+// cancelled or whose connection broke may have completed.
 func (d *Dispatcher) updateLeaseAfterPrefill(req *request, result *engine.Result) {
 	switch result.Outcome {
 	case scheduler.Unreachable, scheduler.NotSent, scheduler.NoCapacity:
@@ -47,31 +51,33 @@
 	d.startLease(req)
 }
 
-// stateNoLongerAwaited takes the end of an attempt during which the state was released: endpoints may keep it for
-// that attempt, and have to be asked again.
-func (d *Dispatcher) stateNoLongerAwaited(req *request) {
-	req.lease.awaited = false
+// attemptEndedAfterRelease handles the end of an attempt during which the state was released. Endpoints may have kept
+// the state for that attempt, so it has to be released again.
+func (d *Dispatcher) attemptEndedAfterRelease(req *request) {
+	req.lease.releasedDuringAttempt = false
 	if req.lease.releasing {
-		req.lease.again = true
+		req.lease.releaseAgain = true
 		return
 	}
-	d.startLease(req) // the scheduler has it released, or the request's end does
+	d.startLease(req) // the scheduler's next order or the end of the request releases the state
 }
 
-// startLease notes that an endpoint may hold a state for the request from now on, for as long as a state may wait.
+// startLease starts or restarts the lease: an endpoint may hold a state for the request from now on. The lease lasts
+// for the share of the settings' StateTimeout that scheduler.StateLease grants.
 func (d *Dispatcher) startLease(req *request) {
 	req.lease.active = true
 	req.lease.startedAt = d.loop.Now()
 	d.debugRequest(req).Str("endpoint", d.endpoints[req.lease.endpoint].Name).
 		Bool("unconfirmed", req.lease.unconfirmed).Msg("state lease started")
 	req.ledger.LeaseStarted(d.loop.Now())
-	time := scheduler.StateLease(d.settings.StateTimeout)
-	req.lease.expiry.Set(d.loop, time, func() { d.leaseExpired(req) })
+	duration := scheduler.StateLease(d.settings.StateTimeout)
+	req.lease.expiry.Set(d.loop, duration, func() { d.leaseExpired(req) })
 }
 
-// leaseExpired ends a lease during an attempt that has not been answered. One that is not sent yet is cancelled, and
-// the state counts as missing for it. Any other may be with a running endpoint or with none, which can't be known: it
-// goes on, and the state is released all the same. Endpoints keep a state for an attempt that they have taken.
+// leaseExpired handles a lease that expires while an attempt is in flight and unanswered. It releases the state in
+// either case. An attempt that has not been sent is cancelled, with the state reported as missing. Any other attempt
+// goes on, because the dispatcher can't know whether a running endpoint has received it. An endpoint that has accepted
+// the attempt keeps the state for it in spite of the release.
 func (d *Dispatcher) leaseExpired(req *request) {
 	inFlight, number := req.attempt.inFlight, req.attempt.number()
 	if !req.lease.active || req.lease.releasing || inFlight == nil {
@@ -79,7 +85,7 @@
 	}
 	d.logLeaseExpired(req)
 	if req.attempt.cancelling || !inFlight.Unsent() {
-		req.lease.awaited = true
+		req.lease.releasedDuringAttempt = true
 		d.release(req)
 		return
 	}
@@ -90,7 +96,8 @@
 	d.attemptEnded(req, number, result)
 }
 
-// release has all that endpoints hold for the request released, and then starts the attempt that waits for that.
+// release releases all states that endpoints hold for the request. When it is done, released starts the attempt that
+// waits for it, if there is one.
 func (d *Dispatcher) release(req *request) {
 	req.lease.active, req.lease.releasing = false, true
 	age := d.loop.Now() - req.lease.startedAt
@@ -101,27 +108,28 @@
 	d.upstream.Release(req.client.ID, req.lease.endpoint, func(confirmed bool) { d.released(req, confirmed) })
 }
 
-// released continues after a release has been confirmed, or given up.
+// released continues after a release that an endpoint has confirmed or that was given up.
 func (d *Dispatcher) released(req *request, confirmed bool) {
 	req.lease.releasing = false
 	req.lease.expiry.Clear()
 	d.debugRequest(req).Bool("confirmed", confirmed).
 		Int64("lease_age_us", int64(d.loop.Now()-req.lease.startedAt)).Msg("state released")
 	req.ledger.LeaseReleased(d.loop.Now())
-	if req.lease.again {
-		req.lease.again = false
+	if req.lease.releaseAgain {
+		req.lease.releaseAgain = false
 		d.startLease(req)
 		d.release(req)
 		return
 	}
-	if start := req.lease.waiting; start != nil {
-		req.lease.waiting = nil
+	if start := req.lease.startWaiting; start != nil {
+		req.lease.startWaiting = nil
 		start()
 	}
 	d.finishIfIdle(req)
 }
 
-// Release implements scheduler.Executor: the state is released now; an attempt that follows waits for that.
+// Release implements scheduler.Executor: it releases the request's state now. The next attempt waits for the end of the
+// release.
 func (d *Dispatcher) Release(id scheduler.RequestID) {
 	req := d.requests[id]
 	if req != nil && req.lease.active && !req.lease.releasing && req.attempt.inFlight == nil {
--- a/internal/platform/ledger.go
+++ b/internal/platform/ledger.go
@@ -13,14 +13,16 @@
 const (
 	answerSlack     = 500 * eventloop.Millisecond
 	disconnectSlack = 100 * eventloop.Millisecond
-	// The platform allows 150 ms, most of which is left for a process that is suspended.
+	// deadlineSlack is the tolerance for the remaining time that an endpoint is told. The platform allows 150 ms; most
+	// of that is reserved for suspensions of the process.
 	deadlineSlack = 10 * eventloop.Millisecond
 	leaseSlack    = 300 * eventloop.Millisecond
 )
 
-// maxLoggedViolations are logged with their ids; the rest are only counted.
+// maxLoggedViolations is how many violations are logged with their request ids; further ones are only counted.
 const maxLoggedViolations = 200
 
+// newGuard creates the guard, which logs violations and passes them to onViolation.
 func (d *Dispatcher) newGuard() *guard.Guard {
 	limits := guard.Limits{
 		AnswerSlack:     answerSlack,
@@ -40,7 +42,7 @@
 	})
 }
 
-// stateLimit is the time by which a KV state has to be fetched or released.
+// stateLimit returns how long after its lease has started a KV state must have been fetched or released at the latest.
 func (d *Dispatcher) stateLimit() eventloop.Micros { return d.settings.StateTimeout + leaseSlack }
 
 var retryPolicies = map[scheduler.Effect]guard.RetryPolicy{
@@ -49,7 +51,8 @@
 	scheduler.NonIdempotent: guard.RetryNever,
 }
 
-// openLedger opens the guard's ledger of a request that is accepted.
+// openLedger opens the guard's ledger for a request that is being accepted. It reports a violation if the dispatcher
+// shouldn't accept requests at this time.
 func (d *Dispatcher) openLedger(incoming *server.Request, class scheduler.ClassID) *guard.Request {
 	if !d.discoveryReady() {
 		d.reportNotServing(incoming.ID, "accepted before discovery was heard")
@@ -70,8 +73,8 @@
 	d.guard.Violated(guard.Violation{Rule: guard.NotServing, RequestID: requestID, Detail: detail})
 }
 
-// guardEndpoint is the endpoint of the last attempt, as it is listed at the moment.
-func (d *Dispatcher) guardEndpoint(req *request) guard.Endpoint {
+// endpointForGuard describes the endpoint of the last attempt to the guard, as it is listed now.
+func (d *Dispatcher) endpointForGuard(req *request) guard.Endpoint {
 	listed := d.endpoints[req.attempt.endpoint]
 	endpoint := guard.Endpoint{
 		Name:       listed.Name,
@@ -87,14 +90,16 @@
 	return endpoint
 }
 
-// attemptWritten checks the attempt that is written now, with the time that it gives its endpoint.
-func (d *Dispatcher) attemptWritten(req *request, number scheduler.AttemptNo, remaining eventloop.Micros) {
+// checkWrittenAttempt has the guard check an attempt as it is written, along with the remaining time that its endpoint
+// is told.
+func (d *Dispatcher) checkWrittenAttempt(req *request, number scheduler.AttemptNo, remaining eventloop.Micros) {
 	if number == req.attempt.number() {
-		req.ledger.Written(d.loop.Now(), d.guardEndpoint(req), remaining)
+		req.ledger.Written(d.loop.Now(), d.endpointForGuard(req), remaining)
 	}
 }
 
-// reportUnansweredClose reports a connection that the server closes although it has read a request on it.
+// reportUnansweredClose reports a violation: the server closes a connection although it has read a request on it that
+// is not answered.
 func (d *Dispatcher) reportUnansweredClose(requestID, reason string) {
 	d.guard.Violated(guard.Violation{Rule: guard.UnansweredClose, RequestID: requestID, Detail: reason})
 }
--- a/internal/platform/log.go
+++ b/internal/platform/log.go
@@ -7,7 +7,7 @@
 	"plumspindle/internal/platform/guard"
 )
 
-// logRequest begins a log line on a request.
+// logRequest begins a log line about a request.
 func (d *Dispatcher) logRequest(req *request, level zerolog.Level) *zerolog.Event {
 	return d.config.Log.WithLevel(level).Str("request_id", req.client.ID).
 		Int64("elapsed_us", int64(d.loop.Now()-req.client.ReceivedAt))
@@ -17,7 +17,7 @@
 	return d.logRequest(req, zerolog.DebugLevel)
 }
 
-// debugAttempt begins a log line on a request's last attempt.
+// debugAttempt begins a debug log line about a request's last attempt.
 func (d *Dispatcher) debugAttempt(req *request) *zerolog.Event {
 	return d.debugRequest(req).Int("attempt", int(req.attempt.number())).
 		Str("endpoint", d.endpoints[req.attempt.endpoint].Name)
@@ -42,8 +42,8 @@
 		Msg("attempt ended")
 }
 
-// logLeaseExpired logs an attempt that has not been answered although the lease of the state that it was to fetch has
-// run out, with what is known of the attempt and of its endpoint.
+// logLeaseExpired logs and counts the expiry of a state's lease during an unanswered attempt. The log line says what is
+// known about the attempt and its endpoint.
 func (d *Dispatcher) logLeaseExpired(req *request) {
 	d.LeaseExpiries++
 	now := d.loop.Now()
@@ -55,7 +55,7 @@
 		Int64("attempt_age_us", int64(now-req.attempt.orderedAt)).
 		Int64("lease_age_us", int64(now-req.lease.startedAt))
 	if last := d.engine.LastReceived(req.attempt.endpoint); last > 0 {
-		event.Int64("endpoint_silent_us", int64(now-last)) // from the endpoint, on any connection
+		event.Int64("endpoint_silent_us", int64(now-last)) // since the endpoint sent anything on any connection
 	}
 	event.Msg("state lease expired")
 }
--- a/internal/platform/loopback_test.go
+++ b/internal/platform/loopback_test.go
@@ -78,7 +78,7 @@
 	select { // it reads nothing for longer than the process would wait without it
 	case <-env.ended:
 		t.Fatal("it ended with a stream that its client has not read")
-	case <-time.After(time.Duration(2*idleCloseTime) * time.Microsecond):
+	case <-time.After(time.Duration(2*idleCloseDelay) * time.Microsecond):
 	}
 	if got, body := env.status(in); got != 200 || strings.Count(body, "data: ") != events {
 		t.Errorf("answered %d with %d events", got, strings.Count(body, "data: "))
--- a/internal/platform/request.go
+++ b/internal/platform/request.go
@@ -16,14 +16,15 @@
 )
 
 const (
-	// recentIDTime is how long an id is rejected after its request has ended: a duplicate that was sent while the
-	// request was open may arrive later than its end.
-	recentIDTime = 10 * eventloop.Second
-	// bytesPerToken estimates a prompt's length where the client does not give it.
+	// recentIDRetention is how long, at least, the id of a request that has ended is rejected. A duplicate that was sent
+	// while the request was open may arrive after the request has ended.
+	recentIDRetention = 10 * eventloop.Second
+	// bytesPerToken estimates a prompt's length in tokens from the size of the request's body, for clients that don't
+	// give the length.
 	bytesPerToken = 4
 )
 
-// request is the dispatcher's record of a client's request. What the scheduler records is not repeated here.
+// request is the dispatcher's record of a client's request. It doesn't repeat what the scheduler records.
 type request struct {
 	id      scheduler.RequestID
 	class   scheduler.ClassID
@@ -33,15 +34,16 @@
 	ledger  *guard.Request
 }
 
-// client is the client's side of a request.
+// client holds the parts of a request that concern its client: what the client sent, and the response to it.
 type client struct {
 	*server.Request
 	response *server.Response
-	closed   bool // it has its final answer, or has disconnected
-	reason   scheduler.Reason
+	closed   bool             // the client has its final answer, or has disconnected
+	reason   scheduler.Reason // why the request was rejected or failed
 }
 
-// Handle implements server.Handler.
+// Handle implements server.Handler: it accepts a client's request and passes it to the scheduler, or returns why it
+// rejects the request.
 func (d *Dispatcher) Handle(incoming *server.Request, response *server.Response) *server.Rejection {
 	class := slices.Index(d.settings.Classes, incoming.Class)
 	if class < 0 {
@@ -54,10 +56,10 @@
 	if incoming.PromptTokens == 0 {
 		incoming.PromptTokens = float64(len(incoming.Body)) / bytesPerToken
 	}
-	d.lastRequest++
+	d.lastRequestID++
 	d.Accepted++
 	req := &request{
-		id:     d.lastRequest,
+		id:     d.lastRequestID,
 		class:  scheduler.ClassID(class),
 		client: client{Request: incoming, response: response},
 		ledger: d.openLedger(incoming, scheduler.ClassID(class)),
@@ -66,7 +68,8 @@
 	d.requests[req.id] = req
 	d.activeIDs[incoming.ID] = true
 	response.OnDisconnect = func() {
-		d.loop.Defer(func() { d.clientDisconnected(req) }) // never within the scheduler's own call
+		// The scheduler must not be called back from within its own call.
+		d.loop.Defer(func() { d.clientDisconnected(req) })
 	}
 	response.OnWritable = func() {
 		if req.attempt.inFlight != nil {
@@ -78,7 +81,7 @@
 	return nil
 }
 
-// arrival is the request in the scheduler's terms.
+// arrival describes a new request to the scheduler.
 func (d *Dispatcher) arrival(req *request) scheduler.Arrival {
 	tenant := max(slices.Index(d.settings.Tenants, req.client.Tenant), 0)
 	return scheduler.Arrival{
@@ -94,7 +97,8 @@
 	}
 }
 
-// hashName makes a number of a session's or a prefix's id, alike at every dispatcher; only an empty id's is 0.
+// hashName hashes the id of a session or prefix. The result is the same at every dispatcher. It is 0 only for an empty
+// id.
 func hashName(id string) uint64 {
 	if id == "" {
 		return 0
@@ -102,8 +106,8 @@
 	return max(xxhash.Sum64String(id), 1)
 }
 
-// clientDisconnected closes a request whose client has disconnected. A started stream and an unsent attempt are
-// cancelled; the scheduler decides about any other attempt.
+// clientDisconnected closes a request whose client has disconnected. It cancels a started stream or an unsent attempt;
+// the scheduler decides whether any other attempt is cancelled.
 func (d *Dispatcher) clientDisconnected(req *request) {
 	if req.client.closed {
 		return
@@ -124,19 +128,20 @@
 	d.finishIfIdle(req)
 }
 
-// cancelUnsent cancels an attempt of a closed request that has not been written. It does so even if the settings allow
-// no cancellation, as the endpoint has not seen the attempt.
+// cancelUnsent cancels an attempt of a closed request if the attempt has not been written. It does so even if the
+// settings forbid cancelling attempts, since the endpoint has not seen this one.
 func (d *Dispatcher) cancelUnsent(req *request) {
 	unsent := req.attempt.inFlight != nil && req.attempt.inFlight.Unsent()
-	if unsent || req.lease.waiting != nil {
+	if unsent || req.lease.startWaiting != nil {
 		d.Cancel(req.id, req.attempt.number())
 	}
 }
 
-// finishIfIdle completes a request that has no attempt in flight: its KV state is released, and after that, once the
-// request is closed, its record is dropped. It follows each call of the scheduler, which gives no order for this.
+// finishIfIdle cleans up a request that has no attempt in flight: it releases the request's KV state and, when no
+// release is left and the request is closed, drops its record. It is called after each call of the scheduler about a
+// request, since the scheduler gives no order for this.
 func (d *Dispatcher) finishIfIdle(req *request) {
-	if req.attempt.inFlight != nil || req.lease.waiting != nil || req.lease.releasing || d.requests[req.id] != req {
+	if req.attempt.inFlight != nil || req.lease.startWaiting != nil || req.lease.releasing || d.requests[req.id] != req {
 		return
 	}
 	if req.lease.active {
@@ -151,18 +156,19 @@
 	}
 }
 
-// isDuplicate reports whether an id is that of a request that is open, or has ended recently.
+// isDuplicate reports whether an id belongs to a request that is open or has ended recently.
 func (d *Dispatcher) isDuplicate(id string) bool {
 	return d.activeIDs[id] || d.recentIDs[0][id] || d.recentIDs[1][id]
 }
 
-// expireIDs rotates the two sets of recent ids every recentIDTime: an id is remembered for one to two of them.
+// expireIDs rotates the two sets of recent ids every recentIDRetention, so an id is remembered for one to two times
+// that long.
 func (d *Dispatcher) expireIDs() {
 	d.recentIDs[1], d.recentIDs[0] = d.recentIDs[0], map[string]bool{}
-	d.loop.AfterFunc(recentIDTime, d.expireIDs)
+	d.loop.AfterFunc(recentIDRetention, d.expireIDs)
 }
 
-// requestsByID returns the requests in order of id, so that nothing depends on the order of a map.
+// requestsByID returns the open requests sorted by id, so that no behaviour depends on the iteration order of a map.
 func (d *Dispatcher) requestsByID() []*request {
 	byID := func(a, b *request) int { return cmp.Compare(a.id, b.id) }
 	return slices.SortedFunc(maps.Values(d.requests), byID)
--- a/internal/platform/shutdown.go
+++ b/internal/platform/shutdown.go
@@ -3,22 +3,23 @@
 import "plumspindle/internal/eventloop"
 
 const (
-	// drainTime is how long after SIGTERM clients may still open connections and send requests on those that they have.
-	drainTime = 500 * eventloop.Millisecond
-	// idleCloseTime is how long after the last answer connections are closed whose clients have not closed them.
-	idleCloseTime = 500 * eventloop.Millisecond
-	shutdownPoll  = 25 * eventloop.Millisecond
+	// drainDuration is how long after SIGTERM clients may still open connections and send new requests.
+	drainDuration = 500 * eventloop.Millisecond
+	// idleCloseDelay is how long after the last answer the dispatcher closes connections that their clients have not
+	// closed.
+	idleCloseDelay       = 500 * eventloop.Millisecond
+	shutdownPollInterval = 25 * eventloop.Millisecond
 )
 
-// Shutdown accepts requests for a short while more, answers all that were accepted, and then calls done. A second call
-// changes nothing.
+// Shutdown accepts new requests for drainDuration, then calls closeListener. It calls done once all accepted requests
+// are answered and nothing else is pending. A second call has no effect.
 func (d *Dispatcher) Shutdown(closeListener, done func()) {
 	if d.shuttingDown {
 		return
 	}
 	d.shuttingDown = true
 	d.server.Drain()
-	d.loop.AfterFunc(drainTime, func() {
+	d.loop.AfterFunc(drainDuration, func() {
 		closeListener()
 		d.server.Shutdown()
 		d.lastActiveAt = d.loop.Now()
@@ -26,15 +27,16 @@
 	})
 }
 
-// awaitIdle polls until nothing is pending: no answer, no release, no byte of an answer that a slow
-// client has not taken, and no connection on which a request may be on its way.
+// awaitIdle polls until nothing is pending, then closes the dispatcher's connections and calls done. Pending are
+// unanswered requests, releases, bytes of a response that a slow client has not read yet, and open connections on which
+// a request may be on its way.
 func (d *Dispatcher) awaitIdle(done func()) {
-	d.loop.AfterFunc(shutdownPoll, func() {
+	d.loop.AfterFunc(shutdownPollInterval, func() {
 		now := d.loop.Now()
 		if len(d.requests) > 0 || d.server.Active() > 0 || d.server.Unsent() > 0 {
 			d.lastActiveAt = now
 		}
-		quiet := now-d.lastActiveAt >= idleCloseTime
+		quiet := now-d.lastActiveAt >= idleCloseDelay
 		if quiet && d.server.Open() > 0 {
 			d.server.CloseIdle()
 			d.lastActiveAt = now
--- a/internal/platform/shutdown_test.go
+++ b/internal/platform/shutdown_test.go
@@ -70,7 +70,7 @@
 	client := env.connect(text[:len(text)-10])
 	env.network.Run(10 * eventloop.Millisecond)
 	ended := env.shutDown()
-	env.network.Run(drainTime + idleCloseTime + 300*eventloop.Millisecond)
+	env.network.Run(drainDuration + idleCloseDelay + 300*eventloop.Millisecond)
 	if *ended {
 		t.Fatal("it ended while a request was coming in")
 	}
@@ -158,7 +158,7 @@
 	}
 	ended := env.shutDown()
 	env.remote.Do(client.conn.Abort)
-	env.network.Run(drainTime + 300*eventloop.Millisecond)
+	env.network.Run(drainDuration + 300*eventloop.Millisecond)
 	if *ended {
 		t.Fatal("it ended with a KV state unreleased")
 	}
@@ -204,7 +204,7 @@
 // TestUnusedConnectionAtShutdown: a connection that was opened before the shutdown, and brings its first request only
 // when nothing else is pending, is answered or closed unread, whatever the moment.
 func TestUnusedConnectionAtShutdown(t *testing.T) {
-	for after := drainTime; after < drainTime+2*eventloop.Second; after += 20 * eventloop.Millisecond {
+	for after := drainDuration; after < drainDuration+2*eventloop.Second; after += 20 * eventloop.Millisecond {
 		env := newTestEnv(t, 256, usualEndpoints...)
 		client := env.connect("")
 		env.network.Run(10 * eventloop.Millisecond)
--- a/internal/platform/summary.go
+++ b/internal/platform/summary.go
@@ -8,43 +8,43 @@
 	"plumspindle/scheduler"
 )
 
-// OutcomeCounts counts attempts by how they came out.
+// OutcomeCounts counts attempts by their outcome.
 type OutcomeCounts [scheduler.OutcomeCount]uint64
 
-// ReasonCounts counts rejected and failed requests by why.
+// ReasonCounts counts rejected and failed requests by reason.
 type ReasonCounts [scheduler.ReasonCount]uint64
 
-// Counts are what the dispatcher has done since its start.
+// Counts counts what the dispatcher has done since its start.
 type Counts struct {
-	Accepted          uint64 // requests
+	Accepted          uint64 // requests that were passed to the scheduler
 	Completed         uint64 // streams that reached their end
-	Broken            uint64 // streams that had begun and did not
+	Broken            uint64 // streams that began but did not reach their end
 	Rejected          uint64
 	Failed            uint64
 	ClientDisconnects uint64
 	Attempts          uint64
-	LeaseExpiries     uint64        // of KV states, with an attempt in flight that was not answered
+	LeaseExpiries     uint64        // leases of KV states that expired while an attempt was in flight and unanswered
 	Outcomes          OutcomeCounts // of attempts
 	Reasons           ReasonCounts  // of rejections and failures
 }
 
-// Summary is what the dispatcher has open and has done, for logs.
+// Summary holds the dispatcher's current load and its counts, for logs.
 type Summary struct {
 	InFlight            scheduler.InFlight
 	ClientConnections   int
 	EndpointConnections int
-	UnsentBytes         int // of the client that lags most
-	BufferedBytes       int
+	UnsentBytes         int // bytes buffered for the slowest client
+	BufferedBytes       int // bytes buffered of incoming requests
 	ReadyEndpoints      int
 	ListUpdates         uint64
 	Counts              Counts
 	Releases            upstream.Counts
 	Server              server.Counts
-	Violations          uint64 // of the guard's rules
-	BlockedSends        int    // by the scheduler itself
+	Violations          uint64 // violations of the guard's rules
+	BlockedSends        int    // sends that the scheduler itself refused because they would have broken a rule
 }
 
-// Summary describes the dispatcher at the moment.
+// Summary returns the dispatcher's current summary.
 func (d *Dispatcher) Summary() Summary {
 	return Summary{
 		InFlight:            d.scheduler.InFlight(),
@@ -87,6 +87,7 @@
 	}))
 }
 
+// marshal adds the counts to a log event.
 func (c *Counts) marshal(e *zerolog.Event) {
 	e.Uint64("accepted", c.Accepted).
 		Uint64("completed", c.Completed).
@@ -100,7 +101,7 @@
 	e.Dict("reasons", countsByName(c.Reasons[:], func(i int) string { return scheduler.Reason(i).String() }))
 }
 
-// countsByName has a key for each count above 0.
+// countsByName returns a dictionary of the counts above 0, keyed by name.
 func countsByName(counts []uint64, name func(int) string) *zerolog.Event {
 	dict := zerolog.Dict()
 	for i, n := range counts {
