--- a/internal/platform/attempt.go
+++ b/internal/platform/attempt.go
@@ -10,7 +10,7 @@
 
 // cancelDeliveryTime is how long a cancelled attempt still counts as in flight. Its endpoint learns of the cancellation
 // when it sees the connection close, which takes one network latency, at most that between two zones. Until then the
-// dispatcher does nothing else for the request.
+// attempt's end is not reported to the scheduler, which therefore starts no other attempt of the request.
 const cancelDeliveryTime = 20 * eventloop.Millisecond
 
 // The reasons why the dispatcher itself ended an attempt, for logs. Package upstream defines the reasons that come from
--- a/internal/platform/shutdown.go
+++ b/internal/platform/shutdown.go
@@ -5,8 +5,8 @@
 const (
 	// drainDuration is how long after SIGTERM clients may still open connections and send new requests.
 	drainDuration = 500 * eventloop.Millisecond
-	// idleCloseDelay is how long after the last answer the dispatcher closes connections that their clients have not
-	// closed.
+	// idleCloseDelay is how long after something was last pending (see awaitIdle) the dispatcher closes connections that
+	// their clients have not closed.
 	idleCloseDelay       = 500 * eventloop.Millisecond
 	shutdownPollInterval = 25 * eventloop.Millisecond
 )
