--- a/internal/platform/random_test.go
+++ b/internal/platform/random_test.go
@@ -127,9 +127,9 @@
 }
 
 // TestRandomTraffic runs many clients at once at random deployments. Clients disconnect, read slowly or pipeline
-// requests; endpoints misbehave, don't answer, freeze or drain; connections are reset; and the dispatcher shuts down at
-// a random time. The auditor checks the attempts that reach the endpoints, and each client that doesn't disconnect must
-// get its answers.
+// requests; endpoints misbehave, don't answer or drain; connections are reset; the dispatcher freezes, and shuts down
+// at a random time. The auditor checks the attempts that reach the endpoints, and each client that doesn't disconnect
+// must get its answers.
 func TestRandomTraffic(t *testing.T) {
 	for seed := range int64(150) {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) { runRandomTraffic(t, seed) })
--- a/internal/platform/shutdown_test.go
+++ b/internal/platform/shutdown_test.go
@@ -17,7 +17,8 @@
 }
 
 // TestRequestReadAtShutdown checks that a request is answered that arrives in the moment in which its idle connection
-// is to be closed, by the shutdown, by its idle timeout or because other connections need its place.
+// is to be closed, by the shutdown or because other connections need its place. TestRequestAtIdleTimeout checks the
+// close by the idle timeout.
 func TestRequestReadAtShutdown(t *testing.T) {
 	for name, closes := range map[string]func(env *testEnv){
 		"shutdown": func(env *testEnv) { env.dispatcher.Server().Shutdown() },
