--- a/internal/platform/attempt.go
+++ b/internal/platform/attempt.go
@@ -154,8 +154,9 @@
 	d.scheduler.AttemptStarted(now, req.id, req.attempt.number())
 }
 
-// attemptEnded handles the result of an attempt, unless the scheduler has ordered another one since. The result of an
-// attempt that was cancelled before its stream started is handled only after cancelDeliveryTime.
+// attemptEnded handles the result of an attempt, unless the scheduler has ordered another one since. If this side reset
+// the connection of an attempt that its endpoint may have received, and no stream had started, the result is handled
+// only after cancelDeliveryTime.
 func (d *Dispatcher) attemptEnded(req *request, number scheduler.AttemptNo, result engine.Result) {
 	a := &req.attempt
 	if number != a.number() {
