--- a/internal/engine/attempt.go
+++ b/internal/engine/attempt.go
@@ -10,48 +10,49 @@
 	"plumspindle/scheduler"
 )
 
-// Attempt is one request to an endpoint. Its end is reported by Callbacks.Ended, unless Cancel ends it.
+// Attempt is one request to an endpoint. Callbacks.Ended reports its result, unless Cancel ends it.
 type Attempt struct {
 	engine       *Engine
 	endpoint     *endpoint
 	call         Call
 	callbacks    Callbacks
-	connection   *connection // nil while it has none
-	writtenAt    eventloop.Micros
+	connection   *connection      // nil: the attempt has no connection
+	writtenAt    eventloop.Micros // when the request was written to the connection
 	deadline     eventloop.Micros // of the first event, or of a response that is not streamed
-	sendDeadline eventloop.Micros // by which its last byte has to have left
-	timer        eventloop.Timer  // for the deadlines, and once started for a stream that falls silent
+	sendDeadline eventloop.Micros // by which the network must have taken the request's last byte
+	timer        eventloop.Timer  // for the deadlines and, after Started, for the stream's idle timeout
 	evictions    int              // idle connections that were closed for it
 
 	ended bool
-	sent  bool // once ended: its last byte had left this process
+	sent  bool // valid once ended: the network had taken the request's last byte
 
 	readingPaused bool
-	lastReceived  eventloop.Micros // when a started stream last brought anything
+	lastReceived  eventloop.Micros // when a started stream last delivered anything
 
-	// What of the response has come.
+	// The response as far as it has been received.
 	head        *http1.Head
 	body        []byte
 	events      sse.Parser
 	memoryUsage float64
 }
 
-// timeout ends an attempt whose deadline has passed. One whose last byte has not left cannot have run, and is taken
-// back once the time to send is over, for want of a connection or because the endpoint does not read: whether it may
-// still be sent was decided when the attempt was ordered.
+// timeout ends an attempt whose deadline has passed. If the request has not been sent completely by its send deadline,
+// because there was no free connection or the endpoint does not read, the attempt ends as Unreachable: it cannot have
+// run. It is not sent later, as the decision to send it holds only for the time that was allowed when it was made.
 func (a *Attempt) timeout() {
 	now := a.engine.loop.Now()
 	switch {
 	case a.Unsent():
-		a.abort(Result{Outcome: scheduler.Unreachable, Reason: "not sent within its time"})
+		a.abort(Result{Outcome: scheduler.Unreachable, Reason: "request was not sent before the send deadline"})
 	case now < a.deadline:
 		a.timer = a.engine.loop.AfterFunc(a.deadline-now, a.timeout)
 	default:
-		a.abort(Result{Outcome: scheduler.TimedOut, Reason: "no response within its time"})
+		a.abort(Result{Outcome: scheduler.TimedOut, Reason: "no response before the deadline"})
 	}
 }
 
-// Unsent reports whether the attempt's last byte has not left this process, so that no endpoint can have begun it.
+// Unsent reports whether the network has not taken the request's last byte yet. No endpoint can have run the attempt
+// then.
 func (a *Attempt) Unsent() bool {
 	if a.ended {
 		return !a.sent
@@ -59,22 +60,23 @@
 	return a.connection == nil || !a.connection.written || a.connection.conn.Unsent() > 0
 }
 
-// arrivalTime is how long what was written may take to its endpoint, and what the endpoint has sent before that may
-// take to this process.
-const arrivalTime = 20 * eventloop.Millisecond
+// maxRoundTrip bounds the network delay to an endpoint and back: data that is received later than this after a write
+// was sent by the endpoint after the written bytes had reached its machine.
+const maxRoundTrip = 20 * eventloop.Millisecond
 
-// SeenRunning reports whether the endpoint is known to have run since the attempt must have reached it: its process
-// has answered on this connection before, which a machine may have accepted without it, and has sent something since,
-// on any connection. That the network has confirmed the attempt's bytes says nothing of the kind: the machine of a
-// stopped process, or a proxy, confirms them too.
+// SeenRunning reports whether the endpoint's process is known to have been running after the request reached it. Two
+// things prove that together: the process has answered an earlier attempt on this connection, and it has sent data on
+// any connection since the request must have arrived. An open connection alone is no proof, as a kernel accepts
+// connections for a stopped process. TCP acknowledgements are none either: a kernel or a proxy sends them without the
+// process.
 func (a *Attempt) SeenRunning() bool {
 	if a.connection == nil || a.connection.attempts == 0 || a.Unsent() || a.connection.conn.Undelivered() {
 		return false
 	}
-	return a.endpoint.lastReceived > a.writtenAt+arrivalTime
+	return a.endpoint.lastReceived > a.writtenAt+maxRoundTrip
 }
 
-// Cancel ends an attempt without a callback. The connection is reset, by which the endpoint learns of it.
+// Cancel ends an attempt without a callback. It resets the connection, which tells the endpoint to stop.
 func (a *Attempt) Cancel() {
 	if !a.ended {
 		a.sent = !a.Unsent()
@@ -84,30 +86,33 @@
 	}
 }
 
-// Started lifts the attempt's deadline, which counts until the first token. From now on the stream may not fall silent
-// for longer than Limits.StreamIdleTimeout: a peer that is gone never closes its connection.
-func (a *Attempt) Started() { a.restartSilenceTimer() }
+// Started tells the attempt that the first token has arrived. It replaces the deadline, which applies until then, by an
+// idle timeout: the attempt ends if the stream delivers no event for Limits.StreamIdleTimeout. Without it, an attempt
+// to an endpoint that vanished without closing its connection would never end.
+func (a *Attempt) Started() { a.restartStreamIdleTimer() }
 
-func (a *Attempt) restartSilenceTimer() {
+func (a *Attempt) restartStreamIdleTimer() {
 	a.timer.Stop()
 	a.lastReceived = a.engine.loop.Now()
-	a.timer = a.engine.loop.AfterFunc(a.engine.limits.StreamIdleTimeout, a.checkSilence)
+	a.timer = a.engine.loop.AfterFunc(a.engine.limits.StreamIdleTimeout, a.checkStreamIdle)
 }
 
-func (a *Attempt) checkSilence() {
-	silence := a.engine.loop.Now() - a.lastReceived
+// checkStreamIdle ends the attempt if its stream has been idle for too long. Time during which reading is paused does
+// not count.
+func (a *Attempt) checkStreamIdle() {
+	idle := a.engine.loop.Now() - a.lastReceived
 	limit := a.engine.limits.StreamIdleTimeout
 	switch {
 	case a.readingPaused:
-		a.restartSilenceTimer()
-	case silence < limit:
-		a.timer = a.engine.loop.AfterFunc(limit-silence, a.checkSilence)
+		a.restartStreamIdleTimer()
+	case idle < limit:
+		a.timer = a.engine.loop.AfterFunc(limit-idle, a.checkStreamIdle)
 	default:
-		a.abort(a.brokenResult(scheduler.ConnectionLost, "stream fell silent"))
+		a.abort(a.brokenResult(scheduler.ConnectionLost, "stream idle timeout"))
 	}
 }
 
-// SetReadingPaused stops or resumes the reading of a stream, for a client that lags.
+// SetReadingPaused pauses or resumes reading from the endpoint, so that a stream does not outrun a slow client.
 func (a *Attempt) SetReadingPaused(on bool) {
 	if a.connection != nil && !a.ended && a.readingPaused != on {
 		a.readingPaused = on
@@ -116,6 +121,7 @@
 	}
 }
 
+// dropConnection detaches the attempt from its connection and resets the connection.
 func (a *Attempt) dropConnection() {
 	if conn := a.connection; conn != nil {
 		a.connection = nil
@@ -124,10 +130,10 @@
 	}
 }
 
-// finish reports the result, once.
+// finish ends the attempt and reports its result, unless it has ended already.
 func (a *Attempt) finish(result Result) { a.end(result, false) }
 
-// abort reports the result, once, and resets the connection, which can carry nothing more.
+// abort is finish for a connection that can't be used any more: it resets the connection as well.
 func (a *Attempt) abort(result Result) { a.end(result, true) }
 
 func (a *Attempt) end(result Result, reset bool) {
@@ -147,7 +153,7 @@
 	a.callbacks.Ended(result)
 }
 
-// brokenResult returns the result of a response that ended early.
+// brokenResult returns the result of an attempt whose response is incomplete.
 func (a *Attempt) brokenResult(outcome scheduler.Outcome, reason string) Result {
 	if a.call.Stream != nil {
 		return a.call.Stream.Broken(outcome, reason)
@@ -155,7 +161,7 @@
 	return Result{Outcome: outcome, Reason: reason}
 }
 
-// receiveEvent handles one event of a streamed response.
+// receiveEvent handles one event of a streamed response. An error ends the attempt.
 func (a *Attempt) receiveEvent(data []byte) error {
 	if a.ended {
 		return nil
@@ -168,7 +174,7 @@
 	return err
 }
 
-// receiveBody handles bytes of the response's body.
+// receiveBody handles bytes of the response's body. An error ends the attempt.
 func (a *Attempt) receiveBody(data []byte) error {
 	if a.streamed() {
 		return a.events.Feed(data, a.receiveEvent)
@@ -179,7 +185,7 @@
 	return nil
 }
 
-// streamed reports whether the response is a stream of events.
+// streamed reports whether the response is an event stream. Its head must have arrived.
 func (a *Attempt) streamed() bool {
 	return a.call.Stream != nil && a.head.Status == http.StatusOK &&
 		strings.HasPrefix(a.head.Get("Content-Type"), "text/event-stream")
--- a/internal/engine/call.go
+++ b/internal/engine/call.go
@@ -12,42 +12,46 @@
 	maxEvent        = 256 << 10 // bytes of one streamed event
 )
 
-// Callbacks report what becomes of an attempt: Event for each event that its Stream passed on, then Ended once.
+// Callbacks report the progress of an attempt: Event is called for each event that its Stream passes on, then Ended
+// once with the result.
 type Callbacks struct {
 	Event func(data []byte)
 	Ended func(Result)
 }
 
-// Call is an attempt in any protocol over HTTP/1.1: what is sent, and how the response is read.
+// Call describes a request in any protocol over HTTP/1.1: how it is built and how its response is read.
 type Call struct {
-	// BuildRequest returns the request's bytes. It runs when the request leaves, with the time that is left until the
-	// timeout.
+	// BuildRequest returns the request's bytes. It is called when a connection is ready, with the time remaining until
+	// the timeout.
 	BuildRequest func(addr string, remaining eventloop.Micros) []byte
-	// ReadResponse reads a response that is not streamed and has MaxResponseBody bytes at most.
-	ReadResponse    func(head *http1.Head, body []byte) Result
+	// ReadResponse reads a response that is not streamed.
+	ReadResponse func(head *http1.Head, body []byte) Result
+	// MaxResponseBody bounds the body of a response that is not streamed, in bytes. A longer one ends the attempt.
 	MaxResponseBody int
 	Stream          Stream // nil: the response is never streamed
 	// IsRelease marks a call that releases KV state: it may use the spare connections and does not queue.
 	IsRelease bool
-	// SendTimeout, where it is above 0 and below Limits.ConnectTimeout, bounds the time until the request has left.
+	// SendTimeout bounds the time until the request has been sent completely. Limits.ConnectTimeout applies if it is
+	// shorter or if SendTimeout is 0.
 	SendTimeout eventloop.Micros
 }
 
 // Stream reads the events of one streamed response.
 type Stream interface {
-	// Event reads one event and returns whether it is passed on. An error ends the attempt.
+	// Event reads one event and returns whether to pass it on to Callbacks.Event. An error ends the attempt.
 	Event(data []byte) (pass bool, err error)
-	// Ended returns the result once the response's body has come to its end.
+	// Ended returns the result after the end of the response's body.
 	Ended() Result
-	// Complete reports whether the last event has come. A body that goes on until its connection is closed has no other
-	// end.
+	// Complete reports whether the protocol's last event has been read. For a body that is delimited by the end of the
+	// connection, nothing else tells a complete stream from a truncated one.
 	Complete() bool
-	// Broken returns the result of a stream that ended early, given the outcome and reason that its end suggests.
+	// Broken returns the result of a stream that ended early. It is given the outcome and reason that follow from how
+	// the stream ended.
 	Broken(outcome scheduler.Outcome, reason string) Result
 }
 
-// Call starts an attempt. No callback runs before it has returned; an attempt to an unknown endpoint ends as
-// unreachable.
+// Call starts an attempt. No callback runs before Call has returned. An attempt to an unknown endpoint ends as
+// Unreachable.
 func (e *Engine) Call(id scheduler.EndpointID, call Call, timeout eventloop.Micros, callbacks Callbacks) *Attempt {
 	return e.call(e.endpoints[id], call, timeout, callbacks)
 }
@@ -69,14 +73,14 @@
 	}
 	attempt.timer = e.loop.AfterFunc(min(timeout, sendTimeout), attempt.timeout)
 	if ep == nil || ep.addr == "" {
-		e.failLater(attempt, "endpoint has no address")
+		e.deferFailure(attempt, "endpoint has no address")
 		return attempt
 	}
 	e.start(attempt)
 	return attempt
 }
 
-// failLater ends an attempt as unreachable, after the call that is under way.
-func (e *Engine) failLater(attempt *Attempt, reason string) {
+// deferFailure ends an attempt as Unreachable once the current call on the event loop has returned.
+func (e *Engine) deferFailure(attempt *Attempt, reason string) {
 	e.loop.Defer(func() { attempt.finish(Result{Outcome: scheduler.Unreachable, Reason: reason}) })
 }
--- a/internal/engine/connection.go
+++ b/internal/engine/connection.go
@@ -11,50 +11,50 @@
 	"plumspindle/scheduler"
 )
 
-// restTime is how long a connection is not used after a response: an endpoint may send a second one some milliseconds
-// late, which would be taken for that of the next attempt.
-const restTime = 15 * eventloop.Millisecond
+// reuseDelay is how long a connection is not reused after a response. An endpoint may send a second response some
+// milliseconds late, which would be taken for the response to the next attempt.
+const reuseDelay = 15 * eventloop.Millisecond
 
 var (
-	errUnrequested     = errors.New("response to no request")
-	errResponseTooLong = errors.New("response is too long")
-	errEarlyResponse   = errors.New("response before the request had left")
+	errUnrequested     = errors.New("response without a request")
+	errResponseTooLong = errors.New("response body is too long")
+	errEarlyResponse   = errors.New("response before the request was sent completely")
 )
 
-// earlyResult is the result of an attempt that was answered before its last byte had left, unless the response rejects
-// it: whatever it says, an incomplete request has not run.
-var earlyResult = Result{Outcome: scheduler.Unreachable, Reason: errEarlyResponse.Error()}
+// earlyResponseResult is the result of an attempt that was answered before its request was sent completely, unless the
+// response is a rejection. Whatever the response says, an incomplete request has not run.
+var earlyResponseResult = Result{Outcome: scheduler.Unreachable, Reason: errEarlyResponse.Error()}
 
-// connection is one connection to an endpoint; it carries one attempt at a time.
+// connection is one connection to an endpoint. It is used by one attempt at a time.
 type connection struct {
 	engine   *Engine
 	endpoint *endpoint
 	addr     string
 	conn     eventloop.Conn
 	parser   http1.Parser
-	attempt  *Attempt // nil: none
-	written  bool     // the attempt's bytes were handed to conn
+	attempt  *Attempt // nil: no attempt uses the connection
+	written  bool     // the attempt's request was written to conn
 
-	opened      bool
-	closed      bool
-	closesAfter bool // the endpoint closes it after this response
-	bodyCut     bool // the response's body ended with the connection
+	opened             bool
+	closed             bool
+	closeAfterResponse bool // the endpoint will close the connection after this response
+	bodyEndedByClose   bool // the response's body ended with the connection
 
 	idleTimer    eventloop.Timer
-	idleOrder    uint64 // connections idle for longer have smaller ones
+	idleOrder    uint64 // lower for a connection that has been idle for longer
 	idleSince    eventloop.Micros
-	idleDuration eventloop.Micros // before this attempt
-	attempts     int              // carried before this one
+	idleDuration eventloop.Micros // how long the connection was idle before this attempt
+	attempts     int              // completed on this connection before this one
 }
 
-// carry sends an attempt.
-func (c *connection) carry(attempt *Attempt) {
+// send sends an attempt on an idle connection.
+func (c *connection) send(attempt *Attempt) {
 	c.attempt, attempt.connection = attempt, c
 	c.idleDuration = c.engine.loop.Now() - c.idleSince
 	c.write()
 }
 
-// write hands the attempt's bytes to the network. They are built only now, as they may state the time that is left.
+// write writes the attempt's request to the network. The request is built only now, as it may state the remaining time.
 func (c *connection) write() {
 	c.written = true
 	c.attempt.writtenAt = c.engine.loop.Now()
@@ -81,7 +81,7 @@
 func (c *connection) Data(data []byte) {
 	c.endpoint.lastReceived = c.engine.loop.Now()
 	if c.attempt == nil {
-		c.leaveIdle() // what comes unrequested must not be taken for the next attempt's response
+		c.removeFromIdle() // unrequested data must not be taken for the next attempt's response
 		c.conn.Abort()
 		return
 	}
@@ -89,7 +89,7 @@
 	switch {
 	case err == nil || c.attempt == nil:
 	case c.attempt.Unsent():
-		c.attempt.abort(earlyResult)
+		c.attempt.abort(earlyResponseResult)
 	default:
 		c.attempt.abort(c.attempt.brokenResult(scheduler.Errored, err.Error()))
 	}
@@ -103,7 +103,7 @@
 	if !c.opened {
 		c.endpoint.opening--
 	}
-	c.leaveIdle()
+	c.removeFromIdle()
 	defer c.engine.startQueued(c.endpoint)
 	switch {
 	case c.attempt == nil:
@@ -114,37 +114,39 @@
 	}
 }
 
+// closedBeforeSent ends or retries an attempt whose connection failed before the request was sent completely.
 func (c *connection) closedBeforeSent(cause error) {
-	c.bodyCut = true
+	c.bodyEndedByClose = true
 	_ = c.parser.Close(c)
-	if c.attempt == nil { // it was rejected before it had left, and the response's body ended with the connection
+	if c.attempt == nil { // an early rejection, whose body is delimited by the connection's end, ended the attempt
 		return
 	}
-	attempt := c.release()
+	attempt := c.detachAttempt()
 	if errors.Is(cause, eventloop.ErrNoDescriptors) && c.engine.startAfterEviction(attempt) {
 		return
 	}
 	attempt.finish(Result{Outcome: scheduler.Unreachable, Reason: cause.Error()})
 }
 
+// closedAfterSent ends an attempt whose connection ended after the request was sent completely.
 func (c *connection) closedAfterSent(cause error) {
-	c.attempt.sent, c.bodyCut = true, true
+	c.attempt.sent, c.bodyEndedByClose = true, true
 	err := c.parser.Close(c)
-	if c.attempt == nil { // its response was complete with the connection's end
+	if c.attempt == nil { // the connection's end completed the response, which ended the attempt
 		return
 	}
-	attempt := c.release()
-	reason := "connection broke"
+	attempt := c.detachAttempt()
+	reason := "connection ended before the response was complete"
 	if err != nil && c.parser.Idle() {
-		reason = "no response came"
+		reason = "connection ended before any response"
 	}
-	reason = fmt.Sprintf("%s: %v (attempt %d on the connection, %d ms idle before)",
+	reason = fmt.Sprintf("%s: %v (attempt %d on the connection, idle for %d ms before it)",
 		reason, cause, c.attempts+1, c.idleDuration/eventloop.Millisecond)
 	attempt.finish(attempt.brokenResult(scheduler.ConnectionLost, reason))
 }
 
-// release parts the connection and its attempt.
-func (c *connection) release() *Attempt {
+// detachAttempt removes the attempt from the connection and returns it.
+func (c *connection) detachAttempt() *Attempt {
 	attempt := c.attempt
 	c.attempt, attempt.connection = nil, nil
 	return attempt
@@ -158,7 +160,7 @@
 	if c.attempt.Unsent() && head.Status < http.StatusMultipleChoices {
 		return errEarlyResponse
 	}
-	c.attempt.head, c.closesAfter = head, !head.KeepAlive()
+	c.attempt.head, c.closeAfterResponse = head, !head.KeepAlive()
 	c.attempt.memoryUsage = memoryUsage(head)
 	return nil
 }
@@ -178,44 +180,44 @@
 	}
 	result, unsent := c.readResult(), c.attempt.Unsent()
 	if unsent && !result.Outcome.KnownNotRun() {
-		result = earlyResult
+		result = earlyResponseResult
 	}
-	attempt := c.release()
+	attempt := c.detachAttempt()
 	attempt.sent = !unsent
 	c.conn.SetPaused(false)
 	switch {
-	case unsent, c.parser.Pipelined() > 0: // what follows a response must not be taken for the next one
+	case unsent, c.parser.Pipelined() > 0: // data after the response must not be taken for the next response
 		c.conn.Abort()
-	case c.closesAfter || c.closed || c.outdated():
+	case c.closeAfterResponse || c.closed || c.outdated():
 		c.conn.Close()
 	default:
 		c.attempts++
 		c.idleSince = c.engine.loop.Now()
-		c.engine.loop.AfterFunc(restTime, c.becomeIdle)
+		c.engine.loop.AfterFunc(reuseDelay, c.becomeIdle)
 	}
 	c.engine.startQueued(c.endpoint)
 	attempt.finish(result)
 	return nil
 }
 
-// readResult returns the result of a response that has come to its end.
+// readResult returns the result of a response whose end has been received.
 func (c *connection) readResult() Result {
 	attempt := c.attempt
 	stream := attempt.call.Stream
 	switch {
 	case !attempt.streamed():
 		return attempt.call.ReadResponse(attempt.head, attempt.body)
-	case c.bodyCut && !stream.Complete():
+	case c.bodyEndedByClose && !stream.Complete():
 		return stream.Broken(scheduler.ConnectionLost, "connection ended before the stream's last event")
 	default:
 		return stream.Ended()
 	}
 }
 
-// outdated reports whether the endpoint is reached elsewhere now, or is gone.
+// outdated reports whether the endpoint has another address by now or has been removed.
 func (c *connection) outdated() bool { return c.addr != c.endpoint.addr || c.endpoint.removed }
 
-// becomeIdle makes a connection usable for another attempt.
+// becomeIdle adds the connection to the endpoint's idle ones, for use by another attempt. It closes an outdated one.
 func (c *connection) becomeIdle() {
 	engine := c.engine
 	if c.closed {
@@ -229,14 +231,14 @@
 	engine.idleCount++
 	c.idleOrder = engine.idleCount
 	c.idleTimer = engine.loop.AfterFunc(engine.limits.IdleTimeout, func() {
-		c.leaveIdle()
+		c.removeFromIdle()
 		c.conn.Close()
 	})
 	engine.startQueued(c.endpoint)
 }
 
-// leaveIdle takes a connection from the idle ones, where it is one.
-func (c *connection) leaveIdle() {
+// removeFromIdle removes the connection from the endpoint's idle ones, if it is among them.
+func (c *connection) removeFromIdle() {
 	if at := slices.Index(c.endpoint.idle, c); at >= 0 {
 		c.endpoint.idle = slices.Delete(c.endpoint.idle, at, at+1)
 		c.idleTimer.Stop()
--- a/internal/engine/endpoint.go
+++ b/internal/engine/endpoint.go
@@ -5,23 +5,23 @@
 	"plumspindle/scheduler"
 )
 
-// forgetDelay is how long a removed endpoint is remembered at least: a list of endpoints may be wrong about one that
-// runs, and KV state that it holds may still have to be released.
-const forgetDelay = 60 * eventloop.Second
+// removedRetention is the minimum time for which the engine keeps a removed endpoint: an endpoint may be missing from a
+// list by mistake while it runs, and the engine may still have to release KV state that it holds.
+const removedRetention = 60 * eventloop.Second
 
-// endpoint is what the engine knows of one endpoint.
+// endpoint is the engine's state for one endpoint: its connections, queued attempts and pending releases.
 type endpoint struct {
 	addr         string
 	removed      bool
-	idle         []*connection // the one used last comes last
-	open         int           // connections, idle and opening ones included
-	opening      int
-	queued       []*queuedAttempt // attempts that wait for a connection, first come first served
-	lastReceived eventloop.Micros
+	idle         []*connection    // the most recently used last
+	open         int              // connections, including idle ones and those being opened
+	opening      int              // connections being opened
+	queued       []*queuedAttempt // attempts that wait for a connection, in FIFO order
+	lastReceived eventloop.Micros // when data last arrived, on any connection; 0: never
 	releases     releaseQueue
 }
 
-// SetAddress adds an endpoint, or changes its address; connections to an earlier address are not used again.
+// SetAddress adds an endpoint, or changes its address. Connections to an earlier address are not reused.
 func (e *Engine) SetAddress(id scheduler.EndpointID, addr string) {
 	ep := e.endpoints[id]
 	if ep == nil {
@@ -35,8 +35,8 @@
 	}
 }
 
-// RemoveEndpoint closes the idle connections to an endpoint that is listed no more, and forgets it once nothing of it
-// is left, forgetDelay later at the earliest.
+// RemoveEndpoint closes the idle connections to an endpoint that is no longer listed. The engine deletes the endpoint
+// once it has no connection, queued attempt or pending release, and not before removedRetention has passed.
 func (e *Engine) RemoveEndpoint(id scheduler.EndpointID) {
 	ep := e.endpoints[id]
 	if ep == nil {
@@ -45,11 +45,11 @@
 	ep.closeIdle()
 	if !ep.removed {
 		ep.removed = true
-		e.forgetLater(id, ep)
+		e.scheduleDeletion(id, ep)
 	}
 }
 
-// RetainEndpoints removes all endpoints but those listed.
+// RetainEndpoints removes all endpoints except the listed ones.
 func (e *Engine) RetainEndpoints(listed map[scheduler.EndpointID]bool) {
 	for id := range e.endpoints {
 		if !listed[id] {
@@ -58,12 +58,14 @@
 	}
 }
 
-func (e *Engine) forgetLater(id scheduler.EndpointID, ep *endpoint) {
-	e.loop.AfterFunc(forgetDelay, func() {
+// scheduleDeletion deletes a removed endpoint after removedRetention, or tries again later if it is still in use. An
+// endpoint that has been added again by then is kept.
+func (e *Engine) scheduleDeletion(id scheduler.EndpointID, ep *endpoint) {
+	e.loop.AfterFunc(removedRetention, func() {
 		switch {
 		case !ep.removed || e.endpoints[id] != ep:
 		case ep.open > 0 || len(ep.queued) > 0 || len(ep.releases.pending) > 0:
-			e.forgetLater(id, ep)
+			e.scheduleDeletion(id, ep)
 		default:
 			delete(e.endpoints, id)
 		}
--- a/internal/engine/engine.go
+++ b/internal/engine/engine.go
@@ -1,13 +1,13 @@
-// Package engine carries attempts to endpoints over HTTP/1.1 and reports how each of them came out.
+// Package engine sends attempts to endpoints over HTTP/1.1 and reports the result of each.
 //
-// It owns the connections to all endpoints: it opens, reuses and closes them within Limits, and repeats releases of
-// KV state until an endpoint has confirmed them. What an endpoint's response, a closed connection or a timeout proves
-// about an attempt is decided here (result.go, openai.go) and nowhere else; a protocol other than that of the public
-// chat completions API brings its own Call.
+// It owns the connections to all endpoints: it opens, reuses and closes them within Limits, and retries releases of
+// KV state until an endpoint has confirmed them. It alone decides what an endpoint's response, a closed connection or a
+// timeout proves about an attempt (result.go, openai.go). For a protocol other than the public chat completions API,
+// the caller supplies a Call.
 //
-// It relies on package eventloop for time and sockets and runs on a single loop: none of its methods may be called from
-// elsewhere, and no callback runs before the method that started the attempt has returned. It never chooses an
-// endpoint and never retries an attempt: both are the scheduler's.
+// It uses package eventloop for time and sockets and runs on a single event loop: its methods may be called on that
+// loop only, and no callback runs before the method that started the attempt has returned. It never chooses an
+// endpoint and never retries an attempt: the scheduler does both.
 package engine
 
 import (
@@ -17,30 +17,34 @@
 
 // Limits bound the connections to endpoints.
 type Limits struct {
-	ConnectTimeout    eventloop.Micros // a connection not made by then counts as unreachable
-	IdleTimeout       eventloop.Micros // an unused connection is closed after it; endpoints must keep theirs for longer
-	StreamIdleTimeout eventloop.Micros // a started stream without data for so long counts as broken
-	MaxPerEndpoint    int              // connections to one endpoint
-	// MaxOpening is how many connections to one endpoint may be opening at once; further attempts queue, for
+	// ConnectTimeout bounds the time until a connection is open and the request has been sent completely. An attempt that
+	// takes longer ends as Unreachable.
+	ConnectTimeout eventloop.Micros
+	// IdleTimeout is the time after which an unused connection is closed. Endpoints must keep theirs open for longer.
+	IdleTimeout eventloop.Micros
+	// StreamIdleTimeout is the time after which a started stream without data is treated as broken.
+	StreamIdleTimeout eventloop.Micros
+	MaxPerEndpoint    int // connections to one endpoint
+	// MaxOpening bounds the connections to one endpoint that are being opened. Further attempts queue, for
 	// ConnectTimeout at most.
 	MaxOpening int
-	// MaxTotal is how many connections to all endpoints there may be, where it is above 0; before more are opened, the
-	// one idle for longest is closed.
+	// MaxTotal, if it is above 0, bounds the connections to all endpoints: before another one is opened, the connection
+	// that has been idle for longest is closed.
 	MaxTotal int
 }
 
 // Engine holds the connections to all endpoints.
 type Engine struct {
 	loop      eventloop.Loop
-	name      string // of this dispatcher, sent with each attempt
-	zone      string // of this dispatcher, sent with each attempt
+	name      string // of this dispatcher, sent with each request
+	zone      string // of this dispatcher, sent with each request
 	limits    Limits
 	endpoints map[scheduler.EndpointID]*endpoint
 	open      int    // connections to all endpoints
-	idleCount uint64 // connections that have fallen idle so far
+	idleCount uint64 // how often a connection has become idle; gives connection.idleOrder
 }
 
-// New returns an engine that knows no endpoint yet.
+// New returns an engine without endpoints.
 func New(loop eventloop.Loop, name, zone string, limits Limits) *Engine {
 	return &Engine{
 		loop:      loop,
@@ -61,7 +65,7 @@
 // Connections returns the number of connections to all endpoints.
 func (e *Engine) Connections() int { return e.open }
 
-// EndpointCount returns the number of endpoints that the engine knows, removed ones included until they are forgotten.
+// EndpointCount returns the number of endpoints that the engine keeps, including removed ones that are not deleted yet.
 func (e *Engine) EndpointCount() int { return len(e.endpoints) }
 
 // InFlight returns the number of connections to an endpoint that are in use.
@@ -81,7 +85,7 @@
 	return 0
 }
 
-// IdleConnections returns the number of connections to an endpoint that an attempt could use at once.
+// IdleConnections returns the number of connections to an endpoint that an attempt can use immediately.
 func (e *Engine) IdleConnections(id scheduler.EndpointID) int {
 	if ep := e.endpoints[id]; ep != nil && !ep.removed {
 		return len(ep.idle)
@@ -89,7 +93,7 @@
 	return 0
 }
 
-// LastReceived returns when an endpoint last sent anything; 0: never.
+// LastReceived returns when data last arrived from an endpoint, or 0 if none has.
 func (e *Engine) LastReceived(id scheduler.EndpointID) eventloop.Micros {
 	if ep := e.endpoints[id]; ep != nil {
 		return ep.lastReceived
--- a/internal/engine/engine_test.go
+++ b/internal/engine/engine_test.go
@@ -10,13 +10,13 @@
 	"plumspindle/scheduler"
 )
 
-// silentEndpoint takes in what its window holds and answers nothing.
-type silentEndpoint struct{}
+// unresponsiveEndpoint accepts connections and never answers.
+type unresponsiveEndpoint struct{}
 
-func (silentEndpoint) Opened()      {}
-func (silentEndpoint) Data([]byte)  {}
-func (silentEndpoint) Drained()     {}
-func (silentEndpoint) Closed(error) {}
+func (unresponsiveEndpoint) Opened()      {}
+func (unresponsiveEndpoint) Data([]byte)  {}
+func (unresponsiveEndpoint) Drained()     {}
+func (unresponsiveEndpoint) Closed(error) {}
 
 func testLimits(maxOpening int) Limits {
 	return Limits{
@@ -28,12 +28,13 @@
 	}
 }
 
-// listen starts an endpoint that does not read where paused.
+// listen starts an unresponsive endpoint and returns its address. If paused is set, the endpoint does not read: it
+// accepts no more bytes than its receive window holds.
 func listen(t *testing.T, loop *virtual.Loop, paused bool) (addr string) {
 	t.Helper()
 	listener, err := loop.Listen("127.0.0.1:0", func(c eventloop.Conn) eventloop.Handler {
 		c.SetPaused(paused)
-		return silentEndpoint{}
+		return unresponsiveEndpoint{}
 	})
 	if err != nil {
 		t.Fatal(err)
@@ -41,15 +42,16 @@
 	return listener.Addr()
 }
 
-// post returns a call that sends a body of a size.
+// post returns a call that sends a body of the given size in bytes.
 func post(size int) Call {
 	return Call{BuildRequest: func(addr string, _ eventloop.Micros) []byte {
 		return http1.AppendRequest(nil, http1.Request{Method: "POST", Target: "/", Host: addr, Body: make([]byte, size)})
 	}}
 }
 
-// TestTimeoutOutcomeShowsWhetherTheRequestWasSent: an attempt whose last byte was never sent cannot have run; one that
-// was sent completely may have.
+// TestTimeoutOutcomeShowsWhetherTheRequestWasSent checks the outcome of a timeout. An attempt whose request was never
+// sent completely cannot have run, and ends as Unreachable. An attempt whose request was sent completely may have run,
+// and ends as TimedOut.
 func TestTimeoutOutcomeShowsWhetherTheRequestWasSent(t *testing.T) {
 	const window = 16 << 10
 	cases := []struct {
@@ -63,11 +65,11 @@
 		t.Run(fmt.Sprintf("%d bytes", test.size), func(t *testing.T) {
 			network := virtual.NewNetwork(1)
 			network.ReceiveWindow = window
-			far, own := network.NewLoop("endpoint"), network.NewLoop("dispatcher")
-			addr := listen(t, far, true)
+			endpointLoop, dispatcherLoop := network.NewLoop("endpoint"), network.NewLoop("dispatcher")
+			addr := listen(t, endpointLoop, true)
 			var results []Result
-			own.Do(func() {
-				e := New(own, "d", "", testLimits(4))
+			dispatcherLoop.Do(func() {
+				e := New(dispatcherLoop, "d", "", testLimits(4))
 				e.SetAddress(1, addr)
 				e.Call(1, post(test.size), 300*eventloop.Millisecond, Callbacks{
 					Ended: func(result Result) { results = append(results, result) },
@@ -75,38 +77,38 @@
 			})
 			network.Run(2 * eventloop.Second)
 			if len(results) != 1 || results[0].Outcome != test.want {
-				t.Errorf("ended as %+v, want once with outcome %d", results, test.want)
+				t.Errorf("results %+v, want one with outcome %d", results, test.want)
 			}
 		})
 	}
 }
 
-// TestQueuedAttemptKeepsItsSendDeadline: an attempt that queued for a connection has the rest of its time to send, not
-// all of it anew, as whether it may still be sent was decided when it was ordered.
+// TestQueuedAttemptKeepsItsSendDeadline checks that time in the queue counts towards an attempt's send deadline. A new
+// deadline at the end of the queue would send the attempt later than the decision to send it allows.
 func TestQueuedAttemptKeepsItsSendDeadline(t *testing.T) {
 	network := virtual.NewNetwork(1)
-	far, own := network.NewLoop("endpoint"), network.NewLoop("dispatcher")
-	addr := listen(t, far, false)
-	network.Block(own, far, 10*eventloop.Second)
-	e := New(own, "d", "", testLimits(1))
-	var took []eventloop.Micros
+	endpointLoop, dispatcherLoop := network.NewLoop("endpoint"), network.NewLoop("dispatcher")
+	addr := listen(t, endpointLoop, false)
+	network.Block(dispatcherLoop, endpointLoop, 10*eventloop.Second)
+	e := New(dispatcherLoop, "d", "", testLimits(1))
+	var durations []eventloop.Micros
 	call := func() {
 		began := network.Now()
 		e.Call(1, post(0), 5*eventloop.Second, Callbacks{Ended: func(result Result) {
-			took = append(took, network.Now()-began)
+			durations = append(durations, network.Now()-began)
 			if result.Outcome != scheduler.Unreachable {
 				t.Errorf("ended with outcome %d: %s", result.Outcome, result.Reason)
 			}
 		}})
 	}
-	own.Do(func() {
+	dispatcherLoop.Do(func() {
 		e.SetAddress(1, addr)
 		call()
 	})
 	network.Run(500 * eventloop.Millisecond)
-	own.Do(call)
+	dispatcherLoop.Do(call)
 	network.Run(4 * eventloop.Second)
-	if len(took) != 2 || took[1] > eventloop.Second+eventloop.Millisecond {
-		t.Errorf("the attempts took %v, want two and the second at most a second", took)
+	if len(durations) != 2 || durations[1] > eventloop.Second+eventloop.Millisecond {
+		t.Errorf("the attempts took %v us, want two durations and the second at most one second", durations)
 	}
 }
--- a/internal/engine/openai.go
+++ b/internal/engine/openai.go
@@ -15,44 +15,45 @@
 )
 
 const (
-	// prefillMembers ask an endpoint to compute the KV cache of a prompt and to keep it for a decode endpoint.
+	// prefillMembers are JSON members that ask an endpoint to compute the KV cache of a prompt and to keep it for a
+	// decode endpoint.
 	prefillMembers = `"stream":false,"max_tokens":1,` +
 		`"kv_transfer_params":{"do_remote_decode":true,"do_remote_prefill":false}`
-	// streamMembers ask for a streamed completion with its usage; the token limit follows.
+	// streamMembers are JSON members that ask for a streamed completion with its usage. The token limit is appended.
 	streamMembers = `"stream":true,"stream_options":{"include_usage":true},"max_tokens":`
 )
 
-// Target says where one attempt goes, under which names, and how long it may take.
+// Target is the destination of one attempt, the request ids that it is sent with, and its timeout.
 type Target struct {
 	Endpoint  scheduler.EndpointID
-	RequestID string // the attempt's own, as AttemptName gives it; sent as x-request-id
+	RequestID string // of the attempt, as returned by AttemptName; sent as x-request-id
 	ClientID  string // the client's request id; sent as x-client-request-id
 	Timeout   eventloop.Micros
 }
 
-// DecodeRequest is what a decode attempt sends.
+// DecodeRequest is the request of a decode attempt.
 type DecodeRequest struct {
 	Chat      *chat.Request
-	KVParams  string // kv_transfer_params as the prefill answered them, JSON; empty where the endpoint prefills itself
-	MaxTokens int    // that the answer may have
+	KVParams  string // kv_transfer_params of the prefill's response, as JSON; empty: the endpoint does the prefill too
+	MaxTokens int    // of the answer
 }
 
-// PrefillOnlyRequest is a call that a prefill completes, such as embeddings.
+// PrefillOnlyRequest is a request that needs no decode, such as one for embeddings.
 type PrefillOnlyRequest struct {
 	Path            string
 	Body            []byte
 	MaxResponseBody int // bytes
-	// ReadResponse reads the body of a response with status 200. It returns an Errored result where the body is not
-	// what was asked for.
+	// ReadResponse reads the body of a response with status 200. It returns an Errored result if the body is not a valid
+	// answer to the request.
 	ReadResponse func(body []byte) Result
 }
 
-// AttemptName returns the request id under which an endpoint sees an attempt.
+// AttemptName returns the request id that an attempt is sent with.
 func (e *Engine) AttemptName(request scheduler.RequestID, attempt scheduler.AttemptNo) string {
 	return e.name + "-" + strconv.FormatUint(uint64(request), 10) + "-" + strconv.Itoa(int(attempt))
 }
 
-// Prefill has an endpoint compute the KV cache of a prompt. No callback runs before it has returned.
+// Prefill asks an endpoint to compute the KV cache of a prompt. No callback runs before Prefill has returned.
 func (e *Engine) Prefill(target Target, request *chat.Request, callbacks Callbacks) *Attempt {
 	call := Call{
 		MaxResponseBody: maxResponseBody,
@@ -67,7 +68,7 @@
 	return e.Call(target.Endpoint, call, target.Timeout, callbacks)
 }
 
-// Decode has an endpoint stream the answer. No callback runs before it has returned.
+// Decode asks an endpoint to stream the answer. No callback runs before Decode has returned.
 func (e *Engine) Decode(target Target, request DecodeRequest, callbacks Callbacks) *Attempt {
 	members := streamMembers + strconv.Itoa(request.MaxTokens)
 	if request.KVParams != "" {
@@ -88,47 +89,49 @@
 	return e.Call(target.Endpoint, call, target.Timeout, callbacks)
 }
 
-// PrefillOnly sends a call that a prefill completes. No callback runs before it has returned.
+// PrefillOnly sends a request that needs no decode. No callback runs before PrefillOnly has returned.
 func (e *Engine) PrefillOnly(target Target, request PrefillOnlyRequest, callbacks Callbacks) *Attempt {
 	call := Call{
 		MaxResponseBody: request.MaxResponseBody,
 		BuildRequest: func(addr string, _ eventloop.Micros) []byte {
-			return e.appendPost(target, request.Path, addr, request.Body)
+			return e.buildPost(target, request.Path, addr, request.Body)
 		},
 		ReadResponse: func(head *http1.Head, body []byte) Result {
 			if head.Status != http.StatusOK {
 				return readError(head.Status, body)
 			}
 			result := request.ReadResponse(body)
-			result.MemoryUsage = 0 // Attempt.end fills in what the response's head reports
+			result.MemoryUsage = 0 // Attempt.end fills in the value from the response's head
 			return result
 		},
 	}
 	return e.Call(target.Endpoint, call, target.Timeout, callbacks)
 }
 
-// completionRequest returns the builder of a chat completion: the given members, then those of the client's request.
+// completionRequest returns a Call.BuildRequest for a chat completion. The body has the given JSON members, then the
+// cache salt, then the members of the client's request.
 func (e *Engine) completionRequest(
 	target Target, request *chat.Request, members string,
 ) func(addr string, remaining eventloop.Micros) []byte {
 	return func(addr string, _ eventloop.Micros) []byte {
-		own := members
+		routerMembers := members
 		if request.CacheSalt != "" {
-			own += `,"cache_salt":` + strconv.Quote(request.CacheSalt)
+			routerMembers += `,"cache_salt":` + strconv.Quote(request.CacheSalt)
 		}
-		body := make([]byte, 0, len(own)+len(request.Passthrough)+len("{,}"))
+		body := make([]byte, 0, len(routerMembers)+len(request.Passthrough)+len("{,}"))
 		body = append(body, '{')
-		body = append(body, own...)
+		body = append(body, routerMembers...)
 		if len(request.Passthrough) > 0 {
 			body = append(body, ',')
 			body = append(body, request.Passthrough...)
 		}
 		body = append(body, '}')
-		return e.appendPost(target, chat.Path, addr, body)
+		return e.buildPost(target, chat.Path, addr, body)
 	}
 }
 
-func (e *Engine) appendPost(target Target, path, addr string, body []byte) []byte {
+// buildPost returns a POST request with a JSON body and the headers that identify the attempt and this dispatcher.
+func (e *Engine) buildPost(target Target, path, addr string, body []byte) []byte {
 	return http1.AppendRequest(nil, http1.Request{Method: "POST", Target: path, Host: addr, Body: body},
 		"Content-Type", "application/json",
 		"x-request-id", target.RequestID,
@@ -141,11 +144,11 @@
 const lastEvent = "[DONE]"
 
 var (
-	errEventAfterLast = errors.New("event after the last one")
-	errNoFinishReason = errors.New("last event before any finish reason")
+	errEventAfterLast = errors.New("event after the last event of the stream")
+	errNoFinishReason = errors.New("stream ended without a finish reason")
 )
 
-// notChunkError is an event that is not a completion chunk.
+// notChunkError reports an event that is not a completion chunk.
 type notChunkError struct{ event string }
 
 func (e *notChunkError) Error() string {
@@ -154,8 +157,8 @@
 
 // completionStream reads the events of a streamed chat completion.
 type completionStream struct {
-	done     bool // the last event has come
-	finished bool // a chunk gave a finish reason
+	done     bool // the last event has been read
+	finished bool // a chunk with a finish reason has been read
 }
 
 // Event implements Stream.
@@ -189,10 +192,11 @@
 // Complete implements Stream.
 func (s *completionStream) Complete() bool { return s.done }
 
-// Broken implements Stream. Once a chunk has given the finish reason, no content is missing: the answer is complete.
+// Broken implements Stream. A chunk with a finish reason is the last one with content, so that the answer is complete
+// once it has been read.
 func (s *completionStream) Broken(outcome scheduler.Outcome, reason string) Result {
 	if s.finished {
-		return Result{Outcome: scheduler.Completed, Reason: "decode had finished, then: " + reason}
+		return Result{Outcome: scheduler.Completed, Reason: "decode had finished before: " + reason}
 	}
 	return Result{Outcome: outcome, Reason: reason}
 }
--- a/internal/engine/pool.go
+++ b/internal/engine/pool.go
@@ -9,25 +9,26 @@
 )
 
 const (
-	// spareReleaseConnections is how many connections beyond MaxPerEndpoint releases may use at one endpoint.
+	// spareReleaseConnections is the number of connections to one endpoint beyond MaxPerEndpoint that releases may use.
 	spareReleaseConnections = 4
-	// maxEvictions is how many idle connections are closed at most so that one attempt finds a free descriptor.
+	// maxEvictions bounds the idle connections that are closed to free a file descriptor for one attempt.
 	maxEvictions = 3
-	// evictionDelay is the time after which the descriptor of a closed connection is free.
+	// evictionDelay is the time until the file descriptor of a closed connection is free.
 	evictionDelay = eventloop.Millisecond
 )
 
-// dialFunc opens a connection; it is one of the loop's Dial and DialReserved.
-type dialFunc func(addr string, within eventloop.Micros, handler eventloop.Handler) eventloop.Conn
+// dialFunc opens a connection. It is either Dial or DialReserved of the event loop.
+type dialFunc func(addr string, timeout eventloop.Micros, handler eventloop.Handler) eventloop.Conn
 
-// queuedAttempt is an attempt that waits for a connection. After a restart all waiting requests arrive at once, and an
-// endpoint whose accept backlog overflows would refuse many that it could serve a moment later.
+// queuedAttempt is an attempt that waits until a connection may be opened. The queue protects the accept backlogs of
+// endpoints: after a restart all waiting requests arrive at once, and an endpoint whose backlog overflows would refuse
+// many connections that it could serve a moment later.
 type queuedAttempt struct {
 	attempt *Attempt
 	timer   eventloop.Timer
 }
 
-// start puts an attempt onto an idle connection or a new one, or queues it until one may be opened.
+// start sends an attempt on an idle connection or a new one, or queues it until a connection may be opened.
 func (e *Engine) start(attempt *Attempt) {
 	if e.startOnIdle(attempt) {
 		return
@@ -42,7 +43,7 @@
 	}
 	switch {
 	case ep.open >= maxOpen:
-		e.failLater(attempt, "all connections to the endpoint are in use")
+		e.deferFailure(attempt, "all connections to the endpoint are in use")
 	case ep.opening >= e.limits.MaxOpening && !attempt.call.IsRelease:
 		e.queue(attempt)
 	default:
@@ -50,15 +51,16 @@
 	}
 }
 
-// startOnIdle puts an attempt onto the idle connection used last and reports whether there was one. A connection that
-// its endpoint has closed or sent anything on is not used: the request would be lost, or take another's response.
+// startOnIdle sends an attempt on the most recently used idle connection and reports whether there was one. It discards
+// connections that the endpoint has closed, on which the request would be lost, and those on which the endpoint has
+// sent data, which would be taken for the response.
 func (e *Engine) startOnIdle(attempt *Attempt) bool {
 	ep := attempt.endpoint
 	for count := len(ep.idle); count > 0; count = len(ep.idle) {
 		conn := ep.idle[count-1]
-		conn.leaveIdle()
+		conn.removeFromIdle()
 		if conn.conn.Idle() {
-			conn.carry(attempt)
+			conn.send(attempt)
 			return true
 		}
 		conn.conn.Close()
@@ -66,7 +68,7 @@
 	return false
 }
 
-// queue has an attempt wait until a connection may be opened.
+// queue adds an attempt to its endpoint's queue. The attempt ends as Unreachable if its send deadline passes first.
 func (e *Engine) queue(attempt *Attempt) {
 	ep := attempt.endpoint
 	entry := &queuedAttempt{attempt: attempt}
@@ -97,9 +99,9 @@
 	conn.conn = dial(ep.addr, max(attempt.sendDeadline-e.loop.Now(), 1), conn)
 }
 
-// startQueued starts queued attempts as far as connections allow now.
+// startQueued starts queued attempts in order, for as long as canStartNow allows.
 func (e *Engine) startQueued(ep *endpoint) {
-	for len(ep.queued) > 0 && e.mayStart(ep) {
+	for len(ep.queued) > 0 && e.canStartNow(ep) {
 		entry := ep.queued[0]
 		ep.queued = ep.queued[1:]
 		entry.timer.Stop()
@@ -109,13 +111,13 @@
 	}
 }
 
-// mayStart reports whether an attempt would find a connection to an endpoint without queueing.
-func (e *Engine) mayStart(ep *endpoint) bool {
+// canStartNow reports whether an attempt to the endpoint has an idle connection or may open a new one.
+func (e *Engine) canStartNow(ep *endpoint) bool {
 	return len(ep.idle) > 0 || ep.opening < e.limits.MaxOpening && ep.open < e.limits.MaxPerEndpoint
 }
 
-// evictOldestIdle closes the connection, to any endpoint, that has been idle for longest, and reports whether there was
-// one.
+// evictOldestIdle closes the connection that has been idle for longest, across all endpoints. It reports whether there
+// was an idle connection.
 func (e *Engine) evictOldestIdle() bool {
 	var oldest *connection
 	for _, ep := range e.endpoints {
@@ -126,13 +128,13 @@
 	if oldest == nil {
 		return false
 	}
-	oldest.leaveIdle()
+	oldest.removeFromIdle()
 	oldest.conn.Close()
 	return true
 }
 
-// startAfterEviction starts an attempt again that found no free descriptor, once an idle connection has been closed for
-// it. It reports false where there is none, or where too many have been closed for this attempt.
+// startAfterEviction closes an idle connection and then starts an attempt again for which there was no free file
+// descriptor. It returns false if no connection is idle, or after maxEvictions for the same attempt.
 func (e *Engine) startAfterEviction(attempt *Attempt) bool {
 	if attempt.evictions >= maxEvictions || !e.evictOldestIdle() {
 		return false
--- a/internal/engine/release.go
+++ b/internal/engine/release.go
@@ -13,31 +13,31 @@
 const (
 	releasePath = "/v1/kv/release"
 
-	releaseTimeout  = 200 * eventloop.Millisecond // of one release request
-	minReleasePause = 60 * eventloop.Millisecond  // before a release is retried, doubled each time
-	maxReleasePause = 240 * eventloop.Millisecond
-	// releaseRetryFor is how long a release is retried. An endpoint that stays unreachable for longer drops the state by
-	// its own lease.
-	releaseRetryFor = 10 * eventloop.Second
-	maxReleaseBatch = 256 // attempts in one release request
+	releaseTimeout    = 200 * eventloop.Millisecond // of a release request; retries get more
+	minReleaseBackoff = 60 * eventloop.Millisecond  // before a release is retried, doubled each time
+	maxReleaseBackoff = 240 * eventloop.Millisecond
+	// releaseRetryPeriod is how long a release is retried. An endpoint that is unreachable for longer frees the state
+	// when its own lease on it expires.
+	releaseRetryPeriod = 10 * eventloop.Second
+	maxReleaseBatch    = 256 // attempts in one release request
 )
 
-// pendingRelease is an attempt whose state an endpoint has not confirmed to have released.
+// pendingRelease is an attempt whose KV state has to be released and whose endpoint has not confirmed the release.
 type pendingRelease struct {
 	requestID string
-	expires   eventloop.Micros
+	expires   eventloop.Micros // when retries end
 }
 
 // releaseQueue holds the releases that one endpoint has not confirmed.
 type releaseQueue struct {
 	pending   []pendingRelease
-	scheduled bool             // a retry is scheduled or under way
-	pause     eventloop.Micros // before the next retry
+	scheduled bool             // a retry is scheduled or in progress
+	backoff   eventloop.Micros // before the next retry, minReleaseBackoff at least; 0: the last retry did not fail
 }
 
-// Release has an endpoint drop whatever it holds for some attempts, given by their request ids. Releases may use
-// connections and descriptors beyond those of attempts, as lack of either must not pin a state. One that is not
-// confirmed is retried, together with all others that the endpoint has not confirmed.
+// Release asks an endpoint to free the KV state of some attempts, given by their request ids. Releases may use spare
+// connections and reserved file descriptors, as state must not stay allocated for lack of either. A release that the
+// endpoint does not confirm is retried, in batches with all its other unconfirmed ones.
 func (e *Engine) Release(id scheduler.EndpointID, requestIDs []string) {
 	ep := e.endpoints[id]
 	if ep == nil || len(requestIDs) == 0 {
@@ -47,7 +47,7 @@
 		if confirmed {
 			return
 		}
-		expires := e.loop.Now() + releaseRetryFor
+		expires := e.loop.Now() + releaseRetryPeriod
 		for _, requestID := range requestIDs {
 			ep.releases.pending = append(ep.releases.pending, pendingRelease{requestID, expires})
 		}
@@ -55,37 +55,38 @@
 	})
 }
 
-// scheduleReleases retries an endpoint's pending releases after a pause, which grows while they fail.
+// scheduleReleases schedules a retry of an endpoint's pending releases, after a backoff that grows while retries fail.
 func (e *Engine) scheduleReleases(ep *endpoint) {
 	releases := &ep.releases
 	if releases.scheduled || len(releases.pending) == 0 {
 		return
 	}
 	releases.scheduled = true
-	e.loop.AfterFunc(max(releases.pause, minReleasePause), func() { e.retryReleases(ep) })
+	e.loop.AfterFunc(max(releases.backoff, minReleaseBackoff), func() { e.retryReleases(ep) })
 }
 
+// retryReleases sends the next batch of pending releases and schedules another retry if any are left.
 func (e *Engine) retryReleases(ep *endpoint) {
 	releases := &ep.releases
 	batch := releases.nextBatch(e.loop.Now())
 	if len(batch) == 0 {
-		releases.scheduled, releases.pause = false, 0
+		releases.scheduled, releases.backoff = false, 0
 		return
 	}
-	// A connection may be slow to come up: each retry gets more time than the one before.
-	timeout := releaseTimeout + 2*releases.pause
+	// Opening a connection may be slow: the timeout grows with the backoff.
+	timeout := releaseTimeout + 2*releases.backoff
 	e.sendRelease(ep, batch, timeout, func(confirmed bool) {
 		releases.scheduled = false
-		releases.pause = min(max(2*releases.pause, minReleasePause), maxReleasePause)
+		releases.backoff = min(max(2*releases.backoff, minReleaseBackoff), maxReleaseBackoff)
 		if confirmed {
 			releases.pending = slices.Delete(releases.pending, 0, len(batch))
-			releases.pause = 0
+			releases.backoff = 0
 		}
 		e.scheduleReleases(ep)
 	})
 }
 
-// nextBatch drops expired releases and returns the request ids of the first ones pending.
+// nextBatch drops expired releases and returns the request ids of the first maxReleaseBatch pending ones.
 func (q *releaseQueue) nextBatch(now eventloop.Micros) (requestIDs []string) {
 	q.pending = slices.DeleteFunc(q.pending, func(release pendingRelease) bool { return release.expires < now })
 	for _, release := range q.pending[:min(len(q.pending), maxReleaseBatch)] {
@@ -94,7 +95,7 @@
 	return requestIDs
 }
 
-// sendRelease makes one release request; done is called with whether the endpoint confirmed it.
+// sendRelease sends one release request and calls done with whether the endpoint confirmed it.
 func (e *Engine) sendRelease(ep *endpoint, requestIDs []string, timeout eventloop.Micros, done func(confirmed bool)) {
 	body := []byte(`{"request_ids":["` + strings.Join(requestIDs, `","`) + `"]}`)
 	call := Call{
--- a/internal/engine/result.go
+++ b/internal/engine/result.go
@@ -11,20 +11,20 @@
 	"plumspindle/scheduler"
 )
 
-// Result is how an attempt came out.
+// Result is the result of an attempt.
 type Result struct {
 	Outcome        scheduler.Outcome
-	CachedTokens   int     // of the prompt, those that the endpoint had cached
+	CachedTokens   int     // prompt tokens whose KV state the endpoint had cached
 	StateMissing   bool    // with NoCapacity: the decode endpoint found no KV state to fetch
-	MemoryUsage    float64 // share of the endpoint's KV memory in use, from 0 to 1, or scheduler.NoLoadReport
-	State          string  // with PrefillDone: where the KV state lies, as the endpoint's kv_transfer_params say
-	ClosedLocally  bool    // the connection was reset by this side with the attempt on it
-	InvalidRequest bool    // the endpoint has declared the request invalid, as any other would
+	MemoryUsage    float64 // fraction of the endpoint's KV memory in use, from 0 to 1, or scheduler.NoLoadReport
+	State          string  // with PrefillDone: the response's kv_transfer_params, which locate the KV state, as JSON
+	ClosedLocally  bool    // the engine reset the connection during the attempt
+	InvalidRequest bool    // the endpoint rejected the request as invalid; every other endpoint would, too
 	Reason         string  // for logs
 }
 
-// ForScheduler returns the result in the scheduler's terms; requestClosed says whether the client has its final answer
-// or has disconnected.
+// ForScheduler converts the result for the scheduler; requestClosed tells whether the client has received its final
+// answer or has disconnected.
 func (r Result) ForScheduler(requestClosed bool) scheduler.AttemptResult {
 	return scheduler.AttemptResult{
 		Outcome:       r.Outcome,
@@ -35,8 +35,8 @@
 	}
 }
 
-// rejections are the responses by which an endpoint states that it has not run an attempt. Only these prove it, by both
-// status and code; with any other response the attempt counts as run.
+// rejections are the responses that prove that an endpoint has not run an attempt. Both status and error code must
+// match. After any other response the attempt may have run.
 var rejections = []struct {
 	status int
 	code   string
@@ -48,24 +48,24 @@
 	{http.StatusUnprocessableEntity, "invalid_input", Result{Outcome: scheduler.NotSent, InvalidRequest: true}},
 }
 
-// readError reads a response whose status is not 200.
+// readError returns the result of a response whose status is not 200.
 func readError(status int, body []byte) Result {
 	code := gjson.GetBytes(body, "error.code").String()
 	for _, rejection := range rejections {
 		if rejection.status == status && rejection.code == code && gjson.ValidBytes(body) {
 			result := rejection.result
-			result.Reason = "endpoint answered " + code
+			result.Reason = "endpoint rejected the request: " + code
 			return result
 		}
 	}
 	return Result{Outcome: scheduler.Errored, Reason: "status " + strconv.Itoa(status)}
 }
 
-// readPrefill reads the response to a prefill.
+// readPrefill returns the result of a prefill's response with status 200.
 func readPrefill(body []byte) Result {
 	state := gjson.GetBytes(body, "kv_transfer_params")
 	if !gjson.ValidBytes(body) || !state.IsObject() {
-		return Result{Outcome: scheduler.Errored, Reason: "prefill without kv_transfer_params"}
+		return Result{Outcome: scheduler.Errored, Reason: "prefill response has no kv_transfer_params"}
 	}
 	cached := gjson.GetBytes(body, "usage.prompt_tokens_details.cached_tokens").Int()
 	return Result{
@@ -76,28 +76,29 @@
 	}
 }
 
-// Names in ORCA load reports.
+// Header and metric names of ORCA load reports.
 const (
 	loadReportField   = "endpoint-load-metrics"
 	memoryUsageMetric = "named_metrics.kv_cache_usage_perc"
 )
 
-// memoryUsage returns the share of KV memory in use that an ORCA load report states, in its text or its JSON form.
+// memoryUsage returns the fraction of KV memory in use from the ORCA load report in a response's head, in text or JSON
+// format. It returns scheduler.NoLoadReport if there is no valid one.
 func memoryUsage(head *http1.Head) float64 {
 	report := head.Get(loadReportField)
 	if report == "" {
 		return scheduler.NoLoadReport
 	}
-	form, metrics, _ := strings.Cut(report, " ")
+	format, metrics, _ := strings.Cut(report, " ")
 	var text string
-	switch form {
+	switch format {
 	case "TEXT":
 		text = findMetric(metrics, memoryUsageMetric)
 	case "JSON":
 		text = gjson.Get(metrics, memoryUsageMetric).Raw
 	}
 	usage, err := strconv.ParseFloat(text, 64)
-	if err != nil || !(usage >= 0 && usage <= 1) { // not a number is out of range, too
+	if err != nil || !(usage >= 0 && usage <= 1) { // NaN fails both comparisons
 		return scheduler.NoLoadReport
 	}
 	return usage
--- a/internal/engine/wire_test.go
+++ b/internal/engine/wire_test.go
@@ -14,7 +14,8 @@
 	"plumspindle/scheduler"
 )
 
-// responder is an endpoint's side of a connection: it notes what comes and answers each request with the same bytes.
+// responder is the endpoint's side of a connection. It records what it receives and answers whatever arrives with the
+// same bytes.
 type responder struct {
 	conn     eventloop.Conn
 	received *bytes.Buffer
@@ -33,21 +34,22 @@
 	}
 }
 
-// attemptOnce runs one attempt against an endpoint and describes what was sent and how it came out.
-func attemptOnce(t *testing.T, response string, closes bool, start startFunc) string {
+// runAttempt runs one attempt against an endpoint and returns a description of the bytes sent, the events and the
+// result.
+func runAttempt(t *testing.T, response string, closes bool, start startFunc) string {
 	t.Helper()
 	network := virtual.NewNetwork(1)
-	far, own := network.NewLoop("endpoint"), network.NewLoop("dispatcher")
+	endpointLoop, dispatcherLoop := network.NewLoop("endpoint"), network.NewLoop("dispatcher")
 	var received bytes.Buffer
-	listener, err := far.Listen("127.0.0.1:0", func(c eventloop.Conn) eventloop.Handler {
+	listener, err := endpointLoop.Listen("127.0.0.1:0", func(c eventloop.Conn) eventloop.Handler {
 		return &responder{conn: c, received: &received, response: response, close: closes}
 	})
 	if err != nil {
 		t.Fatal(err)
 	}
 	var out strings.Builder
-	e := New(own, "dispatcher-1", "zone-1", testLimits(4))
-	own.Do(func() {
+	e := New(dispatcherLoop, "dispatcher-1", "zone-1", testLimits(4))
+	dispatcherLoop.Do(func() {
 		e.SetAddress(1, listener.Addr())
 		start(e, Callbacks{
 			Event: func(data []byte) { fmt.Fprintf(&out, "event %s\n", data) },
@@ -104,7 +106,7 @@
 
 func release(e *Engine, _ Callbacks) { e.Release(1, []string{"a", "b"}) }
 
-// attemptCase is one way in which an endpoint may respond; where closes is set it closes the connection afterwards.
+// attemptCase is one way in which an endpoint may respond. If closes is set, it closes the connection afterwards.
 type attemptCase struct {
 	name     string
 	response string
@@ -130,7 +132,7 @@
 		{"state lost", response(409, `{"error":{"code":"state_lost"}}`), false, decode},
 		{"invalid input", response(422, `{"error":{"code":"invalid_input"}}`), false, prefillOnly},
 		{"code with another status", response(500, `{"error":{"code":"full"}}`), false, prefill},
-		{"refusal, not JSON", response(429, `{"error":{"code":"full"}`), false, prefill},
+		{"rejection, not JSON", response(429, `{"error":{"code":"full"}`), false, prefill},
 		{"load out of range", overload, false, prefill},
 		{"load in an unknown form", response(503, ``, "endpoint-load-metrics", "BIN 1"), false, prefill},
 		{"decode", stream(content, finish, "[DONE]") + "0\r\n\r\n", false, decode},
@@ -139,15 +141,15 @@
 		{"stream without its last event", stream(content) + "0\r\n\r\n", false, decode},
 		{"finished stream without its last event", stream(content, finish) + "0\r\n\r\n", false, decode},
 		{"last event before a finish reason", stream(content, "[DONE]") + "0\r\n\r\n", false, decode},
-		{"event behind the last", stream(content, finish, "[DONE]", content), false, decode},
-		{"event that is no chunk", stream("hello"), false, decode},
+		{"event after the last", stream(content, finish, "[DONE]", content), false, decode},
+		{"event that is not a chunk", stream("hello"), false, decode},
 		{"broken stream", stream(content), true, decode},
 		{"broken stream that had finished", stream(content, finish), true, decode},
 		{"stream until the connection's end", untilClose + "data: " + finish + "\n\ndata: [DONE]\n\n", true, decode},
 		{"cut stream until the connection's end", untilClose + "data: " + content + "\n\n", true, decode},
 		{"malformed response", "what is this\r\n\r\n", false, decode},
 		{"no response", "", true, decode},
-		{"response in time", "", false, decode},
+		{"no response before the timeout", "", false, decode},
 		{"prefill only", response(200, "vectors"), false, prefillOnly},
 		{"response too long", response(200, strings.Repeat("x", 65)), false, prefillOnly},
 		{"release", response(200, "{}"), false, release},
@@ -155,11 +157,11 @@
 	}
 }
 
-// TestAttemptsOnTheWire compares what each kind of attempt sends, and what it comes out as, with golden files.
+// TestAttemptsOnTheWire compares the bytes that each kind of attempt sends, and its result, with a golden file.
 func TestAttemptsOnTheWire(t *testing.T) {
 	var out strings.Builder
 	for _, c := range attemptCases() {
-		fmt.Fprintf(&out, "== %s\n%s", c.name, attemptOnce(t, c.response, c.closes, c.start))
+		fmt.Fprintf(&out, "== %s\n%s", c.name, runAttempt(t, c.response, c.closes, c.start))
 	}
 	golden.Compare(t, []byte(out.String()))
 }
