--- a/internal/engine/attempt.go
+++ b/internal/engine/attempt.go
@@ -21,13 +21,13 @@
 	deadline     eventloop.Micros // of the first event, or of a response that is not streamed
 	sendDeadline eventloop.Micros // by which the network must have taken the request's last byte
 	timer        eventloop.Timer  // for the deadlines and, after Started, for the stream's idle timeout
-	evictions    int              // idle connections that were closed for it
+	evictions    int              // idle connections closed because no file descriptor was free for this attempt
 
 	ended bool
 	sent  bool // valid once ended: the network had taken the request's last byte
 
 	readingPaused bool
-	lastReceived  eventloop.Micros // when a started stream last delivered anything
+	lastReceived  eventloop.Micros // start of the current idle period of a started stream
 
 	// The response as far as it has been received.
 	head        *http1.Head
--- a/internal/engine/engine.go
+++ b/internal/engine/engine.go
@@ -1,9 +1,9 @@
 // Package engine sends attempts to endpoints over HTTP/1.1 and reports the result of each.
 //
 // It owns the connections to all endpoints: it opens, reuses and closes them within Limits, and retries releases of
-// KV state until an endpoint has confirmed them. It alone decides what an endpoint's response, a closed connection or a
-// timeout proves about an attempt (result.go, openai.go). For a protocol other than the public chat completions API,
-// the caller supplies a Call.
+// KV state until an endpoint has confirmed them or releaseRetryPeriod has passed. It alone decides what an endpoint's
+// response, a closed connection or a timeout proves about an attempt (result.go, openai.go). For a protocol other than
+// the public chat completions API, the caller supplies a Call.
 //
 // It uses package eventloop for time and sockets and runs on a single event loop: its methods may be called on that
 // loop only, and no callback runs before the method that started the attempt has returned. It never chooses an
@@ -22,14 +22,14 @@
 	ConnectTimeout eventloop.Micros
 	// IdleTimeout is the time after which an unused connection is closed. Endpoints must keep theirs open for longer.
 	IdleTimeout eventloop.Micros
-	// StreamIdleTimeout is the time after which a started stream without data is treated as broken.
+	// StreamIdleTimeout is the time after which a started stream without an event is treated as broken.
 	StreamIdleTimeout eventloop.Micros
 	MaxPerEndpoint    int // connections to one endpoint
 	// MaxOpening bounds the connections to one endpoint that are being opened. Further attempts queue, for
 	// ConnectTimeout at most.
 	MaxOpening int
-	// MaxTotal, if it is above 0, bounds the connections to all endpoints: before another one is opened, the connection
-	// that has been idle for longest is closed.
+	// MaxTotal, if it is above 0, is the number of connections to all endpoints from which on the connection that has
+	// been idle for longest is closed before another one is opened. If no connection is idle, one is opened nevertheless.
 	MaxTotal int
 }
 
@@ -68,7 +68,8 @@
 // EndpointCount returns the number of endpoints that the engine keeps, including removed ones that are not deleted yet.
 func (e *Engine) EndpointCount() int { return len(e.endpoints) }
 
-// InFlight returns the number of connections to an endpoint that are in use.
+// InFlight returns the number of connections to an endpoint that are not idle: those used by an attempt, those being
+// opened, and those that wait for reuseDelay after a response.
 func (e *Engine) InFlight(id scheduler.EndpointID) int {
 	ep := e.endpoints[id]
 	if ep == nil {
--- a/internal/engine/release.go
+++ b/internal/engine/release.go
@@ -13,13 +13,13 @@
 const (
 	releasePath = "/v1/kv/release"
 
-	releaseTimeout    = 200 * eventloop.Millisecond // of a release request; retries get more
-	minReleaseBackoff = 60 * eventloop.Millisecond  // before a release is retried, doubled each time
+	releaseTimeout    = 200 * eventloop.Millisecond // of a release request; retries add twice their backoff
+	minReleaseBackoff = 60 * eventloop.Millisecond  // before a retry, doubled from the second failed retry on
 	maxReleaseBackoff = 240 * eventloop.Millisecond
 	// releaseRetryPeriod is how long a release is retried. An endpoint that is unreachable for longer frees the state
 	// when its own lease on it expires.
 	releaseRetryPeriod = 10 * eventloop.Second
-	maxReleaseBatch    = 256 // attempts in one release request
+	maxReleaseBatch    = 256 // attempts in one retry; the first request for a release is not split
 )
 
 // pendingRelease is an attempt whose KV state has to be released and whose endpoint has not confirmed the release.
