--- a/internal/frontend/body.go
+++ b/internal/frontend/body.go
@@ -7,13 +7,13 @@
 	"plumspindle/internal/http1"
 )
 
-// Sink takes one request's body as it arrives.
+// Sink receives the body of one request as it arrives. A problem that it returns becomes the request's final answer.
 type Sink interface {
 	Data(data []byte) *Problem
 	End() *Problem
 }
 
-// BufferedBody is a Sink that collects the body and passes it to Handle once it is complete.
+// BufferedBody is a Sink that buffers the body and passes it to Handle once it is complete.
 type BufferedBody struct {
 	body   []byte
 	Handle func(body []byte) *Problem
@@ -28,7 +28,7 @@
 // End implements Sink.
 func (b *BufferedBody) End() *Problem { return b.Handle(b.body) }
 
-// discardingSink is a Sink for a body that is not looked at.
+// discardingSink is a Sink that ignores the body and calls end after it.
 type discardingSink struct{ end func() }
 
 func (d *discardingSink) Data([]byte) *Problem { return nil }
@@ -43,7 +43,8 @@
 	return is
 }
 
-// RequireJSON refuses a body whose content type is not JSON, or whose encoding is not one of those given.
+// RequireJSON returns a problem if a body's content type is stated and is not JSON, or if its content encoding is not
+// among the given ones.
 func RequireJSON(head *http1.Head, encodings ...string) *Problem {
 	contentType := strings.ToLower(head.Get("Content-Type"))
 	if contentType != "" && !strings.HasPrefix(contentType, "application/json") {
@@ -60,7 +61,7 @@
 	return unsupported("unsupported_content_encoding", message)
 }
 
-// reserve counts bytes of the body as buffered, if the server's limit admits them.
+// reserve counts bytes of the body as buffered and returns true, unless that would exceed the server's limit.
 func (r *Response) reserve(size int) bool {
 	server := r.connection.server
 	if r.maxBuffered > 0 {
@@ -74,13 +75,14 @@
 	return true
 }
 
-// releaseBuffer takes the body off the count of buffered bytes.
+// releaseBuffer subtracts the body from the count of buffered bytes.
 func (r *Response) releaseBuffer() {
 	r.connection.server.BufferedBytes -= r.buffered
 	r.buffered = 0
 }
 
-// PauseBody stops or resumes the reading of the request's body, for a Sink that has buffered enough.
+// PauseBody pauses or resumes reading the request's body, for a Sink that has buffered enough. MessageTimeout does not
+// run while reading is paused.
 func (r *Response) PauseBody(on bool) {
 	c := r.connection
 	if r.received || r.done || r.bodyPaused == on {
@@ -91,6 +93,6 @@
 	if on {
 		c.timeout.Clear()
 	} else {
-		c.awaitMessage()
+		c.restartMessageTimeout()
 	}
 }
--- a/internal/frontend/connection.go
+++ b/internal/frontend/connection.go
@@ -10,24 +10,24 @@
 
 const continueResponse = "HTTP/1.1 100 Continue\r\n\r\n"
 
-// connection is one connection of a client; it carries one request at a time.
+// connection is one client connection. It serves one request at a time.
 type connection struct {
 	server    *Server
 	conn      eventloop.Conn
 	parser    http1.Parser
-	response  *Response // to the request that arrives or waits for its answer; nil: none
-	sink      Sink
-	problem   *Problem // what the request will be answered with once it has arrived
-	bodyBytes int      // of its body since its time was last extended
+	response  *Response // to the request that is being received or answered; nil: there is none
+	sink      Sink      // receives the current request's body
+	problem   *Problem  // the answer to the current request, sent once the request has been received
+	bodyBytes int       // of the body received since MessageTimeout was last restarted
 	timeout   eventloop.Timeout
-	scratch   []byte
-	closing   bool // nothing more is read
+	scratch   []byte // buffer that is reused for chunks
+	closing   bool   // further data is ignored
 
-	// receivedAt is when the first byte of the request came that is read or answered, pipelinedAt that of what waits
-	// behind it.
+	// receivedAt is when the first byte of the current request arrived, pipelinedAt when the first byte of the data that
+	// waits behind it arrived.
 	receivedAt, pipelinedAt eventloop.Micros
 
-	order     uint64 // connections opened earlier have smaller ones
+	order     uint64 // lower for a connection that was opened earlier
 	idleSince eventloop.Micros
 }
 
@@ -42,11 +42,12 @@
 	if s.atLimit() {
 		s.evictIdle()
 	}
-	if s.aboveOverflow() {
+	if s.aboveOverflowLimit() {
 		c.closing = true
 		c.conn.Write(OverloadedResponse())
-		// What the client sends is taken in meanwhile, as a reset would overtake the response.
-		c.timeout.Set(s.loop, overloadedLinger, func() { c.conn.Close() })
+		// Until then, data from the client is read and ignored: closing over unread data would reset the connection, and
+		// the reset would overtake the response.
+		c.timeout.Set(s.loop, overloadedCloseDelay, func() { c.conn.Close() })
 		return
 	}
 	s.opened++
@@ -65,13 +66,14 @@
 		c.pipelinedAt = now
 	}
 	if c.response == nil && c.parser.Idle() {
-		// A message has its time from its first byte on: bytes that trickle in earn no further time.
+		// MessageTimeout starts with the first byte of a message. Later bytes do not restart it, so that a client that
+		// sends a few bytes at a time can't hold the connection.
 		c.receivedAt = now
-		c.awaitMessage()
+		c.restartMessageTimeout()
 	}
 	c.checkParsed(c.parser.Feed(data, c))
 	if c.parser.Buffered() > c.server.messageLimits.HeadBytes {
-		c.conn.SetPaused(true) // further pipelined requests wait in the socket
+		c.conn.SetPaused(true) // leave further pipelined requests in the socket
 	}
 }
 
@@ -96,41 +98,43 @@
 	}
 }
 
-// idleTimedOut closes a connection without a request, unless something has arrived that was not handed over yet: a
-// request that was read must not be met with a close.
+// idleTimedOut closes a connection that has no request. If data has arrived that the event loop has not delivered yet,
+// it tries again later, as the data may be a request, which must be answered.
 func (c *connection) idleTimedOut() {
 	if !c.conn.CloseIfIdle() {
-		c.timeout.Set(c.server.loop, idleRecheck, c.idleTimedOut)
+		c.timeout.Set(c.server.loop, idleRecheckDelay, c.idleTimedOut)
 	}
 }
 
-// evictable reports whether the connection has waited for a request for long enough to be evicted for another.
+// evictable reports whether the connection has been idle for long enough to be closed in favour of a new one.
 func (c *connection) evictable() bool {
 	idle := c.response == nil && !c.closing && c.parser.Idle()
-	return idle && c.server.loop.Now()-c.idleSince > minEvictionIdle
+	return idle && c.server.loop.Now()-c.idleSince > minIdleBeforeEviction
 }
 
-// awaitMessage gives the request its time to arrive.
-func (c *connection) awaitMessage() {
+// restartMessageTimeout allows the client another MessageTimeout to send the rest of its request.
+func (c *connection) restartMessageTimeout() {
 	c.bodyBytes = 0
-	c.timeout.Set(c.server.loop, c.server.limits.MessageTimeout, func() { c.refuse(requestTimeout()) })
+	c.timeout.Set(c.server.loop, c.server.limits.MessageTimeout, func() { c.rejectUnreadable(requestTimeout()) })
 }
 
+// checkParsed rejects the request if parsing it failed.
 func (c *connection) checkParsed(err error) {
 	var protocolError *http1.ProtocolError
 	if errors.As(err, &protocolError) {
-		c.refuse(malformed(protocolError))
+		c.rejectUnreadable(malformed(protocolError))
 	}
 }
 
-// refuse answers a request that can't be read and closes the connection, as it can't be parsed any further.
-func (c *connection) refuse(problem *Problem) {
+// rejectUnreadable answers a request that is malformed or did not arrive in time. It then closes the connection, whose
+// further data can't be parsed.
+func (c *connection) rejectUnreadable(problem *Problem) {
 	if c.closing {
 		return
 	}
 	c.closing = true
 	if response := c.response; response != nil {
-		if response.received { // the client could not match two answers to its requests
+		if response.received { // a second answer now could be taken for the one to the earlier request
 			response.disconnect()
 			c.conn.Abort()
 			return
@@ -142,10 +146,10 @@
 	c.closeWithin(c.server.limits.StallTimeout)
 }
 
-// closeWithin closes the connection once all is sent, and resets it where the client does not take it in time.
-func (c *connection) closeWithin(span eventloop.Micros) {
+// closeWithin closes the connection after all data has been sent, or resets it if that takes longer than the timeout.
+func (c *connection) closeWithin(timeout eventloop.Micros) {
 	c.conn.Close()
-	c.timeout.Set(c.server.loop, span, func() { c.conn.Abort() })
+	c.timeout.Set(c.server.loop, timeout, func() { c.conn.Abort() })
 }
 
 // Head implements http1.Handler.
@@ -170,23 +174,23 @@
 
 // Body implements http1.Handler.
 func (c *connection) Body(data []byte) error {
-	if c.bodyBytes += len(data); c.bodyBytes >= extendEveryBytes && !c.response.bodyPaused {
-		c.awaitMessage()
+	if c.bodyBytes += len(data); c.bodyBytes >= bytesPerTimeoutExtension && !c.response.bodyPaused {
+		c.restartMessageTimeout()
 	}
 	switch {
 	case c.problem != nil || c.sink == nil:
 	case !isDiscarding(c.sink) && !c.response.reserve(len(data)):
-		c.shedBody()
+		c.rejectBody()
 	default:
 		c.problem = c.sink.Data(data)
 	}
 	return nil
 }
 
-// shedBody rejects a request whose body exceeds what may be buffered; the rest of it is discarded.
-func (c *connection) shedBody() {
+// rejectBody rejects a request whose body would exceed MaxBufferedBytes, and discards the rest of the body.
+func (c *connection) rejectBody() {
 	response := c.response
-	if response.OnDisconnect != nil { // the route has begun with the request
+	if response.OnDisconnect != nil { // the route has started on the request: tell it to stop
 		response.OnDisconnect()
 		response.OnDisconnect = nil
 	}
@@ -211,8 +215,8 @@
 	return nil
 }
 
-// next makes the connection ready for another request.
-func (c *connection) next() {
+// startNextRequest makes the connection ready for another request and parses pipelined data.
+func (c *connection) startNextRequest() {
 	s := c.server
 	c.response, c.idleSince, c.receivedAt = nil, s.loop.Now(), c.pipelinedAt
 	c.timeout.Set(s.loop, s.limits.IdleTimeout, c.idleTimedOut)
@@ -220,7 +224,7 @@
 	c.checkParsed(c.parser.Resume(c))
 }
 
-// stalled resets a connection whose client does not take what is sent: nothing more can be said to it.
+// stalled resets a connection whose client does not read. An error answer would not reach the client either.
 func (c *connection) stalled() {
 	c.closing = true
 	if c.response != nil {
--- a/internal/frontend/errors.go
+++ b/internal/frontend/errors.go
@@ -11,7 +11,7 @@
 	"plumspindle/internal/http1"
 )
 
-// Types of errors, as clients see them.
+// Error types of the public API.
 const (
 	typeInvalidRequest = "invalid_request_error"
 	typePermission     = "permission_error"
@@ -19,27 +19,27 @@
 	typeServer         = "server_error"
 )
 
-// Fields of responses to requests that may, or must not, be repeated.
+// Header fields that tell a client whether and when to retry.
 const (
 	fieldRetryAfter   = "Retry-After"
 	fieldRetryAfterMs = "retry-after-ms"
 	fieldShouldRetry  = "x-should-retry"
 )
 
-// Problem is why a request can't be carried out, as the client sees it. It is an error.
+// Problem is the error that a client gets for a request that can't be carried out.
 type Problem struct {
 	Status  int
 	Type    string
-	Param   string // the parameter at fault, if there is one
+	Param   string // the invalid parameter; empty: the problem concerns none
 	Code    string
 	Message string
-	NoRetry bool // no retry can help, and client libraries learn not to try
+	NoRetry bool // a retry can't succeed; the response tells client libraries not to retry
 }
 
 // Error implements error.
 func (p *Problem) Error() string { return p.Message }
 
-// errorBody and errorObject are the public API's error object, their members in alphabetical order.
+// errorBody is the public API's error object. The fields of it and of errorObject are in alphabetical order.
 type errorBody struct {
 	Error errorObject `json:"error"`
 }
@@ -51,7 +51,7 @@
 	Type    string  `json:"type"`
 }
 
-// Body returns the public API's error object.
+// Body returns the problem as the public API's error object, in JSON.
 func (p *Problem) Body() []byte {
 	return mustMarshal(errorBody{errorObject{
 		Code:    nullIfEmpty(p.Code),
@@ -68,7 +68,7 @@
 	return &text
 }
 
-// mustMarshal returns JSON of a value that always has one.
+// mustMarshal returns the JSON encoding of a value whose type can't fail to encode.
 func mustMarshal(value any) []byte {
 	text, err := json.Marshal(value)
 	if err != nil {
@@ -77,7 +77,7 @@
 	return text
 }
 
-// Overloaded returns the problem of a request that is rejected for lack of capacity; nothing of it has run.
+// Overloaded returns the problem of a request that is rejected for lack of capacity and of which no part has run.
 func Overloaded() *Problem {
 	return overloaded("The service is busy; nothing was run. Please try again.")
 }
@@ -89,7 +89,7 @@
 	return &Problem{Status: http.StatusTooManyRequests, Type: typeRateLimit, Code: "throttled", Message: message}
 }
 
-// TenantSuspended returns the problem of a request whose tenant is not served now.
+// TenantSuspended returns the problem of a request whose tenant is suspended.
 func TenantSuspended() *Problem {
 	return &Problem{
 		Status:  http.StatusForbidden,
@@ -100,12 +100,12 @@
 	}
 }
 
-// PromptTooLarge returns the problem of a request with more tokens in a parameter than its tenant may send.
+// PromptTooLarge returns the problem of a request that has more tokens in a parameter than its tenant may send.
 func PromptTooLarge(param, message string) *Problem {
 	return Invalid(param, "prompt_too_large", "%s", message)
 }
 
-// InputNotServed returns the problem of a call with many inputs of which no endpoint could process one.
+// InputNotServed returns the problem of a call with several inputs, one of which no endpoint could process.
 func InputNotServed(param string) *Problem {
 	return &Problem{
 		Status:  http.StatusUnprocessableEntity,
@@ -117,10 +117,10 @@
 	}
 }
 
-// ModelNotFound returns the problem of a request for a model that is not on offer.
+// ModelNotFound returns the problem of a request for a model that is not served.
 func ModelNotFound(name string) *Problem {
-	if len(name) > maxNameInError {
-		name = name[:maxNameInError]
+	if len(name) > maxEchoedNameBytes {
+		name = name[:maxEchoedNameBytes]
 	}
 	return &Problem{
 		Status:  http.StatusNotFound,
@@ -131,7 +131,7 @@
 	}
 }
 
-// BodyTooLarge returns the problem of a request whose body, or what of it must be buffered, is too large.
+// BodyTooLarge returns the problem of a request whose body, or the part of it that has to be buffered, is too large.
 func BodyTooLarge(format string, args ...any) *Problem {
 	return &Problem{
 		Status:  http.StatusRequestEntityTooLarge,
@@ -205,24 +205,26 @@
 	return &Problem{Status: http.StatusUnsupportedMediaType, Type: typeInvalidRequest, Code: code, Message: message}
 }
 
-// OverloadedResponse returns the response to a connection that is not served for lack of capacity; nothing has run.
+// OverloadedResponse returns the response on a connection that is closed for lack of capacity without being read.
 func OverloadedResponse() []byte {
 	problem := Overloaded()
 	fields := append(retryFields(0), "Connection", "close", "Content-Type", "application/json")
 	return http1.AppendResponse(nil, problem.Status, problem.Body(), fields...)
 }
 
-// retryFields returns the fields that say when to come again, in whole units rounded up.
-func retryFields(after eventloop.Micros) []string {
-	if after <= 0 {
-		after = defaultRetryAfter
+// retryFields returns the header fields that tell when to retry, rounded up to whole units. A delay of 0 or less stands
+// for defaultRetryAfter.
+func retryFields(delay eventloop.Micros) []string {
+	if delay <= 0 {
+		delay = defaultRetryAfter
 	}
 	return []string{
-		fieldRetryAfter, ceilDivide(after, eventloop.Second),
-		fieldRetryAfterMs, ceilDivide(after, eventloop.Millisecond),
+		fieldRetryAfter, formatCeil(delay, eventloop.Second),
+		fieldRetryAfterMs, formatCeil(delay, eventloop.Millisecond),
 	}
 }
 
-func ceilDivide(span, unit eventloop.Micros) string {
-	return strconv.FormatInt(int64((span+unit-1)/unit), 10)
+// formatCeil returns a duration in the given unit, rounded up, as decimal text.
+func formatCeil(duration, unit eventloop.Micros) string {
+	return strconv.FormatInt(int64((duration+unit-1)/unit), 10)
 }
--- a/internal/frontend/errors_test.go
+++ b/internal/frontend/errors_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-// Clients and their libraries act on these bodies: they are part of the API, byte for byte.
+// TestProblemsKeepTheirWireForm checks error bodies byte for byte, as clients and their libraries depend on them.
 func TestProblemsKeepTheirWireForm(t *testing.T) {
 	for name, test := range map[string]struct {
 		problem *Problem
@@ -19,7 +19,7 @@
 			body: `{"error":{"code":"throttled","message":"The service is busy; nothing was run. Please try again.",` +
 				`"param":null,"type":"rate_limit_error"}}`,
 		},
-		"overloaded midway": {
+		"overloaded after a partial run": {
 			problem: OverloadedMidway(),
 			status:  http.StatusTooManyRequests,
 			body: `{"error":{"code":"throttled","message":"The service is busy. Please try again.",` +
--- a/internal/frontend/limits.go
+++ b/internal/frontend/limits.go
@@ -2,15 +2,15 @@
 
 import "plumspindle/internal/eventloop"
 
-// ClientLimits are how long the server waits for a client, and how much it buffers for one.
+// ClientLimits bound how long the server waits for a client and how much data it buffers for one.
 type ClientLimits struct {
 	MessageTimeout eventloop.Micros // for a request, from its first byte to its last
-	IdleTimeout    eventloop.Micros // for the next request
-	StallTimeout   eventloop.Micros // for a client that takes nothing of what is sent
-	MaxUnsentBytes int              // of an answer that its client does not take; past it the answer's source is slowed
+	IdleTimeout    eventloop.Micros // for the next request on an idle connection
+	StallTimeout   eventloop.Micros // for a client that reads none of the data sent to it
+	MaxUnsentBytes int              // of an answer that its client has not read; beyond it, the source is slowed down
 }
 
-// DefaultClientLimits suit clients near by.
+// DefaultClientLimits suit clients with a short network delay.
 var DefaultClientLimits = ClientLimits{
 	MessageTimeout: 10 * eventloop.Second,
 	IdleTimeout:    75 * eventloop.Second,
@@ -19,18 +19,19 @@
 }
 
 const (
-	// minEvictionIdle is how long a connection has waited for a request before it may be evicted.
-	minEvictionIdle = eventloop.Second
-	// idleRecheck is when the closing of an idle connection is tried again on which something has just arrived.
-	idleRecheck = 50 * eventloop.Millisecond
-	// overloadedLinger is how long a connection that is not served may take to read the answer that says so.
-	overloadedLinger = 200 * eventloop.Millisecond
-	// overflowShare: for MaxConnections/overflowShare connections beyond MaxConnections requests are read, and rejected.
-	overflowShare = 8
-	// extendEveryBytes is how much of a long body grants it MessageTimeout anew.
-	extendEveryBytes = 1 << 20
-	// defaultRetryAfter is when a rejected client may come again if nothing else is known.
+	// minIdleBeforeEviction is how long a connection must have waited for a request before it may be evicted.
+	minIdleBeforeEviction = eventloop.Second
+	// idleRecheckDelay is the delay before another attempt to close an idle connection on which data has just arrived.
+	idleRecheckDelay = 50 * eventloop.Millisecond
+	// overloadedCloseDelay is how long a client may take to read the overload response before its connection is closed.
+	overloadedCloseDelay = 200 * eventloop.Millisecond
+	// overflowDivisor sets the number of connections beyond MaxConnections on which requests are read and rejected:
+	// MaxConnections/overflowDivisor.
+	overflowDivisor = 8
+	// bytesPerTimeoutExtension is the amount of body data after which MessageTimeout is restarted.
+	bytesPerTimeoutExtension = 1 << 20
+	// defaultRetryAfter is the delay that a rejected client is told to wait if no better value is known.
 	defaultRetryAfter = 200 * eventloop.Millisecond
-	// maxNameInError is how many bytes of a name that a client sent are repeated to it.
-	maxNameInError = 60
+	// maxEchoedNameBytes bounds the bytes of a name from a request that an error message repeats.
+	maxEchoedNameBytes = 60
 )
--- a/internal/frontend/models.go
+++ b/internal/frontend/models.go
@@ -13,7 +13,7 @@
 	modelOwner = "plumspindle"
 )
 
-// modelObject and modelList are the public API's objects, their members in alphabetical order.
+// modelObject is a model in the public API. The fields of it and of modelList are in alphabetical order.
 type modelObject struct {
 	Created int64  `json:"created"`
 	ID      string `json:"id"`
@@ -30,7 +30,7 @@
 	return modelObject{ID: name, Object: "model", OwnedBy: modelOwner}
 }
 
-// ModelRoutes returns the routes by which clients list the models on offer and ask for one of them.
+// ModelRoutes returns the routes by which clients list the served models and look up one of them.
 func ModelRoutes(names func() []string) map[string]Route {
 	list := func(_ *http1.Head, _ Identity, response *Response) (Sink, *Problem) {
 		return &BufferedBody{Handle: func([]byte) *Problem {
--- a/internal/frontend/parameters.go
+++ b/internal/frontend/parameters.go
@@ -6,7 +6,7 @@
 	"fmt"
 )
 
-// Invalid returns the problem of a request whose parameter is no good.
+// Invalid returns the problem of a request with an invalid parameter.
 func Invalid(param, code, format string, args ...any) *Problem {
 	return &Problem{
 		Status:  http.StatusBadRequest,
@@ -39,15 +39,15 @@
 
 // UnknownParameter returns the problem of a parameter that the API does not know.
 func UnknownParameter(name string) *Problem {
-	return Invalid(name, "unknown_parameter", "Unknown parameter: '%.*s'.", maxNameInError, name)
+	return Invalid(name, "unknown_parameter", "Unknown parameter: '%.*s'.", maxEchoedNameBytes, name)
 }
 
-// WrongType returns the problem of a parameter of another type than the one wanted.
+// WrongType returns the problem of a parameter whose type is not the expected one.
 func WrongType(name, want, got string) *Problem {
 	return Invalid(name, "invalid_type", "Invalid type for '%s': expected %s, but got %s instead.", name, want, got)
 }
 
-// BelowOne returns the problem of a number that must be 1 at least.
+// BelowOne returns the problem of a number that must be at least 1.
 func BelowOne(name string) *Problem {
 	return Invalid(name, "integer_below_min_value", "Invalid '%s': expected a value >= 1.", name)
 }
--- a/internal/frontend/response.go
+++ b/internal/frontend/response.go
@@ -9,34 +9,35 @@
 	"plumspindle/internal/sse"
 )
 
-// Response carries one final answer to a client, and nothing after it.
+// Response sends exactly one final answer to a client. Calls after the final answer have no effect.
 type Response struct {
 	connection  *connection
 	keepAlive   bool             // the connection stays open after the answer
-	receivedAt  eventloop.Micros // when the request's first byte came
-	received    bool             // the request has arrived to its end
-	started     bool             // a streamed answer's first byte has been sent
-	done        bool
-	buffered    int // bytes of the request's body
-	maxBuffered int
+	receivedAt  eventloop.Micros // when the request's first byte arrived
+	received    bool             // the whole request has been received
+	started     bool             // the head of a streamed answer has been sent
+	done        bool             // the final answer was given or the client has disconnected
+	buffered    int              // bytes of the request's body that count as buffered
+	maxBuffered int              // Route.MaxBuffered
 	bodyPaused  bool
 	format      Format
-	scratch     []byte
+	scratch     []byte // buffer that is reused for events
 
-	// OnDisconnect is called once when the client goes away before its final answer.
+	// OnDisconnect is called at most once, when the client disconnects before its final answer.
 	OnDisconnect func()
-	// OnDrained is called when a client that lagged has caught up.
+	// OnDrained is called when the network has taken all written data, so that a slow client has caught up.
 	OnDrained func()
 }
 
-// ReceivedAt returns when the first byte of the request came. Its client's time counts from there: it does not wait for
-// the request to arrive.
+// ReceivedAt returns when the first byte of the request arrived. The time that the client waits counts from then, not
+// from the request's last byte.
 func (r *Response) ReceivedAt() eventloop.Micros { return r.receivedAt }
 
-// Done reports whether the final answer was given, or the client has disconnected.
+// Done reports whether the final answer was given or the client has disconnected.
 func (r *Response) Done() bool { return r.done }
 
-// SendProblem gives the final answer to a request that can't be carried out, whether or not its body has arrived.
+// SendProblem sends a problem as the final answer to a request that can't be carried out. If the request is still being
+// received, the answer follows its last byte.
 func (r *Response) SendProblem(problem *Problem) {
 	if r.done {
 		return
@@ -49,7 +50,7 @@
 	r.PauseBody(false)
 }
 
-// Complete gives the final answer to a request that was carried out, as its Format says.
+// Complete sends the final answer to a request that was carried out, or the rest of it, as the Format presents it.
 func (r *Response) Complete() {
 	if r.done {
 		return
@@ -67,25 +68,25 @@
 	r.close()
 }
 
-// RejectOverQuota gives the final answer to a request that its tenant's limits do not admit; nothing of it has run.
+// RejectOverQuota sends the final answer to a request that its tenant's limits do not admit. No part of it has run.
 func (r *Response) RejectOverQuota(reason string, retryAfter eventloop.Micros) {
 	r.end(overQuota(reason), retryFields(retryAfter)...)
 }
 
-// Reject gives the final answer to a request of which nothing has run and which may come again, after a while if
-// retryAfter is above 0.
+// Reject sends the final answer to a request of which no part has run and which the client may retry. retryAfter is how
+// long the client should wait; 0 stands for defaultRetryAfter.
 func (r *Response) Reject(retryAfter eventloop.Micros) {
 	r.end(Overloaded(), retryFields(retryAfter)...)
 }
 
-// Fail gives the final answer to a request that failed. The client learns whether it may retry, as common client
-// libraries retry a 5xx by themselves.
+// Fail sends the final answer to a request that failed. It states whether the client may retry, as common client
+// libraries retry after any 5xx status otherwise.
 func (r *Response) Fail(retryable bool, message string) {
 	r.end(failed(message), fieldShouldRetry, strconv.FormatBool(retryable))
 }
 
-// end gives a problem as the final answer. Where a stream has started it is an error event without the closing mark,
-// and the connection closes within the body.
+// end sends a problem as the final answer. If a stream has started, end sends an error event without the stream's last
+// event and closes the connection within the body.
 func (r *Response) end(problem *Problem, fields ...string) {
 	if r.done {
 		return
@@ -99,7 +100,7 @@
 	r.close()
 }
 
-// finishProblem gives a problem as the final answer to a request that has arrived and not begun.
+// finishProblem sends a problem as the final answer to a request that has been received but not started.
 func (r *Response) finishProblem(problem *Problem) {
 	var fields []string
 	if problem.Status == http.StatusUnauthorized {
@@ -111,7 +112,7 @@
 	r.finish(problem.Status, problem.Body(), fields...)
 }
 
-// finish gives a final answer that is not streamed.
+// finish sends a final answer that is not streamed.
 func (r *Response) finish(status int, body []byte, fields ...string) {
 	if r.done {
 		return
@@ -125,14 +126,15 @@
 	r.close()
 }
 
-// close ends the request after its final answer was written.
+// close ends the request after its final answer was written. It closes the connection or prepares it for the next
+// request.
 func (r *Response) close() {
 	c := r.connection
-	r.settle()
+	r.markDone()
 	if r.keepAlive && !c.server.shuttingDown {
 		c.server.loop.Defer(func() {
 			if c.response == r && !c.closing {
-				c.next()
+				c.startNextRequest()
 			}
 		})
 		return
@@ -141,7 +143,7 @@
 	c.closeWithin(c.server.limits.StallTimeout)
 }
 
-// disconnect ends a request whose client has disconnected, and reports that to its owner.
+// disconnect ends a request whose client has disconnected, and calls OnDisconnect.
 func (r *Response) disconnect() {
 	if r.done {
 		return
@@ -152,14 +154,14 @@
 	}
 }
 
-// abandon ends a request without an answer, and without reporting it to its owner.
+// abandon ends a request without an answer and without calling OnDisconnect.
 func (r *Response) abandon() {
-	r.settle()
+	r.markDone()
 	r.connection.response = nil
 }
 
-// settle marks the request as done and takes it off the counts of open requests and buffered bytes.
-func (r *Response) settle() {
+// markDone marks the request as done and subtracts it from the counts of open requests and buffered bytes.
+func (r *Response) markDone() {
 	r.releaseBuffer()
 	r.done = true
 	r.connection.server.OpenRequests--
--- a/internal/frontend/routes.go
+++ b/internal/frontend/routes.go
@@ -14,16 +14,17 @@
 // Route is one URL of an API.
 type Route struct {
 	Method      string
-	MaxBody     int // bytes; 0: as the server's message limits say
-	MaxBuffered int // bytes of a body that are buffered at once, however long it is; 0: all
-	// Begin takes a request whose head has arrived: it returns what takes the body, or why the request is refused. Once
-	// the Sink's End has returned without a problem, exactly one final answer is due on the response.
+	MaxBody     int // bytes; 0: the server's message limits apply
+	MaxBuffered int // bytes of one body that are buffered at a time, whatever its length; 0: the whole body
+	// Begin starts a request whose head has arrived. It returns the Sink for the body, or a problem that rejects the
+	// request. Once the Sink's End has returned no problem, the route must give exactly one final answer on the response.
 	Begin func(head *http1.Head, identity Identity, response *Response) (Sink, *Problem)
 }
 
-// begin finds the route of a request and who makes it.
+// begin authenticates a request and passes it to its route. It returns the Sink for the body, or the problem that
+// rejects the request.
 func (s *Server) begin(head *http1.Head, response *Response) (Sink, *Problem) {
-	if s.shuttingDown || s.aboveLimit() { // nothing ran: another dispatcher takes it
+	if s.shuttingDown || s.aboveLimit() { // no part of it has run: the client can retry at another dispatcher
 		response.keepAlive = false
 		return &discardingSink{end: func() { response.Reject(0) }}, nil
 	}
@@ -45,12 +46,13 @@
 	return route.Begin(head, identity, response)
 }
 
+// authenticate returns the owner of the API key in a request's head.
 func (s *Server) authenticate(head *http1.Head) (Identity, *Problem) {
 	key, bearer := strings.CutPrefix(head.Get("Authorization"), bearerPrefix)
 	if !bearer || key == "" {
 		return Identity{}, missingKey()
 	}
-	identity, known := s.service.Identify(key)
+	identity, known := s.authenticator.Identify(key)
 	if !known {
 		return Identity{}, unknownKey()
 	}
--- a/internal/frontend/server.go
+++ b/internal/frontend/server.go
@@ -1,10 +1,11 @@
-// Package frontend is what the client APIs share: connections of clients, API keys, request bodies within their
-// limits, error objects, and exactly one final answer to each request.
+// Package frontend is the HTTP server that all client APIs share. It handles client connections, API keys, limits of
+// request bodies and error objects, and ensures that each request gets exactly one final answer.
 //
-// It owns the connections of clients and the count of their requests and buffered bodies. An API is a Route, which
-// reads its requests and answers them on a Response; whose key a request carries is found by a Service. It relies on
-// package eventloop for time and sockets and on package http1 for the messages, and runs on a single loop: none of its
-// methods may be called from elsewhere. It never decides where a request runs, nor whether a tenant's limits admit it.
+// It owns the client connections and counts their open requests and buffered bytes. Each URL of an API is a Route: it
+// reads requests and answers them through a Response. An Authenticator looks up the owner of an API key. The package
+// uses package eventloop for time and sockets and package http1 to parse and write messages. It runs on a single event
+// loop: its methods may be called on that loop only. It never decides where a request runs or whether a tenant's limits
+// admit it.
 package frontend
 
 import (
@@ -14,52 +15,53 @@
 	"plumspindle/internal/http1"
 )
 
-// Service finds out who makes a request.
-type Service interface {
-	// Identify returns whom an API key belongs to.
+// Authenticator finds out who makes a request.
+type Authenticator interface {
+	// Identify returns the owner of an API key.
 	Identify(key string) (identity Identity, known bool)
 }
 
-// Identity is whom an API key belongs to.
+// Identity is the owner of an API key.
 type Identity struct {
 	Tenant string
-	Key    string // the key's id, never the key
-	Space  string // keeps names of prompts and sessions apart; no two tenants share one
-	Active bool   // false: the tenant is known and not served now
+	Key    string // the key's id, never the key itself
+	Space  string // namespace for identifiers of prompts and sessions; unique to the tenant
+	Active bool   // false: the tenant is known but not served at present
 }
 
-// Server takes connections of clients.
+// Server accepts client connections and serves their requests.
 type Server struct {
 	loop          eventloop.Loop
-	service       Service
+	authenticator Authenticator
 	routes        map[string]Route
 	messageLimits http1.Limits
 	limits        ClientLimits
 	connections   map[*connection]bool
 	shuttingDown  bool
-	opened        uint64 // connections so far
+	opened        uint64 // connections opened so far; gives connection.order
 
-	// OpenRequests is how many requests wait for their final answer.
+	// OpenRequests is the number of requests that have not got their final answer.
 	OpenRequests int
-	// BufferedBytes is how many bytes of bodies are buffered, of requests that arrive or wait for their answer.
+	// BufferedBytes is the number of buffered bytes of bodies, of requests that are being received or wait for their
+	// answer.
 	BufferedBytes int
-	// MaxConnections, where it is above 0, is how many connections clients may have. Requests on more are rejected and
-	// their connections closed; connections beyond a further eighth are not served at all. Descriptors for endpoints
-	// and for the administration must not run out because clients hold all there are.
+	// MaxConnections, if it is above 0, limits the client connections, so that they do not use up the file descriptors
+	// that connections to endpoints and to the administration need. Requests on connections above the limit are rejected
+	// and their connections closed; connections beyond a further eighth are not served at all.
 	MaxConnections int
-	// MaxBufferedBytes, where it is above 0, bounds BufferedBytes; a request that would exceed it is rejected, and
-	// nothing more of it is buffered.
+	// MaxBufferedBytes, if it is above 0, bounds BufferedBytes. A request that would exceed it is rejected and the rest
+	// of its body is discarded.
 	MaxBufferedBytes int
 }
 
-// New returns a server whose Accept is for a listener. Routes are given by path; one that ends in a slash takes all
-// paths below it.
+// New returns a server, whose Accept the caller passes to a listener. The keys of routes are paths. A route whose path
+// ends in a slash takes all paths below it.
 func New(
-	loop eventloop.Loop, service Service, routes map[string]Route, messages http1.Limits, limits ClientLimits,
+	loop eventloop.Loop, authenticator Authenticator, routes map[string]Route, messages http1.Limits, limits ClientLimits,
 ) *Server {
 	s := &Server{
 		loop:          loop,
-		service:       service,
+		authenticator: authenticator,
 		routes:        routes,
 		messageLimits: messages,
 		limits:        limits,
@@ -74,12 +76,13 @@
 	return s
 }
 
-// Accept returns the handler of a client's connection.
+// Accept returns the handler for a new client connection.
 func (s *Server) Accept(conn eventloop.Conn) eventloop.Handler {
 	return &connection{server: s, conn: conn, parser: http1.Parser{Limits: s.messageLimits}}
 }
 
-// Shutdown takes no further request; open ones go on, and a connection is closed after its answer.
+// Shutdown makes the server reject new requests. Open requests continue; each connection is closed after its answer.
+// Connections without a request are closed at once.
 func (s *Server) Shutdown() {
 	s.shuttingDown = true
 	for c := range s.connections {
@@ -105,23 +108,24 @@
 	return path
 }
 
-// aboveLimit reports whether clients have more connections than they may.
+// aboveLimit reports whether there are more than MaxConnections client connections.
 func (s *Server) aboveLimit() bool {
 	return s.MaxConnections > 0 && len(s.connections) > s.MaxConnections
 }
 
-// atLimit reports whether clients have all connections that they may.
+// atLimit reports whether there are at least MaxConnections client connections.
 func (s *Server) atLimit() bool {
 	return s.MaxConnections > 0 && len(s.connections) >= s.MaxConnections
 }
 
-// aboveOverflow reports whether there are so many connections that a further one is closed without being read.
-func (s *Server) aboveOverflow() bool {
-	return s.MaxConnections > 0 && len(s.connections) >= s.MaxConnections+s.MaxConnections/overflowShare+1
+// aboveOverflowLimit reports whether there are so many connections that a new one gets an overload response and is
+// closed without being read.
+func (s *Server) aboveOverflowLimit() bool {
+	return s.MaxConnections > 0 && len(s.connections) >= s.MaxConnections+s.MaxConnections/overflowDivisor+1
 }
 
-// evictIdle closes the oldest connection that has been idle for minEvictionIdle at least. A connection whose data has
-// arrived and is not read yet does not count as idle; the next one is tried then.
+// evictIdle closes the oldest connection that has been idle for minIdleBeforeEviction at least. A connection with data
+// that has arrived but has not been read yet is not idle; evictIdle then tries the next one.
 func (s *Server) evictIdle() {
 	for {
 		oldest := s.oldestIdle()
@@ -137,7 +141,7 @@
 	}
 }
 
-// oldestIdle returns the connection opened first of those that may be evicted, or nil.
+// oldestIdle returns the evictable connection that was opened first, or nil if there is none.
 func (s *Server) oldestIdle() (oldest *connection) {
 	for c := range s.connections {
 		if c.evictable() && (oldest == nil || c.order < oldest.order) {
--- a/internal/frontend/stream.go
+++ b/internal/frontend/stream.go
@@ -6,30 +6,31 @@
 	"plumspindle/internal/http1"
 )
 
-// heartbeatComment is an event stream's comment, which clients pass over.
+// heartbeatComment is a comment of an event stream, which clients ignore.
 const heartbeatComment = ": waiting\n\n"
 
 // Format is how an API presents an answer.
 type Format interface {
-	// RequestID returns the id that the client sees.
+	// RequestID returns the request id that the client is sent.
 	RequestID() string
-	// Streaming reports whether the client is sent events, else one object.
+	// Streaming reports whether the answer is a stream of events; otherwise it is one object.
 	Streaming() bool
-	// Unstarted reports whether nothing of the answer has been formatted yet.
+	// Unstarted reports whether no part of the answer has been formatted yet.
 	Unstarted() bool
-	// AppendEvent appends what the client is sent for one event of a decode endpoint.
+	// AppendEvent appends the bytes to send to the client for one event of a decode endpoint.
 	AppendEvent(out, event []byte) []byte
-	// AppendEnd appends what the client is sent at the end of a stream.
+	// AppendEnd appends the bytes to send to the client at the end of a stream.
 	AppendEnd(out []byte) []byte
-	// Object returns the answer that is not streamed.
+	// Object returns the whole answer, if it is not streamed.
 	Object() []byte
 }
 
-// SetFormat says how the answer is presented; it must precede the first event.
+// SetFormat sets how the answer is presented. It must be called before the first event is written.
 func (r *Response) SetFormat(format Format) { r.format = format }
 
-// WriteEvent sends what the format makes of one event and reports whether the client lags behind.
-func (r *Response) WriteEvent(event []byte) (lags bool) {
+// WriteEvent formats and sends one event. It reports whether the client reads too slowly, that is, whether more than
+// MaxUnsentBytes are unsent.
+func (r *Response) WriteEvent(event []byte) (tooSlow bool) {
 	if r.done {
 		return false
 	}
@@ -43,8 +44,8 @@
 	return c.timeout.LimitUnsent(c.server.loop, c.conn, limits.MaxUnsentBytes, limits.StallTimeout, c.stalled)
 }
 
-// Heartbeat sends a comment, after the stream's head where it has not started, and reports whether there is still
-// something to wait for.
+// Heartbeat sends a comment, preceded by the stream's head if that has not been sent. It reports whether the client is
+// still waiting for the first content; if not, it sends nothing.
 func (r *Response) Heartbeat() bool {
 	if r.done || r.started && !r.format.Unstarted() {
 		return false
@@ -53,7 +54,7 @@
 	return true
 }
 
-// writeChunk sends one chunk of an event stream, after its head where it has not started.
+// writeChunk sends one chunk of an event stream, preceded by the stream's head if that has not been sent.
 func (r *Response) writeChunk(data []byte) {
 	c := r.connection
 	out := c.scratch[:0]
@@ -72,7 +73,8 @@
 		"x-request-id", r.format.RequestID())
 }
 
-// Stream gives a long final answer, made piece by piece as the client takes it.
+// Stream sends a long final answer. It calls next for the next piece whenever the client has read enough of the earlier
+// ones.
 func (r *Response) Stream(contentType string, next func() (piece []byte, more bool), fields ...string) {
 	if r.done {
 		return
@@ -84,7 +86,7 @@
 	r.writePieces(next)
 }
 
-// writePieces sends pieces until the answer ends or the client lags.
+// writePieces sends pieces until the answer ends or MaxUnsentBytes are unsent.
 func (r *Response) writePieces(next func() (piece []byte, more bool)) {
 	c := r.connection
 	limits := c.server.limits
--- a/internal/frontend/wire_test.go
+++ b/internal/frontend/wire_test.go
@@ -10,14 +10,14 @@
 	"plumspindle/internal/virtual"
 )
 
-// keyService knows one key.
-type keyService struct{}
+// singleKeyAuthenticator accepts a single key.
+type singleKeyAuthenticator struct{}
 
-func (keyService) Identify(key string) (Identity, bool) {
+func (singleKeyAuthenticator) Identify(key string) (Identity, bool) {
 	return Identity{Tenant: "tenant", Key: "id", Space: "space", Active: true}, key == "good"
 }
 
-// textFormat streams events as they are.
+// textFormat is a Format that passes events on unchanged.
 type textFormat struct {
 	stream bool
 	sent   int
@@ -33,7 +33,8 @@
 }
 func (f *textFormat) AppendEnd(b []byte) []byte { return append(b, "data: [DONE]\n\n"...) }
 
-// recorder is a client's side of a connection; what it received is followed by a mark once the connection has ended.
+// recorder is the client's side of a connection. It records the received bytes, and "<closed>" once the connection has
+// ended.
 type recorder struct {
 	onOpened func()
 	received []byte
@@ -44,13 +45,13 @@
 func (r *recorder) Drained()      {}
 func (r *recorder) Closed(error)  { r.received = append(r.received, "<closed>"...) }
 
-// harness is a server with routes that answer in every way that a Response knows.
+// harness is a server with routes that use every kind of answer of a Response.
 type harness struct {
 	network *virtual.Network
 	server  *Server
 	client  *virtual.Loop
 	addr    string
-	// disconnects counts the requests whose client was reported as gone.
+	// disconnects counts the calls of OnDisconnect.
 	disconnects int
 }
 
@@ -63,7 +64,7 @@
 		routes := ModelRoutes(func() []string { return []string{"first", `sec"ond`} })
 		routes["/v1/answer"] = Route{Method: "POST", MaxBody: 2 << 20, Begin: h.begin}
 		routes["/v1/buffered"] = Route{Method: "POST", MaxBuffered: 8, Begin: h.begin}
-		h.server = New(loop, keyService{}, routes, http1.DefaultLimits, DefaultClientLimits)
+		h.server = New(loop, singleKeyAuthenticator{}, routes, http1.DefaultLimits, DefaultClientLimits)
 		if configure != nil {
 			configure(h.server)
 		}
@@ -76,7 +77,7 @@
 	return h
 }
 
-// begin answers as the body says.
+// begin is the Route.Begin of the test routes. The request's body selects the kind of answer.
 func (h *harness) begin(head *http1.Head, _ Identity, response *Response) (Sink, *Problem) {
 	if p := RequireJSON(head, "gzip"); p != nil {
 		return nil, p
@@ -133,7 +134,7 @@
 	}}, nil
 }
 
-// connect opens a connection that sends parts 10 ms apart.
+// connect opens a connection that sends the parts 10 ms apart.
 func (h *harness) connect(parts ...string) (*recorder, eventloop.Conn) {
 	r := &recorder{}
 	var conn eventloop.Conn
@@ -148,10 +149,10 @@
 	return r, conn
 }
 
-// exchange sends parts 10 ms apart on a connection of its own and returns all that comes back within the span.
-func (h *harness) exchange(span eventloop.Micros, parts ...string) []byte {
+// exchange sends the parts 10 ms apart on a new connection and returns all bytes that come back within the duration.
+func (h *harness) exchange(duration eventloop.Micros, parts ...string) []byte {
 	r, _ := h.connect(parts...)
-	h.network.Run(span)
+	h.network.Run(duration)
 	return r.received
 }
 
@@ -160,10 +161,10 @@
 		append([]string{"Authorization", "Bearer good"}, fields...)...))
 }
 
-// postHead is the head of a request without its last fields.
+// postHead is the start of a request's head; further fields and the empty line have to follow.
 const postHead = "POST /v1/answer HTTP/1.1\r\nHost: h\r\nAuthorization: Bearer good\r\n"
 
-// TestWireForm compares all that a client receives, byte for byte, with golden files.
+// TestWireForm compares all bytes that a client receives with golden files.
 func TestWireForm(t *testing.T) {
 	get := func(target, key string) string {
 		return string(http1.AppendRequest(nil, http1.Request{Method: "GET", Target: target, Host: "host"},
@@ -217,7 +218,8 @@
 	}
 }
 
-// TestWireFormUnderLimits compares what clients receive where connections, buffers or the shutdown bound them.
+// TestWireFormUnderLimits compares the bytes that clients receive during a shutdown, or when a limit on connections or
+// buffered bytes applies, with golden files.
 func TestWireFormUnderLimits(t *testing.T) {
 	t.Run("shutdown", func(t *testing.T) {
 		h := newHarness(t, nil)
@@ -254,7 +256,8 @@
 	})
 }
 
-// TestDisconnectIsReportedOnce: a client that goes away before its final answer is reported, and nothing stays counted.
+// TestDisconnectIsReportedOnce checks that OnDisconnect is called once for a client that disconnects before its final
+// answer, and that its request is subtracted from all counts.
 func TestDisconnectIsReportedOnce(t *testing.T) {
 	h := newHarness(t, nil)
 	_, conn := h.connect(post("/v1/answer", "wait"))
