--- a/internal/frontend/connection.go
+++ b/internal/frontend/connection.go
@@ -66,8 +66,8 @@
 		c.pipelinedAt = now
 	}
 	if c.response == nil && c.parser.Idle() {
-		// MessageTimeout starts with the first byte of a message. Later bytes do not restart it, so that a client that
-		// sends a few bytes at a time can't hold the connection.
+		// MessageTimeout starts with the first byte of a message. Only bytesPerTimeoutExtension of body data or the end
+		// of a pause restart it, so that a client that sends a few bytes at a time can't hold the connection.
 		c.receivedAt = now
 		c.restartMessageTimeout()
 	}
--- a/internal/frontend/limits.go
+++ b/internal/frontend/limits.go
@@ -4,7 +4,7 @@
 
 // ClientLimits bound how long the server waits for a client and how much data it buffers for one.
 type ClientLimits struct {
-	MessageTimeout eventloop.Micros // for a request, from its first byte to its last
+	MessageTimeout eventloop.Micros // for a request from its first byte on; restarted as a long body arrives
 	IdleTimeout    eventloop.Micros // for the next request on an idle connection
 	StallTimeout   eventloop.Micros // for a client that reads none of the data sent to it
 	MaxUnsentBytes int              // of an answer that its client has not read; beyond it, the source is slowed down
@@ -26,7 +26,7 @@
 	// overloadedCloseDelay is how long a client may take to read the overload response before its connection is closed.
 	overloadedCloseDelay = 200 * eventloop.Millisecond
 	// overflowDivisor sets the number of connections beyond MaxConnections on which requests are read and rejected:
-	// MaxConnections/overflowDivisor.
+	// MaxConnections/overflowDivisor + 1.
 	overflowDivisor = 8
 	// bytesPerTimeoutExtension is the amount of body data after which MessageTimeout is restarted.
 	bytesPerTimeoutExtension = 1 << 20
--- a/internal/frontend/response.go
+++ b/internal/frontend/response.go
@@ -23,7 +23,8 @@
 	format      Format
 	scratch     []byte // buffer that is reused for events
 
-	// OnDisconnect is called at most once, when the client disconnects before its final answer.
+	// OnDisconnect is called at most once: when the client disconnects before its final answer, or when the request is
+	// rejected because its body would exceed MaxBufferedBytes.
 	OnDisconnect func()
 	// OnDrained is called when the network has taken all written data, so that a slow client has caught up.
 	OnDrained func()
--- a/internal/frontend/server.go
+++ b/internal/frontend/server.go
@@ -46,8 +46,9 @@
 	// answer.
 	BufferedBytes int
 	// MaxConnections, if it is above 0, limits the client connections, so that they do not use up the file descriptors
-	// that connections to endpoints and to the administration need. Requests on connections above the limit are rejected
-	// and their connections closed; connections beyond a further eighth are not served at all.
+	// that connections to endpoints and to the administration need. While there are more, every new request is rejected
+	// and its connection closed. Beyond a further MaxConnections/8 + 1, a new connection gets an overload response and is
+	// closed without being read.
 	MaxConnections int
 	// MaxBufferedBytes, if it is above 0, bounds BufferedBytes. A request that would exceed it is rejected and the rest
 	// of its body is discarded.
@@ -55,7 +56,7 @@
 }
 
 // New returns a server, whose Accept the caller passes to a listener. The keys of routes are paths. A route whose path
-// ends in a slash takes all paths below it.
+// ends in a slash takes the paths that add one segment to it.
 func New(
 	loop eventloop.Loop, authenticator Authenticator, routes map[string]Route, messages http1.Limits, limits ClientLimits,
 ) *Server {
@@ -124,7 +125,7 @@
 	return s.MaxConnections > 0 && len(s.connections) >= s.MaxConnections+s.MaxConnections/overflowDivisor+1
 }
 
-// evictIdle closes the oldest connection that has been idle for minIdleBeforeEviction at least. A connection with data
+// evictIdle closes the oldest connection that has been idle for more than minIdleBeforeEviction. A connection with data
 // that has arrived but has not been read yet is not idle; evictIdle then tries the next one.
 func (s *Server) evictIdle() {
 	for {
