--- a/internal/chat/answer.go
+++ b/internal/chat/answer.go
@@ -14,31 +14,31 @@
 	chunkObject      = "chat.completion.chunk"
 	completionObject = "chat.completion"
 
-	// lastEvent ends a streamed answer.
+	// lastEvent is the event that ends a streamed answer.
 	lastEvent = "[DONE]"
-	// maxToolCalls bounds the calls of one answer; those with a higher index are dropped.
+	// maxToolCalls bounds the tool calls of one answer. Tool calls with a higher index are dropped.
 	maxToolCalls = 128
 )
 
-// Answer turns the events of a decode endpoint into what the client asked for: chunks, or one object.
+// Answer converts the events of a decode endpoint into the form that the client asked for: chunks or one object.
 type Answer struct {
 	ID      string
 	Model   string
 	Created int64 // seconds since 1970
 	Request *Request
 
-	CompletionTokens int    // chunks with content so far, each about a token
-	FinishReason     string // as the endpoint gave it; empty until then
+	CompletionTokens int    // an estimate: the chunks with content so far, each of about one token
+	FinishReason     string // as stated by the endpoint; empty: not stated yet
 
-	started bool // a chunk was appended
-	usage   string
-	content []byte
-	refusal []byte
-	calls   []toolCall
-	scratch []byte
+	started   bool   // a chunk was appended
+	usage     string // JSON as stated by the endpoint; empty: not stated yet
+	content   []byte // collected for Object, like the refusal and the tool calls
+	refusal   []byte
+	toolCalls []toolCall
+	scratch   []byte // buffer that is reused for chunks
 }
 
-// message is the message of an answer that is not streamed, its members in alphabetical order.
+// message is the message of an answer that is not streamed. Its fields are in alphabetical order.
 type message struct {
 	Content   *string    `json:"content"`
 	Refusal   *string    `json:"refusal"`
@@ -57,12 +57,12 @@
 	Arguments string `json:"arguments"`
 }
 
-// IsChunk reports whether an endpoint's event is a chunk of an answer.
+// IsChunk reports whether an endpoint's event is a chunk of an answer: a JSON object with a list of choices.
 func IsChunk(event []byte) bool {
 	return gjson.ValidBytes(event) && gjson.GetBytes(event, "choices").IsArray()
 }
 
-// RequestID returns the id that the client sees.
+// RequestID returns the answer's id, as the client is sent it.
 func (a *Answer) RequestID() string { return a.ID }
 
 // Streaming reports whether the answer is streamed.
@@ -71,8 +71,8 @@
 // Unstarted reports whether no chunk of the answer has been appended yet.
 func (a *Answer) Unstarted() bool { return !a.started }
 
-// AppendEvent appends to out what the client is sent for an endpoint's event, which must be a chunk. For an answer that
-// is not streamed that is nothing: Object gives all of it at the end.
+// AppendEvent appends to out the bytes to send to the client for an endpoint's event, which must be a chunk. For an
+// answer that is not streamed it appends nothing and collects the content for Object.
 func (a *Answer) AppendEvent(out, event []byte) []byte {
 	if usage := gjson.GetBytes(event, "usage"); usage.IsObject() {
 		a.usage = usage.Raw
@@ -96,6 +96,7 @@
 	return sse.Append(out, a.scratch)
 }
 
+// appendChunk appends one chunk of a streamed answer, as JSON.
 func (a *Answer) appendChunk(out []byte, delta, logprobs gjson.Result) []byte {
 	out = a.appendHead(out, chunkObject)
 	out = append(out, `"choices":[{"index":0,"delta":`...)
@@ -117,7 +118,8 @@
 	return append(out, '}')
 }
 
-// deltaWithRole returns a delta as JSON; the first one states the role, which not all endpoints do.
+// deltaWithRole returns a delta as JSON. It adds the role to the first delta if the endpoint has not stated it, as some
+// endpoints don't.
 func (a *Answer) deltaWithRole(delta gjson.Result) string {
 	const empty = "{}"
 	first := !a.started
@@ -133,7 +135,7 @@
 	return delta.Raw
 }
 
-// AppendEnd appends the end of a streamed answer: its usage, where the client asked for it, and the last event.
+// AppendEnd appends the end of a streamed answer: the usage, if the client asked for it, and the last event.
 func (a *Answer) AppendEnd(out []byte) []byte {
 	if a.Request.IncludeUsage {
 		chunk := a.appendHead(a.scratch[:0], chunkObject)
@@ -144,11 +146,11 @@
 	return sse.Append(out, []byte(lastEvent))
 }
 
-// Object returns the answer that is not streamed.
+// Object returns the whole answer as JSON, if it is not streamed.
 func (a *Answer) Object() []byte {
 	text, err := json.Marshal(a.message())
 	if err != nil {
-		panic(fmt.Errorf("marshal message: %w", err)) // strings only: there is no value without a JSON form
+		panic(fmt.Errorf("marshal message: %w", err)) // can't happen: a message holds only strings
 	}
 	out := a.appendHead(nil, completionObject)
 	out = append(out, `"choices":[{"index":0,"message":`...)
@@ -160,10 +162,10 @@
 	return append(out, '}')
 }
 
-// message returns the message of what was collected; one that only calls tools has no content.
+// message returns the message with the collected content. The content is null if the answer only calls tools.
 func (a *Answer) message() message {
-	m := message{Role: "assistant", ToolCalls: a.calls}
-	if len(a.content) > 0 || len(a.calls) == 0 {
+	m := message{Role: "assistant", ToolCalls: a.toolCalls}
+	if len(a.content) > 0 || len(a.toolCalls) == 0 {
 		content := string(a.content)
 		m.Content = &content
 	}
@@ -174,7 +176,7 @@
 	return m
 }
 
-// Usage returns the usage as JSON: what the endpoint counted, or an estimate where it was lost before it said.
+// Usage returns the usage as JSON: as stated by the endpoint or, if the stream ended before that, an estimate.
 func (a *Answer) Usage() string {
 	if a.usage != "" {
 		return a.usage
@@ -184,7 +186,7 @@
 		prompt, completion, prompt+completion)
 }
 
-// appendHead appends the members that all of the API's objects begin with.
+// appendHead appends the opening brace and the members that all objects of the API begin with.
 func (a *Answer) appendHead(out []byte, object string) []byte {
 	out = append(out, `{"id":"`...)
 	out = append(out, a.ID...)
@@ -197,25 +199,26 @@
 	return append(out, ',')
 }
 
-// collect gathers a delta of an answer that is not streamed.
+// collect adds a delta to an answer that is not streamed.
 func (a *Answer) collect(delta gjson.Result) {
 	a.content = append(a.content, delta.Get("content").String()...)
 	a.refusal = append(a.refusal, delta.Get("refusal").String()...)
 	for _, part := range delta.Get("tool_calls").Array() {
-		a.collectCall(part)
+		a.collectToolCall(part)
 	}
 }
 
-// collectCall adds a part of a tool call, which comes in pieces like the content.
-func (a *Answer) collectCall(part gjson.Result) {
+// collectToolCall adds a part of a tool call. The name and the arguments may be split over several deltas, like the
+// content.
+func (a *Answer) collectToolCall(part gjson.Result) {
 	index := int(part.Get("index").Int())
 	if index < 0 || index >= maxToolCalls {
 		return
 	}
-	for len(a.calls) <= index {
-		a.calls = append(a.calls, toolCall{Type: "function"})
+	for len(a.toolCalls) <= index {
+		a.toolCalls = append(a.toolCalls, toolCall{Type: "function"})
 	}
-	call := &a.calls[index]
+	call := &a.toolCalls[index]
 	if id := part.Get("id"); id.Exists() {
 		call.ID = id.String()
 	}
--- a/internal/chat/conversation.go
+++ b/internal/chat/conversation.go
@@ -14,32 +14,33 @@
 	"plumspindle/internal/frontend"
 )
 
-// publicSalt is the cache salt of prompts that all tenants share.
+// publicSalt is the cache salt of prompts that may be shared between tenants.
 const publicSalt = "public"
 
-// roles are those that the specification knows.
+// roles are the message roles of the OpenAI specification.
 var roles = []string{"system", "developer", "user", "assistant", "tool", "function"}
 
-// conversation checks a request's messages and gathers what identifies it: the shared prefix is the text of the leading
-// system and developer messages, the beginning is that text and the first message after it.
+// conversation checks a request's messages, estimates their size and hashes the texts that identify them. The shared
+// prefix is the text of the leading system and developer messages; it identifies prompts that endpoints can cache
+// together. The beginning is the shared prefix and the first message after it; it identifies the session.
 type conversation struct {
-	space       string
-	prefix      hash.Hash
-	beginning   *xxhash.Digest
-	count       int  // messages so far
-	inPrefix    bool // only system and developer messages so far
-	begun       bool // the beginning is complete
-	textBytes   int
-	prefixBytes int // of these, those of the shared prefix
+	namespace         string
+	prefix            hash.Hash
+	beginning         *xxhash.Digest
+	count             int  // messages read so far
+	inPrefix          bool // only system and developer messages so far
+	beginningComplete bool // the first message after the shared prefix has been read
+	textBytes         int  // of all messages, each with bytesPerToken added
+	prefixBytes       int  // the part of textBytes in the shared prefix
 }
 
-func newConversation(space string) *conversation {
-	c := &conversation{space: space, prefix: sha256.New(), beginning: xxhash.New(), inPrefix: true}
-	_, _ = c.beginning.WriteString(space + "\x00")
+func newConversation(namespace string) *conversation {
+	c := &conversation{namespace: namespace, prefix: sha256.New(), beginning: xxhash.New(), inPrefix: true}
+	_, _ = c.beginning.WriteString(namespace + "\x00")
 	return c
 }
 
-// read reads all messages.
+// read reads all messages. It returns a problem if one is invalid or there is none.
 func (c *conversation) read(messages gjson.Result) (problem *frontend.Problem) {
 	messages.ForEach(func(_, message gjson.Result) bool {
 		problem = c.readMessage(message)
@@ -65,17 +66,18 @@
 		return problem
 	}
 	size += len(message.Get("tool_calls").Raw)
-	size += bytesPerToken // a message costs about a token by itself
+	size += bytesPerToken // each message costs about one token in addition to its text
 	c.textBytes += size
 	if c.inPrefix {
 		c.prefixBytes += size
 	} else {
-		c.begun = true
+		c.beginningComplete = true
 	}
 	return nil
 }
 
-// readContent reads a message's content and returns the size of its text in bytes.
+// readContent reads a message's content and returns the size of its text in bytes. Only an assistant's message may lack
+// content.
 func (c *conversation) readContent(path, role string, content gjson.Result) (size int, problem *frontend.Problem) {
 	switch {
 	case content.Type == gjson.String:
@@ -94,7 +96,7 @@
 	for i, part := range parts.Array() {
 		kind := part.Get("type").String()
 		switch kind {
-		case "text", "refusal": // each names the member that holds its text
+		case "text", "refusal": // the text is in the member with the same name as the type
 			size += c.addText(part.Get(kind).String())
 		default:
 			return 0, frontend.Invalid(fmt.Sprintf("%s.content[%d].type", path, i), "unsupported_value",
@@ -104,23 +106,24 @@
 	return size, nil
 }
 
-// addText adds text of the current message to what identifies the conversation, and returns its size.
+// addText adds text of the current message to the hashes of the shared prefix and the beginning, if it belongs to them.
+// It returns the text's size in bytes.
 func (c *conversation) addText(text string) (size int) {
 	if c.inPrefix {
 		_, _ = c.prefix.Write([]byte(text))
 	}
-	if !c.begun {
+	if !c.beginningComplete {
 		_, _ = c.beginning.WriteString(text)
 	}
 	return len(text)
 }
 
-// identify sets what the messages say of a request. A stated cache key identifies the session in place of its
-// beginning.
-func (c *conversation) identify(request *Request, cacheKey string, isPublic IsPublic) {
+// fillRequest sets the fields of a request that follow from its messages. If the client stated a cache key, the key
+// identifies the session instead of the beginning.
+func (c *conversation) fillRequest(request *Request, cacheKey string, isPublic IsPublic) {
 	request.PromptTokens = (c.textBytes + bytesPerToken - 1) / bytesPerToken
 	request.SharedPrefixTokens = c.prefixBytes / bytesPerToken
-	request.CacheSalt = c.space
+	request.CacheSalt = c.namespace
 	if request.SharedPrefixTokens > 0 {
 		digest := hex.EncodeToString(c.prefix.Sum(nil))
 		if isPublic != nil && isPublic(digest) {
@@ -130,9 +133,9 @@
 	}
 	request.Session = nonZero(c.beginning.Sum64())
 	if cacheKey != "" {
-		request.Session = nonZero(xxhash.Sum64String(c.space + "\x00key\x00" + cacheKey))
+		request.Session = nonZero(xxhash.Sum64String(c.namespace + "\x00key\x00" + cacheKey))
 	}
 }
 
-// nonZero keeps a hash apart from 0, which stands for none.
+// nonZero returns a hash, or 1 in place of 0, which means that there is none.
 func nonZero(hash uint64) uint64 { return max(hash, 1) }
--- a/internal/chat/golden_test.go
+++ b/internal/chat/golden_test.go
@@ -9,7 +9,7 @@
 	"plumspindle/internal/testbed/golden"
 )
 
-// bodies are requests of clients, by what is peculiar about them.
+// bodies are bodies of client requests, each with a name for its particular property.
 var bodies = []struct{ name, body string }{
 	{"plain", `{"model":"m","messages":[{"role":"user","content":"Hello"}]}`},
 	{"system and user", `{"model":"m","messages":[{"role":"system","content":"Be brief."},{"role":"user",` +
@@ -68,10 +68,10 @@
 	{"assistant without content", `{"model":"m","messages":[{"role":"assistant"}]}`},
 }
 
-// publicDigest is that of "public text".
+// publicDigest is the SHA-256 digest of "public text" in hex.
 const publicDigest = "331c5bf69585b750aa7bdc8b8d961fe8ef42f97801c45081af027a75e4bd956c"
 
-// TestParseRequest compares what each body is read as, or refused with, with a golden file.
+// TestParseRequest compares the parsed request or the problem for each body with a golden file.
 func TestParseRequest(t *testing.T) {
 	var out bytes.Buffer
 	digests := map[string]bool{}
@@ -93,11 +93,11 @@
 	}
 	golden.Compare(t, out.Bytes())
 	if !digests[publicDigest] {
-		t.Errorf("the public text's digest was not asked for, but %v", digests)
+		t.Errorf("isPublic was called for the digests %v, want the public text's among them", digests)
 	}
 }
 
-// events are streams of decode endpoints.
+// events are the event streams of decode endpoints.
 var events = []struct {
 	name   string
 	events []string
@@ -127,7 +127,8 @@
 	{"text and tool calls", []string{`{"choices":[{"delta":{"content":"x","tool_calls":[{"index":0,"id":"a"}]}}]}`}},
 }
 
-// TestAnswer compares what clients are sent for a stream of events, whole and streamed, with a golden file.
+// TestAnswer compares the answers that clients are sent for each event stream, as one object and streamed, with a
+// golden file.
 func TestAnswer(t *testing.T) {
 	requests := []*Request{
 		{Model: "m", PromptTokens: 5},
@@ -141,7 +142,7 @@
 			fmt.Fprintf(&out, "== %s, streamed: %t, with usage: %t\n", c.name, a.Streaming(), request.IncludeUsage)
 			for _, event := range c.events {
 				if !IsChunk([]byte(event)) {
-					t.Errorf("%s: not usable: %s", c.name, event)
+					t.Errorf("%s: event is not a chunk: %s", c.name, event)
 				}
 				out.Write(a.AppendEvent(nil, []byte(event)))
 			}
--- a/internal/chat/members.go
+++ b/internal/chat/members.go
@@ -8,10 +8,10 @@
 	"plumspindle/internal/frontend"
 )
 
-// memberParser reads one member that is not null, or refuses it.
+// memberParser reads one JSON member that is not null. It returns a problem if the member is not accepted.
 type memberParser func(p *parser, name string, value gjson.Result) *frontend.Problem
 
-// memberParsers are for the members that the router understands; all others pass through unread.
+// memberParsers has a parser for each member that the router reads. All other members are passed on unread.
 var memberParsers = map[string]memberParser{
 	"model":                 readModel,
 	"messages":              readMessages,
@@ -20,14 +20,14 @@
 	"stream_options":        readStreamOptions,
 	"max_tokens":            readMaxTokens,
 	"max_completion_tokens": readMaxTokens,
-	"n":                     readChoices,
+	"n":                     readChoiceCount,
 	"modalities":            readModalities,
 	"audio":                 refuseAudio,
-	"kv_transfer_params":    refuseUnknown,
-	"cache_salt":            refuseUnknown,
+	"kv_transfer_params":    refuseRouterMember,
+	"cache_salt":            refuseRouterMember,
 }
 
-// readMember reads a member. Null means that it is not given, which only required ones may not be.
+// readMember reads a member. A member that is null counts as omitted; model and messages must not be null.
 func (p *parser) readMember(name string, value gjson.Result) *frontend.Problem {
 	if value.Type == gjson.Null {
 		if name == "model" || name == "messages" {
@@ -41,6 +41,7 @@
 	return nil
 }
 
+// wrongType returns the problem of a member whose JSON type is not the wanted one.
 func wrongType(name, want string, value gjson.Result) *frontend.Problem {
 	return frontend.WrongType(name, want, strings.ToLower(value.Type.String()))
 }
@@ -87,7 +88,8 @@
 	return nil
 }
 
-// readMaxTokens reads either name of the limit; max_completion_tokens, the newer one, counts where both are given.
+// readMaxTokens reads the token limit under either of its names. If both are given, max_completion_tokens applies, as
+// it is the newer one.
 func readMaxTokens(p *parser, name string, value gjson.Result) *frontend.Problem {
 	if value.Type != gjson.Number || value.Num != float64(int(value.Num)) {
 		return wrongType(name, "an integer", value)
@@ -101,7 +103,7 @@
 	return nil
 }
 
-func readChoices(_ *parser, name string, value gjson.Result) *frontend.Problem {
+func readChoiceCount(_ *parser, name string, value gjson.Result) *frontend.Problem {
 	if value.Num != 1 {
 		return frontend.Invalid(name, "unsupported_value", "Only one answer a request is served: 'n' must be 1.")
 	}
@@ -121,7 +123,7 @@
 	return frontend.Invalid(name, "unsupported_parameter", "Audio is not served.")
 }
 
-// refuseUnknown refuses members that only the router may state: they are not part of the public API.
-func refuseUnknown(_ *parser, name string, _ gjson.Result) *frontend.Problem {
+// refuseRouterMember refuses members that only the router sends to endpoints and that are not part of the public API.
+func refuseRouterMember(_ *parser, name string, _ gjson.Result) *frontend.Problem {
 	return frontend.UnknownParameter(name)
 }
--- a/internal/chat/request.go
+++ b/internal/chat/request.go
@@ -8,32 +8,32 @@
 	"plumspindle/internal/frontend"
 )
 
-// Request is what a client asks for.
+// Request is a client's chat completion request.
 type Request struct {
 	Model              string
 	Stream             bool
 	IncludeUsage       bool
-	MaxTokens          int    // tokens that the answer may have; 0: not stated
-	PromptTokens       int    // an estimate: endpoints count the true number
-	SharedPrefixTokens int    // of these, those of the shared prefix
-	Session            uint64 // identifies the conversation
-	SharedPrefix       uint64 // identifies the leading system and developer messages; 0: there are none
+	MaxTokens          int    // of the answer; 0: not stated
+	PromptTokens       int    // an estimate; endpoints count the exact number
+	SharedPrefixTokens int    // the part of PromptTokens in the shared prefix
+	Session            uint64 // hash that identifies the conversation
+	SharedPrefix       uint64 // hash that identifies the leading system and developer messages; 0: there are none
 	CacheSalt          string // endpoints share cached prefixes only between requests with the same salt
-	// Passthrough is the request's members, without the braces, except those that each attempt states anew.
+	// Passthrough holds the request's JSON members without the enclosing braces, except attemptMembers.
 	Passthrough []byte
 }
 
 // bytesPerToken estimates how many bytes of text make a token.
 const bytesPerToken = 4
 
-// attemptMembers are the members that the router states itself on each attempt.
+// attemptMembers are the JSON members that the router sets itself for each attempt.
 var attemptMembers = []string{
 	"stream", "stream_options", "max_tokens", "max_completion_tokens", "kv_transfer_params", "cache_salt",
 }
 
-// ParseRequest reads a request's body. Sessions and prefixes are identified within a space, so that equal texts of two
-// tenants are never taken for one, except where isPublic says so; it may be nil.
-func ParseRequest(body []byte, space string, isPublic IsPublic) (*Request, *frontend.Problem) {
+// ParseRequest parses a request's body. The hashes of sessions and prefixes include the namespace, so that those of two
+// tenants differ even for equal texts. Prefixes for which isPublic returns true are shared; isPublic may be nil.
+func ParseRequest(body []byte, namespace string, isPublic IsPublic) (*Request, *frontend.Problem) {
 	root, problem := parseObject(body)
 	if problem != nil {
 		return nil, problem
@@ -48,14 +48,15 @@
 	if problem := p.checkRequired(); problem != nil {
 		return nil, problem
 	}
-	conversation := newConversation(space)
+	conversation := newConversation(namespace)
 	if problem := conversation.read(p.messages); problem != nil {
 		return nil, problem
 	}
-	conversation.identify(p.request, p.cacheKey, isPublic)
+	conversation.fillRequest(p.request, p.cacheKey, isPublic)
 	return p.request, nil
 }
 
+// parseObject parses a body that must be a JSON object.
 func parseObject(body []byte) (gjson.Result, *frontend.Problem) {
 	if !gjson.ValidBytes(body) {
 		return gjson.Result{}, frontend.InvalidJSON()
@@ -70,12 +71,12 @@
 // parser reads the members of one request.
 type parser struct {
 	request  *Request
-	seen     map[string]bool // names of members
+	seen     map[string]bool // names of the members read so far
 	messages gjson.Result
 	cacheKey string
 }
 
-// readMembers reads each member and copies those that pass through, as they are written.
+// readMembers reads each member and copies the text of those that are passed on to Request.Passthrough unchanged.
 func (p *parser) readMembers(root gjson.Result) (problem *frontend.Problem) {
 	root.ForEach(func(key, value gjson.Result) bool {
 		name := key.String()
@@ -95,6 +96,7 @@
 	return problem
 }
 
+// passThrough appends a member to Passthrough.
 func (r *Request) passThrough(key, value gjson.Result) {
 	if len(r.Passthrough) > 0 {
 		r.Passthrough = append(r.Passthrough, ',')
@@ -104,6 +106,7 @@
 	r.Passthrough = append(r.Passthrough, value.Raw...)
 }
 
+// checkRequired returns a problem if a required member is missing or a member lacks the one that it depends on.
 func (p *parser) checkRequired() *frontend.Problem {
 	switch {
 	case p.request.Model == "":
--- a/internal/chat/route.go
+++ b/internal/chat/route.go
@@ -1,9 +1,8 @@
-// Package chat is the chat completions API of the public OpenAI specification: it reads a client's body into a Request
-// and presents what a decode endpoint streams as the client's Answer.
+// Package chat implements the chat completions API of the public OpenAI specification. It parses a client's body into a
+// Request and converts the events that a decode endpoint streams into the client's Answer.
 //
-// It owns nothing beyond a Request and its Answer, and does no I/O. It relies on package frontend for the connections
-// of clients and for their error objects, and on the body being complete. It never decides whether or where a request
-// runs.
+// It keeps no state beyond a Request and its Answer, and does no I/O. Package frontend handles the client connections
+// and error objects and passes on complete bodies. Package chat never decides whether or where a request runs.
 package chat
 
 import (
@@ -12,19 +11,20 @@
 	"plumspindle/internal/http1"
 )
 
-// Path is the API's one URL, both of clients and of endpoints.
+// Path is the API's only URL path. Clients and endpoints use the same.
 const Path = "/v1/chat/completions"
 
-// IsPublic reports whether the operator lets all tenants share a prompt, given by the SHA-256 digest of its text in
+// IsPublic reports whether the operator allows all tenants to share a prompt, given the SHA-256 digest of its text in
 // hex.
 type IsPublic func(digest string) bool
 
-// Handler takes a request that was read; exactly one final answer is due on the response unless it returns a problem.
+// Handler takes over a parsed request. Unless it returns a problem, it must give exactly one final answer on the
+// response.
 type Handler func(
 	request *Request, identity frontend.Identity, head *http1.Head, response *frontend.Response,
 ) *frontend.Problem
 
-// Route returns the API's route.
+// Route returns the API's route, which parses each request and passes it to handle.
 func Route(isPublic IsPublic, handle Handler) frontend.Route {
 	begin := func(
 		head *http1.Head, identity frontend.Identity, response *frontend.Response,
