--- a/internal/tenancy/admission.go
+++ b/internal/tenancy/admission.go
@@ -7,43 +7,43 @@
 )
 
 const (
-	quotaBurstS    = 2.0    // seconds of its quota that a tenant may ask for at once
-	minQuotaBurst  = 4.0    // requests; the small part of one dispatcher among many would be exceeded by chance alone
-	queueQuantum   = 2000.0 // tokens; about what a request costs
+	quotaBurstS    = 2.0    // seconds of its quota that a tenant may use at once
+	minQuotaBurst  = 4.0    // requests; chance alone would exceed a smaller burst of one dispatcher among many
+	queueQuantum   = 2000.0 // tokens; about the cost of one request
 	queueFullRetry = second / 2
 )
 
-// AdmissionController enforces one dispatcher's even part of all limits and quotas. A request inside its
-// tenant's quota is admitted at once. One beyond it is surplus: it is admitted as far as the surplus window
-// allows, and queued otherwise.
+// AdmissionController enforces all limits and quotas in one dispatcher. Each dispatcher enforces an equal share of
+// them. A request within its tenant's quota is admitted at once. An over-quota request is admitted if the window for
+// such requests allows it, and queued otherwise.
 type AdmissionController struct {
-	parts   float64 // dispatchers that share the limits
-	now     Micros
-	tenants map[ID]*tenantAccount
-	queue   *fairQueue[*Ticket] // of surplus
-	surplus surplusWindow
-	arrived uint64 // requests that were given a ticket
+	dispatchers float64 // that share the limits
+	now         Micros
+	tenants     map[ID]*tenantAccount
+	queue       *fairQueue[*Ticket] // over-quota requests
+	window      overQuotaWindow
+	arrived     uint64 // requests that were given a ticket
 }
 
-// NewAdmissionController returns the controller of one of so many dispatchers.
+// NewAdmissionController returns the controller of one dispatcher. dispatchers is the number of all dispatchers.
 func NewAdmissionController(dispatchers int) *AdmissionController {
 	return &AdmissionController{
-		parts:   float64(max(dispatchers, 1)),
-		tenants: map[ID]*tenantAccount{},
-		queue:   newFairQueue[*Ticket](queueQuantum),
-		surplus: surplusWindow{size: initialWindow},
+		dispatchers: float64(max(dispatchers, 1)),
+		tenants:     map[ID]*tenantAccount{},
+		queue:       newFairQueue[*Ticket](queueQuantum),
+		window:      overQuotaWindow{size: initialWindow},
 	}
 }
 
-// TenantSettings is what a dispatcher's admission of one tenant goes by.
+// TenantSettings are the limits of one tenant, its keys and its products in a dispatcher.
 type TenantSettings struct {
 	Limits   Limits
-	Keys     map[string]Limits // by the id of the key
-	Products map[string]Limits // by the name of the product
-	Serving  bool              // new requests may be admitted
+	Keys     map[string]Limits // by key id
+	Products map[string]Limits // by product name
+	Serving  bool              // whether new requests may be admitted
 }
 
-// SetTenant adds a tenant or replaces its settings. Lowered limits bind the next requests, not the running ones.
+// SetTenant adds a tenant or replaces its settings. Lowered limits apply to later requests, not to running ones.
 func (a *AdmissionController) SetTenant(id ID, settings TenantSettings) {
 	tenant := a.tenants[id]
 	if tenant == nil {
@@ -55,7 +55,7 @@
 	tenant.products = setLimits(tenant.products, settings.Products)
 }
 
-// RemoveTenant drops a tenant without open tickets. It reports false if there are some.
+// RemoveTenant removes a tenant that has no open tickets. It reports false, and removes nothing, if there are any.
 func (a *AdmissionController) RemoveTenant(id ID) bool {
 	tenant := a.tenants[id]
 	if tenant != nil && len(tenant.open) > 0 {
@@ -65,7 +65,7 @@
 	return true
 }
 
-// OpenTickets returns a tenant's tickets that are not released, in the order of their arrival.
+// OpenTickets returns the tickets of a tenant that are not released yet, in the order of their arrival.
 func (a *AdmissionController) OpenTickets(id ID) []*Ticket {
 	tenant := a.tenants[id]
 	if tenant == nil {
@@ -79,8 +79,8 @@
 // QueueLength returns the number of queued requests.
 func (a *AdmissionController) QueueLength() int { return a.queue.Len() }
 
-// Admit decides what becomes of one more request. The ticket is nil if it is rejected; else the caller must
-// Release it.
+// Admit admits, queues or rejects a request. The ticket of a rejected request is nil; the caller must Release any
+// other.
 func (a *AdmissionController) Admit(now Micros, r AdmissionRequest) (*Ticket, Decision) {
 	a.now = now
 	tenant := a.tenants[r.Tenant]
@@ -96,7 +96,7 @@
 		if l == nil {
 			continue
 		}
-		if reason, retryAfter := l.check(now, a.parts, r.PromptTokens, t.cost); reason != NotRejected {
+		if reason, retryAfter := l.check(now, a.dispatchers, r.PromptTokens, t.cost); reason != NotRejected {
 			return nil, Decision{Reason: reason, RetryAfter: retryAfter}
 		}
 	}
@@ -112,7 +112,7 @@
 		t.state = ticketAdmitted
 		return t, Decision{Admitted: true}
 	case a.mayAdmitAtOnce(t):
-		a.admitSurplus(t)
+		a.admitOverQuota(t)
 		return t, Decision{Admitted: true}
 	default:
 		a.queue.Add(tenant.id, orDefault(tenant.limiter.limits.Weight, defaultWeight), t, t.cost)
@@ -120,25 +120,25 @@
 	}
 }
 
-// takeFromQuota takes one request from a tenant's quota. It reports false if that is used up.
+// takeFromQuota takes one request from a tenant's quota. It reports false if the quota is used up.
 func (a *AdmissionController) takeFromQuota(tenant *tenantAccount) bool {
-	quotaPerS := partOf(tenant.limiter.limits.QuotaPerS, a.parts)
+	quotaPerS := perDispatcher(tenant.limiter.limits.QuotaPerS, a.dispatchers)
 	tenant.quota.fill(a.now, quotaPerS, max(quotaPerS*quotaBurstS, minQuotaBurst))
 	if tenant.quota.level < 1 {
 		return false
 	}
 	tenant.quota.level--
-	a.surplus.noteInQuota(a.now, tenant)
+	a.window.recordInQuota(a.now, tenant)
 	return true
 }
 
-// maxQueued returns how many requests of a tenant may be queued here.
+// maxQueued returns how many requests of a tenant may be queued in this dispatcher.
 func (a *AdmissionController) maxQueued(tenant *tenantAccount) int {
 	limit := orDefault(float64(tenant.limiter.limits.Waiting), defaultMaxQueued)
-	return max(int(limit/a.parts), 1)
+	return max(int(limit/a.dispatchers), 1)
 }
 
-// open makes a ticket count against the limits.
+// open counts a ticket against the limits until it is released.
 func (a *AdmissionController) open(t *Ticket) {
 	for _, l := range t.limiters {
 		if l != nil {
@@ -149,18 +149,19 @@
 	t.tenant.open[t] = a.arrived
 }
 
-// AdmitNext admits a queued request, if one may be admitted now. It reports false if none is.
+// AdmitNext admits the next queued request that may be admitted now. It reports false if there is none.
 func (a *AdmissionController) AdmitNext(now Micros) (*Ticket, bool) {
 	a.now = now
-	t, found := a.queue.Next(a.mayAdmitSurplus)
+	t, found := a.queue.Next(a.mayAdmitOverQuota)
 	if found {
-		a.admitSurplus(t)
+		a.admitOverQuota(t)
 	}
 	return t, found
 }
 
-// Release ends a request, also one that was rejected elsewhere or whose client has disconnected, and corrects the
-// reserved tokens to those that it used. A second call for the same ticket does nothing.
+// Release ends a request and replaces its reserved tokens by the tokens that it used. Callers must release every
+// ticket, also if the request was rejected elsewhere or its client has disconnected. A second call for the same ticket
+// does nothing.
 func (a *AdmissionController) Release(now Micros, t *Ticket, usedTokens int) {
 	if t.state == ticketReleased {
 		return
@@ -175,7 +176,7 @@
 	if t.state == ticketQueued {
 		a.queue.Remove(t.tenant.id, func(queued *Ticket) bool { return queued == t })
 	} else if t.overQuota {
-		a.releaseSurplus(t)
+		a.releaseOverQuota(t)
 	}
 	t.state = ticketReleased
 }
--- a/internal/tenancy/admission_test.go
+++ b/internal/tenancy/admission_test.go
@@ -6,11 +6,10 @@
 	"pgregory.net/rapid"
 )
 
-// testStart is a time at which a test begins; 0 would be a clock that was never read.
+// testStart is the time at which the tests begin. It is not 0, which marks a token bucket that was never filled.
 const testStart = 1000 * second
 
-// BenchmarkAdmit measures one request from its admission to its release, among 10,000 tenants with limits of
-// all kinds.
+// BenchmarkAdmit measures the admission and release of one request, with 10,000 tenants that have limits of all kinds.
 func BenchmarkAdmit(b *testing.B) {
 	const tenants = 10000
 	controller := NewAdmissionController(4)
@@ -42,8 +41,8 @@
 	}
 }
 
-// All dispatchers together stay within a limit, except for what each may burst by. A clock that steps back
-// opens nothing, and a limit that is lowered counts at once.
+// All dispatchers together admit no more than a limit and the burst of each dispatcher allow, also if the clock steps
+// back. A lowered limit applies at once.
 func TestDispatchersTogetherStayWithinLimits(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		dispatchers := rapid.IntRange(1, 8).Draw(t, "dispatchers")
@@ -72,12 +71,12 @@
 }
 
 const (
-	limitsRunTokens = 1000 // of each request: prompt and half of the answer
+	limitsRunTokens = 1000 // reserved for each request: the prompt and half of the maximum output
 	limitsRunPrompt = 900
 	limitsRunOutput = 200
 )
 
-// limitsRun is one tenant that sends requests to several dispatchers.
+// limitsRun sends requests of one tenant to several dispatchers.
 type limitsRun struct {
 	t           *rapid.T
 	limits      Limits
@@ -102,7 +101,7 @@
 		r.t.Fatal("rejected without a reason")
 	}
 	if r.limits.Concurrent > 0 && len(r.open) > max(r.limits.Concurrent, len(r.controllers)) {
-		r.t.Fatalf("%d open of %d, by %d", len(r.open), r.limits.Concurrent, len(r.controllers))
+		r.t.Fatalf("%d open requests, limit %d, %d dispatchers", len(r.open), r.limits.Concurrent, len(r.controllers))
 	}
 	for ticket, controller := range r.open {
 		if rapid.IntRange(0, 3).Draw(r.t, "end") == 0 {
@@ -115,15 +114,16 @@
 func (r *limitsRun) checkRates() {
 	r.t.Helper()
 	seconds := float64(r.latest-testStart) / float64(second)
-	parts := float64(len(r.controllers))
-	// Each part begins full: a second of the limit in all, or one request where its part is smaller.
-	if bound := r.limits.PerS*seconds + max(r.limits.PerS, parts) + parts; float64(r.accepted) > bound {
-		r.t.Fatalf("%d accepted in %.2f s, %.0f allowed", r.accepted, seconds, bound)
+	dispatchers := float64(len(r.controllers))
+	// The bucket of each dispatcher is full at the start. All buckets together hold one second of the limit, or one
+	// request for each dispatcher if that is more.
+	if bound := r.limits.PerS*seconds + max(r.limits.PerS, dispatchers) + dispatchers; float64(r.accepted) > bound {
+		r.t.Fatalf("%d requests accepted in %.2f s, %.0f allowed", r.accepted, seconds, bound)
 	}
 	tokens := float64(r.accepted * limitsRunTokens)
-	bound := r.limits.TokensPerS*(seconds+1) + parts*limitsRunTokens
+	bound := r.limits.TokensPerS*(seconds+1) + dispatchers*limitsRunTokens
 	if r.limits.TokensPerS > 0 && tokens > bound {
-		r.t.Fatalf("%.0f tokens in %.2f s, %.0f allowed", tokens, seconds, bound)
+		r.t.Fatalf("%.0f tokens accepted in %.2f s, %.0f allowed", tokens, seconds, bound)
 	}
 }
 
@@ -135,36 +135,37 @@
 	first, _ := controller.Admit(r.now, request)
 	ticket, decision := controller.Admit(r.now, request)
 	if ticket != nil || decision.Reason != RequestRateExceeded || decision.RetryAfter <= 0 {
-		r.t.Fatalf("after the limit was lowered: %v, %+v", ticket, decision)
+		r.t.Fatalf("after the limit was lowered: ticket %v, decision %+v", ticket, decision)
 	}
-	if first != nil { // the bucket was full, and is empty now
+	if first != nil { // the bucket had a full request, and is empty now
 		if decision.RetryAfter < 999*second {
-			r.t.Fatalf("with an empty bucket the wait is %d us", decision.RetryAfter)
+			r.t.Fatalf("RetryAfter is %d µs with an empty bucket", decision.RetryAfter)
 		}
 		return
 	}
-	// A part of one request was missing, perhaps a small one: the wait is just as long as it takes to come.
+	// The bucket had less than one request. RetryAfter is exactly the time until it has one.
 	if ticket, _ := controller.Admit(r.now+decision.RetryAfter/2, request); ticket != nil {
-		r.t.Fatal("admitted in half of the wait")
+		r.t.Fatal("admitted after half of RetryAfter")
 	}
 	if ticket, late := controller.Admit(r.latest+decision.RetryAfter+1, request); ticket == nil {
-		r.t.Fatalf("rejected after the wait of %d us: %+v", decision.RetryAfter, late)
+		r.t.Fatalf("rejected after RetryAfter, %d µs: %+v", decision.RetryAfter, late)
 	}
 }
 
-// The quota that one tenant does not use serves others at once, and again its own requests as soon as there are some.
+// Other tenants can use the quota that one tenant does not use. The owner of the quota gets it back as soon as it sends
+// requests.
 func TestUnusedQuotaIsLentAndReturned(t *testing.T) {
 	const (
 		borrower ID = 1
 		owner    ID = 2
 	)
-	fleet := newLendingFleet(borrower, owner)
+	fleet := newSharedFleet(borrower, owner)
 	const steps = 1000 // of 10 ms
 	for range steps {
 		fleet.step(borrower)
 	}
 	if served := fleet.served[borrower]; served < 500 {
-		t.Errorf("alone, the first was served %d in 10 s; ten times its quota of 50 was available", served)
+		t.Errorf("alone, the borrower was served %d requests in 10 s, want at least 500, ten times its quota", served)
 	}
 	for i := range steps {
 		if i%20 == 19 {
@@ -174,12 +175,12 @@
 		}
 	}
 	if fleet.queued[owner] > 0 || fleet.served[owner] < 45 {
-		t.Errorf("the owner's requests: %d were queued, %d served", fleet.queued[owner], fleet.served[owner])
+		t.Errorf("owner: %d requests queued, %d served", fleet.queued[owner], fleet.served[owner])
 	}
 }
 
-// lendingFleet serves two tenants with equal quotas.
-type lendingFleet struct {
+// sharedFleet serves tenants with equal quotas.
+type sharedFleet struct {
 	controller *AdmissionController
 	now        Micros
 	running    []*Ticket
@@ -187,8 +188,8 @@
 	served     map[ID]int
 }
 
-func newLendingFleet(tenants ...ID) *lendingFleet {
-	fleet := &lendingFleet{
+func newSharedFleet(tenants ...ID) *sharedFleet {
+	fleet := &sharedFleet{
 		controller: NewAdmissionController(1), now: testStart, queued: map[ID]int{}, served: map[ID]int{},
 	}
 	for _, id := range tenants {
@@ -199,7 +200,7 @@
 }
 
 // send sends one request.
-func (f *lendingFleet) send(id ID) {
+func (f *sharedFleet) send(id ID) {
 	ticket, decision := f.controller.Admit(f.now, AdmissionRequest{Tenant: id, PromptTokens: 500, MaxOutputTokens: 100})
 	if decision.Admitted {
 		f.running = append(f.running, ticket)
@@ -208,8 +209,9 @@
 	}
 }
 
-// step lets 10 ms pass, in which some tenants send a request each and the fleet ends all but three.
-func (f *lendingFleet) step(tenants ...ID) {
+// step advances the time by 10 ms. Each given tenant sends a request, and the fleet completes all requests but the
+// newest three.
+func (f *sharedFleet) step(tenants ...ID) {
 	const capacity = 3
 	f.now += second / 100
 	for _, id := range tenants {
--- a/internal/tenancy/cached_tenants_test.go
+++ b/internal/tenancy/cached_tenants_test.go
@@ -8,17 +8,17 @@
 	"plumspindle/internal/tenancy"
 )
 
-// testSecret is what the keys of the tenants in testdata were made with; it is for tests only.
+// testSecret is the secret that the MACs of the keys in testdata were computed with. It is for tests only.
 const testSecret = "test-secret-of-the-fixtures-not-for-use-anywhere"
 
-// limitsFrom returns the limits that the fixture was made with: each has a value of its own.
+// limitsFrom returns limits of the fixture. All values differ, so that mixed-up fields are found.
 func limitsFrom(n int) tenancy.Limits {
 	f := float64(n)
 	return tenancy.Limits{QuotaPerS: f + 0.5, Weight: f + 0.25, PerS: f + 10, TokensPerS: f*1000 + 1, BurstS: f + 0.75,
 		Concurrent: n + 2, LargestPrompt: n*100 + 3, Waiting: n + 4}
 }
 
-// cachedTenants returns the tenants in testdata.
+// cachedTenants returns the tenants that testdata/kept-tenants.json contains.
 func cachedTenants() []*tenancy.Tenant {
 	return []*tenancy.Tenant{
 		{
@@ -47,8 +47,8 @@
 	}
 }
 
-// The tenants that an earlier version's dispatcher cached are read with every field, their keys fit, and the
-// file is written as it was.
+// A file of cached tenants from a dispatcher of an earlier version is read with every field, its keys are accepted, and
+// the written snapshot equals the file.
 func TestReadsCachedTenantsOfEarlierVersion(t *testing.T) {
 	cached, err := os.ReadFile("testdata/kept-tenants.json")
 	if err != nil {
@@ -60,7 +60,7 @@
 		t.Fatal(err)
 	}
 	if want := cachedTenants(); !reflect.DeepEqual(tenants, want) {
-		t.Errorf("read %d tenants of %d", len(tenants), len(want))
+		t.Errorf("read %d tenants, want %d", len(tenants), len(want))
 		for i := range min(len(tenants), len(want)) {
 			t.Errorf("read:\n%+v\nstored:\n%+v", *tenants[i], *want[i])
 		}
@@ -73,7 +73,7 @@
 		"b7d0de837f14d258bc31e4d0b744311f1254698b2128818816dbcb655776e902",
 	} {
 		if !directory.IsPublicText(digest) {
-			t.Errorf("the public text %s is not known", digest)
+			t.Errorf("public text %s is unknown", digest)
 		}
 	}
 	if written := directory.Snapshot(); string(written) != string(cached) {
--- a/internal/tenancy/directory.go
+++ b/internal/tenancy/directory.go
@@ -10,7 +10,7 @@
 	"plumspindle/internal/subscribe"
 )
 
-// Directory is a dispatcher's copy of the registry. It shares no memory with it.
+// Directory is a dispatcher's copy of the registry, built from encoded updates.
 type Directory struct {
 	Epoch   string
 	Version uint64
@@ -26,7 +26,7 @@
 	key    KeyRecord
 }
 
-// NewDirectory returns an empty directory. The secret is that which the registry's keys were made with.
+// NewDirectory returns an empty directory. The secret must be the one that the MACs of the keys were computed with.
 func NewDirectory(secret []byte) *Directory {
 	return &Directory{
 		secret:      secret,
@@ -36,13 +36,13 @@
 	}
 }
 
-// Apply applies an encoded Update. It returns the tenants that have changed; those that are missing in a complete
-// update are among them as removed. A stale update changes nothing. One that leaves out versions is a
-// *subscribe.GapError.
+// Apply applies an encoded Update and returns the tenants that have changed. It also returns, as removed, the known
+// tenants that a complete update does not have. A stale update changes nothing. If versions are missing between the
+// directory and the update, the error is a *subscribe.GapError.
 func (d *Directory) Apply(data []byte) (changed []*Tenant, err error) {
 	var update Update
 	if err := json.Unmarshal(data, &update); err != nil {
-		return nil, fmt.Errorf("decode the tenants' update: %w", err)
+		return nil, fmt.Errorf("decode tenant update: %w", err)
 	}
 	sameEpoch := update.Epoch == d.Epoch
 	if sameEpoch && (update.Version < d.Version || update.Version == d.Version && !update.Complete) {
@@ -53,7 +53,7 @@
 	}
 	for _, t := range update.Tenants {
 		if t == nil || t.Name == "" {
-			return nil, errors.New("a tenant without a name")
+			return nil, errors.New("the update has a tenant without a name")
 		}
 	}
 	if update.Complete {
@@ -70,7 +70,7 @@
 	return changed, nil
 }
 
-// missingIn returns the known tenants that a complete list does not have, as removed ones.
+// missingIn returns the known tenants that a complete list does not have, with the state StateRemoved.
 func (d *Directory) missingIn(listed []*Tenant) (removed []*Tenant) {
 	names := map[string]bool{}
 	for _, t := range listed {
@@ -87,8 +87,8 @@
 	return removed
 }
 
-// replace puts a tenant in the place of what was known under its name. It returns the tenants that have
-// changed: if the name belonged to another tenant, that one is stopped first.
+// replace stores a tenant under its name and returns the tenants that have changed. If the name belonged to another
+// tenant, that tenant comes first, as one whose removal stops its running requests.
 func (d *Directory) replace(t *Tenant) (changed []*Tenant) {
 	if old := d.tenants[t.Name]; old != nil {
 		if old.ID != t.ID {
@@ -111,10 +111,11 @@
 	return append(changed, t)
 }
 
-// IsPublicText reports whether the operator lets tenants share a text, which is given by its digest.
+// IsPublicText reports whether the operator has listed the text with this digest as public. Tenants may share the
+// prompt state of public texts.
 func (d *Directory) IsPublicText(digest string) bool { return d.publicTexts[digest] }
 
-// Authenticate returns the tenant and the record of a key. It stores nothing about unknown keys.
+// Authenticate returns the tenant and the record of a valid key. It stores nothing about unknown keys.
 func (d *Directory) Authenticate(now int64, text string) (*Tenant, *KeyRecord, bool) {
 	id, ok := KeyID(text)
 	if !ok {
@@ -127,7 +128,7 @@
 	return owner.tenant, &owner.key, true
 }
 
-// Snapshot returns the directory as an encoded complete Update, for a cache that outlives the process.
+// Snapshot returns the directory as an encoded complete Update, for a cache that survives a restart of the dispatcher.
 func (d *Directory) Snapshot() []byte {
 	update := Update{
 		Epoch:       d.Epoch,
@@ -138,6 +139,6 @@
 	for _, name := range slices.Sorted(maps.Keys(d.tenants)) {
 		update.Tenants = append(update.Tenants, d.tenants[name])
 	}
-	encoded, _ := json.Marshal(update) // its fields can always be encoded, as limits are finite
+	encoded, _ := json.Marshal(update) // can't fail, as all limits are finite numbers
 	return encoded
 }
--- a/internal/tenancy/directory_test.go
+++ b/internal/tenancy/directory_test.go
@@ -11,8 +11,8 @@
 	"pgregory.net/rapid"
 )
 
-// A key is valid only as a whole, in time and unrevoked; nothing of an unknown one stays. A follower that
-// missed updates or gets them twice ends with what the registry says.
+// A directory accepts exactly the keys that the registry has as neither expired nor revoked, and only their complete
+// texts. It stays equal to the registry also if it gets only some updates, or gets an update twice.
 func TestDirectoryFollowsRegistry(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		secret := []byte("0123456789abcdef0123456789abcdef")
@@ -30,7 +30,7 @@
 	})
 }
 
-// follower is a directory that follows a registry.
+// follower applies updates of a registry to a directory.
 type follower struct {
 	t         *rapid.T
 	now       int64
@@ -38,7 +38,7 @@
 	registry  *Registry
 	directory *Directory
 	random    *rand.Rand
-	keys      map[string]string // tenants' names by the texts of their keys
+	keys      map[string]string // tenant names by key text
 }
 
 // changeRegistry makes one random change, which may be rejected.
@@ -78,7 +78,7 @@
 	}
 }
 
-// follow applies what has changed, sometimes twice.
+// follow applies the changes since the directory's version, sometimes twice.
 func (f *follower) follow() {
 	f.t.Helper()
 	update := f.registry.UpdateSince(f.directory.Epoch, f.directory.Version)
@@ -93,32 +93,32 @@
 		return
 	}
 	if changed, err := f.directory.Apply(encoded); err != nil || len(changed) > 0 && !update.Complete {
-		f.t.Fatalf("applied twice: %v, %d changes", err, len(changed))
+		f.t.Fatalf("second application: error %v, %d changes", err, len(changed))
 	}
 }
 
-// checkKeys compares the directory's verdict on each key with the registry's record of it.
+// checkKeys compares whether the directory accepts each key with the key's record in the registry.
 func (f *follower) checkKeys() {
 	f.t.Helper()
 	for text, name := range f.keys {
 		tenant := f.registry.Tenants[name]
 		want := false
 		for _, key := range tenant.Keys {
-			if strings.HasPrefix(text, "sk-"+key.ID) { // not by KeyID, which is under test
+			if strings.HasPrefix(text, "sk-"+key.ID) { // does not use KeyID, which is under test
 				want = key.RevokedAt == 0 && (key.ExpiresAt == 0 || f.now < key.ExpiresAt)
 			}
 		}
 		got, _, known := f.directory.Authenticate(f.now, text)
 		if known != want || known && got.Name != name {
-			f.t.Fatalf("a key of %s (%s): known %v, want %v", name, tenant.State, known, want)
+			f.t.Fatalf("key of tenant %s (%s): accepted %v, want %v", name, tenant.State, known, want)
 		}
 		if _, _, known := f.directory.Authenticate(f.now, text[:len(text)-1]+"x"); known {
-			f.t.Fatal("a key with a wrong last digit is known")
+			f.t.Fatal("a key with a wrong last digit is accepted")
 		}
 	}
 }
 
-// Errors of changes are distinguished by their codes.
+// errors.Is matches change errors by their codes.
 func TestChangeErrorsMatchByCode(t *testing.T) {
 	registry := NewRegistry("e")
 	if _, _, err := registry.Create(1, "a", Limits{}, nil); err != nil {
--- a/internal/tenancy/errors.go
+++ b/internal/tenancy/errors.go
@@ -5,7 +5,7 @@
 	"net/http"
 )
 
-// ErrorCode names the kind of a ChangeError. It is part of the administration's API.
+// ErrorCode is the machine-readable kind of a ChangeError. It is part of the administration's API.
 type ErrorCode string
 
 // Codes of a ChangeError.
@@ -15,7 +15,7 @@
 	CodeInvalidPolicy   ErrorCode = "invalid_policy"
 	CodeInvalidScope    ErrorCode = "invalid_scope"
 	CodeInvalidExpiry   ErrorCode = "invalid_expiry"
-	CodeNameReserved    ErrorCode = "name_resting" // the name of a tenant that was removed a short time ago
+	CodeNameReserved    ErrorCode = "name_resting" // the name belonged to a tenant that was removed recently
 	CodeExists          ErrorCode = "exists"
 	CodeNoTenant        ErrorCode = "no_tenant"
 	CodeNoKey           ErrorCode = "no_key"
@@ -24,19 +24,19 @@
 	CodeNoRandom        ErrorCode = "no_random"
 )
 
-// ChangeError says why a change of the registry is rejected. Two of them match (errors.Is) if their codes are
+// ChangeError is the reason why a change of the registry is rejected. errors.Is matches two of them if their codes are
 // equal.
 type ChangeError struct {
 	Status int // of the HTTP response
 	Code   ErrorCode
-	Field  string // of the request that is at fault; may be empty
-	Reason string // for people
+	Field  string // name of the invalid field of the request; may be empty
+	Reason string // human-readable
 }
 
 // Error returns the reason.
 func (e *ChangeError) Error() string { return e.Reason }
 
-// Is reports whether target is a ChangeError of the same code.
+// Is reports whether target is a ChangeError with the same code.
 func (e *ChangeError) Is(target error) bool {
 	other, ok := target.(*ChangeError)
 	return ok && other.Code == e.Code
--- a/internal/tenancy/fairqueue.go
+++ b/internal/tenancy/fairqueue.go
@@ -1,32 +1,36 @@
 package tenancy
 
 const (
-	// maxRounds bounds how many rounds of the ring an item waits for, however expensive it is.
+	// maxRounds limits the cost of an item. Once an item is first in its tenant's queue, its tenant has enough credit
+	// for it after at most this many rounds.
 	maxRounds = 32
 	minWeight = 0.01
-	// minCompaction is how many served items a tenant's queue has at its front before their memory is reused.
+	// minCompaction is the number of served items at the front of a tenant's queue above which their memory may be
+	// reused.
 	minCompaction = 64
 )
 
-// fairQueue serves queued tenants by weight. It is a deficit round robin (Shreedhar and Varghese): tenants with queued
-// items are in a ring, and each gains credit on its turn in proportion to its weight.
+// fairQueue serves the queued items of tenants in proportion to the tenants' weights. It is a deficit round robin
+// (Shreedhar and Varghese): tenants with queued items are in a ring, and on each of its turns a tenant gains credit in
+// proportion to its weight.
+//
 // An operation takes the same time however many tenants there are, as no order among them is maintained. A
 // tenant without queued items has no credit.
 type fairQueue[T any] struct {
 	tenants map[ID]*tenantQueue[T]
-	current *tenantQueue[T] // whose turn it is
+	current *tenantQueue[T] // the tenant whose turn it is; nil if nothing is queued
 	size    int
 	quantum float64
 }
 
-// tenantQueue is one tenant in the ring.
+// tenantQueue is the queue of one tenant in the ring.
 type tenantQueue[T any] struct {
 	id         ID
 	weight     float64
 	credit     float64
-	credited   bool // on its current turn
+	credited   bool // whether it has gained credit on its current turn
 	items      []queuedItem[T]
-	first      int // position of the first item that was not served
+	first      int // index of the first item that was not served
 	next, prev *tenantQueue[T]
 }
 
@@ -38,8 +42,8 @@
 
 func (t *tenantQueue[T]) length() int { return len(t.items) - t.first }
 
-// newFairQueue returns an empty queue. The quantum is what a weight of 1 gains on one turn. It should be near
-// the usual cost, so that most turns serve one item.
+// newFairQueue returns an empty queue. The quantum is the credit that a tenant of weight 1 gains on a turn. It should
+// be near the usual cost of an item, so that most turns serve one item.
 func newFairQueue[T any](quantum float64) *fairQueue[T] {
 	return &fairQueue[T]{tenants: map[ID]*tenantQueue[T]{}, quantum: quantum}
 }
@@ -47,7 +51,7 @@
 // Len returns the number of queued items.
 func (f *fairQueue[T]) Len() int { return f.size }
 
-// LenOf returns the number of one tenant's queued items. It includes removed ones that still have a place.
+// LenOf returns the number of items in one tenant's queue. It includes removed items that still occupy a position.
 func (f *fairQueue[T]) LenOf(id ID) int {
 	if t := f.tenants[id]; t != nil {
 		return t.length()
@@ -55,7 +59,7 @@
 	return 0
 }
 
-// Add puts an item at the end of its tenant's queue.
+// Add appends an item to the queue of its tenant.
 func (f *fairQueue[T]) Add(id ID, weight float64, item T, cost float64) {
 	t := f.tenants[id]
 	if t == nil {
@@ -68,7 +72,7 @@
 	f.size++
 }
 
-// link makes a tenant the last in the ring.
+// link adds a tenant at the end of the ring.
 func (f *fairQueue[T]) link(t *tenantQueue[T]) {
 	if f.current == nil {
 		f.current, t.next, t.prev = t, t, t
@@ -78,7 +82,7 @@
 	t.prev.next, t.next.prev = t, t
 }
 
-// unlink takes a tenant without items out of the ring.
+// unlink removes a tenant without items from the ring.
 func (f *fairQueue[T]) unlink(t *tenantQueue[T]) {
 	if t.next == t {
 		f.current = nil
@@ -92,9 +96,9 @@
 	delete(f.tenants, t.id)
 }
 
-// Next takes out the next item, among those that may go now. mayGo is called for each first item of a tenant
-// that could be served; a tenant whose first item may not go loses its turn, but the item stays first.
-func (f *fairQueue[T]) Next(mayGo func(T) bool) (item T, found bool) {
+// Next removes and returns the next item. It calls eligible for the first item of a tenant that has enough credit for
+// it. If the item is not eligible, it stays first in its queue and the turn passes to the next tenant.
+func (f *fairQueue[T]) Next(eligible func(T) bool) (item T, found bool) {
 	for blocked := 0; f.current != nil && blocked < len(f.tenants); {
 		t := f.current
 		if !t.credited {
@@ -107,7 +111,7 @@
 			f.dropFirst(t)
 		case first.cost > t.credit:
 			f.nextTurn()
-		case !mayGo(first.item):
+		case !eligible(first.item):
 			blocked++
 			t.credit = min(t.credit, first.cost) // unused credit does not accumulate
 			f.nextTurn()
@@ -127,7 +131,7 @@
 	f.current = f.current.next
 }
 
-// dropFirst drops the first item of a tenant, and the tenant with its last one.
+// dropFirst removes the first item of a tenant. It also removes the tenant from the ring if no item is left.
 func (f *fairQueue[T]) dropFirst(t *tenantQueue[T]) {
 	t.items[t.first] = queuedItem[T]{}
 	t.first++
@@ -140,8 +144,8 @@
 	}
 }
 
-// Remove removes the first item of a tenant that matches, and reports whether there was one. The item may keep its
-// place in the queue until that is its turn.
+// Remove removes the first matching item of a tenant, and reports whether there was one. The item may keep its position
+// in the queue, marked as removed, until it is the first.
 func (f *fairQueue[T]) Remove(id ID, matches func(T) bool) bool {
 	t := f.tenants[id]
 	if t == nil {
--- a/internal/tenancy/fairqueue_test.go
+++ b/internal/tenancy/fairqueue_test.go
@@ -11,8 +11,8 @@
 
 func always(int) bool { return true }
 
-// Turns follow the weights, whatever the items cost. A tenant without queued items leaves nothing behind, and
-// removed items are skipped.
+// The served cost of tenants is proportional to their weights, whatever single items cost. The queue skips removed
+// items and deletes tenants without queued items.
 func TestFairQueueServesByWeight(t *testing.T) {
 	const queuedPerTenant = 3 // all tenants always have items queued
 	weights := map[ID]float64{1: 1, 2: 2, 3: 4}
@@ -40,25 +40,25 @@
 		unit := served[1] / weights[1]
 		for id, weight := range weights {
 			if ratio := served[id] / weight / unit; ratio < 0.9 || ratio > 1.1 {
-				t.Fatalf("tenant %d of weight %v got %.2f of its part", id, weight, ratio)
+				t.Fatalf("tenant %d of weight %v got %.2f of its fair share", id, weight, ratio)
 			}
 		}
 		before := queue.Len()
 		if !queue.Remove(2, always) || queue.Len() != before-1 {
-			t.Fatal("not removed")
+			t.Fatal("no item was removed")
 		}
 		for left := queue.Len(); left > 0; left-- {
 			if _, found := queue.Next(always); !found {
-				t.Fatalf("%d are queued, and none is next", left)
+				t.Fatalf("%d items are queued, but Next returns none", left)
 			}
 		}
 		if _, found := queue.Next(always); found || queue.Len() != 0 || len(queue.tenants) != 0 {
-			t.Fatal("something is left")
+			t.Fatal("the empty queue still has items or tenants")
 		}
 	})
 }
 
-// sortedQueue is the plain way to give fair turns: all items in one order, by what their tenants have been served.
+// sortedQueue is the simple alternative to a fairQueue: it sorts all items by the cost that their tenants were served.
 type sortedQueue struct {
 	items  []sortedItem
 	served map[ID]float64
@@ -79,7 +79,7 @@
 	return first.id
 }
 
-// BenchmarkFairQueue measures a turn, beside a queue that is sorted for each.
+// BenchmarkFairQueue measures one Next and one Add, and compares with a queue that is sorted for each item.
 func BenchmarkFairQueue(b *testing.B) {
 	const quantum, cost = 2000, 1500
 	for _, tenants := range []int{10, 1000, 100000} {
@@ -94,7 +94,7 @@
 			}
 		})
 		if tenants > 1000 {
-			continue // a sort of 100,000 for each turn takes tens of milliseconds; 1,000 says enough
+			continue // sorting 100,000 items takes tens of milliseconds, and 1,000 show the difference
 		}
 		b.Run(fmt.Sprintf("sorted/%d", tenants), func(b *testing.B) {
 			queue := &sortedQueue{served: map[ID]float64{}}
--- a/internal/tenancy/keys.go
+++ b/internal/tenancy/keys.go
@@ -8,16 +8,16 @@
 	"strings"
 )
 
-// Scope is what a key may be used for.
+// Scope is a purpose that a key may be used for.
 type Scope string
 
 // Scopes of a key.
 const (
 	ScopeChat  Scope = "chat"  // requests to dispatchers
-	ScopeAdmin Scope = "admin" // the tenant's own part of the administration
+	ScopeAdmin Scope = "admin" // the administration API, for the key's own tenant
 )
 
-// KeyRecord is the stored form of a key, without its text. Times are in seconds since 1970.
+// KeyRecord is the stored form of a key. It has the key's MAC instead of its text. Times are in seconds since 1970.
 type KeyRecord struct {
 	ID        string  `json:"id"`
 	MAC       string  `json:"mac,omitempty"`
@@ -29,33 +29,33 @@
 	Limits    Limits  `json:"limits"`
 }
 
-// A key has the form sk-ID-SECRET; the id and the secret are in hexadecimal digits.
+// The text of a key is sk-ID-SECRET, with the id and the secret in hexadecimal digits.
 const (
 	keyPrefix      = "sk-"
 	keyIDBytes     = 6
 	keySecretBytes = 24
-	// KeyRandomBytes is how many random bytes a key needs.
+	// KeyRandomBytes is the number of random bytes that a key is made from.
 	KeyRandomBytes = keyIDBytes + keySecretBytes
 )
 
-// KeyRequest asks for a new key.
+// KeyRequest has the properties of a key to issue.
 type KeyRequest struct {
 	Label     string
-	Scopes    []Scope // ScopeChat if there are none
+	Scopes    []Scope // ScopeChat if empty
 	ExpiresAt int64   // 0 = never
 	Limits    Limits
-	Secret    []byte // the server's, which the MAC is made with
-	Random    []byte // KeyRandomBytes at least
+	Secret    []byte // the server's secret, which the MAC is computed with
+	Random    []byte // at least KeyRandomBytes
 }
 
-// IssuedKey is a new key. Its text is not stored anywhere.
+// IssuedKey is a newly issued key. It is the only place that has the key's text.
 type IssuedKey struct {
 	Text   string
 	Record KeyRecord
 	Tenant *Tenant
 }
 
-// IssueKey makes a new key for a tenant.
+// IssueKey generates a key for a tenant and adds its record to the registry.
 func (r *Registry) IssueKey(now int64, name string, version uint64, request KeyRequest) (*IssuedKey, error) {
 	t, err := r.findNotRemoved(name, version)
 	if err != nil {
@@ -80,7 +80,7 @@
 		Limits:    request.Limits,
 	}
 	t.Keys = append(t.Keys, record)
-	r.changed(t)
+	r.recordChange(t)
 	return &IssuedKey{Text: text, Record: record, Tenant: t}, nil
 }
 
@@ -98,12 +98,12 @@
 		return err
 	}
 	if len(k.Random) < KeyRandomBytes {
-		return &ChangeError{http.StatusInternalServerError, CodeNoRandom, "", "too little randomness"}
+		return &ChangeError{http.StatusInternalServerError, CodeNoRandom, "", "too few random bytes for a key"}
 	}
 	return nil
 }
 
-// RevokeKey revokes a key at once, or at a later time so that it can overlap with a new one.
+// RevokeKey revokes a key at once, or lets it expire at a later time so that it can overlap with its successor.
 func (r *Registry) RevokeKey(now int64, name string, version uint64, id string, at int64) (*Tenant, error) {
 	t, err := r.find(name, version)
 	if err != nil {
@@ -119,28 +119,29 @@
 		} else if key.RevokedAt == 0 {
 			key.RevokedAt = now
 		}
-		r.changed(t)
+		r.recordChange(t)
 		return t, nil
 	}
 	return nil, notFound(CodeNoKey, "the tenant has no key %q", id)
 }
 
-// keyMAC is an HMAC with the server's secret. Keys are random and long, so a slow hash would only make each
-// request more expensive.
+// keyMAC returns the HMAC of a key's text with the server's secret. Keys are long and random, so a slow hash would add
+// no protection and would make each request more expensive.
 func keyMAC(secret []byte, key string) string {
 	mac := hmac.New(sha256.New, secret)
 	mac.Write([]byte(key))
 	return hex.EncodeToString(mac.Sum(nil))
 }
 
-// Matches reports whether a text is this key and the key is valid now. It takes the same time for any wrong text.
+// Matches reports whether a text is this key and the key is valid now. It compares MACs in constant time, so that its
+// duration does not reveal how close a wrong text is.
 func (k *KeyRecord) Matches(secret []byte, text string, now int64) bool {
 	matches := hmac.Equal([]byte(k.MAC), []byte(keyMAC(secret, text)))
 	expired := k.ExpiresAt != 0 && now >= k.ExpiresAt
 	return matches && k.RevokedAt == 0 && !expired
 }
 
-// KeyID returns the id in the text of a key. ok is false if it does not have the form of a key.
+// KeyID returns the id in the text of a key. ok is false if the text does not have the form of a key.
 func KeyID(text string) (id string, ok bool) {
 	rest, ok := strings.CutPrefix(text, keyPrefix)
 	if !ok {
--- a/internal/tenancy/ledger.go
+++ b/internal/tenancy/ledger.go
@@ -5,16 +5,16 @@
 	"slices"
 )
 
-// dispatcherTimeout is after how long without a report a dispatcher counts as dead.
+// dispatcherTimeout is the time without a report after which a dispatcher is considered dead.
 const dispatcherTimeout = 10 * second
 
-// UsageLedger is the administration's sum of all usage reports.
+// UsageLedger adds up the usage reports of all dispatchers in the administration.
 type UsageLedger struct {
-	Sums    map[string]Usage  `json:"sums"`    // by their keys
-	Numbers map[string]uint64 `json:"numbers"` // of the last report of each dispatcher
+	Sums    map[string]Usage  `json:"sums"`    // by Usage.Key
+	Numbers map[string]uint64 `json:"numbers"` // by dispatcher: the number of the last report that was added
 
-	lastReport map[string]Micros          // by dispatcher
-	ended      map[string]map[string]bool // by removed tenant: the dispatchers without running requests of it
+	lastReport map[string]Micros          // by dispatcher: when the last report arrived
+	drained    map[string]map[string]bool // by removed tenant: the dispatchers without running requests of the tenant
 }
 
 // NewUsageLedger returns an empty ledger.
@@ -23,7 +23,7 @@
 		Sums:       map[string]Usage{},
 		Numbers:    map[string]uint64{},
 		lastReport: map[string]Micros{},
-		ended:      map[string]map[string]bool{},
+		drained:    map[string]map[string]bool{},
 	}
 }
 
@@ -32,7 +32,7 @@
 	return report.Number <= l.Numbers[report.Dispatcher]
 }
 
-// Preview returns the new values of the sums that a report changes; none if it was added before.
+// Preview returns the new values of the sums that a report would change. It returns nil if the report was added before.
 func (l *UsageLedger) Preview(report *UsageReport) []Usage {
 	if l.counted(report) {
 		return nil
@@ -53,14 +53,14 @@
 	return all
 }
 
-// Add adds a report. One that was added before counts as a heartbeat only.
+// Add adds a report. A report that was added before changes no sums, but still counts as a heartbeat of its dispatcher.
 func (l *UsageLedger) Add(now Micros, report *UsageReport) {
 	l.lastReport[report.Dispatcher] = now
 	for _, tenant := range report.RemovedTenants {
-		if l.ended[tenant] == nil {
-			l.ended[tenant] = map[string]bool{}
+		if l.drained[tenant] == nil {
+			l.drained[tenant] = map[string]bool{}
 		}
-		l.ended[tenant][report.Dispatcher] = true
+		l.drained[tenant][report.Dispatcher] = true
 	}
 	if l.counted(report) {
 		return
@@ -75,17 +75,17 @@
 func (l *UsageLedger) RemovedEverywhere(now Micros, tenant string) bool {
 	maps.DeleteFunc(l.lastReport, func(_ string, at Micros) bool { return now-at > dispatcherTimeout })
 	for dispatcher := range l.lastReport {
-		if !l.ended[tenant][dispatcher] {
+		if !l.drained[tenant][dispatcher] {
 			return false
 		}
 	}
 	return true
 }
 
-// ForgetRemoval drops what dispatchers reported of a removed tenant, once its removal is complete.
-func (l *UsageLedger) ForgetRemoval(tenant string) { delete(l.ended, tenant) }
+// ForgetRemoval deletes the dispatchers' reports about the removal of a tenant, once the removal is complete.
+func (l *UsageLedger) ForgetRemoval(tenant string) { delete(l.drained, tenant) }
 
-// UsageOf returns what a tenant used, by day and product; that of all tenants for an empty name.
+// UsageOf returns the usage of a tenant by day and product. An empty name returns the usage of all tenants.
 func (l *UsageLedger) UsageOf(tenant string) []Usage {
 	all := []Usage{}
 	for _, u := range l.Sums {
--- a/internal/tenancy/limits.go
+++ b/internal/tenancy/limits.go
@@ -6,22 +6,23 @@
 	unlimited        = 1e12 // tokens or requests a second
 	defaultBurstS    = 1.0
 	defaultWeight    = 1.0
-	defaultMaxQueued = 200 // of one tenant
+	defaultMaxQueued = 200 // requests of one tenant
 )
 
-// orDefault returns a limit, or its default if it is not given.
-func orDefault(limit, byDefault float64) float64 {
+// orDefault returns a limit, or its default value if the limit is not set.
+func orDefault(limit, defaultLimit float64) float64 {
 	if limit == 0 {
-		return byDefault
+		return defaultLimit
 	}
 	return limit
 }
 
-// tokenBucket fills at a rate up to a capacity. A clock that steps back fills nothing until it has caught up;
-// one that steps back by more than a second is taken to have been wrong before.
+// tokenBucket is a bucket that fills at a rate up to a capacity. After the clock has stepped back, the bucket does not
+// fill until the clock has caught up. After a step of more than a second it fills again at once, as the earlier time is
+// assumed to have been wrong.
 type tokenBucket struct {
 	level    float64
-	filledAt Micros // 0: never
+	filledAt Micros // 0 if it was never filled
 }
 
 func (b *tokenBucket) fill(now Micros, ratePerS, capacity float64) {
@@ -30,13 +31,13 @@
 	} else if now > b.filledAt {
 		b.level += ratePerS * float64(now-b.filledAt) / float64(second)
 	}
-	b.level = min(b.level, capacity) // also if the capacity was lowered
+	b.level = min(b.level, capacity) // the capacity may have been lowered
 	if now > b.filledAt || b.filledAt-now > second {
 		b.filledAt = now
 	}
 }
 
-// timeUntil returns how long it takes until the bucket has a level.
+// timeUntil returns how long the bucket takes to fill up to a level.
 func (b *tokenBucket) timeUntil(level, ratePerS float64) Micros {
 	if ratePerS <= 0 {
 		return 0
@@ -49,32 +50,32 @@
 	limits   Limits
 	requests tokenBucket
 	tokens   tokenBucket
-	inFlight int // requests
+	inFlight int // requests that are admitted or queued
 }
 
-// check returns why one more request would exceed the limits, and how long until it would not. The parts are the
-// number of dispatchers that share the limits.
-func (l *limiter) check(now Micros, parts float64, promptTokens int, cost float64) (Reason, Micros) {
+// check returns why one more request would exceed the limits, and after how long it would not; that time is 0 if it is
+// unknown. dispatchers is the number of dispatchers that share the limits.
+func (l *limiter) check(now Micros, dispatchers float64, promptTokens int, cost float64) (Reason, Micros) {
 	limits := l.limits
 	if limits.LargestPrompt > 0 && promptTokens > limits.LargestPrompt {
 		return PromptTooLarge, 0
 	}
-	if limits.Concurrent > 0 && l.inFlight >= max(int(float64(limits.Concurrent)/parts), 1) {
+	if limits.Concurrent > 0 && l.inFlight >= max(int(float64(limits.Concurrent)/dispatchers), 1) {
 		return ConcurrencyExceeded, 0
 	}
 	burst := orDefault(limits.BurstS, defaultBurstS)
 
-	// The bucket of a limit that was removed may still be empty, so the limit is tested as well.
-	requestRate := partOf(limits.PerS, parts)
+	// The bucket may still be empty from a limit that was removed, so the limit itself is checked as well.
+	requestRate := perDispatcher(limits.PerS, dispatchers)
 	l.requests.fill(now, requestRate, max(requestRate*burst, 1))
 	if limits.PerS > 0 && l.requests.level < 1 {
 		return RequestRateExceeded, l.requests.timeUntil(1, requestRate)
 	}
 
-	tokenRate := partOf(limits.TokensPerS, parts)
+	tokenRate := perDispatcher(limits.TokensPerS, dispatchers)
 	capacity := tokenRate * burst
 	l.tokens.fill(now, tokenRate, capacity)
-	// A request that costs more than the capacity is admitted when the bucket is full, and leaves a debt.
+	// A request that costs more than the capacity is admitted when the bucket is full. It makes the level negative.
 	needed := min(cost, capacity)
 	if limits.TokensPerS > 0 && l.tokens.level < needed {
 		return TokenRateExceeded, l.tokens.timeUntil(needed, tokenRate)
@@ -82,22 +83,22 @@
 	return NotRejected, 0
 }
 
-// partOf returns one dispatcher's part of a rate; 0 is no limit.
-func partOf(ratePerS, parts float64) float64 {
+// perDispatcher returns one dispatcher's share of a rate. A rate of 0 means no limit.
+func perDispatcher(ratePerS, dispatchers float64) float64 {
 	if ratePerS == 0 {
 		return unlimited
 	}
-	return ratePerS / parts
+	return ratePerS / dispatchers
 }
 
-// reserve takes a request and its cost from the buckets.
+// reserve takes one request and its cost in tokens from the buckets.
 func (l *limiter) reserve(cost float64) {
 	l.requests.level--
 	l.tokens.level -= cost
 	l.inFlight++
 }
 
-// release ends a request, and corrects its cost to the tokens that it used.
+// release ends a request, and replaces its reserved cost by the tokens that it used.
 func (l *limiter) release(cost float64, usedTokens int) {
 	l.inFlight--
 	l.tokens.level += cost - float64(usedTokens)
--- a/internal/tenancy/registry.go
+++ b/internal/tenancy/registry.go
@@ -9,32 +9,33 @@
 	"slices"
 )
 
-// State is a stage of a tenant's life.
+// State is a tenant's position in its life cycle.
 type State string
 
 // States of a tenant.
 const (
 	StateActive    State = "active"
 	StateSuspended State = "suspended" // new requests are rejected; running ones continue
-	StateRemoving  State = "removing"  // keys are invalid; running requests continue or are stopped, by the policy
-	StateRemoved   State = "removed"   // only its name and its usage are left
+	StateRemoving  State = "removing"  // keys are deleted; running requests continue or are stopped, as the policy says
+	StateRemoved   State = "removed"   // limits are deleted too; name and usage are kept
 )
 
-// RemovalPolicy says what happens to the running requests of a tenant that is removed.
+// RemovalPolicy is what happens to the running requests of a tenant that is removed.
 type RemovalPolicy string
 
 // Policies of removal.
 const (
-	RemovalFinish RemovalPolicy = "finish" // they are completed
-	RemovalStop   RemovalPolicy = "stop"   // they are ended at once
+	RemovalFinish RemovalPolicy = "finish" // they run to completion
+	RemovalStop   RemovalPolicy = "stop"   // they are stopped at once
 )
 
-// Tenant is one customer, as it is stored and as it is shown. Times are in seconds since 1970.
+// Tenant is one customer of the service. It is the form of storage and, without the MACs of keys, of API answers. Times
+// are in seconds since 1970.
 type Tenant struct {
 	ID        ID                `json:"id"`
 	Name      string            `json:"name"`
 	State     State             `json:"state"`
-	Version   uint64            `json:"version"` // grows with each change of the tenant
+	Version   uint64            `json:"version"` // incremented by each change of the tenant
 	Limits    Limits            `json:"limits"`
 	Products  map[string]Limits `json:"products,omitempty"`
 	Keys      []KeyRecord       `json:"keys,omitempty"`
@@ -43,22 +44,22 @@
 	RemovedAt int64             `json:"removed_s,omitempty"`
 }
 
-// removed reports whether the tenant can't be changed any more.
-func (t *Tenant) removed() bool { return t.State == StateRemoving || t.State == StateRemoved }
+// removalBegun reports whether the tenant is being removed or has been removed. Its settings can't be changed then.
+func (t *Tenant) removalBegun() bool { return t.State == StateRemoving || t.State == StateRemoved }
 
-// nameReuseDelay is how many seconds the name of a removed tenant can't be used again: reports and updates that
-// are still in transit under that name must not be taken for those of another tenant.
+// nameReuseDelay is how many seconds the name of a removed tenant stays reserved. Reports and updates that are still in
+// transit under the name must not be taken for those of a new tenant.
 const nameReuseDelay = 24 * 3600
 
-// Registry is the record of all tenants. Its version counts the changes; followers ask for what has changed
-// since one.
+// Registry holds all tenants. Its version counts the changes, so that followers can ask for the changes since a
+// version.
 type Registry struct {
 	Epoch       string             `json:"epoch"` // versions of different epochs can't be compared
 	Version     uint64             `json:"version"`
 	LastID      ID                 `json:"last_id"`
 	Tenants     map[string]*Tenant `json:"tenants"` // by name
 	PublicTexts []string           `json:"public_texts,omitempty"`
-	ChangedIn   map[string]uint64  `json:"changed"` // the registry's version at each tenant's last change
+	ChangedIn   map[string]uint64  `json:"changed"` // by tenant: the registry's version after the tenant's last change
 }
 
 // NewRegistry returns an empty registry.
@@ -69,23 +70,23 @@
 // Clone returns a deep copy, for dry runs and for changes that may fail.
 func (r *Registry) Clone() *Registry {
 	clone := NewRegistry("")
-	encoded, _ := json.Marshal(r) // its fields can always be encoded, as limits are finite
+	encoded, _ := json.Marshal(r) // can't fail, as all limits are finite numbers
 	_ = json.Unmarshal(encoded, clone)
 	return clone
 }
 
-// Names returns the names of all tenants in order.
+// Names returns the sorted names of all tenants.
 func (r *Registry) Names() []string { return slices.Sorted(maps.Keys(r.Tenants)) }
 
-// changed counts a change of a tenant.
-func (r *Registry) changed(t *Tenant) {
+// recordChange increments the versions of the registry and of a tenant after a change of the tenant.
+func (r *Registry) recordChange(t *Tenant) {
 	r.Version++
 	t.Version++
 	r.ChangedIn[t.Name] = r.Version
 }
 
-// Create adds a tenant. A repeated creation, as after a lost answer, changes nothing. An error is a
-// *ChangeError, as with all changes.
+// Create adds a tenant. If the tenant exists with equal limits, Create changes nothing, so that a client that has
+// missed the answer can repeat its request. Errors of this and of all other changes are *ChangeErrors.
 func (r *Registry) Create(now int64, name string, limits Limits, products map[string]Limits) (
 	t *Tenant, created bool, err error,
 ) {
@@ -100,7 +101,7 @@
 		reusable := old.State == StateRemoved && now-old.RemovedAt >= nameReuseDelay
 		switch {
 		case reusable:
-		case old.removed():
+		case old.removalBegun():
 			return nil, false, conflict(CodeNameReserved, "name",
 				"the name was a removed tenant's and rests for %d hours", nameReuseDelay/3600)
 		case old.Limits == limits && equalProducts(old.Products, products):
@@ -115,7 +116,7 @@
 		t.Version = old.Version
 	}
 	r.Tenants[name] = t
-	r.changed(t)
+	r.recordChange(t)
 	return t, true, nil
 }
 
@@ -123,7 +124,8 @@
 	return len(a) == 0 && len(b) == 0 || reflect.DeepEqual(a, b)
 }
 
-// find returns a tenant to change. It must have the version that the change was made for; 0 is any version.
+// find returns a tenant to change. It returns an error if the tenant does not have the expected version; 0 expects no
+// particular one.
 func (r *Registry) find(name string, version uint64) (*Tenant, error) {
 	t := r.Tenants[name]
 	if t == nil {
@@ -136,19 +138,19 @@
 	return t, nil
 }
 
-// findNotRemoved is find for changes that a removed tenant can't have.
+// findNotRemoved is like find, and also returns an error if the removal of the tenant has begun.
 func (r *Registry) findNotRemoved(name string, version uint64) (*Tenant, error) {
 	t, err := r.find(name, version)
 	if err != nil {
 		return nil, err
 	}
-	if t.removed() {
+	if t.removalBegun() {
 		return nil, conflict(CodeRemoved, "", "the tenant is %s", t.State)
 	}
 	return t, nil
 }
 
-// SetLimits replaces a tenant's limits and those of its products; nil leaves them as they are.
+// SetLimits replaces the limits of a tenant and of its products. Those that are nil stay unchanged.
 func (r *Registry) SetLimits(name string, version uint64, limits *Limits, products map[string]Limits) (*Tenant, error) {
 	t, err := r.findNotRemoved(name, version)
 	if err != nil {
@@ -163,16 +165,16 @@
 	if products != nil {
 		t.Products = products
 	}
-	r.changed(t)
+	r.recordChange(t)
 	return t, nil
 }
 
-// Suspend takes a tenant out of service: new requests are rejected.
+// Suspend makes dispatchers reject new requests of a tenant.
 func (r *Registry) Suspend(name string, version uint64) (*Tenant, error) {
 	return r.setState(name, version, StateSuspended)
 }
 
-// Resume takes a suspended tenant back into service.
+// Resume ends the suspension of a tenant.
 func (r *Registry) Resume(name string, version uint64) (*Tenant, error) {
 	return r.setState(name, version, StateActive)
 }
@@ -184,12 +186,12 @@
 	}
 	if t.State != state {
 		t.State = state
-		r.changed(t)
+		r.recordChange(t)
 	}
 	return t, nil
 }
 
-// Remove begins the removal of a tenant. All of its keys are invalid from now on.
+// Remove begins the removal of a tenant and deletes its keys, which makes them invalid.
 func (r *Registry) Remove(name string, version uint64, policy RemovalPolicy) (*Tenant, error) {
 	t, err := r.find(name, version)
 	if err != nil {
@@ -198,23 +200,23 @@
 	if policy != RemovalFinish && policy != RemovalStop {
 		return nil, invalid(CodeInvalidPolicy, "policy", "must be %q or %q", RemovalFinish, RemovalStop)
 	}
-	// A removal in progress can be made stricter, not milder.
+	// The policy of a removal in progress can change from finish to stop, but not back.
 	inProgress := t.State == StateRemoving && (t.Removal == policy || policy == RemovalFinish)
 	if t.State == StateRemoved || inProgress {
 		return t, nil
 	}
 	t.State, t.Removal, t.Keys = StateRemoving, policy, nil
-	r.changed(t)
+	r.recordChange(t)
 	return t, nil
 }
 
-// CompleteRemoval drops the data of a tenant that is being removed, once none of its requests runs. Its
-// name stays reserved for a while.
+// CompleteRemoval deletes the limits of a tenant that is being removed. Callers call it once no request of the tenant
+// is running. The name stays reserved for nameReuseDelay.
 func (r *Registry) CompleteRemoval(now int64, name string) {
 	t := r.Tenants[name]
 	if t == nil || t.State != StateRemoving {
 		return
 	}
 	t.State, t.RemovedAt, t.Limits, t.Products = StateRemoved, now, Limits{}, nil
-	r.changed(t)
+	r.recordChange(t)
 }
--- a/internal/tenancy/ticket.go
+++ b/internal/tenancy/ticket.go
@@ -1,9 +1,9 @@
 package tenancy
 
-// Reason is why a request is rejected. Its text is part of the answer to the client.
+// Reason is why a request is rejected. The answer to the client contains its text.
 type Reason uint8
 
-// Reasons.
+// Reasons of a rejection. NotRejected means that there was none.
 const (
 	NotRejected Reason = iota
 	RequestRateExceeded
@@ -27,24 +27,24 @@
 // String returns the text for the client.
 func (r Reason) String() string { return reasonTexts[r] }
 
-// AdmissionRequest is one request as the limits see it.
+// AdmissionRequest describes a request to an AdmissionController.
 type AdmissionRequest struct {
 	Tenant          ID
-	Key             string // the id of the key it came with; empty if it came with none
+	Key             string // id of the registered key that the request came with; empty if it came with none
 	Product         string
 	PromptTokens    int
 	MaxOutputTokens int
 }
 
-// cost returns the tokens to reserve: answers have half of their allowed tokens on average.
+// cost returns the tokens to reserve. It expects half of the allowed output tokens, as answers use that on average.
 func (r AdmissionRequest) cost() float64 { return float64(r.PromptTokens + r.MaxOutputTokens/2) }
 
-// Decision is what becomes of a request: it is admitted, queued or else rejected.
+// Decision says whether a request is admitted or queued. A request that is neither is rejected.
 type Decision struct {
 	Admitted   bool
-	Queued     bool // AdmitNext returns its ticket when it is admitted, unless it is released before
+	Queued     bool // AdmitNext returns the ticket on its admission, unless it is released before
 	Reason     Reason
-	RetryAfter Micros // of a rejected one; 0 if that is not known
+	RetryAfter Micros // for a rejected request; 0 if unknown
 }
 
 type ticketState uint8
@@ -55,35 +55,37 @@
 	ticketReleased
 )
 
-// Ticket is one request that was admitted or queued. Its holder must Release it.
+// Ticket stands for a request that was admitted or queued. Its holder must pass it to Release.
 type Ticket struct {
-	Owner any // free for the caller
+	Owner any // set and used by the caller only
 
-	tenant     *tenantAccount
-	limiters   [3]*limiter // of the tenant, the key and the product; nil if that has no limits
-	cost       float64     // tokens reserved
-	overQuota  bool        // beyond its tenant's quota
-	state      ticketState
-	begun      bool // surplus only: the first token was seen, or the request has ended
-	admittedAt Micros
+	tenant    *tenantAccount
+	limiters  [3]*limiter // of the tenant, the key and the product; nil for one that has no limits
+	cost      float64     // reserved tokens
+	overQuota bool
+	state     ticketState
+	// prefillEnded is set for an over-quota request only, at its first token or at its end.
+	prefillEnded bool
+	admittedAt   Micros // set for over-quota requests only
 }
 
-// OverQuota reports whether the request is beyond its tenant's quota.
+// OverQuota reports whether the request exceeds its tenant's quota.
 func (t *Ticket) OverQuota() bool { return t.overQuota }
 
-// tenantAccount is what an AdmissionController knows of a tenant.
+// tenantAccount is the state of one tenant in an AdmissionController.
 type tenantAccount struct {
-	id       ID
-	serving  bool
-	limiter  limiter
-	quota    tokenBucket // requests
-	keys     map[string]*limiter
-	products map[string]*limiter
-	open     map[*Ticket]uint64 // by the order of their arrival
-	surplus  surplusCount
+	id        ID
+	serving   bool
+	limiter   limiter
+	quota     tokenBucket // in requests
+	keys      map[string]*limiter
+	products  map[string]*limiter
+	open      map[*Ticket]uint64 // tickets that are not released, with their positions in the order of arrival
+	overQuota overQuotaCount
 }
 
-// setLimits replaces the limits of keys or products. Those that stay keep their buckets.
+// setLimits returns the limiters of keys or products with new limits. It reuses the old limiters, so that keys and
+// products that stay keep the levels of their buckets.
 func setLimits(old map[string]*limiter, limits map[string]Limits) map[string]*limiter {
 	next := make(map[string]*limiter, len(limits))
 	for name, l := range limits {
--- a/internal/tenancy/update.go
+++ b/internal/tenancy/update.go
@@ -1,16 +1,18 @@
 package tenancy
 
-// Update is one message to the followers of a registry: all of it, or what has changed since a version.
+// Update is a message to the followers of a registry. It has either all current tenants or those that have changed
+// since a version.
 type Update struct {
 	Epoch       string    `json:"epoch"`
 	Version     uint64    `json:"version"`
-	Since       uint64    `json:"since,omitempty"` // the version that the follower must have, unless it is complete
+	Since       uint64    `json:"since,omitempty"` // version that the follower must have, unless the update is complete
 	Complete    bool      `json:"whole,omitempty"`
 	Tenants     []*Tenant `json:"tenants"`
 	PublicTexts []string  `json:"public_texts"`
 }
 
-// UpdateSince returns what a follower with a version has missed, or a complete update if that version is not known.
+// UpdateSince returns the changes since a follower's version, or a complete update if the registry can't tell them: for
+// version 0, a later version than its own, or another epoch.
 func (r *Registry) UpdateSince(epoch string, version uint64) Update {
 	update := Update{
 		Epoch:       r.Epoch,
--- a/internal/tenancy/usage.go
+++ b/internal/tenancy/usage.go
@@ -6,21 +6,21 @@
 	"time"
 )
 
-// Usage is what one tenant used of one product on one day.
+// Usage is the usage of one product by one tenant on one day.
 type Usage struct {
 	Tenant       string `json:"tenant"`
 	Product      string `json:"product"`
 	Day          string `json:"day"`   // UTC, as Day returns it
-	Accepted     uint64 `json:"taken"` // requests, of which each has one of the next four outcomes
+	Accepted     uint64 `json:"taken"` // requests; each of them has one of the next four outcomes
 	Completed    uint64 `json:"streamed"`
 	Rejected     uint64 `json:"throttled"`
 	Failed       uint64 `json:"terminated"`
-	Disconnected uint64 `json:"left"` // by their clients
+	Disconnected uint64 `json:"left"` // by the client
 	PromptTokens uint64 `json:"prompt_tokens"`
 	OutputTokens uint64 `json:"answer_tokens"`
 }
 
-// Key identifies the sum that a usage is added to.
+// Key returns the tenant, day and product as one string. Usages with equal keys are added up.
 func (u Usage) Key() string { return u.Tenant + "\x00" + u.Day + "\x00" + u.Product }
 
 // Add adds the counts of another usage.
@@ -43,28 +43,27 @@
 // Day returns the UTC day of a time since 1970.
 func Day(now Micros) string { return time.UnixMicro(int64(now)).UTC().Format(time.DateOnly) }
 
-// UsageReport is what a dispatcher sends to the administration.
+// UsageReport is a dispatcher's report of usage to the administration.
 type UsageReport struct {
 	Dispatcher     string   `json:"dispatcher"`
-	Number         uint64   `json:"number"` // from 1 on; a report that is sent again has the same
+	Number         uint64   `json:"number"` // counts from 1; a repeated report keeps its number
 	Usage          []Usage  `json:"used"`
-	RemovedTenants []string `json:"ended,omitempty"` // of which nothing runs at the dispatcher
+	RemovedTenants []string `json:"ended,omitempty"` // removed tenants without running requests at the dispatcher
 }
 
-// UsageMeter is a dispatcher's count of what was used and not yet reported. A report is numbered and repeated
-// until it is acknowledged, so that none is lost and none counts twice. What a killed dispatcher had not
-// reported is lost.
+// UsageMeter counts the usage in a dispatcher until it is reported. Each report has a number and is repeated until it
+// is acknowledged, so that no report is lost or counts twice. If a dispatcher is killed, its unreported usage is lost.
 type UsageMeter struct {
-	unreported     map[string]*Usage // by their keys
-	removedTenants []string          // not yet reported
-	outstanding    *UsageReport      // sent and not yet acknowledged
-	number         uint64            // of the last report
+	unreported     map[string]*Usage // by Usage.Key
+	removedTenants []string          // names that are not reported yet
+	outstanding    *UsageReport      // the report that is not acknowledged yet
+	lastNumber     uint64            // number of the last report
 }
 
-// NewUsageMeter returns a meter that has counted nothing.
+// NewUsageMeter returns an empty meter.
 func NewUsageMeter() *UsageMeter { return &UsageMeter{unreported: map[string]*Usage{}} }
 
-// Add counts a usage.
+// Add counts a usage for the next report.
 func (m *UsageMeter) Add(u Usage) {
 	if sum := m.unreported[u.Key()]; sum != nil {
 		sum.Add(u)
@@ -73,21 +72,21 @@
 	m.unreported[u.Key()] = &u
 }
 
-// TenantEnded records that nothing of a removed tenant runs here.
+// TenantEnded records that this dispatcher has no running requests of a removed tenant.
 func (m *UsageMeter) TenantEnded(name string) {
 	if !slices.Contains(m.removedTenants, name) {
 		m.removedTenants = append(m.removedTenants, name)
 	}
 }
 
-// Report returns the report to send now: the one that is not acknowledged yet, or else a new one. There is
-// always one, as it is also the dispatcher's heartbeat.
+// Report returns the report to send now: the one that is not acknowledged yet, or else a new one. A new report may be
+// empty, as reports are also the dispatcher's heartbeat.
 func (m *UsageMeter) Report(dispatcher string) *UsageReport {
 	if m.outstanding != nil {
 		return m.outstanding
 	}
-	m.number++
-	report := &UsageReport{Dispatcher: dispatcher, Number: m.number, RemovedTenants: m.removedTenants}
+	m.lastNumber++
+	report := &UsageReport{Dispatcher: dispatcher, Number: m.lastNumber, RemovedTenants: m.removedTenants}
 	for _, u := range m.unreported {
 		report.Usage = append(report.Usage, *u)
 	}
@@ -97,7 +96,7 @@
 	return report
 }
 
-// Pending reports whether anything is not reported and acknowledged yet.
+// Pending reports whether anything still has to be reported or acknowledged.
 func (m *UsageMeter) Pending() bool {
 	return m.outstanding != nil || len(m.unreported) > 0 || len(m.removedTenants) > 0
 }
--- a/internal/tenancy/usage_test.go
+++ b/internal/tenancy/usage_test.go
@@ -6,7 +6,7 @@
 	"pgregory.net/rapid"
 )
 
-// A report that is lost is sent again, and one that arrives twice counts once.
+// All usage counts exactly once, also if reports are lost, repeated or arrive twice.
 func TestUsageCountsOnce(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		ledger := NewUsageLedger()
--- a/internal/tenancy/validation.go
+++ b/internal/tenancy/validation.go
@@ -33,7 +33,8 @@
 	return nil
 }
 
-// check names the first limit that is out of range, below the field of the request that holds them all.
+// check returns an error for the first limit that is out of range. field is the name of the request's field with the
+// limits, which the error's field begins with.
 func (l Limits) check(field string) error {
 	for _, limit := range []struct {
 		name  string
--- a/internal/tenancy/window.go
+++ b/internal/tenancy/window.go
@@ -1,61 +1,63 @@
 package tenancy
 
-// Surplus fills the capacity that quotas leave. How much of it may run is learnt from requests inside their quotas:
-// when one of them is late, the window of admitted surplus is cut, and otherwise it grows.
+// Requests beyond their tenants' quotas use the capacity that quotas leave free. A window limits how many of them may
+// be admitted at once. It is controlled by additive increase and multiplicative decrease: it shrinks when a request
+// within its quota is late, and grows otherwise.
 const (
-	initialWindow = 8.0 // requests
-	minWindow     = 1.0
-	maxWindow     = 4096.0
-	windowCut     = 0.6 // of the admitted surplus, when a request inside its quota is late
-	cutInterval   = second / 4
-	windowGrowth  = 1.0    // requests, for each request of surplus that ends while the window is at most growthSpread
-	growthSpread  = 8.0    // requests; a larger window grows in proportion more slowly
-	growthDelay   = second // since the last late request
-	lateFraction  = 0.25   // of the latency objective; a first token after it is late
-
-	ownSurplus       = 2      // requests beyond its quota that each tenant may have admitted in any case
-	prefillFraction  = 0.20   // of the prefill endpoints that surplus may use while the window is contended
-	contentionPeriod = second // after which a tenant that asked for something inside its quota does not count
-
-	// While the window is not contended, so many requests of surplus for each prefill endpoint may wait for their first
-	// token.
-	unbegunPerEndpoint = 2
-	minUnbegun         = 2
+	initialWindow        = 8.0 // requests
+	minWindow            = 1.0
+	maxWindow            = 4096.0
+	windowDecreaseFactor = 0.6 // of the admitted over-quota requests, when a request within its quota is late
+	minDecreaseInterval  = second / 4
+	windowIncrease       = 1.0    // requests, for each over-quota request that ends while the window is small
+	fullIncreaseWindow   = 8.0    // requests; above this size the increase is inversely proportional to the size
+	increaseDelay        = second // since the last late request
+	lateFraction         = 0.25   // of the latency objective; a first token after it is late
+
+	reservedOverQuota = 2      // over-quota requests that each tenant may have admitted in any case
+	prefillFraction   = 0.20   // of the prefill endpoints that over-quota requests may use while the window is contended
+	contentionPeriod  = second // how long a request within its quota makes the window contended for other tenants
+
+	// While the window is not contended, this many over-quota requests for each prefill endpoint may be waiting for
+	// their first token.
+	prefillingPerEndpoint = 2
+	minPrefilling         = 2
 )
 
-// surplusCount counts admitted requests of surplus.
-type surplusCount struct {
-	admitted int
-	unbegun  int // of these, those without a first token
+// overQuotaCount counts admitted over-quota requests.
+type overQuotaCount struct {
+	admitted   int
+	prefilling int // admitted requests without a first token
 }
 
-// surplusWindow is the state of the control of surplus.
-type surplusWindow struct {
-	surplusCount
-	size             float64 // requests of surplus that may be admitted at once
-	cutAt            Micros
-	lateAt           Micros // when a request inside its quota was last late
+// overQuotaWindow is the state of the window for over-quota requests.
+type overQuotaWindow struct {
+	overQuotaCount
+	size             float64 // over-quota requests that may be admitted at once
+	decreasedAt      Micros
+	lateAt           Micros // when a request within its quota was last late
 	prefillEndpoints int
-	pausedUntil      Micros // no surplus is admitted before it while the window is contended
+	pausedUntil      Micros // no over-quota request is admitted before this time while the window is contended
 	inQuota          [2]arrival
 }
 
-// arrival is when a tenant last asked for something inside its quota.
+// arrival is the last request of a tenant that was within its quota.
 type arrival struct {
 	tenant *tenantAccount
 	at     Micros
 }
 
-// noteInQuota records an arrival. The last two tenants are enough to know whether one other than a given one asks.
-func (w *surplusWindow) noteInQuota(now Micros, tenant *tenantAccount) {
+// recordInQuota records a request within its quota. The last two tenants are enough to know whether any tenant other
+// than a given one has sent such a request lately.
+func (w *overQuotaWindow) recordInQuota(now Micros, tenant *tenantAccount) {
 	if w.inQuota[0].tenant != tenant {
 		w.inQuota[1] = w.inQuota[0]
 	}
 	w.inQuota[0] = arrival{tenant, now}
 }
 
-// contended reports whether another tenant has lately asked for something inside its quota.
-func (w *surplusWindow) contended(now Micros, tenant *tenantAccount) bool {
+// contended reports whether another tenant has lately sent a request within its quota.
+func (w *overQuotaWindow) contended(now Micros, tenant *tenantAccount) bool {
 	for _, last := range w.inQuota {
 		if last.tenant != tenant && last.tenant != nil && now-last.at < contentionPeriod {
 			return true
@@ -64,88 +66,92 @@
 	return false
 }
 
-// late cuts the window.
-func (w *surplusWindow) late(now Micros) {
+// recordLate records that a request within its quota was late, and shrinks the window at most once in each
+// minDecreaseInterval.
+func (w *overQuotaWindow) recordLate(now Micros) {
 	w.lateAt = now
-	if now-w.cutAt >= cutInterval || now < w.cutAt {
-		w.cutAt = now
-		w.size = max(windowCut*min(w.size, float64(w.admitted)), minWindow)
+	if now-w.decreasedAt >= minDecreaseInterval || now < w.decreasedAt {
+		w.decreasedAt = now
+		w.size = max(windowDecreaseFactor*min(w.size, float64(w.admitted)), minWindow)
 	}
 }
 
-// grow widens the window, unless a request was late a short time ago.
-func (w *surplusWindow) grow(now Micros) {
-	if now-w.lateAt >= growthDelay || now < w.lateAt {
-		w.size = min(w.size+windowGrowth/max(w.size/growthSpread, 1), maxWindow)
+// grow widens the window, unless a request within its quota was late less than increaseDelay ago.
+func (w *overQuotaWindow) grow(now Micros) {
+	if now-w.lateAt >= increaseDelay || now < w.lateAt {
+		w.size = min(w.size+windowIncrease/max(w.size/fullIncreaseWindow, 1), maxWindow)
 	}
 }
 
-// SetPrefillEndpoints sets how many endpoints can prefill now.
-func (a *AdmissionController) SetPrefillEndpoints(count int) { a.surplus.prefillEndpoints = count }
+// SetPrefillEndpoints sets how many endpoints can currently prefill.
+func (a *AdmissionController) SetPrefillEndpoints(count int) { a.window.prefillEndpoints = count }
 
-// prefillAllowance returns how many prompts of surplus may be prefilled at once while the window is contended.
-// Surplus on all endpoints would delay every tenant's next prompt, so all dispatchers together send it to a
-// fraction of the endpoints only. Below 1 it is the fraction of the time in which there may be one.
+// prefillAllowance returns how many over-quota requests may be in prefill at once while the window is contended.
+// Over-quota requests on all endpoints would delay every tenant's next prompt, so all dispatchers together allow them
+// the capacity of only a fraction of the endpoints. An allowance below 1 is the fraction of the time in which one
+// over-quota request may be in prefill.
 func (a *AdmissionController) prefillAllowance() float64 {
-	return float64(a.surplus.prefillEndpoints) * prefillFraction / a.parts
+	return float64(a.window.prefillEndpoints) * prefillFraction / a.dispatchers
 }
 
-// mayAdmitAtOnce reports whether a new request of surplus need not be queued: none is queued before it.
+// mayAdmitAtOnce reports whether a new over-quota request may be admitted without being queued. It may not pass
+// requests that are queued before it, except those of other tenants if its own tenant is within reservedOverQuota.
 func (a *AdmissionController) mayAdmitAtOnce(t *Ticket) bool {
-	if a.queue.Len() == 0 && a.mayAdmitSurplus(t) {
+	if a.queue.Len() == 0 && a.mayAdmitOverQuota(t) {
 		return true
 	}
-	return a.queue.LenOf(t.tenant.id) == 0 && withinOwnSurplus(t.tenant)
+	return a.queue.LenOf(t.tenant.id) == 0 && withinReservedOverQuota(t.tenant)
 }
 
-// mayAdmitSurplus reports whether a request of surplus may be admitted now.
-func (a *AdmissionController) mayAdmitSurplus(t *Ticket) bool {
-	w := &a.surplus
-	if withinOwnSurplus(t.tenant) {
+// mayAdmitOverQuota reports whether an over-quota request may be admitted now.
+func (a *AdmissionController) mayAdmitOverQuota(t *Ticket) bool {
+	w := &a.window
+	if withinReservedOverQuota(t.tenant) {
 		return true
 	}
 	if float64(w.admitted) >= w.size {
 		return false
 	}
 	if w.contended(a.now, t.tenant) {
-		return w.unbegun < max(int(a.prefillAllowance()), 1) && a.now >= w.pausedUntil
+		return w.prefilling < max(int(a.prefillAllowance()), 1) && a.now >= w.pausedUntil
 	}
-	return w.unbegun < max(unbegunPerEndpoint*w.prefillEndpoints/int(a.parts), minUnbegun)
+	return w.prefilling < max(prefillingPerEndpoint*w.prefillEndpoints/int(a.dispatchers), minPrefilling)
 }
 
-// withinOwnSurplus reports whether a tenant may have one more request of surplus whatever the others have: one that
-// exceeds its quota by chance must not wait for a tenant that fills the window.
-func withinOwnSurplus(tenant *tenantAccount) bool {
-	return tenant.surplus.admitted < ownSurplus && tenant.surplus.unbegun == 0
+// withinReservedOverQuota reports whether a tenant may have one more over-quota request admitted regardless of the
+// other tenants: a tenant that exceeds its quota by chance must not wait for one that fills the window.
+func withinReservedOverQuota(tenant *tenantAccount) bool {
+	return tenant.overQuota.admitted < reservedOverQuota && tenant.overQuota.prefilling == 0
 }
 
-func (a *AdmissionController) admitSurplus(t *Ticket) {
+func (a *AdmissionController) admitOverQuota(t *Ticket) {
 	t.state, t.admittedAt = ticketAdmitted, a.now
-	for _, count := range []*surplusCount{&a.surplus.surplusCount, &t.tenant.surplus} {
+	for _, count := range []*overQuotaCount{&a.window.overQuotaCount, &t.tenant.overQuota} {
 		count.admitted++
-		count.unbegun++
+		count.prefilling++
 	}
 }
 
-// beginSurplus records that the prompt of a request of surplus is prefilled.
-func (a *AdmissionController) beginSurplus(t *Ticket) {
-	if t.begun {
+// endPrefill records that the prompt of an over-quota request was prefilled, or that the request has ended. If the
+// allowance is below 1, it pauses the admission so that the prefills take up only that fraction of the time.
+func (a *AdmissionController) endPrefill(t *Ticket) {
+	if t.prefillEnded {
 		return
 	}
-	t.begun = true
+	t.prefillEnded = true
 	if allowance := a.prefillAllowance(); allowance > 0 && allowance < 1 {
 		took := float64(a.now - t.admittedAt)
-		a.surplus.pausedUntil = a.now + Micros(took*(1/allowance-1))
+		a.window.pausedUntil = a.now + Micros(took*(1/allowance-1))
 	}
-	a.surplus.unbegun--
-	t.tenant.surplus.unbegun--
+	a.window.prefilling--
+	t.tenant.overQuota.prefilling--
 }
 
-func (a *AdmissionController) releaseSurplus(t *Ticket) {
-	a.beginSurplus(t)
-	a.surplus.admitted--
-	t.tenant.surplus.admitted--
-	a.surplus.grow(a.now)
+func (a *AdmissionController) releaseOverQuota(t *Ticket) {
+	a.endPrefill(t)
+	a.window.admitted--
+	t.tenant.overQuota.admitted--
+	a.window.grow(a.now)
 }
 
 // FirstToken records how long an admitted request took to its first token, and its latency objective.
@@ -153,18 +159,19 @@
 	a.now = now
 	if t.overQuota {
 		if t.state == ticketAdmitted {
-			a.beginSurplus(t)
+			a.endPrefill(t)
 		}
 		return
 	}
 	if float64(took) > lateFraction*float64(objective) {
-		a.surplus.late(now)
+		a.window.recordLate(now)
 	}
 }
 
-// NoCapacity records that the scheduler found no capacity for a request.
+// NoCapacity records that the scheduler found no capacity for a request. A request within its quota counts as late
+// then.
 func (a *AdmissionController) NoCapacity(now Micros, t *Ticket) {
 	if !t.overQuota {
-		a.surplus.late(now)
+		a.window.recordLate(now)
 	}
 }
