--- a/internal/admin/authentication.go
+++ b/internal/admin/authentication.go
@@ -14,25 +14,26 @@
 	"plumspindle/internal/tenancy"
 )
 
-// Role is what a caller may do.
+// Role determines what a caller may do.
 type Role string
 
 // Roles of callers.
 const (
-	Operator    Role = "operator" // may call everything
-	Viewer      Role = "viewer"   // may see everything
-	TenantAdmin Role = "tenant"   // may see one tenant and change its keys
+	Operator    Role = "operator" // may read and change everything
+	Viewer      Role = "viewer"   // may read everything
+	TenantAdmin Role = "tenant"   // may read one tenant and change its keys
 )
 
-// Staff is one operator or viewer.
+// Staff is a person with the role of an operator or a viewer.
 type Staff struct {
 	Name   string
 	Role   Role
-	Digest [sha256.Size]byte // of the key
+	Digest [sha256.Size]byte // SHA-256 of the person's key
 }
 
-// ParseStaff parses lines of a role, a name and the SHA-256 of a key in hexadecimal digits. Empty lines and
-// those that begin with # are skipped. An error names the line.
+// ParseStaff parses a list of operators and viewers. Each line has a role, a name and the SHA-256 of a key in
+// hexadecimal digits. Empty lines and lines that begin with # are skipped. An error contains the number of the invalid
+// line.
 func ParseStaff(text string) (all []Staff, err error) {
 	for i, line := range strings.Split(text, "\n") {
 		fields := strings.Fields(line)
@@ -49,21 +50,21 @@
 		all = append(all, Staff{Name: fields[1], Role: Role(fields[0]), Digest: [sha256.Size]byte(digest)})
 	}
 	if len(all) == 0 {
-		return nil, errors.New("nobody may administer: there is no line")
+		return nil, errors.New("no operator or viewer is listed")
 	}
 	return all, nil
 }
 
 const minSecretBytes = 32
 
-// ReadSecret reads the secret from a file. Only the file's owner may have access to it.
+// ReadSecret reads the secret from a file. It rejects a file that users other than its owner have access to.
 func ReadSecret(path string) ([]byte, error) {
 	info, err := os.Stat(path)
 	if err != nil {
 		return nil, fmt.Errorf("secret: %w", err)
 	}
 	if mode := info.Mode().Perm(); mode&0o077 != 0 {
-		return nil, fmt.Errorf("secret: %s can be read by others (mode %o); it must have mode 600", path, mode)
+		return nil, fmt.Errorf("secret: other users have access to %s (mode %o); it must have mode 600", path, mode)
 	}
 	secret, err := os.ReadFile(path)
 	if err != nil {
@@ -71,38 +72,38 @@
 	}
 	secret = bytes.TrimSpace(secret)
 	if len(secret) < minSecretBytes {
-		return nil, fmt.Errorf("secret: %s has %d bytes; it needs %d at least", path, len(secret), minSecretBytes)
+		return nil, fmt.Errorf("secret: %s has %d bytes; it needs at least %d", path, len(secret), minSecretBytes)
 	}
 	return secret, nil
 }
 
-// caller is the authenticated caller of the API.
+// caller is an authenticated caller of the API.
 type caller struct {
 	name   string
 	role   Role
-	tenant string // of a TenantAdmin
+	tenant string // name of a TenantAdmin's tenant
 }
 
 func (s *Server) isDispatcher(token string) bool {
-	return subtle.ConstantTimeCompare([]byte(token), []byte(s.feedToken)) == 1
+	return subtle.ConstantTimeCompare([]byte(token), []byte(s.dispatcherToken)) == 1
 }
 
-// identify returns the caller with a token. It always compares the digests of all staff, so that its time reveals
-// nothing about them.
-func (s *Server) identify(token string) (who caller, known bool) {
+// identify returns the caller that a token belongs to. It always compares the digests of all operators and viewers, so
+// that its duration reveals nothing about them.
+func (s *Server) identify(token string) (identified caller, known bool) {
 	digest := sha256.Sum256([]byte(token))
 	for _, member := range s.staff {
 		if subtle.ConstantTimeCompare(digest[:], member.Digest[:]) == 1 {
-			who, known = caller{name: member.Name, role: member.Role}, true
+			identified, known = caller{name: member.Name, role: member.Role}, true
 		}
 	}
 	if known {
-		return who, true
+		return identified, true
 	}
 	return s.identifyTenantAdmin(token)
 }
 
-func (s *Server) identifyTenantAdmin(token string) (who caller, known bool) {
+func (s *Server) identifyTenantAdmin(token string) (identified caller, known bool) {
 	id, ok := tenancy.KeyID(token)
 	if !ok {
 		return caller{}, false
--- a/internal/admin/authentication_test.go
+++ b/internal/admin/authentication_test.go
@@ -6,7 +6,8 @@
 	"testing"
 )
 
-// A secret that others can read, or a short one, is rejected, and the error does not show it.
+// ReadSecret rejects a secret that other users can read and one that is too short. The error does not contain the
+// secret.
 func TestReadSecretRejectsWeakSecrets(t *testing.T) {
 	for name, test := range map[string]struct {
 		text  string
--- a/internal/admin/bodies_test.go
+++ b/internal/admin/bodies_test.go
@@ -11,10 +11,11 @@
 	"plumspindle/internal/dispatch"
 )
 
-// dispatcherKey stands for the token of dispatchers.
+// dispatcherKey is a placeholder for the token of dispatchers in apiCalls.
 const dispatcherKey = "dispatcher"
 
-// apiCalls are made in order, each once; {id} is the id of the key that was created last.
+// apiCalls are the calls that TestBodiesAndRecordsStayByteForByte makes in this order. {id} stands for the id of the
+// key that was created last.
 var apiCalls = []struct{ key, method, path, body, idempotencyKey string }{
 	{operatorKey, "POST", "tenants", `{"name":"a","limits":{"per_s":5},"products":{"explain":{"weight":2}}}`, ""},
 	{operatorKey, "POST", "tenants", `{"name":"a","limits":{"per_s":5},"products":{"explain":{"weight":2}}}`, ""},
@@ -87,7 +88,7 @@
 	{"none", "GET", "tenants", "", ""},
 }
 
-// The bodies of all answers, and the records that the calls leave, are byte for byte what earlier versions wrote.
+// The answers to the calls, and the records after them, are byte for byte those of earlier versions.
 func TestBodiesAndRecordsStayByteForByte(t *testing.T) {
 	e := newEnvironment(t, 1)
 	id := ""
@@ -126,10 +127,10 @@
 	gotLines, wantLines := strings.Split(got.String(), "\n"), strings.Split(string(want), "\n")
 	for i, line := range gotLines {
 		if i >= len(wantLines) || line != wantLines[i] {
-			t.Fatalf("line %d: got:\n%s", i+1, line)
+			t.Fatalf("line %d differs from the golden file; got:\n%s", i+1, line)
 		}
 	}
 	if len(gotLines) != len(wantLines) {
-		t.Errorf("%d lines of %d", len(gotLines), len(wantLines))
+		t.Errorf("got %d lines, want %d", len(gotLines), len(wantLines))
 	}
 }
--- a/internal/admin/changes_test.go
+++ b/internal/admin/changes_test.go
@@ -9,8 +9,8 @@
 	"github.com/tidwall/gjson"
 )
 
-// Of two changes against the same version the second is rejected; a dry run changes nothing; a change that can't be
-// saved is not made; the same creation again changes nothing.
+// The second of two changes against the same version is rejected. A dry run, a change that can't be saved and a
+// repeated creation change nothing.
 func TestChangesAreMadeOnceAndWhole(t *testing.T) {
 	e := newEnvironment(t, 1)
 	e.addTenant("a", `{"per_s":5}`)
@@ -26,11 +26,11 @@
 		t.Errorf("limits: %s", got.Raw)
 	}
 	if got := e.must(200, "POST", "tenants", `{"name":"b","limits":{}}`); got.Get("id").Int() != 2 {
-		t.Errorf("created again: %s", got.Raw)
+		t.Errorf("repeated creation of a tenant: %s", got.Raw)
 	}
 }
 
-// An answer to a request that can't be carried out names the member that is at fault.
+// The answer to an invalid request names the invalid field, and no field if the body can't be decoded.
 func TestErrorsNameTheField(t *testing.T) {
 	e := newEnvironment(t, 1)
 	for body, field := range map[string]string{
@@ -49,8 +49,8 @@
 	}
 }
 
-// Each role may do what it is for, and a tenant's own key sees that tenant only. A repeated creation of a key
-// does not show it again, and no key is stored.
+// Each role has only its own permissions, and a tenant's key has access to that tenant only. A repeated creation does
+// not show the key again, and the records contain no key.
 func TestRolesAreKeptApart(t *testing.T) {
 	e := newEnvironment(t, 1)
 	chatKey := e.addTenant("a", `{"per_s":5}`)
@@ -59,7 +59,7 @@
 	created := e.must(201, "POST", "tenants/a/keys", `{"scopes":["admin"]}`, idempotencyKey...)
 	again := e.must(200, "POST", "tenants/a/keys", `{"scopes":["admin"]}`, idempotencyKey...)
 	if again.Get("id").String() != created.Get("id").String() || again.Get("key").Exists() {
-		t.Errorf("created again: %s", again.Raw)
+		t.Errorf("repeated creation of a key: %s", again.Raw)
 	}
 	adminKey := created.Get("key").String()
 	for _, test := range []struct {
@@ -88,16 +88,17 @@
 	if c := e.call(adminKey, "POST", "tenants/a/keys", ""); c.head.Status != 201 {
 		t.Errorf("a tenant could not create a key: %d", c.head.Status)
 	}
-	e.expect(e.chat(0, adminKey, "explain"), "401") // that key is for the administration only
+	e.expect(e.chat(0, adminKey, "explain"), "401") // the key has no scope for chat
 	e.records.Scan("", func(key string, value []byte) bool {
 		if text := key + string(value); strings.Contains(text, adminKey) || strings.Contains(text, chatKey) {
-			t.Errorf("a key is stored, in %q", key)
+			t.Errorf("the record %q contains a key", key)
 		}
 		return true
 	})
 }
 
-// A tenant's own key sees nothing under a path whose place for the name is empty.
+// A path with an empty tenant name gives a tenant's key no access to the data of any tenant. Handlers would otherwise
+// take an empty name for all tenants.
 func TestTenantKeySeesNothingUnderAnEmptyName(t *testing.T) {
 	e := newEnvironment(t, 1)
 	e.addTenant("a", `{}`)
@@ -108,10 +109,10 @@
 			t.Errorf("%s: got %d, want 404: %s", path, c.head.Status, c.body)
 		}
 	}
-	e.must(404, "GET", "tenants//usage", "") // nor do operators get all tenants by it
+	e.must(404, "GET", "tenants//usage", "") // not the usage of all tenants, even for an operator
 }
 
-// The audit log and the list of tenants come in pages that say where the next one begins.
+// The audit log and the list of tenants are returned in pages, each of which says where the next one begins.
 func TestListsComeInPages(t *testing.T) {
 	e := newEnvironment(t, 1)
 	for _, name := range []string{"a", "b", "p0", "p1", "p2", "p3", "p4"} {
--- a/internal/admin/connection.go
+++ b/internal/admin/connection.go
@@ -25,8 +25,8 @@
 	metricsPath    = "/metrics"
 )
 
-// connection is a client's connection. It handles requests one after the other; once it follows the updates it handles
-// no further requests.
+// connection is the connection of a client. It handles its requests one after the other. Once it is a follower that
+// gets updates, it ignores further requests.
 type connection struct {
 	server    *Server
 	conn      eventloop.Conn
@@ -38,7 +38,7 @@
 	following bool
 }
 
-// Accept handles a new connection of the listener.
+// Accept returns the handler for a new connection of the listener.
 func (s *Server) Accept(conn eventloop.Conn) eventloop.Handler {
 	limits := http1.Limits{HeadBytes: maxHeadBytes, FieldCount: maxHeadFields, BodyBytes: maxBodyBytes}
 	return &connection{server: s, conn: conn, parser: http1.Parser{Limits: limits}}
@@ -47,7 +47,8 @@
 // Opened is called once the connection is open.
 func (c *connection) Opened() { c.abortAfter(idleTimeout) }
 
-// Drained is called when all data were sent. It does nothing: notify finds lagging followers by their unsent data.
+// Drained is called when all data has been sent. It does nothing, as notify detects lagging followers by the amount of
+// their unsent data.
 func (c *connection) Drained() {}
 
 // Closed is called once the connection is closed.
@@ -57,7 +58,7 @@
 	c.server.removeFollower(c)
 }
 
-// abortAfter sets a new timeout, after which the connection is aborted.
+// abortAfter aborts the connection after a timeout. It replaces the previous timeout.
 func (c *connection) abortAfter(timeout eventloop.Micros) {
 	if c.timer != nil {
 		c.timer.Stop()
@@ -65,7 +66,7 @@
 	c.timer = c.server.loop.AfterFunc(timeout, c.conn.Abort)
 }
 
-// Data is called with what the client sends.
+// Data is called with data from the client.
 func (c *connection) Data(data []byte) {
 	if c.closed || c.following {
 		return
@@ -73,10 +74,10 @@
 	if c.parser.Idle() {
 		c.abortAfter(requestTimeout)
 	}
-	var fault *http1.ProtocolError
-	if err := c.parser.Feed(data, c); errors.As(err, &fault) {
+	var protocolErr *http1.ProtocolError
+	if err := c.parser.Feed(data, c); errors.As(err, &protocolErr) {
 		c.closed = true
-		c.send(errorResponse(fault.Status, "malformed", "", fault.Reason), "Connection", "close")
+		c.send(errorResponse(protocolErr.Status, "malformed", "", protocolErr.Reason), "Connection", "close")
 		c.conn.Close()
 	}
 }
@@ -87,13 +88,13 @@
 	return nil
 }
 
-// Body is called with a part of a request's body.
+// Body is called with a part of the body of a request.
 func (c *connection) Body(data []byte) error {
 	c.body = append(c.body, data...)
 	return nil
 }
 
-// End is called at the end of a request.
+// End is called at the end of a request, and answers it.
 func (c *connection) End() error {
 	c.abortAfter(idleTimeout)
 	keepAlive := c.head.KeepAlive()
@@ -115,7 +116,7 @@
 	return nil
 }
 
-// handleDispatcher handles a request of a dispatcher.
+// handleDispatcher handles a request of the internal API for dispatchers.
 func (c *connection) handleDispatcher(r *request, path, token string) {
 	switch {
 	case !c.server.isDispatcher(token):
@@ -129,26 +130,26 @@
 	}
 }
 
-// handleAPI returns the answer to a request of operators or tenants.
+// handleAPI returns the answer to a request of an operator, a viewer or a tenant.
 func (s *Server) handleAPI(r *request, target, token string) response {
 	path, isAPI := strings.CutPrefix(target, apiPrefix)
 	if !isAPI && target != metricsPath {
 		return errorResponse(http.StatusNotFound, "unknown_url", "", "unknown URL")
 	}
 	r.path = strings.Split(strings.Trim(path, "/"), "/")
-	who, known := s.identify(token)
+	identified, known := s.identify(token)
 	if !known {
 		return errorResponse(http.StatusUnauthorized, "unauthorized", "", "no valid key was given")
 	}
-	r.who = who
+	r.caller = identified
 	return s.route(r)
 }
 
-// send sends a response, with further header fields as pairs of names and values.
+// send sends a response. fields are the names and values of additional header fields, in pairs.
 func (c *connection) send(r response, fields ...string) {
 	body, contentType := r.text, r.contentType
 	if r.text == nil {
-		body, _ = json.Marshal(r.body) // the types of bodies can always be encoded
+		body, _ = json.Marshal(r.body) // can't fail for the types of response bodies
 		contentType = "application/json"
 	}
 	if r.etag != 0 {
--- a/internal/admin/environment_test.go
+++ b/internal/admin/environment_test.go
@@ -22,7 +22,7 @@
 
 var secret = []byte("0123456789abcdef0123456789abcdef")
 
-// Keys of the staff.
+// Keys of the operator and of the viewer.
 const (
 	operatorKey = "op"
 	viewerKey   = "view"
@@ -34,15 +34,15 @@
 	answerTimeout = 40 * eventloop.Second
 )
 
-// Outcomes of a chat request that was begun; otherwise it is the status.
+// Outcomes of a chat request that was answered with a stream. The outcome of any other request is the HTTP status.
 const (
-	completed = "streamed"
-	failedMid = "terminated"
+	completed       = "streamed"
+	failedMidStream = "terminated"
 )
 
 func deterministicRandom(seed int64) *rand.Rand { return rand.New(rand.NewSource(seed)) }
 
-// environment is an administration, dispatchers that follow it, and model servers, in virtual time.
+// environment has an administration server, dispatchers that follow it, and model servers, in virtual time.
 type environment struct {
 	t           *testing.T
 	network     *virtual.Network
@@ -88,7 +88,7 @@
 	return e
 }
 
-// startServer starts the administration, again at its address and from its records.
+// startServer starts the administration server. A restarted server has the address and the records of the previous one.
 func (e *environment) startServer() {
 	e.t.Helper()
 	e.serverLoop = e.network.NewLoop("admin")
@@ -117,7 +117,8 @@
 	}
 }
 
-// startDispatcher starts a dispatcher, again at its address and with the tenants that it has cached.
+// startDispatcher starts a dispatcher. A restarted dispatcher has the address and the cached tenants of the previous
+// one.
 func (e *environment) startDispatcher(i int, dep deployment.Deployment, name string) {
 	e.t.Helper()
 	dispatcher := e.dispatchers[i]
@@ -151,10 +152,10 @@
 // clientRequest is one HTTP request of a client.
 type clientRequest struct {
 	addr, method, target, key, body string
-	fields                          []string // of the head: names and values
+	fields                          []string // names and values of header fields, in pairs
 }
 
-// clientCall is one HTTP request on a connection of its own, and its answer.
+// clientCall is an HTTP request on a connection of its own, and the answer to it.
 type clientCall struct {
 	network  *virtual.Network
 	conn     eventloop.Conn
@@ -165,8 +166,8 @@
 	body     []byte
 	tokens   int
 	sentAt   eventloop.Micros
-	firstAt  eventloop.Micros // when its first token came
-	outcomes []string         // of which there must be one
+	firstAt  eventloop.Micros // when the first token arrived
+	outcomes []string         // more than one is an error
 }
 
 func (c *clientCall) Opened()          { c.conn.Write(c.request) }
@@ -189,7 +190,7 @@
 		case string(event) == "[DONE]":
 			c.outcomes = append(c.outcomes, completed)
 		case gjson.GetBytes(event, "error").Exists():
-			c.outcomes = append(c.outcomes, failedMid)
+			c.outcomes = append(c.outcomes, failedMidStream)
 		default:
 			c.tokens++
 			if c.tokens == 1 {
@@ -209,7 +210,7 @@
 
 func (c *clientCall) answered() bool { return len(c.outcomes) > 0 }
 
-// send sends a request and does not wait for its answer.
+// send sends a request without waiting for the answer.
 func (e *environment) send(r clientRequest) *clientCall {
 	c := &clientCall{
 		network: e.network,
@@ -225,7 +226,8 @@
 	return c
 }
 
-// call makes one call to the administration, with a path below the prefix of the API or a whole one.
+// call makes a call to the administration and waits for the answer. A path without a leading slash is relative to
+// apiPrefix.
 func (e *environment) call(key, method, path, body string, fields ...string) *clientCall {
 	e.t.Helper()
 	if !strings.HasPrefix(path, "/") {
@@ -239,7 +241,7 @@
 	return c
 }
 
-// must makes an operator's call, which must have a status, and returns the body of the answer.
+// must makes a call as the operator, checks the status and returns the body of the answer.
 func (e *environment) must(status int, method, path, body string, fields ...string) gjson.Result {
 	e.t.Helper()
 	c := e.call(operatorKey, method, path, body, fields...)
@@ -249,7 +251,7 @@
 	return gjson.ParseBytes(c.body)
 }
 
-// addTenant adds a tenant and returns a key of it.
+// addTenant adds a tenant and returns a key of the tenant.
 func (e *environment) addTenant(name, limits string) string {
 	e.t.Helper()
 	e.must(201, "POST", "tenants", fmt.Sprintf(`{"name":%q,"limits":%s}`, name, limits))
@@ -270,7 +272,7 @@
 	})
 }
 
-// expect waits for the outcome of a call, which must be the only one.
+// expect waits for the outcome of a call, and checks that it is the only one and the expected one.
 func (e *environment) expect(c *clientCall, want string) {
 	e.t.Helper()
 	e.network.RunUntil(answerTimeout, c.answered)
--- a/internal/admin/feed.go
+++ b/internal/admin/feed.go
@@ -11,34 +11,34 @@
 	"plumspindle/internal/tenancy"
 )
 
-// maxUnsentBytes bounds what is buffered for a follower that lags. Beyond it the connection is aborted; the
-// follower reconnects and gets a complete update.
+// maxUnsentBytes limits the data that is buffered for a follower that lags. If there is more, the next update aborts
+// the connection. The follower reconnects and gets a complete update.
 const maxUnsentBytes = 4 << 20
 
-// heartbeatChunk is a comment in the event stream.
+// heartbeatChunk is a comment in the event stream, which shows followers that the connection is alive.
 const heartbeatChunk = ": here\n\n"
 
-// follow starts to send updates on a connection: first what has changed since the version that the follower has.
+// follow makes the client a follower, and sends it the changes since the version that it has.
 func (c *connection) follow(r *request) {
 	c.following = true
 	c.timer.Stop()
 	c.conn.Write(http1.AppendStreamHead(nil, http.StatusOK, "Content-Type", "text/event-stream"))
-	since, _ := strconv.ParseUint(r.query["since"], 10, 64) // 0, for a complete update, if it is not a number
+	since, _ := strconv.ParseUint(r.query["since"], 10, 64) // 0, for a complete update, if since is not a number
 	c.notify(c.server.registry.UpdateSince(r.query["epoch"], since))
 	c.server.followers = append(c.server.followers, c)
 }
 
-// notify sends an update to a follower, or aborts the connection of one that lags too far.
+// notify sends an update to a follower. It aborts the connection instead if too much data is unsent.
 func (c *connection) notify(update tenancy.Update) {
 	if c.conn.Unsent() > maxUnsentBytes {
 		c.conn.Abort()
 		return
 	}
-	event, _ := json.Marshal(update) // its fields can always be encoded, as limits are finite
+	event, _ := json.Marshal(update) // can't fail, as all limits are finite numbers
 	c.conn.Write(http1.AppendChunk(nil, sse.Append(nil, event)))
 }
 
-// notifyFollowers sends what has changed since an earlier state of the registry.
+// notifyFollowers sends the changes since an earlier state of the registry to all followers.
 func (s *Server) notifyFollowers(before *tenancy.Registry) {
 	update := s.registry.UpdateSince(before.Epoch, before.Version)
 	for _, follower := range s.followers {
--- a/internal/admin/feed_test.go
+++ b/internal/admin/feed_test.go
@@ -11,8 +11,8 @@
 	"plumspindle/internal/tenancy"
 )
 
-// What is buffered for a follower that reads nothing is bounded: it is cut off, and gets a complete update
-// when it comes back.
+// The data that is buffered for a follower that reads nothing is bounded. The follower's connection is aborted, and it
+// gets a complete update when it reconnects.
 func TestFollowerThatReadsNothingIsCutOff(t *testing.T) {
 	e := newEnvironment(t, 1)
 	follower := &clientCall{
@@ -29,7 +29,7 @@
 	buffered := 0
 	for i := range 400 {
 		e.serverLoop.Do(func() { e.server.route(createTenantRequest(fmt.Sprint("t", i))) })
-		// As when all followers need a complete update.
+		// Sends each follower a complete update.
 		e.serverLoop.Do(func() { e.server.notifyFollowers(tenancy.NewRegistry("")) })
 		for _, f := range e.server.followers {
 			buffered = max(buffered, f.conn.Unsent())
@@ -37,6 +37,6 @@
 		e.network.Run(10 * eventloop.Millisecond)
 	}
 	if buffered > 2*maxUnsentBytes || len(e.server.followers) != 1 {
-		t.Errorf("%d bytes are buffered for one that reads nothing; %d followers", buffered, len(e.server.followers))
+		t.Errorf("%d bytes are buffered for a follower that reads nothing; %d followers", buffered, len(e.server.followers))
 	}
 }
--- a/internal/admin/isolation_test.go
+++ b/internal/admin/isolation_test.go
@@ -11,15 +11,14 @@
 	"plumspindle/internal/eventloop"
 )
 
-// A hundred thousand requests come with mixed credentials: the same Idempotency-Keys, the same texts, the same
-// sessions, and keys of other tenants, unknown keys and revoked ones. No answer of one tenant is ever seen by
-// another, and none is revealed to exist.
+// 100,000 requests of three tenants use the same Idempotency-Keys, prompts and sessions, or come with keys of other
+// tenants, unknown keys or revoked keys. No tenant gets an answer of another one, or learns that another tenant exists.
 func TestNoRequestCrossesTenants(t *testing.T) {
 	requests := 100_000
 	if testing.Short() {
 		requests = 5000
 	}
-	run := newCrossingRun(t)
+	run := newIsolationRun(t)
 	for n := range requests {
 		run.send(n)
 		if len(run.open) == 200 {
@@ -27,36 +26,36 @@
 		}
 	}
 	if run.counts[completed] < requests/20 || run.counts["404"] == 0 || run.wrong > 0 {
-		t.Errorf("%d wrong; %v", run.wrong, run.counts)
+		t.Errorf("%d errors; outcomes %v", run.wrong, run.counts)
 	}
 }
 
-// crossingRun sends requests of three tenants with mixed credentials.
-type crossingRun struct {
+// isolationRun sends requests of three tenants with mixed credentials.
+type isolationRun struct {
 	*environment
 	random    *rand.Rand
 	names     []string
-	chatKeys  []string // of each tenant
-	adminKeys []string
-	revoked   string // a key
+	chatKeys  []string // by tenant
+	adminKeys []string // by tenant
+	revoked   string   // a revoked key
 
-	open   []crossingCall
-	owners map[string]int // tenants by the ids of answers
-	counts map[string]int // of outcomes
-	wrong  int
+	open   []isolationCall // calls that are not checked yet
+	owners map[string]int  // tenants by the ids of answers
+	counts map[string]int  // by outcome
+	wrong  int             // number of errors
 }
 
 const noTenant = -1
 
-type crossingCall struct {
+type isolationCall struct {
 	*clientCall
-	tenant int // whose answer it must be; noTenant for none
-	want   []string
+	tenant int      // the only tenant that may get the answer's id; noTenant if the id is not checked
+	want   []string // allowed outcomes
 }
 
-func newCrossingRun(t *testing.T) *crossingRun {
+func newIsolationRun(t *testing.T) *isolationRun {
 	t.Helper()
-	r := &crossingRun{
+	r := &isolationRun{
 		environment: newEnvironment(t, 2),
 		random:      deterministicRandom(4),
 		names:       []string{"a", "b", "c"},
@@ -74,15 +73,15 @@
 	return r
 }
 
-// send sends the request of a number.
-func (r *crossingRun) send(count int) {
+// send sends a random request. count is the number of requests before it.
+func (r *isolationRun) send(count int) {
 	tenant, dispatcher := r.random.Intn(len(r.names)), r.random.Intn(len(r.dispatchers))
 	get := func(addr, target, key string) *clientCall {
 		return r.environment.send(clientRequest{addr: addr, method: "GET", target: target, key: key})
 	}
 	dispatcherAddr := r.dispatchers[dispatcher].addr
 	switch r.random.Intn(10) {
-	case 0: // with texts and keys that all tenants use at the same time
+	case 0: // a prompt and an Idempotency-Key that all tenants use at the same time
 		const body = `{"model":"review-post","stream":true,"max_tokens":1,"prompt_cache_key":"s",` +
 			`"messages":[{"role":"system","content":"same"},{"role":"user","content":"same"}]}`
 		call := r.sendChat(dispatcher, r.chatKeys[tenant], body, "Idempotency-Key", fmt.Sprint("k", count/40))
@@ -102,14 +101,14 @@
 	}
 }
 
-func (r *crossingRun) expectLater(call *clientCall, tenant int, want ...string) {
-	r.open = append(r.open, crossingCall{call, tenant, want})
+func (r *isolationRun) expectLater(call *clientCall, tenant int, want ...string) {
+	r.open = append(r.open, isolationCall{call, tenant, want})
 }
 
 // check waits for the open calls and checks their answers.
-func (r *crossingRun) check() {
+func (r *isolationRun) check() {
 	r.network.RunUntil(10*eventloop.Second, func() bool {
-		return !slices.ContainsFunc(r.open, func(call crossingCall) bool { return !call.answered() })
+		return !slices.ContainsFunc(r.open, func(call isolationCall) bool { return !call.answered() })
 	})
 	for _, call := range r.open {
 		if len(call.outcomes) != 1 {
@@ -126,15 +125,15 @@
 			continue
 		}
 		if owner, seen := r.owners[id]; seen && owner != call.tenant {
-			r.errorf("the answer %s of tenant %d was given to %d", id, owner, call.tenant)
+			r.errorf("the answer %s of tenant %d was sent to tenant %d", id, owner, call.tenant)
 		}
 		r.owners[id] = call.tenant
 	}
 	r.open = r.open[:0]
 }
 
-// errorf reports the first errors and counts all.
-func (r *crossingRun) errorf(format string, args ...any) {
+// errorf counts all errors and reports the first ones.
+func (r *isolationRun) errorf(format string, args ...any) {
 	r.t.Helper()
 	r.wrong++
 	if r.wrong < 10 {
@@ -142,8 +141,8 @@
 	}
 }
 
-// A prompt that another tenant has had read takes as long as a new one. The same tenant's second time is
-// faster, and so is a text that the operator has listed as public.
+// The time to the first token does not reveal whether another tenant has sent the same prompt: cached prompt state
+// speeds up only prompts of the same tenant, and texts that the operator has listed as public.
 func TestCachedTextsRevealNothing(t *testing.T) {
 	e := newEnvironment(t, 1)
 	first, second := e.addTenant("a", `{}`), e.addTenant("b", `{}`)
@@ -180,9 +179,9 @@
 		}
 		return m
 	}
-	isNew, isRepeated, isOthers, isPublic := mean(fresh), mean(repeated), mean(others), mean(public)
-	if isOthers < isNew*95/100 || isRepeated > isNew*7/10 || isPublic > isNew*7/10 {
-		t.Errorf("µs to the first token: new %d, repeated %d, another tenant's %d, public %d",
-			isNew, isRepeated, isOthers, isPublic)
+	meanFresh, meanRepeated, meanOthers, meanPublic := mean(fresh), mean(repeated), mean(others), mean(public)
+	if meanOthers < meanFresh*95/100 || meanRepeated > meanFresh*7/10 || meanPublic > meanFresh*7/10 {
+		t.Errorf("mean µs to the first token: new prompt %d, repeated %d, another tenant's %d, public %d",
+			meanFresh, meanRepeated, meanOthers, meanPublic)
 	}
 }
--- a/internal/admin/keys.go
+++ b/internal/admin/keys.go
@@ -9,7 +9,7 @@
 	"plumspindle/internal/tenancy"
 )
 
-// keyList is the keys of a tenant.
+// keyList is the answer to a request for a tenant's keys.
 type keyList struct {
 	Keys []tenancy.KeyRecord `json:"keys"`
 }
@@ -22,7 +22,7 @@
 	return response{status: http.StatusOK, body: keyList{redacted(t).Keys}, etag: t.Version}
 }
 
-// createdKey is the only answer that shows a key.
+// createdKey is the answer to the creation of a key. It is the only answer that contains the text of a key.
 type createdKey struct {
 	ExpiresAt int64           `json:"expires_s"`
 	ID        string          `json:"id"`
@@ -31,7 +31,7 @@
 	Scopes    []tenancy.Scope `json:"scopes"`
 }
 
-// repeatedKey is the answer to the creation of a key that is repeated with its Idempotency-Key.
+// repeatedKey is the answer to a repeated creation of a key with the same Idempotency-Key.
 type repeatedKey struct {
 	ID   string `json:"id"`
 	Note string `json:"note"`
@@ -46,11 +46,11 @@
 	}
 	if len(r.body) > 0 {
 		if err := r.decode(&body); err != nil {
-			return failed(err)
+			return responseForError(err)
 		}
 	}
 	idempotencyKey := r.head.Get("Idempotency-Key")
-	recordKey := createdKeyRecord(r.tenant, idempotencyKey)
+	recordKey := idempotencyRecordKey(r.tenant, idempotencyKey)
 	if idempotencyKey != "" {
 		if id, found := s.records.Get(recordKey); found {
 			return okResponse(repeatedKey{ID: string(id), Note: "made before; a key is shown once"})
@@ -88,9 +88,9 @@
 }
 
 func (s *Server) revokeKey(r *request) response {
-	at, err := strconv.ParseInt("0"+r.query["at_s"], 10, 64) // without at_s: at once
+	at, err := strconv.ParseInt("0"+r.query["at_s"], 10, 64) // 0, which revokes at once, if at_s is missing
 	if err != nil {
-		return failed(malformed("at_s", "must be a time in seconds since 1970"))
+		return responseForError(malformed("at_s", "must be a time in seconds since 1970"))
 	}
 	return s.changeTenant(r, "key revoked", func(registry *tenancy.Registry) (*tenancy.Tenant, error) {
 		return registry.RevokeKey(s.now(), r.tenant, r.version, r.segment(idSegment), at)
--- a/internal/admin/lifecycle_test.go
+++ b/internal/admin/lifecycle_test.go
@@ -7,8 +7,8 @@
 	"plumspindle/internal/eventloop"
 )
 
-// A tenant is created, limited, suspended and resumed, its key is rotated with overlap and revoked in
-// mid-stream, and it is removed.
+// A tenant is created with a limit, suspended and resumed. Its key is replaced by a second one and revoked in
+// mid-stream. Then the tenant is removed.
 func TestTenantLifecycle(t *testing.T) {
 	e := newEnvironment(t, 2)
 	key := e.addTenant("bahari", `{"share_per_s":10}`)
@@ -28,7 +28,7 @@
 	e.must(200, "DELETE", "tenants/bahari/keys/"+tenant.Get("keys.0.id").String(), "")
 	e.expect(e.chat(0, key, "explain"), "401")
 	e.expect(e.chat(0, next.Get("key").String(), "explain"), completed)
-	e.expect(running, completed) // a request goes on if its key is revoked
+	e.expect(running, completed) // a running request continues when its key is revoked
 	e.network.Run(3 * eventloop.Second)
 	used := e.must(200, "GET", "tenants/bahari/usage", "")
 	if used.Get(`usage.#(product=="explain").streamed`).Int() != 3 {
@@ -38,22 +38,22 @@
 	e.network.Run(6 * eventloop.Second)
 	removed := e.must(200, "GET", "tenants/bahari", "")
 	if removed.Get("state").String() != "removed" || removed.Get("keys").Exists() {
-		t.Errorf("after its removal: %s", removed.Raw)
+		t.Errorf("tenant after the removal: %s", removed.Raw)
 	}
 	e.must(409, "POST", "tenants", `{"name":"bahari"}`)
 	if used := e.must(200, "GET", "tenants/bahari/usage", ""); len(used.Get("usage").Array()) == 0 {
-		t.Error("its usage is lost")
+		t.Error("the usage of the removed tenant is lost")
 	}
 }
 
-// A tenant is removed while its requests are queued, read and streamed: with finish they complete, with stop
-// each gets its one final answer at once. Then nothing of it is left at any dispatcher, and another tenant's
-// request goes on.
+// A tenant is removed while its requests are queued, in prefill and in decode. With the policy finish they complete;
+// with stop each of them gets exactly one final answer at once. Afterwards no dispatcher has requests of the tenant,
+// and the request of another tenant completes.
 func TestRemovalWhileRequestsRun(t *testing.T) {
 	t.Run("finish", func(t *testing.T) {
 		r := startRemoval(t, "finish")
 		if counts := r.finalOutcomes(); counts[completed] < 100 {
-			t.Errorf("%v", counts)
+			t.Errorf("outcomes %v", counts)
 		}
 	})
 	t.Run("stop", func(t *testing.T) {
@@ -63,18 +63,18 @@
 				t.Errorf("call %d has no answer %d ms after the removal", i, r.elapsed()/eventloop.Millisecond)
 			}
 		}
-		if counts := r.finalOutcomes(); counts[failedMid]+counts["503"] == 0 {
-			t.Errorf("%v", counts)
+		if counts := r.finalOutcomes(); counts[failedMidStream]+counts["503"] == 0 {
+			t.Errorf("outcomes %v", counts)
 		}
 	})
 }
 
-// removalRun is a tenant that was removed a short time ago while 200 of its requests were under way.
+// removalRun is the removal of a tenant while 200 of its requests are in progress.
 type removalRun struct {
 	*environment
 	key       string
 	calls     []*clientCall
-	other     *clientCall // of a tenant that stays
+	other     *clientCall // of a tenant that is not removed
 	removedAt eventloop.Micros
 }
 
@@ -96,7 +96,7 @@
 		}
 	}
 	if begun == 0 || begun == len(r.calls) {
-		t.Fatalf("%d of %d have begun", begun, len(r.calls))
+		t.Fatalf("%d of %d requests have a first token", begun, len(r.calls))
 	}
 	r.removedAt = r.network.Now()
 	r.must(200, "DELETE", "tenants/going?policy="+policy, "")
@@ -106,8 +106,8 @@
 
 func (r *removalRun) elapsed() eventloop.Micros { return r.network.Now() - r.removedAt }
 
-// finalOutcomes waits for the end of the removal, checks what it leaves and counts the outcomes of the
-// tenant's requests.
+// finalOutcomes waits for the end of the removal, checks the state after it and counts the outcomes of the tenant's
+// requests.
 func (r *removalRun) finalOutcomes() map[string]int {
 	r.t.Helper()
 	r.expect(r.chat(0, r.key, "explain"), "401")
@@ -120,19 +120,19 @@
 		counts[strings.Join(c.outcomes, "+")]++
 	}
 	r.expect(r.other, completed)
-	for i, x := range r.dispatchers {
-		if x.OpenRequests() != 0 {
-			r.t.Errorf("dispatcher %d: %v", i, x.DescribeOpenRequests())
+	for i, dispatcher := range r.dispatchers {
+		if dispatcher.OpenRequests() != 0 {
+			r.t.Errorf("dispatcher %d has open requests: %v", i, dispatcher.DescribeOpenRequests())
 		}
 	}
 	if tenant := r.must(200, "GET", "tenants/going", ""); tenant.Get("state").String() != "removed" {
-		r.t.Errorf("%s", tenant.Raw)
+		r.t.Errorf("the tenant is not removed: %s", tenant.Raw)
 	}
 	return counts
 }
 
-// A dispatcher that was down, and an administration that restarts, miss no change. While the administration
-// is away a restarted dispatcher serves the tenants that it has cached.
+// Neither a restart of a dispatcher nor one of the administration loses a change. While the administration is down, a
+// restarted dispatcher serves the tenants that it has cached.
 func TestRestartsMissNoChange(t *testing.T) {
 	e := newEnvironment(t, 2)
 	key := e.addTenant("a", `{}`)
--- a/internal/admin/message.go
+++ b/internal/admin/message.go
@@ -13,20 +13,20 @@
 	"plumspindle/internal/tenancy"
 )
 
-// request is one call of the API.
+// request is a request to the administration.
 type request struct {
 	method string
-	path   []string // segments below the prefix
+	path   []string // segments below apiPrefix
 	query  map[string]string
 	head   *http1.Head
 	body   []byte
-	who    caller
+	caller caller
 
-	// The router sets these.
-	tenant  string // in the path; may be empty
-	version uint64 // from If-Match; 0 is any version
+	// Server.route sets the tenant and the version.
+	tenant  string // tenant name in the path; may be empty
+	version uint64 // expected version from If-Match; 0 expects no particular one
 
-	extraOps []store.Op // records to save together with the call's change
+	extraOps []store.Op // record changes to save together with the change of the registry
 }
 
 // parseQuery parses a query string. It does not decode percent-encoded values.
@@ -40,7 +40,7 @@
 	return query
 }
 
-// segment returns a segment of the path, or an empty string past the last one.
+// segment returns the segment of the path at an index. It returns an empty string if the path has no such segment.
 func (r *request) segment(i int) string {
 	if i < len(r.path) {
 		return r.path[i]
@@ -48,10 +48,11 @@
 	return ""
 }
 
-// dryRun reports whether the call must not change anything.
+// dryRun reports whether the request only asks for the answer and must not change anything.
 func (r *request) dryRun() bool { return r.query["dry_run"] == "true" }
 
-// ifMatch returns the version in If-Match; 0 is any version.
+// ifMatch returns the version in the If-Match header, or 0 if any version matches. ok is false if the header is
+// malformed.
 func (r *request) ifMatch() (version uint64, ok bool) {
 	text := r.head.Get("If-Match")
 	if text == "" || text == "*" {
@@ -61,7 +62,7 @@
 	return version, err == nil && version > 0
 }
 
-// decode decodes the body. It rejects unknown members: a misspelt limit would otherwise be ignored.
+// decode decodes the JSON body. It rejects unknown members, as a misspelt limit would otherwise be ignored.
 func (r *request) decode(to any) error {
 	decoder := json.NewDecoder(bytes.NewReader(r.body))
 	decoder.DisallowUnknownFields()
@@ -79,7 +80,7 @@
 	maxPageSize     = 1000
 )
 
-// pageSize returns how many entries of a list to return.
+// pageSize returns the maximum number of list entries in the answer.
 func (r *request) pageSize() int {
 	size, err := strconv.Atoi(r.query["limit"])
 	if err != nil || size < 1 {
@@ -88,25 +89,25 @@
 	return min(size, maxPageSize)
 }
 
-// response is the answer to a call.
+// response is the answer to a request.
 type response struct {
 	status      int
-	body        any    // to be encoded as JSON
-	etag        uint64 // 0: none
-	text        []byte // in place of the body
+	body        any    // encoded as JSON
+	etag        uint64 // 0 for none
+	text        []byte // sent as it is, instead of the body
 	contentType string // of the text
 }
 
 func okResponse(body any) response { return response{status: http.StatusOK, body: body} }
 
-// errorBody is the body of a response with an error. The order of its members is part of the API.
+// errorBody is the JSON body of an error response. The order of its members is part of the API.
 type errorBody struct {
 	Error errorDetail `json:"error"`
 }
 
 type errorDetail struct {
 	Code    tenancy.ErrorCode `json:"code"`
-	Field   string            `json:"field"` // of the request that is at fault; may be empty
+	Field   string            `json:"field"` // name of the invalid field of the request; may be empty
 	Message string            `json:"message"`
 }
 
@@ -114,13 +115,13 @@
 	return response{status: status, body: errorBody{errorDetail{Code: code, Field: field, Message: message}}}
 }
 
-// malformed is the error of a request that can't be read.
+// malformed returns the error for a request that can't be parsed.
 func malformed(field, reason string) error {
 	return &tenancy.ChangeError{Status: http.StatusBadRequest, Code: "malformed", Field: field, Reason: reason}
 }
 
-// failed returns the response to a call that ended in an error.
-func failed(err error) response {
+// responseForError returns the response to a request that failed with an error.
+func responseForError(err error) response {
 	var change *tenancy.ChangeError
 	if errors.As(err, &change) {
 		return errorResponse(change.Status, change.Code, change.Field, change.Reason)
--- a/internal/admin/migration_test.go
+++ b/internal/admin/migration_test.go
@@ -28,7 +28,7 @@
 	}
 }
 
-// legacyText is the content of a file of such a version: two tenants, a report, a key and no log.
+// legacyText returns the content of legacyRecordsFile with two tenants, the usage of one report and one created key.
 func legacyText(t *testing.T) string {
 	t.Helper()
 	registry := tenancy.NewRegistry("e1")
@@ -48,14 +48,14 @@
 	return string(encoded)
 }
 
-// The records of a version without a store are moved into it once and as a whole, also if an earlier
-// migration died before the files were renamed. What is changed afterwards stays; a second process and a
-// damaged file are rejected.
+// The records of a version without a store are migrated into the store once and completely, also if a crash ended an
+// earlier migration before it renamed the files. A repeated migration does not undo later changes. A second process and
+// a damaged file are rejected.
 func TestLegacyRecordsAreMigratedOnce(t *testing.T) {
 	folder := legacyFolder{t, filepath.Join(t.TempDir(), "deep", "er")}
 	folder.write(legacyRecordsFile, "{")
 	if _, err := OpenStoredRecords(folder.dir); err == nil || !strings.Contains(err.Error(), legacyRecordsFile) {
-		t.Fatalf("a damaged file: %v", err)
+		t.Fatalf("opening a damaged file: error %v", err)
 	}
 	legacy := legacyText(t)
 	folder.write(legacyRecordsFile, legacy)
@@ -67,7 +67,7 @@
 			t.Fatal(restarts, err)
 		}
 		if _, err := OpenStoredRecords(folder.dir); err == nil || !strings.Contains(err.Error(), "in use") {
-			t.Errorf("a second process: %v", err)
+			t.Errorf("opening a folder that is in use: error %v", err)
 		}
 		config := Config{Secret: secret, Records: records, Random: deterministicRandom(1), Log: zerolog.Nop()}
 		s, err := Start(network.NewLoop("x"), config)
@@ -75,16 +75,16 @@
 			t.Fatal(err)
 		}
 		checkMigrated(t, s, restarts)
-		r := &request{query: map[string]string{}, who: caller{name: "ann"}, path: []string{"tenants", "a"}}
+		r := &request{query: map[string]string{}, caller: caller{name: "ann"}, path: []string{"tenants", "a"}}
 		got := s.change(r, "suspended", func(registry *tenancy.Registry) (response, error) {
 			registry.Version++
 			return response{status: 200}, nil
 		})
 		if got.status != 200 {
-			t.Errorf("after %d restarts: %+v", restarts, got)
+			t.Errorf("change after %d restarts: %+v", restarts, got)
 		}
 		records.Close()
-		folder.write(legacyRecordsFile, legacy) // as if it had died before the renaming
+		folder.write(legacyRecordsFile, legacy) // as after a crash before the files were renamed
 	}
 	records, err := OpenStoredRecords(folder.dir)
 	if err != nil {
@@ -96,22 +96,22 @@
 	}
 }
 
-// checkMigrated checks the state after some restarts, after each of which one change was made.
+// checkMigrated checks the state after a number of restarts. One change was made before each restart.
 func checkMigrated(t *testing.T, s *Server, restarts uint64) {
 	t.Helper()
-	id, _ := s.records.Get(createdKeyRecord("a", "k1"))
+	id, _ := s.records.Get(idempotencyRecordKey("a", "k1"))
 	if string(id) != "id1" {
-		t.Errorf("after %d restarts: created key %q", restarts, id)
+		t.Errorf("after %d restarts: id of the created key %q", restarts, id)
 	}
 	registry := s.registry
 	if registry.Epoch != "e1" || registry.Version != 2+restarts || registry.Tenants["b"].Limits.PerS != 3 {
-		t.Errorf("after %d restarts: %+v", restarts, registry)
+		t.Errorf("after %d restarts: registry %+v", restarts, registry)
 	}
-	if s.changes != 2+restarts {
-		t.Errorf("after %d restarts: %d entries in the audit log", restarts, s.changes)
+	if s.auditEntries != 2+restarts {
+		t.Errorf("after %d restarts: %d entries in the audit log", restarts, s.auditEntries)
 	}
 	used := s.ledger.UsageOf("a")
 	if s.ledger.Numbers["d1"] != 7 || len(used) != 1 || used[0].Completed != 4 {
-		t.Errorf("after %d restarts: %+v", restarts, s.ledger)
+		t.Errorf("after %d restarts: ledger %+v", restarts, s.ledger)
 	}
 }
--- a/internal/admin/records.go
+++ b/internal/admin/records.go
@@ -9,39 +9,40 @@
 	"plumspindle/internal/tenancy"
 )
 
-// Keys of the records. Names contain no zero byte; texts from clients are at the end of a key.
+// Keys, or prefixes of keys, of the records. A zero byte separates the parts of a key. Names contain no zero byte, and
+// texts from clients are the last part.
 const (
 	registryKey        = "registry"
-	tenantPrefix       = "tenant/" // name
-	usagePrefix        = "used/"   // tenant, zero, day, zero, product
-	reportNumberPrefix = "number/" // dispatcher: the number of its last report that counts
-	createdKeyPrefix   = "made/"   // tenant, zero, Idempotency-Key: the id of the key that was created
-	auditPrefix        = "change/" // number, 16 hexadecimal digits
+	tenantPrefix       = "tenant/" // tenant name
+	usagePrefix        = "used/"   // tenant name, zero byte, day, zero byte, product
+	reportNumberPrefix = "number/" // dispatcher name; the value is the number of its last report that was added
+	idempotencyPrefix  = "made/"   // tenant name, zero byte, Idempotency-Key; the value is the id of the created key
+	auditPrefix        = "change/" // number of the entry in 16 hexadecimal digits
 )
 
-// tenantRecord is a stored tenant.
+// tenantRecord is the stored form of a tenant.
 type tenantRecord struct {
-	ChangedIn uint64          `json:"changed"` // the registry's version at the last change
+	ChangedIn uint64          `json:"changed"` // the registry's version after the tenant's last change
 	Tenant    *tenancy.Tenant `json:"tenant"`
 }
 
-func auditRecord(number uint64) string { return fmt.Sprintf("%s%016x", auditPrefix, number) }
+func auditRecordKey(number uint64) string { return fmt.Sprintf("%s%016x", auditPrefix, number) }
 
-func createdKeyRecord(tenant, idempotencyKey string) string {
-	return createdKeyPrefix + tenant + "\x00" + idempotencyKey
+func idempotencyRecordKey(tenant, idempotencyKey string) string {
+	return idempotencyPrefix + tenant + "\x00" + idempotencyKey
 }
 
-// encode encodes one of the records, all of whose types can always be encoded.
+// encode encodes a record as JSON, which can't fail for the types of records.
 func encode(record any) []byte {
 	encoded, _ := json.Marshal(record)
 	return encoded
 }
 
-// registryOp stores all of a registry except its tenants.
+// registryOp stores a registry without its tenants, which have records of their own.
 func registryOp(r *tenancy.Registry) store.Op {
-	head := *r
-	head.Tenants, head.ChangedIn = nil, nil
-	return store.Op{Key: registryKey, Value: encode(head)}
+	withoutTenants := *r
+	withoutTenants.Tenants, withoutTenants.ChangedIn = nil, nil
+	return store.Op{Key: registryKey, Value: encode(withoutTenants)}
 }
 
 func tenantOp(r *tenancy.Registry, name string) store.Op {
@@ -55,7 +56,7 @@
 	return store.Op{Key: reportNumberPrefix + dispatcher, Value: encode(number)}
 }
 
-// changedRecords returns the changes of the records from one state of the registry to the next.
+// changedRecords returns the operations that update the records from one state of the registry to the next.
 func changedRecords(before, next *tenancy.Registry) []store.Op {
 	ops := []store.Op{registryOp(next)}
 	for _, name := range next.Names() {
@@ -71,7 +72,7 @@
 	return ops
 }
 
-// restore restores the state from the records. The registry remains nil if there are none.
+// restore restores the state of the server from the records. The registry stays nil if there are no records.
 func (s *Server) restore() error {
 	for _, kind := range []struct {
 		prefix  string
@@ -103,7 +104,7 @@
 		return err
 	}
 	if registry.Epoch == "" {
-		return errors.New("a registry without an epoch")
+		return errors.New("the registry has no epoch")
 	}
 	registry.Tenants, registry.ChangedIn = map[string]*tenancy.Tenant{}, map[string]uint64{}
 	s.registry = registry
@@ -117,7 +118,7 @@
 	}
 	named := record.Tenant != nil && record.Tenant.Name == name
 	if !named || s.registry == nil || record.ChangedIn > s.registry.Version {
-		return errors.New("it does not belong to this registry")
+		return errors.New("the tenant does not belong to this registry")
 	}
 	s.registry.Tenants[name], s.registry.ChangedIn[name] = record.Tenant, record.ChangedIn
 	return nil
@@ -143,14 +144,14 @@
 }
 
 func (s *Server) countAuditEntry(string, []byte) error {
-	s.changes++
+	s.auditEntries++
 	return nil
 }
 
-// MemoryRecords are records that are lost with the process, for tests and trials.
+// MemoryRecords are records in memory, for tests and local trials. They are lost when the process ends.
 type MemoryRecords struct {
 	store.Index
-	// SaveError, if set, is returned by Save, which then changes nothing.
+	// SaveError, if not nil, makes Save return it and change nothing.
 	SaveError error
 }
 
--- a/internal/admin/routes.go
+++ b/internal/admin/routes.go
@@ -6,14 +6,14 @@
 	"strings"
 )
 
-// route is one call of the API.
+// route maps a method and a path of the API to a handler.
 type route struct {
 	method string
-	// pattern is the path below the prefix. {name} and {id} stand for any segment that is not empty: an empty name is no
-	// tenant's, and handlers would take it for all tenants.
+	// pattern is the path below apiPrefix. {name} and {id} match any segment that is not empty. No tenant has an empty
+	// name, and handlers take an empty name for all tenants.
 	pattern string
 	handle  func(*Server, *request) response
-	// forTenants routes may be called by a TenantAdmin, for its own tenant.
+	// forTenants allows a TenantAdmin to use the route for its own tenant.
 	forTenants bool
 }
 
@@ -39,7 +39,7 @@
 	{method: "DELETE", pattern: "tenants/{name}/keys/{id}", handle: (*Server).revokeKey, forTenants: true},
 }
 
-// Positions of segments in a path.
+// Indices of path segments.
 const (
 	nameSegment = 1
 	idSegment   = 3
@@ -69,20 +69,20 @@
 	return route{}, false
 }
 
-// route passes a call of the API to its handler and returns the answer.
+// route checks what the caller may do, passes a request to its handler and returns the answer.
 func (s *Server) route(r *request) response {
-	if r.who.role == Viewer && r.method != http.MethodGet {
+	if r.caller.role == Viewer && r.method != http.MethodGet {
 		return errorResponse(http.StatusForbidden, "forbidden", "", "a viewer changes nothing")
 	}
 	version, valid := r.ifMatch()
 	if !valid {
-		return failed(malformed("If-Match", "If-Match must be an ETag as it was given"))
+		return responseForError(malformed("If-Match", "If-Match must be an ETag as it was given"))
 	}
 	r.version, r.tenant = version, r.segment(nameSegment)
 	found, known := findRoute(r)
-	if r.who.role == TenantAdmin {
+	if r.caller.role == TenantAdmin {
 		// The answer must not reveal whether the tenant or the route exists.
-		ownTenant := r.tenant == "" || r.tenant == r.who.tenant
+		ownTenant := r.tenant == "" || r.tenant == r.caller.tenant
 		if !known || !found.forTenants || !ownTenant {
 			return errorResponse(http.StatusNotFound, "no_tenant", "", "there is nothing here for this key")
 		}
--- a/internal/admin/routes_test.go
+++ b/internal/admin/routes_test.go
@@ -10,7 +10,7 @@
 	"plumspindle/internal/tenancy"
 )
 
-// The description that is served names each route and limit, and no other route.
+// The OpenAPI document describes each route except metrics, each limit, and no other route.
 func TestOpenAPIDescribesRoutes(t *testing.T) {
 	e := newEnvironment(t, 1)
 	e.addTenant("a", `{}`)
@@ -28,9 +28,9 @@
 		})
 		return true
 	})
-	const withoutMetrics = 1
-	if described != 16 || described != len(routes)-withoutMetrics {
-		t.Errorf("%d of %d routes are described", described, len(routes)-withoutMetrics)
+	const undescribed = 1 // metrics
+	if described != 16 || described != len(routes)-undescribed {
+		t.Errorf("%d of %d routes are described", described, len(routes)-undescribed)
 	}
 	properties := document.Get("components.schemas.Limits.properties")
 	if fields := properties.Map(); len(fields) != 8 {
--- a/internal/admin/server.go
+++ b/internal/admin/server.go
@@ -1,12 +1,12 @@
-// Package admin is the administration of tenants: an HTTP API on a listener of its own.
+// Package admin is the server for the administration of tenants. It has an HTTP API on a listener of its own.
 //
-// Operators manage tenants and their keys with it, and tenants their own keys. Dispatchers follow the changes as a
-// stream of updates and report usage. The package owns the registry, the usage ledger and their records, which are
-// written before a change takes effect or a call is answered. The changes themselves are made by package tenancy.
+// Operators manage tenants and their keys with the API, and tenants manage their own keys. Dispatchers receive changes
+// as a stream of updates and report usage. The package owns the registry, the usage ledger and their records, which it
+// saves before a change takes effect and before it answers the request. Package tenancy makes the changes themselves.
 //
-// It relies on its caller for the listener and an event loop, which all of its code runs on, and on Records to be
-// durable when Save returns. It shows a key only in the answer to its creation and a key's MAC only to dispatchers, and
-// logs neither.
+// The caller provides the listener and the event loop that all code of the package runs on. Records must be durable
+// when Save returns. The package shows a key only in the answer to its creation, and the MAC of a key only to
+// dispatchers. It logs neither.
 package admin
 
 import (
@@ -22,53 +22,53 @@
 	"plumspindle/internal/tenancy"
 )
 
-// Records is the storage of the administration.
+// Records is the key-value storage of the administration.
 type Records interface {
 	ScanFrom(from, prefix string, each func(key string, value []byte) bool)
 	Get(key string) ([]byte, bool)
-	// Save makes changes together, all or none, and returns only once they are durable.
+	// Save applies all changes or none, and returns only once they are durable.
 	Save(ops []store.Op) error
 }
 
-// Config is what an administration is started with.
+// Config configures a Server.
 type Config struct {
-	Secret  []byte // shared with the dispatchers; minSecretBytes at least
+	Secret  []byte // shared with the dispatchers; at least minSecretBytes
 	Staff   []Staff
 	Records Records
-	Random  io.Reader // source of the random bytes of keys
+	Random  io.Reader // source of random bytes for keys
 	Log     zerolog.Logger
 }
 
-// Server is the administration on one event loop.
+// Server is an administration server on one event loop.
 type Server struct {
-	loop      eventloop.Loop
-	secret    []byte
-	feedToken string // that dispatchers authenticate with
-	staff     []Staff
-	records   Records
-	random    io.Reader
-	log       zerolog.Logger
+	loop            eventloop.Loop
+	secret          []byte
+	dispatcherToken string // token that dispatchers authenticate with
+	staff           []Staff
+	records         Records
+	random          io.Reader
+	log             zerolog.Logger
 
-	registry  *tenancy.Registry
-	ledger    *tenancy.UsageLedger
-	changes   uint64 // entries in the audit log
-	followers []*connection
+	registry     *tenancy.Registry
+	ledger       *tenancy.UsageLedger
+	auditEntries uint64 // number of entries in the audit log
+	followers    []*connection
 }
 
-// Start restores the state from the records and starts the heartbeat on the loop.
+// Start returns a server with the state from the records, and starts its periodic tasks on the loop.
 func Start(loop eventloop.Loop, config Config) (*Server, error) {
 	if len(config.Secret) < minSecretBytes {
-		return nil, fmt.Errorf("the secret has %d bytes; it needs %d at least", len(config.Secret), minSecretBytes)
+		return nil, fmt.Errorf("the secret has %d bytes; it needs at least %d", len(config.Secret), minSecretBytes)
 	}
 	s := &Server{
-		loop:      loop,
-		secret:    config.Secret,
-		feedToken: dispatch.FeedToken(config.Secret),
-		staff:     config.Staff,
-		records:   config.Records,
-		random:    config.Random,
-		log:       config.Log,
-		ledger:    tenancy.NewUsageLedger(),
+		loop:            loop,
+		secret:          config.Secret,
+		dispatcherToken: dispatch.FeedToken(config.Secret),
+		staff:           config.Staff,
+		records:         config.Records,
+		random:          config.Random,
+		log:             config.Log,
+		ledger:          tenancy.NewUsageLedger(),
 	}
 	if err := s.restore(); err != nil {
 		return nil, err
@@ -76,18 +76,18 @@
 	if s.registry == nil {
 		s.registry = tenancy.NewRegistry(strconv.FormatInt(int64(loop.Now()), 36))
 	}
-	s.tick()
+	s.runPeriodicTasks()
 	return s, nil
 }
 
-// heartbeatInterval is how often followers get a heartbeat.
+// heartbeatInterval is the interval of heartbeats to followers, and of attempts to complete removals.
 const heartbeatInterval = 4 * eventloop.Second
 
-func (s *Server) tick() {
+func (s *Server) runPeriodicTasks() {
 	s.sendHeartbeats()
 	s.completeRemovals()
-	s.loop.AfterFunc(heartbeatInterval, s.tick)
+	s.loop.AfterFunc(heartbeatInterval, s.runPeriodicTasks)
 }
 
-// now returns the time in seconds since 1970.
+// now returns the current time in seconds since 1970.
 func (s *Server) now() int64 { return int64(s.loop.Now() / eventloop.Second) }
--- a/internal/admin/stored.go
+++ b/internal/admin/stored.go
@@ -13,29 +13,30 @@
 	"plumspindle/internal/tenancy"
 )
 
-// StoredRecords are records in an embedded store in a folder. Save blocks the administration's event loop until the
-// changes are durable: only then is a call answered and the next change begun.
+// StoredRecords are records in an embedded store, whose files are in one folder. Save blocks the event loop of the
+// server until the changes are durable. The server answers the request and begins the next change only then.
 type StoredRecords struct {
 	*store.Store
 
-	files   *store.Files
-	posted  chan func() // results of the disk
-	timeout time.Duration
+	files       *store.Files
+	diskResults chan func() // each function handles the result of a disk operation
+	timeout     time.Duration
 }
 
 const (
-	diskTimeout   = 20 * time.Second // of one change
-	postedResults = 1024             // that are buffered
+	diskTimeout        = 20 * time.Second // for one change
+	maxBufferedResults = 1024
 )
 
-// ErrDiskTimeout is the error of a change that the disk did not confirm in time.
+// ErrDiskTimeout is returned for a change that the disk has not confirmed within the timeout. The change may still
+// become durable later.
 var ErrDiskTimeout = errors.New("the disk does not answer; whether the change is kept shows at the next start")
 
-// OpenStoredRecords opens the store of a folder, or creates it. Records of versions without a store are migrated.
+// OpenStoredRecords opens the store in a folder, or creates it. It migrates the records of versions without a store.
 func OpenStoredRecords(dir string) (*StoredRecords, error) {
-	r := &StoredRecords{posted: make(chan func(), postedResults), timeout: diskTimeout}
+	r := &StoredRecords{diskResults: make(chan func(), maxBufferedResults), timeout: diskTimeout}
 	var err error
-	if r.files, err = store.OpenFiles(dir, func(answer func()) { r.posted <- answer }); err != nil {
+	if r.files, err = store.OpenFiles(dir, func(handle func()) { r.diskResults <- handle }); err != nil {
 		return nil, err
 	}
 	if r.Store, err = store.Open(r.files, store.DefaultLimits); err != nil {
@@ -44,19 +45,19 @@
 	}
 	if err := r.migrate(dir); err != nil {
 		r.files.Close()
-		return nil, fmt.Errorf("%s: the records of before can't be moved into the store: %w", dir, err)
+		return nil, fmt.Errorf("%s: migrate the records of an earlier version into the store: %w", dir, err)
 	}
 	return r, nil
 }
 
-// Close releases the folder.
+// Close closes the store's files and unlocks the folder.
 func (r *StoredRecords) Close() { r.files.Close() }
 
-// Save commits the changes in one transaction and waits until they are durable. A store that has failed is repaired
-// first, so that the administration need not be restarted once its disk accepts writes again.
+// Save commits the changes in one transaction and waits until they are durable. If the store has failed before, Save
+// repairs it first, so that the server need not be restarted once the disk accepts writes again.
 func (r *StoredRecords) Save(ops []store.Op) error {
 	if r.Err() != nil {
-		err := r.wait(func(done func(error)) error {
+		err := r.runAndWait(func(done func(error)) error {
 			r.Repair(done)
 			return nil
 		})
@@ -64,11 +65,11 @@
 			return err
 		}
 	}
-	return r.wait(func(done func(error)) error { return r.Commit(ops, nil, store.WriteNow, done) })
+	return r.runAndWait(func(done func(error)) error { return r.Commit(ops, nil, store.WriteNow, done) })
 }
 
-// wait starts an operation of the store and waits for its end.
-func (r *StoredRecords) wait(start func(done func(error)) error) error {
+// runAndWait starts an operation of the store and waits until it has ended or the timeout has passed.
+func (r *StoredRecords) runAndWait(start func(done func(error)) error) error {
 	var ended bool
 	var result error
 	err := start(func(err error) { ended, result = true, err })
@@ -77,40 +78,41 @@
 	}
 	for timeout := time.After(r.timeout); !ended; {
 		select {
-		case answer := <-r.posted:
-			answer()
+		case handle := <-r.diskResults:
+			handle()
 		case <-timeout:
 			return ErrDiskTimeout
 		}
 	}
-	r.handlePosted()
+	r.handleDiskResults()
 	return result
 }
 
-// handlePosted handles the other results that have arrived meanwhile, such as the end of a snapshot.
-func (r *StoredRecords) handlePosted() {
+// handleDiskResults handles the results of other disk operations that have ended meanwhile, such as those of a
+// snapshot.
+func (r *StoredRecords) handleDiskResults() {
 	for {
 		select {
-		case answer := <-r.posted:
-			answer()
+		case handle := <-r.diskResults:
+			handle()
 		default:
 			return
 		}
 	}
 }
 
-// Files of versions without a store, and the suffix of their names after the migration.
+// Names of the files of versions without a store, and the suffix that the migration adds to the names.
 const (
 	legacyRecordsFile = "tenants.json"
 	legacyAuditFile   = "changes.ndjson"
 	migratedSuffix    = ".moved"
 )
 
-// legacyRecords is the content of legacyRecordsFile.
+// legacyRecords is the JSON content of legacyRecordsFile.
 type legacyRecords struct {
 	Registry    *tenancy.Registry    `json:"registry"`
 	Ledger      *tenancy.UsageLedger `json:"ledger"`
-	CreatedKeys map[string]string    `json:"made_keys"` // ids by tenant, zero, Idempotency-Key
+	CreatedKeys map[string]string    `json:"made_keys"` // key ids by tenant name, zero byte, Idempotency-Key
 }
 
 func (l legacyRecords) complete() bool {
@@ -131,10 +133,10 @@
 	if r.Len() == 0 {
 		var legacy legacyRecords
 		if err := json.Unmarshal(encoded, &legacy); err != nil {
-			return fmt.Errorf("%s is not a whole record: %w", recordsPath, err)
+			return fmt.Errorf("%s is not a complete record: %w", recordsPath, err)
 		}
 		if !legacy.complete() {
-			return fmt.Errorf("%s is not a whole record: it has no registry, epoch or ledger", recordsPath)
+			return fmt.Errorf("%s is not a complete record: the registry, its epoch or the ledger is missing", recordsPath)
 		}
 		audit, err := os.ReadFile(auditPath)
 		if err != nil && !errors.Is(err, os.ErrNotExist) {
@@ -152,7 +154,7 @@
 	return nil
 }
 
-// ops returns the records in the form of the store.
+// ops returns the operations that store the records, and the entries of an audit log with one entry in each line.
 func (l legacyRecords) ops(audit []byte) []store.Op {
 	ops := []store.Op{registryOp(l.Registry)}
 	for _, name := range l.Registry.Names() {
@@ -165,14 +167,14 @@
 		ops = append(ops, reportNumberOp(dispatcher, number))
 	}
 	for key, id := range l.CreatedKeys {
-		ops = append(ops, store.Op{Key: createdKeyPrefix + key, Value: []byte(id)})
+		ops = append(ops, store.Op{Key: idempotencyPrefix + key, Value: []byte(id)})
 	}
 	for number := uint64(0); ; number++ {
 		line, rest, complete := bytes.Cut(audit, []byte("\n"))
-		if !complete { // an incomplete last line belongs to a change that was not made
+		if !complete { // an incomplete last line belongs to a change that was never made
 			return ops
 		}
-		ops = append(ops, store.Op{Key: auditRecord(number), Value: line})
+		ops = append(ops, store.Op{Key: auditRecordKey(number), Value: line})
 		audit = rest
 	}
 }
--- a/internal/admin/stored_disk_test.go
+++ b/internal/admin/stored_disk_test.go
@@ -17,18 +17,18 @@
 	"plumspindle/internal/virtual"
 )
 
-// operationTime is what the virtual disk is given for an operation.
+// operationTime is the virtual time that passes during each disk operation.
 const operationTime = eventloop.Second
 
-// postingDisk is a virtual disk whose answers go to a channel, as those of a real one do.
+// postingDisk is a virtual disk that sends the results of its operations to a channel, as store.Files does.
 type postingDisk struct {
 	*virtual.Disk
 	network *virtual.Network
-	posted  chan func()
+	results chan func()
 }
 
 func (d *postingDisk) post(done func(error)) func(error) {
-	return func(err error) { d.posted <- func() { done(err) } }
+	return func(err error) { d.results <- func() { done(err) } }
 }
 
 func (d *postingDisk) Append(name string, data []byte, done func(error)) {
@@ -41,7 +41,7 @@
 	d.network.Run(operationTime)
 }
 
-// storedServer is an administration whose records are on a virtual disk.
+// storedServer is a server whose records are on a virtual disk.
 type storedServer struct {
 	*Server
 	t       *testing.T
@@ -51,9 +51,9 @@
 func startOnDisk(t *testing.T, network *virtual.Network, disk *virtual.Disk, timeout time.Duration) *storedServer {
 	t.Helper()
 	loop := network.NewLoop("admin")
-	records := &StoredRecords{posted: make(chan func(), 16), timeout: timeout}
+	records := &StoredRecords{diskResults: make(chan func(), 16), timeout: timeout}
 	var err error
-	posting := &postingDisk{disk.AttachTo(loop), network, records.posted}
+	posting := &postingDisk{disk.AttachTo(loop), network, records.diskResults}
 	if records.Store, err = store.Open(posting, store.DefaultLimits); err != nil {
 		t.Fatal(err)
 	}
@@ -68,7 +68,7 @@
 	return s
 }
 
-// createTenantRequest is an operator's request for a new tenant.
+// createTenantRequest returns an operator's request to create a tenant.
 func createTenantRequest(name string) *request {
 	return &request{
 		method: "POST",
@@ -76,19 +76,19 @@
 		query:  map[string]string{},
 		head:   &http1.Head{},
 		body:   fmt.Appendf(nil, `{"name":%q}`, name),
-		who:    caller{name: "ann", role: Operator},
+		caller: caller{name: "ann", role: Operator},
 	}
 }
 
-// create asks for a new tenant; the answer must have a status.
+// create makes a request to create a tenant, and checks the status of the answer.
 func (s *storedServer) create(name string, want int) {
 	s.t.Helper()
 	if got := s.route(createTenantRequest(name)); got.status != want {
-		s.t.Errorf("tenant %s: %+v, want %d", name, got, want)
+		s.t.Errorf("creation of tenant %s: %+v, want status %d", name, got, want)
 	}
 }
 
-// report sends a usage report; the answer must have a status.
+// report sends a usage report, and checks the status of the answer.
 func (s *storedServer) report(number uint64, want int) {
 	s.t.Helper()
 	body, err := json.Marshal(tenancy.UsageReport{Dispatcher: "d1", Number: number, Usage: []tenancy.Usage{
@@ -98,13 +98,12 @@
 		s.t.Fatal(err)
 	}
 	if got := s.addReport(body); got.status != want {
-		s.t.Errorf("report %d: %+v, want %d", number, got, want)
+		s.t.Errorf("report %d: %+v, want status %d", number, got, want)
 	}
 }
 
-// The records' disk is full or fails for a while: changes are rejected and not made, reports are sent again,
-// and both are accepted afterwards, without a restart. A start finds what was acknowledged and nothing that
-// was rejected.
+// While the disk of the records is full or fails, the server rejects changes and reports. It accepts both again
+// afterwards without a restart. A restarted server has everything that was acknowledged and nothing that was rejected.
 func TestRecordsOnFullDisk(t *testing.T) {
 	network := virtual.NewNetwork(1)
 	disk := network.NewDisk()
@@ -130,7 +129,7 @@
 	s.create("last", 201)
 	want = append(want, "last")
 	if s.records.Err() != nil {
-		t.Error("the store has failed for good")
+		t.Error("the store has not recovered")
 	}
 	again := startOnDisk(t, network, disk, diskTimeout)
 	if used := again.ledger.UsageOf(""); len(used) != 1 || used[0].Accepted != number || number != 6 {
@@ -138,18 +137,18 @@
 	}
 	slices.Sort(want)
 	if names := again.registry.Names(); !slices.Equal(names, want) {
-		t.Errorf("tenants after a start: %v", names)
+		t.Errorf("tenants after a restart: %v", names)
 	}
 }
 
-// The records' disk stalls: the change is rejected in time, and the next one is accepted once the disk
-// answers again, without a restart.
+// While the disk of the records stalls, changes are rejected after a timeout. Once the disk responds again, the next
+// change is accepted without a restart.
 func TestRecordsOnStallingDisk(t *testing.T) {
 	network := virtual.NewNetwork(1)
 	disk := network.NewDisk()
 	s := startOnDisk(t, network, disk, 20*time.Millisecond)
 	s.create("one", 201)
-	disk.SyncTime = 60 * eventloop.Second // of virtual time, of which an operation lets operationTime pass
+	disk.SyncTime = 60 * eventloop.Second // longer than operationTime
 	for _, name := range []string{"two", "three"} {
 		s.create(name, 500)
 	}
@@ -157,7 +156,7 @@
 	network.Run(200 * eventloop.Second)
 	s.create("four", 201)
 	if s.records.Err() != nil {
-		t.Errorf("once the disk answers: %v", s.records.Err())
+		t.Errorf("the store has not recovered: %v", s.records.Err())
 	}
 	if names := s.registry.Names(); !slices.Equal(names, []string{"four", "one"}) {
 		t.Errorf("tenants: %v", names)
--- a/internal/admin/stored_test.go
+++ b/internal/admin/stored_test.go
@@ -25,20 +25,20 @@
 	"plumspindle/internal/sockets"
 )
 
-// What the fixtures were made with; all of it is for tests only.
+// Secrets that the fixtures were made with. They are for tests only.
 const (
 	testSecret  = "test-secret-of-the-fixtures-not-for-use-anywhere"
 	operatorKey = "test-operator-key-of-the-fixtures"
 )
 
-// api is an administration that was started on a copy of stored records.
+// api is a client of an administration server that was started on a copy of stored records.
 type api struct {
 	t    *testing.T
 	base string
 }
 
-// copiedRecords gives a copy of a stored folder, so that the fixture itself never changes.
-func copiedRecords(t *testing.T, fixture string) (dir string) {
+// copyRecords copies the folder of a fixture, so that the fixture itself never changes.
+func copyRecords(t *testing.T, fixture string) (dir string) {
 	t.Helper()
 	dir = t.TempDir()
 	if err := os.CopyFS(dir, os.DirFS("testdata/"+fixture)); err != nil {
@@ -47,7 +47,7 @@
 	return dir
 }
 
-// serve starts an administration on a folder.
+// serve starts an administration server on a folder.
 func serve(t *testing.T, dir string) api {
 	t.Helper()
 	records, err := admin.OpenStoredRecords(dir)
@@ -77,7 +77,7 @@
 	return api{t, "http://" + ln.Addr()}
 }
 
-// send makes one call and leaves its answer open.
+// send makes one call and returns its answer with the body unread.
 func (a api) send(key, method, path, body string, fields ...string) *http.Response {
 	a.t.Helper()
 	request, err := http.NewRequestWithContext(a.t.Context(), method, a.base+path, strings.NewReader(body))
@@ -96,7 +96,7 @@
 	return response
 }
 
-// call makes one call and gives its answer.
+// call makes one call and returns the status and the decoded body of the answer.
 func (a api) call(key, method, path, body string, fields ...string) (status int, answer any) {
 	a.t.Helper()
 	response := a.send(key, method, path, body, fields...)
@@ -104,12 +104,12 @@
 	if err != nil {
 		a.t.Fatal(err)
 	}
-	return response.StatusCode, decoded(a.t, text)
+	return response.StatusCode, decodeJSON(a.t, text)
 }
 
-// feed is the first event that a dispatcher is sent that knows a version: what has changed since, with the
-// seals of keys.
-func (a api) feed(epoch string, since int) any {
+// firstUpdate returns the first event that the server sends to a dispatcher with a version. It has the changes since
+// that version, including the MACs of keys.
+func (a api) firstUpdate(epoch string, since int) any {
 	a.t.Helper()
 	path := fmt.Sprintf("/internal/v1/tenants?epoch=%s&since=%d", epoch, since)
 	response := a.send(dispatch.FeedToken([]byte(testSecret)), "GET", path, "", "x-dispatcher", "reader")
@@ -119,12 +119,12 @@
 			a.t.Fatal(err)
 		}
 		if data, found := bytes.CutPrefix(line, []byte("data: ")); found {
-			return decoded(a.t, data)
+			return decodeJSON(a.t, data)
 		}
 	}
 }
 
-func decoded(t *testing.T, text []byte) (value any) {
+func decodeJSON(t *testing.T, text []byte) (value any) {
 	t.Helper()
 	if err := json.Unmarshal(text, &value); err != nil {
 		t.Fatalf("%v: %s", err, text)
@@ -132,7 +132,7 @@
 	return value
 }
 
-// goldenAnswers are what the build that wrote a folder answered.
+// goldenAnswers are the answers of the build that wrote the records of a fixture.
 type goldenAnswers struct {
 	Tenants  any               `json:"tenants"`
 	Usage    any               `json:"usage"`
@@ -142,7 +142,7 @@
 	TestKeys map[string]string `json:"test_keys"`
 }
 
-func answers(t *testing.T, fixture string) (golden goldenAnswers) {
+func readGoldenAnswers(t *testing.T, fixture string) (golden goldenAnswers) {
 	t.Helper()
 	text, err := os.ReadFile("testdata/" + fixture + ".answers.json")
 	if err != nil {
@@ -154,7 +154,7 @@
 	return golden
 }
 
-func same(t *testing.T, what string, got, want any) {
+func assertEqual(t *testing.T, what string, got, want any) {
 	t.Helper()
 	if reflect.DeepEqual(got, want) {
 		return
@@ -164,14 +164,14 @@
 	t.Errorf("%s: got:\n%s\nwant:\n%s", what, gotText, wantText)
 }
 
-// Both forms of records, the store and the files of before it, are read completely: tenants with limits and keys,
-// usage, the log of changes, public texts, the update for dispatchers, also after a second start. A report
-// that counted does not count again, a later one does.
+// The server reads both forms of records, the store and the files of versions without a store, completely, also at a
+// second start: tenants with limits and keys, usage, the audit log, public texts and the update for dispatchers. A
+// report that was counted before does not count again; a new one does.
 func TestReadsRecordsOfEarlierVersion(t *testing.T) {
 	for _, fixture := range []string{"records-v1", "records-before-store"} {
 		t.Run(fixture, func(t *testing.T) {
-			golden := answers(t, fixture)
-			dir := copiedRecords(t, fixture)
+			golden := readGoldenAnswers(t, fixture)
+			dir := copyRecords(t, fixture)
 			for _, start := range []string{"first", "second"} {
 				t.Run(start+" start", func(t *testing.T) {
 					a := serve(t, dir)
@@ -182,21 +182,21 @@
 						if status != 200 {
 							t.Errorf("%s: status %d", path, status)
 						}
-						same(t, path, got, want)
+						assertEqual(t, path, got, want)
 					}
-					same(t, "feed", a.feed("", 0), golden.Feed)
+					assertEqual(t, "feed", a.firstUpdate("", 0), golden.Feed)
 				})
 			}
-			t.Run("keys", func(t *testing.T) { keysFit(t, serve(t, dir), golden.TestKeys) })
-			t.Run("changes", func(t *testing.T) { dispatchersMissNothing(t, serve(t, dir), golden.Feed) })
-			t.Run("reports", func(t *testing.T) { reportsCountOnce(t, serve(t, dir), golden.Usage) })
+			t.Run("keys", func(t *testing.T) { checkKeys(t, serve(t, dir), golden.TestKeys) })
+			t.Run("changes", func(t *testing.T) { checkUpdates(t, serve(t, dir), golden.Feed) })
+			t.Run("reports", func(t *testing.T) { checkReportsCountOnce(t, serve(t, dir), golden.Usage) })
 		})
 	}
 }
 
-// keysFit: keys with the scope of the administration open it as far as they did, and a repeated creation
-// names the key made.
-func keysFit(t *testing.T, a api, keys map[string]string) {
+// checkKeys checks that keys with the scope for the administration have the same access as before, and that a repeated
+// creation returns the id of the key that was created.
+func checkKeys(t *testing.T, a api, keys map[string]string) {
 	t.Helper()
 	for name, want := range map[string]int{
 		"bahari ci":   200,
@@ -218,16 +218,17 @@
 		path := "/admin/v1/tenants/" + tenant + "/keys"
 		status, got := a.call(operatorKey, "POST", path, "", "Idempotency-Key", test.idempotencyKey)
 		id := strings.Split(test.key, "-")[1]
-		same(t, "repeated creation for "+tenant, got, map[string]any{"id": id, "note": "made before; a key is shown once"})
+		want := map[string]any{"id": id, "note": "made before; a key is shown once"}
+		assertEqual(t, "repeated creation for "+tenant, got, want)
 		if status != 200 {
 			t.Errorf("repeated creation for %s: status %d", tenant, status)
 		}
 	}
 }
 
-// dispatchersMissNothing: a dispatcher that knew an earlier version gets each tenant that has changed
-// since; a new tenant gets an id that none had.
-func dispatchersMissNothing(t *testing.T, a api, complete any) {
+// checkUpdates checks that a dispatcher with an earlier version gets each tenant that has changed since, and that a new
+// tenant gets an unused id.
+func checkUpdates(t *testing.T, a api, complete any) {
 	t.Helper()
 	epoch := complete.(map[string]any)["epoch"].(string)
 	for since, want := range map[int][]string{
@@ -237,22 +238,23 @@
 		12: {"bahari"},
 	} {
 		var names []string
-		for _, tenant := range a.feed(epoch, since).(map[string]any)["tenants"].([]any) {
+		for _, tenant := range a.firstUpdate(epoch, since).(map[string]any)["tenants"].([]any) {
 			names = append(names, tenant.(map[string]any)["name"].(string))
 		}
 		if !slices.Equal(names, want) {
 			t.Errorf("changed since version %d: %v, want %v", since, names, want)
 		}
 	}
-	status, made := a.call(operatorKey, "POST", "/admin/v1/tenants", `{"name":"new"}`)
+	status, created := a.call(operatorKey, "POST", "/admin/v1/tenants", `{"name":"new"}`)
 	if status != 201 {
-		t.Fatalf("status %d: %v", status, made)
+		t.Fatalf("status %d: %v", status, created)
 	}
-	same(t, "id of a new tenant", made.(map[string]any)["id"], 4.0)
+	assertEqual(t, "id of a new tenant", created.(map[string]any)["id"], 4.0)
 }
 
-// reportsCountOnce: the numbers of the last reports are known.
-func reportsCountOnce(t *testing.T, a api, usage any) {
+// checkReportsCountOnce checks that the server knows the numbers of the last reports: it does not count those reports
+// again, and counts new ones.
+func checkReportsCountOnce(t *testing.T, a api, usage any) {
 	t.Helper()
 	report := func(dispatcher string, number int) {
 		t.Helper()
@@ -272,19 +274,19 @@
 	}
 	report("d1", 2)
 	report("d2", 5)
-	same(t, "usage after reports that counted before", taken(), 0.0)
+	assertEqual(t, "usage after repeated reports", taken(), 0.0)
 	_, all := a.call(operatorKey, "GET", "/admin/v1/usage", "")
-	same(t, "all usage after them", all, usage)
+	assertEqual(t, "usage of all tenants after repeated reports", all, usage)
 	report("d1", 3)
 	report("d2", 6)
-	same(t, "usage after new reports", taken(), 2.0)
+	assertEqual(t, "usage after new reports", taken(), 2.0)
 }
 
-// Each key and value of stored records is read as it was stored.
+// Each key and each value of stored records is read unchanged.
 func TestReadsEachRecordOfEarlierVersion(t *testing.T) {
 	for _, fixture := range []string{"records-v1", "records-v1-removing"} {
 		t.Run(fixture, func(t *testing.T) {
-			records, err := admin.OpenStoredRecords(copiedRecords(t, fixture))
+			records, err := admin.OpenStoredRecords(copyRecords(t, fixture))
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -305,10 +307,10 @@
 	}
 }
 
-// The files of before the store keep their content under the names that say that they were moved.
+// The migration renames the files of versions without a store and does not change their content.
 func TestKeepsTheFilesOfBeforeTheStore(t *testing.T) {
 	const fixture = "records-before-store"
-	dir := copiedRecords(t, fixture)
+	dir := copyRecords(t, fixture)
 	records, err := admin.OpenStoredRecords(dir)
 	if err != nil {
 		t.Fatal(err)
@@ -324,21 +326,21 @@
 			t.Errorf("%s.moved: %v, %d bytes of %d", name, err, len(got), len(want))
 		}
 		if _, err := os.Stat(dir + "/" + name); !errors.Is(err, os.ErrNotExist) {
-			t.Errorf("%s is still there: %v", name, err)
+			t.Errorf("%s still exists: %v", name, err)
 		}
 	}
 }
 
-// A removal that an earlier version had begun is ended, as nothing of the tenant runs anywhere: its limits
-// and keys are dropped, its usage stays.
+// The server completes a removal that an earlier version has begun, as no dispatcher runs requests of the tenant. It
+// deletes the tenant's limits and keys and keeps its usage.
 func TestEndsRemovalBegunByEarlierVersion(t *testing.T) {
 	const fixture = "records-v1-removing"
-	golden := answers(t, fixture)
+	golden := readGoldenAnswers(t, fixture)
 	want := golden.Tenants.(map[string]any)["tenants"].([]any)[0].(map[string]any)
 	if want["state"] != "removing" || want["removal"] != "stop" {
 		t.Fatalf("the fixture holds no tenant that is being removed: %v", want)
 	}
-	a := serve(t, copiedRecords(t, fixture))
+	a := serve(t, copyRecords(t, fixture))
 	_, got := a.call(operatorKey, "GET", "/admin/v1/tenants/lamu", "")
 	tenant := got.(map[string]any)
 	if removedAt, found := tenant["removed_s"].(float64); !found || removedAt <= 0 {
@@ -346,9 +348,9 @@
 	}
 	delete(tenant, "removed_s")
 	want["state"], want["limits"], want["version"] = "removed", map[string]any{}, want["version"].(float64)+1
-	same(t, "tenant", tenant, want)
+	assertEqual(t, "tenant", tenant, want)
 	_, usage := a.call(operatorKey, "GET", "/admin/v1/usage", "")
-	same(t, "usage", usage, golden.Usage)
+	assertEqual(t, "usage", usage, golden.Usage)
 	_, audit := a.call(operatorKey, "GET", "/admin/v1/audit", "")
-	same(t, "audit", audit, golden.Audit)
+	assertEqual(t, "audit", audit, golden.Audit)
 }
--- a/internal/admin/tenants.go
+++ b/internal/admin/tenants.go
@@ -28,7 +28,8 @@
 	return errorResponse(http.StatusNotFound, tenancy.CodeNoTenant, "", "there is no such tenant")
 }
 
-// tenantList is a page of tenants. The order of its members is part of the API, as with all bodies.
+// tenantList is the answer to a request for a page of tenants. The order of its members is part of the API, as is that
+// of all response bodies.
 type tenantList struct {
 	NextAfter string           `json:"next_after"` // empty on the last page
 	Tenants   []tenancy.Tenant `json:"tenants"`
@@ -58,7 +59,8 @@
 	return tenantResponse(http.StatusOK, t)
 }
 
-// The types of request bodies have no names, as the names would appear in the messages about malformed bodies.
+// The structs of request bodies are anonymous, as error messages about malformed bodies would contain the names of
+// their types.
 
 func (s *Server) createTenant(r *request) response {
 	var body struct {
@@ -67,7 +69,7 @@
 		Products map[string]tenancy.Limits `json:"products"`
 	}
 	if err := r.decode(&body); err != nil {
-		return failed(err)
+		return responseForError(err)
 	}
 	return s.change(r, "tenant created", func(registry *tenancy.Registry) (response, error) {
 		t, created, err := registry.Create(s.now(), body.Name, body.Limits, body.Products)
@@ -81,11 +83,11 @@
 	})
 }
 
-// changeTenant makes a change of a tenant and answers with the changed tenant.
+// changeTenant makes the change of a tenant that a request asks for, and returns the changed tenant as the answer.
 func (s *Server) changeTenant(
-	r *request, what string, apply func(*tenancy.Registry) (*tenancy.Tenant, error),
+	r *request, action string, apply func(*tenancy.Registry) (*tenancy.Tenant, error),
 ) response {
-	return s.change(r, what, func(registry *tenancy.Registry) (response, error) {
+	return s.change(r, action, func(registry *tenancy.Registry) (response, error) {
 		t, err := apply(registry)
 		if err != nil {
 			return response{}, err
@@ -100,7 +102,7 @@
 		Products map[string]tenancy.Limits `json:"products"`
 	}
 	if err := r.decode(&body); err != nil {
-		return failed(err)
+		return responseForError(err)
 	}
 	return s.changeTenant(r, "limits changed", func(registry *tenancy.Registry) (*tenancy.Tenant, error) {
 		return registry.SetLimits(r.tenant, r.version, body.Limits, body.Products)
@@ -124,15 +126,15 @@
 	if policy == "" {
 		policy = tenancy.RemovalFinish
 	}
-	what := "removal: " + string(policy)
-	result := s.changeTenant(r, what, func(registry *tenancy.Registry) (*tenancy.Tenant, error) {
+	action := "removal: " + string(policy)
+	result := s.changeTenant(r, action, func(registry *tenancy.Registry) (*tenancy.Tenant, error) {
 		return registry.Remove(r.tenant, r.version, policy)
 	})
 	s.loop.Defer(s.completeRemovals) // at once if the tenant has no running requests
 	return result
 }
 
-// publicTexts is the body of both calls for them.
+// publicTexts is the answer to requests that read or set the digests of public texts.
 type publicTexts struct {
 	SHA256 []string `json:"sha256"`
 }
@@ -146,7 +148,7 @@
 		SHA256 []string `json:"sha256"`
 	}
 	if err := r.decode(&body); err != nil {
-		return failed(err)
+		return responseForError(err)
 	}
 	for i, digest := range body.SHA256 {
 		raw, err := hex.DecodeString(digest)
--- a/internal/admin/usage.go
+++ b/internal/admin/usage.go
@@ -12,18 +12,18 @@
 	"plumspindle/internal/tenancy"
 )
 
-// reportReceipt acknowledges a report.
+// reportReceipt is the answer that acknowledges a usage report.
 type reportReceipt struct {
 	Number uint64 `json:"taken"`
 }
 
-// addReport adds a dispatcher's usage report. The sums are saved together with the report's number before they count
-// and before the report is acknowledged, so that it counts exactly once: a report that could not be saved is sent again
-// and is then new.
+// addReport adds a dispatcher's usage report. It saves the new sums together with the report's number before it adds
+// the report to the ledger and acknowledges it. Each report therefore counts exactly once: the dispatcher repeats a
+// report that could not be saved, which is new to the ledger then.
 func (s *Server) addReport(body []byte) response {
 	var report tenancy.UsageReport
 	if err := json.Unmarshal(body, &report); err != nil || report.Dispatcher == "" || report.Number == 0 {
-		return failed(malformed("", "not a report"))
+		return responseForError(malformed("", "not a report"))
 	}
 	if sums := s.ledger.Preview(&report); len(sums) > 0 {
 		ops := []store.Op{reportNumberOp(report.Dispatcher, report.Number)}
@@ -40,7 +40,7 @@
 	return okResponse(reportReceipt{report.Number})
 }
 
-// usageList is the usage of one tenant or of all.
+// usageList is the answer to a request for the usage of one tenant or of all tenants.
 type usageList struct {
 	Usage []tenancy.Usage `json:"usage"`
 }
@@ -52,13 +52,13 @@
 func (s *Server) getUsage(*request) response { return okResponse(usageList{s.ledger.UsageOf("")}) }
 
 const (
-	// maxTenantSeries bounds how many tenants have metrics of their own; the others are summed, so that the metrics do
-	// not grow with them.
+	// maxTenantSeries is the maximum number of tenants with metrics of their own. The other tenants are added up, so that
+	// the size of the metrics is bounded.
 	maxTenantSeries = 50
 	otherTenants    = "(others)"
 )
 
-// usageMetrics are the counters of each tenant.
+// usageMetrics are the counters that metrics exports for each tenant.
 var usageMetrics = []struct {
 	name  string
 	value func(tenancy.Usage) uint64
@@ -75,7 +75,7 @@
 	return response{status: http.StatusOK, text: s.metrics(), contentType: "text/plain; version=0.0.4"}
 }
 
-// metrics returns the usage of all days in the text format of Prometheus.
+// metrics returns the usage since the beginning in the Prometheus text format.
 func (s *Server) metrics() []byte {
 	tenants := s.usageByTenant()
 	var text strings.Builder
@@ -90,7 +90,8 @@
 	return []byte(text.String())
 }
 
-// usageByTenant returns the tenants' sums, the busiest first. Those past maxTenantSeries are added up in the last one.
+// usageByTenant returns the total usage of each tenant, in descending order of accepted requests. Tenants beyond the
+// first maxTenantSeries are added up in one last element.
 func (s *Server) usageByTenant() []tenancy.Usage {
 	sums := map[string]tenancy.Usage{}
 	for _, u := range s.ledger.UsageOf("") {
--- a/internal/admin/usage_test.go
+++ b/internal/admin/usage_test.go
@@ -12,7 +12,7 @@
 	"plumspindle/internal/virtual"
 )
 
-// A report that could not be saved is sent again and counts then, once.
+// A report that could not be saved counts once when the dispatcher repeats it.
 func TestUnsavedReportCountsWhenRepeated(t *testing.T) {
 	records := &MemoryRecords{}
 	network := virtual.NewNetwork(1)
@@ -39,14 +39,14 @@
 			records.SaveError = errors.New("disk full")
 		}
 		if got := s.addReport(report); got.status != want {
-			t.Errorf("time %d: %+v", i, got)
+			t.Errorf("attempt %d: %+v", i, got)
 		}
 		saved := start("y").ledger.UsageOf("")
 		if want != http.StatusOK && len(saved) > 0 {
-			t.Errorf("time %d: saved: %+v", i, saved)
+			t.Errorf("attempt %d: saved usage %+v", i, saved)
 		}
 		if want == http.StatusOK && (len(saved) != 1 || saved[0].Accepted != 5) {
-			t.Errorf("time %d: saved: %+v", i, saved)
+			t.Errorf("attempt %d: saved usage %+v", i, saved)
 		}
 	}
 }
