--- a/internal/tenancy/admission.go
+++ b/internal/tenancy/admission.go
@@ -14,15 +14,16 @@
 )
 
 // AdmissionController enforces all limits and quotas in one dispatcher. Each dispatcher enforces an equal share of
-// them. A request within its tenant's quota is admitted at once. An over-quota request is admitted if the window for
-// such requests allows it, and queued otherwise.
+// them. It rejects a request that would exceed a limit. It admits a request within its tenant's quota at once. A
+// request that exceeds the quota, an over-quota request, is admitted if the window for such requests allows it, and
+// queued otherwise.
 type AdmissionController struct {
-	dispatchers float64 // that share the limits
+	dispatchers float64 // number of dispatchers that share the limits
 	now         Micros
 	tenants     map[ID]*tenantAccount
 	queue       *fairQueue[*Ticket] // over-quota requests
 	window      overQuotaWindow
-	arrived     uint64 // requests that were given a ticket
+	arrived     uint64 // number of requests that got a ticket
 }
 
 // NewAdmissionController returns the controller of one dispatcher. dispatchers is the number of all dispatchers.
--- a/internal/tenancy/directory_test.go
+++ b/internal/tenancy/directory_test.go
@@ -11,7 +11,7 @@
 	"pgregory.net/rapid"
 )
 
-// A directory accepts exactly the keys that the registry has as neither expired nor revoked, and only their complete
+// A directory accepts exactly those keys that are neither expired nor revoked in the registry, and only their complete
 // texts. It stays equal to the registry also if it gets only some updates, or gets an update twice.
 func TestDirectoryFollowsRegistry(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
--- a/internal/tenancy/errors.go
+++ b/internal/tenancy/errors.go
@@ -27,7 +27,7 @@
 // ChangeError is the reason why a change of the registry is rejected. errors.Is matches two of them if their codes are
 // equal.
 type ChangeError struct {
-	Status int // of the HTTP response
+	Status int // status code of the HTTP response
 	Code   ErrorCode
 	Field  string // name of the invalid field of the request; may be empty
 	Reason string // human-readable
--- a/internal/tenancy/keys.go
+++ b/internal/tenancy/keys.go
@@ -48,7 +48,7 @@
 	Random    []byte // at least KeyRandomBytes
 }
 
-// IssuedKey is a newly issued key. It is the only place that has the key's text.
+// IssuedKey is a newly issued key. Its text is not stored.
 type IssuedKey struct {
 	Text   string
 	Record KeyRecord
--- a/internal/tenancy/registry.go
+++ b/internal/tenancy/registry.go
@@ -44,7 +44,8 @@
 	RemovedAt int64             `json:"removed_s,omitempty"`
 }
 
-// removalBegun reports whether the tenant is being removed or has been removed. Its settings can't be changed then.
+// removalBegun reports whether the tenant is being removed or has been removed. Its limits and keys can't be changed
+// then.
 func (t *Tenant) removalBegun() bool { return t.State == StateRemoving || t.State == StateRemoved }
 
 // nameReuseDelay is how many seconds the name of a removed tenant stays reserved. Reports and updates that are still in
--- a/internal/tenancy/window.go
+++ b/internal/tenancy/window.go
@@ -14,7 +14,7 @@
 	increaseDelay        = second // since the last late request
 	lateFraction         = 0.25   // of the latency objective; a first token after it is late
 
-	reservedOverQuota = 2      // over-quota requests that each tenant may have admitted in any case
+	reservedOverQuota = 2      // over-quota requests that each tenant may have admitted regardless of the window
 	prefillFraction   = 0.20   // of the prefill endpoints that over-quota requests may use while the window is contended
 	contentionPeriod  = second // how long a request within its quota makes the window contended for other tenants
 
