--- a/internal/admin/feed.go
+++ b/internal/admin/feed.go
@@ -12,7 +12,7 @@
 )
 
 // maxUnsentBytes limits the data that is buffered for a follower that lags. If there is more, the next update aborts
-// the connection. The follower reconnects and gets a complete update.
+// the connection. The follower can reconnect and get all changes since its version.
 const maxUnsentBytes = 4 << 20
 
 // heartbeatChunk is a comment in the event stream, which shows followers that the connection is alive.
--- a/internal/admin/feed_test.go
+++ b/internal/admin/feed_test.go
@@ -11,8 +11,8 @@
 	"plumspindle/internal/tenancy"
 )
 
-// The data that is buffered for a follower that reads nothing is bounded. The follower's connection is aborted, and it
-// gets a complete update when it reconnects.
+// The data that is buffered for a follower that reads nothing is bounded, as the server aborts its connection. Other
+// followers stay connected.
 func TestFollowerThatReadsNothingIsCutOff(t *testing.T) {
 	e := newEnvironment(t, 1)
 	follower := &clientCall{
--- a/internal/admin/stored.go
+++ b/internal/admin/stored.go
@@ -119,8 +119,8 @@
 	return l.Registry != nil && l.Registry.Epoch != "" && l.Ledger != nil
 }
 
-// migrate moves the records of a version without a store into it in one transaction, and renames the files. A
-// crash in between does no harm: once the store is not empty, the files are not read again.
+// migrate copies the records of a version without a store into the store in one transaction, and then renames the
+// files. A crash in between does no harm: if the store is not empty at the next start, migrate only renames the files.
 func (r *StoredRecords) migrate(dir string) error {
 	recordsPath, auditPath := filepath.Join(dir, legacyRecordsFile), filepath.Join(dir, legacyAuditFile)
 	encoded, err := os.ReadFile(recordsPath)
--- a/internal/admin/tenants.go
+++ b/internal/admin/tenants.go
@@ -130,7 +130,7 @@
 	result := s.changeTenant(r, action, func(registry *tenancy.Registry) (*tenancy.Tenant, error) {
 		return registry.Remove(r.tenant, r.version, policy)
 	})
-	s.loop.Defer(s.completeRemovals) // at once if the tenant has no running requests
+	s.loop.Defer(s.completeRemovals) // at once if there is no live dispatcher that may have running requests
 	return result
 }
 
