--- a/internal/admin/migration_test.go
+++ b/internal/admin/migration_test.go
@@ -111,7 +111,7 @@
 		t.Errorf("after %d restarts: %d entries in the audit log", restarts, s.auditEntries)
 	}
 	used := s.ledger.UsageOf("a")
-	if s.ledger.Numbers["d1"] != 7 || len(used) != 1 || used[0].Completed != 4 {
+	if s.ledger.LastNumbers["d1"] != 7 || len(used) != 1 || used[0].Completed != 4 {
 		t.Errorf("after %d restarts: ledger %+v", restarts, s.ledger)
 	}
 }
--- a/internal/admin/records.go
+++ b/internal/admin/records.go
@@ -139,7 +139,7 @@
 func (s *Server) restoreReportNumber(dispatcher string, value []byte) error {
 	var number uint64
 	err := json.Unmarshal(value, &number)
-	s.ledger.Numbers[dispatcher] = number
+	s.ledger.LastNumbers[dispatcher] = number
 	return err
 }
 
--- a/internal/admin/stored.go
+++ b/internal/admin/stored.go
@@ -163,7 +163,7 @@
 	for _, u := range l.Ledger.UsageOf("") {
 		ops = append(ops, usageOp(u))
 	}
-	for dispatcher, number := range l.Ledger.Numbers {
+	for dispatcher, number := range l.Ledger.LastNumbers {
 		ops = append(ops, reportNumberOp(dispatcher, number))
 	}
 	for key, id := range l.CreatedKeys {
--- a/internal/tenancy/ledger.go
+++ b/internal/tenancy/ledger.go
@@ -10,8 +10,8 @@
 
 // UsageLedger adds up the usage reports of all dispatchers in the administration.
 type UsageLedger struct {
-	Sums    map[string]Usage  `json:"sums"`    // by Usage.Key
-	Numbers map[string]uint64 `json:"numbers"` // by dispatcher: the number of the last report that was added
+	Sums        map[string]Usage  `json:"sums"`    // by Usage.Key
+	LastNumbers map[string]uint64 `json:"numbers"` // by dispatcher: the number of the last report that was added
 
 	lastReport map[string]Micros          // by dispatcher: when the last report arrived
 	drained    map[string]map[string]bool // by removed tenant: the dispatchers without running requests of the tenant
@@ -20,16 +20,16 @@
 // NewUsageLedger returns an empty ledger.
 func NewUsageLedger() *UsageLedger {
 	return &UsageLedger{
-		Sums:       map[string]Usage{},
-		Numbers:    map[string]uint64{},
-		lastReport: map[string]Micros{},
-		drained:    map[string]map[string]bool{},
+		Sums:        map[string]Usage{},
+		LastNumbers: map[string]uint64{},
+		lastReport:  map[string]Micros{},
+		drained:     map[string]map[string]bool{},
 	}
 }
 
 // counted reports whether a report was added before.
 func (l *UsageLedger) counted(report *UsageReport) bool {
-	return report.Number <= l.Numbers[report.Dispatcher]
+	return report.Number <= l.LastNumbers[report.Dispatcher]
 }
 
 // Preview returns the new values of the sums that a report would change. It returns nil if the report was added before.
@@ -68,7 +68,7 @@
 	for _, sum := range l.Preview(report) {
 		l.Sums[sum.Key()] = sum
 	}
-	l.Numbers[report.Dispatcher] = report.Number
+	l.LastNumbers[report.Dispatcher] = report.Number
 }
 
 // RemovedEverywhere reports whether each live dispatcher has reported that a removed tenant has no running requests.
--- a/internal/tenancy/tenancy.go
+++ b/internal/tenancy/tenancy.go
@@ -27,7 +27,7 @@
 	Weight        float64 `json:"weight,omitempty"`         // of a tenant among queued over-quota requests; 1 by default
 	PerS          float64 `json:"per_s,omitempty"`          // maximum rate of requests
 	TokensPerS    float64 `json:"tokens_per_s,omitempty"`   // maximum rate of prompt and output tokens
-	BurstS        float64 `json:"burst_s,omitempty"`        // seconds of both rates that may be used at once; 1 by default
+	BurstS        float64 `json:"burst_s,omitempty"`        // seconds of both rates that may come at once; 1 by default
 	Concurrent    int     `json:"concurrent,omitempty"`     // maximum number of requests at once
 	LargestPrompt int     `json:"largest_prompt,omitempty"` // maximum number of prompt tokens
 	Waiting       int     `json:"waiting,omitempty"`        // maximum number of queued requests; 200 by default
