--- a/internal/batch/call.go
+++ b/internal/batch/call.go
@@ -20,16 +20,16 @@
 )
 
 const (
-	maxAttempts         = 6 // of one part, before the call is given up
-	maxEndpointFailures = 2 // of one part, before it is split to find the input that causes them
+	maxSends            = 6 // of one part, before the call fails
+	maxEndpointFailures = 2 // of one part, before it is split to isolate the input that causes them
 	firstRetryDelay     = 50 * millisecond
 	maxRetryDelay       = 2 * second
 )
 
 const (
-	// MaxEndpoints is how many endpoints may fail on one attempt of a part.
+	// MaxEndpoints is how many endpoints may fail on a part before the part comes back as EndpointFailed.
 	MaxEndpoints = 2
-	// MaxQueuedParts is how many parts of one tenant may wait to be admitted.
+	// MaxQueuedParts is how many parts of one tenant may wait for admission.
 	MaxQueuedParts = 4
 )
 
@@ -40,9 +40,9 @@
 type Failure uint8
 
 const (
-	// Overloaded means that the part was not run; it may be retried later.
+	// Overloaded means that the part was not run and may be retried later.
 	Overloaded Failure = iota
-	// EndpointFailed means that endpoints failed on the part.
+	// EndpointFailed means that the endpoints that ran the part failed.
 	EndpointFailed
 	// InvalidInput means that an endpoint rejected one of the inputs.
 	InvalidInput
@@ -52,7 +52,7 @@
 type Progress uint8
 
 const (
-	// InProgress means that other parts are in flight or to be sent.
+	// InProgress means that parts are in flight or still have to be sent.
 	InProgress Progress = iota
 	// Completed means that all parts have results.
 	Completed
@@ -60,41 +60,44 @@
 	Abandoned
 )
 
+// part is a group of inputs that one request sends to an endpoint.
 type part struct {
-	inputs           []int
-	attempts         int
+	inputs           []int // empty once the part has results or was split
+	sends            int
 	endpointFailures int
 }
 
 // PartLimits bound the size of a part.
 type PartLimits struct {
-	Tokens int // of a part with more than one input
-	Inputs int
+	Tokens int // maximum; a part with a single input may exceed it
+	Inputs int // maximum
 }
 
-// Call is one call of a client. Its inputs are numbered in their order, without duplicates.
+// Call is the state of one client call with many inputs. The inputs are numbered in their order; the caller removes
+// duplicates first.
 type Call struct {
-	FailedInput int // the input that the call failed for, or -1 if it is not a single one
-	Splits      int // parts that were split
-	Retries     int // attempts beside the first ones
+	FailedInput int // the input that made the call fail, or -1 if no single input did
+	Splits      int // how many parts were split
+	Retries     int // how many sends repeated an earlier send of the same part
 
 	parts    []part
-	ready    []PartID         // to be sent, in order
-	delayed  timerqueue.Queue // puts parts into ready when their retry is due
+	ready    []PartID         // parts to send now, in this order
+	delayed  timerqueue.Queue // moves parts to ready when their retry is due
 	pending  int              // parts without results
 	inFlight int
 	ended    bool
 }
 
-// NewCall splits inputs, given by their numbers of tokens, into parts. Inputs that follow each other stay together, so
-// that results that are returned in order can be released early.
+// NewCall returns a call whose inputs are split into parts; tokens has the token count of each input. A part holds
+// consecutive inputs, so that results can be released early although they are returned in input order.
 func NewCall(tokens []int, limits PartLimits) *Call {
 	c := &Call{FailedInput: -1}
 	c.Add(0, tokens, limits)
 	return c
 }
 
-// Add adds inputs, numbered from first on, for a call whose body is still arriving.
+// Add splits more inputs into parts, for a call whose body is still arriving. The inputs are numbered from first on,
+// and tokens has the token count of each.
 func (c *Call) Add(first int, tokens []int, limits PartLimits) {
 	maxInputs := max(limits.Inputs, 1)
 	var inputs []int
@@ -124,22 +127,23 @@
 // InFlight returns how many parts were sent and have not come back.
 func (c *Call) InFlight() int { return c.inFlight }
 
-// Ready reports whether a part may be sent now.
+// Ready reports whether a part is to be sent now.
 func (c *Call) Ready(now Micros) bool {
 	c.delayed.Run(now)
 	return !c.ended && len(c.ready) > 0
 }
 
-// NextRetryAt returns when the next retry is due, if any is waiting.
+// NextRetryAt returns when the next delayed retry is due, and whether there is one.
 func (c *Call) NextRetryAt() (Micros, bool) { return c.delayed.Next() }
 
-// SendNext returns the next part to be sent, with its inputs; Ready must have reported one.
+// SendNext returns the next part to send and its inputs, and counts it as in flight. It may only be called after Ready
+// has returned true.
 func (c *Call) SendNext() (PartID, []int) {
 	id := c.ready[0]
 	c.ready = c.ready[1:]
 	c.inFlight++
 	p := &c.parts[id]
-	if p.attempts++; p.attempts > 1 {
+	if p.sends++; p.sends > 1 {
 		c.Retries++
 	}
 	return id, p.inputs
@@ -157,40 +161,41 @@
 	return InProgress
 }
 
-// PartFailed records that a part has come back without results. Only that part is retried. One that endpoints keep
-// failing on is split, so that a single bad input is found and the call does not fail for all. If the part was turned
-// away as overloaded, retryAfter is the delay that was asked for, or 0.
+// PartFailed records that a part has come back without results, and schedules a retry of that part only. A part with an
+// invalid input, or one that endpoints failed on repeatedly, is split instead: this isolates the input that causes the
+// failures. The call fails when a part of a single input fails like this, or when a part was sent too often. If the
+// part was rejected as overloaded, retryAfter is the requested delay, or 0 for none.
 func (c *Call) PartFailed(now Micros, id PartID, failure Failure, retryAfter Micros) Progress {
 	c.inFlight--
 	if c.ended {
 		return Abandoned
 	}
-	thisPart := &c.parts[id]
+	p := &c.parts[id]
 	if failure == EndpointFailed {
-		thisPart.endpointFailures++
+		p.endpointFailures++
 	}
-	atFault := failure == InvalidInput || failure == EndpointFailed && thisPart.endpointFailures >= maxEndpointFailures
-	if atFault && len(thisPart.inputs) > 1 {
-		c.split(thisPart)
+	inputAtFault := failure == InvalidInput || failure == EndpointFailed && p.endpointFailures >= maxEndpointFailures
+	if inputAtFault && len(p.inputs) > 1 {
+		c.split(p)
 		return InProgress
 	}
-	if atFault || thisPart.attempts >= maxAttempts {
+	if inputAtFault || p.sends >= maxSends {
 		c.ended = true
-		if len(thisPart.inputs) == 1 && failure != Overloaded {
-			c.FailedInput = thisPart.inputs[0]
+		if len(p.inputs) == 1 && failure != Overloaded {
+			c.FailedInput = p.inputs[0]
 		}
 		return Abandoned
 	}
-	delay := min(firstRetryDelay<<(thisPart.attempts-1), maxRetryDelay)
+	delay := min(firstRetryDelay<<(p.sends-1), maxRetryDelay)
 	if failure == Overloaded && retryAfter > 0 {
-		thisPart.attempts-- // doesn't count: it was not run, and waits for as long as asked
+		p.sends-- // a part that was not run and waits as long as requested does not use up a send
 		delay = retryAfter
 	}
 	c.delayed.Set(now+delay, func() { c.ready = append(c.ready, id) })
 	return InProgress
 }
 
-// split replaces a part by two.
+// split replaces a part by two parts with half of its inputs each.
 func (c *Call) split(p *part) {
 	inputs := p.inputs
 	half := len(inputs) / 2
@@ -201,5 +206,5 @@
 	c.addPart(inputs[half:])
 }
 
-// Cancel ends the call: no more parts are sent.
+// Cancel ends the call; no more parts are sent.
 func (c *Call) Cancel() { c.ended = true }
--- a/internal/batch/limiter.go
+++ b/internal/batch/limiter.go
@@ -2,25 +2,25 @@
 
 import "math"
 
-// Tuned with simulated endpoints, see docs/embeddings.md.
+// Parameters of the control loop; see docs/embeddings.md.
 const (
 	minLimit     = 1.0 // parts
 	maxLimit     = 1024.0
 	initialLimit = 4.0
 
-	// A part is slow if it takes so many times the minimum.
+	// A part is slow if its time per token exceeds the minimum by this factor.
 	slowFactor         = 3.0
-	slowFactorWithChat = 1.6    // while chat is requested,
-	chatActiveFor      = second // that is for so long after a chat request has begun
+	slowFactorWithChat = 1.6    // while chat is active
+	chatActiveFor      = second // how long chat counts as active after the start of a chat request
 
-	increase           = 1.0  // parts, for each limit of them that completed in time
-	decreaseFactor     = 0.85 // of the limit, when a part is slow
-	decreaseFactorChat = 0.5  // of the limit, when chat begins late
-	lateChatFraction   = 0.5  // of its latency objective, after which chat begins late
-	decreaseInterval   = 100 * millisecond
-	increasePause      = 500 * millisecond // after chat began late
+	increase               = 1.0               // parts that the limit grows by after as many fast parts as the limit
+	decreaseFactor         = 0.85              // applied to the limit when a part is slow or fails
+	decreaseFactorLateChat = 0.5               // applied to the limit when a chat request starts late
+	lateChatFraction       = 0.5               // of its latency objective, after which a chat request starts late
+	decreaseInterval       = 100 * millisecond // between two decreases, at least
+	increasePause          = 500 * millisecond // without increases after a chat request started late
 
-	// Now and then few parts are in flight for a while, so that the minimum time is measured anew.
+	// A probe lowers the number of parts in flight for a while, so that the minimum time is measured anew.
 	probeInterval = 4 * second
 	probeDuration = 150 * millisecond
 	probeFraction = 0.25 // of the limit
@@ -29,28 +29,28 @@
 )
 
 // Limiter limits how many parts of all calls of a dispatcher are in flight at once. It learns the limit from how long
-// parts take: while they take hardly longer than the fastest recent ones, the endpoints have capacity left; once they
-// do, more parts in flight only wait at the endpoints, and interactive requests wait behind them.
+// parts take. While parts take hardly longer than the fastest recent ones, the endpoints have spare capacity. Once
+// parts take longer, additional ones only queue at the endpoints, and interactive requests queue behind them.
 type Limiter struct {
 	limit    float64
-	fixed    int // a limit that does not change, for comparisons; 0 means to learn
+	fixed    int // a constant limit, for comparisons; 0: the limit is learned
 	inFlight int
 
-	minTime        float64 // microseconds a token of the fastest part since the last probe but one
-	recentMinTime  float64 // and since the last probe
-	probeAt        Micros  // when the current or next probe begins
-	probing        bool
-	decreasedAt    Micros
-	noIncreaseTill Micros
-	chatAt         Micros // when chat was last begun
+	minTimePerToken       float64 // microseconds, of the fastest part since the end of the probe before the last
+	recentMinTimePerToken float64 // microseconds, of the fastest part since the end of the last probe
+	probeAt               Micros  // when the current or next probe begins
+	probing               bool
+	decreasedAt           Micros
+	noIncreaseUntil       Micros
+	lastChatAt            Micros // when the last chat request started
 }
 
-// NewLimiter makes a limiter that learns, or one with a fixed limit if that is above 0.
+// NewLimiter returns a limiter that learns its limit, or one with a constant limit if fixed is above 0.
 func NewLimiter(fixed int) *Limiter {
-	return &Limiter{limit: initialLimit, fixed: fixed, chatAt: math.MinInt64 / 2}
+	return &Limiter{limit: initialLimit, fixed: fixed, lastChatAt: math.MinInt64 / 2}
 }
 
-// Limit returns how many parts may be in flight now.
+// Limit returns how many parts may be in flight at present.
 func (l *Limiter) Limit() int {
 	if l.fixed > 0 {
 		return l.fixed
@@ -67,14 +67,15 @@
 // InFlight returns how many parts are in flight.
 func (l *Limiter) InFlight() int { return l.inFlight }
 
-// Acquire records that a part is sent. It is followed by Completed or Cancelled.
+// Acquire records that a part is sent. The caller calls Completed or Cancelled when the part is no longer in flight.
 func (l *Limiter) Acquire() { l.inFlight++ }
 
-// Cancelled records that a part was cancelled, from which nothing is learned.
+// Cancelled records that a part in flight was cancelled. The limiter learns nothing from it.
 func (l *Limiter) Cancelled() { l.inFlight-- }
 
-// Completed records that a part came back: how many tokens it had, how long it took, and whether it succeeded.
-func (l *Limiter) Completed(now Micros, tokens int, took Micros, succeeded bool) {
+// Completed records that a part came back, and adjusts the limit to how long the part took for its tokens and whether
+// it succeeded.
+func (l *Limiter) Completed(now Micros, tokens int, duration Micros, succeeded bool) {
 	atLimit := l.inFlight >= int(l.limit)
 	l.inFlight--
 	l.updateProbe(now)
@@ -82,48 +83,50 @@
 		l.decrease(now, decreaseFactor)
 		return
 	}
-	perToken := max(float64(took), float64(minPartTime)) / float64(max(tokens, 1))
-	if l.recentMinTime == 0 || perToken < l.recentMinTime {
-		l.recentMinTime = perToken
+	timePerToken := max(float64(duration), float64(minPartTime)) / float64(max(tokens, 1))
+	if l.recentMinTimePerToken == 0 || timePerToken < l.recentMinTimePerToken {
+		l.recentMinTimePerToken = timePerToken
 	}
-	if l.minTime == 0 || perToken < l.minTime {
-		l.minTime = perToken
+	if l.minTimePerToken == 0 || timePerToken < l.minTimePerToken {
+		l.minTimePerToken = timePerToken
 	}
 	slow := slowFactor
-	if now-l.chatAt < chatActiveFor {
+	if now-l.lastChatAt < chatActiveFor {
 		slow = slowFactorWithChat
 	}
 	switch {
-	case perToken > slow*l.minTime:
+	case timePerToken > slow*l.minTimePerToken:
 		l.decrease(now, decreaseFactor)
-	case atLimit && now >= l.noIncreaseTill:
+	case atLimit && now >= l.noIncreaseUntil:
 		l.limit = min(l.limit+increase/l.limit, maxLimit)
 	}
 }
 
-// ChatStarted records that a chat request began after a time, and its latency objective.
-func (l *Limiter) ChatStarted(now, took, objective Micros) {
-	l.chatAt = now
-	if float64(took) > lateChatFraction*float64(objective) {
-		l.decrease(now, decreaseFactorChat)
-		l.noIncreaseTill = now + increasePause
+// ChatStarted records that a chat request started, with its latency and the objective for that.
+func (l *Limiter) ChatStarted(now, latency, objective Micros) {
+	l.lastChatAt = now
+	if float64(latency) > lateChatFraction*float64(objective) {
+		l.decrease(now, decreaseFactorLateChat)
+		l.noIncreaseUntil = now + increasePause
 	}
 }
 
-// updateProbe begins and ends probes. Without them all parts could wait in a queue that they make themselves, the
-// minimum time would be forgotten, and the queue would grow without bound.
+// updateProbe begins and ends probes. Without probes, the parts could cause a queue that they all wait in. Each
+// measured time would then include the wait, the time without a queue would be forgotten, and the queue would grow
+// without bound.
 func (l *Limiter) updateProbe(now Micros) {
 	switch {
 	case l.probeAt == 0:
 		l.probeAt = now + probeInterval
 	case l.probing && now >= l.probeAt+probeDuration:
 		l.probing, l.probeAt = false, now+probeInterval
-		l.minTime, l.recentMinTime = l.recentMinTime, 0
+		l.minTimePerToken, l.recentMinTimePerToken = l.recentMinTimePerToken, 0
 	case !l.probing && now >= l.probeAt:
 		l.probing = true
 	}
 }
 
+// decrease multiplies the limit by a factor, unless the last decrease was less than decreaseInterval ago.
 func (l *Limiter) decrease(now Micros, factor float64) {
 	if now-l.decreasedAt >= decreaseInterval {
 		l.limit, l.decreasedAt = max(l.limit*factor, minLimit), now
--- a/internal/batch/limiter_test.go
+++ b/internal/batch/limiter_test.go
@@ -6,20 +6,21 @@
 	"testing"
 )
 
-// endpointPool is a number of endpoints that each serve one part at a time, and a limiter that decides how many parts
-// they are sent.
+// endpointPool simulates endpoints that each serve one part at a time, and a limiter that decides how many parts are
+// sent to them.
 type endpointPool struct {
 	limiter *Limiter
 	now     Micros
-	freeAt  []Micros // of each endpoint
-	endsAt  []Micros // of each part in flight
+	freeAt  []Micros // when each endpoint becomes idle
+	endsAt  []Micros // when each part in flight completes
 }
 
 func newEndpointPool(endpoints int) *endpointPool {
 	return &endpointPool{limiter: NewLimiter(0), freeAt: make([]Micros, endpoints)}
 }
 
-// serveOne sends what the limiter allows, parts that take a time each, and waits for the first to complete.
+// serveOne sends as many parts as the limiter allows, each of which takes a time of cost to serve, and waits for the
+// first to complete.
 func (p *endpointPool) serveOne(cost Micros) {
 	for p.limiter.HasCapacity() {
 		p.limiter.Acquire()
@@ -32,23 +33,25 @@
 	p.endsAt = slices.Delete(p.endsAt, first, first+1)
 }
 
-// run serves parts for a duration. It returns how many, and the longest time that the last part in flight had to wait.
+// run serves parts for a duration. It returns how many completed, and the longest time until the last part in flight
+// was due to complete.
 func (p *endpointPool) run(cost, duration Micros) (served int, longestWait Micros) {
 	const tokens = 256
 	endpoints := len(p.freeAt)
 	for end := p.now + duration; p.now < end; served++ {
-		before := len(p.endsAt)
+		inFlight := len(p.endsAt)
 		p.serveOne(cost)
 		if len(p.endsAt) > 0 {
 			longestWait = max(longestWait, slices.Max(p.endsAt)-p.now)
 		}
-		took := cost * Micros(max(before, endpoints)) / Micros(endpoints)
+		took := cost * Micros(max(inFlight, endpoints)) / Micros(endpoints)
 		p.limiter.Completed(p.now, tokens, took, true)
 	}
 	return served, longestWait
 }
 
-// The limiter fills endpoints of a fixed capacity, yields while chat is late, and learns that endpoints are slower.
+// The limiter uses the full capacity of the endpoints, lowers its limit while chat requests start late, and adapts when
+// the endpoints become slower.
 func TestLimiterFindsTheCapacity(t *testing.T) {
 	const (
 		cost     = 20 * millisecond
@@ -61,10 +64,10 @@
 			p.run(cost, 10*second)
 			served, wait := p.run(cost, 10*second)
 			if capacity := endpoints * 500; served < capacity*9/10 {
-				t.Errorf("%d parts in 10 s of %d", served, capacity)
+				t.Errorf("%d parts served in 10 s, capacity is %d", served, capacity)
 			}
 			if wait > maxWait {
-				t.Errorf("the last part of a queue waits for %d ms", wait/millisecond)
+				t.Errorf("the last part in flight waits for %d ms", wait/millisecond)
 			}
 			limit := p.limiter.Limit()
 			for range 5 {
@@ -72,12 +75,12 @@
 				p.limiter.ChatStarted(p.now, second, second)
 			}
 			if p.limiter.Limit() > max(limit/8, 1) {
-				t.Errorf("with chat late the limit is %d, was %d", p.limiter.Limit(), limit)
+				t.Errorf("limit is %d after late chat requests, was %d", p.limiter.Limit(), limit)
 			}
 			p.run(slowCost, 20*second)
 			served, _ = p.run(slowCost, 10*second)
 			if capacity := endpoints * 166; served < capacity*8/10 {
-				t.Errorf("slower: %d parts in 10 s of %d", served, capacity)
+				t.Errorf("slower endpoints: %d parts served in 10 s, capacity is %d", served, capacity)
 			}
 		})
 	}
@@ -87,7 +90,7 @@
 	l := NewLimiter(7)
 	for now := Micros(0); now < 10*second; now += second {
 		if l.Limit() != 7 {
-			t.Fatalf("the limit is %d", l.Limit())
+			t.Fatalf("limit is %d, want 7", l.Limit())
 		}
 		l.Acquire()
 		l.Completed(now, 1, second, false)
