--- a/internal/vectors/cache.go
+++ b/internal/vectors/cache.go
@@ -1,11 +1,11 @@
 // Package vectors caches embedding vectors that were computed before, in bounded memory. It is made for many values of
 // one size under keys that are digests: values lie side by side in pages, an open-addressing hash table of indices
-// finds them, and eviction is by SIEVE, with one bit for each value. There are few pointers for the garbage collector
+// finds them, and eviction is by SIEVE, with one flag for each value. There are few pointers for the garbage collector
 // to follow.
 //
-// A Cache owns its memory, and never takes more than its limit but for the page that is being filled. It has no lock:
-// it relies on being used from one goroutine. What tenant may see which vector is up to the caller, who makes a Cache
-// for each.
+// A Cache owns its memory. It may exceed its limit by the page that is being filled, and by what the hash table and the
+// other index slices reserve when they grow, which matters only for small values. It has no lock: it relies on being
+// used from one goroutine. What tenant may see which vector is up to the caller, who makes a Cache for each.
 package vectors
 
 import "encoding/binary"
@@ -17,7 +17,7 @@
 	pageSlots    = 256 // values of a page
 	minTableSize = 64
 	noSlot       = -1
-	// overheadBytes is what a value takes beside itself: its key, its visited bit, two links and its part of the table.
+	// overheadBytes is what a value takes beside itself: its key, its visited flag, two links and its part of the table.
 	overheadBytes = 16 + 1 + 8 + 8
 )
 
@@ -44,7 +44,7 @@
 	hand   int32
 }
 
-// New makes a cache for values of a size within a number of bytes, with everything counted.
+// New makes a cache for values of a size within a number of bytes, overheadBytes for each value counted.
 func New(valueSize, maxBytes int) *Cache {
 	capacity := max(maxBytes/(valueSize+overheadBytes), 1)
 	return &Cache{valueSize: valueSize, capacity: capacity, oldest: noSlot, newest: noSlot, hand: noSlot}
