--- a/internal/vectors/cache.go
+++ b/internal/vectors/cache.go
@@ -1,11 +1,10 @@
-// Package vectors caches embedding vectors that were computed before, in bounded memory. It is made for many values of
-// one size under keys that are digests: values lie side by side in pages, an open-addressing hash table of indices
-// finds them, and eviction is by SIEVE, with one flag for each value. There are few pointers for the garbage collector
-// to follow.
+// Package vectors caches computed embedding vectors in bounded memory. It is designed for many values of one size, with
+// digests as keys: values are stored contiguously in pages, an open-addressing hash table of indices finds them, and
+// the SIEVE algorithm evicts them, with one flag for each value. The garbage collector has few pointers to follow.
 //
 // A Cache owns its memory. It may exceed its limit by the page that is being filled, and by what the hash table and the
-// other index slices reserve when they grow, which matters only for small values. It has no lock: it relies on being
-// used from one goroutine. What tenant may see which vector is up to the caller, who makes a Cache for each.
+// other index slices reserve when they grow, which matters only for small values. It has no lock and must be used from
+// one goroutine only. The caller isolates tenants from each other by making a Cache for each.
 package vectors
 
 import "encoding/binary"
@@ -14,15 +13,17 @@
 type Key [16]byte
 
 const (
-	pageSlots    = 256 // values of a page
-	minTableSize = 64
+	pageSlots    = 256 // values in a page
+	minTableSize = 64  // entries
 	noSlot       = -1
-	// overheadBytes is what a value takes beside itself: its key, its visited flag, two links and its part of the table.
+	// overheadBytes is the memory for each value in addition to the value itself: its key, its visited flag, two links
+	// and two entries of the table.
 	overheadBytes = 16 + 1 + 8 + 8
 )
 
-// Cache holds values of one size. A hand passes over them from the oldest to the newest and round, and evicts the first
-// that was not read since it last passed; a new value counts as not read, so that what is read only once goes first.
+// Cache holds values of one size. To evict a value, SIEVE's hand moves from older to newer values, and from the newest
+// on to the oldest, and stops at the first value that was not read since the hand last passed it. A new value counts as
+// not read, so that values that are requested only once are evicted first.
 type Cache struct {
 	Hits, Misses uint64
 
@@ -31,26 +32,27 @@
 	count     int
 	pages     [][]byte
 	freeSlots []int32
-	table     []int32 // slot+1, or 0 for none
+	table     []int32 // slot+1 of each entry, or 0 for an empty entry
 
-	// Of each slot.
+	// Indexed by slot.
 	keys    []Key
-	visited []bool
-	newer   []int32 // the next in the order of their insertion, or noSlot
-	older   []int32
+	visited []bool  // whether the value was read since the hand last passed it
+	newer   []int32 // the slot that was inserted next, or noSlot
+	older   []int32 // the slot that was inserted before, or noSlot
 
 	oldest int32
 	newest int32
 	hand   int32
 }
 
-// New makes a cache for values of a size within a number of bytes, overheadBytes for each value counted.
+// New returns a cache for values of valueSize bytes. Its capacity is as many values as fit into maxBytes, with
+// overheadBytes added to each, but at least one.
 func New(valueSize, maxBytes int) *Cache {
 	capacity := max(maxBytes/(valueSize+overheadBytes), 1)
 	return &Cache{valueSize: valueSize, capacity: capacity, oldest: noSlot, newest: noSlot, hand: noSlot}
 }
 
-// Bytes returns about how much memory the cache takes now.
+// Bytes returns approximately how much memory the cache takes now.
 func (c *Cache) Bytes() int {
 	indices := cap(c.newer) + cap(c.older) + cap(c.table) + cap(c.freeSlots)
 	return len(c.pages)*pageSlots*c.valueSize + cap(c.keys)*len(Key{}) + cap(c.visited) + indices*4
@@ -62,7 +64,7 @@
 // Capacity returns how many values the cache may hold.
 func (c *Cache) Capacity() int { return c.capacity }
 
-// Get returns a value; it is valid until the next Put.
+// Get returns the value of a key and whether there is one. The value is valid until the next Put.
 func (c *Cache) Get(key Key) ([]byte, bool) {
 	_, slot := c.find(key)
 	if slot == noSlot {
@@ -74,7 +76,7 @@
 	return c.value(slot), true
 }
 
-// Put stores a copy of a value of the cache's size; others are ignored.
+// Put stores a copy of a value. It ignores a value whose size is not that of the cache.
 func (c *Cache) Put(key Key, value []byte) {
 	if len(value) != c.valueSize {
 		return
@@ -89,31 +91,32 @@
 	if 2*(c.count+1) > len(c.table) {
 		c.growTable()
 	}
-	slot := c.takeSlot()
+	slot := c.allocateSlot()
 	copy(c.value(slot), value)
 	c.keys[slot], c.visited[slot] = key, false
 	c.linkNewest(slot)
-	at, _ := c.find(key)
-	c.table[at] = slot + 1
+	index, _ := c.find(key)
+	c.table[index] = slot + 1
 	c.count++
 }
 
-// bucket returns the place in the table where the search for a key begins.
+// bucket returns the index in the table at which the search for a key begins.
 func (c *Cache) bucket(key Key) int {
 	return int(binary.LittleEndian.Uint64(key[:]) & uint64(len(c.table)-1))
 }
 
-// find returns the place of a key in the table, and its slot or noSlot.
-func (c *Cache) find(key Key) (at int, slot int32) {
+// find returns a key's index in the table and its slot. For an unknown key it returns the index of the empty entry at
+// which the key is to be inserted, and noSlot.
+func (c *Cache) find(key Key) (index int, slot int32) {
 	if len(c.table) == 0 {
 		return 0, noSlot
 	}
-	for at = c.bucket(key); c.table[at] != 0; at = (at + 1) & (len(c.table) - 1) {
-		if slot := c.table[at] - 1; c.keys[slot] == key {
-			return at, slot
+	for index = c.bucket(key); c.table[index] != 0; index = (index + 1) & (len(c.table) - 1) {
+		if slot := c.table[index] - 1; c.keys[slot] == key {
+			return index, slot
 		}
 	}
-	return at, noSlot
+	return index, noSlot
 }
 
 func (c *Cache) value(slot int32) []byte {
@@ -121,8 +124,8 @@
 	return c.pages[int(slot)/pageSlots][offset : offset+c.valueSize]
 }
 
-// takeSlot returns a free slot, or adds one.
-func (c *Cache) takeSlot() int32 {
+// allocateSlot returns a free slot, or appends a new one.
+func (c *Cache) allocateSlot() int32 {
 	if n := len(c.freeSlots); n > 0 {
 		slot := c.freeSlots[n-1]
 		c.freeSlots = c.freeSlots[:n-1]
@@ -137,6 +140,7 @@
 	return slot
 }
 
+// linkNewest appends a slot to the list of slots in insertion order.
 func (c *Cache) linkNewest(slot int32) {
 	c.newer[slot], c.older[slot] = noSlot, c.newest
 	if c.newest != noSlot {
@@ -147,6 +151,7 @@
 	c.newest = slot
 }
 
+// unlink removes a slot from the list of slots in insertion order.
 func (c *Cache) unlink(slot int32) {
 	if older := c.older[slot]; older != noSlot {
 		c.newer[older] = c.newer[slot]
@@ -160,15 +165,16 @@
 	}
 }
 
+// growTable doubles the table and inserts all keys anew.
 func (c *Cache) growTable() {
 	c.table = make([]int32, max(2*len(c.table), minTableSize))
 	for slot := c.oldest; slot != noSlot; slot = c.newer[slot] {
-		at, _ := c.find(c.keys[slot])
-		c.table[at] = slot + 1
+		index, _ := c.find(c.keys[slot])
+		c.table[index] = slot + 1
 	}
 }
 
-// evict moves the hand on to the first value that was not visited, and removes that.
+// evict moves the hand to the next value that was not visited, and removes that value.
 func (c *Cache) evict() {
 	slot := c.hand
 	if slot == noSlot {
@@ -186,22 +192,23 @@
 
 func (c *Cache) remove(slot int32) {
 	c.unlink(slot)
-	at, _ := c.find(c.keys[slot])
-	c.table[at] = 0
-	c.closeGap(at)
+	index, _ := c.find(c.keys[slot])
+	c.table[index] = 0
+	c.fillGap(index)
 	c.freeSlots = append(c.freeSlots, slot)
 	c.count--
 }
 
-// closeGap moves the entries behind a gap in the table back that were displaced by what was there, so that searches
-// for them don't end at the gap and no tombstone is needed.
-func (c *Cache) closeGap(gap int) {
+// fillGap restores the probe sequences after an entry was removed from the table, by backward shift deletion: it moves
+// back the later entries that the removed one had displaced. Searches for them then don't end at the gap, and no
+// tombstone is needed.
+func (c *Cache) fillGap(gap int) {
 	mask := len(c.table) - 1
-	for at := (gap + 1) & mask; c.table[at] != 0; at = (at + 1) & mask {
-		bucket := c.bucket(c.keys[c.table[at]-1])
-		if (at-bucket)&mask >= (at-gap)&mask {
-			c.table[gap], c.table[at] = c.table[at], 0
-			gap = at
+	for index := (gap + 1) & mask; c.table[index] != 0; index = (index + 1) & mask {
+		bucket := c.bucket(c.keys[c.table[index]-1])
+		if (index-bucket)&mask >= (index-gap)&mask {
+			c.table[gap], c.table[index] = c.table[index], 0
+			gap = index
 		}
 	}
 }
--- a/internal/vectors/cache_test.go
+++ b/internal/vectors/cache_test.go
@@ -16,7 +16,7 @@
 	return key
 }
 
-// What the cache returns was stored last under that key, and it never holds more than its capacity.
+// The cache returns the value that was stored last under a key, and never holds more values than its capacity.
 func TestCacheMatchesAMap(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		size := rapid.IntRange(1, 9).Draw(t, "size")
@@ -24,43 +24,45 @@
 		stored := map[Key]string{}
 		for range rapid.IntRange(1, 300).Draw(t, "steps") {
 			key := testKey(uint64(rapid.IntRange(0, 60).Draw(t, "key")))
-			key[0] &= 3 // many keys share a bucket
+			key[0] &= 3 // so that many keys share a bucket
 			if rapid.Bool().Draw(t, "put") {
 				value := make([]byte, size)
 				value[0] = byte(rapid.IntRange(0, 255).Draw(t, "value"))
 				c.Put(key, value)
 				stored[key] = string(value)
 				if got, found := c.Get(key); !found || string(got) != string(value) {
-					t.Fatalf("what was stored is not there")
+					t.Fatalf("%x: %q right after it was stored, want %q", key, got, value)
 				}
 			} else if got, found := c.Get(key); found && string(got) != stored[key] {
 				t.Fatalf("%x: %q, want %q", key, got, stored[key])
 			}
 			checkInvariants(t, c)
 		}
-		c.Put(testKey(1), make([]byte, size+1)) // of another size: ignored
+		c.Put(testKey(1), make([]byte, size+1)) // ignored because of its size
 		checkInvariants(t, c)
 	})
 }
 
-// checkInvariants checks that the capacity is kept, and that each value in the order of insertion is in the table.
+// checkInvariants checks that the cache keeps to its capacity, and that the table finds each value of the list in
+// insertion order.
 func checkInvariants(t *rapid.T, c *Cache) {
 	t.Helper()
 	if c.Len() > c.Capacity() {
-		t.Fatalf("%d values, the capacity is %d", c.Len(), c.Capacity())
+		t.Fatalf("%d values, capacity is %d", c.Len(), c.Capacity())
 	}
-	inOrder := 0
+	listed := 0
 	for slot := c.oldest; slot != noSlot; slot = c.newer[slot] {
 		if _, found := c.find(c.keys[slot]); found != slot {
 			t.Fatalf("slot %d is not found", slot)
 		}
-		inOrder++
+		listed++
 	}
-	if inOrder != c.Len() {
-		t.Fatalf("%d in order, %d counted", inOrder, c.Len())
+	if listed != c.Len() {
+		t.Fatalf("%d values in the list, Len is %d", listed, c.Len())
 	}
 }
 
+// A cache of values of 400 bytes exceeds its limit by one page at most, and is filled to its capacity.
 func TestCacheStaysWithinItsBytes(t *testing.T) {
 	const size, maxBytes = 400, 1 << 20
 	c := New(size, maxBytes)
@@ -68,11 +70,11 @@
 		c.Put(testKey(n), make([]byte, size))
 	}
 	if c.Bytes() > maxBytes+pageSlots*size || c.Len() < maxBytes/(size+overheadBytes) {
-		t.Errorf("%d bytes, %d values", c.Bytes(), c.Len())
+		t.Errorf("%d bytes, %d values, limit is %d bytes", c.Bytes(), c.Len(), maxBytes)
 	}
 }
 
-// lru is a cache of a list and a map, for comparison.
+// lru is a cache made of a list and a map, which evicts the least recently used value. It is for comparison.
 type lru struct {
 	capacity int
 	elements map[Key]*list.Element
@@ -102,22 +104,22 @@
 	l.elements[key] = l.order.PushFront(lruEntry{key, append([]byte(nil), value...)})
 }
 
-// skewedKeys returns a source of keys of which few are asked for often, with a run of many that come once now and then,
-// as when a collection is embedded.
+// skewedKeys returns a source of keys with a Zipf distribution, in which few keys are requested often. Now and then the
+// source returns a run of keys that occur only once, as when a collection of documents is embedded.
 func skewedKeys() func() uint64 {
 	random := rand.New(rand.NewSource(1))
-	often := rand.NewZipf(random, 1.1, 8, 100_000)
-	once, run := uint64(1<<40), 0
+	popular := rand.NewZipf(random, 1.1, 8, 100_000)
+	unique, run := uint64(1<<40), 0
 	return func() uint64 {
 		if run == 0 && random.Intn(2000) == 0 {
 			run = 3000
 		}
 		if run > 0 {
 			run--
-			once++
-			return once
+			unique++
+			return unique
 		}
-		return often.Uint64()
+		return popular.Uint64()
 	}
 }
 
@@ -128,7 +130,7 @@
 	return stats.HeapAlloc
 }
 
-// BenchmarkCache reports the share of hits and the memory that each value takes beside itself.
+// BenchmarkCache reports the hit ratio and the memory overhead of each value.
 func BenchmarkCache(b *testing.B) {
 	const size, capacity = 1536 * 4, 4000
 	type cache interface {
@@ -155,8 +157,8 @@
 				}
 			}
 			b.StopTimer()
-			b.ReportMetric(float64(hits)/float64(b.N), "hits/ask")
-			b.ReportMetric(float64(heapBytes()-before)/capacity-size, "B_beside/value")
+			b.ReportMetric(float64(hits)/float64(b.N), "hits/get")
+			b.ReportMetric(float64(heapBytes()-before)/capacity-size, "B_overhead/value")
 			runtime.KeepAlive(tested)
 		})
 	}
