--- a/internal/embeddings/answer.go
+++ b/internal/embeddings/answer.go
@@ -9,23 +9,23 @@
 	"strconv"
 )
 
-// pieceSize is how many bytes an answer's piece has at least, unless it is the last.
-const pieceSize = 32 << 10
+// minPieceBytes is the minimum size of each piece of an answer but the last.
+const minPieceBytes = 32 << 10
 
-// Answer presents, piece by piece, the answer to a call whose inputs all have their results.
+// Answer encodes the answer to a call whose inputs all have their results, in pieces.
 type Answer struct {
 	Request *Request
 	ID      string
-	Vectors [][]byte  // by place among the request's inputs
-	Scores  []float64 // by place among the request's inputs
-	Tokens  int       // as endpoints counted
+	Vectors [][]byte  // indexed like the request's Inputs
+	Scores  []float64 // indexed like the request's Inputs
+	Tokens  int       // as counted by the endpoints
 
-	ranked []int32 // places in Order of the documents to return, the best first
-	next   int     // item of the answer
-	piece  []byte
+	ranked []int32 // indices in the request's Order of the documents to return, highest score first
+	next   int     // index of the next embedding or document to encode
+	piece  []byte  // buffer of the last piece, reused for the next
 }
 
-// Next returns the next piece, which is valid until the next call, and whether more follow.
+// Next returns the next piece of the answer, which is valid until the next call, and whether more pieces follow.
 func (a *Answer) Next() (piece []byte, more bool) {
 	total := len(a.Request.Order)
 	if a.Request.Kind == Rerank {
@@ -38,7 +38,7 @@
 	if a.next == 0 {
 		out = a.appendHead(out)
 	}
-	for ; a.next < total && len(out) < pieceSize; a.next++ {
+	for ; a.next < total && len(out) < minPieceBytes; a.next++ {
 		if a.next > 0 {
 			out = append(out, ',')
 		}
@@ -52,7 +52,8 @@
 	return out, more
 }
 
-// rank sorts documents by their scores, the best first; equal ones stay in the order in which they came.
+// rank sorts the documents by score, the highest first, and keeps the first TopN of them. Documents with equal scores
+// stay in the order of the request.
 func (a *Answer) rank() {
 	order := a.Request.Order
 	a.ranked = make([]int32, len(order))
@@ -67,6 +68,7 @@
 	}
 }
 
+// appendHead appends what precedes the embeddings or documents.
 func (a *Answer) appendHead(out []byte) []byte {
 	if a.Request.Kind != Rerank {
 		return append(out, `{"object":"list","data":[`...)
@@ -76,6 +78,7 @@
 	return append(out, `,"results":[`...)
 }
 
+// appendTail appends what follows the embeddings or documents.
 func (a *Answer) appendTail(out []byte) []byte {
 	out = append(out, `],"model":`...)
 	out = appendString(out, a.Request.Model)
@@ -90,14 +93,14 @@
 }
 
 func (a *Answer) appendDocument(out []byte, index int32) []byte {
-	place := a.Request.Order[index]
+	input := a.Request.Order[index]
 	out = append(out, `{"index":`...)
 	out = strconv.AppendInt(out, int64(index), 10)
 	out = append(out, `,"relevance_score":`...)
-	out = strconv.AppendFloat(out, a.Scores[place], 'g', -1, 64)
+	out = strconv.AppendFloat(out, a.Scores[input], 'g', -1, 64)
 	if a.Request.ReturnDocuments {
 		out = append(out, `,"document":{"text":`...)
-		out = appendString(out, a.Request.Texts[place])
+		out = appendString(out, a.Request.Texts[input])
 		out = append(out, '}')
 	}
 	return append(out, '}')
@@ -122,11 +125,11 @@
 	return append(out, "]}"...)
 }
 
-// appendString appends a text as JSON.
+// appendString appends a text as a JSON string.
 func appendString(out []byte, text string) []byte {
 	encoded, err := json.Marshal(text)
 	if err != nil {
-		panic(fmt.Errorf("marshal string: %w", err)) // there is no string without a JSON form
+		panic(fmt.Errorf("marshal string: %w", err)) // every string can be encoded
 	}
 	return append(out, encoded...)
 }
--- a/internal/embeddings/decoder.go
+++ b/internal/embeddings/decoder.go
@@ -12,23 +12,23 @@
 )
 
 const (
-	// maxEncodedBody is how many bytes an encoded body may have as it arrives: it is buffered as a whole and decoded as
-	// inputs may be buffered.
+	// maxEncodedBody is the maximum size of an encoded body in bytes. The encoded body is buffered as a whole, and
+	// decoded as far as the buffer for inputs allows.
 	maxEncodedBody   = 16 << 20
-	maxDecoderMemory = 64 << 20
-	decodeBuffer     = 32 << 10 // bytes decoded at once
+	maxDecoderMemory = 64 << 20 // bytes
+	decodeBufferSize = 32 << 10 // bytes decoded at once
 )
 
-// decoder undoes the content encoding of a body.
+// decoder decodes a body that has a content encoding.
 type decoder struct {
 	encoding     string
 	encoded      []byte
-	plain        io.Reader // nil: not open
+	decoded      io.Reader // nil: decoding has not begun
 	decodedBytes int
 	buffer       []byte
 }
 
-// newDecoder returns the decoder of a content encoding, nil for none.
+// newDecoder returns the decoder for a content encoding, or nil for none.
 func newDecoder(encoding string) *decoder {
 	encoding = strings.ToLower(encoding)
 	if encoding == "" || encoding == "identity" {
@@ -37,7 +37,7 @@
 	return &decoder{encoding: encoding}
 }
 
-// add takes the next bytes of the encoded body.
+// add buffers the next bytes of the encoded body.
 func (d *decoder) add(data []byte) *frontend.Problem {
 	if d.encoded = append(d.encoded, data...); len(d.encoded) > maxEncodedBody {
 		return frontend.BodyTooLarge("A coded body may have %d bytes.", maxEncodedBody)
@@ -45,21 +45,21 @@
 	return nil
 }
 
-// open begins the decoding, where it has not begun.
+// open begins the decoding unless it has already begun.
 func (d *decoder) open() *frontend.Problem {
-	if d.plain != nil {
+	if d.decoded != nil {
 		return nil
 	}
-	plain, err := openEncoding(d.encoding, bytes.NewReader(d.encoded))
+	decoded, err := openEncoding(d.encoding, bytes.NewReader(d.encoded))
 	if err != nil {
 		return d.malformed()
 	}
-	d.plain = plain
-	d.buffer = make([]byte, decodeBuffer)
+	d.decoded = decoded
+	d.buffer = make([]byte, decodeBufferSize)
 	return nil
 }
 
-// openEncoding returns the plain form of what a source holds in an encoding.
+// openEncoding returns a reader that decodes a source. Any encoding but gzip is taken as zstd.
 func openEncoding(encoding string, source io.Reader) (io.Reader, error) {
 	if encoding == "gzip" {
 		return gzip.NewReader(source)
@@ -67,22 +67,22 @@
 	return zstd.NewReader(source, zstd.WithDecoderConcurrency(1), zstd.WithDecoderMaxMemory(maxDecoderMemory))
 }
 
-// read returns the next bytes of the plain body, which are valid until the next call; io.EOF comes with the last of
-// them.
+// read returns the next bytes of the decoded body, which are valid until the next call, and io.EOF at the end.
 func (d *decoder) read() ([]byte, error) {
-	size, err := d.plain.Read(d.buffer)
+	size, err := d.decoded.Read(d.buffer)
 	d.decodedBytes += size
 	return d.buffer[:size], err
 }
 
 // close ends the decoding and drops the encoded body.
 func (d *decoder) close() {
-	if decoder, ok := d.plain.(*zstd.Decoder); ok {
+	if decoder, ok := d.decoded.(*zstd.Decoder); ok {
 		decoder.Close()
 	}
-	d.plain, d.encoded = nil, nil
+	d.decoded, d.encoded = nil, nil
 }
 
+// malformed returns the problem of a body that does not match its content encoding.
 func (d *decoder) malformed() *frontend.Problem {
 	return frontend.Invalid("", "invalid_coding", "The body can't be decoded as %s.", d.encoding)
 }
--- a/internal/embeddings/golden_test.go
+++ b/internal/embeddings/golden_test.go
@@ -14,7 +14,7 @@
 	"plumspindle/internal/testbed/golden"
 )
 
-// recordingHandler notes what a Request reports.
+// recordingHandler writes each call of a Request to its handler to out.
 type recordingHandler struct{ out *bytes.Buffer }
 
 func (h recordingHandler) Begin() *frontend.Problem {
@@ -29,12 +29,13 @@
 
 var testLimits = Limits{MaxInputs: 4, MaxInputTokens: 10, MaxBody: 4 << 10, MaxBuffered: 1 << 10}
 
-// parse feeds a body in pieces of some bytes.
-func parse(kind Kind, coding, body string, size int, out *bytes.Buffer) (*Request, *frontend.Problem) {
-	req := NewRequest(kind, coding, testLimits, recordingHandler{out}, nil)
+// parse makes a request and passes it a body in pieces of size bytes.
+func parse(kind Kind, encoding, body string, size int, out *bytes.Buffer) (*Request, *frontend.Problem) {
+	req := NewRequest(kind, encoding, testLimits, recordingHandler{out}, nil)
 	return req, feed(req, body, size)
 }
 
+// feed passes a request its body in pieces of size bytes, and the end of the body.
 func feed(req *Request, body string, size int) *frontend.Problem {
 	defer req.Close()
 	for b := []byte(body); len(b) > 0; b = b[min(size, len(b)):] {
@@ -54,13 +55,13 @@
 	{Embeddings, "tokens", `{"model":"m","input":[1,2,3]}`},
 	{Embeddings, "lists of tokens", `{"model":"m","input":[[1,2],[3]]}`},
 	{Embeddings, "all members", `{"model":"m","user":"u","dimensions":3,"encoding_format":"base64","input":["a"]}`},
-	{Embeddings, "members behind the inputs", `{"input":["a"],"encoding_format":"float","model":"m"}`},
+	{Embeddings, "members after the inputs", `{"input":["a"],"encoding_format":"float","model":"m"}`},
 	{Embeddings, "nulls", `{"model":"m","user":null,"dimensions":null,"encoding_format":null,"input":"a"}`},
 	{Embeddings, "not JSON", `{"model":"m","input":["a" "b"]}`},
-	{Embeddings, "not whole", `{"model":"m","input":["a"`},
+	{Embeddings, "truncated", `{"model":"m","input":["a"`},
 	{Embeddings, "not an object", `["a"]`},
-	{Embeddings, "more behind it", `{"model":"m","input":"a"} x`},
-	{Embeddings, "given twice", `{"model":"m","model":"m"}`},
+	{Embeddings, "data after the object", `{"model":"m","input":"a"} x`},
+	{Embeddings, "duplicate member", `{"model":"m","model":"m"}`},
 	{Embeddings, "a long name", `{"` + strings.Repeat("n", 300) + `":1}`},
 	{Embeddings, "a long value", `{"model":"` + strings.Repeat("m", 2000) + `"}`},
 	{Embeddings, "no model", `{"input":"a"}`},
@@ -75,7 +76,7 @@
 	{Embeddings, "empty text", `{"model":"m","input":["a",""]}`},
 	{Embeddings, "empty inner list", `{"model":"m","input":[[]]}`},
 	{Embeddings, "a negative token", `{"model":"m","input":[1,-2]}`},
-	{Embeddings, "a broken token", `{"model":"m","input":[[1.5]]}`},
+	{Embeddings, "a fractional token", `{"model":"m","input":[[1.5]]}`},
 	{Embeddings, "a token among texts", `{"model":"m","input":["a",1]}`},
 	{Embeddings, "a text among tokens", `{"model":"m","input":[1,"a"]}`},
 	{Embeddings, "true among texts", `{"model":"m","input":["a",true]}`},
@@ -87,9 +88,9 @@
 	{Embeddings, "documents", `{"model":"m","documents":["a"]}`},
 	{Embeddings, "unknown format", `{"model":"m","encoding_format":"int8"}`},
 	{Embeddings, "format of a wrong type", `{"model":"m","encoding_format":1}`},
-	{Embeddings, "no dimensions", `{"model":"m","dimensions":0}`},
+	{Embeddings, "zero dimensions", `{"model":"m","dimensions":0}`},
 	{Embeddings, "dimensions of a wrong type", `{"model":"m","dimensions":"3"}`},
-	{Embeddings, "broken dimensions", `{"model":"m","dimensions":1.5}`},
+	{Embeddings, "fractional dimensions", `{"model":"m","dimensions":1.5}`},
 	{Rerank, "texts", `{"model":"m","query":"q","documents":["a","b","a"]}`},
 	{Rerank, "objects", `{"model":"m","query":"q","documents":[{"text":"a"},{"text":"b","x":1}]}`},
 	{Rerank, "all rerank members", `{"model":"m","query":"q","top_n":2,"return_documents":true,"user":"u",` +
@@ -109,8 +110,8 @@
 	{Rerank, "return_documents of a wrong type", `{"model":"m","query":"q","return_documents":1}`},
 }
 
-// TestRequestForms compares what each body is read as, in one piece and byte by byte, and what goes to an endpoint for
-// it, with a golden file.
+// TestRequestForms compares with a golden file how each body is parsed and which request to an endpoint results from
+// it. Parsing byte by byte must give the same result as parsing in one piece.
 func TestRequestForms(t *testing.T) {
 	var out bytes.Buffer
 	for _, c := range bodies {
@@ -119,7 +120,7 @@
 		req, p := parse(c.kind, "", c.body, len(c.body), &whole)
 		_, q := parse(c.kind, "", c.body, 1, &pieces)
 		if whole.String() != pieces.String() || fmt.Sprint(p) != fmt.Sprint(q) {
-			t.Errorf("%s: read as %q (%v), byte by byte as %q (%v)", c.name, whole.String(), p, pieces.String(), q)
+			t.Errorf("%s: parsed as %q (%v), byte by byte as %q (%v)", c.name, whole.String(), p, pieces.String(), q)
 		}
 		out.Write(whole.Bytes())
 		if p != nil {
@@ -139,8 +140,8 @@
 	golden.Compare(t, out.Bytes())
 }
 
-// TestLargeBodyBeginsEarly: past half of the buffer a call begins with what has come, if all is known that a part
-// needs.
+// TestLargeBodyBeginsEarly checks that a call begins before its body has ended once half of the buffer is full, if the
+// members that a part needs have arrived.
 func TestLargeBodyBeginsEarly(t *testing.T) {
 	limits := Limits{MaxInputs: 9, MaxInputTokens: 10, MaxBody: 4 << 10, MaxBuffered: 40}
 	inputs := `["aaaaaaaaaa","bbbbbbbbbb"]`
@@ -149,16 +150,16 @@
 		name, body string
 	}{
 		{Embeddings, "model first", `{"model":"m","input":` + inputs + `}`},
-		{Embeddings, "format behind the inputs", `{"model":"m","input":` + inputs +
+		{Embeddings, "format after the inputs", `{"model":"m","input":` + inputs +
 			`,"user":"u","encoding_format":"base64"}`},
-		{Embeddings, "dimensions behind the inputs", `{"model":"m","input":` + inputs + `,"dimensions":3}`},
-		{Embeddings, "model behind few inputs", `{"input":` + inputs + `,"model":"m"}`},
-		{Embeddings, "model behind many inputs", `{"input":["aaaaaaaaaa","bbbbbbbbbb","cccccccccc","dddddddddd"],` +
+		{Embeddings, "dimensions after the inputs", `{"model":"m","input":` + inputs + `,"dimensions":3}`},
+		{Embeddings, "model after few inputs", `{"input":` + inputs + `,"model":"m"}`},
+		{Embeddings, "model after many inputs", `{"input":["aaaaaaaaaa","bbbbbbbbbb","cccccccccc","dddddddddd"],` +
 			`"model":"m"}`},
 		{Rerank, "query first", `{"model":"m","query":"q","documents":` + inputs + `,"top_n":1}`},
-		{Rerank, "return_documents behind the documents",
+		{Rerank, "return_documents after the documents",
 			`{"model":"m","query":"q","documents":` + inputs + `,"return_documents":true}`},
-		{Rerank, "query behind many documents", `{"model":"m","documents":["aaaaaaaaaa","bbbbbbbbbb","cccccccccc",` +
+		{Rerank, "query after many documents", `{"model":"m","documents":["aaaaaaaaaa","bbbbbbbbbb","cccccccccc",` +
 			`"dddddddddd"],"query":"q"}`},
 	}
 	var out bytes.Buffer
@@ -174,6 +175,7 @@
 	golden.Compare(t, out.Bytes())
 }
 
+// TestEncodedBodies compares with a golden file how bodies with a content encoding are parsed, valid ones and others.
 func TestEncodedBodies(t *testing.T) {
 	plain := `{"model":"m","input":["a","b"]}`
 	var zipped bytes.Buffer
@@ -186,19 +188,19 @@
 	}
 	t.Cleanup(func() { _ = zstandard.Close() })
 	large := append(bytes.Repeat([]byte(" "), testLimits.MaxBody), plain...)
-	cases := []struct{ name, coding, body string }{
+	cases := []struct{ name, encoding, body string }{
 		{"identity", "identity", plain},
 		{"gzip", "GZIP", zipped.String()},
 		{"zstd", "zstd", string(zstandard.EncodeAll([]byte(plain), nil))},
-		{"gzip that is none", "gzip", plain},
-		{"zstd that is none", "zstd", plain},
-		{"cut gzip", "gzip", zipped.String()[:zipped.Len()-9]},
-		{"large once decoded", "zstd", string(zstandard.EncodeAll(large, nil))},
+		{"invalid gzip", "gzip", plain},
+		{"invalid zstd", "zstd", plain},
+		{"truncated gzip", "gzip", zipped.String()[:zipped.Len()-9]},
+		{"too large after decoding", "zstd", string(zstandard.EncodeAll(large, nil))},
 	}
 	var out bytes.Buffer
 	for _, c := range cases {
 		fmt.Fprintf(&out, "== %s\n", c.name)
-		req, p := parse(Embeddings, c.coding, c.body, 7, &out)
+		req, p := parse(Embeddings, c.encoding, c.body, 7, &out)
 		if p != nil {
 			fmt.Fprintf(&out, "%d %s\n", p.Status, p.Body())
 			continue
@@ -237,13 +239,14 @@
 	golden.Compare(t, out.Bytes())
 }
 
-// TestReadPartTakesOnlyCompleteResponses: a response is taken only if each input has exactly one good result.
+// TestReadPartTakesOnlyCompleteResponses checks that ReadPart rejects a response unless each input has exactly one
+// valid result.
 func TestReadPartTakesOnlyCompleteResponses(t *testing.T) {
 	vector := base64.StdEncoding.EncodeToString(make([]byte, 8))
 	cases := []struct {
-		kind Kind
-		body string
-		good bool
+		kind  Kind
+		body  string
+		valid bool
 	}{
 		{Embeddings, `{"usage":{"prompt_tokens":7},"data":[{"index":1,"embedding":[1,2]},` +
 			`{"index":0,"embedding":"` + vector + `"}]}`, true},
@@ -265,8 +268,8 @@
 	}
 	for _, c := range cases {
 		request := Request{Kind: c.kind}
-		if _, err := request.ReadPart([]byte(c.body), 2, 2); (err == nil) != c.good {
-			t.Errorf("%s: %v, want it taken: %t", c.body, err, c.good)
+		if _, err := request.ReadPart([]byte(c.body), 2, 2); (err == nil) != c.valid {
+			t.Errorf("%s: error %v, want valid: %t", c.body, err, c.valid)
 		}
 	}
 }
--- a/internal/embeddings/inputs.go
+++ b/internal/embeddings/inputs.go
@@ -15,27 +15,27 @@
 )
 
 const (
-	// bytesPerToken estimates how many bytes of text make a token; endpoints count the true number.
+	// bytesPerToken is used to estimate the tokens of a text; endpoints count the exact number.
 	bytesPerToken = 4
-	// maxBytesPerToken and maxValueOverhead bound the bytes of one value by the tokens that it may have.
+	// One value of a body may have maxBytesPerToken for each token that an input may have, and maxValueOverhead more.
 	maxBytesPerToken = 16
-	maxValueOverhead = 1024
+	maxValueOverhead = 1024 // bytes
 )
 
-// Input is one text, document or list of tokens; equal ones are one input.
+// Input is one text, document or array of tokens. Inputs with the same JSON are stored once.
 type Input struct {
-	Raw    []byte // as JSON; nil once its result is there
-	Tokens int
-	Key    vectors.Key // identifies the input by its content
+	Raw    []byte      // JSON; nil once the input has its result
+	Tokens int         // estimated for a text
+	Key    vectors.Key // digest of Raw
 }
 
-// looseTokens are the elements of a list of tokens that is not inside another list: together they are one input.
-type looseTokens struct {
-	raw   []byte // each with a comma behind it
+// tokenArray collects the elements of "input" if these are tokens instead of inputs: the whole array is then one input.
+type tokenArray struct {
+	raw   []byte // JSON of the tokens, each followed by a comma
 	count int
 }
 
-// readElement reads one of the inputs.
+// readElement reads one element of the array of inputs.
 func (r *Request) readElement(name string, raw []byte) *frontend.Problem {
 	if name != r.Kind.ListName() {
 		return frontend.UnknownParameter(name)
@@ -47,7 +47,7 @@
 	return r.readInput(path, raw)
 }
 
-// readDocument reads a document, which is a string or an object with a text.
+// readDocument reads a document, which is a string or an object with a member "text".
 func (r *Request) readDocument(path string, raw []byte) *frontend.Problem {
 	value := gjson.ParseBytes(raw)
 	if value.IsObject() {
@@ -60,10 +60,10 @@
 	}
 	text := decodeText(raw)
 	r.storeText(text)
-	return r.add(path, raw, estimateTokens(text))
+	return r.addInput(path, raw, estimateTokens(text))
 }
 
-// readInput reads an input to embed, which is a string, a list of tokens or a loose token.
+// readInput reads an input to embed, which is a string or an array of tokens, or one token of a tokenArray.
 func (r *Request) readInput(path string, raw []byte) *frontend.Problem {
 	value := gjson.ParseBytes(raw)
 	switch {
@@ -72,9 +72,9 @@
 		if text == "" {
 			return frontend.Invalid(path, "invalid_value", "Invalid '%s': an input may not be empty.", path)
 		}
-		return r.add(path, raw, estimateTokens(text))
-	case value.Type == gjson.Number && (len(r.Order) == 0 || r.loose.count > 0):
-		return r.addLooseToken(raw, value)
+		return r.addInput(path, raw, estimateTokens(text))
+	case value.Type == gjson.Number && (len(r.Order) == 0 || r.tokenArray.count > 0):
+		return r.appendToken(raw, value)
 	case value.IsArray():
 		return r.readTokens(path, raw, value)
 	}
@@ -82,7 +82,7 @@
 		"Invalid type for '%s': expected a string or an array of tokens.", path)
 }
 
-// readTokens reads an input that is a list of tokens.
+// readTokens reads an input that is an array of tokens.
 func (r *Request) readTokens(path string, raw []byte, value gjson.Result) *frontend.Problem {
 	tokens := value.Array()
 	for _, token := range tokens {
@@ -93,32 +93,33 @@
 	if len(tokens) == 0 {
 		return frontend.EmptyArray(path)
 	}
-	return r.add(path, raw, len(tokens))
+	return r.addInput(path, raw, len(tokens))
 }
 
-func (r *Request) addLooseToken(raw []byte, value gjson.Result) *frontend.Problem {
+// appendToken reads one token of a tokenArray.
+func (r *Request) appendToken(raw []byte, value gjson.Result) *frontend.Problem {
 	list := r.Kind.ListName()
 	if !isToken(value) {
 		return invalidToken(list)
 	}
-	if r.loose.count++; r.loose.count > r.limits.MaxInputTokens {
-		return r.inputTooLong(list, r.loose.count)
+	if r.tokenArray.count++; r.tokenArray.count > r.limits.MaxInputTokens {
+		return r.inputTooLong(list, r.tokenArray.count)
 	}
-	r.loose.raw = append(r.loose.raw, raw...)
-	r.loose.raw = append(r.loose.raw, ',')
+	r.tokenArray.raw = append(r.tokenArray.raw, raw...)
+	r.tokenArray.raw = append(r.tokenArray.raw, ',')
 	return nil
 }
 
-// endLooseTokens makes one input of the loose tokens, if there are any.
-func (r *Request) endLooseTokens() *frontend.Problem {
-	loose := r.loose
-	if loose.count == 0 {
+// finishTokenArray makes one input of the tokens of the tokenArray, if there are any.
+func (r *Request) finishTokenArray() *frontend.Problem {
+	tokens := r.tokenArray
+	if tokens.count == 0 {
 		return nil
 	}
-	r.loose = looseTokens{}
-	raw := append([]byte{'['}, loose.raw...)
+	r.tokenArray = tokenArray{}
+	raw := append([]byte{'['}, tokens.raw...)
 	raw[len(raw)-1] = ']'
-	return r.add(r.Kind.ListName(), raw, loose.count)
+	return r.addInput(r.Kind.ListName(), raw, tokens.count)
 }
 
 func isToken(value gjson.Result) bool {
@@ -135,16 +136,17 @@
 		path, tokens, r.limits.MaxInputTokens)
 }
 
-// storeText stores a document's text where it may have to be given back; whether it has to may be said after it.
+// storeText stores a document's text if it may have to be returned. The member that asks for the texts may come after
+// the documents.
 func (r *Request) storeText(text string) {
 	if len(r.Texts) == len(r.Inputs) && (!r.begun || r.ReturnDocuments) {
 		r.Texts = append(r.Texts, text)
 	}
 }
 
-// add adds an input, which is stored once however often it comes.
-func (r *Request) add(path string, raw []byte, tokens int) *frontend.Problem {
-	if r.loose.count > 0 {
+// addInput adds an input to Order, and to Inputs unless an earlier input has the same JSON.
+func (r *Request) addInput(path string, raw []byte, tokens int) *frontend.Problem {
+	if r.tokenArray.count > 0 {
 		return frontend.Invalid(path, "invalid_type", "Tokens and other inputs can't stand in one list.")
 	}
 	if tokens > r.limits.MaxInputTokens {
@@ -157,20 +159,20 @@
 	}
 	digest := sha256.Sum256(raw)
 	key := vectors.Key(digest[:len(vectors.Key{})])
-	place, known := r.places[key]
+	index, known := r.indexByKey[key]
 	if !known {
-		place = int32(len(r.Inputs))
-		r.places[key] = place
+		index = int32(len(r.Inputs))
+		r.indexByKey[key] = index
 		r.Inputs = append(r.Inputs, Input{Raw: append([]byte(nil), raw...), Tokens: max(tokens, 1), Key: key})
 		r.BufferedBytes += len(raw)
-	} else if len(r.Texts) > len(r.Inputs) { // its text was stored with the first one
+	} else if len(r.Texts) > len(r.Inputs) { // the text was already stored with the earlier input
 		r.Texts = r.Texts[:len(r.Inputs)]
 	}
-	r.Order = append(r.Order, place)
+	r.Order = append(r.Order, index)
 	return nil
 }
 
-// CacheKey identifies an input's vector for the request's model and a number of dimensions.
+// CacheKey returns the key of an input's vector, which also depends on the request's model and the dimensions.
 func (r *Request) CacheKey(i, dimensions int) vectors.Key {
 	hash := sha256.New()
 	_, _ = hash.Write(r.Inputs[i].Key[:])
@@ -179,7 +181,7 @@
 	return vectors.Key(hash.Sum(nil)[:len(vectors.Key{})])
 }
 
-// BuildPart returns the path and body of the request to an endpoint for some inputs.
+// BuildPart returns the path and body of the request to an endpoint for a part with the given inputs.
 func (r *Request) BuildPart(inputs []int, dimensions int) (path string, body []byte) {
 	body = append(body, `{"model":`...)
 	body = appendString(body, r.Model)
@@ -199,7 +201,8 @@
 	return r.Kind.Path(), append(body, "]}"...)
 }
 
-// CountTokens returns how many tokens are read for some inputs: a query is read with each document.
+// CountTokens returns an estimate of the tokens that an endpoint processes for the given inputs. It counts the query of
+// a reranking once for each document.
 func (r *Request) CountTokens(inputs []int) (sum int) {
 	for _, i := range inputs {
 		sum += r.Inputs[i].Tokens
@@ -210,9 +213,10 @@
 	return sum
 }
 
+// estimateTokens returns an estimate of the tokens of a text.
 func estimateTokens(text string) int { return (len(text) + bytesPerToken - 1) / bytesPerToken }
 
-// decodeText returns the text of a JSON string, in valid UTF-8.
+// decodeText returns the text of a JSON string. It replaces invalid UTF-8.
 func decodeText(raw []byte) string {
 	return strings.ToValidUTF8(gjson.ParseBytes(raw).String(), "\uFFFD")
 }
--- a/internal/embeddings/members.go
+++ b/internal/embeddings/members.go
@@ -8,17 +8,17 @@
 	"plumspindle/internal/frontend"
 )
 
-// member is one member of a body that is not one of the lists' elements.
+// member is one member of the body's JSON object, other than the arrays that the scanner passes on by element.
 type member struct {
 	name  string
-	raw   []byte // as it is written
+	raw   []byte // JSON
 	value gjson.Result
 }
 
-// memberParser reads one member, or refuses it.
+// memberParser reads one member into the request, or rejects it.
 type memberParser func(r *Request, m member) *frontend.Problem
 
-// memberParsers are for the members that an API knows; all others are refused.
+// memberParsers has a parser for each member of an API. Other members are rejected.
 var memberParsers = map[Kind]map[string]memberParser{
 	Embeddings: {
 		"model":           readModel,
@@ -33,17 +33,17 @@
 		"query":            readQuery,
 		"top_n":            readTopN,
 		"return_documents": readReturnDocuments,
-		"documents":        refuseSingleDocument,
+		"documents":        rejectSingleDocument,
 	},
 }
 
-// readMember reads one member. Null means that it is not given, which those that say what is to be read may not be.
+// readMember reads one member. Null stands for an absent member, except that required members reject it.
 func (r *Request) readMember(name string, raw []byte) *frontend.Problem {
 	m := member{name: name, raw: raw, value: gjson.ParseBytes(raw)}
-	if m.value.Type == gjson.Null && !essential(name) {
+	if m.value.Type == gjson.Null && !isRequired(name) {
 		return nil
 	}
-	if r.begun && !allowedLate(name) {
+	if r.begun && !allowedAfterBegin(name) {
 		return frontend.Invalid(name, "parameter_too_late",
 			"In a body of this size '%s' has to come before the inputs.", name)
 	}
@@ -53,7 +53,8 @@
 	return frontend.UnknownParameter(name)
 }
 
-func essential(name string) bool {
+// isRequired reports whether a member must not be null.
+func isRequired(name string) bool {
 	switch name {
 	case "model", "input", "query", "documents":
 		return true
@@ -61,8 +62,8 @@
 	return false
 }
 
-// allowedLate reports whether a member may come after parts have been sent, which it does not bear upon.
-func allowedLate(name string) bool {
+// allowedAfterBegin reports whether a member may come after parts were sent, because it does not change them.
+func allowedAfterBegin(name string) bool {
 	switch name {
 	case "user", "top_n", "encoding_format":
 		return true
@@ -70,11 +71,12 @@
 	return false
 }
 
+// wrongType returns the problem of a member whose type is not the wanted one.
 func (m member) wrongType(want string) *frontend.Problem {
 	return frontend.WrongType(m.name, want, strings.ToLower(m.value.Type.String()))
 }
 
-// text returns the value of a member that must be a string and not empty.
+// text returns the value of a member that must be a non-empty string.
 func (m member) text() (string, *frontend.Problem) {
 	if m.value.Type != gjson.String || m.value.Str == "" {
 		return "", m.wrongType("a string")
@@ -82,7 +84,7 @@
 	return m.value.String(), nil
 }
 
-// count returns the value of a member that must be an integer above 0.
+// count returns the value of a member that must be a positive integer.
 func (m member) count() (int, *frontend.Problem) {
 	if m.value.Type != gjson.Number || m.value.Num != float64(int(m.value.Num)) {
 		return 0, m.wrongType("an integer")
@@ -145,5 +147,5 @@
 	return nil
 }
 
-// refuseSingleDocument refuses documents that are no list; a list's elements are read one by one.
-func refuseSingleDocument(_ *Request, m member) *frontend.Problem { return m.wrongType("an array") }
+// rejectSingleDocument rejects documents that are not an array; an array's elements are passed to readElement instead.
+func rejectSingleDocument(_ *Request, m member) *frontend.Problem { return m.wrongType("an array") }
--- a/internal/embeddings/part.go
+++ b/internal/embeddings/part.go
@@ -10,34 +10,35 @@
 	"github.com/tidwall/gjson"
 )
 
-// bytesPerDimension is the size of a 32-bit float.
+// bytesPerDimension is the size of one element of a vector, a 32-bit float.
 const bytesPerDimension = 4
 
-// VectorBytes returns the size of a vector.
+// VectorBytes returns the size of a vector in bytes.
 func VectorBytes(dimensions int) int { return bytesPerDimension * dimensions }
 
-// Why an endpoint's response to a part is not taken.
+// Reasons why an endpoint's response to a part is rejected.
 var (
 	errNotJSON        = errors.New("response is not JSON")
-	errNoResults      = errors.New("no list of results")
-	errResultCount    = errors.New("not one result for each input")
-	errResultIndex    = errors.New("index is none of the part's, or comes twice")
+	errNoResults      = errors.New("response has no array of results")
+	errResultCount    = errors.New("number of results differs from number of inputs")
+	errResultIndex    = errors.New("result index is out of range or repeated")
 	errNotScore       = errors.New("relevance score is not a number")
 	errNoVector       = errors.New("no vector")
 	errVectorEncoding = errors.New("vector is not base64")
-	errVectorSize     = errors.New("vector has not the dimensions asked for")
+	errVectorSize     = errors.New("vector does not have the requested dimensions")
 	errNotNumber      = errors.New("vector has an element that is not a number")
 )
 
 // PartResult is what an endpoint returned for a part.
 type PartResult struct {
 	Vectors [][]byte  // little-endian 32-bit floats, in the order of the part's inputs
-	Scores  []float64 // in that order
-	Tokens  int       // as the endpoint counted
+	Scores  []float64 // in the order of the part's inputs
+	Tokens  int       // as counted by the endpoint
 }
 
-// ReadPart reads an endpoint's response to a part of so many inputs. It is refused unless each input has exactly
-// one vector or score, of the right size and finite: a client would not notice a wrong vector, but it does notice none.
+// ReadPart parses an endpoint's response to a part with the given number of inputs. It rejects the response unless each
+// input has exactly one vector or score, of the right size and finite, because a client would not notice a wrong vector
+// but does notice a missing one.
 func (r *Request) ReadPart(body []byte, inputs, dimensions int) (PartResult, error) {
 	if !gjson.ValidBytes(body) {
 		return PartResult{}, errNotJSON
@@ -57,15 +58,16 @@
 	return p.result, nil
 }
 
-// partParser reads the results for one part.
+// partParser parses the results for one part.
 type partParser struct {
 	kind       Kind
 	dimensions int
 	result     PartResult
-	seen       []bool // by input
+	seen       []bool // whether an input has its result
 	count      int    // of results so far
 }
 
+// readAll reads the array of results.
 func (p *partParser) readAll(list gjson.Result) (err error) {
 	if !list.IsArray() {
 		return errNoResults
@@ -107,7 +109,7 @@
 	return score.Num, nil
 }
 
-// readVector reads a vector in either form that endpoints may answer with.
+// readVector reads a vector, which endpoints may return as base64 or as an array of numbers.
 func readVector(value gjson.Result, dimensions int) (vector []byte, err error) {
 	switch {
 	case value.Type == gjson.String:
@@ -135,7 +137,7 @@
 	return vector, nil
 }
 
-// readNumbers reads a vector that is given as a list of numbers.
+// readNumbers reads a vector that is given as an array of numbers.
 func readNumbers(list gjson.Result) (vector []byte, err error) {
 	list.ForEach(func(_, number gjson.Result) bool {
 		if number.Type != gjson.Number {
@@ -148,7 +150,7 @@
 	return vector, err
 }
 
-// floatAt returns the element of a vector that begins at an offset.
+// floatAt returns the element of a vector that begins at a byte offset.
 func floatAt(vector []byte, offset int) float32 {
 	return math.Float32frombits(binary.LittleEndian.Uint32(vector[offset:]))
 }
--- a/internal/embeddings/request.go
+++ b/internal/embeddings/request.go
@@ -1,10 +1,10 @@
-// Package embeddings is the client APIs that a prefill completes: embeddings after the public OpenAI specification, and
-// reranking in the form that is commonly published.
+// Package embeddings implements the client APIs whose results are complete after a prefill: embeddings according to the
+// public OpenAI specification, and reranking in the form that is commonly published.
 //
-// A Request reads a body as it arrives and owns its inputs, each only until its part of the call is back; an Answer
-// presents vectors and scores as the one answer. The package relies on package frontend for the connections of clients
-// and for their error objects, and on its Handler for all that happens to the inputs. It does no I/O, and never decides
-// how a call is split into parts or where one runs: that is package batch's and the scheduler's.
+// A Request reads a body as it arrives and owns its inputs, each until the part of the call with that input has
+// completed; an Answer encodes the vectors or scores of all parts as one response body. The package relies on package
+// frontend for the connections of clients and for their error objects, and on its Handler for the processing of the
+// inputs. It does no I/O. Package batch decides how a call is split into parts, and the scheduler where a part runs.
 package embeddings
 
 import (
@@ -15,7 +15,7 @@
 	"plumspindle/internal/vectors"
 )
 
-// Kind is the API that a call came by.
+// Kind is the API that a call uses.
 type Kind uint8
 
 // The two APIs.
@@ -24,7 +24,7 @@
 	Rerank
 )
 
-// Path returns the API's one URL, both of clients and of endpoints.
+// Path returns the URL path of the API, which is the same for clients and at endpoints.
 func (k Kind) Path() string {
 	if k == Rerank {
 		return "/v1/rerank"
@@ -32,7 +32,7 @@
 	return "/v1/embeddings"
 }
 
-// ListName returns the name of the member that holds the inputs.
+// ListName returns the name of the body's member that holds the inputs.
 func (k Kind) ListName() string {
 	if k == Rerank {
 		return "documents"
@@ -44,61 +44,62 @@
 type Limits struct {
 	MaxInputs      int // of a call
 	MaxInputTokens int // of one input
-	MaxBody        int // bytes, also once it is decoded
-	MaxBuffered    int // bytes of inputs that are buffered at once
+	MaxBody        int // bytes of the body, both as it arrives and after decoding
+	MaxBuffered    int // bytes of inputs that are buffered at the same time
 }
 
-// Handler takes over what a Request has read.
+// Handler processes what a Request has read.
 type Handler interface {
-	// Begin is called once all is known that a part needs; inputs may be sent from now on.
+	// Begin is called once, when enough of the body is known to send parts.
 	Begin() *frontend.Problem
-	// InputsAdded is called when further inputs have arrived, or, with last, when there will be none.
+	// InputsAdded is called when more inputs have arrived, or, with last set, when the body has ended.
 	InputsAdded(last bool) *frontend.Problem
 }
 
-// Request is what a client asks for, as far as its body has arrived. It is a frontend.Sink.
+// Request is the request of one call, as far as its body has arrived. It is a frontend.Sink.
 type Request struct {
 	Kind            Kind
 	Model           string
-	EncodeBase64    bool // the vectors are to be given as base64
+	EncodeBase64    bool // vectors are returned as base64
 	Dimensions      int  // 0: as many as the model has
 	Query           string
-	TopN            int  // 0: all
-	ReturnDocuments bool // the documents are to be given back
+	TopN            int  // how many documents are returned; 0: all
+	ReturnDocuments bool // the texts of the documents are returned with the scores
 	Inputs          []Input
-	Order           []int32  // of each input as it came, its place among Inputs
-	BufferedBytes   int      // of inputs
-	Texts           []string // of documents that are to be given back, by place among Inputs
+	Order           []int32  // for each input in the order of the body, its index in Inputs
+	BufferedBytes   int      // of Inputs
+	Texts           []string // of the documents, indexed like Inputs; nil once it is known that they are not returned
 
 	limits   Limits
 	handler  Handler
 	response *frontend.Response
 	scanner  scanner
-	decoder  *decoder // nil: the body is not encoded
-	places   map[vectors.Key]int32
-	loose    looseTokens
-	begun    bool // Handler.Begin was called
-	received bool // the whole body has arrived, though it may not be decoded yet
-	finished bool // the whole body has been read
+	decoder  *decoder // nil: the body has no content encoding
+
+	indexByKey map[vectors.Key]int32 // of Inputs
+	tokenArray tokenArray
+	begun      bool // Handler.Begin was called
+	received   bool // the whole body has arrived, but it may not be decoded yet
+	finished   bool // the whole body has been decoded and read
 }
 
-// NewRequest returns a request for a body in a content encoding, "" for none.
+// NewRequest returns a request whose body has a content encoding, "" for none.
 func NewRequest(
 	kind Kind, encoding string, limits Limits, handler Handler, response *frontend.Response,
 ) *Request {
 	r := &Request{
-		Kind:     kind,
-		limits:   limits,
-		handler:  handler,
-		response: response,
-		decoder:  newDecoder(encoding),
-		places:   map[vectors.Key]int32{},
+		Kind:       kind,
+		limits:     limits,
+		handler:    handler,
+		response:   response,
+		decoder:    newDecoder(encoding),
+		indexByKey: map[vectors.Key]int32{},
 	}
 	r.scanner = scanner{
-		lists:    []string{Embeddings.ListName(), Rerank.ListName()},
-		maxValue: min(limits.MaxInputTokens*maxBytesPerToken+maxValueOverhead, limits.MaxBody),
-		member:   r.readMember,
-		element:  r.readElement,
+		streamedArrays: []string{Embeddings.ListName(), Rerank.ListName()},
+		maxValueBytes:  min(limits.MaxInputTokens*maxBytesPerToken+maxValueOverhead, limits.MaxBody),
+		onMember:       r.readMember,
+		onElement:      r.readElement,
 	}
 	return r
 }
@@ -120,15 +121,15 @@
 	return r.decode()
 }
 
-// Close frees the memory that decoding takes.
+// Close frees the memory of the decoder.
 func (r *Request) Close() {
 	if r.decoder != nil {
 		r.decoder.close()
 	}
 }
 
-// DiscardInput drops an input whose result is there. If that makes space for more of the body, reading goes on; a
-// problem that is returned is one of the inputs read then.
+// DiscardInput frees the memory of an input that has its result. If enough of the buffer is free then, the request
+// reads on in the body; the returned problem is one that the request found there.
 func (r *Request) DiscardInput(i int) *frontend.Problem {
 	input := &r.Inputs[i]
 	r.BufferedBytes -= len(input.Raw)
@@ -143,7 +144,7 @@
 	return nil
 }
 
-// read takes the next bytes of the plain body.
+// read parses the next bytes of the decoded body.
 func (r *Request) read(data []byte) *frontend.Problem {
 	if problem := r.scanner.feed(data); problem != nil {
 		return problem
@@ -151,7 +152,8 @@
 	return r.flush()
 }
 
-// flush has the inputs sent, and pauses the body, where much is buffered.
+// flush reports inputs to the handler before the body has ended, if more than half of the buffer is used, and pauses
+// the body if the buffer is full.
 func (r *Request) flush() *frontend.Problem {
 	if r.BufferedBytes <= r.limits.MaxBuffered/2 {
 		return nil
@@ -173,22 +175,22 @@
 	return nil
 }
 
-// ready reports whether all is known that a part needs.
+// ready reports whether enough of the body is known to send parts.
 func (r *Request) ready() bool { return r.Model != "" && (r.Kind != Rerank || r.Query != "") }
 
-// begin begins the call, once.
+// begin calls Handler.Begin, once.
 func (r *Request) begin() *frontend.Problem {
 	if r.begun {
 		return nil
 	}
 	r.begun = true
-	if !r.ReturnDocuments { // later members can't ask for it
+	if !r.ReturnDocuments { // readMember rejects return_documents from now on
 		r.Texts = nil
 	}
 	return r.handler.Begin()
 }
 
-// decode reads on in an encoded body, as far as inputs may be buffered.
+// decode reads on in an encoded body until the buffer for inputs is full or the body ends.
 func (r *Request) decode() *frontend.Problem {
 	if problem := r.decoder.open(); problem != nil {
 		return problem
@@ -212,7 +214,7 @@
 	return nil
 }
 
-// finish checks a body that was read as a whole.
+// finish checks a body that was read to its end, and reports the end to the handler.
 func (r *Request) finish() *frontend.Problem {
 	if r.finished {
 		return nil
@@ -221,7 +223,7 @@
 	if problem := r.scanner.close(); problem != nil {
 		return problem
 	}
-	if problem := r.endLooseTokens(); problem != nil {
+	if problem := r.finishTokenArray(); problem != nil {
 		return problem
 	}
 	if problem := r.checkRequired(); problem != nil {
@@ -233,6 +235,7 @@
 	return r.handler.InputsAdded(true)
 }
 
+// checkRequired checks that the body has all required members and at least one input.
 func (r *Request) checkRequired() *frontend.Problem {
 	list := r.Kind.ListName()
 	switch {
--- a/internal/embeddings/scanner.go
+++ b/internal/embeddings/scanner.go
@@ -8,58 +8,58 @@
 	"plumspindle/internal/frontend"
 )
 
-// maxName is how many bytes the name of a member may have, with its quotes.
-const maxName = 256
+// maxNameBytes is the maximum length of a member's name, including its quotes.
+const maxNameBytes = 256
 
-// scanner reads one JSON object as its bytes arrive, however they are cut: small members as a whole, and the elements
-// of lists one by one, so that a body far larger than what may be buffered can be read. It follows RFC 8259; each value
-// is checked before it is handed over.
+// scanner parses one JSON object whose bytes arrive in pieces of any size. It passes on each member as a whole, but
+// the elements of a streamed array one by one, so that a body far larger than the buffer can be read. It follows
+// RFC 8259, and validates each value before it passes the value on.
 type scanner struct {
-	lists    []string // members whose elements are handed over one by one
-	maxValue int      // bytes of one value
-	member   func(name string, raw []byte) *frontend.Problem
-	element  func(name string, raw []byte) *frontend.Problem
+	streamedArrays []string // members whose elements are passed on one by one if they are arrays
+	maxValueBytes  int      // of one value
+	onMember       func(name string, raw []byte) *frontend.Problem
+	onElement      func(name string, raw []byte) *frontend.Problem
 
-	state     scanState
-	name      string          // of the member that is being read
-	seen      map[string]bool // names of members
-	hasMember bool
-	inList    bool
-	value     []byte // of the value, or name, that is being read
-	kind      valueKind
-	depth     int  // of nested objects and lists in the value
-	inString  bool // of the value
-	escaped   bool // the next byte of the string is
+	state           scanState
+	name            string          // of the member that is being read
+	seen            map[string]bool // names of the members so far
+	hasMember       bool
+	inStreamedArray bool
+	value           []byte // the bytes so far of the value or name that is being read
+	kind            valueKind
+	depth           int  // of nested objects and arrays in the value
+	inString        bool // the next byte belongs to a string or name
+	escaped         bool // the next byte of the string follows a backslash
 }
 
-// scanState is what a scanner expects next.
+// scanState is what a scanner is reading or expects next.
 type scanState uint8
 
 const (
 	expectObject scanState = iota
-	expectName             // or the end of the object
+	expectName             // a member's name, or the end of the object
 	inName
 	expectColon
 	expectValue
 	inValue
-	expectComma // or the end of the list or object
-	expectEnd
+	expectComma // a comma, or the end of the streamed array or the object
+	expectEnd   // only white space
 )
 
-// valueKind is what kind of value is being read.
+// valueKind is the kind of the value that is being read.
 type valueKind uint8
 
 const (
-	noValue   valueKind = iota
-	listStart           // no value yet: the elements of a list follow
+	noValue    valueKind = iota
+	arrayStart           // a streamed array has begun, and no element of it yet
 	stringValue
-	compositeValue // an object or a list
-	scalarValue    // a number or a word
+	compositeValue // an object or an array
+	scalarValue    // a number, true, false or null
 )
 
 func isSpace(c byte) bool { return c == ' ' || c == '\t' || c == '\n' || c == '\r' }
 
-// feed takes the next bytes. Nothing may follow a problem.
+// feed parses the next bytes. It must not be called again after it has returned a problem.
 func (s *scanner) feed(data []byte) *frontend.Problem {
 	for len(data) > 0 {
 		used, problem := 1, (*frontend.Problem)(nil)
@@ -76,7 +76,7 @@
 	return nil
 }
 
-// scanByte takes one byte that is not a value's.
+// scanByte parses one byte that is not part of a value.
 func (s *scanner) scanByte(char byte) *frontend.Problem {
 	if s.state != inName && isSpace(char) {
 		return nil
@@ -89,11 +89,11 @@
 	case inName:
 		return s.scanName(char)
 	case expectColon:
-		return s.passColon(char)
+		return s.scanColon(char)
 	case expectValue:
 		return s.beginValue(char)
 	case expectComma:
-		return s.passComma(char)
+		return s.scanComma(char)
 	default:
 		return frontend.InvalidJSON()
 	}
@@ -120,7 +120,7 @@
 }
 
 func (s *scanner) scanName(c byte) *frontend.Problem {
-	if s.value = append(s.value, c); len(s.value) > maxName {
+	if s.value = append(s.value, c); len(s.value) > maxNameBytes {
 		return frontend.Invalid("", "invalid_json", "The name of a parameter is too long.")
 	}
 	if !s.scanString(c) {
@@ -140,7 +140,7 @@
 	return nil
 }
 
-func (s *scanner) passColon(c byte) *frontend.Problem {
+func (s *scanner) scanColon(c byte) *frontend.Problem {
 	if c != ':' {
 		return frontend.InvalidJSON()
 	}
@@ -148,15 +148,15 @@
 	return nil
 }
 
-func (s *scanner) passComma(c byte) *frontend.Problem {
+func (s *scanner) scanComma(c byte) *frontend.Problem {
 	switch {
-	case c == ',' && s.inList:
+	case c == ',' && s.inStreamedArray:
 		s.state = expectValue
 	case c == ',':
 		s.state = expectName
-	case c == ']' && s.inList:
-		s.inList = false
-	case c == '}' && !s.inList:
+	case c == ']' && s.inStreamedArray:
+		s.inStreamedArray = false
+	case c == '}' && !s.inStreamedArray:
 		s.state = expectEnd
 	default:
 		return frontend.InvalidJSON()
@@ -164,14 +164,14 @@
 	return nil
 }
 
-// beginValue takes the first byte of a value, or of a list whose elements are handed over one by one.
+// beginValue parses the first byte of a value or of a streamed array, or the end of an empty streamed array.
 func (s *scanner) beginValue(char byte) *frontend.Problem {
 	switch {
-	case char == '[' && !s.inList && slices.Contains(s.lists, s.name):
-		s.inList, s.kind = true, listStart
+	case char == '[' && !s.inStreamedArray && slices.Contains(s.streamedArrays, s.name):
+		s.inStreamedArray, s.kind = true, arrayStart
 		return nil
-	case char == ']' && s.inList && s.kind == listStart: // an empty list
-		s.inList, s.state = false, expectComma
+	case char == ']' && s.inStreamedArray && s.kind == arrayStart: // an empty array
+		s.inStreamedArray, s.state = false, expectComma
 		return nil
 	case char == ',' || char == ']' || char == '}' || char == ':':
 		return frontend.InvalidJSON()
@@ -187,18 +187,18 @@
 	return nil
 }
 
-// scanValue takes the next bytes of a value and returns how many. A stretch of a string's plain bytes is taken at once:
-// that is nearly all of a large body.
+// scanValue parses the next bytes of a value and returns how many. It appends the bytes of a string up to the next
+// quote or escape at once, because nearly all of a large body consists of such bytes.
 func (s *scanner) scanValue(data []byte) (used int, problem *frontend.Problem) {
 	if s.inString && !s.escaped {
-		used = plainLength(data)
+		used = unescapedLength(data)
 		s.value = append(s.value, data[:used]...)
 		if used == len(data) {
 			return used, s.checkLength()
 		}
 	}
 	c := data[used]
-	if s.kind == scalarValue && endsScalar(c) { // which it is not part of
+	if s.kind == scalarValue && endsScalar(c) { // c itself is not part of the value
 		return used, s.endValue()
 	}
 	s.value = append(s.value, c)
@@ -208,7 +208,7 @@
 	return used + 1, s.scanValueByte(c)
 }
 
-// scanValueByte takes one byte that was appended to the value.
+// scanValueByte parses one byte that was appended to the value.
 func (s *scanner) scanValueByte(c byte) *frontend.Problem {
 	if s.inString {
 		if s.scanString(c) && s.kind == stringValue {
@@ -229,7 +229,7 @@
 	return nil
 }
 
-// scanString takes one byte of a string and reports whether it is the last.
+// scanString parses one byte of a string and reports whether it is the closing quote.
 func (s *scanner) scanString(c byte) bool {
 	switch {
 	case s.escaped:
@@ -243,21 +243,22 @@
 	return false
 }
 
-// endValue hands over a value.
+// endValue validates the value that has ended, and passes it on.
 func (s *scanner) endValue() *frontend.Problem {
 	if !gjson.ValidBytes(s.value) {
 		return frontend.InvalidJSON()
 	}
 	s.state = expectComma
-	if s.inList {
-		return s.element(s.name, s.value)
+	if s.inStreamedArray {
+		return s.onElement(s.name, s.value)
 	}
-	return s.member(s.name, s.value)
+	return s.onMember(s.name, s.value)
 }
 
 func (s *scanner) checkLength() *frontend.Problem {
-	if len(s.value) > s.maxValue {
-		return frontend.Invalid(s.name, "value_too_long", "A value of '%.60s' is longer than %d bytes.", s.name, s.maxValue)
+	if len(s.value) > s.maxValueBytes {
+		return frontend.Invalid(s.name, "value_too_long",
+			"A value of '%.60s' is longer than %d bytes.", s.name, s.maxValueBytes)
 	}
 	return nil
 }
@@ -270,8 +271,8 @@
 	return nil
 }
 
-// plainLength returns how many bytes of a string come before the next quote or escape.
-func plainLength(data []byte) int {
+// unescapedLength returns how many bytes of a string come before the next quote or backslash.
+func unescapedLength(data []byte) int {
 	for i, c := range data {
 		if c == '"' || c == '\\' {
 			return i
@@ -280,5 +281,5 @@
 	return len(data)
 }
 
-// endsScalar reports whether a byte ends a number or word.
+// endsScalar reports whether a byte ends a number, true, false or null.
 func endsScalar(c byte) bool { return c == ',' || c == ']' || c == '}' || isSpace(c) }
--- a/internal/embeddings/scanner_test.go
+++ b/internal/embeddings/scanner_test.go
@@ -13,14 +13,14 @@
 	"plumspindle/internal/frontend"
 )
 
-// scan returns all that a scanner hands over of a body that arrives in pieces, and its problem.
+// scan returns what a scanner passes on of a body that is cut into pieces at the given offsets, and the problem.
 func scan(body []byte, cuts []int) (values []string, problem *frontend.Problem) {
-	s := scanner{lists: []string{"input"}, maxValue: 1 << 20}
-	s.member = func(name string, raw []byte) *frontend.Problem {
+	s := scanner{streamedArrays: []string{"input"}, maxValueBytes: 1 << 20}
+	s.onMember = func(name string, raw []byte) *frontend.Problem {
 		values = append(values, fmt.Sprintf("%s=%s", name, raw))
 		return nil
 	}
-	s.element = func(name string, raw []byte) *frontend.Problem {
+	s.onElement = func(name string, raw []byte) *frontend.Problem {
 		values = append(values, fmt.Sprintf("%s+%s", name, raw))
 		return nil
 	}
@@ -35,13 +35,14 @@
 	return values, s.close()
 }
 
-// checkCutsDoNotMatter fails the test where a body is read otherwise in pieces than in one, and returns the problem.
+// checkCutsDoNotMatter fails the test if a body that arrives in pieces is scanned differently from the whole body. It
+// returns the problem of the whole body.
 func checkCutsDoNotMatter(t rapid.TB, body []byte, cuts []int) *frontend.Problem {
 	t.Helper()
 	whole, wholeProblem := scan(body, nil)
 	pieces, piecesProblem := scan(body, cuts)
 	if !slices.Equal(whole, pieces) || (wholeProblem == nil) != (piecesProblem == nil) {
-		t.Fatalf("%q cut at %v: %q (%v), in one: %q (%v)", body, cuts, pieces, piecesProblem, whole, wholeProblem)
+		t.Fatalf("%q cut at %v: %q (%v), whole: %q (%v)", body, cuts, pieces, piecesProblem, whole, wholeProblem)
 	}
 	return wholeProblem
 }
@@ -68,7 +69,7 @@
 	return text.Draw(t, "string")
 }
 
-// drawBody draws an object, spoiled in one place every fourth time.
+// drawBody draws a JSON object, and corrupts one byte of it every fourth time.
 func drawBody(t *rapid.T) []byte {
 	var members []string
 	names := []string{"input", "model", "x"}
@@ -80,15 +81,15 @@
 		members = append(members, fmt.Sprintf("%q : %s", name, value))
 	}
 	body := []byte(" {" + strings.Join(members, " ,\n") + "} ")
-	if rapid.IntRange(0, 3).Draw(t, "spoil") == 0 {
+	if rapid.IntRange(0, 3).Draw(t, "corrupt") == 0 {
 		at := rapid.IntRange(0, len(body)-1).Draw(t, "at")
 		body[at] = rapid.SampledFrom([]byte(`{}[],:"\x0 `)).Draw(t, "with")
 	}
 	return body
 }
 
-// TestScannerAgreesWithEncodingJSON: a body is read alike however it is cut, and what package encoding/json refuses is
-// refused.
+// TestScannerAgreesWithEncodingJSON checks that a body is scanned in the same way however it is cut into pieces, and
+// that the scanner rejects exactly those bodies that package encoding/json rejects, and those with duplicate members.
 func TestScannerAgreesWithEncodingJSON(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		body := drawBody(t)
@@ -104,11 +105,12 @@
 		}
 		var members map[string]json.RawMessage
 		if err := json.Unmarshal(body, &members); (err == nil) != (problem == nil) {
-			t.Fatalf("%q: %v, package encoding/json: %v", body, problem, err)
+			t.Fatalf("%q: scanner %v, package encoding/json %v", body, problem, err)
 		}
 	})
 }
 
+// FuzzScanner checks that a body is scanned in the same way whole and cut into two pieces.
 func FuzzScanner(f *testing.F) {
 	f.Add([]byte(`{"model":"m","input":["a",[1,2],{"x":"]"}]}`), 3)
 	f.Fuzz(func(t *testing.T, body []byte, cut int) {
@@ -116,7 +118,8 @@
 	})
 }
 
-// FuzzReadPart: whatever an endpoint responds, nothing crashes, and what is taken is complete.
+// FuzzReadPart checks that ReadPart does not panic on any response, and that an accepted response has vectors of the
+// right size only.
 func FuzzReadPart(f *testing.F) {
 	f.Add([]byte(`{"data":[{"index":0,"embedding":[1,2]},{"index":1,"embedding":"AAAAAAAAAAA="}]}`))
 	f.Add([]byte(`{"data":[{"index":1e400,"embedding":[1e60,2]}]}`))
@@ -128,7 +131,7 @@
 		}
 		for _, vector := range result.Vectors {
 			if len(vector) != 2*bytesPerDimension {
-				t.Fatalf("%q: a vector of %d bytes", body, len(vector))
+				t.Fatalf("%q: vector of %d bytes", body, len(vector))
 			}
 		}
 	})
