--- a/cmd/benchadapter/main.go
+++ b/cmd/benchadapter/main.go
@@ -1,4 +1,5 @@
-// Command benchadapter runs the scheduler on the bench simulator's wire, over standard input and output.
+// Command benchadapter connects the scheduler to the bench simulator, whose wire protocol it speaks over standard input
+// and output.
 package main
 
 import (
--- a/cmd/plumspindle/main.go
+++ b/cmd/plumspindle/main.go
@@ -1,4 +1,4 @@
-// Command plumspindle is the router and its laboratory.
+// Command plumspindle runs the router, its administration and discovery services, and its test bed and benchmarks.
 package main
 
 import (
--- a/internal/benchadapter/actions.go
+++ b/internal/benchadapter/actions.go
@@ -9,25 +9,26 @@
 
 const microsPerMilli = 1000
 
-// instance is one scheduler and its Executor, which writes orders as actions of the reply.
+// instance is one scheduler and its Executor, which appends an action to the reply for each call.
 type instance struct {
 	*scheduler.Scheduler
-	adapter     *adapter
-	id          uint32
-	memoryValue int // index of the memory share in a load report; negative if it has none
+	adapter          *adapter
+	id               uint32
+	memoryValueIndex int // index in load reports of the used share of the memory; negative if they don't have it
 }
 
-// appendAction adds an action of this instance. If the last one was another instance's, an action that names this one
-// is added before it.
+// appendAction appends an action of this instance. Unless this instance is the selected one, it first appends an action
+// that selects it.
 func (in *instance) appendAction(code byte) []byte {
 	a := in.adapter
-	if !a.named || a.instance != in.id {
-		a.named, a.instance = true, in.id
-		binary.LittleEndian.PutUint32(a.appendAction(actionInstance)[actionInstanceID:], in.id)
+	if !a.instanceSelected || a.selectedInstance != in.id {
+		a.instanceSelected, a.selectedInstance = true, in.id
+		binary.LittleEndian.PutUint32(a.appendAction(actionSelectInstance)[actionInstanceID:], in.id)
 	}
 	return a.appendAction(code)
 }
 
+// appendAction appends an action of which only the code is set.
 func (a *adapter) appendAction(code byte) []byte {
 	a.actions = append(a.actions, make([]byte, actionSize)...)
 	action := a.actions[len(a.actions)-actionSize:]
@@ -35,6 +36,7 @@
 	return action
 }
 
+// appendRequestAction appends an action that concerns a request.
 func (in *instance) appendRequestAction(code byte, request scheduler.RequestID) []byte {
 	action := in.appendAction(code)
 	binary.LittleEndian.PutUint64(action[actionRequest:], uint64(request))
@@ -45,13 +47,13 @@
 func (in *instance) Send(request scheduler.RequestID, endpoint scheduler.EndpointID, timeout scheduler.Micros) {
 	action := in.appendRequestAction(actionSend, request)
 	binary.LittleEndian.PutUint32(action[sendEndpoint:], uint32(endpoint))
-	binary.LittleEndian.PutUint64(action[sendTimeout:], nanos(timeout))
+	binary.LittleEndian.PutUint64(action[sendTimeout:], nanosFromMicros(timeout))
 }
 
 // Reject implements scheduler.Executor.
 func (in *instance) Reject(request scheduler.RequestID, retryAfter scheduler.Micros) {
 	action := in.appendRequestAction(actionReject, request)
-	binary.LittleEndian.PutUint64(action[rejectRetryAfter:], nanos(retryAfter))
+	binary.LittleEndian.PutUint64(action[rejectRetryAfter:], nanosFromMicros(retryAfter))
 }
 
 // Fail implements scheduler.Executor.
@@ -74,20 +76,20 @@
 // SetTimer implements scheduler.Executor.
 func (in *instance) SetTimer(after scheduler.Micros, timer scheduler.TimerID) {
 	action := in.appendAction(actionSetTimer)
-	binary.LittleEndian.PutUint64(action[setTimerAfter:], nanos(after))
+	binary.LittleEndian.PutUint64(action[setTimerAfter:], nanosFromMicros(after))
 	binary.LittleEndian.PutUint64(action[setTimerID:], uint64(timer))
 }
 
-// Log implements scheduler.Executor: the event's text follows all actions in the reply.
+// Log implements scheduler.Executor. The reply holds the event's text after all actions.
 func (in *instance) Log(event scheduler.Event) {
-	text, action := describe(event), in.appendAction(actionLog)
+	text, action := logText(event), in.appendAction(actionLog)
 	binary.LittleEndian.PutUint32(action[logOffset:], uint32(len(in.adapter.text)))
 	binary.LittleEndian.PutUint32(action[logLength:], uint32(len(text)))
 	in.adapter.text = append(in.adapter.text, text...)
 }
 
-// describe is the text of an event in the bench's log.
-func describe(event scheduler.Event) string {
+// logText returns the text of an event for the bench's log, or "" for an event that the bench does not log.
+func logText(event scheduler.Event) string {
 	switch e := event.(type) {
 	case scheduler.EndpointEjected:
 		return fmt.Sprintf("endpoint %d ejected for %d ms: %s", e.Endpoint, e.For/microsPerMilli, e.Reason)
--- a/internal/benchadapter/benchadapter_test.go
+++ b/internal/benchadapter/benchadapter_test.go
@@ -18,7 +18,8 @@
 "obligations": {"cold": 14000000000, "cold_from": 0.25, "fall": 2000000000, "fall_multiple": 2.5},
 "request_classes": [{"aim": 1000000000, "deadline": 4000000000, "repeat": "read_like", "points": 2.0}]}`
 
-// frame is one frame of events at a clock of a second; every event is filled up to its size, the tail goes last.
+// frame returns a frame of events, given in hexadecimal, at a time of one second. Each event is padded to its full
+// size, and the tail follows the events.
 func frame(t *testing.T, tail string, events ...string) string {
 	t.Helper()
 	body := binary.LittleEndian.AppendUint64(nil, 1e9)
@@ -35,6 +36,7 @@
 	return string(header) + string(body)
 }
 
+// hex32 returns a 32-bit number as on the wire, in hexadecimal.
 func hex32(v int) string {
 	return hex.EncodeToString(binary.LittleEndian.AppendUint32(nil, uint32(v)))
 }
@@ -45,9 +47,11 @@
 		" 0065cd1d01000000 0000e144 0000 00"
 )
 
+// attach returns an event that starts an instance with benchSettings, which must come first in the frame's tail.
 func attach() string { return "0a 0100000000000000 00000000 " + hex32(len(benchSettings)) }
 
-// lists holds a prefill endpoint (0x11) and a decode endpoint (0x22).
+// lists returns an event that stores an endpoint list, an event that passes it to the instance, and the entries of the
+// list: a prefill endpoint (0x11) and a decode endpoint (0x22). In the frame's tail the entries follow benchSettings.
 func lists() (list, update, entries string) {
 	raw, _ := hex.DecodeString("11000000" + "00000000" + "03" + "0000803f" + "0000000000000000" +
 		"22000000" + "00010000" + "03" + "0000803f" + "0000000000000000")
@@ -65,16 +69,16 @@
 	}
 	got := hex.EncodeToString(out.Bytes())
 	for _, want := range []string{
-		"07000000", "a003000000", // the frame is answered, for instance 3
+		"07000000", "a003000000", // the frame's sequence number, and the action that selects instance 3
 		"0ac4913a5d367107001100" + "0000", // sent to the prefill endpoint
 		"0ac4913a5d367107002200" + "0000", // then to the decode endpoint
 	} {
 		if !strings.Contains(got, want) {
-			t.Errorf("no %s in %s", want, got)
+			t.Errorf("replies do not contain %s: %s", want, got)
 		}
 	}
 	if strings.Count(got, "0ac4913a5d36710700") != 2 {
-		t.Errorf("not two attempts: %s", got)
+		t.Errorf("want two attempts: %s", got)
 	}
 }
 
@@ -88,34 +92,34 @@
 	tooMany := strings.Replace(whole, "\x02\x00\x00\x00\x82", "\x99\x00\x00\x00\x82", 1)
 	var unknownValue *UnknownValueError
 	for name, test := range map[string]struct {
-		in, says string
+		in, want string
 		is       error // nil if the error is another package's
 	}{
-		"cut in the header":     {whole[:5], "cut short in its header", ErrHeaderTruncated},
-		"cut in the body":       {whole[:40], "frame 7: cut short", ErrBodyTruncated},
-		"impossible length":     {"\x07\x00\x00\x00\x02\x00\x00\x00zz", "impossible length 2", ErrFrameLength},
-		"records past the end":  {tooMany, "do not fit", ErrRecordsOverflow},
+		"truncated header":      {whole[:5], "frame 0: truncated header", ErrHeaderTruncated},
+		"truncated body":        {whole[:40], "frame 7: truncated body", ErrBodyTruncated},
+		"invalid length":        {"\x07\x00\x00\x00\x02\x00\x00\x00zz", "invalid length 2", ErrFrameLength},
+		"too many records":      {tooMany, "exceed the frame: 153 records", ErrRecordsOverflow},
 		"unknown code":          {whole + frame(t, "", instance3, "63"), "record 1 (code 99): unknown code", ErrUnknownCode},
-		"no instance":           {frame(t, "", request), "before any instance", ErrNoInstance},
-		"never started":         {frame(t, "", "82 09000000", request), "instance 9 was never started", ErrUnknownInstance},
-		"settings cut":          {noJSON, "not a JSON object", nil},
+		"no instance selected":  {frame(t, "", request), "no instance is selected", ErrNoInstance},
+		"unknown instance":      {frame(t, "", "82 09000000", request), "unknown instance 9", ErrUnknownInstance},
+		"settings not JSON":     {noJSON, "not a JSON object", nil},
 		"unknown duty":          {unknownDuty, `unknown duty "wrote"`, nil},
-		"tail past the frame":   {frame(t, "", instance3, attach()), "past the frame", ErrTailOverflow},
+		"tail field too large":  {frame(t, "", instance3, attach()), "tail field exceeds the frame", ErrTailOverflow},
 		"unknown outcome":       {whole + frame(t, "", instance3, unknownOutcome), "unknown outcome 99", nil},
 		"unknown condition":     {frame(t, unknownState, instance3, attach(), list, update), "condition 9", nil},
 		"list number too large": {frame(t, "", "78 10 00000000 00000000"), "out of range", ErrOutOfRange},
 	} {
 		err := Serve(strings.NewReader(test.in), &bytes.Buffer{})
-		if err == nil || !strings.Contains(err.Error(), test.says) || strings.Contains(err.Error(), "\n") {
-			t.Errorf("%s: error %v, want one line with %q", name, err, test.says)
+		if err == nil || !strings.Contains(err.Error(), test.want) || strings.Contains(err.Error(), "\n") {
+			t.Errorf("%s: error %v, want one line containing %q", name, err, test.want)
 		}
 		var frameError *FrameError
 		if !errors.As(err, &frameError) || test.is != nil && !errors.Is(err, test.is) {
-			t.Errorf("%s: error %v, want a frame error that is %v", name, err, test.is)
+			t.Errorf("%s: error %v, want a FrameError that wraps %v", name, err, test.is)
 		}
-		if unknown := strings.Contains(test.says, "condition") || strings.Contains(test.says, "outcome"); unknown {
+		if unknown := strings.Contains(test.want, "condition") || strings.Contains(test.want, "outcome"); unknown {
 			if !errors.As(err, &unknownValue) {
-				t.Errorf("%s: error %v, want an unknown value", name, err)
+				t.Errorf("%s: error %v, want an UnknownValueError", name, err)
 			}
 		}
 	}
@@ -123,7 +127,7 @@
 
 func TestUnknownIDsAndUnusedEventsAreAccepted(t *testing.T) {
 	in := frame(t, benchSettings, instance3, attach(),
-		"32 0900000000000000 00000000 00 11000000 00", // the end of an attempt of an unknown request
+		"32 0900000000000000 00000000 00 11000000 00", // an attempt of an unknown request ended
 		"3c 0900000000000000", "46 6300000000000000", "28 0900000000000000 0000 11000000",
 		"50 11000000 00", "6e", "5a", "14 0100000000000000 00 03", "64")
 	if err := Serve(strings.NewReader(in), &bytes.Buffer{}); err != nil {
@@ -143,6 +147,6 @@
 	}
 	last := record(a.actions[len(a.actions)-actionSize:])
 	if last.code() != actionLog || last.uint32(logOffset) != 45 || last.uint32(logLength) != 68 {
-		t.Errorf("action %x", []byte(last))
+		t.Errorf("last action is %x, want a log action with the second text", []byte(last))
 	}
 }
--- a/internal/benchadapter/endpoint_lists.go
+++ b/internal/benchadapter/endpoint_lists.go
@@ -7,7 +7,7 @@
 	"plumspindle/scheduler"
 )
 
-// storeList stores an endpoint list under its number, for the updates that refer to it.
+// storeList stores an endpoint list under its number, for later updates that refer to it.
 func (a *adapter) storeList(event record, tail []byte) error {
 	entries, err := event.tail(listEntries, tail, entrySize)
 	if err != nil {
@@ -27,7 +27,7 @@
 	return nil
 }
 
-// updateEndpoints passes a stored list to an instance, or reports that the list could not be fetched.
+// updateEndpoints passes the endpoints of a stored list to an instance, or reports that the list could not be fetched.
 func (a *adapter) updateEndpoints(in *instance, event record) error {
 	scope, number := event.byte(updateScope), event.byte(updateList)
 	if scope == scopeFailed {
--- a/internal/benchadapter/errors.go
+++ b/internal/benchadapter/errors.go
@@ -5,24 +5,24 @@
 	"fmt"
 )
 
-// What can be wrong with a frame.
+// Errors of a frame.
 var (
-	ErrHeaderTruncated = errors.New("cut short in its header")
-	ErrBodyTruncated   = errors.New("cut short after its header")
-	ErrFrameLength     = errors.New("impossible length")
-	ErrRecordsOverflow = errors.New("do not fit into it")
+	ErrHeaderTruncated = errors.New("truncated header")
+	ErrBodyTruncated   = errors.New("truncated body")
+	ErrFrameLength     = errors.New("invalid length")
+	ErrRecordsOverflow = errors.New("records exceed the frame")
 )
 
-// What can be wrong with a record.
+// Errors of a record.
 var (
-	ErrNoInstance      = errors.New("comes before any instance is named")
-	ErrUnknownInstance = errors.New("was never started")
+	ErrNoInstance      = errors.New("no instance is selected")
+	ErrUnknownInstance = errors.New("unknown instance")
 	ErrUnknownCode     = errors.New("unknown code")
 	ErrOutOfRange      = errors.New("out of range")
-	ErrTailOverflow    = errors.New("its tail field points past the frame")
+	ErrTailOverflow    = errors.New("tail field exceeds the frame")
 )
 
-// FrameError is why a frame could not be answered.
+// FrameError is the reason why a frame could not be answered.
 type FrameError struct {
 	Frame uint32
 	Err   error
@@ -32,7 +32,7 @@
 
 func (e *FrameError) Unwrap() error { return e.Err }
 
-// RecordError is why a record of a frame could not be handled.
+// RecordError is the reason why a record of a frame could not be handled.
 type RecordError struct {
 	Index int
 	Code  byte
@@ -45,7 +45,7 @@
 
 func (e *RecordError) Unwrap() error { return e.Err }
 
-// UnknownValueError is a code that names no value of its field.
+// UnknownValueError is the error of a field whose value is not a known code.
 type UnknownValueError struct {
 	Field string
 	Value byte
--- a/internal/benchadapter/events.go
+++ b/internal/benchadapter/events.go
@@ -8,23 +8,23 @@
 	"plumspindle/scheduler"
 )
 
-// memoryReport is the value of a load report that is the share of memory taken.
-const memoryReport = "x0"
+// memoryFieldName is the name of the load report's value that is the used share of the memory.
+const memoryFieldName = "x0"
 
-// handleEvent carries out an event of one instance.
+// handleEvent handles an event of one instance.
 func (a *adapter) handleEvent(id uint32, event record, tail []byte) error {
 	if event.code() == eventAttach {
 		return a.attach(id, event, tail)
 	}
 	in := a.instances[id]
 	if in == nil {
-		return fmt.Errorf("instance %d %w", id, ErrUnknownInstance)
+		return fmt.Errorf("%w %d", ErrUnknownInstance, id)
 	}
 	switch event.code() {
 	case eventListUpdate:
 		return a.updateEndpoints(in, event)
 	case eventRequest:
-		in.RequestArrived(a.now, arrival(event))
+		in.RequestArrived(a.now, decodeArrival(event))
 	case eventAttemptStarted:
 		request := scheduler.RequestID(event.uint64(startedRequest))
 		in.AttemptStarted(a.now, request, scheduler.AttemptNo(event.uint16(startedAttempt)))
@@ -37,7 +37,7 @@
 	case eventProbeResult: // the scheduler requests no health checks
 		_, err := event.outcome(probeOutcome)
 		return err
-	case eventPeerMessage, eventReservation: // the scheduler uses neither
+	case eventPeerMessage, eventReservation: // the scheduler does not use them
 	case eventDetach:
 		delete(a.instances, id)
 	default:
@@ -46,7 +46,7 @@
 	return nil
 }
 
-// attach starts an instance. It replaces one with the same id.
+// attach starts an instance, which replaces any instance with the same id.
 func (a *adapter) attach(id uint32, event record, tail []byte) error {
 	text, err := event.tail(attachSettings, tail, 1)
 	if err != nil {
@@ -56,13 +56,14 @@
 	if err != nil {
 		return err
 	}
-	in := &instance{adapter: a, id: id, memoryValue: slices.Index(parsed.LoadReportFields, memoryReport)}
+	in := &instance{adapter: a, id: id, memoryValueIndex: slices.Index(parsed.LoadReportFields, memoryFieldName)}
 	a.instances[id] = in
 	in.Scheduler = scheduler.New(a.now, int64(event.uint64(attachSeed)), parsed.Scheduler, in)
 	return nil
 }
 
-func arrival(event record) scheduler.Arrival {
+// decodeArrival decodes an eventRequest.
+func decodeArrival(event record) scheduler.Arrival {
 	return scheduler.Arrival{
 		ID:              scheduler.RequestID(event.uint64(requestID)),
 		Session:         scheduler.SessionID(event.uint64(requestSession)),
@@ -77,6 +78,7 @@
 	}
 }
 
+// attemptEnded handles an eventAttemptEnded.
 func (in *instance) attemptEnded(event record) error {
 	outcome, err := event.outcome(endedOutcome)
 	if err != nil {
@@ -95,11 +97,12 @@
 	return nil
 }
 
-// memoryUsage is the share of memory taken by a load report, or scheduler.NoLoadReport if that does not have it.
+// memoryUsage returns the used share of the memory from a load report, or scheduler.NoLoadReport if the report does not
+// have that value.
 func (in *instance) memoryUsage(report record) float64 {
 	values := min(int(report.byte(0)), maxLoadReportValues)
-	if in.memoryValue < 0 || in.memoryValue >= values {
+	if in.memoryValueIndex < 0 || in.memoryValueIndex >= values {
 		return scheduler.NoLoadReport
 	}
-	return report.float(1 + loadReportValueSize*in.memoryValue)
+	return report.float(1 + loadReportValueSize*in.memoryValueIndex)
 }
--- a/internal/benchadapter/serve.go
+++ b/internal/benchadapter/serve.go
@@ -1,8 +1,8 @@
-// Package benchadapter connects the scheduler to the bench simulator by its wire protocol: frames of events in, frames
-// of actions out. It owns the scheduler instances of one process and the endpoint lists that the frames refer to. It
-// relies on the scheduler package for all decisions and on the settings package for an instance's configuration, and
-// decides nothing itself: a decoded event is one call of an instance, and an order of an instance is one action of the
-// reply.
+// Package benchadapter connects the scheduler to the bench simulator by the simulator's wire protocol: it reads frames
+// of events and answers each with a frame of actions. It owns the scheduler instances of one process and the endpoint
+// lists that events refer to. It makes no decisions: each event becomes a call of a scheduler instance, and each call
+// that an instance makes to its Executor becomes an action of the reply. Package settings decodes the configuration of
+// an instance.
 package benchadapter
 
 import (
@@ -15,9 +15,10 @@
 	"plumspindle/scheduler"
 )
 
-const bufferSize = 1 << 20
+const bufferSize = 1 << 20 // bytes
 
-// Serve answers frames until the input ends between two of them. Any other end is a *FrameError.
+// Serve answers frames until the input ends. It returns nil if the input ends between two frames, and otherwise a
+// *FrameError.
 func Serve(in io.Reader, out io.Writer) error {
 	input, output := bufio.NewReaderSize(in, bufferSize), bufio.NewWriterSize(out, bufferSize)
 	a := &adapter{instances: map[uint32]*instance{}}
@@ -27,7 +28,7 @@
 		case errors.Is(err, io.EOF):
 			return nil
 		case errors.Is(err, ErrHeaderTruncated):
-			return &FrameError{Frame: n, Err: err} // its sequence number is not known
+			return &FrameError{Frame: n, Err: err} // the count of frames, as the sequence number was not read
 		case err != nil:
 			return &FrameError{Frame: sequence, Err: err}
 		}
@@ -35,7 +36,7 @@
 			return &FrameError{Frame: sequence, Err: err}
 		}
 		if err := a.writeReply(output, sequence); err != nil {
-			return &FrameError{Frame: sequence, Err: fmt.Errorf("reply not written: %w", err)}
+			return &FrameError{Frame: sequence, Err: fmt.Errorf("write reply: %w", err)}
 		}
 	}
 }
@@ -60,34 +61,36 @@
 	return sequence, body, nil
 }
 
-// adapter has the instances of one process, the endpoint lists that their events refer to, and the reply being built.
+// adapter holds the instances of one process, the endpoint lists that their events refer to, and the reply that is
+// being built.
 type adapter struct {
 	instances map[uint32]*instance
-	lists     [listCount][]byte
+	lists     [maxLists][]byte // entries of each endpoint list, by its number
 	now       scheduler.Micros
 
-	actions  []byte
-	text     []byte // that the actions refer to
-	named    bool   // an action of this reply has named an instance
-	instance uint32 // the one named last
+	actions          []byte
+	text             []byte // log texts that the actions refer to
+	instanceSelected bool   // whether this reply has an actionSelectInstance
+	selectedInstance uint32 // the instance selected last
 }
 
-// handleFrame carries out the events of one frame.
+// handleFrame handles the events of one frame, and builds the reply.
 func (a *adapter) handleFrame(body []byte) error {
 	clock, count := record(body).uint64(bodyClock), record(body).uint32(bodyEventCount)
 	rest := body[bodyHeaderSize:]
 	if uint64(count)*eventSize > uint64(len(rest)) {
-		return fmt.Errorf("%d records %w", count, ErrRecordsOverflow)
+		return fmt.Errorf("%w: %d records", ErrRecordsOverflow, count)
 	}
 	events, tail := rest[:int(count)*eventSize], rest[int(count)*eventSize:]
-	a.now = scheduler.Micros((clock + nanosPerMicro - 1) / nanosPerMicro) // rounded up: late must not look in time
-	a.actions, a.text, a.named = a.actions[:0], a.text[:0], false
+	// The time is rounded up, so that a late event never seems to be in time.
+	a.now = scheduler.Micros((clock + nanosPerMicro - 1) / nanosPerMicro)
+	a.actions, a.text, a.instanceSelected = a.actions[:0], a.text[:0], false
 	var target *uint32
 	for i := 0; i < len(events); i += eventSize {
 		event := record(events[i : i+eventSize])
 		var err error
 		switch event.code() {
-		case eventInstance:
+		case eventSelectInstance:
 			id := event.uint32(instanceID)
 			target = &id
 		case eventEndpointList:
@@ -106,7 +109,7 @@
 	return nil
 }
 
-// writeReply answers a frame with its actions.
+// writeReply writes the reply to a frame: the actions, and the log texts after them.
 func (a *adapter) writeReply(w *bufio.Writer, sequence uint32) error {
 	var header [replyHeaderSize]byte
 	binary.LittleEndian.PutUint32(header[replySequence:], sequence)
--- a/internal/benchadapter/wire.go
+++ b/internal/benchadapter/wire.go
@@ -8,15 +8,17 @@
 	"plumspindle/scheduler"
 )
 
-// All numbers on the wire are little-endian, and times are in nanoseconds. Offsets count from the start of the part
-// that they name; a record's first byte is its code.
+// All numbers on the wire are little-endian, and times are in nanoseconds. A frame has a header and a body. The body
+// has a header, the event records and a tail, which holds data of variable size. A reply has a header, the action
+// records and the log texts. An offset counts from the start of the header, record or entry with the field. The first
+// byte of a record is its code.
 const (
 	nanosPerMicro = 1000
 
 	frameHeaderSize = 8
 	frameSequence   = 0
 	frameLength     = 4
-	maxFrameLength  = 1 << 30 // a greater length is corrupt
+	maxFrameLength  = 1 << 30 // bytes; a greater length means that the header is corrupt
 
 	bodyHeaderSize = 12
 	bodyClock      = 0
@@ -45,10 +47,10 @@
 	eventDetach         = 100
 	eventReservation    = 110
 	eventEndpointList   = 120
-	eventInstance       = 130
+	eventSelectInstance = 130
 )
 
-// Offsets of the events' fields. A tail field is an offset into the frame's tail and a count of items.
+// Offsets of the events' fields. A tail field is an offset into the frame's tail in bytes, and a count of items there.
 const (
 	instanceID = 1
 
@@ -77,7 +79,7 @@
 	endedClosed     = 13
 	endedOutcome    = 18
 	endedAttempt    = 27
-	endedLoadReport = 29 // a count of values, then the values
+	endedLoadReport = 29 // the number of values, then the values
 
 	disconnectRequest = 1
 	timerID           = 1
@@ -88,21 +90,22 @@
 )
 
 const (
-	detailStateMissing  = 1
+	detailStateMissing  = 1 // the decode endpoint found no prompt state to fetch
 	maxLoadReportValues = 4
-	loadReportValueSize = 4
+	loadReportValueSize = 4 // bytes
 )
 
 // Scopes of a list update.
 const (
-	scopePartial = 0
+	scopePartial = 0 // the list may not name all endpoints
 	scopeFailed  = 3 // the list could not be fetched
 )
 
-// Offsets of an endpoint list's entry.
-const (
-	listCount = 16
+// maxLists is how many endpoint lists an adapter stores.
+const maxLists = 16
 
+// Size of an endpoint list's entry, and offsets of its fields.
+const (
 	entrySize      = 21
 	entryEndpoint  = 0
 	entryZone      = 4
@@ -112,23 +115,23 @@
 	entryStartedAt = 13
 )
 
-// Codes of the actions.
+// Codes of the actions. Each but actionSelectInstance belongs to the instance that was selected last.
 const (
-	actionSend     = 10
-	actionReject   = 20
-	actionFail     = 30
-	actionCancel   = 40
-	actionSetTimer = 50
-	actionLog      = 90
-	actionWatch    = 110
-	actionRelease  = 150
-	actionInstance = 160
+	actionSend           = 10
+	actionReject         = 20
+	actionFail           = 30
+	actionCancel         = 40
+	actionSetTimer       = 50
+	actionLog            = 90
+	actionWatch          = 110
+	actionRelease        = 150
+	actionSelectInstance = 160
 )
 
 // Offsets of the actions' fields.
 const (
-	actionRequest    = 1 // of those that name a request
-	actionInstanceID = 1
+	actionRequest    = 1 // of the actions that concern a request
+	actionInstanceID = 1 // of actionSelectInstance
 
 	sendEndpoint     = 9
 	sendTimeout      = 13
@@ -162,7 +165,7 @@
 	3: scheduler.Ready,
 }
 
-// record reads the fields of a fixed part of a frame by their offsets.
+// record is a header, record or entry of fixed size, whose fields are read by their offsets.
 type record []byte
 
 func (r record) code() byte               { return r[0] }
@@ -171,7 +174,8 @@
 func (r record) uint32(offset int) uint32 { return binary.LittleEndian.Uint32(r[offset:]) }
 func (r record) uint64(offset int) uint64 { return binary.LittleEndian.Uint64(r[offset:]) }
 
-// float reads a number; NaN, infinity and what is not above zero stand for an absent value, which is 0.
+// float reads a 32-bit float. NaN, infinity and values that are not above zero stand for an absent value and are read
+// as 0.
 func (r record) float(offset int) float64 {
 	v := float64(math.Float32frombits(r.uint32(offset)))
 	if !(v > 0) || math.IsInf(v, 0) {
@@ -180,7 +184,7 @@
 	return v
 }
 
-// outcome reads an outcome's code.
+// outcome reads the outcome of an attempt.
 func (r record) outcome(offset int) (scheduler.Outcome, error) {
 	outcome, known := outcomes[r.byte(offset)]
 	if !known {
@@ -189,13 +193,14 @@
 	return outcome, nil
 }
 
-// tail is the part of the frame's tail that a tail field refers to, whose items are of one size.
+// tail returns the part of the frame's tail that a tail field refers to. Each item has itemSize bytes.
 func (r record) tail(offset int, tail []byte, itemSize uint64) ([]byte, error) {
 	from, count := uint64(r.uint32(offset)), uint64(r.uint32(offset+4))
 	if from+count*itemSize > uint64(len(tail)) {
-		return nil, fmt.Errorf("%w (%d items at %d)", ErrTailOverflow, count, from)
+		return nil, fmt.Errorf("%w: %d items at offset %d", ErrTailOverflow, count, from)
 	}
 	return tail[from : from+count*itemSize], nil
 }
 
-func nanos(t scheduler.Micros) uint64 { return uint64(max(t, 0)) * nanosPerMicro }
+// nanosFromMicros converts microseconds to nanoseconds; a negative time becomes 0.
+func nanosFromMicros(t scheduler.Micros) uint64 { return uint64(max(t, 0)) * nanosPerMicro }
