--- a/internal/batch/call.go
+++ b/internal/batch/call.go
@@ -63,7 +63,7 @@
 // part is a group of inputs that one request sends to an endpoint.
 type part struct {
 	inputs           []int // empty once the part has results or was split
-	sends            int
+	sends            int   // that count against maxSends
 	endpointFailures int
 }
 
@@ -78,7 +78,7 @@
 type Call struct {
 	FailedInput int // the input that made the call fail, or -1 if no single input did
 	Splits      int // how many parts were split
-	Retries     int // how many sends repeated an earlier send of the same part
+	Retries     int // how many sends followed one of the same part that counts against maxSends
 
 	parts    []part
 	ready    []PartID         // parts to send now, in this order
