--- a/internal/benchadapter/wire.go
+++ b/internal/benchadapter/wire.go
@@ -33,7 +33,8 @@
 	actionSize = 24
 )
 
-// Codes of the events.
+// Codes of the events. Each but eventSelectInstance and eventEndpointList is for the instance that the frame selected
+// last.
 const (
 	eventAttach         = 10
 	eventListUpdate     = 20
