--- a/internal/store/bench_test.go
+++ b/internal/store/bench_test.go
@@ -11,7 +11,7 @@
 	"github.com/google/btree"
 )
 
-// BenchmarkCommit measures durable commits by concurrent writers that each wait for their own.
+// BenchmarkCommit measures durable commits by concurrent writers, each of which waits for its commit before the next.
 func BenchmarkCommit(b *testing.B) {
 	for _, writers := range []int{1, 16, 256} {
 		b.Run(fmt.Sprint(writers), func(b *testing.B) {
@@ -114,7 +114,7 @@
 	return btree.NewG(64, func(a, b treeItem) bool { return a.key < b.key })
 }
 
-// BenchmarkIndexSet sets random keys, beside a plain map and a B-tree.
+// BenchmarkIndexSet sets random keys in an Index and, for comparison, in a plain map and a B-tree.
 func BenchmarkIndexSet(b *testing.B) {
 	keys, value := randomKeys(), make([]byte, 32)
 	b.Run("blocks", func(b *testing.B) {
@@ -149,7 +149,8 @@
 	})
 }
 
-// BenchmarkIndexScan scans prefixes, beside a plain map that is sorted for each scan and a B-tree.
+// BenchmarkIndexScan scans prefixes in an Index and, for comparison, in a B-tree and a plain map, whose matching keys
+// are sorted in each scan.
 func BenchmarkIndexScan(b *testing.B) {
 	keys, value := randomKeys(), make([]byte, 32)
 	index, plain, tree := &Index{}, map[string][]byte{}, newTree()
@@ -185,8 +186,7 @@
 	})
 }
 
-// BenchmarkRead reads random keys, and reports the memory that a key of 12 bytes with a value of 32 takes
-// beside its own bytes.
+// BenchmarkRead reads random keys. It also reports the memory overhead of a key of 12 bytes with a value of 32 bytes.
 func BenchmarkRead(b *testing.B) {
 	const keys, keyBytes, valueBytes = 1_000_000, 12, 32
 	heapBytes := func() uint64 {
@@ -208,7 +208,7 @@
 	}
 	for i := 0; b.Loop(); i++ {
 		if _, found := index.Get(reads[i%len(reads)]); !found {
-			b.Fatal("lost")
+			b.Fatal("a key is missing")
 		}
 	}
 	b.ReportMetric(overhead, "B_beside/key")
--- a/internal/store/files.go
+++ b/internal/store/files.go
@@ -12,11 +12,11 @@
 
 const (
 	lockName      = "lock"
-	partialSuffix = ".part" // of a file that is being written
+	partialSuffix = ".part" // name suffix of a file until it is complete
 )
 
-// Files is the Disk of a real folder. A lock file excludes a second process. One goroutine, which Close ends, executes
-// the operations in order; their results are posted to the event loop.
+// Files is a Disk on a folder of the file system. A lock file keeps a second process from using the folder. A single
+// goroutine executes the operations in order and posts their results to the event loop; Close ends it.
 type Files struct {
 	dir  string
 	lock *os.File
@@ -28,12 +28,13 @@
 	changed sync.Cond     // signalled when queue or closing has changed
 	stopped chan struct{} // closed when the goroutine has ended
 
-	// The segment that is appended to stays open. Both are used by the goroutine only.
+	// segment is the file last appended to, which stays open for the next append, and segmentName is its name. Only the
+	// goroutine uses them.
 	segment     *os.File
 	segmentName string
 }
 
-// OpenFiles locks a folder, which it creates if necessary. post must run a function on the store's event loop.
+// OpenFiles creates a folder if necessary and locks it. post must run its argument on the store's event loop.
 func OpenFiles(dir string, post func(func())) (*Files, error) {
 	if err := os.MkdirAll(dir, 0o700); err != nil {
 		return nil, fmt.Errorf("store: %w", err)
@@ -76,7 +77,8 @@
 	}
 }
 
-// nextOperations waits for operations and returns all of them; none if the folder is being closed.
+// nextOperations waits for operations and returns all that are queued. It returns none once Close was called and the
+// queue is empty.
 func (f *Files) nextOperations() []func() {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
@@ -88,7 +90,7 @@
 	return operations
 }
 
-// enqueue has the goroutine execute an operation and post its result.
+// enqueue queues an operation, whose result the goroutine posts to done on the event loop.
 func (f *Files) enqueue(operation func() error, done func(error)) {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
@@ -112,7 +114,7 @@
 // Read returns the content of a file.
 func (f *Files) Read(name string) ([]byte, error) { return os.ReadFile(filepath.Join(f.dir, name)) }
 
-// Truncate cuts a file to a size and syncs it.
+// Truncate shortens a file to size bytes and syncs it.
 func (f *Files) Truncate(name string, size int64) error {
 	file, err := os.OpenFile(filepath.Join(f.dir, name), os.O_WRONLY, 0)
 	if err != nil {
@@ -151,7 +153,7 @@
 
 func (f *Files) closeSegment() {
 	if f.segment != nil {
-		_ = f.segment.Close() // each append was synced, so no data can be lost
+		_ = f.segment.Close() // an error can't lose data, as each append was synced
 		f.segment = nil
 	}
 }
@@ -162,7 +164,7 @@
 		path := filepath.Join(f.dir, name)
 		partial := path + partialSuffix
 		if err := writeSynced(partial, build()); err != nil {
-			_ = os.Remove(partial) // free its space; the disk may be full
+			_ = os.Remove(partial) // frees its space, as the disk may be full
 			return err
 		}
 		if err := os.Rename(partial, path); err != nil {
@@ -181,7 +183,7 @@
 	return errors.Join(err, file.Sync(), file.Close())
 }
 
-// syncDir makes the file names in the folder durable.
+// syncDir syncs the folder itself, which makes the names of new and renamed files durable.
 func (f *Files) syncDir() error {
 	dir, err := os.Open(f.dir)
 	if err != nil {
@@ -190,7 +192,7 @@
 	return errors.Join(dir.Sync(), dir.Close())
 }
 
-// Remove removes a file of the folder.
+// Remove deletes a file of the folder.
 func (f *Files) Remove(name string, done func(error)) {
 	f.enqueue(func() error {
 		if strings.ContainsRune(name, '/') {
--- a/internal/store/files_test.go
+++ b/internal/store/files_test.go
@@ -12,10 +12,10 @@
 	"time"
 )
 
-// diskTimeout is how long a test waits for the next answer of the real disk.
+// diskTimeout is how long a test waits for the next callback of Files.
 const diskTimeout = 10 * time.Second
 
-// fileStore is a store on a real folder, whose answers come on a channel.
+// fileStore is a store on Files, whose callbacks are sent to the channel posts.
 type fileStore struct {
 	*Store
 	t     *testing.T
@@ -37,15 +37,15 @@
 	return s
 }
 
-// handleUntil delivers answers until a condition holds.
-func (s *fileStore) handleUntil(condition func() bool) {
+// deliverUntil runs posted callbacks until a condition is met.
+func (s *fileStore) deliverUntil(condition func() bool) {
 	s.t.Helper()
 	for !condition() {
 		select {
 		case answer := <-s.posts:
 			answer()
 		case <-time.After(diskTimeout):
-			s.t.Fatal("the disk does not answer")
+			s.t.Fatal("no callback within the timeout")
 		}
 	}
 }
@@ -57,20 +57,21 @@
 	if err := put(s.Store, key, value, func(e error) { answered, err = true, e }); err != nil {
 		return err
 	}
-	s.handleUntil(func() bool { return answered })
+	s.deliverUntil(func() bool { return answered })
 	return err
 }
 
-// repair waits for the end of a repair.
+// repair starts a repair and waits for its result.
 func (s *fileStore) repair() (err error) {
 	s.t.Helper()
 	answered := false
 	s.Repair(func(e error) { answered, err = true, e })
-	s.handleUntil(func() bool { return answered })
+	s.deliverUntil(func() bool { return answered })
 	return err
 }
 
-// Two processes can't share a folder, and what was acknowledged is there after a restart.
+// TestFilesExcludeSecondProcessAndKeepData checks that a locked folder can't be opened again, and that acknowledged
+// records are recovered after a restart.
 func TestFilesExcludeSecondProcessAndKeepData(t *testing.T) {
 	const records = 500
 	dir := t.TempDir()
@@ -89,7 +90,7 @@
 			t.Fatal(err)
 		}
 	}
-	s.handleUntil(func() bool { return acknowledged == records })
+	s.deliverUntil(func() bool { return acknowledged == records })
 	want := contents(s.Store)
 	s.files.Close()
 	again := openFileStore(t, dir, smallLimits)
@@ -99,12 +100,12 @@
 	}
 }
 
-// fullDiskDir names the folder of the process that TestFilesOnFullDisk starts.
+// fullDiskDir is the environment variable that names the folder in the child process of TestFilesOnFullDisk.
 const fullDiskDir = "PLUMSPINDLE_FULL_DISK_DIR"
 
-// In a process of its own whose files may not grow, writes come out short and fail, as does the snapshot of a
-// repair, which leaves no partial file to take up space. Once files may grow again the store goes on, and a
-// start finds what was acknowledged and nothing that was rejected.
+// TestFilesOnFullDisk simulates a full disk by a limit on the file size in a child process. Appends are then cut short
+// and fail. A repair fails too, and must leave no partial file that takes up space. Once the limit is lifted, the store
+// can be repaired, and a restart recovers the acknowledged records but none that were rejected.
 func TestFilesOnFullDisk(t *testing.T) {
 	if dir := os.Getenv(fullDiskDir); dir != "" {
 		runOnFullDisk(t, dir)
@@ -158,7 +159,7 @@
 		}
 		for _, name := range names {
 			if strings.HasSuffix(name, ".part") {
-				t.Errorf("%s takes up space", name)
+				t.Errorf("the failed repair left %s behind", name)
 			}
 		}
 		limitFileSize(unlimited.Cur)
--- a/internal/store/history_test.go
+++ b/internal/store/history_test.go
@@ -14,7 +14,7 @@
 )
 
 const (
-	historyKeys     = 3 // all that the clients of a history use; a transaction may change several
+	historyKeys     = 3 // number of keys that all clients share; a transaction may change several
 	historyClients  = 5
 	historyRestarts = 5
 	checkTimeout    = 20 * time.Second
@@ -22,28 +22,28 @@
 
 func historyKey(i int) string { return fmt.Sprint("k", i) }
 
-// keyValues are the values of all keys; an absent key has an empty one.
+// keyValues holds the values of all keys; the value of an absent key is empty.
 type keyValues [historyKeys]string
 
 const noCondition = -1
 
-// historyStep is what a client asks for: a read of all keys, or a transaction.
+// historyStep is an operation of a client: a read of all keys, or a transaction.
 type historyStep struct {
 	reads    bool
 	compared int // the key that must have the value expected; noCondition for none
 	expected string
-	sets     map[int]string // an empty value deletes
+	sets     map[int]string // new values by key; an empty value deletes the key
 }
 
-// outcome is what a client saw.
+// outcome is the result of a step as its client sees it.
 type outcome struct {
-	unknown  bool // the process died, or the store failed, before it was answered
+	unknown  bool // the process died, or the store failed, before the client got an answer
 	conflict bool
-	values   keyValues
+	values   keyValues // that a read returned
 }
 
-// sequential is the model of a store: one step at a time, each as a whole; a step that was not answered has
-// happened or has not.
+// sequential is the model of a linearizable store: it executes one step at a time and each step atomically. A step
+// without an answer may or may not have been executed.
 var sequential = (&porcupine.NondeterministicModel{
 	Init: func() []any { return []any{keyValues{}} },
 	Step: func(state, input, output any) []any {
@@ -67,8 +67,8 @@
 	},
 }).ToModel()
 
-// crash returns the disk as a power cut leaves it: what was answered is there; what was not is there up to
-// some byte.
+// crash returns the disk after a power cut. It contains all operations whose success was reported, and the others up to
+// a random byte. before is the content of the disk when it was opened.
 func (m *memoryDisk) crash(before map[string][]byte, random *rand.Rand) *memoryDisk {
 	crashed := diskWith(before)
 	complete := m.succeeded + random.Intn(len(m.history)-m.succeeded+1)
@@ -82,7 +82,7 @@
 	return crashed
 }
 
-// clientSimulation plays clients against a store that crashes now and then.
+// clientSimulation simulates concurrent clients of a store that crashes at random times.
 type clientSimulation struct {
 	t      *testing.T
 	seed   int64
@@ -93,19 +93,19 @@
 	disk        *memoryDisk
 	store       *Store
 	outstanding map[int]*porcupine.Operation // by client
-	abandoned   []*porcupine.Operation       // their clients went on without an answer
+	abandoned   []*porcupine.Operation       // operations whose clients no longer wait for an answer
 	history     []porcupine.Operation
 }
 
-// readMode says when a client's read is answered.
+// readMode determines when a client's read is answered.
 type readMode int
 
 const (
-	awaitReads readMode = iota // once what it read is durable
-	trustReads                 // at once, which is wrong
+	durableReads   readMode = iota // once the values that were read are durable
+	immediateReads                 // immediately, which is not linearizable across crashes
 )
 
-// simulateClients returns the operations of the clients of one simulation.
+// simulateClients runs one simulation and returns the operations of its clients.
 func simulateClients(t *testing.T, seed int64, reads readMode) []porcupine.Operation {
 	t.Helper()
 	s := &clientSimulation{
@@ -173,7 +173,7 @@
 	return step
 }
 
-// run takes a client's step to the store. It reports false for a read that was answered at once.
+// run executes a client's step on the store. It returns false for a read that was answered immediately.
 func (s *clientSimulation) run(client int, step historyStep) bool {
 	s.t.Helper()
 	s.time++
@@ -189,14 +189,14 @@
 	operation.Output = got
 	answered := func(err error) {
 		if err != nil {
-			return // it may have happened or not, and counts as outstanding until the process is gone
+			return // the step may have been executed or not; it counts as outstanding until the process dies
 		}
 		s.time++
 		operation.Return = s.time
 		s.history = append(s.history, *operation)
 		delete(s.outstanding, client)
 	}
-	if step.reads && s.reads == trustReads {
+	if step.reads && s.reads == immediateReads {
 		answered(nil)
 		return false
 	}
@@ -204,7 +204,7 @@
 	err := s.store.Commit(ops, conditions, WriteMode(s.random.Intn(4) == 0), answered)
 	if errors.Is(err, ErrConflict) {
 		operation.Output = outcome{conflict: true}
-		// What it conflicts with may not be durable itself, so the client waits for that.
+		// The value that caused the conflict may not be durable yet, so the client waits until it is.
 		err = s.store.Commit(nil, nil, WriteNow, answered)
 	}
 	if err != nil && !errors.Is(err, ErrFailed) {
@@ -231,7 +231,7 @@
 	return ops, conditions
 }
 
-// failOrRepairDisk makes the disk fail now and then, and repairs a store that has failed.
+// failOrRepairDisk makes the disk fail at random times, and repairs a store that has failed.
 func (s *clientSimulation) failOrRepairDisk() {
 	switch {
 	case s.random.Intn(150) == 0:
@@ -243,7 +243,7 @@
 	}
 }
 
-// abandonOutstanding lets all clients go on without an answer.
+// abandonOutstanding makes all clients continue without an answer to their outstanding operations.
 func (s *clientSimulation) abandonOutstanding() {
 	for _, client := range slices.Sorted(maps.Keys(s.outstanding)) {
 		s.abandoned = append(s.abandoned, s.outstanding[client])
@@ -251,14 +251,14 @@
 	}
 }
 
-// With five concurrent clients, crashes at any byte and full disks, the results are those of a store that does one step
-// at a time and loses no answered one. The check can fail: it does where a client trusts a read before what it read is
-// durable.
+// TestConcurrentHistories checks that the results that five concurrent clients see are linearizable, despite crashes at
+// any byte and a disk that is full or fails. No step that was answered may be lost. To prove that the check can fail,
+// the test also runs histories in which reads return values that are not durable yet, and expects it to reject one.
 func TestConcurrentHistories(t *testing.T) {
 	const seeds = 400
 	steps, unanswered := 0, 0
 	for seed := range int64(seeds) {
-		history := simulateClients(t, seed, awaitReads)
+		history := simulateClients(t, seed, durableReads)
 		steps += len(history)
 		for _, operation := range history {
 			if operation.Output.(outcome).unknown {
@@ -271,10 +271,10 @@
 	}
 	t.Logf("%d histories, %d steps, %d of them not answered", seeds, steps, unanswered)
 	for seed := range int64(200) {
-		history := simulateClients(t, seed, trustReads)
+		history := simulateClients(t, seed, immediateReads)
 		if porcupine.CheckOperationsTimeout(sequential, history, checkTimeout) == porcupine.Illegal {
 			return
 		}
 	}
-	t.Error("reads of what is not durable yet were never detected")
+	t.Error("no history with reads of values that are not durable was rejected")
 }
--- a/internal/store/index.go
+++ b/internal/store/index.go
@@ -7,29 +7,29 @@
 	"strings"
 )
 
-// maxBlockKeys is how many keys a block has before it is split.
+// maxBlockKeys is the largest number of keys in a block; a block with more is split.
 const maxBlockKeys = 256
 
-// Index is an ordered map with cheap snapshots. Keys are in blocks, in order. A snapshot shares the blocks with its
-// index, which copies a shared block before it changes it.
+// Index is an ordered map with cheap copy-on-write snapshots. It holds its keys in order, in a sequence of blocks. A
+// snapshot shares the blocks with its index, which copies a shared block before it changes it.
 type Index struct {
 	blocks       []*block
 	size         int
-	version      uint64 // grows with each snapshot; blocks of this version and older are shared
-	sharedBlocks bool   // the slice of blocks itself is shared
+	version      uint64 // number of snapshots taken; blocks up to this version are shared; MaxUint64 in a snapshot
+	sharedBlocks bool   // the slice blocks itself is shared with a snapshot
 }
 
 type block struct {
 	keys    []string
 	values  [][]byte
-	version uint64 // in which it was created
+	version uint64 // one above the index's version at which the block was created
 }
 
 // Len returns the number of keys.
 func (x *Index) Len() int { return x.size }
 
-// blockFor returns the position of the block that a key belongs to. There must be a block.
-func (x *Index) blockFor(key string) int {
+// blockPosition returns the position of the block that a key belongs to. The index must have at least one block.
+func (x *Index) blockPosition(key string) int {
 	after := sort.Search(len(x.blocks), func(i int) bool { return x.blocks[i].keys[0] > key })
 	return max(after-1, 0)
 }
@@ -39,7 +39,7 @@
 	if len(x.blocks) == 0 {
 		return nil, false
 	}
-	b := x.blocks[x.blockFor(key)]
+	b := x.blocks[x.blockPosition(key)]
 	position, found := slices.BinarySearch(b.keys, key)
 	if !found {
 		return nil, false
@@ -47,7 +47,7 @@
 	return b.values[position], true
 }
 
-// writableBlock returns a block that no snapshot shares, a copy if necessary.
+// writableBlock returns the block at position i for changes. If a snapshot shares the block, a copy replaces it first.
 func (x *Index) writableBlock(i int) *block {
 	if x.sharedBlocks {
 		x.blocks = slices.Clone(x.blocks)
@@ -61,7 +61,7 @@
 	return b
 }
 
-// newBlock returns a block with copies of keys and values that is not shared.
+// newBlock returns an unshared block with copies of the slices keys and values.
 func (x *Index) newBlock(keys []string, values [][]byte) *block {
 	return &block{keys: slices.Clone(keys), values: slices.Clone(values), version: x.version + 1}
 }
@@ -74,7 +74,7 @@
 		x.size++
 		return true
 	}
-	i := x.blockFor(key)
+	i := x.blockPosition(key)
 	b := x.writableBlock(i)
 	position, found := slices.BinarySearch(b.keys, key)
 	if found {
@@ -90,8 +90,8 @@
 	return true
 }
 
-// split splits a block into two. If the new key was inserted at the end, keys probably arrive in order: then only it
-// moves to the new block, so that blocks become full.
+// split splits block i, into which a key was just inserted at the position inserted. If that is the end of the block,
+// keys probably arrive in ascending order: then only the new key moves to the new block, so that blocks become full.
 func (x *Index) split(i, inserted int) {
 	b := x.blocks[i]
 	middle := len(b.keys) / 2
@@ -104,12 +104,12 @@
 	x.blocks = slices.Insert(x.blocks, i+1, right)
 }
 
-// Delete deletes a key and reports whether it was there.
+// Delete deletes a key and reports whether it was present.
 func (x *Index) Delete(key string) bool {
 	if len(x.blocks) == 0 {
 		return false
 	}
-	i := x.blockFor(key)
+	i := x.blockPosition(key)
 	position, found := slices.BinarySearch(x.blocks[i].keys, key)
 	if !found {
 		return false
@@ -131,17 +131,17 @@
 	return &Index{blocks: x.blocks, size: x.size, version: math.MaxUint64, sharedBlocks: true}
 }
 
-// Scan calls each for every key with a prefix, in order, until it returns false.
+// Scan calls each for every key with the prefix, in order, until each returns false.
 func (x *Index) Scan(prefix string, each func(key string, value []byte) bool) {
 	x.ScanFrom(prefix, prefix, each)
 }
 
-// ScanFrom is a Scan that begins at a key.
+// ScanFrom is like Scan but skips the keys below from, which must itself begin with the prefix.
 func (x *Index) ScanFrom(from, prefix string, each func(key string, value []byte) bool) {
 	if len(x.blocks) == 0 {
 		return
 	}
-	first := x.blockFor(from)
+	first := x.blockPosition(from)
 	position, _ := slices.BinarySearch(x.blocks[first].keys, from)
 	for _, b := range x.blocks[first:] {
 		for ; position < len(b.keys); position++ {
--- a/internal/store/index_test.go
+++ b/internal/store/index_test.go
@@ -11,7 +11,8 @@
 	"pgregory.net/rapid"
 )
 
-// The index holds what a plain map holds after the same random changes, and its snapshots stay as they were taken.
+// TestIndexAgainstMap checks that after the same random changes an Index has the same content as a map, and that later
+// changes don't affect its snapshots.
 func TestIndexAgainstMap(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		type takenSnapshot struct {
@@ -48,7 +49,7 @@
 	})
 }
 
-// changeBoth makes one random change to an index and a map. Their answers must agree.
+// changeBoth makes the same random change to an index and a map and compares the results.
 func changeBoth(t *rapid.T, random *rand.Rand, index *Index, plain map[string]string, value string) {
 	t.Helper()
 	key := fmt.Sprintf("%03x", random.Intn(1200))
--- a/internal/store/memorydisk_test.go
+++ b/internal/store/memorydisk_test.go
@@ -10,23 +10,23 @@
 	"testing"
 )
 
-// smallLimits make segments and snapshots come often.
+// smallLimits cause many segments and snapshots in a short test.
 var smallLimits = Limits{MaxKeys: 1000, MaxBytes: 1 << 20, SegmentBytes: 1500, CompactAfterBytes: 4000}
 
-// allAnswers is more answers than a disk ever has outstanding here.
+// allAnswers is above the number of answers that a disk ever has outstanding in these tests.
 const allAnswers = 1000
 
 var errNoSpace = errors.New("no space left on device")
 
-// memoryDisk is a Disk that records every operation, so that a crash at any byte of any of them can be simulated
-// afterwards. Answers wait until answer delivers them.
+// memoryDisk is an in-memory Disk that records every operation, so that a test can simulate a crash at any byte of any
+// operation afterwards. It queues the done callbacks until the test calls answer.
 type memoryDisk struct {
 	files     map[string][]byte
 	history   []diskOperation
-	answers   []func()
-	fault     error // of the operations from now on
-	tornBytes int   // what a failing append leaves written, at most
-	succeeded int   // operations whose success was answered
+	answers   []func() // queued done callbacks
+	fault     error    // error of all operations from now on
+	tornBytes int      // how many bytes a failing append writes at most
+	succeeded int      // number of operations whose success was reported
 }
 
 type operationKind string
@@ -45,7 +45,7 @@
 
 func newMemoryDisk() *memoryDisk { return &memoryDisk{files: map[string][]byte{}} }
 
-// diskWith returns a disk that holds files. It shares their data, which no operation changes in place.
+// diskWith returns a disk with files. It shares their data, as no operation changes data in place.
 func diskWith(files map[string][]byte) *memoryDisk { return &memoryDisk{files: maps.Clone(files)} }
 
 func (m *memoryDisk) List() (names []string, err error) {
@@ -96,7 +96,7 @@
 	})
 }
 
-// answer delivers up to count answers.
+// answer runs up to count queued done callbacks.
 func (m *memoryDisk) answer(count int) {
 	for ; count > 0 && len(m.answers) > 0; count-- {
 		deliver := m.answers[0]
@@ -105,7 +105,7 @@
 	}
 }
 
-// applyTo carries out an operation on files as far as the first size bytes of it.
+// applyTo applies the first size bytes of an operation to files.
 func (o diskOperation) applyTo(files map[string][]byte, size int) {
 	switch o.kind {
 	case appendOperation:
@@ -132,7 +132,7 @@
 	return s
 }
 
-// reopened returns the store that a start would recover now. The disk is left as it is.
+// reopened returns the store that a restart would recover now. It does not change the disk.
 func reopened(t testing.TB, disk *memoryDisk) *Store {
 	t.Helper()
 	return openStore(t, diskWith(disk.files))
@@ -143,10 +143,10 @@
 	return s.Commit([]Op{{Key: key, Value: []byte(value)}}, nil, WriteNow, done)
 }
 
-// contents returns all keys and values of a store.
+// contents returns all keys and values of a store as a text.
 func contents(s *Store) string { return scanned(&s.index, "") }
 
-// scanned returns the keys with a prefix and their values.
+// scanned returns the keys with a prefix and their values as a text.
 func scanned(index *Index, prefix string) string {
 	var text strings.Builder
 	index.Scan(prefix, func(key string, value []byte) bool {
@@ -156,11 +156,11 @@
 	return text.String()
 }
 
-// randomRun is what runRandomChanges saw.
+// randomRun is what runRandomChanges observed.
 type randomRun struct {
-	contents     []string // after each record; the first is that of an empty store
+	contents     []string // of the store after each record; the first element is that of the empty store
 	acknowledged []int    // for each operation of the disk, how many records had been acknowledged before it
-	submitted    []int    // and how many had been submitted
+	submitted    []int    // for each operation of the disk, how many records had been submitted before it
 }
 
 // runRandomChanges commits random records to a new store on a disk.
@@ -170,7 +170,7 @@
 	random := rand.New(rand.NewSource(seed))
 	run := randomRun{contents: []string{contents(s)}}
 	acknowledged := 0
-	noteOperations := func() {
+	recordOperations := func() {
 		for len(run.acknowledged) < len(disk.history) {
 			run.acknowledged = append(run.acknowledged, acknowledged)
 			run.submitted = append(run.submitted, len(run.contents)-1)
@@ -188,16 +188,16 @@
 			t.Fatal(err)
 		}
 		run.contents = append(run.contents, contents(s))
-		noteOperations() // those of the call above have this record in them
+		recordOperations() // operations that Commit started above contain this record
 		for random.Intn(3) == 0 && len(disk.answers) > 0 {
 			disk.answer(1)
-			noteOperations()
+			recordOperations()
 		}
 	}
 	s.Flush()
 	for len(disk.answers) > 0 {
 		disk.answer(1)
-		noteOperations()
+		recordOperations()
 	}
 	if acknowledged != records || s.Stats.Snapshots < 3 {
 		t.Fatalf("%d of %d acknowledged, %d snapshots", acknowledged, records, s.Stats.Snapshots)
@@ -205,7 +205,7 @@
 	return run
 }
 
-// randomOps returns changes of a few of 60 keys; a quarter of them are deletions.
+// randomOps returns one to three changes of 60 possible keys; a quarter of the changes are deletions.
 func randomOps(random *rand.Rand, record int) (ops []Op) {
 	for range 1 + random.Intn(3) {
 		op := Op{Key: fmt.Sprintf("k%02d\xff", random.Intn(60))}
--- a/internal/store/pb/doc.go
+++ b/internal/store/pb/doc.go
@@ -1,2 +1,2 @@
-// Package pb holds the generated messages of the store's log (proto/store.proto).
+// Package pb holds the generated messages of the store's log and snapshots (proto/store.proto).
 package pb
--- a/internal/store/record.go
+++ b/internal/store/record.go
@@ -6,10 +6,10 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// fileHeader is at the beginning of each file and names its format.
+// fileHeader is the beginning of each log segment and snapshot file. It identifies the format and its version.
 const fileHeader = "plumspindle store 1\n"
 
-// A record on disk is the length of its payload, a checksum and the payload.
+// A record on disk consists of the length of its payload, a checksum and the payload.
 const (
 	lengthBytes       = 4
 	checksumBytes     = 8
@@ -17,8 +17,8 @@
 	maxRecordBytes    = 64 << 20
 )
 
-// appendRecord appends a payload as a record. The checksum covers the length too, so that a damaged length is
-// not taken for that of another record.
+// appendRecord appends a record with a payload to data. The checksum also covers the length, so that a damaged length
+// is detected.
 func appendRecord(data, payload []byte) []byte {
 	var header [recordHeaderBytes]byte
 	length := uint32(len(payload))
@@ -37,7 +37,8 @@
 	return digest.Sum64()
 }
 
-// readRecord reads the record at the beginning of data. ok is false if there is no complete and undamaged one.
+// readRecord reads the record at the beginning of data and returns its payload and its size on disk. ok is false if the
+// record is incomplete or damaged.
 func readRecord(data []byte) (payload []byte, size int, ok bool) {
 	if len(data) < recordHeaderBytes {
 		return nil, 0, false
--- a/internal/store/recovery.go
+++ b/internal/store/recovery.go
@@ -21,8 +21,8 @@
 func segmentName(number uint64) string  { return fmt.Sprintf("%s%016x", segmentPrefix, number) }
 func snapshotName(number uint64) string { return fmt.Sprintf("%s%016x", snapshotPrefix, number) }
 
-// fileNumber returns the number in the name of a segment or snapshot. ok is false for any other file, such as
-// a partial one that a crash left behind.
+// fileNumber returns the number in the name of a segment or snapshot, depending on prefix. ok is false for any other
+// file name, such as that of a partial file that a crash has left behind.
 func fileNumber(name, prefix string) (number uint64, ok bool) {
 	digits, found := strings.CutPrefix(name, prefix)
 	if !found || len(digits) != numberDigits {
@@ -32,9 +32,9 @@
 	return number, err == nil
 }
 
-// Open recovers the store of a folder. A record that was being written when the process died, at the very end
-// of the log, is cut off, as it was never acknowledged. Any other damage is a *CorruptError, and then no file
-// is changed.
+// Open recovers the store from the files on a disk. It truncates an incomplete record at the very end of the log: the
+// process died while it wrote the record, which was never acknowledged. For any other damage Open returns a
+// *CorruptError and changes no file.
 func Open(disk Disk, limits Limits) (*Store, error) {
 	s := &Store{disk: disk, limits: limits}
 	names, err := disk.List()
@@ -52,7 +52,7 @@
 	}
 	slices.Sort(segments)
 	if len(snapshots) > 0 {
-		s.snapshot = slices.Max(snapshots)
+		s.snapshotNumber = slices.Max(snapshots)
 		if err := s.loadSnapshot(); err != nil {
 			return nil, err
 		}
@@ -64,9 +64,9 @@
 	return s, nil
 }
 
-// loadSnapshot fills the index from the last snapshot.
+// loadSnapshot fills the index from the snapshot with the number s.snapshotNumber.
 func (s *Store) loadSnapshot() error {
-	name := snapshotName(s.snapshot)
+	name := snapshotName(s.snapshotNumber)
 	data, err := s.disk.Read(name)
 	if err != nil {
 		return fmt.Errorf("store: read %s: %w", name, err)
@@ -83,7 +83,7 @@
 		}
 		offset += size
 		if !batch.End {
-			s.apply(batch.Ops)
+			s.applyRecovered(batch.Ops)
 			continue
 		}
 		if offset != len(data) || int(batch.Keys) != s.index.Len() {
@@ -95,28 +95,30 @@
 	}
 }
 
-// replayLog applies all segments, in ascending order of their numbers, that the snapshot does not cover.
+// replayLog applies the log segments that the snapshot does not cover. segments are the numbers of all segments in
+// ascending order.
 func (s *Store) replayLog(segments []uint64) error {
-	s.segment = s.snapshot
+	s.segmentNumber = s.snapshotNumber
 	for i, number := range segments {
-		if number < s.snapshot {
-			continue // covered by the snapshot; the process died before it was removed
+		if number < s.snapshotNumber {
+			continue // the snapshot covers it, but it was not removed before the process died
 		}
-		if number > s.segment+1 {
-			reason := segmentName(s.segment+1) + " is missing"
+		if number > s.segmentNumber+1 {
+			reason := segmentName(s.segmentNumber+1) + " is missing"
 			return &CorruptError{File: segmentName(number), Offset: wholeFile, Reason: reason}
 		}
 		last := i == len(segments)-1
 		if err := s.replaySegment(number, last); err != nil {
 			return err
 		}
-		s.segment = number
+		s.segmentNumber = number
 	}
-	s.segment = max(s.segment, 1)
+	s.segmentNumber = max(s.segmentNumber, 1)
 	return nil
 }
 
-// replaySegment applies the records of one segment. Only the last segment may have a torn end.
+// replaySegment applies the records of one segment. Only the last segment may end in an incomplete record, which is
+// truncated.
 func (s *Store) replaySegment(number uint64, last bool) error {
 	name := segmentName(number)
 	data, err := s.disk.Read(name)
@@ -128,30 +130,31 @@
 		if !last || !torn {
 			return &CorruptError{File: name, Offset: wholeFile, Reason: "unknown format"}
 		}
-		return s.truncate(name, data, 0)
+		return s.truncateTornEnd(name, data, 0)
 	}
 	offset := len(fileHeader)
 	for offset < len(data) {
 		payload, size, ok := readRecord(data[offset:])
 		if !ok {
-			if !last || s.laterRecordIn(data[offset:]) {
+			if !last || s.hasLaterRecord(data[offset:]) {
 				return &CorruptError{File: name, Offset: offset}
 			}
-			return s.truncate(name, data, offset)
+			return s.truncateTornEnd(name, data, offset)
 		}
 		var batch pb.Batch
 		if proto.Unmarshal(payload, &batch) != nil {
 			return &CorruptError{File: name, Offset: offset, Reason: "not a record"}
 		}
-		// The first segment after a snapshot may begin with records that the snapshot covers.
-		covered := batch.Seq <= s.lastSeq && number == s.snapshot
+		// The first segment after a snapshot may begin with records that the snapshot already contains: those that were
+		// pending when the snapshot was taken.
+		covered := batch.Seq <= s.lastSeq && number == s.snapshotNumber
 		if !covered {
 			if batch.Seq != s.lastSeq+1 {
 				reason := fmt.Sprintf("record %d follows %d", batch.Seq, s.lastSeq)
 				return &CorruptError{File: name, Offset: offset, Reason: reason}
 			}
 			s.lastSeq = batch.Seq
-			s.apply(batch.Ops)
+			s.applyRecovered(batch.Ops)
 			s.logBytes += size
 		}
 		offset += size
@@ -160,8 +163,8 @@
 	return nil
 }
 
-// truncate cuts a torn end off the last segment.
-func (s *Store) truncate(name string, data []byte, size int) error {
+// truncateTornEnd shortens the last segment, whose content is data, to size bytes unless it has that size already.
+func (s *Store) truncateTornEnd(name string, data []byte, size int) error {
 	s.segmentSize = size
 	if size == len(data) {
 		return nil
@@ -172,9 +175,9 @@
 	return nil
 }
 
-// laterRecordIn reports whether a complete later record follows somewhere in data. Then the unreadable part
-// is not a torn end but corruption, because the records after it were acknowledged.
-func (s *Store) laterRecordIn(data []byte) bool {
+// hasLaterRecord reports whether data contains a complete later record behind an unreadable one at its beginning. The
+// unreadable one is then corrupt and not merely incomplete, because the records behind it were acknowledged.
+func (s *Store) hasLaterRecord(data []byte) bool {
 	for offset := 1; offset+recordHeaderBytes <= len(data); offset++ {
 		payload, _, ok := readRecord(data[offset:])
 		if !ok || len(payload) == 0 {
@@ -188,8 +191,8 @@
 	return false
 }
 
-// apply makes the changes of a recovered record.
-func (s *Store) apply(ops []*pb.Op) {
+// applyRecovered applies the changes of a recovered record to the index.
+func (s *Store) applyRecovered(ops []*pb.Op) {
 	for _, op := range ops {
 		if op.Delete {
 			s.delete(string(op.Key))
--- a/internal/store/recovery_test.go
+++ b/internal/store/recovery_test.go
@@ -6,9 +6,9 @@
 	"testing"
 )
 
-// The files are cut at every byte of everything that was ever written, in appends, snapshots, renames and
-// removals. What is recovered is what the records say up to some point; no acknowledged record is missing,
-// and none is there in part.
+// TestRecoveryAfterCrashAtEveryByte simulates a crash at every byte of every append and snapshot, and before and after
+// every rename and removal. Recovery must then restore the state after one of the submitted records, and that record
+// must not be older than the last acknowledged one. It must not apply any record in part.
 func TestRecoveryAfterCrashAtEveryByte(t *testing.T) {
 	disk := newMemoryDisk()
 	run := runRandomChanges(t, disk, 2000, 1)
@@ -17,7 +17,7 @@
 	for i, operation := range disk.history {
 		for size := range len(operation.data) + 1 {
 			if operation.kind == writeOperation && size%7 != 0 && size < len(operation.data)-3 {
-				continue // a partial file is never read; a seventh of its cuts shows that well enough
+				continue // a partial file is never read, so a seventh of the possible cuts is enough
 			}
 			crashes++
 			crashed := diskWith(files)
@@ -34,7 +34,7 @@
 					seq, run.acknowledged[i], run.submitted[i], contents(s) == run.contents[seq])
 			}
 			if size%97 == 0 && !acceptsWrites(t, s, crashed) {
-				t.Fatalf("operation %d, byte %d: after a restart the next write is lost", i, size)
+				t.Fatalf("operation %d, byte %d: the first write after the recovery is lost", i, size)
 			}
 		}
 		operation.applyTo(files, len(operation.data))
@@ -54,8 +54,8 @@
 	return acknowledged && found && string(value) == "v"
 }
 
-// A bit that is flipped anywhere is found, or it is in the last record of the log, which then counts as torn.
-// Nothing is ever returned that was not written.
+// TestRecoveryDetectsFlippedBits flips one bit of each byte. Recovery must report the damage, unless it is in the last
+// record of the log, which recovery then treats as incomplete. It must never return data that was not written.
 func TestRecoveryDetectsFlippedBits(t *testing.T) {
 	disk := newMemoryDisk()
 	run := runRandomChanges(t, disk, 400, 2)
@@ -88,7 +88,7 @@
 	}
 }
 
-// A corrupt store names the file and the offset, and opening it changes no file.
+// TestCorruptErrorNamesFileAndOffset checks that Open reports the file and offset of damage, and changes no file.
 func TestCorruptErrorNamesFileAndOffset(t *testing.T) {
 	disk := newMemoryDisk()
 	s := openStore(t, disk)
--- a/internal/store/repair_test.go
+++ b/internal/store/repair_test.go
@@ -7,8 +7,8 @@
 	"testing"
 )
 
-// After a write that failed nothing is acknowledged any more and nothing is retried. What was acknowledged
-// before is there after a restart.
+// TestNothingIsAcknowledgedAfterDiskFailure checks that the store acknowledges nothing after a failed write and does
+// not retry it, and that records acknowledged before are recovered after a restart.
 func TestNothingIsAcknowledgedAfterDiskFailure(t *testing.T) {
 	for round := range 60 {
 		disk := newMemoryDisk()
@@ -35,9 +35,9 @@
 		disk.answer(allAnswers)
 		s.Repair(func(error) {})
 		if s.Err() == nil {
-			t.Fatal("a failed disk was not noticed")
+			t.Fatal("the store reports no error after a failed write")
 		}
-		disk.answer(allAnswers) // there is no space for the repair either
+		disk.answer(allAnswers) // the repair fails too
 		disk.fault = nil
 		disk.answer(allAnswers)
 		if again, err := Open(disk, smallLimits); err != nil || int(again.lastSeq) < acknowledged {
@@ -46,9 +46,10 @@
 	}
 }
 
-// A disk fails again and again, with writes cut short, and recovers each time. Nothing that was acknowledged
-// is lost, what was rejected is not there, the store accepts writes again without being reopened, and a start
-// finds the same, whatever the torn end of the log holds.
+// TestRepairsOnceDiskAcceptsWrites repeatedly makes the disk fail, with writes cut short, and repairs the store once
+// the disk works again. The store must accept writes again without being reopened. It must have lost no acknowledged
+// write and contain no rejected one. A restart must recover the same content, whatever the torn end of the log
+// contains.
 func TestRepairsOnceDiskAcceptsWrites(t *testing.T) {
 	for seed := range int64(60) {
 		disk := newMemoryDisk()
@@ -70,7 +71,7 @@
 	}
 }
 
-// repairRun is one store on a disk that fails now and then.
+// repairRun is a test of one store on a disk that fails repeatedly.
 type repairRun struct {
 	t      *testing.T
 	seed   int64
@@ -78,7 +79,7 @@
 	random *rand.Rand
 	disk   *memoryDisk
 	store  *Store
-	want   map[string]string // what was acknowledged
+	want   map[string]string // the acknowledged values
 }
 
 const rejectedValue = "never"
@@ -145,8 +146,8 @@
 	}
 }
 
-// restart recovers the store in place of a repair. What was rejected may be there or not; what was
-// acknowledged is, unless a rejected write replaced it.
+// restart reopens the store instead of repairing it. The recovered store may contain rejected writes. It must contain
+// all acknowledged values, except those that a rejected write has replaced.
 func (r *repairRun) restart() {
 	r.t.Helper()
 	r.store = openStore(r.t, r.disk)
--- a/internal/store/snapshot.go
+++ b/internal/store/snapshot.go
@@ -6,24 +6,24 @@
 	"plumspindle/internal/store/pb"
 )
 
-// snapshotBatchOps is how many keys a record of a snapshot has at most.
-const snapshotBatchOps = 512
+// maxSnapshotBatchOps is the largest number of keys in one record of a snapshot.
+const maxSnapshotBatchOps = 512
 
-// liveBytesFactor times the live data must have been logged before a snapshot is written: a large store would otherwise
-// write snapshots too often.
-const liveBytesFactor = 2
+// compactionLiveFactor is how many times the size of the live data the log must reach before a snapshot is written. A
+// large store would otherwise write snapshots too often.
+const compactionLiveFactor = 2
 
-// compactIfLarge starts a snapshot if the log has outgrown its limit and the live data.
+// compactIfLarge starts a snapshot if the log has reached its size limit and is large compared to the live data.
 func (s *Store) compactIfLarge() {
-	large := s.logBytes >= max(s.limits.CompactAfterBytes, liveBytesFactor*s.usedBytes)
+	large := s.logBytes >= max(s.limits.CompactAfterBytes, compactionLiveFactor*s.usedBytes)
 	if large && !s.snapshotting && !s.appending && s.err == nil {
 		s.Compact(nil)
 	}
 }
 
-// Compact writes a snapshot now and removes the log segments that it covers. Writes continue
-// meanwhile, into a new segment. If it fails the log is still complete; only its space is not freed until the next
-// snapshot. done may be nil.
+// Compact writes a snapshot and then removes the log segments that it covers. In the meantime writes go to a new
+// segment. If Compact fails, the log is still complete, and only its disk space is not freed until the next snapshot.
+// done may be nil.
 func (s *Store) Compact(done func(error)) {
 	if done == nil {
 		done = func(error) {}
@@ -34,18 +34,19 @@
 	}
 	s.Flush()
 	s.snapshotting = true
-	if s.segmentSize > 0 { // an empty segment has no file, and recovery would report its number as missing
-		s.segment++
+	if s.segmentSize > 0 { // the number of an empty segment is reused: it has no file, and recovery would report a gap
+		s.segmentNumber++
 	}
 	s.segmentSize, s.logBytes = 0, 0
-	// The snapshot has all that was submitted, including pending records. Recovery skips these in the log.
-	s.writeSnapshot(s.segment, func(err error) {
+	// The snapshot contains all submitted changes, including those of pending records. Recovery skips these records
+	// when it finds them in the log again.
+	s.writeSnapshot(s.segmentNumber, func(err error) {
 		s.snapshotting = false
 		done(err)
 	})
 }
 
-// writeSnapshot writes the current index as a snapshot and removes the files that it covers.
+// writeSnapshot writes the current index as the snapshot with a number and removes the files that it covers.
 func (s *Store) writeSnapshot(number uint64, done func(error)) {
 	index, seq, size := s.index.Snapshot(), s.lastSeq, 0
 	build := func() []byte {
@@ -57,15 +58,15 @@
 		s.Stats.Snapshots++
 		s.Stats.BytesWritten += size
 		if err == nil {
-			s.snapshot = number
+			s.snapshotNumber = number
 			err = s.removeFilesBefore(number)
 		}
 		done(err)
 	})
 }
 
-// removeFilesBefore removes the segments and snapshots with lower numbers. One that can't be removed does no harm:
-// recovery skips it.
+// removeFilesBefore removes the segments and snapshots with lower numbers than number. A file that can't be removed
+// does no harm, as recovery skips it.
 func (s *Store) removeFilesBefore(number uint64) error {
 	names, err := s.disk.List()
 	if err != nil {
@@ -81,21 +82,21 @@
 	return nil
 }
 
-// encodeSnapshot returns the content of a snapshot file: all keys in order, and a last batch by which
-// recovery knows that the file is complete.
+// encodeSnapshot returns the content of a snapshot file: records with all keys in order, and an end record, which tells
+// recovery that the file is complete.
 func encodeSnapshot(index *Index, seq uint64) []byte {
 	data := []byte(fileHeader)
 	batch := &pb.Batch{}
 	appendBatch := func() {
 		payload, err := proto.Marshal(batch)
-		if err == nil { // a file that lacks a batch is rejected at recovery by its number of keys
+		if err == nil { // if a batch is missing, recovery rejects the file because its number of keys is wrong
 			data = appendRecord(data, payload)
 		}
 		batch = &pb.Batch{}
 	}
 	index.Scan("", func(key string, value []byte) bool {
 		batch.Ops = append(batch.Ops, &pb.Op{Key: []byte(key), Value: value})
-		if len(batch.Ops) == snapshotBatchOps {
+		if len(batch.Ops) == maxSnapshotBatchOps {
 			appendBatch()
 		}
 		return true
--- a/internal/store/snapshot_test.go
+++ b/internal/store/snapshot_test.go
@@ -10,7 +10,8 @@
 	"golang.org/x/sys/unix"
 )
 
-// Two snapshots fail with nothing written between them; what is acknowledged afterwards is there at the next start.
+// TestRecoversAfterTwoFailedSnapshots checks that a write that is acknowledged after two failed snapshots, with no
+// write between them, is recovered. The second snapshot must not skip a segment number, as recovery would report a gap.
 func TestRecoversAfterTwoFailedSnapshots(t *testing.T) {
 	disk := newMemoryDisk()
 	s := openStore(t, disk)
@@ -39,13 +40,14 @@
 	}
 }
 
-// heldDisk holds a snapshot back before it is encoded, and again before it is written.
-type heldDisk struct {
+// blockingDisk blocks each snapshot before it is encoded, and again before it is written, until the channels are
+// closed.
+type blockingDisk struct {
 	*Files
-	encode, write chan struct{} // closed to go on
+	encode, write chan struct{}
 }
 
-func (d heldDisk) Write(name string, build func() []byte, done func(error)) {
+func (d blockingDisk) Write(name string, build func() []byte, done func(error)) {
 	d.Files.Write(name, func() []byte {
 		<-d.encode
 		data := build()
@@ -54,10 +56,11 @@
 	}, done)
 }
 
-// holdSnapshots returns a disk that holds snapshots back, and what releases each hold; the test's end releases both.
-func holdSnapshots(t *testing.T, files *Files) (disk heldDisk, encode, write func()) {
+// blockSnapshots returns a disk that blocks snapshots, and functions that let them be encoded and written. The end of
+// the test calls both functions.
+func blockSnapshots(t *testing.T, files *Files) (disk blockingDisk, encode, write func()) {
 	t.Helper()
-	disk = heldDisk{Files: files, encode: make(chan struct{}), write: make(chan struct{})}
+	disk = blockingDisk{Files: files, encode: make(chan struct{}), write: make(chan struct{})}
 	encode = sync.OnceFunc(func() { close(disk.encode) })
 	write = sync.OnceFunc(func() { close(disk.write) })
 	t.Cleanup(encode)
@@ -65,8 +68,8 @@
 	return disk, encode, write
 }
 
-// threadTime is the processor time that the calling goroutine's thread has used. What other processes do to the machine
-// is not in it.
+// threadTime returns the processor time that the calling thread has used. Unlike wall-clock time, it does not depend on
+// the load that other processes put on the machine.
 func threadTime(t *testing.T) time.Duration {
 	t.Helper()
 	var used unix.Timespec
@@ -76,13 +79,14 @@
 	return time.Duration(used.Nano())
 }
 
-// While a large store is compacted, no call of Commit waits for the snapshot, nor does a great part of its work: calls
-// return while the snapshot is held back, and each uses little processor time.
+// TestCompactionBlocksNoWrite checks that Commit does not wait for the snapshot while a large store is compacted, and
+// does not do much of the snapshot's work itself: calls return while the snapshot is blocked, and each call uses little
+// processor time.
 func TestCompactionBlocksNoWrite(t *testing.T) {
 	const (
-		keys      = 100_000
-		whileHeld = 1_000
-		longest   = 50 * time.Millisecond
+		keys            = 100_000
+		commitsPerStage = 1_000 // while the snapshot is blocked before it is encoded, and then before it is written
+		maxCommitTime   = 50 * time.Millisecond
 	)
 	runtime.LockOSThread()
 	defer runtime.UnlockOSThread()
@@ -97,7 +101,7 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(files.Close)
-	disk, encode, write := holdSnapshots(t, files)
+	disk, encode, write := blockSnapshots(t, files)
 	s, err := Open(disk, DefaultLimits)
 	if err != nil {
 		t.Fatal(err)
@@ -116,9 +120,9 @@
 	used, commits := time.Duration(0), 0
 	for deadline := time.Now().Add(20 * time.Second); !compacted && time.Now().Before(deadline); commits++ {
 		switch commits {
-		case whileHeld:
+		case commitsPerStage:
 			encode()
-		case 2 * whileHeld:
+		case 2 * commitsPerStage:
 			write()
 		}
 		began := threadTime(t)
@@ -132,8 +136,8 @@
 			answer()
 		}
 	}
-	if !compacted || commits < 2*whileHeld || used > longest {
-		t.Errorf("compacted %v, %d commits meanwhile, one used %v of the processor", compacted, commits, used)
+	if !compacted || commits < 2*commitsPerStage || used > maxCommitTime {
+		t.Errorf("compacted %v, %d commits meanwhile, one used %v of processor time", compacted, commits, used)
 	}
-	t.Logf("%d commits beside a snapshot of %d keys, the longest used %v", commits, keys, used)
+	t.Logf("%d commits during a snapshot of %d keys, the longest used %v of processor time", commits, keys, used)
 }
--- a/internal/store/store.go
+++ b/internal/store/store.go
@@ -1,14 +1,15 @@
-// Package store is an embedded key-value store for what must survive a restart.
+// Package store is an embedded key-value store for data that must survive a restart.
 //
-// It loses no acknowledged write and returns no torn one. It owns the files of one folder: an append-only log of
-// checksummed records, and snapshots that replace old parts of the log. All reads are answered from an ordered index of
-// all keys in memory. Writes that arrive while an append is in flight are grouped into the next one.
+// It never loses an acknowledged write, and it never returns part of one. It owns the files of one folder: an
+// append-only log of checksummed records, and snapshots that replace the older part of the log. It answers all reads
+// from an ordered in-memory index of all keys and values. It groups writes that arrive while an append is in flight
+// into the next append (group commit).
 //
-// A Store is a state machine over a Disk, without a clock or goroutines of its own. All calls to it and all results of
-// the disk must come on one event loop. Files is the Disk of a real folder.
+// A Store is a state machine on top of a Disk and has no clock or goroutines of its own. All calls to it and all
+// callbacks of the disk must run on the same event loop. Files is the Disk for a folder of the file system.
 //
-// It never repeats a write to a file that has failed, never changes files that it can't read, and never applies a
-// transaction in part.
+// A store never writes again to a log segment after a write to it has failed, never changes files that it can't read,
+// and never applies part of a transaction.
 package store
 
 import (
@@ -16,33 +17,33 @@
 	"fmt"
 )
 
-// Limits bound a store.
+// Limits bound the content of a store and the size of its log.
 type Limits struct {
 	MaxKeys           int // a write that would exceed it is rejected
 	MaxBytes          int // of keys and values together; a write that would exceed it is rejected
-	SegmentBytes      int // size of a log segment from which on the next one is begun
-	CompactAfterBytes int // log written since the last snapshot from which on a snapshot is written
+	SegmentBytes      int // size of a log segment at which the next append begins a new one
+	CompactAfterBytes int // size of the log since the last snapshot at which a new snapshot is written
 }
 
-// DefaultLimits suit a dispatcher's own records.
+// DefaultLimits are the limits for the records that a dispatcher itself stores.
 var DefaultLimits = Limits{MaxKeys: 2_000_000, MaxBytes: 512 << 20, SegmentBytes: 8 << 20, CompactAfterBytes: 16 << 20}
 
 // Errors that callers test with errors.Is.
 var (
 	ErrFull     = errors.New("the store is full")
-	ErrFailed   = errors.New("the store has failed; nothing more is acknowledged until it is healed")
-	ErrConflict = errors.New("a condition does not hold")
+	ErrFailed   = errors.New("the store has failed and accepts no writes until it is repaired")
+	ErrConflict = errors.New("a condition of the transaction is not met")
 	ErrCorrupt  = errors.New("the store is corrupt")
 )
 
-// wholeFile is the Offset of a CorruptError that concerns a complete file.
+// wholeFile is the Offset of a CorruptError about a file as a whole.
 const wholeFile = -1
 
-// CorruptError says where a store is corrupt. It matches ErrCorrupt.
+// CorruptError reports where a store is corrupt. It matches ErrCorrupt.
 type CorruptError struct {
 	File   string
-	Offset int    // of the first byte that can't be read; negative if the complete file is invalid
-	Reason string // may be empty: the record is damaged
+	Offset int    // of the first record that can't be read; negative if the file as a whole is invalid
+	Reason string // empty if a record is damaged
 }
 
 // Error names the file, the offset and the reason.
@@ -67,49 +68,49 @@
 
 	disk   Disk
 	limits Limits
-	err    error // of the write that failed; nil while the store is in service
+	err    error // the error of the failed write; nil while the store is in service
 
 	index      Index
-	usedBytes  int    // of all keys and values in the index
+	usedBytes  int    // size of all keys and values in the index
 	lastSeq    uint64 // sequence number of the last record submitted
 	durableSeq uint64 // sequence number of the last record that is durable
 
-	// Values that were replaced by changes that are not durable yet, in the order of the changes. The first
-	// undoInFlight of them belong to the append in flight.
+	// undo holds, in the order of the changes, the previous values of keys that were changed by records that are not
+	// durable yet. Its first undoInFlight elements belong to the append in flight.
 	undo         []Op
 	undoInFlight int
 
-	segment     uint64 // number of the segment that is appended to
-	segmentSize int
-	logBytes    int    // written since the last snapshot
-	snapshot    uint64 // number of the last snapshot; it covers all segments with lower numbers
+	segmentNumber  uint64 // number of the segment that records are appended to
+	segmentSize    int
+	logBytes       int    // written since the last snapshot
+	snapshotNumber uint64 // number of the last snapshot; it covers all segments with lower numbers
 
-	pending   []byte        // records that wait for the append in flight to end
-	waiting   []func(error) // callers to notify once these are durable
-	appending bool
+	pendingRecords   []byte        // encoded records that are not part of an append yet
+	pendingCallbacks []func(error) // called once the pending records are durable or lost
+	appending        bool
 
 	snapshotting bool // Compact is in progress
 	repairing    bool // Repair is in progress
 }
 
-// Stats are counts of one store since it was opened.
+// Stats counts the work of a store since it was opened.
 type Stats struct {
 	Records      int
 	GroupCommits int
-	BytesWritten int // to the disk: the log and snapshots
-	UserBytes    int // keys and values as they were submitted
+	BytesWritten int // to the log and to snapshots
+	UserBytes    int // of all keys and values submitted
 	Snapshots    int
 }
 
-// Get returns the value last submitted for a key. It may not be durable yet.
+// Get returns the value last submitted for a key, which may not be durable yet.
 func (s *Store) Get(key string) ([]byte, bool) { return s.index.Get(key) }
 
-// Scan calls each for every key with a prefix, in order, until it returns false.
+// Scan calls each for every key with the prefix, in order, until each returns false.
 func (s *Store) Scan(prefix string, each func(key string, value []byte) bool) {
 	s.index.Scan(prefix, each)
 }
 
-// ScanFrom is a Scan that begins at a key.
+// ScanFrom is like Scan but skips the keys below from, which must itself begin with the prefix.
 func (s *Store) ScanFrom(from, prefix string, each func(key string, value []byte) bool) {
 	s.index.ScanFrom(from, prefix, each)
 }
@@ -117,5 +118,5 @@
 // Len returns the number of keys.
 func (s *Store) Len() int { return s.index.Len() }
 
-// Err returns the error that took the store out of service, or nil. Repair clears it.
+// Err returns the error that put the store into the failed state, or nil. A successful Repair clears it.
 func (s *Store) Err() error { return s.err }
--- a/internal/store/stored_test.go
+++ b/internal/store/stored_test.go
@@ -10,7 +10,7 @@
 	"plumspindle/internal/store"
 )
 
-// copied gives a copy of a stored folder, so that the fixture itself never changes.
+// copied returns a copy of a folder in testdata, so that the test does not change the fixture itself.
 func copied(t *testing.T, fixture string) (dir string) {
 	t.Helper()
 	dir = t.TempDir()
@@ -20,7 +20,7 @@
 	return dir
 }
 
-// open opens a folder; its disk answers on a channel.
+// open opens the store of a folder. The callbacks of its disk are sent to answers.
 func open(t *testing.T, dir string) (opened *store.Store, answers chan func(), closeFiles func()) {
 	t.Helper()
 	answers = make(chan func(), 16)
@@ -36,7 +36,7 @@
 	return opened, answers, files.Close
 }
 
-// dumped is all that a store holds, in the form of `plumspindle store dump`.
+// dumped returns the content of a store in the output format of `plumspindle store dump`.
 func dumped(opened *store.Store) string {
 	var text strings.Builder
 	opened.Scan("", func(key string, value []byte) bool {
@@ -57,7 +57,8 @@
 
 var storedFolders = []string{"log-only", "snapshot-and-log"}
 
-// Each key and value that an earlier version stored is read, from its log and from its snapshot.
+// TestReadsFolderOfEarlierVersion checks that all keys and values that an earlier version stored are read, both from
+// the log and from a snapshot.
 func TestReadsFolderOfEarlierVersion(t *testing.T) {
 	for _, fixture := range storedFolders {
 		t.Run(fixture, func(t *testing.T) {
@@ -70,7 +71,8 @@
 	}
 }
 
-// What is written to a folder of an earlier version stands beside what was there, also after the next start.
+// TestWritesOnToFolderOfEarlierVersion checks that a write to a folder of an earlier version is recovered together with
+// the older content after a restart.
 func TestWritesOnToFolderOfEarlierVersion(t *testing.T) {
 	for _, fixture := range storedFolders {
 		t.Run(fixture, func(t *testing.T) {
@@ -87,12 +89,12 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			for late := time.After(10 * time.Second); !durable; {
+			for timeout := time.After(10 * time.Second); !durable; {
 				select {
 				case answer := <-answers:
 					answer()
-				case <-late:
-					t.Fatal("the disk did not answer")
+				case <-timeout:
+					t.Fatal("no callback within the timeout")
 				}
 			}
 			closeFiles()
--- a/internal/store/transaction.go
+++ b/internal/store/transaction.go
@@ -15,26 +15,26 @@
 	Value []byte
 }
 
-// Condition requires a key to have this value now, or, for a nil Value, to be absent.
+// Condition requires a key to have a value at the time of the commit. A nil Value requires the key to be absent.
 type Condition struct {
 	Key   string
 	Value []byte
 }
 
-// WriteMode says when the changes of a transaction are written to the log.
+// WriteMode determines when the record of a transaction is written to the log.
 type WriteMode bool
 
-// The modes.
+// The write modes.
 const (
-	WriteNow  WriteMode = false // at once, or after the append in flight
-	WriteLazy WriteMode = true  // together with the next transaction in mode WriteNow, or by Flush
+	WriteNow  WriteMode = false // immediately, or once the append in flight has ended
+	WriteLazy WriteMode = true  // with the next transaction in mode WriteNow, by Flush, or above maxLazyBytes
 )
 
-// Commit submits a transaction: if all conditions are met, all of its changes are made. Reads see them at once. done is
-// called once they are durable; it may be nil. An error passed to done means that the changes were undone, and that a
-// restart may recover them or not.
+// Commit submits a transaction: if all conditions are met, it makes all of its changes. Reads see the changes
+// immediately. done is called once they are durable; it may be nil. If done receives an error, the changes were undone,
+// but a restart may still recover them.
 //
-// A returned error rejects the transaction: nothing was changed, and done is not called. It is ErrConflict, ErrFull or
+// If Commit returns an error, it has changed nothing and does not call done. The error matches ErrConflict, ErrFull or
 // ErrFailed.
 func (s *Store) Commit(ops []Op, conditions []Condition, mode WriteMode, done func(error)) error {
 	if s.err != nil {
@@ -55,14 +55,14 @@
 	}
 	s.lastSeq++
 	for _, op := range ops {
-		s.submit(op)
+		s.applyWithUndo(op)
 	}
-	s.pending = appendRecord(s.pending, payload)
+	s.pendingRecords = appendRecord(s.pendingRecords, payload)
 	s.Stats.Records++
 	if done != nil {
-		s.waiting = append(s.waiting, done)
+		s.pendingCallbacks = append(s.pendingCallbacks, done)
 	}
-	if mode == WriteNow || len(s.pending) > maxLazyBytes {
+	if mode == WriteNow || len(s.pendingRecords) > maxLazyBytes {
 		s.Flush()
 	}
 	return nil
@@ -79,8 +79,9 @@
 	return nil
 }
 
-// checkLimits counts each written key as a new one, which may reject too early but never too late. A transaction that
-// only deletes is always within the limits.
+// checkLimits returns ErrFull if changes could exceed the limits. It counts each written key as a new one, so it may
+// reject a write that would fit but never accepts one that would not. A transaction that only deletes is always
+// accepted.
 func (s *Store) checkLimits(ops []Op) error {
 	keys, size, writes := s.index.Len(), s.usedBytes, false
 	for _, op := range ops {
@@ -104,16 +105,16 @@
 	return batch
 }
 
-// submit makes a change in the index and records how to undo it.
-func (s *Store) submit(op Op) {
+// applyWithUndo applies a change to the index and records how to undo it.
+func (s *Store) applyWithUndo(op Op) {
 	replaced, _ := s.index.Get(op.Key)
 	s.undo = append(s.undo, Op{Key: op.Key, Value: replaced})
-	s.change(op)
+	s.applyOp(op)
 	s.Stats.UserBytes += len(op.Key) + len(op.Value)
 }
 
-// change makes a change in the index only.
-func (s *Store) change(op Op) {
+// applyOp applies a change to the index only.
+func (s *Store) applyOp(op Op) {
 	if op.Value == nil {
 		s.delete(op.Key)
 	} else {
@@ -126,7 +127,7 @@
 		s.usedBytes -= len(key) + len(replaced)
 	}
 	if value == nil {
-		value = []byte{} // nil stands for an absent key
+		value = []byte{} // a nil value would mean that the key is absent
 	}
 	s.usedBytes += len(key) + len(value)
 	s.index.Set(key, value)
--- a/internal/store/transaction_test.go
+++ b/internal/store/transaction_test.go
@@ -5,7 +5,8 @@
 	"testing"
 )
 
-// A transaction is made as a whole or not at all, as its conditions and the limits of the store say.
+// TestConditionsAndLimits checks that a transaction is applied as a whole if its conditions and the limits of the store
+// allow it, and is rejected as a whole otherwise.
 func TestConditionsAndLimits(t *testing.T) {
 	disk := newMemoryDisk()
 	s, err := Open(disk, Limits{MaxKeys: 3, MaxBytes: 100, SegmentBytes: 1000, CompactAfterBytes: 1000})
@@ -35,6 +36,6 @@
 		disk.answer(10)
 	}
 	if got := contents(s); got != "a=2;c=3;" {
-		t.Errorf("it holds %s", got)
+		t.Errorf("the store contains %s", got)
 	}
 }
