--- a/internal/store/transaction.go
+++ b/internal/store/transaction.go
@@ -35,7 +35,7 @@
 // but a restart may still recover them.
 //
 // If Commit returns an error, it has changed nothing and does not call done. The error matches ErrConflict, ErrFull or
-// ErrFailed.
+// ErrFailed, unless the record could not be encoded.
 func (s *Store) Commit(ops []Op, conditions []Condition, mode WriteMode, done func(error)) error {
 	if s.err != nil {
 		return ErrFailed
