--- a/internal/subscribe/backoff.go
+++ b/internal/subscribe/backoff.go
@@ -6,22 +6,23 @@
 	"plumspindle/internal/eventloop"
 )
 
-// backoff is the delay before a retry: it doubles with each failure, and is drawn at random from half to one and a
-// half of that, as dispatchers that lost a source together must not return to it together.
+// backoff computes the delays before retries. The base delay doubles with each failure, and each delay is drawn at
+// random from 0.5 to 1.5 times the base delay: dispatchers that lost a source at the same time must not all reconnect
+// at the same time.
 type backoff struct {
-	shortest, longest eventloop.Micros
-	current           eventloop.Micros // 0: not used yet
-	random            *rand.Rand
+	minDelay, maxDelay eventloop.Micros
+	current            eventloop.Micros // the base delay; 0 before the first use
+	random             *rand.Rand
 }
 
-// reset has the next delay be the shortest.
-func (b *backoff) reset() { b.current = b.shortest }
+// reset sets the base delay to its minimum.
+func (b *backoff) reset() { b.current = b.minDelay }
 
-// grow doubles the delay.
-func (b *backoff) grow() { b.current = min(2*max(b.current, b.shortest), b.longest) }
+// grow doubles the base delay, up to its maximum.
+func (b *backoff) grow() { b.current = min(2*max(b.current, b.minDelay), b.maxDelay) }
 
-// delay draws the next delay.
-func (b *backoff) delay() eventloop.Micros {
-	b.current = max(b.current, b.shortest)
+// nextDelay draws the next delay.
+func (b *backoff) nextDelay() eventloop.Micros {
+	b.current = max(b.current, b.minDelay)
 	return b.current/2 + eventloop.Micros(b.random.Int63n(int64(b.current)))
 }
--- a/internal/subscribe/backoff_test.go
+++ b/internal/subscribe/backoff_test.go
@@ -7,21 +7,22 @@
 	"plumspindle/internal/eventloop"
 )
 
-// TestBackoffDoublesUpToItsBound: delays are drawn from half to one and a half of a span that doubles.
+// TestBackoffDoublesUpToItsBound checks that each delay is 0.5 to 1.5 times a base delay, which doubles up to its
+// bound.
 func TestBackoffDoublesUpToItsBound(t *testing.T) {
 	const shortest, longest = 40 * eventloop.Millisecond, 400 * eventloop.Millisecond
 	for seed := range int64(100) {
-		b := backoff{shortest: shortest, longest: longest, random: rand.New(rand.NewSource(seed))}
-		checkDelay := func(span eventloop.Micros) {
+		b := backoff{minDelay: shortest, maxDelay: longest, random: rand.New(rand.NewSource(seed))}
+		checkDelay := func(base eventloop.Micros) {
 			t.Helper()
-			if got := b.delay(); got < span/2 || got >= span/2+span {
-				t.Errorf("seed %d: delay %d, want one around %d", seed, got, span)
+			if got := b.nextDelay(); got < base/2 || got >= base/2+base {
+				t.Errorf("seed %d: delay %d, want 0.5 to 1.5 times %d", seed, got, base)
 			}
 		}
 		checkDelay(shortest)
-		for _, span := range []eventloop.Micros{2 * shortest, 4 * shortest, 8 * shortest, longest, longest} {
+		for _, base := range []eventloop.Micros{2 * shortest, 4 * shortest, 8 * shortest, longest, longest} {
 			b.grow()
-			checkDelay(span)
+			checkDelay(base)
 		}
 		b.reset()
 		checkDelay(shortest)
@@ -29,9 +30,9 @@
 }
 
 func TestBackoffThatWasNeverUsedGrowsFromTheShortest(t *testing.T) {
-	b := backoff{shortest: 40, longest: 400, random: rand.New(rand.NewSource(1))}
+	b := backoff{minDelay: 40, maxDelay: 400, random: rand.New(rand.NewSource(1))}
 	b.grow()
 	if b.current != 80 {
-		t.Errorf("grown to %d, want 80", b.current)
+		t.Errorf("base delay %d, want 80", b.current)
 	}
 }
--- a/internal/subscribe/client.go
+++ b/internal/subscribe/client.go
@@ -1,8 +1,7 @@
-// Package subscribe follows a source that pushes messages over HTTP. Its job is the subscription: it opens the
-// connection, cuts the response into messages, notices a source that has fallen silent, and retries with backoff.
-// It owns the connections to the source and their timers. It relies on package eventloop for time and sockets and
-// on http1 and sse for parsing. It never interprets a message: versions, and what follows from a message, are the
-// caller's.
+// Package subscribe subscribes to a source that pushes messages over HTTP. It opens the connection, splits the response
+// into messages, detects that a source sends nothing any more, and retries with backoff. It owns the connections to the
+// source and their timers. It uses package eventloop for time and sockets, and packages http1 and sse for parsing. It
+// never interprets a message: the caller keeps track of versions and acts on messages.
 package subscribe
 
 import (
@@ -16,66 +15,69 @@
 
 const (
 	connectTimeout        = eventloop.Second
-	defaultSilenceTimeout = 15 * eventloop.Second // sources send heartbeats far more often
+	defaultSilenceTimeout = 15 * eventloop.Second // much longer than the interval between a source's heartbeats
 	defaultMinRetryDelay  = 200 * eventloop.Millisecond
 	defaultMaxRetryDelay  = 5 * eventloop.Second
-	// maxStandby is the number of silent connections that stay open beside the current one.
+	// maxStandby is the largest number of silent connections that stay open in addition to the current one.
 	maxStandby = 2
 )
 
-// Format is how a response is divided into messages.
+// Format is the format of a response, which determines how it is split into messages.
 type Format uint8
 
 const (
-	// EventStream is text/event-stream; a comment is a heartbeat.
+	// EventStream is text/event-stream (server-sent events), with comments as heartbeats.
 	EventStream Format = iota
-	// JSONObjects is a sequence of JSON objects, each on one line or on several; white space between them is a heartbeat.
+	// JSONObjects is a sequence of JSON objects, each on one or several lines, with white space between them as
+	// heartbeats.
 	JSONObjects
 )
 
-// Options say what to subscribe to, and how patient to be.
+// Options configure a subscription and its timeouts.
 type Options struct {
 	// Source names the source in logs.
 	Source string
-	// Target returns the request target; it is called for every connection, so that it can name the version known then.
+	// Target returns the request target. It is called for each connection, so that the target can contain the version
+	// known at that time.
 	Target func() string
-	// Fields holds further request header fields, names and values in turn.
+	// Fields holds additional request header fields, as alternating names and values.
 	Fields []string
-	// Format is that of the response.
+	// Format is the format of the response.
 	Format Format
-	// OnMessage is called with each message, whose bytes are valid only during the call. An error closes the connection
-	// and the client subscribes again; where the error is a *GapError, OnReset is called before that.
+	// OnMessage is called with each message, whose bytes are valid only during the call. If it returns an error, the
+	// client closes the connection and subscribes again; for a *GapError it calls OnReset before that.
 	OnMessage func(data []byte) error
-	// OnReset makes Target ask for everything.
+	// OnReset must make Target request the complete state.
 	OnReset func()
-	// SilenceTimeout is how long the source may send nothing. 0: 15 s.
+	// SilenceTimeout is how long the source may send nothing. 0 means 15 s.
 	SilenceTimeout eventloop.Micros
-	// ResponseTimeout is how long the source may take until it responds, connecting included. 0: SilenceTimeout, from
-	// the time that the connection is open.
+	// ResponseTimeout is how long the source may take to respond, including the time to connect. 0 means
+	// SilenceTimeout, measured from the time that the connection is open.
 	ResponseTimeout eventloop.Micros
-	// MinRetryDelay and MaxRetryDelay bound the backoff between two connections. 0: 200 ms and 5 s.
+	// MinRetryDelay and MaxRetryDelay bound the backoff between two connections. 0 means 200 ms and 5 s.
 	MinRetryDelay, MaxRetryDelay eventloop.Micros
-	// Standby leaves a silent connection open beside the next ones until one of them receives something: a source that
-	// was unreachable may go on with any of them, and what it sends at its return would be lost between two retries.
+	// Standby keeps a silent connection open while the client opens others, until one of them receives data. A source
+	// that was unreachable may continue on any of them, and the messages that it sends when it is reachable again would
+	// be lost if they arrived between two retries.
 	Standby bool
-	// Log receives warnings of lost subscriptions and rejected messages.
+	// Log receives warnings about lost subscriptions and rejected messages.
 	Log zerolog.Logger
 }
 
-// Client keeps one subscription.
+// Client maintains one subscription.
 type Client struct {
 	loop    eventloop.Loop
 	address string
 	options Options
 	backoff backoff
 
-	current    *connection   // nil while none is open
-	standby    []*connection // silent ones that stay open, the oldest first
+	current    *connection   // nil before Subscribe, and while the client waits to retry
+	standby    []*connection // silent connections that stay open, the oldest first
 	retryTimer eventloop.Timeout
 	closed     bool
 }
 
-// NewClient makes a client that has not subscribed yet; seed is that of the backoff's jitter.
+// NewClient returns a client that has not subscribed yet. seed seeds the random jitter of the backoff.
 func NewClient(loop eventloop.Loop, seed int64, address string, options Options) *Client {
 	if options.SilenceTimeout == 0 {
 		options.SilenceTimeout = defaultSilenceTimeout
@@ -91,14 +93,15 @@
 		address: address,
 		options: options,
 		backoff: backoff{
-			shortest: options.MinRetryDelay,
-			longest:  options.MaxRetryDelay,
+			minDelay: options.MinRetryDelay,
+			maxDelay: options.MaxRetryDelay,
 			random:   rand.New(rand.NewSource(seed)),
 		},
 	}
 }
 
-// Subscribe opens a connection unless there is one, and retries until Close whenever it breaks.
+// Subscribe opens a connection unless there is one. Whenever the connection is lost, the client opens a new one, until
+// Close is called.
 func (c *Client) Subscribe() {
 	if c.current != nil || c.closed {
 		return
@@ -107,7 +110,7 @@
 	c.current.open()
 }
 
-// Close ends the subscription for good.
+// Close ends the subscription permanently.
 func (c *Client) Close() {
 	c.closed = true
 	c.retryTimer.Clear()
@@ -117,8 +120,8 @@
 	}
 }
 
-// SetAddress subscribes at another address, from the version known on. With Standby the connection to the address
-// before still delivers messages until the new one has received something.
+// SetAddress changes the source's address and subscribes there. With Standby the connection to the previous address
+// still delivers messages until the new connection has received data.
 func (c *Client) SetAddress(address string) {
 	if c.closed || address == c.address {
 		return
@@ -128,7 +131,7 @@
 	c.retryTimer.Clear()
 	if old := c.current; old != nil {
 		c.current = nil
-		c.toStandby(old)
+		c.moveToStandby(old)
 	}
 	for _, old := range c.standby {
 		old.superseded = true
@@ -139,15 +142,15 @@
 // Connected reports whether the source has responded on the current connection.
 func (c *Client) Connected() bool { return c.current != nil && c.current.responded }
 
-// toStandby leaves a connection open beside the next one, or drops it.
-func (c *Client) toStandby(connection *connection) {
+// moveToStandby keeps a connection open while the client opens the next one, or drops it if Standby is not set.
+func (c *Client) moveToStandby(connection *connection) {
 	if !c.options.Standby {
 		connection.drop()
 		return
 	}
 	c.standby = append(c.standby, connection)
 	if len(c.standby) > maxStandby {
-		// The first is the one that the source has served, the last the newest.
+		// The first connection is kept because the source has served it, and the last one because it is the newest.
 		c.standby[1].drop()
 		c.standby = slices.Delete(c.standby, 1, 2)
 	}
@@ -163,7 +166,8 @@
 	c.standby = nil
 }
 
-// makeCurrent makes a connection that has received something the only one.
+// makeCurrent makes a connection that has received data the current one and drops all others. It does nothing for a
+// connection to a previous address.
 func (c *Client) makeCurrent(connection *connection) {
 	if connection.superseded {
 		return
@@ -178,12 +182,13 @@
 	c.dropStandby(connection)
 }
 
-// retry subscribes again after the backoff, which grows unless the lost connection had delivered a message.
+// retry schedules the next connection after the backoff delay, which grows unless the lost connection had delivered a
+// message.
 func (c *Client) retry(cause error, delivered bool) {
 	if !delivered {
 		c.backoff.grow()
 	}
-	delay := c.backoff.delay()
+	delay := c.backoff.nextDelay()
 	c.options.Log.Warn().Str("source", c.options.Source).Err(cause).
 		Int64("retry_ms", int64(delay/eventloop.Millisecond)).Msg("subscription lost")
 	c.retryTimer.Set(c.loop, delay, c.Subscribe)
--- a/internal/subscribe/client_test.go
+++ b/internal/subscribe/client_test.go
@@ -16,7 +16,8 @@
 
 const sourceAddress = "127.0.0.1:9000"
 
-// source responds to each request on a connection of its own with the next of its responses; to the rest it is silent.
+// source is a fake source. It answers each connection's request with the next of its responses, and sends nothing to
+// further requests.
 type source struct {
 	requests  []string
 	responses []string
@@ -45,7 +46,7 @@
 	}
 }
 
-// startSource has a source listen in virtual time, and returns the client's loop.
+// startSource starts a source on a virtual network. It also returns the network and the client's event loop.
 func startSource(t *testing.T, responses ...string) (*source, *virtual.Network, *virtual.Loop) {
 	t.Helper()
 	network := virtual.NewNetwork(1)
@@ -72,17 +73,17 @@
 	return response.String()
 }
 
-// follower keeps what a client delivers.
-type follower struct {
+// recorder records the messages and resets of a client.
+type recorder struct {
 	messages []string
 	resets   int
 	logged   bytes.Buffer
 }
 
-func (f *follower) options() Options {
+func (r *recorder) options() Options {
 	return Options{
 		Source: "test source",
-		Target: func() string { return fmt.Sprintf("/watch?reset=%d", f.resets) },
+		Target: func() string { return fmt.Sprintf("/watch?reset=%d", r.resets) },
 		OnMessage: func(data []byte) error {
 			if string(data) == "gap" {
 				return fmt.Errorf("apply: %w", &GapError{Have: 3, Since: 5})
@@ -90,11 +91,11 @@
 			if string(data) == "bad" {
 				return errors.New("malformed")
 			}
-			f.messages = append(f.messages, string(data))
+			r.messages = append(r.messages, string(data))
 			return nil
 		},
-		OnReset: func() { f.resets++ },
-		Log:     zerolog.New(&f.logged),
+		OnReset: func() { r.resets++ },
+		Log:     zerolog.New(&r.logged),
 	}
 }
 
@@ -102,12 +103,12 @@
 	for message, wantResets := range map[string]int{"gap": 1, "bad": 0} {
 		t.Run(message, func(t *testing.T) {
 			src, network, loop := startSource(t, stream("one", message, "lost"), stream("two"))
-			f := &follower{}
-			client := NewClient(loop, 1, sourceAddress, f.options())
+			r := &recorder{}
+			client := NewClient(loop, 1, sourceAddress, r.options())
 			loop.Do(client.Subscribe)
 			network.Run(2 * eventloop.Second)
-			if want := []string{"one", "two"}; !slices.Equal(f.messages, want) || f.resets != wantResets {
-				t.Errorf("messages %q, %d resets", f.messages, f.resets)
+			if want := []string{"one", "two"}; !slices.Equal(r.messages, want) || r.resets != wantResets {
+				t.Errorf("messages %q, %d resets", r.messages, r.resets)
 			}
 			if len(src.requests) != 2 || !client.Connected() {
 				t.Fatalf("%d requests, connected %v", len(src.requests), client.Connected())
@@ -115,8 +116,8 @@
 			if target := fmt.Sprintf("GET /watch?reset=%d ", wantResets); !strings.HasPrefix(src.requests[1], target) {
 				t.Errorf("second request %q, want %q", src.requests[1], target)
 			}
-			if !strings.Contains(f.logged.String(), `"message":"subscription message rejected"`) {
-				t.Errorf("logged %s", f.logged.String())
+			if !strings.Contains(r.logged.String(), `"message":"subscription message rejected"`) {
+				t.Errorf("logged %s", r.logged.String())
 			}
 		})
 	}
@@ -124,15 +125,15 @@
 
 func TestStatusOtherThanOKIsRetried(t *testing.T) {
 	src, network, loop := startSource(t, "HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n", stream("one"))
-	f := &follower{}
-	client := NewClient(loop, 1, sourceAddress, f.options())
+	r := &recorder{}
+	client := NewClient(loop, 1, sourceAddress, r.options())
 	loop.Do(client.Subscribe)
 	network.Run(2 * eventloop.Second)
-	if len(src.requests) != 2 || !slices.Equal(f.messages, []string{"one"}) {
-		t.Errorf("%d requests, messages %q", len(src.requests), f.messages)
+	if len(src.requests) != 2 || !slices.Equal(r.messages, []string{"one"}) {
+		t.Errorf("%d requests, messages %q", len(src.requests), r.messages)
 	}
-	if want := (&StatusError{Status: 503}).Error(); !strings.Contains(f.logged.String(), want) {
-		t.Errorf("logged %s, want %q", f.logged.String(), want)
+	if want := (&StatusError{Status: 503}).Error(); !strings.Contains(r.logged.String(), want) {
+		t.Errorf("logged %s, want %q", r.logged.String(), want)
 	}
 }
 
@@ -140,8 +141,8 @@
 	for name, standby := range map[string]bool{"alone": false, "with standby": true} {
 		t.Run(name, func(t *testing.T) {
 			src, network, loop := startSource(t, stream("one"))
-			f := &follower{}
-			options := f.options()
+			r := &recorder{}
+			options := r.options()
 			options.Standby = standby
 			client := NewClient(loop, 1, sourceAddress, options)
 			loop.Do(client.Subscribe)
@@ -159,8 +160,8 @@
 
 func TestCloseEndsTheSubscription(t *testing.T) {
 	src, network, loop := startSource(t, stream("bad"))
-	f := &follower{}
-	client := NewClient(loop, 1, sourceAddress, f.options())
+	r := &recorder{}
+	client := NewClient(loop, 1, sourceAddress, r.options())
 	loop.Do(client.Subscribe)
 	network.Run(10 * eventloop.Millisecond)
 	loop.Do(client.Close)
--- a/internal/subscribe/connection.go
+++ b/internal/subscribe/connection.go
@@ -11,15 +11,15 @@
 
 // connection is one connection to the source.
 type connection struct {
-	client     *Client
-	conn       eventloop.Conn
-	response   http1.Parser
-	messages   messageParser
-	silence    eventloop.Timeout // until the source has to send something
-	responded  bool              // the head of the response was received
-	delivered  bool              // a message of it was accepted
-	superseded bool              // its address was replaced; it counts until the new one has received something
-	dropped    bool              // nothing that it still receives counts
+	client       *Client
+	conn         eventloop.Conn
+	response     http1.Parser
+	messages     messageParser
+	silenceTimer eventloop.Timeout // limits how long the source may send nothing
+	responded    bool              // the head of a response with status 200 was received
+	delivered    bool              // a message was accepted
+	superseded   bool              // the address has changed; messages are accepted until the new connection gets data
+	dropped      bool              // all data that is still received is ignored
 }
 
 func newConnection(client *Client) *connection {
@@ -30,25 +30,26 @@
 	}
 }
 
-// open dials with a spare descriptor: a subscription has to come up also while clients occupy all others.
+// open dials with a reserved file descriptor, so that it can connect even if clients use all other descriptors.
 func (c *connection) open() {
 	client := c.client
 	c.conn = client.loop.DialReserved(client.address, connectTimeout, c)
 	if client.options.ResponseTimeout > 0 {
-		c.silence.Set(client.loop, client.options.ResponseTimeout, c.silent)
+		c.silenceTimer.Set(client.loop, client.options.ResponseTimeout, c.onSilence)
 	}
 }
 
-// drop aborts a connection whose messages no longer count.
+// drop aborts a connection whose messages are no longer needed.
 func (c *connection) drop() {
 	c.dropped = true
-	c.silence.Clear()
+	c.silenceTimer.Clear()
 	c.conn.Abort()
 }
 
-// silent handles a source that has sent nothing, or has not come to the end of a message, for too long. A connection
-// with half a message is never put on standby: the rest would be taken for a sign that the source is back.
-func (c *connection) silent() {
+// onSilence handles the timeout for a source that has sent nothing, or has not completed a message, for too long. A
+// connection with an incomplete message is never moved to standby: the arrival of the remaining bytes would be mistaken
+// for a sign that the source works again.
+func (c *connection) onSilence() {
 	client := c.client
 	if !client.options.Standby || c.messages.incompleteSince() > 0 {
 		c.conn.Abort()
@@ -56,7 +57,7 @@
 	}
 	if c == client.current {
 		client.current = nil
-		client.toStandby(c)
+		client.moveToStandby(c)
 		client.retry(errSilent, c.delivered)
 	}
 }
@@ -72,7 +73,7 @@
 	request := http1.Request{Method: "GET", Target: client.options.Target(), Host: client.address}
 	c.conn.Write(http1.AppendRequest(nil, request, fields...))
 	if client.options.ResponseTimeout == 0 {
-		c.silence.Set(client.loop, client.options.SilenceTimeout, c.silent)
+		c.silenceTimer.Set(client.loop, client.options.SilenceTimeout, c.onSilence)
 	}
 }
 
@@ -88,18 +89,19 @@
 	if c.responded {
 		client.makeCurrent(c)
 	}
-	c.silence.Set(client.loop, client.options.SilenceTimeout, c.silent)
+	c.silenceTimer.Set(client.loop, client.options.SilenceTimeout, c.onSilence)
 	if err := c.response.Feed(data, c); err != nil {
 		c.rejectMessage(err)
 		return
 	}
-	if since := c.messages.incompleteSince(); since > 0 { // a message that trickles in is given no further time
+	if since := c.messages.incompleteSince(); since > 0 { // the timeout covers a whole message, however slow its bytes
 		remaining := max(since+client.options.SilenceTimeout-client.loop.Now(), 0)
-		c.silence.Set(client.loop, remaining, c.silent)
+		c.silenceTimer.Set(client.loop, remaining, c.onSilence)
 	}
 }
 
-// rejectMessage closes a connection on which something unusable was received; Closed follows.
+// rejectMessage aborts a connection on which an invalid response or message was received. The event loop then calls
+// Closed, which retries.
 func (c *connection) rejectMessage(cause error) {
 	options := &c.client.options
 	var gap *GapError
@@ -125,7 +127,7 @@
 	return c.messages.feed(c.client.loop.Now(), data, c.deliver)
 }
 
-// End implements http1.Handler: a subscription has no end.
+// End implements http1.Handler. The end of the response is an error, as a subscription never ends by itself.
 func (c *connection) End() error { return errEnded }
 
 func (c *connection) deliver(message []byte) error {
@@ -137,10 +139,11 @@
 	return nil
 }
 
-// Closed implements eventloop.Handler: the current connection is replaced, any other one forgotten.
+// Closed implements eventloop.Handler. If the connection was the current one, the client retries; a standby connection
+// is only removed from the list.
 func (c *connection) Closed(cause error) {
 	client := c.client
-	c.silence.Clear()
+	c.silenceTimer.Clear()
 	if c.dropped {
 		return
 	}
--- a/internal/subscribe/errors.go
+++ b/internal/subscribe/errors.go
@@ -11,17 +11,18 @@
 	errNotObject = errors.New("not a JSON object")
 )
 
-// GapError is a change that does not follow on the version that is known; only a subscription to everything helps.
+// GapError reports a change that does not start from the version known, so that changes are missing. The client has to
+// request the complete state.
 type GapError struct {
-	Have  uint64 // the version known
-	Since uint64 // the version that the change starts from
+	Have  uint64 // version known
+	Since uint64 // version that the change starts from
 }
 
 func (e *GapError) Error() string {
-	return fmt.Sprintf("a change since version %d, where version %d is known", e.Since, e.Have)
+	return fmt.Sprintf("received a change from version %d, but version %d is known", e.Since, e.Have)
 }
 
-// StatusError is a response whose status is not 200.
+// StatusError reports a response whose status is not 200.
 type StatusError struct{ Status int }
 
 func (e *StatusError) Error() string { return fmt.Sprintf("response with status %d", e.Status) }
--- a/internal/subscribe/messages.go
+++ b/internal/subscribe/messages.go
@@ -6,18 +6,20 @@
 )
 
 const (
-	// maxMessage is the size in bytes above which a message is rejected.
-	maxMessage = 8 << 20
-	// maxIdleBuffer is the capacity in bytes that a parser retains between two messages.
-	maxIdleBuffer = 4 << 10
+	// maxMessageBytes is the largest size of a message; a larger one is rejected.
+	maxMessageBytes = 8 << 20
+	// maxIdleBufferBytes is the largest buffer capacity that a parser retains between two messages.
+	maxIdleBufferBytes = 4 << 10
 )
 
-// messageParser cuts the body of a response into messages, however its bytes arrive.
+// messageParser splits the body of a response into messages. The result does not depend on how the body is divided into
+// calls of feed.
 type messageParser interface {
-	// feed parses bytes that arrived at a time, and delivers each message that they complete. It stops at the first
-	// error. A message's bytes are valid only until deliver returns.
+	// feed parses data that arrived at the time now, and calls deliver with each message that is complete. It stops at
+	// the first error. A message's bytes are valid only until deliver returns.
 	feed(now eventloop.Micros, data []byte, deliver func(message []byte) error) error
-	// incompleteSince returns when the message began that is not complete yet. 0: there is none, or it is not known.
+	// incompleteSince returns when the first byte of the incomplete message arrived. It returns 0 if there is no
+	// incomplete message, or if the parser does not record the time.
 	incompleteSince() eventloop.Micros
 }
 
@@ -25,10 +27,10 @@
 	if format == JSONObjects {
 		return &objectParser{}
 	}
-	return &eventParser{sse.Parser{MaxEventBytes: maxMessage}}
+	return &eventParser{sse.Parser{MaxEventBytes: maxMessageBytes}}
 }
 
-// eventParser reads text/event-stream.
+// eventParser parses text/event-stream.
 type eventParser struct{ events sse.Parser }
 
 func (p *eventParser) feed(_ eventloop.Micros, data []byte, deliver func([]byte) error) error {
@@ -37,19 +39,19 @@
 
 func (p *eventParser) incompleteSince() eventloop.Micros { return 0 }
 
-// objectParser reads a sequence of JSON objects. It only finds where each one ends.
+// objectParser splits a sequence of JSON objects. It finds the end of each object but does not validate its syntax.
 type objectParser struct {
-	buffered []byte           // of an object whose end has not arrived
-	beganAt  eventloop.Micros // when that object began; 0: there is none
-	depth    int              // of open braces and brackets
-	quoted   bool             // within a string
-	escaped  bool             // behind a backslash in a string
+	partial        []byte           // earlier bytes of the incomplete object
+	startedAt      eventloop.Micros // when the first byte of the incomplete object arrived; 0 if there is none
+	depth          int              // number of open braces and brackets
+	inString       bool             // the next byte is within a string
+	afterBackslash bool             // the next byte follows an unescaped backslash in a string
 }
 
-func (p *objectParser) incompleteSince() eventloop.Micros { return p.beganAt }
+func (p *objectParser) incompleteSince() eventloop.Micros { return p.startedAt }
 
 func (p *objectParser) feed(now eventloop.Micros, data []byte, deliver func([]byte) error) error {
-	start := 0 // of the object's part in data
+	start := 0 // position in data at which the current object, or the rest of it, starts
 	for i, char := range data {
 		if p.depth == 0 {
 			if isSpace(char) {
@@ -58,35 +60,35 @@
 			if char != '{' {
 				return errNotObject
 			}
-			start, p.beganAt = i, now
+			start, p.startedAt = i, now
 		}
 		p.scan(char)
 		if p.depth > 0 {
 			continue
 		}
-		message := append(p.buffered, data[start:i+1]...)
+		message := append(p.partial, data[start:i+1]...)
 		p.reset(message)
 		if err := deliver(message); err != nil {
 			return err
 		}
 	}
 	if p.depth > 0 {
-		p.buffered = append(p.buffered, data[start:]...)
-		if len(p.buffered) > maxMessage {
+		p.partial = append(p.partial, data[start:]...)
+		if len(p.partial) > maxMessageBytes {
 			return sse.ErrEventTooLong
 		}
 	}
 	return nil
 }
 
-// scan follows strings and nesting by one byte.
+// scan updates the string and nesting state with the next byte.
 func (p *objectParser) scan(char byte) {
 	switch {
-	case p.quoted:
-		p.quoted = p.escaped || char != '"'
-		p.escaped = !p.escaped && char == '\\'
+	case p.inString:
+		p.inString = p.afterBackslash || char != '"'
+		p.afterBackslash = !p.afterBackslash && char == '\\'
 	case char == '"':
-		p.quoted = true
+		p.inString = true
 	case char == '{' || char == '[':
 		p.depth++
 	case char == '}' || char == ']':
@@ -94,12 +96,12 @@
 	}
 }
 
-// reset prepares for the next object; the buffer of a large one is not retained.
+// reset prepares the parser for the next object. It reuses the buffer unless that is large.
 func (p *objectParser) reset(buffer []byte) {
-	p.beganAt = 0
-	p.buffered = buffer[:0]
-	if cap(buffer) > maxIdleBuffer {
-		p.buffered = nil
+	p.startedAt = 0
+	p.partial = buffer[:0]
+	if cap(buffer) > maxIdleBufferBytes {
+		p.partial = nil
 	}
 }
 
--- a/internal/subscribe/messages_test.go
+++ b/internal/subscribe/messages_test.go
@@ -10,7 +10,7 @@
 	"plumspindle/internal/sse"
 )
 
-// feedInPieces feeds a text in pieces of a size and returns the messages.
+// feedInPieces feeds text to a parser in pieces of size bytes and returns the messages.
 func feedInPieces(parser messageParser, text string, size int) (messages []string, err error) {
 	for piece := range slices.Chunk([]byte(text), size) {
 		err := parser.feed(eventloop.Second, piece, func(message []byte) error {
@@ -52,7 +52,7 @@
 }
 
 func TestMessagesThatAreRejected(t *testing.T) {
-	tooLong := strings.Repeat("x", maxMessage)
+	tooLong := strings.Repeat("x", maxMessageBytes)
 	for name, test := range map[string]struct {
 		format Format
 		text   string
@@ -90,12 +90,13 @@
 			t.Fatal(err)
 		}
 		if got := parser.incompleteSince(); got != step.want {
-			t.Errorf("at %d, after %q: began at %d, want %d", step.now, step.text, got, step.want)
+			t.Errorf("at %d, after %q: incomplete since %d, want %d", step.now, step.text, got, step.want)
 		}
 	}
 }
 
-// FuzzObjectParser: pieces make no difference, and a message is never anything but an object.
+// FuzzObjectParser checks that the messages do not depend on how the text is divided into pieces, and that each message
+// begins like an object.
 func FuzzObjectParser(f *testing.F) {
 	f.Add(`{"a":"}\""}`+"\n\n"+`{"b":[{}]}`, 3)
 	f.Add(`{]`, 1)
--- a/internal/subscribe/post.go
+++ b/internal/subscribe/post.go
@@ -7,17 +7,17 @@
 	"plumspindle/internal/http1"
 )
 
-// PostRequest is a JSON message for a source.
+// PostRequest is a POST request with a JSON body to a source.
 type PostRequest struct {
 	Address string
 	Target  string
-	Fields  []string // further header fields, names and values in turn
+	Fields  []string // additional header fields, as alternating names and values
 	Body    []byte
-	Timeout eventloop.Micros // until the response is complete, connecting included
+	Timeout eventloop.Micros // for the complete exchange, including the time to connect
 }
 
-// Post sends one message on a connection of its own. done is called once, with the status of the response; 0: there
-// was none in time.
+// Post sends one request on a new connection. It calls done exactly once, with the status of the response, or with 0 if
+// no complete response arrived within the timeout.
 func Post(loop eventloop.Loop, request PostRequest, done func(status int)) {
 	fields := slices.Concat(request.Fields, []string{"Content-Type", "application/json", "Connection", "close"})
 	message := http1.Request{Method: "POST", Target: request.Target, Host: request.Address, Body: request.Body}
@@ -33,14 +33,14 @@
 	p.conn = loop.Dial(request.Address, connectTimeout, p)
 }
 
-// post is a message on its way.
+// post is a request in progress.
 type post struct {
 	conn     eventloop.Conn
 	request  []byte
 	response http1.Parser
 	timeout  eventloop.Timer
 	status   int
-	done     func(status int) // nil once it was called
+	done     func(status int) // nil once it has been called
 }
 
 // Opened implements eventloop.Handler.
@@ -65,7 +65,7 @@
 	return nil
 }
 
-// Body implements http1.Handler; only the status counts.
+// Body implements http1.Handler. It ignores the body, as only the status is needed.
 func (p *post) Body([]byte) error { return nil }
 
 // End implements http1.Handler.
