--- a/internal/endpointcache/endpointcache.go
+++ b/internal/endpointcache/endpointcache.go
@@ -1,7 +1,7 @@
-// Package endpointcache decides how far a list of endpoints is trusted that may be out of date: a cached one that a
-// process starts with, and one from discovery that suddenly leaves most endpoints out. Its job is the policy: freshness
-// levels, the staged roll-in of an old list, and the delay of removals. It is free of I/O and owns no state; it never
-// sees the network or the disk.
+// Package endpointcache implements the policy for endpoint lists that may be wrong: a cached list that a process starts
+// with, and a list from discovery in which most endpoints are suddenly missing. It classifies cached lists by their
+// age, divides an old list into batches that are put into use one after another, and determines how long removals are
+// delayed. It does no I/O and has no state.
 package endpointcache
 
 import (
@@ -10,7 +10,7 @@
 	"plumspindle/scheduler/timerqueue"
 )
 
-// Micros is a time or a span in whole microseconds.
+// Micros is a time or a duration in whole microseconds.
 type Micros = timerqueue.Micros
 
 const (
@@ -18,27 +18,29 @@
 	second             = 1000 * millisecond
 	hour               = 3600 * second
 
-	freshAge = 30 * second // up to this age a list is used as it is
-	staleAge = 6 * hour    // up to this age its endpoints are treated with care; beyond it they are rolled in by stages
+	maxFreshAge = 30 * second // maximum age of a fresh list
+	maxStaleAge = 6 * hour    // maximum age of a stale list; an older list is old
 
-	batchInterval = 700 * millisecond // between two stages of a roll-in
+	batchInterval = 700 * millisecond // between two batches of an old list
 	batchCount    = 4
 
-	// A complete list that leaves out more than this part of the ready endpoints is doubted.
-	suspiciousLoss = 0.5
-	// The part of the drain grace for which that is doubted.
-	doubtShare = 0.6
+	// suspiciousMissingShare is the share of the ready endpoints above which their absence from a complete list is
+	// suspicious, so that their removal is delayed.
+	suspiciousMissingShare = 0.5
+	// removalDelayShare is the delay of a suspicious removal as a share of the drain grace.
+	removalDelayShare = 0.6
 )
 
-// Freshness is how far a cached list is trusted.
+// Freshness classifies a cached list by how far it is trusted.
 type Freshness uint8
 
 const (
-	// Fresh lists are used as they are.
+	// Fresh lists are used without changes.
 	Fresh Freshness = iota
-	// Stale lists may name endpoints that have restarted or are gone: all are treated as just started.
+	// Stale lists may name endpoints that have restarted or no longer exist, so all endpoints are treated as just
+	// started.
 	Stale
-	// Old lists are treated like stale ones, and only a part of their endpoints is used at a time.
+	// Old lists are treated like stale ones, and their endpoints are also put into use in batches.
 	Old
 )
 
@@ -46,37 +48,37 @@
 
 func (f Freshness) String() string { return freshnessNames[f] }
 
-// FreshnessOf returns how far a list that was saved at a time is trusted now. A time in the future, or none, says
-// nothing of the list's age; such a list counts as stale.
+// FreshnessOf returns the freshness of a list that was saved at the time savedAt. A list without a time, or with one in
+// the future, has an unknown age and is stale.
 func FreshnessOf(now, savedAt Micros) Freshness {
 	age := now - savedAt
 	switch {
 	case savedAt <= 0 || age < 0:
 		return Stale
-	case age <= freshAge:
+	case age <= maxFreshAge:
 		return Fresh
-	case age <= staleAge:
+	case age <= maxStaleAge:
 		return Stale
 	}
 	return Old
 }
 
-// Endpoint is what matters here of an entry.
+// Endpoint is an endpoint of a cached list.
 type Endpoint struct {
 	ID        uint32
-	Group     string // endpoints of one group, as of one zone and kind, can replace each other
+	Group     string // endpoints of the same group, such as the same zone and kind, are interchangeable
 	StartedAt Micros
 }
 
-// Batch is one stage of a roll-in.
+// Batch is a set of endpoints that are put into use at the same time.
 type Batch struct {
-	Delay     Micros // after the start of the process
+	Delay     Micros // from the start of the process
 	Endpoints []Endpoint
 }
 
-// Plan divides a cached list into batches. Each batch of an old list has its part of every group, so that prefill and
-// decode endpoints are there from the first one on. Endpoints that no longer exist cost failed connections, and the
-// batches spread these.
+// Plan divides a cached list into batches. The batches of an old list each contain a share of every group, so that
+// prefill and decode endpoints are available from the first batch on. Endpoints that no longer exist cause failed
+// connections, which the batches spread over time.
 func Plan(now Micros, freshness Freshness, endpoints []Endpoint) []Batch {
 	if freshness == Fresh {
 		return []Batch{{Endpoints: endpoints}}
@@ -88,30 +90,31 @@
 	if freshness == Stale {
 		return []Batch{{Endpoints: justStarted}}
 	}
-	return divide(justStarted)
+	return splitIntoBatches(justStarted)
 }
 
-// divide deals the endpoints of each group to the batches in turn; empty batches are left out.
-func divide(endpoints []Endpoint) []Batch {
+// splitIntoBatches assigns the endpoints of each group to the batches in turn (round robin). It omits empty batches.
+func splitIntoBatches(endpoints []Endpoint) []Batch {
 	batches := make([]Batch, batchCount)
 	for i := range batches {
 		batches[i].Delay = Micros(i) * batchInterval
 	}
-	dealt := map[string]int{} // by group
+	assigned := map[string]int{} // number of endpoints, by group
 	for _, endpoint := range endpoints {
-		batch := &batches[dealt[endpoint.Group]%batchCount]
+		batch := &batches[assigned[endpoint.Group]%batchCount]
 		batch.Endpoints = append(batch.Endpoints, endpoint)
-		dealt[endpoint.Group]++
+		assigned[endpoint.Group]++
 	}
 	return slices.DeleteFunc(batches, func(batch Batch) bool { return len(batch.Endpoints) == 0 })
 }
 
-// RemovalDelay returns for how long endpoints that a complete list leaves out are still used: discovery that has just
-// restarted may not know them yet. What a list says of an endpoint by name takes effect at once. The delay ends within
-// the drain grace, so that nothing new goes to an endpoint later than that after it was left out.
+// RemovalDelay returns how long endpoints that are missing from a complete list are still used. Many may be missing
+// because discovery has just restarted and does not know them yet. Entries of endpoints that the list does contain take
+// effect immediately. The delay is shorter than the drain grace, so that an endpoint receives no new requests once the
+// drain grace has passed since it went missing.
 func RemovalDelay(ready, missing int, drainGrace Micros) Micros {
-	if ready < 2 || float64(missing) <= suspiciousLoss*float64(ready) {
+	if ready < 2 || float64(missing) <= suspiciousMissingShare*float64(ready) {
 		return 0
 	}
-	return Micros(doubtShare * float64(drainGrace))
+	return Micros(removalDelayShare * float64(drainGrace))
 }
--- a/internal/endpointcache/endpointcache_test.go
+++ b/internal/endpointcache/endpointcache_test.go
@@ -23,8 +23,8 @@
 	}
 }
 
-// TestPlanUsesEachEndpointOnce: every batch has endpoints of all groups, and only those of a fresh list keep their
-// start times.
+// TestPlanUsesEachEndpointOnce checks that each endpoint is in exactly one batch, that each batch has endpoints of all
+// groups, and that only the endpoints of a fresh list keep their start times.
 func TestPlanUsesEachEndpointOnce(t *testing.T) {
 	const (
 		now        = Micros(1000)
@@ -36,8 +36,8 @@
 		endpoints = append(endpoints, Endpoint{ID: uint32(i), Group: fmt.Sprint("g", i%groupCount), StartedAt: startedAt})
 	}
 	for freshness, test := range map[Freshness]struct {
-		startedAt   Micros
-		mostAtATime int
+		startedAt    Micros
+		maxBatchSize int
 	}{
 		Fresh: {startedAt, len(endpoints)},
 		Stale: {now, len(endpoints)},
@@ -56,7 +56,7 @@
 			if len(groups) != groupCount {
 				t.Errorf("%v: batch %d has %d groups of %d", freshness, i, len(groups), groupCount)
 			}
-			if len(batch.Endpoints) > test.mostAtATime || batch.Delay != Micros(i)*batchInterval {
+			if len(batch.Endpoints) > test.maxBatchSize || batch.Delay != Micros(i)*batchInterval {
 				t.Errorf("%v: batch %d has %d endpoints after %d", freshness, i, len(batch.Endpoints), batch.Delay)
 			}
 		}
--- a/internal/endpoints/cached_list_test.go
+++ b/internal/endpoints/cached_list_test.go
@@ -8,7 +8,7 @@
 	"plumspindle/internal/endpoints"
 )
 
-// cachedEntries are those of both cached lists in testdata.
+// cachedEntries are the entries of both cached lists in testdata.
 var cachedEntries = []endpoints.Entry{
 	{
 		ID: 105, Addr: "127.0.0.1:45973", Zone: "west", Kind: "prefill",
@@ -52,8 +52,8 @@
 	},
 }
 
-// TestReadsHostListsOfEarlierVersion: both lists that an earlier version cached, the newest and the one before it, are
-// read with every field of every endpoint, and are written as they were.
+// TestReadsHostListsOfEarlierVersion checks that both lists that an earlier version cached, the newest one and its
+// predecessor, are read with all fields of all endpoints, and that encoding them again yields the same bytes.
 func TestReadsHostListsOfEarlierVersion(t *testing.T) {
 	for _, test := range []struct {
 		file  string
@@ -76,10 +76,10 @@
 				t.Errorf("read:\n%+v\nstored:\n%+v", entries, cachedEntries)
 			}
 			if saved != test.saved {
-				t.Errorf("saved at %d, read %d", test.saved, saved)
+				t.Errorf("saved at %d, want %d", saved, test.saved)
 			}
 			if restored.Epoch != "" || restored.Version != 0 {
-				t.Errorf("epoch %q, version %d of a cached list count as known", restored.Epoch, restored.Version)
+				t.Errorf("epoch %q and version %d of a cached list are not reset", restored.Epoch, restored.Version)
 			}
 			var followed endpoints.View
 			if _, complete, err := followed.Apply(cached); err != nil || !complete {
--- a/internal/endpoints/endpoints.go
+++ b/internal/endpoints/endpoints.go
@@ -1,8 +1,7 @@
-// Package endpoints follows the list of model endpoints that a discovery source pushes. Its job is to know the list at
-// one version: it applies complete lists and changes, rejects what is faulty or leaves a gap, and encodes the list for
-// a cache on disk. It owns the view and the subscription to the source. It relies on package subscribe for the
-// connection. It never decides what follows from a list, nor how far a cached one is trusted: that is package
-// endpointcache.
+// Package endpoints maintains a copy of the list of model endpoints that a discovery source pushes. It applies complete
+// lists and changes, rejects updates that are invalid or do not follow on the known version, and encodes the list for a
+// cache on disk. It owns the View of the list and the subscription to the source, and uses package subscribe for the
+// connection. It does not act on the list. Package endpointcache decides how far a cached list is trusted.
 package endpoints
 
 import (
@@ -15,11 +14,11 @@
 // The conditions of an entry, as the source and cached lists name them.
 const (
 	Ready    = "ready"    // accepts new requests
-	Draining = "draining" // completes what it has
+	Draining = "draining" // completes its requests but accepts no new ones
 	Gone     = "gone"     // no longer exists
 )
 
-var states = map[string]scheduler.EndpointState{
+var stateByCondition = map[string]scheduler.EndpointState{
 	Ready:    scheduler.Ready,
 	Draining: scheduler.Draining,
 	Gone:     scheduler.Removed,
@@ -33,41 +32,41 @@
 	Kind      string               `json:"kind"`
 	Cell      uint16               `json:"cell"`
 	Condition string               `json:"condition"`
-	StartedAt int64                `json:"started_us,omitempty"` // wall clock, in µs; 0: long ago
+	StartedAt int64                `json:"started_us,omitempty"` // wall-clock time in µs; 0 means long ago
 }
 
-// State is the entry's condition in the scheduler's terms.
-func (e Entry) State() scheduler.EndpointState { return states[e.Condition] }
+// State returns the scheduler's endpoint state for the entry's condition.
+func (e Entry) State() scheduler.EndpointState { return stateByCondition[e.Condition] }
 
-// Faults of an entry, which an *EntryError wraps.
+// Reasons why an entry is invalid, which an *EntryError wraps.
 var (
 	ErrUnknownCondition = errors.New("unknown condition")
 	ErrNoAddress        = errors.New("no address")
 )
 
-// EntryError names the entry of a list that can't be used.
+// EntryError reports an invalid entry of a list.
 type EntryError struct {
 	Index int
 	ID    scheduler.EndpointID
-	Fault error
+	Err   error
 }
 
 func (e *EntryError) Error() string {
-	return fmt.Sprintf("hosts[%d] (id %d): %v", e.Index, e.ID, e.Fault)
+	return fmt.Sprintf("hosts[%d] (id %d): %v", e.Index, e.ID, e.Err)
 }
 
-// Unwrap returns the fault.
-func (e *EntryError) Unwrap() error { return e.Fault }
+// Unwrap returns the reason why the entry is invalid.
+func (e *EntryError) Unwrap() error { return e.Err }
 
-// validate checks all entries of a list; every error is an *EntryError.
+// validate checks all entries of a list. It returns an *EntryError for the first invalid one.
 func validate(entries []Entry) error {
 	for i, e := range entries {
-		_, known := states[e.Condition]
+		_, known := stateByCondition[e.Condition]
 		switch {
 		case !known:
-			return &EntryError{Index: i, ID: e.ID, Fault: fmt.Errorf("%w %.20q", ErrUnknownCondition, e.Condition)}
+			return &EntryError{Index: i, ID: e.ID, Err: fmt.Errorf("%w %.20q", ErrUnknownCondition, e.Condition)}
 		case e.Addr == "" && e.Condition != Gone:
-			return &EntryError{Index: i, ID: e.ID, Fault: ErrNoAddress}
+			return &EntryError{Index: i, ID: e.ID, Err: ErrNoAddress}
 		}
 	}
 	return nil
@@ -75,10 +74,10 @@
 
 // Update is one message of the source, or a cached list.
 type Update struct {
-	Epoch     string  `json:"epoch"`           // the source's incarnation; versions count within it
-	Version   uint64  `json:"version"`         // that the list has with this update
-	Since     uint64  `json:"since,omitempty"` // the version that a change starts from
-	Complete  bool    `json:"whole,omitempty"` // the whole list; otherwise what has changed
+	Epoch     string  `json:"epoch"`           // identifies the run of the source; versions are comparable within it
+	Version   uint64  `json:"version"`         // version of the list after this update
+	Since     uint64  `json:"since,omitempty"` // version that a change starts from
+	Complete  bool    `json:"whole,omitempty"` // Endpoints is the complete list, not only the changed entries
 	Endpoints []Entry `json:"hosts"`
-	SavedAt   int64   `json:"saved_us,omitempty"` // when a cached list was written, in µs of the wall clock
+	SavedAt   int64   `json:"saved_us,omitempty"` // wall-clock time in µs at which a cached list was written
 }
--- a/internal/endpoints/view.go
+++ b/internal/endpoints/view.go
@@ -10,16 +10,17 @@
 	"plumspindle/scheduler"
 )
 
-// View is the list at the version known. The zero value knows none.
+// View is the list of endpoints at the version known. The zero value is an empty list without a version.
 type View struct {
 	Epoch     string
 	Version   uint64
 	Endpoints map[scheduler.EndpointID]Entry
 }
 
-// Apply applies one message. It returns the entries to be passed on, and whether they are the complete list; no entries
-// for a message that is older than what is known. A message with an error changes nothing: one that does not follow on
-// what is known is a *subscribe.GapError, a faulty entry an *EntryError.
+// Apply applies a message of the source. It returns the entries of the message, and whether they are the complete list.
+// It returns no entries if the message is outdated. If Apply returns an error, the message has changed nothing: the
+// error is a *subscribe.GapError if the message does not follow on the known version, and an *EntryError if an entry is
+// invalid.
 func (v *View) Apply(data []byte) (entries []Entry, complete bool, err error) {
 	var update Update
 	if err := json.Unmarshal(data, &update); err != nil {
@@ -32,7 +33,7 @@
 	if err := validate(update.Endpoints); err != nil {
 		return nil, false, err
 	}
-	if v.isKnown(update) {
+	if v.isOutdated(update) {
 		return nil, false, nil
 	}
 	if !update.Complete && (update.Epoch != v.Epoch || update.Since != v.Version) {
@@ -52,16 +53,16 @@
 	return update.Endpoints, update.Complete, nil
 }
 
-// isKnown reports whether an update was overtaken by a newer one. A complete list of the version known is applied all
-// the same.
-func (v *View) isKnown(update *Update) bool {
+// isOutdated reports whether an update was already applied or is older than the version known. A complete list of the
+// version known is not outdated and is applied again.
+func (v *View) isOutdated(update *Update) bool {
 	if update.Epoch != v.Epoch {
 		return false
 	}
 	return update.Version < v.Version || update.Version == v.Version && !update.Complete
 }
 
-// Snapshot encodes the list for a cache, as written at a time.
+// Snapshot encodes the list for a cache. now is the wall-clock time in µs.
 func (v *View) Snapshot(now int64) []byte {
 	update := Update{
 		Epoch:     v.Epoch,
@@ -73,12 +74,13 @@
 	for _, id := range slices.Sorted(maps.Keys(v.Endpoints)) {
 		update.Endpoints = append(update.Endpoints, v.Endpoints[id])
 	}
-	data, _ := json.Marshal(update) // can't fail: all fields are plain
+	data, _ := json.Marshal(update) // can't fail, as all fields are strings, numbers and booleans
 	return data
 }
 
-// Restore applies a cached list, before anything was received from the source. It returns the entries and when they
-// were written. The cached version is forgotten, so that the first update from the source has to be a complete list.
+// Restore applies a cached list. It must be called before any update from the source is applied. It returns the entries
+// and the time at which they were saved. It forgets the cached version, so that the first update from the source must
+// be a complete list.
 func (v *View) Restore(cached []byte) (entries []Entry, savedAt int64, err error) {
 	defer v.Reset()
 	var update Update
@@ -92,5 +94,5 @@
 	return entries, update.SavedAt, nil
 }
 
-// Reset forgets the version, so that only a complete list follows on it.
+// Reset forgets the version, so that the next update must be a complete list.
 func (v *View) Reset() { v.Epoch, v.Version = "", 0 }
--- a/internal/endpoints/watcher.go
+++ b/internal/endpoints/watcher.go
@@ -9,47 +9,47 @@
 	"plumspindle/internal/subscribe"
 )
 
-// WatcherOptions say whose list to follow, and for whom.
+// WatcherOptions configure a Watcher.
 type WatcherOptions struct {
-	// Address is the source's.
+	// Address is the address of the source.
 	Address string
-	// Dispatcher is the name that the source knows this process by.
+	// Dispatcher is the name under which this process identifies itself to the source.
 	Dispatcher string
-	// Seed is that of the backoff's jitter.
+	// Seed seeds the random jitter of the backoff.
 	Seed int64
-	// OnUpdate is called with entries as they are received, and with whether they are the complete list.
+	// OnUpdate is called with the entries of each update, and with whether they are the complete list.
 	OnUpdate func(entries []Entry, complete bool)
-	// Log receives warnings of lost subscriptions and rejected updates.
+	// Log receives warnings about lost subscriptions and rejected updates.
 	Log zerolog.Logger
 }
 
-// Watcher follows the list at its source.
+// Watcher subscribes to the list at its source and keeps its View up to date.
 type Watcher struct {
 	*subscribe.Client
 	View
 	onUpdate func(entries []Entry, complete bool)
 }
 
-// NewWatcher makes a watcher that has not subscribed yet.
+// NewWatcher returns a watcher that has not subscribed yet.
 func NewWatcher(loop eventloop.Loop, options WatcherOptions) *Watcher {
 	w := &Watcher{onUpdate: options.OnUpdate}
 	w.Client = subscribe.NewClient(loop, options.Seed, options.Address, subscribe.Options{
 		Source:    "endpoint list",
-		Target:    w.target,
+		Target:    w.requestTarget,
 		Fields:    []string{"x-dispatcher", options.Dispatcher},
-		OnMessage: w.update,
+		OnMessage: w.applyMessage,
 		OnReset:   w.Reset,
 		Log:       options.Log,
 	})
 	return w
 }
 
-// target asks for what has changed since the version known.
-func (w *Watcher) target() string {
+// requestTarget asks for what has changed since the version known.
+func (w *Watcher) requestTarget() string {
 	return "/v1/hosts/watch?epoch=" + w.Epoch + "&since=" + strconv.FormatUint(w.Version, 10)
 }
 
-func (w *Watcher) update(data []byte) error {
+func (w *Watcher) applyMessage(data []byte) error {
 	entries, complete, err := w.Apply(data)
 	if err != nil {
 		return err
--- a/internal/settings/errors.go
+++ b/internal/settings/errors.go
@@ -6,25 +6,25 @@
 )
 
 var (
-	// ErrNotObject is text that is no JSON object.
+	// ErrNotObject is returned for text that is not a JSON object.
 	ErrNotObject = errors.New("the start settings are not a JSON object")
-	// ErrUnknownValue is a value that its key does not allow. An *Error wraps it.
+	// ErrUnknownValue is the cause of an *Error for a value that is not among the known ones.
 	ErrUnknownValue = errors.New("unknown")
 )
 
-// Error is an element of a list in the settings that can't be used.
+// Error reports an invalid element of a list in the settings.
 type Error struct {
-	Key   string // of the list
-	Index int
+	Key   string // name of the list
+	Index int    // of the element
 	Err   error
 }
 
 func (e *Error) Error() string { return fmt.Sprintf("%s %d: %v", e.Key, e.Index, e.Err) }
 
-// Unwrap returns what is wrong with the element.
+// Unwrap returns the reason why the element is invalid.
 func (e *Error) Unwrap() error { return e.Err }
 
-// unknownValue is the error of an element with a value that its field does not allow.
+// unknownValue returns the error for an element with an unknown value in a field.
 func unknownValue(key string, index int, field, value string) *Error {
 	return &Error{Key: key, Index: index, Err: fmt.Errorf("%w %s %q", ErrUnknownValue, field, value)}
 }
--- a/internal/settings/sections.go
+++ b/internal/settings/sections.go
@@ -8,7 +8,7 @@
 	"plumspindle/scheduler"
 )
 
-// Names of enumerated values.
+// Values of enumerations by their names in the settings.
 var (
 	roles = map[string]scheduler.Role{
 		"read":  scheduler.Prefill,
@@ -27,13 +27,13 @@
 	}
 )
 
-// Keys of lists whose elements are named in errors.
+// Keys of lists that errors refer to.
 const (
 	classesKey = "request_classes"
 	rolesKey   = "duty_by_kind"
 )
 
-// parseScheduler reads the scheduler's configuration except for its classes, kinds and quotas.
+// parseScheduler decodes the scheduler's configuration except for its classes, kinds and quotas.
 func parseScheduler(root gjson.Result) scheduler.Config {
 	config := scheduler.Config{
 		Dispatchers:     int(root.Get("group_size").Int()),
@@ -43,21 +43,22 @@
 		MaxAttempts:     int(root.Get("limits.send_cap").Int()),
 		CancelAllowed:   root.Get("limits.may_cancel").Bool(),
 		WatchOnDemand:   root.Get("discovery").String() == "on_request",
-		TickInterval:    parseSpan(root, "tick"),
-		IdleTimeout:     cmp.Or(parseSpan(root, "limits.conn_idle"), defaultIdleTimeout),
-		ConnectTimeout:  cmp.Or(parseSpan(root, "limits.connect_timeout"), defaultConnectTimeout),
-		WarmUp:          parseSpan(root, "obligations.cold"),
+		TickInterval:    parseNanos(root, "tick"),
+		IdleTimeout:     cmp.Or(parseNanos(root, "limits.conn_idle"), defaultIdleTimeout),
+		ConnectTimeout:  cmp.Or(parseNanos(root, "limits.connect_timeout"), defaultConnectTimeout),
+		WarmUp:          parseNanos(root, "obligations.cold"),
 		SlowStartFactor: root.Get("obligations.cold_from").Float(),
-		OverloadWindow:  parseSpan(root, "obligations.fall"),
+		OverloadWindow:  parseNanos(root, "obligations.fall"),
 		OverloadFactor:  root.Get("obligations.fall_multiple").Float(),
 	}
 	if root.Get("limits.retry_after").Bool() {
-		config.MaxRetryAfter = parseSpan(root, "limits.max_retry_after")
+		config.MaxRetryAfter = parseNanos(root, "limits.max_retry_after")
 	}
 	return config
 }
 
-// parseClasses reads the request classes. Two of their latency objectives are in separate lists, which may be shorter.
+// parseClasses decodes the request classes. Two of their latency objectives come from separate lists, which may have
+// fewer elements than there are classes.
 func (s *Settings) parseClasses(root gjson.Result) error {
 	microsPer1000Tokens := root.Get("domain.aim_us_per_1000_prompt_tokens").Array()
 	nanosPerToken := root.Get("domain.token_aim").Array()
@@ -89,8 +90,8 @@
 		return scheduler.Class{}, unknownValue(classesKey, index, "group", groupName)
 	}
 	return scheduler.Class{
-		SLO:              parseSpan(element, "aim"),
-		Window:           parseSpan(element, "window"),
+		SLO:              parseNanos(element, "aim"),
+		Window:           parseNanos(element, "window"),
 		Effect:           effect,
 		Group:            group,
 		Revenue:          element.Get("points").Float(),
@@ -98,7 +99,7 @@
 	}, nil
 }
 
-// parseKinds reads the role of each kind of endpoint, and its memory where that is given.
+// parseKinds decodes the role of each kind of endpoint, and its memory if the settings contain it.
 func (s *Settings) parseKinds(root gjson.Result) error {
 	memory := root.Get("domain.kv_tokens").Array()
 	for i, element := range root.Get("domain." + rolesKey).Array() {
@@ -129,7 +130,7 @@
 	return names
 }
 
-// parseSpan reads a span that is given in nanoseconds.
-func parseSpan(parent gjson.Result, path string) scheduler.Micros {
+// parseNanos converts a duration in nanoseconds at a path to microseconds. A missing one is 0.
+func parseNanos(parent gjson.Result, path string) scheduler.Micros {
 	return MicrosFromNanos(parent.Get(path).Uint())
 }
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -1,6 +1,6 @@
 // Package settings decodes the JSON settings that the bench sends to an instance and the platform writes into a
-// configuration file. It translates their keys into the scheduler's configuration, with defaults for missing ones. It
-// does no I/O, has no state, and does not check whether values make sense together.
+// configuration file. It translates them into the scheduler's configuration, with defaults for missing keys. It does no
+// I/O, has no state, and does not check whether the values are consistent.
 package settings
 
 import (
@@ -13,8 +13,8 @@
 	"plumspindle/scheduler"
 )
 
-// Defaults for missing settings. With a connect timeout of 0 no attempt could be sent, and with a state timeout of 0
-// each KV state would be released before it exists.
+// Defaults for missing timeouts. With a connect timeout of 0 no attempt could ever be sent, and with a state timeout of
+// 0 each KV state would be released before it exists.
 const (
 	defaultConnectTimeout = eventloop.Second
 	defaultIdleTimeout    = 10 * eventloop.Second
@@ -28,13 +28,13 @@
 	Kinds            []string         // names, in the order of Scheduler.Kinds
 	Zones            []string         // names, by scheduler.ZoneID
 	Tenants          []string         // names, in the order of Scheduler.Quotas
-	ConnectTimeout   scheduler.Micros // until an endpoint counts as unreachable
-	StateTimeout     scheduler.Micros // until an unused KV state must be released
+	ConnectTimeout   scheduler.Micros // after which an endpoint is considered unreachable
+	StateTimeout     scheduler.Micros // after which an unused KV state must be released
 	LoadReportFields []string         // names of the values of a load report
 }
 
-// Parse decodes settings. Unknown keys are ignored. A value that can't be used is an *Error; text that is no JSON
-// object is ErrNotObject.
+// Parse decodes settings. It ignores unknown keys. It returns an *Error for an unknown value, and ErrNotObject for text
+// that is not a JSON object.
 func Parse(raw []byte) (*Settings, error) {
 	root := gjson.ParseBytes(raw)
 	if !gjson.ValidBytes(raw) || !root.IsObject() {
@@ -44,7 +44,7 @@
 		Scheduler:        parseScheduler(root),
 		Kinds:            parseNames(root.Get("host_types")),
 		Zones:            parseNames(root.Get("localities")),
-		StateTimeout:     cmp.Or(parseSpan(root, "domain.let_go_by"), defaultStateTimeout),
+		StateTimeout:     cmp.Or(parseNanos(root, "domain.let_go_by"), defaultStateTimeout),
 		LoadReportFields: parseNames(root.Get("telemetry.fields")),
 	}
 	s.ConnectTimeout = s.Scheduler.ConnectTimeout
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -95,7 +95,7 @@
 	}
 }
 
-func TestParseNamesPlaceAndFault(t *testing.T) {
+func TestParseErrorNamesListIndexAndValue(t *testing.T) {
 	for name, test := range map[string]struct {
 		raw   string
 		key   string
@@ -106,7 +106,7 @@
 			`{"request_classes": [{"repeat": "read_like"}, {"repeat": "often"}]}`,
 			"request_classes", 1, `request_classes 1: unknown repeat "often"`,
 		},
-		"unknown group where it counts": {
+		"unknown group of a class that uses it": {
 			`{"request_classes": [{"repeat": "read_like", "group": "x"}, {"repeat": "idempotency_key", "group": "x"}]}`,
 			"request_classes", 1, `request_classes 1: unknown group "x"`,
 		},
@@ -117,18 +117,18 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			_, err := Parse([]byte(test.raw))
-			var fault *Error
-			if !errors.As(err, &fault) || !errors.Is(err, ErrUnknownValue) {
+			var invalid *Error
+			if !errors.As(err, &invalid) || !errors.Is(err, ErrUnknownValue) {
 				t.Fatalf("error %v, want an *Error that wraps ErrUnknownValue", err)
 			}
-			if fault.Key != test.key || fault.Index != test.index || err.Error() != test.text {
-				t.Errorf("%s[%d]: %v, want %s", fault.Key, fault.Index, err, test.text)
+			if invalid.Key != test.key || invalid.Index != test.index || err.Error() != test.text {
+				t.Errorf("%s[%d]: %v, want %s", invalid.Key, invalid.Index, err, test.text)
 			}
 		})
 	}
 }
 
-func TestParseRejectsWhatIsNoObject(t *testing.T) {
+func TestParseRejectsTextThatIsNoObject(t *testing.T) {
 	for _, raw := range []string{"", "[]", `"x"`, `{"tick": 1`, "{} {}"} {
 		if _, err := Parse([]byte(raw)); !errors.Is(err, ErrNotObject) {
 			t.Errorf("%q: error %v, want ErrNotObject", raw, err)
--- a/internal/starttimes/starttimes.go
+++ b/internal/starttimes/starttimes.go
@@ -1,30 +1,31 @@
-// Package starttimes computes when endpoints started, on the clock of the event loop. Its job is the correction for
-// clock skew: lists carry timestamps of wall clocks, which may be stepped by seconds or an hour while the program runs,
-// but what counts from a start, as an endpoint's slow start does, counts real time. It is free of I/O and owns no
-// state; it never reads a clock itself.
+// Package starttimes converts the start times of endpoints to the clock of the event loop. It corrects for clock skew:
+// endpoint lists contain timestamps of wall clocks, which may jump by seconds or an hour while the program runs, but
+// durations since a start, such as that of an endpoint's slow start, must be measured in real time. It does no I/O, has
+// no state and reads no clock.
 package starttimes
 
 import "plumspindle/internal/eventloop"
 
-// earliest is the first time that is not "long ago".
-const earliest eventloop.Micros = 1
+// earliestStart is the lowest start time on the loop's clock, as 0 means "long ago".
+const earliestStart eventloop.Micros = 1
 
 // Start is when an endpoint started.
 type Start struct {
-	Timestamp eventloop.Micros // as it was listed, on some wall clock; 0: long ago
-	At        eventloop.Micros // on the loop's clock; 0: long ago
+	Timestamp eventloop.Micros // as listed, on some wall clock; 0 means long ago
+	At        eventloop.Micros // on the loop's clock; 0 means long ago
 }
 
-// Listing is the list that a timestamp was read from.
+// Listing describes the list that contains a timestamp.
 type Listing struct {
-	Now       eventloop.Micros // on the loop's clock, when the list was received
-	Skew      eventloop.Micros // by which the list's clock is known to be fast
-	InService bool             // the process has received lists before this one
+	Now       eventloop.Micros // when the list was received, on the loop's clock
+	Skew      eventloop.Micros // how far the list's clock is known to be fast
+	InService bool             // the process has received other lists before this one
 }
 
-// Next returns the start of an endpoint that is listed with a timestamp, given the start known before. In service a
-// timestamp is only compared: where it has changed the endpoint has restarted, and counts as started now, however old
-// the timestamp looks. In the first list of a process nothing but the timestamp says how long ago the start was.
+// Next returns the start of an endpoint, given its previous start and the timestamp in a new list. If the process is in
+// service, the timestamp is only compared with the previous one: if they differ, the endpoint has restarted and its
+// start is the present time, however old the timestamp looks. In the first list of a process the start has to be
+// computed from the timestamp, as nothing else is known about it.
 func Next(previous Start, timestamp eventloop.Micros, listing Listing) Start {
 	switch {
 	case timestamp <= 0:
@@ -35,10 +36,10 @@
 		return Start{Timestamp: timestamp, At: listing.Now}
 	}
 	corrected := min(timestamp-listing.Skew, listing.Now)
-	return Start{Timestamp: timestamp, At: max(corrected, earliest)}
+	return Start{Timestamp: timestamp, At: max(corrected, earliestStart)}
 }
 
-// ClockSkew returns by how much the clock of a list is fast, as far as timestamps in the future show it.
+// ClockSkew estimates how far the clock of a list is fast: as far as the latest timestamp of the list is in the future.
 func ClockSkew(now eventloop.Micros, timestamps ...eventloop.Micros) (skew eventloop.Micros) {
 	for _, timestamp := range timestamps {
 		skew = max(skew, timestamp-now)
