--- a/internal/deployment/checks.go
+++ b/internal/deployment/checks.go
@@ -9,19 +9,19 @@
 	"plumspindle/internal/deployment/pb"
 )
 
-// maxNames bounds the zones, kinds and products: the scheduler identifies each by one byte.
+// maxNames is the largest number of zones, of kinds and of products, as the scheduler identifies each by one byte.
 const maxNames = 250
 
-// Bounds of what the settings of batches may ask for.
+// Bounds for the values of settings.
 const (
 	maxBatchBytes  = 1 << 30
 	maxPartInputs  = 4096
 	maxFixedLimit  = 1 << 20
 	maxDimensions  = 16384
-	minMaxAttempts = 2 // a prefill and a decode
+	minMaxAttempts = 2 // one for the prefill and one for the decode
 )
 
-// deploymentChecks are the checks of a deployment by its sections, in the order in which their errors are reported.
+// deploymentChecks are the checks of the sections of a deployment, in the order in which their errors are reported.
 var deploymentChecks = []func(*validator, *pb.Deployment){
 	(*validator).checkNames,
 	(*validator).checkProducts,
@@ -30,11 +30,12 @@
 	(*validator).checkRules,
 	(*validator).checkDispatching,
 	(*validator).checkBatches,
-	(*validator).checkDoors,
+	(*validator).checkClientLimits,
 	(*validator).checkFleet,
 }
 
-// checkDeployment checks the values against each other and against what can be served.
+// checkDeployment runs all checks of a deployment. They compare its values with each other and with what the program
+// can serve.
 func (v *validator) checkDeployment(m *pb.Deployment) {
 	for _, check := range deploymentChecks {
 		check(v, m)
@@ -43,23 +44,23 @@
 
 func (v *validator) checkNames(m *pb.Deployment) {
 	if len(m.Zones) == 0 {
-		v.fail("zones", "there must be one at least")
+		v.fail("zones", "there must be at least one")
 	}
 	if len(m.Zones) > maxNames || len(m.Kinds) > maxNames || len(m.Products) > maxNames {
-		v.fail("zones", "more than %d zones, kinds or products can't be told apart", maxNames)
+		v.fail("zones", "there may be at most %d zones, kinds or products", maxNames)
 	}
-	v.unique("zones", len(m.Zones), func(i int) string { return m.Zones[i] })
-	v.unique("products", len(m.Products), func(i int) string { return m.Products[i].Name })
-	v.unique("kinds", len(m.Kinds), func(i int) string { return m.Kinds[i].Name })
-	v.unique("tenants", len(m.Tenants), func(i int) string { return m.Tenants[i].Name })
+	v.checkNamesUnique("zones", len(m.Zones), func(i int) string { return m.Zones[i] })
+	v.checkNamesUnique("products", len(m.Products), func(i int) string { return m.Products[i].Name })
+	v.checkNamesUnique("kinds", len(m.Kinds), func(i int) string { return m.Kinds[i].Name })
+	v.checkNamesUnique("tenants", len(m.Tenants), func(i int) string { return m.Tenants[i].Name })
 }
 
 func (v *validator) checkProducts(m *pb.Deployment) {
 	if len(m.Products) == 0 {
-		v.fail("products", "there must be one at least")
+		v.fail("products", "there must be at least one")
 	}
 	for i, product := range m.Products {
-		v.checkProduct(index("products", i), product)
+		v.checkProduct(elementPath("products", i), product)
 	}
 }
 
@@ -72,37 +73,37 @@
 	if product.Form == pb.Product_CHAT {
 		fields["token_slo_ms"], fields["most_tokens"] = float64(product.TokenSloMs), float64(product.MostTokens)
 	}
-	v.positive(path, fields)
-	v.share(path+".late_share", product.LateShare)
+	v.checkPositive(path, fields)
+	v.checkShare(path+".late_share", product.LateShare)
 	if product.Effect == pb.Product_EFFECT_UNSPECIFIED {
-		v.fail(path+".effect", "must be stated: IDEMPOTENT, DEDUPLICATED or SIDE_EFFECTING")
+		v.fail(path+".effect", "must be set to IDEMPOTENT, DEDUPLICATED or SIDE_EFFECTING")
 	}
 	if product.Form != pb.Product_CHAT && product.Effect != pb.Product_IDEMPOTENT {
-		v.fail(path+".effect", "must be IDEMPOTENT: what is only read may always be read again")
+		v.fail(path+".effect", "must be IDEMPOTENT unless form is CHAT: requests of other forms can always be repeated")
 	}
 	if (product.Dimensions > 0) != (product.Form == pb.Product_EMBEDDING) || product.Dimensions > maxDimensions {
-		v.fail(path+".dimensions", "is for products of form EMBEDDING, and those must have 1 to %d", maxDimensions)
+		v.fail(path+".dimensions", "must be 1 to %d for form EMBEDDING, and 0 for other forms", maxDimensions)
 	}
 	if product.Intent != pb.Product_WITH_READ && product.Effect == pb.Product_IDEMPOTENT {
 		v.fail(path+".intent",
-			"is for products that may not simply run again; nothing is written down of an IDEMPOTENT one")
+			"must not be set for IDEMPOTENT products: their requests can be repeated, so no intent is recorded")
 	}
 	if product.TimeLimitMs < product.SloMs {
-		v.fail(path+".time_limit_ms", "is below slo_ms")
+		v.fail(path+".time_limit_ms", "must not be below slo_ms")
 	}
 	if (product.WindowMs > 0) != (product.Effect == pb.Product_DEDUPLICATED) {
-		v.fail(path+".window_ms", "is for DEDUPLICATED products, and those must have one")
+		v.fail(path+".window_ms", "must be above 0 for DEDUPLICATED products, and 0 for other products")
 	}
 	if product.Group != pb.Product_ALL_HOSTS && product.Effect != pb.Product_DEDUPLICATED {
-		v.fail(path+".group", "is for DEDUPLICATED products")
+		v.fail(path+".group", "must not be set except for DEDUPLICATED products")
 	}
 }
 
 func (v *validator) checkKinds(m *pb.Deployment) {
 	prefills, decodes := false, false
 	for i, kind := range m.Kinds {
-		path := index("kinds", i)
-		v.positive(path, map[string]float64{"memory_tokens": float64(kind.MemoryTokens)})
+		path := elementPath("kinds", i)
+		v.checkPositive(path, map[string]float64{"memory_tokens": float64(kind.MemoryTokens)})
 		switch kind.Role {
 		case pb.Kind_READER:
 			prefills = true
@@ -110,36 +111,36 @@
 			decodes = true
 		case pb.Kind_MIXED:
 			prefills, decodes = true, true
-		case pb.Kind_EMBEDDER: // serves no chat; prefill endpoints can do what it does
+		case pb.Kind_EMBEDDER: // serves no chat; it is optional, as prefill endpoints can serve the same requests
 		default:
-			v.fail(path+".role", "must be stated: READER, WRITER or MIXED")
+			v.fail(path+".role", "must be set to READER, WRITER or MIXED")
 		}
 	}
 	if !prefills || !decodes {
-		v.fail("kinds", "no kind reads, or none writes")
+		v.fail("kinds", "must include a kind that can prefill and one that can decode")
 	}
 }
 
 func (v *validator) checkTenants(m *pb.Deployment) {
 	digests := map[string]bool{}
 	for i, tenant := range m.Tenants {
-		path := index("tenants", i)
+		path := elementPath("tenants", i)
 		if len(tenant.KeySha256) == 0 {
-			v.fail(path, "has no key")
+			v.fail(path, "must have at least one key_sha256")
 		}
 		for j, digest := range tenant.KeySha256 {
-			field := index(path+".key_sha256", j)
+			field := elementPath(path+".key_sha256", j)
 			normal := strings.ToLower(digest)
-			// The value stays out of the error: it may be a key.
+			// The error does not contain the value, as that could be a key in plain text.
 			if raw, err := hex.DecodeString(digest); err != nil || len(raw) != sha256.Size {
 				v.fail(field, "must be 64 hexadecimal digits")
 			} else if digests[normal] {
-				v.fail(field, "the key is given twice")
+				v.fail(field, "duplicate key")
 			}
 			digests[normal] = true
 		}
 		if !(tenant.QuotaPerS >= 0) || math.IsInf(tenant.QuotaPerS, 0) {
-			v.fail(path+".quota_per_s", "must not be below 0")
+			v.fail(path+".quota_per_s", "must be finite and not below 0")
 		}
 	}
 }
@@ -150,7 +151,7 @@
 		v.fail("rules", "is missing")
 		return
 	}
-	v.positive("rules", map[string]float64{
+	v.checkPositive("rules", map[string]float64{
 		"drain_grace_ms": float64(rules.DrainGraceMs),
 		"let_go_ms":      float64(rules.LetGoMs),
 		"cold_ms":        float64(rules.ColdMs),
@@ -158,8 +159,8 @@
 		"fall_multiple":  rules.FallMultiple,
 		"fall_ms":        float64(rules.FallMs),
 	})
-	v.share("rules.cold_from", rules.ColdFrom)
-	v.share("rules.over_share_worth", rules.OverShareWorth)
+	v.checkShare("rules.cold_from", rules.ColdFrom)
+	v.checkShare("rules.over_share_worth", rules.OverShareWorth)
 }
 
 func (v *validator) checkDispatching(m *pb.Deployment) {
@@ -168,7 +169,7 @@
 		v.fail("dispatching", "is missing")
 		return
 	}
-	v.positive("dispatching", map[string]float64{
+	v.checkPositive("dispatching", map[string]float64{
 		"dispatchers": float64(dispatching.Dispatchers),
 		"connect_ms":  float64(dispatching.ConnectMs),
 		"idle_ms":     float64(dispatching.IdleMs),
@@ -177,7 +178,7 @@
 		"openings":    float64(dispatching.Openings),
 	})
 	if dispatching.LegLimit < minMaxAttempts {
-		v.fail("dispatching.leg_limit", "must be 2 at least: a read and a write")
+		v.fail("dispatching.leg_limit", "must be at least 2: one attempt for the prefill and one for the decode")
 	}
 }
 
@@ -188,27 +189,28 @@
 	}
 	if b.BodyMost > maxBatchBytes || b.Window > maxBatchBytes ||
 		b.PartInputs > maxPartInputs || b.FixedLimit > maxFixedLimit {
-		v.fail("batches", "a bound is beyond what can be kept: "+
-			"body_most and window are 1 GiB at most, part_inputs %d, fixed_limit %d", maxPartInputs, maxFixedLimit)
+		v.fail("batches", "a limit is too large: body_most and window may be at most 1 GiB, "+
+			"part_inputs at most %d, fixed_limit at most %d", maxPartInputs, maxFixedLimit)
 	}
 }
 
-func (v *validator) checkDoors(m *pb.Deployment) {
-	doors := m.Doors
-	if doors == nil {
+// checkClientLimits checks the section "doors", which limits what clients may do.
+func (v *validator) checkClientLimits(m *pb.Deployment) {
+	limits := m.Doors
+	if limits == nil {
 		v.fail("doors", "is missing")
 		return
 	}
-	v.positive("doors", map[string]float64{
-		"open_most":      float64(doors.OpenMost),
-		"body_most":      float64(doors.BodyMost),
-		"head_most":      float64(doors.HeadMost),
-		"message_ms":     float64(doors.MessageMs),
-		"stall_ms":       float64(doors.StallMs),
-		"unsent_most":    float64(doors.UnsentMost),
-		"remember_most":  float64(doors.RememberMost),
-		"remember_bytes": float64(doors.RememberBytes),
-		"remember_ms":    float64(doors.RememberMs),
+	v.checkPositive("doors", map[string]float64{
+		"open_most":      float64(limits.OpenMost),
+		"body_most":      float64(limits.BodyMost),
+		"head_most":      float64(limits.HeadMost),
+		"message_ms":     float64(limits.MessageMs),
+		"stall_ms":       float64(limits.StallMs),
+		"unsent_most":    float64(limits.UnsentMost),
+		"remember_most":  float64(limits.RememberMost),
+		"remember_bytes": float64(limits.RememberBytes),
+		"remember_ms":    float64(limits.RememberMs),
 	})
 }
 
@@ -217,7 +219,7 @@
 	if fleet == nil {
 		return
 	}
-	v.positive("fleet", map[string]float64{
+	v.checkPositive("fleet", map[string]float64{
 		"cells_per_zone":    float64(fleet.CellsPerZone),
 		"cell_tokens_per_s": fleet.CellTokensPerS,
 		"link_tokens_per_s": fleet.LinkTokensPerS,
@@ -229,11 +231,11 @@
 		kinds[kind.Name] = true
 	}
 	for i, group := range fleet.Groups {
-		path := index("fleet.groups", i)
+		path := elementPath("fleet.groups", i)
 		if group.Kind == "" || !kinds[group.Kind] {
-			v.fail(path+".kind", "there is no kind %q", group.Kind)
+			v.fail(path+".kind", "unknown kind %q", group.Kind)
 		}
-		v.positive(path, map[string]float64{
+		v.checkPositive(path, map[string]float64{
 			"hosts_per_zone": float64(group.HostsPerZone),
 			"slots":          float64(group.Slots),
 			"step_us":        float64(group.StepUs),
--- a/internal/deployment/deployment.go
+++ b/internal/deployment/deployment.go
@@ -1,9 +1,9 @@
-// Package deployment reads the program's input files in protobuf text format: a deployment, and scenarios to play
-// against it.
+// Package deployment reads the program's input files, which are in protobuf text format: deployments, and scenarios to
+// run against a deployment.
 //
-// It owns the checks of both and the conversion to the scheduler's configuration. All errors of a text are reported
-// together, each with its line, field and reason. It relies on the messages of package pb, whose field names are the
-// operators' settings. It never changes a value of the text, and never repeats the value of a key in an error.
+// It validates both and converts a deployment to the scheduler's configuration. It reports all errors of a text
+// together, each with its line, field and reason. The settings have the field names of the messages in package pb. The
+// package never changes a value of the text, and its errors never contain the value of a key.
 package deployment
 
 import (
@@ -18,10 +18,10 @@
 	"plumspindle/internal/deployment/pb"
 )
 
-// ErrNoFleet is returned where a simulated fleet is needed and the deployment describes none.
-var ErrNoFleet = errors.New("the deployment describes no stand-in fleet (field fleet)")
+// ErrNoFleet means that a simulated fleet is needed but the deployment does not describe one.
+var ErrNoFleet = errors.New("the deployment describes no simulated fleet (field fleet)")
 
-// Deployment is a deployment that has passed all checks.
+// Deployment is a valid deployment.
 type Deployment struct{ *pb.Deployment }
 
 //go:embed standard.textproto
@@ -31,7 +31,7 @@
 func Standard() Deployment {
 	d, err := Read("standard", standard)
 	if err != nil {
-		panic(err) // the embedded text is tested
+		panic(err) // can't happen, as a test checks the embedded text
 	}
 	return d
 }
@@ -45,7 +45,7 @@
 	return Read(path, text)
 }
 
-// Read reads a deployment from a text; name is what errors call it. An error is an *InvalidError.
+// Read parses and validates a deployment. Errors refer to the text by name. Every returned error is an *InvalidError.
 func Read(name string, text []byte) (Deployment, error) {
 	message := &pb.Deployment{}
 	return Deployment{message}, read(name, text, message, func(v *validator) { v.checkDeployment(message) })
@@ -60,7 +60,7 @@
 	return b
 }
 
-// BatchLimits returns the limits on calls with many inputs, with defaults for those that are 0.
+// BatchLimits returns the limits for calls with many inputs, with defaults for limits that are 0.
 func (d Deployment) BatchLimits() *pb.Batches {
 	batches := &pb.Batches{}
 	if d.Batches != nil {
--- a/internal/deployment/deployment_test.go
+++ b/internal/deployment/deployment_test.go
@@ -13,11 +13,11 @@
 		t.Fatal(err)
 	}
 	if config := again.SchedulerConfig(); len(config.Classes) != 5 || config.Kinds[1].Memory != 140000 {
-		t.Fatalf("lost on the way: %+v", config)
+		t.Fatalf("the configuration after encoding and reading: %+v", config)
 	}
 }
 
-// All errors are reported at once, each with its line, field and reason.
+// TestEveryErrorIsReported checks that all errors of a text are reported together, each with its field and line.
 func TestEveryErrorIsReported(t *testing.T) {
 	text := strings.NewReplacer(
 		`zones: "east"`, `zones: "west"`,
@@ -48,7 +48,8 @@
 	}
 }
 
-// What can be checked only once the text could be parsed is reported with its place too, and no key is repeated.
+// TestErrorsNameNoKey checks that errors of all stages, from parsing to validation, name the place in the text, and
+// that none of them contains a key.
 func TestErrorsNameNoKey(t *testing.T) {
 	const secret = "sk-not-a-digest"
 	invalid := strings.Replace(string(standard), `zones: "east"`, `zones: "west"`, 1) +
--- a/internal/deployment/errors.go
+++ b/internal/deployment/errors.go
@@ -5,22 +5,23 @@
 	"strings"
 )
 
-// FieldError is one error in a text.
+// FieldError is an error in one field of a text.
 type FieldError struct {
 	Line   int
-	Field  string
+	Field  string // path of the field, such as "products[1].slo_ms"
 	Reason string
 }
 
+// Error returns the line, the field and the reason.
 func (e FieldError) Error() string { return fmt.Sprintf("%d: %s: %s", e.Line, e.Field, e.Reason) }
 
 // InvalidError holds all errors of one text.
 type InvalidError struct {
-	Name   string // of the text, such as its path
+	Name   string // of the text, such as the path of its file
 	Fields []FieldError
 }
 
-// Error returns a line for each error.
+// Error returns one line of text for each error.
 func (e *InvalidError) Error() string {
 	lines := make([]string, len(e.Fields))
 	for i, field := range e.Fields {
@@ -29,11 +30,11 @@
 	return strings.Join(lines, "\n")
 }
 
-// Unwrap returns the single errors.
+// Unwrap returns the individual errors.
 func (e *InvalidError) Unwrap() []error {
-	all := make([]error, len(e.Fields))
+	fieldErrors := make([]error, len(e.Fields))
 	for i, field := range e.Fields {
-		all[i] = field
+		fieldErrors[i] = field
 	}
-	return all
+	return fieldErrors
 }
--- a/internal/deployment/pb/doc.go
+++ b/internal/deployment/pb/doc.go
@@ -1,3 +1,2 @@
-// Package pb holds the generated messages of a deployment and of a scripted scenario (proto/deployment.proto,
-// proto/day.proto).
+// Package pb holds the generated messages of a deployment (proto/deployment.proto) and of a scenario (proto/day.proto).
 package pb
--- a/internal/deployment/scheduler.go
+++ b/internal/deployment/scheduler.go
@@ -5,11 +5,12 @@
 	"plumspindle/scheduler"
 )
 
-// UnlimitedQuota stands for no quota, in requests a second. It is finite because infinity multiplied by a span of 0 is
-// NaN.
+// UnlimitedQuota is the quota, in requests per second, of a tenant without one. It is finite because infinity
+// multiplied by a duration of 0 is NaN.
 const UnlimitedQuota = 1e9
 
-// tickInterval is Config.TickInterval: the scheduler answers a request two of these before its deadline at the latest.
+// tickInterval is the scheduler's Config.TickInterval. The scheduler answers a request at the latest two tick intervals
+// before the request's deadline.
 const tickInterval = 4 * millisecond
 
 const millisecond scheduler.Micros = 1000
@@ -35,7 +36,7 @@
 
 func micros(ms uint32) scheduler.Micros { return scheduler.Micros(ms) * millisecond }
 
-// SchedulerConfig returns the scheduler's part of the deployment.
+// SchedulerConfig returns the scheduler's configuration for the deployment.
 func (d Deployment) SchedulerConfig() scheduler.Config {
 	config := scheduler.Config{
 		Dispatchers:     int(d.Dispatching.Dispatchers),
--- a/internal/deployment/textproto.go
+++ b/internal/deployment/textproto.go
@@ -11,7 +11,7 @@
 	"google.golang.org/protobuf/reflect/protoreflect"
 )
 
-// read parses a text into a message, and checks it once it could be parsed without errors.
+// read parses a text into the message m. If there were no errors it then calls check, which validates m.
 func read(name string, text []byte, m proto.Message, check func(*validator)) error {
 	v := &validator{lines: map[string]int{}}
 	nodes, err := parser.Parse(text)
@@ -29,8 +29,8 @@
 	return nil
 }
 
-// lineOfSyntaxError returns the line of the first syntax error. The position is taken from the text of
-// prototext's error, which has no other form.
+// lineOfSyntaxError returns the line of the first syntax error, or 1 if it is not known. It extracts the position from
+// the text of prototext's error, as prototext does not report it in any other way.
 func lineOfSyntaxError(text []byte, m proto.Message) int {
 	err := prototext.Unmarshal(text, m.ProtoReflect().New().Interface())
 	var line, column int
@@ -42,14 +42,14 @@
 	return max(line, 1)
 }
 
-// readMessage reads the fields of one message from the nodes of the parsed text. Each scalar is parsed on its own, so
-// that an error in one does not hide the errors in the next.
+// readMessage sets the fields of a message from the nodes of the parsed text. It parses each scalar separately, so that
+// an error in one does not hide errors in the others.
 func (v *validator) readMessage(message protoreflect.Message, nodes []*ast.Node, path string) {
 	fields := message.Descriptor().Fields()
 	seen := map[string]int{}
 	for _, node := range nodes {
 		if node.Name == "" {
-			continue // a comment
+			continue // the node is a comment
 		}
 		line := int(node.Start.Line) + len(node.PreComments)
 		fieldPath := node.Name
@@ -79,13 +79,13 @@
 	isMessage := field.Kind() == protoreflect.MessageKind
 	switch {
 	case isMessage && len(node.Values) > 0:
-		v.failAt(v.lines[path], path, "wants a message in braces")
+		v.failAt(v.lines[path], path, "must be a message in braces")
 	case isMessage && field.IsList():
 		v.readMessage(message.Mutable(field).List().AppendMutable().Message(), node.Children, path)
 	case isMessage:
 		v.readMessage(message.Mutable(field).Message(), node.Children, path)
 	case len(node.Children) > 0:
-		v.failAt(v.lines[path], path, "wants a value, not a message")
+		v.failAt(v.lines[path], path, "must be a value, not a message")
 	default:
 		v.readScalar(message, node, path)
 	}
