--- a/internal/deployment/checks.go
+++ b/internal/deployment/checks.go
@@ -113,7 +113,7 @@
 			prefills, decodes = true, true
 		case pb.Kind_EMBEDDER: // serves no chat; it is optional, as prefill endpoints can serve the same requests
 		default:
-			v.fail(path+".role", "must be set to READER, WRITER or MIXED")
+			v.fail(path+".role", "must be set to READER, WRITER, MIXED or EMBEDDER")
 		}
 	}
 	if !prefills || !decodes {
