--- a/internal/deployment/deployment.go
+++ b/internal/deployment/deployment.go
@@ -45,7 +45,7 @@
 	return Read(path, text)
 }
 
-// Read parses and validates a deployment. Errors refer to the text by name. Every returned error is an *InvalidError.
+// Read parses and validates a deployment. name identifies the text in errors. Every returned error is an *InvalidError.
 func Read(name string, text []byte) (Deployment, error) {
 	message := &pb.Deployment{}
 	return Deployment{message}, read(name, text, message, func(v *validator) { v.checkDeployment(message) })
--- a/internal/deployment/scenario.go
+++ b/internal/deployment/scenario.go
@@ -12,8 +12,8 @@
 	maxScenarioRate    = 10000 // requests per second
 )
 
-// ReadScenario parses and validates a scenario. Errors refer to the text by name. faultKinds are the kinds of faults
-// that can be injected. Every returned error is an *InvalidError.
+// ReadScenario parses and validates a scenario. name identifies the text in errors, and faultKinds are the kinds of
+// faults that can be injected. Every returned error is an *InvalidError.
 func ReadScenario(name string, text []byte, faultKinds []string) (*pb.Day, error) {
 	scenario := &pb.Day{}
 	return scenario, read(name, text, scenario, func(v *validator) { v.checkScenario(scenario, faultKinds) })
--- a/internal/store/memorydisk_test.go
+++ b/internal/store/memorydisk_test.go
@@ -160,7 +160,7 @@
 type randomRun struct {
 	contents     []string // of the store after each record; the first element is that of the empty store
 	acknowledged []int    // for each operation of the disk, how many records had been acknowledged before it
-	submitted    []int    // for each operation of the disk, how many records had been submitted before it
+	submitted    []int    // for each operation of the disk, how many records had been submitted when it started
 }
 
 // runRandomChanges commits random records to a new store on a disk.
--- a/internal/store/store.go
+++ b/internal/store/store.go
@@ -25,7 +25,7 @@
 	CompactAfterBytes int // size of the log since the last snapshot at which a new snapshot is written
 }
 
-// DefaultLimits are the limits for the records that a dispatcher itself stores.
+// DefaultLimits are suitable for the records that a dispatcher itself stores.
 var DefaultLimits = Limits{MaxKeys: 2_000_000, MaxBytes: 512 << 20, SegmentBytes: 8 << 20, CompactAfterBytes: 16 << 20}
 
 // Errors that callers test with errors.Is.
