--- a/internal/cli/bench_client.go
+++ b/internal/cli/bench_client.go
@@ -12,24 +12,24 @@
 )
 
 const (
-	benchModel        = "explain"
-	benchDialTimeout  = 5 * eventloop.Second
-	benchMaxEventSize = 1 << 20
-	benchPromptRepeat = 120
+	benchModel             = "explain"
+	benchDialTimeout       = 5 * eventloop.Second
+	benchMaxEventBytes     = 1 << 20
+	benchPromptRepetitions = 120
 )
 
-// benchCall is one request through the dispatcher, with what is called as its answer arrives.
+// benchCall is one request through the dispatcher, with callbacks for the progress of its answer.
 type benchCall struct {
-	model      string
-	id         string
-	maxTokens  int
-	headers    []string // names and values in turn
-	firstToken func()
-	token      func()
-	ended      func(ok bool)
+	model        string
+	id           string
+	maxTokens    int
+	headers      []string // alternates between names and values
+	onFirstToken func()
+	onToken      func()
+	onEnd        func(ok bool)
 }
 
-// benchClient is the connection of one call.
+// benchClient is the client of one call, which has its own connection.
 type benchClient struct {
 	call    benchCall
 	conn    eventloop.Conn
@@ -40,16 +40,16 @@
 	done    bool
 }
 
-// chatBody returns the body of each request of the bench.
+// chatBody returns a chat request with the prompt that all requests of the bench share.
 func chatBody(model string, maxTokens int) []byte {
 	return fmt.Appendf(nil, `{"model":%q,"stream":true,"max_tokens":%d,"messages":[{"role":"system","content":%q},`+
-		`{"role":"user","content":"why?"}]}`, model, maxTokens, strings.Repeat("the build log says ", benchPromptRepeat))
+		`{"role":"user","content":"why?"}]}`, model, maxTokens, strings.Repeat("the build log says ", benchPromptRepetitions))
 }
 
-// ask sends a request from the clients' loop.
-func (t *benchTarget) ask(call benchCall) *benchClient {
+// startCall sends a request through the dispatcher. It must run on the clients' event loop.
+func (t *benchTarget) startCall(call benchCall) *benchClient {
 	client := &benchClient{call: call, parser: http1.Parser{Response: true, Limits: http1.DefaultLimits},
-		events: sse.Parser{MaxEventBytes: benchMaxEventSize}}
+		events: sse.Parser{MaxEventBytes: benchMaxEventBytes}}
 	headers := append(call.headers, "Authorization", "Bearer "+benchKey, "Content-Type", "application/json",
 		"x-client-request-id", call.id, "Connection", "close")
 	client.request = http1.AppendRequest(nil, http1.Request{
@@ -62,22 +62,23 @@
 // Opened sends the request.
 func (c *benchClient) Opened() { c.conn.Write(c.request) }
 
-// Drained is not needed: the request is written at once.
+// Drained does nothing, because Opened writes the whole request at once.
 func (c *benchClient) Drained() {}
 
-// Head takes any status; an answer that is not a stream ends without its last event.
+// Head accepts any status. An error response has no final event, so that its call counts as failed.
 func (c *benchClient) Head(*http1.Head) error { return nil }
 
-// End is not needed: the stream's last event ends the answer.
+// End does nothing, because the final event of the stream ends the call.
 func (c *benchClient) End() error { return nil }
 
-// Data parses what arrived; a parse error shows as an answer without its last event.
+// Data parses received bytes. It ignores parse errors: the final event does not arrive, so that the call counts as
+// failed.
 func (c *benchClient) Data(data []byte) { _ = c.parser.Feed(data, c) }
 
-// Closed ends an answer that is not complete.
+// Closed ends the call as failed unless it has ended already.
 func (c *benchClient) Closed(error) { c.end(false) }
 
-// Body parses the stream's events.
+// Body parses the events of the stream and calls the callbacks.
 func (c *benchClient) Body(data []byte) error {
 	return c.events.Feed(data, func(event []byte) error {
 		if string(event) == "[DONE]" && !c.done {
@@ -87,16 +88,17 @@
 		}
 		if !c.started {
 			c.started = true
-			c.call.firstToken()
+			c.call.onFirstToken()
 		}
-		c.call.token()
+		c.call.onToken()
 		return nil
 	})
 }
 
+// end reports the end of the call, once.
 func (c *benchClient) end(ok bool) {
 	if !c.done {
 		c.done = true
-		c.call.ended(ok)
+		c.call.onEnd(ok)
 	}
 }
--- a/internal/cli/bench_latency.go
+++ b/internal/cli/bench_latency.go
@@ -14,26 +14,27 @@
 	"plumspindle/scheduler"
 )
 
-// directAttemptTimeout is for one attempt of a request that goes straight to the endpoints.
+// directAttemptTimeout limits one attempt of a request that goes directly to the endpoints.
 const directAttemptTimeout = 10 * eventloop.Second
 
-// benchEngineLimits are those of the engine that calls the endpoints directly.
+// benchEngineLimits are the limits of the engine that calls the endpoints directly.
 var benchEngineLimits = engine.Limits{
 	ConnectTimeout:    eventloop.Second,
 	IdleTimeout:       20 * eventloop.Second,
 	StreamIdleTimeout: 30 * eventloop.Second,
 	MaxPerEndpoint:    maxBenchConnections,
-	MaxOpening:        maxBenchOpening,
+	MaxOpening:        maxBenchOpeningConnections,
 }
 
-// directCaller sends requests straight to the endpoints, which take turns: prefill, then decode.
+// directCaller sends requests directly to the endpoints: first a prefill attempt, then a decode attempt. It selects the
+// endpoints of each kind in round-robin order.
 type directCaller struct {
 	engine          *engine.Engine
 	prefill, decode []scheduler.EndpointID
 	request         *chat.Request
 }
 
-// newDirectCaller is called on the clients' loop.
+// newDirectCaller creates a directCaller. It must run on the clients' event loop.
 func newDirectCaller(t *benchTarget, request *chat.Request) *directCaller {
 	d := &directCaller{engine: engine.New(t.clients, "bench", t.deployment.Zones[0], benchEngineLimits), request: request}
 	for _, endpoint := range t.fleet.Endpoints {
@@ -48,36 +49,38 @@
 	return d
 }
 
-// ask runs both attempts of a request.
-func (d *directCaller) ask(request *benchRequest, firstToken func()) {
+// send runs the prefill and the decode attempt of a request.
+func (d *directCaller) send(request *benchRequest, onFirstToken func()) {
 	target := func(endpoint scheduler.EndpointID, attempt scheduler.AttemptNo) engine.Target {
 		name := d.engine.AttemptName(scheduler.RequestID(request.number), attempt)
 		return engine.Target{Endpoint: endpoint, RequestID: name, ClientID: request.id, Timeout: directAttemptTimeout}
 	}
 	started := false
-	stream := engine.Callbacks{
+	decodeCallbacks := engine.Callbacks{
 		Event: func([]byte) {
 			if !started {
 				started = true
-				firstToken()
+				onFirstToken()
 			}
 		},
-		Ended: func(result engine.Result) { request.ended(result.Outcome == scheduler.Completed) },
+		Ended: func(result engine.Result) { request.onEnd(result.Outcome == scheduler.Completed) },
 	}
-	prefilled := func(result engine.Result) {
+	onPrefilled := func(result engine.Result) {
 		if result.Outcome != scheduler.PrefillDone {
-			request.ended(false)
+			request.onEnd(false)
 			return
 		}
 		d.engine.Decode(target(d.decode[request.number%len(d.decode)], 1),
-			engine.DecodeRequest{Chat: d.request, KVParams: result.State, MaxTokens: benchAnswerTokens}, stream)
+			engine.DecodeRequest{Chat: d.request, KVParams: result.State, MaxTokens: benchMaxTokens},
+			decodeCallbacks)
 	}
-	d.engine.Prefill(target(d.prefill[request.number%len(d.prefill)], 0), d.request, engine.Callbacks{Ended: prefilled})
+	d.engine.Prefill(target(d.prefill[request.number%len(d.prefill)], 0), d.request, engine.Callbacks{Ended: onPrefilled})
 }
 
-// measureLatency compares requests through the dispatcher with others straight to the endpoints.
+// measureLatency compares the time to first token of requests through the dispatcher with that of requests directly to
+// the endpoints.
 func (c *benchCommand) measureLatency(ctx context.Context, env *environment) error {
-	plain, problem := chat.ParseRequest(chatBody(benchModel, benchAnswerTokens), "bench", nil)
+	parsed, problem := chat.ParseRequest(chatBody(benchModel, benchMaxTokens), "bench", nil)
 	if problem != nil {
 		return problem
 	}
@@ -85,72 +88,72 @@
 	if err != nil {
 		return err
 	}
-	target, err := c.startTarget(ctx, binary, benchFleet(benchStepMicros, 0))
+	target, err := c.startTarget(ctx, binary, benchDeployment(benchTokenIntervalMicros, 0))
 	if err != nil {
 		return err
 	}
 	defer target.cleanUp()
-	direct, through := newLatencyHistogram(), newLatencyHistogram()
+	direct, routed := newLatencyHistogram(), newLatencyHistogram()
 	var caller *directCaller
-	target.clients.Do(func() { caller = newDirectCaller(target, plain) })
-	warmUp := eventloop.Micros(c.For.Microseconds()) / 10
+	target.clients.Do(func() { caller = newDirectCaller(target, parsed) })
+	warmUp := eventloop.Micros(c.Duration.Microseconds()) / 10
 	load, err := c.runLoad(ctx, target, func(load *benchLoad, request *benchRequest) {
-		measured := request.began > load.until-eventloop.Micros(c.For.Microseconds())+warmUp
+		measured := request.sentAt > load.until-eventloop.Micros(c.Duration.Microseconds())+warmUp
 		recordIn := func(h *hdrhistogram.Histogram) func() {
 			return func() {
 				if measured {
-					_ = h.RecordValue(int64(target.clients.Now() - request.began)) // a time beyond the histogram's is lost
+					_ = h.RecordValue(int64(target.clients.Now() - request.sentAt)) // a time above the histogram's maximum is dropped
 				}
 			}
 		}
 		if load.random.Intn(2) == 0 {
-			target.ask(benchCall{model: benchModel, id: request.id, maxTokens: benchAnswerTokens,
-				firstToken: recordIn(through), token: func() {}, ended: request.ended})
+			target.startCall(benchCall{model: benchModel, id: request.id, maxTokens: benchMaxTokens,
+				onFirstToken: recordIn(routed), onToken: func() {}, onEnd: request.onEnd})
 			return
 		}
-		caller.ask(request, recordIn(direct))
+		caller.send(request, recordIn(direct))
 	})
 	if err != nil {
 		return err
 	}
-	final, cpu := target.close()
+	final, cpu := target.shutDown()
 	load.printHeading(env)
-	printPercentiles(env, "straight to the hosts", direct)
-	printPercentiles(env, "through the dispatcher", through)
+	printPercentiles(env, "directly to endpoints", direct)
+	printPercentiles(env, "through the dispatcher", routed)
 	env.printf("  added                    p50 %7.2f  p90 %7.2f  p99 %7.2f\n",
-		quantileMillis(through, 50)-quantileMillis(direct, 50), quantileMillis(through, 90)-quantileMillis(direct, 90),
-		p99Millis(through)-p99Millis(direct))
-	c.printCost(env, final, cpu)
+		quantileMillis(routed, 50)-quantileMillis(direct, 50), quantileMillis(routed, 90)-quantileMillis(direct, 90),
+		p99Millis(routed)-p99Millis(direct))
+	c.printDispatcherCost(env, final, cpu)
 	return nil
 }
 
-// printCost prints what the dispatcher used.
-func (c *benchCommand) printCost(env *environment, final finalLog, cpu time.Duration) {
-	seconds := c.For.Seconds()
-	env.printf("dispatcher: %.3f of a core at %.0f generations a second through it (%.0f events a second), "+
-		"%.0f µs a generation\n", cpu.Seconds()/seconds, final.accepted/seconds, final.events/seconds,
+// printDispatcherCost prints the CPU time and the allocations of the dispatcher for each request and event.
+func (c *benchCommand) printDispatcherCost(env *environment, final finalCounters, cpu time.Duration) {
+	seconds := c.Duration.Seconds()
+	env.printf("dispatcher: %.3f of a core at %.0f requests a second through it (%.0f events a second), "+
+		"%.0f µs a request\n", cpu.Seconds()/seconds, final.accepted/seconds, final.events/seconds,
 		cpu.Seconds()*1e6/max(final.accepted, 1))
-	env.printf("allocations: %.1f a streamed event, all of a generation's other work included\n",
+	env.printf("allocations: %.1f a streamed event, including those for all other work on the request\n",
 		final.allocations/max(final.events, 1))
 }
 
-// measuredSort is one sort of request whose times are compared.
-type measuredSort struct {
+// measuredVariant is one variant of requests whose time to first token is compared with that of others.
+type measuredVariant struct {
 	name, model string
-	keyed       bool // with an Idempotency-Key
+	withKey     bool // requests carry an Idempotency-Key
 	firstToken  *hdrhistogram.Histogram
 }
 
-// measureIntents compares requests that are recorded before they may run with others that are not, through one
-// dispatcher.
+// measureIntents compares the time to first token of requests whose intent is recorded, either during prefill or after
+// it and before decode, with that of requests without a record. All go through one dispatcher.
 func (c *benchCommand) measureIntents(ctx context.Context, env *environment) error {
-	const recordedProduct, lateProduct = "review-post", "late"
-	dep := benchFleet(benchStepMicros, 0)
+	const duringPrefillProduct, beforeDecodeProduct = "review-post", "late"
+	dep := benchDeployment(benchTokenIntervalMicros, 0)
 	for _, product := range dep.Products {
-		if product.Name == recordedProduct {
-			late := proto.CloneOf(product)
-			late.Name, late.Intent = lateProduct, pb.Product_BEFORE_WRITE
-			dep.Products = append(dep.Products, late)
+		if product.Name == duringPrefillProduct {
+			beforeDecode := proto.CloneOf(product)
+			beforeDecode.Name, beforeDecode.Intent = beforeDecodeProduct, pb.Product_BEFORE_WRITE
+			dep.Products = append(dep.Products, beforeDecode)
 		}
 	}
 	binary, err := c.binary()
@@ -162,31 +165,31 @@
 		return err
 	}
 	defer target.cleanUp()
-	sorts := []*measuredSort{
-		{name: "no key, no record", model: recordedProduct},
-		{name: "record while it is read", model: recordedProduct, keyed: true},
-		{name: "record before the write", model: lateProduct, keyed: true},
+	variants := []*measuredVariant{
+		{name: "no key, no intent", model: duringPrefillProduct},
+		{name: "recorded during prefill", model: duringPrefillProduct, withKey: true},
+		{name: "recorded before decode", model: beforeDecodeProduct, withKey: true},
 	}
-	for _, sort := range sorts {
-		sort.firstToken = newLatencyHistogram()
+	for _, variant := range variants {
+		variant.firstToken = newLatencyHistogram()
 	}
 	load, err := c.runLoad(ctx, target, func(load *benchLoad, request *benchRequest) {
-		sort := sorts[load.random.Intn(len(sorts))]
-		call := benchCall{model: sort.model, id: request.id, maxTokens: benchAnswerTokens, token: func() {},
-			ended: request.ended}
-		if sort.keyed {
+		variant := variants[load.random.Intn(len(variants))]
+		call := benchCall{model: variant.model, id: request.id, maxTokens: benchMaxTokens, onToken: func() {},
+			onEnd: request.onEnd}
+		if variant.withKey {
 			call.headers = []string{"Idempotency-Key", request.id}
 		}
-		call.firstToken = func() { _ = sort.firstToken.RecordValue(int64(target.clients.Now() - request.began)) }
-		target.ask(call)
+		call.onFirstToken = func() { _ = variant.firstToken.RecordValue(int64(target.clients.Now() - request.sentAt)) }
+		target.startCall(call)
 	})
 	if err != nil {
 		return err
 	}
-	target.close()
+	target.shutDown()
 	load.printHeading(env)
-	for _, sort := range sorts {
-		printPercentiles(env, sort.name, sort.firstToken)
+	for _, variant := range variants {
+		printPercentiles(env, variant.name, variant.firstToken)
 	}
 	return nil
 }
--- a/internal/cli/bench_streams.go
+++ b/internal/cli/bench_streams.go
@@ -12,119 +12,124 @@
 )
 
 const (
-	streamStepMicros  = 500_000 // between two tokens of an open stream
-	streamTokens      = 200_000 // so that no stream ends while it is watched
-	streamsPerRound   = 10      // that are opened at once
-	roundInterval     = 10 * eventloop.Millisecond
-	streamsStartLimit = 40 * time.Second
-	settlingPause     = 2 * time.Second
-	stallTimeoutMs    = 600_000 // so that a client that stalls stays
+	streamTokenIntervalMicros = 500_000 // between two tokens of an open stream
+	maxStreamTokens           = 200_000 // enough that no stream ends during the measurement
+	streamsPerBatch           = 10      // streams that are opened at once
+	openInterval              = 10 * eventloop.Millisecond
+	streamsStartTimeout       = 40 * time.Second
+	settleTime                = 2 * time.Second
+	stallTimeoutMs            = 600_000 // long enough that the dispatcher never disconnects a stalled client
 )
 
-// streamLoad is how many streams run at once, and what they carry.
+// streamLoad describes the streams that are open at once and the tokens that they carry.
 type streamLoad struct {
-	streams    int
-	stalled    int // of them, whose clients stop reading once they have begun
-	stepMicros uint32
-	tokenBytes uint32
+	streams             int
+	stalledClients      int // streams whose clients stop reading after the first token
+	tokenIntervalMicros uint32
+	tokenBytes          uint32
 }
 
-// streamCost is what open streams were seen to cost.
+// streamCost holds the measurements of one set of open streams.
 type streamCost struct {
-	asked, started, ended int
-	tokensPerSecond       float64 // to the clients
-	gapP50, gapP99        float64 // ms beyond the endpoints' own step, between two tokens of a stream
-	cpuPerToken           float64 // µs of the dispatcher's CPU
-	bytesPerStream        float64 // of its resident memory
+	requested, started, ended int
+	tokensPerSecond           float64 // received by the clients
+	gapP50, gapP99            float64 // ms between two tokens of a stream, beyond the endpoints' token interval
+	cpuPerToken               float64 // µs of the dispatcher's CPU time
+	bytesPerStream            float64 // of the dispatcher's resident memory
 }
 
-// compareStreams compares few and many streams, and this build with another.
+// compareStreams measures few and many open streams, of this build and of another if one is given, and then streams
+// some of whose clients stop reading.
 func (c *benchCommand) compareStreams(ctx context.Context, env *environment) error {
 	binary, err := c.binary()
 	if err != nil {
 		return err
 	}
-	env.printf("open streams, one token each %d ms, %v watched\n", streamStepMicros/1000, c.For)
-	env.printf("  %-14s %7s %7s %7s %10s %12s %12s %12s %12s\n", "", "asked", "begun", "ended", "tokens/s",
+	env.printf("open streams, one token every %d ms, measured for %v\n", streamTokenIntervalMicros/1000, c.Duration)
+	env.printf("  %-14s %7s %7s %7s %10s %12s %12s %12s %12s\n", "", "opened", "started", "ended", "tokens/s",
 		"gap p50 +ms", "gap p99 +ms", "CPU us/token", "bytes/stream")
 	builds := []struct{ name, binary string }{{"this build", binary}}
 	if c.Against != "" {
-		builds = append(builds, struct{ name, binary string }{"the other", c.Against})
+		builds = append(builds, struct{ name, binary string }{"other build", c.Against})
 	}
 	for _, streams := range []int{max(c.Streams/10, 1), c.Streams} {
 		for _, build := range builds {
-			cost, err := c.measureStreams(ctx, build.binary, streamLoad{streams: streams, stepMicros: streamStepMicros})
+			cost, err := c.measureStreams(ctx, build.binary,
+				streamLoad{streams: streams, tokenIntervalMicros: streamTokenIntervalMicros})
 			if err != nil {
 				return err
 			}
 			cost.print(env, build.name)
 		}
 	}
-	env.printf("100 streams of 4 kB tokens each 20 ms, some of whose clients do not read\n")
-	for _, stalled := range []int{0, 1, 10, 0} {
-		load := streamLoad{streams: 100, stalled: stalled, stepMicros: 20_000, tokenBytes: 4096}
+	env.printf("100 streams with a token of 4 kB every 20 ms; some clients stop reading\n")
+	for _, stalledClients := range []int{0, 1, 10, 0} {
+		load := streamLoad{streams: 100, stalledClients: stalledClients, tokenIntervalMicros: 20_000, tokenBytes: 4096}
 		cost, err := c.measureStreams(ctx, binary, load)
 		if err != nil {
 			return err
 		}
-		cost.print(env, fmt.Sprintf("%d stalled", stalled))
+		cost.print(env, fmt.Sprintf("%d stalled", stalledClients))
 	}
 	return nil
 }
 
+// print prints the measurements as a line of the table in compareStreams.
 func (s streamCost) print(env *environment, name string) {
-	env.printf("  %-14s %7d %7d %7d %10.0f %12.2f %12.2f %12.1f %12.0f\n", name, s.asked, s.started, s.ended,
+	env.printf("  %-14s %7d %7d %7d %10.0f %12.2f %12.2f %12.1f %12.0f\n", name, s.requested, s.started, s.ended,
 		s.tokensPerSecond, s.gapP50, s.gapP99, s.cpuPerToken, s.bytesPerStream)
 }
 
-// openStreams are the clients of many streams. Its fields belong to the clients' event loop.
+// openStreams holds the clients of all streams of a load. Only the clients' event loop accesses its fields.
 type openStreams struct {
-	target   *benchTarget
-	load     streamLoad
-	gaps     *hdrhistogram.Histogram
-	watching bool
+	target    *benchTarget
+	load      streamLoad
+	gaps      *hdrhistogram.Histogram
+	recording bool
 
-	asked, started, ended, tokens int
+	requested, started, ended, tokens int
 }
 
-// open opens some more streams until all are asked for.
-func (s *openStreams) open() {
-	for range streamsPerRound {
-		if s.asked == s.load.streams {
+// openBatch opens the next batch of streams and schedules the one after it, until all streams of the load are opened.
+func (s *openStreams) openBatch() {
+	for range streamsPerBatch {
+		if s.requested == s.load.streams {
 			return
 		}
-		s.asked++
-		s.openOne()
+		s.requested++
+		s.openStream()
 	}
-	s.target.clients.AfterFunc(roundInterval, s.open)
+	s.target.clients.AfterFunc(openInterval, s.openBatch)
 }
 
-func (s *openStreams) openOne() {
-	stalls := s.asked <= s.load.stalled
-	var last eventloop.Micros
+// openStream opens one stream and counts its tokens and, while recording, the gaps between them.
+func (s *openStreams) openStream() {
+	stalls := s.requested <= s.load.stalledClients
+	var lastToken eventloop.Micros
 	var client *benchClient
-	client = s.target.ask(benchCall{model: benchModel, id: fmt.Sprintf("s%d", s.asked), maxTokens: streamTokens,
-		firstToken: func() { s.started++ },
-		token: func() {
+	client = s.target.startCall(benchCall{model: benchModel, id: fmt.Sprintf("s%d", s.requested),
+		maxTokens:    maxStreamTokens,
+		onFirstToken: func() { s.started++ },
+		onToken: func() {
 			now := s.target.clients.Now()
-			if s.watching && last > 0 {
-				beyondStep := int64(now-last) - int64(s.load.stepMicros)
-				_ = s.gaps.RecordValue(max(beyondStep, 1)) // a gap beyond the histogram's is lost
+			if s.recording && lastToken > 0 {
+				excessGap := int64(now-lastToken) - int64(s.load.tokenIntervalMicros)
+				_ = s.gaps.RecordValue(max(excessGap, 1)) // a gap above the histogram's maximum is dropped
 			}
-			last = now
+			lastToken = now
 			s.tokens++
 			if stalls {
 				client.conn.SetPaused(true)
 			}
 		},
-		ended: func(bool) { s.ended++ },
+		onEnd: func(bool) { s.ended++ },
 	})
 }
 
-// measureStreams runs many streams at once and watches them for some seconds.
+// measureStreams opens the streams of a load at a new dispatcher and measures them for the duration of the bench.
 func (c *benchCommand) measureStreams(ctx context.Context, binary string, load streamLoad) (cost streamCost,
 	err error) {
-	dep := benchFleet(load.stepMicros, load.streams)
+	dep := benchDeployment(load.tokenIntervalMicros, load.streams)
 	for _, group := range dep.Fleet.Groups {
 		group.TokenBytes = load.tokenBytes
 	}
@@ -136,32 +141,32 @@
 	defer target.cleanUp()
 	memoryBefore := target.residentBytes()
 	streams := &openStreams{target: target, load: load, gaps: newLatencyHistogram()}
-	target.clients.Do(streams.open)
-	err = pollFor(ctx, streamsStartLimit, benchPollInterval, func() bool {
+	target.clients.Do(streams.openBatch)
+	err = pollFor(ctx, streamsStartTimeout, benchPollInterval, func() bool {
 		started := 0
 		target.clients.Do(func() { started = streams.started })
 		return started >= load.streams*99/100
 	})
-	if err != nil && !errors.Is(err, errBenchTimeout) { // fewer streams are measured all the same
+	if err != nil && !errors.Is(err, errBenchTimeout) { // after the timeout, measure those that started
 		return cost, err
 	}
-	if err := pause(ctx, settlingPause); err != nil {
+	if err := pause(ctx, settleTime); err != nil {
 		return cost, err
 	}
-	began, cpuBefore, tokensBefore := time.Now(), target.cpuTime(), 0
-	target.clients.Do(func() { streams.watching, tokensBefore = true, streams.tokens })
-	if err := pause(ctx, c.For); err != nil {
+	startTime, cpuBefore, tokensBefore := time.Now(), target.cpuTime(), 0
+	target.clients.Do(func() { streams.recording, tokensBefore = true, streams.tokens })
+	if err := pause(ctx, c.Duration); err != nil {
 		return cost, err
 	}
 	tokens := 0.0
 	target.clients.Do(func() {
-		streams.watching = false
+		streams.recording = false
 		tokens = float64(streams.tokens - tokensBefore)
-		cost = streamCost{asked: load.streams, started: streams.started, ended: streams.ended,
+		cost = streamCost{requested: load.streams, started: streams.started, ended: streams.ended,
 			gapP50: quantileMillis(streams.gaps, 50), gapP99: p99Millis(streams.gaps)}
 	})
-	took, cpu := time.Since(began), target.cpuTime()-cpuBefore
-	cost.tokensPerSecond = tokens / took.Seconds()
+	elapsed, cpu := time.Since(startTime), target.cpuTime()-cpuBefore
+	cost.tokensPerSecond = tokens / elapsed.Seconds()
 	cost.cpuPerToken = float64(cpu.Microseconds()) / max(tokens, 1)
 	cost.bytesPerStream = float64(target.residentBytes()-memoryBefore) / float64(max(cost.started, 1))
 	return cost, nil
--- a/internal/cli/bench_target.go
+++ b/internal/cli/bench_target.go
@@ -25,14 +25,14 @@
 )
 
 const (
-	benchKey           = "sk-bench"
-	benchStartTimeout  = 10 * time.Second
-	benchStartInterval = 10 * time.Millisecond
-	firstListPause     = 200 * time.Millisecond // for the first endpoint list to arrive
-	kernelTick         = 10 * time.Millisecond  // of the CPU time in /proc
+	benchKey               = "sk-bench"
+	benchStartTimeout      = 10 * time.Second
+	benchStartPollInterval = 10 * time.Millisecond
+	endpointListPause      = 200 * time.Millisecond // time for the first endpoint list to reach the dispatcher
+	clockTick              = 10 * time.Millisecond  // the unit of CPU times in /proc
 )
 
-// benchTarget is a dispatcher's process under measurement, with endpoints and clients of its own.
+// benchTarget is a dispatcher process under measurement, with the endpoints and the clients that it serves.
 type benchTarget struct {
 	deployment deployment.Deployment
 	dir        string
@@ -44,12 +44,12 @@
 	logPath    string
 }
 
-// finalLog is what the dispatcher logged at its end.
-type finalLog struct {
+// finalCounters are the counters that the dispatcher logs when it ends.
+type finalCounters struct {
 	events, allocations, accepted float64
 }
 
-// startTarget starts a program's dispatcher, and all that it needs.
+// startTarget starts the endpoints, the clients' event loop and the program's dispatcher.
 func (c *benchCommand) startTarget(ctx context.Context, binary string, dep deployment.Deployment) (_ *benchTarget,
 	err error) {
 	digest := sha256.Sum256([]byte(benchKey))
@@ -78,7 +78,7 @@
 	return t, nil
 }
 
-// startProcess starts the dispatcher and waits until it serves.
+// startProcess starts the dispatcher process and waits until it is ready to serve.
 func (c *benchCommand) startProcess(ctx context.Context, t *benchTarget, binary string) error {
 	deploymentPath, readyPath := filepath.Join(t.dir, "deployment.textproto"), filepath.Join(t.dir, "ready")
 	if err := os.WriteFile(deploymentPath, t.deployment.Text(), 0o600); err != nil {
@@ -91,14 +91,14 @@
 	}
 	if c.Profile != "" {
 		args = append(args, "--profile", c.Profile)
-		c.Profile = "" // only the first dispatcher is profiled
+		c.Profile = "" // profile only the first dispatcher
 	}
 	t.logPath = filepath.Join(t.dir, "log")
 	logs, err := os.Create(t.logPath)
 	if err != nil {
 		return err
 	}
-	defer func() { _ = logs.Close() }() // the process has its own descriptor
+	defer func() { _ = logs.Close() }() // the process has its own copy of the descriptor
 	process := exec.CommandContext(ctx, binary, args...)
 	process.Stdout, process.Stderr = logs, logs
 	if err := process.Start(); err != nil {
@@ -106,7 +106,7 @@
 	}
 	t.process = process
 	var ready scenarios.Ready
-	if err := pollFor(ctx, benchStartTimeout, benchStartInterval, func() bool {
+	if err := pollFor(ctx, benchStartTimeout, benchStartPollInterval, func() bool {
 		content, err := os.ReadFile(readyPath)
 		return err == nil && json.Unmarshal(content, &ready) == nil
 	}); err != nil {
@@ -114,11 +114,11 @@
 		return fmt.Errorf("the dispatcher was not ready: %w; its log:\n%s", err, text)
 	}
 	t.address = strings.TrimPrefix(ready.API, "http://")
-	return pause(ctx, firstListPause)
+	return pause(ctx, endpointListPause)
 }
 
-// close ends the dispatcher gracefully and returns what it logged at its end and its CPU time.
-func (t *benchTarget) close() (finalLog, time.Duration) {
+// shutDown stops the dispatcher gracefully, cleans up, and returns its final counters and its CPU time.
+func (t *benchTarget) shutDown() (finalCounters, time.Duration) {
 	_ = t.process.Process.Signal(syscall.SIGTERM)
 	_ = t.process.Wait()
 	cpu := t.process.ProcessState.UserTime() + t.process.ProcessState.SystemTime()
@@ -127,11 +127,11 @@
 	lines := bytes.Split(bytes.TrimSpace(text), []byte("\n"))
 	last := gjson.ParseBytes(lines[len(lines)-1])
 	t.cleanUp()
-	return finalLog{events: last.Get("events").Float(), allocations: last.Get("allocations").Float(),
+	return finalCounters{events: last.Get("events").Float(), allocations: last.Get("allocations").Float(),
 		accepted: last.Get("taken").Float()}, cpu
 }
 
-// cleanUp ends all that was started and removes the files; it may be called again.
+// cleanUp stops the dispatcher, the clients and the endpoints, and removes the files. It may be called more than once.
 func (t *benchTarget) cleanUp() {
 	if t.process != nil {
 		_ = t.process.Process.Kill()
@@ -147,11 +147,11 @@
 		t.fleetLoop = nil
 	}
 	if t.dir != "" {
-		_ = os.RemoveAll(t.dir) // files that stay in the folder for temporary files do no harm
+		_ = os.RemoveAll(t.dir) // files left in the temporary folder do no harm
 	}
 }
 
-// residentBytes returns the process's resident memory.
+// residentBytes returns the resident memory of the dispatcher process, or 0 if it can't be read.
 func (t *benchTarget) residentBytes() int64 {
 	text, err := os.ReadFile(fmt.Sprintf("/proc/%d/statm", t.process.Process.Pid))
 	if err != nil {
@@ -162,9 +162,10 @@
 	return pages * int64(os.Getpagesize())
 }
 
-// cpuTime returns what the process has used, in the steps of the kernel's count.
+// cpuTime returns the CPU time of the dispatcher process, with the resolution of the kernel's clock tick, or 0 if it
+// can't be read.
 func (t *benchTarget) cpuTime() time.Duration {
-	const userField, systemField = 11, 12 // after the command's name
+	const userField, systemField = 11, 12 // indices of the fields that follow the command name
 	text, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", t.process.Process.Pid))
 	if err != nil {
 		return 0
@@ -172,10 +173,10 @@
 	fields := strings.Fields(string(text[bytes.LastIndexByte(text, ')')+1:]))
 	user, _ := strconv.Atoi(fields[userField])
 	system, _ := strconv.Atoi(fields[systemField])
-	return time.Duration(user+system) * kernelTick
+	return time.Duration(user+system) * clockTick
 }
 
-// binary returns the program under measurement.
+// binary returns the path of the program under measurement.
 func (c *benchCommand) binary() (string, error) {
 	if c.Binary != "" {
 		return c.Binary, nil
