--- a/internal/cli/admin.go
+++ b/internal/cli/admin.go
@@ -13,14 +13,14 @@
 )
 
 type adminCommand struct {
-	Listen    string `default:"127.0.0.1:8070" help:"Address of the administration, loopback only; port 0 picks one. Dispatchers follow it here too."`
-	Records   string `required:"" type:"path" help:"Folder that tenants, usage and the log of changes are stored in."`
-	Secret    string `required:"" type:"path" help:"File with the secret that keys are sealed with, 32 bytes at least, mode 600; the dispatchers have the same."`
-	Staff     string `required:"" type:"existingfile" help:"File with a line for each operator or viewer: role, name, SHA-256 of the key."`
-	ReadyFile string `help:"File that is written, as JSON, once it serves."`
+	Listen    string `default:"127.0.0.1:8070" help:"Address of the admin service, loopback only; port 0 selects a free port. Operators and dispatchers both connect here."`
+	Records   string `required:"" type:"path" help:"Folder that stores the tenants, their usage and the log of changes."`
+	Secret    string `required:"" type:"path" help:"File with the secret that keys are sealed with, at least 32 bytes, mode 600; dispatchers need the same secret."`
+	Staff     string `required:"" type:"existingfile" help:"File with one line for each operator or viewer: role, name, SHA-256 of the key."`
+	ReadyFile string `help:"File that is written, as JSON, once the admin service accepts requests."`
 }
 
-// Run serves until the program is asked to stop.
+// Run serves the admin API until ctx ends.
 func (c *adminCommand) Run(ctx context.Context, env *environment) error {
 	secret, err := admin.ReadSecret(c.Secret)
 	if err != nil {
@@ -59,7 +59,7 @@
 	return nil
 }
 
-// startAdmin starts the administration on a loop and listens for its clients.
+// startAdmin starts the admin service on an event loop and listens for its clients.
 func startAdmin(loop *sockets.Loop, address string, config admin.Config) (eventloop.Listener, error) {
 	var listener eventloop.Listener
 	var err error
--- a/internal/cli/cachefile.go
+++ b/internal/cli/cachefile.go
@@ -8,13 +8,13 @@
 )
 
 const (
-	cacheRetryInterval = time.Second     // after a failed write, until the newest content is tried again
-	cacheCloseTimeout  = 2 * time.Second // on Close, for content that is still to be written
-	previousSuffix     = ".1"            // of the copy of the content before the last
+	cacheRetryInterval = time.Second     // between a failed write and the next attempt
+	cacheCloseTimeout  = 2 * time.Second // for the last write, which Close waits for
+	previousSuffix     = ".1"            // suffix of the file with the previous content
 )
 
-// cacheFile writes the newest content that it was given to one small file, atomically and on a goroutine of its own: a
-// disk that stalls must not block the event loop. A failed write is retried until it succeeds.
+// cacheFile stores the newest content that it was given in one small file. It replaces the file atomically, and from
+// its own goroutine, so that a stalled disk does not block the event loop. It retries a failed write until it succeeds.
 type cacheFile struct {
 	cacheOptions
 	path    string
@@ -23,13 +23,13 @@
 	stopped chan struct{}
 }
 
-// cacheOptions say how a cacheFile is written.
+// cacheOptions configures a cacheFile.
 type cacheOptions struct {
-	keepPrevious bool        // the content before the last stays under previousSuffix
-	onError      func(error) // called from the writer's goroutine, once for each content that can't be written at first
+	keepPrevious bool        // keep the previous content in a file with previousSuffix
+	onError      func(error) // called from the writing goroutine, once for each content whose first write fails
 }
 
-// newCacheFile starts the writer; Close ends it.
+// newCacheFile starts the goroutine that writes the file. Close stops it.
 func newCacheFile(path string, options cacheOptions) *cacheFile {
 	f := &cacheFile{
 		path:         path,
@@ -42,10 +42,10 @@
 	return f
 }
 
-// Put replaces the content. It never blocks; only the event loop may call it.
+// Put replaces the content to be written. It never blocks, and only the event loop may call it.
 func (f *cacheFile) Put(content []byte) {
 	select {
-	case <-f.pending: // older content whose write has not begun
+	case <-f.pending: // drop older content that is not being written yet
 	default:
 	}
 	f.pending <- content
@@ -56,7 +56,7 @@
 	for {
 		select {
 		case content := <-f.pending:
-			if !f.writeUntilDone(content) {
+			if !f.writeWithRetries(content) {
 				return
 			}
 		case <-f.stop:
@@ -72,8 +72,9 @@
 	}
 }
 
-// writeUntilDone retries until the content, or newer content, is written; it returns false if Close ended that.
-func (f *cacheFile) writeUntilDone(content []byte) bool {
+// writeWithRetries retries until the content, or content that replaced it meanwhile, is written. It returns false if
+// Close ended the retries.
+func (f *cacheFile) writeWithRetries(content []byte) bool {
 	reported := false
 	for {
 		err := f.write(content)
@@ -95,13 +96,14 @@
 
 func (f *cacheFile) write(content []byte) error {
 	if f.keepPrevious {
-		// Fails where there is no file yet or the last write failed; the older copy then stays.
+		// The rename fails if there is no file yet or the last write failed. The previous copy then stays.
 		_ = os.Rename(f.path, f.path+previousSuffix)
 	}
 	return replaceFile(f.path, content)
 }
 
-// Close ends the writer, after a last attempt to write content that is still pending; it waits for cacheCloseTimeout.
+// Close stops the goroutine, which first makes one attempt to write pending content. Close waits for at most
+// cacheCloseTimeout.
 func (f *cacheFile) Close() {
 	close(f.stop)
 	select {
@@ -110,15 +112,15 @@
 	}
 }
 
-// replaceFile writes a file atomically.
+// replaceFile atomically replaces the content of a file, and creates the folder of the file if necessary.
 func replaceFile(path string, content []byte) error {
-	part := path + ".part"
+	temporary := path + ".part"
 	if err := os.MkdirAll(filepath.Dir(path), 0o755); err != nil {
 		return fmt.Errorf("folder of %s: %w", path, err)
 	}
-	if err := os.WriteFile(part, content, 0o600); err != nil {
-		_ = os.Remove(part) // half a file would occupy the disk space that is missing
+	if err := os.WriteFile(temporary, content, 0o600); err != nil {
+		_ = os.Remove(temporary) // a partial file would take up space on a disk that may be full
 		return fmt.Errorf("write %s: %w", path, err)
 	}
-	return os.Rename(part, path)
+	return os.Rename(temporary, path)
 }
--- a/internal/cli/check.go
+++ b/internal/cli/check.go
@@ -10,30 +10,30 @@
 
 type platformCommand struct{}
 
-// Run runs a dispatcher as the platform configures it.
+// Run runs a dispatcher with the configuration that the platform's environment variables name.
 func (platformCommand) Run(env *environment) error { return launch.Run(env.log, os.Getenv) }
 
 type checkCommand struct {
-	File string `arg:"" help:"Deployment, as protobuf text format."`
+	File string `arg:"" help:"File with the deployment in protobuf text format."`
 }
 
-// Run names every fault of a deployment.
+// Run validates a deployment. The error that it returns lists everything that is invalid.
 func (c *checkCommand) Run(env *environment) error {
 	dep, err := deployment.Load(c.File)
 	if err != nil {
 		return err
 	}
-	env.printf("%s: without fault: %d zones, %d products, %d kinds, %d tenants\n", c.File,
+	env.printf("%s: valid: %d zones, %d products, %d kinds, %d tenants\n", c.File,
 		len(dep.Zones), len(dep.Products), len(dep.Kinds), len(dep.Tenants))
 	return nil
 }
 
 type versionCommand struct{}
 
-// revisionDigits is how much of a revision's hash is printed.
+// revisionDigits is the number of digits of the revision's hash that are printed.
 const revisionDigits = 12
 
-// Run prints what the build knows of itself.
+// Run prints the version and, if the build recorded it, the VCS revision.
 func (versionCommand) Run(env *environment) error {
 	version, revision := "unreleased", ""
 	if build, ok := debug.ReadBuildInfo(); ok {
--- a/internal/cli/discovery.go
+++ b/internal/cli/discovery.go
@@ -14,15 +14,15 @@
 )
 
 type discoveryCommand struct {
-	List      string `arg:"" type:"existingfile" help:"File with the endpoint list, as JSON: {\"hosts\":[{\"id\":1,\"addr\":\"127.0.0.1:9001\",\"zone\":...,\"kind\":...,\"cell\":0,\"condition\":\"ready\"}]}. It is read again when it changes."`
-	Listen    string `default:"127.0.0.1:8090" help:"Address that discovery listens on, loopback only; port 0 picks one."`
-	ReadyFile string `help:"File that is written, as JSON, once it serves."`
+	List      string `arg:"" type:"existingfile" help:"File with the endpoint list, as JSON: {\"hosts\":[{\"id\":1,\"addr\":\"127.0.0.1:9001\",\"zone\":...,\"kind\":...,\"cell\":0,\"condition\":\"ready\"}]}. It is read again whenever it changes."`
+	Listen    string `default:"127.0.0.1:8090" help:"Address that discovery listens on, loopback only; port 0 selects a free port."`
+	ReadyFile string `help:"File that is written, as JSON, once discovery accepts connections."`
 }
 
-// listPollInterval is how often the file is checked for changes.
+// listPollInterval is the interval at which the file of the endpoint list is checked for changes.
 const listPollInterval = 300 * time.Millisecond
 
-// Run serves the list until the program is asked to stop.
+// Run serves the endpoint list of the file until ctx ends.
 func (c *discoveryCommand) Run(ctx context.Context, env *environment) error {
 	entries, err := readEndpointList(c.List)
 	if err != nil {
@@ -54,8 +54,8 @@
 	return nil
 }
 
-// follow calls update with the list of a file each time that it changed, until the context ends. A missing or broken
-// file changes nothing, so that no endpoint is lost by it.
+// follow calls update with the endpoint list each time that its file changes, until ctx ends. It ignores a missing or
+// invalid file, so that a bad write removes no endpoint.
 func (c *discoveryCommand) follow(ctx context.Context, env *environment, update func([]endpoints.Entry)) {
 	ticker := time.NewTicker(listPollInterval)
 	defer ticker.Stop()
@@ -80,25 +80,25 @@
 	}
 }
 
-// readEndpointList reads a list and checks it as a dispatcher would.
+// readEndpointList reads an endpoint list and validates it with the code that dispatchers use.
 func readEndpointList(path string) ([]endpoints.Entry, error) {
 	content, err := os.ReadFile(path)
 	if err != nil {
-		return nil, fmt.Errorf("list: %w", err)
+		return nil, fmt.Errorf("endpoint list: %w", err)
 	}
 	var list endpoints.Update
 	if err := json.Unmarshal(content, &list); err != nil {
-		return nil, fmt.Errorf("list %s: %w", path, err)
+		return nil, fmt.Errorf("endpoint list %s: %w", path, err)
 	}
 	list.Epoch, list.Version, list.Complete = "x", 1, true
 	content, err = json.Marshal(list)
 	if err != nil {
-		return nil, fmt.Errorf("list %s: %w", path, err)
+		return nil, fmt.Errorf("endpoint list %s: %w", path, err)
 	}
 	view := endpoints.View{}
 	entries, _, err := view.Apply(content)
 	if err != nil {
-		return nil, fmt.Errorf("list %s: %w", path, err)
+		return nil, fmt.Errorf("endpoint list %s: %w", path, err)
 	}
 	return entries, nil
 }
--- a/internal/cli/endpoints.go
+++ b/internal/cli/endpoints.go
@@ -13,14 +13,14 @@
 )
 
 type endpointsCommand struct {
-	Deployment string `type:"existingfile" help:"Deployment with a fleet; the built-in one if none is given."`
-	Discovery  string `name:"roster" default:"127.0.0.1:8090" help:"Address that discovery listens on, loopback only; port 0 picks one. Empty: no discovery, for use with --list-out."`
-	ListOut    string `type:"path" help:"File that the endpoint list is written to, for a discovery service of its own."`
-	ReadyFile  string `help:"File that is written, as JSON, once all endpoints serve."`
-	Seed       int64  `help:"Seed of all random choices; drawn if 0."`
+	Deployment string `type:"existingfile" help:"File with a deployment that has a fleet; the built-in deployment if none is given."`
+	Discovery  string `name:"roster" default:"127.0.0.1:8090" help:"Address that discovery listens on, loopback only; port 0 selects a free port. Empty for no discovery, as with --list-out and a separate discovery service."`
+	ListOut    string `type:"path" help:"File that the endpoint list is written to, for a separate discovery service."`
+	ReadyFile  string `help:"File that is written, as JSON, once all endpoints accept requests."`
+	Seed       int64  `help:"Seed of all random choices; 0 for a random seed."`
 }
 
-// Run runs the stand-in endpoints until the program is asked to stop.
+// Run runs the stand-in endpoints, and their discovery service if it has an address, until ctx ends.
 func (c *endpointsCommand) Run(ctx context.Context, env *environment) error {
 	dep, err := loadDeployment(c.Deployment)
 	if err != nil {
@@ -61,7 +61,7 @@
 	return nil
 }
 
-// startFleet starts a deployment's stand-in endpoints, and their discovery if that has an address.
+// startFleet starts a deployment's stand-in endpoints, and their discovery service unless its address is empty.
 func startFleet(
 	loop *sockets.Loop, dep deployment.Deployment, seed int64, discovery string,
 ) (*modelserver.Fleet, error) {
--- a/internal/cli/logs.go
+++ b/internal/cli/logs.go
@@ -11,24 +11,26 @@
 )
 
 const (
-	logLines     = 4096        // that may wait to be written; past it the oldest are dropped
-	logFlushTime = time.Second // for those that wait when the program ends
+	maxBufferedLogLines = 4096        // if more lines wait to be written, the oldest are dropped
+	logFlushTimeout     = time.Second // for writing the buffered lines when the program ends
 )
 
-// logWriter writes log lines from a goroutine of its own: a slow reader of the log must not block the program.
+// logWriter buffers log lines and writes them from its own goroutine, so that a slow reader of the log does not block
+// the program.
 type logWriter struct{ diode.Writer }
 
-// newLogWriter also keeps the program alive where the reader of its logs is gone, as by itself it would die of SIGPIPE.
+// newLogWriter returns a logWriter that writes to out. It makes the process ignore SIGPIPE, which would otherwise kill
+// the program once the reader of its logs has gone away.
 func newLogWriter(out io.Writer) logWriter {
 	signal.Ignore(syscall.SIGPIPE)
 	dropped := func(lines int) {
 		_, _ = fmt.Fprintf(out, "{\"level\":\"error\",\"lines\":%d,\"message\":\"log lines dropped\"}\n", lines)
 	}
 	withoutClose := struct{ io.Writer }{out}
-	return logWriter{diode.NewWriter(withoutClose, logLines, 0, dropped)}
+	return logWriter{diode.NewWriter(withoutClose, maxBufferedLogLines, 0, dropped)}
 }
 
-// flush writes the lines that wait and ends the goroutine; it waits for logFlushTime at most.
+// flush writes the buffered lines and stops the goroutine. It waits for at most logFlushTimeout.
 func (w logWriter) flush() {
 	flushed := make(chan struct{})
 	go func() {
@@ -37,6 +39,6 @@
 	}()
 	select {
 	case <-flushed:
-	case <-time.After(logFlushTime):
+	case <-time.After(logFlushTimeout):
 	}
 }
--- a/internal/cli/serve.go
+++ b/internal/cli/serve.go
@@ -24,37 +24,37 @@
 )
 
 const (
-	maxDescriptors       = 1 << 20 // that a dispatcher reckons with, whatever its limit
-	randomNames          = 1 << 40 // from which the name of a dispatcher is drawn
+	maxDescriptors       = 1 << 20 // upper bound on the descriptor limit that a dispatcher is configured with
+	randomNameCount      = 1 << 40 // number of different random dispatcher names
 	randomNameBase       = 36
-	localShutdownTimeout = 30 * time.Second // of a dispatcher that runs beside its endpoints
+	localShutdownTimeout = 30 * time.Second // for a dispatcher that runs in one process with its endpoints
 )
 
 type serveCommand struct {
-	Deployment string        `type:"existingfile" help:"Deployment, as protobuf text format; the built-in one if none is given."`
-	Listen     string        `default:"127.0.0.1:8080" help:"Address for clients, loopback only; port 0 picks one."`
-	Discovery  string        `name:"roster" help:"Address of the discovery service that pushes the endpoint list."`
-	Zone       string        `help:"Zone that this dispatcher runs in; the deployment's first if none is given."`
-	Name       string        `help:"Name that differs from those of all other dispatchers and of this one's earlier incarnations; random if none is given."`
-	ReadyFile  string        `help:"File that is written, as JSON, once the dispatcher serves."`
-	ListFile   string        `help:"File that the endpoint list is cached in, and started from while discovery is unreachable."`
-	Seed       int64         `help:"Seed of all random choices; drawn if 0."`
-	Tenants    string        `help:"Address of the administration, whose tenants are served."`
-	Secret     string        `type:"path" help:"File with the secret that the administration seals keys with, mode 600; needed with --tenants."`
-	TenantFile string        `help:"File that the tenants are cached in, and started from while the administration is unreachable."`
-	EndWithin  time.Duration `default:"30s" help:"At shutdown, how long requests in flight may go on."`
-	StateDir   string        `type:"path" help:"Folder that records which requests with an Idempotency-Key may have run, so that a restart does not forget them."`
-	Profile    string        `type:"path" help:"File that a CPU profile of the whole run is written to."`
+	Deployment      string        `type:"existingfile" help:"File with the deployment in protobuf text format; the built-in deployment if none is given."`
+	Listen          string        `default:"127.0.0.1:8080" help:"Address that clients connect to, loopback only; port 0 selects a free port."`
+	Discovery       string        `name:"roster" help:"Address of the discovery service that pushes the endpoint list."`
+	Zone            string        `help:"Zone that this dispatcher runs in; the first zone of the deployment if none is given."`
+	Name            string        `help:"Name that no other dispatcher and no earlier incarnation of this one has; random if none is given."`
+	ReadyFile       string        `help:"File that is written, as JSON, once the dispatcher accepts requests."`
+	ListFile        string        `help:"File that caches the endpoint list; the dispatcher starts from it while discovery is unreachable."`
+	Seed            int64         `help:"Seed of all random choices; 0 for a random seed."`
+	Tenants         string        `help:"Address of the admin service whose tenants are served."`
+	Secret          string        `type:"path" help:"File with the secret that the admin service seals keys with, mode 600; required with --tenants."`
+	TenantFile      string        `help:"File that caches the tenants; the dispatcher starts from it while the admin service is unreachable."`
+	ShutdownTimeout time.Duration `name:"end-within" default:"30s" help:"How long requests in flight may continue at shutdown."`
+	StateDir        string        `type:"path" help:"Folder of the intent store, which records the requests with an Idempotency-Key that may have run, so that a restarted dispatcher still knows them."`
+	Profile         string        `type:"path" help:"File that a CPU profile of the whole run is written to."`
 }
 
-// Run serves until the program is asked to stop.
+// Run serves requests until ctx ends and then shuts the dispatcher down gracefully.
 func (c *serveCommand) Run(ctx context.Context, env *environment) error {
 	dep, err := loadDeployment(c.Deployment)
 	if err != nil {
 		return err
 	}
 	if c.Discovery == "" && c.ListFile == "" {
-		return errors.New("serve: neither --roster nor --list-file is given, so no endpoint could ever be known")
+		return errors.New("serve: --roster or --list-file is required; without either the dispatcher learns of no endpoint")
 	}
 	stopProfile, err := startProfile(c.Profile)
 	if err != nil {
@@ -76,21 +76,23 @@
 	}
 	env.log.Info().Str("api", api).Str("name", process.name).Str("zone", process.zone).Msg("serving")
 	<-ctx.Done()
-	return process.shutDown(c.EndWithin)
+	return process.shutDown(c.ShutdownTimeout)
 }
 
-// readSecret reads the secret that keys are sealed with, if one is named.
+// readSecret reads the secret that keys are sealed with. It returns nil if neither a secret nor an admin service is
+// configured.
 func (c *serveCommand) readSecret() ([]byte, error) {
 	if c.Secret != "" {
 		return admin.ReadSecret(c.Secret)
 	}
 	if c.Tenants != "" {
-		return nil, errors.New("serve: --tenants needs --secret")
+		return nil, errors.New("serve: --tenants requires --secret")
 	}
 	return nil, nil
 }
 
-// startProfile profiles the CPU into a file, if one is named, until the function that it returns is called.
+// startProfile writes a CPU profile to a file until the returned function is called. With an empty path it does
+// nothing.
 func startProfile(path string) (stop func(), err error) {
 	if path == "" {
 		return func() {}, nil
@@ -109,18 +111,18 @@
 	}, nil
 }
 
-// dispatcherProcess is a dispatcher on an event loop of its own, with the files that it writes.
+// dispatcherProcess is a dispatcher with its own event loop, client listener, cache files and intent store.
 type dispatcherProcess struct {
-	name, zone string
-	loop       *sockets.Loop
-	dispatcher *dispatch.Dispatcher
-	listener   eventloop.Listener
-	state      *store.Files
-	caches     []*cacheFile
-	log        zerolog.Logger
+	name, zone  string
+	loop        *sockets.Loop
+	dispatcher  *dispatch.Dispatcher
+	listener    eventloop.Listener
+	intentFiles *store.Files // nil without --state-dir
+	caches      []*cacheFile
+	log         zerolog.Logger
 }
 
-// start starts a dispatcher and listens for clients. The secret is empty where no administration is followed.
+// start starts a dispatcher and listens for clients. The secret is empty if no admin service is followed.
 func (c *serveCommand) start(log zerolog.Logger, dep deployment.Deployment, secret []byte) (*dispatcherProcess, error) {
 	loop, err := sockets.Start()
 	if err != nil {
@@ -131,7 +133,7 @@
 	config.Secret = secret
 	loop.OverloadResponse = frontend.OverloadedResponse()
 	if c.StateDir != "" {
-		if config.Intents, err = process.openState(c.StateDir); err != nil {
+		if config.Intents, err = process.openIntentStore(c.StateDir); err != nil {
 			process.close()
 			return nil, err
 		}
@@ -149,12 +151,12 @@
 	return process, nil
 }
 
-// config returns the dispatcher's configuration but for the secret and the record of intents.
+// config returns the dispatcher's configuration without the secret and the intent store.
 func (c *serveCommand) config(process *dispatcherProcess, dep deployment.Deployment) dispatch.Config {
 	seed := seedOrRandom(c.Seed)
 	process.name, process.zone = c.Name, c.Zone
 	if process.name == "" {
-		process.name = "d" + strconv.FormatUint(uint64(seed)%randomNames, randomNameBase)
+		process.name = "d" + strconv.FormatUint(uint64(seed)%randomNameCount, randomNameBase)
 	}
 	if process.zone == "" {
 		process.zone = dep.Zones[0]
@@ -183,8 +185,8 @@
 	return config
 }
 
-// readCache reads what an earlier incarnation cached; without a file there is nothing. A file that can't be read is
-// logged with the message given.
+// readCache returns the content that an earlier incarnation cached, or nil if the file does not exist. It logs any
+// other read error with the given message.
 func (p *dispatcherProcess) readCache(path, failureMessage string) []byte {
 	content, err := os.ReadFile(path)
 	if err != nil && !errors.Is(err, os.ErrNotExist) {
@@ -193,19 +195,20 @@
 	return content
 }
 
-// openCache returns the function that caches new content; close ends its writer.
+// openCache starts a cache file and returns the function that caches new content. close stops the cache file.
 func (p *dispatcherProcess) openCache(path string, options cacheOptions) func([]byte) {
 	file := newCacheFile(path, options)
 	p.caches = append(p.caches, file)
 	return file.Put
 }
 
-func (p *dispatcherProcess) openState(dir string) (*store.Store, error) {
+// openIntentStore opens the store that records intents in a folder. close closes it.
+func (p *dispatcherProcess) openIntentStore(dir string) (*store.Store, error) {
 	files, err := store.OpenFiles(dir, p.loop.Post)
 	if err != nil {
 		return nil, err
 	}
-	p.state = files
+	p.intentFiles = files
 	intents, err := store.Open(files, store.DefaultLimits)
 	if err != nil {
 		return nil, fmt.Errorf("%s: %w", dir, err)
@@ -213,7 +216,7 @@
 	return intents, nil
 }
 
-// shutDown closes the listener and waits for requests in flight, for as long as is given.
+// shutDown closes the listener and waits up to timeout for requests in flight. It returns an error if any still run.
 func (p *dispatcherProcess) shutDown(timeout time.Duration) error {
 	done := make(chan struct{})
 	p.loop.Do(func() {
@@ -229,24 +232,24 @@
 	p.loop.Do(func() { counts, inFlight = p.dispatcher.Counters, p.dispatcher.OpenRequests() })
 	var memory runtime.MemStats
 	runtime.ReadMemStats(&memory)
-	// The bench command reads events, allocations and taken, also from the logs of earlier builds.
+	// The bench command parses events, allocations and taken from this line, also in the logs of earlier builds.
 	p.log.Info().Uint64("events", counts.Events).Uint64("allocations", memory.Mallocs).Uint64("taken", counts.Accepted).
 		Uint64("completed", counts.Completed).Uint64("rejected", counts.Rejected).Uint64("failed", counts.Failed).
 		Uint64("disconnected", counts.Disconnected).Uint64("attempts", counts.Attempts).
 		Int("in_flight", inFlight).Msg("ended")
 	if inFlight > 0 {
-		return fmt.Errorf("%d generations were still running after %v", inFlight, timeout)
+		return fmt.Errorf("%d requests were still in flight after %v", inFlight, timeout)
 	}
 	return nil
 }
 
-// close writes what is still to be cached and stops the loop.
+// close stops the cache files after their pending writes, closes the intent store and stops the event loop.
 func (p *dispatcherProcess) close() {
 	for _, cache := range p.caches {
 		cache.Close()
 	}
-	if p.state != nil {
-		p.state.Close()
+	if p.intentFiles != nil {
+		p.intentFiles.Close()
 	}
 	p.loop.Stop()
 }
--- a/internal/cli/store.go
+++ b/internal/cli/store.go
@@ -9,37 +9,39 @@
 )
 
 type storeCommand struct {
-	Check   storeCheck   `cmd:"" help:"Recover a store as at a start, and say what is in it. A torn end is cut off, as a start would."`
-	Dump    storeDump    `cmd:"" help:"Print all keys and values, quoted, in order."`
-	Compact storeCompact `cmd:"" help:"Write a snapshot and drop the log that is in it."`
+	Check   storeCheck   `cmd:"" help:"Recover a store as a dispatcher does at its start, and print the number of keys. This truncates a torn record at the end of the log."`
+	Dump    storeDump    `cmd:"" help:"Print all keys and values, quoted, sorted by key."`
+	Compact storeCompact `cmd:"" help:"Write a snapshot and delete the log that it replaces."`
 }
 
 type (
 	storeCheck struct {
-		Dir string `arg:"" type:"existingdir" help:"The store's folder; it must not be in use."`
+		Dir string `arg:"" type:"existingdir" help:"Folder of the store; no other process may be using it."`
 	}
 	storeDump struct {
-		Dir    string `arg:"" type:"existingdir" help:"The store's folder; it must not be in use."`
-		Prefix string `help:"Only keys that begin so."`
+		Dir    string `arg:"" type:"existingdir" help:"Folder of the store; no other process may be using it."`
+		Prefix string `help:"Print only keys with this prefix."`
 	}
 	storeCompact struct {
-		Dir string `arg:"" type:"existingdir" help:"The store's folder; it must not be in use."`
+		Dir string `arg:"" type:"existingdir" help:"Folder of the store; no other process may be using it."`
 	}
 )
 
-// diskTimeout is how long a disk may take for a snapshot.
-const diskTimeout = time.Minute
+// snapshotTimeout limits the wait for each completion from the disk while a snapshot is written.
+const snapshotTimeout = time.Minute
 
-// openedStore is a store outside an event loop: what its disk completes is run from a channel.
-type openedStore struct {
+// offlineStore is a store without an event loop. Disk operations send their completion callbacks to a channel, and
+// whoever waits for an operation runs them.
+type offlineStore struct {
 	*store.Store
-	files  *store.Files
-	posted chan func()
+	files       *store.Files
+	completions chan func()
 }
 
-func openStore(dir string) (*openedStore, error) {
-	posted := make(chan func(), 64)
-	files, err := store.OpenFiles(dir, func(completion func()) { posted <- completion })
+// openStore recovers the store in a folder.
+func openStore(dir string) (*offlineStore, error) {
+	completions := make(chan func(), 64)
+	files, err := store.OpenFiles(dir, func(completion func()) { completions <- completion })
 	if err != nil {
 		return nil, err
 	}
@@ -48,23 +50,23 @@
 		files.Close()
 		return nil, fmt.Errorf("%s: %w", dir, err)
 	}
-	return &openedStore{Store: opened, files: files, posted: posted}, nil
+	return &offlineStore{Store: opened, files: files, completions: completions}, nil
 }
 
-// Run recovers the store.
+// Run recovers the store and prints the number of its keys and the time that this took.
 func (c *storeCheck) Run(env *environment) error {
-	began := time.Now()
+	startTime := time.Now()
 	opened, err := openStore(c.Dir)
 	if err != nil {
 		return err
 	}
 	defer opened.files.Close()
-	took := time.Since(began).Round(time.Millisecond)
-	env.printf("%s: whole: %d keys, recovered in %v\n", c.Dir, opened.Len(), took)
+	elapsed := time.Since(startTime).Round(time.Millisecond)
+	env.printf("%s: consistent: %d keys, recovered in %v\n", c.Dir, opened.Len(), elapsed)
 	return nil
 }
 
-// Run prints the keys and values.
+// Run prints the keys with the prefix and their values.
 func (c *storeDump) Run(env *environment) error {
 	opened, err := openStore(c.Dir)
 	if err != nil {
@@ -78,7 +80,7 @@
 	return err
 }
 
-// Run writes a snapshot.
+// Run writes a snapshot of the store and waits until it is complete.
 func (c *storeCompact) Run() error {
 	opened, err := openStore(c.Dir)
 	if err != nil {
@@ -89,10 +91,10 @@
 	opened.Compact(func(failure error) { done, err = true, failure })
 	for !done {
 		select {
-		case completion := <-opened.posted:
+		case completion := <-opened.completions:
 			completion()
-		case <-time.After(diskTimeout):
-			return errors.New("the disk did not answer")
+		case <-time.After(snapshotTimeout):
+			return errors.New("no disk operation completed in time")
 		}
 	}
 	return err
--- a/internal/cli/tenants.go
+++ b/internal/cli/tenants.go
@@ -10,60 +10,60 @@
 )
 
 type tenantCommand struct {
-	Admin  string `default:"http://127.0.0.1:8070" env:"PLUMSPINDLE_ADMIN" help:"Address of the administration."`
-	Key    string `required:"" env:"PLUMSPINDLE_ADMIN_KEY" help:"An operator's key; better given by the environment than on the command line."`
-	DryRun bool   `help:"Say what would be, and change nothing."`
-
-	Add     tenantAdd     `cmd:"" help:"Add a tenant."`
-	List    tenantList    `cmd:"" help:"List tenants."`
-	Show    tenantShow    `cmd:"" help:"Show one tenant."`
-	Limit   tenantLimit   `cmd:"" help:"Change a tenant's limits; those not named stay."`
-	Suspend tenantSuspend `cmd:"" help:"Admit nothing new from a tenant."`
-	Resume  tenantResume  `cmd:"" help:"Admit a tenant again."`
-	Remove  tenantRemove  `cmd:"" help:"Remove a tenant."`
-	Usage   tenantUsage   `cmd:"" help:"Show what a tenant used, by day and product."`
-	KeyAdd  keyAdd        `cmd:"" name:"key-add" help:"Make a key; it is shown this once."`
-	KeyEnd  keyRevoke     `cmd:"" name:"key-revoke" help:"Revoke a key."`
+	Admin  string `default:"http://127.0.0.1:8070" env:"PLUMSPINDLE_ADMIN" help:"Address of the admin service."`
+	Key    string `required:"" env:"PLUMSPINDLE_ADMIN_KEY" help:"An operator's key; prefer the environment variable to the command line."`
+	DryRun bool   `help:"Print the result of a change without making it."`
+
+	Add       tenantAdd     `cmd:"" help:"Add a tenant."`
+	List      tenantList    `cmd:"" help:"List tenants."`
+	Show      tenantShow    `cmd:"" help:"Show one tenant."`
+	Limit     tenantLimit   `cmd:"" help:"Change a tenant's limits; limits without a flag stay as they are."`
+	Suspend   tenantSuspend `cmd:"" help:"Reject new requests of a tenant."`
+	Resume    tenantResume  `cmd:"" help:"End the suspension of a tenant."`
+	Remove    tenantRemove  `cmd:"" help:"Remove a tenant."`
+	Usage     tenantUsage   `cmd:"" help:"Show the usage of a tenant by day and product."`
+	KeyAdd    keyAdd        `cmd:"" name:"key-add" help:"Create a key and print it; it can't be shown again."`
+	KeyRevoke keyRevoke     `cmd:"" name:"key-revoke" help:"Revoke a key."`
 }
 
-// limitFlags are those of a tenant's limits; a limit that is not named is left as it is.
+// limitFlags holds the flags that set a tenant's limits. A nil flag leaves its limit as it is.
 type limitFlags struct {
-	Share         *float64 `help:"Requests a second that come before all others' surplus, over all dispatchers; 0 for no limit."`
-	Weight        *float64 `help:"Weight of its turns for what is beyond the shares."`
-	PerS          *float64 `name:"per-s" help:"Requests a second, at most; 0 for no limit."`
-	TokensPerS    *float64 `name:"tokens-per-s" help:"Tokens a second, prompt and answer, at most; 0 for no limit."`
-	BurstS        *float64 `name:"burst-s" help:"Seconds of both that may come at once."`
-	Concurrent    *int     `help:"Requests at once, at most; 0 for no limit."`
-	LargestPrompt *int     `help:"Tokens of a prompt, at most; 0 for no limit."`
-	Waiting       *int     `help:"Requests that may be queued."`
+	Share             *float64 `help:"Requests a second, over all dispatchers, that have priority over the surplus of all tenants; 0 for no limit."`
+	Weight            *float64 `help:"Weight of the tenant in the distribution of the capacity beyond the shares."`
+	RequestsPerSecond *float64 `name:"per-s" help:"Maximum requests a second; 0 for no limit."`
+	TokensPerSecond   *float64 `name:"tokens-per-s" help:"Maximum tokens a second, prompt and answer together; 0 for no limit."`
+	BurstSeconds      *float64 `name:"burst-s" help:"Burst size of both rate limits, in seconds at the rate."`
+	Concurrent        *int     `help:"Maximum requests in flight; 0 for no limit."`
+	LargestPrompt     *int     `help:"Maximum tokens of a prompt; 0 for no limit."`
+	Waiting           *int     `help:"Maximum queued requests."`
 }
 
-// tenantLimits are the limits of a tenant as the administration's API has them; nil: not set.
+// tenantLimits are a tenant's limits in the JSON of the admin API. A nil limit is not set.
 type tenantLimits struct {
-	BurstS        *float64 `json:"burst_s,omitempty"`
-	Concurrent    *int     `json:"concurrent,omitempty"`
-	LargestPrompt *int     `json:"largest_prompt,omitempty"`
-	PerS          *float64 `json:"per_s,omitempty"`
-	SharePerS     *float64 `json:"share_per_s,omitempty"`
-	TokensPerS    *float64 `json:"tokens_per_s,omitempty"`
-	Waiting       *int     `json:"waiting,omitempty"`
-	Weight        *float64 `json:"weight,omitempty"`
+	BurstSeconds      *float64 `json:"burst_s,omitempty"`
+	Concurrent        *int     `json:"concurrent,omitempty"`
+	LargestPrompt     *int     `json:"largest_prompt,omitempty"`
+	RequestsPerSecond *float64 `json:"per_s,omitempty"`
+	SharePerSecond    *float64 `json:"share_per_s,omitempty"`
+	TokensPerSecond   *float64 `json:"tokens_per_s,omitempty"`
+	Waiting           *int     `json:"waiting,omitempty"`
+	Weight            *float64 `json:"weight,omitempty"`
 }
 
-// override returns the limits with those replaced that the flags name.
+// override returns the limits after replacing those whose flags are set.
 func (f limitFlags) override(limits tenantLimits) tenantLimits {
-	overrideOne(&limits.BurstS, f.BurstS)
-	overrideOne(&limits.Concurrent, f.Concurrent)
-	overrideOne(&limits.LargestPrompt, f.LargestPrompt)
-	overrideOne(&limits.PerS, f.PerS)
-	overrideOne(&limits.SharePerS, f.Share)
-	overrideOne(&limits.TokensPerS, f.TokensPerS)
-	overrideOne(&limits.Waiting, f.Waiting)
-	overrideOne(&limits.Weight, f.Weight)
+	overrideIfSet(&limits.BurstSeconds, f.BurstSeconds)
+	overrideIfSet(&limits.Concurrent, f.Concurrent)
+	overrideIfSet(&limits.LargestPrompt, f.LargestPrompt)
+	overrideIfSet(&limits.RequestsPerSecond, f.RequestsPerSecond)
+	overrideIfSet(&limits.SharePerSecond, f.Share)
+	overrideIfSet(&limits.TokensPerSecond, f.TokensPerSecond)
+	overrideIfSet(&limits.Waiting, f.Waiting)
+	overrideIfSet(&limits.Weight, f.Weight)
 	return limits
 }
 
-func overrideOne[T any](limit **T, given *T) {
+func overrideIfSet[T any](limit **T, given *T) {
 	if given != nil {
 		*limit = given
 	}
@@ -71,7 +71,7 @@
 
 type (
 	tenantAdd struct {
-		Name string `arg:"" help:"Small letters, digits and hyphens."`
+		Name string `arg:"" help:"Name of the tenant: lower-case letters, digits and hyphens."`
 		limitFlags
 	}
 	tenantList struct{}
@@ -90,25 +90,25 @@
 	}
 	tenantRemove struct {
 		Name   string `arg:""`
-		Policy string `enum:"finish,stop" default:"finish" help:"finish: what runs goes on to its end. stop: it is given its final answer now."`
+		Policy string `enum:"finish,stop" default:"finish" help:"finish: requests in flight continue to their end. stop: requests in flight end now with a final answer."`
 	}
 	tenantUsage struct {
 		Name string `arg:""`
 	}
 	keyAdd struct {
 		Name    string        `arg:"" help:"The tenant."`
-		Label   string        `help:"What the key is for."`
+		Label   string        `help:"Description of the key's purpose."`
 		Scopes  []string      `default:"chat" help:"chat, admin, or both."`
-		Expires time.Duration `help:"How long it is valid; 0 for ever."`
+		Expires time.Duration `help:"How long the key is valid; 0 for no expiry."`
 	}
 	keyRevoke struct {
 		Name  string        `arg:"" help:"The tenant."`
-		ID    string        `arg:"" help:"The key's id."`
-		After time.Duration `help:"How long it still works, so that a new one can overlap with it."`
+		ID    string        `arg:"" help:"ID of the key."`
+		After time.Duration `help:"How long the key still works, so that clients have time to change to a new one."`
 	}
 )
 
-// Bodies of the administration's API, their fields in the order of their names.
+// Request and response bodies of the admin API, with their fields in alphabetical order.
 type (
 	tenantCreation struct {
 		Limits tenantLimits `json:"limits"`
@@ -118,9 +118,9 @@
 		Limits tenantLimits `json:"limits"`
 	}
 	keyCreation struct {
-		ExpiresS int64    `json:"expires_s,omitempty"`
-		Label    string   `json:"label"`
-		Scopes   []string `json:"scopes"`
+		ExpiresAtSeconds int64    `json:"expires_s,omitempty"`
+		Label            string   `json:"label"`
+		Scopes           []string `json:"scopes"`
 	}
 	tenantPage struct {
 		Tenants []struct {
@@ -138,16 +138,16 @@
 	return t.callAndPrint(ctx, env, adminCall{method: http.MethodPost, path: "tenants", body: body})
 }
 
-// Run prints a line for each tenant.
+// Run prints one line for each tenant, and fetches the list page by page.
 func (c *tenantList) Run(ctx context.Context, env *environment, t *tenantCommand) error {
 	for after := ""; ; {
-		answer, err := t.call(ctx, adminCall{method: http.MethodGet, path: "tenants?after=" + url.QueryEscape(after)})
+		response, err := t.call(ctx, adminCall{method: http.MethodGet, path: "tenants?after=" + url.QueryEscape(after)})
 		if err != nil {
 			return err
 		}
 		var page tenantPage
-		if err := json.Unmarshal(answer.body, &page); err != nil {
-			return fmt.Errorf("administration: list of tenants: %w", err)
+		if err := json.Unmarshal(response.body, &page); err != nil {
+			return fmt.Errorf("admin API: list of tenants: %w", err)
 		}
 		for _, tenant := range page.Tenants {
 			limits, err := json.Marshal(tenant.Limits)
@@ -167,18 +167,18 @@
 	return t.callAndPrint(ctx, env, adminCall{method: http.MethodGet, path: tenantPath(c.Name)})
 }
 
-// Run changes the limits that are named; the change fails if the tenant was changed meanwhile.
+// Run changes the limits whose flags are set. The change fails if the tenant was changed after its limits were read.
 func (c *tenantLimit) Run(ctx context.Context, env *environment, t *tenantCommand) error {
-	answer, err := t.call(ctx, adminCall{method: http.MethodGet, path: tenantPath(c.Name)})
+	response, err := t.call(ctx, adminCall{method: http.MethodGet, path: tenantPath(c.Name)})
 	if err != nil {
 		return err
 	}
 	var current tenantChange
-	if err := json.Unmarshal(answer.body, &current); err != nil {
-		return fmt.Errorf("administration: limits of %s: %w", c.Name, err)
+	if err := json.Unmarshal(response.body, &current); err != nil {
+		return fmt.Errorf("admin API: limits of %s: %w", c.Name, err)
 	}
 	return t.callAndPrint(ctx, env, adminCall{method: http.MethodPatch, path: tenantPath(c.Name),
-		body: tenantChange{Limits: c.override(current.Limits)}, etag: answer.etag})
+		body: tenantChange{Limits: c.override(current.Limits)}, etag: response.etag})
 }
 
 // Run suspends a tenant.
@@ -186,7 +186,7 @@
 	return t.callAndPrint(ctx, env, adminCall{method: http.MethodPost, path: tenantPath(c.Name, "suspend")})
 }
 
-// Run ends a suspension.
+// Run ends the suspension of a tenant.
 func (c *tenantResume) Run(ctx context.Context, env *environment, t *tenantCommand) error {
 	return t.callAndPrint(ctx, env, adminCall{method: http.MethodPost, path: tenantPath(c.Name, "resume")})
 }
@@ -197,21 +197,21 @@
 	return t.callAndPrint(ctx, env, adminCall{method: http.MethodDelete, path: path})
 }
 
-// Run prints what a tenant used.
+// Run prints the usage of a tenant.
 func (c *tenantUsage) Run(ctx context.Context, env *environment, t *tenantCommand) error {
 	return t.callAndPrint(ctx, env, adminCall{method: http.MethodGet, path: tenantPath(c.Name, "usage")})
 }
 
-// Run makes a key.
+// Run creates a key and prints it.
 func (c *keyAdd) Run(ctx context.Context, env *environment, t *tenantCommand) error {
 	body := keyCreation{Label: c.Label, Scopes: c.Scopes}
 	if c.Expires > 0 {
-		body.ExpiresS = time.Now().Add(c.Expires).Unix()
+		body.ExpiresAtSeconds = time.Now().Add(c.Expires).Unix()
 	}
 	return t.callAndPrint(ctx, env, adminCall{method: http.MethodPost, path: tenantPath(c.Name, "keys"), body: body})
 }
 
-// Run revokes a key, at once or later.
+// Run revokes a key, at once or after the given time.
 func (c *keyRevoke) Run(ctx context.Context, env *environment, t *tenantCommand) error {
 	path := tenantPath(c.Name, "keys", url.PathEscape(c.ID))
 	if c.After > 0 {
--- a/internal/cli/up.go
+++ b/internal/cli/up.go
@@ -15,10 +15,10 @@
 )
 
 type upCommand struct {
-	Listen    string `default:"127.0.0.1:8080" help:"Address for clients, loopback only; port 0 picks one."`
-	Admin     string `default:"127.0.0.1:0" help:"Address of the administration, loopback only; port 0 picks one."`
-	ReadyFile string `help:"File that is written, as JSON with both addresses and a key for each, once everything serves."`
-	Seed      int64  `help:"Seed of all random choices; drawn if 0."`
+	Listen    string `default:"127.0.0.1:8080" help:"Address that clients connect to, loopback only; port 0 selects a free port."`
+	Admin     string `default:"127.0.0.1:0" help:"Address of the admin service, loopback only; port 0 selects a free port."`
+	ReadyFile string `help:"File that is written, as JSON with the address of each API and a key for it, once both accept requests."`
+	Seed      int64  `help:"Seed of all random choices; 0 for a random seed."`
 }
 
 const (
@@ -26,24 +26,25 @@
 	readyPollInterval = 2 * time.Millisecond
 )
 
-// localSecrets are drawn at each start: what keys are sealed with, and the keys of the one tenant and of the operator.
+// localSecrets holds the secrets that each start generates: the secret that seals keys, the API key of the only tenant
+// and the admin key of the operator.
 type localSecrets struct {
-	sealing     [48]byte
+	sealingKey  [48]byte
 	tenantKey   string
 	operatorKey string
 }
 
 func newLocalSecrets() (*localSecrets, error) {
 	s := &localSecrets{}
-	if _, err := crand.Read(s.sealing[:]); err != nil {
+	if _, err := crand.Read(s.sealingKey[:]); err != nil {
 		return nil, fmt.Errorf("secret: %w", err)
 	}
-	s.tenantKey = "sk-local-" + hex.EncodeToString(s.sealing[30:])
-	s.operatorKey = "op-" + hex.EncodeToString(s.sealing[:9])
+	s.tenantKey = "sk-local-" + hex.EncodeToString(s.sealingKey[30:])
+	s.operatorKey = "op-" + hex.EncodeToString(s.sealingKey[:9])
 	return s, nil
 }
 
-// Run runs administration, endpoints and a dispatcher until the program is asked to stop.
+// Run runs the admin service, the endpoints and a dispatcher until ctx ends.
 func (c *upCommand) Run(ctx context.Context, env *environment) error {
 	dep := deployment.Standard()
 	secrets, err := newLocalSecrets()
@@ -57,7 +58,7 @@
 	}
 	defer adminLoop.Stop()
 	operator := admin.Staff{Name: "local", Role: admin.Operator, Digest: sha256.Sum256([]byte(secrets.operatorKey))}
-	adminListener, err := startAdmin(adminLoop, c.Admin, admin.Config{Secret: secrets.sealing[:],
+	adminListener, err := startAdmin(adminLoop, c.Admin, admin.Config{Secret: secrets.sealingKey[:],
 		Staff: []admin.Staff{operator}, Records: &admin.MemoryRecords{}, Random: crand.Reader, Log: env.log})
 	if err != nil {
 		return err
@@ -72,12 +73,12 @@
 		return err
 	}
 	serve := &serveCommand{Listen: c.Listen, Discovery: fleet.Discovery.Addr, Seed: c.Seed, Tenants: adminListener.Addr()}
-	process, err := serve.start(env.log, dep, secrets.sealing[:])
+	process, err := serve.start(env.log, dep, secrets.sealingKey[:])
 	if err != nil {
 		return err
 	}
 	defer process.close()
-	if !process.waitReady(ctx) {
+	if !process.waitUntilReady(ctx) {
 		return nil
 	}
 	ready := scenarios.Ready{API: "http://" + process.listener.Addr(), Key: secrets.tenantKey,
@@ -90,8 +91,8 @@
 	return process.shutDown(localShutdownTimeout)
 }
 
-// waitReady returns true once the dispatcher is ready, false if the context ended before.
-func (p *dispatcherProcess) waitReady(ctx context.Context) bool {
+// waitUntilReady returns true once the dispatcher is ready, or false if ctx ends first.
+func (p *dispatcherProcess) waitUntilReady(ctx context.Context) bool {
 	ticker := time.NewTicker(readyPollInterval)
 	defer ticker.Stop()
 	for {
@@ -108,11 +109,11 @@
 	}
 }
 
-// printUsage prints how the administration and the chat API are called.
+// printUsage prints example commands that call the admin API and the chat API.
 func printUsage(env *environment, ready scenarios.Ready, endpoints int) {
 	env.printf("Tenants: PLUMSPINDLE_ADMIN=%s PLUMSPINDLE_ADMIN_KEY=%s plumspindle tenant add NAME\n\n",
 		ready.Admin, ready.AdminKey)
-	env.printf("Serving at %s with %d stand-in hosts. Try:\n\n"+
+	env.printf("Serving at %s with %d stand-in endpoints. Try:\n\n"+
 		"curl -N %s/v1/chat/completions -H 'Authorization: Bearer %s' "+
 		"-H 'Content-Type: application/json' -d '{\"model\":\"explain\",\"stream\":true,\"max_tokens\":24,"+
 		"\"messages\":[{\"role\":\"user\",\"content\":\"Why did the build fail?\"}]}'\n\n",
