--- a/internal/cli/fairness.go
+++ b/internal/cli/fairness.go
@@ -17,71 +17,72 @@
 )
 
 type fairnessCommand struct {
-	Seeds       int       `default:"8" help:"Runs of each sort, whose tenants' times are put together."`
-	Rate        float64   `default:"18" help:"Requests a second of all three tenants without a flood."`
-	Dispatchers []int     `default:"1,4" help:"Numbers of dispatchers to run with."`
-	Times       []float64 `default:"10,100" help:"How many times its usual traffic the flooding tenant sends."`
-	Sockets     bool      `help:"Run over loopback sockets, with dispatchers as processes of their own, in place of virtual time; runs of each sort alternate."`
-	Plot        string    `type:"path" help:"File, .svg or .png, for a plot of the others' times to the first token."`
+	Seeds        int       `default:"8" help:"Runs of each variant, whose results are combined."`
+	Rate         float64   `default:"18" help:"Requests a second of all three tenants together, without the flood."`
+	Dispatchers  []int     `default:"1,4" help:"Numbers of dispatchers to run with."`
+	FloodFactors []float64 `name:"times" default:"10,100" help:"Factors by which the flooding tenant multiplies its usual traffic."`
+	Sockets      bool      `help:"Run over loopback sockets, with each dispatcher in its own process, instead of in virtual time. Runs of different variants alternate."`
+	Plot         string    `type:"path" help:"File, .svg or .png, for a plot of the other tenants' time to first token."`
 }
 
-// fairnessResult is what the two tenants that do not flood got, over all seeds.
+// fairnessResult is the service that the two tenants that do not flood got, over all seeds.
 type fairnessResult struct {
-	asked, inSLO int
-	firstToken   *hdrhistogram.Histogram
-	passed       bool
+	requests, withinSLO int
+	firstToken          *hdrhistogram.Histogram
+	passed              bool
 }
 
-// Run runs scenarios with and without a flood and compares.
+// Run runs scenarios with and without a flood, for each number of dispatchers, and compares the results.
 func (c *fairnessCommand) Run(ctx context.Context, env *environment) error {
 	where := "in virtual time"
 	if c.Sockets {
 		where = "over loopback sockets"
 	}
-	env.printf("three tenants, one floods for 12 of 20 s; the other two, stand-in hosts %s, %d days of each sort\n",
+	env.printf("three tenants, one of which floods for 12 of 20 s; results of the other two, stand-in endpoints %s, "+
+		"%d runs of each variant\n",
 		where, c.Seeds)
 	env.printf("%-12s %-8s %7s %8s %8s %8s %8s %8s\n",
-		"dispatchers", "flood", "asked", "in SLO", "of calm", "p50 ms", "p99 ms", "of calm")
+		"dispatchers", "flood", "sent", "in SLO", "vs none", "p50 ms", "p99 ms", "vs none")
 	var curves []any
 	passed := true
-	floods := append([]float64{1}, c.Times...)
+	floodFactors := append([]float64{1}, c.FloodFactors...)
 	for _, dispatchers := range c.Dispatchers {
-		results, err := c.compare(ctx, env, dispatchers, floods)
+		results, err := c.compare(ctx, env, dispatchers, floodFactors)
 		if err != nil {
 			return err
 		}
-		for i, times := range floods {
+		for i, floodFactor := range floodFactors {
 			passed = passed && results[i].passed
-			results[i].print(env, dispatchers, times, results[0])
-			curves = append(curves, fmt.Sprintf("%d dispatchers, %v times", dispatchers, times), results[i].distribution())
+			results[i].print(env, dispatchers, floodFactor, results[0])
+			curves = append(curves, fmt.Sprintf("%d dispatchers, %v times", dispatchers, floodFactor), results[i].distribution())
 		}
 	}
 	p := plot.New()
 	p.Title.Text = "Time to first token of the two tenants that do not flood"
-	p.X.Label.Text, p.Y.Label.Text = "ms", "share of generations"
+	p.X.Label.Text, p.Y.Label.Text = "ms", "share of requests"
 	if err := savePlot(c.Plot, p, plotSize{width: 18, height: 11}, plotutil.AddLines, curves); err != nil {
 		return err
 	}
 	if !passed {
-		return errRuleBroken
+		return errRuleViolated
 	}
 	return nil
 }
 
-// compare runs all seeds with each flood. Runs with different floods alternate, so that what the machine does besides
-// affects all of them.
-func (c *fairnessCommand) compare(ctx context.Context, env *environment, dispatchers int, floods []float64) (
+// compare runs all seeds with each flood factor. Runs with different factors alternate, so that other load on the
+// machine affects all of them alike.
+func (c *fairnessCommand) compare(ctx context.Context, env *environment, dispatchers int, floodFactors []float64) (
 	[]fairnessResult, error) {
-	results := make([]fairnessResult, len(floods))
+	results := make([]fairnessResult, len(floodFactors))
 	for i := range results {
 		results[i] = fairnessResult{firstToken: newLatencyHistogram(), passed: true}
 	}
 	var mu sync.Mutex
 	var jobs []func() error
 	for seed := range c.Seeds {
-		for i, times := range floods {
+		for i, floodFactor := range floodFactors {
 			jobs = append(jobs, func() error {
-				verdict, err := c.runOnce(ctx, env, dispatchers, times, int64(seed+1))
+				verdict, err := c.runOnce(ctx, env, dispatchers, floodFactor, int64(seed+1))
 				if err != nil {
 					return err
 				}
@@ -92,34 +93,38 @@
 			})
 		}
 	}
-	limit := parallelRuns
+	limit := defaultParallelRuns
 	if c.Sockets {
 		limit = 1
 	}
 	return results, runParallel(limit, jobs)
 }
 
+// add adds the results of one run for the two tenants that do not flood.
 func (r *fairnessResult) add(verdict *audit.Verdict) {
 	r.passed = r.passed && verdict.Passed()
 	for _, row := range verdict.Rows {
 		if row.Name == "tenant middle" || row.Name == "tenant south" {
-			r.asked += row.Asked
-			r.inSLO += row.InSLO
+			r.requests += row.Asked
+			r.withinSLO += row.InSLO
 			r.firstToken.Merge(row.FirstToken)
 		}
 	}
 }
 
-func (r *fairnessResult) shareInSLO() float64 { return float64(r.inSLO) / float64(max(r.asked, 1)) }
+func (r *fairnessResult) shareWithinSLO() float64 {
+	return float64(r.withinSLO) / float64(max(r.requests, 1))
+}
 
-// print prints a line that compares with the result without a flood.
-func (r *fairnessResult) print(env *environment, dispatchers int, times float64, calm fairnessResult) {
+// print prints a line that compares a result with the result without a flood.
+func (r *fairnessResult) print(env *environment, dispatchers int, floodFactor float64, baseline fairnessResult) {
 	p99 := p99Millis(r.firstToken)
-	env.printf("%-12d %-8v %7d %8.3f %8.3f %8.0f %8.0f %8.2f\n", dispatchers, times, r.asked, r.shareInSLO(),
-		r.shareInSLO()/calm.shareInSLO(), quantileMillis(r.firstToken, 50), p99, p99/p99Millis(calm.firstToken))
+	env.printf("%-12d %-8v %7d %8.3f %8.3f %8.0f %8.0f %8.2f\n", dispatchers, floodFactor, r.requests, r.shareWithinSLO(),
+		r.shareWithinSLO()/baseline.shareWithinSLO(), quantileMillis(r.firstToken, 50),
+		p99, p99/p99Millis(baseline.firstToken))
 }
 
-// distribution returns the curve of the times to first token.
+// distribution returns the cumulative distribution of the time to first token.
 func (r *fairnessResult) distribution() plotter.XYs {
 	var points plotter.XYs
 	for percent := 1.0; percent < 100; percent += 0.5 {
@@ -128,11 +133,14 @@
 	return points
 }
 
-func (c *fairnessCommand) runOnce(ctx context.Context, env *environment, dispatchers int, times float64, seed int64) (
-	*audit.Verdict, error) {
+// runOnce runs one scenario in virtual time or over sockets. If floodFactor is above 1, one tenant sends that many
+// times its usual traffic for part of the scenario.
+func (c *fairnessCommand) runOnce(
+	ctx context.Context, env *environment, dispatchers int, floodFactor float64, seed int64,
+) (*audit.Verdict, error) {
 	text := fmt.Sprintf(`name: "flood" seconds: 20 rate: %v`, c.Rate)
-	if times > 1 {
-		text += fmt.Sprintf(` troubles { at_ms: 5000 kind: "tenant_burst" factor: %v for_ms: 12000 }`, times)
+	if floodFactor > 1 {
+		text += fmt.Sprintf(` troubles { at_ms: 5000 kind: "tenant_burst" factor: %v for_ms: 12000 }`, floodFactor)
 	}
 	script, err := scenarios.ReadScript("flood", []byte(text))
 	if err != nil {
--- a/internal/cli/parallel.go
+++ b/internal/cli/parallel.go
@@ -7,10 +7,11 @@
 	"golang.org/x/sync/errgroup"
 )
 
-// parallelRuns is how many runs in virtual time share the machine where their number is not given.
-const parallelRuns = 4
+// defaultParallelRuns is the number of runs in virtual time that execute at once in commands without a flag for it.
+const defaultParallelRuns = 4
 
-// runParallel runs jobs, at most limit of them at once and begun in their order. After an error no further job begins.
+// runParallel runs jobs, at most limit of them at once, and starts them in order. After an error it starts no further
+// job.
 func runParallel(limit int, jobs []func() error) error {
 	var group errgroup.Group
 	group.SetLimit(limit)
@@ -30,15 +31,15 @@
 	return group.Wait()
 }
 
-// seedRange is a range of seeds, both ends included.
+// seedRange is a range of seeds that includes both first and last.
 type seedRange struct {
 	first, last int64
 }
 
 func (r seedRange) count() int64 { return r.last - r.first + 1 }
 
-// forEach runs a job for each seed, so many at once, or as many as there are processors if workers is 0. After an
-// error, or once the context ends, no further job begins.
+// forEach runs a job for each seed, at most workers of them at once, or one for each processor if workers is 0. After
+// an error, or once ctx ends, it starts no further job.
 func (r seedRange) forEach(ctx context.Context, workers int, job func(seed int64) error) error {
 	if workers <= 0 {
 		workers = runtime.NumCPU()
--- a/internal/cli/plot.go
+++ b/internal/cli/plot.go
@@ -10,26 +10,27 @@
 
 const (
 	maxLatencyMicros = 60_000_000
-	latencyDigits    = 3 // significant ones of a histogram's values
+	latencyDigits    = 3 // significant decimal digits of the values in a histogram
 )
 
-// newLatencyHistogram counts times in µs.
+// newLatencyHistogram returns a histogram of durations in µs.
 func newLatencyHistogram() *hdrhistogram.Histogram {
 	return hdrhistogram.New(1, maxLatencyMicros, latencyDigits)
 }
 
-// quantileMillis returns a quantile, in percent, in ms.
+// quantileMillis returns the quantile at the given percentage, in ms.
 func quantileMillis(h *hdrhistogram.Histogram, percent float64) float64 {
 	return float64(h.ValueAtQuantile(percent)) / 1000
 }
 
-// p99Millis is the 99th percentile in ms.
+// p99Millis returns the 99th percentile in ms.
 func p99Millis(h *hdrhistogram.Histogram) float64 { return quantileMillis(h, 99) }
 
-// plotSize is in centimetres.
+// plotSize is the size of a plot in centimetres.
 type plotSize struct{ width, height vg.Length }
 
-// savePlot adds named curves or points to a plot and writes it to a file, if one is named.
+// savePlot adds items, which alternate between a name and its data, to a plot and writes the plot to a file. With an
+// empty path it does nothing.
 func savePlot(path string, p *plot.Plot, size plotSize, add func(*plot.Plot, ...any) error, items []any) error {
 	if path == "" {
 		return nil
--- a/internal/cli/program.go
+++ b/internal/cli/program.go
@@ -1,8 +1,9 @@
-// Package cli is the command line. Each command assembles parts of the program on event loops and runs them until they
-// are done or the program is asked to stop.
+// Package cli implements the command line. Each command assembles components of the program on event loops and runs
+// them until they finish or the program receives a stop signal.
 //
-// It owns flags, exit codes, ready files, cache files and the writing of logs. It relies on dispatch and admin for the
-// service itself and on the test bed for stand-ins, scenarios and their audit. It never takes a routing decision.
+// The package owns the flags, exit codes, ready files, cache files and log output. It relies on packages dispatch and
+// admin for the service itself and on the test bed for stand-in endpoints, scenarios and their audit. It never makes a
+// routing decision.
 package cli
 
 import (
@@ -27,51 +28,52 @@
 
 // commands is the root of the command line; kong derives the names of commands and flags from its fields.
 type commands struct {
-	LogLevel string `enum:"debug,info,warn,error" default:"info" help:"Lowest level that is logged, on standard error: ${enum}."`
+	LogLevel string `enum:"debug,info,warn,error" default:"info" help:"Lowest level that is logged to standard error: ${enum}."`
 
-	Up        upCommand        `cmd:"" help:"Run everything on this machine: stand-in endpoints, discovery and one dispatcher."`
+	Up        upCommand        `cmd:"" help:"Run stand-in endpoints, discovery, the admin service and one dispatcher on this machine."`
 	Serve     serveCommand     `cmd:"" help:"Run one dispatcher."`
-	Platform  platformCommand  `cmd:"" help:"Run one dispatcher on the users' platform, configured by BALANCER_CONFIG and others."`
-	Admin     adminCommand     `cmd:"" help:"Run the administration, by which tenants are added, limited and removed."`
-	Tenant    tenantCommand    `cmd:"" help:"Add, limit and remove tenants, and make their keys, over the administration's API."`
-	Endpoints endpointsCommand `cmd:"" name:"hosts" help:"Run the stand-in endpoints of a deployment, with their discovery."`
-	Discovery discoveryCommand `cmd:"" name:"roster" help:"Serve an endpoint list from a file, and push what changes in it."`
-	Scenario  scenarioCommand  `cmd:"" name:"day" help:"Run a scenario with dispatchers as processes of their own, and audit it."`
-	Audit     auditCommand     `cmd:"" help:"Audit a recorded scenario again."`
-	Bench     benchCommand     `cmd:"" help:"Measure what the dispatcher adds, against the same endpoints called directly."`
-	Fairness  fairnessCommand  `cmd:"" help:"Run scenarios in which one tenant floods, and compare what the other tenants get."`
-	Restarts  restartsCommand  `cmd:"" help:"Restart all dispatchers at once, with and without discovery, from lists of several ages."`
-	Batches   batchesCommand   `cmd:"" help:"Run chat with a flood of calls for embeddings, under learnt and fixed limits, and compare."`
-	Sim       simCommand       `cmd:"" help:"Run scenarios in virtual time with faults drawn from seeds; find, shrink and replay failures."`
+	Platform  platformCommand  `cmd:"" help:"Run one dispatcher on the users' platform, configured by BALANCER_CONFIG and other environment variables."`
+	Admin     adminCommand     `cmd:"" help:"Run the admin service, through which operators add, limit and remove tenants."`
+	Tenant    tenantCommand    `cmd:"" help:"Add, limit and remove tenants, and create and revoke their keys, over the admin API."`
+	Endpoints endpointsCommand `cmd:"" name:"hosts" help:"Run the stand-in endpoints of a deployment and their discovery service."`
+	Discovery discoveryCommand `cmd:"" name:"roster" help:"Serve the endpoint list of a file and push its changes to dispatchers."`
+	Scenario  scenarioCommand  `cmd:"" name:"day" help:"Run a scenario with each dispatcher in its own process, and audit it."`
+	Audit     auditCommand     `cmd:"" help:"Audit the record of an earlier scenario again."`
+	Bench     benchCommand     `cmd:"" help:"Measure the overhead of the dispatcher against direct calls to the same endpoints."`
+	Fairness  fairnessCommand  `cmd:"" help:"Run scenarios in which one tenant floods, and compare the service that the other tenants get."`
+	Restarts  restartsCommand  `cmd:"" help:"Restart all dispatchers at once from cached endpoint lists of several ages, with and without discovery."`
+	Batches   batchesCommand   `cmd:"" help:"Run chat beside a flood of embeddings calls, and compare adaptive with fixed limits on batches."`
+	Sim       simCommand       `cmd:"" help:"Run scenarios in virtual time with faults generated from seeds; find, shrink and replay failures."`
 	Store     storeCommand     `cmd:"" help:"Inspect an embedded store."`
-	Check     checkCommand     `cmd:"" help:"Check a deployment and name every fault."`
+	Check     checkCommand     `cmd:"" help:"Check a deployment and report every error in it."`
 	Version   versionCommand   `cmd:"" help:"Print the version."`
 }
 
-// environment is what every command writes to.
+// environment holds the outputs that every command writes to.
 type environment struct {
 	stdout io.Writer
 	stderr io.Writer
 	log    zerolog.Logger
 }
 
-// printf prints results to standard output. A reader that is gone must not end what runs, so errors are dropped.
+// printf prints results to standard output. It ignores write errors, so that a command goes on when whoever reads its
+// output has gone away.
 func (e *environment) printf(format string, args ...any) {
 	_, _ = fmt.Fprintf(e.stdout, format, args...)
 }
 
-// print prints texts to standard output.
+// print prints texts to standard output and ignores write errors.
 func (e *environment) print(texts ...string) {
 	_, _ = io.WriteString(e.stdout, strings.Join(texts, ""))
 }
 
-// reportf reports progress and details on standard error.
+// reportf prints progress and details to standard error and ignores write errors.
 func (e *environment) reportf(format string, args ...any) {
 	_, _ = fmt.Fprintf(e.stderr, format, args...)
 }
 
-// errRuleBroken says that a scenario ran and its audit found a violation.
-var errRuleBroken = errors.New("a rule was broken")
+// errRuleViolated reports that scenarios ran to their end but at least one of them failed its audit or another check.
+var errRuleViolated = errors.New("a rule was violated")
 
 // Exit codes of the program.
 const (
@@ -106,7 +108,7 @@
 	return runCommand(parsed, &root, stdout, stderr)
 }
 
-// runCommand runs the command that was parsed until it ends or a signal stops the program.
+// runCommand runs the parsed command until it returns. SIGINT and SIGTERM cancel the context that the command gets.
 func runCommand(parsed *kong.Context, root *commands, stdout, stderr io.Writer) int {
 	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
 	defer stop()
@@ -122,7 +124,7 @@
 	return exitOK
 }
 
-// newLogger logs as JSON lines, or in a form for people where the destination is a terminal.
+// newLogger returns a logger that writes JSON lines, or a human-readable format where the destination is a terminal.
 func newLogger(logs logWriter, destination io.Writer, levelName string) zerolog.Logger {
 	level, err := zerolog.ParseLevel(levelName)
 	if err != nil {
@@ -136,7 +138,7 @@
 	return zerolog.New(out).Level(level).With().Timestamp().Logger()
 }
 
-// loadDeployment reads a deployment, or returns the built-in one for an empty path.
+// loadDeployment reads a deployment from a file, or returns the built-in deployment if the path is empty.
 func loadDeployment(path string) (deployment.Deployment, error) {
 	if path == "" {
 		return deployment.Standard(), nil
@@ -144,7 +146,7 @@
 	return deployment.Load(path)
 }
 
-// seedOrRandom draws a seed where none was given.
+// seedOrRandom returns the given seed, or a random one if the given seed is 0.
 func seedOrRandom(given int64) int64 {
 	if given != 0 {
 		return given
--- a/internal/cli/scenario.go
+++ b/internal/cli/scenario.go
@@ -9,29 +9,29 @@
 	"plumspindle/internal/testbed/scenarios"
 )
 
-// maxLocalDispatchers is how many dispatcher processes one machine can run.
+// maxLocalDispatchers is the largest number of dispatcher processes that a scenario may run on one machine.
 const maxLocalDispatchers = 64
 
 type scenarioCommand struct {
-	Name        string `arg:"" help:"A built-in scenario (${days}) or a file with a scenario's script. Faults that a script may name: ${troubles}."`
+	Name        string `arg:"" help:"Built-in scenario (${days}) or file with the script of a scenario. Kinds of faults for scripts: ${troubles}."`
 	Seed        int64  `default:"1" help:"Seed of all random choices."`
 	Record      string `type:"path" help:"Folder that the record of the scenario is written to."`
-	Dispatchers int    `default:"3" help:"Number of dispatchers, each a process of its own."`
-	Virtual     bool   `help:"Run in virtual time, in this one process: the same code, no real waiting, the same run from the same seed."`
-	Keyed       bool   `help:"Clients send Idempotency-Keys and repeat what was cut off, at the same dispatcher."`
-	Intents     bool   `help:"Dispatchers record intents across their incarnations."`
-	Segment     int    `help:"With --virtual: bytes that arrive in one segment at most, cut at random; 0 for no cuts."`
-	Deployment  string `type:"existingfile" help:"Deployment with a fleet; the built-in one if none is given. Its tenants are replaced by three of the scenario's own."`
+	Dispatchers int    `default:"3" help:"Number of dispatchers, each in its own process."`
+	Virtual     bool   `help:"Run the same code in virtual time and in this process, without real waiting; the same seed gives the same run."`
+	Keyed       bool   `help:"Clients send Idempotency-Keys and retry broken streams at the same dispatcher."`
+	Intents     bool   `help:"Dispatchers keep an intent store across their incarnations."`
+	Segment     int    `help:"With --virtual: maximum size of a segment in bytes; segments are split at random. 0 for no splitting."`
+	Deployment  string `type:"existingfile" help:"File with a deployment that has a fleet; the built-in deployment if none is given. Three tenants of the scenario replace those of the deployment."`
 }
 
-// Run runs the scenario; a broken rule is an error.
+// Run runs the scenario and prints the verdict of its audit. A violated rule is an error.
 func (c *scenarioCommand) Run(ctx context.Context, env *environment) error {
 	script, err := scenarios.Find(c.Name)
 	if err != nil {
 		return err
 	}
 	if c.Dispatchers < 1 || c.Dispatchers > maxLocalDispatchers {
-		return fmt.Errorf("day: %d dispatchers; from 1 to %d can be played on one machine", c.Dispatchers,
+		return fmt.Errorf("day: %d dispatchers; one machine can run from 1 to %d", c.Dispatchers,
 			maxLocalDispatchers)
 	}
 	dep, err := loadDeployment(c.Deployment)
@@ -51,6 +51,7 @@
 	return printVerdict(env, verdict, err)
 }
 
+// runVirtual runs the scenario in virtual time and prints its trace hash and verdict. A request left open is an error.
 func (c *scenarioCommand) runVirtual(env *environment, run *scenarios.Run) error {
 	outcome, err := run.RunVirtual(c.Segment)
 	if err != nil {
@@ -58,12 +59,13 @@
 	}
 	env.printf("in virtual time, trace %016x\n", outcome.Trace)
 	if outcome.OpenRequests > 0 {
-		err = fmt.Errorf("%d generations were left over in the dispatchers", outcome.OpenRequests)
+		err = fmt.Errorf("%d requests were left open in the dispatchers", outcome.OpenRequests)
 	}
 	return printVerdict(env, outcome.Verdict, err)
 }
 
-// printVerdict prints a verdict, if there is one; the run's own error goes before a broken rule.
+// printVerdict prints a verdict, if there is one. It returns err if that is not nil, or errRuleViolated if the verdict
+// is not passed.
 func printVerdict(env *environment, verdict *audit.Verdict, err error) error {
 	if verdict != nil {
 		env.print(verdict.Text())
@@ -72,16 +74,16 @@
 		return err
 	}
 	if !verdict.Passed() {
-		return errRuleBroken
+		return errRuleViolated
 	}
 	return nil
 }
 
 type auditCommand struct {
-	Dir string `arg:"" type:"existingdir" help:"Folder that a scenario was recorded in."`
+	Dir string `arg:"" type:"existingdir" help:"Folder with the record of a scenario."`
 }
 
-// Run audits the record.
+// Run audits the record of a scenario and prints the verdict.
 func (c *auditCommand) Run(env *environment) error {
 	verdict, err := scenarios.JudgeRecorded(c.Dir)
 	return printVerdict(env, verdict, err)
--- a/internal/cli/sim_cover.go
+++ b/internal/cli/sim_cover.go
@@ -10,10 +10,10 @@
 )
 
 type simCover struct {
-	Seeds string `default:"1-300" help:"Seeds, as FIRST-LAST."`
+	Seeds string `default:"1-300" help:"Range of seeds, as FIRST-LAST."`
 }
 
-// Run runs a scenario for each seed and prints the transitions that none reached.
+// Run runs a scenario for each seed and prints the lifecycle transitions that no scenario reached.
 func (c *simCover) Run(ctx context.Context, env *environment) error {
 	seeds, err := parseSeeds(c.Seeds)
 	if err != nil {
@@ -35,7 +35,7 @@
 				reached[state][event] += outcome.Reached[state][event]
 			}
 		}
-		for _, pair := range pairsOfFaults(script) {
+		for _, pair := range concurrentFaultPairs(script) {
 			pairs[pair] = true
 		}
 		return nil
@@ -45,12 +45,13 @@
 	}
 	defined, covered := printUnreached(env, reached)
 	kinds := len(scenarios.FaultKinds())
-	env.printf("%d of the path's %d cells reached; %d of %d pairs of troubles within a second played\n",
+	env.printf("%d of %d lifecycle transitions covered; %d of %d pairs of faults within a second covered\n",
 		covered, defined, len(pairs), kinds*(kinds+1)/2)
 	return nil
 }
 
-// printUnreached prints the transitions that were never taken, and counts those that exist and those that were taken.
+// printUnreached prints the lifecycle transitions that were never taken, and returns how many are defined and how many
+// were taken.
 func printUnreached(env *environment, reached lifecycle.Coverage) (defined, covered int) {
 	for state := range lifecycle.Transitions {
 		for event, transition := range lifecycle.Transitions[state] {
@@ -60,7 +61,7 @@
 			case reached[state][event] > 0:
 				covered++
 			default:
-				env.printf("never: %v in %v\n", lifecycle.Event(event), lifecycle.State(state))
+				env.printf("not reached: event %v in state %v\n", lifecycle.Event(event), lifecycle.State(state))
 			}
 			defined++
 		}
--- a/internal/cli/sim_replay.go
+++ b/internal/cli/sim_replay.go
@@ -10,11 +10,11 @@
 )
 
 type simReplay struct {
-	drawnScenario
-	Trace string `help:"Request (as g17) or endpoint (as host:104) whose events are printed."`
+	scenarioSelection
+	Trace string `help:"Request (such as g17) or endpoint (such as host:104) whose events are printed."`
 }
 
-// Run runs one scenario and prints its verdict.
+// Run runs one scenario and prints its script and verdict.
 func (c *simReplay) Run(env *environment) error {
 	script, mutant, err := c.load()
 	if err != nil {
@@ -33,12 +33,12 @@
 		env.print(fault, "\n")
 	}
 	if len(outcome.Faults) > 0 {
-		return errRuleBroken
+		return errRuleViolated
 	}
 	return nil
 }
 
-// printEvents prints the events of what --trace names, among the faults that were injected.
+// printEvents prints the events of the request or endpoint that --trace names, and all injected faults.
 func (c *simReplay) printEvents(env *environment, events []record.Event) {
 	if len(events) == 0 {
 		return
@@ -53,27 +53,27 @@
 }
 
 type simShrink struct {
-	drawnScenario
-	Out string `type:"path" help:"File that the script is written to; it is printed otherwise."`
+	scenarioSelection
+	Out string `type:"path" help:"File that the script is written to; without it the script is printed."`
 }
 
-// Run reduces a scenario that fails.
+// Run shrinks a failing scenario and writes its script.
 func (c *simShrink) Run(env *environment) error {
 	script, mutant, err := c.load()
 	if err != nil {
 		return err
 	}
-	least, tried, err := faultsearch.Shrink(script, mutant, func(tried int, script *pb.Day) {
-		env.reportf("%d tried: %d troubles, %d s, %.1f generations a second\n",
-			tried, len(script.Troubles), script.Seconds, script.Rate)
+	shrunk, runs, err := faultsearch.Shrink(script, mutant, func(runs int, script *pb.Day) {
+		env.reportf("%d runs: %d faults, %d s, %.1f requests a second\n",
+			runs, len(script.Troubles), script.Seconds, script.Rate)
 	})
 	if err != nil {
 		return err
 	}
-	env.reportf("%d days were tried; %d troubles are left of %d\n", tried, len(least.Troubles), len(script.Troubles))
+	env.reportf("%d runs; %d of %d faults are left\n", runs, len(shrunk.Troubles), len(script.Troubles))
 	if c.Out != "" {
-		return os.WriteFile(c.Out, []byte(scriptText(least)), 0o644)
+		return os.WriteFile(c.Out, []byte(scriptText(shrunk)), 0o644)
 	}
-	env.print(scriptText(least))
+	env.print(scriptText(shrunk))
 	return nil
 }
--- a/internal/cli/sim_run.go
+++ b/internal/cli/sim_run.go
@@ -15,12 +15,12 @@
 )
 
 type simRun struct {
-	Seeds string  `default:"1-300" help:"Seeds, as FIRST-LAST."`
-	Jobs  int     `default:"0" help:"Scenarios at once; 0: as many as there are processors."`
-	Twice bool    `help:"Run each scenario twice and compare all that happened."`
-	Rate  float64 `default:"12" help:"Requests a second, about."`
-	For   int     `default:"7" help:"Seconds of a scenario."`
-	Save  string  `type:"path" help:"Folder that the scripts of scenarios that fail are written to."`
+	Seeds   string  `default:"1-300" help:"Range of seeds, as FIRST-LAST."`
+	Jobs    int     `default:"0" help:"Scenarios that run at once; 0 for one for each processor."`
+	Twice   bool    `help:"Run each scenario twice and compare the trace hashes."`
+	Rate    float64 `default:"12" help:"Approximate requests a second."`
+	Seconds int     `name:"for" default:"7" help:"Length of each scenario in seconds."`
+	Save    string  `type:"path" help:"Folder that the scripts of failing scenarios are written to."`
 }
 
 const (
@@ -29,20 +29,20 @@
 	scriptFileSuffix = ".day.textproto"
 )
 
-// pairCount counts the scenarios in which two kinds of faults began close together.
+// pairCount counts the scenarios that ran, and those that failed, with two kinds of faults beginning close together.
 type pairCount struct{ run, failed int }
 
-// simTotals sums up the scenarios of a search; its methods may be called from several goroutines.
+// simTotals holds the totals of all scenarios of a search. Its methods may be called from several goroutines.
 type simTotals struct {
 	mu           sync.Mutex
-	began        time.Time
-	reported     time.Time
+	startTime    time.Time
+	lastReport   time.Time
 	seeds        seedRange
 	scenarios    int
 	failed       int
 	steps        int
 	requests     int
-	combinedHash uint64 // of all that happened, whatever the order in which scenarios ended
+	combinedHash uint64 // of the traces of all scenarios; it does not depend on the order in which they end
 	pairs        map[string]*pairCount
 }
 
@@ -52,10 +52,10 @@
 	if err != nil {
 		return err
 	}
-	if c.For < minSimSeconds || c.Rate <= 0 {
-		return fmt.Errorf("sim: a day has %d s at least, and a rate above 0", minSimSeconds)
+	if c.Seconds < minSimSeconds || c.Rate <= 0 {
+		return fmt.Errorf("sim: a scenario must last at least %d s and have a rate above 0", minSimSeconds)
 	}
-	totals := &simTotals{began: time.Now(), reported: time.Now(), seeds: seeds, pairs: map[string]*pairCount{}}
+	totals := &simTotals{startTime: time.Now(), lastReport: time.Now(), seeds: seeds, pairs: map[string]*pairCount{}}
 	err = seeds.forEach(ctx, c.Jobs, func(seed int64) error {
 		outcome, err := c.runSeed(seed)
 		if err != nil {
@@ -76,16 +76,17 @@
 	if err != nil {
 		return err
 	}
-	totals.print(env, c.For)
+	totals.print(env, c.Seconds)
 	if totals.failed > 0 {
-		return errRuleBroken
+		return errRuleViolated
 	}
 	return nil
 }
 
-// runSeed runs the scenario of a seed, and with --twice compares it with a second run.
+// runSeed runs the scenario of a seed. With --twice it runs it again, and a difference between the two traces is a
+// fault.
 func (c *simRun) runSeed(seed int64) (*faultsearch.Outcome, error) {
-	script := faultsearch.Draw(seed, faultsearch.Size{Seconds: c.For, Rate: c.Rate})
+	script := faultsearch.Draw(seed, faultsearch.Size{Seconds: c.Seconds, Rate: c.Rate})
 	outcome, err := faultsearch.Run(script, nil)
 	if err != nil || !c.Twice {
 		return outcome, err
@@ -95,12 +96,12 @@
 		return nil, err
 	}
 	if again.Trace != outcome.Trace {
-		outcome.Faults = append(outcome.Faults, fmt.Sprintf("not the same twice: %x and %x", outcome.Trace, again.Trace))
+		outcome.Faults = append(outcome.Faults, fmt.Sprintf("two runs differ: traces %x and %x", outcome.Trace, again.Trace))
 	}
 	return outcome, nil
 }
 
-// save writes the script of a scenario that failed, if a folder is named.
+// save writes the script of a failed scenario to the folder that --save names, if any.
 func (c *simRun) save(script *pb.Day) error {
 	if c.Save == "" {
 		return nil
@@ -109,7 +110,7 @@
 	return errors.Join(os.MkdirAll(c.Save, 0o755), os.WriteFile(path, []byte(scriptText(script)), 0o644))
 }
 
-// add counts a scenario; the caller holds the mutex.
+// add adds the outcome of a scenario. The caller holds the mutex.
 func (t *simTotals) add(seed int64, outcome *faultsearch.Outcome) {
 	t.scenarios++
 	t.steps += outcome.Steps
@@ -123,7 +124,7 @@
 			t.requests += row.Asked
 		}
 	}
-	for _, pair := range pairsOfFaults(outcome.Script) {
+	for _, pair := range concurrentFaultPairs(outcome.Script) {
 		if t.pairs[pair] == nil {
 			t.pairs[pair] = &pairCount{}
 		}
@@ -134,29 +135,31 @@
 	}
 }
 
+// reportProgress prints the progress unless it did so within progressInterval. The caller holds the mutex.
 func (t *simTotals) reportProgress(env *environment) {
-	if time.Since(t.reported) <= progressInterval {
+	if time.Since(t.lastReport) <= progressInterval {
 		return
 	}
-	t.reported = time.Now()
-	env.reportf("%d of %d days, %d failed, %.0f s\n",
-		t.scenarios, t.seeds.count(), t.failed, time.Since(t.began).Seconds())
+	t.lastReport = time.Now()
+	env.reportf("%d of %d scenarios, %d failed, %.0f s\n",
+		t.scenarios, t.seeds.count(), t.failed, time.Since(t.startTime).Seconds())
 }
 
-// print prints the totals, and the pairs of faults in whose scenarios most failed. Scripts read its first line.
+// print prints the totals and the pairs of faults with the most failed scenarios. CI scripts parse the hash in its
+// first line.
 func (t *simTotals) print(env *environment, seconds int) {
-	took := time.Since(t.began).Seconds()
-	env.printf("%d days, %d generations, %d steps in %.1f s (%.0f times as fast as real, %.0f steps a second); "+
-		"%d failed; all that happened: %016x\n", t.scenarios, t.requests, t.steps, took,
-		float64(t.scenarios*seconds)/took, float64(t.steps)/took, t.failed, t.combinedHash)
-	env.printf("%d pairs of troubles within a second were played\n", len(t.pairs))
+	elapsedSeconds := time.Since(t.startTime).Seconds()
+	env.printf("%d scenarios, %d requests, %d steps in %.1f s (%.0f times real time, %.0f steps a second); "+
+		"%d failed; all that happened: %016x\n", t.scenarios, t.requests, t.steps, elapsedSeconds,
+		float64(t.scenarios*seconds)/elapsedSeconds, float64(t.steps)/elapsedSeconds, t.failed, t.combinedHash)
+	env.printf("%d pairs of faults within a second occurred\n", len(t.pairs))
 	failing := t.failingPairs()
 	for _, name := range failing[:min(len(failing), maxPrintedPairs)] {
-		env.printf("  %-34s in %4d days, of which %d failed\n", name, t.pairs[name].run, t.pairs[name].failed)
+		env.printf("  %-34s in %4d scenarios, of which %d failed\n", name, t.pairs[name].run, t.pairs[name].failed)
 	}
 }
 
-// failingPairs returns the pairs in whose scenarios any failed, those with most failures first.
+// failingPairs returns the pairs of faults with failed scenarios, those with the most failures first.
 func (t *simTotals) failingPairs() (names []string) {
 	for name, count := range t.pairs {
 		if count.failed > 0 {
