--- a/internal/cli/cachefile_test.go
+++ b/internal/cli/cachefile_test.go
@@ -8,16 +8,16 @@
 	"time"
 )
 
-// The disk stalls, and then a file can't be written at all: the loop never waits for it, the newest content is there
-// once it can be written, and the content before is not lost meanwhile.
+// A write stalls, as on a hanging disk, and later writes fail. Put must not block the event loop meanwhile, the newest
+// content must be written once writes succeed again, and the previous content must not be lost in between.
 func TestCacheFilesOnFailingDiskNeverBlockNorLoseContent(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "list")
-	if err := syscall.Mkfifo(path+".part", 0o600); err != nil { // opening it for writing waits for a reader
+	if err := syscall.Mkfifo(path+".part", 0o600); err != nil { // opening a pipe for writing blocks until it has a reader
 		t.Fatal(err)
 	}
 	file := newCacheFile(path, cacheOptions{keepPrevious: true, onError: func(error) {}})
 	file.Put([]byte("one"))
-	waitUntil(t, 10*time.Second, "the write into the pipe begins", func() bool { return len(file.pending) == 0 })
+	waitUntil(t, 10*time.Second, "start of the write into the pipe", func() bool { return len(file.pending) == 0 })
 	done := make(chan struct{})
 	go func() {
 		for _, b := range []string{"two", "three"} {
@@ -28,7 +28,7 @@
 	select {
 	case <-done:
 	case <-time.After(5 * time.Second):
-		t.Fatal("the loop waits for the disk")
+		t.Fatal("Put blocked while the disk stalled")
 	}
 	reader, err := os.OpenFile(path+".part", os.O_RDONLY, 0)
 	if err != nil {
@@ -36,7 +36,7 @@
 	}
 	t.Cleanup(func() { _ = reader.Close() })
 	waitForContent(t, path, "three")
-	if err := os.Mkdir(path+".part", 0o700); err != nil { // in the way of the next
+	if err := os.Mkdir(path+".part", 0o700); err != nil { // a folder at the temporary path makes the next write fail
 		t.Fatal(err)
 	}
 	if err := os.WriteFile(filepath.Join(path+".part", "x"), nil, 0o600); err != nil {
@@ -52,10 +52,10 @@
 	file.Close()
 }
 
-// waitForContent waits until a regular file has some content.
+// waitForContent waits until path is a regular file with the content want.
 func waitForContent(t *testing.T, path, want string) {
 	t.Helper()
-	waitUntil(t, 10*time.Second, path+" contains "+want, func() bool {
+	waitUntil(t, 10*time.Second, "content "+want+" in "+path, func() bool {
 		info, err := os.Lstat(path)
 		if err != nil || !info.Mode().IsRegular() {
 			return false
--- a/internal/cli/descriptors_test.go
+++ b/internal/cli/descriptors_test.go
@@ -11,13 +11,13 @@
 	"plumspindle/internal/testbed/scenarios"
 )
 
-// Dispatchers as processes run out of descriptors while requests are prefilled, migrated and decoded, and silent
-// clients occupy every descriptor that is released: requests in flight go on, new ones are rejected, no endpoint state
-// stays pinned, and once descriptors are free again service returns without a restart. The judgement is by what clients
-// and endpoints saw.
+// A dispatcher process runs out of file descriptors while requests are prefilled, migrated and decoded, and silent
+// clients occupy every descriptor that it releases. Requests in flight must continue, new ones must be rejected, no
+// prompt state may stay pinned on an endpoint, and once descriptors are free again service must return without a
+// restart. The audit judges the run by what clients and endpoints saw.
 func TestScenarioWithoutFreeDescriptors(t *testing.T) {
 	const (
-		begin, duration = 2500 * time.Millisecond, 3 * time.Second // of the shortage
+		begin, duration = 2500 * time.Millisecond, 3 * time.Second // of the descriptor shortage
 		requiredShare   = 0.9
 	)
 	script, err := scenarios.ReadScript("room", []byte(`name: "room" seconds: 11 rate: 40
@@ -39,20 +39,21 @@
 	}
 	t.Log(verdict.Text())
 	if !verdict.Passed() {
-		t.Error("a rule was broken")
+		t.Error("the audit found a violated rule")
 	}
-	asked, completed := run.CompletedInSecond(9)
-	if asked < 20 || float64(completed) < float64(asked)*requiredShare {
-		t.Errorf("with descriptors again %d of %d are completed", completed, asked)
+	requests, completed := run.CompletedInSecond(9)
+	if requests < 20 || float64(completed) < float64(requests)*requiredShare {
+		t.Errorf("after the shortage %d of %d requests completed", completed, requests)
 	}
-	if asked, completed = run.CompletedInSecond(4); asked < 10 || completed == asked {
-		t.Errorf("without descriptors %d of %d are completed: the shortage had no effect", completed, asked)
+	if requests, completed = run.CompletedInSecond(4); requests < 10 || completed == requests {
+		t.Errorf("during the shortage %d of %d requests completed, so that it had no effect", completed, requests)
 	}
 }
 
-// occupyDescriptors opens connections that say nothing, between two times from now on, and closes them at the end.
+// occupyDescriptors opens connections that send nothing, in the time span between from and to after its call, and
+// closes them at the end of the span.
 func occupyDescriptors(address string, from, to time.Duration) {
-	began, ticker := time.Now(), time.NewTicker(5*time.Millisecond)
+	startTime, ticker := time.Now(), time.NewTicker(5*time.Millisecond)
 	defer ticker.Stop()
 	var open []net.Conn
 	defer func() {
@@ -61,7 +62,7 @@
 		}
 	}()
 	for range ticker.C {
-		elapsed := time.Since(began)
+		elapsed := time.Since(startTime)
 		if elapsed > to {
 			return
 		}
--- a/internal/cli/logs_test.go
+++ b/internal/cli/logs_test.go
@@ -16,7 +16,8 @@
 	"golang.org/x/sys/unix"
 )
 
-// A dispatcher goes on serving, and ends gracefully, where whoever reads its logs stops reading or goes away.
+// A dispatcher must continue to serve, and shut down gracefully, when the reader of its logs stops reading or goes
+// away. Without the log writer a full pipe would block it, and SIGPIPE would kill it.
 func TestDispatcherServesWhenNobodyReadsItsLogs(t *testing.T) {
 	listen := freeAddress(t)
 	path := filepath.Join(t.TempDir(), "config.json")
@@ -25,7 +26,7 @@
 	if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	logs, end, err := os.Pipe()
+	logs, writeEnd, err := os.Pipe()
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -33,53 +34,54 @@
 		t.Fatal(err)
 	}
 	cmd := exec.Command(binary, "platform")
-	cmd.Env, cmd.Stderr = append(os.Environ(), "BALANCER_CONFIG="+path), end
+	cmd.Env, cmd.Stderr = append(os.Environ(), "BALANCER_CONFIG="+path), writeEnd
 	if err := cmd.Start(); err != nil {
 		t.Fatal(err)
 	}
-	_ = end.Close()
+	_ = writeEnd.Close()
 	ended := make(chan error, 1)
 	go func() { ended <- cmd.Wait() }()
 	t.Cleanup(func() { _ = cmd.Process.Kill() })
 	for lines := bufio.NewScanner(logs); ; {
 		if !lines.Scan() {
-			t.Fatal("it ended before it served")
+			t.Fatal("the dispatcher ended before it served requests")
 		}
 		if strings.Contains(lines.Text(), `"serving"`) {
 			break
 		}
 	}
 	client := http.Client{Timeout: time.Second, Transport: &http.Transport{DisableKeepAlives: true}}
-	serves := func(when string) {
+	checkServes := func(when string) {
 		t.Helper()
-		for rounds, began := 0, time.Now(); rounds < 100 || time.Since(began) < 2*time.Second; rounds++ { // a log line each
+		// Each round makes the dispatcher log a line.
+		for rounds, startTime := 0, time.Now(); rounds < 100 || time.Since(startTime) < 2*time.Second; rounds++ {
 			if err := cmd.Process.Signal(syscall.SIGHUP); err != nil {
 				t.Fatalf("%s: %v", when, err)
 			}
-			answer, err := client.Get("http://" + listen + "/up")
+			response, err := client.Get("http://" + listen + "/up")
 			if err != nil {
 				t.Fatalf("%s: %v", when, err)
 			}
-			_ = answer.Body.Close()
+			_ = response.Body.Close()
 		}
 	}
-	serves("logs that are not read")
+	checkServes("logs not read")
 	_ = logs.Close()
-	serves("logs whose reader is gone")
+	checkServes("log reader gone")
 	if err := cmd.Process.Signal(syscall.SIGTERM); err != nil {
 		t.Fatal(err)
 	}
 	select {
 	case err := <-ended:
 		if err != nil {
-			t.Errorf("ended with %v", err)
+			t.Errorf("the dispatcher ended with %v", err)
 		}
 	case <-time.After(10 * time.Second):
-		t.Error("it did not end")
+		t.Error("the dispatcher did not end within 10 s of SIGTERM")
 	}
 }
 
-// freeAddress is an address on loopback that nobody listens on.
+// freeAddress returns a loopback address that nothing listens on.
 func freeAddress(t *testing.T) string {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
--- a/internal/cli/program_test.go
+++ b/internal/cli/program_test.go
@@ -23,14 +23,14 @@
 	"plumspindle/internal/testbed/scenarios"
 )
 
-// binary is the program, built for the tests that run it as a process.
+// binary is the path of the program, which TestMain builds for tests that run it as a process.
 var binary string
 
 func TestMain(m *testing.M) {
-	os.Exit(buildAndRun(m))
+	os.Exit(buildAndRunTests(m))
 }
 
-func buildAndRun(m *testing.M) int {
+func buildAndRunTests(m *testing.M) int {
 	dir, err := os.MkdirTemp("", "plumspindle-test")
 	if err != nil {
 		panic(err)
@@ -44,18 +44,18 @@
 	return m.Run()
 }
 
-// waitUntil waits for a condition that nothing signals, such as one of another process.
+// waitUntil polls until a condition holds, such as one on another process, and fails the test after timeout.
 func waitUntil(t *testing.T, timeout time.Duration, what string, condition func() bool) {
 	t.Helper()
 	ctx, cancel := context.WithTimeout(context.Background(), timeout)
 	defer cancel()
 	if err := pollUntil(ctx, time.Millisecond, condition); err != nil {
-		t.Fatalf("%s: not within %v", what, timeout)
+		t.Fatalf("%s: not met within %v", what, timeout)
 	}
 }
 
-// startAll runs the up command until the test ends, which checks that it ends gracefully.
-func startAll(t *testing.T) scenarios.Ready {
+// startUp runs the up command until the test ends, and then checks that the command ends gracefully.
+func startUp(t *testing.T) scenarios.Ready {
 	t.Helper()
 	file := filepath.Join(t.TempDir(), "ready")
 	var out bytes.Buffer
@@ -88,13 +88,14 @@
 			openai.SystemMessage("You review."), openai.UserMessage("Is it good?")}}
 }
 
-// The official client library chats, streams, embeds and gets typed errors.
+// The official OpenAI client library can chat with and without streaming, list models and embed, and it receives errors
+// of the right type.
 func TestOfficialClientChatsStreamsEmbedsAndGetsTypedErrors(t *testing.T) {
-	ready := startAll(t)
+	ready := startUp(t)
 	ctx, cancel := context.WithTimeout(context.Background(), 30*time.Second)
 	defer cancel()
 	client := newClient(ready, ready.Key)
-	t.Run("answer in one piece", func(t *testing.T) { checkUnstreamedAnswer(ctx, t, client) })
+	t.Run("unstreamed answer", func(t *testing.T) { checkUnstreamedAnswer(ctx, t, client) })
 	t.Run("streamed answer", func(t *testing.T) { checkStreamedAnswer(ctx, t, client) })
 	t.Run("models", func(t *testing.T) { checkModels(ctx, t, client) })
 	t.Run("embeddings", func(t *testing.T) { checkEmbeddings(ctx, t, client) })
@@ -117,18 +118,18 @@
 	params := chatParams("review-post")
 	params.StreamOptions.IncludeUsage = openai.Bool(true)
 	stream := client.Chat.Completions.NewStreaming(ctx, params)
-	sum := openai.ChatCompletionAccumulator{}
+	accumulated := openai.ChatCompletionAccumulator{}
 	for stream.Next() {
-		if !sum.AddChunk(stream.Current()) {
-			t.Error("a chunk that does not fit")
+		if !accumulated.AddChunk(stream.Current()) {
+			t.Error("the accumulator rejected a chunk")
 		}
 	}
 	if err := stream.Err(); err != nil {
 		t.Fatal(err)
 	}
-	message := sum.Choices[0].Message
-	if message.Content == "" || message.Role != "assistant" || sum.Usage.TotalTokens == 0 {
-		t.Errorf("streamed answer: %+v", sum.ChatCompletion)
+	message := accumulated.Choices[0].Message
+	if message.Content == "" || message.Role != "assistant" || accumulated.Usage.TotalTokens == 0 {
+		t.Errorf("streamed answer: %+v", accumulated.ChatCompletion)
 	}
 }
 
@@ -165,7 +166,7 @@
 	_, err := client.Embeddings.New(ctx, openai.EmbeddingNewParams{Model: "embed",
 		Input: openai.EmbeddingNewParamsInputUnion{OfString: openai.String("")}})
 	if err == nil || !strings.Contains(err.Error(), "input[0]") {
-		t.Errorf("an empty input: %v", err)
+		t.Errorf("empty input: %v", err)
 	}
 }
 
@@ -182,9 +183,9 @@
 	}
 }
 
-// Thousands of clients connect at once; each is answered, and so is one that comes after them.
+// Thousands of clients connect at once. Each must be answered, and so must a client that connects after them.
 func TestFiveThousandClientsAtOnceAreAllAnswered(t *testing.T) {
-	ready := startAll(t)
+	ready := startUp(t)
 	address := strings.TrimPrefix(ready.API, "http://")
 	const clients = 5000
 	var wg sync.WaitGroup
@@ -192,7 +193,7 @@
 	statuses := map[string]int{}
 	for range clients {
 		wg.Go(func() {
-			status, err := statusOfOneCall(address, ready.Key)
+			status, err := statusOfCall(address, ready.Key)
 			if err != nil {
 				status = err.Error()
 			}
@@ -203,20 +204,20 @@
 	}
 	wg.Wait()
 	if statuses["200"] != clients {
-		t.Errorf("answers: %v", statuses)
+		t.Errorf("statuses: %v", statuses)
 	}
 	response, err := http.Get(ready.API + "/v1/models")
 	if err != nil {
-		t.Fatalf("afterwards: %v", err)
+		t.Fatalf("after the burst: %v", err)
 	}
 	defer func() { _ = response.Body.Close() }()
 	if response.StatusCode != 401 {
-		t.Errorf("afterwards: %v", response)
+		t.Errorf("after the burst: %v", response)
 	}
 }
 
-// statusOfOneCall lists the models on a connection of its own.
-func statusOfOneCall(address, key string) (string, error) {
+// statusOfCall lists the models over a new connection and returns the status of the response.
+func statusOfCall(address, key string) (string, error) {
 	conn, err := net.DialTimeout("tcp", address, 20*time.Second)
 	if err != nil {
 		return "", err
@@ -225,7 +226,7 @@
 	if err := conn.SetDeadline(time.Now().Add(30 * time.Second)); err != nil {
 		return "", err
 	}
-	// A write that fails shows as a read that fails.
+	// After a failed write the read below fails too.
 	_, _ = fmt.Fprintf(conn, "GET /v1/models HTTP/1.1\r\nHost: x\r\n"+
 		"Authorization: Bearer %s\r\nConnection: close\r\n\r\n", key)
 	const statusAt, statusEnd = len("HTTP/1.1 "), len("HTTP/1.1 200")
@@ -236,8 +237,8 @@
 	return string(head[statusAt:]), nil
 }
 
-// A short scenario over sockets, with a dispatcher killed and an endpoint crashed, passes its audit, and so does its
-// record.
+// A short scenario over sockets, with a dispatcher killed, an endpoint crashed and another drained, passes its audit,
+// and so does a second audit of its record. A scenario that does not exist is an error.
 func TestScenarioOverSocketsPassesAudit(t *testing.T) {
 	dir := t.TempDir()
 	script := filepath.Join(dir, "short.textproto")
@@ -258,11 +259,11 @@
 	}
 	out, err = exec.Command(binary, "day", filepath.Join(dir, "none")).CombinedOutput()
 	if err == nil || bytes.Contains(out, []byte("panic")) {
-		t.Errorf("a scenario that does not exist: %v\n%s", err, out)
+		t.Errorf("scenario that does not exist: %v\n%s", err, out)
 	}
 }
 
-// Bad arguments name what is wrong and do nothing.
+// Commands with bad arguments must fail with a message, and must not panic.
 func TestBadArgumentsFailWithMessage(t *testing.T) {
 	for _, args := range [][]string{
 		{"serve"},
