--- a/internal/cli/cachefile.go
+++ b/internal/cli/cachefile.go
@@ -26,7 +26,7 @@
 // cacheOptions configures a cacheFile.
 type cacheOptions struct {
 	keepPrevious bool        // keep the previous content in a file with previousSuffix
-	onError      func(error) // called from the writing goroutine, once for each content whose first write fails
+	onError      func(error) // called from the writing goroutine on the first failure of each series of attempts
 }
 
 // newCacheFile starts the goroutine that writes the file. Close stops it.
--- a/internal/cli/sim_run.go
+++ b/internal/cli/sim_run.go
@@ -32,7 +32,7 @@
 // pairCount counts the scenarios that ran, and those that failed, with two kinds of faults beginning close together.
 type pairCount struct{ run, failed int }
 
-// simTotals holds the totals of all scenarios of a search. Its methods may be called from several goroutines.
+// simTotals holds the totals of all scenarios of a search. mu guards them while scenarios run.
 type simTotals struct {
 	mu           sync.Mutex
 	startTime    time.Time
--- a/internal/cli/sim_worlds.go
+++ b/internal/cli/sim_worlds.go
@@ -62,7 +62,7 @@
 	Dispatchers int     `default:"160" help:"Number of dispatchers."`
 	Rate        float64 `default:"160" help:"Requests a second."`
 	Seconds     int     `name:"for" default:"10" help:"Length of the scenario in seconds."`
-	Restart     bool    `help:"Restart all prefill endpoints at once, halfway through the run."`
+	Restart     bool    `help:"Restart all prefill endpoints at once, after three tenths of the run."`
 }
 
 // largeEndpointsPerZone is the number of endpoints in each zone of the large deployment, by the kind of their group.
