--- a/internal/cli/tenants.go
+++ b/internal/cli/tenants.go
@@ -108,7 +108,7 @@
 	}
 )
 
-// Request and response bodies of the admin API, with their fields in alphabetical order.
+// Request and response bodies of the admin API. The fields of request bodies are in alphabetical order.
 type (
 	tenantCreation struct {
 		Limits tenantLimits `json:"limits"`
