--- a/internal/cli/batches.go
+++ b/internal/cli/batches.go
@@ -57,7 +57,7 @@
 
 // batchResult combines the results of all runs of one variant.
 type batchResult struct {
-	requests, withinSLO int // of chat
+	requests, withinSLO int // chat requests, and those of them within their SLO
 	tokens              int // prefilled for batches
 	wrongVectors        int // vectors that do not belong to their inputs
 	firstToken          *hdrhistogram.Histogram
@@ -66,6 +66,7 @@
 
 func (r *batchResult) passed() bool { return len(r.violations) == 0 && r.wrongVectors == 0 }
 
+// shareWithinSLO returns the share of chat requests within their SLO.
 func (r *batchResult) shareWithinSLO() float64 {
 	return float64(r.withinSLO) / float64(max(r.requests, 1))
 }
@@ -132,6 +133,7 @@
 	return capacity
 }
 
+// limitName returns the name of a limit in the printed table and the plot.
 func limitName(limit int) string {
 	switch limit {
 	case noBatches:
@@ -142,6 +144,7 @@
 	return strconv.Itoa(limit)
 }
 
+// tokensPerSecond returns the batch tokens that were prefilled in each second of the runs, on average.
 func (c *batchesCommand) tokensPerSecond(result *batchResult) float64 {
 	return float64(result.tokens) / float64(c.Seconds*c.Seeds)
 }
--- a/internal/cli/cachefile.go
+++ b/internal/cli/cachefile.go
@@ -51,6 +51,7 @@
 	f.pending <- content
 }
 
+// run writes each pending content until Close is called, and then makes one attempt to write what is still pending.
 func (f *cacheFile) run() {
 	defer close(f.stopped)
 	for {
@@ -94,6 +95,7 @@
 	}
 }
 
+// write makes one attempt to replace the content of the file.
 func (f *cacheFile) write(content []byte) error {
 	if f.keepPrevious {
 		// The rename fails if there is no file yet or the last write failed. The previous copy then stays.
--- a/internal/cli/fairness.go
+++ b/internal/cli/fairness.go
@@ -112,6 +112,7 @@
 	}
 }
 
+// shareWithinSLO returns the share of requests within their SLO.
 func (r *fairnessResult) shareWithinSLO() float64 {
 	return float64(r.withinSLO) / float64(max(r.requests, 1))
 }
--- a/internal/cli/restarts.go
+++ b/internal/cli/restarts.go
@@ -35,7 +35,7 @@
 // restartVariant is a combination of conditions whose restarts are compared with others.
 type restartVariant struct {
 	age       time.Duration // of the cached endpoint lists
-	replaced  float64       // share of the endpoints
+	replaced  float64       // share of the endpoints that were replaced during the downtime
 	discovery bool          // whether discovery is reachable
 }
 
--- a/internal/cli/up.go
+++ b/internal/cli/up.go
@@ -34,6 +34,7 @@
 	operatorKey string
 }
 
+// newLocalSecrets generates random secrets.
 func newLocalSecrets() (*localSecrets, error) {
 	s := &localSecrets{}
 	if _, err := crand.Read(s.sealingKey[:]); err != nil {
