--- a/internal/testbed/audit/audit.go
+++ b/internal/testbed/audit/audit.go
@@ -1,8 +1,9 @@
-// Package audit judges a scenario by the record of what clients and stand-in endpoints saw on their sockets.
+// Package audit checks the record of a scenario, which holds what clients and stand-in endpoints saw on their sockets,
+// against five rules.
 //
-// It owns the five rules and the excuses from them: a dispatcher that was killed, frozen or cut off is judged by what
-// it could do. It relies on the record and on the deployment's rules, and on nothing of the dispatcher: it never asks
-// one, and shares no code with it.
+// It owns the rules and the exemptions from them: a dispatcher that was killed, frozen or partitioned is only held to
+// what it was able to do. It relies on the record and on the deployment's rules, and on nothing of the dispatcher: it
+// never queries one, and shares no code with it.
 package audit
 
 import (
@@ -19,54 +20,56 @@
 	"plumspindle/internal/testbed/record"
 )
 
-// Violation is one violation of a rule.
+// Violation is one case in which a rule was broken.
 type Violation struct {
-	Line    int    // of the record, from 1
-	Request string // the client's id; empty where it is no single request's
+	Line    int    // of the event in the record, from 1
+	Request string // the client's request id; empty if no single request is concerned
 	Text    string
 }
 
-// Rule is the verdict on one rule.
-type Rule struct {
+// RuleResult is the result of checking one rule.
+type RuleResult struct {
 	Name       string
-	Checked    int
+	Checked    int // cases that were checked
 	Violations []Violation
 }
 
-// Row is the service of one product, of one tenant or of all.
+// Row sums up the requests of one product, of one tenant or of all, by their outcomes.
 type Row struct {
 	Name       string
-	Asked      int
+	Asked      int // all requests
 	Completed  int
 	InSLO      int
 	Rejected   int
 	Failed     int
-	Lost       int
+	Lost       int                     // any other outcome
 	Attempts   int                     // at endpoints
-	FirstToken *hdrhistogram.Histogram // µs
+	FirstToken *hdrhistogram.Histogram // time to first token, µs
 }
 
-// Verdict is all that is said of a scenario.
+// Verdict is the result of auditing a scenario.
 type Verdict struct {
-	Rules            [5]Rule
+	Rules            [5]RuleResult
 	Rows             []*Row
-	PeakSlowStartUse float64 // the largest share of its budget that an endpoint used during slow start
-	Service          float64 // revenue in the SLO time, and late by its share, over revenue asked for
-	Evidence         string  // the events of requests by which rules were broken; empty: none was
+	PeakSlowStartUse float64 // the largest share of its slow-start budget that any endpoint used
+	// Service is the share of the possible revenue that was earned: an answer within its SLO earns all of it, a late one
+	// the product's late share.
+	Service  float64
+	Evidence string // the events of requests in violation, as text; empty if no rule was broken
 }
 
 // Rules, by their index in a verdict.
 const (
 	ruleFinalAnswer = iota
-	ruleNoSecondRun
+	ruleRepeatedEffect
 	ruleDrains
 	ruleSlowStart
 	rulePinnedState
 )
 
-// ruleNames are part of what is printed.
-var ruleNames = [5]string{"one final answer", "no effect twice", "drains kept", "no cold host pushed over",
-	"nothing left pinned"}
+// ruleNames are the names of the rules in the printed verdict.
+var ruleNames = [5]string{"one final answer", "no repeated effect", "drains respected",
+	"no overload during slow start", "no state left pinned"}
 
 // Passed reports whether no rule was broken.
 func (v *Verdict) Passed() bool {
@@ -78,93 +81,93 @@
 	return true
 }
 
-// Times of a record are in µs.
+// Units of time; a record's times are in µs.
 const (
 	millisecond = 1000
 	second      = 1000 * millisecond
 )
 
 const (
-	// socketSlack is how far apart two sockets' events may be in one process's record.
+	// socketSlack is the tolerance between the times that one process records for events on two sockets.
 	socketSlack = 50 * millisecond
-	// virtualSlack is that in virtual time, beyond the network's latency on virtualHops hops.
+	// virtualSlack is that tolerance in virtual time, on top of the network's latency over virtualHops hops.
 	virtualSlack = 2 * millisecond
 	virtualHops  = 4
 )
 
-// attempt is a dispatcher's attempt at an endpoint.
+// attempt is a dispatcher's attempt of a request at an endpoint.
 type attempt struct {
 	line    int
 	event   record.Event // its arrival
-	takenAt int64        // when an endpoint that runs had it; never where none had
+	takenAt int64        // when the endpoint's process accepted it; never while it has not
 	end     int64        // 0: it is in flight
 }
 
-// never is a time that does not come.
+// never is later than any time in a record.
 const never = math.MaxInt64
 
-// judge is the state of judging one record. Times are in µs.
-type judge struct {
+// checker checks one record. Its times are in µs.
+type checker struct {
 	deployment deployment.Deployment
 	verdict    *Verdict
 	products   map[string]*pb.Product
-	// slack is socketSlack; in virtual time, where all events have one clock, they are apart by the network's latency
-	// only.
-	slack          int64
-	unavailable    map[string][]unavailability // by dispatcher
-	holdUps        map[string][]unavailability // by the test bed's loop
-	killed         map[string][]int64          // times, by a dispatcher's name with and without its incarnation
-	refused        map[string]int64            // when an endpoint said that it had not run an attempt
-	clientAttempts map[clientAttemptKey]*clientAttempt
-	clientOrder    []clientAttemptKey
-	attempts       map[string][]*attempt // by the dispatcher's request
-	attemptsByID   map[string]*attempt
-	ran            map[string][]int // lines, by the client's request
+	// slack is socketSlack, or less in virtual time: there all events share one clock, and differ by the network's
+	// latency only.
+	slack             int64
+	unavailable       map[string][]unavailability // by dispatcher
+	delays            map[string][]unavailability // by event loop of the test bed
+	killTimes         map[string][]int64          // by the dispatcher's name, with and without its incarnation
+	refusedAt         map[string]int64            // when an endpoint reported that it had not run an attempt, by attempt
+	clientAttempts    map[clientAttemptKey]*clientAttempt
+	clientAttemptKeys []clientAttemptKey
+	attempts          map[string][]*attempt // by the dispatcher's request id
+	attemptsByID      map[string]*attempt
+	runLines          map[string][]int // lines of the events of runs, by the client's request id
 }
 
-// Judge judges a record.
+// Judge checks a record against all rules and sums up the service that clients got.
 func Judge(dep deployment.Deployment, events []record.Event) *Verdict {
-	judging := &judge{
+	c := &checker{
 		deployment:     dep,
 		verdict:        &Verdict{},
 		products:       map[string]*pb.Product{},
 		slack:          socketSlack,
 		unavailable:    map[string][]unavailability{},
-		holdUps:        map[string][]unavailability{},
-		killed:         map[string][]int64{},
-		refused:        map[string]int64{},
+		delays:         map[string][]unavailability{},
+		killTimes:      map[string][]int64{},
+		refusedAt:      map[string]int64{},
 		clientAttempts: map[clientAttemptKey]*clientAttempt{},
 		attempts:       map[string][]*attempt{},
 		attemptsByID:   map[string]*attempt{},
-		ran:            map[string][]int{},
+		runLines:       map[string][]int{},
 	}
 	for i, name := range ruleNames {
-		judging.verdict.Rules[i].Name = name
+		c.verdict.Rules[i].Name = name
 	}
 	for _, product := range dep.Products {
-		judging.products[product.Name] = product
+		c.products[product.Name] = product
 	}
-	judging.gather(events)
-	judging.checkFinalAnswers(events)
-	judging.checkSecondRuns(events)
-	judging.checkDrains(events)
-	judging.checkSlowStart(events)
-	judging.checkPinnedState(events)
-	judging.summariseService(events)
-	judging.gatherEvidence(events)
-	return judging.verdict
+	c.gather(events)
+	c.checkFinalAnswers(events)
+	c.checkSecondRuns(events)
+	c.checkDrains(events)
+	c.checkSlowStart(events)
+	c.checkPinnedState(events)
+	c.summariseService(events)
+	c.gatherEvidence(events)
+	return c.verdict
 }
 
-// checked counts a case of a rule.
-func (j *judge) checked(rule int) { j.verdict.Rules[rule].Checked++ }
+// checked counts a case that a rule was checked for.
+func (c *checker) checked(rule int) { c.verdict.Rules[rule].Checked++ }
 
-// violation adds a violation of a rule.
-func (j *judge) violation(rule, line int, request, format string, args ...any) {
-	r := &j.verdict.Rules[rule]
+// violation adds a violation of a rule to the verdict.
+func (c *checker) violation(rule, line int, request, format string, args ...any) {
+	r := &c.verdict.Rules[rule]
 	r.Violations = append(r.Violations, Violation{Line: line, Request: request, Text: fmt.Sprintf(format, args...)})
 }
 
-// requestOf returns the dispatcher's request that an attempt's id belongs to.
+// requestOf returns the dispatcher's request id, which is an attempt's id without its last part.
 func requestOf(attemptID string) string {
 	if at := strings.LastIndexByte(attemptID, '-'); at >= 0 {
 		return attemptID[:at]
@@ -172,63 +175,64 @@
 	return attemptID
 }
 
-// refusals are the errors by which an endpoint says that it has not run an attempt.
+// refusals are the error codes with which an endpoint reports that it has not run an attempt.
 var refusals = []string{"full", "draining", "state_lost", "invalid_input"}
 
-// gather collects attempts with their ends, and when dispatchers could not act.
-func (j *judge) gather(events []record.Event) {
+// gather collects attempts with their ends, runs, refusals, the times at which dispatchers were unavailable or killed,
+// and the delays of the test bed.
+func (c *checker) gather(events []record.Event) {
 	inFlight := map[uint32][]*attempt{} // by endpoint
 	for i, event := range events {
 		switch event.Type {
 		case record.NetworkLatency:
-			j.slack = virtualHops*event.Count + virtualSlack
+			c.slack = virtualHops*event.Count + virtualSlack
 		case record.DispatcherUnavailable:
-			j.unavailable[event.Dispatcher] = append(j.unavailable[event.Dispatcher], unavailability{
+			c.unavailable[event.Dispatcher] = append(c.unavailable[event.Dispatcher], unavailability{
 				from: event.At, to: event.At + event.Count, partitioned: event.Detail == record.Partitioned})
 		case record.TestBedDelayed:
-			j.holdUps[event.Detail] = append(j.holdUps[event.Detail], unavailability{from: event.At - event.Count, to: event.At})
+			c.delays[event.Detail] = append(c.delays[event.Detail], unavailability{from: event.At - event.Count, to: event.At})
 		case record.DispatcherKilled:
-			j.gatherKill(event)
+			c.gatherKill(event)
 		case record.AttemptRefused:
-			if _, known := j.refused[event.Attempt]; !known && slices.Contains(refusals, event.Detail) {
-				j.refused[event.Attempt] = event.At
+			if _, known := c.refusedAt[event.Attempt]; !known && slices.Contains(refusals, event.Detail) {
+				c.refusedAt[event.Attempt] = event.At
 			}
 		case record.AttemptArrived:
-			if a := j.gatherAttempt(i+1, event); a != nil {
+			if a := c.gatherAttempt(i+1, event); a != nil {
 				inFlight[event.Endpoint] = append(inFlight[event.Endpoint], a)
 			}
 		case record.AttemptDeferred:
-			j.attemptsByID[event.Attempt].takenAt = never
+			c.attemptsByID[event.Attempt].takenAt = never
 		case record.AttemptTaken:
-			j.attemptsByID[event.Attempt].takenAt = event.At
+			c.attemptsByID[event.Attempt].takenAt = event.At
 		case record.ConnectionLost, record.AttemptAnswered, record.AttemptLeft:
-			j.attemptsByID[event.Attempt].finish(event.At)
+			c.attemptsByID[event.Attempt].finish(event.At)
 		case record.EndpointDown:
 			for _, a := range inFlight[event.Endpoint] {
 				a.finish(event.At)
 			}
 			delete(inFlight, event.Endpoint)
 		case record.AttemptRan:
-			j.ran[event.Request] = append(j.ran[event.Request], i+1)
+			c.runLines[event.Request] = append(c.runLines[event.Request], i+1)
 		}
 	}
 }
 
-// gatherAttempt adds an attempt; it returns nil for one that was sent before.
-func (j *judge) gatherAttempt(line int, event record.Event) *attempt {
-	if before := j.attemptsByID[event.Attempt]; before != nil {
-		j.violation(ruleNoSecondRun, line, event.Request, "leg %s was sent twice (first on line %d)",
+// gatherAttempt adds an attempt; it returns nil if one with the same id was sent before.
+func (c *checker) gatherAttempt(line int, event record.Event) *attempt {
+	if before := c.attemptsByID[event.Attempt]; before != nil {
+		c.violation(ruleRepeatedEffect, line, event.Request, "attempt %s was sent twice (first on line %d)",
 			event.Attempt, before.line)
 		return nil
 	}
 	a := &attempt{line: line, event: event, takenAt: event.At}
 	request := requestOf(event.Attempt)
-	j.attemptsByID[event.Attempt] = a
-	j.attempts[request] = append(j.attempts[request], a)
+	c.attemptsByID[event.Attempt] = a
+	c.attempts[request] = append(c.attempts[request], a)
 	return a
 }
 
-// finish ends an attempt that has not ended.
+// finish sets the time at which an attempt ended, unless it has ended already.
 func (a *attempt) finish(at int64) {
 	if a != nil && a.end == 0 {
 		a.end = at
--- a/internal/testbed/audit/audit_test.go
+++ b/internal/testbed/audit/audit_test.go
@@ -14,13 +14,13 @@
 	testProduct = "review-post"
 )
 
-// attemptEvent is an event of the first request's attempt at an endpoint.
+// attemptEvent returns an event of request g1's attempt at an endpoint.
 func attemptEvent(at int64, eventType record.EventType, kind, id string, endpoint uint32) record.Event {
 	return record.Event{At: at * ms, Type: eventType, Request: "g1", Attempt: id, Endpoint: endpoint, Dispatcher: "d1",
 		Product: testProduct, Detail: kind}
 }
 
-// finalEvent is the end of the first request's first attempt, as its client sees it.
+// finalEvent returns the final answer to the client's first attempt of request g1.
 func finalEvent(at int64, outcome string) record.Event {
 	return record.Event{At: at * ms, Type: record.FinalAnswer, Request: "g1", ClientAttempt: 1, Dispatcher: "d1",
 		Detail: outcome}
@@ -36,7 +36,8 @@
 	slowStartLoad   = 11
 )
 
-// cleanRecord is a small run without fault: a review that is prefilled, pinned, fetched, decoded and completed.
+// cleanRecord returns the record of a small run without faults: one request is prefilled, its state is pinned and
+// fetched, and it is decoded and completed.
 func cleanRecord() []record.Event {
 	final := finalEvent(901, record.Completed)
 	final.Exact = true
@@ -57,60 +58,60 @@
 	}
 }
 
-// doctor changes a record.
-type doctor func([]record.Event) []record.Event
+// edit modifies a record.
+type edit func([]record.Event) []record.Event
 
-func insert(at int, added ...record.Event) doctor {
+func insert(at int, added ...record.Event) edit {
 	return func(events []record.Event) []record.Event { return slices.Insert(events, at, added...) }
 }
 
-func change(at int, set func(*record.Event)) doctor {
+func change(at int, set func(*record.Event)) edit {
 	return func(events []record.Event) []record.Event {
 		set(&events[at])
 		return events
 	}
 }
 
-// fetchedLate has the decode deferred by its endpoint as it arrives, and the state fetched at 950 ms.
-func fetchedLate(before ...record.Event) doctor {
-	return inTurn(
+// fetchedLate defers the decode at its endpoint as it arrives, and has the state fetched at 950 ms only.
+func fetchedLate(before ...record.Event) edit {
+	return sequence(
 		change(stateFetched, func(event *record.Event) { event.At = 950 * ms }),
 		insert(stateFetched, before...),
 		insert(stateFetched, attemptEvent(92, record.AttemptDeferred, record.Decode, "d1-1-1", 2)),
 	)
 }
 
-// inTurn does one change after another.
-func inTurn(doctors ...doctor) doctor {
+// sequence applies edits one after the other.
+func sequence(edits ...edit) edit {
 	return func(events []record.Event) []record.Event {
-		for _, d := range doctors {
-			events = d(events)
+		for _, apply := range edits {
+			events = apply(events)
 		}
 		return events
 	}
 }
 
-func remove(from, to int) doctor {
+func remove(from, to int) edit {
 	return func(events []record.Event) []record.Event { return slices.Delete(events, from, to) }
 }
 
 func TestCleanRecordPasses(t *testing.T) {
 	verdict := Judge(deployment.Standard(), cleanRecord())
 	if !verdict.Passed() || verdict.Service != 1 || verdict.PeakSlowStartUse != 0.4 {
-		t.Errorf("the clean record:\n%s", verdict.Text())
+		t.Errorf("the clean record does not pass with full service:\n%s", verdict.Text())
 	}
 }
 
-func TestDoctoredRecordBreaksItsRuleAtItsLine(t *testing.T) {
+func TestEditedRecordBreaksItsRuleAtItsLine(t *testing.T) {
 	secondDecode := func(at int64) record.Event {
 		return attemptEvent(at, record.AttemptArrived, record.Decode, "d1-1-2", 1)
 	}
-	setOutcome := func(outcome string) doctor {
+	setOutcome := func(outcome string) edit {
 		return change(finalAnswer, func(event *record.Event) { event.Detail = outcome })
 	}
 	for _, test := range []struct {
 		name    string
-		doctor  doctor
+		edit    edit
 		rule    int
 		line    int
 		request string
@@ -120,49 +121,50 @@
 			ClientAttempt: 1, Detail: "event"}), ruleFinalAnswer, 11, "g1"},
 		{"no answer", remove(finalAnswer, finalAnswer+1), ruleFinalAnswer, 2, "g1"},
 		{"the client gave up", setOutcome(record.GaveUp), ruleFinalAnswer, 10, "g1"},
-		{"other bytes", change(finalAnswer, func(event *record.Event) { event.Exact = false }), ruleFinalAnswer, 10, "g1"},
+		{"an answer of other bytes", change(finalAnswer, func(event *record.Event) { event.Exact = false }), ruleFinalAnswer,
+			10, "g1"},
 		{"a decode ran twice", insert(finalAnswer, secondDecode(899), record.Event{At: 900 * ms, Type: record.AttemptRan,
-			Request: "g1", Attempt: "d1-1-2", Product: testProduct}), ruleNoSecondRun, 11, "g1"},
-		{"two attempts in flight", insert(decodeLeft, secondDecode(300)), ruleNoSecondRun, 9, "g1"},
-		{"rejected though it ran", setOutcome(record.Rejected), ruleNoSecondRun, 8, "g1"},
-		{"sent after a drain", inTurn(insert(finalAnswer, secondDecode(1200)), insert(1, record.Event{At: 500,
+			Request: "g1", Attempt: "d1-1-2", Product: testProduct}), ruleRepeatedEffect, 11, "g1"},
+		{"two attempts in flight", insert(decodeLeft, secondDecode(300)), ruleRepeatedEffect, 9, "g1"},
+		{"rejected though it ran", setOutcome(record.Rejected), ruleRepeatedEffect, 8, "g1"},
+		{"sent after a drain", sequence(insert(finalAnswer, secondDecode(1200)), insert(1, record.Event{At: 500,
 			Type: record.UpdateDelivered, Dispatcher: "d1", Endpoint: 1, Detail: "draining"})), ruleDrains, 11, "g1"},
 		{"too much during slow start", change(slowStartLoad, func(event *record.Event) { event.Value = 1.2 }),
 			ruleSlowStart, 12, ""},
-		{"an endpoint fell over", insert(12, record.Event{At: 1600 * ms, Type: record.EndpointOverloaded, Endpoint: 3}),
+		{"an endpoint is overloaded", insert(12, record.Event{At: 1600 * ms, Type: record.EndpointOverloaded, Endpoint: 3}),
 			ruleSlowStart, 13, ""},
-		{"a state stays pinned", inTurn(remove(stateFetched, stateFetched+1),
+		{"a state stays pinned", sequence(remove(stateFetched, stateFetched+1),
 			insert(11, record.Event{At: 3000 * ms, Type: record.RequestOver, Request: "g2"})), rulePinnedState, 4, "g1"},
-		{"a state is released too late", inTurn(remove(decodeArrived, finalAnswer+1), insert(decodeArrived,
+		{"a state is released too late", sequence(remove(decodeArrived, finalAnswer+1), insert(decodeArrived,
 			record.Event{At: 900 * ms, Type: record.StateReleased, Attempt: "d1-1-0", Endpoint: 1},
 			record.Event{At: 901 * ms, Type: record.FinalAnswer, Request: "g1", ClientAttempt: 1, Detail: record.Rejected})),
 			rulePinnedState, 4, "g1"},
 		{"a state waits for an endpoint that does not run", fetchedLate(), rulePinnedState, 4, "g1"},
-		{"a state waits for one that goes on too late",
+		{"a state waits for one that resumes too late",
 			fetchedLate(attemptEvent(940, record.AttemptTaken, record.Decode, "d1-1-1", 2)), rulePinnedState, 4, "g1"},
 	} {
 		t.Run(test.name, func(t *testing.T) {
-			verdict := Judge(deployment.Standard(), test.doctor(cleanRecord()))
+			verdict := Judge(deployment.Standard(), test.edit(cleanRecord()))
 			violations := verdict.Rules[test.rule].Violations
 			if len(violations) == 0 || violations[0].Line != test.line || violations[0].Request != test.request {
 				t.Errorf("want rule %d, line %d, request %q:\n%s", test.rule+1, test.line, test.request, verdict.Text())
 			}
 			if !strings.Contains(verdict.Text(), "BROKEN") {
-				t.Errorf("the text does not say so:\n%s", verdict.Text())
+				t.Errorf("the text does not contain BROKEN:\n%s", verdict.Text())
 			}
 		})
 	}
 }
 
-// A verdict on a broken rule comes with the events of its request, and with the hold-ups of the test bed.
+// The verdict on a broken rule contains the events of its request and the delays of the test bed.
 func TestEvidenceOfAViolation(t *testing.T) {
 	late := record.Event{At: 300 * ms, Type: record.TestBedDelayed, Detail: "hosts", Count: 120 * ms}
 	other := record.Event{At: 310 * ms, Type: record.RequestSent, Request: "g2", ClientAttempt: 1, Dispatcher: "d1"}
-	events := inTurn(remove(finalAnswer, finalAnswer+1), insert(decodeLeft, late, other))(cleanRecord())
+	events := sequence(remove(finalAnswer, finalAnswer+1), insert(decodeLeft, late, other))(cleanRecord())
 	evidence := Judge(deployment.Standard(), events).Evidence
-	for _, want := range []string{"generation g1 leg d1-1-0", "how hosts 120 ms"} {
+	for _, want := range []string{"request g1 attempt d1-1-0", "detail hosts 120 ms"} {
 		if !strings.Contains(evidence, want) {
-			t.Errorf("%q is missing in:\n%s", want, evidence)
+			t.Errorf("the evidence lacks %q:\n%s", want, evidence)
 		}
 	}
 	if clean := Judge(deployment.Standard(), cleanRecord()).Evidence; clean != "" {
@@ -175,6 +177,6 @@
 		Dispatcher: "d1"})(cleanRecord())
 	events[finalAnswer+1].Detail = record.Broken
 	if verdict := Judge(deployment.Standard(), events); !verdict.Passed() {
-		t.Errorf("a dispatcher that was killed is held to what was in flight:\n%s", verdict.Text())
+		t.Errorf("a killed dispatcher is blamed for a request in flight:\n%s", verdict.Text())
 	}
 }
--- a/internal/testbed/audit/drains.go
+++ b/internal/testbed/audit/drains.go
@@ -2,15 +2,15 @@
 
 import "plumspindle/internal/testbed/record"
 
-// checkDrains checks rule 3: nothing is sent to an endpoint that drains or is gone, a grace time after the dispatcher
-// was notified of that.
-func (j *judge) checkDrains(events []record.Event) {
+// checkDrains checks rule 3: a dispatcher sends nothing to an endpoint that drains or is gone, from a grace time after
+// it was notified of that.
+func (c *checker) checkDrains(events []record.Event) {
 	type watch struct {
 		dispatcher string
 		endpoint   uint32
 	}
-	notReady := map[watch]record.Event{} // the first update that said so
-	grace := int64(j.deployment.Rules.DrainGraceMs)*millisecond + j.slack
+	notReady := map[watch]record.Event{} // the update that first reported it
+	grace := int64(c.deployment.Rules.DrainGraceMs)*millisecond + c.slack
 	for i, event := range events {
 		key := watch{dispatcher: event.Dispatcher, endpoint: event.Endpoint}
 		switch event.Type {
@@ -21,15 +21,15 @@
 				notReady[key] = event
 			}
 		case record.AttemptArrived:
-			j.checked(ruleDrains)
+			c.checked(ruleDrains)
 			update, known := notReady[key]
 			if !known {
 				continue
 			}
-			due := j.availableFrom(event.Dispatcher, update.At) + grace
-			// What was sent in time may arrive late where the way to the endpoints was cut.
-			if event.At > due && !j.wasPartitioned(event.Dispatcher, due, event.At) {
-				j.violation(ruleDrains, i+1, event.Request, "sent to host %d, %d ms after %s was told that it is %s",
+			due := c.availableFrom(event.Dispatcher, update.At) + grace
+			// An attempt that was sent in time may arrive late if the dispatcher was partitioned from its endpoints.
+			if event.At > due && !c.wasPartitioned(event.Dispatcher, due, event.At) {
+				c.violation(ruleDrains, i+1, event.Request, "sent to endpoint %d, %d ms after %s was notified that it is %s",
 					event.Endpoint, (event.At-update.At)/millisecond, event.Dispatcher, update.Detail)
 			}
 		}
--- a/internal/testbed/audit/evidence.go
+++ b/internal/testbed/audit/evidence.go
@@ -7,31 +7,31 @@
 	"plumspindle/internal/testbed/record"
 )
 
-// maxEvidence is for how many requests the events are printed.
-const maxEvidence = 3
+// maxEvidenceRequests is the number of requests whose events are printed at most.
+const maxEvidenceRequests = 3
 
-// gatherEvidence notes the events of the requests by which rules were broken, among the faults and hold-ups of the run:
-// a violation that is seen once has to be explained from what is printed.
-func (j *judge) gatherEvidence(events []record.Event) {
-	requests := j.verdict.requestsInViolation()
+// gatherEvidence prints the events of the requests in violation, together with the run's faults and the test bed's
+// delays, into the verdict: a violation that cannot be reproduced has to be explained from the printed text.
+func (c *checker) gatherEvidence(events []record.Event) {
+	requests := c.verdict.requestsInViolation()
 	if len(requests) == 0 || len(events) == 0 {
 		return
 	}
 	var text strings.Builder
 	for i, event := range events {
-		if concernsAll(event) || requests[event.Request] {
+		if concernsAllRequests(event) || requests[event.Request] {
 			fmt.Fprintf(&text, "%6d %10.3f ms  %s\n", i+1, float64(event.At-events[0].At)/millisecond, event.Text())
 		}
 	}
-	j.verdict.Evidence = text.String()
+	c.verdict.Evidence = text.String()
 }
 
-// requestsInViolation returns the first requests by which rules were broken.
+// requestsInViolation returns the first requests that rules were broken for.
 func (v *Verdict) requestsInViolation() map[string]bool {
 	requests := map[string]bool{}
 	for _, rule := range v.Rules {
 		for _, violation := range rule.Violations {
-			if violation.Request != "" && len(requests) < maxEvidence {
+			if violation.Request != "" && len(requests) < maxEvidenceRequests {
 				requests[violation.Request] = true
 			}
 		}
@@ -39,8 +39,8 @@
 	return requests
 }
 
-// concernsAll reports whether an event may matter for any request.
-func concernsAll(event record.Event) bool {
+// concernsAllRequests reports whether an event may matter for any request.
+func concernsAllRequests(event record.Event) bool {
 	switch event.Type {
 	case record.FaultInjected, record.DispatcherKilled, record.DispatcherUnavailable, record.TestBedDelayed:
 		return true
--- a/internal/testbed/audit/finalanswers.go
+++ b/internal/testbed/audit/finalanswers.go
@@ -2,7 +2,7 @@
 
 import "plumspindle/internal/testbed/record"
 
-// clientAttemptKey names one attempt of a client's request.
+// clientAttemptKey identifies one attempt of a client's request.
 type clientAttemptKey struct {
 	request string
 	number  int // from 1
@@ -24,82 +24,83 @@
 	return clientAttemptKey{request: event.Request, number: event.ClientAttempt}
 }
 
-// checkFinalAnswers checks rule 1: one final answer for each attempt that a running dispatcher took, in time, and
-// nothing after it.
-func (j *judge) checkFinalAnswers(events []record.Event) {
+// checkFinalAnswers checks rule 1: each attempt that a running dispatcher accepted gets exactly one final answer, in
+// time, and nothing after it.
+func (c *checker) checkFinalAnswers(events []record.Event) {
 	for i, event := range events {
 		line := i + 1
 		switch event.Type {
 		case record.RequestSent:
 			key := keyOf(event)
-			if j.clientAttempts[key] == nil {
-				j.clientAttempts[key] = &clientAttempt{line: line, sentAt: event.At, timeLimit: int64(event.Value),
+			if c.clientAttempts[key] == nil {
+				c.clientAttempts[key] = &clientAttempt{line: line, sentAt: event.At, timeLimit: int64(event.Value),
 					dispatcher: event.Dispatcher, product: event.Product}
-				j.clientOrder = append(j.clientOrder, key)
+				c.clientAttemptKeys = append(c.clientAttemptKeys, key)
 			}
 		case record.FinalAnswer:
-			j.checkFinalAnswer(line, event)
+			c.checkFinalAnswer(line, event)
 		case record.BytesAfterFinal:
-			j.violation(ruleFinalAnswer, line, event.Request, "something came after the final answer (%s)", event.Detail)
+			c.violation(ruleFinalAnswer, line, event.Request, "data after the final answer (%s)", event.Detail)
 		case record.MalformedAnswer:
-			j.violation(ruleFinalAnswer, line, event.Request, "malformed: %s", event.Detail)
+			c.violation(ruleFinalAnswer, line, event.Request, "malformed answer: %s", event.Detail)
 		}
 	}
-	for _, key := range j.clientOrder {
-		j.checked(ruleFinalAnswer)
-		if a := j.clientAttempts[key]; a.finalAnswers == 0 {
-			j.violation(ruleFinalAnswer, a.line, key.request, "asked, and never answered")
+	for _, key := range c.clientAttemptKeys {
+		c.checked(ruleFinalAnswer)
+		if a := c.clientAttempts[key]; a.finalAnswers == 0 {
+			c.violation(ruleFinalAnswer, a.line, key.request, "sent, but never answered")
 		}
 	}
 }
 
-func (j *judge) checkFinalAnswer(line int, event record.Event) {
-	attempt := j.clientAttempts[keyOf(event)]
+func (c *checker) checkFinalAnswer(line int, event record.Event) {
+	attempt := c.clientAttempts[keyOf(event)]
 	if attempt == nil {
-		j.violation(ruleFinalAnswer, line, event.Request, "an answer to what was never asked")
+		c.violation(ruleFinalAnswer, line, event.Request, "an answer to an attempt that was never sent")
 		return
 	}
 	if attempt.finalAnswers++; attempt.finalAnswers > 1 {
-		j.violation(ruleFinalAnswer, line, event.Request, "a second final answer (%s after %s) to try %d",
+		c.violation(ruleFinalAnswer, line, event.Request, "a second final answer (%s after %s) to client attempt %d",
 			event.Detail, attempt.outcome, event.ClientAttempt)
 		return
 	}
 	attempt.outcome, attempt.finalAt = event.Detail, event.At
 	switch {
 	case event.Detail == record.Completed && !event.Exact:
-		j.violation(ruleFinalAnswer, line, event.Request, "streamed, but not byte for byte what the writer gave")
-	case event.Detail != record.Completed && event.Count == 0 && j.isLate(attempt, event):
-		j.violation(ruleFinalAnswer, line, event.Request, "answered %d ms after the client's time (%s, try %d)",
+		c.violation(ruleFinalAnswer, line, event.Request, "completed, but not byte for byte what the decode endpoint sent")
+	case event.Detail != record.Completed && event.Count == 0 && c.isLate(attempt, event):
+		c.violation(ruleFinalAnswer, line, event.Request,
+			"answered %d ms after the client's time limit (%s, client attempt %d)",
 			(event.At-attempt.sentAt-attempt.timeLimit)/millisecond, event.Detail, event.ClientAttempt)
 	case event.Detail == record.Completed, event.Detail == record.Rejected, event.Detail == record.Failed:
-	case !j.isExcused(attempt, event):
-		j.violation(ruleFinalAnswer, line, event.Request, "no final answer to try %d: %s",
+	case !c.isExcused(attempt, event):
+		c.violation(ruleFinalAnswer, line, event.Request, "no final answer to client attempt %d: %s",
 			event.ClientAttempt, event.Detail)
 	}
 }
 
-// isLate reports whether an answer came after the client's time limit from a dispatcher that could have answered
-// before.
-func (j *judge) isLate(a *clientAttempt, event record.Event) bool {
+// isLate reports whether an answer came after the client's time limit although the dispatcher could have sent it in
+// time.
+func (c *checker) isLate(a *clientAttempt, event record.Event) bool {
 	due := a.sentAt + a.timeLimit
-	return a.timeLimit > 0 && event.At-j.heldUp(record.ClientsLoop, due, event.At) > due+j.slack &&
-		!j.wasFrozen(event.Dispatcher, a.sentAt) && !j.wasFrozen(event.Dispatcher, due)
+	return a.timeLimit > 0 && event.At-c.delayWithin(record.ClientsLoop, due, event.At) > due+c.slack &&
+		!c.wasFrozen(event.Dispatcher, a.sentAt) && !c.wasFrozen(event.Dispatcher, due)
 }
 
-// isExcused reports whether a dispatcher could not give a final answer.
-func (j *judge) isExcused(a *clientAttempt, event record.Event) bool {
+// isExcused reports whether the dispatcher was unable to give a final answer, or the client to read it.
+func (c *checker) isExcused(a *clientAttempt, event record.Event) bool {
 	switch event.Detail {
 	case record.Broken:
-		return j.wasKilled(withoutIncarnation(event.Dispatcher), a.sentAt, event.At)
+		return c.wasKilled(withoutIncarnation(event.Dispatcher), a.sentAt, event.At)
 	case record.GaveUp:
-		// A client that was held up at its time may have had the answer, and not read it.
+		// A client whose event loop was delayed around its time limit may have received the answer without reading it.
 		due := a.sentAt + a.timeLimit
-		if a.timeLimit > 0 && j.heldUp(record.ClientsLoop, due-j.slack, event.At) > 0 {
+		if a.timeLimit > 0 && c.delayWithin(record.ClientsLoop, due-c.slack, event.At) > 0 {
 			return true
 		}
-		// A dispatcher that was frozen when the request came counts the client's time from when it read it.
-		return j.wasKilled(withoutIncarnation(event.Dispatcher), a.sentAt, event.At) ||
-			j.wasFrozen(event.Dispatcher, a.sentAt) || j.wasFrozen(event.Dispatcher, event.At)
+		// A dispatcher that was frozen when the request arrived counts the client's time limit from when it read it.
+		return c.wasKilled(withoutIncarnation(event.Dispatcher), a.sentAt, event.At) ||
+			c.wasFrozen(event.Dispatcher, a.sentAt) || c.wasFrozen(event.Dispatcher, event.At)
 	}
 	return false
 }
--- a/internal/testbed/audit/pinnedstate.go
+++ b/internal/testbed/audit/pinnedstate.go
@@ -2,21 +2,22 @@
 
 import "plumspindle/internal/testbed/record"
 
-// pinnedState is what a prefill left at an endpoint.
+// pinnedState is a KV state that a prefill left at an endpoint.
 type pinnedState struct {
 	line  int
 	event record.Event
 }
 
-// checkPinnedState checks rule 5: no state waits for longer than it may while no attempt of its request is in flight.
-func (j *judge) checkPinnedState(events []record.Event) {
+// checkPinnedState checks rule 5: no state stays pinned beyond its time limit while no attempt of its request is in
+// flight.
+func (c *checker) checkPinnedState(events []record.Event) {
 	if len(events) == 0 {
 		return
 	}
-	pinned := map[string]pinnedState{} // by attempt
+	pinned := map[string]pinnedState{} // by the prefill's attempt
 	release := func(attemptID string, at int64) {
 		if state, known := pinned[attemptID]; known {
-			j.checkReleased(state, at)
+			c.checkReleased(state, at)
 			delete(pinned, attemptID)
 		}
 	}
@@ -40,35 +41,35 @@
 	}
 }
 
-// checkReleased checks a state that was pinned until a time: the spans in which no attempt was in flight, between the
-// ends and the beginnings of the others. An attempt is in flight once an endpoint that runs has taken it; that it came
-// over the socket is not enough.
-func (j *judge) checkReleased(state pinnedState, until int64) {
-	j.checked(rulePinnedState)
+// checkReleased checks a state that was pinned until a given time. It measures the longest span in which no attempt of
+// the request was in flight. An attempt is in flight once the endpoint's process has accepted it; its arrival at the
+// endpoint's socket is not enough.
+func (c *checker) checkReleased(state pinnedState, until int64) {
+	c.checked(rulePinnedState)
 	dispatcher := state.event.Dispatcher
-	if j.wasKilled(dispatcher, state.event.At, until) {
+	if c.wasKilled(dispatcher, state.event.At, until) {
 		return
 	}
 	idleFrom, longest := state.event.At, int64(0)
-	for _, a := range j.attempts[requestOf(state.event.Attempt)] {
+	for _, a := range c.attempts[requestOf(state.event.Attempt)] {
 		end := a.end
 		if end == 0 {
 			end = until
 		}
 		if a.takenAt < until && end > idleFrom {
-			longest = max(longest, j.waited(dispatcher, idleFrom, a.takenAt))
+			longest = max(longest, c.waitTime(dispatcher, idleFrom, a.takenAt))
 			idleFrom = end
 		}
 	}
-	longest = max(longest, j.waited(dispatcher, idleFrom, until))
-	if longest > int64(j.deployment.Rules.LetGoMs)*millisecond+j.slack {
-		j.violation(rulePinnedState, state.line, state.event.Request, "the state of leg %s waited for %d ms with no leg out",
-			state.event.Attempt, longest/millisecond)
+	longest = max(longest, c.waitTime(dispatcher, idleFrom, until))
+	if longest > int64(c.deployment.Rules.LetGoMs)*millisecond+c.slack {
+		c.violation(rulePinnedState, state.line, state.event.Request,
+			"the state of attempt %s was pinned for %d ms with no attempt in flight", state.event.Attempt, longest/millisecond)
 	}
 }
 
-// waited returns for how long a state waited for an available dispatcher, by hosts that were not held up: they record
-// late what came while they were.
-func (j *judge) waited(dispatcher string, from, to int64) int64 {
-	return j.longestAvailable(dispatcher, from, to) - j.heldUp(record.HostsLoop, from, to)
+// waitTime returns how long a state waited within a span for a dispatcher that was available. It leaves out the time in
+// which the endpoints' event loop was delayed, as they record late what arrives during a delay.
+func (c *checker) waitTime(dispatcher string, from, to int64) int64 {
+	return c.longestAvailable(dispatcher, from, to) - c.delayWithin(record.HostsLoop, from, to)
 }
--- a/internal/testbed/audit/recorded_test.go
+++ b/internal/testbed/audit/recorded_test.go
@@ -39,8 +39,8 @@
 	return events
 }
 
-// Records that the real code made, one for each rule with a fault injected: each is rejected for that rule alone. The
-// same runs without the fault pass, and each rule was checked in them.
+// The testdata holds records of runs of the real code. For each rule there is one with an injected fault, which breaks
+// that rule alone. The same runs without the fault pass, with each rule checked at least once.
 func TestRecordedRunsBreakTheirRuleAlone(t *testing.T) {
 	const minFiles, wantFaults = 8, 5
 	files, err := filepath.Glob("testdata/*.ndjson.gz")
@@ -65,6 +65,6 @@
 		})
 	}
 	if faults != wantFaults {
-		t.Errorf("%d records with a fault", faults)
+		t.Errorf("%d records with a fault, want %d", faults, wantFaults)
 	}
 }
--- a/internal/testbed/audit/service.go
+++ b/internal/testbed/audit/service.go
@@ -10,13 +10,13 @@
 )
 
 const (
-	maxFirstToken      = 60 * second
-	latencyDigits      = 3
-	maxShownViolations = 20 // of a rule
+	maxFirstToken      = 60 * second // longer times to first token are not counted
+	latencyDigits      = 3           // significant digits
+	maxShownViolations = 20          // of each rule
 )
 
-// summariseService sums up the service by product and tenant.
-func (j *judge) summariseService(events []record.Event) {
+// summariseService sums up the finished requests by product and by tenant, and the revenue that was earned.
+func (c *checker) summariseService(events []record.Event) {
 	attempts := map[string]int{} // by request
 	for _, event := range events {
 		if event.Type == record.AttemptArrived {
@@ -30,7 +30,7 @@
 			continue
 		}
 		revenue, lateShare := 1.0, 0.0
-		if product := j.products[event.Product]; product != nil {
+		if product := c.products[event.Product]; product != nil {
 			revenue, lateShare = product.Revenue, product.LateShare
 		}
 		asked += revenue
@@ -48,21 +48,21 @@
 		}
 	}
 	for _, name := range sortedKeys(rows) {
-		j.verdict.Rows = append(j.verdict.Rows, rows[name])
+		c.verdict.Rows = append(c.verdict.Rows, rows[name])
 	}
 	if asked > 0 {
-		j.verdict.Service = earned / asked
+		c.verdict.Service = earned / asked
 	}
 }
 
-// add adds a request that is over.
+// add counts a finished request.
 func (r *Row) add(event record.Event, attempts int) {
 	r.Asked++
 	r.Attempts += attempts
 	switch event.Detail {
 	case record.Completed:
 		r.Completed++
-		_ = r.FirstToken.RecordValue(max(event.Count, 1)) // beyond the histogram's range it is lost
+		_ = r.FirstToken.RecordValue(max(event.Count, 1)) // an error means that it is beyond the histogram's range
 		if event.Exact {
 			r.InSLO++
 		}
@@ -78,13 +78,13 @@
 // Text returns the verdict as it is printed.
 func (v *Verdict) Text() string {
 	var text strings.Builder
-	fmt.Fprintf(&text, "%-24s %6s %9s %7s %9s %10s %6s %9s %9s %5s\n", "", "asked", "streamed", "in SLO", "throttled",
-		"terminated", "other", "p50 ms", "p99 ms", "legs")
+	fmt.Fprintf(&text, "%-24s %6s %9s %7s %9s %10s %6s %9s %9s %5s\n", "", "total", "completed", "in SLO", "rejected",
+		"failed", "other", "p50 ms", "p99 ms", "attempts")
 	for _, row := range v.Rows {
 		text.WriteString(row.text())
 	}
-	fmt.Fprintf(&text, "service %.3f (revenue in its SLO time, late by its share, over revenue asked for); "+
-		"cold budget used at most %.2f\n", v.Service, v.PeakSlowStartUse)
+	fmt.Fprintf(&text, "service %.3f (share of the revenue that was earned; a late answer earns its late share); "+
+		"slow-start budget used at most %.2f\n", v.Service, v.PeakSlowStartUse)
 	for i, rule := range v.Rules {
 		text.WriteString(rule.text(i + 1))
 	}
@@ -101,9 +101,9 @@
 		millis(50), millis(99), share(r.Attempts))
 }
 
-func (r Rule) text(number int) string {
+func (r RuleResult) text(number int) string {
 	if len(r.Violations) == 0 {
-		return fmt.Sprintf("rule %d, %s: kept (%d checked)\n", number, r.Name, r.Checked)
+		return fmt.Sprintf("rule %d, %s: passed (%d checked)\n", number, r.Name, r.Checked)
 	}
 	var text strings.Builder
 	fmt.Fprintf(&text, "rule %d, %s: BROKEN %d times (%d checked)\n", number, r.Name, len(r.Violations), r.Checked)
@@ -112,7 +112,7 @@
 			fmt.Fprintf(&text, "  and %d more\n", len(r.Violations)-i)
 			break
 		}
-		fmt.Fprintf(&text, "  line %d, generation %s: %s\n", violation.Line, violation.Request, violation.Text)
+		fmt.Fprintf(&text, "  line %d, request %s: %s\n", violation.Line, violation.Request, violation.Text)
 	}
 	return text.String()
 }
--- a/internal/testbed/audit/unavailability.go
+++ b/internal/testbed/audit/unavailability.go
@@ -6,29 +6,32 @@
 	"plumspindle/internal/testbed/record"
 )
 
-// unavailability is a span in which a dispatcher could not meet all its obligations: it was frozen, or it was
-// partitioned from its endpoints. While partitioned it still has to answer its clients.
+// unavailability is a span in which a dispatcher could not meet all its obligations because it was frozen or
+// partitioned from its endpoints. A partitioned dispatcher still has to answer its clients. The type also holds the
+// spans in which an event loop of the test bed was delayed.
 type unavailability struct {
 	from, to    int64
 	partitioned bool
 }
 
-// withoutIncarnation returns a dispatcher's name without its incarnation: a client can't tell which one it has reached.
+// withoutIncarnation returns a dispatcher's name without its incarnation: clients only know that name, as they can't
+// tell which incarnation they have reached.
 func withoutIncarnation(dispatcher string) string {
 	name, _, _ := strings.Cut(dispatcher, ".")
 	return name
 }
 
-func (j *judge) gatherKill(event record.Event) {
-	j.killed[event.Dispatcher] = append(j.killed[event.Dispatcher], event.At)
+// gatherKill adds a kill under the dispatcher's name with and without its incarnation.
+func (c *checker) gatherKill(event record.Event) {
+	c.killTimes[event.Dispatcher] = append(c.killTimes[event.Dispatcher], event.At)
 	if name := withoutIncarnation(event.Dispatcher); name != event.Dispatcher {
-		j.killed[name] = append(j.killed[name], event.At)
+		c.killTimes[name] = append(c.killTimes[name], event.At)
 	}
 }
 
 // wasKilled reports whether a dispatcher was killed in a span.
-func (j *judge) wasKilled(dispatcher string, from, to int64) bool {
-	for _, at := range j.killed[dispatcher] {
+func (c *checker) wasKilled(dispatcher string, from, to int64) bool {
+	for _, at := range c.killTimes[dispatcher] {
 		if at >= from-socketSlack && at <= to+socketSlack {
 			return true
 		}
@@ -37,8 +40,8 @@
 }
 
 // wasFrozen reports whether a dispatcher was frozen at a time.
-func (j *judge) wasFrozen(dispatcher string, at int64) bool {
-	for _, span := range j.unavailable[dispatcher] {
+func (c *checker) wasFrozen(dispatcher string, at int64) bool {
+	for _, span := range c.unavailable[dispatcher] {
 		if !span.partitioned && span.from-socketSlack <= at && span.to+socketSlack >= at {
 			return true
 		}
@@ -47,8 +50,8 @@
 }
 
 // wasPartitioned reports whether a dispatcher was partitioned for a whole span.
-func (j *judge) wasPartitioned(dispatcher string, from, to int64) bool {
-	for _, span := range j.unavailable[dispatcher] {
+func (c *checker) wasPartitioned(dispatcher string, from, to int64) bool {
+	for _, span := range c.unavailable[dispatcher] {
 		if span.partitioned && span.from-socketSlack <= from && to <= span.to+socketSlack {
 			return true
 		}
@@ -56,13 +59,13 @@
 	return false
 }
 
-// availableFrom returns the end of the span in which a dispatcher was unavailable at a time, or just before it; the
-// time itself where it was available. One span may run into the next.
-func (j *judge) availableFrom(dispatcher string, at int64) int64 {
+// availableFrom returns the time from which a dispatcher was available again that was unavailable at a given time, or
+// just before it. It returns the given time if the dispatcher was available. Spans that overlap count as one.
+func (c *checker) availableFrom(dispatcher string, at int64) int64 {
 	end := at
 	for extended := true; extended; {
 		extended = false
-		for _, span := range j.unavailable[dispatcher] {
+		for _, span := range c.unavailable[dispatcher] {
 			if span.from-socketSlack <= end && span.to+socketSlack > end {
 				end, extended = span.to+socketSlack, true
 			}
@@ -71,16 +74,16 @@
 	return end
 }
 
-// longestAvailable returns the longest time within a span in which a dispatcher was available without a break: an
-// obligation from before counts from its return.
-func (j *judge) longestAvailable(dispatcher string, from, to int64) (longest int64) {
+// longestAvailable returns the longest time within a span for which a dispatcher was available without a break. Its
+// obligations from before a break are timed anew from its return.
+func (c *checker) longestAvailable(dispatcher string, from, to int64) (longest int64) {
 	for from < to {
-		if available := j.availableFrom(dispatcher, from); available > from {
+		if available := c.availableFrom(dispatcher, from); available > from {
 			from = available
 			continue
 		}
 		next := to
-		for _, span := range j.unavailable[dispatcher] {
+		for _, span := range c.unavailable[dispatcher] {
 			if span.from-socketSlack > from {
 				next = min(next, span.from-socketSlack)
 			}
@@ -91,10 +94,11 @@
 	return longest
 }
 
-// heldUp returns for how long a loop of the test bed was held up within a span. What it records then comes late.
-func (j *judge) heldUp(loop string, from, to int64) (total int64) {
-	for _, holdUp := range j.holdUps[loop] {
-		total += max(min(holdUp.to, to)-max(holdUp.from, from), 0)
+// delayWithin returns how long an event loop of the test bed was delayed within a span. A delayed loop records events
+// late.
+func (c *checker) delayWithin(loop string, from, to int64) (total int64) {
+	for _, delay := range c.delays[loop] {
+		total += max(min(delay.to, to)-max(delay.from, from), 0)
 	}
 	return total
 }
--- a/internal/testbed/golden/golden.go
+++ b/internal/testbed/golden/golden.go
@@ -1,7 +1,8 @@
-// Package golden compares what tests produce with files beside them, byte for byte.
+// Package golden compares the output of tests with golden files, byte for byte.
 //
-// It owns the files testdata/*.golden of the package under test, which it reads, and writes only while the environment
-// variable UPDATE_GOLDEN is set. It relies on nothing but the test's name and never changes what it is given.
+// It owns the files testdata/*.golden of the package under test. It reads them, and writes them only if the environment
+// variable UPDATE_GOLDEN is set. It relies on nothing but the test's name and never changes the output that it is
+// given.
 package golden
 
 import (
@@ -12,10 +13,10 @@
 	"testing"
 )
 
-// updateVariable is the environment variable that has Compare write the files.
+// updateVariable is the environment variable that makes Compare write the golden file in place of comparing it.
 const updateVariable = "UPDATE_GOLDEN"
 
-// Compare fails the test where got is not what the golden file of the running test holds.
+// Compare fails the test if got differs from the golden file that is named after the running test.
 func Compare(t testing.TB, got []byte) {
 	t.Helper()
 	path := filepath.Join("testdata", strings.NewReplacer("/", "-", "'", "").Replace(t.Name())+".golden")
@@ -33,6 +34,6 @@
 		t.Fatal(err)
 	}
 	if !bytes.Equal(got, want) {
-		t.Errorf("got:\n%s\nwant, after %s:\n%s", got, path, want)
+		t.Errorf("got:\n%s\nwant, by %s:\n%s", got, path, want)
 	}
 }
--- a/internal/testbed/record/record.go
+++ b/internal/testbed/record/record.go
@@ -1,7 +1,8 @@
-// Package record collects what stand-in endpoints and clients of the test bed see on their sockets, for the audit.
+// Package record collects the events that stand-in endpoints and clients of the test bed observe on their sockets, for
+// the audit.
 //
-// It owns the record of a run, in memory and as a file with one JSON object a line. It relies on its callers for one
-// clock for all events. A dispatcher never writes into a record: it is what others saw of it.
+// It owns the record of a run, in memory and as a file with one JSON object per line. It relies on its callers to take
+// the times of all events from one clock. A dispatcher never writes to a record: it holds what others observed of it.
 package record
 
 import (
@@ -13,52 +14,54 @@
 	"sync"
 )
 
-// EventType says what happened.
+// EventType is a type of event. Its values are part of the record's file format.
 type EventType string
 
-// What clients see.
+// Events that clients observe.
 const (
 	RequestSent EventType = "ask" // Value is the client's time limit in µs
-	// Detail is an outcome, Count the tokens, Exact whether they are the right ones, Kind why the connection ended that
-	// brought none
+	// FinalAnswer ends a client's attempt. Detail is its outcome, Count the number of tokens, and Exact whether they are
+	// the expected ones. Kind is why the connection ended, if that ended the attempt.
 	FinalAnswer     EventType = "final"
 	BytesAfterFinal EventType = "after"     // Detail is "bytes" or "event"
 	MalformedAnswer EventType = "malformed" // Detail is the error
-	RequestOver     EventType = "over"      // the last attempt's outcome; Count is the time to first token in µs
+	// RequestOver ends a client's request. Detail is the last attempt's outcome, Count the time in µs, of a chat request
+	// to its first token, and Exact whether a chat request met its SLO or another one was completed.
+	RequestOver EventType = "over"
 )
 
-// What endpoints see.
+// Events that endpoints observe.
 const (
-	AttemptArrived     EventType = "leg"      // Value is its work in tokens
-	AttemptDeferred    EventType = "deferred" // it came over the socket, and the endpoint does not run or is partitioned
-	AttemptTaken       EventType = "taken"    // by the endpoint that had deferred it
-	AttemptRefused     EventType = "refuse"   // Detail is the error's code
+	AttemptArrived     EventType = "leg"      // on the socket; Value is its work in tokens
+	AttemptDeferred    EventType = "deferred" // it arrived while the endpoint's process does not run or is partitioned
+	AttemptTaken       EventType = "taken"    // the endpoint that had deferred it has accepted it
+	AttemptRefused     EventType = "refuse"   // Detail is the error code
 	AttemptAnswered    EventType = "answered"
-	AttemptRan         EventType = "ran" // its effects took place
-	AttemptLeft        EventType = "left"
+	AttemptRan         EventType = "ran"  // its effects took place
+	AttemptLeft        EventType = "left" // it holds no resources at the endpoint any more
 	ConnectionLost     EventType = "quit" // of an attempt in flight
-	StatePinned        EventType = "hold" // what a prefill left, until it is fetched or released
+	StatePinned        EventType = "hold" // the state that a prefill left, until it is fetched, released or expires
 	StateFetched       EventType = "took"
 	StateReleased      EventType = "released"
 	StateLeaseExpired  EventType = "lease"
-	EndpointUp         EventType = "up" // Count is its start time; 0: long ago
+	EndpointUp         EventType = "up" // Count is its start time; 0: so long ago that slow start is over
 	EndpointDown       EventType = "down"
 	EndpointOverloaded EventType = "fell"   // during slow start
-	SlowStartLoad      EventType = "cold"   // Value is the share of the budget that Count attempts used
-	ChatAtEmbedder     EventType = "misled" // which serves embeddings only
+	SlowStartLoad      EventType = "cold"   // Value is the share of the slow-start budget that Count attempts used
+	ChatAtEmbedder     EventType = "misled" // a chat request at an endpoint that serves embeddings only
 )
 
-// What else belongs to a run.
+// Events of discovery, dispatchers and the test bed itself.
 const (
-	UpdateDelivered       EventType = "told" // Detail is the endpoint's condition, as discovery wrote it to a dispatcher
+	UpdateDelivered       EventType = "told" // Detail is the endpoint's condition that discovery wrote to a dispatcher
 	DispatcherKilled      EventType = "killed"
 	DispatcherUnavailable EventType = "away"    // for Count µs; Detail is Frozen or Partitioned
-	FaultInjected         EventType = "trouble" // Kind and Detail are the script's
-	NetworkLatency        EventType = "world"   // of a run in virtual time; Count is in µs
-	TestBedDelayed        EventType = "late"    // a loop of the test bed, named by Detail, was held up for Count µs
+	FaultInjected         EventType = "trouble" // Kind and Detail are those in the scenario's script
+	NetworkLatency        EventType = "world"   // in virtual time; Count is in µs
+	TestBedDelayed        EventType = "late"    // the test bed's event loop named by Detail was delayed for Count µs
 )
 
-// Loops of the test bed.
+// Event loops of the test bed.
 const (
 	HostsLoop   = "hosts"
 	ClientsLoop = "clients"
@@ -69,11 +72,11 @@
 	Completed = "streamed"
 	Rejected  = "throttled"
 	Failed    = "terminated"
-	Broken    = "broken"    // the connection ended within the answer
-	GaveUp    = "gave_up"   // no answer within the client's time
-	Malformed = "malformed" // not HTTP, or not the API
-	Unreached = "unreached" // no connection
-	Unserved  = "unserved"  // no dispatcher, or no time left for an attempt
+	Broken    = "broken"    // the connection ended before the answer was complete
+	GaveUp    = "gave_up"   // no answer within the client's time limit
+	Malformed = "malformed" // the answer is not valid HTTP or not an answer of the API
+	Unreached = "unreached" // the connection was not established
+	Unserved  = "unserved"  // no attempt was made, as there was no dispatcher or no time left
 )
 
 // Kinds of attempts.
@@ -82,19 +85,19 @@
 	Decode  = "write"
 )
 
-// Why a dispatcher was unavailable.
+// Reasons for a dispatcher to be unavailable.
 const (
-	Frozen      = "stands" // it could do nothing
-	Partitioned = "cut"    // it was cut off from its endpoints, but not from its clients
+	Frozen      = "stands" // its process did not run
+	Partitioned = "cut"    // it reached its clients, but not its endpoints
 )
 
 // Event is one event of a run.
 type Event struct {
-	At            int64     `json:"at"` // µs of the run's one clock
+	At            int64     `json:"at"` // µs, by the one clock of the run
 	Type          EventType `json:"what"`
-	Request       string    `json:"gen,omitempty"` // the client's id, the same for all its attempts
+	Request       string    `json:"gen,omitempty"` // the client's request id, the same for all its attempts
 	ClientAttempt int       `json:"try,omitempty"` // from 1
-	Attempt       string    `json:"leg,omitempty"` // a dispatcher's attempt at an endpoint
+	Attempt       string    `json:"leg,omitempty"` // id of a dispatcher's attempt at an endpoint
 	Endpoint      uint32    `json:"host,omitempty"`
 	Dispatcher    string    `json:"dispatcher,omitempty"`
 	Product       string    `json:"product,omitempty"`
@@ -108,22 +111,22 @@
 	Exact         bool      `json:"exact,omitempty"`
 }
 
-// Text returns the event as it is printed, without its time.
+// Text returns the event in printed form, without its time.
 func (e Event) Text() string {
 	text := fmt.Sprintf("%-9s", e.Type)
 	for _, field := range []struct{ name, value string }{
-		{"generation", e.Request},
-		{"leg", e.Attempt},
+		{"request", e.Request},
+		{"attempt", e.Attempt},
 		{"dispatcher", e.Dispatcher},
 		{"kind", e.Kind},
-		{"how", e.Detail},
+		{"detail", e.Detail},
 	} {
 		if field.value != "" {
 			text += " " + field.name + " " + field.value
 		}
 	}
 	if e.Endpoint > 0 {
-		text += fmt.Sprintf(" host %d", e.Endpoint)
+		text += fmt.Sprintf(" endpoint %d", e.Endpoint)
 	}
 	if e.Type == TestBedDelayed {
 		text += fmt.Sprintf(" %d ms", e.Count/1000)
@@ -131,7 +134,8 @@
 	return text
 }
 
-// bufferSize is that of writes to a record's file, and the longest line that is read.
+// bufferSize is the size of the buffer for writes to a record's file, and the limit on the length of a line when it is
+// read.
 const bufferSize = 1 << 20
 
 // Recorder collects events from several event loops.
@@ -139,14 +143,14 @@
 	mu     sync.Mutex
 	events []Event
 
-	// Only with a file.
+	// These are set only if the record is written to a file.
 	file    *os.File
 	writer  *bufio.Writer
 	encoder *json.Encoder
-	failure error // of the first event that could not be written
+	failure error // the error of the first event that could not be written
 }
 
-// Open begins a record; with a path it is written there too. Close ends it.
+// Open begins a record, which is also written to a file if a path is given. The caller must close it.
 func Open(path string) (*Recorder, error) {
 	r := &Recorder{}
 	if path == "" {
@@ -171,7 +175,7 @@
 	}
 }
 
-// Close ends the record and returns all events.
+// Close closes the record's file, if there is one, and returns all events.
 func (r *Recorder) Close() ([]Event, error) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -184,13 +188,13 @@
 	return r.events, nil
 }
 
-// Read reads a record's file.
+// Read reads all events of a record's file.
 func Read(path string) ([]Event, error) {
 	file, err := os.Open(path)
 	if err != nil {
 		return nil, fmt.Errorf("record: %w", err)
 	}
-	defer func() { _ = file.Close() }() // it was only read
+	defer func() { _ = file.Close() }() // closing a file that was only read loses nothing
 	var events []Event
 	lines := bufio.NewScanner(file)
 	lines.Buffer(nil, bufferSize)
