--- a/internal/testbed/syscallfaults/descriptors.go
+++ b/internal/testbed/syscallfaults/descriptors.go
@@ -8,14 +8,14 @@
 	"golang.org/x/sys/unix"
 )
 
-// maxDescriptors is the hard limit that a process keeps, so that its limit can be raised again.
+// maxDescriptors is the hard limit that a process is given, so that its soft limit can be raised again.
 const maxDescriptors = 20000
 
-// NoDescriptors leaves a process no descriptor beyond those that it has open.
+// NoDescriptors lowers a process's limit on file descriptors so that it can open no further ones.
 func NoDescriptors(pid int) error {
 	entries, err := os.ReadDir(fmt.Sprintf("/proc/%d/fd", pid))
 	if err != nil {
-		return fmt.Errorf("open descriptors: %w", err)
+		return fmt.Errorf("list open descriptors: %w", err)
 	}
 	open := map[string]bool{}
 	for _, entry := range entries {
@@ -28,11 +28,11 @@
 	return LimitDescriptors(pid, lowestFree)
 }
 
-// LimitDescriptors sets how many descriptors a process may have.
+// LimitDescriptors sets a process's soft limit on file descriptors.
 func LimitDescriptors(pid int, limit uint64) error {
 	err := unix.Prlimit(pid, unix.RLIMIT_NOFILE, &unix.Rlimit{Cur: limit, Max: maxDescriptors}, nil)
 	if err != nil {
-		return fmt.Errorf("limit of descriptors: %w", err)
+		return fmt.Errorf("set the limit on descriptors: %w", err)
 	}
 	return nil
 }
--- a/internal/testbed/syscallfaults/faults.go
+++ b/internal/testbed/syscallfaults/faults.go
@@ -1,9 +1,9 @@
-// Package syscallfaults has the system calls of a process fail, be interrupted and fall short, and steps its wall
-// clock.
+// Package syscallfaults injects faults into the system calls of another process: errors, interruptions, and reads and
+// writes that transfer only a part. It also steps that process's wall clock.
 //
-// It does so from outside, by a library that the process is preloaded with and by its limits, so that the program under
-// test is the one that is built and released. It owns that library's source and the variables that configure it; it
-// relies on a C compiler. It never changes the calls of the process that uses it.
+// It works from outside the process, with a library that is preloaded into it and with its resource limits, so that the
+// program under test is the one that is released. It owns the library's source and the environment variables that
+// configure it, and relies on a C compiler. It never affects the system calls of the process that uses it.
 package syscallfaults
 
 import (
@@ -19,20 +19,21 @@
 //go:embed shim/faults.c
 var source []byte
 
-// Faults are what a process meets. Rates are in a thousand calls.
+// Faults describes the faults that are injected into a process. Rates are per thousand calls.
 type Faults struct {
 	Seed        int64
-	Short       int // reads and writes of TCP sockets that transfer only a part of what they could
+	Short       int // reads and writes of TCP sockets that transfer only a part
 	Interrupted int // reads, writes and waits that return EINTR
 	Errors      int // calls of accept, socket and connect that fail
 
-	// ClockStep is added to the wall clock from ClockStepAfter on; the monotonic clock goes on evenly.
+	// ClockStep is added to the wall clock once the process has run for ClockStepAfter; the monotonic clock is not
+	// changed.
 	ClockStep      time.Duration
 	ClockStepAfter time.Duration
 }
 
-// Build compiles the library into a folder and returns its path. It needs the C compiler that the program's own build
-// needs.
+// Build compiles the library into a folder and returns its path. It needs the same C compiler as the build of the
+// program itself.
 func Build(dir string) (string, error) {
 	file, library := filepath.Join(dir, "faults.c"), filepath.Join(dir, "faults.so")
 	if err := os.WriteFile(file, source, 0o600); err != nil {
@@ -45,7 +46,7 @@
 	return library, nil
 }
 
-// Environment is what a process is started with to meet the faults.
+// Environment returns the environment variables that inject the faults into a process that is started with them.
 func (f Faults) Environment(library string) []string {
 	variable := func(name string, value int64) string { return name + "=" + strconv.FormatInt(value, 10) }
 	return []string{
--- a/internal/testbed/syscallfaults/shim/faults.c
+++ b/internal/testbed/syscallfaults/shim/faults.c
@@ -1,10 +1,12 @@
 /*
- * A preloaded library that has a process's system calls fail and fall short in the ways that Linux documents.
+ * A preloaded library that makes a process's system calls fail, be interrupted or transfer only a part, in ways that
+ * Linux documents.
  *
- * It installs a seccomp filter on this process alone, without special rights. The filter turns the calls named below into SIGSYS where the
- * program makes them itself, as a Go program does; the handler makes the call in its place, or answers it with a fault. Calls of the C
- * library pass: it makes some while all signals are blocked. What fails, and how often, is read from the environment (see faults.go). Only
- * calls on TCP sockets over IPv4 are disturbed, and calls that make a socket.
+ * It installs a seccomp filter on this process alone, which needs no privileges. If the program itself makes one of the
+ * calls named below, as a Go program does, the filter raises SIGSYS. The signal handler then makes the call in the
+ * program's place, or returns a fault. Calls that the C library makes are not filtered, as it makes some while all
+ * signals are blocked. The kinds and rates of faults are read from the environment (see faults.go). Only calls on TCP
+ * sockets over IPv4 are disturbed, and calls that make a socket.
  */
 #define _GNU_SOURCE
 #include <errno.h>
@@ -27,17 +29,18 @@
 #include <unistd.h>
 #include <elf.h>
 
-/* A system call that returns the error's number below zero, and leaves errno alone. */
+/* Makes a system call and returns its raw result: errors are negative error numbers, and errno is not set. */
 __asm__(".text\n.globl faults_syscall\n.type faults_syscall,@function\nfaults_syscall:\n"
         "movq %rdi, %rax\nmovq %rsi, %rdi\nmovq %rdx, %rsi\nmovq %rcx, %rdx\nmovq %r8, %r10\nmovq %r9, %r8\n"
         "movq 8(%rsp), %r9\nsyscall\nret\n");
 extern long faults_syscall(long number, long a, long b, long c, long d, long e, long f);
 
 static _Atomic uint64_t random_state;
-static int permille_short, permille_intr, permille_error;
-static int64_t clock_step_ns; /* added to the wall clock ... */
-static int64_t clock_step_at; /* ... from this monotonic time on */
+static int permille_short, permille_interrupted, permille_error;
+static int64_t clock_step_ns; /* added to the wall clock */
+static int64_t clock_step_at; /* monotonic time from which clock_step_ns is added */
 
+/* Returns the next number of a splitmix64 generator. */
 static uint64_t draw(void) {
     uint64_t x = atomic_fetch_add(&random_state, 0x9e3779b97f4a7c15ull);
     x = (x ^ (x >> 30)) * 0xbf58476d1ce4e5b9ull;
@@ -55,38 +58,39 @@
     return faults_syscall(SYS_getsockopt, fd, SOL_SOCKET, SO_TYPE, (long)&type, (long)&size, 0) >= 0 && type == SOCK_STREAM;
 }
 
-static long one_of(const int *errors, int many) { return -(long)errors[draw() % many]; }
+static long draw_error(const int *errors, int count) { return -(long)errors[draw() % count]; }
 
 static const int accept_errors[] = {ECONNABORTED, ENFILE, EMFILE, ENOBUFS, ENOMEM, EPROTO, EINTR};
 static const int socket_errors[] = {ENFILE, EMFILE, ENOBUFS, ENOMEM};
 static const int connect_errors[] = {EADDRNOTAVAIL, ENETUNREACH, EHOSTUNREACH, ECONNREFUSED, ETIMEDOUT, ENOBUFS, EAGAIN};
-#define ONE_OF(errors) one_of(errors, sizeof errors / sizeof *errors)
+#define DRAW_ERROR(errors) draw_error(errors, sizeof errors / sizeof *errors)
 
 static int64_t nanoseconds(const struct timespec *t) { return t->tv_sec * 1000000000ll + t->tv_nsec; }
 
-static long answer(long number, greg_t *r) {
+/* Makes an intercepted call, or returns a fault in its place. */
+static long call_or_fail(long number, greg_t *r) {
     long a = r[REG_RDI], b = r[REG_RSI], c = r[REG_RDX], d = r[REG_R10], e = r[REG_R8], f = r[REG_R9];
     switch (number) {
     case SYS_read:
     case SYS_write:
         if (is_tcp4(a)) {
-            if (chance(permille_intr)) return -EINTR;
+            if (chance(permille_interrupted)) return -EINTR;
             if (c > 1 && chance(permille_short)) c = 1 + (long)(draw() % (uint64_t)(c < 64 ? c - 1 : 63));
         }
         break;
     case SYS_accept4:
-        if (chance(permille_error)) return ONE_OF(accept_errors);
+        if (chance(permille_error)) return DRAW_ERROR(accept_errors);
         break;
     case SYS_socket:
-        if (a == AF_INET && chance(permille_error)) return ONE_OF(socket_errors);
+        if (a == AF_INET && chance(permille_error)) return DRAW_ERROR(socket_errors);
         break;
     case SYS_connect:
-        if (is_tcp4(a) && chance(permille_error)) return ONE_OF(connect_errors);
+        if (is_tcp4(a) && chance(permille_error)) return DRAW_ERROR(connect_errors);
         break;
     case SYS_epoll_wait:
     case SYS_epoll_pwait:
     case SYS_poll:
-        if (chance(permille_intr)) return -EINTR;
+        if (chance(permille_interrupted)) return -EINTR;
         break;
     case SYS_clock_gettime: {
         long status = faults_syscall(number, a, b, c, d, e, f);
@@ -108,7 +112,7 @@
 static void on_sigsys(int signal, siginfo_t *info, void *context) {
     (void)signal;
     ucontext_t *u = context;
-    u->uc_mcontext.gregs[REG_RAX] = answer(info->si_syscall, u->uc_mcontext.gregs);
+    u->uc_mcontext.gregs[REG_RAX] = call_or_fail(info->si_syscall, u->uc_mcontext.gregs);
 }
 
 static long setting(const char *name) {
@@ -116,7 +120,10 @@
     return text ? atol(text) : 0;
 }
 
-/* hide_vdso has the program ask the kernel for the time, as the kernel's own page is not read through a system call. */
+/*
+ * Hides the vDSO from the program, so that it reads the clock through system calls: reads through the vDSO make none
+ * and can't be intercepted.
+ */
 static void hide_vdso(char **envp) {
     while (*envp) envp++;
     for (Elf64_auxv_t *entry = (Elf64_auxv_t *)(envp + 1); entry->a_type != AT_NULL; entry++)
@@ -128,7 +135,7 @@
 __attribute__((constructor)) static void install(int argc, char **argv, char **envp) {
     (void)argc, (void)argv;
     permille_short = (int)setting("FAULTS_SHORT");
-    permille_intr = (int)setting("FAULTS_INTERRUPTED");
+    permille_interrupted = (int)setting("FAULTS_INTERRUPTED");
     permille_error = (int)setting("FAULTS_ERRORS");
     clock_step_ns = setting("FAULTS_CLOCK_STEP_MS") * 1000000ll;
     atomic_store(&random_state, (uint64_t)setting("FAULTS_SEED") * 0xd1342543de82ef95ull);
@@ -144,16 +151,16 @@
     sigfillset(&handler.sa_mask);
     if (sigaction(SIGSYS, &handler, NULL) != 0) _exit(97);
 
-    uint32_t program_above = (uint32_t)(getauxval(AT_ENTRY) >> 32); /* libraries are mapped far from the program */
+    uint32_t program_high = (uint32_t)(getauxval(AT_ENTRY) >> 32); /* of its addresses; libraries differ in these bits */
     struct sock_filter filter[] = {
-        /* The program's runtime takes all signals for itself; this one stays the handler's above. */
+        /* The Go runtime installs handlers for all signals. For SIGSYS, pretend that it succeeded: ours must stay. */
         BPF_STMT(BPF_LD | BPF_W | BPF_ABS, offsetof(struct seccomp_data, nr)),
         BPF_JUMP(BPF_JMP | BPF_JEQ | BPF_K, SYS_rt_sigaction, 0, 3),
         BPF_STMT(BPF_LD | BPF_W | BPF_ABS, offsetof(struct seccomp_data, args)),
         BPF_JUMP(BPF_JMP | BPF_JEQ | BPF_K, SIGSYS, 0, 1),
         BPF_STMT(BPF_RET | BPF_K, SECCOMP_RET_ERRNO),
         BPF_STMT(BPF_LD | BPF_W | BPF_ABS, offsetof(struct seccomp_data, instruction_pointer) + 4),
-        BPF_JUMP(BPF_JMP | BPF_JEQ | BPF_K, program_above, 1, 0),
+        BPF_JUMP(BPF_JMP | BPF_JEQ | BPF_K, program_high, 1, 0),
         BPF_STMT(BPF_RET | BPF_K, SECCOMP_RET_ALLOW),
         BPF_STMT(BPF_LD | BPF_W | BPF_ABS, offsetof(struct seccomp_data, nr)),
         TRAP(SYS_read), TRAP(SYS_write), TRAP(SYS_accept4), TRAP(SYS_socket), TRAP(SYS_connect), TRAP(SYS_epoll_wait), TRAP(SYS_epoll_pwait),
