--- a/internal/testbed/syscallfaults/shim/faults.c
+++ b/internal/testbed/syscallfaults/shim/faults.c
@@ -5,8 +5,9 @@
  * It installs a seccomp filter on this process alone, which needs no privileges. If the program itself makes one of the
  * calls named below, as a Go program does, the filter raises SIGSYS. The signal handler then makes the call in the
  * program's place, or returns a fault. Calls that the C library makes are not filtered, as it makes some while all
- * signals are blocked. The kinds and rates of faults are read from the environment (see faults.go). Only calls on TCP
- * sockets over IPv4 are disturbed, and calls that make a socket.
+ * signals are blocked. The kinds and rates of faults are read from the environment (see faults.go). Reads, writes and
+ * connects are disturbed only on TCP sockets over IPv4, socket calls only if they make a socket for IPv4, and accepts,
+ * waits and reads of the wall clock always.
  */
 #define _GNU_SOURCE
 #include <errno.h>
