--- a/internal/testbed/soak/audit_test.go
+++ b/internal/testbed/soak/audit_test.go
@@ -9,8 +9,8 @@
 
 const ms = 1000 // µs
 
-// cleanTrail is a request's course that keeps all rules.
-func cleanTrail(class string) []Event {
+// cleanHistory returns the events of a request that breaks no rule.
+func cleanHistory(class string) []Event {
 	return []Event{
 		{At: 1000 * ms, Kind: Sent, ID: "r", Class: class, Dispatcher: "d", Value: 1000 * ms},
 		{At: 1001 * ms, Kind: Arrived, ID: "r", Endpoint: "p", Dispatcher: "1", Value: 2900 * ms, Text: prefillKind},
@@ -21,47 +21,47 @@
 	}
 }
 
-// change makes another course.
+// change modifies the events of a request.
 type change func([]Event) []Event
 
 func add(events ...Event) change {
-	return func(trail []Event) []Event { return append(trail, events...) }
+	return func(history []Event) []Event { return append(history, events...) }
 }
 
-// unanswered leaves the answer out, and adds something else.
+// unanswered removes the answer and adds other events.
 func unanswered(events ...Event) change {
-	return func(trail []Event) []Event {
-		trail = slices.DeleteFunc(trail, func(event Event) bool { return event.Kind == Answered })
-		return append(trail, events...)
+	return func(history []Event) []Event {
+		history = slices.DeleteFunc(history, func(event Event) bool { return event.Kind == Answered })
+		return append(history, events...)
 	}
 }
 
-// stoppedFor has the endpoint of the decode stopped before the decode is written to it, for a while in ms: it arrives,
-// runs and is answered only then.
+// stoppedFor stops the decode's endpoint for a span in ms, from before the decode is written to it: the decode arrives,
+// runs and is answered only afterwards.
 func stoppedFor(span int64) change {
-	return func(trail []Event) []Event {
-		for i := range trail {
-			if trail[i].At > 1020*ms {
-				trail[i].At += span * ms
+	return func(history []Event) []Event {
+		for i := range history {
+			if history[i].At > 1020*ms {
+				history[i].At += span * ms
 			}
 		}
-		return append(trail, Event{At: 1022 * ms, Kind: FaultBegan, Text: notRunningText, Endpoint: "h", Value: span * ms})
+		return append(history, Event{At: 1022 * ms, Kind: FaultBegan, Text: notRunningText, Endpoint: "h", Value: span * ms})
 	}
 }
 
-// refusedAnd has the decode's endpoint decline it, and adds something else.
+// refusedAnd makes the decode's endpoint decline the decode, and adds other events.
 func refusedAnd(events ...Event) change {
-	return func(trail []Event) []Event {
-		for i := range trail {
-			if trail[i].Kind == Ran {
-				trail[i].Kind = Refused
+	return func(history []Event) []Event {
+		for i := range history {
+			if history[i].Kind == Ran {
+				history[i].Kind = Refused
 			}
 		}
-		return append(trail, events...)
+		return append(history, events...)
 	}
 }
 
-// stoppedAndKilled is the kill at 1150 ms of a dispatcher that was stopped at a time.
+// stoppedAndKilled returns the SIGKILL at 1150 ms to a dispatcher that was sent SIGTERM at a given time in ms.
 func stoppedAndKilled(at int64) Event {
 	return Event{At: 1150 * ms, Kind: Killed, Dispatcher: "d", Value: at * ms}
 }
@@ -74,19 +74,19 @@
 
 func releasedAt(at int64) Event { return Event{At: at * ms, Kind: Released, ID: "r"} }
 
-// auditTest is a course that is judged.
+// auditTest is a request's history and the rule that the audit should find broken.
 type auditTest struct {
 	name   string
 	class  string
 	change change
-	want   string // the rule; none: it passes
+	want   string // the rule that is broken; empty: none
 }
 
-func judgeAll(t *testing.T, tests []auditTest) {
+func checkAll(t *testing.T, tests []auditTest) {
 	t.Helper()
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
-			findings := NewAudit(test.change(cleanTrail(test.class)), 3*time.Second).Judge()
+			findings := NewAudit(test.change(cleanHistory(test.class)), 3*time.Second).Check()
 			if test.want != "" && len(findings) == 0 {
 				t.Errorf("no finding, want %q", test.want)
 			}
@@ -99,15 +99,15 @@
 	}
 }
 
-// Each violation is found for its rule alone; the course beside it passes.
+// Each violation is found for its rule alone. Similar histories without a violation pass.
 func TestAuditFindsEachViolationForItsRuleAlone(t *testing.T) {
 	ranInWindow := Event{At: 2500 * ms, Kind: Ran, ID: "r", Endpoint: "g", Value: 2020 * ms}
 	ranPastWindow := Event{At: 2100 * ms, Kind: Ran, ID: "r", Endpoint: "g", Value: 2040 * ms}
 	answeredLate := Event{At: 5000 * ms, Kind: Answered, ID: "r", Status: 500}
 	answeredTwice := Event{At: 1300 * ms, Kind: Answered, ID: "r", Status: 200}
 	rejected := Event{At: 1100 * ms, Kind: Answered, ID: "r", Status: 503}
-	left := Event{At: 1025 * ms, Kind: Left, ID: "r"}
-	passedOnLate := Event{At: 900 * ms, Kind: FaultBegan, Text: lateText, Dispatcher: "1", Value: 300 * ms}
+	left := Event{At: 1025 * ms, Kind: Disconnected, ID: "r"}
+	passedOnLate := Event{At: 900 * ms, Kind: FaultBegan, Text: delayedText, Dispatcher: "1", Value: 300 * ms}
 	arrivedByProxy := Event{At: 1430 * ms, Kind: Arrived, ID: "r", Endpoint: "g", Dispatcher: "1", Text: decodeKind}
 	arrivedAfterLeft := Event{At: 1500 * ms, Kind: Arrived, ID: "r", Endpoint: "g", Text: decodeKind}
 	tooMuchTime := Event{At: 2000 * ms, Kind: Arrived, ID: "r", Endpoint: "h", Value: 2900 * ms, Text: decodeKind}
@@ -116,46 +116,46 @@
 	notified := func(dispatcher string) Event {
 		return Event{At: 110 * ms, Kind: Notified, Endpoint: "h", Dispatcher: dispatcher}
 	}
-	judgeAll(t, []auditTest{
+	checkAll(t, []auditTest{
 		{"no violation", nonIdempotentClass, add(), ""},
-		{"no end", nonIdempotentClass, unanswered(), ruleOneAnswer},
+		{"no final answer", nonIdempotentClass, unanswered(), ruleOneAnswer},
 		{"answered late", idempotentClass, unanswered(answeredLate), ruleOneAnswer},
-		{"ended twice", nonIdempotentClass, add(answeredTwice), ruleOneAnswer},
+		{"two final answers", nonIdempotentClass, add(answeredTwice), ruleOneAnswer},
 		{"run twice", nonIdempotentClass, add(ranInWindow), ruleRepeatedEffect},
 		{"run twice, idempotent", idempotentClass, add(ranInWindow), ""},
 		{"run twice in its window", deduplicatedClass, add(ranInWindow), ""},
 		{"run twice, past its window", deduplicatedClass, add(ranPastWindow), ruleRepeatedEffect},
 		{"rejected after it ran", nonIdempotentClass, unanswered(rejected), ruleRepeatedEffect},
-		{"an attempt after its client left", nonIdempotentClass, unanswered(left, arrivedAfterLeft), ruleClientGone},
+		{"an attempt after its client left", nonIdempotentClass, unanswered(left, arrivedAfterLeft), ruleClientDisconnected},
 		{"an attempt that a proxy passed on late", nonIdempotentClass, unanswered(left, passedOnLate, arrivedByProxy), ""},
 		{"an attempt as its client left", nonIdempotentClass, unanswered(left), ""},
 		{"an endpoint is given too much time", nonIdempotentClass, add(tooMuchTime), ruleDeadline},
-		{"sent to an endpoint that drains", nonIdempotentClass, add(drained, notified("1")), ruleDrain},
+		{"sent to an endpoint that drains", nonIdempotentClass, add(drained, notified("1")), ruleEndpointNotReady},
 		{"another dispatcher was notified", nonIdempotentClass, add(drained, notified("2")), ""},
-		{"the update did not arrive in time", nonIdempotentClass, add(drainedLongAgo), ruleDrain},
+		{"the update did not arrive in time", nonIdempotentClass, add(drainedLongAgo), ruleEndpointNotReady},
 	})
 }
 
-// What a killed dispatcher held is excused, but for what came late after it was asked to stop.
+// Requests that a killed dispatcher lost are excused, unless they were sent too late after SIGTERM.
 func TestAuditOfKilledDispatchers(t *testing.T) {
 	lost := Event{At: 1200 * ms, Kind: Lost, ID: "r", Dispatcher: "d", Text: closedConnection}
 	broken := Event{At: 1200 * ms, Kind: Broken, ID: "r", Dispatcher: "d", Status: 200}
-	judgeAll(t, []auditTest{
+	checkAll(t, []auditTest{
 		{"lost", nonIdempotentClass, unanswered(lost), ruleOneAnswer},
-		{"lost as its dispatcher died", nonIdempotentClass, unanswered(lost, killedAt1150("d")), ""},
-		{"lost as its dispatcher was killed after it was stopped", nonIdempotentClass,
+		{"lost as its dispatcher was killed", nonIdempotentClass, unanswered(lost, killedAt1150("d")), ""},
+		{"lost as its dispatcher was killed after SIGTERM", nonIdempotentClass,
 			unanswered(lost, stoppedAndKilled(500)), ""},
-		{"the same, and it had come late", nonIdempotentClass, unanswered(lost, stoppedAndKilled(299)), ruleOneAnswer},
-		{"a stream that came late breaks at the kill", nonIdempotentClass, unanswered(broken, stoppedAndKilled(299)),
+		{"lost at a kill, sent late", nonIdempotentClass, unanswered(lost, stoppedAndKilled(299)), ruleOneAnswer},
+		{"a stream breaks at a kill, sent late", nonIdempotentClass, unanswered(broken, stoppedAndKilled(299)),
 			ruleOneAnswer},
-		{"lost as another one died", nonIdempotentClass, unanswered(lost, killedAt1150("e")), ruleOneAnswer},
+		{"lost as another dispatcher was killed", nonIdempotentClass, unanswered(lost, killedAt1150("e")), ruleOneAnswer},
 	})
 }
 
-// A state is held until it is used or released, and again once a decode was refused.
+// A state has to be used or released in time. The time starts again when a decode is refused.
 func TestAuditOfReservedStates(t *testing.T) {
-	cutOff := Event{At: 900 * ms, Kind: FaultBegan, Text: cutOffText, Dispatcher: "1", Value: 500 * ms}
-	judgeAll(t, []auditTest{
+	partitioned := Event{At: 900 * ms, Kind: FaultBegan, Text: partitionedText, Dispatcher: "1", Value: 500 * ms}
+	checkAll(t, []auditTest{
 		{"state stays reserved", nonIdempotentClass, add(reservedAt1050), ruleState},
 		{"state is released", nonIdempotentClass, add(reservedAt1050, releasedAt(1300)), ""},
 		{"state is released late", nonIdempotentClass, add(reservedAt1050, releasedAt(2500)), ruleState},
@@ -164,6 +164,6 @@
 		{"state is refused and stays", nonIdempotentClass, refusedAnd(), ruleState},
 		{"state is refused and released", nonIdempotentClass, refusedAnd(releasedAt(1400)), ""},
 		{"state is refused and released late", nonIdempotentClass, refusedAnd(releasedAt(2500)), ruleState},
-		{"state stays reserved while cut off", nonIdempotentClass, add(reservedAt1050, cutOff), ""},
+		{"state stays reserved while partitioned", nonIdempotentClass, add(reservedAt1050, partitioned), ""},
 	})
 }
--- a/internal/testbed/soak/clients.go
+++ b/internal/testbed/soak/clients.go
@@ -12,27 +12,27 @@
 	"time"
 )
 
-// Times of the clients' requests.
+// Timeouts and times of the clients.
 const (
-	answerGrace  = 500 * time.Millisecond // after a request's deadline, for its answer
-	headTimeout  = 500 * time.Millisecond // after that, for which a client still waits for an answer's head
-	bodyTimeout  = 12 * time.Second
-	dialTimeout  = time.Second
-	maxIdle      = 2500 * time.Millisecond
-	crowdPause   = 2 * time.Millisecond // between two connections of a crowd
-	maxCrowdIdle = 500 * time.Millisecond
+	answerGrace   = 500 * time.Millisecond // after a request's deadline, within which its answer must arrive
+	headTimeout   = 500 * time.Millisecond // after answerGrace, for which a client still waits for the answer's head
+	bodyTimeout   = 12 * time.Second
+	dialTimeout   = time.Second
+	maxIdle       = 2500 * time.Millisecond
+	floodInterval = 2 * time.Millisecond // between two connections of a flood
+	maxFloodIdle  = 500 * time.Millisecond
 )
 
 const (
-	workers             = 5 // of one process, each with one connection at a time
-	maxRequestsPerVisit = 8
-	lastingVisits       = 3  // one of so many goes on for as long as its connection is open
-	idleVisits          = 12 // one of so many requests comes after the connection was idle
-	manners             = 40 // one of so many requests is of each kind of misbehaviour
-	maxBodyBits         = 15
-
-	reusedConnection = "on a connection that rested" // Text of a Sent event
-	closedConnection = "closed"                      // Text of a Lost event
+	workers                  = 5 // of one process; each uses one connection at a time
+	maxRequestsPerConnection = 8
+	persistentOneIn          = 3  // one connection in so many is used until it closes or the run ends
+	idleOneIn                = 12 // one request in so many is sent after the connection was idle
+	misbehaviourOneIn        = 40 // one request in so many is sent with each kind of misbehaviour
+	maxBodyBits              = 15
+
+	reusedConnection = "on a reused connection" // Text of a Sent event
+	closedConnection = "closed"                 // Text of a Lost event
 	lastChunk        = "data: [DONE]\n\n"
 
 	requestFormat = "POST /v1/chat/completions HTTP/1.1\r\nHost: origin.svc\r\nReq-Id: %s\r\n" +
@@ -40,7 +40,7 @@
 		"Content-Length: %d\r\n\r\n%s"
 )
 
-// Classes of requests.
+// Classes of requests. Each is named in the dispatchers' settings.
 const (
 	idempotentClass    = "chat"
 	deduplicatedClass  = "note"
@@ -49,18 +49,18 @@
 
 var classes = []string{idempotentClass, deduplicatedClass, nonIdempotentClass}
 
-// Ways in which a client sends a request; any other is the usual one.
+// Ways in which a client misbehaves with a request; any other number that is drawn is the usual behaviour.
 const (
 	sendHalf = iota
 	sendNonsense
 	sendSlowly
 	giveUp
-	giveUpToo // as clients give up twice as often
+	giveUpToo // a second number, so that clients give up twice as often
 )
 
-// clients send requests to the dispatchers, and some of them misbehave.
+// clients simulates clients that send requests to the dispatchers, and that misbehave at random.
 type clients struct {
-	*role
+	*standIn
 	sent   atomic.Int64
 	endsAt int64
 }
@@ -70,38 +70,38 @@
 	net.Conn
 	reader *bufio.Reader
 	target string
-	reused bool // it carried a request before, or was idle: the dispatcher may close it at any moment
+	reused bool // it has carried a request or was idle: the dispatcher may close it at any time
 }
 
-func startClients(r *role) handler {
-	k := &clients{role: r, endsAt: now() + r.Duration.Microseconds()}
+func startClients(s *standIn) handler {
+	k := &clients{standIn: s, endsAt: now() + s.Duration.Microseconds()}
 	for range workers {
 		go func() {
 			for now() < k.endsAt {
-				k.visit(k.Targets[k.draw(len(k.Targets))])
+				k.useConnection(k.Targets[k.draw(len(k.Targets))])
 			}
 		}()
 	}
-	return func(order string, arguments []string) {
-		if order == orderCrowd {
-			go k.crowd(arguments[0], durationOf(arguments, 1))
+	return func(command string, arguments []string) {
+		if command == commandFlood {
+			go k.flood(arguments[0], durationArgument(arguments, 1))
 		}
 	}
 }
 
-// crowd opens connections that say nothing, for a while.
-func (k *clients) crowd(target string, duration time.Duration) {
+// flood opens connections on which it sends nothing, for a while.
+func (k *clients) flood(target string, duration time.Duration) {
 	for end := now() + duration.Microseconds(); now() < end; {
 		conn, err := net.DialTimeout("tcp", target, dialTimeout)
 		if err == nil {
-			time.AfterFunc(k.drawDuration(maxCrowdIdle), func() { closeConn(conn) })
+			time.AfterFunc(k.drawDuration(maxFloodIdle), func() { closeConn(conn) })
 		}
-		time.Sleep(crowdPause)
+		time.Sleep(floodInterval)
 	}
 }
 
-// visit sends some requests on one connection.
-func (k *clients) visit(target string) {
+// useConnection sends some requests to a dispatcher on one connection.
+func (k *clients) useConnection(target string) {
 	conn, err := net.DialTimeout("tcp", target, dialTimeout)
 	if err != nil {
 		time.Sleep(50 * time.Millisecond)
@@ -109,28 +109,28 @@
 	}
 	defer closeConn(conn)
 	c := &clientConn{Conn: conn, reader: bufio.NewReader(conn), target: target}
-	lasting := k.draw(lastingVisits) == 0
-	for count := 1 + k.draw(maxRequestsPerVisit); count > 0 || lasting && now() < k.endsAt; count-- {
-		if k.draw(idleVisits) == 0 {
+	persistent := k.draw(persistentOneIn) == 0
+	for count := 1 + k.draw(maxRequestsPerConnection); count > 0 || persistent && now() < k.endsAt; count-- {
+		if k.draw(idleOneIn) == 0 {
 			time.Sleep(k.drawDuration(maxIdle))
 			c.reused = true
 		}
-		if !k.ask(c) {
+		if !k.sendRequest(c) {
 			return
 		}
 		c.reused = true
 	}
 }
 
-// ask sends one request and reads its answer; it returns false where the connection must not be used again.
-func (k *clients) ask(conn *clientConn) bool {
+// sendRequest sends one request and reads its answer. It returns false if the connection must not be used again.
+func (k *clients) sendRequest(conn *clientConn) bool {
 	class := classes[k.draw(len(classes))]
 	id := fmt.Sprintf("%s-%d", k.Name, k.sent.Add(1))
 	body := fmt.Sprintf(`{"stream":true,"messages":["%s"]}`, strings.Repeat("x", 1<<k.draw(maxBodyBits)))
 	text := fmt.Sprintf(requestFormat, id, class, k.Name, k.Deadline.Milliseconds(), 100+len(body)/4, len(body), body)
-	manner := k.draw(manners)
+	behaviour := k.draw(misbehaviourOneIn)
 	began := now()
-	if !k.send(conn, text, manner) {
+	if !k.writeRequest(conn, text, behaviour) {
 		return false
 	}
 	sent := Event{Kind: Sent, ID: id, Class: class, Dispatcher: conn.target, Value: began}
@@ -138,17 +138,17 @@
 		sent.Text = reusedConnection
 	}
 	k.record.add(sent)
-	if manner == giveUp || manner == giveUpToo {
-		k.leave(conn, sent)
+	if behaviour == giveUp || behaviour == giveUpToo {
+		k.disconnect(conn, sent)
 		return false
 	}
 	return k.readAnswer(conn, sent)
 }
 
-// send writes a request; it returns false where it was not written completely.
-func (k *clients) send(conn *clientConn, text string, manner int) bool {
-	switch manner {
-	case sendHalf: // and then close or stay
+// writeRequest writes a request. It returns false if the request was not written completely.
+func (k *clients) writeRequest(conn *clientConn, text string, behaviour int) bool {
+	switch behaviour {
+	case sendHalf: // and then stay idle before closing
 		_, _ = io.WriteString(conn, text[:len(text)/2])
 		time.Sleep(k.drawDuration(maxIdle))
 		return false
@@ -172,12 +172,12 @@
 	return err == nil
 }
 
-// leave closes a connection before the answer.
-func (k *clients) leave(conn *clientConn, sent Event) {
+// disconnect closes a connection before the answer.
+func (k *clients) disconnect(conn *clientConn, sent Event) {
 	if k.draw(2) == 0 {
 		time.Sleep(k.drawDuration(60 * time.Millisecond))
 	}
-	k.record.add(Event{Kind: Left, ID: sent.ID, Class: sent.Class, Dispatcher: sent.Dispatcher})
+	k.record.add(Event{Kind: Disconnected, ID: sent.ID, Class: sent.Class, Dispatcher: sent.Dispatcher})
 	if k.draw(2) == 0 {
 		resetConn(conn.Conn)
 	} else {
@@ -185,9 +185,9 @@
 	}
 }
 
-// readAnswer reads the answer and records it; it returns false where the connection must not be used again.
+// readAnswer reads the answer and records it. It returns false if the connection must not be used again.
 func (k *clients) readAnswer(conn *clientConn, sent Event) bool {
-	record := func(kind Kind, status int, text string) {
+	record := func(kind EventKind, status int, text string) {
 		k.record.add(Event{Kind: kind, ID: sent.ID, Class: sent.Class, Dispatcher: sent.Dispatcher, Status: status,
 			Value: sent.At, Text: text})
 	}
@@ -201,7 +201,7 @@
 		record(Lost, 0, text)
 		return false
 	}
-	defer func() { _ = answer.Body.Close() }() // it was read to its end
+	defer func() { _ = answer.Body.Close() }() // the body was read to its end
 	_ = conn.SetReadDeadline(time.Now().Add(bodyTimeout))
 	body, err := io.ReadAll(answer.Body)
 	switch {
@@ -210,7 +210,7 @@
 	case err != nil:
 		record(Broken, answer.StatusCode, err.Error())
 	case !strings.HasSuffix(string(body), lastChunk):
-		record(Lost, answer.StatusCode, "a stream that is not complete was ended as if it were")
+		record(Lost, answer.StatusCode, "an incomplete stream was ended as if it were complete")
 	default:
 		record(Answered, answer.StatusCode, "")
 	}
--- a/internal/testbed/soak/config.go
+++ b/internal/testbed/soak/config.go
@@ -5,8 +5,8 @@
 	"os"
 )
 
-// descriptors is how many each dispatcher may have.
-const descriptors = 512
+// maxDescriptors is the limit on file descriptors of each dispatcher.
+const maxDescriptors = 512
 
 const settingsFormat = `{"group_size": %[1]d, "tick": 4000000, "zone": 0,
 "localities": ["west"], "host_types": ["prefill", "decode"],
@@ -25,12 +25,12 @@
 const configFormat = `{"name":"n%d","listen":%q,"discovery":%q,"seed":"%x",` +
 	`"limits":{"cores":1.0,"memory_mb":112,"sockets":%d},"settings":%s}`
 
-// writeConfig writes a dispatcher's configuration, which names the agent that it follows now.
+// writeConfig writes a dispatcher's configuration, with the address of the discovery agent that it is to follow.
 func (r *run) writeConfig(d *dispatcher) error {
 	settings := fmt.Sprintf(settingsFormat, r.Dispatchers, stateLease.Nanoseconds(), 3+r.Seed%4, r.Seed%3 != 0,
 		r.Deadline.Nanoseconds(), repeatWindow.Nanoseconds())
 	agent := r.address(agentAddress, d.number, agentPort+r.agentOf[d.number])
-	text := fmt.Sprintf(configFormat, d.number, d.address, agent, r.Seed+int64(d.number), descriptors, settings)
+	text := fmt.Sprintf(configFormat, d.number, d.address, agent, r.Seed+int64(d.number), maxDescriptors, settings)
 	part := d.configPath + ".part"
 	if err := os.WriteFile(part, []byte(text), 0o600); err != nil {
 		return fmt.Errorf("configuration: %w", err)
--- a/internal/testbed/soak/discovery.go
+++ b/internal/testbed/soak/discovery.go
@@ -12,44 +12,45 @@
 	"time"
 )
 
-// States of an endpoint in the list.
+// States of an endpoint in the endpoint list.
 const (
 	servingState  = "SERVING"
 	drainingState = "DRAINING"
 )
 
 const (
-	emptyLineInterval = 500 * time.Millisecond // on each watch
+	emptyLineInterval = 500 * time.Millisecond // interval of keep-alive lines on each watch
 	watchHead         = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
 	updateFormat      = `{"version":%d,"full":%v,"servers":[%s]}` + "\n"
-	addressVerb       = "%s" // in an entry, for the address that a dispatcher has the endpoint at
+	addressVerb       = "%s" // in an entry, stands for the address at which a dispatcher reaches the endpoint
 )
 
-// discovery pushes the endpoint list at one address for each dispatcher, as an agent on its machine would.
+// discovery pushes the endpoint list to dispatchers. It listens at one address for each of them, as an agent on the
+// dispatcher's machine would.
 type discovery struct {
-	*role
+	*standIn
 	mu          sync.Mutex
 	version     int
 	entries     map[string]string // by endpoint, with addressVerb
 	watches     map[*watch]bool
-	silentUntil int64 // nothing is written
+	silentUntil int64 // until then, nothing is written
 }
 
-// watch is a dispatcher's connection.
+// watch is a dispatcher's connection for updates.
 type watch struct {
 	conn       net.Conn
 	dispatcher int  // from 0
-	mute       bool // nothing is written to it any more
+	mute       bool // nothing more is written to it
 }
 
-func startDiscovery(r *role) (handler, error) {
-	d := &discovery{role: r, version: 1, entries: map[string]string{}, watches: map[*watch]bool{}}
-	for i, address := range r.Listen {
+func startDiscovery(s *standIn) (handler, error) {
+	d := &discovery{standIn: s, version: 1, entries: map[string]string{}, watches: map[*watch]bool{}}
+	for i, address := range s.Listen {
 		if err := listen(address, func(conn net.Conn) { d.serve(conn, i) }); err != nil {
 			return nil, err
 		}
 	}
-	go func() { // until the process ends
+	go func() { // runs until the process ends
 		for range time.Tick(emptyLineInterval) {
 			d.forEach(func(w *watch) { d.write(w, "\n") })
 		}
@@ -57,22 +58,23 @@
 	return d.handle, nil
 }
 
-func (d *discovery) handle(order string, arguments []string) {
-	switch order {
-	case orderEntry:
+// handle executes a command.
+func (d *discovery) handle(command string, arguments []string) {
+	switch command {
+	case commandEntry:
 		d.publish(arguments[0], arguments[1], strings.Join(arguments[2:], " "))
-	case orderSilent:
+	case commandSilent:
 		d.mu.Lock()
-		d.silentUntil = untilOf(arguments)
+		d.silentUntil = endTime(arguments)
 		d.mu.Unlock()
-	case orderMute:
+	case commandMute:
 		d.forEach(func(w *watch) { w.mute = true })
-	case orderReset:
+	case commandReset:
 		d.forEach(func(w *watch) { resetConn(w.conn) })
 	}
 }
 
-// publish writes an endpoint's new entry to all watches.
+// publish sets an endpoint's entry and writes it to all watches.
 func (d *discovery) publish(endpoint, state, entry string) {
 	d.mu.Lock()
 	d.version++
@@ -86,9 +88,10 @@
 	})
 }
 
-// writable is true while anything can be written to a watch.
+// writable reports whether updates are written to a watch.
 func (d *discovery) writable(w *watch) bool { return !w.mute && now() >= d.silentUntil }
 
+// recordNotified records that a watch was notified of an endpoint's drain, if that was written to it.
 func (d *discovery) recordNotified(w *watch, endpoint string) {
 	if d.writable(w) {
 		d.record.add(Event{Kind: Notified, Endpoint: endpoint, Dispatcher: strconv.Itoa(w.dispatcher + 1)})
@@ -103,18 +106,19 @@
 	}
 }
 
-// write writes a chunk to a watch; a watch that is broken ends by itself.
+// write writes a chunk to a watch. It ignores errors, as serve notices that a watch is broken.
 func (d *discovery) write(w *watch, text string) {
 	if d.writable(w) {
 		_, _ = fmt.Fprintf(w.conn, "%x\r\n%s\r\n", len(text), text)
 	}
 }
 
-// entryFor is an endpoint's entry with the address that a dispatcher has it at.
+// entryFor returns an endpoint's entry with the address at which a dispatcher reaches it.
 func (d *discovery) entryFor(endpoint string, dispatcher int) string {
 	return strings.Replace(d.entries[endpoint], addressVerb, d.Targets[dispatcher], 1)
 }
 
+// serve writes updates to a dispatcher's connection until it is closed.
 func (d *discovery) serve(conn net.Conn, dispatcher int) {
 	defer closeConn(conn)
 	if _, err := http.ReadRequest(bufio.NewReader(conn)); err != nil {
@@ -123,10 +127,10 @@
 	w := &watch{conn: conn, dispatcher: dispatcher}
 	d.add(w)
 	defer d.remove(w)
-	_, _ = io.Copy(io.Discard, conn) // until the dispatcher closes, or the watch is reset
+	_, _ = io.Copy(io.Discard, conn) // returns once the dispatcher closes the connection or the watch is reset
 }
 
-// add writes the complete list to a new watch. What is asked during a silence is never answered.
+// add writes the complete list to a new watch. A watch that is opened during a silence gets nothing, then or later.
 func (d *discovery) add(added *watch) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -139,7 +143,7 @@
 		}
 	}
 	if !added.mute {
-		_, _ = io.WriteString(added.conn, watchHead) // a watch that is broken ends by itself
+		_, _ = io.WriteString(added.conn, watchHead) // serve notices that a watch is broken
 		d.write(added, fmt.Sprintf(updateFormat, d.version, true, strings.Join(entries, ",")))
 	}
 	d.watches[added] = true
--- a/internal/testbed/soak/dispatcher.go
+++ b/internal/testbed/soak/dispatcher.go
@@ -12,79 +12,79 @@
 	"plumspindle/internal/testbed/syscallfaults"
 )
 
-// stopTimeout is how long a dispatcher may take to end after SIGTERM: what it accepted is answered by its deadline; a
-// stream that had begun may fall silent then, and is ended 4.2 s later.
-func (p Plan) stopTimeout() time.Duration { return p.Deadline + answeredAfterStop + 5*time.Second }
+// stopTimeout returns how long a dispatcher may take to exit after SIGTERM: the requests that it accepted are answered
+// by their deadlines, but a stream that has begun by then may stall, and is ended 4.2 s later.
+func (p Plan) stopTimeout() time.Duration { return p.Deadline + stopGrace + 5*time.Second }
 
 const (
-	// answeredAfterStop is how long after SIGTERM a request may come that need not be answered by the time of SIGKILL.
-	answeredAfterStop = 700 * time.Millisecond
-	// maxDeadlineToKill is the longest deadline that SIGKILL waits for.
-	maxDeadlineToKill = 3 * time.Second
+	// stopGrace is the time after SIGTERM within which a request may arrive that need not be answered before SIGKILL.
+	stopGrace = 700 * time.Millisecond
+	// maxDeadlineBeforeKill is the longest deadline that SIGKILL allows for.
+	maxDeadlineBeforeKill = 3 * time.Second
 )
 
-// killAfter is the earliest time after SIGTERM at which SIGKILL may follow.
+// killAfter returns the shortest time after SIGTERM at which SIGKILL may follow.
 func (p Plan) killAfter() time.Duration {
-	return min(p.Deadline, maxDeadlineToKill) + answeredAfterStop
+	return min(p.Deadline, maxDeadlineBeforeKill) + stopGrace
 }
 
-// signalHandlerTime is how long after its start a process may have no signal handler.
+// signalHandlerTime is how long after its start a process may have no signal handlers yet.
 const signalHandlerTime = 100 * time.Millisecond
 
-// Signals that follow a SIGTERM.
+// Limits on the signals that follow a SIGTERM.
 const (
-	maxLaterSignals = 3
-	maxSignalPause  = 150 * time.Millisecond // between two of them
+	maxFollowUpSignals = 3
+	maxSignalPause     = 150 * time.Millisecond // between two of them
 )
 
-// Rates of faults of system calls, in a thousand calls, and which dispatchers have them.
+// Rates of system call faults per thousand calls, and the share of the dispatchers that get them.
 const (
-	shortCalls         = 30
-	interruptedCalls   = 20
-	failedCalls        = 5
-	dispatchersByFault = 2 // one of so many has system calls that fail
-	dispatchersByClock = 4 // one of so many has a wall clock that is stepped
+	shortPerThousand       = 30
+	interruptedPerThousand = 20
+	failedPerThousand      = 5
+	syscallFaultsOneIn     = 2 // one dispatcher in so many gets system call faults
+	clockStepsOneIn        = 4 // one dispatcher in so many gets a step of its wall clock
 )
 
-// dispatcher is a place where a dispatcher runs, one process after the other.
+// dispatcher is a dispatcher under test. Whenever it is restarted, a new process replaces the previous one.
 type dispatcher struct {
 	number      int // from 0
 	address     string
 	configPath  string
-	environment []string // beside the program's own
-	logs        *stampedLog
+	environment []string // in addition to the test's own
+	logs        *timestampedLog
 
 	mu        sync.Mutex // held while the process is stopped, killed or started
 	process   *process
 	startedAt int64
 }
 
-// start starts the program that was built, with the platform's environment; the lock is held.
+// start starts the program under test as the platform does. The caller holds the lock.
 func (d *dispatcher) start(binary string) error {
-	command := exec.Command(binary, "--log-level", "debug", "platform")
-	command.Env = append(append(os.Environ(), "BALANCER_CONFIG="+d.configPath), d.environment...)
-	command.Stderr = d.logs
-	if err := command.Start(); err != nil {
+	cmd := exec.Command(binary, "--log-level", "debug", "platform")
+	cmd.Env = append(append(os.Environ(), "BALANCER_CONFIG="+d.configPath), d.environment...)
+	cmd.Stderr = d.logs
+	if err := cmd.Start(); err != nil {
 		return fmt.Errorf("start dispatcher %d: %w", d.number, err)
 	}
-	d.process, d.startedAt = &process{command: command, exited: make(chan struct{})}, now()
+	d.process, d.startedAt = &process{cmd: cmd, exited: make(chan struct{})}, now()
 	go d.process.wait()
 	return nil
 }
 
 // signal sends a signal to the current process, which may have ended already.
-func (d *dispatcher) signal(s syscall.Signal) { _ = d.process.command.Process.Signal(s) }
+func (d *dispatcher) signal(s syscall.Signal) { _ = d.process.cmd.Process.Signal(s) }
 
 // addDispatcher adds a dispatcher and starts it.
 func (r *run) addDispatcher(number int) error {
-	logs, err := newStampedLog(filepath.Join(r.Dir, fmt.Sprintf("n%d.log", number)))
+	logs, err := newTimestampedLog(filepath.Join(r.Dir, fmt.Sprintf("n%d.log", number)))
 	if err != nil {
 		return err
 	}
 	added := &dispatcher{number: number, address: r.address(dispatcherAddress, number, dispatcherPort),
 		configPath: filepath.Join(r.Dir, fmt.Sprintf("n%d.json", number)), logs: logs}
 	r.dispatchers, r.agentOf = append(r.dispatchers, added), append(r.agentOf, 0)
-	if r.SyscallFaults && number%dispatchersByFault == 0 {
+	if r.SyscallFaults && number%syscallFaultsOneIn == 0 {
 		added.environment = r.drawSyscallFaults(number).Environment(r.Library)
 	}
 	if err := r.writeConfig(added); err != nil {
@@ -95,10 +95,11 @@
 	return added.start(r.Binary)
 }
 
+// drawSyscallFaults returns the system call faults of a dispatcher, with a random clock step for some of them.
 func (r *run) drawSyscallFaults(number int) syscallfaults.Faults {
 	faults := syscallfaults.Faults{Seed: r.Seed + int64(number),
-		Short: shortCalls, Interrupted: interruptedCalls, Errors: failedCalls}
-	if r.ClockSteps && number%dispatchersByClock == 0 {
+		Short: shortPerThousand, Interrupted: interruptedPerThousand, Errors: failedPerThousand}
+	if r.ClockSteps && number%clockStepsOneIn == 0 {
 		steps := []time.Duration{-time.Hour, time.Hour, -3 * time.Second, 3 * time.Second}
 		faults.ClockStep = steps[r.random.Intn(len(steps))]
 		faults.ClockStepAfter = time.Duration(r.random.Int63n(int64(r.Duration)))
@@ -106,16 +107,16 @@
 	return faults
 }
 
-// laterSignal is a signal that follows SIGTERM.
-type laterSignal struct {
+// followUpSignal is a signal that is sent after SIGTERM.
+type followUpSignal struct {
 	after  time.Duration
 	signal syscall.Signal
 }
 
-// drawLaterSignals draws what follows a SIGTERM: signals come in series.
-func (r *run) drawLaterSignals() (later []laterSignal) {
-	for range r.random.Intn(maxLaterSignals + 1) {
-		later = append(later, laterSignal{
+// drawFollowUpSignals draws up to maxFollowUpSignals signals that are sent after a SIGTERM.
+func (r *run) drawFollowUpSignals() (later []followUpSignal) {
+	for range r.random.Intn(maxFollowUpSignals + 1) {
+		later = append(later, followUpSignal{
 			after:  time.Duration(r.random.Int63n(int64(maxSignalPause))),
 			signal: pick(r.random, []syscall.Signal{syscall.SIGTERM, syscall.SIGHUP}),
 		})
@@ -123,8 +124,9 @@
 	return later
 }
 
-// stop asks a dispatcher to stop, kills it at the earliest time at which that is allowed, and starts it again.
-func (r *run) stop(stopping *dispatcher, later []laterSignal) {
+// stopAndRestart sends SIGTERM to a dispatcher, kills it at the earliest time at which that is allowed unless it has
+// exited by then, and starts it again.
+func (r *run) stopAndRestart(stopping *dispatcher, later []followUpSignal) {
 	stopping.mu.Lock()
 	defer stopping.mu.Unlock()
 	stoppedAt := now()
@@ -146,8 +148,8 @@
 	r.restart(stopping)
 }
 
-// end asks a dispatcher to stop at the end of a run, and gives it the time that it needs.
-func (r *run) end(stopping *dispatcher) {
+// shutDown sends SIGTERM to a dispatcher at the end of a run, and kills it only after stopTimeout.
+func (r *run) shutDown(stopping *dispatcher) {
 	stopping.mu.Lock()
 	defer stopping.mu.Unlock()
 	stoppedAt := now()
@@ -157,36 +159,36 @@
 	case <-stopping.process.exited:
 		r.checkExit(stopping, stoppedAt)
 	case <-time.After(r.stopTimeout()):
-		r.addFinding(ruleOneAnswer, "dispatcher %d has not ended %v after SIGTERM", stopping.number, r.stopTimeout())
+		r.addFinding(ruleOneAnswer, "dispatcher %d has not exited %v after SIGTERM", stopping.number, r.stopTimeout())
 		r.kill(stopping)
 	}
 	r.record.add(Event{Kind: Ended, Dispatcher: stopping.address})
 }
 
-// checkExit checks how a dispatcher has ended that was asked to stop. One that had only just been started ends by the
-// signal itself: no program has a handler from its first instant on, and it has not listened yet.
+// checkExit checks that a dispatcher exited without an error after SIGTERM. If it had only just been started, SIGTERM
+// may terminate the process directly: its signal handler is not installed yet, and it does not listen yet either.
 func (r *run) checkExit(stopped *dispatcher, stoppedAt int64) {
 	err := stopped.process.err
 	if err == nil {
 		return
 	}
-	status, known := stopped.process.command.ProcessState.Sys().(syscall.WaitStatus)
+	status, known := stopped.process.cmd.ProcessState.Sys().(syscall.WaitStatus)
 	uptime := time.Duration(stoppedAt-stopped.startedAt) * time.Microsecond
 	if known && status.Signal() == syscall.SIGTERM && uptime < signalHandlerTime {
 		return
 	}
-	r.addFinding(ruleCrash, "dispatcher %d ended with %v, %v after its start", stopped.number, err, uptime)
+	r.addFinding(ruleCrash, "dispatcher %d exited with %v after an uptime of %v", stopped.number, err, uptime)
 }
 
-// kill ends a dispatcher at once; its lock is held.
+// kill kills a dispatcher. The caller holds its lock.
 func (r *run) kill(d *dispatcher) {
 	r.record.add(Event{Kind: Killed, Dispatcher: d.address})
 	d.process.kill()
 }
 
-// restart starts a dispatcher that has ended; its lock is held.
+// restart starts a dispatcher that has ended. The caller holds its lock.
 func (r *run) restart(d *dispatcher) {
 	if err := d.start(r.Binary); err != nil {
-		r.addFinding(ruleCrash, "dispatcher %d was not started again: %v", d.number, err)
+		r.addFinding(ruleCrash, "dispatcher %d could not be restarted: %v", d.number, err)
 	}
 }
--- a/internal/testbed/soak/endpoint.go
+++ b/internal/testbed/soak/endpoint.go
@@ -13,7 +13,7 @@
 	"golang.org/x/sys/unix"
 )
 
-// Parts of the answers of an endpoint.
+// Answers of an endpoint and their parts, and the kinds of endpoints.
 const (
 	streamHead     = "HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\nTransfer-Encoding: chunked\r\n\r\n"
 	tokenEvent     = `{"choices":[{"index":0,"delta":{"content":"Lamu"},"finish_reason":null}]}`
@@ -28,65 +28,66 @@
 	decodeKind  = "decode"
 )
 
-// How often an endpoint misbehaves: one of so many.
+// Odds of an endpoint's misbehaviour: it happens once in so many requests.
 const (
-	forgetsIdleConnection = 400 // requests
-	declines              = 50  // requests
-	misbehavesInPrefill   = 60  // for each way
-	misbehavesInDecode    = 80  // for each way
+	idleCloseOneIn    = 400 // may close a connection that stays idle
+	declineOneIn      = 50  // declines the request
+	prefillFaultOneIn = 60  // for each way to misbehave
+	decodeFaultOneIn  = 80  // for each way to misbehave
 )
 
-// Ways in which an endpoint misbehaves in a decode.
+// Ways in which an endpoint misbehaves in a decode; any other number that is drawn is the usual behaviour.
 const (
 	resetsAtOnce = iota
 	fails
-	answersNoise
+	sendsGarbage
 	resetsInStream
 	breaksChunking
-	fallsSilent
+	stallsInStream
 	answersTwice
 )
 
-// endpoint is a model endpoint: it prefills, or decodes, and misbehaves now and then.
+// endpoint simulates a model server that prefills or decodes, and that misbehaves at random.
 type endpoint struct {
-	*role
-	silentUntil  atomic.Int64 // it answers nothing
-	declineUntil atomic.Int64 // it declines everything
+	*standIn
+	silentUntil  atomic.Int64 // until then, it answers nothing
+	declineUntil atomic.Int64 // until then, it declines all requests
 }
 
-func startEndpoint(r *role) (handler, error) {
-	e := &endpoint{role: r}
-	if err := listen(r.Listen[0], e.serve); err != nil {
+func startEndpoint(s *standIn) (handler, error) {
+	e := &endpoint{standIn: s}
+	if err := listen(s.Listen[0], e.serve); err != nil {
 		return nil, err
 	}
-	return func(order string, arguments []string) {
-		switch order {
-		case orderSilent: // recorded here, as an endpoint that is stopped takes the order later
+	return func(command string, arguments []string) {
+		switch command {
+		case commandSilent: // recorded here and not by the run, as an endpoint that is stopped executes it later
 			e.record.add(Event{Kind: FaultBegan, Text: notRunningText, Endpoint: e.Name,
-				Value: durationOf(arguments, 0).Microseconds()})
-			e.silentUntil.Store(untilOf(arguments))
-		case orderDecline:
-			e.declineUntil.Store(untilOf(arguments))
+				Value: durationArgument(arguments, 0).Microseconds()})
+			e.silentUntil.Store(endTime(arguments))
+		case commandDecline:
+			e.declineUntil.Store(endTime(arguments))
 		}
 	}, nil
 }
 
-// exchange is one request that an endpoint answers.
+// exchange is one request and the connection that its answer is written to.
 type exchange struct {
 	conn       net.Conn
 	id         string
-	dispatcher string // the last number of the address of its proxy
+	dispatcher string // last number of its proxy's IP address
 	arrivedAt  int64
 }
 
-// serve answers the requests of one connection. Each dispatcher's proxy comes from an address of its own.
+// serve answers the requests of one connection. Each dispatcher's proxy connects from its own IP address, which
+// identifies the dispatcher.
 func (e *endpoint) serve(conn net.Conn) {
 	defer closeConn(conn)
 	host, _, _ := net.SplitHostPort(conn.RemoteAddr().String())
 	dispatcher := host[strings.LastIndexByte(host, '.')+1:]
 	reader := bufio.NewReader(conn)
 	for {
-		if e.draw(forgetsIdleConnection) == 0 && reader.Buffered() == 0 {
+		if e.draw(idleCloseOneIn) == 0 && reader.Buffered() == 0 {
 			_ = conn.SetReadDeadline(time.Now().Add(e.drawDuration(500 * time.Millisecond)))
 		}
 		request, err := http.ReadRequest(reader)
@@ -103,7 +104,7 @@
 	}
 }
 
-// answer answers a request; it returns false where the connection must not be used again.
+// answer answers a request. It returns false if the connection must not be used again.
 func (e *endpoint) answer(request *http.Request, call exchange) bool {
 	if request.Method == http.MethodDelete {
 		e.waitWhileSilent()
@@ -112,19 +113,19 @@
 		return call.write(releasedAnswer)
 	}
 	e.waitWhileSilent()
-	if isClosedByPeer(call.conn) { // it was given up while this endpoint did not run
+	if isClosedByPeer(call.conn) { // the request was abandoned while this endpoint did not run
 		return false
 	}
 	call.id, call.arrivedAt = request.Header.Get("Req-Id"), now()
 	left, _ := time.ParseDuration(strings.Replace(request.Header.Get("Req-Deadline"), "u", "us", 1))
 	e.record.add(Event{At: call.arrivedAt, Kind: Arrived, ID: call.id, Endpoint: e.Name, Dispatcher: call.dispatcher,
 		Value: left.Microseconds(), Text: e.Kind})
-	if now() < e.declineUntil.Load() || e.draw(declines) == 0 {
+	if now() < e.declineUntil.Load() || e.draw(declineOneIn) == 0 {
 		e.recordRefused(call)
 		return call.write(declinedAnswer)
 	}
 	time.Sleep(e.drawDuration(30 * time.Millisecond))
-	if isClosedByPeer(call.conn) { // what was abandoned is not run
+	if isClosedByPeer(call.conn) { // an abandoned request is not run
 		e.recordRefused(call)
 		return false
 	}
@@ -134,21 +135,21 @@
 	return e.decode(call)
 }
 
-// recordRefused records that a decode does not take the state that waits for it.
+// recordRefused records that a decode endpoint does not use the state that is reserved for the request.
 func (e *endpoint) recordRefused(call exchange) {
 	if e.Kind == decodeKind {
 		e.record.add(Event{Kind: Refused, ID: call.id, Endpoint: e.Name, Dispatcher: call.dispatcher})
 	}
 }
 
-// waitWhileSilent does nothing for as long as the endpoint hangs.
+// waitWhileSilent waits for as long as the endpoint hangs.
 func (e *endpoint) waitWhileSilent() {
 	for now() < e.silentUntil.Load() {
 		time.Sleep(10 * time.Millisecond)
 	}
 }
 
-// isClosedByPeer is true if the other side has closed a connection.
+// isClosedByPeer reports whether the other side has closed a connection.
 func isClosedByPeer(conn net.Conn) (closed bool) {
 	tcp, ok := conn.(*net.TCPConn)
 	if !ok {
@@ -166,21 +167,23 @@
 	return closed || err != nil
 }
 
-// write writes a part of an answer; it returns false once the connection is broken.
+// write writes a part of an answer. It returns false once the connection is broken.
 func (x exchange) write(text string) bool {
 	_, err := io.WriteString(x.conn, text)
 	return err == nil
 }
 
+// reset resets the connection. It returns false, as the connection must not be used again.
 func (x exchange) reset() bool {
 	resetConn(x.conn)
 	return false
 }
 
+// prefill reserves a state and answers, unless it misbehaves.
 func (e *endpoint) prefill(call exchange) bool {
 	e.record.add(Event{Kind: Reserved, ID: call.id, Endpoint: e.Name, Dispatcher: call.dispatcher})
-	switch e.draw(misbehavesInPrefill) {
-	case 0: // the prompt is prefilled, and the answer lost
+	switch e.draw(prefillFaultOneIn) {
+	case 0: // the prompt was prefilled, but the answer is lost
 		return call.reset()
 	case 1:
 		return call.write(failedAnswer)
@@ -188,15 +191,16 @@
 	return call.write(prefilled)
 }
 
+// decode streams a random number of tokens, unless it misbehaves.
 func (e *endpoint) decode(call exchange) bool {
 	e.record.add(Event{Kind: Ran, ID: call.id, Endpoint: e.Name, Dispatcher: call.dispatcher, Value: call.arrivedAt})
-	misbehaviour := e.draw(misbehavesInDecode)
+	misbehaviour := e.draw(decodeFaultOneIn)
 	switch misbehaviour {
 	case resetsAtOnce:
 		return call.reset()
 	case fails:
 		return call.write(failedAnswer)
-	case answersNoise:
+	case sendsGarbage:
 		call.write("\x00\x01noise\r\n")
 		time.Sleep(time.Second)
 		return false
@@ -220,14 +224,14 @@
 	return call.write(streamEnd)
 }
 
-// breakStream breaks a stream, if the endpoint misbehaves so.
+// breakStream breaks a stream if the misbehaviour is one that does so. It returns whether it did.
 func (e *endpoint) breakStream(call exchange, misbehaviour int) (broken bool) {
 	switch misbehaviour {
 	case resetsInStream:
 		call.reset()
 	case breaksChunking:
 		call.write("zz\r\n")
-	case fallsSilent:
+	case stallsInStream:
 		time.Sleep(5 * time.Second)
 	default:
 		return false
--- a/internal/testbed/soak/excuses.go
+++ b/internal/testbed/soak/excuses.go
@@ -5,48 +5,49 @@
 	"time"
 )
 
-// dispatcherKilled is true if a dispatcher was killed while a request was open there; what it ends with after a stop is
-// its own.
+// dispatcherKilled reports whether a dispatcher was killed in a span. The end of one that was only asked to stop
+// doesn't count.
 func (a *Audit) dispatcherKilled(address string, from, to int64) bool {
 	return slices.ContainsFunc(a.events, func(event Event) bool {
 		return event.Kind == Killed && event.Dispatcher == address && event.At >= from-slack.Microseconds() && event.At <= to
 	})
 }
 
-// lateAtKill is how long after SIGTERM a request came that SIGKILL found unanswered, where that was so late that the
-// dispatcher had to answer it or to close its connection before; otherwise 0.
-func (a *Audit) lateAtKill(t *requestTrail) time.Duration {
+// lateAtKill returns how long after SIGTERM a request was sent that was unanswered at SIGKILL, if that was longer than
+// stopGrace: the dispatcher should have answered it or closed its connection earlier. Otherwise it returns 0.
+func (a *Audit) lateAtKill(t *requestHistory) time.Duration {
 	for _, event := range a.events {
 		endedIt := event.Kind == Killed && event.Dispatcher == t.sent.Dispatcher && event.Value > 0 &&
 			event.At >= t.sent.At && event.At <= t.final.At && event.At+slack.Microseconds() > t.final.At
-		if endedIt && t.sent.Value > event.Value+answeredAfterStop.Microseconds() {
+		if endedIt && t.sent.Value > event.Value+stopGrace.Microseconds() {
 			return time.Duration(t.sent.Value-event.Value) * time.Microsecond
 		}
 	}
 	return 0
 }
 
-// endpointKilled is true if an endpoint was killed in a span; what it reserved is gone with it.
+// endpointKilled reports whether an endpoint was killed in a span; its reserved states are gone then.
 func (a *Audit) endpointKilled(endpoint string, from, to int64) bool {
 	return slices.ContainsFunc(a.events, func(event Event) bool {
 		return event.Kind == Killed && event.Endpoint == endpoint && event.At >= from && event.At <= to
 	})
 }
 
-// wasCutOff is true if a dispatcher could reach no endpoint in a part of a span: nothing can be released then.
-func (a *Audit) wasCutOff(dispatcher string, from, to int64) bool {
+// wasPartitioned reports whether a dispatcher could reach no endpoint during any part of a span. It can't release
+// states then.
+func (a *Audit) wasPartitioned(dispatcher string, from, to int64) bool {
 	return slices.ContainsFunc(a.events, func(event Event) bool {
-		return event.Kind == FaultBegan && event.Text == cutOffText && event.Dispatcher == dispatcher &&
+		return event.Kind == FaultBegan && event.Text == partitionedText && event.Dispatcher == dispatcher &&
 			event.At <= to && event.At+event.Value+slack.Microseconds() >= from
 	})
 }
 
-// writtenBy is the earliest time at which a request may have been written that an endpoint took at some time, by what
-// the endpoint recorded of it: a process that did not run, or did not run again and again, took it later, and a proxy
-// may have passed it on late.
-func (a *Audit) writtenBy(taken Event, at int64) int64 {
+// earliestWrite returns the earliest time at which a dispatcher may have written a request that an endpoint recorded at
+// a given time. The endpoint's process may not have run in between, once or several times in a row, and the proxy may
+// have delayed the connection.
+func (a *Audit) earliestWrite(taken Event, at int64) int64 {
 	earliest := at
-	for _, event := range slices.Backward(a.events) { // in the order of their times, so that the earlier ones come last
+	for _, event := range slices.Backward(a.events) { // sorted by time, so that earlier spans are added to later ones
 		if event.Kind == FaultBegan && event.Text == notRunningText && event.Endpoint == taken.Endpoint &&
 			event.At <= earliest && event.At+event.Value+slack.Microseconds() >= earliest {
 			earliest = event.At
@@ -55,20 +56,21 @@
 	return earliest - a.proxyDelay(taken.Dispatcher, earliest)
 }
 
-// proxyDelay is for how long a proxy may have delayed what had left a dispatcher: it accepts a connection at once that
-// it passes on late.
+// proxyDelay returns how long a proxy may have delayed a request after the dispatcher had written it: a proxy accepts a
+// connection at once even if it delays the connection to the endpoint.
 func (a *Audit) proxyDelay(dispatcher string, at int64) int64 {
 	delayed := slices.ContainsFunc(a.events, func(event Event) bool {
-		return event.Kind == FaultBegan && event.Text == lateText && event.Dispatcher == dispatcher &&
-			event.At <= at && event.At+event.Value+2*lateBy.Microseconds() >= at
+		return event.Kind == FaultBegan && event.Text == delayedText && event.Dispatcher == dispatcher &&
+			event.At <= at && event.At+event.Value+2*connectionDelay.Microseconds() >= at
 	})
 	if delayed {
-		return lateBy.Microseconds()
+		return connectionDelay.Microseconds()
 	}
 	return 0
 }
 
-// discoverySilence is for how long discovery published nothing from a time on.
+// discoverySilence returns the time from a given time to the end of the last silence of discovery that began within
+// drainKnownAfter of it, or 0 if there was none.
 func (a *Audit) discoverySilence(at int64) (longest int64) {
 	for _, event := range a.events {
 		if event.Kind == FaultBegan && event.Text == discoverySilentText &&
--- a/internal/testbed/soak/faults.go
+++ b/internal/testbed/soak/faults.go
@@ -9,10 +9,10 @@
 	"plumspindle/internal/testbed/syscallfaults"
 )
 
-// Texts of faults that the audit knows.
+// Texts of the faults that the audit makes allowance for.
 const (
-	cutOffText          = "cut off from the hosts"
-	lateText            = "connections come up late"
+	partitionedText     = "partitioned from the endpoints"
+	delayedText         = "connections are delayed"
 	discoverySilentText = "discovery silent"
 	notRunningText      = "an endpoint does not run"
 )
@@ -23,23 +23,24 @@
 	faultTimeSpread = 1800        // ms
 	maxReloads      = 4           // in a series
 	minUptime       = time.Second // of a dispatcher before it gets a new configuration
-	drainsOf        = 3           // one of so many endpoints of a kind may drain
+	drainOneIn      = 3           // at most one endpoint in so many of a kind is drained
 )
 
-// fault is one kind of fault; inject begins it and returns whether it could.
+// fault is a kind of fault. Its inject function begins it, and returns whether it did.
 type fault struct {
 	name   string
 	inject func(r *run, duration time.Duration) bool
 }
 
-// stopShare is the share of faults that are planned restarts, beside those that are drawn among all.
-const stopShare = 0.12
+// plannedRestartShare is the share of faults that are planned restarts, on top of those drawn from the list of all
+// faults.
+const plannedRestartShare = 0.12
 
-// stoppedOf says which part of the endpoints of a kind go on while the others are stopped: one of so many.
-const stoppedOf = 5
+// runningOneIn is the share of a kind's endpoints that keep running while the others are stopped: one in so many.
+const runningOneIn = 5
 
-// stopEndpoints stops the processes of most endpoints of a kind for a while. Their machine goes on: it confirms what
-// they are sent, and keeps their connections open.
+// stopEndpoints stops the processes of most endpoints of a kind for a while. Their kernel keeps running: it
+// acknowledges the data that is sent to them, and keeps their connections open.
 func (r *run) stopEndpoints(kind string, duration time.Duration) bool {
 	var ofKind []int
 	for _, endpoint := range r.random.Perm(len(r.endpoints)) {
@@ -47,7 +48,7 @@
 			ofKind = append(ofKind, endpoint)
 		}
 	}
-	running := (len(ofKind) + stoppedOf - 1) / stoppedOf
+	running := (len(ofKind) + runningOneIn - 1) / runningOneIn
 	for _, endpoint := range ofKind[running:] {
 		r.stopEndpoint(endpoint, duration)
 	}
@@ -57,74 +58,75 @@
 // stopEndpoint stops the process of an endpoint for a while.
 func (r *run) stopEndpoint(endpoint int, duration time.Duration) {
 	r.recordFault(Event{Text: notRunningText, Endpoint: endpointName(endpoint)}, duration)
-	process := r.endpoints[endpoint].command.Process
-	_ = process.Signal(syscall.SIGSTOP) // it may have been killed
+	process := r.endpoints[endpoint].cmd.Process
+	_ = process.Signal(syscall.SIGSTOP) // fails if it has been killed
 	time.AfterFunc(duration, func() { _ = process.Signal(syscall.SIGCONT) })
 }
 
 var plannedRestart = fault{"a dispatcher is stopped and started again", stopDispatcher}
 
-// faults are all kinds of fault; their names are part of a report.
+// faults are all kinds of fault. Their names are part of a report.
 var faults = []fault{
 	plannedRestart,
 	{"a dispatcher is killed and started again", killDispatcher},
-	{"a new configuration moves discovery", moveDiscovery},
-	{"a dispatcher is held up", freezeDispatcher},
-	{"a dispatcher has no descriptors", takeDescriptors},
-	{"idle clients crowd in", func(r *run, duration time.Duration) bool {
-		pick(r.random, r.clients).order("%s %s %s", orderCrowd, pick(r.random, r.dispatchers).address, duration)
+	{"a new configuration names another discovery agent", switchDiscoveryAgent},
+	{"a dispatcher is frozen", freezeDispatcher},
+	{"a dispatcher has no free descriptors", exhaustDescriptors},
+	{"idle connections flood a dispatcher", func(r *run, duration time.Duration) bool {
+		pick(r.random, r.clients).send("%s %s %s", commandFlood, pick(r.random, r.dispatchers).address, duration)
 		return true
 	}},
-	{"a dispatcher is cut off from the hosts", func(r *run, duration time.Duration) bool {
-		return r.disturbProxy(cutOffText, orderSilent, duration)
+	{"a dispatcher is partitioned from the endpoints", func(r *run, duration time.Duration) bool {
+		return r.injectProxyFault(partitionedText, commandSilent, duration)
 	}},
-	{"connections to hosts come up late", func(r *run, duration time.Duration) bool {
-		return r.disturbProxy(lateText, orderLate, duration)
+	{"connections to endpoints are delayed", func(r *run, duration time.Duration) bool {
+		return r.injectProxyFault(delayedText, commandDelay, duration)
 	}},
-	{"bytes come in pieces", func(r *run, duration time.Duration) bool {
-		pick(r.random, r.proxies).order("%s %s", orderPieces, duration)
+	{"bytes arrive in small fragments", func(r *run, duration time.Duration) bool {
+		pick(r.random, r.proxies).send("%s %s", commandFragment, duration)
 		return true
 	}},
-	{"connections to hosts are reset", func(r *run, _ time.Duration) bool {
-		pick(r.random, r.proxies).order(orderReset)
+	{"connections to endpoints are reset", func(r *run, _ time.Duration) bool {
+		pick(r.random, r.proxies).send(commandReset)
 		return true
 	}},
-	{"a host hangs", func(r *run, duration time.Duration) bool {
-		pick(r.random, r.endpoints).order("%s %s", orderSilent, duration)
+	{"an endpoint hangs", func(r *run, duration time.Duration) bool {
+		pick(r.random, r.endpoints).send("%s %s", commandSilent, duration)
 		return true
 	}},
-	{"hosts are stopped", func(r *run, duration time.Duration) bool {
+	{"endpoints are stopped", func(r *run, duration time.Duration) bool {
 		return r.stopEndpoints(pick(r.random, []string{prefillKind, decodeKind}), duration)
 	}},
-	{"a host declines all", func(r *run, duration time.Duration) bool {
-		pick(r.random, r.endpoints).order("%s %s", orderDecline, duration)
+	{"an endpoint declines all requests", func(r *run, duration time.Duration) bool {
+		pick(r.random, r.endpoints).send("%s %s", commandDecline, duration)
 		return true
 	}},
-	{"a host is killed and started again", killEndpoint},
-	{"a host drains", drainEndpoint},
+	{"an endpoint is killed and started again", killEndpoint},
+	{"an endpoint drains", drainEndpoint},
 	{"discovery is silent", func(r *run, duration time.Duration) bool {
 		r.recordFault(Event{Text: discoverySilentText}, duration)
-		pick(r.random, r.agents).order("%s %s", orderSilent, duration)
+		pick(r.random, r.agents).send("%s %s", commandSilent, duration)
 		return true
 	}},
-	{"watches fall silent", func(r *run, _ time.Duration) bool {
-		pick(r.random, r.agents).order(orderMute)
+	{"watches get no more updates", func(r *run, _ time.Duration) bool {
+		pick(r.random, r.agents).send(commandMute)
 		return true
 	}},
 	{"watches are reset", func(r *run, _ time.Duration) bool {
-		pick(r.random, r.agents).order(orderReset)
+		pick(r.random, r.agents).send(commandReset)
 		return true
 	}},
 }
 
+// pick returns a random element of a list.
 func pick[T any](random *rand.Rand, list []T) T { return list[random.Intn(len(list))] }
 
-// injectFaults draws faults until the run's time is over; two or three overlap.
+// injectFaults injects random faults until the run's duration is over. Two or three of them overlap at a time.
 func (r *run) injectFaults() {
 	for end := now() + r.Duration.Microseconds(); now() < end; {
 		time.Sleep(r.MeanFaultInterval/2 + time.Duration(r.random.Int63n(int64(r.MeanFaultInterval))))
 		next := pick(r.random, faults)
-		if r.random.Float64() < stopShare {
+		if r.random.Float64() < plannedRestartShare {
 			next = plannedRestart
 		}
 		duration := minFaultTime + time.Duration(r.random.Intn(faultTimeSpread))*time.Millisecond
@@ -134,21 +136,21 @@
 	}
 }
 
-// recordFault records a fault for the audit.
+// recordFault records the beginning of a fault for the audit.
 func (r *run) recordFault(event Event, duration time.Duration) {
 	event.Kind, event.Value = FaultBegan, duration.Microseconds()
 	r.record.add(event)
 }
 
-// disturbProxy disturbs one dispatcher's connections to the endpoints.
-func (r *run) disturbProxy(text, order string, duration time.Duration) bool {
+// injectProxyFault sends a command to the proxy between a random dispatcher and the endpoints, and records the fault.
+func (r *run) injectProxyFault(text, command string, duration time.Duration) bool {
 	number := r.random.Intn(len(r.proxies))
 	r.recordFault(Event{Text: text, Dispatcher: strconv.Itoa(number + 1)}, duration)
-	r.proxies[number].order("%s %s", order, duration)
+	r.proxies[number].send("%s %s", command, duration)
 	return true
 }
 
-// lockDispatcher draws a dispatcher and locks it; it returns nil for one that is being stopped.
+// lockDispatcher locks a random dispatcher. It returns nil if that dispatcher is being stopped.
 func (r *run) lockDispatcher() *dispatcher {
 	d := pick(r.random, r.dispatchers)
 	if !d.mu.TryLock() {
@@ -163,11 +165,11 @@
 		return false
 	}
 	d.mu.Unlock()
-	if r.Crowd {
-		pick(r.random, r.clients).order("%s %s %s", orderCrowd, d.address, r.killAfter())
+	if r.FloodOnStop {
+		pick(r.random, r.clients).send("%s %s %s", commandFlood, d.address, r.killAfter())
 	}
-	later := r.drawLaterSignals()
-	r.stops.Go(func() { r.stop(d, later) })
+	later := r.drawFollowUpSignals()
+	r.pendingStops.Go(func() { r.stopAndRestart(d, later) })
 	return true
 }
 
@@ -177,7 +179,7 @@
 		return false
 	}
 	defer d.mu.Unlock()
-	if r.random.Intn(2) == 0 { // planned restarts are more common
+	if r.random.Intn(2) == 0 { // planned restarts are to be more common
 		return false
 	}
 	r.kill(d)
@@ -185,7 +187,7 @@
 	return true
 }
 
-func moveDiscovery(r *run, _ time.Duration) bool {
+func switchDiscoveryAgent(r *run, _ time.Duration) bool {
 	d := r.lockDispatcher()
 	if d == nil {
 		return false
@@ -209,26 +211,26 @@
 	if d == nil {
 		return false
 	}
-	frozen := d.process.command.Process
+	frozen := d.process.cmd.Process
 	d.mu.Unlock()
-	_ = frozen.Signal(syscall.SIGSTOP) // it may have ended already
+	_ = frozen.Signal(syscall.SIGSTOP) // fails if it has ended already
 	time.Sleep(time.Duration(r.random.Int63n(int64(maxFreeze))))
 	_ = frozen.Signal(syscall.SIGCONT)
 	return true
 }
 
-// takeDescriptors leaves a dispatcher only the descriptors that it has open, for a while.
-func takeDescriptors(r *run, duration time.Duration) bool {
+// exhaustDescriptors keeps a dispatcher from opening any further descriptors for a while.
+func exhaustDescriptors(r *run, duration time.Duration) bool {
 	d := r.lockDispatcher()
 	if d == nil {
 		return false
 	}
-	pid := d.process.command.Process.Pid
+	pid := d.process.cmd.Process.Pid
 	d.mu.Unlock()
 	if err := syscallfaults.NoDescriptors(pid); err != nil {
 		return false
 	}
-	time.AfterFunc(duration, func() { _ = syscallfaults.LimitDescriptors(pid, descriptors) }) // it may have ended by then
+	time.AfterFunc(duration, func() { _ = syscallfaults.LimitDescriptors(pid, maxDescriptors) }) // fails if it has ended
 	return true
 }
 
@@ -244,11 +246,11 @@
 	if kind == prefillKind {
 		ofKind = r.Prefills
 	}
-	if r.drained[endpoint] || drainsOf*(r.drains[kind]+1) > ofKind {
+	if r.drained[endpoint] || drainOneIn*(r.drainsByKind[kind]+1) > ofKind {
 		return false
 	}
 	r.drained[endpoint] = true
-	r.drains[kind]++
+	r.drainsByKind[kind]++
 	r.publish(endpoint, drainingState)
 	return true
 }
--- a/internal/testbed/soak/judge.go
+++ b/internal/testbed/soak/judge.go
@@ -11,11 +11,11 @@
 	"plumspindle/internal/schedulerhost"
 )
 
-// maxLogLine is the longest line of a dispatcher's log that is read.
+// maxLogLine is the limit on the length of a line in a dispatcher's log.
 const maxLogLine = 1 << 20
 
-// judge audits the records and reads the dispatchers' logs.
-func (r *run) judge() error {
+// evaluate audits the records, reads the dispatchers' logs and adds both results to the report.
+func (r *run) evaluate() error {
 	var events []Event
 	for _, path := range r.records {
 		recorded, err := readRecord(path)
@@ -25,7 +25,7 @@
 		events = append(events, recorded...)
 	}
 	audit := NewAudit(events, r.Deadline)
-	r.report.Findings = append(r.report.Findings, audit.Judge()...)
+	r.report.Findings = append(r.report.Findings, audit.Check()...)
 	r.report.Requests = audit.sentRequests()
 	for _, d := range r.dispatchers {
 		if err := r.readLog(d, audit); err != nil {
@@ -35,20 +35,20 @@
 	return nil
 }
 
-// readLog reads what a dispatcher's own guard reports, and whether it crashed.
+// readLog collects the violations that a dispatcher's own guard reported, and crashes.
 func (r *run) readLog(from *dispatcher, audit *Audit) error {
 	file, err := os.Open(from.logs.file.Name())
 	if err != nil {
 		return err
 	}
-	defer func() { _ = file.Close() }() // it was only read
+	defer func() { _ = file.Close() }() // closing a file that was only read loses nothing
 	lines := bufio.NewScanner(file)
 	lines.Buffer(nil, maxLogLine)
 	for lines.Scan() {
 		stamp, text, _ := strings.Cut(lines.Text(), " ")
 		at, err := strconv.ParseInt(stamp, 10, 64)
 		if err != nil {
-			return fmt.Errorf("a line without its time: %w", err)
+			return fmt.Errorf("a line does not begin with its time: %w", err)
 		}
 		if isExcusedOverrun(from, audit, at, text) {
 			continue
@@ -63,8 +63,9 @@
 	return lines.Err()
 }
 
-// isExcusedOverrun is true for a KV state that could not be released while no endpoint could be reached.
+// isExcusedOverrun reports whether a log line is about a KV state that the dispatcher could not release in time because
+// it was partitioned from its endpoints.
 func isExcusedOverrun(d *dispatcher, audit *Audit, at int64, text string) bool {
 	return strings.Contains(text, strconv.Quote(guard.StateLease.String())) &&
-		audit.wasCutOff(strconv.Itoa(d.number+1), at-maxStateTime.Microseconds(), at)
+		audit.wasPartitioned(strconv.Itoa(d.number+1), at-maxStateTime.Microseconds(), at)
 }
--- a/internal/testbed/soak/log.go
+++ b/internal/testbed/soak/log.go
@@ -7,23 +7,24 @@
 	"sync"
 )
 
-// stampedLog puts the machine's monotonic time before each line, as a process's own clock may be stepped.
-type stampedLog struct {
+// timestampedLog writes a log with the machine's monotonic time before each line, as the logging process's own wall
+// clock may be stepped.
+type timestampedLog struct {
 	mu      sync.Mutex
 	file    *os.File
-	partial []byte // of a line that has not come completely
+	partial []byte // the beginning of a line that is not complete yet
 }
 
-func newStampedLog(path string) (*stampedLog, error) {
+func newTimestampedLog(path string) (*timestampedLog, error) {
 	file, err := os.Create(path)
 	if err != nil {
 		return nil, fmt.Errorf("log: %w", err)
 	}
-	return &stampedLog{file: file}, nil
+	return &timestampedLog{file: file}, nil
 }
 
 // Write implements io.Writer.
-func (l *stampedLog) Write(data []byte) (int, error) {
+func (l *timestampedLog) Write(data []byte) (int, error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.partial = append(l.partial, data...)
--- a/internal/testbed/soak/process.go
+++ b/internal/testbed/soak/process.go
@@ -11,41 +11,41 @@
 	"time"
 )
 
-// roleEndTimeout is how long a stand-in may take to end.
-const roleEndTimeout = 10 * time.Second
+// shutDownTimeout is the time that a stand-in may take to shut down.
+const shutDownTimeout = 10 * time.Second
 
-// process is one that the run started.
+// process is a child process of the run.
 type process struct {
-	command *exec.Cmd
-	orders  io.WriteCloser // of a stand-in
-	exited  chan struct{}
-	err     error // how it ended, once exited is closed
+	cmd    *exec.Cmd
+	stdin  io.WriteCloser // only of a stand-in, for commands
+	exited chan struct{}
+	err    error // the result of Wait, set before exited is closed
 }
 
-// startRole starts a stand-in and waits until it is ready.
-func startRole(name string, setup Setup) (*process, error) {
+// startStandInProcess starts the process of a stand-in and waits until it is ready.
+func startStandInProcess(name string, setup Setup) (*process, error) {
 	setupText, err := json.Marshal(setup)
 	if err != nil {
 		return nil, fmt.Errorf("setup of %s: %w", setup.Name, err)
 	}
-	command := exec.Command(os.Args[0])
-	command.Env = append(os.Environ(), roleVariable+"="+name, setupVariable+"="+string(setupText))
-	command.Stderr = os.Stderr
-	started := &process{command: command, exited: make(chan struct{})}
-	if started.orders, err = command.StdinPipe(); err != nil {
+	cmd := exec.Command(os.Args[0])
+	cmd.Env = append(os.Environ(), roleVariable+"="+name, setupVariable+"="+string(setupText))
+	cmd.Stderr = os.Stderr
+	started := &process{cmd: cmd, exited: make(chan struct{})}
+	if started.stdin, err = cmd.StdinPipe(); err != nil {
 		return nil, fmt.Errorf("start %s %s: %w", name, setup.Name, err)
 	}
-	out, err := command.StdoutPipe()
+	out, err := cmd.StdoutPipe()
 	if err != nil {
 		return nil, fmt.Errorf("start %s %s: %w", name, setup.Name, err)
 	}
-	if err := command.Start(); err != nil {
+	if err := cmd.Start(); err != nil {
 		return nil, fmt.Errorf("start %s %s: %w", name, setup.Name, err)
 	}
 	line, err := bufio.NewReader(out).ReadString('\n')
 	go started.wait()
 	if err == nil && strings.TrimSpace(line) != readyLine {
-		err = fmt.Errorf("said %q", line)
+		err = fmt.Errorf("printed %q, not ready", line)
 	}
 	if err != nil {
 		started.kill()
@@ -54,29 +54,30 @@
 	return started, nil
 }
 
+// wait waits for the end of the process.
 func (p *process) wait() {
-	p.err = p.command.Wait()
+	p.err = p.cmd.Wait()
 	close(p.exited)
 }
 
 // kill ends the process at once.
 func (p *process) kill() {
-	_ = p.command.Process.Kill() // it may have ended already
+	_ = p.cmd.Process.Kill() // it may have ended already
 	<-p.exited
 }
 
-// order sends an order to a stand-in; one that has ended takes none.
-func (p *process) order(format string, arguments ...any) {
-	_, _ = fmt.Fprintf(p.orders, format+"\n", arguments...)
+// send sends a command to a stand-in. A stand-in that has ended ignores it.
+func (p *process) send(format string, arguments ...any) {
+	_, _ = fmt.Fprintf(p.stdin, format+"\n", arguments...)
 }
 
-// end has a stand-in write its record and end.
-func (p *process) end() {
-	p.order(orderEnd)
-	_ = p.orders.Close()
+// shutDown makes a stand-in write its record and exit; one that does not is killed.
+func (p *process) shutDown() {
+	p.send(commandEnd)
+	_ = p.stdin.Close()
 	select {
 	case <-p.exited:
-	case <-time.After(roleEndTimeout):
+	case <-time.After(shutDownTimeout):
 		p.kill()
 	}
 }
--- a/internal/testbed/soak/proxy.go
+++ b/internal/testbed/soak/proxy.go
@@ -10,41 +10,42 @@
 )
 
 const (
-	lateBy          = 400 * time.Millisecond // how late connections come up
+	connectionDelay = 400 * time.Millisecond // by which new connections are delayed
 	proxyBufferSize = 16 << 10
-	maxPieceSize    = 200
+	maxFragmentSize = 200
 )
 
-// proxy stands between one dispatcher and all endpoints: it resets connections, lets them fall silent, has new ones
-// come up late and cuts what passes into small pieces.
+// proxy forwards one dispatcher's connections to all endpoints. On command it resets connections, blackholes them,
+// delays new ones or forwards bytes in small fragments.
 type proxy struct {
-	*role
-	mu          sync.Mutex
-	open        map[net.Conn]bool
-	silentUntil atomic.Int64 // nothing passes, and nothing is said of it; what was open is reset afterwards
-	lateUntil   atomic.Int64
-	piecesUntil atomic.Int64
+	*standIn
+	mu            sync.Mutex
+	open          map[net.Conn]bool
+	silentUntil   atomic.Int64 // nothing is forwarded; connections that were open are reset afterwards
+	delayUntil    atomic.Int64
+	fragmentUntil atomic.Int64
 }
 
-func startProxy(r *role) (handler, error) {
-	p := &proxy{role: r, open: map[net.Conn]bool{}}
-	for i, address := range r.Listen {
-		if err := listen(address, func(conn net.Conn) { p.serve(conn, r.Targets[i]) }); err != nil {
+func startProxy(s *standIn) (handler, error) {
+	p := &proxy{standIn: s, open: map[net.Conn]bool{}}
+	for i, address := range s.Listen {
+		if err := listen(address, func(conn net.Conn) { p.serve(conn, s.Targets[i]) }); err != nil {
 			return nil, err
 		}
 	}
 	return p.handle, nil
 }
 
-func (p *proxy) handle(order string, arguments []string) {
-	switch order {
-	case orderSilent:
-		p.silentUntil.Store(untilOf(arguments))
-	case orderLate:
-		p.lateUntil.Store(untilOf(arguments))
-	case orderPieces:
-		p.piecesUntil.Store(untilOf(arguments))
-	case orderReset:
+// handle executes a command.
+func (p *proxy) handle(command string, arguments []string) {
+	switch command {
+	case commandSilent:
+		p.silentUntil.Store(endTime(arguments))
+	case commandDelay:
+		p.delayUntil.Store(endTime(arguments))
+	case commandFragment:
+		p.fragmentUntil.Store(endTime(arguments))
+	case commandReset:
 		p.mu.Lock()
 		defer p.mu.Unlock()
 		for conn := range p.open {
@@ -55,30 +56,31 @@
 	}
 }
 
-// serve connects both sides; what comes from this proxy has its own source address.
-func (p *proxy) serve(near net.Conn, target string) {
-	defer closeConn(near)
+// serve forwards a connection to an endpoint. It connects from the proxy's own address, by which endpoints tell the
+// dispatchers apart.
+func (p *proxy) serve(downstream net.Conn, target string) {
+	defer closeConn(downstream)
 	if p.waitWhileSilent() {
-		resetConn(near)
+		resetConn(downstream)
 		return
 	}
-	if now() < p.lateUntil.Load() {
-		time.Sleep(lateBy)
-		if isClosedByPeer(near) { // it did not wait for the connection
+	if now() < p.delayUntil.Load() {
+		time.Sleep(connectionDelay)
+		if isClosedByPeer(downstream) { // the dispatcher did not wait for the connection
 			return
 		}
 	}
 	dialer := net.Dialer{LocalAddr: &net.TCPAddr{IP: net.ParseIP(p.Name)}, Timeout: time.Second}
-	far, err := dialer.Dial("tcp", target)
+	upstream, err := dialer.Dial("tcp", target)
 	if err != nil {
-		resetConn(near)
+		resetConn(downstream)
 		return
 	}
-	defer closeConn(far)
-	p.setOpen(near, true)
-	defer p.setOpen(near, false)
+	defer closeConn(upstream)
+	p.setOpen(downstream, true)
+	defer p.setOpen(downstream, false)
 	ended := make(chan struct{}, 2)
-	for _, direction := range [][2]net.Conn{{near, far}, {far, near}} {
+	for _, direction := range [][2]net.Conn{{downstream, upstream}, {upstream, downstream}} {
 		go func() {
 			p.copy(direction[0], direction[1])
 			ended <- struct{}{}
@@ -87,6 +89,7 @@
 	<-ended
 }
 
+// setOpen adds a connection to those that a command may reset, or removes it.
 func (p *proxy) setOpen(conn net.Conn, open bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -97,7 +100,7 @@
 	}
 }
 
-// waitWhileSilent waits for the end of a silence, and returns whether there was one.
+// waitWhileSilent waits for the end of a silence, if there is one, and reports whether there was.
 func (p *proxy) waitWhileSilent() (wasSilent bool) {
 	for now() < p.silentUntil.Load() {
 		wasSilent = true
@@ -106,12 +109,12 @@
 	return wasSilent
 }
 
-// copy passes bytes in one direction until it ends.
+// copy forwards bytes in one direction until that ends.
 func (p *proxy) copy(from, to net.Conn) {
 	buffer := make([]byte, proxyBufferSize)
 	for {
 		count, err := from.Read(buffer)
-		if p.waitWhileSilent() { // like packets that are dropped: what was read is never delivered
+		if p.waitWhileSilent() { // as if packets were dropped, the data is never delivered
 			resetConn(from)
 			return
 		}
@@ -128,12 +131,12 @@
 	}
 }
 
-// write writes bytes, in small pieces where that is ordered.
+// write writes data, in small fragments while that fault lasts. It returns false once the connection is broken.
 func (p *proxy) write(to net.Conn, data []byte) bool {
 	for len(data) > 0 {
 		size := len(data)
-		if now() < p.piecesUntil.Load() {
-			size = min(1+p.draw(maxPieceSize), size)
+		if now() < p.fragmentUntil.Load() {
+			size = min(1+p.draw(maxFragmentSize), size)
 		}
 		if _, err := to.Write(data[:size]); err != nil {
 			return false
--- a/internal/testbed/soak/record.go
+++ b/internal/testbed/soak/record.go
@@ -11,64 +11,64 @@
 	"golang.org/x/sys/unix"
 )
 
-// Kind says what happened.
-type Kind string
+// EventKind is a kind of event.
+type EventKind string
 
-// What happens at an endpoint.
+// Events that endpoints record.
 const (
-	Arrived  Kind = "arrived"  // a request's last byte, at a process that runs
-	Refused  Kind = "refused"  // a decode that had arrived was declined, failed or found to be given up
-	Ran      Kind = "ran"      // its effects took place; Value is when it arrived, from which a window for repeats counts
-	Reserved Kind = "held"     // what a prefill left
-	Released Kind = "released" // by a release
+	Arrived  EventKind = "arrived"  // a request was read completely
+	Refused  EventKind = "refused"  // a decode was declined, failed or was found to be abandoned
+	Ran      EventKind = "ran"      // its effects took place; Value is its arrival, where the deduplication window begins
+	Reserved EventKind = "held"     // a prefill left a state
+	Released EventKind = "released" // a state, at a dispatcher's request
 )
 
-// What happens at a client.
+// Events that clients record.
 const (
-	Sent     Kind = "sent"     // a request's last byte; Value is when it began
-	Answered Kind = "answered" // with a status, completely
-	Broken   Kind = "broken"   // the stream ended before its last chunk
-	Lost     Kind = "lost"     // the connection ended without an answer, or none came in time
-	Left     Kind = "left"     // the client closed before its answer
+	Sent         EventKind = "sent"     // a request was sent completely; Value is when sending began
+	Answered     EventKind = "answered" // the answer is complete; Status is its status code
+	Broken       EventKind = "broken"   // the stream ended before its last chunk
+	Lost         EventKind = "lost"     // the connection ended without an answer, or none came in time
+	Disconnected EventKind = "left"     // the client closed the connection before its answer
 )
 
-// What else happens in a run.
+// Events that discovery or the run itself record.
 const (
-	Notified   Kind = "told"     // discovery wrote a drain to a dispatcher's watch
-	Drained    Kind = "drained"  // an endpoint's drain was given to discovery
-	Stopped    Kind = "stopped"  // a dispatcher was asked to stop
-	Killed     Kind = "killed"   // a dispatcher or an endpoint; Value is when it was asked to stop, if it was
-	Ended      Kind = "ended"    // a dispatcher
-	FaultBegan Kind = "troubled" // Text says which; Value is its duration
+	Notified   EventKind = "told"     // discovery wrote an endpoint's drain to a dispatcher's watch
+	Drained    EventKind = "drained"  // an endpoint's drain was published
+	Stopped    EventKind = "stopped"  // a dispatcher was sent SIGTERM
+	Killed     EventKind = "killed"   // a dispatcher or an endpoint was; Value is when it was sent SIGTERM, if it was
+	Ended      EventKind = "ended"    // a dispatcher's process ended
+	FaultBegan EventKind = "troubled" // Text names the fault; Value is its duration
 )
 
-// Event is one thing that a process saw.
+// Event is one event that a process recorded.
 type Event struct {
-	At         int64  `json:"at"` // µs of the machine's monotonic clock
-	Kind       Kind   `json:"kind"`
-	ID         string `json:"id,omitempty"` // of the request
-	Class      string `json:"class,omitempty"`
-	Endpoint   string `json:"host,omitempty"`
-	Dispatcher string `json:"dispatcher,omitempty"`
-	Status     int    `json:"status,omitempty"`
-	Value      int64  `json:"value,omitempty"`
-	Text       string `json:"text,omitempty"`
+	At         int64     `json:"at"` // µs of the machine's monotonic clock
+	Kind       EventKind `json:"kind"`
+	ID         string    `json:"id,omitempty"` // of the request
+	Class      string    `json:"class,omitempty"`
+	Endpoint   string    `json:"host,omitempty"`
+	Dispatcher string    `json:"dispatcher,omitempty"`
+	Status     int       `json:"status,omitempty"`
+	Value      int64     `json:"value,omitempty"`
+	Text       string    `json:"text,omitempty"`
 }
 
-// now is the machine's monotonic clock, alike in all processes, in µs.
+// now returns the time of the machine's monotonic clock in µs. It is the same clock in all processes.
 func now() int64 {
 	var t unix.Timespec
 	if err := unix.ClockGettime(unix.CLOCK_MONOTONIC, &t); err != nil {
-		panic(err) // Linux always has that clock
+		panic(err) // Linux always has this clock
 	}
 	return t.Nano() / 1000
 }
 
-// Record is the file that one process writes its events to.
+// Record is the file that one process writes its events to. It is safe for concurrent use.
 type Record struct {
 	mu      sync.Mutex
 	file    *os.File
-	failure error // of the first event that could not be written
+	failure error // the error of the first event that could not be written
 }
 
 func newRecord(path string) (*Record, error) {
@@ -79,7 +79,7 @@
 	return &Record{file: file}, nil
 }
 
-// add writes an event at once, as the process may be killed.
+// add writes an event without buffering it, as the process may be killed.
 func (r *Record) add(event Event) {
 	if event.At == 0 {
 		event.At = now()
@@ -93,7 +93,7 @@
 	r.failure = errors.Join(r.failure, err)
 }
 
-// close ends the record; it fails if any event was not written.
+// close closes the file. It returns an error if any event could not be written.
 func (r *Record) close() error {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -103,13 +103,13 @@
 	return nil
 }
 
-// readRecord reads a file of events.
+// readRecord reads all events of a file.
 func readRecord(path string) (events []Event, err error) {
 	file, err := os.Open(path)
 	if err != nil {
 		return nil, fmt.Errorf("record: %w", err)
 	}
-	defer func() { _ = file.Close() }() // it was only read
+	defer func() { _ = file.Close() }() // closing a file that was only read loses nothing
 	for decoder := json.NewDecoder(bufio.NewReader(file)); decoder.More(); {
 		var event Event
 		if err := decoder.Decode(&event); err != nil {
--- a/internal/testbed/soak/role.go
+++ b/internal/testbed/soak/role.go
@@ -13,13 +13,13 @@
 	"time"
 )
 
-// Variables that a stand-in's process is started with.
+// Environment variables that a stand-in's process is started with.
 const (
 	roleVariable  = "SOAK_ROLE"
 	setupVariable = "SOAK_SETUP" // Setup, as JSON
 )
 
-// Names of the stand-ins.
+// Roles that a stand-in may have.
 const (
 	endpointRole  = "host"
 	discoveryRole = "discovery"
@@ -27,117 +27,118 @@
 	clientsRole   = "clients"
 )
 
-// readyLine is what a stand-in prints once it serves.
+// readyLine is the line that a stand-in prints once it serves.
 const readyLine = "ready"
 
 // exitSetupFailed is the exit code of a stand-in that could not start.
 const exitSetupFailed = 2
 
-// Orders that stand-ins take on standard input, one a line, followed by their arguments.
+// Commands that stand-ins read from standard input, one per line, followed by their arguments.
 const (
-	orderEnd     = "end"     // to all: write the record and end
-	orderSilent  = "silent"  // endpoint, proxy, discovery: answer nothing, for a duration
-	orderDecline = "decline" // endpoint: decline everything, for a duration
-	orderLate    = "late"    // proxy: have new connections come up late, for a duration
-	orderPieces  = "pieces"  // proxy: pass bytes in small pieces, for a duration
-	orderReset   = "reset"   // proxy, discovery: reset connections
-	orderMute    = "mute"    // discovery: never write to the watches that are open now
-	orderEntry   = "entry"   // discovery: publish an endpoint's state and entry
-	orderCrowd   = "crowd"   // clients: connect to a dispatcher and say nothing, for a duration
+	commandEnd      = "end"     // all: write the record and exit
+	commandSilent   = "silent"  // endpoint, proxy, discovery: answer or forward nothing, for a duration
+	commandDecline  = "decline" // endpoint: decline all requests, for a duration
+	commandDelay    = "late"    // proxy: delay new connections, for a duration
+	commandFragment = "pieces"  // proxy: forward bytes in small fragments, for a duration
+	commandReset    = "reset"   // proxy, discovery: reset open connections
+	commandMute     = "mute"    // discovery: write nothing more to the watches that are open now
+	commandEntry    = "entry"   // discovery: publish an endpoint's state and entry
+	commandFlood    = "crowd"   // clients: open connections to a dispatcher and send nothing, for a duration
 )
 
-// Setup is what a stand-in is started with.
+// Setup is the configuration that a stand-in is started with.
 type Setup struct {
-	Name     string
+	Name     string // of a proxy: the IP address that it connects from
 	Record   string // path
 	Seed     int64
 	Kind     string        // of an endpoint
 	Listen   []string      // addresses
-	Targets  []string      // of a proxy: what stands behind each address; of clients: dispatchers
-	Duration time.Duration // of clients: for how long they send requests
-	Deadline time.Duration // of clients: that a request states
+	Targets  []string      // of a proxy: endpoints; of discovery: IP addresses of proxies; of clients: dispatchers
+	Duration time.Duration // of clients: how long they send requests
+	Deadline time.Duration // of clients: the one that each request states
 }
 
-// role is what the stand-ins share.
-type role struct {
+// standIn is the part that all stand-ins have in common.
+type standIn struct {
 	Setup
 	record *Record
 	mu     sync.Mutex
 	random *rand.Rand
 }
 
-// handler does what an order says.
-type handler func(order string, arguments []string)
+// handler executes a command.
+type handler func(command string, arguments []string)
 
-// draw is a random number below n.
-func (r *role) draw(n int) int {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	return r.random.Intn(n)
+// draw returns a random number below n.
+func (s *standIn) draw(n int) int {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	return s.random.Intn(n)
 }
 
-// drawDuration is a random duration below a limit.
-func (r *role) drawDuration(limit time.Duration) time.Duration {
-	return time.Duration(r.draw(int(limit)))
+// drawDuration returns a random duration below a limit.
+func (s *standIn) drawDuration(limit time.Duration) time.Duration {
+	return time.Duration(s.draw(int(limit)))
 }
 
-// Main runs a stand-in where the environment names one, and returns whether it did.
+// Main runs a stand-in until it ends if the environment names its role. It returns whether it did.
 func Main() bool {
 	name := os.Getenv(roleVariable)
 	if name == "" {
 		return false
 	}
-	if err := runRole(name, os.Getenv(setupVariable), os.Stdin); err != nil {
+	if err := runStandIn(name, os.Getenv(setupVariable), os.Stdin); err != nil {
 		fmt.Println(err)
 		os.Exit(exitSetupFailed)
 	}
 	return true
 }
 
-// runRole runs a stand-in until it is ordered to end.
-func runRole(name, setup string, orders io.Reader) error {
-	standIn := &role{}
-	if err := json.Unmarshal([]byte(setup), &standIn.Setup); err != nil {
+// runStandIn runs a stand-in until it gets the command to end.
+func runStandIn(name, setup string, commands io.Reader) error {
+	s := &standIn{}
+	if err := json.Unmarshal([]byte(setup), &s.Setup); err != nil {
 		return fmt.Errorf("setup: %w", err)
 	}
-	standIn.random = rand.New(rand.NewSource(standIn.Seed))
+	s.random = rand.New(rand.NewSource(s.Seed))
 	var err error
-	if standIn.record, err = newRecord(standIn.Record); err != nil {
+	if s.record, err = newRecord(s.Record); err != nil {
 		return err
 	}
-	handle, err := standIn.start(name)
+	handle, err := s.start(name)
 	if err != nil {
 		return err
 	}
 	fmt.Println(readyLine)
-	for lines := bufio.NewScanner(orders); lines.Scan(); {
+	for lines := bufio.NewScanner(commands); lines.Scan(); {
 		words := strings.Fields(lines.Text())
 		if len(words) == 0 {
 			continue
 		}
-		if words[0] == orderEnd {
+		if words[0] == commandEnd {
 			break
 		}
 		handle(words[0], words[1:])
 	}
-	return standIn.record.close()
+	return s.record.close()
 }
 
-func (r *role) start(name string) (handler, error) {
+// start starts the stand-in of a role.
+func (s *standIn) start(name string) (handler, error) {
 	switch name {
 	case endpointRole:
-		return startEndpoint(r)
+		return startEndpoint(s)
 	case discoveryRole:
-		return startDiscovery(r)
+		return startDiscovery(s)
 	case proxyRole:
-		return startProxy(r)
+		return startProxy(s)
 	case clientsRole:
-		return startClients(r), nil
+		return startClients(s), nil
 	}
-	return nil, fmt.Errorf("no role %q", name)
+	return nil, fmt.Errorf("unknown role %q", name)
 }
 
-// listen serves each connection to an address until the process ends.
+// listen serves each connection to an address, in the background, until the process ends.
 func listen(address string, serve func(net.Conn)) error {
 	listener, err := net.Listen("tcp", address)
 	if err != nil {
@@ -155,19 +156,19 @@
 	return nil
 }
 
-// closeConn closes a connection; there is nothing to be done where that fails.
+// closeConn closes a connection. It ignores errors, as nothing can be done about them.
 func closeConn(conn net.Conn) { _ = conn.Close() }
 
-// resetConn closes a connection by a reset.
+// resetConn closes a connection with a reset.
 func resetConn(conn net.Conn) {
 	if tcp, ok := conn.(*net.TCPConn); ok {
-		_ = tcp.SetLinger(0) // fails only for a connection that is closed
+		_ = tcp.SetLinger(0) // fails only if the connection is closed already
 	}
 	closeConn(conn)
 }
 
-// durationOf is an argument of an order, or 0.
-func durationOf(arguments []string, index int) time.Duration {
+// durationArgument returns an argument of a command as a duration, or 0 if it is missing or malformed.
+func durationArgument(arguments []string, index int) time.Duration {
 	if index >= len(arguments) {
 		return 0
 	}
@@ -175,5 +176,5 @@
 	return duration
 }
 
-// untilOf is the time at which the duration of an order is over.
-func untilOf(arguments []string) int64 { return now() + durationOf(arguments, 0).Microseconds() }
+// endTime returns the time at which the duration of a command, its first argument, is over.
+func endTime(arguments []string) int64 { return now() + durationArgument(arguments, 0).Microseconds() }
--- a/internal/testbed/soak/run.go
+++ b/internal/testbed/soak/run.go
@@ -1,10 +1,11 @@
-// Package soak runs the platform's dispatcher as it is built and released, a few dozen real processes on loopback,
-// through overlapping faults that are drawn from a seed: stops, restarts, new configurations, clients and endpoints
-// that misbehave, connections that break or fall silent, system calls that fail, wall clocks that are stepped.
+// Package soak tests the platform's dispatcher as it is released, in a few dozen real processes on loopback, under
+// overlapping faults that are drawn from a seed: stops, restarts, new configurations, clients and endpoints that
+// misbehave, connections that break or stall, system calls that fail, wall clocks that are stepped.
 //
-// It owns the processes, their addresses, the faults, and an audit that checks the rules against what each process
-// recorded. Endpoints, discovery, clients and proxies are stand-ins, processes of their own too. It relies on
-// syscallfaults, and on the guard's messages in the dispatchers' logs. It never looks into a dispatcher.
+// It owns the processes, their addresses, the faults, and an audit that checks the rules against the events that the
+// processes recorded. Endpoints, discovery, clients and proxies are stand-ins, which run in processes of their own. It
+// relies on syscallfaults, and on the guard's messages in the dispatchers' logs. It uses no other knowledge of a
+// dispatcher's internal state.
 package soak
 
 import (
@@ -16,7 +17,7 @@
 	"time"
 )
 
-// Plan is what a run is to be.
+// Plan describes a run.
 type Plan struct {
 	Seed              int64
 	Dispatchers       int
@@ -25,25 +26,25 @@
 	Clients           int // processes
 	Duration          time.Duration
 	Deadline          time.Duration // of each request
-	Crowd             bool          // clients crowd in wherever a dispatcher is stopped
+	FloodOnStop       bool          // clients open many idle connections to each dispatcher that is stopped
 	MeanFaultInterval time.Duration
-	Binary            string // of the program
-	Library           string // that has system calls fail
+	Binary            string // path of the program under test
+	Library           string // path of the library that injects system call faults
 	Dir               string // for records, logs and configurations
 	SyscallFaults     bool
 	ClockSteps        bool
 }
 
-// Report is what came of a run.
+// Report is the result of a run.
 type Report struct {
 	Findings   []Finding
 	Requests   int
 	Processes  int
-	Faults     map[string]int // by name
-	Violations []string       // lines of the dispatchers' own guards
+	Faults     map[string]int // number of each, by name
+	Violations []string       // log lines of the dispatchers' own guards
 }
 
-// Kinds of addresses in a run's block.
+// Kinds of addresses; each is a part of the IP addresses of a run.
 const (
 	endpointAddress = iota
 	proxyAddress
@@ -52,45 +53,46 @@
 	dispatcherAddress
 )
 
-// Ports; each endpoint's proxies listen at endpointPort plus its number, each agent at agentPort plus its own.
+// Ports. The proxies listen for connections to an endpoint at endpointPort plus its number. An agent listens at
+// agentPort plus its own number.
 const (
 	endpointPort   = 7000
 	agentPort      = 8500
 	dispatcherPort = 7070
 )
 
-const agents = 2 // of discovery
+const agents = 2 // number of discovery agents
 
-// run is a run that is under way.
+// run is the state of a run in progress.
 type run struct {
 	Plan
-	random    *rand.Rand
-	block     int // of loopback's addresses
-	record    *Record
-	records   []string // paths of all records
-	report    Report
-	reportMu  sync.Mutex // guards the report's findings
-	stops     sync.WaitGroup
-	restarts  int
-	startedMs map[int]int64 // when an endpoint was started again, by the wall clock
-
-	dispatchers []*dispatcher
-	agentOf     []int // the agent that each dispatcher's configuration names
-	proxies     []*process
-	endpoints   []*process
-	agents      []*process
-	clients     []*process
-	drained     map[int]bool   // by endpoint
-	drains      map[string]int // by the endpoints' kind
+	random           *rand.Rand
+	block            int // second number of the run's loopback addresses
+	record           *Record
+	records          []string // paths of the records of all processes
+	report           Report
+	reportMu         sync.Mutex // guards the report's findings
+	pendingStops     sync.WaitGroup
+	endpointRestarts int
+	startedMs        map[int]int64 // by endpoint; when it was last restarted, by the wall clock
+
+	dispatchers  []*dispatcher
+	agentOf      []int // by dispatcher; the agent that its configuration names
+	proxies      []*process
+	endpoints    []*process
+	agents       []*process
+	clients      []*process
+	drained      map[int]bool   // by endpoint
+	drainsByKind map[string]int // number of drained endpoints, by kind
 }
 
-// Run runs a plan with faults that are drawn from its seed, and judges it.
-func (p Plan) Run() (*Report, error) { return p.play((*run).injectFaults) }
+// Run runs a plan with faults that are drawn from its seed, and reports what the audit found.
+func (p Plan) Run() (*Report, error) { return p.runWith((*run).injectFaults) }
 
-// play runs a plan with the faults that inject brings about, and judges it.
-func (p Plan) play(inject func(*run)) (*Report, error) {
+// runWith runs a plan with the faults that inject injects, and reports what the audit found.
+func (p Plan) runWith(inject func(*run)) (*Report, error) {
 	current := &run{Plan: p, random: rand.New(rand.NewSource(p.Seed)), block: 2 + os.Getpid()%250,
-		startedMs: map[int]int64{}, drained: map[int]bool{}, drains: map[string]int{}}
+		startedMs: map[int]int64{}, drained: map[int]bool{}, drainsByKind: map[string]int{}}
 	current.report.Faults = map[string]int{}
 	var err error
 	if current.record, err = newRecord(current.newRecordPath("conductor")); err != nil {
@@ -101,15 +103,16 @@
 		return nil, err
 	}
 	inject(current)
-	current.stops.Wait()
+	current.pendingStops.Wait()
 	time.Sleep(p.Deadline + answerGrace + time.Second) // for the last requests to be answered
-	if err := current.endAll(); err != nil {
+	if err := current.shutDownAll(); err != nil {
 		return nil, err
 	}
-	return &current.report, current.judge()
+	return &current.report, current.evaluate()
 }
 
-// address is one of the run's addresses on loopback; endpoints, proxies' dispatchers and so on are numbered from 0.
+// address returns one of the run's loopback addresses. The number of the endpoint, proxy, agent or dispatcher counts
+// from 0.
 func (r *run) address(kind, number, port int) string {
 	return fmt.Sprintf("%s:%d", r.ip(kind, number), port)
 }
@@ -124,7 +127,7 @@
 	return path
 }
 
-// kindOf is the kind of an endpoint.
+// kindOf returns the kind of an endpoint.
 func (r *run) kindOf(endpoint int) string {
 	if endpoint < r.Prefills {
 		return prefillKind
@@ -134,26 +137,26 @@
 
 func endpointName(endpoint int) string { return fmt.Sprint("h", endpoint) }
 
-// addFinding adds a finding; it may be called from several goroutines.
+// addFinding adds a finding to the report. It is safe for concurrent use.
 func (r *run) addFinding(rule, format string, arguments ...any) {
 	r.reportMu.Lock()
 	defer r.reportMu.Unlock()
 	r.report.Findings = append(r.report.Findings, Finding{Rule: rule, Text: fmt.Sprintf(format, arguments...)})
 }
 
-// endAll ends everything gracefully.
-func (r *run) endAll() error {
+// shutDownAll stops all processes gracefully, the dispatchers first.
+func (r *run) shutDownAll() error {
 	for _, d := range r.dispatchers {
-		r.stops.Go(func() { r.end(d) })
+		r.pendingStops.Go(func() { r.shutDown(d) })
 	}
-	r.stops.Wait()
+	r.pendingStops.Wait()
 	for _, stopping := range r.standIns() {
-		stopping.end()
+		stopping.shutDown()
 	}
 	return r.record.close()
 }
 
-// killAll ends what is left of a run that broke off.
+// killAll kills all processes that are still running after a failed run.
 func (r *run) killAll() {
 	for _, d := range r.dispatchers {
 		if d.process != nil {
@@ -165,7 +168,7 @@
 	}
 }
 
-// standIns are all stand-ins, the clients first.
+// standIns returns all stand-ins, the clients first.
 func (r *run) standIns() (all []*process) {
 	for _, list := range [][]*process{r.clients, r.endpoints, r.proxies, r.agents} {
 		all = append(all, list...)
@@ -173,7 +176,7 @@
 	return all
 }
 
-// String describes a report in a few lines.
+// String returns a summary of the report, with one line for each finding.
 func (r *Report) String() string {
 	text := fmt.Sprintf("%d requests over %d processes, faults %v", r.Requests, r.Processes, r.Faults)
 	for _, finding := range r.Findings {
--- a/internal/testbed/soak/soak_test.go
+++ b/internal/testbed/soak/soak_test.go
@@ -12,7 +12,7 @@
 	"plumspindle/internal/testbed/syscallfaults"
 )
 
-// TestMain is also every stand-in that the runs start.
+// TestMain also serves as the main function of each stand-in process that a run starts.
 func TestMain(m *testing.M) {
 	if Main() {
 		return
@@ -20,7 +20,7 @@
 	os.Exit(m.Run())
 }
 
-// numberFromEnvironment is the value of a variable, or a default.
+// numberFromEnvironment returns the value of an environment variable as a number, or a default.
 func numberFromEnvironment(name string, fallback int) int {
 	if number, err := strconv.Atoi(os.Getenv(name)); err == nil {
 		return number
@@ -28,7 +28,7 @@
 	return fallback
 }
 
-// build builds the program as it is released, and the library that has system calls fail.
+// build builds the program as it is released, and the library that injects system call faults.
 func build(t *testing.T) (binary, library string) {
 	t.Helper()
 	dir := t.TempDir()
@@ -36,7 +36,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if other := os.Getenv("SOAK_BINARY"); other != "" { // a build to compare with
+	if other := os.Getenv("SOAK_BINARY"); other != "" { // another build, for comparison
 		return other, library
 	}
 	binary = filepath.Join(dir, "plumspindle")
@@ -48,7 +48,8 @@
 	return binary, library
 }
 
-// recordDir is where a run's logs and records go: a folder of SOAK_FOLDER, if there is one.
+// recordDir returns the folder for a run's logs and records: one in SOAK_FOLDER if that is set, or else a temporary
+// one.
 func recordDir(t *testing.T, seed int) string {
 	t.Helper()
 	parent := os.Getenv("SOAK_FOLDER")
@@ -62,20 +63,20 @@
 	return dir
 }
 
-// TestSoak runs SOAK_SEEDS plans of SOAK_SECONDS from SOAK_SEED on; four short ones where nothing is said. Logs and
-// records stay in SOAK_FOLDER, if there is one.
+// TestSoak runs SOAK_SEEDS plans of SOAK_SECONDS each, with seeds from SOAK_SEED on; by default, it runs four short
+// plans. Logs and records are written to SOAK_FOLDER, if that is set, and stay there.
 func TestSoak(t *testing.T) {
 	const (
 		minRequests = 100
-		shortOf     = 3 // one of so many plans has short deadlines,
-		crowdOf     = 4 // and one of so many has a crowd
+		shortOneIn  = 3 // one plan in so many has short deadlines
+		floodOneIn  = 4 // one plan in so many has connection floods
 	)
 	binary, library := build(t)
 	for i := range numberFromEnvironment("SOAK_SEEDS", 4) {
 		seed := numberFromEnvironment("SOAK_SEED", 1) + i
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
 			deadline := 3 * time.Second
-			if seed%shortOf == shortOf-1 {
+			if seed%shortOneIn == shortOneIn-1 {
 				deadline = time.Second
 			}
 			plan := Plan{
@@ -86,7 +87,7 @@
 				Clients:           8,
 				Duration:          time.Duration(numberFromEnvironment("SOAK_SECONDS", 8)) * time.Second,
 				Deadline:          deadline,
-				Crowd:             seed%crowdOf == 0,
+				FloodOnStop:       seed%floodOneIn == 0,
 				MeanFaultInterval: time.Duration(numberFromEnvironment("SOAK_PAUSE_MS", 350)) * time.Millisecond,
 				Binary:            binary,
 				Library:           library,
@@ -103,7 +104,7 @@
 				t.Error("rules were broken")
 			}
 			if report.Requests < minRequests {
-				t.Errorf("only %d requests", report.Requests)
+				t.Errorf("only %d requests, want at least %d", report.Requests, minRequests)
 			}
 		})
 	}
--- a/internal/testbed/soak/start.go
+++ b/internal/testbed/soak/start.go
@@ -5,13 +5,13 @@
 	"time"
 )
 
-// startingTime is how long dispatchers may take to be ready.
-const startingTime = time.Second
+// startUpTime is the time that dispatchers are given to become ready.
+const startUpTime = time.Second
 
 const entryFormat = `{"id":"h%d","addr":"%%s:%d","zone":"west","kind":%q,"cell":0,` +
 	`"state":%q,"weight":1.0,"started_ms":%d}`
 
-// startAll starts all processes, the dispatchers after all that they need, and the clients last.
+// startAll starts all processes: first those that the dispatchers need, then the dispatchers, then the clients.
 func (r *run) startAll() error {
 	for _, start := range []func() error{r.startEndpoints, r.startProxies, r.startAgents, r.startDispatchers,
 		r.startClients} {
@@ -23,10 +23,10 @@
 	return nil
 }
 
-// startStandIn starts a stand-in with a record of its own.
+// startStandIn starts a stand-in that has its own record, and appends it to a list.
 func (r *run) startStandIn(role string, setup Setup, list *[]*process) error {
 	setup.Record, setup.Seed = r.newRecordPath(role+"-"+setup.Name), r.random.Int63()
-	p, err := startRole(role, setup)
+	p, err := startStandInProcess(role, setup)
 	if err != nil {
 		return err
 	}
@@ -51,7 +51,7 @@
 	return nil
 }
 
-// startProxies starts a proxy for each dispatcher, which stands before all endpoints.
+// startProxies starts a proxy for each dispatcher, which forwards its connections to all endpoints.
 func (r *run) startProxies() error {
 	targets := r.endpointAddresses()
 	for number := range r.Dispatchers {
@@ -67,7 +67,7 @@
 	return nil
 }
 
-// startAgents starts the agents of discovery, each with an address for every dispatcher, and publishes the endpoints.
+// startAgents starts the discovery agents, each with one address for every dispatcher, and publishes the endpoints.
 func (r *run) startAgents() error {
 	var proxies []string
 	for number := range r.Dispatchers {
@@ -95,7 +95,7 @@
 			return err
 		}
 	}
-	time.Sleep(startingTime)
+	time.Sleep(startUpTime)
 	return nil
 }
 
@@ -113,15 +113,15 @@
 	return nil
 }
 
-// restartEndpoint kills an endpoint and starts it again: connections are reset, and what it reserved is gone.
+// restartEndpoint kills an endpoint and starts it again: its connections are reset, and its reserved states are lost.
 func (r *run) restartEndpoint(endpoint int) error {
 	name := endpointName(endpoint)
 	r.record.add(Event{Kind: Killed, Endpoint: name})
 	r.endpoints[endpoint].kill()
-	r.restarts++
-	p, err := startRole(endpointRole, Setup{Name: name, Kind: r.kindOf(endpoint),
+	r.endpointRestarts++
+	p, err := startStandInProcess(endpointRole, Setup{Name: name, Kind: r.kindOf(endpoint),
 		Listen: []string{r.address(endpointAddress, endpoint, endpointPort)}, Seed: r.random.Int63(),
-		Record: r.newRecordPath(fmt.Sprintf("%s-%s-%d", endpointRole, name, r.restarts))})
+		Record: r.newRecordPath(fmt.Sprintf("%s-%s-%d", endpointRole, name, r.endpointRestarts))})
 	if err != nil {
 		return err
 	}
@@ -131,13 +131,13 @@
 	return nil
 }
 
-// publish has discovery publish an endpoint's state.
+// publish makes all discovery agents publish an endpoint's state.
 func (r *run) publish(endpoint int, state string) {
 	entry := fmt.Sprintf(entryFormat, endpoint, endpointPort+endpoint, r.kindOf(endpoint), state, r.startedMs[endpoint])
 	if state == drainingState {
 		r.record.add(Event{Kind: Drained, Endpoint: endpointName(endpoint)})
 	}
 	for _, agent := range r.agents {
-		agent.order("%s %s %s %s", orderEntry, endpointName(endpoint), state, entry)
+		agent.send("%s %s %s %s", commandEntry, endpointName(endpoint), state, entry)
 	}
 }
--- a/internal/testbed/soak/stopped_test.go
+++ b/internal/testbed/soak/stopped_test.go
@@ -5,12 +5,12 @@
 	"time"
 )
 
-// TestStateForStoppedEndpointsIsReleased: while most decode endpoints are stopped, their machine confirms what is
-// written to them and keeps their connections open. A decode that none of their processes has taken must not keep the
-// state that it was to fetch.
+// While the processes of most decode endpoints are stopped, their kernel acknowledges the data that is written to them
+// and keeps their connections open. The state that a decode was to fetch must be released even so, although no process
+// has accepted the decode.
 func TestStateForStoppedEndpointsIsReleased(t *testing.T) {
 	const (
-		warmUp   = time.Second // in which connections to all endpoints are made
+		warmUp   = time.Second // in which connections to all endpoints are opened
 		stopped  = 3 * time.Second
 		duration = 5 * time.Second
 	)
@@ -18,7 +18,7 @@
 	plan := Plan{Seed: 1, Dispatchers: 2, Prefills: 3, Decodes: 5, Clients: 4, Duration: duration,
 		Deadline: 3 * time.Second,
 		Binary:   binary, Library: library, Dir: recordDir(t, 0)}
-	report, err := plan.play(func(r *run) {
+	report, err := plan.runWith(func(r *run) {
 		time.Sleep(warmUp)
 		if !r.stopEndpoints(decodeKind, stopped) {
 			t.Error("no endpoint was stopped")
