--- a/internal/testbed/soak/proxy.go
+++ b/internal/testbed/soak/proxy.go
@@ -21,7 +21,7 @@
 	*standIn
 	mu            sync.Mutex
 	open          map[net.Conn]bool
-	silentUntil   atomic.Int64 // nothing is forwarded; connections that were open are reset afterwards
+	silentUntil   atomic.Int64 // nothing is forwarded; new connections, and open ones with data, are reset afterwards
 	delayUntil    atomic.Int64
 	fragmentUntil atomic.Int64
 }
--- a/internal/testbed/soak/record.go
+++ b/internal/testbed/soak/record.go
@@ -17,7 +17,7 @@
 // Events that endpoints record.
 const (
 	Arrived  EventKind = "arrived"  // a request was read completely
-	Refused  EventKind = "refused"  // a decode was declined, failed or was found to be abandoned
+	Refused  EventKind = "refused"  // a decode was declined or was found to be abandoned
 	Ran      EventKind = "ran"      // its effects took place; Value is its arrival, where the deduplication window begins
 	Reserved EventKind = "held"     // a prefill left a state
 	Released EventKind = "released" // a state, at a dispatcher's request
@@ -28,7 +28,7 @@
 	Sent         EventKind = "sent"     // a request was sent completely; Value is when sending began
 	Answered     EventKind = "answered" // the answer is complete; Status is its status code
 	Broken       EventKind = "broken"   // the stream ended before its last chunk
-	Lost         EventKind = "lost"     // the connection ended without an answer, or none came in time
+	Lost         EventKind = "lost"     // no answer, none in time, or a stream that ended without its last event
 	Disconnected EventKind = "left"     // the client closed the connection before its answer
 )
 
@@ -68,7 +68,7 @@
 type Record struct {
 	mu      sync.Mutex
 	file    *os.File
-	failure error // the error of the first event that could not be written
+	failure error // the errors of all events that could not be written
 }
 
 func newRecord(path string) (*Record, error) {
