--- a/internal/testbed/soak/clients.go
+++ b/internal/testbed/soak/clients.go
@@ -29,7 +29,7 @@
 	persistentOneIn          = 3  // one connection in so many is used until it closes or the run ends
 	idleOneIn                = 12 // one request in so many is sent after the connection was idle
 	misbehaviourOneIn        = 40 // one request in so many is sent with each kind of misbehaviour
-	maxBodyBits              = 15
+	maxBodyBits              = 15 // a request has less than 1<<maxBodyBits bytes of content
 
 	reusedConnection = "on a reused connection" // Text of a Sent event
 	closedConnection = "closed"                 // Text of a Lost event
--- a/internal/testbed/soak/config.go
+++ b/internal/testbed/soak/config.go
@@ -8,6 +8,7 @@
 // maxDescriptors is the limit on file descriptors of each dispatcher.
 const maxDescriptors = 512
 
+// settingsFormat is the format of a dispatcher's settings, a part of its configuration.
 const settingsFormat = `{"group_size": %[1]d, "tick": 4000000, "zone": 0,
 "localities": ["west"], "host_types": ["prefill", "decode"],
 "domain": {"duty_by_kind": ["read", "write"], "kv_tokens": [900000, 900000],
@@ -22,6 +23,7 @@
  {"name": "post", "aim": 500000000, "deadline": %[5]d, "repeat": "non_idempotent", "points": 3.0,
   "late_share": 0.5}]}`
 
+// configFormat is the format of a dispatcher's configuration on the platform.
 const configFormat = `{"name":"n%d","listen":%q,"discovery":%q,"seed":"%x",` +
 	`"limits":{"cores":1.0,"memory_mb":112,"sockets":%d},"settings":%s}`
 
--- a/internal/testbed/soak/record.go
+++ b/internal/testbed/soak/record.go
@@ -44,15 +44,16 @@
 
 // Event is one event that a process recorded.
 type Event struct {
-	At         int64     `json:"at"` // µs of the machine's monotonic clock
-	Kind       EventKind `json:"kind"`
-	ID         string    `json:"id,omitempty"` // of the request
-	Class      string    `json:"class,omitempty"`
-	Endpoint   string    `json:"host,omitempty"`
-	Dispatcher string    `json:"dispatcher,omitempty"`
-	Status     int       `json:"status,omitempty"`
-	Value      int64     `json:"value,omitempty"`
-	Text       string    `json:"text,omitempty"`
+	At       int64     `json:"at"` // µs of the machine's monotonic clock
+	Kind     EventKind `json:"kind"`
+	ID       string    `json:"id,omitempty"` // of the request
+	Class    string    `json:"class,omitempty"`
+	Endpoint string    `json:"host,omitempty"` // name
+	// Dispatcher is the address in clients' events, Stopped, Killed and Ended, and otherwise the number from 1.
+	Dispatcher string `json:"dispatcher,omitempty"`
+	Status     int    `json:"status,omitempty"`
+	Value      int64  `json:"value,omitempty"`
+	Text       string `json:"text,omitempty"`
 }
 
 // now returns the time of the machine's monotonic clock in µs. It is the same clock in all processes.
--- a/internal/testbed/soak/start.go
+++ b/internal/testbed/soak/start.go
@@ -8,6 +8,8 @@
 // startUpTime is the time that dispatchers are given to become ready.
 const startUpTime = time.Second
 
+// entryFormat is the format of an endpoint's entry in the endpoint list. Its result contains addressVerb in place of
+// the IP address.
 const entryFormat = `{"id":"h%d","addr":"%%s:%d","zone":"west","kind":%q,"cell":0,` +
 	`"state":%q,"weight":1.0,"started_ms":%d}`
 
