--- a/internal/testbed/audit/audit_test.go
+++ b/internal/testbed/audit/audit_test.go
@@ -162,7 +162,7 @@
 	other := record.Event{At: 310 * ms, Type: record.RequestSent, Request: "g2", ClientAttempt: 1, Dispatcher: "d1"}
 	events := sequence(remove(finalAnswer, finalAnswer+1), insert(decodeLeft, late, other))(cleanRecord())
 	evidence := Judge(deployment.Standard(), events).Evidence
-	for _, want := range []string{"request g1 attempt d1-1-0", "detail hosts 120 ms"} {
+	for _, want := range []string{"generation g1 leg d1-1-0", "how hosts 120 ms"} {
 		if !strings.Contains(evidence, want) {
 			t.Errorf("the evidence lacks %q:\n%s", want, evidence)
 		}
--- a/internal/testbed/audit/service.go
+++ b/internal/testbed/audit/service.go
@@ -78,8 +78,8 @@
 // Text returns the verdict as it is printed.
 func (v *Verdict) Text() string {
 	var text strings.Builder
-	fmt.Fprintf(&text, "%-24s %6s %9s %7s %9s %10s %6s %9s %9s %5s\n", "", "total", "completed", "in SLO", "rejected",
-		"failed", "other", "p50 ms", "p99 ms", "attempts")
+	fmt.Fprintf(&text, "%-24s %6s %9s %7s %9s %10s %6s %9s %9s %5s\n", "", "asked", "streamed", "in SLO", "throttled",
+		"terminated", "other", "p50 ms", "p99 ms", "legs")
 	for _, row := range v.Rows {
 		text.WriteString(row.text())
 	}
--- a/internal/testbed/record/record.go
+++ b/internal/testbed/record/record.go
@@ -115,18 +115,18 @@
 func (e Event) Text() string {
 	text := fmt.Sprintf("%-9s", e.Type)
 	for _, field := range []struct{ name, value string }{
-		{"request", e.Request},
-		{"attempt", e.Attempt},
+		{"generation", e.Request},
+		{"leg", e.Attempt},
 		{"dispatcher", e.Dispatcher},
 		{"kind", e.Kind},
-		{"detail", e.Detail},
+		{"how", e.Detail},
 	} {
 		if field.value != "" {
 			text += " " + field.name + " " + field.value
 		}
 	}
 	if e.Endpoint > 0 {
-		text += fmt.Sprintf(" endpoint %d", e.Endpoint)
+		text += fmt.Sprintf(" host %d", e.Endpoint)
 	}
 	if e.Type == TestBedDelayed {
 		text += fmt.Sprintf(" %d ms", e.Count/1000)
