--- a/internal/cli/serve.go
+++ b/internal/cli/serve.go
@@ -238,7 +238,7 @@
 		Uint64("disconnected", counts.Disconnected).Uint64("attempts", counts.Attempts).
 		Int("in_flight", inFlight).Msg("ended")
 	if inFlight > 0 {
-		return fmt.Errorf("%d requests were still in flight after %v", inFlight, timeout)
+		return fmt.Errorf("%d generations were still running after %v", inFlight, timeout)
 	}
 	return nil
 }
