--- a/internal/cli/batches.go
+++ b/internal/cli/batches.go
@@ -80,7 +80,7 @@
 		"chat %.0f requests a second; %d concurrent calls of %d inputs of %d tokens\n",
 		batchDispatchers, c.Seeds, c.Rate, c.ConcurrentCalls, c.Inputs, c.Tokens)
 	env.printf("%-14s %-12s %9s %9s %9s %9s %12s %12s\n",
-		"scenario", "limit", "in SLO", "vs none", "p99 ms", "vs none", "tokens/s", "of capacity")
+		"day", "limit", "in SLO", "vs none", "p99 ms", "vs none", "tokens/s", "of capacity")
 	capacity := prefillCapacity(deployment.Standard())
 	var points []any
 	passed := true
@@ -111,7 +111,7 @@
 		return err
 	}
 	rate := c.tokensPerSecond(idle)
-	env.printf("chat idle, adaptive: %.0f tokens a second, %.2f of the prefill capacity\n", rate, rate/capacity)
+	env.printf("chat idle, learnt: %.0f tokens a second, %.2f of the prefill capacity\n", rate, rate/capacity)
 	if err := c.plot(points); err != nil {
 		return err
 	}
@@ -139,7 +139,7 @@
 	case noBatches:
 		return "no batches"
 	case adaptiveLimit:
-		return "adaptive"
+		return "learnt"
 	}
 	return strconv.Itoa(limit)
 }
--- a/internal/cli/bench_streams.go
+++ b/internal/cli/bench_streams.go
@@ -46,7 +46,7 @@
 		return err
 	}
 	env.printf("open streams, one token every %d ms, measured for %v\n", streamTokenIntervalMicros/1000, c.Duration)
-	env.printf("  %-14s %7s %7s %7s %10s %12s %12s %12s %12s\n", "", "opened", "started", "ended", "tokens/s",
+	env.printf("  %-14s %7s %7s %7s %10s %12s %12s %12s %12s\n", "", "asked", "begun", "ended", "tokens/s",
 		"gap p50 +ms", "gap p99 +ms", "CPU us/token", "bytes/stream")
 	builds := []struct{ name, binary string }{{"this build", binary}}
 	if c.Against != "" {
