--- a/internal/faultsearch/draw.go
+++ b/internal/faultsearch/draw.go
@@ -8,22 +8,26 @@
 	"plumspindle/internal/deployment/pb"
 )
 
-// Size is how large a drawn world is.
+// Size is the length and the load of a generated scenario.
 type Size struct {
 	Seconds int
-	Rate    float64 // requests a second, about
+	Rate    float64 // average requests a second; Draw scales it by a random factor of 0.5 to 1.5
 }
 
-// DefaultSize is the size of the standard world.
+// DefaultSize is the size of scenarios unless the user asks for another.
 var DefaultSize = Size{Seconds: 7, Rate: 12}
 
 const (
-	quietEndSeconds = 3   // at the end of a scenario, without new faults, so that it shows whether service returns
-	firstFaultMs    = 200 // from the start
-	maxFaults       = 6
+	// faultFreeEndSeconds is the time at the end of a scenario in which no fault begins, so that the run shows whether
+	// the dispatchers recover.
+	faultFreeEndSeconds = 3
+	// firstFaultMs is the earliest time of a fault, counted from the start of the scenario.
+	firstFaultMs = 200
+	maxFaults    = 6
 )
 
-// faultWeights are how often each kind of fault is drawn. The order is part of what a seed means.
+// faultWeights are the relative frequencies of the kinds of fault. Their order decides which kind a random number
+// selects: a different order would change the scenario of every seed.
 var faultWeights = []struct {
 	kind   string
 	weight int
@@ -34,7 +38,7 @@
 	{"freeze", 5}, {"half_cut", 4}, {"clock_step", 2}, {"disk_fault", 2}, {"slow_disk", 2},
 }
 
-// Draw makes a scenario from a seed.
+// Draw generates a random scenario from a seed.
 func Draw(seed int64, size Size) *pb.Day {
 	random := rand.New(rand.NewSource(seed))
 	script := &pb.Day{
@@ -49,7 +53,7 @@
 	if random.Intn(4) == 0 {
 		script.Batches = append(script.Batches, drawBatch(random))
 	}
-	lastFaultMs := (size.Seconds - quietEndSeconds) * 1000
+	lastFaultMs := (size.Seconds - faultFreeEndSeconds) * 1000
 	for range 1 + random.Intn(maxFaults) {
 		script.Troubles = append(script.Troubles, drawFault(random, lastFaultMs))
 	}
@@ -80,7 +84,7 @@
 
 func drawFault(random *rand.Rand, lastMs int) *pb.Day_Trouble {
 	fault := &pb.Day_Trouble{
-		Kind:  drawKind(random),
+		Kind:  drawFaultKind(random),
 		AtMs:  uint32(firstFaultMs + random.Intn(lastMs-firstFaultMs)),
 		ForMs: uint32(50 + random.Intn(2000)),
 		Share: 0.1 + 0.5*random.Float64(),
@@ -108,7 +112,7 @@
 	return fault
 }
 
-func drawKind(random *rand.Rand) string {
+func drawFaultKind(random *rand.Rand) string {
 	total := 0
 	for _, entry := range faultWeights {
 		total += entry.weight
@@ -119,5 +123,5 @@
 			return entry.kind
 		}
 	}
-	return "" // not reached: the rest is below the sum of all weights
+	return "" // unreachable: the random number is below the sum of all weights
 }
--- a/internal/faultsearch/faultsearch.go
+++ b/internal/faultsearch/faultsearch.go
@@ -1,10 +1,11 @@
-// Package faultsearch looks for failures that no test was written for. It runs scenarios in virtual time whose faults
-// are drawn from a seed, checks the rules and the dispatchers' own state, and reduces a scenario that fails to the
-// least that still does.
+// Package faultsearch looks for failures that no test was written for. It generates scenarios with random faults from
+// seeds, runs them in virtual time, checks the audit's rules and the dispatchers' invariants, and shrinks a scenario
+// that fails to a minimal one that fails in the same way.
 //
-// It owns the drawing, the reduction, the search over orders of delivery, and the mutants by which the checks
-// themselves are tested. It relies on testbed/scenarios to run and judge a scenario. It never reads a clock or a random
-// source but that of the seed: a seed is always the same scenario, and a scenario always has the same outcome.
+// The package contains the generator, the shrinker, a search over the orders in which messages are delivered, and the
+// mutants that test the checks themselves. Package testbed/scenarios runs and judges the scenarios. Everything here is
+// deterministic: no code reads a clock or a random source other than that of the seed, so that a seed always gives the
+// same scenario and a scenario always has the same outcome.
 package faultsearch
 
 import (
@@ -21,19 +22,23 @@
 )
 
 const (
-	// stepsBetweenChecks is how many steps of the world lie between two checks of the dispatchers' own state.
+	// stepsBetweenChecks is the number of simulation steps between two checks of the dispatchers' invariants.
 	stepsBetweenChecks = 16
 
-	recoveryMs          = 2500 // after the last fault, until service must be back
-	extraHangMs         = 200  // that a silent endpoint is away beyond its fault's duration
-	minRecoveryRequests = 5    // in the last second, below which nothing is said of recovery
-	recoveryDivisor     = 5    // one in so many of them has to be completed
+	// recoveryMs is how long after the end of the last fault the dispatchers may take to serve again.
+	recoveryMs = 2500
+	// restartAllowanceMs is added to the duration of a fault after which the endpoint restarts.
+	restartAllowanceMs = 200
+	// minRecoveryRequests is how many requests of the last second the recovery check needs; it passes with fewer.
+	minRecoveryRequests = 5
+	// recoveryDivisor sets the share of these requests that must be completed: one in recoveryDivisor.
+	recoveryDivisor = 5
 )
 
-// Outcome is what running a scenario showed.
+// Outcome is the result of running a scenario.
 type Outcome struct {
 	Script  *pb.Day
-	Faults  []string // each begins with what was broken
+	Faults  []string // failures that the checks found, each as the name of its class, a colon and the details
 	Trace   uint64   // hash of all that happened
 	Steps   int
 	Reached lifecycle.Coverage
@@ -41,8 +46,8 @@
 	Run     *scenarios.Run
 }
 
-// FailureClass returns what was broken first, without its numbers: two scenarios that fail alike have it alike. It is
-// empty for a scenario that does not fail.
+// FailureClass returns the class of the first failure, which is its text up to the colon. Two scenarios fail in the
+// same way if their classes are equal. It returns an empty string if the scenario passed.
 func (o *Outcome) FailureClass() string {
 	if len(o.Faults) == 0 {
 		return ""
@@ -51,7 +56,7 @@
 	return name
 }
 
-// Run runs a scenario, with a mutant or, where that is nil, without.
+// Run runs a scenario and checks it. If mutant is not nil, Run applies it to the program under test.
 func Run(script *pb.Day, mutant *scenarios.Mutant) (*Outcome, error) {
 	outcome := &Outcome{Script: script}
 	run := &scenarios.Run{Script: proto.CloneOf(script), Deployment: deployment.Standard(),
@@ -64,7 +69,7 @@
 	run.AfterStep = func() {
 		if steps++; steps%stepsBetweenChecks == 0 && len(outcome.Faults) == 0 {
 			if err := run.Check(); err != nil {
-				outcome.addFault("own state: %v", err)
+				outcome.addFailure("invariant violated: %v", err)
 			}
 		}
 	}
@@ -75,11 +80,11 @@
 	outcome.Verdict, outcome.Trace, outcome.Steps, outcome.Run = result.Verdict, result.Trace, run.Steps, run
 	outcome.addViolations(result.Verdict)
 	if result.OpenRequests > 0 {
-		outcome.addFault("left over: %d generations", result.OpenRequests)
+		outcome.addFailure("requests still open: %d", result.OpenRequests)
 	}
 	for _, clients := range run.BatchClients {
 		if clients.Wrong > 0 {
-			outcome.addFault("wrong vectors: %d calls", clients.Wrong)
+			outcome.addFailure("wrong batch answers: %d calls", clients.Wrong)
 		}
 	}
 	outcome.checkRecovery(script, run)
@@ -87,7 +92,7 @@
 	return outcome, nil
 }
 
-func (o *Outcome) addFault(format string, args ...any) {
+func (o *Outcome) addFailure(format string, args ...any) {
 	o.Faults = append(o.Faults, fmt.Sprintf(format, args...))
 }
 
@@ -95,7 +100,7 @@
 	for i, rule := range verdict.Rules {
 		if len(rule.Violations) > 0 {
 			first := rule.Violations[0]
-			o.addFault("rule %d: %s (generation %s, line %d; %d in all)",
+			o.addFailure("rule %d: %s (request %s, line %d of the record; %d violations)",
 				i+1, first.Text, first.Request, first.Line, len(rule.Violations))
 		}
 	}
@@ -111,14 +116,14 @@
 	}
 }
 
-// checkRecovery checks that service has come back: of what was asked in the last second, when no fault has been under
-// way for a while, a share must be completed.
+// checkRecovery checks that the dispatchers serve again after the last fault: if that fault ended at least recoveryMs
+// before the end of the scenario, a share of the requests that clients sent in the last second must be completed.
 func (o *Outcome) checkRecovery(script *pb.Day, run *scenarios.Run) {
 	lastFaultEnd := uint32(0)
 	for _, fault := range script.Troubles {
 		duration := fault.ForMs
 		if fault.Kind == "vanish" || fault.Kind == "hang" {
-			duration += extraHangMs
+			duration += restartAllowanceMs
 		}
 		lastFaultEnd = max(lastFaultEnd, fault.AtMs+duration)
 	}
@@ -127,7 +132,7 @@
 	}
 	asked, completed := run.CompletedInSecond(int(script.Seconds) - 1)
 	if asked >= minRecoveryRequests && completed*recoveryDivisor < asked {
-		o.addFault("service does not return: %d of %d streamed in the last second, %d ms after the last trouble",
+		o.addFailure("no recovery: %d of %d requests of the last second completed, %d ms after the last fault",
 			completed, asked, script.Seconds*1000-lastFaultEnd)
 	}
 }
--- a/internal/faultsearch/faultsearch_test.go
+++ b/internal/faultsearch/faultsearch_test.go
@@ -15,7 +15,7 @@
 // parallelRuns is how many scenarios a test runs at once.
 const parallelRuns = 4
 
-// forEach calls a check for each number of a range, several at once.
+// forEach calls check for each number from first to last, several at once.
 func forEach(first, last int64, check func(number int64)) {
 	var group errgroup.Group
 	group.SetLimit(parallelRuns)
@@ -25,41 +25,43 @@
 			return nil
 		})
 	}
-	_ = group.Wait() // checks report to their test
+	_ = group.Wait() // never fails: the checks report their errors to the test
 }
 
-// Scenarios drawn from seeds keep the rules, their dispatchers' own state is sound after any step, nothing is left over
-// and service returns; and each is the same when it is run again beside others.
+// TestDrawnScenariosKeepTheRulesAndRepeat checks scenarios drawn from seeds: they break no rule and no invariant, leave
+// no request open and recover from their faults. A scenario also takes the same course when it runs again, in parallel
+// with others.
 func TestDrawnScenariosKeepTheRulesAndRepeat(t *testing.T) {
 	seeds := int64(120)
 	if testing.Short() {
 		seeds = 40
 	}
-	const repeatedSeeds = 10 // one of so many is run twice
+	const repeatedSeeds = 10 // one seed in so many runs twice
 	forEach(1, seeds, func(seed int64) {
 		outcome, err := Run(Draw(seed, DefaultSize), nil)
 		if err != nil {
 			t.Error(err)
 			return
 		}
-		for _, fault := range outcome.Faults {
-			t.Errorf("seed %d: %s (plumspindle sim replay %d)", seed, fault, seed)
+		for _, failure := range outcome.Faults {
+			t.Errorf("seed %d: %s (plumspindle sim replay %d)", seed, failure, seed)
 		}
 		if seed%repeatedSeeds > 0 {
 			return
 		}
 		again, err := Run(Draw(seed, DefaultSize), nil)
 		if err != nil || again.Trace != outcome.Trace || again.Steps != outcome.Steps {
-			t.Errorf("seed %d: not the same twice (%v)", seed, err)
+			t.Errorf("seed %d: a second run took another course (%v)", seed, err)
 		}
 	})
 }
 
-// Each mutant is found. The seed where a search from 1 on found it is tried first; a change of the program may have
-// moved it.
+// TestMutantsAreFound checks that the fault search detects each mutant. It tries the lowest seed that is known to
+// detect the mutant, and then all seeds from 1, as a change of the program can change which seeds detect it.
 func TestMutantsAreFound(t *testing.T) {
 	const maxRuns = 120
-	// 0: its seed is beyond what is run here (docs/simulation.md).
+	// knownSeeds has the lowest seed that detects each mutant, in the order of Mutants. 0: that seed is too high to run
+	// here (docs/simulation.md).
 	knownSeeds := []int64{5, 5, 5, 18, 32, 0, 5, 1, 1, 0, 68, 32, 0, 65, 30, 0, 149, 1, 1, 1, 39, 2}
 	forEach(0, int64(len(Mutants())-1), func(index int64) {
 		mutant := Mutants()[index]
@@ -78,11 +80,11 @@
 			}
 			seed = tried + 1
 		}
-		t.Errorf("%s: not found within %d seeds", mutant.Name, maxRuns)
+		t.Errorf("%s: not detected by its known seed or the seeds 1 to %d", mutant.Name, maxRuns)
 	})
 }
 
-// firstFailure is the outcome of the first seed that finds a mutant.
+// firstFailure returns the outcome of the lowest seed that detects a mutant.
 func firstFailure(t *testing.T, mutant *scenarios.Mutant) *Outcome {
 	t.Helper()
 	for seed := int64(1); ; seed++ {
@@ -96,7 +98,8 @@
 	}
 }
 
-// A mutant's scenario is reduced to few faults, and fails as before.
+// TestShrinkLeavesFewFaultsAndTheSameFailure checks that a scenario that detects a mutant shrinks to a few faults and
+// still fails in the same way.
 func TestShrinkLeavesFewFaultsAndTheSameFailure(t *testing.T) {
 	const maxFaultsLeft = 5
 	for _, index := range []int{2, 8} {
@@ -113,7 +116,7 @@
 				t.Fatal(err)
 			}
 			if outcome.FailureClass() != found.FailureClass() || len(least.Troubles) > maxFaultsLeft {
-				t.Errorf("%d faults, %v", len(least.Troubles), outcome.Faults)
+				t.Errorf("%d faults are left; the failures are %v", len(least.Troubles), outcome.Faults)
 			}
 		})
 	}
@@ -125,7 +128,7 @@
 	}
 }
 
-// Scripts that failed once are run for good: one file each.
+// TestScriptsThatOnceFailedPass runs the scripts of testdata, each of which failed with an earlier version.
 func TestScriptsThatOnceFailedPass(t *testing.T) {
 	files, err := filepath.Glob("testdata/*.day.textproto")
 	if err != nil || len(files) == 0 {
@@ -145,8 +148,8 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			for _, fault := range outcome.Faults {
-				t.Error(fault)
+			for _, failure := range outcome.Faults {
+				t.Error(failure)
 			}
 		})
 	}
@@ -164,8 +167,8 @@
 	// Output: true
 }
 
-// A dispatcher dies between any two things that happen while a request with an idempotency key is prefilled, recorded
-// and sent: nothing that may not run twice does.
+// TestKillAtEveryStepRunsNothingTwice kills a dispatcher between any two steps of the simulation while it prefills,
+// records and sends requests with idempotency keys. No request that must not run twice may do so.
 func TestKillAtEveryStepRunsNothingTwice(t *testing.T) {
 	const stepsBetweenKills = 3
 	forEach(0, 119, func(number int64) {
@@ -179,13 +182,14 @@
 			t.Error(err)
 			return
 		}
-		for _, fault := range outcome.Faults {
-			t.Errorf("step %d: %s", step, fault)
+		for _, failure := range outcome.Faults {
+			t.Errorf("step %d: %s", step, failure)
 		}
 	})
 }
 
-// A small world keeps the rules in all orders of its first deliveries, with and without an endpoint that dies.
+// TestAllOrdersOfDeliveryKeepTheRules runs a small scenario in all orders of its first deliveries, with and without an
+// endpoint that crashes. No order may break a rule.
 func TestAllOrdersOfDeliveryKeepTheRules(t *testing.T) {
 	for name, faults := range map[string][]*pb.Day_Trouble{
 		"no fault":         nil,
@@ -197,7 +201,7 @@
 				t.Fatal(err)
 			}
 			if len(result.Faults) > 0 || result.States < 10 {
-				t.Errorf("%d runs, %d states, faults %v", result.Runs, result.States, result.Faults)
+				t.Errorf("%d runs, %d states, failures %v", result.Runs, result.States, result.Faults)
 			}
 		})
 	}
--- a/internal/faultsearch/interceptors.go
+++ b/internal/faultsearch/interceptors.go
@@ -9,11 +9,11 @@
 	"plumspindle/scheduler"
 )
 
-// interceptingExecutor stands between the scheduler and its dispatcher. Each call goes to its function, which is the
-// real executor's until a mutant replaces it.
+// interceptingExecutor passes the scheduler's orders to the dispatcher's executor. Each method calls the function of
+// its name, which is that of the dispatcher's executor unless a mutant replaces it.
 type interceptingExecutor struct {
 	scheduler.Executor
-	send     func(request scheduler.RequestID, endpoint scheduler.EndpointID, allowance scheduler.Micros)
+	send     func(request scheduler.RequestID, endpoint scheduler.EndpointID, timeout scheduler.Micros)
 	reject   func(request scheduler.RequestID, retryAfter scheduler.Micros)
 	fail     func(request scheduler.RequestID)
 	cancel   func(request scheduler.RequestID, attempt scheduler.AttemptNo)
@@ -26,41 +26,41 @@
 		cancel: real.Cancel, release: real.Release, setTimer: real.SetTimer}
 }
 
-// Send sends an attempt.
+// Send implements scheduler.Executor.
 func (e *interceptingExecutor) Send(request scheduler.RequestID, endpoint scheduler.EndpointID,
-	allowance scheduler.Micros) {
-	e.send(request, endpoint, allowance)
+	timeout scheduler.Micros) {
+	e.send(request, endpoint, timeout)
 }
 
-// Reject rejects a request.
+// Reject implements scheduler.Executor.
 func (e *interceptingExecutor) Reject(request scheduler.RequestID, retryAfter scheduler.Micros) {
 	e.reject(request, retryAfter)
 }
 
-// Fail fails a request.
+// Fail implements scheduler.Executor.
 func (e *interceptingExecutor) Fail(request scheduler.RequestID) { e.fail(request) }
 
-// Cancel cancels an attempt.
+// Cancel implements scheduler.Executor.
 func (e *interceptingExecutor) Cancel(request scheduler.RequestID, attempt scheduler.AttemptNo) {
 	e.cancel(request, attempt)
 }
 
-// Release releases the state of a request.
+// Release implements scheduler.Executor.
 func (e *interceptingExecutor) Release(request scheduler.RequestID) { e.release(request) }
 
-// SetTimer sets a timer.
+// SetTimer implements scheduler.Executor.
 func (e *interceptingExecutor) SetTimer(after scheduler.Micros, timer scheduler.TimerID) {
 	e.setTimer(after, timer)
 }
 
-// interceptingLoop stands between a dispatcher and the world.
+// interceptingLoop is the event loop of a dispatcher, with timers and writes that a mutant can change.
 type interceptingLoop struct {
 	*virtual.Loop
-	loseTimer func() bool // nil: none is lost
-	write     func(conn eventloop.Conn, data []byte)
+	loseTimer func() bool                            // reports whether to lose the timer being set; nil: none is lost
+	write     func(conn eventloop.Conn, data []byte) // replaces writes to accepted connections; nil: they are unchanged
 }
 
-// AfterFunc sets a timer, or one that does nothing.
+// AfterFunc implements eventloop.Loop. A timer that is lost fires without calling f.
 func (l *interceptingLoop) AfterFunc(after eventloop.Micros, f func()) eventloop.Timer {
 	if l.loseTimer != nil && l.loseTimer() {
 		f = func() {}
@@ -68,7 +68,7 @@
 	return l.Loop.AfterFunc(after, f)
 }
 
-// Listen listens for connections whose writes are intercepted.
+// Listen implements eventloop.Loop. It has a mutant's write function carry out the writes to accepted connections.
 func (l *interceptingLoop) Listen(address string, accept func(eventloop.Conn) eventloop.Handler) (
 	eventloop.Listener, error) {
 	return l.Loop.Listen(address, func(conn eventloop.Conn) eventloop.Handler {
@@ -79,15 +79,16 @@
 	})
 }
 
+// interceptingConn is a connection whose writes a function carries out.
 type interceptingConn struct {
 	eventloop.Conn
 	write func(conn eventloop.Conn, data []byte)
 }
 
-// Write passes data to the function that intercepts it.
+// Write implements eventloop.Conn.
 func (c *interceptingConn) Write(data []byte) { c.write(c.Conn, data) }
 
-// executorMutant changes what the scheduler's calls do.
+// executorMutant returns a mutant that changes how a dispatcher carries out the scheduler's orders.
 func executorMutant(name string, change func(*interceptingExecutor)) *scenarios.Mutant {
 	return dispatcherMutant(name, dispatch.Mutation{Executor: func(real scheduler.Executor) scheduler.Executor {
 		executor := newInterceptingExecutor(real)
@@ -96,12 +97,12 @@
 	}})
 }
 
-// configMutant changes the scheduler's configuration.
+// configMutant returns a mutant that changes the scheduler's configuration.
 func configMutant(name string, change func(*scheduler.Config)) *scenarios.Mutant {
 	return dispatcherMutant(name, dispatch.Mutation{Config: change})
 }
 
-// updateMutant changes what a dispatcher takes from endpoint updates.
+// updateMutant returns a mutant that changes the endpoint updates that a dispatcher receives.
 func updateMutant(name string, change func([]endpoints.Entry) []endpoints.Entry) *scenarios.Mutant {
 	return dispatcherMutant(name, dispatch.Mutation{EndpointUpdate: change})
 }
@@ -110,7 +111,7 @@
 	return &scenarios.Mutant{Name: name, Dispatcher: func() *dispatch.Mutation { return &mutation }}
 }
 
-// loopMutant changes what a dispatcher's event loop does.
+// loopMutant returns a mutant that changes a dispatcher's event loop.
 func loopMutant(name string, change func(*interceptingLoop)) *scenarios.Mutant {
 	return &scenarios.Mutant{Name: name, Loop: func(real *virtual.Loop) eventloop.Loop {
 		loop := &interceptingLoop{Loop: real}
--- a/internal/faultsearch/interleavings.go
+++ b/internal/faultsearch/interleavings.go
@@ -13,41 +13,42 @@
 	"plumspindle/internal/testbed/scenarios"
 )
 
-// Interleavings are what a bounded search over the orders of deliveries found.
+// Interleavings is the result of a bounded search over the orders in which messages are delivered.
 type Interleavings struct {
-	Runs   int // scenarios that were run
-	States int // that were distinguished
-	Pruned int // choices not followed, as their state had been met at that depth
-	Faults []string
+	Runs   int      // runs of the scenario
+	States int      // distinct pairs of a depth and a state
+	Pruned int      // runs that made no further choices because they came to a known state at a known depth
+	Faults []string // failures that the checks found, each with the choices that lead to it
 }
 
-// Choices for one delivery.
+// These are the choices for the delivery of one segment.
 const (
 	onTime = 0
 	late   = 1
 )
 
-// stateKey distinguishes states by what dispatchers and endpoints have in flight, after so many choices.
+// stateKey identifies a state of the search by the number of choices made so far and by what dispatchers and endpoints
+// have in flight.
 type stateKey struct {
 	depth   int
-	summary uint64
+	summary uint64 // hash of the text that describes what is in flight
 }
 
-// exploration is a depth-first search over the choices for the first deliveries.
+// exploration is a depth-first search over the choices for the first deliveries of a scenario.
 type exploration struct {
 	depth       int
-	lateness    eventloop.Micros
+	delay       eventloop.Micros
 	deployment  deployment.Deployment
 	script      *pb.Day
 	seen        map[stateKey]bool
-	choices     []int // of the current run
+	choices     []int // choices of the current run, in order
 	result      *Interleavings
-	runChoices  int // how many choices the current run has made
-	runMaxDepth int // at which the current run stops choosing
+	choicesMade int // number of choices that the current run has made
+	runDepth    int // number of choices after which the current run delivers all segments on time
 }
 
-// smallWorld returns two dispatchers, three endpoints and a few requests.
-func smallWorld() (deployment.Deployment, *pb.Day) {
+// smallScenario returns a deployment with three endpoints, and a script with two dispatchers and a few requests.
+func smallScenario() (deployment.Deployment, *pb.Day) {
 	d := deployment.Standard()
 	d.Zones = d.Zones[:1]
 	d.Kinds = d.Kinds[:2]
@@ -62,15 +63,15 @@
 	return d, &pb.Day{Name: "orders", Seconds: 1, Rate: 3, World: &pb.World{Seed: 3, Dispatchers: 2, LatencyUs: 200}}
 }
 
-// Explore runs all orders in which the first segments arrive on time or late, depth choices deep, each of them late by
-// lateness, with faults on top. progress, if it is not nil, is called after each run.
+// Explore runs a small scenario, with the given faults, once for each combination of choices for its first depth
+// segments: each segment arrives on time or late by delay. If progress is not nil, Explore calls it after each run.
 //
-// A choice whose state was met before at that depth is not followed further. States are distinguished by what
-// dispatchers and endpoints have in flight, so that two that differ in anything else count as one.
-func Explore(depth int, lateness eventloop.Micros, faults []*pb.Day_Trouble, progress func(*Interleavings)) (
+// Explore doesn't search further from a state that it has already met at the same depth. It compares states only by
+// what dispatchers and endpoints have in flight, and takes two states that differ in anything else for the same.
+func Explore(depth int, delay eventloop.Micros, faults []*pb.Day_Trouble, progress func(*Interleavings)) (
 	*Interleavings, error) {
-	e := &exploration{depth: depth, lateness: lateness, seen: map[stateKey]bool{}, result: &Interleavings{}}
-	e.deployment, e.script = smallWorld()
+	e := &exploration{depth: depth, delay: delay, seen: map[stateKey]bool{}, result: &Interleavings{}}
+	e.deployment, e.script = smallScenario()
 	e.script.Troubles = faults
 	for {
 		if err := e.run(); err != nil {
@@ -79,20 +80,20 @@
 		if progress != nil {
 			progress(e.result)
 		}
-		if !e.next() {
+		if !e.advance() {
 			return e.result, nil
 		}
 	}
 }
 
-// run runs the world with the current choices, and new ones on time.
+// run runs the scenario with the current choices; segments beyond them arrive on time.
 func (e *exploration) run() error {
-	e.runChoices, e.runMaxDepth = 0, e.depth
-	world := &scenarios.Run{Script: proto.CloneOf(e.script),
+	e.choicesMade, e.runDepth = 0, e.depth
+	run := &scenarios.Run{Script: proto.CloneOf(e.script),
 		Deployment:  deployment.Deployment{Deployment: proto.CloneOf(e.deployment.Deployment)},
 		Dispatchers: int(e.script.World.Dispatchers), Seed: e.script.World.Seed}
-	world.Delay = func() eventloop.Micros { return e.choose(world) }
-	outcome, err := world.RunVirtual(0)
+	run.Delay = func() eventloop.Micros { return e.choose(run) }
+	outcome, err := run.RunVirtual(0)
 	if err != nil {
 		return err
 	}
@@ -100,42 +101,44 @@
 	e.result.States = len(e.seen)
 	for i, rule := range outcome.Verdict.Rules {
 		if len(rule.Violations) > 0 {
-			e.addFault("rule %d: %s", i+1, rule.Violations[0].Text)
+			e.addFailure("rule %d: %s", i+1, rule.Violations[0].Text)
 		}
 	}
 	if outcome.OpenRequests > 0 {
-		e.addFault("left over: %d generations", outcome.OpenRequests)
+		e.addFailure("requests still open: %d", outcome.OpenRequests)
 	}
 	return nil
 }
 
-func (e *exploration) addFault(format string, args ...any) {
+func (e *exploration) addFailure(format string, args ...any) {
 	text := fmt.Sprintf(format, args...)
 	e.result.Faults = append(e.result.Faults, fmt.Sprintf("%s (choices %v)", text, e.choices))
 }
 
-// choose returns how late the next delivery is.
-func (e *exploration) choose(world *scenarios.Run) eventloop.Micros {
-	if e.runChoices >= e.runMaxDepth {
+// choose returns the delay of the next segment. At the first segment beyond the current choices it adds a choice, and
+// ends the choices of this run if the state is known.
+func (e *exploration) choose(run *scenarios.Run) eventloop.Micros {
+	if e.choicesMade >= e.runDepth {
 		return 0
 	}
-	if e.runChoices == len(e.choices) {
+	if e.choicesMade == len(e.choices) {
 		e.choices = append(e.choices, onTime)
 		hash := fnv.New64a()
-		_, _ = hash.Write([]byte(strings.Join(world.Summary(), "\n"))) // never fails
-		state := stateKey{depth: e.runChoices, summary: hash.Sum64()}
+		_, _ = hash.Write([]byte(strings.Join(run.Summary(), "\n"))) // never fails
+		state := stateKey{depth: e.choicesMade, summary: hash.Sum64()}
 		if e.seen[state] {
 			e.result.Pruned++
-			e.runMaxDepth = e.runChoices // deeper choices are not made
+			e.runDepth = e.choicesMade // this choice is the last one of the run
 		}
 		e.seen[state] = true
 	}
-	e.runChoices++
-	return eventloop.Micros(e.choices[e.runChoices-1]) * e.lateness
+	e.choicesMade++
+	return eventloop.Micros(e.choices[e.choicesMade-1]) * e.delay
 }
 
-// next changes the last choice that was on time to late; it returns false if there is none.
-func (e *exploration) next() bool {
+// advance sets up the choices of the next run: it drops the trailing choices that are late, and changes the last choice
+// that is on time to late. It returns false if no choice is on time, as the search is then complete.
+func (e *exploration) advance() bool {
 	last := len(e.choices)
 	for last > 0 && e.choices[last-1] == late {
 		last--
--- a/internal/faultsearch/mutants.go
+++ b/internal/faultsearch/mutants.go
@@ -11,14 +11,20 @@
 	"plumspindle/scheduler"
 )
 
-// Mutants returns the faults that can be injected into the program itself: each is one that the rules, the checks of
-// the dispatchers' own state or the record have to find. Mutants count the calls that they intercept, so each run needs
-// its own. Their order and names are what the command line knows them by.
+// Mutants returns the faults that can be injected into the program itself. The audit's rules, the dispatchers'
+// invariants or the other checks of Run have to detect each of them. Mutants count the calls that they intercept, so
+// each run needs a set of its own.
+//
+// The command line selects a mutant by its name or its position, so names and order must not change. Some names use
+// older terms: a "state" is a prompt state that Release frees, a "leg" is an attempt, "throttled" means rejected,
+// "terminated" means failed, the "beat" is the scheduler's timers, "cold" and "warm" endpoints are those during and
+// after slow start, "credit" is the load that a cold endpoint may get, "repeats" are attempts that an endpoint
+// recognises as already run, and "hosts" are endpoints.
 func Mutants() []*scenarios.Mutant {
 	return slices.Concat(executorMutants(), updateMutants(), configMutants(), loopMutants(), storeMutants())
 }
 
-// everyNth returns a function that returns true at each nth call.
+// everyNth returns a function that returns true on every nth call and false on all others.
 func everyNth(n int) func() bool {
 	calls := 0
 	return func() bool {
@@ -27,6 +33,7 @@
 	}
 }
 
+// executorMutants returns mutants that drop or replace orders of the scheduler.
 func executorMutants() []*scenarios.Mutant {
 	return []*scenarios.Mutant{
 		executorMutant("a state is never let go", func(e *interceptingExecutor) {
@@ -63,15 +70,16 @@
 		}),
 		executorMutant("a leg in thirty is not sent", func(e *interceptingExecutor) {
 			thirtieth := everyNth(30)
-			e.send = func(request scheduler.RequestID, endpoint scheduler.EndpointID, allowance scheduler.Micros) {
+			e.send = func(request scheduler.RequestID, endpoint scheduler.EndpointID, timeout scheduler.Micros) {
 				if !thirtieth() {
-					e.Executor.Send(request, endpoint, allowance)
+					e.Executor.Send(request, endpoint, timeout)
 				}
 			}
 		}),
 	}
 }
 
+// updateMutants returns mutants that hide drains, ends and restarts of endpoints from a dispatcher.
 func updateMutants() []*scenarios.Mutant {
 	return []*scenarios.Mutant{
 		updateMutant("drains are not heard", func(entries []endpoints.Entry) []endpoints.Entry {
@@ -95,6 +103,7 @@
 	}
 }
 
+// configMutants returns mutants that weaken slow start or allow retries that can run a request twice.
 func configMutants() []*scenarios.Mutant {
 	return []*scenarios.Mutant{
 		configMutant("cold hosts are taken for warm", func(config *scheduler.Config) { config.WarmUp = 0 }),
@@ -119,6 +128,7 @@
 	}
 }
 
+// loopMutants returns mutants that lose timers, and that lose or repeat writes to clients.
 func loopMutants() []*scenarios.Mutant {
 	lastEvent := []byte("data: [DONE]")
 	return []*scenarios.Mutant{
@@ -151,6 +161,7 @@
 	}
 }
 
+// storeMutants returns mutants that break the durable record of requests that may have run.
 func storeMutants() []*scenarios.Mutant {
 	return []*scenarios.Mutant{
 		{Name: "intents are not kept", Run: func(run *scenarios.Run) { run.Intents = false }},
--- a/internal/faultsearch/rules_test.go
+++ b/internal/faultsearch/rules_test.go
@@ -8,33 +8,35 @@
 	"plumspindle/internal/deployment/pb"
 )
 
-// massRestart has all prefill endpoints restart under so much traffic that only the rule on slow start limits it.
+// massRestart returns a script in which all prefill endpoints restart under so much traffic that only the rule on slow
+// start limits what they get.
 func massRestart(seed int64) *pb.Day {
 	return &pb.Day{Name: "cold", Seconds: 6, Rate: 200, World: &pb.World{Seed: seed, Dispatchers: 4, LatencyUs: 300},
 		Troubles: []*pb.Day_Trouble{{Kind: "mass_restart", AtMs: 3000, ForMs: 300, HostKind: "prefill", Share: 1}}}
 }
 
+// drawDefault returns the script of a seed in the default size.
 func drawDefault(seed int64) *pb.Day { return Draw(seed, DefaultSize) }
 
-// breaksOnly is true if a scenario broke one rule and nothing else.
+// breaksOnly reports whether a scenario failed for one rule and for nothing else.
 func breaksOnly(outcome *Outcome, rule int) bool {
-	for _, fault := range outcome.Faults {
-		if !strings.HasPrefix(fault, fmt.Sprintf("rule %d:", rule)) {
+	for _, failure := range outcome.Faults {
+		if !strings.HasPrefix(failure, fmt.Sprintf("rule %d:", rule)) {
 			return false
 		}
 	}
 	return len(outcome.Faults) > 0
 }
 
-// For each rule there are scenarios of the real code with one mutant that are rejected for that rule and for nothing
-// else; the same scenario without the mutant passes, and the rule was checked in both. A change of the program moves
-// what a seed meets, so the next seeds are tried too.
+// TestMutantsAreRejectedForTheirRuleAlone checks that the audit can reject a run for each of the rules alone: some
+// scenario with a mutant breaks that rule and nothing else, passes without the mutant, and has the rule checked in both
+// runs. A change of the program can change which seeds do, so the test tries others after the known one.
 func TestMutantsAreRejectedForTheirRuleAlone(t *testing.T) {
 	const maxSeeds = 25
 	tests := []struct {
 		rule   int
 		mutant string
-		seed   int64 // at which it was seen to break that rule alone
+		seed   int64 // known to break that rule alone
 		script func(seed int64) *pb.Day
 	}{
 		{1, "a termination is forgotten", 12, drawDefault},
@@ -52,18 +54,18 @@
 			if tried > 0 {
 				seed = tried
 			}
-			if fault := rejection(test.script(seed), test.mutant, test.rule); fault != "" {
-				t.Logf("rule %d, %s, seed %d: %s", test.rule, test.mutant, seed, fault)
+			if failure := failureOfRuleAlone(test.script(seed), test.mutant, test.rule); failure != "" {
+				t.Logf("rule %d, %s, seed %d: %s", test.rule, test.mutant, seed, failure)
 				return
 			}
 		}
-		t.Errorf("rule %d: with %q no scenario was rejected for that rule alone", test.rule, test.mutant)
+		t.Errorf("rule %d: with the mutant %q no scenario broke that rule alone", test.rule, test.mutant)
 	})
 }
 
-// rejection is the fault for which a mutant's scenario is rejected; it is empty unless the mutant breaks that rule
-// alone, and the scenario without it passes.
-func rejection(script *pb.Day, mutantName string, rule int) string {
+// failureOfRuleAlone returns the failure of a scenario with a mutant. It returns an empty string unless the mutant
+// breaks that rule alone, the scenario passes without it, and the audit checked the rule in both runs.
+func failureOfRuleAlone(script *pb.Day, mutantName string, rule int) string {
 	for _, mutant := range Mutants() {
 		if mutant.Name != mutantName {
 			continue
--- a/internal/faultsearch/shrink.go
+++ b/internal/faultsearch/shrink.go
@@ -9,10 +9,10 @@
 	"plumspindle/internal/testbed/scenarios"
 )
 
-// maxShrinkRuns bounds the runs of one reduction, about.
+// maxShrinkRuns limits the runs of one reduction approximately: the last pass over all changes is completed.
 const maxShrinkRuns = 400
 
-// simplifications are tried one after another, each as long as the scenario still fails.
+// simplifications are the changes that Shrink tries in this order, in each pass, after it has dropped faults.
 var simplifications = []func(*pb.Day){
 	func(script *pb.Day) { script.Batches = nil },
 	func(script *pb.Day) { script.World.Segment = 0 },
@@ -25,17 +25,18 @@
 	func(script *pb.Day) { script.Rate = max(script.Rate/2, min(script.Rate, 1)) },
 }
 
-// reduction is a scenario on its way to the least that still fails in the same way.
+// reduction is the state of one call of Shrink.
 type reduction struct {
-	best     *pb.Day
-	class    string // of the failure
+	smallest *pb.Day // so far, of the scripts that fail in the same way
+	class    string  // failure class that a change must preserve
 	mutant   *scenarios.Mutant
 	runs     int
 	progress func(runs int, script *pb.Day)
 }
 
-// Shrink reduces a scenario that fails: faults, batches, options, the length and the load go as far as it still fails
-// in the same way. progress, if it is not nil, is called with each smaller scenario. The number is that of the runs.
+// Shrink reduces a scenario that fails: it drops faults, batches and options, and lowers the length and the load, as
+// long as the failure class stays the same. It returns the smallest script that it found, and how many runs it made. If
+// progress is not nil, Shrink calls it with each smaller script.
 func Shrink(script *pb.Day, mutant *scenarios.Mutant, progress func(runs int, script *pb.Day)) (*pb.Day, int, error) {
 	first, err := Run(script, mutant)
 	if err != nil {
@@ -44,21 +45,23 @@
 	if first.FailureClass() == "" {
 		return nil, 1, fmt.Errorf("%s does not fail", script.Name)
 	}
-	r := &reduction{best: proto.CloneOf(script), class: first.FailureClass(), mutant: mutant, runs: 1, progress: progress}
+	r := &reduction{smallest: proto.CloneOf(script), class: first.FailureClass(), mutant: mutant, runs: 1,
+		progress: progress}
 	for smaller := true; smaller && r.runs < maxShrinkRuns; {
 		smaller = r.dropFaults()
 		for _, change := range simplifications {
 			smaller = r.try(change) || smaller
 		}
 	}
-	r.best.Name += "-shrunk"
-	return r.best, r.runs, nil
+	r.smallest.Name += "-shrunk"
+	return r.smallest, r.runs, nil
 }
 
-// dropFaults leaves out faults, first many at once, then fewer.
+// dropFaults tries to drop groups of faults, first all of them at once, then groups of half the size each time, down to
+// single faults. It reports whether it dropped any.
 func (r *reduction) dropFaults() (smaller bool) {
-	for size := len(r.best.Troubles); size >= 1; size /= 2 {
-		for at := 0; at+size <= len(r.best.Troubles); {
+	for size := len(r.smallest.Troubles); size >= 1; size /= 2 {
+		for at := 0; at+size <= len(r.smallest.Troubles); {
 			dropped := r.try(func(script *pb.Day) {
 				script.Troubles = append(script.Troubles[:at], script.Troubles[at+size:]...)
 			})
@@ -72,11 +75,11 @@
 	return smaller
 }
 
-// try takes a change over if the scenario then still fails in the same way.
+// try applies a change and keeps it if the scenario still fails in the same way. It reports whether it did.
 func (r *reduction) try(change func(*pb.Day)) bool {
-	next := proto.CloneOf(r.best)
+	next := proto.CloneOf(r.smallest)
 	change(next)
-	if proto.Equal(next, r.best) {
+	if proto.Equal(next, r.smallest) {
 		return false
 	}
 	r.runs++
@@ -84,9 +87,9 @@
 	if err != nil || outcome.FailureClass() != r.class {
 		return false
 	}
-	r.best = next
+	r.smallest = next
 	if r.progress != nil {
-		r.progress(r.runs, r.best)
+		r.progress(r.runs, r.smallest)
 	}
 	return true
 }
