--- a/internal/faultsearch/faultsearch.go
+++ b/internal/faultsearch/faultsearch.go
@@ -39,7 +39,7 @@
 type Outcome struct {
 	Script  *pb.Day
 	Faults  []string // failures that the checks found, each as the name of its class, a colon and the details
-	Trace   uint64   // hash of all that happened
+	Trace   uint64   // hash of the times and receivers of all segments that arrived
 	Steps   int
 	Reached lifecycle.Coverage
 	Verdict *audit.Verdict
--- a/internal/faultsearch/faultsearch_test.go
+++ b/internal/faultsearch/faultsearch_test.go
@@ -167,8 +167,8 @@
 	// Output: true
 }
 
-// TestKillAtEveryStepRunsNothingTwice kills a dispatcher between any two steps of the simulation while it prefills,
-// records and sends requests with idempotency keys. No request that must not run twice may do so.
+// TestKillAtEveryStepRunsNothingTwice kills a dispatcher after every third of 360 steps of the simulation, while it has
+// requests with idempotency keys prefilled, records them and sends them. No request that must not run twice may do so.
 func TestKillAtEveryStepRunsNothingTwice(t *testing.T) {
 	const stepsBetweenKills = 3
 	forEach(0, 119, func(number int64) {
--- a/internal/faultsearch/interleavings.go
+++ b/internal/faultsearch/interleavings.go
@@ -66,8 +66,9 @@
 // Explore runs a small scenario, with the given faults, once for each combination of choices for its first depth
 // segments: each segment arrives on time or late by delay. If progress is not nil, Explore calls it after each run.
 //
-// Explore doesn't search further from a state that it has already met at the same depth. It compares states only by
-// what dispatchers and endpoints have in flight, and takes two states that differ in anything else for the same.
+// If a run comes to a state that another run has met at the same depth, it delivers this segment and all later ones on
+// time, and of the alternatives only a late delivery of this segment is searched further. Explore compares states only
+// by what dispatchers and endpoints have in flight, and takes two states that differ in anything else for the same.
 func Explore(depth int, delay eventloop.Micros, faults []*pb.Day_Trouble, progress func(*Interleavings)) (
 	*Interleavings, error) {
 	e := &exploration{depth: depth, delay: delay, seen: map[stateKey]bool{}, result: &Interleavings{}}
