--- a/internal/virtual/conn.go
+++ b/internal/virtual/conn.go
@@ -7,7 +7,8 @@
 	"plumspindle/internal/eventloop"
 )
 
-// maxSegmentGap is the longest pause between two pieces that a write is cut into, in microseconds, excluded.
+// maxSegmentGap is the exclusive upper bound of the random pause between the arrivals of two segments of one write, in
+// microseconds.
 const maxSegmentGap = 40
 
 var (
@@ -21,43 +22,43 @@
 	handler eventloop.Handler
 	peer    *conn // the other side; nil until the dial has arrived there
 
-	received    []byte           // arrived and not handed over
-	unsent      []byte           // written, while the other side has no capacity for it
-	inFlight    int              // bytes sent that have not arrived
-	lastArrival eventloop.Micros // when the last bytes sent arrive
-	paused      bool
-	open        bool
-	closing     bool
-	ended       bool
-	endSent     bool
-	peerEnd     error // the cause of the other side's end, once it has arrived
-	drainDue    bool  // Drained has to be called once everything is sent
+	received       []byte           // arrived bytes that the handler has not got yet
+	unsent         []byte           // written bytes for which the other side has no capacity yet
+	inFlight       int              // number of bytes that are sent and have not arrived
+	lastArrival    eventloop.Micros // time at which the last bytes sent arrive
+	paused         bool             // the handler gets no data for now
+	open           bool
+	closing        bool  // this side has called Close or Abort
+	closed         bool  // the handler's Closed has been called, or the process was killed
+	closeSent      bool  // the close of this side is on its way or has arrived
+	peerCloseCause error // cause that the other side's close has here; nil until that close has arrived
+	drainDue       bool  // the handler's Drained must be called once everything is sent
 }
 
 // Idle implements eventloop.Conn.
 func (c *conn) Idle() bool {
-	return c.open && !c.ended && !c.closing && c.peerEnd == nil && len(c.received) == 0
+	return c.open && !c.closed && !c.closing && c.peerCloseCause == nil && len(c.received) == 0
 }
 
 // Unsent implements eventloop.Conn.
 func (c *conn) Unsent() int { return len(c.unsent) }
 
 // PeerClosed implements eventloop.Conn.
-func (c *conn) PeerClosed() bool { return c.ended || c.peerEnd != nil }
+func (c *conn) PeerClosed() bool { return c.closed || c.peerCloseCause != nil }
 
 // Undelivered implements eventloop.Conn.
-func (c *conn) Undelivered() bool { return !c.ended && len(c.unsent)+c.inFlight > 0 }
+func (c *conn) Undelivered() bool { return !c.closed && len(c.unsent)+c.inFlight > 0 }
 
 // Write implements eventloop.Conn.
 func (c *conn) Write(b []byte) {
-	if c.ended || c.closing || !c.open || len(b) == 0 {
+	if c.closed || c.closing || !c.open || len(b) == 0 {
 		return
 	}
 	c.unsent = append(c.unsent, b...)
 	c.send()
 }
 
-// send sends as much as the other side has capacity for.
+// send sends as many of the unsent bytes as the other side has capacity for.
 func (c *conn) send() {
 	if len(c.unsent) == 0 {
 		return
@@ -77,14 +78,14 @@
 	}
 	switch {
 	case c.closing:
-		c.sendEnd(nil)
+		c.sendClose(nil)
 	case c.drainDue:
 		c.drainDue = false
 		c.loop.schedule(0, c.drained)
 	}
 }
 
-// sendSegments sends bytes in one piece, or cut at random places.
+// sendSegments sends bytes in one segment, or split at random places if the network limits the size of segments.
 func (c *conn) sendSegments(b []byte) {
 	n := c.loop.network
 	c.inFlight += len(b)
@@ -103,38 +104,42 @@
 	}
 }
 
+// drained calls the handler's Drained unless more has been written or the connection was closed since it was scheduled.
 func (c *conn) drained() {
-	if !c.ended && !c.closing && len(c.unsent) == 0 {
+	if !c.closed && !c.closing && len(c.unsent) == 0 {
 		c.handler.Drained()
 	}
 }
 
-// segmentArrived runs at the other side's network interface: its process need not run.
+// segmentArrived adds a segment to what the other side has received. The network runs it even while the process on the
+// other side is frozen, as its kernel receives data without the process.
 func (c *conn) segmentArrived(segment []byte) {
 	c.inFlight -= len(segment)
-	far := c.peer
-	if far.ended || far.loop.dead {
+	peer := c.peer
+	if peer.closed || peer.loop.dead {
 		return
 	}
-	c.loop.network.trace(far.loop.name)
-	far.received = append(far.received, segment...)
-	if !far.paused {
-		far.notify()
+	c.loop.network.trace(peer.loop.name)
+	peer.received = append(peer.received, segment...)
+	if !peer.paused {
+		peer.scheduleDelivery()
 	}
 }
 
-// notify lets the process take what has arrived.
-func (c *conn) notify() {
+// scheduleDelivery has the process receive what has arrived, after the network's delivery delay.
+func (c *conn) scheduleDelivery() {
 	delay := c.loop.network.DeliveryDelay
 	if delay == 0 {
-		c.loop.call(c.handOver)
+		c.loop.call(c.deliver)
 		return
 	}
-	c.loop.schedule(delay, c.handOver)
+	c.loop.schedule(delay, c.deliver)
 }
 
-func (c *conn) handOver() {
-	if c.paused || c.ended {
+// deliver passes the received bytes to the handler, lets the other side send more, and then passes on the other side's
+// close if that has arrived. It does nothing while the connection is paused.
+func (c *conn) deliver() {
+	if c.paused || c.closed {
 		return
 	}
 	if len(c.received) > 0 {
@@ -143,12 +148,12 @@
 		if !c.closing {
 			c.handler.Data(received)
 		}
-		if c.peer != nil && !c.peer.ended {
+		if c.peer != nil && !c.peer.closed {
 			c.peer.send()
 		}
 	}
-	if c.peerEnd != nil && len(c.received) == 0 {
-		c.end(c.peerEnd)
+	if c.peerCloseCause != nil && len(c.received) == 0 {
+		c.finish(c.peerCloseCause)
 	}
 }
 
@@ -159,24 +164,24 @@
 	}
 	c.paused = paused
 	if !paused {
-		c.loop.schedule(0, c.handOver)
+		c.loop.schedule(0, c.deliver)
 	}
 }
 
 // Close implements eventloop.Conn.
 func (c *conn) Close() {
-	if c.closing || c.ended {
+	if c.closing || c.closed {
 		return
 	}
 	c.closing = true
 	if c.open && len(c.unsent) == 0 {
-		c.sendEnd(nil)
+		c.sendClose(nil)
 	}
 }
 
 // CloseIfIdle implements eventloop.Conn.
 func (c *conn) CloseIfIdle() bool {
-	if !c.closing && !c.ended && (c.peerEnd != nil || len(c.received) > 0) {
+	if !c.closing && !c.closed && (c.peerCloseCause != nil || len(c.received) > 0) {
 		return false
 	}
 	c.Close()
@@ -185,64 +190,67 @@
 
 // Abort implements eventloop.Conn.
 func (c *conn) Abort() {
-	if c.ended {
+	if c.closed {
 		return
 	}
 	c.closing = true
 	c.unsent = nil
 	if c.open {
-		c.sendEnd(errReset)
+		c.sendClose(errReset)
 	}
 }
 
-// sendEnd sends the end of the connection, behind the bytes that are in flight. A reset does not overtake them either,
-// but what is unsent is lost.
-func (c *conn) sendEnd(cause error) {
-	if c.endSent {
+// sendClose closes this side, and sends the close to the other side so that it arrives after the bytes in flight. A
+// reset doesn't overtake those bytes either, but Abort has dropped the unsent ones.
+func (c *conn) sendClose(cause error) {
+	if c.closeSent {
 		return
 	}
-	c.endSent = true
+	c.closeSent = true
 	n := c.loop.network
-	if far := c.peer; far != nil {
+	if peer := c.peer; peer != nil {
 		if cause == nil {
 			cause = eventloop.ErrPeerClosed
 		}
-		n.timers.Set(max(c.lastArrival, n.arrivalTime(c.loop, far.loop)), func() { far.peerEnded(cause) })
+		n.timers.Set(max(c.lastArrival, n.arrivalTime(c.loop, peer.loop)), func() { peer.peerCloseArrived(cause) })
 	}
-	c.endAfter(0, errClosed)
+	c.finishAfter(0, errClosed)
 }
 
-// peerEnded runs when the other side's end has arrived.
-func (c *conn) peerEnded(cause error) {
-	c.peerEnd = cause
+// peerCloseArrived handles the arrival of the other side's close. While the connection is paused, an open connection
+// stays open until it is resumed, and a closing one closes at once.
+func (c *conn) peerCloseArrived(cause error) {
+	c.peerCloseCause = cause
 	switch {
 	case !c.paused:
-		c.notify()
+		c.scheduleDelivery()
 	case c.closing:
-		c.loop.call(func() { c.end(cause) })
+		c.loop.call(func() { c.finish(cause) })
 	}
 }
 
-// reset ends a connection whose process was killed.
+// reset closes the connection of a killed process without a call of its handler. The other side gets a reset, even if
+// it is paused, unless this side has already sent its close.
 func (c *conn) reset() {
-	c.ended = true
+	c.closed = true
 	delete(c.loop.conns, c)
-	far := c.peer
-	if far == nil || c.endSent {
+	peer := c.peer
+	if peer == nil || c.closeSent {
 		return
 	}
 	n := c.loop.network
-	n.timers.Set(max(c.lastArrival, n.arrivalTime(c.loop, far.loop)), func() {
-		far.peerEnd = errReset
-		far.loop.call(func() { far.end(errReset) })
+	n.timers.Set(max(c.lastArrival, n.arrivalTime(c.loop, peer.loop)), func() {
+		peer.peerCloseCause = errReset
+		peer.loop.call(func() { peer.finish(errReset) })
 	})
 }
 
-func (c *conn) end(cause error) {
-	if c.ended {
+// finish marks the connection as closed and calls the handler's Closed with the cause.
+func (c *conn) finish(cause error) {
+	if c.closed {
 		return
 	}
-	c.ended = true
+	c.closed = true
 	delete(c.loop.conns, c)
 	if c.handler != nil {
 		c.handler.Closed(cause)
--- a/internal/virtual/connect.go
+++ b/internal/virtual/connect.go
@@ -15,7 +15,7 @@
 	errConnectionRefused = errors.New("connection refused")
 )
 
-// listener implements eventloop.Listener. Its process owns it.
+// listener implements eventloop.Listener for one process, which is that of loop.
 type listener struct {
 	loop   *Loop
 	addr   string
@@ -49,23 +49,25 @@
 	}
 }
 
-// Drain implements eventloop.Listener. Connections don't wait to be accepted here, so that there is no backlog.
+// Drain implements eventloop.Listener. It is the same as Close, as the simulation has no backlog of connections that
+// wait to be accepted.
 func (ln *listener) Drain() { ln.Close() }
 
 // Dial implements eventloop.Loop.
 func (l *Loop) Dial(addr string, timeout eventloop.Micros, handler eventloop.Handler) eventloop.Conn {
-	return l.dial(addr, timeout, handler, l.isFull())
+	return l.dial(addr, timeout, handler, l.outOfDescriptors())
 }
 
 // DialReserved implements eventloop.Loop.
 func (l *Loop) DialReserved(addr string, timeout eventloop.Micros, handler eventloop.Handler) eventloop.Conn {
-	return l.dial(addr, timeout, handler, l.isReserveFull())
+	return l.dial(addr, timeout, handler, l.outOfReservedDescriptors())
 }
 
+// dial begins to open a connection. If full is set it fails for lack of a descriptor.
 func (l *Loop) dial(addr string, timeout eventloop.Micros, handler eventloop.Handler, full bool) eventloop.Conn {
 	c := &conn{loop: l, handler: handler}
 	if full {
-		c.endAfter(0, eventloop.ErrNoDescriptors)
+		c.finishAfter(0, eventloop.ErrNoDescriptors)
 		return c
 	}
 	l.track(c)
@@ -73,49 +75,49 @@
 	return c
 }
 
-// arriveAt continues a dial at the other side, one latency after it began.
+// arriveAt handles the arrival of a dial at the listener, one network latency after the dial began.
 func (c *conn) arriveAt(addr string, timeout eventloop.Micros) {
 	n := c.loop.network
 	ln := n.listeners[addr]
 	if ln == nil || ln.loop.dead {
-		c.endAfter(n.Latency, errConnectionRefused)
+		c.finishAfter(n.Latency, errConnectionRefused)
 		return
 	}
 	timeoutLeft := max(timeout-n.Latency, 0)
 	blockedUntil := max(n.blocked[link{c.loop, ln.loop}], n.blocked[link{ln.loop, c.loop}])
 	if wait := blockedUntil - n.now; wait > 0 {
-		c.endAfter(min(wait, timeoutLeft), eventloop.ErrConnectTimeout)
+		c.finishAfter(min(wait, timeoutLeft), eventloop.ErrConnectTimeout)
 		return
 	}
-	if ln.loop.isFull() { // it would wait in the backlog, which has no bound here
-		c.endAfter(timeoutLeft, eventloop.ErrConnectTimeout)
+	if ln.loop.outOfDescriptors() { // the dial would wait in the listener's backlog until it times out
+		c.finishAfter(timeoutLeft, eventloop.ErrConnectTimeout)
 		return
 	}
-	far := &conn{loop: ln.loop, peer: c, open: true}
-	c.peer = far
-	ln.loop.track(far)
+	peer := &conn{loop: ln.loop, peer: c, open: true}
+	c.peer = peer
+	ln.loop.track(peer)
 	ln.loop.call(func() {
-		far.handler = ln.accept(far)
-		far.handler.Opened()
+		peer.handler = ln.accept(peer)
+		peer.handler.Opened()
 	})
 	c.loop.schedule(n.Latency, c.opened)
 }
 
-// opened completes a dial, two latencies after it began.
+// opened completes a dial on the dialling side, two network latencies after the dial began.
 func (c *conn) opened() {
-	if c.ended {
+	if c.closed {
 		return
 	}
 	c.open = true
 	if c.closing {
-		c.sendEnd(nil)
-		c.end(eventloop.ErrClosedBeforeOpen)
+		c.sendClose(nil)
+		c.finish(eventloop.ErrClosedBeforeOpen)
 		return
 	}
 	c.handler.Opened()
 }
 
-// endAfter ends a connection after a duration.
-func (c *conn) endAfter(duration eventloop.Micros, cause error) {
-	c.loop.schedule(duration, func() { c.end(cause) })
+// finishAfter calls finish after a duration.
+func (c *conn) finishAfter(duration eventloop.Micros, cause error) {
+	c.loop.schedule(duration, func() { c.finish(cause) })
 }
--- a/internal/virtual/disk.go
+++ b/internal/virtual/disk.go
@@ -11,28 +11,28 @@
 
 const (
 	defaultSyncTime = 2 * eventloop.Millisecond
-	// lateSyncTime is how long after its acknowledgement a write becomes durable with AcknowledgesEarly.
+	// lateSyncTime is added to the time that an operation takes to become durable if the disk acknowledges early.
 	lateSyncTime = 500 * eventloop.Millisecond
-	// removeSize is the size of a removal; only larger operations need capacity.
+	// removeSize is the size of a removal in perform. Only larger operations are checked against the capacity.
 	removeSize = 1
 )
 
-// ErrDiskFull is the error of a write that exceeds the capacity.
+// ErrDiskFull is the error of an operation that exceeds the capacity.
 var ErrDiskFull = errors.New("no space left on device")
 
 var (
 	errNoSuchFile = errors.New("no such file")
-	errTooShort   = errors.New("shorter than that")
+	errTooShort   = errors.New("the file is shorter than the new size")
 )
 
-// Disk holds one process's files; they outlive the process. It is a disk of package store for the process that it is
-// attached to.
+// Disk is a simulated disk with the files of one process. It implements store.Disk for the process that it is attached
+// to. The files outlive the process.
 type Disk struct {
-	// SyncTime is how long it takes to make something durable.
+	// SyncTime is how long one operation takes to become durable.
 	SyncTime eventloop.Micros
 	// Failure, if set, is the error of all operations that change something.
 	Failure error
-	// PartialWrites lets operations that fail write a part, as a short write or a failed sync does.
+	// PartialWrites makes operations that fail write a random part, as a short write or a failed sync does.
 	PartialWrites bool
 	// Capacity, if above 0, is how many bytes all files may have; a write that exceeds it fails, with what fitted
 	// written.
@@ -44,22 +44,22 @@
 	network   *Network
 	loop      *Loop
 	files     map[string][]byte
-	busyUntil eventloop.Micros // by the operations under way
+	busyUntil eventloop.Micros // time at which the last of the pending operations is done
 }
 
-// NewDisk makes an empty disk.
+// NewDisk returns an empty disk. AttachTo must be called before it is written to.
 func (n *Network) NewDisk() *Disk {
 	return &Disk{network: n, files: map[string][]byte{}, SyncTime: defaultSyncTime}
 }
 
-// AttachTo hands the disk to a process. The operations of an earlier process that are under way are dropped, or are
-// carried out in part.
+// AttachTo makes the disk that of a process. The pending operations of an earlier process are dropped, or carried out in
+// part.
 func (d *Disk) AttachTo(l *Loop) *Disk {
 	d.loop, d.busyUntil = l, 0
 	return d
 }
 
-// List returns the names of the files in order.
+// List returns the names of the files in alphabetical order.
 func (d *Disk) List() ([]string, error) { return slices.Sorted(maps.Keys(d.files)), nil }
 
 // Read returns the content of a file.
@@ -71,7 +71,7 @@
 	return slices.Clone(content), nil
 }
 
-// Truncate shortens a file, at once.
+// Truncate shortens a file without delay.
 func (d *Disk) Truncate(name string, size int64) error {
 	if int(size) > len(d.files[name]) {
 		return fmt.Errorf("%s: %w", name, errTooShort)
@@ -80,7 +80,7 @@
 	return nil
 }
 
-// Used returns how many bytes all files have.
+// Used returns the total size of all files in bytes.
 func (d *Disk) Used() int {
 	used := 0
 	for _, content := range d.files {
@@ -89,13 +89,13 @@
 	return used
 }
 
-// Append appends to a file and calls done once that is durable or has failed.
+// Append appends to a file, and calls done once the data is durable or the operation has failed.
 func (d *Disk) Append(name string, b []byte, done func(error)) {
 	b = slices.Clone(b)
 	d.perform(len(b), func(n int) { d.files[name] = append(d.files[name], b[:n]...) }, done)
 }
 
-// Write replaces a file, in whole or not at all, and calls done once that is durable or has failed.
+// Write replaces a file atomically, and calls done once the new content is durable or the operation has failed.
 func (d *Disk) Write(name string, build func() []byte, done func(error)) {
 	b := build()
 	d.perform(len(b), func(n int) {
@@ -105,7 +105,7 @@
 	}, done)
 }
 
-// Remove removes a file and calls done once that is durable or has failed.
+// Remove removes a file, and calls done once the removal is durable or the operation has failed.
 func (d *Disk) Remove(name string, done func(error)) {
 	d.perform(removeSize, func(n int) {
 		if n == removeSize {
@@ -114,8 +114,9 @@
 	}, done)
 }
 
-// perform carries an operation out once its time has passed: apply is called with how much of its size is done. If the
-// process is killed meanwhile that is a random part.
+// perform carries out an operation after the operations before it and its own sync time. It calls apply with the part
+// of the size that takes effect: all of it if the operation succeeds, and a random part if the process was killed in
+// the meantime.
 func (d *Disk) perform(size int, apply func(n int), done func(error)) {
 	l, failure, partial := d.loop, d.Failure, d.PartialWrites
 	d.busyUntil = max(d.busyUntil, d.network.now) + d.SyncTime
@@ -127,7 +128,7 @@
 	}
 	d.network.timers.Set(d.busyUntil, func() {
 		switch {
-		case l.dead && l != d.loop: // another process has the disk
+		case l.dead && l != d.loop: // the disk is attached to another process now
 		case l.dead:
 			apply(d.network.random.Intn(size + 1))
 		case failure != nil:
--- a/internal/virtual/disk_test.go
+++ b/internal/virtual/disk_test.go
@@ -7,14 +7,14 @@
 	"plumspindle/internal/eventloop"
 )
 
-// appendResult is what became of one Append: the content of its file, and its outcome.
+// appendResult is the result of one Append: the content of the file afterwards, and whether and how done was called.
 type appendResult struct {
 	content string
 	done    bool
 	err     error
 }
 
-// appendTo appends a text to a disk and waits for the outcome for a duration.
+// appendTo appends a text to a file, and waits for the result for a duration at most.
 func appendTo(t *testing.T, n *Network, d *Disk, text string, duration eventloop.Micros) appendResult {
 	t.Helper()
 	var result appendResult
@@ -36,7 +36,7 @@
 		want appendResult
 	}{
 		{"healthy", func(*Disk) {}, appendResult{"text", true, nil}},
-		{"slower than it is waited for", func(d *Disk) { d.SyncTime = eventloop.Second }, appendResult{}},
+		{"slower than the caller waits", func(d *Disk) { d.SyncTime = eventloop.Second }, appendResult{}},
 		{"failing", func(d *Disk) { d.Failure = failure }, appendResult{"", true, failure}},
 		{"with too little capacity", func(d *Disk) { d.Capacity = 3 }, appendResult{"tex", true, ErrDiskFull}},
 		{"with just enough capacity", func(d *Disk) { d.Capacity = 4 }, appendResult{"text", true, nil}},
@@ -53,6 +53,8 @@
 	}
 }
 
+// TestDiskThatAcknowledgesEarlyLosesWhatAKilledProcessWrote checks that a write is lost if the process is killed after
+// the acknowledgement but before the write is durable, and a new process gets the disk.
 func TestDiskThatAcknowledgesEarlyLosesWhatAKilledProcessWrote(t *testing.T) {
 	for _, test := range []struct {
 		name   string
--- a/internal/virtual/loop.go
+++ b/internal/virtual/loop.go
@@ -7,46 +7,46 @@
 	"plumspindle/scheduler/timerqueue"
 )
 
-// reservedDescriptors are those that only DialReserved may use.
+// reservedDescriptors is the number of file descriptors that only DialReserved may use.
 const reservedDescriptors = 2
 
-// Loop is one process of a network. It implements eventloop.Loop.
+// Loop is one simulated process of a network and its event loop. It implements eventloop.Loop.
 type Loop struct {
-	// DescriptorLimit, if above 0, is how many connections the process may have, the last two by DialReserved only.
+	// DescriptorLimit, if above 0, is how many connections the process may have. Only DialReserved may open the last two.
 	DescriptorLimit int
 
-	network   *Network
-	name      string
-	dead      bool
-	frozen    bool
-	postponed []func() // calls that became due while frozen
-	running   bool     // a call is being made
-	deferred  []func()
-	clockSkew eventloop.Micros
-	listeners []*listener
-	conns     map[*conn]bool
-	order     []*conn // in which they were opened, with some that are closed
+	network      *Network
+	name         string
+	dead         bool
+	frozen       bool
+	postponed    []func() // calls that became due while frozen
+	running      bool     // the process is in a call
+	deferred     []func() // functions that Defer got during the current call
+	clockSkew    eventloop.Micros
+	listeners    []*listener
+	conns        map[*conn]bool
+	connsInOrder []*conn // all of conns in the order in which they were added, and some that are closed
 }
 
-// NewLoop makes a process.
+// NewLoop returns a new process. The name is part of the network's trace hash.
 func (n *Network) NewLoop(name string) *Loop {
 	return &Loop{network: n, name: name, conns: map[*conn]bool{}}
 }
 
-// Kill ends the process at once: its timers never run, its connections are reset.
+// Kill ends the process at once. Its timers never fire, its listeners close and its connections are reset.
 func (l *Loop) Kill() {
 	l.dead = true
 	for _, ln := range slices.Clone(l.listeners) {
 		ln.Close()
 	}
-	for _, c := range slices.Clone(l.order) {
+	for _, c := range slices.Clone(l.connsInOrder) {
 		if l.conns[c] {
 			c.reset()
 		}
 	}
 }
 
-// Freeze stops the process for a while; then it goes on with everything that became due meanwhile.
+// Freeze stops the process for a duration. The process then catches up on all calls that became due in the meantime.
 func (l *Loop) Freeze(duration eventloop.Micros) {
 	l.frozen = true
 	l.network.schedule(duration, func() {
@@ -59,21 +59,22 @@
 	})
 }
 
-// Do calls f as the process, from outside.
+// Do runs f on the loop of the process, for callers outside it.
 func (l *Loop) Do(f func()) { l.call(f) }
 
-// Post is Do, for code that runs with sockets.Loop too.
+// Post is the same as Do. Code that also runs on a sockets.Loop needs a method of this name.
 func (l *Loop) Post(f func()) { l.call(f) }
 
-// StepClock sets the process's clock forward, or back; its timers are not affected.
+// StepClock moves the clock of the process forward, or back if by is negative. It doesn't change when timers fire.
 func (l *Loop) StepClock(by eventloop.Micros) { l.clockSkew += by }
 
-// OpenConnections returns how many connections the process has.
+// OpenConnections returns how many connections the process has, including those that it is still opening.
 func (l *Loop) OpenConnections() int { return len(l.conns) }
 
 // Now implements eventloop.Loop.
 func (l *Loop) Now() eventloop.Micros { return l.network.now + l.clockSkew }
 
+// timer implements eventloop.Timer.
 type timer struct {
 	network *Network
 	item    *timerqueue.Item
@@ -96,51 +97,53 @@
 	l.deferred = append(l.deferred, f)
 }
 
-// schedule calls f as the process after a duration.
+// schedule runs f on the loop of the process after a duration.
 func (l *Loop) schedule(duration eventloop.Micros, f func()) *timerqueue.Item {
 	return l.network.schedule(duration, func() { l.call(f) })
 }
 
-// call calls f as the process, and then what it deferred.
-func (l *Loop) call(run func()) {
+// call runs f on the loop of the process, and then the functions that f deferred. It drops f if the process is dead,
+// and postpones it if the process is frozen.
+func (l *Loop) call(f func()) {
 	switch {
 	case l.dead:
 		return
 	case l.frozen:
-		l.postponed = append(l.postponed, run)
+		l.postponed = append(l.postponed, f)
 		return
 	case l.running:
-		run()
+		f()
 		return
 	}
 	l.running = true
-	run()
+	f()
 	for len(l.deferred) > 0 && !l.dead {
 		deferred := l.deferred
 		l.deferred = nil
-		for _, g := range deferred {
-			g()
+		for _, deferredFunc := range deferred {
+			deferredFunc()
 		}
 	}
 	l.running = false
 }
 
-// track adds a connection, and drops the closed ones from the order once they are most of it.
+// track adds a connection to those of the process. It removes closed connections from connsInOrder once they are more
+// than half of a long list.
 func (l *Loop) track(c *conn) {
 	const minOrder = 64
 	l.conns[c] = true
-	if len(l.order) > minOrder && len(l.order) > 2*len(l.conns) {
-		l.order = slices.DeleteFunc(l.order, func(other *conn) bool { return !l.conns[other] })
+	if len(l.connsInOrder) > minOrder && len(l.connsInOrder) > 2*len(l.conns) {
+		l.connsInOrder = slices.DeleteFunc(l.connsInOrder, func(other *conn) bool { return !l.conns[other] })
 	}
-	l.order = append(l.order, c)
+	l.connsInOrder = append(l.connsInOrder, c)
 }
 
-// isFull reports whether no descriptor is left but the reserved ones.
-func (l *Loop) isFull() bool {
+// outOfDescriptors reports whether no descriptor is free except the reserved ones.
+func (l *Loop) outOfDescriptors() bool {
 	return l.DescriptorLimit > 0 && len(l.conns) >= l.DescriptorLimit-reservedDescriptors
 }
 
-// isReserveFull reports whether no descriptor is left at all.
-func (l *Loop) isReserveFull() bool {
+// outOfReservedDescriptors reports whether no descriptor is free, not even a reserved one.
+func (l *Loop) outOfReservedDescriptors() bool {
 	return l.DescriptorLimit > 0 && len(l.conns) >= l.DescriptorLimit
 }
--- a/internal/virtual/network.go
+++ b/internal/virtual/network.go
@@ -1,11 +1,11 @@
-// Package virtual implements package eventloop in virtual time, for simulations: several processes, each with its loop,
-// share one simulated network, one clock and one thread. Nothing waits for real, and the same seed gives the same run.
-// What runs over real sockets runs here unchanged. Each process may also have a simulated disk.
+// Package virtual implements package eventloop in virtual time, for simulations. Several simulated processes, each with
+// its own event loop, share one network, one clock and one goroutine. No real time passes, and the same seed gives the
+// same run. Code that runs over real sockets runs here unchanged. A process can also have a simulated disk.
 //
-// A Network owns the virtual time, all timers and connections, and the source of random numbers; whoever made it drives
-// it with Run or RunUntil, and nothing has to be ended. It relies on being used from one goroutine, and never reads a
-// clock or starts a goroutine. The order in which timers are set and random numbers are drawn is part of a run: a
-// change of it changes every simulation.
+// A Network owns the virtual time, all timers and connections, and the source of random numbers. Its user advances the
+// time with Run or RunUntil, and needn't close anything. A Network must be used from one goroutine; it never reads a
+// clock or starts a goroutine. The order in which code sets timers and draws random numbers determines a run, so that a
+// change of this order changes all simulations.
 package virtual
 
 import (
@@ -20,31 +20,33 @@
 	startTime            = 1_700_000_000 * eventloop.Second // an arbitrary date
 	defaultLatency       = 200                              // microseconds
 	defaultReceiveWindow = 128 << 10                        // bytes
-	firstPort            = 10001                            // of listeners that leave the choice open
+	firstPort            = 10001                            // first port of listeners that ask for port 0
 
-	// FNV-1a with 64 bits.
+	// The parameters of the 64-bit FNV-1a hash.
 	traceHashOffset = 14695981039346656037
 	traceHashPrime  = 1099511628211
 )
 
-// link is one direction between two processes.
+// link is the connection between two processes in one direction.
 type link struct{ from, to *Loop }
 
-// Network is the simulated network of one run, with its time and its random numbers.
+// Network is the simulated network of one run, with its virtual time and its source of random numbers.
 type Network struct {
-	// Latency is how long bytes and the ends of connections travel in one direction.
+	// Latency is how long dials, data and closes take to the other side.
 	Latency eventloop.Micros
-	// MaxSegment, if above 0, is how many bytes arrive in one piece at most: they are cut at random places.
+	// MaxSegment, if above 0, is the largest size of a segment in bytes. The network then splits writes into segments of
+	// random sizes.
 	MaxSegment int
-	// ReceiveWindow is how many bytes are taken for a process that doesn't read, before its sender has to wait.
+	// ReceiveWindow is how many bytes the network buffers for a process that doesn't read them. Beyond that, bytes stay
+	// unsent on the side of the sender.
 	ReceiveWindow int
-	// DeliveryDelay is how long what has arrived waits before its process sees it, as when that is busy.
+	// DeliveryDelay is how long after its arrival a process receives data or a close, as if the process were busy.
 	DeliveryDelay eventloop.Micros
-	// ExtraLatency, if set, returns what is added to the latency of one piece.
+	// ExtraLatency, if set, returns a duration that is added to the latency of one segment or close.
 	ExtraLatency func() eventloop.Micros
 	// AfterStep, if set, is called after each step.
 	AfterStep func()
-	// Steps counts the steps so far: calls of timers, arrivals of bytes and the like.
+	// Steps is the number of steps so far. A step is one due call, such as a timer that fires or a segment that arrives.
 	Steps int
 	// TraceHash is a hash of what has happened, by which two runs can be compared.
 	TraceHash uint64
@@ -54,17 +56,17 @@
 	random    *rand.Rand
 	listeners map[string]*listener
 	nextPort  int
-	blocked   map[link]eventloop.Micros // until when nothing arrives
-	atStep    []stepCall
+	blocked   map[link]eventloop.Micros // time until which nothing arrives over a link
+	stepCalls []stepCall
 }
 
-// stepCall is a call that is due after a step.
+// stepCall is a call that is due once the network has made a number of steps.
 type stepCall struct {
 	step int
 	f    func()
 }
 
-// NewNetwork makes a network whose random numbers come from a seed.
+// NewNetwork returns a network whose random numbers come from a seed.
 func NewNetwork(seed int64) *Network {
 	return &Network{
 		Latency:       defaultLatency,
@@ -81,18 +83,19 @@
 // Now returns the virtual time.
 func (n *Network) Now() eventloop.Micros { return n.now }
 
-// Run lets a duration pass.
+// Run advances the virtual time by a duration and makes all steps that are due in it.
 func (n *Network) Run(duration eventloop.Micros) {
 	end := n.now + duration
-	for n.stepBefore(end) {
+	for n.stepIfDue(end) {
 	}
 	n.now = end
 }
 
-// RunUntil lets time pass until the condition holds, for a duration at most, and reports whether it holds.
+// RunUntil advances the virtual time until the condition holds, by a duration at most. It reports whether the condition
+// holds.
 func (n *Network) RunUntil(duration eventloop.Micros, condition func() bool) bool {
 	for end := n.now + duration; !condition(); {
-		if !n.stepBefore(end) {
+		if !n.stepIfDue(end) {
 			n.now = end
 			return condition()
 		}
@@ -100,19 +103,19 @@
 	return true
 }
 
-// AtStep calls f between two steps, so many from now.
+// AtStep calls f once after the given number of further steps.
 func (n *Network) AtStep(steps int, f func()) {
-	n.atStep = append(n.atStep, stepCall{n.Steps + steps, f})
+	n.stepCalls = append(n.stepCalls, stepCall{n.Steps + steps, f})
 }
 
-// Block keeps everything that one process sends from arriving at another for a while; it arrives afterwards. The other
-// direction stays open.
+// Block stops the traffic from one process to another for a duration. What the process sends in that time arrives
+// afterwards. The other direction stays open.
 func (n *Network) Block(from, to *Loop, duration eventloop.Micros) {
 	n.blocked[link{from, to}] = n.now + duration
 }
 
-// stepBefore makes the next step if it is due by the end, and reports whether it was.
-func (n *Network) stepBefore(end eventloop.Micros) bool {
+// stepIfDue makes the next step if that is due no later than end. It reports whether it made a step.
+func (n *Network) stepIfDue(end eventloop.Micros) bool {
 	due, pending := n.timers.Next()
 	if !pending || due > end {
 		return false
@@ -122,12 +125,13 @@
 	return true
 }
 
+// step runs the earliest due call, and then the calls of AtStep that are due after it.
 func (n *Network) step() {
 	n.Steps++
 	n.timers.RunOne()
-	for i := 0; i < len(n.atStep); i++ {
-		if call := n.atStep[i]; call.step <= n.Steps {
-			n.atStep = slices.Delete(n.atStep, i, i+1)
+	for i := 0; i < len(n.stepCalls); i++ {
+		if call := n.stepCalls[i]; call.step <= n.Steps {
+			n.stepCalls = slices.Delete(n.stepCalls, i, i+1)
 			i--
 			call.f()
 		}
@@ -137,7 +141,7 @@
 	}
 }
 
-// arrivalTime returns when something that is sent now arrives.
+// arrivalTime returns the time at which data or a close that one process sends now arrives at another.
 func (n *Network) arrivalTime(from, to *Loop) eventloop.Micros {
 	arrival := n.now + n.Latency
 	if n.ExtraLatency != nil {
@@ -149,12 +153,12 @@
 	return arrival
 }
 
-// schedule calls f after a duration.
+// schedule calls f after a duration, outside any process.
 func (n *Network) schedule(duration eventloop.Micros, f func()) *timerqueue.Item {
 	return n.timers.Set(n.now+duration, f)
 }
 
-// trace adds an event and the time to the hash.
+// trace adds an event and the current virtual time to the trace hash.
 func (n *Network) trace(event string) {
 	for i := range len(event) {
 		n.TraceHash = (n.TraceHash ^ uint64(event[i])) * traceHashPrime
