--- a/internal/virtual/disk.go
+++ b/internal/virtual/disk.go
@@ -30,15 +30,16 @@
 type Disk struct {
 	// SyncTime is how long one operation takes to become durable.
 	SyncTime eventloop.Micros
-	// Failure, if set, is the error of all operations that change something.
+	// Failure, if set, is the error of all appends, writes and removals.
 	Failure error
-	// PartialWrites makes operations that fail write a random part, as a short write or a failed sync does.
+	// PartialWrites makes an append that fails with Failure write a random part, as a short write or a failed sync does.
+	// Writes and removals are atomic.
 	PartialWrites bool
-	// Capacity, if above 0, is how many bytes all files may have; a write that exceeds it fails, with what fitted
-	// written.
+	// Capacity, if above 0, is how many bytes all files may have. An append that exceeds it writes what fits and fails; a
+	// write that exceeds it together with all existing files, also that which it replaces, changes nothing and fails.
 	Capacity int
-	// AcknowledgesEarly lets operations succeed at once and become durable later: they are lost if the process is
-	// killed in between.
+	// AcknowledgesEarly makes operations succeed at once and become durable later. If the process is killed in between,
+	// they are lost, or may take effect in part if no other process has got the disk by then.
 	AcknowledgesEarly bool
 
 	network   *Network
@@ -52,8 +53,8 @@
 	return &Disk{network: n, files: map[string][]byte{}, SyncTime: defaultSyncTime}
 }
 
-// AttachTo makes the disk that of a process. The pending operations of an earlier process are dropped, or carried out in
-// part.
+// AttachTo makes the disk that of a process. The operations that an earlier, killed process left pending are dropped;
+// only those that became due before AttachTo have taken effect in part.
 func (d *Disk) AttachTo(l *Loop) *Disk {
 	d.loop, d.busyUntil = l, 0
 	return d
--- a/internal/virtual/network.go
+++ b/internal/virtual/network.go
@@ -48,7 +48,7 @@
 	AfterStep func()
 	// Steps is the number of steps so far. A step is one due call, such as a timer that fires or a segment that arrives.
 	Steps int
-	// TraceHash is a hash of what has happened, by which two runs can be compared.
+	// TraceHash is a hash of the times and receivers of all segments that have arrived, by which two runs can be compared.
 	TraceHash uint64
 
 	now       eventloop.Micros
