--- a/scripts/check-behaviour.sh
+++ b/scripts/check-behaviour.sh
@@ -1,12 +1,14 @@
 #!/usr/bin/env bash
-# Compares what the program does with what it did when its behaviour was frozen, so that a change of names or shape
-# can be shown to be nothing else.
+# Compares the behaviour of the program with the results recorded in scripts/behaviour. This shows that a refactoring
+# or a renaming has not changed it.
 #
-#   check-behaviour.sh sim      days in virtual time, by the hash of all that happened (needs nothing but Go)
-#   check-behaviour.sh bench    decisions on the users' simulator, by its trace hash (needs their kit beside the repository)
+#   check-behaviour.sh sim      compares scenarios in virtual time by the hash of all that happened; needs only Go
+#   check-behaviour.sh bench    compares decisions on the users' simulator by its trace hash; needs their kit beside the
+#                               repository
 #
-# With --record the figures are written in place of being compared: only where behaviour changes on purpose. The figures
-# hold for amd64; other processors may round differently.
+# With --record the script replaces the recorded results instead of comparing with them. Use this only when the
+# behaviour changes on purpose. The results hold for amd64; other processors may round floating-point numbers
+# differently.
 set -euo pipefail
 cd "$(dirname "$0")/.."
 mode=${1:?"usage: check-behaviour.sh sim|bench [--record]"}
@@ -23,7 +25,8 @@
   done < <(printf '%s\n' 1-100 101-150 301-330)
 }
 
-# Eleven figures a line are not needed to tell two runs apart: seed, size, trace hash, gain, requests, events.
+# Prints one run as a line: seed, size, trace hash, gain, requests and events. These are enough to tell two runs apart;
+# the simulator's other figures are left out.
 bench_run() {
   local seed=$1 size=$2
   shift 2
--- a/scripts/docscheck/docs_test.go
+++ b/scripts/docscheck/docs_test.go
@@ -1,5 +1,6 @@
-// Package docscheck holds the test that the pages which cite code cite what is there. It reads source and pages only;
-// it owns nothing and changes nothing.
+// Package docscheck tests that the documentation and the deploy file agree with the source code: the code that pages
+// cite exists, the on-call page has the log messages, and the deploy file lists the scheduler's files. It only reads
+// files.
 package docscheck
 
 import (
@@ -16,28 +17,29 @@
 
 const root = "../.."
 
-// checkedPages are the pages whose citations have to hold, all of them.
+// checkedPages are the pages of docs in which all citations of code must be valid.
 var checkedPages = []string{"architecture.md", "races.md", "promises.md", "platform.md"}
 
-// Forms of a citation, each between backquotes.
+// These patterns recognise the forms of a citation, which stands between backquotes.
 var (
-	cited      = regexp.MustCompile("`([^`]+)`")
-	goFile     = regexp.MustCompile(`^[\w./-]+\.go$`)
-	inFile     = regexp.MustCompile(`^([\w./-]+\.go):([\w.]+)$`)
-	folder     = regexp.MustCompile(`^(\.ci|cmd|deploy|docs|internal|platform|proto|scheduler|scripts)/[\w./-]*$`)
-	testName   = regexp.MustCompile(`^(Test|Fuzz|Benchmark)[A-Z]\w*$`)
-	dottedName = regexp.MustCompile(`^[A-Za-z]\w*(\.[A-Za-z]\w*)+$`)
-	mixedCase  = regexp.MustCompile(`^[A-Za-z]*[a-z][A-Z]\w*$`)
-	fileAndFun = regexp.MustCompile("`([\\w./-]+\\.go)` `([A-Za-z][\\w.]*)`")
-	plainName  = regexp.MustCompile("`([A-Za-z]\\w*)`")
+	backquoted   = regexp.MustCompile("`([^`]+)`")
+	goFile       = regexp.MustCompile(`^[\w./-]+\.go$`)
+	nameInFile   = regexp.MustCompile(`^([\w./-]+\.go):([\w.]+)$`)
+	folder       = regexp.MustCompile(`^(\.ci|cmd|deploy|docs|internal|platform|proto|scheduler|scripts)/[\w./-]*$`)
+	testName     = regexp.MustCompile(`^(Test|Fuzz|Benchmark)[A-Z]\w*$`)
+	dottedName   = regexp.MustCompile(`^[A-Za-z]\w*(\.[A-Za-z]\w*)+$`)
+	mixedCase    = regexp.MustCompile(`^[A-Za-z]*[a-z][A-Z]\w*$`)
+	fileThenName = regexp.MustCompile("`([\\w./-]+\\.go)` `([A-Za-z][\\w.]*)`")
+	plainName    = regexp.MustCompile("`([A-Za-z]\\w*)`")
 )
 
-// code is what the repository declares.
-type code struct {
-	files map[string]map[string]bool // by path: names and Type.Member names
-	names map[string]bool            // of all files, also with the package's name before them
+// codeIndex has the names that the Go files of the repository declare.
+type codeIndex struct {
+	files map[string]map[string]bool // the names and Type.Member names of each file, by its path
+	names map[string]bool            // the names of all files, with and without the package name before them
 }
 
+// TestCitedCodeExists checks that the files and names that the pages cite exist.
 func TestCitedCodeExists(t *testing.T) {
 	declared := readCode(t)
 	for _, page := range checkedPages {
@@ -48,7 +50,7 @@
 		}
 		codeColumn := -1
 		for number, line := range strings.Split(string(text), "\n") {
-			codeColumn = codeColumnOf(line, codeColumn)
+			codeColumn = findCodeColumn(line, codeColumn)
 			for _, missing := range append(declared.missingIn(line), declared.missingInCell(line, codeColumn)...) {
 				t.Errorf("docs/%s:%d: `%s` is not in the code", page, number+1, missing)
 			}
@@ -56,7 +58,7 @@
 	}
 }
 
-// TestMissingCitationsAreFound makes sure that each form of a citation can fail.
+// TestMissingCitationsAreFound checks that a citation of something that doesn't exist is found, in each form.
 func TestMissingCitationsAreFound(t *testing.T) {
 	declared := readCode(t)
 	for _, line := range []string{
@@ -64,29 +66,30 @@
 		"`docscheck.absent`", "`absentName`", "`docs_test.go` `absent`", "`Absent.member`",
 	} {
 		if len(declared.missingIn(line)) == 0 {
-			t.Errorf("%s passes", line)
+			t.Errorf("%s is not reported as missing", line)
 		}
 	}
 	if len(declared.missingInCell("| text | `Absentname` |", 2)) == 0 {
-		t.Error("a name in a column of code passes")
+		t.Error("a missing name in a column of code is not reported")
 	}
 	for _, line := range []string{
-		"`scripts/docscheck/docs_test.go:code.missingIn`", "`docscheck.readCode`", "`code.files`", "`docs/platform.md`",
+		"`scripts/docscheck/docs_test.go:codeIndex.missingIn`", "`docscheck.readCode`", "`codeIndex.files`",
+		"`docs/platform.md`",
 	} {
 		if missing := declared.missingIn(line); len(missing) > 0 {
-			t.Errorf("%s does not pass", line)
+			t.Errorf("%s is reported as missing: %v", line, missing)
 		}
 	}
 }
 
-// missingIn returns the citations of a line that name nothing.
-func (c *code) missingIn(line string) (missing []string) {
-	for _, match := range cited.FindAllStringSubmatch(line, -1) {
-		if !c.has(match[1]) {
+// missingIn returns the citations of a line that refer to nothing that exists.
+func (c *codeIndex) missingIn(line string) (missing []string) {
+	for _, match := range backquoted.FindAllStringSubmatch(line, -1) {
+		if !c.resolves(match[1]) {
 			missing = append(missing, match[1])
 		}
 	}
-	for _, match := range fileAndFun.FindAllStringSubmatch(line, -1) {
+	for _, match := range fileThenName.FindAllStringSubmatch(line, -1) {
 		if !dottedName.MatchString(match[2]) && !c.declares(match[1], match[2]) {
 			missing = append(missing, match[1]+":"+match[2])
 		}
@@ -94,8 +97,9 @@
 	return missing
 }
 
-// codeColumnOf returns which column of a table's line has code: the one whose head says so, until the table ends.
-func codeColumnOf(line string, before int) int {
+// findCodeColumn returns the column of code of the table that a line belongs to, and -1 if there is none. It is the
+// column with the heading "code"; previous is the result for the line before.
+func findCodeColumn(line string, previous int) int {
 	if !strings.HasPrefix(line, "|") {
 		return -1
 	}
@@ -104,11 +108,12 @@
 			return i
 		}
 	}
-	return before
+	return previous
 }
 
-// missingInCell returns the names in a table's cell that name nothing, of whatever form.
-func (c *code) missingInCell(line string, column int) (missing []string) {
+// missingInCell returns the names in one column of a table's line that the code doesn't declare. It takes every word
+// between backquotes for a name.
+func (c *codeIndex) missingInCell(line string, column int) (missing []string) {
 	cells := strings.Split(line, "|")
 	if column < 0 || column >= len(cells) {
 		return nil
@@ -121,27 +126,28 @@
 	return missing
 }
 
-// has reports whether a citation names something; what is not written like a name in Go or a path always does.
-func (c *code) has(citation string) bool {
-	if match := inFile.FindStringSubmatch(citation); match != nil {
+// resolves reports whether a citation refers to something that exists. It returns true for a text that doesn't look
+// like a name in Go or a path.
+func (c *codeIndex) resolves(citation string) bool {
+	if match := nameInFile.FindStringSubmatch(citation); match != nil {
 		return c.declares(match[1], match[2])
 	}
 	switch {
 	case goFile.MatchString(citation):
-		return len(c.matching(citation)) > 0
+		return len(c.filesMatching(citation)) > 0
 	case folder.MatchString(citation):
-		return exists(citation) || exists(filepath.Join("internal", citation))
+		return pathExists(citation) || pathExists(filepath.Join("internal", citation))
 	case testName.MatchString(citation), mixedCase.MatchString(citation):
 		return c.names[citation]
 	case dottedName.MatchString(citation):
-		return c.names[citation] || exists(citation) || exists(filepath.Join("docs", citation))
+		return c.names[citation] || pathExists(citation) || pathExists(filepath.Join("docs", citation))
 	}
 	return true
 }
 
-// declares reports whether one of the files that a citation may mean declares a name.
-func (c *code) declares(path, declared string) bool {
-	for _, file := range c.matching(path) {
+// declares reports whether any of the files that match a path declares a name.
+func (c *codeIndex) declares(path, declared string) bool {
+	for _, file := range c.filesMatching(path) {
 		if c.files[file][declared] {
 			return true
 		}
@@ -149,8 +155,8 @@
 	return false
 }
 
-// matching are the files that a path, or the end of one, may mean.
-func (c *code) matching(path string) (files []string) {
+// filesMatching returns the files whose path is the given one or ends with it.
+func (c *codeIndex) filesMatching(path string) (files []string) {
 	path = "/" + strings.TrimPrefix(path, "../")
 	for file := range c.files {
 		if strings.HasSuffix("/"+file, path) {
@@ -160,14 +166,15 @@
 	return files
 }
 
-func exists(path string) bool {
+func pathExists(path string) bool {
 	_, err := os.Stat(filepath.Join(root, path))
 	return err == nil
 }
 
-func readCode(t *testing.T) *code {
+// readCode parses all Go files of the repository.
+func readCode(t *testing.T) *codeIndex {
 	t.Helper()
-	c := &code{files: map[string]map[string]bool{}, names: map[string]bool{}}
+	c := &codeIndex{files: map[string]map[string]bool{}, names: map[string]bool{}}
 	err := filepath.WalkDir(root, func(path string, entry fs.DirEntry, err error) error {
 		if err != nil || entry.IsDir() || filepath.Ext(path) != ".go" {
 			return err
@@ -180,7 +187,7 @@
 		if err != nil {
 			return err
 		}
-		names := declaredIn(parsed)
+		names := declaredNames(parsed)
 		c.files[filepath.ToSlash(relative)] = names
 		c.names[parsed.Name.Name] = true
 		for declared := range names {
@@ -195,8 +202,8 @@
 	return c
 }
 
-// declaredIn are the names that a file declares; a method or a field is there by its own name and as Type.Member.
-func declaredIn(file *ast.File) map[string]bool {
+// declaredNames returns the names that a file declares: methods and fields by their own names and as Type.Member.
+func declaredNames(file *ast.File) map[string]bool {
 	names := map[string]bool{}
 	for _, declaration := range file.Decls {
 		switch d := declaration.(type) {
--- a/scripts/docscheck/oncall_test.go
+++ b/scripts/docscheck/oncall_test.go
@@ -12,7 +12,8 @@
 	"testing"
 )
 
-// TestLogMessagesAreOnTheOnCallPage checks that docs/on-call.md has every constant message at warn and above.
+// TestLogMessagesAreOnTheOnCallPage checks that docs/on-call.md has every constant log message of the levels warn,
+// error and fatal.
 func TestLogMessagesAreOnTheOnCallPage(t *testing.T) {
 	page, err := os.ReadFile(filepath.Join(root, "docs", "on-call.md"))
 	if err != nil {
@@ -44,11 +45,12 @@
 		t.Fatal(err)
 	}
 	if found == 0 {
-		t.Error("no message was found: the search is broken")
+		t.Error("found no log message in the source; the search is broken")
 	}
 }
 
-// warningMessage returns the message of a call like log.Warn()...Msg("message").
+// warningMessage returns the message of a call such as log.Warn()...Msg("message"). The level may also be Error or
+// Fatal.
 func warningMessage(node ast.Node) (message string, isWarning bool) {
 	call, receiver, name := methodCall(node)
 	if name != "Msg" || len(call.Args) != 1 {
@@ -67,7 +69,7 @@
 	return "", false
 }
 
-// methodCall takes a method's call apart; its name is empty where a node is none.
+// methodCall returns the parts of a method call. The name is empty if the node is not a method call.
 func methodCall(node ast.Node) (call *ast.CallExpr, receiver ast.Expr, name string) {
 	call, isCall := node.(*ast.CallExpr)
 	if !isCall {
--- a/scripts/docscheck/policy_test.go
+++ b/scripts/docscheck/policy_test.go
@@ -14,7 +14,8 @@
 	quoted     = regexp.MustCompile(`"([^"]*)"`)
 )
 
-// TestDeployFileListsTheSchedulerAsPolicy compares the policy of the deploy file with the files of the scheduler.
+// TestDeployFileListsTheSchedulerAsPolicy checks that the policy of the deploy file lists the files of the scheduler
+// and no others.
 func TestDeployFileListsTheSchedulerAsPolicy(t *testing.T) {
 	deploy, err := os.ReadFile(filepath.Join(root, "deploy", "balancer.toml"))
 	if err != nil {
--- a/scripts/readability/main.go
+++ b/scripts/readability/main.go
@@ -1,6 +1,7 @@
-// Command readability prints a table of the module's packages for docs/status.md: the largest hand-written file, the
-// longest function, the lines over 120 characters, and how many words of the withdrawn house style are left in
-// identifiers and comments. Test files are left out. It reads source only and changes nothing.
+// Command readability prints a table of the module's packages for docs/status.md. For each package it has the largest
+// hand-written file, the longest function, the number of lines over 120 characters, and how many withdrawn words the
+// identifiers and comments contain: words that the project replaces by standard technical terms. Test files don't
+// count. The command only reads files.
 package main
 
 import (
@@ -21,22 +22,22 @@
 
 const maxLine = 120
 
-// withdrawn are the words that give way to the terms of the field; they are matched as whole words in comments and as
-// parts of identifiers.
-var withdrawn = []string{
+// withdrawnWords are the words that the project replaces by standard technical terms. They are matched as whole words
+// in comments and as parts of identifiers.
+var withdrawnWords = []string{
 	"kept", "told", "tell", "tells", "news", "leg", "legs", "gen", "gens", "generation", "generations", "room",
 	"plant", "plants", "planted", "home", "homes", "owed", "seat", "seats", "beat", "beats", "ill", "heals",
 	"roster", "reader", "readers", "writer", "writers", "throttled", "terminated", "trouble", "troubles",
 }
 
-// figures are what is printed of one package.
-type figures struct {
+// packageMetrics are the figures of one package, in the order in which they are printed.
+type packageMetrics struct {
 	largestFile     string
 	fileLines       int
 	longestFunction string
 	functionLines   int
 	longLines       int
-	words           int
+	withdrawnWords  int
 }
 
 func main() {
@@ -50,11 +51,11 @@
 	for _, name := range sortedKeys(packages) {
 		f := packages[name]
 		fmt.Printf("| `%s` | %s %d | %s %d | %d | %d |\n", name, f.largestFile, f.fileLines, f.longestFunction,
-			f.functionLines, f.longLines, f.words)
+			f.functionLines, f.longLines, f.withdrawnWords)
 	}
 }
 
-func sortedKeys(packages map[string]*figures) []string {
+func sortedKeys(packages map[string]*packageMetrics) []string {
 	names := make([]string, 0, len(packages))
 	for name := range packages {
 		names = append(names, name)
@@ -63,9 +64,9 @@
 	return names
 }
 
-// measure walks the tree and measures each hand-written Go file that is not a test.
-func measure(tree fs.FS) (map[string]*figures, error) {
-	packages := map[string]*figures{}
+// measure returns the figures of each package, by its path, from all hand-written Go files that are not tests.
+func measure(tree fs.FS) (map[string]*packageMetrics, error) {
+	packages := map[string]*packageMetrics{}
 	err := fs.WalkDir(tree, ".", func(path string, entry fs.DirEntry, err error) error {
 		if err != nil {
 			return err
@@ -85,7 +86,8 @@
 	return packages, err
 }
 
-func measureFile(packages map[string]*figures, path string, source []byte) error {
+// measureFile adds the figures of one file to those of its package. It ignores generated files.
+func measureFile(packages map[string]*packageMetrics, path string, source []byte) error {
 	files := token.NewFileSet()
 	parsed, err := parser.ParseFile(files, path, source, parser.ParseComments)
 	if err != nil {
@@ -97,7 +99,7 @@
 	name := filepath.ToSlash(filepath.Dir(path))
 	measured := packages[name]
 	if measured == nil {
-		measured = &figures{}
+		measured = &packageMetrics{}
 		packages[name] = measured
 	}
 	lines, long := countLines(source)
@@ -115,10 +117,11 @@
 			measured.longestFunction, measured.functionLines = function.Name.Name, length
 		}
 	}
-	measured.words += withdrawnWords(parsed)
+	measured.withdrawnWords += countWithdrawnInFile(parsed)
 	return nil
 }
 
+// countLines returns how many lines a source has, and how many of them are over maxLine characters long.
 func countLines(source []byte) (lines, long int) {
 	scanner := bufio.NewScanner(bytes.NewReader(source))
 	for scanner.Scan() {
@@ -130,11 +133,11 @@
 	return lines, long
 }
 
-var word = regexp.MustCompile(`[A-Za-z]+`)
+var wordPattern = regexp.MustCompile(`[A-Za-z]+`)
 
-// withdrawnWords counts the withdrawn words in a file's identifiers and comments; strings, which may be wire words, are
-// not looked at.
-func withdrawnWords(file *ast.File) (count int) {
+// countWithdrawnInFile counts the withdrawn words in the identifiers and comments of a file. It ignores strings, as
+// they may be names on the wire.
+func countWithdrawnInFile(file *ast.File) (count int) {
 	ast.Inspect(file, func(node ast.Node) bool {
 		if identifier, ok := node.(*ast.Ident); ok {
 			count += countWithdrawn(splitIdentifier(identifier.Name))
@@ -142,14 +145,14 @@
 		return true
 	})
 	for _, group := range file.Comments {
-		count += countWithdrawn(word.FindAllString(group.Text(), -1))
+		count += countWithdrawn(wordPattern.FindAllString(group.Text(), -1))
 	}
 	return count
 }
 
 func countWithdrawn(words []string) (count int) {
 	for _, w := range words {
-		if slices.Contains(withdrawn, strings.ToLower(w)) {
+		if slices.Contains(withdrawnWords, strings.ToLower(w)) {
 			count++
 		}
 	}
@@ -167,5 +170,5 @@
 			start = i
 		}
 	}
-	return append(parts, word.FindAllString(string(runes[start:]), -1)...)
+	return append(parts, wordPattern.FindAllString(string(runes[start:]), -1)...)
 }
--- a/scripts/readability/main_test.go
+++ b/scripts/readability/main_test.go
@@ -33,10 +33,10 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	want := figures{
+	want := packageMetrics{
 		largestFile: "sample.go", fileLines: 11,
 		longestFunction: "next", functionLines: 3,
-		longLines: 1, words: 3,
+		longLines: 1, withdrawnWords: 3,
 	}
 	if got := *packages["sample"]; got != want {
 		t.Errorf("got %+v, want %+v", got, want)
