--- a/scripts/check-behaviour.sh
+++ b/scripts/check-behaviour.sh
@@ -2,7 +2,8 @@
 # Compares the behaviour of the program with the results recorded in scripts/behaviour. This shows that a refactoring
 # or a renaming has not changed it.
 #
-#   check-behaviour.sh sim      compares scenarios in virtual time by the hash of all that happened; needs only Go
+#   check-behaviour.sh sim      compares scenarios in virtual time by a hash of the times and receivers of all segments
+#                               that arrived; needs only Go
 #   check-behaviour.sh bench    compares decisions on the users' simulator by its trace hash; needs their kit beside the
 #                               repository
 #
--- a/scripts/readability/main.go
+++ b/scripts/readability/main.go
@@ -159,7 +159,8 @@
 	return count
 }
 
-// splitIdentifier splits at changes from lower to upper case, at digits and at underscores.
+// splitIdentifier splits an identifier before each capital letter that follows another character than a capital letter.
+// It splits only the last of these parts at digits and underscores too.
 func splitIdentifier(name string) []string {
 	var parts []string
 	start := 0
