--- a/internal/faultsearch/faultsearch.go
+++ b/internal/faultsearch/faultsearch.go
@@ -27,7 +27,7 @@
 
 	// recoveryMs is how long after the end of the last fault the dispatchers may take to serve again.
 	recoveryMs = 2500
-	// restartAllowanceMs is added to the duration of a fault after which the endpoint restarts.
+	// restartAllowanceMs is added to the duration of a vanish or hang fault, as the endpoint restarts after it.
 	restartAllowanceMs = 200
 	// minRecoveryRequests is how many requests of the last second the recovery check needs; it passes with fewer.
 	minRecoveryRequests = 5
