--- a/internal/testbed/load/attempt.go
+++ b/internal/testbed/load/attempt.go
@@ -13,71 +13,72 @@
 )
 
 const (
-	maxAttempts      = 3                          // of a chat request
-	minAttemptTime   = 50 * eventloop.Millisecond // below which no further attempt is made
+	maxAttempts      = 3                          // attempts of one chat request
+	minAttemptTime   = 50 * eventloop.Millisecond // no attempt starts with less time left
 	connectTimeout   = 300 * eventloop.Millisecond
-	retryDelay       = 100 * eventloop.Millisecond // where no header says another
-	retryDelaySpread = 200 * eventloop.Millisecond
+	retryDelay       = 100 * eventloop.Millisecond // unless a retry-after-ms header gives another delay
+	retryDelaySpread = 200 * eventloop.Millisecond // limit of the random part of a chat retry's default delay
 )
 
-// attempt is what one attempt of a chat request and of a batch call have in common: its connection, its time limit and
-// its events in the record.
+// attempt is the common part of an attempt of a chat request and of a batch call. It owns the connection and the time
+// limit, and records the attempt's events.
 type attempt struct {
 	generator  *Generator
-	request    string // the client's id
-	number     int    // from 1
-	dispatcher string // its name
+	request    string // request id that the client chose; all attempts share it
+	number     int    // counts from 1
+	dispatcher string // name of the dispatcher that it is sent to
 	product    string
 	tenant     int
 	timeLimit  eventloop.Micros
 
-	answer    http1.Handler
-	onTimeout func() // at the time limit, unless the attempt has ended
-	onOver    func(outcome string)
-
-	conn     eventloop.Conn
-	data     []byte // of the request
-	timer    eventloop.Timer
-	parser   http1.Parser
-	head     *http1.Head
-	body     []byte
-	sent     bool
-	ended    bool   // the final answer is here
-	complete bool   // the HTTP message has ended
-	exact    bool   // the answer is what the endpoints gave
-	tokens   int    // of the answer
-	failure  string // why the answer is no good
-	cause    string // of the connection's end, where it brought no final answer
+	responseHandler http1.Handler
+	onTimeout       func() // called at the time limit unless the attempt has finished
+	onFinished      func(outcome string)
+
+	conn          eventloop.Conn
+	data          []byte // the serialised HTTP request
+	timer         eventloop.Timer
+	parser        http1.Parser
+	head          *http1.Head
+	body          []byte
+	sent          bool
+	finished      bool   // the outcome is recorded
+	messageEnded  bool   // the HTTP response has ended
+	exact         bool   // the answer has the content that the endpoints generate for this request
+	tokens        int    // tokens of the answer that were received
+	invalidReason string // why the response is invalid; empty: it is valid
+	closeCause    string // why the connection closed before the final answer
 }
 
-// call is an HTTP request of a client.
-type call struct {
+// postRequest is the HTTP POST request that an attempt sends.
+type postRequest struct {
 	path           string
 	body           []byte
-	idempotencyKey string // empty: none
+	idempotencyKey string // empty: the request carries none
 }
 
-// send sends the attempt to a target.
-func (a *attempt) send(target *Target, c call, answer http1.Handler) {
-	a.dispatcher, a.answer = target.Name, answer
+// send connects to a target; Opened sends the request once the connection is established.
+func (a *attempt) send(target *Target, request postRequest, handler http1.Handler) {
+	a.dispatcher, a.responseHandler = target.Name, handler
 	a.parser = http1.Parser{Response: true, Limits: http1.DefaultLimits}
 	a.data = http1.AppendRequest(nil, http1.Request{
-		Method: http.MethodPost, Target: c.path, Host: target.Addr, Body: c.body,
+		Method: http.MethodPost, Target: request.path, Host: target.Addr, Body: request.body,
 	}, "Content-Type", "application/json",
 		"Authorization", "Bearer "+a.generator.Keys[a.tenant], "x-client-request-id", a.request,
 		"x-time-limit-ms", strconv.FormatInt(int64(a.timeLimit/eventloop.Millisecond), 10), "Connection", "close",
-		"Idempotency-Key", c.idempotencyKey) // a field without a value is left out
+		"Idempotency-Key", request.idempotencyKey) // AppendRequest leaves out a header without a value
 	a.conn = a.generator.loop.Dial(target.Addr, connectTimeout, a)
 }
 
+// record adds an event with the attempt's current state to the record.
 func (a *attempt) record(eventType record.EventType, detail string) {
 	g := a.generator
 	g.recorder.Add(record.Event{At: int64(g.loop.Now()), Type: eventType, Request: a.request, ClientAttempt: a.number,
 		Dispatcher: a.dispatcher, Product: a.product, Tenant: g.deployment.Tenants[a.tenant].Name, Detail: detail,
-		Count: int64(a.tokens), Exact: a.exact, Value: float64(a.timeLimit), Kind: a.cause})
+		Count: int64(a.tokens), Exact: a.exact, Value: float64(a.timeLimit), Kind: a.closeCause})
 }
 
-// Opened sends the request.
+// Opened sends the request and starts the timer of the time limit.
 func (a *attempt) Opened() {
 	a.sent = true
 	a.record(record.RequestSent, "")
@@ -86,78 +87,79 @@
 	a.timer = a.generator.loop.AfterFunc(a.timeLimit, a.onTimeout)
 }
 
-// giveUp ends the attempt for want of an answer.
+// giveUp finishes the attempt because no answer arrived in time, and aborts its connection.
 func (a *attempt) giveUp() {
 	a.finish(record.GaveUp)
 	a.conn.Abort()
 }
 
-// Drained is not needed: the request is written at once.
+// Drained does nothing: the whole request is written in one call.
 func (a *attempt) Drained() {}
 
-// Data parses the answer; nothing may follow it.
+// Data parses the response. Bytes after its end are recorded as an error.
 func (a *attempt) Data(data []byte) {
-	if a.complete {
+	if a.messageEnded {
 		a.record(record.BytesAfterFinal, "bytes")
 		return
 	}
-	if err := a.parser.Feed(data, a.answer); err != nil && !a.ended {
-		a.failure = err.Error()
+	if err := a.parser.Feed(data, a.responseHandler); err != nil && !a.finished {
+		a.invalidReason = err.Error()
 		a.finish(record.Malformed)
 		a.conn.Abort()
 	}
 }
 
-// Closed ends an attempt that has no final answer.
+// Closed finishes an attempt whose connection failed or closed before the final answer.
 func (a *attempt) Closed(cause error) {
 	switch {
-	case a.ended:
+	case a.finished:
 	case !a.sent:
 		a.finish(record.Unreached)
 	default:
-		a.cause = cause.Error()
+		a.closeCause = cause.Error()
 		a.finish(record.Broken)
 	}
 }
 
-// Head takes the answer's head.
+// Head stores the head of the response.
 func (a *attempt) Head(head *http1.Head) error {
 	a.head = head
 	return nil
 }
 
-// Body collects an answer in one piece.
+// Body collects the body of a response that is not streamed.
 func (a *attempt) Body(data []byte) error {
-	if a.ended {
+	if a.finished {
 		a.record(record.BytesAfterFinal, "bytes")
 	}
 	a.body = append(a.body, data...)
 	return nil
 }
 
-// finish records the attempt's outcome.
+// finish stops the timer, records the attempt's outcome and reports it to onFinished.
 func (a *attempt) finish(outcome string) {
-	a.ended = true
+	a.finished = true
 	if a.timer != nil {
 		a.timer.Stop()
 	}
 	if a.sent {
 		a.record(record.FinalAnswer, outcome)
 	}
-	if a.failure != "" {
-		a.record(record.MalformedAnswer, a.failure)
+	if a.invalidReason != "" {
+		a.record(record.MalformedAnswer, a.invalidReason)
 	}
-	a.onOver(outcome)
+	a.onFinished(outcome)
 }
 
-// unexpectedStatus returns the error for an answer that the API does not know.
+// unexpectedStatus returns the error for a response whose status the API does not define.
 func (a *attempt) unexpectedStatus() error {
 	return fmt.Errorf("status %d: %.120s", a.head.Status, a.body)
 }
 
+// errorCode returns the code in the response's error body, empty if it has none.
 func (a *attempt) errorCode() string { return gjson.GetBytes(a.body, "error.code").String() }
 
-// retryAfter returns how long the answer asks to wait, or a default.
+// retryAfter returns the delay that the response's retry-after-ms header asks for, or the fallback without one.
 func (a *attempt) retryAfter(fallback eventloop.Micros) eventloop.Micros {
 	if a.head == nil {
 		return fallback
--- a/internal/testbed/load/batches.go
+++ b/internal/testbed/load/batches.go
@@ -20,139 +20,146 @@
 	maxBatchAttempts = 2 * maxAttempts
 )
 
-// BatchClients are clients that call for embeddings or rerankings, Concurrency calls at once; each call is followed by
-// the next once it has its answer.
+// BatchClients are closed-loop clients of the embeddings or rerank API. They keep Concurrency calls in flight: each
+// starts its next call once the previous one has finished.
 type BatchClients struct {
-	Generator   *Generator
-	Product     *pb.Product
-	Tenant      int
-	Concurrency int // calls at once
-	Inputs      int // of a call
-	Tokens      int // of an input, about
-	Calls       int // in all; 0: until Stop
-
-	Open       int
-	Started    int
-	InputsRead int // that came back, each at its place
-	TokensRead int
-	Wrong      int // calls with an answer that is not that of their inputs
-	Outcomes   map[string]int
+	Generator      *Generator
+	Product        *pb.Product
+	Tenant         int
+	Concurrency    int // calls in flight at once
+	InputsPerCall  int
+	TokensPerInput int // approximate tokens of each input
+	MaxCalls       int // 0: calls are started until Stop
+
+	OpenCalls      int
+	CallsStarted   int
+	InputsAnswered int            // inputs whose result was returned at the right index
+	TokensRead     int            // input tokens of completed calls, by TokensPerInput
+	Wrong          int            // calls whose answer does not match their inputs
+	Outcomes       map[string]int // finished calls by outcome
 
 	stopped bool
-	filler  string // of inputs
+	filler  string // random text that pads each input to its length
 }
 
-// Run begins the calls.
+// Run starts the first calls.
 func (b *BatchClients) Run() {
 	b.Outcomes = map[string]int{}
-	b.filler = b.Generator.words(b.Tokens)
+	b.filler = b.Generator.randomText(b.TokensPerInput)
 	for range b.Concurrency {
-		b.next()
+		b.startNext()
 	}
 }
 
-// Stop begins no more calls.
+// Stop lets no further call start; calls in flight continue.
 func (b *BatchClients) Stop() { b.stopped = true }
 
-func (b *BatchClients) next() {
-	if b.stopped || b.Calls > 0 && b.Started >= b.Calls {
+// startNext starts a call, unless Stop was called or all calls have been started.
+func (b *BatchClients) startNext() {
+	if b.stopped || b.MaxCalls > 0 && b.CallsStarted >= b.MaxCalls {
 		return
 	}
-	b.Started++
-	b.Open++
-	c := &batchCall{clients: b, id: fmt.Sprintf("b%s%d", b.Product.Name, b.Started), since: b.Generator.loop.Now()}
-	filler := b.filler[:max(charactersPerToken*b.Tokens-len(c.id)-8, 1)]
-	for i := range b.Inputs {
+	b.CallsStarted++
+	b.OpenCalls++
+	c := &batchCall{
+		clients:   b,
+		id:        fmt.Sprintf("b%s%d", b.Product.Name, b.CallsStarted),
+		startedAt: b.Generator.loop.Now(),
+	}
+	filler := b.filler[:max(charactersPerToken*b.TokensPerInput-len(c.id)-8, 1)]
+	for i := range b.InputsPerCall {
 		c.inputs = append(c.inputs, strconv.Quote(fmt.Sprintf("%s %d %s", c.id, i, filler)))
 	}
-	c.try()
+	c.startAttempt()
 }
 
-// batchCall is one call, over all its attempts.
+// batchCall is one call of a client, which may take several attempts.
 type batchCall struct {
-	clients  *BatchClients
-	id       string
-	inputs   []string // as JSON
-	since    eventloop.Micros
-	attempts int
+	clients   *BatchClients
+	id        string
+	inputs    []string // JSON-encoded
+	startedAt eventloop.Micros
+	attempts  int
 }
 
-// batchAttempt is one attempt of a call.
+// batchAttempt is one attempt of a batch call.
 type batchAttempt struct {
 	attempt
-	batch *batchCall
+	call *batchCall
 }
 
-// try makes the next attempt, if there is time and a dispatcher for it.
-func (c *batchCall) try() {
+// startAttempt starts the next attempt. The call ends as unserved if too little time is left, no dispatcher is alive or
+// the attempts are used up.
+func (c *batchCall) startAttempt() {
 	clients := c.clients
 	generator := clients.Generator
-	left := c.since + timeLimit(clients.Product) - generator.loop.Now()
-	targets := generator.targetsNear("")
-	if left < minAttemptTime || len(targets) == 0 || c.attempts >= maxBatchAttempts {
-		c.over(record.Unserved)
+	timeLeft := c.startedAt + timeLimit(clients.Product) - generator.loop.Now()
+	targets := generator.aliveTargets("")
+	if timeLeft < minAttemptTime || len(targets) == 0 || c.attempts >= maxBatchAttempts {
+		c.finish(record.Unserved)
 		return
 	}
 	c.attempts++
 	target := targets[generator.random.Intn(len(targets))]
-	next := &batchAttempt{batch: c}
+	next := &batchAttempt{call: c}
 	next.attempt = attempt{
-		generator: generator,
-		request:   c.id,
-		number:    c.attempts,
-		product:   clients.Product.Name,
-		tenant:    clients.Tenant,
-		timeLimit: left,
-		onTimeout: next.giveUp,
-		onOver:    next.over,
+		generator:  generator,
+		request:    c.id,
+		number:     c.attempts,
+		product:    clients.Product.Name,
+		tenant:     clients.Tenant,
+		timeLimit:  timeLeft,
+		onTimeout:  next.giveUp,
+		onFinished: next.handleOutcome,
 	}
-	next.send(target, c.call(), next)
+	next.send(target, c.postRequest(), next)
 }
 
-func (c *batchCall) call() call {
+// postRequest returns the HTTP request of the call, the same for each attempt.
+func (c *batchCall) postRequest() postRequest {
 	model, inputs := c.clients.Product.Name, strings.Join(c.inputs, ",")
 	if c.isRerank() {
 		body := `{"model":"` + model + `","query":"` + rerankQuery + `","documents":[` + inputs + `]}`
-		return call{path: modelserver.RerankPath, body: []byte(body)}
+		return postRequest{path: modelserver.RerankPath, body: []byte(body)}
 	}
 	body := `{"model":"` + model + `","encoding_format":"base64","input":[` + inputs + `]}`
-	return call{path: modelserver.EmbeddingsPath, body: []byte(body)}
+	return postRequest{path: modelserver.EmbeddingsPath, body: []byte(body)}
 }
 
 func (c *batchCall) isRerank() bool { return c.clients.Product.Form == pb.Product_RERANK }
 
-// over ends the call for its client, which then begins the next.
-func (c *batchCall) over(outcome string) {
+// finish records the call's outcome and lets its client start the next call.
+func (c *batchCall) finish(outcome string) {
 	clients := c.clients
 	generator := clients.Generator
-	clients.Open--
+	clients.OpenCalls--
 	clients.Outcomes[outcome]++
 	if outcome == record.Completed {
-		clients.InputsRead += len(c.inputs)
-		clients.TokensRead += len(c.inputs) * clients.Tokens
+		clients.InputsAnswered += len(c.inputs)
+		clients.TokensRead += len(c.inputs) * clients.TokensPerInput
 	}
 	generator.recorder.Add(record.Event{At: int64(generator.loop.Now()), Type: record.RequestOver, Request: c.id,
 		Detail:  outcome,
 		Product: clients.Product.Name, Tenant: generator.deployment.Tenants[clients.Tenant].Name,
-		Count:         int64(generator.loop.Now() - c.since),
+		Count:         int64(generator.loop.Now() - c.startedAt),
 		ClientAttempt: c.attempts, Exact: outcome == record.Completed})
-	generator.loop.Defer(clients.next)
+	generator.loop.Defer(clients.startNext)
 }
 
-// End takes the end of the HTTP message.
+// End checks a complete response and finishes the attempt.
 func (a *batchAttempt) End() error {
-	a.complete = true
-	if a.ended {
+	a.messageEnded = true
+	if a.finished {
 		return nil
 	}
 	status := a.head.Status
 	switch {
 	case status == http.StatusOK:
-		a.failure = a.batch.check(a.body)
-		if a.failure != "" {
-			a.batch.clients.Wrong++
+		a.invalidReason = a.call.check(a.body)
+		if a.invalidReason != "" {
+			a.call.clients.Wrong++
 		}
-		a.exact = a.failure == ""
+		a.exact = a.invalidReason == ""
 		a.finish(record.Completed)
 	case status == http.StatusTooManyRequests:
 		a.finish(record.Rejected)
@@ -164,16 +171,16 @@
 	return nil
 }
 
-// over ends the call, or retries it, which is always harmless.
-func (a *batchAttempt) over(outcome string) {
+// handleOutcome finishes a completed call and retries any other: batch calls are idempotent.
+func (a *batchAttempt) handleOutcome(outcome string) {
 	if outcome == record.Completed {
-		a.batch.over(outcome)
+		a.call.finish(outcome)
 		return
 	}
-	a.generator.loop.AfterFunc(a.retryAfter(retryDelay), a.batch.try)
+	a.generator.loop.AfterFunc(a.retryAfter(retryDelay), a.call.startAttempt)
 }
 
-// check compares an answer with what each input's vector, or score, has to be, and says what is wrong.
+// check compares a response body with the vector or score expected for each input, and returns the first mismatch.
 func (c *batchCall) check(body []byte) (wrong string) {
 	if c.isRerank() {
 		return c.checkScores(body)
@@ -181,8 +188,9 @@
 	return c.checkVectors(body)
 }
 
+// checkScores checks that each document occurs once, with its expected score, in descending order of the scores.
 func (c *batchCall) checkScores(body []byte) (wrong string) {
-	previous, seen := 2.0, map[int]bool{} // all scores are below 2
+	previous, seen := 2.0, map[int]bool{} // every score is below 2
 	gjson.GetBytes(body, "results").ForEach(func(_, result gjson.Result) bool {
 		i, score := int(result.Get("index").Int()), result.Get("relevance_score").Num
 		if i < 0 || i >= len(c.inputs) || seen[i] || score > previous ||
@@ -199,6 +207,7 @@
 	return wrong
 }
 
+// checkVectors checks that each input has its expected vector, in the order of the inputs.
 func (c *batchCall) checkVectors(body []byte) (wrong string) {
 	count, dimensions := 0, int(c.clients.Product.Dimensions)
 	gjson.GetBytes(body, "data").ForEach(func(_, vector gjson.Result) bool {
--- a/internal/testbed/load/chat.go
+++ b/internal/testbed/load/chat.go
@@ -18,13 +18,13 @@
 
 const (
 	maxEventSize = 1 << 20
-	lastEvent    = "[DONE]"
+	doneEvent    = "[DONE]"
 )
 
-// errNoLastEvent is a stream that ended without its last event.
-var errNoLastEvent = errors.New("a stream without its last event")
+// errNoDoneEvent is the error of a streamed answer that ended without the [DONE] event.
+var errNoDoneEvent = errors.New("a stream without its last event")
 
-// chatBody is the body of a chat request, its fields in the order of their names.
+// chatBody is the JSON body of a chat request. Its fields are in alphabetical order.
 type chatBody struct {
 	MaxTokens     int            `json:"max_tokens"`
 	Messages      []message      `json:"messages"`
@@ -37,90 +37,94 @@
 	IncludeUsage bool `json:"include_usage"`
 }
 
-// chatRequest is one chat request, over all its attempts.
+// chatRequest is one chat request of a client, which may take several attempts.
 type chatRequest struct {
-	generator  *Generator
-	session    *session
-	id         string
-	since      eventloop.Micros
-	timeLimit  eventloop.Micros // in all
-	maxTokens  int
-	unstreamed bool
-	attempts   int
+	generator    *Generator
+	session      *session
+	id           string
+	startedAt    eventloop.Micros
+	timeLimit    eventloop.Micros // for all attempts together
+	maxTokens    int
+	nonStreaming bool
+	attempts     int
 }
 
 // chatAttempt is one attempt of a chat request.
 type chatAttempt struct {
 	attempt
-	chat       *chatRequest
-	events     sse.Parser
-	firstToken eventloop.Micros // 0: none has come
-	lastToken  eventloop.Micros
+	chat         *chatRequest
+	events       sse.Parser
+	firstTokenAt eventloop.Micros // 0: no token has arrived
+	lastTokenAt  eventloop.Micros
 }
 
-// try makes the next attempt, if there is time and a dispatcher for it.
-func (r *chatRequest) try() {
+// startAttempt starts the next attempt. The request ends as unserved if too little time is left or no dispatcher is
+// alive.
+func (r *chatRequest) startAttempt() {
 	generator, product := r.generator, r.session.product
-	left := r.since + r.timeLimit - generator.loop.Now()
-	near := generator.targetsNear(r.session.zone)
-	if left < minAttemptTime || len(near) == 0 {
-		r.over(record.Unserved, 0, 0)
+	timeLeft := r.startedAt + r.timeLimit - generator.loop.Now()
+	targets := generator.aliveTargets(r.session.zone)
+	if timeLeft < minAttemptTime || len(targets) == 0 {
+		r.finish(record.Unserved, 0, 0)
 		return
 	}
 	r.attempts++
-	patience := generator.MinPatience + (1-generator.MinPatience)*generator.random.Float64()
-	limit := eventloop.Micros(float64(left) * patience)
-	target := near[generator.random.Intn(len(near))]
-	c := call{path: modelserver.ChatPath, body: r.body()}
-	if generator.Keyed && product.Effect != pb.Product_IDEMPOTENT {
-		// A dispatcher knows only its own keys.
+	limitShare := generator.MinTimeLimitShare + (1-generator.MinTimeLimitShare)*generator.random.Float64()
+	limit := eventloop.Micros(float64(timeLeft) * limitShare)
+	target := targets[generator.random.Intn(len(targets))]
+	c := postRequest{path: modelserver.ChatPath, body: r.body()}
+	if generator.UseIdempotencyKeys && product.Effect != pb.Product_IDEMPOTENT {
+		// All attempts go to the same dispatcher, as dispatchers do not share their idempotency keys.
 		target = generator.Targets[int(xxhash.Sum64String(r.id)%uint64(len(generator.Targets)))]
 		c.idempotencyKey = r.id
 	}
 	next := &chatAttempt{chat: r, events: sse.Parser{MaxEventBytes: maxEventSize}}
 	next.attempt = attempt{
-		generator: generator,
-		request:   r.id,
-		number:    r.attempts,
-		product:   product.Name,
-		tenant:    r.session.tenant,
-		timeLimit: limit,
-		onTimeout: next.timeOut,
-		onOver:    next.over,
+		generator:  generator,
+		request:    r.id,
+		number:     r.attempts,
+		product:    product.Name,
+		tenant:     r.session.tenant,
+		timeLimit:  limit,
+		onTimeout:  next.handleTimeout,
+		onFinished: next.handleOutcome,
 	}
 	next.send(target, c, next)
 }
 
+// body returns the JSON body of the request.
 func (r *chatRequest) body() []byte {
 	body := chatBody{MaxTokens: r.maxTokens, Messages: r.session.messages, Model: r.session.product.Name}
-	if !r.unstreamed {
+	if !r.nonStreaming {
 		body.Stream, body.StreamOptions = true, &streamOptions{IncludeUsage: true}
 	}
 	text, err := json.Marshal(body)
 	if err != nil {
-		panic(err) // strings and numbers always have a JSON form
+		panic(err) // can't happen: strings and numbers can always be encoded
 	}
 	return text
 }
 
-// over ends the request for its client. firstToken is the time to it, pace that between two tokens.
-func (r *chatRequest) over(outcome string, firstToken, pace eventloop.Micros) {
-	generator, dialogue := r.generator, r.session
-	generator.Open--
+// finish records the request's outcome, and makes its session available for the next turn if one is left. firstToken is
+// the time to the first token, tokenInterval the mean time between tokens.
+func (r *chatRequest) finish(outcome string, firstToken, tokenInterval eventloop.Micros) {
+	generator, session := r.generator, r.session
+	generator.OpenRequests--
 	event := record.Event{At: int64(generator.loop.Now()), Type: record.RequestOver, Request: r.id, Detail: outcome,
-		Product: dialogue.product.Name, Tenant: generator.deployment.Tenants[dialogue.tenant].Name, Count: int64(firstToken),
+		Product: session.product.Name, Tenant: generator.deployment.Tenants[session.tenant].Name, Count: int64(firstToken),
 		ClientAttempt: r.attempts}
 	event.Exact = outcome == record.Completed && firstToken <= r.firstTokenSLO() &&
-		pace <= eventloop.Micros(dialogue.product.TokenSloMs)*eventloop.Millisecond
+		tokenInterval <= eventloop.Micros(session.product.TokenSloMs)*eventloop.Millisecond
 	generator.recorder.Add(event)
-	if outcome == record.Completed && dialogue.turns > 1 {
-		dialogue.turns--
-		dialogue.messages = append(dialogue.messages, message{Role: roleAssistant, Content: assistantText})
-		generator.sessions[dialogue.tenant] = append(generator.sessions[dialogue.tenant], dialogue)
+	if outcome == record.Completed && session.turnsLeft > 1 {
+		session.turnsLeft--
+		session.messages = append(session.messages, message{Role: roleAssistant, Content: assistantText})
+		generator.waitingSessions[session.tenant] = append(generator.waitingSessions[session.tenant], session)
 	}
 }
 
-// firstTokenSLO returns the latency objective for the first token, which grows with the prompt.
+// firstTokenSLO returns the latency objective for the first token, which grows linearly with the prompt. Milliseconds
+// per 1000 tokens are microseconds per token.
 func (r *chatRequest) firstTokenSLO() eventloop.Micros {
 	product, promptTokens := r.session.product, 0
 	for _, m := range r.session.messages {
@@ -130,61 +134,63 @@
 		eventloop.Micros(float64(product.SloMsPer_1000Tokens)*float64(promptTokens))
 }
 
-// timeOut gives up on an answer of which nothing has come, or that is to come in one piece.
-func (a *chatAttempt) timeOut() {
-	if a.firstToken == 0 || a.chat.unstreamed {
+// handleTimeout gives up at the time limit if no token has arrived or the answer is not streamed. A stream that has
+// begun may continue.
+func (a *chatAttempt) handleTimeout() {
+	if a.firstTokenAt == 0 || a.chat.nonStreaming {
 		a.giveUp()
 	}
 }
 
-// Body parses a stream, or collects an answer in one piece.
+// Body parses the events of a streamed answer, or collects any other response.
 func (a *chatAttempt) Body(data []byte) error {
 	if a.head.Status == http.StatusOK && strings.HasPrefix(a.head.Get("Content-Type"), "text/event-stream") {
-		return a.events.Feed(data, a.event)
+		return a.events.Feed(data, a.handleEvent)
 	}
 	return a.attempt.Body(data)
 }
 
-// event takes an event of a stream and checks its token.
-func (a *chatAttempt) event(data []byte) error {
+// handleEvent handles one server-sent event of a streamed answer and checks its token.
+func (a *chatAttempt) handleEvent(data []byte) error {
 	switch {
-	case a.ended:
+	case a.finished:
 		a.record(record.BytesAfterFinal, "event")
-	case string(data) == lastEvent:
+	case string(data) == doneEvent:
 		a.exact = a.exact && a.tokens == modelserver.AnswerLength(a.request, a.chat.maxTokens)
 		a.finish(record.Completed)
 	case gjson.GetBytes(data, "error").Exists():
 		a.finish(record.Failed)
 	default:
 		if token := gjson.GetBytes(data, "choices.0.delta.content"); token.Exists() {
-			a.takeToken(token.String())
+			a.checkToken(token.String())
 		}
 	}
 	return nil
 }
 
-func (a *chatAttempt) takeToken(text string) {
+// checkToken counts a received token and compares it with the expected one.
+func (a *chatAttempt) checkToken(text string) {
 	now := a.generator.loop.Now()
 	if a.tokens == 0 {
-		a.exact, a.firstToken = true, now
+		a.exact, a.firstTokenAt = true, now
 	}
 	if text != modelserver.TokenText(a.request, a.tokens) {
 		a.exact = false
 	}
 	a.tokens++
-	a.lastToken = now
+	a.lastTokenAt = now
 }
 
-// End takes the end of the HTTP message.
+// End finishes the attempt at the end of a response, unless the [DONE] event or an error event already did.
 func (a *chatAttempt) End() error {
-	a.complete = true
-	if a.ended {
+	a.messageEnded = true
+	if a.finished {
 		return nil
 	}
 	status := a.head.Status
 	switch {
-	case status == http.StatusOK && a.chat.unstreamed:
-		a.takeWholeAnswer()
+	case status == http.StatusOK && a.chat.nonStreaming:
+		a.checkWholeAnswer()
 		a.finish(record.Completed)
 	case status == http.StatusTooManyRequests:
 		a.finish(record.Rejected)
@@ -193,55 +199,57 @@
 	case status >= http.StatusInternalServerError && gjson.GetBytes(a.body, "error.message").Exists():
 		a.finish(record.Failed)
 	case status == http.StatusOK:
-		return errNoLastEvent
+		return errNoDoneEvent
 	default:
 		return a.unexpectedStatus()
 	}
 	return nil
 }
 
-// takeWholeAnswer checks an answer in one piece.
-func (a *chatAttempt) takeWholeAnswer() {
+// checkWholeAnswer checks the content and usage of an answer that is not streamed.
+func (a *chatAttempt) checkWholeAnswer() {
 	var want strings.Builder
 	tokens := modelserver.AnswerLength(a.request, a.chat.maxTokens)
 	for i := range tokens {
 		want.WriteString(modelserver.TokenText(a.request, i))
 	}
-	a.tokens, a.firstToken = tokens, a.generator.loop.Now()
-	a.lastToken = a.firstToken
+	a.tokens, a.firstTokenAt = tokens, a.generator.loop.Now()
+	a.lastTokenAt = a.firstTokenAt
 	a.exact = gjson.GetBytes(a.body, "choices.0.message.content").String() == want.String() &&
 		gjson.GetBytes(a.body, "usage.completion_tokens").Int() == int64(tokens)
 }
 
-// over ends the request, or retries it where that is harmless.
-func (a *chatAttempt) over(outcome string) {
+// handleOutcome finishes the request, or retries it where that is safe: after an attempt that was rejected or did not
+// reach a dispatcher, where the product is idempotent, and after a broken connection if an idempotency key was sent.
+func (a *chatAttempt) handleOutcome(outcome string) {
 	request, generator := a.chat, a.generator
 	if outcome == record.Completed {
-		firstToken, pace := a.latency()
-		request.over(record.Completed, firstToken, pace)
+		firstToken, tokenInterval := a.latency()
+		request.finish(record.Completed, firstToken, tokenInterval)
 		return
 	}
-	harmless := outcome == record.Rejected || outcome == record.Unreached ||
-		request.session.product.Effect == pb.Product_IDEMPOTENT || generator.Keyed && outcome == record.Broken
-	if !harmless || request.attempts >= maxAttempts {
-		request.over(outcome, 0, 0)
+	safeToRetry := outcome == record.Rejected || outcome == record.Unreached ||
+		request.session.product.Effect == pb.Product_IDEMPOTENT || generator.UseIdempotencyKeys && outcome == record.Broken
+	if !safeToRetry || request.attempts >= maxAttempts {
+		request.finish(outcome, 0, 0)
 		return
 	}
 	delay := retryDelay + eventloop.Micros(generator.random.Int63n(int64(retryDelaySpread)))
-	generator.loop.AfterFunc(a.retryAfter(delay), request.try)
+	generator.loop.AfterFunc(a.retryAfter(delay), request.startAttempt)
 }
 
-// latency returns the time to the first token since the request began, and the time between two tokens.
-func (a *chatAttempt) latency() (firstToken, pace eventloop.Micros) {
+// latency returns the time from the start of the request to the first token, and the mean time between tokens.
+func (a *chatAttempt) latency() (firstToken, tokenInterval eventloop.Micros) {
 	r := a.chat
-	firstToken = a.firstToken - r.since
-	if r.unstreamed {
-		// What an answer in one piece took before its first token isn't seen; the rest is taken off at the stated pace.
-		statedPace := eventloop.Micros(r.session.product.TokenSloMs) * eventloop.Millisecond
-		return max(firstToken-eventloop.Micros(a.tokens)*statedPace, 1), 0
+	firstToken = a.firstTokenAt - r.startedAt
+	if r.nonStreaming {
+		// The client can't see when the first token of such an answer was generated. It is estimated by subtracting the
+		// token SLO for each token.
+		tokenSLO := eventloop.Micros(r.session.product.TokenSloMs) * eventloop.Millisecond
+		return max(firstToken-eventloop.Micros(a.tokens)*tokenSLO, 1), 0
 	}
 	if a.tokens > 1 {
-		pace = (a.lastToken - a.firstToken) / eventloop.Micros(a.tokens-1)
+		tokenInterval = (a.lastTokenAt - a.firstTokenAt) / eventloop.Micros(a.tokens-1)
 	}
-	return firstToken, pace
+	return firstToken, tokenInterval
 }
--- a/internal/testbed/load/generator.go
+++ b/internal/testbed/load/generator.go
@@ -1,9 +1,9 @@
-// Package load has the clients of the test bed: open-loop clients of the chat API, which send at their own times
-// whatever the answers do, and closed-loop clients of the batch APIs.
+// Package load simulates the clients of the test bed: open-loop clients of the chat API, which send requests at random
+// times however slow the answers are, and closed-loop clients of the batch APIs.
 //
-// It owns the clients' requests, retries and patience, and checks every byte of every answer. It relies on the event
-// loop for time and connections, on modelserver for what endpoints answer, and on a record to which it reports each
-// final answer. It knows dispatchers by their public API only.
+// It owns the clients' requests, retries and time limits, and checks the whole content of every answer. It uses the
+// event loop for time and connections and package modelserver for the expected content, and reports each final answer
+// to a record. It uses only the public API of the dispatchers.
 package load
 
 import (
@@ -18,113 +18,114 @@
 	"plumspindle/internal/testbed/record"
 )
 
-// What clients ask for.
+// The shape of the chat traffic.
 const (
-	continueShare        = 0.45 // of requests that go on with a session, if there is one
-	sharedPrefixShare    = 0.85 // of sessions that begin with a text that others share
-	sharedPrefixes       = 6    // of a product
-	maxTurns             = 4    // of a session
-	defaultUnstreamed    = 0.15
-	defaultMinPatience   = 0.5
-	minRate              = 0.01
-	maxUnstreamedTokens  = 60 // as an answer in one piece must fit into the client's time altogether
-	charactersPerToken   = 4
-	minPrefixTokens      = 800
-	prefixTokensSpread   = 1600
-	minQuestionTokens    = 80
-	questionTokensSpread = 400
-	roleSystem           = "system"
-	roleUser             = "user"
-	roleAssistant        = "assistant"
-	assistantText        = "noted" // for an answer, in the next turn
+	continuedSessionShare    = 0.45 // probability that a request continues a session, if one is waiting
+	sharedPrefixShare        = 0.85 // probability that a new session starts with a shared system message
+	prefixesPerProduct       = 6    // distinct system messages
+	maxTurns                 = 4    // most user messages of one session
+	defaultNonStreamingShare = 0.15
+	defaultMinTimeLimitShare = 0.5
+	minRate                  = 0.01
+	maxNonStreamingTokens    = 60 // the whole of such an answer must arrive within the time limit
+	charactersPerToken       = 4
+	minPrefixTokens          = 800
+	prefixTokensSpread       = 1600
+	minQuestionTokens        = 80
+	questionTokensSpread     = 400
+	roleSystem               = "system"
+	roleUser                 = "user"
+	roleAssistant            = "assistant"
+	assistantText            = "noted" // content that stands for each earlier answer in the next turn
 )
 
-// Target is one dispatcher that clients may go to.
+// Target is one dispatcher that clients may send requests to.
 type Target struct {
 	Name, Zone, Addr string
-	Alive            bool // in the view of the load balancer in front of the dispatchers
+	Alive            bool // whether the load balancer in front of the dispatchers considers it alive
 }
 
-// Generator is all chat clients. Its fields may be changed on its loop while it runs.
+// Generator simulates all chat clients. Its exported fields may be changed while it runs, but only on its event loop.
 type Generator struct {
-	Targets         []*Target
-	Keys            []string  // by tenant
-	Rate            float64   // requests a second
-	TenantShares    []float64 // of the traffic, against each other
-	MinPatience     float64   // the least share of its product's time limit that a client waits in all; 1 at most
-	UnstreamedShare float64   // of the answers that are asked for in one piece
-	// Keyed has requests that are not idempotent sent with an Idempotency-Key, each always to the same dispatcher.
-	Keyed bool
-
-	Open  int // requests in flight
-	Asked int
-
-	loop       eventloop.Loop
-	deployment deployment.Deployment
-	random     *rand.Rand
-	recorder   *record.Recorder
-	lastID     int
-	stopped    bool
-	prefixes   map[string][]string // by product
-	products   []*pb.Product       // for chat
-	sessions   [][]*session        // that wait for their next turn, by tenant
+	Targets           []*Target
+	Keys              []string  // API keys by tenant index
+	Rate              float64   // mean requests per second
+	TenantShares      []float64 // relative weights of the tenants in the traffic, by tenant index
+	MinTimeLimitShare float64   // the least share of its product's time limit that a client waits in all; 1 at most
+	NonStreamingShare float64   // probability that a request asks for an answer that is not streamed
+	// UseIdempotencyKeys adds an Idempotency-Key to each request for a product that is not idempotent, and sends all
+	// its attempts to the same dispatcher.
+	UseIdempotencyKeys bool
+
+	OpenRequests    int // requests in flight
+	RequestsStarted int
+
+	loop            eventloop.Loop
+	deployment      deployment.Deployment
+	random          *rand.Rand
+	recorder        *record.Recorder
+	lastID          int
+	stopped         bool
+	prefixes        map[string][]string // shared system messages, by product name
+	products        []*pb.Product       // the products of the chat API
+	waitingSessions [][]*session        // sessions with turns left and no request in flight, by tenant index
 }
 
-// session is a dialogue.
+// session is a conversation of several turns between one client and one product.
 type session struct {
-	product  *pb.Product
-	tenant   int
-	zone     string
-	messages []message
-	turns    int // that are left
+	product   *pb.Product
+	tenant    int
+	zone      string
+	messages  []message
+	turnsLeft int // user messages still to be sent, the one in flight included
 }
 
-// message is one message of a dialogue, its fields in the order of their names.
+// message is one message of a chat request. Its fields are in alphabetical order.
 type message struct {
 	Content string `json:"content"`
 	Role    string `json:"role"`
 }
 
-// Config is what a generator needs.
+// Config configures a generator.
 type Config struct {
 	Deployment deployment.Deployment
 	Seed       int64
-	Keys       []string // by tenant
+	Keys       []string // API keys by tenant index
 	Targets    []*Target
 	Recorder   *record.Recorder
 }
 
-// New makes a generator that does nothing until Run.
+// New returns a generator that sends nothing until Run is called.
 func New(loop eventloop.Loop, config Config) *Generator {
 	generator := &Generator{
-		Targets:         config.Targets,
-		Keys:            config.Keys,
-		MinPatience:     defaultMinPatience,
-		UnstreamedShare: defaultUnstreamed,
-		loop:            loop,
-		deployment:      config.Deployment,
-		random:          rand.New(rand.NewSource(config.Seed)),
-		recorder:        config.Recorder,
-		prefixes:        map[string][]string{},
+		Targets:           config.Targets,
+		Keys:              config.Keys,
+		MinTimeLimitShare: defaultMinTimeLimitShare,
+		NonStreamingShare: defaultNonStreamingShare,
+		loop:              loop,
+		deployment:        config.Deployment,
+		random:            rand.New(rand.NewSource(config.Seed)),
+		recorder:          config.Recorder,
+		prefixes:          map[string][]string{},
 	}
 	for range config.Deployment.Tenants {
 		generator.TenantShares = append(generator.TenantShares, 1)
-		generator.sessions = append(generator.sessions, nil)
+		generator.waitingSessions = append(generator.waitingSessions, nil)
 	}
 	for _, product := range config.Deployment.Products {
 		if product.Form != pb.Product_CHAT {
 			continue
 		}
 		generator.products = append(generator.products, product)
-		for range sharedPrefixes {
-			prefix := generator.words(minPrefixTokens + generator.random.Intn(prefixTokensSpread))
+		for range prefixesPerProduct {
+			prefix := generator.randomText(minPrefixTokens + generator.random.Intn(prefixTokensSpread))
 			generator.prefixes[product.Name] = append(generator.prefixes[product.Name], prefix)
 		}
 	}
 	return generator
 }
 
-// Run sends requests, at random times, until Stop.
+// Run sends requests at random times (a Poisson process) until Stop is called.
 func (g *Generator) Run() {
 	if g.stopped {
 		return
@@ -132,17 +133,17 @@
 	seconds := -math.Log(1-g.random.Float64()) / max(g.Rate, minRate)
 	g.loop.AfterFunc(eventloop.Micros(seconds*1e6), func() {
 		if !g.stopped {
-			g.ask()
+			g.startRequest()
 			g.Run()
 		}
 	})
 }
 
-// Stop sends no more; requests in flight go on.
+// Stop lets no further request start; requests in flight continue.
 func (g *Generator) Stop() { g.stopped = true }
 
-// words makes a text of about so many tokens.
-func (g *Generator) words(tokens int) string {
+// randomText returns a random text of about the given number of tokens.
+func (g *Generator) randomText(tokens int) string {
 	var text strings.Builder
 	for text.Len() < charactersPerToken*tokens {
 		text.WriteString(strconv.FormatUint(uint64(g.random.Uint32()), 36))
@@ -151,84 +152,86 @@
 	return text.String()
 }
 
-// drawTenant draws a tenant by the shares.
+// drawTenant draws the index of a tenant, weighted by TenantShares.
 func (g *Generator) drawTenant() int {
 	sum := 0.0
 	for _, share := range g.TenantShares {
 		sum += share
 	}
-	at := g.random.Float64() * sum
+	remaining := g.random.Float64() * sum
 	for i, share := range g.TenantShares {
-		if at -= share; at < 0 {
+		if remaining -= share; remaining < 0 {
 			return i
 		}
 	}
 	return 0
 }
 
-// ask sends a request: a session's next turn, or a new session's first.
-func (g *Generator) ask() {
+// startRequest starts a request, for the next turn of a waiting session or the first turn of a new one.
+func (g *Generator) startRequest() {
 	tenant := g.drawTenant()
-	s := g.takeSession(tenant)
+	s := g.drawWaitingSession(tenant)
 	if s == nil {
 		s = g.newSession(tenant)
 	}
-	question := g.words(minQuestionTokens + g.random.Intn(questionTokensSpread))
+	question := g.randomText(minQuestionTokens + g.random.Intn(questionTokensSpread))
 	s.messages = append(s.messages, message{Role: roleUser, Content: question})
 	g.lastID++
-	g.Asked++
-	g.Open++
-	r := &chatRequest{generator: g, session: s, id: "g" + strconv.Itoa(g.lastID), since: g.loop.Now(),
-		unstreamed: g.random.Float64() < g.UnstreamedShare, timeLimit: timeLimit(s.product),
+	g.RequestsStarted++
+	g.OpenRequests++
+	r := &chatRequest{generator: g, session: s, id: "g" + strconv.Itoa(g.lastID), startedAt: g.loop.Now(),
+		nonStreaming: g.random.Float64() < g.NonStreamingShare, timeLimit: timeLimit(s.product),
 		maxTokens: int(s.product.MostTokens)}
-	if r.unstreamed {
-		r.maxTokens = min(r.maxTokens, maxUnstreamedTokens)
+	if r.nonStreaming {
+		r.maxTokens = min(r.maxTokens, maxNonStreamingTokens)
 	}
-	r.try()
+	r.startAttempt()
 }
 
-// takeSession draws a waiting session of a tenant, or none.
-func (g *Generator) takeSession(tenant int) *session {
-	waiting := g.sessions[tenant]
-	if len(waiting) == 0 || g.random.Float64() >= continueShare {
+// drawWaitingSession draws and removes a waiting session of a tenant. It returns nil if a new session is to be started.
+func (g *Generator) drawWaitingSession(tenant int) *session {
+	waiting := g.waitingSessions[tenant]
+	if len(waiting) == 0 || g.random.Float64() >= continuedSessionShare {
 		return nil
 	}
 	i, last := g.random.Intn(len(waiting)), len(waiting)-1
 	s := waiting[i]
 	waiting[i] = waiting[last]
-	g.sessions[tenant] = waiting[:last]
+	g.waitingSessions[tenant] = waiting[:last]
 	return s
 }
 
+// newSession draws the product, zone, number of turns and shared system message of a session.
 func (g *Generator) newSession(tenant int) *session {
 	product := g.products[g.random.Intn(len(g.products))]
 	zone := g.deployment.Zones[g.random.Intn(len(g.deployment.Zones))]
-	s := &session{product: product, tenant: tenant, zone: zone, turns: 1 + g.random.Intn(maxTurns)}
+	s := &session{product: product, tenant: tenant, zone: zone, turnsLeft: 1 + g.random.Intn(maxTurns)}
 	if g.random.Float64() < sharedPrefixShare {
-		prefix := g.prefixes[product.Name][g.random.Intn(sharedPrefixes)]
+		prefix := g.prefixes[product.Name][g.random.Intn(prefixesPerProduct)]
 		s.messages = append(s.messages, message{Role: roleSystem, Content: prefix})
 	}
 	return s
 }
 
-// targetsNear returns the targets that are alive, those of a zone if there are any.
-func (g *Generator) targetsNear(zone string) []*Target {
-	var near, all []*Target
+// aliveTargets returns the targets in a zone that are alive, or all that are alive if the zone has none.
+func (g *Generator) aliveTargets(zone string) []*Target {
+	var inZone, all []*Target
 	for _, target := range g.Targets {
 		if !target.Alive {
 			continue
 		}
 		all = append(all, target)
 		if target.Zone == zone {
-			near = append(near, target)
+			inZone = append(inZone, target)
 		}
 	}
-	if len(near) == 0 {
+	if len(inZone) == 0 {
 		return all
 	}
-	return near
+	return inZone
 }
 
+// timeLimit returns how long a client waits for a product's answer, over all attempts.
 func timeLimit(product *pb.Product) eventloop.Micros {
 	return eventloop.Micros(product.TimeLimitMs) * eventloop.Millisecond
 }
--- a/internal/testbed/modelserver/attempt.go
+++ b/internal/testbed/modelserver/attempt.go
@@ -11,12 +11,12 @@
 	"plumspindle/internal/testbed/record"
 )
 
-// bytesPerToken is how many bytes of a request's JSON count as one token.
+// bytesPerToken is the number of bytes of a request's JSON that count as one token.
 const bytesPerToken = 4
 
-// Codes of errors. By those but errorInternal and errorUnknown an endpoint says that the attempt has not run.
+// Error codes of the responses. All but errorInternal and errorUnknown state that the attempt did not run.
 const (
-	errorFull         = "full"
+	errorQueueFull    = "full"
 	errorDraining     = "draining"
 	errorStateLost    = "state_lost"
 	errorInvalidInput = "invalid_input"
@@ -24,39 +24,39 @@
 	errorUnknown      = "unknown"
 )
 
-// endpointAttempt is one attempt of a dispatcher at an endpoint: a prefill, a decode, both, or a batch.
+// endpointAttempt is one attempt that a dispatcher sent to an endpoint: a prefill, a decode, both, or a batch.
 type endpointAttempt struct {
-	conn        *endpointConn
-	id          string
-	clientID    string
-	dispatcher  string
-	product     string
-	prefillOnly bool
-	abandoned   bool // its connection is gone
-	ran         bool // its effects took place
+	conn         *endpointConn
+	id           string
+	clientID     string
+	dispatcher   string
+	product      string
+	prefillOnly  bool
+	disconnected bool // its connection closed before the response was complete
+	ran          bool // its side effects took place
 
-	promptTokens int
-	cachedTokens int // of the prompt, that need no prefill
-	toPrefill    int // tokens that are still to be prefilled
-	maxTokens    int
-	work         float64 // tokens to prefill, and half of those that may be decoded
-	prefixHash   uint64  // of the part of the prompt that other prompts share
-	prefixTokens int
+	promptTokens     int
+	cachedTokens     int // prompt tokens found in the prefix cache, which need no prefill
+	prefillRemaining int // prompt tokens that remain to be prefilled
+	maxTokens        int
+	workTokens       float64 // estimated work: the tokens to prefill plus half of maxTokens if it decodes
+	prefixHash       uint64  // hash of the system message, the prefix that several prompts share; 0: none
+	prefixTokens     int
 
-	sent         int // tokens of the answer
+	tokensSent   int // tokens of the answer that were sent
 	answerTokens int
 	includeUsage bool
 	buffer       []byte
 
-	fetchFrom    string // address of the endpoint that pins the state of the prefill
-	fetchAttempt string // whose state that is; empty: none is fetched
-	fetching     bool
+	stateAddr      string // address of the endpoint that pins the KV state to decode from
+	stateAttemptID string // id of the prefill attempt that left that state; empty: no state is fetched
+	fetching       bool
 
-	answer       func() []byte // of a batch, which ends with its prefill
-	forcedStatus int           // that it is answered with at any endpoint; 0: none
+	batchResponse func() []byte // returns the response body of a batch call; nil: a chat attempt
+	forcedStatus  int           // error status that every endpoint responds with; 0: none
 }
 
-// newAttempt reads what chat and batches have in common.
+// newAttempt returns an attempt with the fields that chat requests and batch calls share.
 func newAttempt(conn *endpointConn, head *http1.Head, body []byte) *endpointAttempt {
 	attempt := &endpointAttempt{
 		conn:       conn,
@@ -71,10 +71,11 @@
 	return attempt
 }
 
-// memoryNeeded returns the tokens of memory that the attempt and its state take.
+// memoryNeeded returns the memory, in tokens, that the attempt and its state occupy: the prompt and an average answer,
+// half of maxTokens.
 func (a *endpointAttempt) memoryNeeded() int { return a.promptTokens + a.maxTokens/2 }
 
-// acceptChat accepts a chat request.
+// acceptChat parses a chat request and accepts it.
 func (e *Endpoint) acceptChat(conn *endpointConn, head *http1.Head, body []byte) {
 	messages := gjson.GetBytes(body, "messages")
 	params := gjson.GetBytes(body, "kv_transfer_params")
@@ -87,75 +88,77 @@
 		attempt.prefixHash = xxhash.Sum64String(gjson.GetBytes(body, "cache_salt").String() + first.Raw)
 		attempt.prefixTokens = len(first.Raw) / bytesPerToken
 	}
-	attempt.cachedTokens = min(e.prefixes[attempt.prefixHash], attempt.promptTokens-1)
+	attempt.cachedTokens = min(e.cachedPrefixes[attempt.prefixHash], attempt.promptTokens-1)
 	decodeWork := float64(attempt.maxTokens) / 2
-	if attempt.fetchAttempt = params.Get("remote_request_id").String(); attempt.fetchAttempt != "" {
-		attempt.fetchFrom = params.Get("remote_addr").String()
-		attempt.work = decodeWork
+	if attempt.stateAttemptID = params.Get("remote_request_id").String(); attempt.stateAttemptID != "" {
+		attempt.stateAddr = params.Get("remote_addr").String()
+		attempt.workTokens = decodeWork
 	} else {
-		attempt.toPrefill = attempt.promptTokens - attempt.cachedTokens
-		attempt.work = float64(attempt.toPrefill)
+		attempt.prefillRemaining = attempt.promptTokens - attempt.cachedTokens
+		attempt.workTokens = float64(attempt.prefillRemaining)
 		if !attempt.prefillOnly {
-			attempt.work += decodeWork
+			attempt.workTokens += decodeWork
 		}
 	}
 	e.accept(attempt)
 }
 
-// accept counts an attempt that has arrived and begins it, or has it wait until the endpoint can act.
+// accept records the arrival of an attempt and starts it, or defers it while the endpoint is frozen or partitioned from
+// the sender.
 func (e *Endpoint) accept(attempt *endpointAttempt) {
 	e.fleet.record(e, record.AttemptArrived, attempt)
-	e.countSlowStartLoad(attempt.work)
+	e.countSlowStartLoad(attempt.workTokens)
 	conn := attempt.conn
 	conn.attempt = attempt
 	if !e.alive {
 		return
 	}
-	if !conn.canAct() {
+	if !conn.canServe() {
 		e.fleet.record(e, record.AttemptDeferred, attempt)
 	}
 	if !e.frozen && !conn.partitioned() {
-		e.begin(attempt)
+		e.startOrRefuse(attempt)
 		return
 	}
 	conn.deferred = append(conn.deferred, func() {
 		if !e.hung {
 			e.fleet.record(e, record.AttemptTaken, attempt)
 		}
-		e.begin(attempt)
+		e.startOrRefuse(attempt)
 	})
 }
 
-// begin refuses an attempt, fails it or queues it.
-func (e *Endpoint) begin(attempt *endpointAttempt) {
+// startOrRefuse queues an attempt, or responds with an error if the endpoint refuses it or an injected fault makes it
+// fail. A hung endpoint queues every attempt and processes none.
+func (e *Endpoint) startOrRefuse(attempt *endpointAttempt) {
 	conn := attempt.conn
 	decodeOnly := e.kind.Role == pb.Kind_WRITER
-	prefillsHere := attempt.prefillOnly || attempt.toPrefill > 0 && !e.fleet.deployment.Dispatching.WritersRead
+	needsPrefillHere := attempt.prefillOnly || attempt.prefillRemaining > 0 && !e.fleet.deployment.Dispatching.WritersRead
 	switch {
 	case e.hung:
 		e.queued = append(e.queued, attempt)
 	case e.draining:
-		conn.fail(http.StatusServiceUnavailable, errorDraining)
+		conn.respondError(http.StatusServiceUnavailable, errorDraining)
 	case e.rejectedProduct != "" && e.rejectedProduct == attempt.product, len(e.queued) >= int(e.group.Queue):
-		conn.fail(http.StatusTooManyRequests, errorFull)
-	case attempt.answer == nil && e.kind.Role == pb.Kind_EMBEDDER:
+		conn.respondError(http.StatusTooManyRequests, errorQueueFull)
+	case attempt.batchResponse == nil && e.kind.Role == pb.Kind_EMBEDDER:
 		e.fleet.record(e, record.ChatAtEmbedder, attempt)
-		conn.fail(http.StatusInternalServerError, errorInternal)
+		conn.respondError(http.StatusInternalServerError, errorInternal)
 	case attempt.forcedStatus == http.StatusInternalServerError:
-		conn.fail(http.StatusInternalServerError, errorInternal)
+		conn.respondError(http.StatusInternalServerError, errorInternal)
 	case attempt.forcedStatus == http.StatusUnprocessableEntity:
-		conn.fail(http.StatusUnprocessableEntity, errorInvalidInput)
-	case decodeOnly && prefillsHere:
-		conn.fail(http.StatusConflict, errorStateLost)
+		conn.respondError(http.StatusUnprocessableEntity, errorInvalidInput)
+	case decodeOnly && needsPrefillHere:
+		conn.respondError(http.StatusConflict, errorStateLost)
 	case e.failShare > 0 && e.fleet.random.Float64() < e.failShare:
 		if !attempt.prefillOnly {
 			attempt.ran = true
-			e.fleet.record(e, record.AttemptRan, attempt) // it may have taken effect before it failed
+			e.fleet.record(e, record.AttemptRan, attempt) // it counts as run, as it may have had effects before it failed
 		}
-		conn.fail(http.StatusInternalServerError, errorInternal)
+		conn.respondError(http.StatusInternalServerError, errorInternal)
 	default:
 		e.queued = append(e.queued, attempt)
 		e.admit()
-		e.wake()
+		e.startStep()
 	}
 }
--- a/internal/testbed/modelserver/batch.go
+++ b/internal/testbed/modelserver/batch.go
@@ -11,14 +11,14 @@
 	"plumspindle/internal/http1"
 )
 
-// Answers to batches; their fields stand in the order of their names.
+// JSON bodies of the responses to batch calls. Their fields are in alphabetical order.
 type (
 	embedding struct {
-		Embedding string `json:"embedding"` // base64 of little-endian floats
+		Embedding string `json:"embedding"` // base64 of little-endian float32 values
 		Index     int    `json:"index"`
 		Object    string `json:"object"`
 	}
-	embeddingsAnswer struct {
+	embeddingsResponse struct {
 		Data  []embedding `json:"data"`
 		Model string      `json:"model"`
 		Usage batchUsage  `json:"usage"`
@@ -27,7 +27,7 @@
 		Index          int     `json:"index"`
 		RelevanceScore float64 `json:"relevance_score"`
 	}
-	rerankAnswer struct {
+	rerankResponse struct {
 		Model   string         `json:"model"`
 		Results []rerankResult `json:"results"`
 		Usage   batchUsage     `json:"usage"`
@@ -38,7 +38,7 @@
 	}
 )
 
-// acceptBatch accepts a call for embeddings or for a reranking, which ends with its prefill.
+// acceptBatch parses an embeddings or rerank call and accepts it. Such a call needs a prefill only.
 func (e *Endpoint) acceptBatch(conn *endpointConn, head *http1.Head, body []byte) {
 	inputs, query := gjson.GetBytes(body, "input"), gjson.GetBytes(body, "query").String()
 	isRerank := head.Target == RerankPath
@@ -49,35 +49,36 @@
 	attempt.prefillOnly = true
 	attempt.promptTokens = 1
 	inputs.ForEach(func(_, input gjson.Result) bool {
-		if input.IsArray() { // of tokens
+		if input.IsArray() { // an input given as token ids
 			attempt.promptTokens += len(input.Array())
 		} else {
 			attempt.promptTokens += (len(input.Raw) + len(query)) / bytesPerToken
 		}
 		return true
 	})
-	attempt.toPrefill = attempt.promptTokens
-	if strings.Contains(inputs.Raw, Poison) {
+	attempt.prefillRemaining = attempt.promptTokens
+	if strings.Contains(inputs.Raw, FailingInputWord) {
 		attempt.forcedStatus = http.StatusInternalServerError
-	} else if strings.Contains(inputs.Raw, Unreadable) {
+	} else if strings.Contains(inputs.Raw, InvalidInputWord) {
 		attempt.forcedStatus = http.StatusUnprocessableEntity
 	}
 	usage := batchUsage{PromptTokens: attempt.promptTokens, TotalTokens: attempt.promptTokens}
 	if isRerank {
-		attempt.answer = func() []byte {
-			return marshal(rerankAnswer{Model: attempt.product, Results: rerank(query, inputs),
+		attempt.batchResponse = func() []byte {
+			return marshal(rerankResponse{Model: attempt.product, Results: rerank(query, inputs),
 				Usage: usage})
 		}
 	} else {
 		dimensions := int(gjson.GetBytes(body, "dimensions").Int())
-		attempt.answer = func() []byte {
-			return marshal(embeddingsAnswer{Data: embed(inputs, dimensions), Model: attempt.product, Usage: usage})
+		attempt.batchResponse = func() []byte {
+			return marshal(embeddingsResponse{Data: embed(inputs, dimensions), Model: attempt.product, Usage: usage})
 		}
 	}
-	attempt.work = float64(attempt.promptTokens)
+	attempt.workTokens = float64(attempt.promptTokens)
 	e.accept(attempt)
 }
 
+// embed returns the embedding of each input.
 func embed(inputs gjson.Result, dimensions int) []embedding {
 	embeddings := []embedding{}
 	inputs.ForEach(func(_, input gjson.Result) bool {
@@ -88,6 +89,7 @@
 	return embeddings
 }
 
+// rerank returns the score of each document, in the order of the documents.
 func rerank(query string, documents gjson.Result) []rerankResult {
 	results := []rerankResult{}
 	documents.ForEach(func(_, document gjson.Result) bool {
@@ -97,7 +99,7 @@
 	return results
 }
 
-// marshal is for values that always have a JSON form.
+// marshal encodes a value that can always be encoded as JSON.
 func marshal(value any) []byte {
 	text, err := json.Marshal(value)
 	if err != nil {
@@ -106,10 +108,10 @@
 	return text
 }
 
-// finishBatch answers a batch, whose prefill is all that was asked for.
+// finishBatch sends the response to a batch call, whose prefill is complete.
 func (e *Endpoint) finishBatch(attempt *endpointAttempt) {
-	e.finish(attempt)
-	if !attempt.abandoned {
-		attempt.conn.answer(http.StatusOK, attempt.answer())
+	e.removeAttempt(attempt)
+	if !attempt.disconnected {
+		attempt.conn.respond(http.StatusOK, attempt.batchResponse())
 	}
 }
--- a/internal/testbed/modelserver/conn.go
+++ b/internal/testbed/modelserver/conn.go
@@ -14,7 +14,7 @@
 )
 
 const (
-	statePath   = "/v1/kv/" // followed by the attempt that the state is of
+	statePath   = "/v1/kv/" // followed by the id of the attempt whose state is fetched
 	releasePath = "/v1/kv/release"
 
 	loadReportHeader = "endpoint-load-metrics"
@@ -22,37 +22,37 @@
 
 // endpointConn is a connection of a dispatcher, or of another endpoint, to an endpoint.
 type endpointConn struct {
-	endpoint  *Endpoint
-	conn      eventloop.Conn
-	parser    http1.Parser
-	head      *http1.Head
-	body      []byte
-	attempt   *endpointAttempt // in flight
-	zone      string           // of the other end
-	deferred  []func()         // to be done once the endpoint is neither frozen nor partitioned
-	unsent    []byte           // what was written while partitioned; the network brings it once it can
-	closed    bool
-	streaming bool
+	endpoint   *Endpoint
+	conn       eventloop.Conn
+	parser     http1.Parser
+	head       *http1.Head
+	body       []byte
+	attempt    *endpointAttempt // the attempt in flight; nil: none
+	zone       string           // zone of the peer, as the last request stated it
+	deferred   []func()         // actions to run once the endpoint is neither frozen nor partitioned
+	heldOutput []byte           // bytes written during a partition; they are sent once it has ended
+	closed     bool
+	streaming  bool
 }
 
-// Opened counts the connection, and has it wait where the endpoint is slow to accept.
+// Opened registers the connection, and pauses it for connectDelay if that fault is active.
 func (c *endpointConn) Opened() {
 	e := c.endpoint
 	if !e.alive {
 		return
 	}
-	e.lastConn++
-	e.conns[c] = e.lastConn
+	e.lastConnNumber++
+	e.conns[c] = e.lastConnNumber
 	if e.connectDelay > 0 {
 		c.conn.SetPaused(true)
 		e.fleet.loop.AfterFunc(e.connectDelay, func() { c.conn.SetPaused(false) })
 	}
 }
 
-// Drained is not needed: answers are small.
+// Drained does nothing: responses are small, so no backpressure is needed.
 func (c *endpointConn) Drained() {}
 
-// Closed abandons the attempt in flight.
+// Closed marks the attempt in flight as disconnected, and removes it if it is queued or fetches its KV state.
 func (c *endpointConn) Closed(error) {
 	c.closed = true
 	endpoint, attempt := c.endpoint, c.attempt
@@ -60,29 +60,29 @@
 	if attempt == nil {
 		return
 	}
-	attempt.abandoned = true
+	attempt.disconnected = true
 	endpoint.fleet.record(endpoint, record.ConnectionLost, attempt)
 	if i := slices.Index(endpoint.queued, attempt); i >= 0 {
 		endpoint.queued = slices.Delete(endpoint.queued, i, i+1)
 	} else if attempt.fetching {
-		endpoint.finish(attempt)
+		endpoint.removeAttempt(attempt)
 	}
 }
 
-// Data parses requests.
+// Data parses requests, and aborts the connection on a malformed one.
 func (c *endpointConn) Data(data []byte) {
 	if c.parser.Feed(data, c) != nil {
 		c.conn.Abort()
 	}
 }
 
-// Head begins a request.
+// Head stores the head of a new request.
 func (c *endpointConn) Head(head *http1.Head) error { c.head, c.body = head, nil; return nil }
 
-// Body collects a request's body.
+// Body collects the body of a request.
 func (c *endpointConn) Body(data []byte) error { c.body = append(c.body, data...); return nil }
 
-// End serves a request, or has it wait until the endpoint can act.
+// End handles a complete request, or defers it while the endpoint is frozen or partitioned.
 func (c *endpointConn) End() error {
 	endpoint := c.endpoint
 	if !endpoint.alive {
@@ -108,31 +108,33 @@
 	return nil
 }
 
-// releaseStates releases states, also while the endpoint can't act: the record is of what came over the socket, and
-// when. It is answered only once the endpoint can act, as an answer proves that it runs.
+// releaseStates releases KV states at once, even while the endpoint can't serve, because the record states what arrived
+// on the socket and when. The response waits until the endpoint can serve, as a response proves that its process runs.
 func (c *endpointConn) releaseStates(body []byte) {
 	for _, id := range gjson.GetBytes(body, "request_ids").Array() {
 		c.endpoint.requestRelease(id.String())
 	}
-	confirm := func() { c.answer(http.StatusOK, []byte("{}")) }
-	if !c.canAct() {
-		c.deferred = append(c.deferred, confirm)
+	respond := func() { c.respond(http.StatusOK, []byte("{}")) }
+	if !c.canServe() {
+		c.deferred = append(c.deferred, respond)
 		return
 	}
-	confirm()
+	respond()
 }
 
+// serveOther serves the fetch of a KV state and responds to any other path with an error.
 func (c *endpointConn) serveOther(head *http1.Head) {
 	attemptID, isState := strings.CutPrefix(head.Target, statePath)
 	if !isState {
-		c.fail(http.StatusNotFound, errorUnknown)
+		c.respondError(http.StatusNotFound, errorUnknown)
 		return
 	}
-	cell, _ := strconv.Atoi(head.Get("x-cell")) // the first where none is named
+	cell, _ := strconv.Atoi(head.Get("x-cell")) // 0, the first cell, if the request names none
 	c.endpoint.serveState(c, attemptID, uint16(cell))
 }
 
-// loadReport returns the endpoint's load as it is sent with each answer; a slow endpoint sends old ones.
+// loadReport returns the value of the load report header, which each response carries. With the fault of old load
+// reports it repeats the last value until that is reportAge old.
 func (c *endpointConn) loadReport() string {
 	e := c.endpoint
 	now := e.fleet.loop.Now()
@@ -145,54 +147,56 @@
 	return e.lastReport
 }
 
-// partitioned reports whether the network carries nothing between the two ends.
+// partitioned reports whether a network partition separates the endpoint from its peer.
 func (c *endpointConn) partitioned() bool {
 	e := c.endpoint
 	return e.partitionedZone != "" && (e.partitionedZone == c.zone) != (e.partitionedZone == e.Zone)
 }
 
-// canAct reports whether the endpoint's process runs and is reached from the other end.
-func (c *endpointConn) canAct() bool {
+// canServe reports whether the endpoint's process is making progress and no partition separates it from its peer.
+func (c *endpointConn) canServe() bool {
 	return !c.endpoint.frozen && !c.endpoint.hung && !c.partitioned()
 }
 
+// write sends bytes, or holds them back during a partition.
 func (c *endpointConn) write(data []byte) {
 	if c.partitioned() {
-		c.unsent = append(c.unsent, data...)
+		c.heldOutput = append(c.heldOutput, data...)
 	} else {
 		c.conn.Write(data)
 	}
 }
 
-// answer answers a request. Its attempt is in flight until the answer is on the network.
-func (c *endpointConn) answer(status int, body []byte) {
+// respond sends a response. Its attempt stays in flight until the response is on the network, which during a partition
+// is at its end.
+func (c *endpointConn) respond(status int, body []byte) {
 	endpoint := c.endpoint
 	if c.closed || !endpoint.alive {
 		return
 	}
 	if attempt := c.attempt; attempt != nil {
-		answered := func() {
+		recordAnswered := func() {
 			endpoint.fleet.record(endpoint, record.AttemptAnswered, attempt)
 			c.attempt = nil
 		}
 		if c.partitioned() {
-			c.deferred = append(c.deferred, answered)
+			c.deferred = append(c.deferred, recordAnswered)
 		} else {
-			answered()
+			recordAnswered()
 		}
 	}
 	c.write(http1.AppendResponse(nil, status, body,
 		"Content-Type", "application/json", loadReportHeader, c.loadReport()))
 }
 
-// fail answers with an error.
-func (c *endpointConn) fail(status int, code string) {
+// respondError responds with an error and records that the attempt was refused.
+func (c *endpointConn) respondError(status int, code string) {
 	c.endpoint.lastError = code
 	c.endpoint.fleet.record(c.endpoint, record.AttemptRefused, c.attempt)
-	c.answer(status, []byte(`{"error":{"message":"`+code+`","type":"server_error","param":null,"code":"`+code+`"}}`))
+	c.respond(status, []byte(`{"error":{"message":"`+code+`","type":"server_error","param":null,"code":"`+code+`"}}`))
 }
 
-// writeEvents writes events of a streamed answer.
+// writeEvents writes server-sent events of a streamed answer, before the first ones the head of the response.
 func (c *endpointConn) writeEvents(events []byte, last bool) {
 	if c.closed || !c.endpoint.alive {
 		return
@@ -211,11 +215,11 @@
 	c.write(data)
 }
 
-// resume sends what was written and does what was deferred while the endpoint was frozen or partitioned.
+// resume sends the bytes that were held back and runs the actions that were deferred during a freeze or a partition.
 func (c *endpointConn) resume() {
-	if len(c.unsent) > 0 {
-		c.conn.Write(c.unsent)
-		c.unsent = nil
+	if len(c.heldOutput) > 0 {
+		c.conn.Write(c.heldOutput)
+		c.heldOutput = nil
 	}
 	for len(c.deferred) > 0 && !c.closed {
 		next := c.deferred[0]
--- a/internal/testbed/modelserver/content.go
+++ b/internal/testbed/modelserver/content.go
@@ -8,21 +8,21 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Words in an input that make any endpoint fail on it, or refuse it as invalid.
+// Words in a batch input at which every endpoint fails, or refuses the call as invalid.
 const (
-	Poison     = "poison"
-	Unreadable = "unreadable"
+	FailingInputWord = "poison"
+	InvalidInputWord = "unreadable"
 )
 
-// FNV-1a, 32 bits.
+// Parameters of the 32-bit FNV-1a hash.
 const (
 	fnvOffset = 2166136261
 	fnvPrime  = 16777619
 )
 
-const lengthSeed = 97 // of the hash that gives an answer's length
+const answerLengthSeed = 97 // initial value of the hash that determines the length of an answer
 
-// hashText continues a hash with a text.
+// hashText continues an FNV-1a hash with the bytes of a text.
 func hashText(hash uint32, text string) uint32 {
 	for i := range len(text) {
 		hash = (hash ^ uint32(text[i])) * fnvPrime
@@ -30,8 +30,8 @@
 	return hash
 }
 
-// TokenText returns the token at an index that any endpoint decodes for a client's request, so that a client can check
-// each byte. Some tokens are not ASCII.
+// TokenText returns the token at an index of the answer to a client's request. It is the same at every endpoint, so
+// that clients can check each byte. Some tokens contain non-ASCII characters.
 func TokenText(clientID string, index int) string {
 	hash := (hashText(fnvOffset, clientID) ^ uint32(index)) * fnvPrime
 	if hash%13 == 0 {
@@ -40,13 +40,13 @@
 	return " " + strconv.FormatUint(uint64(hash%99991), 36)
 }
 
-// AnswerLength returns how many tokens the answer to a client's request has.
+// AnswerLength returns the number of tokens of the answer to a client's request, at least 1 and at most maxTokens.
 func AnswerLength(clientID string, maxTokens int) int {
-	return 1 + int(hashText(lengthSeed, clientID)>>8)%max(maxTokens, 1)
+	return 1 + int(hashText(answerLengthSeed, clientID)>>8)%max(maxTokens, 1)
 }
 
-// Vector returns the embedding that any endpoint gives for an input, as JSON, so that its place and identity can be
-// checked from end to end.
+// Vector returns the embedding of a JSON-encoded input as little-endian float32 values. It depends on the input only
+// and is the same at every endpoint, so that clients can check that each input got its own vector.
 func Vector(rawInput string, dimensions int) []byte {
 	vector := make([]byte, 0, 4*dimensions)
 	hash := xxhash.Sum64String(rawInput)
@@ -59,7 +59,7 @@
 	return vector
 }
 
-// Score returns what any endpoint gives for a document, as JSON.
+// Score returns the rerank score of a JSON-encoded document, the same at every endpoint and below 1.
 func Score(query, rawDocument string) float64 {
 	return float64(xxhash.Sum64String(query+"\x00"+rawDocument)>>40) / float64(1<<24)
 }
--- a/internal/testbed/modelserver/discovery.go
+++ b/internal/testbed/modelserver/discovery.go
@@ -18,12 +18,12 @@
 // heartbeatInterval is the time between two comments on a watch without updates.
 const heartbeatInterval = 4 * eventloop.Second
 
-// Discovery pushes the endpoint list, and what changes in it, to all that watch.
+// Discovery is a discovery service: it pushes the endpoint list and its changes to all watchers.
 type Discovery struct {
 	Addr string
 
 	loop     eventloop.Loop
-	recorder *record.Recorder // nil: nothing is recorded
+	recorder *record.Recorder // nil: updates are not recorded
 	listener eventloop.Listener
 	epoch    string
 	version  uint64
@@ -31,7 +31,7 @@
 	watchers []*watcher
 }
 
-// NewDiscovery serves a list on an address. It is called on the loop.
+// NewDiscovery starts a discovery service for an endpoint list. It must be called on the loop.
 func NewDiscovery(loop eventloop.Loop, address string, entries []endpoints.Entry, recorder *record.Recorder) (
 	*Discovery, error) {
 	discovery := &Discovery{loop: loop, recorder: recorder, epoch: strconv.FormatInt(int64(loop.Now()), 36), version: 1,
@@ -51,10 +51,10 @@
 	return discovery, nil
 }
 
-// Close stops listening; watches go on.
+// Close stops listening; open watches continue.
 func (d *Discovery) Close() { d.listener.Close() }
 
-// Publish changes entries and sends the changes to all that watch.
+// Publish updates entries of the list and sends the changes to all watchers.
 func (d *Discovery) Publish(changes ...endpoints.Entry) {
 	for _, entry := range changes {
 		d.entries[entry.ID] = entry
@@ -65,7 +65,8 @@
 	}
 }
 
-// Replace takes a complete new list, publishes the differences and returns their number.
+// Replace replaces the whole list, publishes the differences and returns their number. Entries that the new list lacks
+// are published as gone.
 func (d *Discovery) Replace(entries []endpoints.Entry) (changed int) {
 	listed := map[scheduler.EndpointID]bool{}
 	var changes []endpoints.Entry
@@ -87,13 +88,14 @@
 	return len(changes)
 }
 
-// ResetWatches resets the connections of all that watch, as a network does.
+// ResetWatches resets the connections of all watchers, as a network failure does.
 func (d *Discovery) ResetWatches() {
 	for _, w := range slices.Clone(d.watchers) {
 		w.conn.Abort()
 	}
 }
 
+// sendHeartbeats sends a comment to all watchers at each heartbeat interval.
 func (d *Discovery) sendHeartbeats() {
 	for _, w := range d.watchers {
 		w.conn.Write(http1.AppendChunk(nil, []byte(": here\n\n")))
@@ -101,40 +103,40 @@
 	d.loop.AfterFunc(heartbeatInterval, d.sendHeartbeats)
 }
 
-// watcher is a connection that watches the list.
+// watcher is the connection of a dispatcher that watches the list.
 type watcher struct {
 	discovery  *Discovery
 	conn       eventloop.Conn
 	parser     http1.Parser
-	dispatcher string // its name
+	dispatcher string // name of the dispatcher
 	head       *http1.Head
 }
 
-// Opened is not needed: the watcher sends first.
+// Opened does nothing: the watcher sends its request first.
 func (w *watcher) Opened() {}
 
-// Drained is not needed: updates are small.
+// Drained does nothing: updates are small, so no backpressure is needed.
 func (w *watcher) Drained() {}
 
-// Data parses the request.
+// Data parses the request, and aborts the connection on a malformed one.
 func (w *watcher) Data(data []byte) {
 	if w.parser.Feed(data, w) != nil {
 		w.conn.Abort()
 	}
 }
 
-// Closed ends the watch.
+// Closed removes the watcher.
 func (w *watcher) Closed(error) {
 	w.discovery.watchers = slices.DeleteFunc(w.discovery.watchers, func(other *watcher) bool { return other == w })
 }
 
-// Head begins the request.
+// Head stores the head of the request.
 func (w *watcher) Head(head *http1.Head) error { w.head = head; return nil }
 
-// Body drops the request's body.
+// Body ignores the body of the request.
 func (w *watcher) Body([]byte) error { return nil }
 
-// End begins the watch with the complete list.
+// End sends the complete list and registers the watcher for updates.
 func (w *watcher) End() error {
 	d := w.discovery
 	w.dispatcher = w.head.Get("x-dispatcher")
--- a/internal/testbed/modelserver/endpoint.go
+++ b/internal/testbed/modelserver/endpoint.go
@@ -18,10 +18,10 @@
 	RerankPath     = "/v1/rerank"
 )
 
-// requestLimits are those of requests to an endpoint.
+// requestLimits are the size limits of requests to an endpoint.
 var requestLimits = http1.Limits{HeadBytes: 64 << 10, FieldCount: 100, BodyBytes: 64 << 20}
 
-// Endpoint is one stand-in endpoint, over all its restarts.
+// Endpoint is one simulated endpoint; it keeps its id over restarts.
 type Endpoint struct {
 	ID   uint32
 	Zone string
@@ -32,52 +32,52 @@
 	group *pb.Fleet_Group
 	kind  *pb.Kind
 
-	alive     bool
-	draining  bool
-	startedAt eventloop.Micros // 0: long ago
-	restart   eventloop.Timer  // nil: none is to come
-	listener  eventloop.Listener
-	conns     map[*endpointConn]int // with the order of their opening
-	lastConn  int
+	alive          bool
+	draining       bool
+	startedAt      eventloop.Micros // 0: it was warm from the start of the test bed
+	restartTimer   eventloop.Timer  // of the next start; nil: none is scheduled
+	listener       eventloop.Listener
+	conns          map[*endpointConn]int // open connections with their sequence numbers
+	lastConnNumber int
 
-	running       []*endpointAttempt // in slots
-	queued        []*endpointAttempt
-	states        map[string]*pinnedState // by the prefill's attempt
-	releasedEarly map[string]bool         // attempts whose state was released before it was there
-	prefixes      map[uint64]int          // cached tokens of a prefix, by its hash
-	usedMemory    int                     // tokens
-	stepping      bool                    // a step of the batch is under way
-	portFreeAt    eventloop.Micros        // for the next state to be sent
-	arrivals      []arrival               // during slow start
+	running            []*endpointAttempt // attempts in the batch, each in a slot
+	queued             []*endpointAttempt
+	states             map[string]*pinnedState // by the id of the prefill attempt
+	releasedEarly      map[string]bool         // ids of the attempts whose release arrived before their prefill finished
+	cachedPrefixes     map[uint64]int          // number of cached tokens by prefix hash
+	usedMemory         int                     // in tokens
+	stepping           bool                    // a step of the batch is in progress
+	transferPortFreeAt eventloop.Micros        // when the port is free to send the next KV state
+	arrivals           []arrival               // recent work during slow start
 
 	faults
 	lastReport string
 	reportedAt eventloop.Micros
-	lastError  string // its code
+	lastError  string // code of the last error response
 }
 
 // Kind returns the name of the endpoint's kind.
 func (e *Endpoint) Kind() string { return e.kind.Name }
 
-// start starts the endpoint with nothing in it; startedAt is 0 for one that has run for long.
+// start starts the endpoint with empty queues, memory and caches. With startedAt 0 it is warm and skips slow start.
 func (e *Endpoint) start(startedAt eventloop.Micros) error {
 	e.conns, e.states, e.releasedEarly = map[*endpointConn]int{}, map[string]*pinnedState{}, map[string]bool{}
-	e.running, e.queued, e.prefixes, e.arrivals = nil, nil, map[uint64]int{}, nil
-	e.usedMemory, e.portFreeAt, e.startedAt = 0, 0, startedAt
+	e.running, e.queued, e.cachedPrefixes, e.arrivals = nil, nil, map[uint64]int{}, nil
+	e.usedMemory, e.transferPortFreeAt, e.startedAt = 0, 0, startedAt
 	e.alive, e.draining, e.stepping = true, false, false
 	e.frozen, e.hung, e.failShare, e.slowFactor = false, false, 0, 1
 	listener, err := e.fleet.loop.Listen(anyLocalPort, func(conn eventloop.Conn) eventloop.Handler {
 		return &endpointConn{endpoint: e, conn: conn, parser: http1.Parser{Limits: requestLimits}}
 	})
 	if err != nil {
-		return fmt.Errorf("host %d: %w", e.ID, err)
+		return fmt.Errorf("endpoint %d: %w", e.ID, err)
 	}
 	e.listener, e.Addr = listener, listener.Addr()
 	e.fleet.record(e, record.EndpointUp, nil)
 	return nil
 }
 
-// stop ends the endpoint and resets its connections.
+// stop stops the endpoint and resets its connections.
 func (e *Endpoint) stop() {
 	if !e.alive {
 		return
@@ -94,7 +94,7 @@
 	e.fleet.record(e, record.EndpointDown, nil)
 }
 
-// connsInOrder returns the connections in the order of their opening, so that nothing depends on the order of a map.
+// connsInOrder returns the connections in the order in which they were opened, to be independent of the map order.
 func (e *Endpoint) connsInOrder() []*endpointConn {
 	return slices.SortedFunc(maps.Keys(e.conns), func(a, b *endpointConn) int { return e.conns[a] - e.conns[b] })
 }
--- a/internal/testbed/modelserver/faults.go
+++ b/internal/testbed/modelserver/faults.go
@@ -5,54 +5,54 @@
 	"plumspindle/internal/eventloop"
 )
 
-// restartDelay is how long an endpoint is down that restarts after it hung or was silent.
+// restartDelay is the downtime of an endpoint that restarts at the end of a hang or a blackhole.
 const restartDelay = 100 * eventloop.Millisecond
 
-// faults are what is wrong with an endpoint.
+// faults are the faults that are active at an endpoint. Zero values, and a slowFactor of 1, are no fault.
 type faults struct {
-	slowFactor      float64          // how many times as long everything takes
-	failShare       float64          // of the attempts
-	hung            bool             // it accepts work and does none
-	frozen          bool             // it does nothing at all
-	partitionedZone string           // that is cut off from all others
-	rejectedProduct string           // whose attempts are refused
-	connectDelay    eventloop.Micros // before a new connection is served
-	reportAge       eventloop.Micros // load reports are refreshed only this often
+	slowFactor      float64          // the factor by which all work is slower
+	failShare       float64          // probability that an attempt fails
+	hung            bool             // the endpoint accepts work and does none
+	frozen          bool             // the endpoint does nothing at all
+	partitionedZone string           // zone that is partitioned from all others; empty: none
+	rejectedProduct string           // product whose attempts are refused; empty: none
+	connectDelay    eventloop.Micros // delay before a new connection is served
+	reportAge       eventloop.Micros // minimum time between two updates of the load report
 }
 
-// Crash kills the endpoint; it comes back after a while and warms up, or never if that is 0. Of several faults that end
-// with a restart the last one decides: a restart that is still to come would start an endpoint that runs by then.
-func (e *Endpoint) Crash(back eventloop.Micros) {
+// Crash stops the endpoint at once. It restarts after the downtime and warms up, or never if that is 0. A crash cancels
+// a restart that is already scheduled: otherwise two overlapping faults could start an endpoint that already runs.
+func (e *Endpoint) Crash(downtime eventloop.Micros) {
 	e.stop()
 	e.fleet.announce(e, endpoints.Gone)
-	if e.restart != nil {
-		e.restart.Stop()
-		e.restart = nil
+	if e.restartTimer != nil {
+		e.restartTimer.Stop()
+		e.restartTimer = nil
 	}
-	if back == 0 {
+	if downtime == 0 {
 		return
 	}
-	e.restart = e.fleet.loop.AfterFunc(back, func() {
-		e.restart = nil
+	e.restartTimer = e.fleet.loop.AfterFunc(downtime, func() {
+		e.restartTimer = nil
 		if err := e.start(e.fleet.loop.Now()); err == nil {
 			e.fleet.announce(e, endpoints.Ready)
 		}
 	})
 }
 
-// Blackhole makes the endpoint silent, without a reset; then it restarts.
+// Blackhole makes the endpoint silent for the duration, without a connection reset. Then it restarts.
 func (e *Endpoint) Blackhole(duration eventloop.Micros) {
 	e.frozen = true
 	e.fleet.loop.AfterFunc(duration, func() { e.Crash(restartDelay) })
 }
 
-// Hang has the endpoint accept work and do none; then it restarts.
+// Hang makes the endpoint accept work and do none for the duration. Then it restarts.
 func (e *Endpoint) Hang(duration eventloop.Micros) {
 	e.hung = true
 	e.fleet.loop.AfterFunc(duration, func() { e.Crash(restartDelay) })
 }
 
-// Pause freezes the endpoint; then it goes on where it was.
+// Pause freezes the endpoint for the duration. Then it continues from the same state.
 func (e *Endpoint) Pause(duration eventloop.Micros) {
 	e.frozen = true
 	e.fleet.loop.AfterFunc(duration, func() {
@@ -61,47 +61,48 @@
 	})
 }
 
-// SlowDown makes everything take so many times as long.
+// SlowDown makes all work of the endpoint slower by the factor for the duration.
 func (e *Endpoint) SlowDown(factor float64, duration eventloop.Micros) {
 	e.slowFactor = factor
 	e.fleet.loop.AfterFunc(duration, func() { e.slowFactor = 1 })
 }
 
-// FailAttempts has a share of the attempts fail at once.
+// FailAttempts makes a share of the attempts fail at once for the duration.
 func (e *Endpoint) FailAttempts(share float64, duration eventloop.Micros) {
 	e.failShare = share
 	e.fleet.loop.AfterFunc(duration, func() { e.failShare = 0 })
 }
 
-// RejectProduct has the endpoint refuse one product's attempts as if it were full.
+// RejectProduct makes the endpoint refuse the attempts of one product as if its queue were full.
 func (e *Endpoint) RejectProduct(product string, duration eventloop.Micros) {
 	e.rejectedProduct = product
 	e.fleet.loop.AfterFunc(duration, func() { e.rejectedProduct = "" })
 }
 
-// DelayConnections has new connections wait before they are served.
+// DelayConnections delays the service of each new connection.
 func (e *Endpoint) DelayConnections(delay, duration eventloop.Micros) {
 	e.connectDelay = delay
 	e.fleet.loop.AfterFunc(duration, func() { e.connectDelay = 0 })
 }
 
-// DelayLoadReports has the endpoint repeat old load reports.
+// DelayLoadReports makes the endpoint repeat each load report until it has the given age.
 func (e *Endpoint) DelayLoadReports(age, duration eventloop.Micros) {
 	e.reportAge = age
 	e.fleet.loop.AfterFunc(duration, func() { e.reportAge = 0 })
 }
 
-// ClearPrefixCache makes the endpoint forget cached prefixes.
-func (e *Endpoint) ClearPrefixCache() { clear(e.prefixes) }
+// ClearPrefixCache empties the prefix cache.
+func (e *Endpoint) ClearPrefixCache() { clear(e.cachedPrefixes) }
 
-// Drain has the endpoint announced as draining, then replaced after a while.
-func (e *Endpoint) Drain(duration, back eventloop.Micros) {
+// Drain makes the endpoint refuse new attempts and announces it as draining. After the duration it stops, and restarts
+// after the downtime, or never if that is 0.
+func (e *Endpoint) Drain(duration, downtime eventloop.Micros) {
 	e.draining = true
 	e.fleet.announce(e, endpoints.Draining)
-	e.fleet.loop.AfterFunc(duration, func() { e.Crash(back) })
+	e.fleet.loop.AfterFunc(duration, func() { e.Crash(downtime) })
 }
 
-// resume does what was deferred while the endpoint was frozen or partitioned.
+// resume resumes all connections and the batch after a freeze or a partition.
 func (e *Endpoint) resume() {
 	if !e.alive || e.frozen {
 		return
@@ -109,5 +110,5 @@
 	for _, conn := range e.connsInOrder() {
 		conn.resume()
 	}
-	e.wake()
+	e.startStep()
 }
--- a/internal/testbed/modelserver/fleet.go
+++ b/internal/testbed/modelserver/fleet.go
@@ -1,8 +1,8 @@
-// Package modelserver has the stand-ins of the test bed: model endpoints that prefill and decode, and the discovery
-// service that lists them. They compute nothing; they take the time, slots and memory that real ones would.
+// Package modelserver simulates the servers of the test bed: model endpoints that prefill and decode, and the discovery
+// service that lists them. The endpoints run no model; they take the time, slots and memory that real ones would.
 //
-// It owns the endpoints' queues, batches, memory, pinned states and faults. It relies on the event loop for time and
-// connections, real or virtual, and on a record to which it reports what it sees. It never calls a dispatcher.
+// It owns the endpoints' queues, batches, memory, pinned KV states and faults. It uses the event loop for time and
+// connections, real or virtual, and reports what the endpoints observe to a record. It never calls a dispatcher.
 package modelserver
 
 import (
@@ -18,25 +18,25 @@
 
 const (
 	anyLocalPort = "127.0.0.1:0"
-	firstID      = 100 // below the endpoints' ids
-	maxIDGap     = 7   // between two ids, which carry no meaning
+	baseID       = 100 // all endpoint ids are greater
+	maxIDGap     = 7   // largest difference between consecutive ids, which carry no meaning
 )
 
-// Fleet is a set of stand-in endpoints on one loop, with their discovery.
+// Fleet is a set of simulated endpoints on one event loop, with their discovery service.
 type Fleet struct {
 	Endpoints []*Endpoint
-	Discovery *Discovery // nil: there is none
-
-	loop       eventloop.Loop
-	deployment deployment.Deployment
-	random     *rand.Rand
-	recorder   *record.Recorder             // nil: nothing is recorded
-	linkFreeAt map[uint16]*eventloop.Micros // for the next state out of a cell
-	lastID     uint32
+	Discovery *Discovery // nil: the fleet has no discovery service
+
+	loop           eventloop.Loop
+	deployment     deployment.Deployment
+	random         *rand.Rand
+	recorder       *record.Recorder             // nil: events are not recorded
+	cellLinkFreeAt map[uint16]*eventloop.Micros // by cell: when its outgoing link is free to send the next KV state
+	lastID         uint32
 }
 
-// Start starts the whole fleet of a deployment, warm, with its discovery if that has an address. It is called on the
-// loop.
+// Start starts the whole fleet of a deployment, with warm endpoints, and its discovery service unless the address is
+// empty. It must be called on the loop.
 func Start(
 	loop eventloop.Loop, dep deployment.Deployment, seed int64, discoveryAddress string, recorder *record.Recorder,
 ) (*Fleet, error) {
@@ -44,13 +44,13 @@
 		return nil, deployment.ErrNoFleet
 	}
 	fleet := &Fleet{loop: loop, deployment: dep, random: rand.New(rand.NewSource(seed)), recorder: recorder,
-		linkFreeAt: map[uint16]*eventloop.Micros{}, lastID: firstID}
+		cellLinkFreeAt: map[uint16]*eventloop.Micros{}, lastID: baseID}
 	for zoneIndex, zone := range dep.Zones {
 		for _, group := range dep.Fleet.Groups {
 			for i := range int(group.HostsPerZone) {
 				cells := int(dep.Fleet.CellsPerZone)
 				cell := uint16(zoneIndex*cells + i%cells)
-				e := &Endpoint{Zone: zone, Cell: cell, group: group, kind: kindOf(dep, group.Kind)}
+				e := &Endpoint{Zone: zone, Cell: cell, group: group, kind: findKind(dep, group.Kind)}
 				if err := fleet.add(e, 0); err != nil {
 					return nil, err
 				}
@@ -65,7 +65,8 @@
 	return fleet, err
 }
 
-func kindOf(d deployment.Deployment, name string) *pb.Kind {
+// findKind returns the kind with a name, or nil.
+func findKind(d deployment.Deployment, name string) *pb.Kind {
 	for _, kind := range d.Kinds {
 		if kind.Name == name {
 			return kind
@@ -74,18 +75,18 @@
 	return nil
 }
 
-// add starts an endpoint with an id of its own.
+// add assigns an endpoint a new id and starts it.
 func (f *Fleet) add(endpoint *Endpoint, startedAt eventloop.Micros) error {
 	f.lastID += 1 + uint32(f.random.Intn(maxIDGap))
 	endpoint.fleet, endpoint.ID, endpoint.slowFactor = f, f.lastID, 1
-	if f.linkFreeAt[endpoint.Cell] == nil {
-		f.linkFreeAt[endpoint.Cell] = new(eventloop.Micros)
+	if f.cellLinkFreeAt[endpoint.Cell] == nil {
+		f.cellLinkFreeAt[endpoint.Cell] = new(eventloop.Micros)
 	}
 	f.Endpoints = append(f.Endpoints, endpoint)
 	return endpoint.start(startedAt)
 }
 
-// Close stops discovery and all endpoints.
+// Close stops the discovery service and all endpoints.
 func (f *Fleet) Close() {
 	if f.Discovery != nil {
 		f.Discovery.Close()
@@ -95,7 +96,7 @@
 	}
 }
 
-// Entries returns all endpoints' entries in the endpoint list.
+// Entries returns the endpoint list, with all endpoints ready.
 func (f *Fleet) Entries() (entries []endpoints.Entry) {
 	for _, e := range f.Endpoints {
 		entries = append(entries, e.Entry(endpoints.Ready))
@@ -103,13 +104,13 @@
 	return entries
 }
 
-// Entry returns an endpoint's entry in the endpoint list.
+// Entry returns the endpoint's entry in the endpoint list, with the given condition.
 func (e *Endpoint) Entry(condition string) endpoints.Entry {
 	return endpoints.Entry{ID: scheduler.EndpointID(e.ID), Addr: e.Addr, Zone: e.Zone, Kind: e.kind.Name, Cell: e.Cell,
 		Condition: condition, StartedAt: int64(e.startedAt)}
 }
 
-// announce publishes an endpoint's new condition, after a random delay.
+// announce publishes an endpoint's new condition after a random delay, unless it is out of date by then.
 func (f *Fleet) announce(endpoint *Endpoint, condition string) {
 	entry := endpoint.Entry(condition)
 	maxDelay := int64(f.deployment.Fleet.RosterLateMs) * int64(eventloop.Millisecond)
@@ -119,7 +120,7 @@
 		}
 		restarted := endpoint.alive && endpoint.startedAt > 0 && entry.StartedAt != int64(endpoint.startedAt)
 		if condition == endpoints.Gone && restarted {
-			return // its start is announced by the change that follows
+			return // the announcement of the new start replaces this one
 		}
 		if f.Discovery != nil {
 			f.Discovery.Publish(entry)
@@ -127,7 +128,8 @@
 	})
 }
 
-// Pick draws a share of the endpoints of a kind, one at least; of all kinds if none is named.
+// Pick draws a share of the running endpoints of a kind, or of all kinds if the kind is empty. It draws at least one,
+// if there is one.
 func (f *Fleet) Pick(kind string, share float64) []*Endpoint {
 	var candidates []*Endpoint
 	for _, e := range f.Endpoints {
@@ -140,7 +142,7 @@
 	return candidates[:min(max(count, 1), len(candidates))]
 }
 
-// Replace stops a share of the endpoints for good and starts as many others, with ids and addresses of their own.
+// Replace stops a share of the endpoints permanently and starts as many new ones, with new ids and addresses.
 func (f *Fleet) Replace(share float64) error {
 	if share == 0 {
 		return nil
@@ -169,7 +171,7 @@
 	})
 }
 
-// record records what happened at an endpoint, to an attempt or, where that is nil, to the endpoint itself.
+// record records an event of an attempt at an endpoint, or of the endpoint itself if the attempt is nil.
 func (f *Fleet) record(endpoint *Endpoint, eventType record.EventType, attempt *endpointAttempt) {
 	if f.recorder == nil {
 		return
@@ -185,7 +187,7 @@
 	}
 	switch eventType {
 	case record.AttemptArrived:
-		event.Value = attempt.work
+		event.Value = attempt.workTokens
 	case record.AttemptRefused:
 		event.Detail = endpoint.lastError
 	case record.EndpointUp:
--- a/internal/testbed/modelserver/kvstate.go
+++ b/internal/testbed/modelserver/kvstate.go
@@ -12,7 +12,7 @@
 )
 
 const (
-	tokensPerBlock      = 16 // of a state
+	tokensPerBlock      = 16 // tokens of a KV state per block
 	fetchConnectTimeout = 500 * eventloop.Millisecond
 
 	transferFormat = `{"do_remote_decode":false,"do_remote_prefill":true,"remote_engine_id":"%d",` +
@@ -22,22 +22,23 @@
 		`"completion_tokens":1,"total_tokens":%d,"prompt_tokens_details":{"cached_tokens":%d}},"kv_transfer_params":%s}`
 )
 
-// pinnedState is what a prefill left. It takes memory until a decode endpoint fetches it, it is released or its lease
-// expires.
+// pinnedState is the KV state that a prefill left. It occupies memory until a decode endpoint fetches it, a dispatcher
+// releases it or its lease expires.
 type pinnedState struct {
-	tokens        int
-	lease         eventloop.Timer
-	attempt       *endpointAttempt
-	transfers     int  // to endpoints that fetch it, under way
-	releaseWanted bool // once no transfer is under way
+	tokens           int
+	lease            eventloop.Timer
+	attempt          *endpointAttempt
+	transfers        int  // transfers in progress to endpoints that fetch it
+	releaseRequested bool // release it once no transfer is in progress
 }
 
-// finishPrefill ends a prefill: its state is pinned.
-func (e *Endpoint) finishPrefill(attempt *endpointAttempt) {
+// pinState finishes a prefill: it pins the KV state, starts its lease and sends the response. It frees the memory
+// instead if the attempt was disconnected or its state is already released.
+func (e *Endpoint) pinState(attempt *endpointAttempt) {
 	if i := slices.Index(e.running, attempt); i >= 0 {
 		e.running = slices.Delete(e.running, i, i+1)
 	}
-	if attempt.abandoned || e.releasedEarly[attempt.id] {
+	if attempt.disconnected || e.releasedEarly[attempt.id] {
 		e.usedMemory -= attempt.memoryNeeded()
 		e.fleet.record(e, record.AttemptLeft, attempt)
 		return
@@ -49,11 +50,11 @@
 	e.states[attempt.id] = state
 	transfer := fmt.Sprintf(transferFormat, e.ID, attempt.promptTokens/tokensPerBlock, attempt.id, e.Addr,
 		attempt.promptTokens)
-	attempt.conn.answer(http.StatusOK, fmt.Appendf(nil, prefilledFormat,
+	attempt.conn.respond(http.StatusOK, fmt.Appendf(nil, prefilledFormat,
 		attempt.id, attempt.product, attempt.promptTokens, attempt.promptTokens+1, attempt.cachedTokens, transfer))
 }
 
-// release drops an attempt's state, whatever the reason; it returns false where there is none.
+// release frees the KV state of an attempt and records the reason. It returns false if no such state is pinned.
 func (e *Endpoint) release(attemptID string, reason record.EventType) bool {
 	state := e.states[attemptID]
 	if state == nil {
@@ -63,27 +64,29 @@
 	delete(e.states, attemptID)
 	e.usedMemory -= state.attempt.memoryNeeded()
 	e.fleet.record(e, reason, state.attempt)
-	e.wake()
+	e.startStep()
 	return true
 }
 
-// requestRelease releases an attempt's state as a dispatcher asks for it. One that is being transferred is in use: it
-// is released once that has ended, if it has not been fetched then.
+// requestRelease handles a dispatcher's request to release the KV state of an attempt. A state that is being
+// transferred is in use: it is released once the transfers have ended, unless one of them completes. A release that
+// arrives before the state is remembered.
 func (e *Endpoint) requestRelease(attemptID string) {
 	state := e.states[attemptID]
 	switch {
 	case state == nil:
 		e.releasedEarly[attemptID] = true
 	case state.transfers > 0:
-		state.releaseWanted = true
+		state.releaseRequested = true
 	default:
 		e.release(attemptID, record.StateReleased)
 	}
 }
 
-// transferEnded takes the end of a transfer that did not fetch the state.
-func (e *Endpoint) transferEnded(attemptID string, state *pinnedState) {
-	if state.transfers--; state.transfers == 0 && state.releaseWanted && e.states[attemptID] == state {
+// endUnfetchedTransfer ends a transfer whose receiver disconnected, and carries out a pending release after the last
+// one.
+func (e *Endpoint) endUnfetchedTransfer(attemptID string, state *pinnedState) {
+	if state.transfers--; state.transfers == 0 && state.releaseRequested && e.states[attemptID] == state {
 		e.release(attemptID, record.StateReleased)
 	}
 }
@@ -93,13 +96,13 @@
 func (e *Endpoint) serveState(conn *endpointConn, attemptID string, cell uint16) {
 	state := e.states[attemptID]
 	if state == nil {
-		conn.fail(http.StatusNotFound, errorStateLost)
+		conn.respondError(http.StatusNotFound, errorStateLost)
 		return
 	}
 	fleet := e.fleet
-	freeAt, rate := &e.portFreeAt, fleet.deployment.Fleet.CellTokensPerS
+	freeAt, rate := &e.transferPortFreeAt, fleet.deployment.Fleet.CellTokensPerS
 	if cell != e.Cell {
-		freeAt, rate = fleet.linkFreeAt[e.Cell], fleet.deployment.Fleet.LinkTokensPerS
+		freeAt, rate = fleet.cellLinkFreeAt[e.Cell], fleet.deployment.Fleet.LinkTokensPerS
 		if conn.zone != e.Zone {
 			rate /= fleet.deployment.Fleet.FarFactor
 		}
@@ -112,18 +115,18 @@
 			return
 		}
 		if conn.closed {
-			e.transferEnded(attemptID, state)
+			e.endUnfetchedTransfer(attemptID, state)
 			return
 		}
 		if e.release(attemptID, record.StateFetched) {
-			conn.answer(http.StatusOK, []byte(`{"tokens":`+strconv.Itoa(state.tokens)+`}`))
+			conn.respond(http.StatusOK, []byte(`{"tokens":`+strconv.Itoa(state.tokens)+`}`))
 		} else {
-			conn.fail(http.StatusNotFound, errorStateLost)
+			conn.respondError(http.StatusNotFound, errorStateLost)
 		}
 	})
 }
 
-// stateFetch is the connection on which an endpoint fetches the state of a prefill.
+// stateFetch is the connection on which a decode endpoint fetches the KV state of a prefill.
 type stateFetch struct {
 	endpoint *Endpoint
 	attempt  *endpointAttempt
@@ -133,43 +136,43 @@
 	done     bool
 }
 
-// fetchState fetches the state that an attempt decodes from.
+// fetchState starts to fetch the KV state that an attempt decodes from.
 func (e *Endpoint) fetchState(attempt *endpointAttempt) {
 	attempt.fetching = true
 	fetch := &stateFetch{endpoint: e, attempt: attempt, parser: http1.Parser{Response: true, Limits: http1.DefaultLimits}}
-	fetch.conn = e.fleet.loop.Dial(attempt.fetchFrom, fetchConnectTimeout, fetch)
+	fetch.conn = e.fleet.loop.Dial(attempt.stateAddr, fetchConnectTimeout, fetch)
 }
 
 // Opened sends the request.
 func (f *stateFetch) Opened() {
 	f.conn.Write(http1.AppendRequest(nil, http1.Request{
-		Method: http.MethodGet, Target: statePath + f.attempt.fetchAttempt, Host: f.attempt.fetchFrom,
+		Method: http.MethodGet, Target: statePath + f.attempt.stateAttemptID, Host: f.attempt.stateAddr,
 	}, "x-zone", f.endpoint.Zone, "x-cell", strconv.Itoa(int(f.endpoint.Cell))))
 }
 
-// Drained is not needed: the request is written at once.
+// Drained does nothing: the whole request is written in one call.
 func (f *stateFetch) Drained() {}
 
-// Data parses the answer.
+// Data parses the response, and aborts the connection on a malformed one.
 func (f *stateFetch) Data(data []byte) {
 	if f.parser.Feed(data, f) != nil {
 		f.conn.Abort()
 	}
 }
 
-// Head takes the status.
+// Head stores the status.
 func (f *stateFetch) Head(head *http1.Head) error { f.status = head.Status; return nil }
 
-// Body drops the answer's body.
+// Body ignores the body of the response.
 func (f *stateFetch) Body([]byte) error { return nil }
 
-// End ends the fetch.
+// End finishes the fetch at the end of the response.
 func (f *stateFetch) End() error { f.finish(); f.conn.Close(); return nil }
 
-// Closed ends a fetch that was not answered.
+// Closed finishes a fetch whose connection failed or closed without a response.
 func (f *stateFetch) Closed(error) { f.finish() }
 
-// finish lets the attempt decode, or fails it where the state was not there.
+// finish lets the attempt decode, or fails it if the state could not be fetched.
 func (f *stateFetch) finish() {
 	endpoint, attempt := f.endpoint, f.attempt
 	if f.done {
@@ -181,12 +184,12 @@
 	}
 	attempt.fetching = false
 	if f.status != http.StatusOK {
-		endpoint.finish(attempt)
-		attempt.conn.fail(http.StatusConflict, errorStateLost)
+		endpoint.removeAttempt(attempt)
+		attempt.conn.respondError(http.StatusConflict, errorStateLost)
 		return
 	}
 	if !endpoint.frozen && !endpoint.hung {
-		endpoint.emitToken(attempt) // the first token comes with the state
+		endpoint.emitToken(attempt) // the first token arrives with the KV state
 	}
-	endpoint.wake()
+	endpoint.startStep()
 }
--- a/internal/testbed/modelserver/scheduling.go
+++ b/internal/testbed/modelserver/scheduling.go
@@ -7,16 +7,16 @@
 	"plumspindle/internal/testbed/record"
 )
 
-// wake begins a step of the batch, if there is work and none is under way.
-func (e *Endpoint) wake() {
+// startStep starts a step of the batch, if there is work and no step is in progress.
+func (e *Endpoint) startStep() {
 	if e.stepping || !e.alive || e.frozen || e.hung || len(e.running)+len(e.queued) == 0 {
 		return
 	}
 	e.stepping = true
 	length := float64(e.group.StepUs) + float64(e.group.StepUsPerStream)*float64(len(e.running))
 	duration := eventloop.Micros(length)
-	if slices.ContainsFunc(e.running, (*endpointAttempt).decoding) {
-		// Steps of a slow decode endpoint take longer; those of a slow prefill endpoint do less.
+	if slices.ContainsFunc(e.running, (*endpointAttempt).isDecoding) {
+		// On a slow decode endpoint steps take longer; on a slow prefill endpoint they prefill fewer tokens.
 		duration = eventloop.Micros(length / e.capacityFactor())
 	}
 	startedAt := e.startedAt
@@ -24,53 +24,54 @@
 		if e.alive && e.startedAt == startedAt {
 			e.stepping = false
 			e.step(duration)
-			e.wake()
+			e.startStep()
 		}
 	})
 }
 
-// decoding reports whether an attempt needs no more prefill.
-func (a *endpointAttempt) decoding() bool { return !a.prefillOnly && a.toPrefill == 0 }
+// isDecoding reports whether an attempt decodes and needs no more prefill.
+func (a *endpointAttempt) isDecoding() bool { return !a.prefillOnly && a.prefillRemaining == 0 }
 
-// step is one step of the batch: queued attempts take free slots, prefills go on, each answer gets a token.
+// step carries out one step of the batch: it admits queued attempts, advances prefills and decodes one token per
+// answer.
 func (e *Endpoint) step(duration eventloop.Micros) {
 	if e.frozen || e.hung {
 		return
 	}
 	e.admit()
 	prefillBudget := e.group.ReadTokensPerS * e.capacityFactor() * float64(duration) / 1e6
-	e.advance(prefillBudget)
+	e.advanceAttempts(prefillBudget)
 }
 
-// admit lets queued attempts into free slots and memory, in their order.
+// admit moves queued attempts into the batch, in FIFO order, while slots and memory are free.
 func (e *Endpoint) admit() {
 	for len(e.queued) > 0 && len(e.running) < int(e.group.Slots) {
 		attempt := e.queued[0]
-		// An attempt larger than all memory runs alone.
+		// An attempt that needs more than the whole memory runs alone.
 		if e.usedMemory > 0 && e.usedMemory+attempt.memoryNeeded() > int(e.kind.MemoryTokens) {
 			return
 		}
 		e.usedMemory += attempt.memoryNeeded()
 		e.queued = e.queued[1:]
 		e.running = append(e.running, attempt)
-		if attempt.fetchAttempt != "" {
+		if attempt.stateAttemptID != "" {
 			e.fetchState(attempt)
 		}
 	}
 }
 
-// advance advances each running attempt; the budget is the tokens that may be prefilled.
-func (e *Endpoint) advance(prefillBudget float64) {
+// advanceAttempts advances each running attempt. At most prefillBudget prompt tokens are prefilled in all.
+func (e *Endpoint) advanceAttempts(prefillBudget float64) {
 	for _, attempt := range slices.Clone(e.running) {
 		switch {
-		case attempt.abandoned && e.fleet.deployment.Fleet.CancelStops:
-			e.finish(attempt)
+		case attempt.disconnected && e.fleet.deployment.Fleet.CancelStops:
+			e.removeAttempt(attempt)
 		case attempt.fetching:
-		case attempt.toPrefill > 0:
-			tokens := min(attempt.toPrefill, int(prefillBudget))
+		case attempt.prefillRemaining > 0:
+			tokens := min(attempt.prefillRemaining, int(prefillBudget))
 			prefillBudget -= float64(tokens)
-			if attempt.toPrefill -= tokens; attempt.toPrefill == 0 {
-				e.prefilled(attempt)
+			if attempt.prefillRemaining -= tokens; attempt.prefillRemaining == 0 {
+				e.handlePrefillDone(attempt)
 			}
 		case !attempt.prefillOnly:
 			e.emitToken(attempt)
@@ -78,21 +79,22 @@
 	}
 }
 
-// prefilled goes on with an attempt whose whole prompt is prefilled.
-func (e *Endpoint) prefilled(attempt *endpointAttempt) {
+// handlePrefillDone caches the prefix of an attempt whose prompt is prefilled. It finishes a batch call or a prefill;
+// an attempt that also decodes stays in the batch.
+func (e *Endpoint) handlePrefillDone(attempt *endpointAttempt) {
 	if attempt.prefixHash != 0 {
-		e.prefixes[attempt.prefixHash] = attempt.prefixTokens
+		e.cachedPrefixes[attempt.prefixHash] = attempt.prefixTokens
 	}
 	switch {
-	case attempt.answer != nil:
+	case attempt.batchResponse != nil:
 		e.finishBatch(attempt)
 	case attempt.prefillOnly:
-		e.finishPrefill(attempt)
+		e.pinState(attempt)
 	}
 }
 
-// finish frees an attempt's slot and memory.
-func (e *Endpoint) finish(attempt *endpointAttempt) {
+// removeAttempt frees the slot and memory of an attempt and records that it left.
+func (e *Endpoint) removeAttempt(attempt *endpointAttempt) {
 	if i := slices.Index(e.running, attempt); i >= 0 {
 		e.running = slices.Delete(e.running, i, i+1)
 		e.usedMemory -= attempt.memoryNeeded()
--- a/internal/testbed/modelserver/slowstart.go
+++ b/internal/testbed/modelserver/slowstart.go
@@ -8,13 +8,14 @@
 	"plumspindle/internal/testbed/record"
 )
 
-// arrival is work that reached an endpoint during its slow start.
+// arrival is the work of one attempt that reached an endpoint during its slow start.
 type arrival struct {
 	at   eventloop.Micros
 	work float64
 }
 
-// capacityFactor returns the share of its capacity that the endpoint has now.
+// capacityFactor returns the current share of the endpoint's full capacity. It is reduced by the slow-down fault and,
+// during slow start, rises linearly.
 func (e *Endpoint) capacityFactor() float64 {
 	factor := 1 / e.slowFactor
 	if e.startedAt == 0 {
@@ -22,14 +23,15 @@
 	}
 	rules := e.fleet.deployment.Rules
 	age := e.fleet.loop.Now() - e.startedAt
-	warmUp := eventloop.Micros(rules.ColdMs) * eventloop.Millisecond * 9 / 10 // warm a little before it counts as warm
+	// Full capacity is reached a little before the slow start ends.
+	warmUp := eventloop.Micros(rules.ColdMs) * eventloop.Millisecond * 9 / 10
 	if age < warmUp {
 		factor *= rules.ColdFrom + (1-rules.ColdFrom)*float64(age)/float64(warmUp)
 	}
 	return factor
 }
 
-// fullCapacity returns the work a second that the endpoint does once it is warm.
+// fullCapacity returns the tokens per second that the warm endpoint processes.
 func (e *Endpoint) fullCapacity() float64 {
 	if e.kind.Role == pb.Kind_WRITER {
 		return float64(e.group.Slots) * 1e6 / float64(e.group.StepUs+e.group.StepUsPerStream*e.group.Slots)
@@ -37,8 +39,9 @@
 	return e.group.ReadTokensPerS
 }
 
-// countSlowStartLoad counts the work that reaches the endpoint during slow start. It has a budget for any span of a
-// stated length; beyond that it falls over. A single attempt is always borne: the rule is about what all send together.
+// countSlowStartLoad counts the work that arrives during slow start. The endpoint crashes permanently if the work
+// within a sliding window of FallMs exceeds its budget. A single attempt never makes it crash: the limit is on the load
+// that all dispatchers send together.
 func (e *Endpoint) countSlowStartLoad(work float64) {
 	rules := e.fleet.deployment.Rules
 	now := e.fleet.loop.Now()
--- a/internal/testbed/modelserver/summary.go
+++ b/internal/testbed/modelserver/summary.go
@@ -2,19 +2,19 @@
 
 import "fmt"
 
-// Summary returns what each endpoint has in flight.
+// Summary returns one line for each endpoint, with its condition, its queue length, its pinned states and its batch.
 func (f *Fleet) Summary() (lines []string) {
 	for _, e := range f.Endpoints {
 		line := fmt.Sprint(e.ID, e.alive, e.draining, e.frozen, e.hung, len(e.queued), len(e.states))
 		for _, a := range e.running {
-			line += fmt.Sprint(" ", a.id, a.toPrefill, a.sent, a.fetching)
+			line += fmt.Sprint(" ", a.id, a.prefillRemaining, a.tokensSent, a.fetching)
 		}
 		lines = append(lines, line)
 	}
 	return lines
 }
 
-// Outstanding returns what all endpoints that are up have for requests: attempts, pinned states and tokens of memory.
+// Outstanding returns the totals over all running endpoints: attempts, pinned KV states and tokens of used memory.
 func (f *Fleet) Outstanding() (attempts, states, tokens int) {
 	for _, e := range f.Endpoints {
 		if e.alive {
@@ -35,8 +35,8 @@
 	stageDecode   = "writing"
 )
 
-// Stage returns the stage of a client's request, one of the names above, and the endpoint that it is at; empty where
-// there is no endpoint that has it.
+// Stage returns the stage of a client's request, one of the stage constants, and the endpoint that has it. It returns
+// an empty stage and nil if no endpoint has the request.
 func (f *Fleet) Stage(clientID string) (stage string, at *Endpoint) {
 	for _, e := range f.Endpoints {
 		if stage := e.stageInBatch(clientID); stage != "" {
@@ -51,6 +51,7 @@
 	return stage, at
 }
 
+// stageInBatch returns the stage of a request that is queued or in the batch of the endpoint, or an empty stage.
 func (e *Endpoint) stageInBatch(clientID string) string {
 	for _, a := range e.queued {
 		if a.clientID == clientID {
@@ -62,7 +63,7 @@
 		case a.clientID != clientID:
 		case a.fetching:
 			return stageFetching
-		case a.toPrefill > 0:
+		case a.prefillRemaining > 0:
 			return stagePrefill
 		default:
 			return stageDecode
@@ -71,6 +72,7 @@
 	return ""
 }
 
+// pinsStateOf reports whether the endpoint pins the KV state of a request.
 func (e *Endpoint) pinsStateOf(clientID string) bool {
 	for _, state := range e.states {
 		if state.attempt.clientID == clientID {
--- a/internal/testbed/scenarios/batches_test.go
+++ b/internal/testbed/scenarios/batches_test.go
@@ -30,10 +30,10 @@
 		runCleanly(t, run, 0)
 		for _, clients := range run.BatchClients {
 			t.Logf("seed %d, %s: %d calls, %d inputs read, outcomes %v",
-				seed, clients.Product.Name, clients.Started, clients.InputsRead, clients.Outcomes)
-			if clients.Wrong > 0 || clients.InputsRead < minInputsRead {
+				seed, clients.Product.Name, clients.CallsStarted, clients.InputsAnswered, clients.Outcomes)
+			if clients.Wrong > 0 || clients.InputsAnswered < minInputsRead {
 				t.Errorf("seed %d, %s: %d wrong answers, %d inputs read",
-					seed, clients.Product.Name, clients.Wrong, clients.InputsRead)
+					seed, clients.Product.Name, clients.Wrong, clients.InputsAnswered)
 			}
 		}
 	}
--- a/internal/testbed/scenarios/builtin.go
+++ b/internal/testbed/scenarios/builtin.go
@@ -12,15 +12,15 @@
 
 // Length and load of the built-in scenarios.
 const (
-	builtinSeconds    = 16
-	badBuiltin        = "bad"
-	badBuiltinSeconds = 24
-	builtinRate       = 22 // requests a second
+	builtinSeconds         = 16
+	combinedFaultsScenario = "bad"
+	combinedFaultsSeconds  = 24
+	builtinRate            = 22 // requests a second
 )
 
-// builtin are the faults of the scenarios that come with the program: one for each kind of fault, a quiet and a bad
+// builtinFaults are the faults of the scenarios that come with the program: one for each kind of fault, a quiet and a bad
 // one.
-var builtin = map[string]string{
+var builtinFaults = map[string]string{
 	"quiet":       ``,
 	"crash":       `troubles { at_ms: 4000 kind: "crash" share: 0.24 for_ms: 4000 }`,
 	"vanish":      `troubles { at_ms: 4000 kind: "vanish" share: 0.2 for_ms: 6000 }`,
@@ -46,7 +46,7 @@
 	"drain": `
 		troubles { at_ms: 4000 kind: "drain" share: 0.2 for_ms: 3000 }
 		troubles { at_ms: 8000 kind: "drain" share: 0.2 for_ms: 3000 }`,
-	badBuiltin: `
+	combinedFaultsScenario: `
 		troubles { at_ms: 3000 kind: "crash" share: 0.15 for_ms: 3000 }
 		troubles { at_ms: 5000 kind: "balancer_crash" share: 0.34 for_ms: 1500 }
 		troubles { at_ms: 6000 kind: "fast_errors" share: 0.1 factor: 0.7 for_ms: 5000 }
@@ -60,15 +60,15 @@
 }
 
 // Names returns the built-in scenarios.
-func Names() []string { return slices.Sorted(maps.Keys(builtin)) }
+func Names() []string { return slices.Sorted(maps.Keys(builtinFaults)) }
 
 // Find returns a built-in scenario by its name, or one from a file.
 func Find(name string) (*pb.Day, error) {
-	faults, known := builtin[name]
+	faults, known := builtinFaults[name]
 	if known {
 		seconds := builtinSeconds
-		if name == badBuiltin {
-			seconds = badBuiltinSeconds
+		if name == combinedFaultsScenario {
+			seconds = combinedFaultsSeconds
 		}
 		text := fmt.Sprintf("name: %q seconds: %d rate: %d\n%s", name, seconds, builtinRate, faults)
 		return ReadScript(name, []byte(text))
--- a/internal/testbed/scenarios/faults.go
+++ b/internal/testbed/scenarios/faults.go
@@ -15,7 +15,7 @@
 const (
 	defaultNeighbourShare = 0.25 // of the endpoints that a noisy neighbour slows down
 	minRateFactor         = 0.01
-	minPatience           = 0.05
+	minTimeLimitShare     = 0.05
 )
 
 // injection is one fault on its way into a run. It runs on the fleet's loop.
@@ -28,8 +28,8 @@
 
 type injector func(ctx context.Context, i injection)
 
-// ofEndpoints has each endpoint that was drawn fail.
-func ofEndpoints(inject func(endpoint *modelserver.Endpoint, i injection)) injector {
+// onEndpoints has each endpoint that was drawn fail.
+func onEndpoints(inject func(endpoint *modelserver.Endpoint, i injection)) injector {
 	return func(_ context.Context, i injection) {
 		for _, endpoint := range i.endpoints {
 			inject(endpoint, i)
@@ -37,8 +37,8 @@
 	}
 }
 
-// ofClients changes what the clients do, for a while.
-func ofClients(change func(generator *load.Generator, factor float64) (undo func())) injector {
+// onClients changes what the clients do, for a while.
+func onClients(change func(generator *load.Generator, factor float64) (undo func())) injector {
 	return func(_ context.Context, i injection) {
 		clients := i.run.clientLoop
 		clients.Post(func() {
@@ -48,32 +48,32 @@
 	}
 }
 
-// times returns the fault's factor in some unit of time.
-func (i injection) times(unit eventloop.Micros) eventloop.Micros {
+// factorTimes returns the fault's factor in some unit of time.
+func (i injection) factorTimes(unit eventloop.Micros) eventloop.Micros {
 	return eventloop.Micros(i.fault.Factor * float64(unit))
 }
 
 // injectors are the kinds of fault that can be injected in virtual time and over sockets.
 var injectors = map[string]injector{
-	"crash":          ofEndpoints(crashEndpoint),
-	"mass_restart":   ofEndpoints(crashEndpoint),
-	"vanish":         ofEndpoints(func(e *modelserver.Endpoint, i injection) { e.Blackhole(i.duration) }),
-	"hang":           ofEndpoints(func(e *modelserver.Endpoint, i injection) { e.Hang(i.duration) }),
-	"pauses":         ofEndpoints(func(e *modelserver.Endpoint, i injection) { e.Pause(i.duration) }),
-	"flush":          ofEndpoints(func(e *modelserver.Endpoint, _ injection) { e.ClearPrefixCache() }),
-	"drain":          ofEndpoints(func(e *modelserver.Endpoint, i injection) { e.Drain(i.duration, i.duration) }),
-	"slow":           ofEndpoints(slowDownEndpoint),
-	"neighbour":      ofEndpoints(slowDownEndpoint),
-	"fast_errors":    ofEndpoints(failAttempts),
-	"handshake_slow": ofEndpoints(delayConnections),
-	"report_late":    ofEndpoints(delayLoadReports),
+	"crash":          onEndpoints(crashEndpoint),
+	"mass_restart":   onEndpoints(crashEndpoint),
+	"vanish":         onEndpoints(func(e *modelserver.Endpoint, i injection) { e.Blackhole(i.duration) }),
+	"hang":           onEndpoints(func(e *modelserver.Endpoint, i injection) { e.Hang(i.duration) }),
+	"pauses":         onEndpoints(func(e *modelserver.Endpoint, i injection) { e.Pause(i.duration) }),
+	"flush":          onEndpoints(func(e *modelserver.Endpoint, _ injection) { e.ClearPrefixCache() }),
+	"drain":          onEndpoints(func(e *modelserver.Endpoint, i injection) { e.Drain(i.duration, i.duration) }),
+	"slow":           onEndpoints(slowDownEndpoint),
+	"neighbour":      onEndpoints(slowDownEndpoint),
+	"fast_errors":    onEndpoints(failAttempts),
+	"handshake_slow": onEndpoints(delayConnections),
+	"report_late":    onEndpoints(delayLoadReports),
 	"throttle":       rejectProduct,
 	"zone_cut":       partitionZone,
 	"balancer_crash": crashDispatchers,
 	"descriptors":    limitDescriptors,
-	"burst":          ofClients(multiplyRate),
-	"tenant_burst":   ofClients(multiplyRateOfOneTenant),
-	"give_up":        ofClients(shortenPatience),
+	"burst":          onClients(multiplyRate),
+	"tenant_burst":   onClients(multiplyRateOfOneTenant),
+	"give_up":        onClients(shortenTimeLimits),
 }
 
 func crashEndpoint(endpoint *modelserver.Endpoint, i injection) { endpoint.Crash(i.duration) }
@@ -87,11 +87,11 @@
 }
 
 func delayConnections(endpoint *modelserver.Endpoint, i injection) {
-	endpoint.DelayConnections(i.times(eventloop.Millisecond), i.duration)
+	endpoint.DelayConnections(i.factorTimes(eventloop.Millisecond), i.duration)
 }
 
 func delayLoadReports(endpoint *modelserver.Endpoint, i injection) {
-	endpoint.DelayLoadReports(i.times(eventloop.Second), i.duration)
+	endpoint.DelayLoadReports(i.factorTimes(eventloop.Second), i.duration)
 }
 
 func rejectProduct(_ context.Context, i injection) {
@@ -138,10 +138,10 @@
 	return func() { generator.TenantShares[0], generator.Rate = 1, before }
 }
 
-func shortenPatience(generator *load.Generator, factor float64) (undo func()) {
-	before := generator.MinPatience
-	generator.MinPatience = max(factor, minPatience)
-	return func() { generator.MinPatience = before }
+func shortenTimeLimits(generator *load.Generator, factor float64) (undo func()) {
+	before := generator.MinTimeLimitShare
+	generator.MinTimeLimitShare = max(factor, minTimeLimitShare)
+	return func() { generator.MinTimeLimitShare = before }
 }
 
 // FaultKinds returns the kinds of fault that a script may name.
--- a/internal/testbed/scenarios/mutant.go
+++ b/internal/testbed/scenarios/mutant.go
@@ -25,11 +25,11 @@
 }
 
 // loop returns the event loop that a dispatcher runs on.
-func (m *Mutant) loop(real *virtual.Loop) eventloop.Loop {
+func (m *Mutant) loop(unchanged *virtual.Loop) eventloop.Loop {
 	if m == nil || m.Loop == nil {
-		return real
+		return unchanged
 	}
-	return m.Loop(real)
+	return m.Loop(unchanged)
 }
 
 // changeDisk changes a dispatcher's disk.
--- a/internal/testbed/scenarios/process.go
+++ b/internal/testbed/scenarios/process.go
@@ -26,7 +26,7 @@
 	stopTimeout       = 20 * time.Second
 	quotedLogBytes    = 2000
 
-	exitCodeOfSignal = -1 // as os.ProcessState reports a process that a signal ended
+	exitCodeSignalled = -1 // as os.ProcessState reports a process that a signal ended
 )
 
 // process is one dispatcher as a process of its own, over all its incarnations. Its fields belong to the fleet's loop
@@ -107,7 +107,7 @@
 }
 
 // crash kills the process outright and brings it back after a while.
-func (d *process) crash(ctx context.Context, back eventloop.Micros) {
+func (d *process) crash(ctx context.Context, downtime eventloop.Micros) {
 	run, name, exited := d.run, d.target.Name, d.exited
 	recordKilled := func() {
 		run.recorder.Add(record.Event{At: int64(run.fleetLoop.Now()), Type: record.DispatcherKilled, Dispatcher: name})
@@ -119,8 +119,8 @@
 		recordKilled() // on a busy machine a process outlives the signal by more than the audit's slack
 		select {
 		case <-ctx.Done():
-		case <-run.sockets.ended:
-		case <-time.After(time.Duration(back) * time.Microsecond):
+		case <-run.sockets.stopping:
+		case <-time.After(time.Duration(downtime) * time.Microsecond):
 			d.restart(ctx)
 		}
 	})
@@ -153,7 +153,7 @@
 
 // stopProcesses ends the dispatchers gracefully.
 func (r *Run) stopProcesses() error {
-	close(r.sockets.ended)
+	close(r.sockets.stopping)
 	var stopping []process
 	r.fleetLoop.Do(func() {
 		for _, dispatcher := range r.sockets.processes {
@@ -181,7 +181,7 @@
 		return fmt.Errorf("dispatcher %s did not end when told to", d.target.Name)
 	}
 	code := d.command.ProcessState.ExitCode()
-	if code == 0 || code == exitCodeOfSignal {
+	if code == 0 || code == exitCodeSignalled {
 		return nil
 	}
 	text, _ := os.ReadFile(d.path(d.target.Name + ".log"))
--- a/internal/testbed/scenarios/restart.go
+++ b/internal/testbed/scenarios/restart.go
@@ -7,8 +7,8 @@
 	"plumspindle/internal/virtual"
 )
 
-// cachingTime is how long dispatchers run before they die, for the endpoint list to arrive and to be cached.
-const cachingTime = 3 * eventloop.Second
+// listCacheTime is how long dispatchers run before they die, for the endpoint list to arrive and to be cached.
+const listCacheTime = 3 * eventloop.Second
 
 // Restart says what happens while all dispatchers are down.
 type Restart struct {
@@ -24,11 +24,11 @@
 		return nil, err
 	}
 	network := virtual.NewNetwork(r.Seed)
-	if err := r.startWorld(network); err != nil {
+	if err := r.startVirtual(network); err != nil {
 		return nil, err
 	}
-	network.Run(cachingTime)
-	for _, dispatcher := range r.world.dispatchers {
+	network.Run(listCacheTime)
+	for _, dispatcher := range r.virtual.dispatchers {
 		if len(dispatcher.cachedEndpoints) == 0 {
 			return nil, errors.New("a dispatcher cached no endpoint list")
 		}
@@ -46,7 +46,7 @@
 		return nil, err
 	}
 	network.Run(restart.Downtime - restart.Downtime/2)
-	for _, dispatcher := range r.world.dispatchers {
+	for _, dispatcher := range r.virtual.dispatchers {
 		if err := dispatcher.start(); err != nil {
 			return nil, err
 		}
--- a/internal/testbed/scenarios/run.go
+++ b/internal/testbed/scenarios/run.go
@@ -77,7 +77,7 @@
 	faultTargets []faultTarget
 
 	sockets *socketRun  // nil in virtual time
-	world   *virtualRun // nil over sockets
+	virtual *virtualRun // nil over sockets
 }
 
 // loop is an event loop as a run needs it, over sockets or in virtual time.
@@ -90,7 +90,7 @@
 // faultTarget is one dispatcher of a run, as faults act on it.
 type faultTarget interface {
 	// crash kills it outright and brings it back after a while.
-	crash(ctx context.Context, back eventloop.Micros)
+	crash(ctx context.Context, downtime eventloop.Micros)
 	// limitDescriptors leaves it so many descriptors beyond those that it has open, until the function returned is called.
 	limitDescriptors(spare int) (undo func())
 }
@@ -125,7 +125,7 @@
 // checkBatches checks that the deployment has what the script's batches ask for.
 func (r *Run) checkBatches() error {
 	for i, batch := range r.Script.Batches {
-		product := r.product(batch.Product)
+		product := r.findProduct(batch.Product)
 		switch {
 		case product == nil || product.Form == pb.Product_CHAT:
 			return fmt.Errorf("batches[%d].product: the deployment has no product %q for batches", i, batch.Product)
@@ -140,8 +140,8 @@
 	return nil
 }
 
-// product returns the deployment's product of a name, or nil.
-func (r *Run) product(name string) (found *pb.Product) {
+// findProduct returns the deployment's findProduct of a name, or nil.
+func (r *Run) findProduct(name string) (found *pb.Product) {
 	for _, product := range r.Deployment.Products {
 		if product.Name == name {
 			found = product
@@ -165,8 +165,8 @@
 	return record.Open(filepath.Join(dir, recordFile))
 }
 
-// judge ends the record and judges it.
-func (r *Run) judge() (*audit.Verdict, error) {
+// closeAndAudit ends the record and judges it.
+func (r *Run) closeAndAudit() (*audit.Verdict, error) {
 	events, err := r.recorder.Close()
 	if err != nil {
 		return nil, err
@@ -206,7 +206,7 @@
 	r.clientLoop.Do(func() {
 		r.generator = load.New(r.clientLoop, load.Config{Deployment: r.Deployment, Seed: r.Seed,
 			Keys: r.tenantKeys, Targets: targets, Recorder: r.recorder})
-		r.generator.Rate, r.generator.Keyed = r.Script.Rate, r.Keyed
+		r.generator.Rate, r.generator.UseIdempotencyKeys = r.Script.Rate, r.Keyed
 		r.generator.Run()
 	})
 	for _, batch := range r.Script.Batches {
@@ -219,8 +219,8 @@
 }
 
 func (r *Run) scheduleBatch(batch *pb.Day_Batch) {
-	clients := &load.BatchClients{Generator: r.generator, Product: r.product(batch.Product), Tenant: int(batch.Tenant),
-		Concurrency: int(batch.AtOnce), Inputs: int(batch.Inputs), Tokens: int(batch.Tokens), Calls: int(batch.Calls)}
+	clients := &load.BatchClients{Generator: r.generator, Product: r.findProduct(batch.Product), Tenant: int(batch.Tenant),
+		Concurrency: int(batch.AtOnce), InputsPerCall: int(batch.Inputs), TokensPerInput: int(batch.Tokens), MaxCalls: int(batch.Calls)}
 	r.BatchClients = append(r.BatchClients, clients)
 	r.clientLoop.AfterFunc(eventloop.Micros(batch.FromMs)*eventloop.Millisecond, clients.Run)
 	if batch.ForMs > 0 {
@@ -238,9 +238,9 @@
 
 // openCalls returns how many calls of clients are in flight.
 func (r *Run) openCalls() int {
-	open := r.generator.Open
+	open := r.generator.OpenRequests
 	for _, clients := range r.BatchClients {
-		open += clients.Open
+		open += clients.OpenCalls
 	}
 	return open
 }
--- a/internal/testbed/scenarios/scenarios_test.go
+++ b/internal/testbed/scenarios/scenarios_test.go
@@ -61,7 +61,7 @@
 
 // The same seed is the same run, to the last arrival.
 func TestSameSeedIsTheSameRun(t *testing.T) {
-	first, second := runBuiltin(t, badBuiltin, 5, 300), runBuiltin(t, badBuiltin, 5, 300)
+	first, second := runBuiltin(t, combinedFaultsScenario, 5, 300), runBuiltin(t, combinedFaultsScenario, 5, 300)
 	if first != second {
 		t.Errorf("two runs of one seed differ: %x, %x", first, second)
 	}
--- a/internal/testbed/scenarios/sockets.go
+++ b/internal/testbed/scenarios/sockets.go
@@ -16,16 +16,16 @@
 )
 
 const (
-	drainTimeout       = 30 * time.Second // after the load, for the calls that are in flight
-	loadPollInterval   = 500 * time.Millisecond
-	pollsBetweenReport = 10
+	drainTimeout     = 30 * time.Second // after the load, for the calls that are in flight
+	loadPollInterval = 500 * time.Millisecond
+	pollsPerReport   = 10
 )
 
 // socketRun is what a run over sockets has beyond Run.
 type socketRun struct {
 	dir       string // for temporary files
 	processes []*process
-	ended     chan struct{} // closed once the dispatchers are being stopped
+	stopping  chan struct{} // closed once the dispatchers are being stopped
 	restarts  sync.WaitGroup
 }
 
@@ -40,7 +40,7 @@
 	if err != nil {
 		return nil, err
 	}
-	r.sockets = &socketRun{ended: make(chan struct{})}
+	r.sockets = &socketRun{stopping: make(chan struct{})}
 	if r.sockets.dir, err = os.MkdirTemp("", "plumspindle-day"); err != nil {
 		return nil, err
 	}
@@ -52,7 +52,7 @@
 		_, _ = r.recorder.Close() // the run's own error says more
 		return nil, err
 	}
-	return r.judge()
+	return r.closeAndAudit()
 }
 
 // runOverSockets starts everything, waits until the load is over and ends everything.
@@ -121,9 +121,9 @@
 			if elapsed >= duration {
 				r.stopLoad()
 			}
-			asked, open = r.generator.Asked, r.openCalls()
+			asked, open = r.generator.RequestsStarted, r.openCalls()
 		})
-		if polls%pollsBetweenReport == 0 {
+		if polls%pollsPerReport == 0 {
 			r.report("%s: %d of %d s, %d asked, %d open", r.Script.Name, int(elapsed.Seconds()), r.Script.Seconds, asked, open)
 		}
 		if elapsed > duration && (open == 0 || elapsed > duration+drainTimeout) {
--- a/internal/testbed/scenarios/virtual.go
+++ b/internal/testbed/scenarios/virtual.go
@@ -13,9 +13,9 @@
 )
 
 const (
-	settlingTime  = 100 * eventloop.Millisecond // for the first endpoint lists
-	releaseTime   = eventloop.Second            // after the last answer, for what is still to be released
-	recoveryGrace = 100 * eventloop.Millisecond // after a dispatcher was unavailable, until its state is checked
+	initialListTime = 100 * eventloop.Millisecond // for the first endpoint lists
+	releaseTime     = eventloop.Second            // after the last answer, for what is still to be released
+	recoveryGrace   = 100 * eventloop.Millisecond // after a dispatcher was unavailable, until its state is checked
 )
 
 // virtualRun is what a run in virtual time has beyond Run.
@@ -47,10 +47,10 @@
 		network.Latency, network.MaxSegment = max(eventloop.Micros(world.LatencyUs), 1), int(world.Segment)
 	}
 	r.recorder.Add(record.Event{At: int64(network.Now()), Type: record.NetworkLatency, Count: int64(network.Latency)})
-	if err := r.startWorld(network); err != nil {
+	if err := r.startVirtual(network); err != nil {
 		return nil, err
 	}
-	network.Run(settlingTime)
+	network.Run(initialListTime)
 	network.AfterStep, network.ExtraLatency = r.AfterStep, r.Delay
 	return r.finishVirtual()
 }
@@ -58,16 +58,16 @@
 // finishVirtual runs the load on a world that has started, and judges the run.
 func (r *Run) finishVirtual() (*VirtualOutcome, error) {
 	openRequests := r.runVirtualLoad()
-	verdict, err := r.judge()
-	if err = errors.Join(err, r.world.failure); err != nil {
+	verdict, err := r.closeAndAudit()
+	if err = errors.Join(err, r.virtual.failure); err != nil {
 		return nil, err
 	}
-	return &VirtualOutcome{Verdict: verdict, OpenRequests: openRequests, Trace: r.world.network.TraceHash}, nil
+	return &VirtualOutcome{Verdict: verdict, OpenRequests: openRequests, Trace: r.virtual.network.TraceHash}, nil
 }
 
-// startWorld starts the endpoints and dispatchers on loops in virtual time.
-func (r *Run) startWorld(network *virtual.Network) error {
-	r.world = &virtualRun{network: network}
+// startVirtual starts the endpoints and dispatchers on loops in virtual time.
+func (r *Run) startVirtual(network *virtual.Network) error {
+	r.virtual = &virtualRun{network: network}
 	r.fleetLoop, r.clientLoop = network.NewLoop("fleet"), network.NewLoop("crowd")
 	if err := r.startFleet(); err != nil {
 		return err
@@ -77,7 +77,7 @@
 		if err := dispatcher.start(); err != nil {
 			return err
 		}
-		r.world.dispatchers = append(r.world.dispatchers, dispatcher)
+		r.virtual.dispatchers = append(r.virtual.dispatchers, dispatcher)
 		r.faultTargets = append(r.faultTargets, dispatcher)
 	}
 	return nil
@@ -86,17 +86,17 @@
 // runVirtualLoad runs the load to its last answer and returns how many requests are still open in the dispatchers.
 func (r *Run) runVirtualLoad() (openRequests int) {
 	var targets []*load.Target
-	for _, dispatcher := range r.world.dispatchers {
+	for _, dispatcher := range r.virtual.dispatchers {
 		targets = append(targets, dispatcher.target)
 	}
-	network := r.world.network
+	network := r.virtual.network
 	r.startLoad(context.Background(), targets)
 	network.Run(eventloop.Micros(r.Script.Seconds) * eventloop.Second)
 	r.clientLoop.Do(r.stopLoad)
 	network.RunUntil(eventloop.Micros(drainTimeout.Microseconds()), func() bool { return r.openCalls() == 0 })
 	network.Run(releaseTime)
 	r.Steps = network.Steps
-	for _, d := range r.world.dispatchers {
+	for _, d := range r.virtual.dispatchers {
 		r.Reached = append(r.Reached, d.dispatcher.Coverage)
 		r.Usage = append(r.Usage, d.dispatcher.Usage()...)
 		openRequests += d.dispatcher.OpenRequests()
@@ -109,8 +109,8 @@
 
 // Check checks the own state of each dispatcher that is up.
 func (r *Run) Check() error {
-	for _, d := range r.world.dispatchers {
-		if d.down || r.world.network.Now() < d.unavailableUntil+recoveryGrace {
+	for _, d := range r.virtual.dispatchers {
+		if d.down || r.virtual.network.Now() < d.unavailableUntil+recoveryGrace {
 			continue
 		}
 		if err := d.dispatcher.CheckInvariants(); err != nil {
@@ -122,7 +122,7 @@
 
 // Summary returns what is in flight in the dispatchers and at the endpoints.
 func (r *Run) Summary() (lines []string) {
-	for _, d := range r.world.dispatchers {
+	for _, d := range r.virtual.dispatchers {
 		lines = append(lines, d.target.Name)
 		if !d.down {
 			lines = append(lines, d.dispatcher.DescribeOpenRequests()...)
--- a/internal/testbed/scenarios/virtualdispatcher.go
+++ b/internal/testbed/scenarios/virtualdispatcher.go
@@ -36,7 +36,7 @@
 	d.incarnations++
 	d.down = false
 	name := fmt.Sprintf("d%d.%d", d.number, d.incarnations)
-	d.loop = run.world.network.NewLoop(name)
+	d.loop = run.virtual.network.NewLoop(name)
 	d.loop.StepClock(d.clockSkew)
 	loop := run.Mutant.loop(d.loop)
 	config := dispatch.Config{Name: name, Zone: d.target.Zone, Seed: run.Seed*100 + int64(d.number*10+d.incarnations),
@@ -65,19 +65,19 @@
 // kill ends the current incarnation outright.
 func (d *virtualDispatcher) kill() {
 	d.run.recorder.Add(record.Event{
-		At: int64(d.run.world.network.Now()), Type: record.DispatcherKilled, Dispatcher: d.target.Name,
+		At: int64(d.run.virtual.network.Now()), Type: record.DispatcherKilled, Dispatcher: d.target.Name,
 	})
 	d.loop.Kill()
 }
 
-func (d *virtualDispatcher) crash(_ context.Context, back eventloop.Micros) {
+func (d *virtualDispatcher) crash(_ context.Context, downtime eventloop.Micros) {
 	if d.down {
 		return
 	}
 	d.down = true
 	d.kill()
-	world := d.run.world
-	d.run.fleetLoop.AfterFunc(back, func() {
+	world := d.run.virtual
+	d.run.fleetLoop.AfterFunc(downtime, func() {
 		if err := d.start(); err != nil {
 			world.failure = errors.Join(world.failure, fmt.Errorf("dispatcher %d did not come back: %w", d.number, err))
 		}
@@ -92,7 +92,7 @@
 
 // markUnavailable records that the dispatcher can't meet its obligations for a while.
 func (d *virtualDispatcher) markUnavailable(why string, duration eventloop.Micros) {
-	now := d.run.world.network.Now()
+	now := d.run.virtual.network.Now()
 	d.unavailableUntil = max(d.unavailableUntil, now+duration)
 	d.run.recorder.Add(record.Event{
 		At: int64(now), Type: record.DispatcherUnavailable, Dispatcher: d.target.Name, Detail: why,
--- a/internal/testbed/scenarios/virtualfaults.go
+++ b/internal/testbed/scenarios/virtualfaults.go
@@ -10,10 +10,10 @@
 )
 
 const (
-	minDowntime           = eventloop.Millisecond
-	slowSyncTime          = 150 * eventloop.Millisecond // of a slow disk whose fault gives none
-	usualSyncTime         = 2 * eventloop.Millisecond
-	pickOne       float64 = 0
+	minDowntime             = eventloop.Millisecond
+	slowSyncTime            = 150 * eventloop.Millisecond // of a slow disk whose fault gives none
+	defaultSyncTime         = 2 * eventloop.Millisecond
+	pickOne         float64 = 0
 )
 
 // errDisk is what a disk that fails returns.
@@ -32,13 +32,13 @@
 
 // dispatchers returns a share of the dispatchers, drawn at random, one at least.
 func (i injection) dispatchers(share float64) []*virtualDispatcher {
-	return pickShare(i.run.random, i.run.world.dispatchers, share)
+	return pickShare(i.run.random, i.run.virtual.dispatchers, share)
 }
 
 // killAtStep has one dispatcher die between two things that happen, wherever that is.
 func killAtStep(i injection) {
 	dispatcher := i.dispatchers(pickOne)[0]
-	i.run.world.network.AtStep(int(i.fault.Step), func() {
+	i.run.virtual.network.AtStep(int(i.fault.Step), func() {
 		dispatcher.crash(context.Background(), max(i.duration, minDowntime))
 	})
 }
@@ -53,7 +53,7 @@
 // partitionOneWay blocks one direction between dispatchers and all endpoints; the other stays open.
 func partitionOneWay(i injection) {
 	endpoints, _ := i.run.fleetLoop.(*virtual.Loop)
-	network := i.run.world.network
+	network := i.run.virtual.network
 	for index, dispatcher := range i.dispatchers(i.fault.Share) {
 		dispatcher.markUnavailable(record.Partitioned, i.duration)
 		if index%2 == 0 {
@@ -68,7 +68,7 @@
 // whatever that clock does.
 func stepClocks(i injection) {
 	for _, dispatcher := range i.dispatchers(i.fault.Share) {
-		dispatcher.clockSkew += i.times(eventloop.Second)
+		dispatcher.clockSkew += i.factorTimes(eventloop.Second)
 		dispatcher.crash(context.Background(), max(i.duration, minDowntime))
 	}
 }
@@ -97,8 +97,8 @@
 func slowDownDisks(i injection) {
 	syncTime := slowSyncTime
 	if i.fault.Factor > 0 {
-		syncTime = i.times(eventloop.Second)
+		syncTime = i.factorTimes(eventloop.Second)
 	}
 	changeDisks(i, func(disk *virtual.Disk) { disk.SyncTime = syncTime },
-		func(disk *virtual.Disk) { disk.SyncTime = usualSyncTime })
+		func(disk *virtual.Disk) { disk.SyncTime = defaultSyncTime })
 }
