--- a/internal/testbed/scenarios/batches_test.go
+++ b/internal/testbed/scenarios/batches_test.go
@@ -7,9 +7,10 @@
 	"plumspindle/internal/deployment/pb"
 )
 
-// Calls with many inputs beside chat, through crashes, hangs, fast errors, pauses and a dispatcher's death: each vector
-// at its place, by content, one final answer a call, the rules kept and nothing left over; endpoints that only embed
-// never get chat.
+// Batch calls with many inputs run beside chat, through endpoint crashes, hangs, fast errors, pauses and drains and a
+// dispatcher crash. Each call must get one final answer in which every input has its own vector or score, checked by
+// content. The audit must find no violation, such as chat sent to endpoints that only embed, and no request may stay
+// open.
 func TestBatchesSurviveFaultsWithEveryVectorInPlace(t *testing.T) {
 	const minInputsRead = 1000
 	script := parseScript(t, `name: "batches" seconds: 14 rate: 10
--- a/internal/testbed/scenarios/builtin.go
+++ b/internal/testbed/scenarios/builtin.go
@@ -10,16 +10,16 @@
 	"plumspindle/internal/deployment/pb"
 )
 
-// Length and load of the built-in scenarios.
+// Duration and load of the built-in scenarios.
 const (
 	builtinSeconds         = 16
 	combinedFaultsScenario = "bad"
 	combinedFaultsSeconds  = 24
-	builtinRate            = 22 // requests a second
+	builtinRate            = 22 // chat requests per second
 )
 
-// builtinFaults are the faults of the scenarios that come with the program: one for each kind of fault, a quiet and a bad
-// one.
+// builtinFaults are the faults of the built-in scenarios, by scenario name: one scenario for each kind of fault, one
+// without faults and one that combines faults.
 var builtinFaults = map[string]string{
 	"quiet":       ``,
 	"crash":       `troubles { at_ms: 4000 kind: "crash" share: 0.24 for_ms: 4000 }`,
@@ -59,10 +59,10 @@
 		troubles { at_ms: 18000 kind: "vanish" share: 0.1 for_ms: 3000 }`,
 }
 
-// Names returns the built-in scenarios.
+// Names returns the sorted names of the built-in scenarios.
 func Names() []string { return slices.Sorted(maps.Keys(builtinFaults)) }
 
-// Find returns a built-in scenario by its name, or one from a file.
+// Find returns the built-in scenario with the name, or else reads a scenario from the file with the name.
 func Find(name string) (*pb.Day, error) {
 	faults, known := builtinFaults[name]
 	if known {
@@ -75,12 +75,12 @@
 	}
 	text, err := os.ReadFile(name)
 	if err != nil {
-		return nil, fmt.Errorf("no built-in day and no readable file: %w", err)
+		return nil, fmt.Errorf("neither a built-in scenario nor a readable file: %w", err)
 	}
 	return ReadScript(name, text)
 }
 
-// ReadScript parses a scenario's script.
+// ReadScript parses the script of a scenario.
 func ReadScript(name string, text []byte) (*pb.Day, error) {
 	return deployment.ReadScenario(name, text, FaultKinds())
 }
--- a/internal/testbed/scenarios/delays.go
+++ b/internal/testbed/scenarios/delays.go
@@ -7,12 +7,14 @@
 
 const (
 	delayCheckInterval = 10 * eventloop.Millisecond
-	// minRecordedDelay is the least hold-up that is recorded: the audit allows two sockets' events to be 50 ms apart.
+	// minRecordedDelay is the shortest delay that is recorded. It is below the 50 ms by which the audit lets the events
+	// of two sockets be apart.
 	minRecordedDelay = 40 * eventloop.Millisecond
 )
 
-// recordDelays records when a loop of the test bed is held up, as on a busy machine: what hosts or clients did is then
-// recorded late. It excuses nothing; it is there for whoever looks into a broken rule.
+// recordDelays records when an event loop of the test bed is delayed, as happens on a busy machine: the events of
+// endpoints or clients are then recorded late. The audit makes no allowance for these delays; they are recorded to help
+// find the cause of a violation.
 func recordDelays(loop eventloop.Loop, recorder *record.Recorder, name string) {
 	due := loop.Now() + delayCheckInterval
 	loop.AfterFunc(delayCheckInterval, func() {
--- a/internal/testbed/scenarios/faults.go
+++ b/internal/testbed/scenarios/faults.go
@@ -13,22 +13,23 @@
 )
 
 const (
-	defaultNeighbourShare = 0.25 // of the endpoints that a noisy neighbour slows down
+	defaultNeighbourShare = 0.25 // share of the endpoints that a noisy neighbour slows down by default
 	minRateFactor         = 0.01
 	minTimeLimitShare     = 0.05
 )
 
-// injection is one fault on its way into a run. It runs on the fleet's loop.
+// injection is one fault of the script that is being injected into a run. It is used on the fleet's loop.
 type injection struct {
 	run       *Run
 	fault     *pb.Day_Trouble
 	duration  eventloop.Micros
-	endpoints []*modelserver.Endpoint // drawn as the fault asks for
+	endpoints []*modelserver.Endpoint // the endpoints drawn for the fault
 }
 
+// injector injects one kind of fault.
 type injector func(ctx context.Context, i injection)
 
-// onEndpoints has each endpoint that was drawn fail.
+// onEndpoints returns an injector that injects the fault into each endpoint that was drawn.
 func onEndpoints(inject func(endpoint *modelserver.Endpoint, i injection)) injector {
 	return func(_ context.Context, i injection) {
 		for _, endpoint := range i.endpoints {
@@ -37,7 +38,7 @@
 	}
 }
 
-// onClients changes what the clients do, for a while.
+// onClients returns an injector that changes the clients' load for the duration of the fault.
 func onClients(change func(generator *load.Generator, factor float64) (undo func())) injector {
 	return func(_ context.Context, i injection) {
 		clients := i.run.clientLoop
@@ -48,12 +49,12 @@
 	}
 }
 
-// factorTimes returns the fault's factor in some unit of time.
+// factorTimes returns the fault's factor as a number of time units.
 func (i injection) factorTimes(unit eventloop.Micros) eventloop.Micros {
 	return eventloop.Micros(i.fault.Factor * float64(unit))
 }
 
-// injectors are the kinds of fault that can be injected in virtual time and over sockets.
+// injectors inject the kinds of fault that work both in virtual time and over sockets.
 var injectors = map[string]injector{
 	"crash":          onEndpoints(crashEndpoint),
 	"mass_restart":   onEndpoints(crashEndpoint),
@@ -94,6 +95,7 @@
 	endpoint.DelayLoadReports(i.factorTimes(eventloop.Second), i.duration)
 }
 
+// rejectProduct makes endpoints refuse one product, the first of the deployment by default.
 func rejectProduct(_ context.Context, i injection) {
 	product := i.fault.Product
 	if product == "" {
@@ -104,6 +106,7 @@
 	}
 }
 
+// partitionZone partitions one zone from the others, the last of the deployment by default.
 func partitionZone(_ context.Context, i injection) {
 	zone := i.fault.Zone
 	if zone == "" {
@@ -118,7 +121,7 @@
 	}
 }
 
-// limitDescriptors leaves dispatchers only a few descriptors beyond those that they have open.
+// limitDescriptors limits dispatchers to the file descriptors that they have open plus a few spare ones.
 func limitDescriptors(_ context.Context, i injection) {
 	for _, dispatcher := range pickShare(i.run.random, i.run.faultTargets, i.fault.Share) {
 		i.run.fleetLoop.AfterFunc(i.duration, dispatcher.limitDescriptors(int(i.fault.Factor)))
@@ -131,6 +134,7 @@
 	return func() { generator.Rate /= factor }
 }
 
+// multiplyRateOfOneTenant multiplies the rate of the first tenant and leaves that of the others unchanged.
 func multiplyRateOfOneTenant(generator *load.Generator, factor float64) (undo func()) {
 	before := generator.Rate
 	ofOneTenant := before / float64(len(generator.TenantShares))
@@ -138,20 +142,21 @@
 	return func() { generator.TenantShares[0], generator.Rate = 1, before }
 }
 
+// shortenTimeLimits lets clients give up earlier.
 func shortenTimeLimits(generator *load.Generator, factor float64) (undo func()) {
 	before := generator.MinTimeLimitShare
 	generator.MinTimeLimitShare = max(factor, minTimeLimitShare)
 	return func() { generator.MinTimeLimitShare = before }
 }
 
-// FaultKinds returns the kinds of fault that a script may name.
+// FaultKinds returns the sorted kinds of fault that a script may name.
 func FaultKinds() []string {
 	kinds := slices.AppendSeq(slices.Collect(maps.Keys(injectors)), maps.Keys(virtualInjectors))
 	slices.Sort(kinds)
 	return kinds
 }
 
-// inject begins a fault; it runs on the fleet's loop.
+// inject records and injects a fault. It must be called on the fleet's loop.
 func (r *Run) inject(ctx context.Context, fault *pb.Day_Trouble) {
 	r.recorder.Add(record.Event{At: int64(r.fleetLoop.Now()), Type: record.FaultInjected, Kind: fault.Kind,
 		Detail: fault.String(), Value: fault.Share})
--- a/internal/testbed/scenarios/mutant.go
+++ b/internal/testbed/scenarios/mutant.go
@@ -6,7 +6,7 @@
 	"plumspindle/internal/virtual"
 )
 
-// Mutant is a fault that is injected into the program itself, to see that it is found. Fields that are nil change
+// Mutant is a defect that is injected into the program itself, to verify that the checks find it. A nil field changes
 // nothing.
 type Mutant struct {
 	Name       string
@@ -16,7 +16,7 @@
 	Run        func(*Run)
 }
 
-// mutation returns the mutant's change to a dispatcher; a nil mutant has none.
+// mutation returns the mutant's change to a dispatcher, or nil if it has none. The mutant may be nil.
 func (m *Mutant) mutation() *dispatch.Mutation {
 	if m == nil || m.Dispatcher == nil {
 		return nil
@@ -24,7 +24,7 @@
 	return m.Dispatcher()
 }
 
-// loop returns the event loop that a dispatcher runs on.
+// loop returns the event loop that a dispatcher runs on, as the mutant changes it.
 func (m *Mutant) loop(unchanged *virtual.Loop) eventloop.Loop {
 	if m == nil || m.Loop == nil {
 		return unchanged
@@ -32,7 +32,7 @@
 	return m.Loop(unchanged)
 }
 
-// changeDisk changes a dispatcher's disk.
+// changeDisk applies the mutant's change to a dispatcher's disk.
 func (m *Mutant) changeDisk(disk *virtual.Disk) {
 	if m != nil && m.Disk != nil {
 		m.Disk(disk)
--- a/internal/testbed/scenarios/process.go
+++ b/internal/testbed/scenarios/process.go
@@ -26,7 +26,7 @@
 	stopTimeout       = 20 * time.Second
 	quotedLogBytes    = 2000
 
-	exitCodeSignalled = -1 // as os.ProcessState reports a process that a signal ended
+	exitCodeSignalled = -1 // what os.ProcessState reports for a process that was terminated by a signal
 )
 
 // process is one dispatcher as a process of its own, over all its incarnations. Its fields belong to the fleet's loop
@@ -34,13 +34,14 @@
 type process struct {
 	run          *Run
 	target       *load.Target
-	number       int // from 1
+	number       int // counts from 1
 	incarnations int
 	command      *exec.Cmd
-	exited       chan struct{} // closed once the current process is gone
+	exited       chan struct{} // closed once the current process has exited
 }
 
-// start starts the next incarnation, at the address that it had before if it had one, and waits until it serves.
+// start starts the next incarnation and waits until it serves. It listens on the address of the incarnation before, if
+// there was one.
 func (d *process) start(ctx context.Context) error {
 	d.incarnations++
 	name := fmt.Sprintf("d%d.%d", d.number, d.incarnations)
@@ -49,7 +50,7 @@
 	if err != nil {
 		return fmt.Errorf("dispatcher %s: %w", name, err)
 	}
-	defer func() { _ = logs.Close() }() // the process has its own descriptor
+	defer func() { _ = logs.Close() }() // the process has its own file descriptor for the file
 	d.command = exec.CommandContext(ctx, d.run.Binary, d.arguments(name, readyPath)...)
 	d.command.Stdout, d.command.Stderr = logs, logs
 	if err := d.command.Start(); err != nil {
@@ -57,7 +58,7 @@
 	}
 	d.exited = make(chan struct{})
 	go func(command *exec.Cmd, exited chan struct{}) {
-		_ = command.Wait() // its exit code is read from the process's state
+		_ = command.Wait() // waitStopped reads the exit code from ProcessState
 		close(exited)
 	}(d.command, d.exited)
 	ready, err := d.waitReady(readyPath, logPath)
@@ -68,8 +69,10 @@
 	return nil
 }
 
+// path returns the path of a file in the run's temporary folder.
 func (d *process) path(name string) string { return filepath.Join(d.run.sockets.dir, name) }
 
+// arguments returns the command line of the next incarnation.
 func (d *process) arguments(name, readyPath string) []string {
 	run := d.run
 	seed := run.Seed*100 + int64(d.number*10+d.incarnations)
@@ -83,6 +86,7 @@
 	return args
 }
 
+// waitReady waits for the ready file. It fails if the process exits before, or writes none in time.
 func (d *process) waitReady(readyPath, logPath string) (ready Ready, err error) {
 	ticker := time.NewTicker(startPollInterval)
 	defer ticker.Stop()
@@ -91,14 +95,14 @@
 	for {
 		if content, err := os.ReadFile(readyPath); err == nil {
 			if err := json.Unmarshal(content, &ready); err != nil {
-				return ready, fmt.Errorf("wrote no ready file: %w", err)
+				return ready, fmt.Errorf("wrote an invalid ready file: %w", err)
 			}
 			return ready, nil
 		}
 		select {
 		case <-d.exited:
 			text, _ := os.ReadFile(logPath)
-			return ready, fmt.Errorf("ended at its start: %s", text)
+			return ready, fmt.Errorf("exited during startup: %s", text)
 		case <-deadline.C:
 			return ready, fmt.Errorf("was not ready within %v", startTimeout)
 		case <-ticker.C:
@@ -106,17 +110,17 @@
 	}
 }
 
-// crash kills the process outright and brings it back after a while.
+// crash kills the process with SIGKILL and starts the next incarnation after the downtime.
 func (d *process) crash(ctx context.Context, downtime eventloop.Micros) {
 	run, name, exited := d.run, d.target.Name, d.exited
 	recordKilled := func() {
 		run.recorder.Add(record.Event{At: int64(run.fleetLoop.Now()), Type: record.DispatcherKilled, Dispatcher: name})
 	}
 	recordKilled()
-	_ = d.command.Process.Kill() // it may have ended already
+	_ = d.command.Process.Kill() // it may have exited already
 	run.sockets.restarts.Go(func() {
 		<-exited
-		recordKilled() // on a busy machine a process outlives the signal by more than the audit's slack
+		recordKilled() // on a busy machine the exit follows the signal by more than the audit's slack
 		select {
 		case <-ctx.Done():
 		case <-run.sockets.stopping:
@@ -126,7 +130,7 @@
 	})
 }
 
-// restart starts the next incarnation. Clients use its name only once it serves.
+// restart starts the next incarnation. Clients see its name only once it serves.
 func (d *process) restart(ctx context.Context) {
 	run := d.run
 	target := *d.target
@@ -139,19 +143,20 @@
 	run.fleetLoop.Do(func() { d.command, d.exited, d.incarnations = next.command, next.exited, next.incarnations })
 }
 
+// limitDescriptors limits the process to the file descriptors that it has open plus some spare ones.
 func (d *process) limitDescriptors(spare int) (undo func()) {
 	pid := d.command.Process.Pid
 	open, err := os.ReadDir(fmt.Sprintf("/proc/%d/fd", pid))
 	var before unix.Rlimit
 	if err != nil || unix.Prlimit(pid, unix.RLIMIT_NOFILE, nil, &before) != nil {
-		return func() {} // it has just died
+		return func() {} // the process has just exited
 	}
 	limit := unix.Rlimit{Cur: min(uint64(len(open)+spare), before.Max), Max: before.Max}
-	_ = unix.Prlimit(pid, unix.RLIMIT_NOFILE, &limit, nil) // a process that has died has no limit
+	_ = unix.Prlimit(pid, unix.RLIMIT_NOFILE, &limit, nil) // fails only if the process has just exited
 	return func() { _ = unix.Prlimit(pid, unix.RLIMIT_NOFILE, &before, nil) }
 }
 
-// stopProcesses ends the dispatchers gracefully.
+// stopProcesses stops the dispatchers gracefully, with SIGTERM, and returns the errors of those that fail to stop.
 func (r *Run) stopProcesses() error {
 	close(r.sockets.stopping)
 	var stopping []process
@@ -163,7 +168,7 @@
 		}
 	})
 	for _, dispatcher := range stopping {
-		_ = dispatcher.command.Process.Signal(syscall.SIGTERM) // it may have ended already
+		_ = dispatcher.command.Process.Signal(syscall.SIGTERM) // it may have exited already
 	}
 	var failures []error
 	for _, dispatcher := range stopping {
@@ -172,18 +177,20 @@
 	return errors.Join(failures...)
 }
 
-// waitStopped waits for a process that was sent SIGTERM, and checks its exit code.
+// waitStopped waits for a process that was sent SIGTERM and checks its exit code. A process that a signal terminated is
+// accepted, as a fault may have killed it.
 func (d *process) waitStopped() error {
 	select {
 	case <-d.exited:
 	case <-time.After(stopTimeout):
 		_ = d.command.Process.Kill()
-		return fmt.Errorf("dispatcher %s did not end when told to", d.target.Name)
+		return fmt.Errorf("dispatcher %s did not exit after SIGTERM", d.target.Name)
 	}
 	code := d.command.ProcessState.ExitCode()
 	if code == 0 || code == exitCodeSignalled {
 		return nil
 	}
 	text, _ := os.ReadFile(d.path(d.target.Name + ".log"))
-	return fmt.Errorf("dispatcher %s ended with %d: %s", d.target.Name, code, text[max(len(text)-quotedLogBytes, 0):])
+	return fmt.Errorf("dispatcher %s exited with code %d: %s",
+		d.target.Name, code, text[max(len(text)-quotedLogBytes, 0):])
 }
--- a/internal/testbed/scenarios/ready.go
+++ b/internal/testbed/scenarios/ready.go
@@ -6,7 +6,7 @@
 	"os"
 )
 
-// Ready is what a command writes to its ready file once it serves.
+// Ready is the content of the ready file that a command writes once it serves.
 type Ready struct {
 	API string `json:"api"`
 	Key string `json:"key,omitempty"`
@@ -15,7 +15,7 @@
 	AdminKey string `json:"admin_key,omitempty"`
 }
 
-// WriteReady writes a ready file atomically, so that no reader sees half of it; an empty path writes none.
+// WriteReady writes a ready file atomically, so that no reader sees a part of it. With an empty path it does nothing.
 func WriteReady(path string, ready Ready) error {
 	if path == "" {
 		return nil
--- a/internal/testbed/scenarios/restart.go
+++ b/internal/testbed/scenarios/restart.go
@@ -7,18 +7,18 @@
 	"plumspindle/internal/virtual"
 )
 
-// listCacheTime is how long dispatchers run before they die, for the endpoint list to arrive and to be cached.
+// listCacheTime is how long dispatchers run before they are killed, so that they receive and cache the endpoint list.
 const listCacheTime = 3 * eventloop.Second
 
-// Restart says what happens while all dispatchers are down.
+// Restart configures what happens while all dispatchers are down.
 type Restart struct {
 	Downtime      eventloop.Micros
-	Replaced      float64 // share of the endpoints that are replaced by others at other addresses
-	DiscoveryDown bool    // also after the dispatchers' return
+	Replaced      float64 // share of the endpoints that are replaced by new ones at other addresses
+	DiscoveryDown bool    // discovery fails and stays down after the restart of the dispatchers
 }
 
-// RunRestart runs one restart of all dispatchers in virtual time: they cache their endpoint lists, die together, and
-// come back after their downtime. The script's seconds and rate are those after the return.
+// RunRestart runs one restart of all dispatchers in virtual time: they cache their endpoint lists, are killed together
+// and restart after the downtime. The load of the script starts after the restart.
 func (r *Run) RunRestart(restart Restart) (*VirtualOutcome, error) {
 	if _, err := r.prepare(); err != nil {
 		return nil, err
@@ -30,7 +30,7 @@
 	network.Run(listCacheTime)
 	for _, dispatcher := range r.virtual.dispatchers {
 		if len(dispatcher.cachedEndpoints) == 0 {
-			return nil, errors.New("a dispatcher cached no endpoint list")
+			return nil, errors.New("a dispatcher did not cache its endpoint list")
 		}
 		dispatcher.kill()
 	}
--- a/internal/testbed/scenarios/run.go
+++ b/internal/testbed/scenarios/run.go
@@ -1,10 +1,10 @@
-// Package scenarios runs scripted scenarios: dispatchers against stand-in endpoints that fail as the script says, with
-// load from open-loop clients, judged by the record of what clients and endpoints saw.
+// Package scenarios runs scripted scenarios: dispatchers against simulated endpoints that fail as the script says, with
+// load from simulated clients. Each run is audited from the record of what clients and endpoints observed.
 //
-// A scenario runs over sockets, with dispatchers as real processes that are killed outright, or in virtual time within
-// this process, where the same seed is the same run. The package owns the processes, event loops and files of a run,
-// and the injection of faults. It relies on testbed/modelserver, load, record and audit. It never looks into a
-// dispatcher to judge it, but for the checks of its own state that fault searches ask for.
+// A scenario runs over sockets, with dispatchers as real processes that are killed with SIGKILL, or in virtual time
+// within this process, where the same seed gives the same run. The package owns the processes, event loops and files of
+// a run, and injects the faults. It uses the packages modelserver, load, record and audit of the test bed. The internal
+// state of a dispatcher is inspected only by the invariant checks that fault searches request, never by the audit.
 package scenarios
 
 import (
@@ -37,7 +37,7 @@
 	minInputTokens = 8
 	maxInputTokens = 8000
 
-	quotaShare = 0.4 // of the whole rate, for each of the three tenants
+	quotaShare = 0.4 // quota of each of the three tenants, as a share of the total rate
 )
 
 // Run is one run of a scenario. Its exported fields up to Mutant may be set before a run, the last ones are its
@@ -47,24 +47,24 @@
 	Deployment  deployment.Deployment
 	Dispatchers int
 	Seed        int64
-	Binary      string // of this program
-	RecordDir   string // that the record is written to; empty: it is not
+	Binary      string // path of this program's executable
+	RecordDir   string // folder that the record is written to; empty: it stays in memory
 	Progress    io.Writer
-	// Keyed has clients send Idempotency-Keys and retry broken streams at the same dispatcher.
+	// Keyed makes clients send an Idempotency-Key and retry broken streams at the same dispatcher.
 	Keyed         bool
-	Intents       bool                     // dispatchers record intents across their incarnations
-	OnLoadStarted func(addresses []string) // over sockets: with the dispatchers' addresses, once the load has begun
+	Intents       bool                     // dispatchers store intents that survive their restarts
+	OnLoadStarted func(addresses []string) // over sockets: called with the dispatchers' addresses
 
 	// In virtual time only.
 	Mutant    *Mutant
-	AfterStep func()                  // called after each step
-	Delay     func() eventloop.Micros // how much longer each segment is on its way, once the load has begun
+	AfterStep func()                  // called after each step of the network
+	Delay     func() eventloop.Micros // extra latency of each segment, once the load has started
 
 	BatchClients []*load.BatchClients
 	// In virtual time only.
-	Usage   []tenancy.Usage      // what the dispatchers say was used
-	Steps   int                  // of the world
-	Reached []lifecycle.Coverage // by each dispatcher's last incarnation
+	Usage   []tenancy.Usage      // usage that the dispatchers report
+	Steps   int                  // steps of the virtual network
+	Reached []lifecycle.Coverage // lifecycle transitions that the last incarnation of each dispatcher reached
 
 	random       *rand.Rand
 	tenantKeys   []string
@@ -80,22 +80,23 @@
 	virtual *virtualRun // nil over sockets
 }
 
-// loop is an event loop as a run needs it, over sockets or in virtual time.
+// loop is the event loop interface of a run, implemented over sockets and in virtual time.
 type loop interface {
 	eventloop.Loop
 	Do(f func())
 	Post(f func())
 }
 
-// faultTarget is one dispatcher of a run, as faults act on it.
+// faultTarget is one dispatcher of a run that faults can be injected into.
 type faultTarget interface {
-	// crash kills it outright and brings it back after a while.
+	// crash kills the dispatcher without a shutdown and restarts it after the downtime.
 	crash(ctx context.Context, downtime eventloop.Micros)
-	// limitDescriptors leaves it so many descriptors beyond those that it has open, until the function returned is called.
+	// limitDescriptors limits the dispatcher to the descriptors that it has open plus some spare ones. The function
+	// returned lifts the limit.
 	limitDescriptors(spare int) (undo func())
 }
 
-// Tenants replaces a deployment's tenants, and returns the keys of the new ones.
+// Tenants replaces the tenants of a deployment and returns the API keys of the new ones.
 func Tenants(d deployment.Deployment, names []string, quota float64, key func(i int) string) (keys []string) {
 	d.Tenants = nil
 	for i, name := range names {
@@ -107,22 +108,22 @@
 	return keys
 }
 
-// prepare gives the deployment the scenario's tenants and its number of dispatchers, and begins the record. It returns
-// the deployment's text.
+// prepare sets the scenario's tenants and number of dispatchers in the deployment and opens the record. It returns the
+// text of the deployment.
 func (r *Run) prepare() (text []byte, err error) {
 	r.random = rand.New(rand.NewSource(r.Seed))
 	r.tenantKeys = Tenants(r.Deployment, []string{"north", "middle", "south"}, quotaShare*r.Script.Rate,
 		func(i int) string { return fmt.Sprintf("sk-day-%d-%016x", i, r.random.Uint64()) })
 	r.Deployment.Dispatching.Dispatchers = uint32(r.Dispatchers)
 	if err := r.checkBatches(); err != nil {
-		return nil, fmt.Errorf("day %s: %w", r.Script.Name, err)
+		return nil, fmt.Errorf("scenario %s: %w", r.Script.Name, err)
 	}
 	text = r.Deployment.Text()
 	r.recorder, err = openRecorder(r.RecordDir, text)
 	return text, err
 }
 
-// checkBatches checks that the deployment has what the script's batches ask for.
+// checkBatches checks the script's batches against the deployment's products and tenants and the limits of a call.
 func (r *Run) checkBatches() error {
 	for i, batch := range r.Script.Batches {
 		product := r.findProduct(batch.Product)
@@ -140,7 +141,7 @@
 	return nil
 }
 
-// findProduct returns the deployment's findProduct of a name, or nil.
+// findProduct returns the deployment's product with a name, or nil.
 func (r *Run) findProduct(name string) (found *pb.Product) {
 	for _, product := range r.Deployment.Products {
 		if product.Name == name {
@@ -150,8 +151,8 @@
 	return found
 }
 
-// openRecorder begins a record in a folder, beside the deployment that it is judged by; without a folder the record
-// stays in memory.
+// openRecorder opens a record in a folder and stores the deployment, which the audit needs, beside it. Without a folder
+// the record stays in memory.
 func openRecorder(dir string, deploymentText []byte) (*record.Recorder, error) {
 	if dir == "" {
 		return record.Open("")
@@ -165,7 +166,7 @@
 	return record.Open(filepath.Join(dir, recordFile))
 }
 
-// closeAndAudit ends the record and judges it.
+// closeAndAudit closes the record and audits it.
 func (r *Run) closeAndAudit() (*audit.Verdict, error) {
 	events, err := r.recorder.Close()
 	if err != nil {
@@ -175,7 +176,7 @@
 	return audit.Judge(r.Deployment, events), nil
 }
 
-// JudgeRecorded judges the record of an earlier run.
+// JudgeRecorded audits the record of an earlier run.
 func JudgeRecorded(dir string) (*audit.Verdict, error) {
 	d, err := deployment.Load(filepath.Join(dir, deploymentFile))
 	if err != nil {
@@ -188,12 +189,12 @@
 	return audit.Judge(d, events), nil
 }
 
-// newTarget returns the target of a dispatcher that has not started; the zones take turns.
+// newTarget returns the target of a dispatcher that has not started. Dispatchers are assigned to zones round robin.
 func (r *Run) newTarget(index int) *load.Target {
 	return &load.Target{Zone: r.Deployment.Zones[index%len(r.Deployment.Zones)], Addr: anyLocalPort, Alive: true}
 }
 
-// startFleet starts the stand-in endpoints.
+// startFleet starts the simulated endpoints and their discovery service.
 func (r *Run) startFleet() (err error) {
 	r.fleetLoop.Do(func() {
 		r.fleet, err = modelserver.Start(r.fleetLoop, r.Deployment, r.Seed, anyLocalPort, r.recorder)
@@ -218,9 +219,11 @@
 	}
 }
 
+// scheduleBatch schedules the start and the stop of the clients of a batch.
 func (r *Run) scheduleBatch(batch *pb.Day_Batch) {
 	clients := &load.BatchClients{Generator: r.generator, Product: r.findProduct(batch.Product), Tenant: int(batch.Tenant),
-		Concurrency: int(batch.AtOnce), InputsPerCall: int(batch.Inputs), TokensPerInput: int(batch.Tokens), MaxCalls: int(batch.Calls)}
+		Concurrency: int(batch.AtOnce), InputsPerCall: int(batch.Inputs), TokensPerInput: int(batch.Tokens),
+		MaxCalls: int(batch.Calls)}
 	r.BatchClients = append(r.BatchClients, clients)
 	r.clientLoop.AfterFunc(eventloop.Micros(batch.FromMs)*eventloop.Millisecond, clients.Run)
 	if batch.ForMs > 0 {
@@ -228,7 +231,7 @@
 	}
 }
 
-// stopLoad has the clients send nothing more; requests in flight go on.
+// stopLoad lets clients start no further requests; those in flight continue.
 func (r *Run) stopLoad() {
 	r.generator.Stop()
 	for _, clients := range r.BatchClients {
@@ -236,7 +239,7 @@
 	}
 }
 
-// openCalls returns how many calls of clients are in flight.
+// openCalls returns how many chat requests and batch calls of the clients are in flight.
 func (r *Run) openCalls() int {
 	open := r.generator.OpenRequests
 	for _, clients := range r.BatchClients {
@@ -245,7 +248,7 @@
 	return open
 }
 
-// pickShare draws a share of some things, one at least.
+// pickShare draws a share of a list at random, but at least one element.
 func pickShare[T any](random *rand.Rand, all []T, share float64) (picked []T) {
 	count := min(max(int(share*float64(len(all))+0.5), 1), len(all))
 	for _, i := range random.Perm(len(all))[:count] {
--- a/internal/testbed/scenarios/scenarios_test.go
+++ b/internal/testbed/scenarios/scenarios_test.go
@@ -8,6 +8,7 @@
 	"plumspindle/internal/testbed/audit"
 )
 
+// parseScript parses the script of a scenario.
 func parseScript(t *testing.T, text string) *pb.Day {
 	t.Helper()
 	script, err := ReadScript(t.Name(), []byte(text))
@@ -17,7 +18,7 @@
 	return script
 }
 
-// runCleanly runs a scenario in virtual time; every rule has to be kept and nothing left over.
+// runCleanly runs a scenario in virtual time and fails the test on any audit violation or request left open.
 func runCleanly(t *testing.T, run *Run, segment int) (verdict *audit.Verdict, trace uint64) {
 	t.Helper()
 	outcome, err := run.RunVirtual(segment)
@@ -31,8 +32,8 @@
 	return outcome.Verdict, outcome.Trace
 }
 
-// runBuiltin runs a built-in scenario, which must give the audit something to judge by, and returns the hash of the
-// run.
+// runBuiltin runs a built-in scenario and returns the hash of the run. The test fails if there was too little traffic
+// or service for the audit to be meaningful.
 func runBuiltin(t *testing.T, name string, seed int64, segment int) uint64 {
 	t.Helper()
 	const minAsked, minService = 200, 0.2
@@ -43,12 +44,12 @@
 	run := &Run{Script: script, Deployment: deployment.Standard(), Dispatchers: 3, Seed: seed}
 	verdict, trace := runCleanly(t, run, segment)
 	if verdict.Rows[0].Asked < minAsked || verdict.Service < minService {
-		t.Errorf("scenario %s, seed %d: nothing to judge by\n%s", name, seed, verdict.Text())
+		t.Errorf("scenario %s, seed %d: too little traffic or service for the audit\n%s", name, seed, verdict.Text())
 	}
 	return trace
 }
 
-// Each built-in scenario, in virtual time: every rule kept, nothing left over.
+// Each built-in scenario, in virtual time, must pass the audit and leave no request open.
 func TestBuiltinScenariosKeepTheRules(t *testing.T) {
 	for _, name := range Names() {
 		t.Run(name, func(t *testing.T) {
@@ -59,7 +60,7 @@
 	}
 }
 
-// The same seed is the same run, to the last arrival.
+// Two runs with the same seed must have the same trace hash, which covers every event of the network.
 func TestSameSeedIsTheSameRun(t *testing.T) {
 	first, second := runBuiltin(t, combinedFaultsScenario, 5, 300), runBuiltin(t, combinedFaultsScenario, 5, 300)
 	if first != second {
--- a/internal/testbed/scenarios/sockets.go
+++ b/internal/testbed/scenarios/sockets.go
@@ -16,24 +16,25 @@
 )
 
 const (
-	drainTimeout     = 30 * time.Second // after the load, for the calls that are in flight
+	drainTimeout     = 30 * time.Second // limit for the calls that are in flight when the load stops
 	loadPollInterval = 500 * time.Millisecond
 	pollsPerReport   = 10
 )
 
-// socketRun is what a run over sockets has beyond Run.
+// socketRun is the additional state of a run over sockets.
 type socketRun struct {
 	dir       string // for temporary files
 	processes []*process
-	stopping  chan struct{} // closed once the dispatchers are being stopped
+	stopping  chan struct{} // closed when the dispatchers are to be stopped
 	restarts  sync.WaitGroup
 }
 
-// Run runs the scenario over sockets, with a process for each dispatcher, and judges it.
+// Run runs the scenario over sockets, with one process for each dispatcher, and audits it.
 func (r *Run) Run(ctx context.Context) (verdict *audit.Verdict, err error) {
 	for i, fault := range r.Script.Troubles {
 		if virtualInjectors[fault.Kind] != nil {
-			return nil, fmt.Errorf("day %s: troubles[%d]: %s can be played in virtual time only", r.Script.Name, i, fault.Kind)
+			return nil, fmt.Errorf("scenario %s: troubles[%d]: %s can be injected in virtual time only",
+				r.Script.Name, i, fault.Kind)
 		}
 	}
 	text, err := r.prepare()
@@ -49,13 +50,13 @@
 		return nil, err
 	}
 	if err := r.runOverSockets(ctx); err != nil {
-		_, _ = r.recorder.Close() // the run's own error says more
+		_, _ = r.recorder.Close() // the error of the run is more useful
 		return nil, err
 	}
 	return r.closeAndAudit()
 }
 
-// runOverSockets starts everything, waits until the load is over and ends everything.
+// runOverSockets starts loops, endpoints, dispatchers and clients, waits for the end of the load and stops them.
 func (r *Run) runOverSockets(ctx context.Context) error {
 	fleetLoop, err := sockets.Start()
 	if err != nil {
@@ -76,12 +77,12 @@
 	r.clientLoop.Do(func() { recordDelays(r.clientLoop, r.recorder, record.ClientsLoop) })
 	ctx, cancel := context.WithCancel(ctx)
 	defer r.sockets.restarts.Wait()
-	defer cancel() // a dispatcher that comes back too late for the scenario's end goes with it
+	defer cancel() // kills dispatchers whose restart completes after the end of the scenario
 	err = r.runLoad(ctx)
 	return errors.Join(err, r.stopProcesses())
 }
 
-// runLoad starts the dispatchers and waits until the load is over.
+// runLoad starts the dispatchers and the load, and waits for the end of the load.
 func (r *Run) runLoad(ctx context.Context) error {
 	var targets []*load.Target
 	for i := range r.Dispatchers {
@@ -104,8 +105,8 @@
 	return r.waitForLoad(ctx, time.Now())
 }
 
-// waitForLoad waits for the scenario's time, and then for the calls that are in flight.
-func (r *Run) waitForLoad(ctx context.Context, started time.Time) error {
+// waitForLoad waits for the duration of the scenario, and then for the calls in flight, at most for drainTimeout.
+func (r *Run) waitForLoad(ctx context.Context, startedAt time.Time) error {
 	ticker := time.NewTicker(loadPollInterval)
 	defer ticker.Stop()
 	duration := time.Duration(r.Script.Seconds) * time.Second
@@ -115,16 +116,17 @@
 			return context.Cause(ctx)
 		case <-ticker.C:
 		}
-		elapsed := time.Since(started)
-		var asked, open int
+		elapsed := time.Since(startedAt)
+		var started, open int
 		r.clientLoop.Do(func() {
 			if elapsed >= duration {
 				r.stopLoad()
 			}
-			asked, open = r.generator.RequestsStarted, r.openCalls()
+			started, open = r.generator.RequestsStarted, r.openCalls()
 		})
 		if polls%pollsPerReport == 0 {
-			r.report("%s: %d of %d s, %d asked, %d open", r.Script.Name, int(elapsed.Seconds()), r.Script.Seconds, asked, open)
+			r.report("%s: %d of %d s, %d requests started, %d open",
+				r.Script.Name, int(elapsed.Seconds()), r.Script.Seconds, started, open)
 		}
 		if elapsed > duration && (open == 0 || elapsed > duration+drainTimeout) {
 			return nil
@@ -132,9 +134,9 @@
 	}
 }
 
-// report writes a line of progress, if anyone wants it.
+// report writes a line to the progress output, if there is one.
 func (r *Run) report(format string, args ...any) {
 	if r.Progress != nil {
-		_, _ = fmt.Fprintf(r.Progress, format+"\n", args...) // a run goes on without a reader of its progress
+		_, _ = fmt.Fprintf(r.Progress, format+"\n", args...) // a failed write must not stop the run
 	}
 }
--- a/internal/testbed/scenarios/tenants_test.go
+++ b/internal/testbed/scenarios/tenants_test.go
@@ -11,15 +11,15 @@
 	"plumspindle/internal/testbed/record"
 )
 
-// floodScenario is one in which the first of three tenants sends so many times its usual traffic, or, with factor 1,
-// does not.
+// floodScenario is a scenario in which the first of three tenants multiplies its usual traffic by factor. With factor 1
+// no tenant floods.
 type floodScenario struct {
 	rate, dispatchers int
 	factor            float64
 	seed              int64
 }
 
-// rowsOfOthers runs the scenario and returns the audit's rows of the two tenants that do not flood.
+// rowsOfOthers runs the scenario and returns the audit's rows for the two tenants that do not flood.
 func (f floodScenario) rowsOfOthers(t *testing.T) (others []*audit.Row) {
 	t.Helper()
 	text := fmt.Sprintf(`name: "flood" seconds: 20 rate: %d`, f.rate)
@@ -36,8 +36,9 @@
 	return others
 }
 
-// One tenant floods at ten times its traffic; the other two keep their service, and most of their time to the first
-// token. The figures proper come from many runs (plumspindle fairness, docs/status.md).
+// One tenant floods with ten times its traffic. The share of requests within the SLO of the other two must hardly drop,
+// and their time to the first token must not double. The published figures come from many runs (plumspindle fairness,
+// docs/status.md).
 func TestFloodLeavesOthersTheirShare(t *testing.T) {
 	const minShareOfService, maxLatencyFactor = 0.97, 2.0
 	for _, dispatchers := range []int{1, 4} {
@@ -54,10 +55,10 @@
 	}
 }
 
-// usageSums are what one tenant used of one product.
+// usageSums is the usage of one product by one tenant.
 type usageSums struct{ completed, rejected, failed, tokens int64 }
 
-// reportedUsage is what the dispatchers say was used, by tenant and product.
+// reportedUsage returns the usage that the dispatchers report, by tenant and product.
 func reportedUsage(run *Run) map[string]usageSums {
 	reported := map[string]usageSums{}
 	for _, usage := range run.Usage {
@@ -66,7 +67,7 @@
 		sums.completed += int64(usage.Completed)
 		sums.rejected += int64(usage.Rejected)
 		sums.failed += int64(usage.Failed)
-		if usage.Failed == 0 { // of a broken stream the client counts what it got, the endpoint what it wrote
+		if usage.Failed == 0 { // the counts of broken streams differ: clients count tokens received, endpoints tokens written
 			sums.tokens += int64(usage.OutputTokens)
 		}
 		reported[name] = sums
@@ -74,7 +75,7 @@
 	return reported
 }
 
-// observedUsage is what clients saw, by tenant and product, and where streams broke.
+// observedUsage returns the usage that clients observed, by tenant and product, and for which of them requests failed.
 func observedUsage(run *Run) (observed map[string]usageSums, broken map[string]bool) {
 	observed, broken = map[string]usageSums{}, map[string]bool{}
 	for _, event := range run.events {
@@ -112,7 +113,7 @@
 	reported := reportedUsage(run)
 	observed, broken := observedUsage(run)
 	if len(observed) != tenantsAndProducts {
-		t.Fatalf("%d tenants and products were seen", len(observed))
+		t.Fatalf("usage of %d pairs of tenant and product was observed", len(observed))
 	}
 	for name, want := range observed {
 		got := reported[name]
@@ -120,13 +121,14 @@
 			got.tokens = want.tokens
 		}
 		if got != want {
-			t.Errorf("%s: the dispatchers say %+v, the sockets %+v", name, got, want)
+			t.Errorf("%s: the dispatchers report %+v, the clients observed %+v", name, got, want)
 		}
 	}
 }
 
-// Dispatchers are killed all the time, and clients retry with their keys what was cut off. With the record of intents
-// no request with side effects is decoded twice; without it some are, which is what it is for.
+// Dispatchers are killed every 900 ms, and clients retry broken requests with their idempotency keys. With stored
+// intents no request with side effects may be decoded twice. Without them some must be, which shows that the test can
+// fail.
 func TestIntentsPreventSecondRunsThroughKills(t *testing.T) {
 	text := `name: "kills" seconds: 16 rate: 22`
 	for at := 1500; at < 15000; at += 900 {
@@ -138,13 +140,14 @@
 			secondRuns[intents] += secondRunsThroughKills(t, text, intents, seed)
 		}
 	}
-	t.Logf("run twice: %d with the record, %d without", secondRuns[true], secondRuns[false])
+	t.Logf("run twice: %d with stored intents, %d without", secondRuns[true], secondRuns[false])
 	if secondRuns[true] > 0 || secondRuns[false] == 0 {
-		t.Errorf("run twice: %d with the record, %d without", secondRuns[true], secondRuns[false])
+		t.Errorf("run twice: %d with stored intents, %d without", secondRuns[true], secondRuns[false])
 	}
 }
 
-// secondRunsThroughKills is how often the second rule was broken; no other may be.
+// secondRunsThroughKills runs the scenario and returns the number of violations of the second rule, that no request
+// with side effects runs twice. Violations of other rules fail the test.
 func secondRunsThroughKills(t *testing.T, text string, intents bool, seed int64) (secondRuns int) {
 	t.Helper()
 	const segment = 600
@@ -165,8 +168,9 @@
 	return secondRuns
 }
 
-// With a share split over four dispatchers, a tenant inside its share exceeds its part at one of them by chance, and is
-// queued there as surplus; that must not be felt in a calm scenario (readiness-review.md, F28).
+// Each dispatcher enforces its part of a tenant's share. With four dispatchers, a tenant within its share exceeds its
+// part at one of them by chance and its requests are queued there as surplus. In a scenario without a flood this must
+// add little latency (readiness-review.md, F28).
 func TestShareSplitOverFourDispatchersAddsLittleLatency(t *testing.T) {
 	const maxLatencyFactor = 1.5
 	p99 := map[int]float64{}
--- a/internal/testbed/scenarios/virtual.go
+++ b/internal/testbed/scenarios/virtual.go
@@ -13,30 +13,31 @@
 )
 
 const (
-	initialListTime = 100 * eventloop.Millisecond // for the first endpoint lists
-	releaseTime     = eventloop.Second            // after the last answer, for what is still to be released
-	recoveryGrace   = 100 * eventloop.Millisecond // after a dispatcher was unavailable, until its state is checked
+	initialListTime = 100 * eventloop.Millisecond // for dispatchers to receive their first endpoint list
+	releaseTime     = eventloop.Second            // after the last answer, for releases that are still under way
+	recoveryGrace   = 100 * eventloop.Millisecond // after an unavailability, before invariants are checked again
 )
 
-// virtualRun is what a run in virtual time has beyond Run.
+// virtualRun is the additional state of a run in virtual time.
 type virtualRun struct {
-	network     *virtual.Network
-	dispatchers []*virtualDispatcher
-	failure     error // of what should have come back
+	network        *virtual.Network
+	dispatchers    []*virtualDispatcher
+	restartFailure error // of dispatchers that failed to restart
 }
 
-// VirtualOutcome is what a run in virtual time showed.
+// VirtualOutcome is the result of a run in virtual time.
 type VirtualOutcome struct {
 	Verdict      *audit.Verdict
-	OpenRequests int    // in the dispatchers at the end, where none should be
-	Trace        uint64 // hash of all that happened
+	OpenRequests int    // open in the dispatchers at the end; 0 if none was leaked
+	Trace        uint64 // hash of all events of the network, in their order
 }
 
-// Passed reports whether no rule was broken and no request was left open.
+// Passed reports whether the audit found no violation and no request was left open.
 func (o *VirtualOutcome) Passed() bool { return o.Verdict.Passed() && o.OpenRequests == 0 }
 
-// RunVirtual runs the scenario in virtual time, in this one process: the dispatchers' own code, the same stand-ins, the
-// same clients. Segments have so many bytes at most, 0 for no limit, unless the script says.
+// RunVirtual runs the scenario in virtual time, within this process, with the code of the dispatchers, simulated
+// endpoints and clients that also runs over sockets. The network splits data into segments of at most the given number
+// of bytes, 0 for no limit; a script that defines a world overrides it.
 func (r *Run) RunVirtual(segment int) (*VirtualOutcome, error) {
 	if _, err := r.prepare(); err != nil {
 		return nil, err
@@ -55,17 +56,17 @@
 	return r.finishVirtual()
 }
 
-// finishVirtual runs the load on a world that has started, and judges the run.
+// finishVirtual runs the load on the endpoints and dispatchers that have started, and audits the run.
 func (r *Run) finishVirtual() (*VirtualOutcome, error) {
 	openRequests := r.runVirtualLoad()
 	verdict, err := r.closeAndAudit()
-	if err = errors.Join(err, r.virtual.failure); err != nil {
+	if err = errors.Join(err, r.virtual.restartFailure); err != nil {
 		return nil, err
 	}
 	return &VirtualOutcome{Verdict: verdict, OpenRequests: openRequests, Trace: r.virtual.network.TraceHash}, nil
 }
 
-// startVirtual starts the endpoints and dispatchers on loops in virtual time.
+// startVirtual starts the endpoints and dispatchers on event loops in virtual time.
 func (r *Run) startVirtual(network *virtual.Network) error {
 	r.virtual = &virtualRun{network: network}
 	r.fleetLoop, r.clientLoop = network.NewLoop("fleet"), network.NewLoop("crowd")
@@ -83,7 +84,7 @@
 	return nil
 }
 
-// runVirtualLoad runs the load to its last answer and returns how many requests are still open in the dispatchers.
+// runVirtualLoad runs the load until its last answer and returns how many requests the dispatchers still have open.
 func (r *Run) runVirtualLoad() (openRequests int) {
 	var targets []*load.Target
 	for _, dispatcher := range r.virtual.dispatchers {
@@ -107,7 +108,7 @@
 	return openRequests
 }
 
-// Check checks the own state of each dispatcher that is up.
+// Check checks the invariants of each dispatcher that is running and has had time to recover from a fault.
 func (r *Run) Check() error {
 	for _, d := range r.virtual.dispatchers {
 		if d.down || r.virtual.network.Now() < d.unavailableUntil+recoveryGrace {
@@ -120,7 +121,7 @@
 	return nil
 }
 
-// Summary returns what is in flight in the dispatchers and at the endpoints.
+// Summary returns lines that describe what is in flight in the dispatchers and at the endpoints.
 func (r *Run) Summary() (lines []string) {
 	for _, d := range r.virtual.dispatchers {
 		lines = append(lines, d.target.Name)
--- a/internal/testbed/scenarios/virtualdispatcher.go
+++ b/internal/testbed/scenarios/virtualdispatcher.go
@@ -15,11 +15,11 @@
 	"plumspindle/internal/virtual"
 )
 
-// virtualDispatcher is one dispatcher in virtual time, over all its incarnations.
+// virtualDispatcher is one dispatcher in virtual time, with all its incarnations.
 type virtualDispatcher struct {
 	run              *Run
 	target           *load.Target
-	number           int // from 1
+	number           int // counts from 1
 	incarnations     int
 	loop             *virtual.Loop // of the current incarnation
 	dispatcher       *dispatch.Dispatcher
@@ -30,7 +30,7 @@
 	unavailableUntil eventloop.Micros // it can do nothing before this
 }
 
-// start starts the next incarnation.
+// start starts the next incarnation, on the address of the incarnation before if there was one.
 func (d *virtualDispatcher) start() (err error) {
 	run := d.run
 	d.incarnations++
@@ -62,7 +62,7 @@
 	return err
 }
 
-// kill ends the current incarnation outright.
+// kill stops the current incarnation at once, without a shutdown.
 func (d *virtualDispatcher) kill() {
 	d.run.recorder.Add(record.Event{
 		At: int64(d.run.virtual.network.Now()), Type: record.DispatcherKilled, Dispatcher: d.target.Name,
@@ -70,27 +70,29 @@
 	d.loop.Kill()
 }
 
+// crash kills the current incarnation and starts the next one after the downtime. It does nothing if none is running.
 func (d *virtualDispatcher) crash(_ context.Context, downtime eventloop.Micros) {
 	if d.down {
 		return
 	}
 	d.down = true
 	d.kill()
-	world := d.run.virtual
+	run := d.run.virtual
 	d.run.fleetLoop.AfterFunc(downtime, func() {
 		if err := d.start(); err != nil {
-			world.failure = errors.Join(world.failure, fmt.Errorf("dispatcher %d did not come back: %w", d.number, err))
+			run.restartFailure = errors.Join(run.restartFailure, fmt.Errorf("dispatcher %d did not restart: %w", d.number, err))
 		}
 	})
 }
 
+// limitDescriptors limits the current incarnation to its open connections plus some spare ones.
 func (d *virtualDispatcher) limitDescriptors(spare int) (undo func()) {
 	loop := d.loop
 	loop.DescriptorLimit = loop.OpenConnections() + spare
 	return func() { loop.DescriptorLimit = 0 }
 }
 
-// markUnavailable records that the dispatcher can't meet its obligations for a while.
+// markUnavailable records that a fault keeps the dispatcher from meeting its obligations for the duration.
 func (d *virtualDispatcher) markUnavailable(why string, duration eventloop.Micros) {
 	now := d.run.virtual.network.Now()
 	d.unavailableUntil = max(d.unavailableUntil, now+duration)
--- a/internal/testbed/scenarios/virtualfaults.go
+++ b/internal/testbed/scenarios/virtualfaults.go
@@ -11,15 +11,15 @@
 
 const (
 	minDowntime             = eventloop.Millisecond
-	slowSyncTime            = 150 * eventloop.Millisecond // of a slow disk whose fault gives none
+	slowSyncTime            = 150 * eventloop.Millisecond // of a slow disk if the fault states none
 	defaultSyncTime         = 2 * eventloop.Millisecond
 	pickOne         float64 = 0
 )
 
-// errDisk is what a disk that fails returns.
+// errDisk is the error that a failing disk returns.
 var errDisk = errors.New("input/output error")
 
-// virtualInjectors are the kinds of fault that need a world in virtual time.
+// virtualInjectors inject the kinds of fault that work in virtual time only.
 var virtualInjectors = map[string]func(i injection){
 	"kill_at":    killAtStep,
 	"freeze":     freezeDispatchers,
@@ -30,12 +30,12 @@
 	"slow_disk":  slowDownDisks,
 }
 
-// dispatchers returns a share of the dispatchers, drawn at random, one at least.
+// dispatchers draws a share of the dispatchers at random, but at least one.
 func (i injection) dispatchers(share float64) []*virtualDispatcher {
 	return pickShare(i.run.random, i.run.virtual.dispatchers, share)
 }
 
-// killAtStep has one dispatcher die between two things that happen, wherever that is.
+// killAtStep kills one dispatcher after the given number of further network steps, which may be between any two events.
 func killAtStep(i injection) {
 	dispatcher := i.dispatchers(pickOne)[0]
 	i.run.virtual.network.AtStep(int(i.fault.Step), func() {
@@ -43,6 +43,7 @@
 	})
 }
 
+// freezeDispatchers stops the event loops of dispatchers for the duration.
 func freezeDispatchers(i injection) {
 	for _, dispatcher := range i.dispatchers(i.fault.Share) {
 		dispatcher.markUnavailable(record.Frozen, i.duration)
@@ -50,7 +51,7 @@
 	}
 }
 
-// partitionOneWay blocks one direction between dispatchers and all endpoints; the other stays open.
+// partitionOneWay blocks one direction between each dispatcher drawn and all endpoints; the other direction stays open.
 func partitionOneWay(i injection) {
 	endpoints, _ := i.run.fleetLoop.(*virtual.Loop)
 	network := i.run.virtual.network
@@ -64,8 +65,8 @@
 	}
 }
 
-// stepClocks sets the machine's clock while a dispatcher is down: within an incarnation its own time goes on evenly,
-// whatever that clock does.
+// stepClocks restarts dispatchers and steps the clock of their machine while they are down. Within an
+// incarnation a process measures time with a monotonic clock, which such a step does not affect.
 func stepClocks(i injection) {
 	for _, dispatcher := range i.dispatchers(i.fault.Share) {
 		dispatcher.clockSkew += i.factorTimes(eventloop.Second)
@@ -73,7 +74,7 @@
 	}
 }
 
-// changeDisks changes disks for a while.
+// changeDisks changes the disks of dispatchers for the duration of the fault.
 func changeDisks(i injection, change, undo func(disk *virtual.Disk)) {
 	for _, dispatcher := range i.dispatchers(i.fault.Share) {
 		change(dispatcher.disk)
@@ -81,19 +82,19 @@
 	}
 }
 
-// failDisks has writes fail and leave a part of themselves.
+// failDisks makes writes fail after a part of the data was written.
 func failDisks(i injection) {
 	changeDisks(i, func(disk *virtual.Disk) { disk.Failure, disk.PartialWrites = errDisk, true },
 		func(disk *virtual.Disk) { disk.Failure = nil })
 }
 
-// fillDisks leaves disks only a few more bytes.
+// fillDisks limits disks to the bytes in use plus a few more.
 func fillDisks(i injection) {
 	changeDisks(i, func(disk *virtual.Disk) { disk.Capacity = disk.Used() + int(i.fault.Factor) + 1 },
 		func(disk *virtual.Disk) { disk.Capacity = 0 })
 }
 
-// slowDownDisks has each write take so many seconds.
+// slowDownDisks sets the time that each sync takes, in seconds by the fault's factor.
 func slowDownDisks(i injection) {
 	syncTime := slowSyncTime
 	if i.fault.Factor > 0 {
