--- a/internal/testbed/load/batches.go
+++ b/internal/testbed/load/batches.go
@@ -33,7 +33,7 @@
 
 	OpenCalls      int
 	CallsStarted   int
-	InputsAnswered int            // inputs whose result was returned at the right index
+	InputsAnswered int            // inputs of completed calls, those with a wrong answer included
 	TokensRead     int            // input tokens of completed calls, by TokensPerInput
 	Wrong          int            // calls whose answer does not match their inputs
 	Outcomes       map[string]int // finished calls by outcome
--- a/internal/testbed/modelserver/discovery.go
+++ b/internal/testbed/modelserver/discovery.go
@@ -15,7 +15,7 @@
 	"plumspindle/scheduler"
 )
 
-// heartbeatInterval is the time between two comments on a watch without updates.
+// heartbeatInterval is the time between the heartbeat comments on every watch, whether or not there are updates.
 const heartbeatInterval = 4 * eventloop.Second
 
 // Discovery is a discovery service: it pushes the endpoint list and its changes to all watchers.
--- a/internal/testbed/modelserver/fleet.go
+++ b/internal/testbed/modelserver/fleet.go
@@ -158,7 +158,9 @@
 	return nil
 }
 
-// Partition cuts a zone off from all others for a while: what crosses is neither answered nor read.
+// Partition partitions a zone from all others for the duration. Until it ends, requests that cross the boundary are
+// deferred and responses are held back. Releases of KV states are the exception: they take effect at once, only their
+// responses wait.
 func (f *Fleet) Partition(zone string, duration eventloop.Micros) {
 	for _, e := range f.Endpoints {
 		e.partitionedZone = zone
--- a/internal/testbed/modelserver/kvstate.go
+++ b/internal/testbed/modelserver/kvstate.go
@@ -91,8 +91,8 @@
 	}
 }
 
-// serveState sends a state to another endpoint, over this endpoint's port and, to another cell, over the one link of
-// this cell.
+// serveState sends a KV state to another endpoint. Transfers within the cell queue for this endpoint's port, transfers
+// to other cells queue for the one outgoing link of the cell instead.
 func (e *Endpoint) serveState(conn *endpointConn, attemptID string, cell uint16) {
 	state := e.states[attemptID]
 	if state == nil {
--- a/internal/testbed/scenarios/builtin.go
+++ b/internal/testbed/scenarios/builtin.go
@@ -18,8 +18,8 @@
 	builtinRate            = 22 // chat requests per second
 )
 
-// builtinFaults are the faults of the built-in scenarios, by scenario name: one scenario for each kind of fault, one
-// without faults and one that combines faults.
+// builtinFaults are the faults of the built-in scenarios, by scenario name: one scenario for each kind of fault that
+// works over sockets except "descriptors", one without faults and one that combines faults.
 var builtinFaults = map[string]string{
 	"quiet":       ``,
 	"crash":       `troubles { at_ms: 4000 kind: "crash" share: 0.24 for_ms: 4000 }`,
--- a/internal/testbed/scenarios/process.go
+++ b/internal/testbed/scenarios/process.go
@@ -29,8 +29,8 @@
 	exitCodeSignalled = -1 // what os.ProcessState reports for a process that was terminated by a signal
 )
 
-// process is one dispatcher as a process of its own, over all its incarnations. Its fields belong to the fleet's loop
-// once the load has begun.
+// process is one dispatcher as a separate process, with all its incarnations. Once the load has started, its fields are
+// changed on the fleet's loop only, except that the target's fields are changed on the clients' loop.
 type process struct {
 	run          *Run
 	target       *load.Target
--- a/internal/testbed/scenarios/run.go
+++ b/internal/testbed/scenarios/run.go
@@ -40,8 +40,8 @@
 	quotaShare = 0.4 // quota of each of the three tenants, as a share of the total rate
 )
 
-// Run is one run of a scenario. Its exported fields up to Mutant may be set before a run, the last ones are its
-// results.
+// Run is one run of a scenario. Its exported fields up to Delay may be set before the run; BatchClients and the fields
+// after it are its results.
 type Run struct {
 	Script      *pb.Day
 	Deployment  deployment.Deployment
--- a/internal/testbed/scenarios/tenants_test.go
+++ b/internal/testbed/scenarios/tenants_test.go
@@ -99,7 +99,7 @@
 	return observed, broken
 }
 
-// What the dispatchers say was used is what clients and endpoints saw on their sockets, to the request and the token.
+// The usage that dispatchers report must equal what clients observed on their sockets, to the request and the token.
 func TestUsageEqualsTheRecord(t *testing.T) {
 	const tenantsAndProducts = 9
 	script, err := Find("fast_errors")
--- a/internal/testbed/scenarios/virtualdispatcher.go
+++ b/internal/testbed/scenarios/virtualdispatcher.go
@@ -27,7 +27,7 @@
 	clockSkew        eventloop.Micros
 	disk             *virtual.Disk
 	down             bool
-	unavailableUntil eventloop.Micros // it can do nothing before this
+	unavailableUntil eventloop.Micros // until then a fault freezes it or cuts it off from its endpoints
 }
 
 // start starts the next incarnation, on the address of the incarnation before if there was one.
