--- a/internal/testbed/scenarios/faults.go
+++ b/internal/testbed/scenarios/faults.go
@@ -13,23 +13,24 @@
 )
 
 const (
-	defaultNeighbourShare = 0.25 // of the endpoints that a noisy neighbour slows down
+	defaultNeighbourShare = 0.25 // share of the endpoints that a noisy neighbour slows down by default
 	minRateFactor         = 0.01
-	minPatience           = 0.05
+	minTimeLimitShare     = 0.05
 )
 
-// injection is one fault on its way into a run. It runs on the fleet's loop.
+// injection is one fault of the script that is being injected into a run. It is used on the fleet's loop.
 type injection struct {
 	run       *Run
 	fault     *pb.Day_Trouble
 	duration  eventloop.Micros
-	endpoints []*modelserver.Endpoint // drawn as the fault asks for
+	endpoints []*modelserver.Endpoint // the endpoints drawn for the fault
 }
 
+// injector injects one kind of fault.
 type injector func(ctx context.Context, i injection)
 
-// ofEndpoints has each endpoint that was drawn fail.
-func ofEndpoints(inject func(endpoint *modelserver.Endpoint, i injection)) injector {
+// onEndpoints returns an injector that injects the fault into each endpoint that was drawn.
+func onEndpoints(inject func(endpoint *modelserver.Endpoint, i injection)) injector {
 	return func(_ context.Context, i injection) {
 		for _, endpoint := range i.endpoints {
 			inject(endpoint, i)
@@ -37,8 +38,8 @@
 	}
 }
 
-// ofClients changes what the clients do, for a while.
-func ofClients(change func(generator *load.Generator, factor float64) (undo func())) injector {
+// onClients returns an injector that changes the clients' load for the duration of the fault.
+func onClients(change func(generator *load.Generator, factor float64) (undo func())) injector {
 	return func(_ context.Context, i injection) {
 		clients := i.run.clientLoop
 		clients.Post(func() {
@@ -48,32 +49,32 @@
 	}
 }
 
-// times returns the fault's factor in some unit of time.
-func (i injection) times(unit eventloop.Micros) eventloop.Micros {
+// factorTimes returns the fault's factor as a number of time units.
+func (i injection) factorTimes(unit eventloop.Micros) eventloop.Micros {
 	return eventloop.Micros(i.fault.Factor * float64(unit))
 }
 
-// injectors are the kinds of fault that can be injected in virtual time and over sockets.
+// injectors inject the kinds of fault that work both in virtual time and over sockets.
 var injectors = map[string]injector{
-	"crash":          ofEndpoints(crashEndpoint),
-	"mass_restart":   ofEndpoints(crashEndpoint),
-	"vanish":         ofEndpoints(func(e *modelserver.Endpoint, i injection) { e.Blackhole(i.duration) }),
-	"hang":           ofEndpoints(func(e *modelserver.Endpoint, i injection) { e.Hang(i.duration) }),
-	"pauses":         ofEndpoints(func(e *modelserver.Endpoint, i injection) { e.Pause(i.duration) }),
-	"flush":          ofEndpoints(func(e *modelserver.Endpoint, _ injection) { e.ClearPrefixCache() }),
-	"drain":          ofEndpoints(func(e *modelserver.Endpoint, i injection) { e.Drain(i.duration, i.duration) }),
-	"slow":           ofEndpoints(slowDownEndpoint),
-	"neighbour":      ofEndpoints(slowDownEndpoint),
-	"fast_errors":    ofEndpoints(failAttempts),
-	"handshake_slow": ofEndpoints(delayConnections),
-	"report_late":    ofEndpoints(delayLoadReports),
+	"crash":          onEndpoints(crashEndpoint),
+	"mass_restart":   onEndpoints(crashEndpoint),
+	"vanish":         onEndpoints(func(e *modelserver.Endpoint, i injection) { e.Blackhole(i.duration) }),
+	"hang":           onEndpoints(func(e *modelserver.Endpoint, i injection) { e.Hang(i.duration) }),
+	"pauses":         onEndpoints(func(e *modelserver.Endpoint, i injection) { e.Pause(i.duration) }),
+	"flush":          onEndpoints(func(e *modelserver.Endpoint, _ injection) { e.ClearPrefixCache() }),
+	"drain":          onEndpoints(func(e *modelserver.Endpoint, i injection) { e.Drain(i.duration, i.duration) }),
+	"slow":           onEndpoints(slowDownEndpoint),
+	"neighbour":      onEndpoints(slowDownEndpoint),
+	"fast_errors":    onEndpoints(failAttempts),
+	"handshake_slow": onEndpoints(delayConnections),
+	"report_late":    onEndpoints(delayLoadReports),
 	"throttle":       rejectProduct,
 	"zone_cut":       partitionZone,
 	"balancer_crash": crashDispatchers,
 	"descriptors":    limitDescriptors,
-	"burst":          ofClients(multiplyRate),
-	"tenant_burst":   ofClients(multiplyRateOfOneTenant),
-	"give_up":        ofClients(shortenPatience),
+	"burst":          onClients(multiplyRate),
+	"tenant_burst":   onClients(multiplyRateOfOneTenant),
+	"give_up":        onClients(shortenTimeLimits),
 }
 
 func crashEndpoint(endpoint *modelserver.Endpoint, i injection) { endpoint.Crash(i.duration) }
@@ -87,13 +88,14 @@
 }
 
 func delayConnections(endpoint *modelserver.Endpoint, i injection) {
-	endpoint.DelayConnections(i.times(eventloop.Millisecond), i.duration)
+	endpoint.DelayConnections(i.factorTimes(eventloop.Millisecond), i.duration)
 }
 
 func delayLoadReports(endpoint *modelserver.Endpoint, i injection) {
-	endpoint.DelayLoadReports(i.times(eventloop.Second), i.duration)
+	endpoint.DelayLoadReports(i.factorTimes(eventloop.Second), i.duration)
 }
 
+// rejectProduct makes endpoints refuse one product, the first of the deployment by default.
 func rejectProduct(_ context.Context, i injection) {
 	product := i.fault.Product
 	if product == "" {
@@ -104,6 +106,7 @@
 	}
 }
 
+// partitionZone partitions one zone from the others, the last of the deployment by default.
 func partitionZone(_ context.Context, i injection) {
 	zone := i.fault.Zone
 	if zone == "" {
@@ -118,7 +121,7 @@
 	}
 }
 
-// limitDescriptors leaves dispatchers only a few descriptors beyond those that they have open.
+// limitDescriptors limits dispatchers to the file descriptors that they have open plus a few spare ones.
 func limitDescriptors(_ context.Context, i injection) {
 	for _, dispatcher := range pickShare(i.run.random, i.run.faultTargets, i.fault.Share) {
 		i.run.fleetLoop.AfterFunc(i.duration, dispatcher.limitDescriptors(int(i.fault.Factor)))
@@ -131,6 +134,7 @@
 	return func() { generator.Rate /= factor }
 }
 
+// multiplyRateOfOneTenant multiplies the rate of the first tenant and leaves that of the others unchanged.
 func multiplyRateOfOneTenant(generator *load.Generator, factor float64) (undo func()) {
 	before := generator.Rate
 	ofOneTenant := before / float64(len(generator.TenantShares))
@@ -138,20 +142,21 @@
 	return func() { generator.TenantShares[0], generator.Rate = 1, before }
 }
 
-func shortenPatience(generator *load.Generator, factor float64) (undo func()) {
-	before := generator.MinPatience
-	generator.MinPatience = max(factor, minPatience)
-	return func() { generator.MinPatience = before }
+// shortenTimeLimits lets clients give up earlier.
+func shortenTimeLimits(generator *load.Generator, factor float64) (undo func()) {
+	before := generator.MinTimeLimitShare
+	generator.MinTimeLimitShare = max(factor, minTimeLimitShare)
+	return func() { generator.MinTimeLimitShare = before }
 }
 
-// FaultKinds returns the kinds of fault that a script may name.
+// FaultKinds returns the sorted kinds of fault that a script may name.
 func FaultKinds() []string {
 	kinds := slices.AppendSeq(slices.Collect(maps.Keys(injectors)), maps.Keys(virtualInjectors))
 	slices.Sort(kinds)
 	return kinds
 }
 
-// inject begins a fault; it runs on the fleet's loop.
+// inject records and injects a fault. It must be called on the fleet's loop.
 func (r *Run) inject(ctx context.Context, fault *pb.Day_Trouble) {
 	r.recorder.Add(record.Event{At: int64(r.fleetLoop.Now()), Type: record.FaultInjected, Kind: fault.Kind,
 		Detail: fault.String(), Value: fault.Share})
--- a/internal/testbed/scenarios/virtualdispatcher.go
+++ b/internal/testbed/scenarios/virtualdispatcher.go
@@ -15,11 +15,11 @@
 	"plumspindle/internal/virtual"
 )
 
-// virtualDispatcher is one dispatcher in virtual time, over all its incarnations.
+// virtualDispatcher is one dispatcher in virtual time, with all its incarnations.
 type virtualDispatcher struct {
 	run              *Run
 	target           *load.Target
-	number           int // from 1
+	number           int // counts from 1
 	incarnations     int
 	loop             *virtual.Loop // of the current incarnation
 	dispatcher       *dispatch.Dispatcher
@@ -27,16 +27,16 @@
 	clockSkew        eventloop.Micros
 	disk             *virtual.Disk
 	down             bool
-	unavailableUntil eventloop.Micros // it can do nothing before this
+	unavailableUntil eventloop.Micros // until then a fault freezes it or cuts it off from its endpoints
 }
 
-// start starts the next incarnation.
+// start starts the next incarnation, on the address of the incarnation before if there was one.
 func (d *virtualDispatcher) start() (err error) {
 	run := d.run
 	d.incarnations++
 	d.down = false
 	name := fmt.Sprintf("d%d.%d", d.number, d.incarnations)
-	d.loop = run.world.network.NewLoop(name)
+	d.loop = run.virtual.network.NewLoop(name)
 	d.loop.StepClock(d.clockSkew)
 	loop := run.Mutant.loop(d.loop)
 	config := dispatch.Config{Name: name, Zone: d.target.Zone, Seed: run.Seed*100 + int64(d.number*10+d.incarnations),
@@ -62,37 +62,39 @@
 	return err
 }
 
-// kill ends the current incarnation outright.
+// kill stops the current incarnation at once, without a shutdown.
 func (d *virtualDispatcher) kill() {
 	d.run.recorder.Add(record.Event{
-		At: int64(d.run.world.network.Now()), Type: record.DispatcherKilled, Dispatcher: d.target.Name,
+		At: int64(d.run.virtual.network.Now()), Type: record.DispatcherKilled, Dispatcher: d.target.Name,
 	})
 	d.loop.Kill()
 }
 
-func (d *virtualDispatcher) crash(_ context.Context, back eventloop.Micros) {
+// crash kills the current incarnation and starts the next one after the downtime. It does nothing if none is running.
+func (d *virtualDispatcher) crash(_ context.Context, downtime eventloop.Micros) {
 	if d.down {
 		return
 	}
 	d.down = true
 	d.kill()
-	world := d.run.world
-	d.run.fleetLoop.AfterFunc(back, func() {
+	run := d.run.virtual
+	d.run.fleetLoop.AfterFunc(downtime, func() {
 		if err := d.start(); err != nil {
-			world.failure = errors.Join(world.failure, fmt.Errorf("dispatcher %d did not come back: %w", d.number, err))
+			run.restartFailure = errors.Join(run.restartFailure, fmt.Errorf("dispatcher %d did not restart: %w", d.number, err))
 		}
 	})
 }
 
+// limitDescriptors limits the current incarnation to its open connections plus some spare ones.
 func (d *virtualDispatcher) limitDescriptors(spare int) (undo func()) {
 	loop := d.loop
 	loop.DescriptorLimit = loop.OpenConnections() + spare
 	return func() { loop.DescriptorLimit = 0 }
 }
 
-// markUnavailable records that the dispatcher can't meet its obligations for a while.
+// markUnavailable records that a fault keeps the dispatcher from meeting its obligations for the duration.
 func (d *virtualDispatcher) markUnavailable(why string, duration eventloop.Micros) {
-	now := d.run.world.network.Now()
+	now := d.run.virtual.network.Now()
 	d.unavailableUntil = max(d.unavailableUntil, now+duration)
 	d.run.recorder.Add(record.Event{
 		At: int64(now), Type: record.DispatcherUnavailable, Dispatcher: d.target.Name, Detail: why,
