--- a/internal/admin/authentication.go
+++ b/internal/admin/authentication.go
@@ -24,8 +24,8 @@
 	TenantAdmin Role = "tenant"   // may read one tenant and change its keys
 )
 
-// Staff is a person with the role of an operator or a viewer.
-type Staff struct {
+// StaffMember is a person with the role of an operator or a viewer.
+type StaffMember struct {
 	Name   string
 	Role   Role
 	Digest [sha256.Size]byte // SHA-256 of the person's key
@@ -34,7 +34,7 @@
 // ParseStaff parses a list of operators and viewers. Each line has a role, a name and the SHA-256 of a key in
 // hexadecimal digits. Empty lines and lines that begin with # are skipped. An error contains the number of the invalid
 // line.
-func ParseStaff(text string) (all []Staff, err error) {
+func ParseStaff(text string) (all []StaffMember, err error) {
 	for i, line := range strings.Split(text, "\n") {
 		fields := strings.Fields(line)
 		if len(fields) == 0 || strings.HasPrefix(fields[0], "#") {
@@ -47,7 +47,7 @@
 		if err != nil || len(digest) != sha256.Size {
 			return nil, fmt.Errorf("line %d: the digest must be 64 hexadecimal digits", i+1)
 		}
-		all = append(all, Staff{Name: fields[1], Role: Role(fields[0]), Digest: [sha256.Size]byte(digest)})
+		all = append(all, StaffMember{Name: fields[1], Role: Role(fields[0]), Digest: [sha256.Size]byte(digest)})
 	}
 	if len(all) == 0 {
 		return nil, errors.New("no operator or viewer is listed")
--- a/internal/admin/environment_test.go
+++ b/internal/admin/environment_test.go
@@ -94,7 +94,7 @@
 	e.serverLoop = e.network.NewLoop("admin")
 	config := Config{
 		Secret: secret,
-		Staff: []Staff{
+		Staff: []StaffMember{
 			{Name: "ann", Role: Operator, Digest: sha256.Sum256([]byte(operatorKey))},
 			{Name: "vic", Role: Viewer, Digest: sha256.Sum256([]byte(viewerKey))},
 		},
@@ -129,7 +129,7 @@
 		Seed:          int64(i + 1),
 		Discovery:     e.fleet.Discovery.Addr,
 		Log:           zerolog.Nop(),
-		Tenants:       e.serverAddr,
+		AdminAddr:     e.serverAddr,
 		Secret:        secret,
 		CachedTenants: dispatcher.cachedTenants,
 		CacheTenants:  func(tenants []byte) { dispatcher.cachedTenants = tenants },
--- a/internal/admin/migration_test.go
+++ b/internal/admin/migration_test.go
@@ -33,7 +33,7 @@
 	t.Helper()
 	registry := tenancy.NewRegistry("e1")
 	for _, name := range []string{"a", "b"} {
-		if _, _, err := registry.Create(5, name, tenancy.Limits{PerS: 3}, nil); err != nil {
+		if _, _, err := registry.Create(5, name, tenancy.Limits{RequestsPerS: 3}, nil); err != nil {
 			t.Fatal(err)
 		}
 	}
@@ -104,7 +104,7 @@
 		t.Errorf("after %d restarts: id of the created key %q", restarts, id)
 	}
 	registry := s.registry
-	if registry.Epoch != "e1" || registry.Version != 2+restarts || registry.Tenants["b"].Limits.PerS != 3 {
+	if registry.Epoch != "e1" || registry.Version != 2+restarts || registry.Tenants["b"].Limits.RequestsPerS != 3 {
 		t.Errorf("after %d restarts: registry %+v", restarts, registry)
 	}
 	if s.auditEntries != 2+restarts {
--- a/internal/admin/routes_test.go
+++ b/internal/admin/routes_test.go
@@ -37,7 +37,8 @@
 		t.Errorf("%d limits are described", len(fields))
 	}
 	limits, err := json.Marshal(tenancy.Limits{
-		QuotaPerS: 1, Weight: 1, PerS: 1, TokensPerS: 1, BurstS: 1, Concurrent: 1, LargestPrompt: 1, Waiting: 1,
+		QuotaPerS: 1, Weight: 1, RequestsPerS: 1, TokensPerS: 1, BurstS: 1, MaxConcurrent: 1,
+		MaxPromptTokens: 1, MaxQueued: 1,
 	})
 	if err != nil {
 		t.Fatal(err)
--- a/internal/admin/server.go
+++ b/internal/admin/server.go
@@ -33,7 +33,7 @@
 // Config configures a Server.
 type Config struct {
 	Secret  []byte // shared with the dispatchers; at least minSecretBytes
-	Staff   []Staff
+	Staff   []StaffMember
 	Records Records
 	Random  io.Reader // source of random bytes for keys
 	Log     zerolog.Logger
@@ -44,7 +44,7 @@
 	loop            eventloop.Loop
 	secret          []byte
 	dispatcherToken string // token that dispatchers authenticate with
-	staff           []Staff
+	staff           []StaffMember
 	records         Records
 	random          io.Reader
 	log             zerolog.Logger
--- a/internal/admin/stored_test.go
+++ b/internal/admin/stored_test.go
@@ -60,7 +60,7 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(loop.Stop)
-	staff := []admin.Staff{{Name: "ann", Role: admin.Operator, Digest: sha256.Sum256([]byte(operatorKey))}}
+	staff := []admin.StaffMember{{Name: "ann", Role: admin.Operator, Digest: sha256.Sum256([]byte(operatorKey))}}
 	var ln eventloop.Listener
 	loop.Do(func() {
 		var a *admin.Server
--- a/internal/batch/call.go
+++ b/internal/batch/call.go
@@ -27,8 +27,8 @@
 )
 
 const (
-	// MaxEndpoints is how many endpoints may fail on a part before the part comes back as EndpointFailed.
-	MaxEndpoints = 2
+	// MaxEndpointsPerSend is how many endpoints may fail on a part before the part comes back as EndpointFailed.
+	MaxEndpointsPerSend = 2
 	// MaxQueuedParts is how many parts of one tenant may wait for admission.
 	MaxQueuedParts = 4
 )
@@ -56,8 +56,8 @@
 	InProgress Progress = iota
 	// Completed means that all parts have results.
 	Completed
-	// Abandoned means that the call has failed.
-	Abandoned
+	// Failed means that the call has failed.
+	Failed
 )
 
 // part is a group of inputs that one request sends to an endpoint.
@@ -92,13 +92,13 @@
 // consecutive inputs, so that results can be released early although they are returned in input order.
 func NewCall(tokens []int, limits PartLimits) *Call {
 	c := &Call{FailedInput: -1}
-	c.Add(0, tokens, limits)
+	c.AddInputs(0, tokens, limits)
 	return c
 }
 
-// Add splits more inputs into parts, for a call whose body is still arriving. The inputs are numbered from first on,
-// and tokens has the token count of each.
-func (c *Call) Add(first int, tokens []int, limits PartLimits) {
+// AddInputs splits more inputs into parts, for a call whose body is still arriving. The inputs are numbered from first
+// on, and tokens has the token count of each.
+func (c *Call) AddInputs(first int, tokens []int, limits PartLimits) {
 	maxInputs := max(limits.Inputs, 1)
 	var inputs []int
 	sum := 0
@@ -168,7 +168,7 @@
 func (c *Call) PartFailed(now Micros, id PartID, failure Failure, retryAfter Micros) Progress {
 	c.inFlight--
 	if c.ended {
-		return Abandoned
+		return Failed
 	}
 	p := &c.parts[id]
 	if failure == EndpointFailed {
@@ -184,7 +184,7 @@
 		if len(p.inputs) == 1 && failure != Overloaded {
 			c.FailedInput = p.inputs[0]
 		}
-		return Abandoned
+		return Failed
 	}
 	delay := min(firstRetryDelay<<(p.sends-1), maxRetryDelay)
 	if failure == Overloaded && retryAfter > 0 {
--- a/internal/batch/call_test.go
+++ b/internal/batch/call_test.go
@@ -100,7 +100,7 @@
 		m.t.Fatalf("completed with %d of %d inputs", len(m.completed), len(m.tokens))
 	case progress == Completed && m.failingInput >= 0:
 		m.t.Fatal("completed with an input that always fails")
-	case progress == Abandoned && m.call.FailedInput != m.failingInput:
+	case progress == Failed && m.call.FailedInput != m.failingInput:
 		m.t.Fatalf("abandoned for input %d, want %d", m.call.FailedInput, m.failingInput)
 	}
 }
--- a/internal/benchadapter/actions.go
+++ b/internal/benchadapter/actions.go
@@ -60,7 +60,7 @@
 func (in *instance) Fail(request scheduler.RequestID) { in.appendRequestAction(actionFail, request) }
 
 // Cancel implements scheduler.Executor.
-func (in *instance) Cancel(request scheduler.RequestID, attempt scheduler.AttemptNo) {
+func (in *instance) Cancel(request scheduler.RequestID, attempt scheduler.AttemptNumber) {
 	action := in.appendRequestAction(actionCancel, request)
 	binary.LittleEndian.PutUint16(action[cancelAttempt:], uint16(attempt))
 }
--- a/internal/benchadapter/events.go
+++ b/internal/benchadapter/events.go
@@ -27,7 +27,7 @@
 		in.RequestArrived(a.now, decodeArrival(event))
 	case eventAttemptStarted:
 		request := scheduler.RequestID(event.uint64(startedRequest))
-		in.AttemptStarted(a.now, request, scheduler.AttemptNo(event.uint16(startedAttempt)))
+		in.AttemptStarted(a.now, request, scheduler.AttemptNumber(event.uint16(startedAttempt)))
 	case eventAttemptEnded:
 		return in.attemptEnded(event)
 	case eventDisconnect:
@@ -85,7 +85,7 @@
 		return err
 	}
 	request := scheduler.RequestID(event.uint64(endedRequest))
-	attempt := scheduler.AttemptNo(event.uint16(endedAttempt))
+	attempt := scheduler.AttemptNumber(event.uint16(endedAttempt))
 	detail := event.uint32(endedDetail)
 	in.AttemptEnded(in.adapter.now, request, attempt, scheduler.AttemptResult{
 		Outcome:       outcome,
--- a/internal/chat/route.go
+++ b/internal/chat/route.go
@@ -33,7 +33,7 @@
 			return nil, problem
 		}
 		return &frontend.BufferedBody{Handle: func(body []byte) *frontend.Problem {
-			request, problem := ParseRequest(body, identity.Space, isPublic)
+			request, problem := ParseRequest(body, identity.Namespace, isPublic)
 			if problem != nil {
 				return problem
 			}
--- a/internal/cli/batches.go
+++ b/internal/cli/batches.go
@@ -207,14 +207,14 @@
 	for _, product := range run.Deployment.Products {
 		for _, row := range verdict.Rows {
 			if product.Form == pb.Product_CHAT && row.Name == "product "+product.Name {
-				r.requests += row.Asked
+				r.requests += row.Requests
 				r.withinSLO += row.InSLO
 				r.firstToken.Merge(row.FirstToken)
 			}
 		}
 	}
 	for _, clients := range run.BatchClients {
-		r.tokens += clients.TokensRead
-		r.wrongVectors += clients.Wrong
+		r.tokens += clients.TokensAnswered
+		r.wrongVectors += clients.WrongAnswers
 	}
 }
--- a/internal/cli/bench_latency.go
+++ b/internal/cli/bench_latency.go
@@ -51,8 +51,8 @@
 
 // send runs the prefill and the decode attempt of a request.
 func (d *directCaller) send(request *benchRequest, onFirstToken func()) {
-	target := func(endpoint scheduler.EndpointID, attempt scheduler.AttemptNo) engine.Target {
-		name := d.engine.AttemptName(scheduler.RequestID(request.number), attempt)
+	target := func(endpoint scheduler.EndpointID, attempt scheduler.AttemptNumber) engine.Target {
+		name := d.engine.AttemptRequestID(scheduler.RequestID(request.number), attempt)
 		return engine.Target{Endpoint: endpoint, RequestID: name, ClientID: request.id, Timeout: directAttemptTimeout}
 	}
 	started := false
@@ -71,7 +71,7 @@
 			return
 		}
 		d.engine.Decode(target(d.decode[request.number%len(d.decode)], 1),
-			engine.DecodeRequest{Chat: d.request, KVParams: result.State, MaxTokens: benchMaxTokens},
+			engine.DecodeRequest{Chat: d.request, KVParams: result.KVParams, MaxTokens: benchMaxTokens},
 			decodeCallbacks)
 	}
 	d.engine.Prefill(target(d.prefill[request.number%len(d.prefill)], 0), d.request, engine.Callbacks{Ended: onPrefilled})
--- a/internal/cli/fairness.go
+++ b/internal/cli/fairness.go
@@ -105,7 +105,7 @@
 	r.passed = r.passed && verdict.Passed()
 	for _, row := range verdict.Rows {
 		if row.Name == "tenant middle" || row.Name == "tenant south" {
-			r.requests += row.Asked
+			r.requests += row.Requests
 			r.withinSLO += row.InSLO
 			r.firstToken.Merge(row.FirstToken)
 		}
--- a/internal/cli/restarts.go
+++ b/internal/cli/restarts.go
@@ -151,7 +151,7 @@
 	run := &scenarios.Run{Script: script, Deployment: dep, Dispatchers: c.Dispatchers, Seed: seed}
 	outcome, err := run.RunRestart(scenarios.Restart{
 		Downtime:      eventloop.Micros(variant.age.Microseconds()),
-		Replaced:      variant.replaced,
+		ReplacedShare: variant.replaced,
 		DiscoveryDown: !variant.discovery,
 	})
 	if err != nil {
--- a/internal/cli/scenario.go
+++ b/internal/cli/scenario.go
@@ -43,7 +43,7 @@
 		return fmt.Errorf("path of this program: %w", err)
 	}
 	run := &scenarios.Run{Script: script, Deployment: dep, Dispatchers: c.Dispatchers, Seed: c.Seed, Binary: binary,
-		RecordDir: c.Record, Progress: env.stderr, Keyed: c.Keyed, Intents: c.Intents}
+		RecordDir: c.Record, Progress: env.stderr, UseIdempotencyKeys: c.Keyed, StoreIntents: c.Intents}
 	if c.Virtual {
 		return c.runVirtual(env, run)
 	}
--- a/internal/cli/serve.go
+++ b/internal/cli/serve.go
@@ -133,7 +133,7 @@
 	config.Secret = secret
 	loop.OverloadResponse = frontend.OverloadedResponse()
 	if c.StateDir != "" {
-		if config.Intents, err = process.openIntentStore(c.StateDir); err != nil {
+		if config.IntentStore, err = process.openIntentStore(c.StateDir); err != nil {
 			process.close()
 			return nil, err
 		}
@@ -162,7 +162,7 @@
 		process.zone = dep.Zones[0]
 	}
 	config := dispatch.Config{Name: process.name, Zone: process.zone, Seed: seed, Discovery: c.Discovery,
-		Tenants: c.Tenants, Log: process.log}
+		AdminAddr: c.Tenants, Log: process.log}
 	if c.ListFile != "" {
 		for _, path := range []string{c.ListFile, c.ListFile + previousSuffix} {
 			config.CachedEndpoints = append(config.CachedEndpoints, process.readCache(path, "cached endpoint list unreadable"))
@@ -180,7 +180,7 @@
 	}
 	var limit syscall.Rlimit
 	if err := syscall.Getrlimit(syscall.RLIMIT_NOFILE, &limit); err == nil {
-		config.Descriptors = int(min(limit.Cur, maxDescriptors))
+		config.MaxDescriptors = int(min(limit.Cur, maxDescriptors))
 	}
 	return config
 }
--- a/internal/cli/sim_mutants.go
+++ b/internal/cli/sim_mutants.go
@@ -69,8 +69,8 @@
 		}
 		mu.Lock()
 		defer mu.Unlock()
-		if len(outcome.Faults) > 0 && (found.seed == 0 || seed < found.seed) {
-			found = detection{seed: seed, failure: outcome.Faults[0]}
+		if len(outcome.Failures) > 0 && (found.seed == 0 || seed < found.seed) {
+			found = detection{seed: seed, failure: outcome.Failures[0]}
 		}
 		return nil
 	})
--- a/internal/cli/sim_replay.go
+++ b/internal/cli/sim_replay.go
@@ -28,11 +28,11 @@
 		c.printEvents(env, outcome.Run.Events())
 	}
 	env.print(scriptText(script), outcome.Verdict.Text())
-	env.printf("%d steps, all that happened: %016x\n", outcome.Steps, outcome.Trace)
-	for _, fault := range outcome.Faults {
+	env.printf("%d steps, all that happened: %016x\n", outcome.Steps, outcome.TraceHash)
+	for _, fault := range outcome.Failures {
 		env.print(fault, "\n")
 	}
-	if len(outcome.Faults) > 0 {
+	if len(outcome.Failures) > 0 {
 		return errRuleViolated
 	}
 	return nil
--- a/internal/cli/sim_run.go
+++ b/internal/cli/sim_run.go
@@ -64,8 +64,8 @@
 		totals.mu.Lock()
 		defer totals.mu.Unlock()
 		totals.add(seed, outcome)
-		if len(outcome.Faults) > 0 {
-			env.printf("seed %d: %s\n", seed, outcome.Faults[0])
+		if len(outcome.Failures) > 0 {
+			env.printf("seed %d: %s\n", seed, outcome.Failures[0])
 			if err := c.save(outcome.Script); err != nil {
 				return err
 			}
@@ -95,8 +95,9 @@
 	if err != nil {
 		return nil, err
 	}
-	if again.Trace != outcome.Trace {
-		outcome.Faults = append(outcome.Faults, fmt.Sprintf("two runs differ: traces %x and %x", outcome.Trace, again.Trace))
+	if again.TraceHash != outcome.TraceHash {
+		outcome.Failures = append(outcome.Failures,
+			fmt.Sprintf("two runs differ: traces %x and %x", outcome.TraceHash, again.TraceHash))
 	}
 	return outcome, nil
 }
@@ -114,14 +115,14 @@
 func (t *simTotals) add(seed int64, outcome *faultsearch.Outcome) {
 	t.scenarios++
 	t.steps += outcome.Steps
-	t.combinedHash ^= outcome.Trace * uint64(seed*2+1)
-	failed := len(outcome.Faults) > 0
+	t.combinedHash ^= outcome.TraceHash * uint64(seed*2+1)
+	failed := len(outcome.Failures) > 0
 	if failed {
 		t.failed++
 	}
 	for _, row := range outcome.Verdict.Rows {
 		if row.Name == "all" {
-			t.requests += row.Asked
+			t.requests += row.Requests
 		}
 	}
 	for _, pair := range concurrentFaultPairs(outcome.Script) {
--- a/internal/cli/sim_worlds.go
+++ b/internal/cli/sim_worlds.go
@@ -40,7 +40,7 @@
 	reportProgress := func(result *faultsearch.Interleavings) {
 		if time.Since(lastReport) > progressInterval {
 			lastReport = time.Now()
-			env.reportf("%d runs, %d states, %d failures\n", result.Runs, result.States, len(result.Faults))
+			env.reportf("%d runs, %d states, %d failures\n", result.Runs, result.States, len(result.Failures))
 		}
 	}
 	result, err := faultsearch.Explore(c.Depth, eventloop.Micros(c.DelayMicros), faults, reportProgress)
@@ -48,11 +48,11 @@
 		return err
 	}
 	env.printf("%d runs in %.1f s, %d distinct states, %d choices pruned because their state was known; %d failures\n",
-		result.Runs, time.Since(startTime).Seconds(), result.States, result.Pruned, len(result.Faults))
-	for _, failure := range result.Faults[:min(len(result.Faults), maxPrintedFailures)] {
+		result.Runs, time.Since(startTime).Seconds(), result.States, result.Pruned, len(result.Failures))
+	for _, failure := range result.Failures[:min(len(result.Failures), maxPrintedFailures)] {
 		env.print(failure, "\n")
 	}
-	if len(result.Faults) > 0 {
+	if len(result.Failures) > 0 {
 		return errRuleViolated
 	}
 	return nil
--- a/internal/cli/up.go
+++ b/internal/cli/up.go
@@ -52,15 +52,15 @@
 	if err != nil {
 		return err
 	}
-	scenarios.Tenants(dep, []string{"local"}, 0, func(int) string { return secrets.tenantKey })
+	scenarios.ReplaceTenants(dep, []string{"local"}, 0, func(int) string { return secrets.tenantKey })
 	adminLoop, err := sockets.Start()
 	if err != nil {
 		return err
 	}
 	defer adminLoop.Stop()
-	operator := admin.Staff{Name: "local", Role: admin.Operator, Digest: sha256.Sum256([]byte(secrets.operatorKey))}
+	operator := admin.StaffMember{Name: "local", Role: admin.Operator, Digest: sha256.Sum256([]byte(secrets.operatorKey))}
 	adminListener, err := startAdmin(adminLoop, c.Admin, admin.Config{Secret: secrets.sealingKey[:],
-		Staff: []admin.Staff{operator}, Records: &admin.MemoryRecords{}, Random: crand.Reader, Log: env.log})
+		Staff: []admin.StaffMember{operator}, Records: &admin.MemoryRecords{}, Random: crand.Reader, Log: env.log})
 	if err != nil {
 		return err
 	}
--- a/internal/deployment/scheduler.go
+++ b/internal/deployment/scheduler.go
@@ -72,9 +72,9 @@
 func schedulerClass(p *pb.Product) scheduler.Class {
 	return scheduler.Class{
 		SLO:              micros(p.SloMs),
-		SLOPer1000:       micros(p.SloMsPer_1000Tokens),
+		SLOPer1000Tokens: micros(p.SloMsPer_1000Tokens),
 		TokenSLO:         micros(p.TokenSloMs),
-		Window:           micros(p.WindowMs),
+		DedupWindow:      micros(p.WindowMs),
 		Revenue:          p.Revenue,
 		LateRevenueShare: p.LateShare,
 		Effect:           effects[p.Effect],
--- a/internal/dispatch/attempts.go
+++ b/internal/dispatch/attempts.go
@@ -9,7 +9,7 @@
 
 // attemptSpec describes one attempt for the engine.
 type attemptSpec struct {
-	number    scheduler.AttemptNo
+	number    scheduler.AttemptNumber
 	target    engine.Target
 	callbacks engine.Callbacks
 }
@@ -24,7 +24,7 @@
 		number: number,
 		target: engine.Target{
 			Endpoint:  details.endpoint,
-			RequestID: d.engine.AttemptName(r.id, number),
+			RequestID: d.engine.AttemptRequestID(r.id, number),
 			ClientID:  r.clientRequestID,
 			Timeout:   details.timeout,
 		},
@@ -70,7 +70,7 @@
 
 // awaitsDecode reports whether a decode attempt that was not sent yet still has to be sent. The attempt may have been
 // cancelled, or the request answered, while the intent was being recorded.
-func (r *request) awaitsDecode(number scheduler.AttemptNo) bool {
+func (r *request) awaitsDecode(number scheduler.AttemptNumber) bool {
 	return r.isCurrent(number) && r.State == lifecycle.Decoding
 }
 
@@ -128,7 +128,7 @@
 func (r *request) endEvent(result engine.Result) lifecycle.Event {
 	switch result.Outcome {
 	case scheduler.PrefillDone:
-		r.kvState = result.State
+		r.kvState = result.KVParams
 		if r.part != nil {
 			return lifecycle.PrefillOnlyCompleted
 		}
@@ -153,7 +153,7 @@
 		p.failures++
 	}
 	p.invalid = p.invalid || result.InvalidRequest
-	return p.invalid || p.failures == batch.MaxEndpoints
+	return p.invalid || p.failures == batch.MaxEndpointsPerSend
 }
 
 // releaseAttempt releases the state that the last prefill attempt may have left at its endpoint. A cancelled prefill
@@ -164,7 +164,7 @@
 		return
 	}
 	last := r.stateLocations[n-1]
-	if last.attempt == d.engine.AttemptName(r.id, r.attempts-1) {
+	if last.attempt == d.engine.AttemptRequestID(r.id, r.attempts-1) {
 		d.engine.Release(last.endpoint, []string{last.attempt})
 		r.dropLastStateLocation()
 	}
--- a/internal/dispatch/batch_answer.go
+++ b/internal/dispatch/batch_answer.go
@@ -94,7 +94,7 @@
 func (c *batchCall) rejectForMemory() {
 	c.dispatcher.Rejected++
 	c.closeAs(lifecycle.AnswerRejected)
-	c.response.SendProblem(frontend.OverloadedMidway())
+	c.response.SendProblem(frontend.OverloadedAfterPartialRun())
 }
 
 // rejectOverQuota answers the call when its tenant's limits reject it before any part was sent.
@@ -129,5 +129,5 @@
 		return
 	}
 	place := slices.Index(c.request.Order, int32(c.parts.FailedInput))
-	c.failWith(frontend.InputNotServed(fmt.Sprintf("%s[%d]", c.request.Kind.ListName(), place)))
+	c.failWith(frontend.InputNotServed(fmt.Sprintf("%s[%d]", c.request.Kind.InputsMember(), place)))
 }
--- a/internal/dispatch/batch_call.go
+++ b/internal/dispatch/batch_call.go
@@ -115,7 +115,7 @@
 	c.deadlineTimer = d.loop.AfterFunc(max(c.deadline-batchGrace-d.loop.Now(), 0), c.deadlineExceeded)
 	c.parts = batch.NewCall(nil, batch.PartLimits{})
 	if d.batches.limits.Cache > 0 && c.form == pb.Product_EMBEDDING {
-		c.cache = d.batches.vectorCache(c.identity.Space, c.dimensions)
+		c.cache = d.batches.vectorCache(c.identity.Namespace, c.dimensions)
 	}
 	d.Accepted++
 	c.tenantCalls = d.batches.callsOf(slot)
@@ -175,10 +175,10 @@
 		first := c.splitInputs
 		var tokens []int
 		for c.splitInputs < inputs && !c.useCachedVector(c.splitInputs) {
-			tokens = append(tokens, c.request.CountTokens([]int{c.splitInputs}))
+			tokens = append(tokens, c.request.EstimateTokens([]int{c.splitInputs}))
 			c.splitInputs++
 		}
-		c.parts.Add(first, tokens, limits)
+		c.parts.AddInputs(first, tokens, limits)
 		for c.splitInputs < inputs && c.useCachedVector(c.splitInputs) {
 			c.splitInputs++
 		}
--- a/internal/dispatch/batch_parts.go
+++ b/internal/dispatch/batch_parts.go
@@ -34,7 +34,7 @@
 func (c *batchCall) sendPart(now eventloop.Micros) {
 	d, slot := c.dispatcher, c.tenantCalls.tenant
 	id, inputs := c.parts.SendNext()
-	tokens := c.request.CountTokens(inputs)
+	tokens := c.request.EstimateTokens(inputs)
 	ticket, decision := d.admission.Admit(now, tenancy.AdmissionRequest{
 		Tenant:       slot.id,
 		Key:          c.identity.Key,
@@ -198,7 +198,7 @@
 // partFailed handles a part that ended without a result: it is retried, or the call is given up.
 func (c *batchCall) partFailed(id batch.PartID, failure batch.Failure, retryAfter eventloop.Micros) {
 	d := c.dispatcher
-	if c.parts.PartFailed(d.loop.Now(), id, failure, retryAfter) == batch.Abandoned {
+	if c.parts.PartFailed(d.loop.Now(), id, failure, retryAfter) == batch.Failed {
 		d.loop.Defer(c.abandon)
 		return
 	}
--- a/internal/dispatch/chat.go
+++ b/internal/dispatch/chat.go
@@ -72,7 +72,7 @@
 	}
 	r.responseID = d.responseID(r.id)
 	if key := head.Get(idempotencyKeyField); key != "" && product.Effect != pb.Product_IDEMPOTENT {
-		if answered, problem := d.answerRepeat(r, identity.Space, key, response); answered || problem != nil {
+		if answered, problem := d.answerRepeat(r, identity.Namespace, key, response); answered || problem != nil {
 			return problem
 		}
 	}
--- a/internal/dispatch/config.go
+++ b/internal/dispatch/config.go
@@ -20,16 +20,18 @@
 	CachedEndpoints [][]byte // lists that CacheEndpoints stored, the newest first; the first readable one is used
 	CacheEndpoints  func(list []byte)
 
-	// Intents stores which requests with an idempotency key may have run, so that a restart does not run them again. If
-	// it is nil, they are lost in a restart.
-	Intents *store.Store
+	// IntentStore stores which requests with an idempotency key may have run, so that a restart does not run them again.
+	// If it is nil, they are lost in a restart.
+	IntentStore *store.Store
 
-	Tenants       string // address of the administration; empty: only the deployment's and the cached tenants are served
+	AdminAddr     string // address of the administration; empty: only the deployment's and the cached tenants are served
 	Secret        []byte // shared with the administration; the key of the MACs of API keys
 	CachedTenants []byte // the tenants that CacheTenants stored last
 	CacheTenants  func([]byte)
 
-	Descriptors int // limit on this process's open file descriptors; 0: not known, and client connections are not limited
+	// MaxDescriptors is the limit on this process's open file descriptors; 0: not known, and client connections are not
+	// limited.
+	MaxDescriptors int
 
 	Mutation *Mutation // set by the test bed only
 }
--- a/internal/dispatch/dispatcher.go
+++ b/internal/dispatch/dispatcher.go
@@ -146,7 +146,7 @@
 	clientLimits.MaxUnsentBytes = int(settings.UnsentMost)
 	server := frontend.New(d.loop, d, d.routes(), requestLimits, clientLimits)
 	server.MaxBufferedBytes = maxBufferedBodies * requestLimits.BodyBytes
-	if n := d.config.Descriptors; n > 0 {
+	if n := d.config.MaxDescriptors; n > 0 {
 		server.MaxConnections = max((n-min(reservedDescriptors, n/2))/2, 1)
 	}
 	return server
@@ -239,10 +239,10 @@
 	done := d.onDrained
 	d.onDrained = nil
 	d.engine.Close()
-	if d.config.Intents != nil {
-		d.config.Intents.Flush()
+	if d.config.IntentStore != nil {
+		d.config.IntentStore.Flush()
 	}
-	if d.config.Tenants == "" {
+	if d.config.AdminAddr == "" {
 		done()
 		return
 	}
--- a/internal/dispatch/harness_test.go
+++ b/internal/dispatch/harness_test.go
@@ -141,7 +141,7 @@
 	loop := r.network.NewLoop("durable")
 	r.startDispatcher(loop, func(config *Config) (err error) {
 		config.Name = "durable"
-		config.Intents, err = store.Open(disk.AttachTo(loop), store.DefaultLimits)
+		config.IntentStore, err = store.Open(disk.AttachTo(loop), store.DefaultLimits)
 		return err
 	})
 }
--- a/internal/dispatch/intents.go
+++ b/internal/dispatch/intents.go
@@ -55,12 +55,12 @@
 // restoreIntents restores the keys that an earlier process recorded. A request that was running when that process ended
 // may have run, and its window starts now.
 func (d *Dispatcher) restoreIntents() {
-	if d.config.Intents == nil {
+	if d.config.IntentStore == nil {
 		return
 	}
 	var records []idempotency.Record
 	now := d.loop.Now()
-	d.config.Intents.Scan(intentPrefix, func(key string, value []byte) bool {
+	d.config.IntentStore.Scan(intentPrefix, func(key string, value []byte) bool {
 		record, valid := decodeIntent(key, value)
 		if !valid {
 			return true
@@ -78,14 +78,14 @@
 	}
 	d.idempotencyCache.OnExpire = func(key idempotency.Key) {
 		// Ignoring the error is safe: an intent that is not deleted expires again after the next start.
-		_ = d.config.Intents.Commit([]store.Op{{Key: intentKey(key)}}, nil, store.WriteLazy, nil)
+		_ = d.config.IntentStore.Commit([]store.Op{{Key: intentKey(key)}}, nil, store.WriteLazy, nil)
 	}
 	d.config.Log.Info().Int("keys", len(records)).Msg("idempotency keys restored")
 }
 
 // needsIntent reports whether the request's product requires its intent at the given point.
 func (d *Dispatcher) needsIntent(r *request, when pb.Product_Intent) bool {
-	return r.keyEntry != nil && d.config.Intents != nil && d.Deployment.Products[r.class].Intent == when
+	return r.keyEntry != nil && d.config.IntentStore != nil && d.Deployment.Products[r.class].Intent == when
 }
 
 // recordIntentEarly starts to record the intent with the prefill, if the product requires it then.
@@ -98,7 +98,7 @@
 // awaitIntent calls then once the request's intent is durable or can't be recorded, or at once if the request needs
 // none.
 func (d *Dispatcher) awaitIntent(r *request, then func(recorded bool)) {
-	notNeeded := r.keyEntry == nil || d.config.Intents == nil || d.needsIntent(r, pb.Product_NO_RECORD)
+	notNeeded := r.keyEntry == nil || d.config.IntentStore == nil || d.needsIntent(r, pb.Product_NO_RECORD)
 	if notNeeded || r.intent.durable {
 		then(true)
 		return
@@ -124,7 +124,7 @@
 		Request: r.keyEntry.Request(),
 		Window:  d.keyWindow(r),
 	})
-	err := d.config.Intents.Commit([]store.Op{intent}, nil, store.WriteNow, func(err error) {
+	err := d.config.IntentStore.Commit([]store.Op{intent}, nil, store.WriteNow, func(err error) {
 		if err != nil {
 			d.recoverIntents()
 		}
@@ -140,16 +140,16 @@
 // recoverIntents retries the repair of a failed intent store until the disk accepts writes again, without a restart of
 // the process. Until then, requests that need an intent are not run.
 func (d *Dispatcher) recoverIntents() {
-	if d.recoveringIntents || d.config.Intents.Err() == nil {
+	if d.recoveringIntents || d.config.IntentStore.Err() == nil {
 		return
 	}
 	d.recoveringIntents = true
-	d.config.Log.Error().Err(d.config.Intents.Err()).Msg("intent store failed")
+	d.config.Log.Error().Err(d.config.IntentStore.Err()).Msg("intent store failed")
 	d.loop.AfterFunc(intentRetryInterval, d.repairIntents)
 }
 
 func (d *Dispatcher) repairIntents() {
-	d.config.Intents.Repair(func(err error) {
+	d.config.IntentStore.Repair(func(err error) {
 		if err != nil {
 			d.loop.AfterFunc(intentRetryInterval, d.repairIntents)
 			return
@@ -162,11 +162,11 @@
 // recordKeyEnd records when a key expires. The record is written together with the next intent; if it is lost, the key
 // is remembered for longer.
 func (d *Dispatcher) recordKeyEnd(entry *idempotency.Entry, window eventloop.Micros) {
-	if d.config.Intents == nil {
+	if d.config.IntentStore == nil {
 		return
 	}
 	if entry.ExpiresAt() == 0 { // nothing ran and the key is free: a restart after a crash must not restore it
-		d.config.Intents.Flush()
+		d.config.IntentStore.Flush()
 		return
 	}
 	end := encodeIntent(idempotency.Record{
@@ -175,5 +175,5 @@
 		ExpiresAt: entry.ExpiresAt(),
 		Window:    window,
 	})
-	_ = d.config.Intents.Commit([]store.Op{end}, nil, store.WriteLazy, nil)
+	_ = d.config.IntentStore.Commit([]store.Op{end}, nil, store.WriteLazy, nil)
 }
--- a/internal/dispatch/intents_test.go
+++ b/internal/dispatch/intents_test.go
@@ -160,7 +160,7 @@
 			r.startDispatcher(loop, func(config *Config) (err error) {
 				config.Name = name
 				if durable {
-					config.Intents, err = store.Open(disk, store.DefaultLimits)
+					config.IntentStore, err = store.Open(disk, store.DefaultLimits)
 				}
 				return err
 			})
--- a/internal/dispatch/orders.go
+++ b/internal/dispatch/orders.go
@@ -34,7 +34,7 @@
 }
 
 // Cancel closes an attempt. Its end is reported once the scheduler's current call has returned.
-func (d *Dispatcher) Cancel(id scheduler.RequestID, attempt scheduler.AttemptNo) {
+func (d *Dispatcher) Cancel(id scheduler.RequestID, attempt scheduler.AttemptNumber) {
 	if r := d.requests[id]; r != nil && r.isCurrent(attempt) {
 		d.fire(r, lifecycle.CancelOrdered)
 	}
--- a/internal/dispatch/request.go
+++ b/internal/dispatch/request.go
@@ -34,8 +34,8 @@
 	tenant *tenantSlot
 	ticket *tenancy.Ticket
 
-	attempts       scheduler.AttemptNo // number of attempts so far
-	attempt        *engine.Attempt     // the last attempt; nil while the intent is being recorded
+	attempts       scheduler.AttemptNumber // number of attempts so far
+	attempt        *engine.Attempt         // the last attempt; nil while the intent is being recorded
 	endpoint       scheduler.EndpointID
 	kvState        string          // the location of the prefill state, in the prefill endpoint's own format
 	stateLocations []stateLocation // prefill attempts that may have left state at their endpoints
@@ -54,7 +54,7 @@
 }
 
 // isCurrent reports whether the attempt with this number is the request's last one.
-func (r *request) isCurrent(number scheduler.AttemptNo) bool { return number == r.attempts-1 }
+func (r *request) isCurrent(number scheduler.AttemptNumber) bool { return number == r.attempts-1 }
 
 func (r *request) dropLastStateLocation() {
 	if n := len(r.stateLocations); n > 0 {
--- a/internal/dispatch/statelease.go
+++ b/internal/dispatch/statelease.go
@@ -32,7 +32,7 @@
 	if len(r.stateLocations) == 0 || r.State != lifecycle.Decoding && r.State != lifecycle.Closing {
 		return
 	}
-	if r.attempt != nil && r.attempt.SeenRunning() {
+	if r.attempt != nil && r.attempt.EndpointSeenRunning() {
 		r.lease.inUse = true
 		return
 	}
--- a/internal/dispatch/stored_intents_test.go
+++ b/internal/dispatch/stored_intents_test.go
@@ -73,7 +73,7 @@
 	disk := storedDisk(t, loop)
 	r.startDispatcher(loop, func(config *Config) (err error) {
 		config.Name, config.CachedEndpoints = "d.stored", [][]byte{list}
-		config.Intents, err = store.Open(disk, store.DefaultLimits)
+		config.IntentStore, err = store.Open(disk, store.DefaultLimits)
 		return err
 	})
 	return r
--- a/internal/dispatch/tenants.go
+++ b/internal/dispatch/tenants.go
@@ -67,7 +67,7 @@
 		}
 		d.resetDirectory() // the administration's first message has to list all tenants
 	}
-	if d.config.Tenants != "" {
+	if d.config.AdminAddr != "" {
 		d.subscribeTenants()
 		d.loop.AfterFunc(usageReportInterval, d.reportUsage)
 	}
@@ -77,7 +77,7 @@
 func (d *Dispatcher) resetDirectory() { d.directory.Epoch, d.directory.Version = "", 0 }
 
 func (d *Dispatcher) subscribeTenants() {
-	d.tenantFeed = subscribe.NewClient(d.loop, d.config.Seed+1, d.config.Tenants, subscribe.Options{
+	d.tenantFeed = subscribe.NewClient(d.loop, d.config.Seed+1, d.config.AdminAddr, subscribe.Options{
 		Source: "administration",
 		Fields: []string{"Authorization", "Bearer " + FeedToken(d.config.Secret), "x-dispatcher", d.config.Name},
 		Target: func() string {
@@ -152,7 +152,7 @@
 	}
 	if tenant.State == tenancy.StateRemoving || tenant.State == tenancy.StateRemoved {
 		if slot == nil {
-			d.usage.TenantEnded(tenant.Name)
+			d.usage.RecordTenantRemoved(tenant.Name)
 			return
 		}
 		d.removeTenant(slot, stopRunning || tenant.State == tenancy.StateRemoved)
@@ -195,13 +195,13 @@
 	delete(d.tenantSlots, slot.name)
 	d.scheduler.QuotaChanged(d.loop.Now(), slot.schedulerID, 0)
 	d.freeTenantIDs = append(d.freeTenantIDs, slot.schedulerID)
-	d.usage.TenantEnded(slot.name)
+	d.usage.RecordTenantRemoved(slot.name)
 }
 
 // Identify returns the tenant that an API key belongs to.
 func (d *Dispatcher) Identify(key string) (frontend.Identity, bool) {
 	if slot := d.staticKeys[sha256.Sum256([]byte(key))]; slot != nil {
-		return frontend.Identity{Tenant: slot.name, Space: slot.space, Active: true}, true
+		return frontend.Identity{Tenant: slot.name, Namespace: slot.space, Active: true}, true
 	}
 	tenant, tenantKey, known := d.directory.Authenticate(int64(d.loop.Now()/eventloop.Second), key)
 	if !known || !slices.Contains(tenantKey.Scopes, tenancy.ScopeChat) {
@@ -211,5 +211,5 @@
 	if slot == nil || slot.id != tenant.ID {
 		return frontend.Identity{}, false
 	}
-	return frontend.Identity{Tenant: slot.name, Key: tenantKey.ID, Space: slot.space, Active: slot.active}, true
+	return frontend.Identity{Tenant: slot.name, Key: tenantKey.ID, Namespace: slot.space, Active: slot.active}, true
 }
--- a/internal/dispatch/transitions.go
+++ b/internal/dispatch/transitions.go
@@ -100,9 +100,9 @@
 func (d *Dispatcher) notifyStarted(r *request) {
 	now := d.loop.Now()
 	class := d.schedulerConfig.Classes[r.class]
-	slo := class.SLO + scheduler.Micros(float64(class.SLOPer1000)*float64(r.chat.PromptTokens)/1000)
+	slo := class.SLO + scheduler.Micros(float64(class.SLOPer1000Tokens)*float64(r.chat.PromptTokens)/1000)
 	d.batches.limiter.ChatStarted(now, now-r.arrivedAt, slo)
-	r.attempt.Started()
+	r.attempt.MarkStarted()
 	if !r.chat.Stream {
 		// The client of an answer without streaming has received nothing yet, so that its deadline still applies.
 		r.deadlineTimer = d.loop.AfterFunc(r.deadline-unstreamedGrace-now, func() {
@@ -110,7 +110,7 @@
 				eventDetails{reason: "The answer was not whole within the client's time."})
 		})
 	}
-	d.admission.FirstToken(now, r.ticket, now-r.arrivedAt, slo)
+	d.admission.RecordFirstToken(now, r.ticket, now-r.arrivedAt, slo)
 	d.scheduler.AttemptStarted(now, r.id, r.attempts-1)
 	d.loop.Defer(d.admitQueued)
 }
--- a/internal/dispatch/usage.go
+++ b/internal/dispatch/usage.go
@@ -22,7 +22,7 @@
 	}
 	now := d.loop.Now()
 	if r.finalAction == lifecycle.AnswerRejected {
-		d.admission.NoCapacity(now, r.ticket) // counts as overload if the request was within its tenant's quota
+		d.admission.RecordNoCapacity(now, r.ticket) // counts as overload if the request was within its tenant's quota
 	}
 	usage := r.usage(now)
 	if r.part == nil || usage.PromptTokens > 0 {
@@ -82,7 +82,7 @@
 		return
 	}
 	subscribe.Post(d.loop, subscribe.PostRequest{
-		Address: d.config.Tenants,
+		Address: d.config.AdminAddr,
 		Target:  "/internal/v1/usage",
 		Fields:  []string{"Authorization", "Bearer " + FeedToken(d.config.Secret)},
 		Body:    body,
--- a/internal/embeddings/golden_test.go
+++ b/internal/embeddings/golden_test.go
@@ -135,7 +135,7 @@
 		}
 		path, body := req.BuildPart(all, 3)
 		fmt.Fprintf(&out, "order %d, texts %q, %d bytes buffered, %d tokens\n%s %s\n",
-			req.Order, req.Texts, req.BufferedBytes, req.CountTokens(all), path, body)
+			req.Order, req.Texts, req.BufferedBytes, req.EstimateTokens(all), path, body)
 	}
 	golden.Compare(t, out.Bytes())
 }
--- a/internal/embeddings/inputs.go
+++ b/internal/embeddings/inputs.go
@@ -37,7 +37,7 @@
 
 // readElement reads one element of the array of inputs.
 func (r *Request) readElement(name string, raw []byte) *frontend.Problem {
-	if name != r.Kind.ListName() {
+	if name != r.Kind.InputsMember() {
 		return frontend.UnknownParameter(name)
 	}
 	path := fmt.Sprintf("%s[%d]", name, len(r.Order))
@@ -98,7 +98,7 @@
 
 // appendToken reads one token of a tokenArray.
 func (r *Request) appendToken(raw []byte, value gjson.Result) *frontend.Problem {
-	list := r.Kind.ListName()
+	list := r.Kind.InputsMember()
 	if !isToken(value) {
 		return invalidToken(list)
 	}
@@ -119,7 +119,7 @@
 	r.tokenArray = tokenArray{}
 	raw := append([]byte{'['}, tokens.raw...)
 	raw[len(raw)-1] = ']'
-	return r.addInput(r.Kind.ListName(), raw, tokens.count)
+	return r.addInput(r.Kind.InputsMember(), raw, tokens.count)
 }
 
 func isToken(value gjson.Result) bool {
@@ -201,9 +201,9 @@
 	return r.Kind.Path(), append(body, "]}"...)
 }
 
-// CountTokens returns an estimate of the tokens that an endpoint processes for the given inputs. It counts the query of
-// a reranking once for each document.
-func (r *Request) CountTokens(inputs []int) (sum int) {
+// EstimateTokens returns an estimate of the tokens that an endpoint processes for the given inputs. It counts the query
+// of a reranking once for each document.
+func (r *Request) EstimateTokens(inputs []int) (sum int) {
 	for _, i := range inputs {
 		sum += r.Inputs[i].Tokens
 		if r.Kind == Rerank {
--- a/internal/embeddings/request.go
+++ b/internal/embeddings/request.go
@@ -32,8 +32,8 @@
 	return "/v1/embeddings"
 }
 
-// ListName returns the name of the body's member that holds the inputs.
-func (k Kind) ListName() string {
+// InputsMember returns the name of the body's member that holds the inputs.
+func (k Kind) InputsMember() string {
 	if k == Rerank {
 		return "documents"
 	}
@@ -96,7 +96,7 @@
 		indexByKey: map[vectors.Key]int32{},
 	}
 	r.scanner = scanner{
-		streamedArrays: []string{Embeddings.ListName(), Rerank.ListName()},
+		streamedArrays: []string{Embeddings.InputsMember(), Rerank.InputsMember()},
 		maxValueBytes:  min(limits.MaxInputTokens*maxBytesPerToken+maxValueOverhead, limits.MaxBody),
 		onMember:       r.readMember,
 		onElement:      r.readElement,
@@ -140,7 +140,7 @@
 	if r.received && r.decoder != nil {
 		return r.decode()
 	}
-	r.response.PauseBody(false)
+	r.response.SetBodyPaused(false)
 	return nil
 }
 
@@ -171,7 +171,7 @@
 	if problem := r.handler.InputsAdded(false); problem != nil {
 		return problem
 	}
-	r.response.PauseBody(r.BufferedBytes > r.limits.MaxBuffered)
+	r.response.SetBodyPaused(r.BufferedBytes > r.limits.MaxBuffered)
 	return nil
 }
 
@@ -237,7 +237,7 @@
 
 // checkRequired checks that the body has all required members and at least one input.
 func (r *Request) checkRequired() *frontend.Problem {
-	list := r.Kind.ListName()
+	list := r.Kind.InputsMember()
 	switch {
 	case r.Model == "":
 		return frontend.MissingParameter("model")
--- a/internal/engine/attempt.go
+++ b/internal/engine/attempt.go
@@ -64,12 +64,12 @@
 // was sent by the endpoint after the written bytes had reached its machine.
 const maxRoundTrip = 20 * eventloop.Millisecond
 
-// SeenRunning reports whether the endpoint's process is known to have been running after the request reached it. Two
-// things prove that together: the process has answered an earlier attempt on this connection, and it has sent data on
-// any connection since the request must have arrived. An open connection alone is no proof, as a kernel accepts
+// EndpointSeenRunning reports whether the endpoint's process is known to have been running after the request reached
+// it. Two things prove that together: the process has answered an earlier attempt on this connection, and it has sent
+// data on any connection since the request must have arrived. An open connection alone is no proof, as a kernel accepts
 // connections for a stopped process. TCP acknowledgements are none either: a kernel or a proxy sends them without the
 // process.
-func (a *Attempt) SeenRunning() bool {
+func (a *Attempt) EndpointSeenRunning() bool {
 	if a.connection == nil || a.connection.attempts == 0 || a.Unsent() || a.connection.conn.Undelivered() {
 		return false
 	}
@@ -86,10 +86,10 @@
 	}
 }
 
-// Started tells the attempt that the first token has arrived. It replaces the deadline, which applies until then, by an
-// idle timeout: the attempt ends if the stream delivers no event for Limits.StreamIdleTimeout. Without it, an attempt
-// to an endpoint that vanished without closing its connection would never end.
-func (a *Attempt) Started() { a.restartStreamIdleTimer() }
+// MarkStarted tells the attempt that the first token has arrived. It replaces the deadline, which applies until then,
+// by an idle timeout: the attempt ends if the stream delivers no event for Limits.StreamIdleTimeout. Without it, an
+// attempt to an endpoint that vanished without closing its connection would never end.
+func (a *Attempt) MarkStarted() { a.restartStreamIdleTimer() }
 
 func (a *Attempt) restartStreamIdleTimer() {
 	a.timer.Stop()
--- a/internal/engine/openai.go
+++ b/internal/engine/openai.go
@@ -26,7 +26,7 @@
 // Target is the destination of one attempt, the request ids that it is sent with, and its timeout.
 type Target struct {
 	Endpoint  scheduler.EndpointID
-	RequestID string // of the attempt, as returned by AttemptName; sent as x-request-id
+	RequestID string // of the attempt, as returned by AttemptRequestID; sent as x-request-id
 	ClientID  string // the client's request id; sent as x-client-request-id
 	Timeout   eventloop.Micros
 }
@@ -48,8 +48,8 @@
 	ReadResponse func(body []byte) Result
 }
 
-// AttemptName returns the request id that an attempt is sent with.
-func (e *Engine) AttemptName(request scheduler.RequestID, attempt scheduler.AttemptNo) string {
+// AttemptRequestID returns the request id that an attempt is sent with.
+func (e *Engine) AttemptRequestID(request scheduler.RequestID, attempt scheduler.AttemptNumber) string {
 	return e.name + "-" + strconv.FormatUint(uint64(request), 10) + "-" + strconv.Itoa(int(attempt))
 }
 
--- a/internal/engine/result.go
+++ b/internal/engine/result.go
@@ -17,7 +17,7 @@
 	CachedTokens   int     // prompt tokens whose KV state the endpoint had cached
 	StateMissing   bool    // with NoCapacity: the decode endpoint found no KV state to fetch
 	MemoryUsage    float64 // fraction of the endpoint's KV memory in use, from 0 to 1, or scheduler.NoLoadReport
-	State          string  // with PrefillDone: the response's kv_transfer_params, which locate the KV state, as JSON
+	KVParams       string  // with PrefillDone: the response's kv_transfer_params, which locate the KV state, as JSON
 	ClosedLocally  bool    // the engine reset the connection during the attempt
 	InvalidRequest bool    // the endpoint rejected the request as invalid; every other endpoint would, too
 	Reason         string  // for logs
@@ -71,7 +71,7 @@
 	return Result{
 		Outcome:      scheduler.PrefillDone,
 		CachedTokens: int(max(cached, 0)),
-		State:        state.Raw,
+		KVParams:     state.Raw,
 		Reason:       "prefilled",
 	}
 }
--- a/internal/engine/wire_test.go
+++ b/internal/engine/wire_test.go
@@ -55,7 +55,7 @@
 			Event: func(data []byte) { fmt.Fprintf(&out, "event %s\n", data) },
 			Ended: func(r Result) {
 				fmt.Fprintf(&out, "outcome %d, cached %d, missing %t, memory %v, state %q, ",
-					r.Outcome, r.CachedTokens, r.StateMissing, r.MemoryUsage, r.State)
+					r.Outcome, r.CachedTokens, r.StateMissing, r.MemoryUsage, r.KVParams)
 				fmt.Fprintf(&out, "locally %t, invalid %t\n", r.ClosedLocally, r.InvalidRequest)
 			},
 		})
--- a/internal/faultsearch/faultsearch.go
+++ b/internal/faultsearch/faultsearch.go
@@ -37,22 +37,22 @@
 
 // Outcome is the result of running a scenario.
 type Outcome struct {
-	Script  *pb.Day
-	Faults  []string // failures that the checks found, each as the name of its class, a colon and the details
-	Trace   uint64   // hash of the times and receivers of all segments that arrived
-	Steps   int
-	Reached lifecycle.Coverage
-	Verdict *audit.Verdict
-	Run     *scenarios.Run
+	Script    *pb.Day
+	Failures  []string // failures that the checks found, each as the name of its class, a colon and the details
+	TraceHash uint64   // hash of the times and receivers of all segments that arrived
+	Steps     int
+	Reached   lifecycle.Coverage
+	Verdict   *audit.Verdict
+	Run       *scenarios.Run
 }
 
 // FailureClass returns the class of the first failure, which is its text up to the colon. Two scenarios fail in the
 // same way if their classes are equal. It returns an empty string if the scenario passed.
 func (o *Outcome) FailureClass() string {
-	if len(o.Faults) == 0 {
+	if len(o.Failures) == 0 {
 		return ""
 	}
-	name, _, _ := strings.Cut(o.Faults[0], ":")
+	name, _, _ := strings.Cut(o.Failures[0], ":")
 	return name
 }
 
@@ -61,14 +61,14 @@
 	outcome := &Outcome{Script: script}
 	run := &scenarios.Run{Script: proto.CloneOf(script), Deployment: deployment.Standard(),
 		Dispatchers: int(max(script.World.GetDispatchers(), 1)), Seed: script.World.GetSeed(),
-		Keyed: script.World.GetKeyed(), Intents: script.World.GetIntents(), Mutant: mutant}
+		UseIdempotencyKeys: script.World.GetKeyed(), StoreIntents: script.World.GetIntents(), Mutant: mutant}
 	if mutant != nil && mutant.Run != nil {
 		mutant.Run(run)
 	}
 	steps := 0
 	run.AfterStep = func() {
-		if steps++; steps%stepsBetweenChecks == 0 && len(outcome.Faults) == 0 {
-			if err := run.Check(); err != nil {
+		if steps++; steps%stepsBetweenChecks == 0 && len(outcome.Failures) == 0 {
+			if err := run.CheckInvariants(); err != nil {
 				outcome.addFailure("invariant violated: %v", err)
 			}
 		}
@@ -77,14 +77,14 @@
 	if err != nil {
 		return nil, fmt.Errorf("%s: %w", script.Name, err)
 	}
-	outcome.Verdict, outcome.Trace, outcome.Steps, outcome.Run = result.Verdict, result.Trace, run.Steps, run
+	outcome.Verdict, outcome.TraceHash, outcome.Steps, outcome.Run = result.Verdict, result.Trace, run.Steps, run
 	outcome.addViolations(result.Verdict)
 	if result.OpenRequests > 0 {
 		outcome.addFailure("requests still open: %d", result.OpenRequests)
 	}
 	for _, clients := range run.BatchClients {
-		if clients.Wrong > 0 {
-			outcome.addFailure("wrong batch answers: %d calls", clients.Wrong)
+		if clients.WrongAnswers > 0 {
+			outcome.addFailure("wrong batch answers: %d calls", clients.WrongAnswers)
 		}
 	}
 	outcome.checkRecovery(script, run)
@@ -93,7 +93,7 @@
 }
 
 func (o *Outcome) addFailure(format string, args ...any) {
-	o.Faults = append(o.Faults, fmt.Sprintf(format, args...))
+	o.Failures = append(o.Failures, fmt.Sprintf(format, args...))
 }
 
 func (o *Outcome) addViolations(verdict *audit.Verdict) {
@@ -107,7 +107,7 @@
 }
 
 func (o *Outcome) addCoverage(run *scenarios.Run) {
-	for _, coverage := range run.Reached {
+	for _, coverage := range run.LifecycleCoverage {
 		for state := range coverage {
 			for event, count := range coverage[state] {
 				o.Reached[state][event] += count
--- a/internal/faultsearch/faultsearch_test.go
+++ b/internal/faultsearch/faultsearch_test.go
@@ -43,14 +43,14 @@
 			t.Error(err)
 			return
 		}
-		for _, failure := range outcome.Faults {
+		for _, failure := range outcome.Failures {
 			t.Errorf("seed %d: %s (plumspindle sim replay %d)", seed, failure, seed)
 		}
 		if seed%repeatedSeeds > 0 {
 			return
 		}
 		again, err := Run(Draw(seed, DefaultSize), nil)
-		if err != nil || again.Trace != outcome.Trace || again.Steps != outcome.Steps {
+		if err != nil || again.TraceHash != outcome.TraceHash || again.Steps != outcome.Steps {
 			t.Errorf("seed %d: a second run took another course (%v)", seed, err)
 		}
 	})
@@ -74,8 +74,8 @@
 				t.Error(err)
 				return
 			}
-			if len(outcome.Faults) > 0 {
-				t.Logf("%s: seed %d: %s", mutant.Name, seed, outcome.Faults[0])
+			if len(outcome.Failures) > 0 {
+				t.Logf("%s: seed %d: %s", mutant.Name, seed, outcome.Failures[0])
 				return
 			}
 			seed = tried + 1
@@ -92,7 +92,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		if len(outcome.Faults) > 0 {
+		if len(outcome.Failures) > 0 {
 			return outcome
 		}
 	}
@@ -116,7 +116,7 @@
 				t.Fatal(err)
 			}
 			if outcome.FailureClass() != found.FailureClass() || len(least.Troubles) > maxFaultsLeft {
-				t.Errorf("%d faults are left; the failures are %v", len(least.Troubles), outcome.Faults)
+				t.Errorf("%d faults are left; the failures are %v", len(least.Troubles), outcome.Failures)
 			}
 		})
 	}
@@ -148,7 +148,7 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			for _, failure := range outcome.Faults {
+			for _, failure := range outcome.Failures {
 				t.Error(failure)
 			}
 		})
@@ -182,7 +182,7 @@
 			t.Error(err)
 			return
 		}
-		for _, failure := range outcome.Faults {
+		for _, failure := range outcome.Failures {
 			t.Errorf("step %d: %s", step, failure)
 		}
 	})
@@ -200,8 +200,8 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			if len(result.Faults) > 0 || result.States < 10 {
-				t.Errorf("%d runs, %d states, failures %v", result.Runs, result.States, result.Faults)
+			if len(result.Failures) > 0 || result.States < 10 {
+				t.Errorf("%d runs, %d states, failures %v", result.Runs, result.States, result.Failures)
 			}
 		})
 	}
--- a/internal/faultsearch/interceptors.go
+++ b/internal/faultsearch/interceptors.go
@@ -16,7 +16,7 @@
 	send     func(request scheduler.RequestID, endpoint scheduler.EndpointID, timeout scheduler.Micros)
 	reject   func(request scheduler.RequestID, retryAfter scheduler.Micros)
 	fail     func(request scheduler.RequestID)
-	cancel   func(request scheduler.RequestID, attempt scheduler.AttemptNo)
+	cancel   func(request scheduler.RequestID, attempt scheduler.AttemptNumber)
 	release  func(request scheduler.RequestID)
 	setTimer func(after scheduler.Micros, timer scheduler.TimerID)
 }
@@ -41,7 +41,7 @@
 func (e *interceptingExecutor) Fail(request scheduler.RequestID) { e.fail(request) }
 
 // Cancel implements scheduler.Executor.
-func (e *interceptingExecutor) Cancel(request scheduler.RequestID, attempt scheduler.AttemptNo) {
+func (e *interceptingExecutor) Cancel(request scheduler.RequestID, attempt scheduler.AttemptNumber) {
 	e.cancel(request, attempt)
 }
 
--- a/internal/faultsearch/interleavings.go
+++ b/internal/faultsearch/interleavings.go
@@ -15,10 +15,10 @@
 
 // Interleavings is the result of a bounded search over the orders in which messages are delivered.
 type Interleavings struct {
-	Runs   int      // runs of the scenario
-	States int      // distinct pairs of a depth and a state
-	Pruned int      // runs that made no further choices because they came to a known state at a known depth
-	Faults []string // failures that the checks found, each with the choices that lead to it
+	Runs     int      // runs of the scenario
+	States   int      // distinct pairs of a depth and a state
+	Pruned   int      // runs that made no further choices because they came to a known state at a known depth
+	Failures []string // failures that the checks found, each with the choices that lead to it
 }
 
 // These are the choices for the delivery of one segment.
@@ -93,7 +93,7 @@
 	run := &scenarios.Run{Script: proto.CloneOf(e.script),
 		Deployment:  deployment.Deployment{Deployment: proto.CloneOf(e.deployment.Deployment)},
 		Dispatchers: int(e.script.World.Dispatchers), Seed: e.script.World.Seed}
-	run.Delay = func() eventloop.Micros { return e.choose(run) }
+	run.ExtraLatency = func() eventloop.Micros { return e.choose(run) }
 	outcome, err := run.RunVirtual(0)
 	if err != nil {
 		return err
@@ -113,7 +113,7 @@
 
 func (e *exploration) addFailure(format string, args ...any) {
 	text := fmt.Sprintf(format, args...)
-	e.result.Faults = append(e.result.Faults, fmt.Sprintf("%s (choices %v)", text, e.choices))
+	e.result.Failures = append(e.result.Failures, fmt.Sprintf("%s (choices %v)", text, e.choices))
 }
 
 // choose returns the delay of the next segment. At the first segment beyond the current choices it adds a choice, and
--- a/internal/faultsearch/mutants.go
+++ b/internal/faultsearch/mutants.go
@@ -57,7 +57,7 @@
 			e.fail = func(request scheduler.RequestID) { e.Executor.Reject(request, 200*eventloop.Millisecond) }
 		}),
 		executorMutant("a cancel is forgotten", func(e *interceptingExecutor) {
-			e.cancel = func(scheduler.RequestID, scheduler.AttemptNo) {}
+			e.cancel = func(scheduler.RequestID, scheduler.AttemptNumber) {}
 		}),
 		executorMutant("the beat stops", func(e *interceptingExecutor) {
 			const workingTimers = 39
@@ -122,7 +122,7 @@
 		}),
 		configMutant("repeats are dropped for ever, it is thought", func(config *scheduler.Config) {
 			for i := range config.Classes {
-				config.Classes[i].Window *= 100
+				config.Classes[i].DedupWindow *= 100
 			}
 		}),
 	}
@@ -164,7 +164,7 @@
 // storeMutants returns mutants that break the durable record of requests that may have run.
 func storeMutants() []*scenarios.Mutant {
 	return []*scenarios.Mutant{
-		{Name: "intents are not kept", Run: func(run *scenarios.Run) { run.Intents = false }},
+		{Name: "intents are not kept", Run: func(run *scenarios.Run) { run.StoreIntents = false }},
 		{Name: "the disk answers before it has written", Disk: func(disk *virtual.Disk) { disk.AcknowledgesEarly = true }},
 	}
 }
--- a/internal/faultsearch/rules_test.go
+++ b/internal/faultsearch/rules_test.go
@@ -20,12 +20,12 @@
 
 // breaksOnly reports whether a scenario failed for one rule and for nothing else.
 func breaksOnly(outcome *Outcome, rule int) bool {
-	for _, failure := range outcome.Faults {
+	for _, failure := range outcome.Failures {
 		if !strings.HasPrefix(failure, fmt.Sprintf("rule %d:", rule)) {
 			return false
 		}
 	}
-	return len(outcome.Faults) > 0
+	return len(outcome.Failures) > 0
 }
 
 // TestMutantsAreRejectedForTheirRuleAlone checks that the audit can reject a run for each of the rules alone: some
@@ -76,8 +76,8 @@
 		}
 		good, err := Run(script, nil)
 		checked := err == nil && good.Verdict.Rules[rule-1].Checked > 0 && bad.Verdict.Rules[rule-1].Checked > 0
-		if checked && len(good.Faults) == 0 {
-			return bad.Faults[0]
+		if checked && len(good.Failures) == 0 {
+			return bad.Failures[0]
 		}
 	}
 	return ""
--- a/internal/frontend/body.go
+++ b/internal/frontend/body.go
@@ -81,9 +81,9 @@
 	r.buffered = 0
 }
 
-// PauseBody pauses or resumes reading the request's body, for a Sink that has buffered enough. MessageTimeout does not
-// run while reading is paused.
-func (r *Response) PauseBody(on bool) {
+// SetBodyPaused pauses or resumes reading the request's body, for a Sink that has buffered enough. MessageTimeout does
+// not run while reading is paused.
+func (r *Response) SetBodyPaused(on bool) {
 	c := r.connection
 	if r.received || r.done || r.bodyPaused == on {
 		return
--- a/internal/frontend/connection.go
+++ b/internal/frontend/connection.go
@@ -195,7 +195,7 @@
 		response.OnDisconnect = nil
 	}
 	response.releaseBuffer()
-	response.PauseBody(false)
+	response.SetBodyPaused(false)
 	c.sink = &discardingSink{end: func() { response.Reject(0) }}
 }
 
--- a/internal/frontend/errors.go
+++ b/internal/frontend/errors.go
@@ -82,8 +82,11 @@
 	return overloaded("The service is busy; nothing was run. Please try again.")
 }
 
-// OverloadedMidway returns the problem of a request that is rejected for lack of capacity after parts of it have run.
-func OverloadedMidway() *Problem { return overloaded("The service is busy. Please try again.") }
+// OverloadedAfterPartialRun returns the problem of a request that is rejected for lack of capacity after parts of it
+// have run.
+func OverloadedAfterPartialRun() *Problem {
+	return overloaded("The service is busy. Please try again.")
+}
 
 func overloaded(message string) *Problem {
 	return &Problem{Status: http.StatusTooManyRequests, Type: typeRateLimit, Code: "throttled", Message: message}
--- a/internal/frontend/errors_test.go
+++ b/internal/frontend/errors_test.go
@@ -20,7 +20,7 @@
 				`"param":null,"type":"rate_limit_error"}}`,
 		},
 		"overloaded after a partial run": {
-			problem: OverloadedMidway(),
+			problem: OverloadedAfterPartialRun(),
 			status:  http.StatusTooManyRequests,
 			body: `{"error":{"code":"throttled","message":"The service is busy. Please try again.",` +
 				`"param":null,"type":"rate_limit_error"}}`,
--- a/internal/frontend/response.go
+++ b/internal/frontend/response.go
@@ -48,7 +48,7 @@
 		return
 	}
 	r.connection.problem = problem
-	r.PauseBody(false)
+	r.SetBodyPaused(false)
 }
 
 // Complete sends the final answer to a request that was carried out, or the rest of it, as the Format presents it.
--- a/internal/frontend/server.go
+++ b/internal/frontend/server.go
@@ -23,10 +23,10 @@
 
 // Identity is the owner of an API key.
 type Identity struct {
-	Tenant string
-	Key    string // the key's id, never the key itself
-	Space  string // namespace for identifiers of prompts and sessions; unique to the tenant
-	Active bool   // false: the tenant is known but not served at present
+	Tenant    string
+	Key       string // the key's id, never the key itself
+	Namespace string // namespace for identifiers of prompts and sessions; unique to the tenant
+	Active    bool   // false: the tenant is known but not served at present
 }
 
 // Server accepts client connections and serves their requests.
--- a/internal/frontend/wire_test.go
+++ b/internal/frontend/wire_test.go
@@ -14,7 +14,7 @@
 type singleKeyAuthenticator struct{}
 
 func (singleKeyAuthenticator) Identify(key string) (Identity, bool) {
-	return Identity{Tenant: "tenant", Key: "id", Space: "space", Active: true}, key == "good"
+	return Identity{Tenant: "tenant", Key: "id", Namespace: "space", Active: true}, key == "good"
 }
 
 // textFormat is a Format that passes events on unchanged.
--- a/internal/platform/attempt.go
+++ b/internal/platform/attempt.go
@@ -26,8 +26,8 @@
 
 // attempt describes the attempt that the scheduler ordered last for a request, whether it is still in flight or not.
 type attempt struct {
-	count      scheduler.AttemptNo // attempts of the request that the scheduler has ordered so far
-	inFlight   *engine.Attempt     // nil before the attempt is handed to the network and after it has ended
+	count      scheduler.AttemptNumber // attempts of the request that the scheduler has ordered so far
+	inFlight   *engine.Attempt         // nil before the attempt is handed to the network and after it has ended
 	endpoint   scheduler.EndpointID
 	orderedAt  eventloop.Micros
 	prefill    bool
@@ -36,7 +36,7 @@
 }
 
 // number returns the number of the attempt that was ordered last.
-func (a *attempt) number() scheduler.AttemptNo { return a.count - 1 }
+func (a *attempt) number() scheduler.AttemptNumber { return a.count - 1 }
 
 // newResult returns the result of an attempt that returned no load report.
 func newResult(outcome scheduler.Outcome, reason string) engine.Result {
@@ -71,7 +71,7 @@
 
 // startAttempt hands the attempt to the network. Its timeouts count from the time at which the scheduler ordered it,
 // because the scheduler checked at that time whether the attempt may be sent, for example as a retry within its window.
-func (d *Dispatcher) startAttempt(req *request, number scheduler.AttemptNo, timeout eventloop.Micros) {
+func (d *Dispatcher) startAttempt(req *request, number scheduler.AttemptNumber, timeout eventloop.Micros) {
 	// The client may have disconnected without OnDisconnect having been called yet, for example if the process was
 	// suspended.
 	if req.client.response.Disconnected() {
@@ -111,7 +111,7 @@
 // startAfterRelease starts an attempt that waited for a release. It doesn't start the attempt if its endpoint has begun
 // to drain meanwhile, nor if it has waited for longer than the connect timeout: the scheduler checked the retry window
 // when it ordered the attempt, and the window may be over by now.
-func (d *Dispatcher) startAfterRelease(req *request, number scheduler.AttemptNo, timeout eventloop.Micros) {
+func (d *Dispatcher) startAfterRelease(req *request, number scheduler.AttemptNumber, timeout eventloop.Micros) {
 	switch {
 	case !d.isReady(req.attempt.endpoint):
 		d.attemptEnded(req, number, newResult(scheduler.NotSent, reasonEndpointNotReady))
@@ -124,7 +124,7 @@
 
 // forwardEvent forwards an event of the endpoint's stream to the client, and pauses the endpoint's stream if the client
 // reads too slowly.
-func (d *Dispatcher) forwardEvent(req *request, number scheduler.AttemptNo, data []byte) {
+func (d *Dispatcher) forwardEvent(req *request, number scheduler.AttemptNumber, data []byte) {
 	if number != req.attempt.number() || req.attempt.inFlight == nil || req.client.closed {
 		return
 	}
@@ -145,8 +145,8 @@
 	req.attempt.started = true
 	req.lease.active, req.lease.releasedDuringAttempt = false, false
 	req.lease.expiry.Clear()
-	req.ledger.LeaseTaken()
-	req.attempt.inFlight.Started()
+	req.ledger.StateFetched()
+	req.attempt.inFlight.MarkStarted()
 	now := d.loop.Now()
 	if e := d.debugAttempt(req); e.Enabled() {
 		e.Int64("duration_us", int64(now-req.attempt.orderedAt)).Msg("stream started")
@@ -157,7 +157,7 @@
 // attemptEnded handles the result of an attempt, unless the scheduler has ordered another one since. If this side reset
 // the connection of an attempt that its endpoint may have received, and no stream had started, the result is handled
 // only after cancelDeliveryTime.
-func (d *Dispatcher) attemptEnded(req *request, number scheduler.AttemptNo, result engine.Result) {
+func (d *Dispatcher) attemptEnded(req *request, number scheduler.AttemptNumber, result engine.Result) {
 	a := &req.attempt
 	if number != a.number() {
 		return
@@ -199,7 +199,7 @@
 // Cancel implements scheduler.Executor: it cancels an attempt that is in flight or waits for a release. It reports the
 // result only after the current call of the scheduler has returned. An attempt that was never written completely is
 // reported as NotSent, since it can't have run.
-func (d *Dispatcher) Cancel(id scheduler.RequestID, number scheduler.AttemptNo) {
+func (d *Dispatcher) Cancel(id scheduler.RequestID, number scheduler.AttemptNumber) {
 	req := d.requests[id]
 	if req == nil || number != req.attempt.number() || req.attempt.started || req.attempt.cancelling {
 		return
--- a/internal/platform/discovery_test.go
+++ b/internal/platform/discovery_test.go
@@ -39,7 +39,7 @@
 	// Discovery moves to another address: the dispatcher opens one watch there and continues to serve requests.
 	env.agent.listen("127.0.0.9:8600")
 	asked := len(env.agent.targets)
-	env.loop.Do(func() { env.dispatcher.MoveDiscovery("127.0.0.9:8600") })
+	env.loop.Do(func() { env.dispatcher.SetDiscoveryAddress("127.0.0.9:8600") })
 	env.waitFor(eventloop.Second, "the watch at the new address", func() bool { return len(env.agent.targets) > asked })
 	env.network.Run(3 * eventloop.Second)
 	if len(env.agent.targets) != asked+1 {
--- a/internal/platform/dispatcher.go
+++ b/internal/platform/dispatcher.go
@@ -162,8 +162,8 @@
 // Server returns the HTTP server that serves the dispatcher's clients.
 func (d *Dispatcher) Server() *server.Server { return d.server }
 
-// MoveDiscovery continues to watch the endpoint list at another address of the discovery agent.
-func (d *Dispatcher) MoveDiscovery(address string) { d.discovery.SetAddress(address) }
+// SetDiscoveryAddress continues to watch the endpoint list at another address of the discovery agent.
+func (d *Dispatcher) SetDiscoveryAddress(address string) { d.discovery.SetAddress(address) }
 
 // discoveryReady reports whether discovery has responded since the start, or discoveryTimeout has passed. Before that,
 // the dispatcher knows only the cached list, which may name endpoints that no longer exist. Once the result is true, it
--- a/internal/platform/guard/guard.go
+++ b/internal/platform/guard/guard.go
@@ -88,8 +88,8 @@
 	return total
 }
 
-// Violated counts and reports a violation.
-func (g *Guard) Violated(v Violation) {
+// ReportViolation counts and reports a violation.
+func (g *Guard) ReportViolation(v Violation) {
 	g.counts[v.Rule]++
 	g.report(v)
 }
--- a/internal/platform/guard/guard_test.go
+++ b/internal/platform/guard/guard_test.go
@@ -59,7 +59,7 @@
 	reported := 0
 	limits := Limits{AnswerSlack: 500 * ms, DisconnectSlack: 100 * ms, DeadlineSlack: 150 * ms, StateLease: 800 * ms}
 	g := New(limits, func(Violation) { reported++ })
-	properties := Terms{RequestID: "1", Retry: test.retry, RetryWindow: 100 * ms, Deadline: 1000 * ms}
+	properties := RequestProperties{RequestID: "1", Retry: test.retry, RetryWindow: 100 * ms, Deadline: 1000 * ms}
 	test.play(requestRecord{g.Begin(properties)})
 	violated := g.counts[rule] > 0
 	if violated != test.violated || g.Violations() != uint64(reported) || !test.violated && reported > 0 {
@@ -171,7 +171,7 @@
 	}, false},
 	{"fetched before it is overdue", RetryAlways, func(r requestRecord) {
 		r.LeaseStarted(10 * ms)
-		r.LeaseTaken()
+		r.StateFetched()
 		r.LeaseOverdue(900 * ms)
 	}, false},
 }
@@ -198,7 +198,7 @@
 func TestSendRefuses(t *testing.T) {
 	var reported []Violation
 	g := New(Limits{}, func(v Violation) { reported = append(reported, v) })
-	err := g.Begin(Terms{RequestID: "1"}).Send(10*ms, draining)
+	err := g.Begin(RequestProperties{RequestID: "1"}).Send(10*ms, draining)
 	var violation *Violation
 	if !errors.As(err, &violation) {
 		t.Fatalf("the error is %v", err)
--- a/internal/platform/guard/request.go
+++ b/internal/platform/guard/request.go
@@ -24,8 +24,8 @@
 	HasEffects bool   // an attempt there has the request's effects; a prefill has none
 }
 
-// Terms are the properties of a request that the rules depend on.
-type Terms struct {
+// RequestProperties are the properties of a request that the rules depend on.
+type RequestProperties struct {
 	RequestID   string
 	Retry       RetryPolicy
 	RetryWindow eventloop.Micros
@@ -41,7 +41,7 @@
 // Request is the guard's record of one request.
 type Request struct {
 	guard          *Guard
-	properties     Terms
+	properties     RequestProperties
 	inFlight       *sentAttempt
 	mayHaveRun     *sentAttempt // the first attempt that may have had effects; nil if there is none
 	answered       bool
@@ -50,7 +50,9 @@
 }
 
 // Begin returns a new record for a request.
-func (g *Guard) Begin(properties Terms) *Request { return &Request{guard: g, properties: properties} }
+func (g *Guard) Begin(properties RequestProperties) *Request {
+	return &Request{guard: g, properties: properties}
+}
 
 // Send checks and records an attempt before the caller hands it to the network. If it returns an error, which is
 // always a *Violation, the caller must not make the attempt.
@@ -176,8 +178,8 @@
 	}
 }
 
-// LeaseTaken records that an endpoint has fetched the KV state.
-func (r *Request) LeaseTaken() { r.leasedAt = 0 }
+// StateFetched records that an endpoint has fetched the KV state.
+func (r *Request) StateFetched() { r.leasedAt = 0 }
 
 // LeaseReleased records the release of the KV state, and checks that it came within the lease.
 func (r *Request) LeaseReleased(now eventloop.Micros) {
@@ -213,6 +215,6 @@
 	if endpoint != nil {
 		v.Endpoint = endpoint.Name
 	}
-	r.guard.Violated(v)
+	r.guard.ReportViolation(v)
 	return &v
 }
--- a/internal/platform/launch/descriptors_test.go
+++ b/internal/platform/launch/descriptors_test.go
@@ -118,7 +118,7 @@
 	before.await(t, "the first subscription")
 	// Once it accepts a connection it listens, and has opened all descriptors that it needs.
 	eventually(t, "a connection", func() bool { return connect(t, listen) == nil })
-	if err := syscallfaults.NoDescriptors(process.Pid); err != nil {
+	if err := syscallfaults.PreventNewDescriptors(process.Pid); err != nil {
 		t.Fatal(err)
 	}
 	const clients = 20 // these wait for a descriptor, and take each that becomes free
--- a/internal/platform/launch/launch.go
+++ b/internal/platform/launch/launch.go
@@ -83,7 +83,7 @@
 	for i, class := range schedulerConfig.Classes {
 		p.log.Info().Str("class", config.Settings.Classes[i]).
 			Int("effect", int(class.Effect)).Int("group", int(class.Group)).
-			Int64("window", int64(class.Window)).Int64("slo", int64(class.SLO)).
+			Int64("window", int64(class.DedupWindow)).Int64("slo", int64(class.SLO)).
 			Msg("request class")
 	}
 	p.log.Info().Str("discovery", config.Discovery).
--- a/internal/platform/launch/reload.go
+++ b/internal/platform/launch/reload.go
@@ -21,7 +21,7 @@
 	switch {
 	case err == nil:
 		p.log.Info().Str("discovery", config.Discovery).Msg("configuration reloaded")
-		p.loop.Post(func() { p.dispatcher.MoveDiscovery(config.Discovery) })
+		p.loop.Post(func() { p.dispatcher.SetDiscoveryAddress(config.Discovery) })
 	case isTransient(err) && attempts < maxReloadAttempts:
 		p.log.Warn().Err(err).Int("attempt", attempts+1).Msg("configuration not readable")
 		p.loop.Post(func() {
--- a/internal/platform/ledger.go
+++ b/internal/platform/ledger.go
@@ -61,16 +61,16 @@
 		d.reportNotServing(incoming.ID, "accepted after the shutdown")
 	}
 	c := &d.settings.Scheduler.Classes[class]
-	return d.guard.Begin(guard.Terms{
+	return d.guard.Begin(guard.RequestProperties{
 		RequestID:   incoming.ID,
 		Retry:       retryPolicies[c.Effect],
-		RetryWindow: c.Window,
+		RetryWindow: c.DedupWindow,
 		Deadline:    incoming.ReceivedAt + incoming.Timeout,
 	})
 }
 
 func (d *Dispatcher) reportNotServing(requestID, detail string) {
-	d.guard.Violated(guard.Violation{Rule: guard.NotServing, RequestID: requestID, Detail: detail})
+	d.guard.ReportViolation(guard.Violation{Rule: guard.NotServing, RequestID: requestID, Detail: detail})
 }
 
 // endpointForGuard describes the endpoint of the last attempt to the guard, as it is listed now.
@@ -92,7 +92,7 @@
 
 // checkWrittenAttempt has the guard check an attempt as it is written, along with the remaining time that its endpoint
 // is told.
-func (d *Dispatcher) checkWrittenAttempt(req *request, number scheduler.AttemptNo, remaining eventloop.Micros) {
+func (d *Dispatcher) checkWrittenAttempt(req *request, number scheduler.AttemptNumber, remaining eventloop.Micros) {
 	if number == req.attempt.number() {
 		req.ledger.Written(d.loop.Now(), d.endpointForGuard(req), remaining)
 	}
@@ -101,5 +101,5 @@
 // reportUnansweredClose reports a violation: the server closes a connection although it has read a request on it that
 // is not answered.
 func (d *Dispatcher) reportUnansweredClose(requestID, reason string) {
-	d.guard.Violated(guard.Violation{Rule: guard.UnansweredClose, RequestID: requestID, Detail: reason})
+	d.guard.ReportViolation(guard.Violation{Rule: guard.UnansweredClose, RequestID: requestID, Detail: reason})
 }
--- a/internal/platform/shutdown_test.go
+++ b/internal/platform/shutdown_test.go
@@ -140,7 +140,8 @@
 	first := env.shutDown()
 	env.network.Run(300 * eventloop.Millisecond)
 	second := env.shutDown()
-	env.loop.Do(func() { env.dispatcher.MoveDiscovery("127.0.0.9:8600") }) // as if the configuration changed meanwhile
+	// as if the configuration changed meanwhile
+	env.loop.Do(func() { env.dispatcher.SetDiscoveryAddress("127.0.0.9:8600") })
 	if got := env.finalStatus(client); got != 200 {
 		t.Errorf("answered %d", got)
 	}
--- a/internal/settings/sections.go
+++ b/internal/settings/sections.go
@@ -68,7 +68,7 @@
 			return err
 		}
 		if i < len(microsPer1000Tokens) {
-			class.SLOPer1000 = scheduler.Micros(microsPer1000Tokens[i].Float())
+			class.SLOPer1000Tokens = scheduler.Micros(microsPer1000Tokens[i].Float())
 		}
 		if i < len(nanosPerToken) {
 			class.TokenSLO = MicrosFromNanos(nanosPerToken[i].Uint())
@@ -91,7 +91,7 @@
 	}
 	return scheduler.Class{
 		SLO:              parseNanos(element, "aim"),
-		Window:           parseNanos(element, "window"),
+		DedupWindow:      parseNanos(element, "window"),
 		Effect:           effect,
 		Group:            group,
 		Revenue:          element.Get("points").Float(),
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -48,11 +48,11 @@
 			OverloadFactor:  2.5,
 			Classes: []scheduler.Class{
 				{
-					SLO: eventloop.Second, SLOPer1000: 1500, TokenSLO: 40 * eventloop.Millisecond,
+					SLO: eventloop.Second, SLOPer1000Tokens: 1500, TokenSLO: 40 * eventloop.Millisecond,
 					Effect: scheduler.Idempotent, Revenue: 2, LateRevenueShare: 0.3,
 				},
 				{
-					SLO: 2 * eventloop.Second, TokenSLO: 50 * eventloop.Millisecond, Window: 5 * eventloop.Second,
+					SLO: 2 * eventloop.Second, TokenSLO: 50 * eventloop.Millisecond, DedupWindow: 5 * eventloop.Second,
 					Effect: scheduler.Deduplicated, Group: scheduler.SameCell,
 				},
 				{Effect: scheduler.NonIdempotent},
--- a/internal/tenancy/admission.go
+++ b/internal/tenancy/admission.go
@@ -135,7 +135,7 @@
 
 // maxQueued returns how many requests of a tenant may be queued in this dispatcher.
 func (a *AdmissionController) maxQueued(tenant *tenantAccount) int {
-	limit := orDefault(float64(tenant.limiter.limits.Waiting), defaultMaxQueued)
+	limit := orDefault(float64(tenant.limiter.limits.MaxQueued), defaultMaxQueued)
 	return max(int(limit/a.dispatchers), 1)
 }
 
--- a/internal/tenancy/admission_test.go
+++ b/internal/tenancy/admission_test.go
@@ -13,12 +13,12 @@
 func BenchmarkAdmit(b *testing.B) {
 	const tenants = 10000
 	controller := NewAdmissionController(4)
-	limits := Limits{QuotaPerS: 4, PerS: 1e6, TokensPerS: 1e9, Concurrent: 1000}
+	limits := Limits{QuotaPerS: 4, RequestsPerS: 1e6, TokensPerS: 1e9, MaxConcurrent: 1000}
 	for i := range tenants {
 		controller.SetTenant(ID(i), TenantSettings{
 			Limits:   limits,
-			Keys:     map[string]Limits{"k": {PerS: 1e6}},
-			Products: map[string]Limits{"p": {PerS: 1e6}},
+			Keys:     map[string]Limits{"k": {RequestsPerS: 1e6}},
+			Products: map[string]Limits{"p": {RequestsPerS: 1e6}},
 			Serving:  true,
 		})
 	}
@@ -36,7 +36,7 @@
 		if decision.Queued {
 			controller.AdmitNext(now)
 		}
-		controller.FirstToken(now, ticket, 1000, second)
+		controller.RecordFirstToken(now, ticket, 1000, second)
 		controller.Release(now, ticket, 1600)
 	}
 }
@@ -49,9 +49,9 @@
 		run := &limitsRun{
 			t: t,
 			limits: Limits{
-				PerS:       float64(rapid.IntRange(1, 50).Draw(t, "per_s")),
-				Concurrent: rapid.IntRange(0, 20).Draw(t, "concurrent"),
-				TokensPerS: float64(rapid.IntRange(0, 1).Draw(t, "tokens")) * 20000,
+				RequestsPerS:  float64(rapid.IntRange(1, 50).Draw(t, "per_s")),
+				MaxConcurrent: rapid.IntRange(0, 20).Draw(t, "concurrent"),
+				TokensPerS:    float64(rapid.IntRange(0, 1).Draw(t, "tokens")) * 20000,
 			},
 			now:  testStart,
 			open: map[*Ticket]*AdmissionController{},
@@ -100,8 +100,8 @@
 	} else if decision.Reason == NotRejected {
 		r.t.Fatal("rejected without a reason")
 	}
-	if r.limits.Concurrent > 0 && len(r.open) > max(r.limits.Concurrent, len(r.controllers)) {
-		r.t.Fatalf("%d open requests, limit %d, %d dispatchers", len(r.open), r.limits.Concurrent, len(r.controllers))
+	if r.limits.MaxConcurrent > 0 && len(r.open) > max(r.limits.MaxConcurrent, len(r.controllers)) {
+		r.t.Fatalf("%d open requests, limit %d, %d dispatchers", len(r.open), r.limits.MaxConcurrent, len(r.controllers))
 	}
 	for ticket, controller := range r.open {
 		if rapid.IntRange(0, 3).Draw(r.t, "end") == 0 {
@@ -117,7 +117,8 @@
 	dispatchers := float64(len(r.controllers))
 	// The bucket of each dispatcher is full at the start. All buckets together hold one second of the limit, or one
 	// request for each dispatcher if that is more.
-	if bound := r.limits.PerS*seconds + max(r.limits.PerS, dispatchers) + dispatchers; float64(r.accepted) > bound {
+	if bound := r.limits.RequestsPerS*seconds + max(r.limits.RequestsPerS, dispatchers) +
+		dispatchers; float64(r.accepted) > bound {
 		r.t.Fatalf("%d requests accepted in %.2f s, %.0f allowed", r.accepted, seconds, bound)
 	}
 	tokens := float64(r.accepted * limitsRunTokens)
@@ -130,7 +131,7 @@
 func (r *limitsRun) checkLoweredLimit() {
 	r.t.Helper()
 	controller := r.controllers[0]
-	controller.SetTenant(1, TenantSettings{Limits: Limits{PerS: 0.001}, Serving: true})
+	controller.SetTenant(1, TenantSettings{Limits: Limits{RequestsPerS: 0.001}, Serving: true})
 	request := AdmissionRequest{Tenant: 1, PromptTokens: 10, MaxOutputTokens: 10}
 	first, _ := controller.Admit(r.now, request)
 	ticket, decision := controller.Admit(r.now, request)
@@ -223,7 +224,7 @@
 	for len(f.running) > capacity {
 		ticket := f.running[0]
 		f.running = f.running[1:]
-		f.controller.FirstToken(f.now, ticket, second/20, second)
+		f.controller.RecordFirstToken(f.now, ticket, second/20, second)
 		f.served[ticket.tenant.id]++
 		f.controller.Release(f.now, ticket, 600)
 	}
--- a/internal/tenancy/cached_tenants_test.go
+++ b/internal/tenancy/cached_tenants_test.go
@@ -14,8 +14,8 @@
 // limitsFrom returns limits of the fixture. All values differ, so that mixed-up fields are found.
 func limitsFrom(n int) tenancy.Limits {
 	f := float64(n)
-	return tenancy.Limits{QuotaPerS: f + 0.5, Weight: f + 0.25, PerS: f + 10, TokensPerS: f*1000 + 1, BurstS: f + 0.75,
-		Concurrent: n + 2, LargestPrompt: n*100 + 3, Waiting: n + 4}
+	return tenancy.Limits{QuotaPerS: f + 0.5, Weight: f + 0.25, RequestsPerS: f + 10, TokensPerS: f*1000 + 1,
+		BurstS: f + 0.75, MaxConcurrent: n + 2, MaxPromptTokens: n*100 + 3, MaxQueued: n + 4}
 }
 
 // cachedTenants returns the tenants that testdata/kept-tenants.json contains.
--- a/internal/tenancy/directory_test.go
+++ b/internal/tenancy/directory_test.go
@@ -126,8 +126,8 @@
 	}
 	for code, change := range map[ErrorCode]func() error{
 		CodeInvalidName:     func() error { _, _, err := registry.Create(1, "A", Limits{}, nil); return err },
-		CodeInvalidLimit:    func() error { _, _, err := registry.Create(1, "b", Limits{PerS: -1}, nil); return err },
-		CodeExists:          func() error { _, _, err := registry.Create(1, "a", Limits{PerS: 1}, nil); return err },
+		CodeInvalidLimit:    func() error { _, _, err := registry.Create(1, "b", Limits{RequestsPerS: -1}, nil); return err },
+		CodeExists:          func() error { _, _, err := registry.Create(1, "a", Limits{RequestsPerS: 1}, nil); return err },
 		CodeNoTenant:        func() error { _, err := registry.Resume("b", 0); return err },
 		CodeVersionMismatch: func() error { _, err := registry.Resume("a", 9); return err },
 		CodeInvalidPolicy:   func() error { _, err := registry.Remove("a", 0, "later"); return err },
--- a/internal/tenancy/limits.go
+++ b/internal/tenancy/limits.go
@@ -57,18 +57,18 @@
 // unknown. dispatchers is the number of dispatchers that share the limits.
 func (l *limiter) check(now Micros, dispatchers float64, promptTokens int, cost float64) (Reason, Micros) {
 	limits := l.limits
-	if limits.LargestPrompt > 0 && promptTokens > limits.LargestPrompt {
+	if limits.MaxPromptTokens > 0 && promptTokens > limits.MaxPromptTokens {
 		return PromptTooLarge, 0
 	}
-	if limits.Concurrent > 0 && l.inFlight >= max(int(float64(limits.Concurrent)/dispatchers), 1) {
+	if limits.MaxConcurrent > 0 && l.inFlight >= max(int(float64(limits.MaxConcurrent)/dispatchers), 1) {
 		return ConcurrencyExceeded, 0
 	}
 	burst := orDefault(limits.BurstS, defaultBurstS)
 
 	// The bucket may still be empty from a limit that was removed, so the limit itself is checked as well.
-	requestRate := perDispatcher(limits.PerS, dispatchers)
+	requestRate := perDispatcher(limits.RequestsPerS, dispatchers)
 	l.requests.fill(now, requestRate, max(requestRate*burst, 1))
-	if limits.PerS > 0 && l.requests.level < 1 {
+	if limits.RequestsPerS > 0 && l.requests.level < 1 {
 		return RequestRateExceeded, l.requests.timeUntil(1, requestRate)
 	}
 
--- a/internal/tenancy/tenancy.go
+++ b/internal/tenancy/tenancy.go
@@ -23,12 +23,12 @@
 // Limits apply to a tenant, to one of its keys or to one of its products, over all dispatchers together. 0 means no
 // limit, unless the field has another default.
 type Limits struct {
-	QuotaPerS     float64 `json:"share_per_s,omitempty"`    // requests a second with priority over over-quota requests
-	Weight        float64 `json:"weight,omitempty"`         // of a tenant among queued over-quota requests; 1 by default
-	PerS          float64 `json:"per_s,omitempty"`          // maximum rate of requests
-	TokensPerS    float64 `json:"tokens_per_s,omitempty"`   // maximum rate of prompt and output tokens
-	BurstS        float64 `json:"burst_s,omitempty"`        // seconds of both rates that may come at once; 1 by default
-	Concurrent    int     `json:"concurrent,omitempty"`     // maximum number of requests at once
-	LargestPrompt int     `json:"largest_prompt,omitempty"` // maximum number of prompt tokens
-	Waiting       int     `json:"waiting,omitempty"`        // maximum number of queued requests; 200 by default
+	QuotaPerS       float64 `json:"share_per_s,omitempty"`    // requests a second with priority over over-quota requests
+	Weight          float64 `json:"weight,omitempty"`         // of a tenant among queued over-quota requests; 1 by default
+	RequestsPerS    float64 `json:"per_s,omitempty"`          // maximum rate of requests
+	TokensPerS      float64 `json:"tokens_per_s,omitempty"`   // maximum rate of prompt and output tokens
+	BurstS          float64 `json:"burst_s,omitempty"`        // seconds of both rates that may come at once; 1 by default
+	MaxConcurrent   int     `json:"concurrent,omitempty"`     // maximum number of requests at once
+	MaxPromptTokens int     `json:"largest_prompt,omitempty"` // maximum number of prompt tokens
+	MaxQueued       int     `json:"waiting,omitempty"`        // maximum number of queued requests; 200 by default
 }
--- a/internal/tenancy/usage.go
+++ b/internal/tenancy/usage.go
@@ -72,8 +72,8 @@
 	m.unreported[u.Key()] = &u
 }
 
-// TenantEnded records that this dispatcher has no running requests of a removed tenant.
-func (m *UsageMeter) TenantEnded(name string) {
+// RecordTenantRemoved records that this dispatcher has no running requests of a removed tenant.
+func (m *UsageMeter) RecordTenantRemoved(name string) {
 	if !slices.Contains(m.removedTenants, name) {
 		m.removedTenants = append(m.removedTenants, name)
 	}
--- a/internal/tenancy/validation.go
+++ b/internal/tenancy/validation.go
@@ -42,12 +42,12 @@
 	}{
 		{"share_per_s", l.QuotaPerS},
 		{"weight", l.Weight},
-		{"per_s", l.PerS},
+		{"per_s", l.RequestsPerS},
 		{"tokens_per_s", l.TokensPerS},
 		{"burst_s", l.BurstS},
-		{"concurrent", float64(l.Concurrent)},
-		{"largest_prompt", float64(l.LargestPrompt)},
-		{"waiting", float64(l.Waiting)},
+		{"concurrent", float64(l.MaxConcurrent)},
+		{"largest_prompt", float64(l.MaxPromptTokens)},
+		{"waiting", float64(l.MaxQueued)},
 	} {
 		inRange := limit.value >= 0 && limit.value <= maxLimit // false for NaN
 		if !inRange {
--- a/internal/tenancy/window.go
+++ b/internal/tenancy/window.go
@@ -154,8 +154,8 @@
 	a.window.grow(a.now)
 }
 
-// FirstToken records how long an admitted request took to its first token, and its latency objective.
-func (a *AdmissionController) FirstToken(now Micros, t *Ticket, took, objective Micros) {
+// RecordFirstToken records how long an admitted request took to its first token, and its latency objective.
+func (a *AdmissionController) RecordFirstToken(now Micros, t *Ticket, took, objective Micros) {
 	a.now = now
 	if t.overQuota {
 		if t.state == ticketAdmitted {
@@ -168,9 +168,9 @@
 	}
 }
 
-// NoCapacity records that the scheduler found no capacity for a request. A request within its quota counts as late
-// then.
-func (a *AdmissionController) NoCapacity(now Micros, t *Ticket) {
+// RecordNoCapacity records that the scheduler found no capacity for a request. A request within its quota counts as
+// late then.
+func (a *AdmissionController) RecordNoCapacity(now Micros, t *Ticket) {
 	if !t.overQuota {
 		a.window.recordLate(now)
 	}
--- a/internal/testbed/audit/audit.go
+++ b/internal/testbed/audit/audit.go
@@ -36,15 +36,15 @@
 
 // Row sums up the requests of one product, of one tenant or of all, by their outcomes.
 type Row struct {
-	Name       string
-	Asked      int // all requests
-	Completed  int
-	InSLO      int
-	Rejected   int
-	Failed     int
-	Lost       int                     // any other outcome
-	Attempts   int                     // at endpoints
-	FirstToken *hdrhistogram.Histogram // time to first token, µs
+	Name          string
+	Requests      int // all requests
+	Completed     int
+	InSLO         int
+	Rejected      int
+	Failed        int
+	OtherOutcomes int                     // any other outcome
+	Attempts      int                     // at endpoints
+	FirstToken    *hdrhistogram.Histogram // time to first token, µs
 }
 
 // Verdict is the result of auditing a scenario.
@@ -52,10 +52,10 @@
 	Rules            [5]RuleResult
 	Rows             []*Row
 	PeakSlowStartUse float64 // the largest share of its slow-start budget that any endpoint used
-	// Service is the share of the possible revenue that was earned: an answer within its SLO earns all of it, a late one
-	// the product's late share.
-	Service  float64
-	Evidence string // the events of requests in violation, as text; empty if no rule was broken
+	// RevenueShare is the share of the possible revenue that was earned: an answer within its SLO earns all of it, a late
+	// one the product's late share.
+	RevenueShare float64
+	Evidence     string // the events of requests in violation, as text; empty if no rule was broken
 }
 
 // Rules, by their index in a verdict.
@@ -203,9 +203,9 @@
 			}
 		case record.AttemptDeferred:
 			c.attemptsByID[event.Attempt].takenAt = never
-		case record.AttemptTaken:
+		case record.DeferredAttemptAccepted:
 			c.attemptsByID[event.Attempt].takenAt = event.At
-		case record.ConnectionLost, record.AttemptAnswered, record.AttemptLeft:
+		case record.ConnectionLost, record.AttemptAnswered, record.AttemptFinished:
 			c.attemptsByID[event.Attempt].finish(event.At)
 		case record.EndpointDown:
 			for _, a := range inFlight[event.Endpoint] {
--- a/internal/testbed/audit/audit_test.go
+++ b/internal/testbed/audit/audit_test.go
@@ -50,9 +50,9 @@
 		attemptEvent(92, record.AttemptArrived, record.Decode, "d1-1-1", 2),
 		attemptEvent(95, record.StateFetched, record.Prefill, "d1-1-0", 1),
 		attemptEvent(99, record.AttemptRan, record.Decode, "d1-1-1", 2),
-		attemptEvent(900, record.AttemptLeft, record.Decode, "d1-1-1", 2),
+		attemptEvent(900, record.AttemptFinished, record.Decode, "d1-1-1", 2),
 		final,
-		{At: 901 * ms, Type: record.RequestOver, Request: "g1", Detail: record.Completed, Product: testProduct,
+		{At: 901 * ms, Type: record.RequestFinished, Request: "g1", Detail: record.Completed, Product: testProduct,
 			Tenant: "north", Exact: true, Count: 98 * ms},
 		{At: 1500 * ms, Type: record.SlowStartLoad, Endpoint: 3, Value: 0.4, Count: 3},
 	}
@@ -97,7 +97,7 @@
 
 func TestCleanRecordPasses(t *testing.T) {
 	verdict := Judge(deployment.Standard(), cleanRecord())
-	if !verdict.Passed() || verdict.Service != 1 || verdict.PeakSlowStartUse != 0.4 {
+	if !verdict.Passed() || verdict.RevenueShare != 1 || verdict.PeakSlowStartUse != 0.4 {
 		t.Errorf("the clean record does not pass with full service:\n%s", verdict.Text())
 	}
 }
@@ -120,7 +120,7 @@
 		{"bytes after the answer", insert(10, record.Event{At: 902 * ms, Type: record.BytesAfterFinal, Request: "g1",
 			ClientAttempt: 1, Detail: "event"}), ruleFinalAnswer, 11, "g1"},
 		{"no answer", remove(finalAnswer, finalAnswer+1), ruleFinalAnswer, 2, "g1"},
-		{"the client gave up", setOutcome(record.GaveUp), ruleFinalAnswer, 10, "g1"},
+		{"the client gave up", setOutcome(record.TimedOut), ruleFinalAnswer, 10, "g1"},
 		{"an answer of other bytes", change(finalAnswer, func(event *record.Event) { event.Exact = false }), ruleFinalAnswer,
 			10, "g1"},
 		{"a decode ran twice", insert(finalAnswer, secondDecode(899), record.Event{At: 900 * ms, Type: record.AttemptRan,
@@ -134,14 +134,15 @@
 		{"an endpoint is overloaded", insert(12, record.Event{At: 1600 * ms, Type: record.EndpointOverloaded, Endpoint: 3}),
 			ruleSlowStart, 13, ""},
 		{"a state stays pinned", sequence(remove(stateFetched, stateFetched+1),
-			insert(11, record.Event{At: 3000 * ms, Type: record.RequestOver, Request: "g2"})), rulePinnedState, 4, "g1"},
+			insert(11, record.Event{At: 3000 * ms, Type: record.RequestFinished, Request: "g2"})), rulePinnedState, 4, "g1"},
 		{"a state is released too late", sequence(remove(decodeArrived, finalAnswer+1), insert(decodeArrived,
 			record.Event{At: 900 * ms, Type: record.StateReleased, Attempt: "d1-1-0", Endpoint: 1},
 			record.Event{At: 901 * ms, Type: record.FinalAnswer, Request: "g1", ClientAttempt: 1, Detail: record.Rejected})),
 			rulePinnedState, 4, "g1"},
 		{"a state waits for an endpoint that does not run", fetchedLate(), rulePinnedState, 4, "g1"},
 		{"a state waits for one that resumes too late",
-			fetchedLate(attemptEvent(940, record.AttemptTaken, record.Decode, "d1-1-1", 2)), rulePinnedState, 4, "g1"},
+			fetchedLate(attemptEvent(940, record.DeferredAttemptAccepted, record.Decode, "d1-1-1", 2)),
+			rulePinnedState, 4, "g1"},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			verdict := Judge(deployment.Standard(), test.edit(cleanRecord()))
--- a/internal/testbed/audit/excuses_test.go
+++ b/internal/testbed/audit/excuses_test.go
@@ -33,7 +33,7 @@
 // gaveUpWhile returns a record of a request whose client gave up on a dispatcher that was unavailable.
 func gaveUpWhile(reason string) []record.Event {
 	events := cleanRecord()
-	events[finalAnswer].Detail = record.GaveUp
+	events[finalAnswer].Detail = record.TimedOut
 	return slices.Insert(events, decodeArrived, unavailable(91, 2000, reason))
 }
 
@@ -88,7 +88,7 @@
 func gaveUpAt(at int64, delays ...record.Event) []record.Event {
 	events := append(slices.Clone(cleanRecord()[:prefillAnswered+1]), released(200))
 	events[1].Value = 500 * ms
-	return append(append(events, delays...), finalEvent(at, record.GaveUp))
+	return append(append(events, delays...), finalEvent(at, record.TimedOut))
 }
 
 // A process of the test bed that is delayed, as on a busy machine, records events late that happened in time. Without
@@ -103,13 +103,15 @@
 		events []record.Event
 		rule   int // the only one that is broken
 	}{
-		{"a state, the endpoints delayed", releasedLateBy(delayed(900, 780, record.HostsLoop)), noRule},
-		{"a state, the endpoints delayed too little", releasedLateBy(delayed(900, 100, record.HostsLoop)), rulePinnedState},
+		{"a state, the endpoints delayed", releasedLateBy(delayed(900, 780, record.EndpointsLoop)), noRule},
+		{"a state, the endpoints delayed too little", releasedLateBy(delayed(900, 100, record.EndpointsLoop)),
+			rulePinnedState},
 		{"a state, the clients delayed", releasedLateBy(delayed(900, 780, record.ClientsLoop)), rulePinnedState},
-		{"a state, the endpoints delayed afterwards", releasedLateBy(delayed(2000, 780, record.HostsLoop)), rulePinnedState},
+		{"a state, the endpoints delayed afterwards", releasedLateBy(delayed(2000, 780, record.EndpointsLoop)),
+			rulePinnedState},
 		{"given up on, the clients delayed", gaveUpAt(801, delayed(800, 350, record.ClientsLoop)), noRule},
 		{"given up on, the clients delayed before", gaveUpAt(501, delayed(300, 200, record.ClientsLoop)), ruleFinalAnswer},
-		{"given up on, the endpoints delayed", gaveUpAt(501, delayed(500, 350, record.HostsLoop)), ruleFinalAnswer},
+		{"given up on, the endpoints delayed", gaveUpAt(501, delayed(500, 350, record.EndpointsLoop)), ruleFinalAnswer},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			verdict := Judge(deployment.Standard(), test.events)
--- a/internal/testbed/audit/finalanswers.go
+++ b/internal/testbed/audit/finalanswers.go
@@ -92,7 +92,7 @@
 	switch event.Detail {
 	case record.Broken:
 		return c.wasKilled(withoutIncarnation(event.Dispatcher), a.sentAt, event.At)
-	case record.GaveUp:
+	case record.TimedOut:
 		// A client whose event loop was delayed around its time limit may have received the answer without reading it.
 		due := a.sentAt + a.timeLimit
 		if a.timeLimit > 0 && c.delayWithin(record.ClientsLoop, due-c.slack, event.At) > 0 {
--- a/internal/testbed/audit/service.go
+++ b/internal/testbed/audit/service.go
@@ -26,7 +26,7 @@
 	rows := map[string]*Row{}
 	var earned, asked float64
 	for _, event := range events {
-		if event.Type != record.RequestOver {
+		if event.Type != record.RequestFinished {
 			continue
 		}
 		revenue, lateShare := 1.0, 0.0
@@ -51,13 +51,13 @@
 		c.verdict.Rows = append(c.verdict.Rows, rows[name])
 	}
 	if asked > 0 {
-		c.verdict.Service = earned / asked
+		c.verdict.RevenueShare = earned / asked
 	}
 }
 
 // add counts a finished request.
 func (r *Row) add(event record.Event, attempts int) {
-	r.Asked++
+	r.Requests++
 	r.Attempts += attempts
 	switch event.Detail {
 	case record.Completed:
@@ -71,7 +71,7 @@
 	case record.Failed:
 		r.Failed++
 	default:
-		r.Lost++
+		r.OtherOutcomes++
 	}
 }
 
@@ -84,7 +84,7 @@
 		text.WriteString(row.text())
 	}
 	fmt.Fprintf(&text, "service %.3f (share of the revenue that was earned; a late answer earns its late share); "+
-		"slow-start budget used at most %.2f\n", v.Service, v.PeakSlowStartUse)
+		"slow-start budget used at most %.2f\n", v.RevenueShare, v.PeakSlowStartUse)
 	for i, rule := range v.Rules {
 		text.WriteString(rule.text(i + 1))
 	}
@@ -93,11 +93,11 @@
 }
 
 func (r *Row) text() string {
-	asked := float64(max(r.Asked, 1))
+	asked := float64(max(r.Requests, 1))
 	share := func(count int) float64 { return float64(count) / asked }
 	millis := func(percent float64) float64 { return float64(r.FirstToken.ValueAtQuantile(percent)) / millisecond }
-	return fmt.Sprintf("%-24s %6d %9.3f %7.3f %9.3f %10.3f %6.3f %9.0f %9.0f %5.2f\n", r.Name, r.Asked,
-		share(r.Completed), share(r.InSLO), share(r.Rejected), share(r.Failed), share(r.Lost),
+	return fmt.Sprintf("%-24s %6d %9.3f %7.3f %9.3f %10.3f %6.3f %9.0f %9.0f %5.2f\n", r.Name, r.Requests,
+		share(r.Completed), share(r.InSLO), share(r.Rejected), share(r.Failed), share(r.OtherOutcomes),
 		millis(50), millis(99), share(r.Attempts))
 }
 
--- a/internal/testbed/audit/slowstart.go
+++ b/internal/testbed/audit/slowstart.go
@@ -40,7 +40,7 @@
 				c.violation(ruleSlowStart, line, "", "endpoint %d was sent %.2f of its slow-start budget, in %d attempts",
 					event.Endpoint, event.Value, event.Count)
 			}
-		case record.ChatAtEmbedder:
+		case record.ChatAtEmbeddingEndpoint:
 			c.violation(ruleDrains, line, event.Request,
 				"a chat request was sent to endpoint %d, which serves embeddings only", event.Endpoint)
 		case record.EndpointOverloaded:
--- a/internal/testbed/load/attempt.go
+++ b/internal/testbed/load/attempt.go
@@ -89,7 +89,7 @@
 
 // giveUp finishes the attempt because no answer arrived in time, and aborts its connection.
 func (a *attempt) giveUp() {
-	a.finish(record.GaveUp)
+	a.finish(record.TimedOut)
 	a.conn.Abort()
 }
 
@@ -114,7 +114,7 @@
 	switch {
 	case a.finished:
 	case !a.sent:
-		a.finish(record.Unreached)
+		a.finish(record.ConnectFailed)
 	default:
 		a.closeCause = cause.Error()
 		a.finish(record.Broken)
--- a/internal/testbed/load/batches.go
+++ b/internal/testbed/load/batches.go
@@ -34,8 +34,8 @@
 	OpenCalls      int
 	CallsStarted   int
 	InputsAnswered int            // inputs of completed calls, those with a wrong answer included
-	TokensRead     int            // input tokens of completed calls, by TokensPerInput
-	Wrong          int            // calls whose answer does not match their inputs
+	TokensAnswered int            // input tokens of completed calls, by TokensPerInput
+	WrongAnswers   int            // calls whose answer does not match their inputs
 	Outcomes       map[string]int // finished calls by outcome
 
 	stopped bool
@@ -96,7 +96,7 @@
 	timeLeft := c.startedAt + timeLimit(clients.Product) - generator.loop.Now()
 	targets := generator.aliveTargets("")
 	if timeLeft < minAttemptTime || len(targets) == 0 || c.attempts >= maxBatchAttempts {
-		c.finish(record.Unserved)
+		c.finish(record.NotAttempted)
 		return
 	}
 	c.attempts++
@@ -136,9 +136,9 @@
 	clients.Outcomes[outcome]++
 	if outcome == record.Completed {
 		clients.InputsAnswered += len(c.inputs)
-		clients.TokensRead += len(c.inputs) * clients.TokensPerInput
+		clients.TokensAnswered += len(c.inputs) * clients.TokensPerInput
 	}
-	generator.recorder.Add(record.Event{At: int64(generator.loop.Now()), Type: record.RequestOver, Request: c.id,
+	generator.recorder.Add(record.Event{At: int64(generator.loop.Now()), Type: record.RequestFinished, Request: c.id,
 		Detail:  outcome,
 		Product: clients.Product.Name, Tenant: generator.deployment.Tenants[clients.Tenant].Name,
 		Count:         int64(generator.loop.Now() - c.startedAt),
@@ -157,7 +157,7 @@
 	case status == http.StatusOK:
 		a.invalidReason = a.call.check(a.body)
 		if a.invalidReason != "" {
-			a.call.clients.Wrong++
+			a.call.clients.WrongAnswers++
 		}
 		a.exact = a.invalidReason == ""
 		a.finish(record.Completed)
--- a/internal/testbed/load/chat.go
+++ b/internal/testbed/load/chat.go
@@ -65,7 +65,7 @@
 	timeLeft := r.startedAt + r.timeLimit - generator.loop.Now()
 	targets := generator.aliveTargets(r.session.zone)
 	if timeLeft < minAttemptTime || len(targets) == 0 {
-		r.finish(record.Unserved, 0, 0)
+		r.finish(record.NotAttempted, 0, 0)
 		return
 	}
 	r.attempts++
@@ -110,7 +110,7 @@
 func (r *chatRequest) finish(outcome string, firstToken, tokenInterval eventloop.Micros) {
 	generator, session := r.generator, r.session
 	generator.OpenRequests--
-	event := record.Event{At: int64(generator.loop.Now()), Type: record.RequestOver, Request: r.id, Detail: outcome,
+	event := record.Event{At: int64(generator.loop.Now()), Type: record.RequestFinished, Request: r.id, Detail: outcome,
 		Product: session.product.Name, Tenant: generator.deployment.Tenants[session.tenant].Name, Count: int64(firstToken),
 		ClientAttempt: r.attempts}
 	event.Exact = outcome == record.Completed && firstToken <= r.firstTokenSLO() &&
@@ -228,7 +228,7 @@
 		request.finish(record.Completed, firstToken, tokenInterval)
 		return
 	}
-	safeToRetry := outcome == record.Rejected || outcome == record.Unreached ||
+	safeToRetry := outcome == record.Rejected || outcome == record.ConnectFailed ||
 		request.session.product.Effect == pb.Product_IDEMPOTENT || generator.UseIdempotencyKeys && outcome == record.Broken
 	if !safeToRetry || request.attempts >= maxAttempts {
 		request.finish(outcome, 0, 0)
--- a/internal/testbed/modelserver/attempt.go
+++ b/internal/testbed/modelserver/attempt.go
@@ -122,7 +122,7 @@
 	}
 	conn.deferred = append(conn.deferred, func() {
 		if !e.hung {
-			e.fleet.record(e, record.AttemptTaken, attempt)
+			e.fleet.record(e, record.DeferredAttemptAccepted, attempt)
 		}
 		e.startOrRefuse(attempt)
 	})
@@ -142,7 +142,7 @@
 	case e.rejectedProduct != "" && e.rejectedProduct == attempt.product, len(e.queued) >= int(e.group.Queue):
 		conn.respondError(http.StatusTooManyRequests, errorQueueFull)
 	case attempt.batchResponse == nil && e.kind.Role == pb.Kind_EMBEDDER:
-		e.fleet.record(e, record.ChatAtEmbedder, attempt)
+		e.fleet.record(e, record.ChatAtEmbeddingEndpoint, attempt)
 		conn.respondError(http.StatusInternalServerError, errorInternal)
 	case attempt.forcedStatus == http.StatusInternalServerError:
 		conn.respondError(http.StatusInternalServerError, errorInternal)
--- a/internal/testbed/modelserver/kvstate.go
+++ b/internal/testbed/modelserver/kvstate.go
@@ -40,7 +40,7 @@
 	}
 	if attempt.disconnected || e.releasedEarly[attempt.id] {
 		e.usedMemory -= attempt.memoryNeeded()
-		e.fleet.record(e, record.AttemptLeft, attempt)
+		e.fleet.record(e, record.AttemptFinished, attempt)
 		return
 	}
 	e.fleet.record(e, record.StatePinned, attempt)
--- a/internal/testbed/modelserver/scheduling.go
+++ b/internal/testbed/modelserver/scheduling.go
@@ -99,5 +99,5 @@
 		e.running = slices.Delete(e.running, i, i+1)
 		e.usedMemory -= attempt.memoryNeeded()
 	}
-	e.fleet.record(e, record.AttemptLeft, attempt)
+	e.fleet.record(e, record.AttemptFinished, attempt)
 }
--- a/internal/testbed/record/record.go
+++ b/internal/testbed/record/record.go
@@ -25,30 +25,30 @@
 	FinalAnswer     EventType = "final"
 	BytesAfterFinal EventType = "after"     // Detail is "bytes" or "event"
 	MalformedAnswer EventType = "malformed" // Detail is the error
-	// RequestOver ends a client's request. Detail is the last attempt's outcome, Count the time in µs, of a chat request
-	// to its first token, and Exact whether a chat request met its SLO or another one was completed.
-	RequestOver EventType = "over"
+	// RequestFinished ends a client's request. Detail is the last attempt's outcome, Count the time in µs, of a chat
+	// request to its first token, and Exact whether a chat request met its SLO or another one was completed.
+	RequestFinished EventType = "over"
 )
 
 // Events that endpoints observe.
 const (
-	AttemptArrived     EventType = "leg"      // on the socket; Value is its work in tokens
-	AttemptDeferred    EventType = "deferred" // it arrived while the endpoint's process does not run or is partitioned
-	AttemptTaken       EventType = "taken"    // the endpoint that had deferred it has accepted it
-	AttemptRefused     EventType = "refuse"   // Detail is the error code
-	AttemptAnswered    EventType = "answered"
-	AttemptRan         EventType = "ran"  // its effects took place
-	AttemptLeft        EventType = "left" // it holds no resources at the endpoint any more
-	ConnectionLost     EventType = "quit" // of an attempt in flight
-	StatePinned        EventType = "hold" // the state that a prefill left, until it is fetched, released or expires
-	StateFetched       EventType = "took"
-	StateReleased      EventType = "released"
-	StateLeaseExpired  EventType = "lease"
-	EndpointUp         EventType = "up" // Count is its start time; 0: so long ago that slow start is over
-	EndpointDown       EventType = "down"
-	EndpointOverloaded EventType = "fell"   // during slow start
-	SlowStartLoad      EventType = "cold"   // Value is the share of the slow-start budget that Count attempts used
-	ChatAtEmbedder     EventType = "misled" // a chat request at an endpoint that serves embeddings only
+	AttemptArrived          EventType = "leg"      // on the socket; Value is its work in tokens
+	AttemptDeferred         EventType = "deferred" // it arrived while the endpoint does not run or is partitioned
+	DeferredAttemptAccepted EventType = "taken"    // the endpoint that had deferred it has accepted it
+	AttemptRefused          EventType = "refuse"   // Detail is the error code
+	AttemptAnswered         EventType = "answered"
+	AttemptRan              EventType = "ran"  // its effects took place
+	AttemptFinished         EventType = "left" // it holds no resources at the endpoint any more
+	ConnectionLost          EventType = "quit" // of an attempt in flight
+	StatePinned             EventType = "hold" // the state that a prefill left, until it is fetched, released or expires
+	StateFetched            EventType = "took"
+	StateReleased           EventType = "released"
+	StateLeaseExpired       EventType = "lease"
+	EndpointUp              EventType = "up" // Count is its start time; 0: so long ago that slow start is over
+	EndpointDown            EventType = "down"
+	EndpointOverloaded      EventType = "fell"   // during slow start
+	SlowStartLoad           EventType = "cold"   // Value is the share of the slow-start budget that Count attempts used
+	ChatAtEmbeddingEndpoint EventType = "misled" // a chat request at an endpoint that serves embeddings only
 )
 
 // Events of discovery, dispatchers and the test bed itself.
@@ -63,20 +63,20 @@
 
 // Event loops of the test bed.
 const (
-	HostsLoop   = "hosts"
-	ClientsLoop = "clients"
+	EndpointsLoop = "hosts"
+	ClientsLoop   = "clients"
 )
 
 // Outcomes of a request, as its client sees them.
 const (
-	Completed = "streamed"
-	Rejected  = "throttled"
-	Failed    = "terminated"
-	Broken    = "broken"    // the connection ended before the answer was complete
-	GaveUp    = "gave_up"   // no answer within the client's time limit
-	Malformed = "malformed" // the answer is not valid HTTP or not an answer of the API
-	Unreached = "unreached" // the connection was not established
-	Unserved  = "unserved"  // no attempt was made, as there was no dispatcher or no time left
+	Completed     = "streamed"
+	Rejected      = "throttled"
+	Failed        = "terminated"
+	Broken        = "broken"    // the connection ended before the answer was complete
+	TimedOut      = "gave_up"   // no answer within the client's time limit
+	Malformed     = "malformed" // the answer is not valid HTTP or not an answer of the API
+	ConnectFailed = "unreached" // the connection was not established
+	NotAttempted  = "unserved"  // no attempt was made, as there was no dispatcher or no time left
 )
 
 // Kinds of attempts.
--- a/internal/testbed/scenarios/batches_test.go
+++ b/internal/testbed/scenarios/batches_test.go
@@ -32,9 +32,9 @@
 		for _, clients := range run.BatchClients {
 			t.Logf("seed %d, %s: %d calls, %d inputs read, outcomes %v",
 				seed, clients.Product.Name, clients.CallsStarted, clients.InputsAnswered, clients.Outcomes)
-			if clients.Wrong > 0 || clients.InputsAnswered < minInputsRead {
+			if clients.WrongAnswers > 0 || clients.InputsAnswered < minInputsRead {
 				t.Errorf("seed %d, %s: %d wrong answers, %d inputs read",
-					seed, clients.Product.Name, clients.Wrong, clients.InputsAnswered)
+					seed, clients.Product.Name, clients.WrongAnswers, clients.InputsAnswered)
 			}
 		}
 	}
--- a/internal/testbed/scenarios/process.go
+++ b/internal/testbed/scenarios/process.go
@@ -80,7 +80,7 @@
 		"--roster", run.fleet.Discovery.Addr, "--zone", d.target.Zone, "--listen", d.target.Addr, "--name", name,
 		"--ready-file", readyPath, "--list-file", d.path(fmt.Sprintf("list%d", d.number)),
 		"--seed", strconv.FormatInt(seed, 10)}
-	if run.Intents {
+	if run.StoreIntents {
 		args = append(args, "--state-dir", d.path(fmt.Sprintf("state%d", d.number)))
 	}
 	return args
--- a/internal/testbed/scenarios/restart.go
+++ b/internal/testbed/scenarios/restart.go
@@ -13,7 +13,7 @@
 // Restart configures what happens while all dispatchers are down.
 type Restart struct {
 	Downtime      eventloop.Micros
-	Replaced      float64 // share of the endpoints that are replaced by new ones at other addresses
+	ReplacedShare float64 // share of the endpoints that are replaced by new ones at other addresses
 	DiscoveryDown bool    // discovery fails and stays down after the restart of the dispatchers
 }
 
@@ -37,7 +37,7 @@
 	network.Run(restart.Downtime / 2)
 	var err error
 	r.fleetLoop.Do(func() {
-		err = r.fleet.Replace(restart.Replaced)
+		err = r.fleet.Replace(restart.ReplacedShare)
 		if restart.DiscoveryDown {
 			r.fleet.Discovery.Close()
 		}
--- a/internal/testbed/scenarios/results.go
+++ b/internal/testbed/scenarios/results.go
@@ -26,7 +26,7 @@
 	seconds := r.firstAttemptSeconds()
 	for _, event := range r.events {
 		sentIn, known := seconds[event.Request]
-		if event.Type != record.RequestOver || !known || sentIn != second {
+		if event.Type != record.RequestFinished || !known || sentIn != second {
 			continue
 		}
 		sent++
@@ -44,7 +44,7 @@
 	sent, inSLO = make([]int, r.Script.Seconds+1), make([]int, r.Script.Seconds+1)
 	for _, event := range r.events {
 		second, known := seconds[event.Request]
-		if event.Type != record.RequestOver || !known || second >= len(sent) {
+		if event.Type != record.RequestFinished || !known || second >= len(sent) {
 			continue
 		}
 		sent[second]++
--- a/internal/testbed/scenarios/run.go
+++ b/internal/testbed/scenarios/run.go
@@ -50,21 +50,21 @@
 	Binary      string // path of this program's executable
 	RecordDir   string // folder that the record is written to; empty: it stays in memory
 	Progress    io.Writer
-	// Keyed makes clients send an Idempotency-Key and retry broken streams at the same dispatcher.
-	Keyed         bool
-	Intents       bool                     // dispatchers store intents that survive their restarts
-	OnLoadStarted func(addresses []string) // over sockets: called with the dispatchers' addresses
+	// UseIdempotencyKeys makes clients send an Idempotency-Key and retry broken streams at the same dispatcher.
+	UseIdempotencyKeys bool
+	StoreIntents       bool                     // dispatchers store intents that survive their restarts
+	OnLoadStarted      func(addresses []string) // over sockets: called with the dispatchers' addresses
 
 	// In virtual time only.
-	Mutant    *Mutant
-	AfterStep func()                  // called after each step of the network
-	Delay     func() eventloop.Micros // extra latency of each segment, once the load has started
+	Mutant       *Mutant
+	AfterStep    func()                  // called after each step of the network
+	ExtraLatency func() eventloop.Micros // extra latency of each segment, once the load has started
 
 	BatchClients []*load.BatchClients
 	// In virtual time only.
-	Usage   []tenancy.Usage      // usage that the dispatchers report
-	Steps   int                  // steps of the virtual network
-	Reached []lifecycle.Coverage // lifecycle transitions that the last incarnation of each dispatcher reached
+	Usage             []tenancy.Usage      // usage that the dispatchers report
+	Steps             int                  // steps of the virtual network
+	LifecycleCoverage []lifecycle.Coverage // lifecycle transitions that the last incarnation of each dispatcher reached
 
 	random       *rand.Rand
 	tenantKeys   []string
@@ -96,8 +96,8 @@
 	limitDescriptors(spare int) (undo func())
 }
 
-// Tenants replaces the tenants of a deployment and returns the API keys of the new ones.
-func Tenants(d deployment.Deployment, names []string, quota float64, key func(i int) string) (keys []string) {
+// ReplaceTenants replaces the tenants of a deployment and returns the API keys of the new ones.
+func ReplaceTenants(d deployment.Deployment, names []string, quota float64, key func(i int) string) (keys []string) {
 	d.Tenants = nil
 	for i, name := range names {
 		keys = append(keys, key(i))
@@ -112,7 +112,7 @@
 // text of the deployment.
 func (r *Run) prepare() (text []byte, err error) {
 	r.random = rand.New(rand.NewSource(r.Seed))
-	r.tenantKeys = Tenants(r.Deployment, []string{"north", "middle", "south"}, quotaShare*r.Script.Rate,
+	r.tenantKeys = ReplaceTenants(r.Deployment, []string{"north", "middle", "south"}, quotaShare*r.Script.Rate,
 		func(i int) string { return fmt.Sprintf("sk-day-%d-%016x", i, r.random.Uint64()) })
 	r.Deployment.Dispatching.Dispatchers = uint32(r.Dispatchers)
 	if err := r.checkBatches(); err != nil {
@@ -207,7 +207,7 @@
 	r.clientLoop.Do(func() {
 		r.generator = load.New(r.clientLoop, load.Config{Deployment: r.Deployment, Seed: r.Seed,
 			Keys: r.tenantKeys, Targets: targets, Recorder: r.recorder})
-		r.generator.Rate, r.generator.UseIdempotencyKeys = r.Script.Rate, r.Keyed
+		r.generator.Rate, r.generator.UseIdempotencyKeys = r.Script.Rate, r.UseIdempotencyKeys
 		r.generator.Run()
 	})
 	for _, batch := range r.Script.Batches {
--- a/internal/testbed/scenarios/scenarios_test.go
+++ b/internal/testbed/scenarios/scenarios_test.go
@@ -43,7 +43,7 @@
 	}
 	run := &Run{Script: script, Deployment: deployment.Standard(), Dispatchers: 3, Seed: seed}
 	verdict, trace := runCleanly(t, run, segment)
-	if verdict.Rows[0].Asked < minAsked || verdict.Service < minService {
+	if verdict.Rows[0].Requests < minAsked || verdict.RevenueShare < minService {
 		t.Errorf("scenario %s, seed %d: too little traffic or service for the audit\n%s", name, seed, verdict.Text())
 	}
 	return trace
--- a/internal/testbed/scenarios/sockets.go
+++ b/internal/testbed/scenarios/sockets.go
@@ -73,7 +73,7 @@
 		return err
 	}
 	defer r.fleetLoop.Do(r.fleet.Close)
-	r.fleetLoop.Do(func() { recordDelays(r.fleetLoop, r.recorder, record.HostsLoop) })
+	r.fleetLoop.Do(func() { recordDelays(r.fleetLoop, r.recorder, record.EndpointsLoop) })
 	r.clientLoop.Do(func() { recordDelays(r.clientLoop, r.recorder, record.ClientsLoop) })
 	ctx, cancel := context.WithCancel(ctx)
 	defer r.sockets.restarts.Wait()
--- a/internal/testbed/scenarios/tenants_test.go
+++ b/internal/testbed/scenarios/tenants_test.go
@@ -45,11 +45,11 @@
 		calm := floodScenario{rate: 15, dispatchers: dispatchers, factor: 1, seed: 3}.rowsOfOthers(t)
 		flooded := floodScenario{rate: 15, dispatchers: dispatchers, factor: 10, seed: 3}.rowsOfOthers(t)
 		for i, row := range flooded {
-			before, now := float64(calm[i].InSLO)/float64(calm[i].Asked), float64(row.InSLO)/float64(row.Asked)
+			before, now := float64(calm[i].InSLO)/float64(calm[i].Requests), float64(row.InSLO)/float64(row.Requests)
 			p75Before, p75 := calm[i].FirstToken.ValueAtQuantile(75), row.FirstToken.ValueAtQuantile(75)
 			if now < minShareOfService*before || float64(p75) > maxLatencyFactor*float64(p75Before) {
 				t.Errorf("%d dispatchers, %s: in SLO %.3f, was %.3f; p75 %d, was %d ms (%d asked)",
-					dispatchers, row.Name, now, before, p75/1000, p75Before/1000, row.Asked)
+					dispatchers, row.Name, now, before, p75/1000, p75Before/1000, row.Requests)
 			}
 		}
 	}
@@ -152,7 +152,7 @@
 	t.Helper()
 	const segment = 600
 	run := &Run{Script: parseScript(t, text), Deployment: deployment.Standard(), Dispatchers: 3, Seed: seed,
-		Keyed: true, Intents: intents}
+		UseIdempotencyKeys: true, StoreIntents: intents}
 	outcome, err := run.RunVirtual(segment)
 	if err != nil {
 		t.Fatal(err)
--- a/internal/testbed/scenarios/virtual.go
+++ b/internal/testbed/scenarios/virtual.go
@@ -52,7 +52,7 @@
 		return nil, err
 	}
 	network.Run(initialListTime)
-	network.AfterStep, network.ExtraLatency = r.AfterStep, r.Delay
+	network.AfterStep, network.ExtraLatency = r.AfterStep, r.ExtraLatency
 	return r.finishVirtual()
 }
 
@@ -98,7 +98,7 @@
 	network.Run(releaseTime)
 	r.Steps = network.Steps
 	for _, d := range r.virtual.dispatchers {
-		r.Reached = append(r.Reached, d.dispatcher.Coverage)
+		r.LifecycleCoverage = append(r.LifecycleCoverage, d.dispatcher.Coverage)
 		r.Usage = append(r.Usage, d.dispatcher.Usage()...)
 		openRequests += d.dispatcher.OpenRequests()
 		for _, line := range d.dispatcher.DescribeOpenRequests() {
@@ -108,8 +108,8 @@
 	return openRequests
 }
 
-// Check checks the invariants of each dispatcher that is running and has had time to recover from a fault.
-func (r *Run) Check() error {
+// CheckInvariants checks the invariants of each dispatcher that is running and has had time to recover from a fault.
+func (r *Run) CheckInvariants() error {
 	for _, d := range r.virtual.dispatchers {
 		if d.down || r.virtual.network.Now() < d.unavailableUntil+recoveryGrace {
 			continue
--- a/internal/testbed/scenarios/virtualdispatcher.go
+++ b/internal/testbed/scenarios/virtualdispatcher.go
@@ -45,8 +45,8 @@
 		CacheEndpoints:  func(list []byte) { d.cachedEndpoints = list }}
 	d.loop.Do(func() {
 		run.Mutant.changeDisk(d.disk)
-		if run.Intents {
-			if config.Intents, err = store.Open(d.disk.AttachTo(d.loop), store.DefaultLimits); err != nil {
+		if run.StoreIntents {
+			if config.IntentStore, err = store.Open(d.disk.AttachTo(d.loop), store.DefaultLimits); err != nil {
 				return
 			}
 		}
--- a/internal/testbed/soak/faults.go
+++ b/internal/testbed/soak/faults.go
@@ -227,7 +227,7 @@
 	}
 	pid := d.process.cmd.Process.Pid
 	d.mu.Unlock()
-	if err := syscallfaults.NoDescriptors(pid); err != nil {
+	if err := syscallfaults.PreventNewDescriptors(pid); err != nil {
 		return false
 	}
 	time.AfterFunc(duration, func() { _ = syscallfaults.LimitDescriptors(pid, maxDescriptors) }) // fails if it has ended
--- a/internal/testbed/soak/judge.go
+++ b/internal/testbed/soak/judge.go
@@ -53,7 +53,7 @@
 		if isExcusedOverrun(from, audit, at, text) {
 			continue
 		}
-		if strings.Contains(text, guard.ViolationMessage) || strings.Contains(text, schedulerhost.SendBlocked) {
+		if strings.Contains(text, guard.ViolationMessage) || strings.Contains(text, schedulerhost.SendBlockedMessage) {
 			r.report.Violations = append(r.report.Violations, fmt.Sprintf("n%d: %s", from.number, text))
 		}
 		if strings.HasPrefix(text, "panic:") || strings.HasPrefix(text, "fatal error:") {
--- a/internal/testbed/syscallfaults/descriptors.go
+++ b/internal/testbed/syscallfaults/descriptors.go
@@ -11,8 +11,8 @@
 // maxDescriptors is the hard limit that a process is given, so that its soft limit can be raised again.
 const maxDescriptors = 20000
 
-// NoDescriptors lowers a process's limit on file descriptors so that it can open no further ones.
-func NoDescriptors(pid int) error {
+// PreventNewDescriptors lowers a process's limit on file descriptors so that it can open no further ones.
+func PreventNewDescriptors(pid int) error {
 	entries, err := os.ReadDir(fmt.Sprintf("/proc/%d/fd", pid))
 	if err != nil {
 		return fmt.Errorf("list open descriptors: %w", err)
--- a/scheduler/api.go
+++ b/scheduler/api.go
@@ -26,8 +26,8 @@
 	KindID uint8
 	// CellID names a cell: a group of endpoints with fast links between them.
 	CellID uint16
-	// AttemptNo numbers the attempts of one request from zero.
-	AttemptNo uint16
+	// AttemptNumber numbers the attempts of one request from zero.
+	AttemptNumber uint16
 )
 
 // Executor carries out a scheduler's actions, in the order of the calls.
@@ -39,7 +39,7 @@
 	// Fail gives the client a final answer that says that the request failed.
 	Fail(request RequestID)
 	// Cancel stops an attempt. The caller still reports the attempt's end by AttemptEnded.
-	Cancel(request RequestID, attempt AttemptNo)
+	Cancel(request RequestID, attempt AttemptNumber)
 	// Release tells the prefill endpoints to drop the request's state.
 	Release(request RequestID)
 	// WatchEndpoints asks for the endpoint list.
@@ -129,9 +129,9 @@
 // Class describes one class of requests: its latency targets, its revenue, and whether its requests may be repeated.
 type Class struct {
 	SLO              Micros  // target for the time from arrival to the first token
-	SLOPer1000       Micros  // added to SLO for each 1,000 tokens of the prompt
+	SLOPer1000Tokens Micros  // added to SLO for each 1,000 tokens of the prompt
 	TokenSLO         Micros  // target for the time between tokens after the first
-	Window           Micros  // time in which endpoints recognise the repeats of a deduplicated request
+	DedupWindow      Micros  // time in which endpoints recognise the repeats of a deduplicated request
 	Revenue          float64 // earned by an answer that meets its SLO
 	LateRevenueShare float64 // share of the revenue that a late answer still earns
 	Effect           Effect
--- a/scheduler/attempt.go
+++ b/scheduler/attempt.go
@@ -4,7 +4,7 @@
 
 // attempt is one attempt of a request at an endpoint.
 type attempt struct {
-	number        AttemptNo
+	number        AttemptNumber
 	request       *request
 	endpoint      *endpoint
 	sentAt        Micros
@@ -36,7 +36,7 @@
 		return
 	}
 	att := &attempt{
-		number:        AttemptNo(req.attemptsSent),
+		number:        AttemptNumber(req.attemptsSent),
 		request:       req,
 		endpoint:      ep,
 		sentAt:        s.now,
@@ -58,7 +58,7 @@
 
 // currentAttempt returns the request's attempt in flight if it has this number. Otherwise it returns nil: the event is
 // late, or its request is unknown.
-func (s *Scheduler) currentAttempt(id RequestID, number AttemptNo) *attempt {
+func (s *Scheduler) currentAttempt(id RequestID, number AttemptNumber) *attempt {
 	if req := s.requests[id]; req != nil && req.attempt != nil && req.attempt.number == number {
 		return req.attempt
 	}
@@ -75,7 +75,7 @@
 }
 
 // AttemptStarted records that the answer has begun to stream to the client, which ends the request's deadline timer.
-func (s *Scheduler) AttemptStarted(now Micros, id RequestID, number AttemptNo) {
+func (s *Scheduler) AttemptStarted(now Micros, id RequestID, number AttemptNumber) {
 	s.now = now
 	att := s.currentAttempt(id, number)
 	if att == nil {
@@ -105,7 +105,7 @@
 }
 
 // AttemptEnded records an attempt's result and continues its request.
-func (s *Scheduler) AttemptEnded(now Micros, id RequestID, number AttemptNo, res AttemptResult) {
+func (s *Scheduler) AttemptEnded(now Micros, id RequestID, number AttemptNumber, res AttemptResult) {
 	s.now = now
 	att := s.currentAttempt(id, number)
 	if att == nil {
--- a/scheduler/cost_test.go
+++ b/scheduler/cost_test.go
@@ -13,7 +13,7 @@
 // sendRecorder is an Executor that records the endpoint and the number of each request's last attempt.
 type sendRecorder struct {
 	endpoints map[RequestID]EndpointID
-	attempts  map[RequestID]AttemptNo
+	attempts  map[RequestID]AttemptNumber
 }
 
 func (r *sendRecorder) Send(request RequestID, ep EndpointID, _ Micros) {
@@ -24,7 +24,7 @@
 }
 func (r *sendRecorder) Reject(request RequestID, _ Micros) { delete(r.endpoints, request) }
 func (r *sendRecorder) Fail(request RequestID)             { delete(r.endpoints, request) }
-func (r *sendRecorder) Cancel(RequestID, AttemptNo)        {}
+func (r *sendRecorder) Cancel(RequestID, AttemptNumber)    {}
 func (r *sendRecorder) Release(RequestID)                  {}
 func (r *sendRecorder) WatchEndpoints()                    {}
 func (r *sendRecorder) SetTimer(Micros, TimerID)           {}
@@ -57,7 +57,7 @@
 )
 
 func newCostFleet(scale int, state fleetState) *costFleet {
-	recorder := &sendRecorder{endpoints: map[RequestID]EndpointID{}, attempts: map[RequestID]AttemptNo{}}
+	recorder := &sendRecorder{endpoints: map[RequestID]EndpointID{}, attempts: map[RequestID]AttemptNumber{}}
 	fleet := &costFleet{sendRecorder: recorder, now: 1000 * sec, scale: scale}
 	config := testConfig(Idempotent)
 	config.Dispatchers, config.IdleTimeout, config.WarmUp = costDispatchers*scale, 30*sec, 14*sec
--- a/scheduler/fleet_sim_test.go
+++ b/scheduler/fleet_sim_test.go
@@ -30,7 +30,7 @@
 		MaxRetryAfter:   sec,
 		Kinds:           []Kind{{Prefill, 200000}, {Decode, 140000}, {Mixed, 200000}},
 		Classes: []Class{{
-			SLO: sec, TokenSLO: 50 * ms, Window: 3 * sec, Revenue: 2, LateRevenueShare: 0.2, Effect: effect,
+			SLO: sec, TokenSLO: 50 * ms, DedupWindow: 3 * sec, Revenue: 2, LateRevenueShare: 0.2, Effect: effect,
 		}},
 	}
 }
@@ -171,7 +171,7 @@
 
 func (sim *fleetSim) startAnswer(req *simRequest) {
 	req.inFlight().started, req.stateWaitingSince = true, 0
-	sim.scheduler.AttemptStarted(sim.now, req.id, AttemptNo(len(req.attempts)-1))
+	sim.scheduler.AttemptStarted(sim.now, req.id, AttemptNumber(len(req.attempts)-1))
 }
 
 // endAttempt ends the request's attempt. For PrefillDone, detail is the number of cached tokens. For other outcomes, a
@@ -201,7 +201,7 @@
 	}
 	result.RequestClosed = req.closed || len(req.finalAnswers) > 0
 	result.MemoryUsage = NoLoadReport
-	sim.scheduler.AttemptEnded(sim.now, req.id, AttemptNo(len(req.attempts)-1), result)
+	sim.scheduler.AttemptEnded(sim.now, req.id, AttemptNumber(len(req.attempts)-1), result)
 }
 
 // arriveAndPrefill sends a request and completes its prefill, so that it has an attempt at a decode endpoint.
--- a/scheduler/request.go
+++ b/scheduler/request.go
@@ -62,7 +62,7 @@
 	if arrival.DecodeTime > 0 && class.TokenSLO > 0 {
 		req.answerTokens = float64(arrival.DecodeTime) / float64(class.TokenSLO)
 	}
-	req.sloAt = now + class.SLO + Micros(float64(class.SLOPer1000)*req.promptTokens/1000)
+	req.sloAt = now + class.SLO + Micros(float64(class.SLOPer1000Tokens)*req.promptTokens/1000)
 	s.prefixes.count(req.prefix)
 	updateRunningMean(&s.estimates.requestTokens[req.class], req.memoryTokens())
 	req.overQuota = s.quotas.take(int(arrival.Tenant))
--- a/scheduler/rule_model_test.go
+++ b/scheduler/rule_model_test.go
@@ -58,7 +58,7 @@
 		sameGroup := class.Group == AllEndpoints || class.Group == SameZone && att.endpoint.zone == ep.zone ||
 			class.Group == SameCell && att.endpoint.cell == ep.cell
 		arrivesBy := sim.now + sim.config.ConnectTimeout
-		if class.Effect == NonIdempotent || !sameGroup || arrivesBy >= att.sentAt+class.Window {
+		if class.Effect == NonIdempotent || !sameGroup || arrivesBy >= att.sentAt+class.DedupWindow {
 			sim.t.Fatalf("request %d may have run and was sent again", req.id)
 		}
 	}
@@ -118,7 +118,7 @@
 }
 
 // Cancel checks that the attempt exists.
-func (sim *fleetSim) Cancel(request RequestID, attempt AttemptNo) {
+func (sim *fleetSim) Cancel(request RequestID, attempt AttemptNumber) {
 	sim.record("cancel %d %d", request, attempt)
 	if int(attempt) >= len(sim.requests[request].attempts) {
 		sim.t.Fatalf("request %d has no attempt %d", request, attempt)
--- a/scheduler/rules_test.go
+++ b/scheduler/rules_test.go
@@ -36,7 +36,7 @@
 		{Effect: Deduplicated, Group: SameZone},
 		{Effect: Deduplicated, Group: SameCell},
 	} {
-		class.SLO, class.Window, class.Revenue, class.TokenSLO = sec, 2*sec, float64(i+1), 50*ms
+		class.SLO, class.DedupWindow, class.Revenue, class.TokenSLO = sec, 2*sec, float64(i+1), 50*ms
 		config.Classes = append(config.Classes, class)
 	}
 	prefillOnly := Class{SLO: 2 * sec, Revenue: 1, LateRevenueShare: 0.5, PrefillOnly: true}
