--- a/internal/admin/usage.go
+++ b/internal/admin/usage.go
@@ -75,7 +75,7 @@
 	return response{status: http.StatusOK, text: s.metrics(), contentType: "text/plain; version=0.0.4"}
 }
 
-// metrics returns the usage since the beginning in the Prometheus text format.
+// metrics returns the usage of all time and the numbers of tenants and followers, in the Prometheus text format.
 func (s *Server) metrics() []byte {
 	tenants := s.usageByTenant()
 	var text strings.Builder
--- a/internal/sockets/overload.go
+++ b/internal/sockets/overload.go
@@ -27,8 +27,8 @@
 var rejectedLimits = http1.Limits{HeadBytes: 64 << 10, FieldCount: 1000, BodyBytes: 1 << 30}
 
 // handleAcceptError handles a failed accept. If no descriptor is left, it releases one from the reserve to accept and
-// reject the next connection. If the reserve is used up too, it waits for acceptRetryDelay, and connections stay in the
-// backlog. It returns a connection that can be served after all, or nil.
+// reject the next connection. If the reserve can't provide one, or the accept failed for another reason, it waits for
+// acceptRetryDelay, and connections stay in the backlog. It returns a connection that can be served after all, or nil.
 func (ln *listener) handleAcceptError(err error) net.Conn {
 	if isOutOfDescriptors(err) {
 		if raw, done := ln.acceptWithReserve(); done {
--- a/internal/sockets/overload_test.go
+++ b/internal/sockets/overload_test.go
@@ -17,8 +17,8 @@
 	answerTimeout    = 5 * time.Second
 )
 
-// delayedConn simulates a process that a busy machine does not let run: whenever a deadline is set, the call returns
-// only after that deadline has passed.
+// delayedConn simulates a process that a busy machine does not let run: a call that sets a deadline less than a second
+// ahead returns only after that deadline has passed.
 type delayedConn struct{ *net.TCPConn }
 
 func (c delayedConn) delay(until time.Time) {
--- a/internal/sockets/reserve_test.go
+++ b/internal/sockets/reserve_test.go
@@ -115,7 +115,7 @@
 	return s.lines.Text()
 }
 
-// command sends a command to the process and returns the number that the process prints.
+// command sends a command to the process and returns the number that the process prints, or 0 if it prints "ok".
 func (s *limitedServer) command(format string, args ...any) (n int) {
 	s.t.Helper()
 	if _, err := fmt.Fprintf(s.in, format+"\n", args...); err != nil {
--- a/internal/tenancy/directory_test.go
+++ b/internal/tenancy/directory_test.go
@@ -41,7 +41,7 @@
 	keys      map[string]string // tenant names by key text
 }
 
-// changeRegistry makes one random change, which may be rejected.
+// changeRegistry makes at most one random change, which may be rejected.
 func (f *follower) changeRegistry() {
 	name := fmt.Sprintf("t%d", rapid.IntRange(0, 3).Draw(f.t, "tenant"))
 	switch rapid.IntRange(0, 6).Draw(f.t, "change") {
--- a/internal/tenancy/window.go
+++ b/internal/tenancy/window.go
@@ -4,17 +4,21 @@
 // be admitted at once. It is controlled by additive increase and multiplicative decrease: it shrinks when a request
 // within its quota is late, and grows otherwise.
 const (
-	initialWindow        = 8.0 // requests
-	minWindow            = 1.0
-	maxWindow            = 4096.0
-	windowDecreaseFactor = 0.6 // of the admitted over-quota requests, when a request within its quota is late
+	initialWindow = 8.0 // requests
+	minWindow     = 1.0
+	maxWindow     = 4096.0
+	// windowDecreaseFactor is the new size of the window when a request within its quota is late, as a fraction of the
+	// old size or of the number of admitted over-quota requests, whichever is smaller.
+	windowDecreaseFactor = 0.6
 	minDecreaseInterval  = second / 4
 	windowIncrease       = 1.0    // requests, for each over-quota request that ends while the window is small
 	fullIncreaseWindow   = 8.0    // requests; above this size the increase is inversely proportional to the size
 	increaseDelay        = second // since the last late request
 	lateFraction         = 0.25   // of the latency objective; a first token after it is late
 
-	reservedOverQuota = 2      // over-quota requests that each tenant may have admitted regardless of the window
+	// reservedOverQuota is the number of over-quota requests that each tenant may have admitted regardless of the window.
+	// Another one is admitted so only if none of the tenant's admitted over-quota requests waits for its first token.
+	reservedOverQuota = 2
 	prefillFraction   = 0.20   // of the prefill endpoints that over-quota requests may use while the window is contended
 	contentionPeriod  = second // how long a request within its quota makes the window contended for other tenants
 
