--- a/internal/admin/changes.go
+++ b/internal/admin/changes.go
@@ -16,8 +16,8 @@
 	Path    string `json:"path"`
 	Role    Role   `json:"role"`
 	Version uint64 `json:"version"` // of the registry after the change
-	What    string `json:"what"`
-	Who     string `json:"who"`
+	Action  string `json:"what"`
+	Caller  string `json:"who"`
 }
 
 // change makes the change that a request asks for. It applies the change to a copy of the registry, saves the changed
@@ -39,8 +39,8 @@
 		Path:    strings.Join(r.path, "/"),
 		Role:    r.caller.role,
 		Version: next.Version,
-		What:    action,
-		Who:     r.caller.name,
+		Action:  action,
+		Caller:  r.caller.name,
 	}
 	ops := changedRecords(s.registry, next)
 	ops = append(ops, store.Op{Key: auditRecordKey(s.auditEntries), Value: encode(entry)})
--- a/internal/admin/isolation_test.go
+++ b/internal/admin/isolation_test.go
@@ -25,8 +25,8 @@
 			run.check()
 		}
 	}
-	if run.counts[completed] < requests/20 || run.counts["404"] == 0 || run.wrong > 0 {
-		t.Errorf("%d errors; outcomes %v", run.wrong, run.counts)
+	if run.counts[completed] < requests/20 || run.counts["404"] == 0 || run.errorCount > 0 {
+		t.Errorf("%d errors; outcomes %v", run.errorCount, run.counts)
 	}
 }
 
@@ -39,10 +39,10 @@
 	adminKeys []string // by tenant
 	revoked   string   // a revoked key
 
-	open   []isolationCall // calls that are not checked yet
-	owners map[string]int  // tenants by the ids of answers
-	counts map[string]int  // by outcome
-	wrong  int             // number of errors
+	open       []isolationCall // calls that are not checked yet
+	owners     map[string]int  // tenants by the ids of answers
+	counts     map[string]int  // by outcome
+	errorCount int             // number of errors
 }
 
 const noTenant = -1
@@ -135,8 +135,8 @@
 // errorf counts all errors and reports the first ones.
 func (r *isolationRun) errorf(format string, args ...any) {
 	r.t.Helper()
-	r.wrong++
-	if r.wrong < 10 {
+	r.errorCount++
+	if r.errorCount < 10 {
 		r.t.Errorf(format, args...)
 	}
 }
--- a/internal/admin/tenants.go
+++ b/internal/admin/tenants.go
@@ -130,7 +130,8 @@
 	result := s.changeTenant(r, action, func(registry *tenancy.Registry) (*tenancy.Tenant, error) {
 		return registry.Remove(r.tenant, r.version, policy)
 	})
-	s.loop.Defer(s.completeRemovals) // at once if there is no live dispatcher that may have running requests
+	// The removal completes at once if there is no live dispatcher that may have running requests of the tenant.
+	s.loop.Defer(s.completeRemovals)
 	return result
 }
 
--- a/internal/admin/usage.go
+++ b/internal/admin/usage.go
@@ -18,8 +18,8 @@
 }
 
 // addReport adds a dispatcher's usage report. It saves the new sums together with the report's number before it adds
-// the report to the ledger and acknowledges it. Each report therefore counts exactly once: the dispatcher repeats a
-// report that could not be saved, which is new to the ledger then.
+// the report to the ledger and acknowledges it. Each report therefore counts exactly once: a report that could not be
+// saved is not in the ledger, and counts when the dispatcher repeats it.
 func (s *Server) addReport(body []byte) response {
 	var report tenancy.UsageReport
 	if err := json.Unmarshal(body, &report); err != nil || report.Dispatcher == "" || report.Number == 0 {
--- a/internal/http1/message.go
+++ b/internal/http1/message.go
@@ -13,7 +13,7 @@
 type Limits struct {
 	HeadBytes  int // size of the start line and all fields
 	FieldCount int
-	BodyBytes  int // size of a request's body; those of responses are not limited
+	BodyBytes  int // size of a request's body; the body of a response is not limited
 	// BodyBytesFor, if set, returns the limit for a request with the given target, and replaces BodyBytes.
 	BodyBytesFor func(target string) int
 }
--- a/internal/http1/write.go
+++ b/internal/http1/write.go
@@ -7,7 +7,7 @@
 )
 
 // reasonPhrases are the reason phrases of status lines. http.StatusText isn't used because its phrases for 413 and 422
-// differ.
+// differ from those of RFC 9110.
 var reasonPhrases = map[int]string{
 	http.StatusOK:                          "OK",
 	http.StatusCreated:                     "Created",
@@ -32,7 +32,7 @@
 	http.StatusHTTPVersionNotSupported:     "HTTP Version Not Supported",
 }
 
-// Request is a request to be written, without its fields other than Host.
+// Request is a request to write. Fields other than Host are passed to AppendRequest separately.
 type Request struct {
 	Method, Target, Host string
 	Body                 []byte
--- a/internal/sockets/barrier_test.go
+++ b/internal/sockets/barrier_test.go
@@ -16,9 +16,9 @@
 func (oneByteResponder) Opened()      {}
 func (oneByteResponder) Drained()     {}
 func (oneByteResponder) Closed(error) {}
-func (a oneByteResponder) Data([]byte) {
-	a.conn.Write([]byte("!"))
-	a.conn.Close()
+func (r oneByteResponder) Data([]byte) {
+	r.conn.Write([]byte("!"))
+	r.conn.Close()
 }
 
 // Stale events of a closed connection must not close a new connection that reuses its descriptor. Many clients connect
--- a/internal/sockets/conn.go
+++ b/internal/sockets/conn.go
@@ -24,15 +24,15 @@
 )
 
 // conn implements eventloop.Conn on an nbio connection. The poller's and the loop's goroutines read from the socket.
-// Only the loop's goroutine writes to it, so that what has been sent can't change between a check of it and the action
-// based on that check.
+// Only the loop's goroutine writes to it, so nothing is sent between a check for unsent data and the action based on
+// that check.
 type conn struct {
 	loop      *Loop
 	handler   eventloop.Handler
 	socket    *nbio.Conn // nil while the connection is being dialled
 	dialTimer eventloop.Timer
 
-	mu             sync.Mutex // guards the fields that the poller and the loop share, up to peerClosed
+	mu             sync.Mutex // guards the next four fields, which the poller and the loop share
 	received       []byte     // read from the socket, but not yet delivered to the handler
 	deliveryPosted bool
 	readStalled    bool // received reached its limit, so the socket may still hold data
--- a/internal/sockets/conn_test.go
+++ b/internal/sockets/conn_test.go
@@ -24,13 +24,13 @@
 }
 
 // A close must reach the peer while a child process of this process runs. If the child inherited the connection, the
-// peer would see it as open after this process has ended, for example when a scenario restarts it, and requests sent on
-// it would be lost.
+// connection would stay open for the peer after this process has ended, for example when a scenario restarts the
+// process, and requests sent on the connection would be lost.
 func TestChildProcessesDoNotKeepConnectionsOpen(t *testing.T) {
 	for _, test := range []struct {
 		name  string
 		close func(serverLoop, clientLoop *Loop, server, client *recorder)
-		other func(server, client *recorder) *recorder
+		peer  func(server, client *recorder) *recorder
 	}{
 		{"the server closes",
 			func(serverLoop, _ *Loop, server, _ *recorder) { serverLoop.Do(func() { server.conn.Close() }) },
@@ -48,7 +48,7 @@
 			waitFor(t, "the opening of the other side", opened)
 			startChild(t)
 			test.close(serverLoop, clientLoop, server, client)
-			waitFor(t, "the close at the peer", test.other(server, client).closed)
+			waitFor(t, "the close at the peer", test.peer(server, client).closed)
 		})
 	}
 }
--- a/internal/sockets/dial.go
+++ b/internal/sockets/dial.go
@@ -39,8 +39,8 @@
 		loop: l,
 		conn: &conn{loop: l, handler: handler},
 		addr: addr,
-		// nbio's own dialling is not used: it takes the first four bytes of a 16-byte address and so always connects
-		// to this machine.
+		// nbio's own dialling is not used: it takes the first four bytes of a 16-byte IP address for the IPv4 address,
+		// and so always connects to this machine.
 		dialer:        net.Dialer{Timeout: time.Duration(timeout) * time.Microsecond, KeepAlive: -1},
 		mayUseReserve: reserved,
 	}
--- a/internal/sockets/dial_test.go
+++ b/internal/sockets/dial_test.go
@@ -24,8 +24,8 @@
 	}
 }
 
-// Dial must connect to the given address. nbio's own dialling connects to this machine's first
-// address, whatever address is given.
+// Dial must connect to the given address. nbio's own dialling connects to this machine's first address, whatever
+// address is given.
 func TestDialConnectsToTheGivenAddress(t *testing.T) {
 	ln, err := net.Listen("tcp", "127.8.1.1:0")
 	if err != nil {
--- a/internal/sockets/listen.go
+++ b/internal/sockets/listen.go
@@ -14,9 +14,11 @@
 )
 
 const (
-	acceptRetryDelay   = 20 * time.Millisecond // after a failed accept, for example if no descriptor is left
-	drainTimeout       = 10 * time.Millisecond // how long a draining listener accepts before it checks its backlog
-	maxDrainExtensions = 100                   // while connections wait, e.g. after the process was suspended
+	acceptRetryDelay = 20 * time.Millisecond // after a failed accept, for example if no descriptor is left
+	drainTimeout     = 10 * time.Millisecond // how long a draining listener accepts before it checks its backlog
+	// maxDrainExtensions limits how often a draining listener waits for another drainTimeout because connections are
+	// still in its backlog, for example after the process was suspended.
+	maxDrainExtensions = 100
 )
 
 var (
--- a/internal/sockets/loop.go
+++ b/internal/sockets/loop.go
@@ -3,7 +3,7 @@
 //
 // A Loop owns its poller, its connections and listeners, their goroutines and a reserve of file descriptors; Stop ends
 // them all. Handlers must not block. The methods of a Loop may be called only from its own callbacks, except Do, Post,
-// Stop and WithReservedDescriptor. It listens only on loopback addresses unless AllowAnyAddress is set, and child
+// Stop and WithReservedDescriptor. A Loop listens only on loopback addresses unless AllowAnyAddress is set, and child
 // processes never inherit its connections.
 package sockets
 
--- a/internal/sockets/overload.go
+++ b/internal/sockets/overload.go
@@ -13,8 +13,8 @@
 )
 
 const (
-	// rejectReceiveTimeout is the time limit for a rejected client to send its request. It is counted from the last
-	// segment that arrived before the rejection began, which is the handshake's if the client has sent nothing yet.
+	// rejectReceiveTimeout is the time limit for a rejected client to send its request. It is counted from the last TCP
+	// segment that arrived before the rejection began, or from the handshake if the client has sent nothing yet.
 	rejectReceiveTimeout = 100 * time.Millisecond
 	// rejectLingerTimeout is how long a client has to read the response and close the connection. The time is cut short
 	// if the descriptor is needed.
@@ -95,7 +95,8 @@
 	if halfCloser, ok := r.raw.(interface{ CloseWrite() error }); ok {
 		_ = halfCloser.CloseWrite()
 	}
-	// Reads on before closing: closing a socket with unread data resets the connection, which may lose the response.
+	// The connection is read until its end before it is closed, because closing a socket with unread data resets the
+	// connection, which may lose the response.
 	r.onResponseSent()
 	for r.read() {
 	}
--- a/internal/sockets/rejections.go
+++ b/internal/sockets/rejections.go
@@ -38,7 +38,7 @@
 	mu        sync.Mutex
 	changed   *sync.Cond // a rejection has ended, or has begun to linger
 	active    int
-	lingering []net.Conn // connections that have been sent their response, the oldest first
+	lingering []net.Conn // connections whose response has been sent, the oldest first
 	stopping  bool
 }
 
@@ -85,7 +85,7 @@
 	}()
 }
 
-// linger gives the client of a connection that has been sent its response time to close it.
+// linger gives a client time to close its connection after the response has been sent.
 func (r *rejections) linger(raw net.Conn) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -98,7 +98,7 @@
 	r.changed.Broadcast() // a goroutine that waits for capacity may evict this connection
 }
 
-// end refills the reserve with the descriptor of a closed connection, and forgets the connection.
+// end records that a rejection has ended, and refills the reserve with the descriptor of the closed connection.
 func (r *rejections) end(raw net.Conn) {
 	_ = r.loop.reserve.fill()
 	r.mu.Lock()
@@ -113,7 +113,7 @@
 	r.changed.Broadcast()
 }
 
-// stop waits until all clients have been sent their response, and ends the connections without lingering.
+// stop waits until each client's response has been sent, and ends the connections without lingering.
 func (r *rejections) stop() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/sockets/reserve_test.go
+++ b/internal/sockets/reserve_test.go
@@ -183,7 +183,7 @@
 			t.Fatalf("unexpected answer %q", got)
 		}
 	}
-	if free == 0 && rejected < 20 { // with one free, the reserve may suffice for the second one
+	if free == 0 && rejected < 20 { // with one free, the reserve may provide the second that a connection takes
 		t.Errorf("only %d of 40 were rejected", rejected)
 	}
 	time.Sleep(300 * time.Millisecond) // measures the CPU time of the other process while it is idle, too
--- a/internal/tenancy/admission.go
+++ b/internal/tenancy/admission.go
@@ -7,10 +7,12 @@
 )
 
 const (
-	quotaBurstS    = 2.0    // seconds of its quota that a tenant may use at once
-	minQuotaBurst  = 4.0    // requests; chance alone would exceed a smaller burst of one dispatcher among many
-	queueQuantum   = 2000.0 // tokens; about the cost of one request
-	queueFullRetry = second / 2
+	quotaBurstS = 2.0 // seconds of its quota that a tenant may use at once
+	// minQuotaBurst is the minimum burst of a tenant's quota in one dispatcher, in requests. With many dispatchers, chance
+	// alone would send one of them more requests at once than a smaller burst allows.
+	minQuotaBurst       = 4.0
+	queueQuantum        = 2000.0 // tokens; about the cost of one request
+	queueFullRetryAfter = second / 2
 )
 
 // AdmissionController enforces all limits and quotas in one dispatcher. Each dispatcher enforces an equal share of
@@ -18,12 +20,12 @@
 // request that exceeds the quota, an over-quota request, is admitted if the window for such requests allows it, and
 // queued otherwise.
 type AdmissionController struct {
-	dispatchers float64 // number of dispatchers that share the limits
-	now         Micros
-	tenants     map[ID]*tenantAccount
-	queue       *fairQueue[*Ticket] // over-quota requests
-	window      overQuotaWindow
-	arrived     uint64 // number of requests that got a ticket
+	dispatchers   float64 // number of dispatchers that share the limits
+	now           Micros
+	tenants       map[ID]*tenantAccount
+	queue         *fairQueue[*Ticket] // over-quota requests
+	window        overQuotaWindow
+	issuedTickets uint64 // number of requests that got a ticket
 }
 
 // NewAdmissionController returns the controller of one dispatcher. dispatchers is the number of all dispatchers.
@@ -104,7 +106,7 @@
 	if !a.takeFromQuota(tenant) {
 		t.overQuota = true
 		if a.queue.LenOf(tenant.id) >= a.maxQueued(tenant) {
-			return nil, Decision{Reason: QueueFull, RetryAfter: queueFullRetry}
+			return nil, Decision{Reason: QueueFull, RetryAfter: queueFullRetryAfter}
 		}
 	}
 	a.open(t)
@@ -146,8 +148,8 @@
 			l.reserve(t.cost)
 		}
 	}
-	a.arrived++
-	t.tenant.open[t] = a.arrived
+	a.issuedTickets++
+	t.tenant.open[t] = a.issuedTickets
 }
 
 // AdmitNext admits the next queued request that may be admitted now. It reports false if there is none.
--- a/internal/tenancy/fairqueue_test.go
+++ b/internal/tenancy/fairqueue_test.go
@@ -58,7 +58,7 @@
 	})
 }
 
-// sortedQueue is the simple alternative to a fairQueue: it sorts all items by the cost that their tenants were served.
+// sortedQueue is the simple alternative to a fairQueue: it sorts all items by the total served cost of their tenants.
 type sortedQueue struct {
 	items  []sortedItem
 	served map[ID]float64
--- a/internal/tenancy/keys.go
+++ b/internal/tenancy/keys.go
@@ -103,7 +103,7 @@
 	return nil
 }
 
-// RevokeKey revokes a key at once, or lets it expire at a later time so that it can overlap with its successor.
+// RevokeKey revokes a key at once, or lets it expire at a time in the future so that it can overlap with its successor.
 func (r *Registry) RevokeKey(now int64, name string, version uint64, id string, at int64) (*Tenant, error) {
 	t, err := r.find(name, version)
 	if err != nil {
--- a/internal/tenancy/ledger.go
+++ b/internal/tenancy/ledger.go
@@ -8,7 +8,7 @@
 // dispatcherTimeout is the time without a report after which a dispatcher is considered dead.
 const dispatcherTimeout = 10 * second
 
-// UsageLedger adds up the usage reports of all dispatchers in the administration.
+// UsageLedger adds up, in the administration, the usage reports that all dispatchers send.
 type UsageLedger struct {
 	Sums        map[string]Usage  `json:"sums"`    // by Usage.Key
 	LastNumbers map[string]uint64 `json:"numbers"` // by dispatcher: the number of the last report that was added
--- a/internal/tenancy/limits.go
+++ b/internal/tenancy/limits.go
@@ -18,8 +18,8 @@
 }
 
 // tokenBucket is a bucket that fills at a rate up to a capacity. After the clock has stepped back, the bucket does not
-// fill until the clock has caught up. After a step of more than a second it fills again at once, as the earlier time is
-// assumed to have been wrong.
+// fill until the clock has caught up. After a step back of more than a second it fills again at once, as the time
+// before the step is assumed to have been wrong.
 type tokenBucket struct {
 	level    float64
 	filledAt Micros // 0 if it was never filled
@@ -53,8 +53,8 @@
 	inFlight int // requests that are admitted or queued
 }
 
-// check returns why one more request would exceed the limits, and after how long it would not; that time is 0 if it is
-// unknown. dispatchers is the number of dispatchers that share the limits.
+// check returns the reason why one more request would exceed the limits, or NotRejected, and the time after which a
+// retry is within them, or 0 if that time is unknown. dispatchers is the number of dispatchers that share the limits.
 func (l *limiter) check(now Micros, dispatchers float64, promptTokens int, cost float64) (Reason, Micros) {
 	limits := l.limits
 	if limits.MaxPromptTokens > 0 && promptTokens > limits.MaxPromptTokens {
--- a/internal/tenancy/registry.go
+++ b/internal/tenancy/registry.go
@@ -17,7 +17,7 @@
 	StateActive    State = "active"
 	StateSuspended State = "suspended" // new requests are rejected; running ones continue
 	StateRemoving  State = "removing"  // keys are deleted; running requests continue or are stopped, as the policy says
-	StateRemoved   State = "removed"   // limits are deleted too; name and usage are kept
+	StateRemoved   State = "removed"   // keys and limits are deleted; name and usage are kept
 )
 
 // RemovalPolicy is what happens to the running requests of a tenant that is removed.
@@ -25,8 +25,8 @@
 
 // Policies of removal.
 const (
-	RemovalFinish RemovalPolicy = "finish" // they run to completion
-	RemovalStop   RemovalPolicy = "stop"   // they are stopped at once
+	RemovalFinish RemovalPolicy = "finish" // running requests continue to their end
+	RemovalStop   RemovalPolicy = "stop"   // running requests are stopped at once
 )
 
 // Tenant is one customer of the service. It is the form of storage and, without the MACs of keys, of API answers. Times
--- a/internal/tenancy/validation.go
+++ b/internal/tenancy/validation.go
@@ -33,8 +33,8 @@
 	return nil
 }
 
-// check returns an error for the first limit that is out of range. field is the name of the request's field with the
-// limits, which the error's field begins with.
+// check returns an error for the first limit that is out of range. field is the name of the request's field that
+// contains the limits. The error names the limit as a member of that field.
 func (l Limits) check(field string) error {
 	for _, limit := range []struct {
 		name  string
--- a/internal/tenancy/window.go
+++ b/internal/tenancy/window.go
@@ -14,18 +14,18 @@
 	windowIncrease       = 1.0    // requests, for each over-quota request that ends while the window is small
 	fullIncreaseWindow   = 8.0    // requests; above this size the increase is inversely proportional to the size
 	increaseDelay        = second // since the last late request
-	lateFraction         = 0.25   // of the latency objective; a first token after it is late
+	lateFraction         = 0.25   // of the latency objective; a first token that takes longer is late
 
 	// reservedOverQuota is the number of over-quota requests that each tenant may have admitted regardless of the window.
-	// Another one is admitted so only if none of the tenant's admitted over-quota requests waits for its first token.
+	// Each is admitted in this way only while no admitted over-quota request of the tenant waits for its first token.
 	reservedOverQuota = 2
-	prefillFraction   = 0.20   // of the prefill endpoints that over-quota requests may use while the window is contended
+	prefillFraction   = 0.20   // of the prefill endpoints, for over-quota requests while the window is contended
 	contentionPeriod  = second // how long a request within its quota makes the window contended for other tenants
 
 	// While the window is not contended, this many over-quota requests for each prefill endpoint may be waiting for
 	// their first token.
 	prefillingPerEndpoint = 2
-	minPrefilling         = 2
+	minPrefilling         = 2 // the least number in each dispatcher, even with few prefill endpoints
 )
 
 // overQuotaCount counts admitted over-quota requests.
@@ -41,12 +41,12 @@
 	decreasedAt      Micros
 	lateAt           Micros // when a request within its quota was last late
 	prefillEndpoints int
-	pausedUntil      Micros // no over-quota request is admitted before this time while the window is contended
-	inQuota          [2]arrival
+	pausedUntil      Micros            // no over-quota request is admitted before this time while the window is contended
+	lastInQuota      [2]inQuotaRequest // of the last two tenants that sent one; the latest is first
 }
 
-// arrival is the last request of a tenant that was within its quota.
-type arrival struct {
+// inQuotaRequest records when a tenant last sent a request within its quota.
+type inQuotaRequest struct {
 	tenant *tenantAccount
 	at     Micros
 }
@@ -54,15 +54,15 @@
 // recordInQuota records a request within its quota. The last two tenants are enough to know whether any tenant other
 // than a given one has sent such a request lately.
 func (w *overQuotaWindow) recordInQuota(now Micros, tenant *tenantAccount) {
-	if w.inQuota[0].tenant != tenant {
-		w.inQuota[1] = w.inQuota[0]
+	if w.lastInQuota[0].tenant != tenant {
+		w.lastInQuota[1] = w.lastInQuota[0]
 	}
-	w.inQuota[0] = arrival{tenant, now}
+	w.lastInQuota[0] = inQuotaRequest{tenant, now}
 }
 
 // contended reports whether another tenant has lately sent a request within its quota.
 func (w *overQuotaWindow) contended(now Micros, tenant *tenantAccount) bool {
-	for _, last := range w.inQuota {
+	for _, last := range w.lastInQuota {
 		if last.tenant != tenant && last.tenant != nil && now-last.at < contentionPeriod {
 			return true
 		}
