--- a/internal/sockets/overload.go
+++ b/internal/sockets/overload.go
@@ -13,8 +13,8 @@
 )
 
 const (
-	// rejectReceiveTimeout is the time limit for a rejected client to send its request. It is counted from the last
-	// segment that arrived before the rejection began, which is the handshake's if the client has sent nothing yet.
+	// rejectReceiveTimeout is the time limit for a rejected client to send its request. It is counted from the last TCP
+	// segment that arrived before the rejection began, or from the handshake if the client has sent nothing yet.
 	rejectReceiveTimeout = 100 * time.Millisecond
 	// rejectLingerTimeout is how long a client has to read the response and close the connection. The time is cut short
 	// if the descriptor is needed.
@@ -27,8 +27,8 @@
 var rejectedLimits = http1.Limits{HeadBytes: 64 << 10, FieldCount: 1000, BodyBytes: 1 << 30}
 
 // handleAcceptError handles a failed accept. If no descriptor is left, it releases one from the reserve to accept and
-// reject the next connection. If the reserve is used up too, it waits for acceptRetryDelay, and connections stay in the
-// backlog. It returns a connection that can be served after all, or nil.
+// reject the next connection. If the reserve can't provide one, or the accept failed for another reason, it waits for
+// acceptRetryDelay, and connections stay in the backlog. It returns a connection that can be served after all, or nil.
 func (ln *listener) handleAcceptError(err error) net.Conn {
 	if isOutOfDescriptors(err) {
 		if raw, done := ln.acceptWithReserve(); done {
@@ -95,7 +95,8 @@
 	if halfCloser, ok := r.raw.(interface{ CloseWrite() error }); ok {
 		_ = halfCloser.CloseWrite()
 	}
-	// Reads on before closing: closing a socket with unread data resets the connection, which may lose the response.
+	// The connection is read until its end before it is closed, because closing a socket with unread data resets the
+	// connection, which may lose the response.
 	r.onResponseSent()
 	for r.read() {
 	}
--- a/internal/sockets/reserve_test.go
+++ b/internal/sockets/reserve_test.go
@@ -115,7 +115,7 @@
 	return s.lines.Text()
 }
 
-// command sends a command to the process and returns the number that the process prints.
+// command sends a command to the process and returns the number that the process prints, or 0 if it prints "ok".
 func (s *limitedServer) command(format string, args ...any) (n int) {
 	s.t.Helper()
 	if _, err := fmt.Fprintf(s.in, format+"\n", args...); err != nil {
@@ -183,7 +183,7 @@
 			t.Fatalf("unexpected answer %q", got)
 		}
 	}
-	if free == 0 && rejected < 20 { // with one free, the reserve may suffice for the second one
+	if free == 0 && rejected < 20 { // with one free, the reserve may provide the second that a connection takes
 		t.Errorf("only %d of 40 were rejected", rejected)
 	}
 	time.Sleep(300 * time.Millisecond) // measures the CPU time of the other process while it is idle, too
