--- a/internal/engine/attempt.go
+++ b/internal/engine/attempt.go
@@ -20,7 +20,7 @@
 	writtenAt    eventloop.Micros // when the request was written to the connection
 	deadline     eventloop.Micros // of the first event, or of a response that is not streamed
 	sendDeadline eventloop.Micros // by which the network must have taken the request's last byte
-	timer        eventloop.Timer  // for the deadlines and, after Started, for the stream's idle timeout
+	timer        eventloop.Timer  // for the deadlines and, after MarkStarted, for the stream's idle timeout
 	evictions    int              // idle connections closed because no file descriptor was free for this attempt
 
 	ended bool
--- a/internal/lifecycle/lifecycle.go
+++ b/internal/lifecycle/lifecycle.go
@@ -55,7 +55,7 @@
 	ClientLagging                     // the client reads its answer too slowly
 	ClientCaughtUp                    // the client has caught up with its answer
 	Admitted                          // the tenant's limits admit the queued request
-	TenantStopped                     // the tenant was removed, and its running requests have to stop
+	TenantStopped                     // the tenant was removed, and its requests have to stop
 	PrefillOnlyCompleted              // the prefill attempt completed and is the whole answer
 
 	EventCount = int(PrefillOnlyCompleted) + 1
--- a/scheduler/api.go
+++ b/scheduler/api.go
@@ -78,18 +78,19 @@
 // The effects.
 const (
 	Idempotent    Effect = iota // a repeat is always harmless
-	Deduplicated                // a repeat within Class.Window is harmless at the endpoints of Class.Group
+	Deduplicated                // a repeat within Class.DedupWindow is harmless at the endpoints of Class.Group
 	NonIdempotent               // a repeat would repeat the request's effect
 )
 
-// Group is the set of endpoints that recognise a repeat of a deduplicated request, relative to its first attempt.
+// Group is the set of endpoints that recognise a repeat of a deduplicated request, relative to the first attempt that
+// may have run.
 type Group uint8
 
 // The groups.
 const (
 	AllEndpoints Group = iota
-	SameZone           // endpoints in the zone of the first attempt
-	SameCell           // endpoints in the cell of the first attempt
+	SameZone           // endpoints in the zone of that attempt
+	SameCell           // endpoints in the cell of that attempt
 )
 
 // EndpointState is the state of an endpoint as given by the endpoint list.
--- a/scheduler/cell_links.go
+++ b/scheduler/cell_links.go
@@ -21,7 +21,9 @@
 }
 
 // recordHandover adds the delay of an attempt that fetches a state. It is called when the attempt's answer begins, and
-// when the attempt times out or is cancelled without one.
+// when the attempt times out or is cancelled without one. In the latter case, an attempt that did not fetch a state but
+// was to prefill its prompt itself counts too, for cell 0: AttemptEnded calls untrack first, which sets prefillTokens
+// to 0.
 func (s *Scheduler) recordHandover(att *attempt) {
 	if att.decodes && att.prefillTokens == 0 {
 		delay := s.links.handoverDelay[att.stateCell]
--- a/scheduler/decode_memory.go
+++ b/scheduler/decode_memory.go
@@ -84,9 +84,9 @@
 }
 
 // startOverdue reports whether the start of an answer is overdue at this endpoint, other than by a congested link. That
-// shows that this dispatcher or others have exhausted the endpoint's memory, slots or decode rate. The check takes the
-// place of memoryCeiling if no usage is reported. In overload it keeps requests in this dispatcher's queue: in the
-// endpoints' queues they would all be late.
+// shows that this dispatcher or others have exhausted the endpoint's memory, slots or decode rate. The check applies
+// whether or not the endpoint's usage is reported; memoryCeiling applies only if it is. In overload the check keeps
+// requests in this dispatcher's queue: in the endpoints' queues they would all be late.
 func (s *Scheduler) startOverdue(ep *endpoint) bool {
 	return slices.ContainsFunc(ep.pending, func(att *attempt) bool {
 		return att.decodes && s.now > att.lateAt && !delayedByLink(att)
--- a/scheduler/decode_placement.go
+++ b/scheduler/decode_placement.go
@@ -20,7 +20,7 @@
 type placementTier int
 
 const (
-	tierSameCell   placementTier = iota // in the prefill endpoint's cell
+	tierSameCell   placementTier = iota // in the prefill endpoint's cell, or in its zone if there are many dispatchers
 	tierSameZone                        // in the prefill endpoint's zone
 	tierAnywhere                        // fits, but is in another zone or fuller than nearUsageLimit
 	tierOverLimits                      // does not fit
--- a/scheduler/endpoint_list.go
+++ b/scheduler/endpoint_list.go
@@ -77,8 +77,8 @@
 }
 
 // EndpointUpdateEnded ends a list. An endpoint that a complete list does not name is no longer ready. An endpoint that
-// has not been ready for unavailableRetention is forgotten: over months, endpoints are replaced under new ids, and
-// decisions must not examine all that ever existed.
+// has been unavailable for unavailableRetention and has no attempt in flight is forgotten: over months, endpoints are
+// replaced under new ids, and decisions must not examine all that ever existed.
 func (s *Scheduler) EndpointUpdateEnded(now Micros, complete bool) {
 	s.now = now
 	s.endpoints.all = slices.DeleteFunc(s.endpoints.all, func(ep *endpoint) bool {
@@ -101,8 +101,8 @@
 	s.armDeadlineTimer()
 }
 
-// EndpointWatchFailed asks for the endpoint list again after a random delay, so that dispatchers that lost their watch
-// at the same time do not all ask at once.
+// EndpointWatchFailed asks for the endpoint list again if Config.WatchOnDemand is set. It does so after a random delay,
+// so that dispatchers that lost their watch at the same time do not all ask at once.
 func (s *Scheduler) EndpointWatchFailed(now Micros) {
 	s.now = now
 	if s.WatchOnDemand {
--- a/scheduler/estimates.go
+++ b/scheduler/estimates.go
@@ -81,7 +81,7 @@
 }
 
 // decayingMean is an exponentially weighted mean of recent observations. Without observations it decays to a typical
-// value: a single dispatcher observes an endpoint or a cell seldom, and its observations are soon out of date.
+// value: a single dispatcher makes few observations of new connections and of the cells, and they are soon out of date.
 type decayingMean struct {
 	value float64
 	at    Micros // time of the last observation; 0 if there is none
--- a/scheduler/prefill_placement.go
+++ b/scheduler/prefill_placement.go
@@ -30,8 +30,9 @@
 	minAttemptsToRun = 2
 )
 
-// place sends a request to its first endpoint. It queues the request if no decode endpoint has capacity or no prefill
-// endpoint is available.
+// place sends a request to the endpoint that prefills it. It queues the request if no prefill endpoint is available, if
+// the wait for the prefill is too long, or if no decode endpoint has capacity. It ends the request if too few attempts
+// are left.
 func (s *Scheduler) place(req *request) {
 	if req.attemptsSent+minAttemptsToRun > s.MaxAttempts {
 		s.rejectOrFail(req, AttemptsExhausted)
--- a/scheduler/request.go
+++ b/scheduler/request.go
@@ -66,8 +66,8 @@
 	s.prefixes.count(req.prefix)
 	updateRunningMean(&s.estimates.requestTokens[req.class], req.memoryTokens())
 	req.overQuota = s.quotas.take(int(arrival.Tenant))
-	// The final answer is given two ticks early: given at the deadline, it would reach the client after the client has
-	// disconnected.
+	// The final answer is given two ticks and one millisecond before the deadline. Given at the deadline, it would reach
+	// the client after the client has disconnected.
 	answerBy := req.deadline - 2*s.TickInterval - ms
 	req.deadlineTimer = s.timers.due.Set(answerBy, func() { s.rejectOrFail(req, DeadlineReached) })
 	s.place(req)
