--- a/internal/engine/attempt.go
+++ b/internal/engine/attempt.go
@@ -26,8 +26,8 @@
 	ended bool
 	sent  bool // valid once ended: the network had taken the request's last byte
 
-	readingPaused bool
-	lastReceived  eventloop.Micros // start of the current idle period of a started stream
+	readingPaused   bool
+	streamIdleSince eventloop.Micros // start of the current idle period of a started stream
 
 	// The response as far as it has been received.
 	head        *http1.Head
@@ -38,7 +38,7 @@
 
 // timeout ends an attempt whose deadline has passed. If the request has not been sent completely by its send deadline,
 // because there was no free connection or the endpoint does not read, the attempt ends as Unreachable: it cannot have
-// run. It is not sent later, as the decision to send it holds only for the time that was allowed when it was made.
+// run. The request is not sent later, because the decision to send it assumed that it is sent by the send deadline.
 func (a *Attempt) timeout() {
 	now := a.engine.loop.Now()
 	switch {
@@ -60,8 +60,8 @@
 	return a.connection == nil || !a.connection.written || a.connection.conn.Unsent() > 0
 }
 
-// maxRoundTrip bounds the network delay to an endpoint and back: data that is received later than this after a write
-// was sent by the endpoint after the written bytes had reached its machine.
+// maxRoundTrip bounds the network delay to an endpoint and back. If data arrives more than maxRoundTrip after a write,
+// the endpoint sent that data after the written bytes had reached its machine.
 const maxRoundTrip = 20 * eventloop.Millisecond
 
 // EndpointSeenRunning reports whether the endpoint's process is known to have been running after the request reached
@@ -87,20 +87,20 @@
 }
 
 // MarkStarted tells the attempt that the first token has arrived. It replaces the deadline, which applies until then,
-// by an idle timeout: the attempt ends if the stream delivers no event for Limits.StreamIdleTimeout. Without it, an
-// attempt to an endpoint that vanished without closing its connection would never end.
+// by an idle timeout: the attempt ends if the stream delivers no event for Limits.StreamIdleTimeout. Without this
+// timeout, an attempt to an endpoint that vanished without closing its connection would never end.
 func (a *Attempt) MarkStarted() { a.restartStreamIdleTimer() }
 
 func (a *Attempt) restartStreamIdleTimer() {
 	a.timer.Stop()
-	a.lastReceived = a.engine.loop.Now()
+	a.streamIdleSince = a.engine.loop.Now()
 	a.timer = a.engine.loop.AfterFunc(a.engine.limits.StreamIdleTimeout, a.checkStreamIdle)
 }
 
 // checkStreamIdle ends the attempt if its stream has been idle for too long. Time during which reading is paused does
 // not count.
 func (a *Attempt) checkStreamIdle() {
-	idle := a.engine.loop.Now() - a.lastReceived
+	idle := a.engine.loop.Now() - a.streamIdleSince
 	limit := a.engine.limits.StreamIdleTimeout
 	switch {
 	case a.readingPaused:
@@ -116,7 +116,7 @@
 func (a *Attempt) SetReadingPaused(on bool) {
 	if a.connection != nil && !a.ended && a.readingPaused != on {
 		a.readingPaused = on
-		a.lastReceived = a.engine.loop.Now()
+		a.streamIdleSince = a.engine.loop.Now()
 		a.connection.conn.SetPaused(on)
 	}
 }
@@ -166,7 +166,7 @@
 	if a.ended {
 		return nil
 	}
-	a.lastReceived = a.engine.loop.Now()
+	a.streamIdleSince = a.engine.loop.Now()
 	pass, err := a.call.Stream.Event(data)
 	if err == nil && pass {
 		a.callbacks.Event(data)
--- a/internal/engine/connection.go
+++ b/internal/engine/connection.go
@@ -228,8 +228,8 @@
 		return
 	}
 	c.endpoint.idle = append(c.endpoint.idle, c)
-	engine.idleCount++
-	c.idleOrder = engine.idleCount
+	engine.idleSequence++
+	c.idleOrder = engine.idleSequence
 	c.idleTimer = engine.loop.AfterFunc(engine.limits.IdleTimeout, func() {
 		c.removeFromIdle()
 		c.conn.Close()
--- a/internal/engine/engine.go
+++ b/internal/engine/engine.go
@@ -28,20 +28,20 @@
 	// MaxOpening bounds the connections to one endpoint that are being opened. Further attempts queue, for
 	// ConnectTimeout at most.
 	MaxOpening int
-	// MaxTotal, if it is above 0, is the number of connections to all endpoints from which on the connection that has
-	// been idle for longest is closed before another one is opened. If no connection is idle, one is opened nevertheless.
+	// MaxTotal bounds the connections to all endpoints, unless it is 0. While that many are open, the engine closes the
+	// connection that has been idle for longest before it opens another one. If none is idle, it exceeds MaxTotal.
 	MaxTotal int
 }
 
 // Engine holds the connections to all endpoints.
 type Engine struct {
-	loop      eventloop.Loop
-	name      string // of this dispatcher, sent with each request
-	zone      string // of this dispatcher, sent with each request
-	limits    Limits
-	endpoints map[scheduler.EndpointID]*endpoint
-	open      int    // connections to all endpoints
-	idleCount uint64 // how often a connection has become idle; gives connection.idleOrder
+	loop         eventloop.Loop
+	name         string // of this dispatcher, sent with each request
+	zone         string // of this dispatcher, sent with each request
+	limits       Limits
+	endpoints    map[scheduler.EndpointID]*endpoint
+	open         int    // connections to all endpoints
+	idleSequence uint64 // number of times that a connection has become idle; sets connection.idleOrder
 }
 
 // New returns an engine without endpoints.
--- a/internal/engine/pool.go
+++ b/internal/engine/pool.go
@@ -133,8 +133,8 @@
 	return true
 }
 
-// startAfterEviction closes an idle connection and then starts an attempt again for which there was no free file
-// descriptor. It returns false if no connection is idle, or after maxEvictions for the same attempt.
+// startAfterEviction closes an idle connection and then restarts an attempt that found no free file descriptor. It
+// returns false if no connection is idle, or after maxEvictions for the same attempt.
 func (e *Engine) startAfterEviction(attempt *Attempt) bool {
 	if attempt.evictions >= maxEvictions || !e.evictOldestIdle() {
 		return false
--- a/internal/idempotency/idempotency_test.go
+++ b/internal/idempotency/idempotency_test.go
@@ -84,8 +84,9 @@
 	}
 }
 
-// Checks that a key whose request may have run is not New again within its window, however small the limits; that the
-// bytes and keys stay within the limits; and that the replayed events are those that were streamed.
+// TestCacheAgreesWithModel checks that a key whose request may have run is not New again within its window, however
+// small the limits; that the bytes and keys stay within the limits; and that the replayed events are those that were
+// streamed.
 func TestCacheAgreesWithModel(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		m := &model{t: t, cache: NewCache(testLimits), entries: map[Key]*modelEntry{}}
@@ -109,7 +110,8 @@
 	})
 }
 
-// Checks that keys beyond the limit are refused, and that a key is free again only once its window has passed.
+// TestKeysBeyondTheLimitAreRefused checks that keys beyond the limit are refused, and that a key is free again only
+// once its window has passed.
 func TestKeysBeyondTheLimitAreRefused(t *testing.T) {
 	const limit, window = 1000, 10000
 	cache := NewCache(Limits{Entries: limit, Bytes: 1 << 20, AnswerBytes: 1 << 10})
--- a/internal/lifecycle/lifecycle_test.go
+++ b/internal/lifecycle/lifecycle_test.go
@@ -77,16 +77,16 @@
 
 // possible reports whether the event can happen in the state, given what the model has seen.
 func (m *model) possible(s State, e Event) bool {
-	over := m.answers > 0 || m.disconnected
+	answered := m.answers > 0 || m.disconnected
 	switch {
-	case oneOf(e, PrefillOrdered, DecodeOrdered) && (m.inFlight || m.closed || over),
+	case oneOf(e, PrefillOrdered, DecodeOrdered) && (m.inFlight || m.closed || answered),
 		// A closed attempt can only be reported as failed.
 		(endsAttempt(e) || e == EventReceived) && !m.inFlight && !(m.closed && e == AttemptFailed),
 		e == DecodeCompleted && !m.begun,
 		oneOf(e, PrefillCompleted, PrefillOnlyCompleted) && m.begun,
-		oneOf(e, RejectOrdered, FailOrdered) && (m.begun || over),
+		oneOf(e, RejectOrdered, FailOrdered) && (m.begun || answered),
 		e == CancelOrdered && (!m.inFlight || m.begun),
-		e == ClientDisconnected && over,
+		e == ClientDisconnected && answered,
 		e == DeadlineExceeded && !m.begun && s != Queued,
 		e == Admitted && s != Queued,
 		s == Queued && oneOf(e, PrefillOrdered, DecodeOrdered, RejectOrdered, FailOrdered, ReleaseOrdered),
@@ -124,21 +124,21 @@
 		m.t.Fatalf("the end of an attempt (%v in %v) was notified %d times, want once", e, before, m.endsNotified-notified)
 	}
 	inFlight := m.inFlight || m.closed
-	over := (m.answers > 0 || m.disconnected) && !inFlight
-	if over != (machine.State == Done) || over != m.forgotten {
-		m.t.Fatalf("after %v in %v: over %v, forgotten %v, but the state is %v", e, before, over, m.forgotten, machine.State)
+	ended := (m.answers > 0 || m.disconnected) && !inFlight
+	if ended != (machine.State == Done) || ended != m.forgotten {
+		m.t.Fatalf("after %v in %v: ended %v, forgotten %v, state %v", e, before, ended, m.forgotten, machine.State)
 	}
 	if machine.AttemptInFlight() != inFlight {
 		m.t.Fatalf("after %v in %v: an attempt in flight %v, but the state is %v", e, before, inFlight, machine.State)
 	}
 }
 
-// Fires random events, at each step one that is possible there, and checks: a request gets one final answer at most and
-// no event after it, has one attempt in flight at most, each attempt's end is notified once, and an answered request
-// without an attempt in flight is forgotten.
+// TestRandomEventOrdersKeepInvariants fires random events, at each step one that is possible there, and checks these
+// invariants: a request gets one final answer at most and no event after it, it has one attempt in flight at most, each
+// attempt's end is notified once, and an answered request without an attempt in flight is forgotten.
 func TestRandomEventOrdersKeepInvariants(t *testing.T) {
-	// Whether the other cells are reached depends on which side closes first; the random faults in the tests of package
-	// dispatch reach all of them.
+	// Two cells may remain unreached here: whether they are reached depends on which side closes first. The random faults
+	// in the tests of package dispatch reach all cells.
 	const cells, reachedAtLeast = 45, 43
 	var coverage Coverage
 	rapid.Check(t, func(t *rapid.T) {
@@ -172,7 +172,7 @@
 	}
 }
 
-// Checks that docs/streams.md documents exactly the cells that the code defines.
+// TestDocumentedTableMatchesTransitions checks that docs/streams.md documents exactly the cells that the code defines.
 func TestDocumentedTableMatchesTransitions(t *testing.T) {
 	page, err := os.ReadFile("../../docs/streams.md")
 	if err != nil {
--- a/scheduler/api.go
+++ b/scheduler/api.go
@@ -162,11 +162,11 @@
 	TickInterval    Micros  // period of the caller's ticks; the caller reports events only at its ticks
 	IdleTimeout     Micros  // after which an unused connection is closed
 	ConnectTimeout  Micros  // after which an attempt that got no connection is never sent
-	WarmUp          Micros  // time that an endpoint needs after its process has started to reach its full throughput
+	WarmUp          Micros  // time from the start of an endpoint's process until its full throughput is reached
 	SlowStartFactor float64 // share of its warm throughput that an endpoint has when its process starts
 
-	// The overload rule: an endpoint that gets more than OverloadFactor times the work that it can do within
-	// OverloadWindow is overloaded.
+	// The overload rule: an endpoint is overloaded if, within OverloadWindow, it gets more than OverloadFactor times the
+	// work that it can do in that time.
 	OverloadWindow Micros
 	OverloadFactor float64
 }
@@ -210,5 +210,5 @@
 	Requests      int
 	Attempts      int
 	Queued        int     // requests that wait for capacity
-	PrefillTokens float64 // prompt and expected answer tokens of the requests that are prefilled before a decode
+	PrefillTokens float64 // prompt and expected answer tokens of the requests that are prefilled now for a decode
 }
--- a/scheduler/attempt.go
+++ b/scheduler/attempt.go
@@ -122,13 +122,13 @@
 	if res.Outcome == PrefillDone {
 		s.recordPrefill(att, prefillTokens, float64(res.CachedTokens))
 	}
-	s.attemptResolved(att, res)
+	s.continueRequest(att, res)
 	s.placeQueued()
 	s.armDeadlineTimer()
 }
 
-// attemptResolved continues the request of an attempt that has ended.
-func (s *Scheduler) attemptResolved(att *attempt, res AttemptResult) {
+// continueRequest continues the request of an attempt that has ended.
+func (s *Scheduler) continueRequest(att *attempt, res AttemptResult) {
 	req := att.request
 	if att.decodes && req.mayHaveRun == nil && !res.Outcome.KnownNotRun() {
 		req.mayHaveRun = att
--- a/scheduler/candidates.go
+++ b/scheduler/candidates.go
@@ -9,7 +9,7 @@
 	// Mean number of dispatchers that may choose the same endpoint because it looks the least filled to all of them.
 	dispatchersPerChoice = 4
 
-	// Share of new connections that fail from which endpoints with an open connection are preferred.
+	// Endpoints with an open connection are preferred while at least this share of new connections fails.
 	connectFailureLimit = 0.3
 )
 
--- a/scheduler/decode_memory.go
+++ b/scheduler/decode_memory.go
@@ -9,12 +9,12 @@
 	noCapacityPause = 150 * ms // time in which an endpoint gets no new requests after it had no capacity for one
 	reportMaxAge    = 5 * sec  // age from which a load report is ignored
 
-	// A first token is late if it takes longer than this share of the SLO time. That shows that the endpoint, or the link
-	// to it, is overloaded.
+	// A first token is late if the time since its attempt was sent exceeds this share of the time from the request's
+	// arrival to its SLO time. That shows that the endpoint, or the link to it, is overloaded.
 	lateStartShare = 0.25
 
 	// When an answer begins late, the limit on this dispatcher's reservations at the endpoint is cut to limitCutFactor
-	// times its reservations or times the old limit, whichever is less, and at most once in limitCutInterval.
+	// times the lesser of the old limit and the current reservations. It is cut at most once in limitCutInterval.
 	limitCutFactor   = 0.8
 	limitCutInterval = sec
 
@@ -71,8 +71,8 @@
 	if ep.memory.limitCutAt == 0 {
 		return math.Inf(1)
 	}
-	evenPart := s.memoryTokens(ep) / float64(max(s.Dispatchers, 1))
-	return max(ep.memory.limit, evenPart/minLimitDivisor) + limitGrowth*evenPart*seconds(s.now-ep.memory.limitCutAt)
+	evenShare := s.memoryTokens(ep) / float64(max(s.Dispatchers, 1))
+	return max(ep.memory.limit, evenShare/minLimitDivisor) + limitGrowth*evenShare*seconds(s.now-ep.memory.limitCutAt)
 }
 
 // cutReservationLimit lowers the reservation limit after an answer has begun late.
@@ -83,10 +83,10 @@
 	}
 }
 
-// startOverdue reports whether the start of an answer is overdue at this endpoint, other than by a congested link. That
-// shows that this dispatcher or others have exhausted the endpoint's memory, slots or decode rate. The check applies
-// whether or not the endpoint's usage is reported; memoryCeiling applies only if it is. In overload the check keeps
-// requests in this dispatcher's queue: in the endpoints' queues they would all be late.
+// startOverdue reports whether the start of an answer is overdue at this endpoint for a reason other than a congested
+// link. That shows that this dispatcher or others have exhausted the endpoint's memory, slots or decode rate. The check
+// applies whether or not the endpoint's usage is reported; memoryCeiling applies only if it is. In overload the check
+// keeps requests in this dispatcher's queue: in the endpoints' queues they would all be late.
 func (s *Scheduler) startOverdue(ep *endpoint) bool {
 	return slices.ContainsFunc(ep.pending, func(att *attempt) bool {
 		return att.decodes && s.now > att.lateAt && !delayedByLink(att)
--- a/scheduler/decode_placement.go
+++ b/scheduler/decode_placement.go
@@ -45,7 +45,7 @@
 	s.place(req)
 }
 
-// decodeEnded continues a request after an attempt at the decoding endpoint that did not answer it.
+// decodeEnded continues a request after a decode attempt that ended before its answer began.
 func (s *Scheduler) decodeEnded(req *request, ep *endpoint, res AttemptResult) {
 	if res.StateReleased || res.StateMissing && res.Outcome == NoCapacity {
 		s.releaseState(req)
@@ -73,11 +73,11 @@
 	return s.candidates(req, Mixed)
 }
 
-// pickDecode returns the decode endpoint with the lowest memory usage in the first of these groups that is not empty:
-// those that fit in the prefill endpoint's cell, in its zone, and anywhere; then those that do not fit. It also reports
-// whether the endpoint fits. While the link out of the prefill endpoint's cell is congested, it considers only
-// endpoints in that cell if there are any. If there are many dispatchers, it compares a random sample of the group
-// only.
+// pickDecode returns the decode endpoint with the lowest memory usage in the lowest placementTier that has any
+// endpoint. Of the endpoints that fit, those in the prefill endpoint's cell come first, then those in its zone, then
+// all others. Endpoints that do not fit come last. It also reports whether the returned endpoint fits. While the link
+// out of the prefill endpoint's cell is congested, it considers only endpoints in that cell if there are any. If there
+// are many dispatchers, it compares only a random sample of the tier.
 func (s *Scheduler) pickDecode(req *request, prefill *endpoint) (*endpoint, bool) {
 	defer s.scratch.release(s.scratch.mark())
 	endpoints := s.decodeCandidates(req)
@@ -108,8 +108,8 @@
 		case prefill == nil || ep.zone != prefill.zone || s.memoryUsage(ep) > nearLimit:
 			ep.tier = tierAnywhere
 		case ep.cell != prefill.cell && s.Dispatchers <= dispatchersPerChoice*len(endpoints):
-			// With more dispatchers, the endpoints of the zone share a tier, because many dispatchers together would overfill
-			// the few endpoints of a cell.
+			// If there are more dispatchers than this, the endpoints of the zone stay in one tier with those of the cell,
+			// because many dispatchers together would overfill the few endpoints of a cell.
 			ep.tier = tierSameZone
 		}
 		lowest = min(lowest, ep.tier)
@@ -136,11 +136,11 @@
 	if s.currentLoad(ep) > medianLoad+loadMargin || s.now < ep.memory.noCapacityUntil || s.startOverdue(ep) {
 		return false
 	}
-	adds := req.memoryTokens()
-	if ep.load.reservedTokens+adds >= s.reservationLimit(ep) {
+	needed := req.memoryTokens()
+	if ep.load.reservedTokens+needed >= s.reservationLimit(ep) {
 		return false
 	}
-	return !s.usageReported(ep) || s.memoryUsage(ep)+adds/s.memoryTokens(ep) < memoryCeiling
+	return !s.usageReported(ep) || s.memoryUsage(ep)+needed/s.memoryTokens(ep) < memoryCeiling
 }
 
 // decodeCapacityAvailable reports whether a decode endpoint fits, and whether the endpoints that fit have capacity for
@@ -155,14 +155,14 @@
 // free slot would start a burst of prefills. An endpoint that is warming up counts as capacity for one request. While
 // nothing is being prefilled, a request always passes.
 func (s *Scheduler) capacityBeyondPrefills(req *request) bool {
-	adds := req.memoryTokens()
-	left := -s.prefillingTokens - adds
+	needed := req.memoryTokens()
+	left := -s.prefillingTokens - needed
 	defer s.scratch.release(s.scratch.mark())
 	endpoints := s.candidates(req, Decode, Mixed)
 	medianLoad := median(s.loads(endpoints))
 	for _, ep := range endpoints {
 		if s.warmingUp(ep) {
-			left += adds
+			left += needed
 		} else if s.fits(ep, req, medianLoad) {
 			left += max(s.reservationLimit(ep)-ep.load.reservedTokens, 0)
 		}
--- a/scheduler/endpoint_load.go
+++ b/scheduler/endpoint_load.go
@@ -2,8 +2,8 @@
 
 import "math"
 
-// loadMeanTime is the time constant, in seconds for each other dispatcher, of the means of this dispatcher's load at an
-// endpoint.
+// loadMeanTime, multiplied by the number of other dispatchers, is the time constant, in seconds, of the moving averages
+// of this dispatcher's load at an endpoint.
 const loadMeanTime = 0.25
 
 // endpointLoad is the load that this dispatcher has in flight at an endpoint.
--- a/scheduler/outlier_ejection.go
+++ b/scheduler/outlier_ejection.go
@@ -74,7 +74,7 @@
 func (s *Scheduler) recordFailure(ep *endpoint, reason EjectionReason) {
 	o := &ep.outlier
 	if s.now < o.ejectedUntil {
-		return // failures during an ejection, as of attempts that were in flight together, count as one
+		return // attempts that are in flight together may fail together, which counts as one failure
 	}
 	o.failureScore = min(o.failureScore+1, maxFailureScore)
 	o.ejectedUntil = s.now + Micros(float64(firstEjection)*math.Exp2(o.failureScore-1))
@@ -82,9 +82,9 @@
 }
 
 // detectSilentEndpoints finds endpoints that hang or are gone, long before their attempts time out: replies are pending
-// and none arrives. It first ejects such an endpoint. If the endpoint stays silent, it cancels the attempts that can be
-// retried elsewhere. An endpoint that is only overloaded must not lose its attempts, so the limit depends on the
-// typical latency.
+// and none arrives. Such an endpoint is ejected first. If it stays silent, its attempts that can be retried elsewhere
+// are cancelled. An endpoint that is only overloaded must not lose its attempts, so the limit depends on the typical
+// latency.
 func (s *Scheduler) detectSilentEndpoints() {
 	for _, ep := range s.endpoints.all {
 		i := slices.IndexFunc(ep.pending, func(att *attempt) bool { return !att.cancelled })
--- a/scheduler/prefill_placement.go
+++ b/scheduler/prefill_placement.go
@@ -19,7 +19,7 @@
 	// Share of the time to the SLO that the wait for a prefill may take; with a longer wait, the request is queued.
 	maxPrefillWaitShare = 0.3
 
-	// Seconds of other work before a prefill-only request above which the request is queued.
+	// A prefill-only request is queued if its endpoint has more than this many seconds of other work to do first.
 	maxPrefillOnlyWait = 0.02
 
 	// Mixed endpoints get complete requests while their mean load is at most this multiple of the decode endpoints' mean
@@ -38,7 +38,8 @@
 		s.rejectOrFail(req, AttemptsExhausted)
 		return
 	}
-	prefillOnly := s.Classes[req.class].PrefillOnly // uses mixed endpoints only while the prefill endpoints are busy
+	// Prefill-only requests use mixed endpoints only while the prefill endpoints are busy.
+	prefillOnly := s.Classes[req.class].PrefillOnly
 	if mixed := s.pickMixed(req); mixed != nil && !prefillOnly {
 		s.sendToDecode(req, mixed, req.promptTokens)
 		return
@@ -63,9 +64,9 @@
 }
 
 // mayPrefill reports whether a request may be sent to its prefill endpoint now. It may not if the wait there is long:
-// that would only make all requests late, and an endpoint other than the affinity endpoint would have to prefill the
-// whole prompt. While a request waits in this dispatcher's queue, it can still be reordered, and rejected when it is
-// too late.
+// waiting there would only make all requests late. Another endpoint would not help, because without the prefix that the
+// affinity endpoint has cached, it would have to prefill the whole prompt. While a request waits in this dispatcher's
+// queue, it can still be reordered, and rejected when it is too late.
 func (s *Scheduler) mayPrefill(req *request, ep *endpoint, wait float64) bool {
 	prefillOnly := s.Classes[req.class].PrefillOnly
 	longest := maxPrefillWaitShare * seconds(req.sloAt-req.arrivedAt)
@@ -95,7 +96,7 @@
 // affinity endpoints are busy. It leaves out endpoints whose states no decode endpoint could fetch in time.
 func (s *Scheduler) pickPrefill(req *request) *endpoint {
 	defer s.scratch.release(s.scratch.mark())
-	if s.Classes[req.class].PrefillOnly { // leaves no state to fetch, and no prefix worth caching
+	if s.Classes[req.class].PrefillOnly { // the request leaves no state to fetch, and no prefix worth caching
 		endpoints := s.candidates(req, Prefill, Embedder)
 		return s.lowestCost(endpoints, func(ep *endpoint) float64 { return s.prefillWait(ep, req) })
 	}
--- a/scheduler/prefix_affinity.go
+++ b/scheduler/prefix_affinity.go
@@ -7,8 +7,8 @@
 )
 
 const (
-	// A prefix has one affinity endpoint, and one more for each affinityLoad of a prefill endpoint's even share of the
-	// traffic.
+	// A prefix has one affinity endpoint, and one more each time that its traffic grows by affinityLoad times an even
+	// share. An even share is all traffic divided by the number of prefill endpoints.
 	affinityLoad = 0.5
 
 	priorRequests      = 30.0 // weight of the prior in prefixStats.share, in requests
@@ -23,7 +23,8 @@
 	requests      float64
 	pairs         float64 // number of pairs of requests with the same prefix
 
-	// Mean share of a prefix that its affinity endpoint had cached without a prefill of it by this dispatcher.
+	// Mean share of a prefix that was found cached at an affinity endpoint where this dispatcher was not known to have
+	// prefilled it.
 	cachedShare float64
 }
 
--- a/scheduler/request.go
+++ b/scheduler/request.go
@@ -16,7 +16,7 @@
 	prefixTokens float64
 	answerTokens float64 // expected length of the answer
 	arrivedAt    Micros
-	sloAt        Micros
+	sloAt        Micros // the SLO time: the first token is due by then
 	deadline     Micros
 	overQuota    bool
 
--- a/scheduler/retries.go
+++ b/scheduler/retries.go
@@ -18,8 +18,8 @@
 		return true
 	}
 	// The repeat must arrive at the endpoint within the window, and may first wait for a tick and for a connection.
-	latest := s.now + s.TickInterval + s.ConnectTimeout
-	if class.Effect == NonIdempotent || latest >= req.mayHaveRun.sentAt+class.DedupWindow {
+	latestArrival := s.now + s.TickInterval + s.ConnectTimeout
+	if class.Effect == NonIdempotent || latestArrival >= req.mayHaveRun.sentAt+class.DedupWindow {
 		return false
 	}
 	first := req.mayHaveRun.endpoint
--- a/scheduler/slow_start.go
+++ b/scheduler/slow_start.go
@@ -3,17 +3,17 @@
 import "math"
 
 const (
-	// Factor on the rate that the overload rule allows by the observed throughput of warm endpoints, which is much less
-	// than they could do.
+	// Factor on the rate that the overload rule allows. That rate is computed from the observed throughput of warm
+	// endpoints, which is much less than they could do.
 	slowStartHeadroom = 1.2
 
 	// An endpoint that has recently completed more than minCompletedRequests mean requests may be sent ownThroughputShare
-	// of what the overload rule allows by its own throughput.
+	// of the rate that the overload rule allows for the endpoint's own observed throughput.
 	ownThroughputShare   = 0.9
 	minCompletedRequests = 2.0
 
-	// Number of mean requests in a window of the overload rule that all dispatchers together may send to an endpoint whose
-	// throughput is not known.
+	// If an endpoint's throughput is not known, all dispatchers together may send it this many mean requests in each
+	// window of the overload rule.
 	unknownThroughputRequests = 4.0
 
 	// Time constant, in seconds, of the decay of completedTokens.
@@ -65,8 +65,8 @@
 }
 
 // slowStartAllows reports whether an endpoint may be sent one more attempt. Only an endpoint that is warming up may be
-// refused. Each dispatcher assumes that all dispatchers send alike, so it limits its own sends by the throughput that
-// it has observed itself, of warm endpoints of the same role and of the warming endpoint.
+// refused. Each dispatcher assumes that all dispatchers send at similar rates. It therefore limits its own sends by the
+// throughput that it has observed itself, both of warm endpoints of the same role and of the endpoint that warms up.
 func (s *Scheduler) slowStartAllows(ep *endpoint) bool {
 	if !s.warmingUp(ep) {
 		return true
