--- a/scheduler/api.go
+++ b/scheduler/api.go
@@ -78,18 +78,19 @@
 // The effects.
 const (
 	Idempotent    Effect = iota // a repeat is always harmless
-	Deduplicated                // a repeat within Class.Window is harmless at the endpoints of Class.Group
+	Deduplicated                // a repeat within Class.DedupWindow is harmless at the endpoints of Class.Group
 	NonIdempotent               // a repeat would repeat the request's effect
 )
 
-// Group is the set of endpoints that recognise a repeat of a deduplicated request, relative to its first attempt.
+// Group is the set of endpoints that recognise a repeat of a deduplicated request, relative to the first attempt that
+// may have run.
 type Group uint8
 
 // The groups.
 const (
 	AllEndpoints Group = iota
-	SameZone           // endpoints in the zone of the first attempt
-	SameCell           // endpoints in the cell of the first attempt
+	SameZone           // endpoints in the zone of that attempt
+	SameCell           // endpoints in the cell of that attempt
 )
 
 // EndpointState is the state of an endpoint as given by the endpoint list.
@@ -161,11 +162,11 @@
 	TickInterval    Micros  // period of the caller's ticks; the caller reports events only at its ticks
 	IdleTimeout     Micros  // after which an unused connection is closed
 	ConnectTimeout  Micros  // after which an attempt that got no connection is never sent
-	WarmUp          Micros  // time that an endpoint needs after its process has started to reach its full throughput
+	WarmUp          Micros  // time from the start of an endpoint's process until its full throughput is reached
 	SlowStartFactor float64 // share of its warm throughput that an endpoint has when its process starts
 
-	// The overload rule: an endpoint that gets more than OverloadFactor times the work that it can do within
-	// OverloadWindow is overloaded.
+	// The overload rule: an endpoint is overloaded if, within OverloadWindow, it gets more than OverloadFactor times the
+	// work that it can do in that time.
 	OverloadWindow Micros
 	OverloadFactor float64
 }
@@ -209,5 +210,5 @@
 	Requests      int
 	Attempts      int
 	Queued        int     // requests that wait for capacity
-	PrefillTokens float64 // prompt and expected answer tokens of the requests that are prefilled before a decode
+	PrefillTokens float64 // prompt and expected answer tokens of the requests that are prefilled now for a decode
 }
