--- a/internal/platform/guard/guard.go
+++ b/internal/platform/guard/guard.go
@@ -1,9 +1,10 @@
 // Package guard checks at run time that a dispatcher obeys its rules for requests, attempts and connections.
 //
 // It keeps a record of each request, independent of the scheduler's own records. The dispatcher calls it at each event
-// that a rule concerns: an attempt is sent or written, a response is given, a connection is closed, a KV state is
-// released, the first requests are accepted. The package owns these records and the counts of violations. It counts
-// each event that breaks a rule, reports it with its request ID and, where possible, prevents it.
+// that a rule concerns: a request is accepted, an attempt is sent, is written or ends, the lease of a KV state starts
+// or ends, a final answer is given, a client disconnects, or a connection is closed without a response. The package
+// owns these records and the counts of violations. It counts each event that breaks a rule, reports it with its request
+// ID if that is known and, where possible, prevents it.
 //
 // The caller passes the time and calls the package in the order of events. The package never schedules anything, never
 // reads a clock, and decides nothing but whether an attempt may be sent.
@@ -23,7 +24,7 @@
 
 // The rules.
 const (
-	OneAnswer          Rule = iota // a request gets exactly one final answer, and gets it in time
+	OneAnswer          Rule = iota // a request gets one final answer, in time unless it is a stream, and no attempt after it
 	RepeatedEffect                 // a request takes effect at most once, and is rejected as safe to retry only if it is
 	ConcurrentAttempts             // a request has at most one attempt in flight
 	EndpointNotReady               // no attempt is sent to an endpoint that drains or is no longer listed
--- a/internal/platform/request_test.go
+++ b/internal/platform/request_test.go
@@ -157,7 +157,8 @@
 	}
 }
 
-// TestPenaltyAfterRejection checks that a client that sends invalid requests repeatedly is not read for a while.
+// TestPenaltyAfterRejection checks that the connection of a client that sends invalid requests is not served for a
+// while after each of them.
 func TestPenaltyAfterRejection(t *testing.T) {
 	env := newTestEnv(t, 256, defaultEndpointKinds...)
 	bad := env.requestText("nonsense")
--- a/internal/platform/server/request.go
+++ b/internal/platform/server/request.go
@@ -29,7 +29,7 @@
 	PrefixTokens    float64 // part of PromptTokens
 	MaxOutputTokens float64
 	ReceivedAt      eventloop.Micros // when the first byte arrived
-	Timeout         eventloop.Micros // counted from when the client sent the request
+	Timeout         eventloop.Micros // as the client sent it, at most maxTimeout; counted from ReceivedAt
 	Body            []byte
 }
 
--- a/internal/platform/server/response.go
+++ b/internal/platform/server/response.go
@@ -19,7 +19,7 @@
 	done       bool
 	// OnDisconnect is called once if the client disconnects before the response's end.
 	OnDisconnect func()
-	// OnWritable is called when a client that lagged has taken everything that was written.
+	// OnWritable is called when all written bytes have been sent after some of them had to be buffered.
 	OnWritable func()
 }
 
--- a/internal/platform/server/server.go
+++ b/internal/platform/server/server.go
@@ -21,7 +21,7 @@
 	BufferedBytes int // total size of the buffered bodies and pipelined requests of all connections
 	UnsentBytes   int // size of the part of a stream that a slow client has not taken; beyond it, its endpoint is slowed
 
-	RequestTimeout eventloop.Micros // from the connection's opening or the request's first byte to its last
+	RequestTimeout eventloop.Micros // from the opening to the first byte, and from a request's first byte to its last
 	IdleTimeout    eventloop.Micros // until the next request on a connection begins
 	StallTimeout   eventloop.Micros // while a client reads nothing of what it is sent
 }
@@ -49,7 +49,8 @@
 
 // Handler handles the requests that the server has accepted.
 type Handler interface {
-	// Ready reports whether the handler knows any endpoint to serve requests with.
+	// Ready reports whether the server may answer readiness probes with status 200. The result may be true although the
+	// handler can only reject requests.
 	Ready() bool
 	// Handle accepts a request and answers it through the response, now or later, or returns why it rejects the request.
 	Handle(*Request, *Response) *Rejection
--- a/internal/platform/upstream/upstream_test.go
+++ b/internal/platform/upstream/upstream_test.go
@@ -85,7 +85,7 @@
 		if result.Outcome != test.outcome || result.CachedTokens != test.cached || result.StateMissing {
 			t.Errorf("%q: %+v", test.events, result)
 		}
-		// Without its last chunk a stream is never complete.
+		// A broken stream is never complete, whatever events it had.
 		if broken := stream.Broken(scheduler.ConnectionLost, ""); broken.Outcome != scheduler.ConnectionLost {
 			t.Errorf("%q: broken with the outcome %d, want a lost connection", test.events, broken.Outcome)
 		}
