--- a/internal/platform/attempt.go
+++ b/internal/platform/attempt.go
@@ -8,8 +8,8 @@
 	"plumspindle/scheduler"
 )
 
-// cancelDeliveryTime is how long a cancelled attempt still counts as in flight. Its endpoint learns of the cancellation
-// when it sees the connection close, which takes one network latency, at most that between two zones. Until then the
+// cancelDeliveryTime is how long an attempt still counts as in flight after the dispatcher has reset its connection.
+// The reset reaches the endpoint after one network latency, which is highest between two zones. Until then the
 // attempt's end is not reported to the scheduler, which therefore starts no other attempt of the request.
 const cancelDeliveryTime = 20 * eventloop.Millisecond
 
@@ -31,7 +31,7 @@
 	endpoint   scheduler.EndpointID
 	orderedAt  eventloop.Micros
 	prefill    bool
-	cancelling bool // the attempt was cancelled, and its endpoint may not have seen that yet
+	cancelling bool // the connection was reset, and the endpoint may not have seen that yet
 	started    bool // the first event of its stream has arrived, so the client's response has begun
 }
 
@@ -56,9 +56,9 @@
 	a.prefill = d.roleOf(endpoint) == scheduler.Prefill
 	number := a.number()
 	d.Attempts++
-	// A prefill attempt doesn't fetch the KV state that an earlier prefill left, so that state is released first: a
-	// release drops all states of the request, and must not drop the one that this attempt will leave. A state that an
-	// unanswered prefill may have left is released before any attempt.
+	// A prefill attempt doesn't fetch the KV state of an earlier prefill. That state is released before the attempt,
+	// because a release drops all states of the request and would later also drop the one that this attempt leaves. A
+	// state that an unanswered prefill may have left is released before any attempt.
 	if req.lease.active && !req.lease.releasing && (a.prefill || req.lease.unconfirmed) {
 		d.release(req)
 	}
@@ -154,9 +154,9 @@
 	d.scheduler.AttemptStarted(now, req.id, req.attempt.number())
 }
 
-// attemptEnded handles the result of an attempt, unless the scheduler has ordered another one since. If this side reset
-// the connection of an attempt that its endpoint may have received, and no stream had started, the result is handled
-// only after cancelDeliveryTime.
+// attemptEnded handles the result of an attempt, unless the scheduler has ordered another one since. The result is
+// handled only after cancelDeliveryTime if the dispatcher has reset the connection before a stream started and the
+// endpoint may have received the attempt.
 func (d *Dispatcher) attemptEnded(req *request, number scheduler.AttemptNumber, result engine.Result) {
 	a := &req.attempt
 	if number != a.number() {
@@ -197,7 +197,7 @@
 }
 
 // Cancel implements scheduler.Executor: it cancels an attempt that is in flight or waits for a release. It reports the
-// result only after the current call of the scheduler has returned. An attempt that was never written completely is
+// result only after the current call to the scheduler has returned. An attempt that was never written completely is
 // reported as NotSent, since it can't have run.
 func (d *Dispatcher) Cancel(id scheduler.RequestID, number scheduler.AttemptNumber) {
 	req := d.requests[id]
@@ -216,7 +216,7 @@
 }
 
 // cancelAttempt ends the attempt that is in flight, or that waits for a release. It reports the result only after the
-// current call of the scheduler has returned.
+// current call to the scheduler has returned.
 func (d *Dispatcher) cancelAttempt(req *request, result engine.Result) {
 	inFlight, number := req.attempt.inFlight, req.attempt.number()
 	if inFlight != nil {
--- a/internal/platform/attempt_test.go
+++ b/internal/platform/attempt_test.go
@@ -58,8 +58,8 @@
 type attemptTest struct {
 	name  string
 	first func(*endpointConn)
-	// The final statuses of an idempotent request and of one with side effects; 0 if the client's connection ends
-	// without the last chunk.
+	// explain and post are the final statuses of an idempotent request and of one with side effects. 0 means that the
+	// client's connection ends without the last chunk.
 	explain, post int
 }
 
@@ -232,8 +232,8 @@
 	}
 }
 
-// TestAnswerBeforeRequestIsSent checks that a response is ignored that an endpoint sends before it has the complete
-// request. The endpoint can't have run the request, whatever it answers.
+// TestAnswerBeforeRequestIsSent checks that the dispatcher ignores a response that an endpoint sends before it has
+// received the complete request. The endpoint can't have run the request, whatever it answers.
 func TestAnswerBeforeRequestIsSent(t *testing.T) {
 	env := newTestEnv(t, 256, defaultEndpointKinds...)
 	env.network.ReceiveWindow = 16 << 10
@@ -243,7 +243,7 @@
 			if answered {
 				return
 			}
-			answered = true // the first connection reads nothing, takes a part into its window, and answers all the same
+			answered = true // the first connection reads nothing but answers; part of the request is in its window
 			conn.socket.SetPaused(true)
 			endpoint.loop.AfterFunc(10*eventloop.Millisecond, func() {
 				conn.stream(`{"choices":[]}`)
--- a/internal/platform/auditor_test.go
+++ b/internal/platform/auditor_test.go
@@ -20,8 +20,8 @@
 	drainedAt      map[*fakeEndpoint]eventloop.Micros
 }
 
-// How late an attempt may arrive after its client's disconnect or its endpoint's drain. The dispatcher learns of either
-// only after the network's latency and after pauses of its event loop.
+// These constants limit how late an attempt may arrive after its client's disconnect or its endpoint's drain. The
+// dispatcher learns of either only after the network's latency and after pauses of its event loop.
 const (
 	disconnectLatency = 220 * eventloop.Millisecond
 	drainLatency      = 250 * eventloop.Millisecond
--- a/internal/platform/connections_test.go
+++ b/internal/platform/connections_test.go
@@ -36,7 +36,8 @@
 }
 
 // TestConnectionClosedByEndpoint checks that no attempt is written to a connection that its endpoint closed while it
-// was idle. If the event loop has not reported the close yet, the socket itself is asked (package sockets).
+// was idle. The event loop may not have reported the close yet, so the state of the socket itself is queried (package
+// sockets).
 func TestConnectionClosedByEndpoint(t *testing.T) {
 	env := newTestEnv(t, 256, "prefill", "decode")
 	var used []*endpointConn
--- a/internal/platform/discovery/discovery.go
+++ b/internal/platform/discovery/discovery.go
@@ -1,7 +1,8 @@
 // Package discovery keeps a list of endpoints up to date from the platform's discovery service. It applies complete
-// lists and changes to the version that it has, assigns the endpoints' IDs, and corrects their start times for clock
-// skew. It owns the subscription and a record of each endpoint that was listed recently. It relies on package subscribe
-// for the connection and on package starttimes for the clock skew. What a list means for requests its caller decides.
+// lists, and changes since the version that it has. It assigns the endpoints' IDs and corrects their start times for
+// clock skew. It owns the subscription and a record of each endpoint that was listed recently. It relies on package
+// subscribe for the connection and on package starttimes for the clock skew. The caller decides what a list means for
+// requests.
 package discovery
 
 import (
@@ -17,8 +18,8 @@
 )
 
 const (
-	// silenceTimeout is 1.5 times the agent's heartbeat interval. If a subscription falls silent, the changes that it
-	// misses must be known within 6 s; this timeout and two lost retries leave one second of that.
+	// silenceTimeout is 1.5 times the agent's heartbeat interval. Within 6 s after a subscription falls silent, the
+	// watcher must know the changes that it missed. If two retries are lost after this timeout, one of the 6 s is left.
 	silenceTimeout = 3 * eventloop.Second
 	// responseTimeout is short because the agent runs on the same machine: it responds at once, or is down.
 	responseTimeout = 500 * eventloop.Millisecond
--- a/internal/platform/discovery/entry.go
+++ b/internal/platform/discovery/entry.go
@@ -23,10 +23,10 @@
 	Cell       scheduler.CellID
 	State      scheduler.EndpointState
 	StartedAt  scheduler.Micros // on this process's clock; 0: long ago
-	start      starttimes.Start // with the timestamp as it was listed
+	start      starttimes.Start // StartedAt with the timestamp that was listed
 }
 
-// statesByName are the states that the platform's protocol defines.
+// statesByName maps the names of states in the platform's protocol to the scheduler's states.
 var statesByName = map[string]scheduler.EndpointState{
 	"SERVING":  scheduler.Ready,
 	"DRAINING": scheduler.Draining,
@@ -53,7 +53,7 @@
 	}, nil
 }
 
-// skew returns by how much the clock behind the list's timestamps runs ahead of this process's clock.
+// skew estimates how far the clock of the list's timestamps is ahead of this process's clock.
 func (l *list) skew(now eventloop.Micros) eventloop.Micros {
 	var timestamps []eventloop.Micros
 	for _, server := range l.servers {
@@ -62,7 +62,7 @@
 	return starttimes.ClockSkew(now, timestamps...)
 }
 
-// timestampOf returns an endpoint's start time as its entry states it, by the clock of the list.
+// timestampOf returns the start time in an endpoint's entry, on the clock of the list.
 func timestampOf(server gjson.Result) eventloop.Micros {
 	millis := min(server.Get("started_ms").Int(), maxStartedMillis)
 	return eventloop.Micros(millis) * eventloop.Millisecond
--- a/internal/platform/discovery/record.go
+++ b/internal/platform/discovery/record.go
@@ -9,8 +9,8 @@
 )
 
 const (
-	// recordRetention is how long the ID of a removed endpoint is not assigned to another. It is longer than the
-	// scheduler keeps its own state of removed endpoints.
+	// recordRetention is how long the ID of a removed endpoint is not assigned to another. The scheduler drops its own
+	// state of a removed endpoint earlier.
 	recordRetention = 1800 * eventloop.Second
 	cleanupInterval = recordRetention / 10
 	// newestPrecedence is how long a list takes precedence over one with a lower version that arrives later, as from a
@@ -49,9 +49,9 @@
 	}
 }
 
-// reconcile updates an endpoint's record from an entry. If the entry is from an older list than the record, it changes
-// the entry instead, so that the older list does not undo a newer one, which said that the endpoint accepts no new
-// requests or that it has restarted.
+// reconcile updates an endpoint's record from an entry. If the entry's list is older than that of the record, reconcile
+// changes the entry instead. Otherwise the endpoint would count as ready or as not restarted again, although a newer
+// list has said that it accepts no new requests or has restarted.
 func (w *Watcher) reconcile(stored *record, entry *Entry, version uint64, now eventloop.Micros) {
 	if version < w.newestVersion && now-stored.listedAt < newestPrecedence {
 		if stored.notReady && entry.start.Timestamp <= stored.start.Timestamp {
--- a/internal/platform/discovery_test.go
+++ b/internal/platform/discovery_test.go
@@ -154,8 +154,9 @@
 	}
 }
 
-// TestReadyOnceDiscoveryResponds checks that a new process reports ready on its cached list only if discovery doesn't
-// respond in time. Otherwise it waits for the agent, which may have a newer list.
+// TestReadyOnceDiscoveryResponds checks that a new process waits for the discovery agent before it reports ready,
+// because the agent may have a newer list than the cached one. If the agent doesn't respond in time, the process
+// reports ready on its cached list.
 func TestReadyOnceDiscoveryResponds(t *testing.T) {
 	env := newTestEnv(t, 256, defaultEndpointKinds...)
 	env.agent.silent, env.agent.watches = true, nil
@@ -200,8 +201,8 @@
 	}
 }
 
-// TestOlderList checks that a list of an older version doesn't undo that an endpoint drains, was removed or has been
-// restarted.
+// TestOlderList checks that a list of an older version doesn't make an endpoint ready again that drains or was removed,
+// nor set back the start time of one that has been restarted.
 func TestOlderList(t *testing.T) {
 	env := newTestEnv(t, 256, defaultEndpointKinds...)
 	started := func(endpoint *fakeEndpoint, ms int64) string {
--- a/internal/platform/dispatcher.go
+++ b/internal/platform/dispatcher.go
@@ -49,7 +49,7 @@
 
 // Bounds of the limits that are derived from the resources in Config.
 const (
-	minConnections = 8        // to clients, and to endpoints
+	minConnections = 8        // to clients; also the minimum for endpoints
 	minConnecting  = 4        // connections to endpoints that are being opened
 	minUnsentBytes = 8 << 10  // buffered for one client
 	maxUnsentBytes = 64 << 10 // buffered for one client
@@ -134,8 +134,8 @@
 	return d
 }
 
-// upstreamLimits returns the limits for connections to endpoints. Clients may use about half of the descriptors, and
-// each request needs one connection to its client and one to its endpoint. The rest of the descriptors is for releases,
+// upstreamLimits returns the limits for connections to endpoints. Each request needs one connection to its client and
+// one to its endpoint. Clients may use half of the descriptors, and attempts two fifths. The rest is for releases,
 // discovery and the poller.
 func upstreamLimits(s *settings.Settings, sockets int, idle eventloop.Micros) engine.Limits {
 	total := max(sockets*2/5, minConnections)
--- a/internal/platform/drain_test.go
+++ b/internal/platform/drain_test.go
@@ -6,8 +6,8 @@
 	"plumspindle/internal/eventloop"
 )
 
-// TestDrainDuringRelease checks that a prefill that waits for a release is not sent to its endpoint if that begins to
-// drain meanwhile.
+// TestDrainDuringRelease checks that a prefill that waits for a release is not sent to its endpoint if the endpoint
+// begins to drain meanwhile.
 func TestDrainDuringRelease(t *testing.T) {
 	env := newTestEnv(t, 256, defaultEndpointKinds...)
 	serveAll(env.decodeEndpoints(), serveFirst(decline(410), serveDecode))
--- a/internal/platform/executor.go
+++ b/internal/platform/executor.go
@@ -38,7 +38,7 @@
 }
 
 // afterAnswer counts and logs a rejection or failure, and cancels an attempt that has not been written yet. The request
-// is cleaned up only after the current call of the scheduler has returned.
+// is cleaned up only after the current call to the scheduler has returned.
 func (d *Dispatcher) afterAnswer(req *request, level zerolog.Level, message string) {
 	d.Reasons[req.client.reason]++
 	d.logRequest(req, level).Str("class", req.client.Class).Stringer("reason", req.client.reason).
--- a/internal/platform/fake_client_test.go
+++ b/internal/platform/fake_client_test.go
@@ -46,8 +46,8 @@
 
 const defaultBody = `{"model":"chat","stream":true,"messages":[]}`
 
-// requestText returns a valid request. change lists names and values in turn: each replaces a header field, or the body
-// with the name "body"; the value "-" leaves the field out.
+// requestText returns a valid request with some changes, given as alternating names and values. Each value replaces
+// that of the header field with this name, or the body if the name is "body". The value "-" omits the field.
 func (env *testEnv) requestText(class string, change ...string) string {
 	env.sent++
 	fields := []string{
--- a/internal/platform/guard/guard.go
+++ b/internal/platform/guard/guard.go
@@ -24,8 +24,8 @@
 
 // The rules.
 const (
-	OneAnswer          Rule = iota // a request gets one final answer, in time unless it is a stream, and no attempt after it
-	RepeatedEffect                 // a request takes effect at most once, and is rejected as safe to retry only if it is
+	OneAnswer          Rule = iota // a request gets one final answer, in time unless streamed, and no attempt after it
+	RepeatedEffect                 // a request takes effect at most once, and is rejected only if a retry is safe
 	ConcurrentAttempts             // a request has at most one attempt in flight
 	EndpointNotReady               // no attempt is sent to an endpoint that drains or is no longer listed
 	ClientDisconnected             // no attempt begins after the client has disconnected
--- a/internal/platform/launch/launch.go
+++ b/internal/platform/launch/launch.go
@@ -60,6 +60,7 @@
 }
 
 // limitRuntime sets the cores and memory that the Go runtime may use. A fraction of a core is rounded up to one core.
+// Without a CPU limit the runtime uses one core.
 func (c *Config) limitRuntime() {
 	const almostOne = 0.99
 	runtime.GOMAXPROCS(max(1, int(c.Cores+almostOne)))
--- a/internal/platform/launch/process.go
+++ b/internal/platform/launch/process.go
@@ -14,7 +14,7 @@
 // statusInterval is the time between two status lines in the log.
 const statusInterval = 5 * eventloop.Second
 
-// process is one running dispatcher. Run's goroutine handles signals, the event loop handles everything else.
+// process is one running dispatcher. Run's goroutine handles signals, and the event loop handles everything else.
 type process struct {
 	log     zerolog.Logger
 	getenv  func(string) string
--- a/internal/platform/launch/retry.go
+++ b/internal/platform/launch/retry.go
@@ -16,7 +16,7 @@
 )
 
 // transientErrors are the errors that Linux documents for an interrupted call, a temporary shortage of resources and an
-// I/O error, and those for an address that can't be used, which a previous process may keep for a moment.
+// I/O error. The last two are for an address that can't be used: a previous process may hold it for a moment.
 var transientErrors = []syscall.Errno{
 	syscall.EINTR,
 	syscall.EAGAIN,
--- a/internal/platform/lease.go
+++ b/internal/platform/lease.go
@@ -25,8 +25,8 @@
 	startWaiting func()
 }
 
-// updateLease updates the lease after an attempt, by what an endpoint may hold for the request now. It reports whether
-// the state that the attempt was meant to fetch was released while the attempt was in flight.
+// updateLease updates the lease after an attempt, which may have changed what endpoints hold for the request. It
+// reports whether the state that the attempt was meant to fetch was released while the attempt was in flight.
 func (d *Dispatcher) updateLease(req *request, result *engine.Result) (released bool) {
 	switch {
 	case req.attempt.prefill:
@@ -74,10 +74,10 @@
 	req.lease.expiry.Set(d.loop, duration, func() { d.leaseExpired(req) })
 }
 
-// leaseExpired handles a lease that expires while an attempt is in flight and unanswered. It releases the state in
-// either case. An attempt that has not been sent is cancelled, with the state reported as missing. Any other attempt
-// goes on, because the dispatcher can't know whether a running endpoint has received it. An endpoint that has accepted
-// the attempt keeps the state for it in spite of the release.
+// leaseExpired handles a lease that expires while an attempt is in flight and unanswered. It releases the state. If the
+// attempt has not been sent, it is cancelled, and the state is reported as missing. Otherwise the attempt goes on,
+// because the dispatcher can't know whether a running endpoint has received it. An endpoint that has accepted the
+// attempt keeps the state for it in spite of the release.
 func (d *Dispatcher) leaseExpired(req *request) {
 	inFlight, number := req.attempt.inFlight, req.attempt.number()
 	if !req.lease.active || req.lease.releasing || inFlight == nil {
--- a/internal/platform/lease_test.go
+++ b/internal/platform/lease_test.go
@@ -115,7 +115,8 @@
 }
 
 // TestLeaseRestartsAfterARejection checks that the lease starts again when an endpoint rejects a decode attempt. The
-// response proves that the endpoint had the attempt until then. The restarted lease has to be kept like the first.
+// response proves that the endpoint had the attempt until then. The state has to be released within the restarted
+// lease, as within the first.
 func TestLeaseRestartsAfterARejection(t *testing.T) {
 	const (
 		rejectAfter = 200 * eventloop.Millisecond
@@ -262,7 +263,7 @@
 				env.sendRequest("explain")
 			}
 			env.network.Run(eventloop.Second)
-			for _, endpoint := range env.decodeEndpoints()[1:] { // they return once the attempt has been sent
+			for _, endpoint := range env.decodeEndpoints()[1:] { // they are listed again once the attempt has been sent
 				env.agent.update(false, endpoint.entry("DELETED"))
 			}
 			silent := env.decodeEndpoints()[0]
@@ -308,8 +309,9 @@
 	}
 }
 
-// TestReleaseOverSlowConnections checks a release for which no connection is open while new connections open slowly.
-// The release must not be given up before it could arrive: other endpoints are asked in parallel to the first.
+// TestReleaseOverSlowConnections checks a release for which no connection is open while new connections open slowly. An
+// attempt to release must not be given up before it could arrive, so attempts to other endpoints run in parallel with
+// the first.
 func TestReleaseOverSlowConnections(t *testing.T) {
 	env := newTestEnv(t, 256, defaultEndpointKinds...)
 	serveAll(env.decodeEndpoints(), hang)
--- a/internal/platform/log.go
+++ b/internal/platform/log.go
@@ -55,7 +55,7 @@
 		Int64("attempt_age_us", int64(now-req.attempt.orderedAt)).
 		Int64("lease_age_us", int64(now-req.lease.startedAt))
 	if last := d.engine.LastReceived(req.attempt.endpoint); last > 0 {
-		event.Int64("endpoint_silent_us", int64(now-last)) // since the endpoint sent anything on any connection
+		event.Int64("endpoint_silent_us", int64(now-last)) // since the endpoint last sent anything on any connection
 	}
 	event.Msg("state lease expired")
 }
--- a/internal/platform/random_test.go
+++ b/internal/platform/random_test.go
@@ -34,9 +34,9 @@
 	return run
 }
 
-// randomSpan draws a span shorter than most.
-func (run *randomRun) randomSpan(most eventloop.Micros) eventloop.Micros {
-	return eventloop.Micros(run.random.Int63n(int64(most)))
+// randomSpan draws a span that is shorter than the limit.
+func (run *randomRun) randomSpan(limit eventloop.Micros) eventloop.Micros {
+	return eventloop.Micros(run.random.Int63n(int64(limit)))
 }
 
 // randomEndpoint draws one of the endpoints.
--- a/internal/platform/request.go
+++ b/internal/platform/request.go
@@ -137,9 +137,9 @@
 	}
 }
 
-// finishIfIdle cleans up a request that has no attempt in flight: it releases the request's KV state and, when no
-// release is left and the request is closed, drops its record. It is called after each call of the scheduler about a
-// request, since the scheduler gives no order for this.
+// finishIfIdle cleans up a request that has no attempt in flight: it releases the request's KV state. When no release
+// is left and the request is closed, it drops the request's record. It is called after each call to the scheduler about
+// a request, since the scheduler gives no order for this.
 func (d *Dispatcher) finishIfIdle(req *request) {
 	if req.attempt.inFlight != nil || req.lease.startWaiting != nil || req.lease.releasing || d.requests[req.id] != req {
 		return
--- a/internal/platform/server/connection.go
+++ b/internal/platform/server/connection.go
@@ -96,8 +96,8 @@
 
 // --- Closing ---
 
-// enterClosing ignores what arrives from now on. What has been written is still sent, until the connection is reset
-// after the stall timeout.
+// enterClosing makes the connection ignore what arrives from now on. What has been written is still sent. If that takes
+// longer than the stall timeout, the connection is reset.
 func (c *connection) enterClosing(reason CloseReason) {
 	c.leaveIdle()
 	if c.state != closing {
@@ -141,7 +141,7 @@
 	if c.response != nil && !c.response.started {
 		report(c.response.id, reason.String())
 	}
-	// For any other reason pipelined requests are not reported: after a broken stream they can't be answered.
+	// Pipelined requests are reported only after an overflow. After a broken stream, for example, they can't be answered.
 	if len(c.pipeline.buffered) > 0 && reason == PipelineOverflow {
 		report("", reason.String()+", with pipelined requests")
 	}
@@ -261,7 +261,7 @@
 	return http1.AppendResponse(nil, r.status, []byte(r.text+"\n"), fields...)
 }
 
-// writeResponse writes a response, and closes the connection unless it stays open. It returns staysOpen.
+// writeResponse writes a response, and closes the connection unless staysOpen is set. It returns staysOpen.
 func (c *connection) writeResponse(r textResponse, staysOpen bool) bool {
 	if !staysOpen {
 		c.writeLastResponse(r, AfterResponse)
--- a/internal/platform/server/pipeline.go
+++ b/internal/platform/server/pipeline.go
@@ -13,8 +13,8 @@
 	// client disconnects; each is rejected when its turn to be answered comes.
 	maxPipelinedBodies = 4
 	// minPipelinedBytes is how much of one connection's pipelined requests is buffered even if half of
-	// Limits.BufferedBytes is in use. Beyond it they are only buffered within that half; the other half is kept free for
-	// requests that are being read.
+	// Limits.BufferedBytes is in use. More is buffered only if the total stays within that half. The other half is kept
+	// free for requests that are being read.
 	minPipelinedBytes = 16 << 10
 	// maxOverflowBytes bounds the bytes of one connection that are read without being buffered. A client that sends more
 	// is disconnected.
@@ -26,7 +26,7 @@
 	buffered         []byte
 	receivedAt       eventloop.Micros // when the first of the buffered bytes arrived
 	overflow         *overflow        // the requests that were not buffered; nil: all were
-	overflowTimerSet bool             // the timeout for the rest of a partial request in the overflow runs
+	overflowTimerSet bool             // the timeout for the rest of the overflow's partial request is set
 }
 
 // pending reports whether pipelined requests may wait for their turn.
--- a/internal/platform/server/receive.go
+++ b/internal/platform/server/receive.go
@@ -164,7 +164,7 @@
 		return
 	}
 	c.response = nil
-	_ = c.parser.Resume(c) // TakeBuffered has emptied the parser's buffer
+	_ = c.parser.Resume(c) // returns no error, because TakeBuffered has emptied the parser's buffer
 	if len(c.pipeline.buffered) > 0 {
 		data := c.pipeline.buffered
 		c.dropPipelined()
--- a/internal/platform/server/server.go
+++ b/internal/platform/server/server.go
@@ -19,7 +19,7 @@
 	BodyBytes     int // size of a request's body
 	Connections   int // open connections, without those that are being closed
 	BufferedBytes int // total size of the buffered bodies and pipelined requests of all connections
-	UnsentBytes   int // size of the part of a stream that a slow client has not taken; beyond it, its endpoint is slowed
+	UnsentBytes   int // size of the unsent part of a client's stream; beyond it, the endpoint's stream is paused
 
 	RequestTimeout eventloop.Micros // from the opening to the first byte, and from a request's first byte to its last
 	IdleTimeout    eventloop.Micros // until the next request on a connection begins
--- a/internal/platform/shutdown_test.go
+++ b/internal/platform/shutdown_test.go
@@ -16,9 +16,9 @@
 	return ended
 }
 
-// TestRequestReadAtShutdown checks that a request is answered that arrives in the moment in which its idle connection
-// is to be closed, by the shutdown or because other connections need its place. TestRequestAtIdleTimeout checks the
-// close by the idle timeout.
+// TestRequestReadAtShutdown checks that a request is answered even if it arrives just when its idle connection is to be
+// closed, by the shutdown or because there are too many connections. TestRequestAtIdleTimeout checks the close by the
+// idle timeout.
 func TestRequestReadAtShutdown(t *testing.T) {
 	for name, closes := range map[string]func(env *testEnv){
 		"shutdown": func(env *testEnv) { env.dispatcher.Server().Shutdown() },
@@ -47,8 +47,8 @@
 	}
 }
 
-// TestRequestAtIdleTimeout checks that a request is answered that arrives in the moment in which the idle timeout of
-// its connection is over.
+// TestRequestAtIdleTimeout checks that a request is answered even if it arrives just when the idle timeout of its
+// connection is over.
 func TestRequestAtIdleTimeout(t *testing.T) {
 	for before := eventloop.Micros(0); before < 4*eventloop.Millisecond; before += 500 {
 		env := newTestEnv(t, 64, defaultEndpointKinds...)
@@ -140,7 +140,7 @@
 	first := env.shutDown()
 	env.network.Run(300 * eventloop.Millisecond)
 	second := env.shutDown()
-	// as if the configuration changed meanwhile
+	// A reload of the configuration during the shutdown changes the address of discovery.
 	env.loop.Do(func() { env.dispatcher.SetDiscoveryAddress("127.0.0.9:8600") })
 	if got := env.finalStatus(client); got != 200 {
 		t.Errorf("answered %d", got)
--- a/internal/platform/upstream/release.go
+++ b/internal/platform/upstream/release.go
@@ -31,7 +31,7 @@
 	id         string // the request's
 	startedAt  eventloop.Micros
 	lastTried  scheduler.EndpointID          // the endpoint of the latest attempt
-	tried      map[scheduler.EndpointID]bool // the endpoints that had an attempt in this round
+	tried      map[scheduler.EndpointID]bool // in this round, which ends once all candidates had an attempt
 	useAll     bool                          // also try endpoints that accept no new requests, as no other confirmed
 	attempts   []*engine.Attempt             // in flight, oldest first
 	retryTimer eventloop.Timeout             // until the next attempt
@@ -39,8 +39,8 @@
 	done       func(confirmed bool)
 }
 
-// Release frees all KV state that is reserved for a request, on whichever endpoints it is, because any endpoint accepts
-// a release. The parameter first is the endpoint to try first, if it has sent something within the state timeout and
+// Release frees all KV state that is reserved for a request. Any endpoint accepts a release, whichever endpoints hold
+// the state. The parameter first is the endpoint to try first, if it has sent something within the state timeout and
 // has an idle connection. Release calls done once.
 func (c *Client) Release(id string, first scheduler.EndpointID, done func(confirmed bool)) {
 	c.Releases++
@@ -126,7 +126,7 @@
 	return http1.AppendRequest(nil, http1.Request{Method: "DELETE", Target: "/v1/holds/" + r.id, Host: address})
 }
 
-// releaseResult returns the result of a release attempt from its response.
+// releaseResult returns the result of a release attempt from its response. PrefillDone stands for a confirmed release.
 func releaseResult(head *http1.Head, _ []byte) engine.Result {
 	if head.Status == http.StatusNoContent || head.Status == http.StatusOK {
 		return engine.Result{Outcome: scheduler.PrefillDone}
