--- a/internal/platform/connections_test.go
+++ b/internal/platform/connections_test.go
@@ -98,11 +98,11 @@
 // TestTotalConnectionLimit checks that idle connections to some endpoints are closed if connections to others are
 // needed and the total limit is reached.
 func TestTotalConnectionLimit(t *testing.T) {
-	var many []string
+	var kinds []string
 	for range 10 {
-		many = append(many, "prefill", "decode")
+		kinds = append(kinds, "prefill", "decode")
 	}
-	env := newTestEnv(t, 20, many...)
+	env := newTestEnv(t, 20, kinds...)
 	for i := range 60 {
 		client := env.sendRequest("post", "Req-Extra", fmt.Sprintf("prefix=%d,prompt_len=100", i))
 		if got := env.finalStatus(client); got != 200 {
--- a/internal/platform/deployments_test.go
+++ b/internal/platform/deployments_test.go
@@ -44,7 +44,7 @@
 const (
 	settingsMillisecond = 1e6
 	settingsSecond      = 1e9
-	settingsMicro       = 1000
+	settingsMicrosecond = 1000
 )
 
 // settingsObject is a JSON object in the settings. The tests only encode it.
@@ -83,9 +83,9 @@
 	return class, settingsObject{
 		"name":       class.name,
 		"repeat":     class.effect,
-		"aim":        int64(class.deadline) * settingsMicro / 4,
-		"deadline":   int64(class.deadline) * settingsMicro,
-		"window":     int64(class.window) * settingsMicro,
+		"aim":        int64(class.deadline) * settingsMicrosecond / 4,
+		"deadline":   int64(class.deadline) * settingsMicrosecond,
+		"window":     int64(class.window) * settingsMicrosecond,
 		"group":      choose(random, "all", "zone", "cell"),
 		"points":     1 + random.Float64()*8,
 		"late_share": random.Float64(),
--- a/internal/platform/disconnect_test.go
+++ b/internal/platform/disconnect_test.go
@@ -92,15 +92,15 @@
 	} {
 		for _, class := range []string{"explain", "post"} {
 			env := newTestEnv(t, 256, defaultEndpointKinds...)
-			var out *endpointConn
-			serveAll(env.decodeEndpoints(), func(conn *endpointConn) { out = conn })
+			var attemptConn *endpointConn
+			serveAll(env.decodeEndpoints(), func(conn *endpointConn) { attemptConn = conn })
 			client := env.sendRequest(class)
-			env.waitFor(eventloop.Second, "the decode attempt", func() bool { return out != nil })
+			env.waitFor(eventloop.Second, "the decode attempt", func() bool { return attemptConn != nil })
 			env.loop.Freeze(pause)
 			attempts := env.attempts()
-			arrive(env, client, out)
+			arrive(env, client, attemptConn)
 			env.network.Run(pause + 50*eventloop.Millisecond)
-			if !out.closed {
+			if !attemptConn.closed {
 				t.Errorf("%s, %s: the attempt's connection is still open", name, class)
 			}
 			env.requireIdle()
@@ -136,9 +136,9 @@
 func TestSlowClientDisconnects(t *testing.T) {
 	env := newTestEnv(t, 256, "prefill", "decode")
 	env.network.ReceiveWindow = 4 << 10
-	var out *endpointConn
+	var attemptConn *endpointConn
 	env.endpoints[1].serve = func(conn *endpointConn) {
-		out = conn
+		attemptConn = conn
 		serveLongStream(2000)(conn)
 	}
 	client := env.sendRequest("explain")
@@ -147,8 +147,9 @@
 	env.network.Run(200 * eventloop.Millisecond)
 	env.remote.Do(client.conn.Abort)
 	env.network.Run(20 * eventloop.Millisecond)
-	if !out.closed || env.dispatcher.ClientDisconnects != 1 {
-		t.Errorf("the connection to the endpoint is closed: %v; %d disconnects", out.closed, env.dispatcher.ClientDisconnects)
+	if !attemptConn.closed || env.dispatcher.ClientDisconnects != 1 {
+		t.Errorf("the connection to the endpoint is closed: %v; %d disconnects",
+			attemptConn.closed, env.dispatcher.ClientDisconnects)
 	}
 	env.requireIdle()
 }
--- a/internal/platform/discovery/discovery.go
+++ b/internal/platform/discovery/discovery.go
@@ -52,7 +52,7 @@
 
 	version       uint64 // of the current list; 0: the next subscription requests the complete list
 	newestVersion uint64 // the highest version that was ever received
-	inService     bool   // discovery has sent a list since this process started
+	listReceived  bool   // discovery has sent a list since this process started
 	records       map[scheduler.EndpointID]*record
 	lastCleanup   eventloop.Micros
 }
@@ -103,7 +103,7 @@
 func (w *Watcher) Apply(data []byte) error {
 	err := w.apply(data)
 	if err == nil {
-		w.inService = true
+		w.listReceived = true
 	}
 	return err
 }
@@ -140,7 +140,7 @@
 // decodeEntries decodes the entries of a list and updates the endpoints' records. It skips an entry that can't be
 // decoded, so that the others can still be used.
 func (w *Watcher) decodeEntries(received *list, now eventloop.Micros) (entries []Entry) {
-	listing := starttimes.Listing{Now: now, Skew: received.skew(now), InService: w.inService}
+	listing := starttimes.Listing{Now: now, Skew: received.skew(now), InService: w.listReceived}
 	for i, server := range received.servers {
 		entry, stateKnown, err := parseEntry(server)
 		if err != nil {
--- a/internal/platform/discovery_test.go
+++ b/internal/platform/discovery_test.go
@@ -54,19 +54,19 @@
 // changes 6 s after the silence began. This must hold at any time between two heartbeats, and also if the agent doesn't
 // respond to the first retry.
 func TestSilentWatchIsReopened(t *testing.T) {
-	for _, lost := range []bool{false, true} {
+	for _, firstRetryLost := range []bool{false, true} {
 		for at := eventloop.Micros(0); at < 2*eventloop.Second; at += 190 * eventloop.Millisecond {
 			env := newTestEnv(t, 256, defaultEndpointKinds...)
 			env.network.Run(at)
 			env.agent.watches[0].noHeartbeats = true
-			if lost {
+			if firstRetryLost {
 				env.agent.silent = true
 				env.waitFor(6*eventloop.Second, "a retry", func() bool { return len(env.agent.watches) == 2 })
 				env.agent.silent = false
 			}
 			began := env.network.Now()
 			env.network.Run(100 * eventloop.Millisecond)
-			if !lost { // a lost retry has already used a part of the time
+			if !firstRetryLost { // a lost retry has already used a part of the time
 				env.waitFor(5900*eventloop.Millisecond, "another watch", func() bool { return len(env.agent.watches) == 2 })
 			} else {
 				env.waitFor(2*eventloop.Second, "a third watch", func() bool { return len(env.agent.watches) == 3 })
@@ -90,7 +90,7 @@
 // once. The agent may send it on the watch from before the outage or on the last one opened meanwhile, so the
 // dispatcher has to keep both open.
 func TestDiscoveryReturns(t *testing.T) {
-	for _, old := range []bool{false, true} {
+	for _, onOldWatch := range []bool{false, true} {
 		for _, outage := range []eventloop.Micros{3700, 5100, 8000, 12300} {
 			env := newTestEnv(t, 256, defaultEndpointKinds...)
 			env.agent.silent, env.agent.watches[0].noHeartbeats = true, true
@@ -100,7 +100,7 @@
 			}
 			conn := env.agent.watches[0]
 			for _, watch := range env.agent.watches {
-				if !old && !watch.closed {
+				if !onOldWatch && !watch.closed {
 					conn = watch
 				}
 			}
--- a/internal/platform/guard/guard_test.go
+++ b/internal/platform/guard/guard_test.go
@@ -32,7 +32,7 @@
 type ruleTest struct {
 	name     string
 	retry    RetryPolicy
-	play     func(r requestRecord)
+	apply    func(r requestRecord)
 	violated bool
 }
 
@@ -60,7 +60,7 @@
 	limits := Limits{AnswerSlack: 500 * ms, DisconnectSlack: 100 * ms, DeadlineSlack: 150 * ms, StateLease: 800 * ms}
 	g := New(limits, func(Violation) { reported++ })
 	properties := RequestProperties{RequestID: "1", Retry: test.retry, RetryWindow: 100 * ms, Deadline: 1000 * ms}
-	test.play(requestRecord{g.Begin(properties)})
+	test.apply(requestRecord{g.Begin(properties)})
 	violated := g.counts[rule] > 0
 	if violated != test.violated || g.Violations() != uint64(reported) || !test.violated && reported > 0 {
 		t.Errorf("%d violations of %q, %d in total, %d reported", g.counts[rule], rule, g.Violations(), reported)
--- a/internal/platform/request.go
+++ b/internal/platform/request.go
@@ -86,8 +86,8 @@
 	tenant := max(slices.Index(d.settings.Tenants, req.client.Tenant), 0)
 	return scheduler.Arrival{
 		ID:              req.id,
-		Session:         scheduler.SessionID(hashName(req.client.Session)),
-		Prefix:          scheduler.PrefixID(hashName(req.client.Prefix)),
+		Session:         scheduler.SessionID(hashID(req.client.Session)),
+		Prefix:          scheduler.PrefixID(hashID(req.client.Prefix)),
 		Class:           req.class,
 		Tenant:          scheduler.TenantID(tenant),
 		PromptTokens:    req.client.PromptTokens,
@@ -97,9 +97,9 @@
 	}
 }
 
-// hashName hashes the id of a session or prefix. The result is the same at every dispatcher. It is 0 only for an empty
+// hashID hashes the id of a session or prefix. The result is the same at every dispatcher. It is 0 only for an empty
 // id.
-func hashName(id string) uint64 {
+func hashID(id string) uint64 {
 	if id == "" {
 		return 0
 	}
--- a/internal/platform/server/request.go
+++ b/internal/platform/server/request.go
@@ -130,10 +130,10 @@
 // Idempotency-Key, by which endpoints drop duplicates. They always include Req-Id, even if the field Connection names
 // it.
 func endToEndFields(head *http1.Head) (fields []string) {
-	named := strings.Split(head.Get("Connection"), ",")
+	connectionOptions := strings.Split(head.Get("Connection"), ",")
 	for _, f := range head.Fields {
 		is := func(name string) bool { return strings.EqualFold(strings.TrimSpace(name), f.Name) }
-		if slices.ContainsFunc(hopByHop, is) || slices.ContainsFunc(named, is) && !is(idField) {
+		if slices.ContainsFunc(hopByHop, is) || slices.ContainsFunc(connectionOptions, is) && !is(idField) {
 			continue
 		}
 		fields = append(fields, f.Name, f.Value)
--- a/internal/platform/upstream/upstream_test.go
+++ b/internal/platform/upstream/upstream_test.go
@@ -117,8 +117,8 @@
 		attemptsPerStateTimeout - 1: 10,
 		500 * eventloop.Millisecond: 200,
 	} {
-		world := virtual.NewNetwork(1)
-		loop := world.NewLoop("d")
+		network := virtual.NewNetwork(1)
+		loop := network.NewLoop("d")
 		limits := engine.Limits{
 			ConnectTimeout: eventloop.Second,
 			IdleTimeout:    eventloop.Second,
@@ -132,19 +132,19 @@
 			ReadyEndpoints:  both,
 			ListedEndpoints: both,
 		})
-		began := world.Now()
+		began := network.Now()
 		done := false
 		loop.Do(func() {
 			connections.SetAddress(1, "127.0.0.1:1")
 			connections.SetAddress(2, "127.0.0.1:2")
 			client.Release("r", 1, func(bool) { done = true })
 		})
-		world.AfterStep = func() {
+		network.AfterStep = func() {
 			if client.ReleaseAttempts > mostAttempts {
-				t.Fatalf("%d µs: %d attempts in %d µs", timeout, client.ReleaseAttempts, world.Now()-began)
+				t.Fatalf("%d µs: %d attempts in %d µs", timeout, client.ReleaseAttempts, network.Now()-began)
 			}
 		}
-		world.Run(10 * eventloop.Second)
+		network.Run(10 * eventloop.Second)
 		if !done {
 			t.Errorf("%d µs: the release did not end", timeout)
 		}
