--- a/internal/platform/connections_test.go
+++ b/internal/platform/connections_test.go
@@ -36,7 +36,8 @@
 }
 
 // TestConnectionClosedByEndpoint checks that no attempt is written to a connection that its endpoint closed while it
-// was idle. If the event loop has not reported the close yet, the socket itself is asked (package sockets).
+// was idle. The event loop may not have reported the close yet, so the state of the socket itself is queried (package
+// sockets).
 func TestConnectionClosedByEndpoint(t *testing.T) {
 	env := newTestEnv(t, 256, "prefill", "decode")
 	var used []*endpointConn
@@ -97,11 +98,11 @@
 // TestTotalConnectionLimit checks that idle connections to some endpoints are closed if connections to others are
 // needed and the total limit is reached.
 func TestTotalConnectionLimit(t *testing.T) {
-	var many []string
+	var kinds []string
 	for range 10 {
-		many = append(many, "prefill", "decode")
+		kinds = append(kinds, "prefill", "decode")
 	}
-	env := newTestEnv(t, 20, many...)
+	env := newTestEnv(t, 20, kinds...)
 	for i := range 60 {
 		client := env.sendRequest("post", "Req-Extra", fmt.Sprintf("prefix=%d,prompt_len=100", i))
 		if got := env.finalStatus(client); got != 200 {
--- a/internal/platform/discovery/discovery.go
+++ b/internal/platform/discovery/discovery.go
@@ -1,7 +1,8 @@
 // Package discovery keeps a list of endpoints up to date from the platform's discovery service. It applies complete
-// lists and changes to the version that it has, assigns the endpoints' IDs, and corrects their start times for clock
-// skew. It owns the subscription and a record of each endpoint that was listed recently. It relies on package subscribe
-// for the connection and on package starttimes for the clock skew. What a list means for requests its caller decides.
+// lists, and changes since the version that it has. It assigns the endpoints' IDs and corrects their start times for
+// clock skew. It owns the subscription and a record of each endpoint that was listed recently. It relies on package
+// subscribe for the connection and on package starttimes for the clock skew. The caller decides what a list means for
+// requests.
 package discovery
 
 import (
@@ -17,8 +18,8 @@
 )
 
 const (
-	// silenceTimeout is 1.5 times the agent's heartbeat interval. If a subscription falls silent, the changes that it
-	// misses must be known within 6 s; this timeout and two lost retries leave one second of that.
+	// silenceTimeout is 1.5 times the agent's heartbeat interval. Within 6 s after a subscription falls silent, the
+	// watcher must know the changes that it missed. If two retries are lost after this timeout, one of the 6 s is left.
 	silenceTimeout = 3 * eventloop.Second
 	// responseTimeout is short because the agent runs on the same machine: it responds at once, or is down.
 	responseTimeout = 500 * eventloop.Millisecond
@@ -51,7 +52,7 @@
 
 	version       uint64 // of the current list; 0: the next subscription requests the complete list
 	newestVersion uint64 // the highest version that was ever received
-	inService     bool   // discovery has sent a list since this process started
+	listReceived  bool   // discovery has sent a list since this process started
 	records       map[scheduler.EndpointID]*record
 	lastCleanup   eventloop.Micros
 }
@@ -102,7 +103,7 @@
 func (w *Watcher) Apply(data []byte) error {
 	err := w.apply(data)
 	if err == nil {
-		w.inService = true
+		w.listReceived = true
 	}
 	return err
 }
@@ -139,7 +140,7 @@
 // decodeEntries decodes the entries of a list and updates the endpoints' records. It skips an entry that can't be
 // decoded, so that the others can still be used.
 func (w *Watcher) decodeEntries(received *list, now eventloop.Micros) (entries []Entry) {
-	listing := starttimes.Listing{Now: now, Skew: received.skew(now), InService: w.inService}
+	listing := starttimes.Listing{Now: now, Skew: received.skew(now), InService: w.listReceived}
 	for i, server := range received.servers {
 		entry, stateKnown, err := parseEntry(server)
 		if err != nil {
--- a/internal/platform/server/request.go
+++ b/internal/platform/server/request.go
@@ -29,7 +29,7 @@
 	PrefixTokens    float64 // part of PromptTokens
 	MaxOutputTokens float64
 	ReceivedAt      eventloop.Micros // when the first byte arrived
-	Timeout         eventloop.Micros // counted from when the client sent the request
+	Timeout         eventloop.Micros // as the client sent it, at most maxTimeout; counted from ReceivedAt
 	Body            []byte
 }
 
@@ -127,12 +127,13 @@
 }
 
 // endToEndFields returns the fields that are forwarded unchanged, as alternating names and values. They include
-// Idempotency-Key, by which endpoints drop duplicates.
+// Idempotency-Key, by which endpoints drop duplicates. They always include Req-Id, even if the field Connection names
+// it.
 func endToEndFields(head *http1.Head) (fields []string) {
-	named := strings.Split(head.Get("Connection"), ",")
+	connectionOptions := strings.Split(head.Get("Connection"), ",")
 	for _, f := range head.Fields {
 		is := func(name string) bool { return strings.EqualFold(strings.TrimSpace(name), f.Name) }
-		if slices.ContainsFunc(hopByHop, is) || slices.ContainsFunc(named, is) && !is(idField) {
+		if slices.ContainsFunc(hopByHop, is) || slices.ContainsFunc(connectionOptions, is) && !is(idField) {
 			continue
 		}
 		fields = append(fields, f.Name, f.Value)
