--- a/internal/dispatch/batch_api_test.go
+++ b/internal/dispatch/batch_api_test.go
@@ -57,7 +57,7 @@
 	Score float64 `json:"relevance_score"`
 }
 
-// answerRerank scores each document of a part by its length.
+// answerRerank scores each document of a part by its length modulo 4.
 func answerRerank(c *fakeConn) {
 	items := []rerankItem{}
 	gjson.GetBytes(c.body, "documents").ForEach(func(_, document gjson.Result) bool {
--- a/internal/dispatch/checks.go
+++ b/internal/dispatch/checks.go
@@ -7,8 +7,8 @@
 	"plumspindle/internal/lifecycle"
 )
 
-// overdueGrace is how long after its deadline a request may still be unanswered. It allows for delays of the event loop
-// and for unstreamedGrace.
+// overdueGrace is how long after its deadline a request may still be unanswered. It allows for delays of the event
+// loop.
 const overdueGrace = 100 * eventloop.Millisecond
 
 // CheckInvariants checks the dispatcher's own state; it may be called between any two events. Each request's fields
--- a/internal/dispatch/dispatcher.go
+++ b/internal/dispatch/dispatcher.go
@@ -57,7 +57,7 @@
 	config     Config
 	engine     *engine.Engine
 	frontend   *frontend.Server
-	onDrained  func() // called once no request is open; set by Shutdown
+	onDrained  func() // set by Shutdown; called, or moved to onReported, once no request or batch call is open
 
 	scheduler       *scheduler.Scheduler
 	schedulerConfig scheduler.Config
@@ -71,7 +71,7 @@
 	admission     *tenancy.AdmissionController
 	directory     *tenancy.Directory
 	usage         *tenancy.UsageMeter
-	onReported    func() // called once the last usage report was acknowledged; set during a shutdown
+	onReported    func() // set during a shutdown; called once all usage is reported, or a report has failed
 	tenantFeed    *subscribe.Client
 	tenantSlots   map[string]*tenantSlot
 	staticKeys    map[[sha256.Size]byte]*tenantSlot // by the digest of an API key that the deployment lists
@@ -220,7 +220,8 @@
 	return lines
 }
 
-// Shutdown stops accepting requests, lets the open ones complete, and then calls done.
+// Shutdown stops accepting requests, lets the open ones complete, reports the remaining usage to the administration,
+// and then calls done.
 func (d *Dispatcher) Shutdown(done func()) {
 	d.onDrained = done
 	d.frontend.Shutdown()
--- a/internal/dispatch/stage_harness_test.go
+++ b/internal/dispatch/stage_harness_test.go
@@ -141,8 +141,8 @@
 	disconnected bool
 }
 
-// wantAtDeadline returns the right final answers at a deadline. A request that is known not to have run, or that may
-// run again, is rejected; any other fails.
+// wantAtDeadline returns the right final answers at a deadline. An unstreamed request in decode fails. Any other
+// request is rejected if it is known not to have run or may run again, and fails otherwise.
 func wantAtDeadline(s stage, effect pb.Product_Effect) []string {
 	switch {
 	case s.unstreamed:
--- a/internal/dispatch/statelease.go
+++ b/internal/dispatch/statelease.go
@@ -8,9 +8,9 @@
 )
 
 // stateLease limits how long a request's prefill state may wait for a decode endpoint. The lease ends early only if the
-// state is fetched or released. If the lease expires while the attempt's endpoint is known to be running the attempt,
-// the state is kept. A decode attempt that was only sent, or that still waits for its connection or its intent, does
-// not keep the state.
+// state is fetched or released. If the lease expires and the endpoint's process is known to have been running after the
+// attempt reached it, the state is kept. A decode attempt that was only sent, or that still waits for its connection or
+// its intent, does not keep the state.
 type stateLease struct {
 	expiry   eventloop.Timeout
 	inUse    bool // the attempt's endpoint was known to be running when the lease expired
--- a/internal/dispatch/storm_test.go
+++ b/internal/dispatch/storm_test.go
@@ -226,7 +226,7 @@
 
 // Sends twenty thousand requests while endpoints and clients fail at random. Each request gets one final answer, with
 // the complete text if it is streamed; no side-effecting request runs twice; nothing is left; and every cell of the
-// lifecycle's table is reached.
+// lifecycle's table that chat requests can reach is reached.
 func TestTwentyThousandRequestsThroughFailures(t *testing.T) {
 	var all lifecycle.Coverage
 	for i, part := range []struct {
--- a/internal/frontend/response.go
+++ b/internal/frontend/response.go
@@ -23,8 +23,8 @@
 	format      Format
 	scratch     []byte // buffer that is reused for events
 
-	// OnDisconnect is called at most once: when the client disconnects before its final answer, or when the request is
-	// rejected because its body would exceed MaxBufferedBytes.
+	// OnDisconnect is called at most once: when the connection ends before the final answer, whether the client or the
+	// server ends it, or when the request is rejected because its body would exceed MaxBufferedBytes.
 	OnDisconnect func()
 	// OnDrained is called when the network has taken all written data, so that a slow client has caught up.
 	OnDrained func()
@@ -69,7 +69,8 @@
 	r.close()
 }
 
-// RejectOverQuota sends the final answer to a request that its tenant's limits do not admit. No part of it has run.
+// RejectOverQuota sends the final answer to a request that its tenant's limits do not admit. Parts of a batch call
+// may have run before.
 func (r *Response) RejectOverQuota(reason string, retryAfter eventloop.Micros) {
 	r.end(overQuota(reason), retryFields(retryAfter)...)
 }
