--- a/internal/chat/answer.go
+++ b/internal/chat/answer.go
@@ -62,7 +62,7 @@
 	return gjson.ValidBytes(event) && gjson.GetBytes(event, "choices").IsArray()
 }
 
-// RequestID returns the answer's id, as the client is sent it.
+// RequestID returns the answer's id, which the client gets as the request id.
 func (a *Answer) RequestID() string { return a.ID }
 
 // Streaming reports whether the answer is streamed.
@@ -118,8 +118,8 @@
 	return append(out, '}')
 }
 
-// deltaWithRole returns a delta as JSON. It adds the role to the first delta if the endpoint has not stated it, as some
-// endpoints don't.
+// deltaWithRole returns a delta as JSON. It adds the role to the first delta if the endpoint has left it out, as some
+// endpoints do.
 func (a *Answer) deltaWithRole(delta gjson.Result) string {
 	const empty = "{}"
 	first := !a.started
--- a/internal/chat/conversation.go
+++ b/internal/chat/conversation.go
@@ -30,7 +30,7 @@
 	count             int  // messages read so far
 	inPrefix          bool // only system and developer messages so far
 	beginningComplete bool // the first message after the shared prefix has been read
-	textBytes         int  // of all messages, each with bytesPerToken added
+	textBytes         int  // size of all messages, with bytesPerToken added for each
 	prefixBytes       int  // the part of textBytes in the shared prefix
 }
 
@@ -137,5 +137,5 @@
 	}
 }
 
-// nonZero returns a hash, or 1 in place of 0, which means that there is none.
+// nonZero returns a hash, or 1 in place of 0, since 0 stands for no hash.
 func nonZero(hash uint64) uint64 { return max(hash, 1) }
--- a/internal/chat/request.go
+++ b/internal/chat/request.go
@@ -32,7 +32,7 @@
 }
 
 // ParseRequest parses a request's body. The hashes of sessions and prefixes include the namespace, so that those of two
-// tenants differ even for equal texts. Prefixes for which isPublic returns true are shared; isPublic may be nil.
+// tenants differ even for equal texts. Tenants share the prefixes for which isPublic returns true; isPublic may be nil.
 func ParseRequest(body []byte, namespace string, isPublic IsPublic) (*Request, *frontend.Problem) {
 	root, problem := parseObject(body)
 	if problem != nil {
--- a/internal/dispatch/admission.go
+++ b/internal/dispatch/admission.go
@@ -6,9 +6,9 @@
 	"plumspindle/internal/tenancy"
 )
 
-// admit applies the limits of the tenant to a request, and reports whether the request is admitted now. If it is not,
-// the caller has to queue a request that has a ticket; one without a ticket was rejected, or gets the returned problem
-// as its answer.
+// admit applies the limits of the tenant to a request, and reports whether the request is admitted now. If it is not
+// admitted but has a ticket, the caller has to queue it. A request without a ticket gets the returned problem as its
+// answer or, if there is none, was already rejected on the response.
 func (d *Dispatcher) admit(
 	r *request, identity frontend.Identity, response *frontend.Response,
 ) (admitted bool, problem *frontend.Problem) {
--- a/internal/dispatch/attempts.go
+++ b/internal/dispatch/attempts.go
@@ -14,7 +14,7 @@
 	callbacks engine.Callbacks
 }
 
-// newAttempt makes a new attempt the request's last one, and returns its specification.
+// newAttempt adds an attempt to the request, as its last one, and returns the attempt's specification.
 func (d *Dispatcher) newAttempt(r *request, details eventDetails) attemptSpec {
 	number := r.attempts
 	r.attempts++
@@ -55,7 +55,7 @@
 	r.attempt = d.engine.Prefill(spec.target, r.chat, spec.callbacks)
 }
 
-// startDecode starts a decode attempt, after the request's intent is recorded if its product requires that.
+// startDecode starts a decode attempt. If the product requires an intent, the attempt is sent once that is recorded.
 func (d *Dispatcher) startDecode(r *request, details eventDetails) {
 	spec := d.newAttempt(r, details)
 	if r.part != nil {
--- a/internal/dispatch/attempts_test.go
+++ b/internal/dispatch/attempts_test.go
@@ -176,15 +176,15 @@
 // prompt is prefilled again at another endpoint.
 func TestPrefillIsRepeatedWhenItsStateIsLost(t *testing.T) {
 	r := newHarness(t, nil, "prefill west", "prefill west", "decode west", "decode west")
-	var died *fakeEndpoint
+	var stopped *fakeEndpoint
 	r.endpoints[2].serve = func(c *fakeConn) {
-		if died != nil {
+		if stopped != nil {
 			answerDecode(c)
 			return
 		}
 		for _, endpoint := range r.endpoints[:2] {
 			if endpoint.attempts() > 0 {
-				died = endpoint
+				stopped = endpoint
 				endpoint.listener.Close()
 			}
 		}
@@ -192,7 +192,7 @@
 	}
 	r.endpoints[3].serve = r.endpoints[2].serve
 	r.expectFinal(r.ask("review-post"), "streamed")
-	if died == nil || died.attempts() != 1 {
+	if stopped == nil || stopped.attempts() != 1 {
 		t.Error("no prefill endpoint was stopped, or the stopped one got another attempt")
 	}
 }
--- a/internal/dispatch/batch_answer.go
+++ b/internal/dispatch/batch_answer.go
@@ -129,6 +129,6 @@
 		c.failRetryable("Some of the call's inputs could not be read.")
 		return
 	}
-	place := slices.Index(c.request.Order, int32(c.parts.FailedInput))
-	c.failWith(frontend.InputNotServed(fmt.Sprintf("%s[%d]", c.request.Kind.InputsMember(), place)))
+	position := slices.Index(c.request.Order, int32(c.parts.FailedInput))
+	c.failWith(frontend.InputNotServed(fmt.Sprintf("%s[%d]", c.request.Kind.InputsMember(), position)))
 }
--- a/internal/dispatch/batch_api_test.go
+++ b/internal/dispatch/batch_api_test.go
@@ -11,7 +11,7 @@
 	"plumspindle/internal/deployment/pb"
 )
 
-// Checks the status and the error's parameter for each kind of invalid call.
+// Each kind of invalid call is answered with the right status and an error that names the invalid parameter.
 func TestInvalidBatchesAreRejected(t *testing.T) {
 	r := newBatchHarness(t, withBatches(&pb.Batches{InputsMost: 3, InputTokensMost: 50}), "prefill west", "decode west")
 	for _, test := range []struct{ path, body, want, param string }{
--- a/internal/dispatch/batch_call.go
+++ b/internal/dispatch/batch_call.go
@@ -88,7 +88,7 @@
 	}
 }
 
-// Begin starts the call. The request calls it once everything is known that a part needs.
+// Begin starts the call. The request calls it once it has read enough of its body to send parts.
 func (c *batchCall) Begin() *frontend.Problem {
 	d := c.dispatcher
 	class, problem := d.classFor(c.request.Model, c.form)
--- a/internal/dispatch/batch_manager.go
+++ b/internal/dispatch/batch_manager.go
@@ -11,7 +11,7 @@
 )
 
 const (
-	// maxVectorCaches is the number of caches at once; the least recently used one is evicted.
+	// maxVectorCaches bounds the number of vector caches; the least recently used one is evicted.
 	maxVectorCaches = 64
 	// maxBatchAnswerBytes is the limit on the answers of all running calls together.
 	maxBatchAnswerBytes = 256 << 20
@@ -35,9 +35,9 @@
 	queued int // number of parts that wait for admission
 }
 
-// vectorCacheKey identifies a cache. No two tenants have the same space, so that they never share a cache.
+// vectorCacheKey identifies a cache. No two tenants have the same namespace, so that they never share a cache.
 type vectorCacheKey struct {
-	space      string
+	namespace  string
 	dimensions int
 }
 
@@ -47,8 +47,8 @@
 }
 
 // vectorCache returns a tenant's own cache of vectors with the given number of dimensions.
-func (b *batchManager) vectorCache(space string, dimensions int) *vectors.Cache {
-	key := vectorCacheKey{space, dimensions}
+func (b *batchManager) vectorCache(namespace string, dimensions int) *vectors.Cache {
+	key := vectorCacheKey{namespace, dimensions}
 	var cache *vectorCache
 	if i := slices.IndexFunc(b.caches, func(c *vectorCache) bool { return c.key == key }); i >= 0 {
 		cache = b.caches[i]
@@ -63,7 +63,7 @@
 	return cache.Cache
 }
 
-// callsOf returns a tenant's calls, and adds the tenant if it has none.
+// callsOf returns a tenant's calls. It adds the tenant if that has no calls yet.
 func (b *batchManager) callsOf(slot *tenantSlot) *tenantBatches {
 	for _, calls := range b.tenants {
 		if calls.tenant == slot {
@@ -92,7 +92,7 @@
 	b.answerBytes -= c.answerBytes
 }
 
-// next returns the tenant's next call that has a part to send; nil: no call has one.
+// next returns the tenant's next call that has a part to send, or nil if no call has one.
 func (t *tenantBatches) next(now eventloop.Micros) *batchCall {
 	for range t.calls {
 		call := t.calls[0]
--- a/internal/dispatch/batch_parts.go
+++ b/internal/dispatch/batch_parts.go
@@ -103,7 +103,7 @@
 	}
 }
 
-// startAttempt starts an attempt of a part.
+// startAttempt sends the part to the attempt's endpoint as a prefill-only request.
 func (p *batchPart) startAttempt(r *request, spec attemptSpec) {
 	call := p.call
 	path, body := call.request.BuildPart(p.inputs, call.dimensions)
--- a/internal/dispatch/chat.go
+++ b/internal/dispatch/chat.go
@@ -19,8 +19,10 @@
 
 // Header fields of a request that the dispatcher reads.
 const (
-	timeLimitField       = "x-time-limit-ms" // the client's time limit, if it is shorter than the product's
-	heartbeatField       = "x-heartbeat-ms"  // interval of comments before the first event; they rule out a 429 answer
+	timeLimitField = "x-time-limit-ms" // the client's time limit, if it is shorter than the product's
+	// heartbeatField is the interval of comments on a stream before its first event. Once a comment was sent, a rejection
+	// can't have the status 429 any more.
+	heartbeatField       = "x-heartbeat-ms"
 	idempotencyKeyField  = "Idempotency-Key"
 	clientRequestIDField = "x-client-request-id"
 )
@@ -93,7 +95,8 @@
 	return nil
 }
 
-// classFor returns the class of the product with a model's name, if the API with the given form serves it.
+// classFor returns the class of the product with the given name. It returns a problem if there is none, or if the API
+// of the given form does not serve it.
 func (d *Dispatcher) classFor(model string, form pb.Product_Form) (scheduler.ClassID, *frontend.Problem) {
 	class, known := d.classes[model]
 	if !known {
--- a/internal/dispatch/clients_test.go
+++ b/internal/dispatch/clients_test.go
@@ -107,8 +107,8 @@
 // The time limit of a request starts when its first byte arrives, as the client counts from the moment it sends that
 // byte. The request may arrive slowly or wait behind another one on its connection. When the dispatcher counted from
 // the last byte, or from when it handled the request, it answered after the client had given up: 18 answers were late
-// in the seeds of faultsearch/testdata/small-segments-*, whose requests take 0.6 to 22 ms to arrive. The time between a
-// request's first byte and its handling showed the fault.
+// in the seeds of faultsearch/testdata/small-segments-*, whose requests take 0.6 to 22 ms to arrive. The fault showed
+// in measurements of the time from a request's first byte to its handling.
 func TestTimeLimitCountsFromTheFirstByte(t *testing.T) {
 	const limit = 900 * eventloop.Millisecond
 	body := `{"model":"explain","messages":[{"role":"user","content":"why?"}]}`
--- a/internal/dispatch/config.go
+++ b/internal/dispatch/config.go
@@ -9,9 +9,9 @@
 	"plumspindle/scheduler"
 )
 
-// Config has the settings of one dispatcher that its deployment does not have.
+// Config holds the settings of one dispatcher that are not part of its deployment.
 type Config struct {
-	Name string // unique among all dispatchers, also the one that this one replaces after a restart
+	Name string // unique among all dispatchers, including one that this one replaces after a restart
 	Zone string
 	Seed int64
 	Log  zerolog.Logger
--- a/internal/dispatch/dispatcher.go
+++ b/internal/dispatch/dispatcher.go
@@ -89,7 +89,8 @@
 	recoveringIntents bool                            // the intent store has failed, and its repair is being retried
 }
 
-// Start starts a dispatcher on a loop. The caller passes clients' connections to Frontend, and stops it by Shutdown.
+// Start starts a dispatcher on a loop. The caller passes client connections to Frontend, and stops the dispatcher
+// by Shutdown.
 func Start(loop eventloop.Loop, dep deployment.Deployment, config Config) (*Dispatcher, error) {
 	if !slices.Contains(dep.Zones, config.Zone) {
 		return nil, fmt.Errorf("the deployment has no zone %q", config.Zone)
--- a/internal/dispatch/endpoints_test.go
+++ b/internal/dispatch/endpoints_test.go
@@ -55,8 +55,8 @@
 		name string
 		age  eventloop.Micros
 		torn bool
-		// Of 60 requests in the first six seconds, the fewest that must complete, and the most attempts that one endpoint
-		// may get.
+		// minCompleted is how many of the 60 requests in the first six seconds must complete, and maxAttempts how many
+		// attempts one endpoint may get.
 		minCompleted, maxAttempts int
 	}{
 		{"fresh", eventloop.Second, false, 60, 60},
--- a/internal/dispatch/fake_client_test.go
+++ b/internal/dispatch/fake_client_test.go
@@ -12,7 +12,7 @@
 )
 
 // clientCall is one client's request with everything that the client received. Its finals are the final answers:
-// streamed, throttled, terminated, or another status.
+// streamed (complete, whether streamed or not), throttled, terminated, malformed, or another status.
 type clientCall struct {
 	harness          *harness
 	conn             eventloop.Conn
--- a/internal/dispatch/fake_endpoint_test.go
+++ b/internal/dispatch/fake_endpoint_test.go
@@ -11,7 +11,7 @@
 	"plumspindle/scheduler"
 )
 
-// What a decode endpoint streams if nothing fails.
+// A decode endpoint streams this text, and ends with this event, if nothing fails.
 const (
 	completeText = "Lamu é"
 	doneEvent    = "data: [DONE]\n\n"
--- a/internal/dispatch/idempotency.go
+++ b/internal/dispatch/idempotency.go
@@ -13,15 +13,16 @@
 	"plumspindle/internal/idempotency"
 )
 
-// answerRepeat answers a request whose idempotency key was used before. It reports whether it has answered the request.
-// A returned problem is the answer. A request with neither has to run.
+// answerRepeat looks up a request's idempotency key, and answers the request if the key was used before or can't be
+// remembered. A returned problem is an answer that the caller has to send. A request that was not answered and has no
+// problem has to run.
 func (d *Dispatcher) answerRepeat(
-	r *request, space, key string, response *frontend.Response,
+	r *request, namespace, key string, response *frontend.Response,
 ) (answered bool, problem *frontend.Problem) {
 	if len(key) > maxIdempotencyKeyBytes {
 		return false, idempotencyKeyTooLong()
 	}
-	keyDigest := sha256.Sum256([]byte(space + "\x00" + r.chat.Model + "\x00" + key))
+	keyDigest := sha256.Sum256([]byte(namespace + "\x00" + r.chat.Model + "\x00" + key))
 	decision, entry := d.idempotencyCache.Begin(d.loop.Now(), idempotency.Key(keyDigest[:16]), requestDigest(r))
 	if decision != idempotency.New && decision != idempotency.Full {
 		d.Repeats++
@@ -46,10 +47,11 @@
 	return false, idempotencyKeyAlreadyRan()
 }
 
-// requestDigest distinguishes requests with the same key. Digests are stored, so that their format must not change.
+// requestDigest returns a digest that distinguishes requests with the same key. Digests are stored, so that the way to
+// compute them must not change.
 func requestDigest(r *request) uint64 {
-	form := fmt.Sprint(r.chat.Stream, r.chat.IncludeUsage, r.chat.MaxTokens, " ")
-	return xxhash.Sum64String(form + string(r.chat.Passthrough))
+	options := fmt.Sprint(r.chat.Stream, r.chat.IncludeUsage, r.chat.MaxTokens, " ")
+	return xxhash.Sum64String(options + string(r.chat.Passthrough))
 }
 
 // replay sends the events that were streamed for the key. If its request still runs, the response gets the following
--- a/internal/dispatch/intents.go
+++ b/internal/dispatch/intents.go
@@ -23,9 +23,9 @@
 const intentRetryInterval = 500 * eventloop.Millisecond
 
 // intentRecord is the state of one request's intent. Depending on the product, the intent is written when the prefill
-// or when the decode starts. With the prefill, the disk works while the endpoint does, but if the dispatcher crashes
-// before the decode, the request counts as run although it was not. With the decode, the request is delayed by a disk
-// sync.
+// starts or when the decode starts. A write at the start of the prefill costs no time, as the disk syncs during the
+// prefill, but if the dispatcher crashes before the decode, the request counts as run although it did not run. A write
+// at the start of the decode delays the request by a disk sync.
 type intentRecord struct {
 	requested bool
 	durable   bool
@@ -83,14 +83,15 @@
 	d.config.Log.Info().Int("keys", len(records)).Msg("idempotency keys restored")
 }
 
-// needsIntent reports whether the request's product requires its intent at the given point.
-func (d *Dispatcher) needsIntent(r *request, when pb.Product_Intent) bool {
-	return r.keyEntry != nil && d.config.IntentStore != nil && d.Deployment.Products[r.class].Intent == when
+// hasIntentTiming reports whether the request can have an intent, and its product's intents are recorded at the given
+// time.
+func (d *Dispatcher) hasIntentTiming(r *request, timing pb.Product_Intent) bool {
+	return r.keyEntry != nil && d.config.IntentStore != nil && d.Deployment.Products[r.class].Intent == timing
 }
 
-// recordIntentEarly starts to record the intent with the prefill, if the product requires it then.
+// recordIntentEarly starts to record the intent when the prefill starts, if the product requires that.
 func (d *Dispatcher) recordIntentEarly(r *request) {
-	if d.needsIntent(r, pb.Product_WITH_READ) && !r.intent.requested {
+	if d.hasIntentTiming(r, pb.Product_WITH_READ) && !r.intent.requested {
 		d.recordIntent(r)
 	}
 }
@@ -98,16 +99,15 @@
 // awaitIntent calls then once the request's intent is durable or can't be recorded, or at once if the request needs
 // none.
 func (d *Dispatcher) awaitIntent(r *request, then func(recorded bool)) {
-	notNeeded := r.keyEntry == nil || d.config.IntentStore == nil || d.needsIntent(r, pb.Product_NO_RECORD)
+	notNeeded := r.keyEntry == nil || d.config.IntentStore == nil || d.hasIntentTiming(r, pb.Product_NO_RECORD)
 	if notNeeded || r.intent.durable {
 		then(true)
 		return
 	}
-	// An attempt that is already waiting was cancelled, and this one replaces it.
 	if r.intent.waiting == nil && !r.intent.requested {
 		d.recordIntent(r)
 	}
-	r.intent.waiting = then
+	r.intent.waiting = then // an attempt that is already waiting was cancelled, and this one replaces it
 }
 
 func (d *Dispatcher) recordIntent(r *request) {
--- a/internal/dispatch/intents_test.go
+++ b/internal/dispatch/intents_test.go
@@ -117,9 +117,9 @@
 		r.startWithIntents(disk)
 		disk.SyncTime = 20 * eventloop.Second
 		prefill := r.endpoints[0]
-		var waitsSince, longest eventloop.Micros
+		var waitingSince, longest eventloop.Micros
 		prefill.serve = func(c *fakeConn) {
-			waitsSince = r.remote.Now()
+			waitingSince = r.remote.Now()
 			answerPrefill(c)
 		}
 		c := r.ask(product, "Idempotency-Key", "k")
@@ -130,14 +130,14 @@
 				return
 			}
 			seen = n
-			if prefill.seen[n-1].target == "/v1/kv/release" && waitsSince > 0 {
-				longest, waitsSince = max(longest, r.remote.Now()-waitsSince), 0
+			if prefill.seen[n-1].target == "/v1/kv/release" && waitingSince > 0 {
+				longest, waitingSince = max(longest, r.remote.Now()-waitingSince), 0
 			}
 		}
 		r.expectFinal(c, "throttled")
 		r.network.AfterStep = nil
-		if waitsSince > 0 || longest == 0 || longest > milliseconds(r.deployment.Rules.LetGoMs) {
-			t.Errorf("%s: a prefill state waited for %d ms (still there: %v)", product, longest/1000, waitsSince > 0)
+		if waitingSince > 0 || longest == 0 || longest > milliseconds(r.deployment.Rules.LetGoMs) {
+			t.Errorf("%s: a prefill state waited for %d ms (still there: %v)", product, longest/1000, waitingSince > 0)
 		}
 		if n := r.decodes(); n != 0 {
 			t.Errorf("%s: %d decodes without an intent", product, n)
--- a/internal/dispatch/limits_test.go
+++ b/internal/dispatch/limits_test.go
@@ -112,8 +112,8 @@
 	for range 12 { // each of the decode endpoints has an idle connection
 		r.expectFinal(r.ask("explain"), "streamed")
 	}
-	for _, h := range r.endpoints[1:3] {
-		r.updateEndpoints(h.entry("draining"))
+	for _, endpoint := range r.endpoints[1:3] {
+		r.updateEndpoints(endpoint.entry("draining"))
 	}
 	r.updateEndpoints(r.endpoints[0].entry("gone"))
 	next := &fakeEndpoint{harness: r, id: 9, kind: "prefill", zone: "west", serve: answerPrefill}
@@ -211,7 +211,7 @@
 	}
 }
 
-// The memory that the answers of batch calls will need is limited too.
+// The memory that the answers of all batch calls will need is limited. A call beyond the limit is rejected.
 func TestBatchAnswersAreBounded(t *testing.T) {
 	const inputs = 1900
 	r := newHarness(t, func(dep deployment.Deployment) {
--- a/internal/dispatch/stage_harness_test.go
+++ b/internal/dispatch/stage_harness_test.go
@@ -102,9 +102,9 @@
 type stage struct {
 	name       string
 	tokens     int
-	after      eventloop.Micros
-	seen       string // the stage that the endpoints report; empty: the request is at no endpoint
-	unstreamed bool   // a request in decode has a deadline only if its answer is not streamed
+	after      eventloop.Micros // when the request is at the stage, counted from its sending
+	seen       string           // the stage that the endpoints report; empty: the request is at no endpoint
+	unstreamed bool             // a request in decode has a deadline only if its answer is not streamed
 	before     func(f *fleetHarness)
 }
 
--- a/internal/dispatch/stages_test.go
+++ b/internal/dispatch/stages_test.go
@@ -10,7 +10,7 @@
 
 var chatProducts = []string{"explain", "build-note", "review-post"}
 
-// Ends a request early at each stage, in each way and for each product's effect, with endpoints that do or don't stop
+// A request ends early at each stage, in each way and for each product's effect, with endpoints that do or don't stop
 // cancelled attempts and a scheduler that may or may not cancel. In each case the rules of the audit hold and nothing
 // is left.
 func TestEndAtEachStage(t *testing.T) {
--- a/internal/dispatch/statelease.go
+++ b/internal/dispatch/statelease.go
@@ -21,8 +21,8 @@
 // using the state.
 func (d *Dispatcher) startStateLease(r *request) {
 	r.lease.inUse = false
-	time := scheduler.StateLease(milliseconds(d.Deployment.Rules.LetGoMs))
-	r.lease.expiry.Set(d.loop, time, func() { d.stateLeaseExpired(r) })
+	duration := scheduler.StateLease(milliseconds(d.Deployment.Rules.LetGoMs))
+	r.lease.expiry.Set(d.loop, duration, func() { d.stateLeaseExpired(r) })
 }
 
 // stateLeaseExpired releases the state, unless an endpoint that is known to be running may use it. An attempt that was
--- a/internal/dispatch/stored_intents_test.go
+++ b/internal/dispatch/stored_intents_test.go
@@ -10,10 +10,10 @@
 	"plumspindle/internal/store"
 )
 
-// intentsKilled is when the dispatcher that wrote the folder in testdata was killed, in microseconds since 1970. The
+// intentsKilledAt is when the dispatcher that wrote the folder in testdata was killed, in microseconds since 1970. The
 // windows are those of the products in the standard deployment.
 const (
-	intentsKilled    eventloop.Micros = 1796217380651553
+	intentsKilledAt  eventloop.Micros = 1796217380651553
 	reviewPostWindow                  = 600 * eventloop.Second
 	buildNoteWindow                   = 5 * eventloop.Second
 )
@@ -23,7 +23,7 @@
 	product   string
 	key       string
 	tokens    int
-	expiresAt eventloop.Micros // when its key expires in a dispatcher that starts at intentsKilled
+	expiresAt eventloop.Micros // when its key expires in a dispatcher that starts at intentsKilledAt
 }
 
 var storedRequests = []storedRequest{
@@ -32,8 +32,8 @@
 	{"review-post", "makes the lazy records durable", 3, 1796217976589874},
 	{"review-post", "ended after the snapshot", 5, 1796217980260315},
 	{"build-note", "ended in its window", 3, 1796217385300671},
-	{"review-post", "cut off in its stream", 250, intentsKilled + reviewPostWindow},
-	{"build-note", "cut off in its window", 190, intentsKilled + buildNoteWindow},
+	{"review-post", "cut off in its stream", 250, intentsKilledAt + reviewPostWindow},
+	{"build-note", "cut off in its window", 190, intentsKilledAt + buildNoteWindow},
 }
 
 // body returns the request's body as it was sent when the folder was written; the intent has its digest.
@@ -83,7 +83,7 @@
 // Until it expires, a repeat is rejected because the request ran, and another request with the key because the key was
 // reused. Afterwards the key is free.
 func TestRecallsIntentsOfEarlierVersion(t *testing.T) {
-	const around = 100 * eventloop.Millisecond // a request needs less time to arrive
+	const margin = 100 * eventloop.Millisecond // a request needs less time to arrive
 	for _, s := range storedRequests {
 		t.Run(s.key, func(t *testing.T) {
 			for _, ask := range []struct {
@@ -92,13 +92,13 @@
 				tokens int
 				want   string
 			}{
-				{intentsKilled, s.key, s.tokens, "409"},
-				{intentsKilled, s.key, s.tokens + 1, "422"},
-				{intentsKilled, "never used", s.tokens, "streamed"},
-				{s.expiresAt - around, s.key, s.tokens, "409"},
+				{intentsKilledAt, s.key, s.tokens, "409"},
+				{intentsKilledAt, s.key, s.tokens + 1, "422"},
+				{intentsKilledAt, "never used", s.tokens, "streamed"},
+				{s.expiresAt - margin, s.key, s.tokens, "409"},
 				{s.expiresAt + 1, s.key, s.tokens, "streamed"},
 			} {
-				r := startFromStored(t, intentsKilled)
+				r := startFromStored(t, intentsKilledAt)
 				r.virtual().StepClock(ask.at - r.virtual().Now())
 				r.expectFinal(r.send(s.body(ask.tokens), "Idempotency-Key", ask.key), ask.want)
 			}
@@ -109,8 +109,8 @@
 // A key that expired before the dispatcher starts is free.
 func TestForgetsIntentsOfEarlierVersionInTime(t *testing.T) {
 	for _, s := range storedRequests {
-		// The window of a request that was running at the kill starts with the dispatcher.
-		if s.product != "build-note" || s.expiresAt == intentsKilled+buildNoteWindow {
+		// The window of a request that was running at the kill starts when the dispatcher starts.
+		if s.product != "build-note" || s.expiresAt == intentsKilledAt+buildNoteWindow {
 			continue
 		}
 		r := startFromStored(t, s.expiresAt+1)
--- a/internal/dispatch/storm_test.go
+++ b/internal/dispatch/storm_test.go
@@ -150,9 +150,9 @@
 			}
 		})
 	case 1:
-		const earliest = 60 * eventloop.Millisecond
-		s.remote.AfterFunc(s.upTo(earliest), func() { outcome.call.conn.SetPaused(true) })
-		s.remote.AfterFunc(earliest+s.upTo(400*eventloop.Millisecond), func() { outcome.call.conn.SetPaused(false) })
+		const earliestResume = 60 * eventloop.Millisecond
+		s.remote.AfterFunc(s.upTo(earliestResume), func() { outcome.call.conn.SetPaused(true) })
+		s.remote.AfterFunc(earliestResume+s.upTo(400*eventloop.Millisecond), func() { outcome.call.conn.SetPaused(false) })
 	}
 }
 
@@ -224,11 +224,11 @@
 	return o.product != "review-post" || o.ran <= 1
 }
 
-// Sends twenty thousand requests while endpoints and clients fail at random. Each request gets one final answer, with
-// the complete text if it is streamed; no side-effecting request runs twice; nothing is left; and every cell of the
-// lifecycle's table that chat requests can reach is reached.
+// Twenty thousand requests are sent while endpoints and clients fail at random. Each request gets one final answer,
+// with the complete text if it is streamed; no side-effecting request runs twice; nothing is left; and every cell of
+// the lifecycle's table that chat requests can reach is reached.
 func TestTwentyThousandRequestsThroughFailures(t *testing.T) {
-	var all lifecycle.Coverage
+	var coverage lifecycle.Coverage
 	for i, part := range []struct {
 		requests int
 		seed     int64
@@ -249,7 +249,7 @@
 			counters.Accepted, counters.Completed, counters.Rejected, counters.Failed, counters.Disconnected)
 		for state := range counters.Coverage {
 			for event, n := range counters.Coverage[state] {
-				all[state][event] += n
+				coverage[state][event] += n
 			}
 		}
 	}
@@ -258,7 +258,7 @@
 			if !transition.Defined {
 				continue
 			}
-			n := all[state][event]
+			n := coverage[state][event]
 			t.Logf("%-10v %-16v %8d", lifecycle.State(state), lifecycle.Event(event), n)
 			// TestPrefillOnlyCompletesAfterClientDisconnect reaches the cells that chat requests never do.
 			if n == 0 && lifecycle.Event(event) != lifecycle.PrefillOnlyCompleted {
--- a/internal/dispatch/tenants.go
+++ b/internal/dispatch/tenants.go
@@ -17,8 +17,8 @@
 	"plumspindle/scheduler"
 )
 
-// firstStaticID is the id of the first tenant that the deployment itself lists. Ids from it on are those of such
-// tenants.
+// firstStaticID is the id of the first tenant that the deployment itself lists. All ids from firstStaticID on are
+// reserved for the tenants that it lists.
 const firstStaticID tenancy.ID = 1 << 31
 
 // queueGrace is how long before its client's deadline a request that is still queued for admission is rejected.
@@ -28,7 +28,7 @@
 type tenantSlot struct {
 	id          tenancy.ID
 	name        string
-	space       string // separates the tenant's prompts and sessions from those of all other tenants
+	namespace   string // separates the tenant's prompts and sessions from those of all other tenants
 	schedulerID scheduler.TenantID
 	active      bool
 	removing    bool
@@ -105,7 +105,7 @@
 // addTenant adds a slot for a tenant. It reuses the scheduler's identifiers of removed tenants, so that the scheduler's
 // table does not grow.
 func (d *Dispatcher) addTenant(name string, id tenancy.ID) *tenantSlot {
-	slot := &tenantSlot{id: id, name: name, space: fmt.Sprintf("%d-%s", id, name)}
+	slot := &tenantSlot{id: id, name: name, namespace: fmt.Sprintf("%d-%s", id, name)}
 	if n := len(d.freeTenantIDs); n > 0 {
 		slot.schedulerID = d.freeTenantIDs[n-1]
 		d.freeTenantIDs = d.freeTenantIDs[:n-1]
@@ -201,7 +201,7 @@
 // Identify returns the tenant that an API key belongs to.
 func (d *Dispatcher) Identify(key string) (frontend.Identity, bool) {
 	if slot := d.staticKeys[sha256.Sum256([]byte(key))]; slot != nil {
-		return frontend.Identity{Tenant: slot.name, Namespace: slot.space, Active: true}, true
+		return frontend.Identity{Tenant: slot.name, Namespace: slot.namespace, Active: true}, true
 	}
 	tenant, tenantKey, known := d.directory.Authenticate(int64(d.loop.Now()/eventloop.Second), key)
 	if !known || !slices.Contains(tenantKey.Scopes, tenancy.ScopeChat) {
@@ -211,5 +211,5 @@
 	if slot == nil || slot.id != tenant.ID {
 		return frontend.Identity{}, false
 	}
-	return frontend.Identity{Tenant: slot.name, Key: tenantKey.ID, Namespace: slot.space, Active: slot.active}, true
+	return frontend.Identity{Tenant: slot.name, Key: tenantKey.ID, Namespace: slot.namespace, Active: slot.active}, true
 }
--- a/internal/frontend/body.go
+++ b/internal/frontend/body.go
@@ -61,7 +61,8 @@
 	return unsupported("unsupported_content_encoding", message)
 }
 
-// reserve counts bytes of the body as buffered and returns true, unless that would exceed the server's limit.
+// reserve counts bytes of the body as buffered, up to maxBuffered for one request, and returns true. If that would
+// exceed the server's limit, it counts nothing and returns false.
 func (r *Response) reserve(size int) bool {
 	server := r.connection.server
 	if r.maxBuffered > 0 {
--- a/internal/frontend/connection.go
+++ b/internal/frontend/connection.go
@@ -18,7 +18,7 @@
 	response  *Response // to the request that is being received or answered; nil: there is none
 	sink      Sink      // receives the current request's body
 	problem   *Problem  // the answer to the current request, sent once the request has been received
-	bodyBytes int       // of the body received since MessageTimeout was last restarted
+	bodyBytes int       // bytes of the body received since MessageTimeout was last restarted
 	timeout   eventloop.Timeout
 	scratch   []byte // buffer that is reused for chunks
 	closing   bool   // further data is ignored
@@ -45,8 +45,8 @@
 	if s.aboveOverflowLimit() {
 		c.closing = true
 		c.conn.Write(OverloadedResponse())
-		// Until then, data from the client is read and ignored: closing over unread data would reset the connection, and
-		// the reset would overtake the response.
+		// Until the connection is closed, data from the client is read and ignored: closing a socket with unread data
+		// would reset the connection, and the reset would overtake the response.
 		c.timeout.Set(s.loop, overloadedCloseDelay, func() { c.conn.Close() })
 		return
 	}
--- a/internal/frontend/response.go
+++ b/internal/frontend/response.go
@@ -51,7 +51,8 @@
 	r.SetBodyPaused(false)
 }
 
-// Complete sends the final answer to a request that was carried out, or the rest of it, as the Format presents it.
+// Complete sends the final answer to a request that was carried out, as the Format presents it. If the answer is
+// streamed, Complete sends the end of the stream.
 func (r *Response) Complete() {
 	if r.done {
 		return
@@ -102,7 +103,8 @@
 	r.close()
 }
 
-// finishProblem sends a problem as the final answer to a request that has been received but not started.
+// finishProblem sends a problem as the final answer to a request that has been received, before any other part of an
+// answer.
 func (r *Response) finishProblem(problem *Problem) {
 	var fields []string
 	if problem.Status == http.StatusUnauthorized {
--- a/internal/frontend/server.go
+++ b/internal/frontend/server.go
@@ -42,8 +42,8 @@
 
 	// OpenRequests is the number of requests that have not got their final answer.
 	OpenRequests int
-	// BufferedBytes is the number of buffered bytes of bodies, of requests that are being received or wait for their
-	// answer.
+	// BufferedBytes is the number of bytes that are buffered of the bodies of all requests that are being received or
+	// wait for their answer.
 	BufferedBytes int
 	// MaxConnections, if it is above 0, limits the client connections, so that they do not use up the file descriptors
 	// that connections to endpoints and to the administration need. While there are more, every new request is rejected
--- a/internal/frontend/stream.go
+++ b/internal/frontend/stream.go
@@ -11,7 +11,7 @@
 
 // Format is how an API presents an answer.
 type Format interface {
-	// RequestID returns the request id that the client is sent.
+	// RequestID returns the request id that is sent to the client.
 	RequestID() string
 	// Streaming reports whether the answer is a stream of events; otherwise it is one object.
 	Streaming() bool
