--- a/internal/dispatch/batch_answer.go
+++ b/internal/dispatch/batch_answer.go
@@ -97,7 +97,8 @@
 	c.response.SendProblem(frontend.OverloadedAfterPartialRun())
 }
 
-// rejectOverQuota answers the call when its tenant's limits reject it before any part was sent.
+// rejectOverQuota answers a call that its tenant's limits reject: before any part was sent, or later if no retry of the
+// rejected part can succeed.
 func (c *batchCall) rejectOverQuota(decision tenancy.Decision) {
 	if c.closed {
 		return
@@ -128,6 +129,6 @@
 		c.failRetryable("Some of the call's inputs could not be read.")
 		return
 	}
-	place := slices.Index(c.request.Order, int32(c.parts.FailedInput))
-	c.failWith(frontend.InputNotServed(fmt.Sprintf("%s[%d]", c.request.Kind.InputsMember(), place)))
+	position := slices.Index(c.request.Order, int32(c.parts.FailedInput))
+	c.failWith(frontend.InputNotServed(fmt.Sprintf("%s[%d]", c.request.Kind.InputsMember(), position)))
 }
--- a/internal/dispatch/stage_harness_test.go
+++ b/internal/dispatch/stage_harness_test.go
@@ -102,9 +102,9 @@
 type stage struct {
 	name       string
 	tokens     int
-	after      eventloop.Micros
-	seen       string // the stage that the endpoints report; empty: the request is at no endpoint
-	unstreamed bool   // a request in decode has a deadline only if its answer is not streamed
+	after      eventloop.Micros // when the request is at the stage, counted from its sending
+	seen       string           // the stage that the endpoints report; empty: the request is at no endpoint
+	unstreamed bool             // a request in decode has a deadline only if its answer is not streamed
 	before     func(f *fleetHarness)
 }
 
@@ -141,8 +141,8 @@
 	disconnected bool
 }
 
-// wantAtDeadline returns the right final answers at a deadline. A request that is known not to have run, or that may
-// run again, is rejected; any other fails.
+// wantAtDeadline returns the right final answers at a deadline. An unstreamed request in decode fails. Any other
+// request is rejected if it is known not to have run or may run again, and fails otherwise.
 func wantAtDeadline(s stage, effect pb.Product_Effect) []string {
 	switch {
 	case s.unstreamed:
