--- a/internal/batch/call.go
+++ b/internal/batch/call.go
@@ -56,7 +56,7 @@
 	InProgress Progress = iota
 	// Completed means that all parts have results.
 	Completed
-	// Failed means that the call has failed.
+	// Failed means that the call has failed, or that it was cancelled before the part came back.
 	Failed
 )
 
--- a/internal/batch/limiter.go
+++ b/internal/batch/limiter.go
@@ -11,7 +11,7 @@
 	// A part is slow if its time per token exceeds the minimum by this factor.
 	slowFactor         = 3.0
 	slowFactorWithChat = 1.6    // while chat is active
-	chatActiveFor      = second // how long chat counts as active after the start of a chat request
+	chatActiveFor      = second // how long chat counts as active after the first token of a chat request
 
 	increase               = 1.0               // parts that the limit grows by after as many fast parts as the limit
 	decreaseFactor         = 0.85              // applied to the limit when a part is slow or fails
@@ -42,7 +42,7 @@
 	probing               bool
 	decreasedAt           Micros
 	noIncreaseUntil       Micros
-	lastChatAt            Micros // when the last chat request started
+	lastChatAt            Micros // when the last chat request got its first token
 }
 
 // NewLimiter returns a limiter that learns its limit, or one with a constant limit if fixed is above 0.
@@ -102,7 +102,8 @@
 	}
 }
 
-// ChatStarted records that a chat request started, with its latency and the objective for that.
+// ChatStarted records that a chat request got its first token; latency is the time from the arrival of the request to
+// that token, and objective is the longest time that this should take.
 func (l *Limiter) ChatStarted(now, latency, objective Micros) {
 	l.lastChatAt = now
 	if float64(latency) > lateChatFraction*float64(objective) {
--- a/internal/embeddings/decoder.go
+++ b/internal/embeddings/decoder.go
@@ -23,7 +23,7 @@
 type decoder struct {
 	encoding     string
 	encoded      []byte
-	decoded      io.Reader // nil: decoding has not begun
+	decoded      io.Reader // nil before open and after close
 	decodedBytes int
 	buffer       []byte
 }
--- a/internal/embeddings/inputs.go
+++ b/internal/embeddings/inputs.go
@@ -35,7 +35,7 @@
 	count int
 }
 
-// readElement reads one element of the array of inputs.
+// readElement reads one element of the array of inputs, or the only input of a body that has no such array.
 func (r *Request) readElement(name string, raw []byte) *frontend.Problem {
 	if name != r.Kind.InputsMember() {
 		return frontend.UnknownParameter(name)
--- a/internal/embeddings/scanner.go
+++ b/internal/embeddings/scanner.go
@@ -76,7 +76,7 @@
 	return nil
 }
 
-// scanByte parses one byte that is not part of a value.
+// scanByte parses one byte that is outside of a value, or the first byte of one.
 func (s *scanner) scanByte(char byte) *frontend.Problem {
 	if s.state != inName && isSpace(char) {
 		return nil
--- a/scripts/docscheck/docs_test.go
+++ b/scripts/docscheck/docs_test.go
@@ -36,7 +36,7 @@
 // codeIndex has the names that the Go files of the repository declare.
 type codeIndex struct {
 	files map[string]map[string]bool // the names and Type.Member names of each file, by its path
-	names map[string]bool            // the names of all files, with and without the package name before them
+	names map[string]bool            // the names of all files, with and without their package before them, and packages
 }
 
 // TestCitedCodeExists checks that the files and names that the pages cite exist.
--- a/scripts/docscheck/policy_test.go
+++ b/scripts/docscheck/policy_test.go
@@ -14,8 +14,8 @@
 	quoted     = regexp.MustCompile(`"([^"]*)"`)
 )
 
-// TestDeployFileListsTheSchedulerAsPolicy checks that the policy of the deploy file lists the files of the scheduler
-// and no others.
+// TestDeployFileListsTheSchedulerAsPolicy checks that the policy of the deploy file lists the Go files of the folder
+// scheduler, except tests, and no others.
 func TestDeployFileListsTheSchedulerAsPolicy(t *testing.T) {
 	deploy, err := os.ReadFile(filepath.Join(root, "deploy", "balancer.toml"))
 	if err != nil {
