--- a/internal/batch/call.go
+++ b/internal/batch/call.go
@@ -27,7 +27,7 @@
 )
 
 const (
-	// MaxEndpointsPerSend is how many endpoints may fail on a part before the part comes back as EndpointFailed.
+	// MaxEndpointsPerSend is the number of endpoint failures in one send after which a part comes back as EndpointFailed.
 	MaxEndpointsPerSend = 2
 	// MaxQueuedParts is how many parts of one tenant may wait for admission.
 	MaxQueuedParts = 4
@@ -63,7 +63,7 @@
 // part is a group of inputs that one request sends to an endpoint.
 type part struct {
 	inputs           []int // empty once the part has results or was split
-	sends            int   // that count against maxSends
+	sends            int   // except those that were rejected with a requested delay
 	endpointFailures int
 }
 
@@ -78,7 +78,9 @@
 type Call struct {
 	FailedInput int // the input that made the call fail, or -1 if no single input did
 	Splits      int // how many parts were split
-	Retries     int // how many sends followed one of the same part that counts against maxSends
+	// Retries is how many sends repeated an earlier send of the same part. A send that was rejected with a requested
+	// delay does not count as an earlier one.
+	Retries int
 
 	parts    []part
 	ready    []PartID         // parts to send now, in this order
@@ -161,10 +163,11 @@
 	return InProgress
 }
 
-// PartFailed records that a part has come back without results, and schedules a retry of that part only. A part with an
-// invalid input, or one that endpoints failed on repeatedly, is split instead: this isolates the input that causes the
-// failures. The call fails when a part of a single input fails like this, or when a part was sent too often. If the
-// part was rejected as overloaded, retryAfter is the requested delay, or 0 for none.
+// PartFailed records that a part has come back without results, and schedules a retry of that part only. If one of the
+// inputs seems to be the cause, because it is invalid or endpoints failed on the part maxEndpointFailures times, the
+// part is split instead to isolate that input; the call fails if the part has no other inputs. The call also fails when
+// a part was sent maxSends times. If the part was rejected as overloaded, retryAfter is the requested delay, or 0 for
+// none.
 func (c *Call) PartFailed(now Micros, id PartID, failure Failure, retryAfter Micros) Progress {
 	c.inFlight--
 	if c.ended {
@@ -188,7 +191,7 @@
 	}
 	delay := min(firstRetryDelay<<(p.sends-1), maxRetryDelay)
 	if failure == Overloaded && retryAfter > 0 {
-		p.sends-- // a part that was not run and waits as long as requested does not use up a send
+		p.sends-- // the part was not run and waits as long as requested, so this send does not count
 		delay = retryAfter
 	}
 	c.delayed.Set(now+delay, func() { c.ready = append(c.ready, id) })
--- a/internal/batch/limiter.go
+++ b/internal/batch/limiter.go
@@ -13,12 +13,12 @@
 	slowFactorWithChat = 1.6    // while chat is active
 	chatActiveFor      = second // how long chat counts as active after the first token of a chat request
 
-	increase               = 1.0               // parts that the limit grows by after as many fast parts as the limit
+	increase               = 1.0               // parts; a part that is not slow adds increase/limit to the limit
 	decreaseFactor         = 0.85              // applied to the limit when a part is slow or fails
 	decreaseFactorLateChat = 0.5               // applied to the limit when a chat request starts late
-	lateChatFraction       = 0.5               // of its latency objective, after which a chat request starts late
-	decreaseInterval       = 100 * millisecond // between two decreases, at least
-	increasePause          = 500 * millisecond // without increases after a chat request started late
+	lateChatFraction       = 0.5               // of the latency objective; a chat request with more latency starts late
+	decreaseInterval       = 100 * millisecond // minimum time between two decreases
+	increasePause          = 500 * millisecond // time without increases after a chat request started late
 
 	// A probe lowers the number of parts in flight for a while, so that the minimum time is measured anew.
 	probeInterval = 4 * second
@@ -36,13 +36,16 @@
 	fixed    int // a constant limit, for comparisons; 0: the limit is learned
 	inFlight int
 
-	minTimePerToken       float64 // microseconds, of the fastest part since the end of the probe before the last
-	recentMinTimePerToken float64 // microseconds, of the fastest part since the end of the last probe
-	probeAt               Micros  // when the current or next probe begins
-	probing               bool
-	decreasedAt           Micros
-	noIncreaseUntil       Micros
-	lastChatAt            Micros // when the last chat request got its first token
+	// These are the minimum times per token in microseconds, in two periods that last until now. 0 means that no part
+	// has come back in the period.
+	minTimePerToken       float64 // since the end of the last probe but one
+	recentMinTimePerToken float64 // since the end of the last probe
+
+	probeAt         Micros // when the current or next probe begins
+	probing         bool
+	decreasedAt     Micros
+	noIncreaseUntil Micros
+	lastChatAt      Micros // when the last chat request got its first token
 }
 
 // NewLimiter returns a limiter that learns its limit, or one with a constant limit if fixed is above 0.
--- a/internal/batch/limiter_test.go
+++ b/internal/batch/limiter_test.go
@@ -19,14 +19,14 @@
 	return &endpointPool{limiter: NewLimiter(0), freeAt: make([]Micros, endpoints)}
 }
 
-// serveOne sends as many parts as the limiter allows, each of which takes a time of cost to serve, and waits for the
-// first to complete.
+// serveOne sends as many parts as the limiter allows, and waits for the first part in flight to complete. The cost is
+// the time that an endpoint takes for one part.
 func (p *endpointPool) serveOne(cost Micros) {
 	for p.limiter.HasCapacity() {
 		p.limiter.Acquire()
-		first := slices.Index(p.freeAt, slices.Min(p.freeAt))
-		p.freeAt[first] = max(p.freeAt[first], p.now) + cost
-		p.endsAt = append(p.endsAt, p.freeAt[first])
+		endpoint := slices.Index(p.freeAt, slices.Min(p.freeAt))
+		p.freeAt[endpoint] = max(p.freeAt[endpoint], p.now) + cost
+		p.endsAt = append(p.endsAt, p.freeAt[endpoint])
 	}
 	first := slices.Index(p.endsAt, slices.Min(p.endsAt))
 	p.now = max(p.now, p.endsAt[first])
--- a/internal/benchadapter/events.go
+++ b/internal/benchadapter/events.go
@@ -8,7 +8,7 @@
 	"plumspindle/scheduler"
 )
 
-// memoryFieldName is the name of the load report's value that is the used share of the memory.
+// memoryFieldName is the name of the value in a load report that holds the used share of the memory.
 const memoryFieldName = "x0"
 
 // handleEvent handles an event of one instance.
--- a/internal/benchadapter/serve.go
+++ b/internal/benchadapter/serve.go
@@ -22,13 +22,14 @@
 func Serve(in io.Reader, out io.Writer) error {
 	input, output := bufio.NewReaderSize(in, bufferSize), bufio.NewWriterSize(out, bufferSize)
 	a := &adapter{instances: map[uint32]*instance{}}
-	for n := uint32(0); ; n++ {
+	for framesRead := uint32(0); ; framesRead++ {
 		sequence, body, err := readFrame(input)
 		switch {
 		case errors.Is(err, io.EOF):
 			return nil
 		case errors.Is(err, ErrHeaderTruncated):
-			return &FrameError{Frame: n, Err: err} // the count of frames, as the sequence number was not read
+			// The sequence number was not read; the number of frames before this one is reported instead.
+			return &FrameError{Frame: framesRead, Err: err}
 		case err != nil:
 			return &FrameError{Frame: sequence, Err: err}
 		}
@@ -85,21 +86,21 @@
 	// The time is rounded up, so that a late event never seems to be in time.
 	a.now = scheduler.Micros((clock + nanosPerMicro - 1) / nanosPerMicro)
 	a.actions, a.text, a.instanceSelected = a.actions[:0], a.text[:0], false
-	var target *uint32
+	var selected *uint32
 	for i := 0; i < len(events); i += eventSize {
 		event := record(events[i : i+eventSize])
 		var err error
 		switch event.code() {
 		case eventSelectInstance:
 			id := event.uint32(instanceID)
-			target = &id
+			selected = &id
 		case eventEndpointList:
 			err = a.storeList(event, tail)
 		default:
-			if target == nil {
+			if selected == nil {
 				err = ErrNoInstance
 			} else {
-				err = a.handleEvent(*target, event, tail)
+				err = a.handleEvent(*selected, event, tail)
 			}
 		}
 		if err != nil {
--- a/internal/benchadapter/wire.go
+++ b/internal/benchadapter/wire.go
@@ -10,8 +10,8 @@
 
 // All numbers on the wire are little-endian, and times are in nanoseconds. A frame has a header and a body. The body
 // has a header, the event records and a tail, which holds data of variable size. A reply has a header, the action
-// records and the log texts. An offset counts from the start of the header, record or entry with the field. The first
-// byte of a record is its code.
+// records and the log texts. The offset of a field counts from the start of the header, record or entry that has the
+// field. The first byte of a record is its code.
 const (
 	nanosPerMicro = 1000
 
@@ -98,7 +98,7 @@
 
 // Scopes of a list update.
 const (
-	scopePartial = 0 // the list may not name all endpoints
+	scopePartial = 0 // there may be endpoints that the list does not name
 	scopeFailed  = 3 // the list could not be fetched
 )
 
--- a/internal/embeddings/decoder.go
+++ b/internal/embeddings/decoder.go
@@ -59,7 +59,8 @@
 	return nil
 }
 
-// openEncoding returns a reader that decodes a source. Any encoding but gzip is taken as zstd.
+// openEncoding returns a reader that decodes a source. It takes any encoding but gzip as zstd; NewRequest's caller has
+// rejected all others.
 func openEncoding(encoding string, source io.Reader) (io.Reader, error) {
 	if encoding == "gzip" {
 		return gzip.NewReader(source)
--- a/internal/embeddings/golden_test.go
+++ b/internal/embeddings/golden_test.go
@@ -117,14 +117,15 @@
 	for _, c := range bodies {
 		fmt.Fprintf(&out, "== %s\n", c.name)
 		var whole, pieces bytes.Buffer
-		req, p := parse(c.kind, "", c.body, len(c.body), &whole)
-		_, q := parse(c.kind, "", c.body, 1, &pieces)
-		if whole.String() != pieces.String() || fmt.Sprint(p) != fmt.Sprint(q) {
-			t.Errorf("%s: parsed as %q (%v), byte by byte as %q (%v)", c.name, whole.String(), p, pieces.String(), q)
+		req, problem := parse(c.kind, "", c.body, len(c.body), &whole)
+		_, piecesProblem := parse(c.kind, "", c.body, 1, &pieces)
+		if whole.String() != pieces.String() || fmt.Sprint(problem) != fmt.Sprint(piecesProblem) {
+			t.Errorf("%s: parsed as %q (%v), byte by byte as %q (%v)",
+				c.name, whole.String(), problem, pieces.String(), piecesProblem)
 		}
 		out.Write(whole.Bytes())
-		if p != nil {
-			fmt.Fprintf(&out, "%d %s\n", p.Status, p.Body())
+		if problem != nil {
+			fmt.Fprintf(&out, "%d %s\n", problem.Status, problem.Body())
 			continue
 		}
 		var all []int
--- a/internal/embeddings/inputs.go
+++ b/internal/embeddings/inputs.go
@@ -17,7 +17,7 @@
 const (
 	// bytesPerToken is used to estimate the tokens of a text; endpoints count the exact number.
 	bytesPerToken = 4
-	// One value of a body may have maxBytesPerToken for each token that an input may have, and maxValueOverhead more.
+	// A value of a body may have maxBytesPerToken bytes for each token of the longest input, and maxValueOverhead more.
 	maxBytesPerToken = 16
 	maxValueOverhead = 1024 // bytes
 )
@@ -136,8 +136,8 @@
 		path, tokens, r.limits.MaxInputTokens)
 }
 
-// storeText stores a document's text if it may have to be returned. The member that asks for the texts may come after
-// the documents.
+// storeText stores a document's text if it may have to be returned. Until Handler.Begin is called, that is any text,
+// because return_documents may come after the documents.
 func (r *Request) storeText(text string) {
 	if len(r.Texts) == len(r.Inputs) && (!r.begun || r.ReturnDocuments) {
 		r.Texts = append(r.Texts, text)
--- a/internal/embeddings/members.go
+++ b/internal/embeddings/members.go
@@ -62,7 +62,8 @@
 	return false
 }
 
-// allowedAfterBegin reports whether a member may come after parts were sent, because it does not change them.
+// allowedAfterBegin reports whether a member may come after Handler.Begin was called, because it does not change the
+// parts that are sent.
 func allowedAfterBegin(name string) bool {
 	switch name {
 	case "user", "top_n", "encoding_format":
--- a/internal/embeddings/part.go
+++ b/internal/embeddings/part.go
@@ -45,14 +45,14 @@
 	}
 	p := partParser{kind: r.Kind, dimensions: dimensions, seen: make([]bool, inputs)}
 	p.result.Tokens = int(gjson.GetBytes(body, "usage.prompt_tokens").Int())
-	list := "data"
+	resultsMember := "data"
 	if r.Kind == Rerank {
-		list = "results"
+		resultsMember = "results"
 		p.result.Scores = make([]float64, inputs)
 	} else {
 		p.result.Vectors = make([][]byte, inputs)
 	}
-	if err := p.readAll(gjson.GetBytes(body, list)); err != nil {
+	if err := p.readAll(gjson.GetBytes(body, resultsMember)); err != nil {
 		return PartResult{}, err
 	}
 	return p.result, nil
--- a/internal/embeddings/request.go
+++ b/internal/embeddings/request.go
@@ -3,8 +3,9 @@
 //
 // A Request reads a body as it arrives and owns its inputs, each until the part of the call with that input has
 // completed; an Answer encodes the vectors or scores of all parts as one response body. The package relies on package
-// frontend for the connections of clients and for their error objects, and on its Handler for the processing of the
-// inputs. It does no I/O. Package batch decides how a call is split into parts, and the scheduler where a part runs.
+// frontend for the connections of clients and for their error objects, and on the Handler that each Request is given
+// for the processing of the inputs. It does no I/O. Package batch decides how a call is split into parts, and the
+// scheduler where a part runs.
 package embeddings
 
 import (
@@ -83,7 +84,8 @@
 	finished   bool // the whole body has been decoded and read
 }
 
-// NewRequest returns a request whose body has a content encoding, "" for none.
+// NewRequest returns a request whose body is still to arrive. The content encoding of the body is gzip, zstd, identity
+// or empty.
 func NewRequest(
 	kind Kind, encoding string, limits Limits, handler Handler, response *frontend.Response,
 ) *Request {
@@ -128,8 +130,8 @@
 	}
 }
 
-// DiscardInput frees the memory of an input that has its result. If enough of the buffer is free then, the request
-// reads on in the body; the returned problem is one that the request found there.
+// DiscardInput frees the memory of an input that has its result. If at most half of the buffer is used afterwards, the
+// request continues to read the body. It returns a problem that it finds in the part of the body that it reads then.
 func (r *Request) DiscardInput(i int) *frontend.Problem {
 	input := &r.Inputs[i]
 	r.BufferedBytes -= len(input.Raw)
@@ -190,7 +192,7 @@
 	return r.handler.Begin()
 }
 
-// decode reads on in an encoded body until the buffer for inputs is full or the body ends.
+// decode continues to decode and read an encoded body until the buffer for inputs is full or the body ends.
 func (r *Request) decode() *frontend.Problem {
 	if problem := r.decoder.open(); problem != nil {
 		return problem
--- a/internal/embeddings/scanner.go
+++ b/internal/embeddings/scanner.go
@@ -51,7 +51,7 @@
 
 const (
 	noValue    valueKind = iota
-	arrayStart           // a streamed array has begun, and no element of it yet
+	arrayStart           // a streamed array has begun, but none of its elements has
 	stringValue
 	compositeValue // an object or an array
 	scalarValue    // a number, true, false or null
--- a/internal/vectors/cache.go
+++ b/internal/vectors/cache.go
@@ -1,6 +1,7 @@
 // Package vectors caches computed embedding vectors in bounded memory. It is designed for many values of one size, with
 // digests as keys: values are stored contiguously in pages, an open-addressing hash table of indices finds them, and
-// the SIEVE algorithm evicts them, with one flag for each value. The garbage collector has few pointers to follow.
+// the SIEVE algorithm evicts them, with one flag for each value. This layout leaves the garbage collector few pointers
+// to follow.
 //
 // A Cache owns its memory. It may exceed its limit by the page that is being filled, and by what the hash table and the
 // other index slices reserve when they grow, which matters only for small values. It has no lock and must be used from
@@ -34,7 +35,7 @@
 	freeSlots []int32
 	table     []int32 // slot+1 of each entry, or 0 for an empty entry
 
-	// Indexed by slot.
+	// These slices are indexed by slot, the position of a value in the pages.
 	keys    []Key
 	visited []bool  // whether the value was read since the hand last passed it
 	newer   []int32 // the slot that was inserted next, or noSlot
@@ -42,7 +43,7 @@
 
 	oldest int32
 	newest int32
-	hand   int32
+	hand   int32 // the slot at which the next eviction begins; noSlot: at the oldest
 }
 
 // New returns a cache for values of valueSize bytes. Its capacity is as many values as fit into maxBytes, with
--- a/scripts/docscheck/docs_test.go
+++ b/scripts/docscheck/docs_test.go
@@ -35,13 +35,15 @@
 
 // codeIndex has the names that the Go files of the repository declare.
 type codeIndex struct {
-	files map[string]map[string]bool // the names and Type.Member names of each file, by its path
-	names map[string]bool            // the names of all files, with and without their package before them, and packages
+	// files has the names and Type.Member names of each file, by its path.
+	files map[string]map[string]bool
+	// names has the names of all files, each with and without its package's name before it, and the packages' names.
+	names map[string]bool
 }
 
 // TestCitedCodeExists checks that the files and names that the pages cite exist.
 func TestCitedCodeExists(t *testing.T) {
-	declared := readCode(t)
+	index := readCode(t)
 	for _, page := range checkedPages {
 		text, err := os.ReadFile(filepath.Join(root, "docs", page))
 		if err != nil {
@@ -51,7 +53,7 @@
 		codeColumn := -1
 		for number, line := range strings.Split(string(text), "\n") {
 			codeColumn = findCodeColumn(line, codeColumn)
-			for _, missing := range append(declared.missingIn(line), declared.missingInCell(line, codeColumn)...) {
+			for _, missing := range append(index.missingIn(line), index.missingInCell(line, codeColumn)...) {
 				t.Errorf("docs/%s:%d: `%s` is not in the code", page, number+1, missing)
 			}
 		}
@@ -60,23 +62,23 @@
 
 // TestMissingCitationsAreFound checks that a citation of something that doesn't exist is found, in each form.
 func TestMissingCitationsAreFound(t *testing.T) {
-	declared := readCode(t)
+	index := readCode(t)
 	for _, line := range []string{
 		"`internal/nowhere.go`", "`scripts/docscheck/docs_test.go:absent`", "`internal/nowhere`", "`TestOfNothing`",
 		"`docscheck.absent`", "`absentName`", "`docs_test.go` `absent`", "`Absent.member`",
 	} {
-		if len(declared.missingIn(line)) == 0 {
+		if len(index.missingIn(line)) == 0 {
 			t.Errorf("%s is not reported as missing", line)
 		}
 	}
-	if len(declared.missingInCell("| text | `Absentname` |", 2)) == 0 {
+	if len(index.missingInCell("| text | `Absentname` |", 2)) == 0 {
 		t.Error("a missing name in a column of code is not reported")
 	}
 	for _, line := range []string{
 		"`scripts/docscheck/docs_test.go:codeIndex.missingIn`", "`docscheck.readCode`", "`codeIndex.files`",
 		"`docs/platform.md`",
 	} {
-		if missing := declared.missingIn(line); len(missing) > 0 {
+		if missing := index.missingIn(line); len(missing) > 0 {
 			t.Errorf("%s is reported as missing: %v", line, missing)
 		}
 	}
@@ -145,10 +147,10 @@
 	return true
 }
 
-// declares reports whether any of the files that match a path declares a name.
-func (c *codeIndex) declares(path, declared string) bool {
+// declares reports whether any of the files that match a path declares the name.
+func (c *codeIndex) declares(path, name string) bool {
 	for _, file := range c.filesMatching(path) {
-		if c.files[file][declared] {
+		if c.files[file][name] {
 			return true
 		}
 	}
@@ -190,9 +192,9 @@
 		names := declaredNames(parsed)
 		c.files[filepath.ToSlash(relative)] = names
 		c.names[parsed.Name.Name] = true
-		for declared := range names {
-			c.names[declared] = true
-			c.names[parsed.Name.Name+"."+declared] = true
+		for name := range names {
+			c.names[name] = true
+			c.names[parsed.Name.Name+"."+name] = true
 		}
 		return nil
 	})
--- a/scripts/docscheck/oncall_test.go
+++ b/scripts/docscheck/oncall_test.go
@@ -49,8 +49,7 @@
 	}
 }
 
-// warningMessage returns the message of a call such as log.Warn()...Msg("message"). The level may also be Error or
-// Fatal.
+// warningMessage returns the message of a call such as log.Warn()...Msg("message") with the level Warn, Error or Fatal.
 func warningMessage(node ast.Node) (message string, isWarning bool) {
 	call, receiver, name := methodCall(node)
 	if name != "Msg" || len(call.Args) != 1 {
--- a/scripts/readability/main.go
+++ b/scripts/readability/main.go
@@ -20,7 +20,7 @@
 	"unicode"
 )
 
-const maxLine = 120
+const maxLine = 120 // characters
 
 // withdrawnWords are the words that the project replaces by standard technical terms. They are matched as whole words
 // in comments and as parts of identifiers.
@@ -49,9 +49,9 @@
 	fmt.Println("| package | largest file | longest function | lines over 120 | withdrawn words |")
 	fmt.Println("| --- | --- | --- | --- | --- |")
 	for _, name := range sortedKeys(packages) {
-		f := packages[name]
-		fmt.Printf("| `%s` | %s %d | %s %d | %d | %d |\n", name, f.largestFile, f.fileLines, f.longestFunction,
-			f.functionLines, f.longLines, f.withdrawnWords)
+		p := packages[name]
+		fmt.Printf("| `%s` | %s %d | %s %d | %d | %d |\n", name, p.largestFile, p.fileLines, p.longestFunction,
+			p.functionLines, p.longLines, p.withdrawnWords)
 	}
 }
 
@@ -159,8 +159,8 @@
 	return count
 }
 
-// splitIdentifier splits an identifier before each capital letter that follows another character than a capital letter.
-// It splits only the last of these parts at digits and underscores too.
+// splitIdentifier splits an identifier before each capital letter that does not follow a capital letter. Of the parts,
+// only the last is also split at digits and underscores.
 func splitIdentifier(name string) []string {
 	var parts []string
 	start := 0
