--- a/internal/embeddings/decoder.go
+++ b/internal/embeddings/decoder.go
@@ -23,7 +23,7 @@
 type decoder struct {
 	encoding     string
 	encoded      []byte
-	decoded      io.Reader // nil: decoding has not begun
+	decoded      io.Reader // nil before open and after close
 	decodedBytes int
 	buffer       []byte
 }
@@ -59,7 +59,8 @@
 	return nil
 }
 
-// openEncoding returns a reader that decodes a source. Any encoding but gzip is taken as zstd.
+// openEncoding returns a reader that decodes a source. It takes any encoding but gzip as zstd; NewRequest's caller has
+// rejected all others.
 func openEncoding(encoding string, source io.Reader) (io.Reader, error) {
 	if encoding == "gzip" {
 		return gzip.NewReader(source)
--- a/internal/embeddings/scanner.go
+++ b/internal/embeddings/scanner.go
@@ -51,7 +51,7 @@
 
 const (
 	noValue    valueKind = iota
-	arrayStart           // a streamed array has begun, and no element of it yet
+	arrayStart           // a streamed array has begun, but none of its elements has
 	stringValue
 	compositeValue // an object or an array
 	scalarValue    // a number, true, false or null
@@ -76,7 +76,7 @@
 	return nil
 }
 
-// scanByte parses one byte that is not part of a value.
+// scanByte parses one byte that is outside of a value, or the first byte of one.
 func (s *scanner) scanByte(char byte) *frontend.Problem {
 	if s.state != inName && isSpace(char) {
 		return nil
