--- a/internal/cli/cachefile.go
+++ b/internal/cli/cachefile.go
@@ -14,7 +14,8 @@
 )
 
 // cacheFile stores the newest content that it was given in one small file. It replaces the file atomically, and from
-// its own goroutine, so that a stalled disk does not block the event loop. It retries a failed write until it succeeds.
+// its own goroutine, so that a stalled disk does not block the event loop. It retries a failed write until it succeeds
+// or Close is called.
 type cacheFile struct {
 	cacheOptions
 	path    string
--- a/internal/cli/serve.go
+++ b/internal/cli/serve.go
@@ -122,7 +122,7 @@
 	log         zerolog.Logger
 }
 
-// start starts a dispatcher and listens for clients. The secret is empty if no admin service is followed.
+// start starts a dispatcher and listens for clients. The secret is nil if none is configured.
 func (c *serveCommand) start(log zerolog.Logger, dep deployment.Deployment, secret []byte) (*dispatcherProcess, error) {
 	loop, err := sockets.Start()
 	if err != nil {
--- a/internal/store/recovery.go
+++ b/internal/store/recovery.go
@@ -33,8 +33,8 @@
 }
 
 // Open recovers the store from the files on a disk. It truncates an incomplete record at the very end of the log: the
-// process died while it wrote the record, which was never acknowledged. For any other damage Open returns a
-// *CorruptError and changes no file.
+// process died while it wrote the record, which was never acknowledged. It can't distinguish a damaged last record from
+// an incomplete one and truncates it too. For any other damage Open returns a *CorruptError and changes no file.
 func Open(disk Disk, limits Limits) (*Store, error) {
 	s := &Store{disk: disk, limits: limits}
 	names, err := disk.List()
@@ -176,7 +176,7 @@
 }
 
 // hasLaterRecord reports whether data contains a complete later record behind an unreadable one at its beginning. The
-// unreadable one is then corrupt and not merely incomplete, because the records behind it were acknowledged.
+// unreadable one is then corrupt and not merely incomplete, because an incomplete record is always the last one.
 func (s *Store) hasLaterRecord(data []byte) bool {
 	for offset := 1; offset+recordHeaderBytes <= len(data); offset++ {
 		payload, _, ok := readRecord(data[offset:])
--- a/internal/store/store.go
+++ b/internal/store/store.go
@@ -8,8 +8,8 @@
 // A Store is a state machine on top of a Disk and has no clock or goroutines of its own. All calls to it and all
 // callbacks of the disk must run on the same event loop. Files is the Disk for a folder of the file system.
 //
-// A store never writes again to a log segment after a write to it has failed, never changes files that it can't read,
-// and never applies part of a transaction.
+// A store never writes again to a log segment after a write to it has failed, and never applies part of a transaction.
+// It changes no file that it can't read, except that Open truncates an incomplete record at the end of the log.
 package store
 
 import (
@@ -22,10 +22,10 @@
 	MaxKeys           int // a write that would exceed it is rejected
 	MaxBytes          int // of keys and values together; a write that would exceed it is rejected
 	SegmentBytes      int // size of a log segment at which the next append begins a new one
-	CompactAfterBytes int // size of the log since the last snapshot at which a new snapshot is written
+	CompactAfterBytes int // the store starts no snapshot by itself before the log since the last one has this size
 }
 
-// DefaultLimits are suitable for the records that a dispatcher itself stores.
+// DefaultLimits are suitable for the records that a dispatcher or the admin service stores.
 var DefaultLimits = Limits{MaxKeys: 2_000_000, MaxBytes: 512 << 20, SegmentBytes: 8 << 20, CompactAfterBytes: 16 << 20}
 
 // Errors that callers test with errors.Is.
--- a/internal/store/transaction.go
+++ b/internal/store/transaction.go
@@ -113,7 +113,7 @@
 	s.Stats.UserBytes += len(op.Key) + len(op.Value)
 }
 
-// applyOp applies a change to the index only.
+// applyOp applies a change to the index and to usedBytes. It does not record how to undo it.
 func (s *Store) applyOp(op Op) {
 	if op.Value == nil {
 		s.delete(op.Key)
