--- a/internal/cli/batches.go
+++ b/internal/cli/batches.go
@@ -71,7 +71,7 @@
 	return float64(r.withinSLO) / float64(max(r.requests, 1))
 }
 
-// Run runs chat beside a flood of batches, once with no batches and then with adaptive and fixed limits, and compares.
+// Run runs chat alone, and then beside a flood of batches with adaptive and with fixed limits. It compares the results.
 func (c *batchesCommand) Run(env *environment) error {
 	if c.Rate < 0 || c.ConcurrentCalls < 1 || c.Inputs < 1 || c.Tokens < 8 || c.Seconds < 1 || c.Seeds < 1 {
 		return errors.New("batches: a flag is below its minimum")
@@ -144,7 +144,7 @@
 	return strconv.Itoa(limit)
 }
 
-// tokensPerSecond returns the batch tokens that were prefilled in each second of the runs, on average.
+// tokensPerSecond returns the average number of batch tokens that were prefilled in each second of the runs.
 func (c *batchesCommand) tokensPerSecond(result *batchResult) float64 {
 	return float64(result.tokens) / float64(c.Seconds*c.Seeds)
 }
--- a/internal/cli/bench_client.go
+++ b/internal/cli/bench_client.go
@@ -23,7 +23,7 @@
 	model        string
 	id           string
 	maxTokens    int
-	headers      []string // alternates between names and values
+	headers      []string // alternating names and values
 	onFirstToken func()
 	onToken      func()
 	onEnd        func(ok bool)
--- a/internal/cli/bench_streams.go
+++ b/internal/cli/bench_streams.go
@@ -17,8 +17,8 @@
 	streamsPerBatch           = 10      // streams that are opened at once
 	openInterval              = 10 * eventloop.Millisecond
 	streamsStartTimeout       = 40 * time.Second
-	settleTime                = 2 * time.Second
-	stallTimeoutMs            = 600_000 // long enough that the dispatcher never disconnects a stalled client
+	settleTime                = 2 * time.Second // between the start of the streams and the measurement
+	stallTimeoutMs            = 600_000         // long enough that the dispatcher never disconnects a stalled client
 )
 
 // streamLoad describes the streams that are open at once and the tokens that they carry.
@@ -38,8 +38,8 @@
 	bytesPerStream            float64 // of the dispatcher's resident memory
 }
 
-// compareStreams measures few and many open streams, of this build and of another if one is given, and then streams
-// some of whose clients stop reading.
+// compareStreams measures few and many open streams through this build, and through another build if one is given. It
+// then measures streams through this build while some of their clients stop reading.
 func (c *benchCommand) compareStreams(ctx context.Context, env *environment) error {
 	binary, err := c.binary()
 	if err != nil {
--- a/internal/cli/cachefile_test.go
+++ b/internal/cli/cachefile_test.go
@@ -8,8 +8,9 @@
 	"time"
 )
 
-// A write stalls, as on a hanging disk, and later writes fail. Put must not block the event loop meanwhile, the newest
-// content must be written once writes succeed again, and the previous content must not be lost in between.
+// TestCacheFilesOnFailingDiskNeverBlockNorLoseContent simulates a write that stalls, as on a hanging disk, and later
+// writes that fail. Put must not block the event loop meanwhile. The newest content must be written once writes succeed
+// again, and the previous content must not be lost in between.
 func TestCacheFilesOnFailingDiskNeverBlockNorLoseContent(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "list")
 	if err := syscall.Mkfifo(path+".part", 0o600); err != nil { // opening a pipe for writing blocks until it has a reader
--- a/internal/cli/descriptors_test.go
+++ b/internal/cli/descriptors_test.go
@@ -11,10 +11,10 @@
 	"plumspindle/internal/testbed/scenarios"
 )
 
-// A dispatcher process runs out of file descriptors while requests are prefilled, migrated and decoded, and silent
-// clients occupy every descriptor that it releases. Requests in flight must continue, new ones must be rejected, no
-// prompt state may stay pinned on an endpoint, and once descriptors are free again service must return without a
-// restart. The audit judges the run by what clients and endpoints saw.
+// TestScenarioWithoutFreeDescriptors lets a dispatcher process run out of file descriptors while requests are
+// prefilled, migrated and decoded. Silent clients occupy every descriptor that it releases. Requests in flight must
+// continue, new ones must be rejected, and no prompt state may stay pinned on an endpoint. Once descriptors are free
+// again, service must return without a restart. The audit judges the run by what clients and endpoints saw.
 func TestScenarioWithoutFreeDescriptors(t *testing.T) {
 	const (
 		begin, duration = 2500 * time.Millisecond, 3 * time.Second // of the descriptor shortage
--- a/internal/cli/fairness.go
+++ b/internal/cli/fairness.go
@@ -25,7 +25,7 @@
 	Plot         string    `type:"path" help:"File, .svg or .png, for a plot of the other tenants' time to first token."`
 }
 
-// fairnessResult is the service that the two tenants that do not flood got, over all seeds.
+// fairnessResult combines the results of the two tenants that do not flood, over all seeds.
 type fairnessResult struct {
 	requests, withinSLO int
 	firstToken          *hdrhistogram.Histogram
--- a/internal/cli/logs_test.go
+++ b/internal/cli/logs_test.go
@@ -16,8 +16,9 @@
 	"golang.org/x/sys/unix"
 )
 
-// A dispatcher must continue to serve, and shut down gracefully, when the reader of its logs stops reading or goes
-// away. Without the log writer a full pipe would block it, and SIGPIPE would kill it.
+// TestDispatcherServesWhenNobodyReadsItsLogs checks that a dispatcher continues to serve, and shuts down gracefully,
+// when the reader of its logs stops reading or goes away. Without the log writer a full pipe would block the
+// dispatcher, and SIGPIPE would kill it.
 func TestDispatcherServesWhenNobodyReadsItsLogs(t *testing.T) {
 	listen := freeAddress(t)
 	path := filepath.Join(t.TempDir(), "config.json")
--- a/internal/cli/parallel.go
+++ b/internal/cli/parallel.go
@@ -38,8 +38,8 @@
 
 func (r seedRange) count() int64 { return r.last - r.first + 1 }
 
-// forEach runs a job for each seed, at most workers of them at once, or one for each processor if workers is 0. After
-// an error, or once ctx ends, it starts no further job.
+// forEach runs a job for each seed, with at most workers jobs at once. If workers is 0, the number of processors is the
+// limit. After an error, or once ctx ends, it starts no further job.
 func (r seedRange) forEach(ctx context.Context, workers int, job func(seed int64) error) error {
 	if workers <= 0 {
 		workers = runtime.NumCPU()
--- a/internal/cli/program_test.go
+++ b/internal/cli/program_test.go
@@ -44,7 +44,7 @@
 	return m.Run()
 }
 
-// waitUntil polls until a condition holds, such as one on another process, and fails the test after timeout.
+// waitUntil polls until a condition holds, for example one on another process. It fails the test after timeout.
 func waitUntil(t *testing.T, timeout time.Duration, what string, condition func() bool) {
 	t.Helper()
 	ctx, cancel := context.WithTimeout(context.Background(), timeout)
@@ -88,8 +88,8 @@
 			openai.SystemMessage("You review."), openai.UserMessage("Is it good?")}}
 }
 
-// The official OpenAI client library can chat with and without streaming, list models and embed, and it receives errors
-// of the right type.
+// TestOfficialClientChatsStreamsEmbedsAndGetsTypedErrors checks that the official OpenAI client library can chat with
+// and without streaming, list models and embed, and that it receives errors of the right type.
 func TestOfficialClientChatsStreamsEmbedsAndGetsTypedErrors(t *testing.T) {
 	ready := startUp(t)
 	ctx, cancel := context.WithTimeout(context.Background(), 30*time.Second)
@@ -183,7 +183,8 @@
 	}
 }
 
-// Thousands of clients connect at once. Each must be answered, and so must a client that connects after them.
+// TestFiveThousandClientsAtOnceAreAllAnswered lets thousands of clients connect at once. Each must be answered, and so
+// must a client that connects after them.
 func TestFiveThousandClientsAtOnceAreAllAnswered(t *testing.T) {
 	ready := startUp(t)
 	address := strings.TrimPrefix(ready.API, "http://")
@@ -237,8 +238,9 @@
 	return string(head[statusAt:]), nil
 }
 
-// A short scenario over sockets, with a dispatcher killed, an endpoint crashed and another drained, passes its audit,
-// and so does a second audit of its record. A scenario that does not exist is an error.
+// TestScenarioOverSocketsPassesAudit checks that a short scenario over sockets, with a dispatcher killed, an endpoint
+// crashed and another drained, passes its audit, and that a second audit of its record passes too. A scenario that does
+// not exist must be an error.
 func TestScenarioOverSocketsPassesAudit(t *testing.T) {
 	dir := t.TempDir()
 	script := filepath.Join(dir, "short.textproto")
@@ -263,7 +265,7 @@
 	}
 }
 
-// Commands with bad arguments must fail with a message, and must not panic.
+// TestBadArgumentsFailWithMessage checks that commands with bad arguments fail with a message and don't panic.
 func TestBadArgumentsFailWithMessage(t *testing.T) {
 	for _, args := range [][]string{
 		{"serve"},
--- a/internal/cli/restarts.go
+++ b/internal/cli/restarts.go
@@ -28,7 +28,7 @@
 
 const (
 	plottedReplacedShare = 0.2 // restarts with this share of replaced endpoints are plotted
-	initialSeconds       = 5   // whose results are printed beside those of the whole run
+	initialSeconds       = 5   // the results of these first seconds are printed beside those of the whole run
 	fleetSizeFactor      = 3   // size of the fleet relative to the standard deployment
 )
 
@@ -65,7 +65,8 @@
 	return points
 }
 
-// Run restarts all dispatchers at once in virtual time, with discovery up and with discovery down, and compares.
+// Run restarts all dispatchers at once in virtual time, with discovery up and with discovery down. It compares the
+// results.
 func (c *restartsCommand) Run(env *environment) error {
 	if c.Seconds < 1 || c.Seeds < 1 || c.Dispatchers < 1 || c.Rate <= 0 {
 		return errors.New("restarts: --for, --seeds, --dispatchers and --rate must be above 0")
--- a/internal/cli/scenario.go
+++ b/internal/cli/scenario.go
@@ -64,8 +64,8 @@
 	return printVerdict(env, outcome.Verdict, err)
 }
 
-// printVerdict prints a verdict, if there is one. It returns err if that is not nil, or errRuleViolated if the verdict
-// is not passed.
+// printVerdict prints a verdict, if there is one. It returns err if that is not nil, or errRuleViolated if the run did
+// not pass its audit.
 func printVerdict(env *environment, verdict *audit.Verdict, err error) error {
 	if verdict != nil {
 		env.print(verdict.Text())
--- a/internal/cli/serve.go
+++ b/internal/cli/serve.go
@@ -24,7 +24,7 @@
 )
 
 const (
-	maxDescriptors       = 1 << 20 // upper bound on the descriptor limit that a dispatcher is configured with
+	maxDescriptors       = 1 << 20 // a dispatcher's descriptor limit is the process's, but at most this number
 	randomNameCount      = 1 << 40 // number of different random dispatcher names
 	randomNameBase       = 36
 	localShutdownTimeout = 30 * time.Second // for a dispatcher that runs in one process with its endpoints
--- a/internal/cli/sim.go
+++ b/internal/cli/sim.go
@@ -63,7 +63,7 @@
 	return scenarios.ReadScript(filepath.Base(s.Scenario), text)
 }
 
-// findMutant returns the mutant with a name or number, or nil for an empty string.
+// findMutant returns the mutant with the given name or number, or nil for an empty string.
 func findMutant(nameOrNumber string) (*scenarios.Mutant, error) {
 	if nameOrNumber == "" {
 		return nil, nil
@@ -103,7 +103,7 @@
 }
 
 // concurrentFaultPairs returns the pairs of kinds of faults that begin within a second of each other, without
-// duplicates.
+// duplicates. The faults of the script must be sorted by their times, as faultsearch.Draw returns them.
 func concurrentFaultPairs(script *pb.Day) (pairs []string) {
 	const maxGapMs = 1000
 	for i, first := range script.Troubles {
--- a/internal/cli/sim_mutants.go
+++ b/internal/cli/sim_mutants.go
@@ -15,7 +15,7 @@
 }
 
 // detection is the lowest seed whose scenario detects a mutant, and the failure that shows it. The seed is 0 if no
-// scenario does.
+// scenario detects the mutant.
 type detection struct {
 	seed    int64
 	failure string
--- a/internal/cli/sim_replay.go
+++ b/internal/cli/sim_replay.go
@@ -29,8 +29,8 @@
 	}
 	env.print(scriptText(script), outcome.Verdict.Text())
 	env.printf("%d steps, all that happened: %016x\n", outcome.Steps, outcome.TraceHash)
-	for _, fault := range outcome.Failures {
-		env.print(fault, "\n")
+	for _, failure := range outcome.Failures {
+		env.print(failure, "\n")
 	}
 	if len(outcome.Failures) > 0 {
 		return errRuleViolated
@@ -38,7 +38,8 @@
 	return nil
 }
 
-// printEvents prints the events of the request or endpoint that --trace names, and all injected faults.
+// printEvents prints the events of the request or endpoint that --trace names, all injected faults and all kills of
+// dispatchers.
 func (c *simReplay) printEvents(env *environment, events []record.Event) {
 	if len(events) == 0 {
 		return
--- a/internal/cli/sim_run.go
+++ b/internal/cli/sim_run.go
@@ -29,7 +29,7 @@
 	scriptFileSuffix = ".day.textproto"
 )
 
-// pairCount counts the scenarios that ran, and those that failed, with two kinds of faults beginning close together.
+// pairCount counts the scenarios in which a pair of faults began within a second of each other, and those that failed.
 type pairCount struct{ run, failed int }
 
 // simTotals holds the totals of all scenarios of a search. mu guards them while scenarios run.
@@ -83,8 +83,8 @@
 	return nil
 }
 
-// runSeed runs the scenario of a seed. With --twice it runs it again, and a difference between the two traces is a
-// fault.
+// runSeed runs the scenario of a seed. With --twice it runs the scenario again, and different trace hashes count as a
+// failure.
 func (c *simRun) runSeed(seed int64) (*faultsearch.Outcome, error) {
 	script := faultsearch.Draw(seed, faultsearch.Size{Seconds: c.Seconds, Rate: c.Rate})
 	outcome, err := faultsearch.Run(script, nil)
--- a/internal/endpointcache/endpointcache.go
+++ b/internal/endpointcache/endpointcache.go
@@ -24,8 +24,8 @@
 	batchInterval = 700 * millisecond // between two batches of an old list
 	batchCount    = 4
 
-	// suspiciousMissingShare is the share of the ready endpoints above which their absence from a complete list is
-	// suspicious, so that their removal is delayed.
+	// suspiciousMissingShare is a share of the ready endpoints. If more of them are missing from a complete list, the
+	// list may be wrong, and their removal is delayed.
 	suspiciousMissingShare = 0.5
 	// removalDelayShare is the delay of a suspicious removal as a share of the drain grace.
 	removalDelayShare = 0.6
@@ -76,9 +76,9 @@
 	Endpoints []Endpoint
 }
 
-// Plan divides a cached list into batches. The batches of an old list each contain a share of every group, so that
-// prefill and decode endpoints are available from the first batch on. Endpoints that no longer exist cause failed
-// connections, which the batches spread over time.
+// Plan divides a cached list into batches: one for a fresh or stale list, several for an old one. Each batch of an old
+// list contains a share of every group, so that prefill and decode endpoints are available from the first batch on.
+// Endpoints that no longer exist cause failed connections, which the batches spread over time.
 func Plan(now Micros, freshness Freshness, endpoints []Endpoint) []Batch {
 	if freshness == Fresh {
 		return []Batch{{Endpoints: endpoints}}
--- a/internal/endpoints/view.go
+++ b/internal/endpoints/view.go
@@ -10,7 +10,7 @@
 	"plumspindle/scheduler"
 )
 
-// View is the list of endpoints at the version known. The zero value is an empty list without a version.
+// View is the list of endpoints at the known version. The zero value is an empty list without a version.
 type View struct {
 	Epoch     string
 	Version   uint64
@@ -53,8 +53,8 @@
 	return update.Endpoints, update.Complete, nil
 }
 
-// isOutdated reports whether an update was already applied or is older than the version known. A complete list of the
-// version known is not outdated and is applied again.
+// isOutdated reports whether an update was already applied or is older than the known version. A complete list of the
+// known version is not outdated and is applied again.
 func (v *View) isOutdated(update *Update) bool {
 	if update.Epoch != v.Epoch {
 		return false
--- a/internal/endpoints/watcher.go
+++ b/internal/endpoints/watcher.go
@@ -44,7 +44,7 @@
 	return w
 }
 
-// requestTarget asks for what has changed since the version known.
+// requestTarget returns the target of a request for the changes since the known version.
 func (w *Watcher) requestTarget() string {
 	return "/v1/hosts/watch?epoch=" + w.Epoch + "&since=" + strconv.FormatUint(w.Version, 10)
 }
--- a/internal/store/bench_test.go
+++ b/internal/store/bench_test.go
@@ -91,9 +91,9 @@
 }
 
 const (
-	indexKeys     = 200_000
-	scanPrefix    = 4 // characters
-	snapshotEvery = 1000
+	indexKeys        = 200_000
+	scanPrefixLength = 4    // characters
+	snapshotEvery    = 1000 // calls of Set
 )
 
 type treeItem struct {
@@ -161,12 +161,12 @@
 	}
 	b.Run("blocks", func(b *testing.B) {
 		for i := 0; b.Loop(); i++ {
-			index.Scan(keys[i%indexKeys][:scanPrefix], func(string, []byte) bool { return true })
+			index.Scan(keys[i%indexKeys][:scanPrefixLength], func(string, []byte) bool { return true })
 		}
 	})
 	b.Run("map", func(b *testing.B) {
 		for i := 0; b.Loop(); i++ {
-			prefix := keys[i%indexKeys][:scanPrefix]
+			prefix := keys[i%indexKeys][:scanPrefixLength]
 			var found []string
 			for key := range plain {
 				if strings.HasPrefix(key, prefix) {
@@ -178,7 +178,7 @@
 	})
 	b.Run("btree", func(b *testing.B) {
 		for i := 0; b.Loop(); i++ {
-			prefix := keys[i%indexKeys][:scanPrefix]
+			prefix := keys[i%indexKeys][:scanPrefixLength]
 			tree.AscendGreaterOrEqual(treeItem{key: prefix}, func(item treeItem) bool {
 				return strings.HasPrefix(item.key, prefix)
 			})
--- a/internal/store/files.go
+++ b/internal/store/files.go
@@ -90,7 +90,7 @@
 	return operations
 }
 
-// enqueue queues an operation, whose result the goroutine posts to done on the event loop.
+// enqueue queues an operation for the goroutine. Once it has been executed, done gets its result on the event loop.
 func (f *Files) enqueue(operation func() error, done func(error)) {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
--- a/internal/store/history_test.go
+++ b/internal/store/history_test.go
@@ -30,9 +30,9 @@
 // historyStep is an operation of a client: a read of all keys, or a transaction.
 type historyStep struct {
 	reads    bool
-	compared int // the key that must have the value expected; noCondition for none
+	compared int // index of the key whose value must equal expected; noCondition for none
 	expected string
-	sets     map[int]string // new values by key; an empty value deletes the key
+	sets     map[int]string // new values by index of the key; an empty value deletes the key
 }
 
 // outcome is the result of a step as its client sees it.
@@ -67,8 +67,8 @@
 	},
 }).ToModel()
 
-// crash returns the disk after a power cut. It contains all operations whose success was reported, and the others up to
-// a random byte. before is the content of the disk when it was opened.
+// crash returns the disk after a power cut. It contains all operations whose success was reported, a random number of
+// the later ones, and the next one up to a random byte. before is the content of the disk when it was opened.
 func (m *memoryDisk) crash(before map[string][]byte, random *rand.Rand) *memoryDisk {
 	crashed := diskWith(before)
 	complete := m.succeeded + random.Intn(len(m.history)-m.succeeded+1)
--- a/internal/store/index.go
+++ b/internal/store/index.go
@@ -13,16 +13,20 @@
 // Index is an ordered map with cheap copy-on-write snapshots. It holds its keys in order, in a sequence of blocks. A
 // snapshot shares the blocks with its index, which copies a shared block before it changes it.
 type Index struct {
-	blocks       []*block
-	size         int
-	version      uint64 // number of snapshots taken; blocks up to this version are shared; MaxUint64 in a snapshot
-	sharedBlocks bool   // the slice blocks itself is shared with a snapshot
+	blocks []*block
+	size   int // number of keys
+
+	// version is the number of snapshots taken. A block may be shared with a snapshot unless the block's version is
+	// higher. In a snapshot, version is MaxUint64, so that all blocks count as shared.
+	version uint64
+
+	sharedBlocks bool // the array behind the slice blocks is shared with a snapshot
 }
 
 type block struct {
 	keys    []string
 	values  [][]byte
-	version uint64 // one above the index's version at which the block was created
+	version uint64 // the index's version when the block was created, plus 1
 }
 
 // Len returns the number of keys.
@@ -47,7 +51,8 @@
 	return b.values[position], true
 }
 
-// writableBlock returns the block at position i for changes. If a snapshot shares the block, a copy replaces it first.
+// writableBlock returns block i, which the caller may change. A block that a snapshot may share is first replaced by a
+// copy.
 func (x *Index) writableBlock(i int) *block {
 	if x.sharedBlocks {
 		x.blocks = slices.Clone(x.blocks)
@@ -131,13 +136,13 @@
 	return &Index{blocks: x.blocks, size: x.size, version: math.MaxUint64, sharedBlocks: true}
 }
 
-// Scan calls each for every key with the prefix, in order, until each returns false.
-func (x *Index) Scan(prefix string, each func(key string, value []byte) bool) {
-	x.ScanFrom(prefix, prefix, each)
+// Scan calls visit for every key with the prefix, in order, until visit returns false.
+func (x *Index) Scan(prefix string, visit func(key string, value []byte) bool) {
+	x.ScanFrom(prefix, prefix, visit)
 }
 
 // ScanFrom is like Scan but skips the keys below from, which must itself begin with the prefix.
-func (x *Index) ScanFrom(from, prefix string, each func(key string, value []byte) bool) {
+func (x *Index) ScanFrom(from, prefix string, visit func(key string, value []byte) bool) {
 	if len(x.blocks) == 0 {
 		return
 	}
@@ -145,7 +150,7 @@
 	position, _ := slices.BinarySearch(x.blocks[first].keys, from)
 	for _, b := range x.blocks[first:] {
 		for ; position < len(b.keys); position++ {
-			if !strings.HasPrefix(b.keys[position], prefix) || !each(b.keys[position], b.values[position]) {
+			if !strings.HasPrefix(b.keys[position], prefix) || !visit(b.keys[position], b.values[position]) {
 				return
 			}
 		}
--- a/internal/store/repair_test.go
+++ b/internal/store/repair_test.go
@@ -8,7 +8,7 @@
 )
 
 // TestNothingIsAcknowledgedAfterDiskFailure checks that the store acknowledges nothing after a failed write and does
-// not retry it, and that records acknowledged before are recovered after a restart.
+// not retry it, and that records acknowledged before the failure are recovered after a restart.
 func TestNothingIsAcknowledgedAfterDiskFailure(t *testing.T) {
 	for round := range 60 {
 		disk := newMemoryDisk()
--- a/internal/store/snapshot.go
+++ b/internal/store/snapshot.go
@@ -9,8 +9,8 @@
 // maxSnapshotBatchOps is the largest number of keys in one record of a snapshot.
 const maxSnapshotBatchOps = 512
 
-// compactionLiveFactor is how many times the size of the live data the log must reach before a snapshot is written. A
-// large store would otherwise write snapshots too often.
+// compactionLiveFactor is the ratio of the log's size to that of the live data below which no snapshot is started.
+// Without this limit a large store would write snapshots too often.
 const compactionLiveFactor = 2
 
 // compactIfLarge starts a snapshot if the log has reached its size limit and is large compared to the live data.
@@ -34,7 +34,7 @@
 	}
 	s.Flush()
 	s.snapshotting = true
-	if s.segmentSize > 0 { // the number of an empty segment is reused: it has no file, and recovery would report a gap
+	if s.segmentSize > 0 { // an empty segment has no file; if its number were skipped, recovery would report a gap
 		s.segmentNumber++
 	}
 	s.segmentSize, s.logBytes = 0, 0
@@ -46,7 +46,8 @@
 	})
 }
 
-// writeSnapshot writes the current index as the snapshot with a number and removes the files that it covers.
+// writeSnapshot writes the current index as a snapshot with the given number. It then removes the files that the
+// snapshot covers.
 func (s *Store) writeSnapshot(number uint64, done func(error)) {
 	index, seq, size := s.index.Snapshot(), s.lastSeq, 0
 	build := func() []byte {
--- a/internal/store/store.go
+++ b/internal/store/store.go
@@ -75,8 +75,8 @@
 	lastSeq    uint64 // sequence number of the last record submitted
 	durableSeq uint64 // sequence number of the last record that is durable
 
-	// undo holds, in the order of the changes, the previous values of keys that were changed by records that are not
-	// durable yet. Its first undoInFlight elements belong to the append in flight.
+	// undo holds an Op for each change that is not durable yet, in the order of the changes. The Op restores the key's
+	// previous value. The first undoInFlight elements belong to the append in flight.
 	undo         []Op
 	undoInFlight int
 
@@ -87,7 +87,7 @@
 
 	pendingRecords   []byte        // encoded records that are not part of an append yet
 	pendingCallbacks []func(error) // called once the pending records are durable or lost
-	appending        bool
+	appending        bool          // an append is in flight
 
 	snapshotting bool // Compact is in progress
 	repairing    bool // Repair is in progress
@@ -105,14 +105,14 @@
 // Get returns the value last submitted for a key, which may not be durable yet.
 func (s *Store) Get(key string) ([]byte, bool) { return s.index.Get(key) }
 
-// Scan calls each for every key with the prefix, in order, until each returns false.
-func (s *Store) Scan(prefix string, each func(key string, value []byte) bool) {
-	s.index.Scan(prefix, each)
+// Scan calls visit for every key with the prefix, in order, until visit returns false.
+func (s *Store) Scan(prefix string, visit func(key string, value []byte) bool) {
+	s.index.Scan(prefix, visit)
 }
 
 // ScanFrom is like Scan but skips the keys below from, which must itself begin with the prefix.
-func (s *Store) ScanFrom(from, prefix string, each func(key string, value []byte) bool) {
-	s.index.ScanFrom(from, prefix, each)
+func (s *Store) ScanFrom(from, prefix string, visit func(key string, value []byte) bool) {
+	s.index.ScanFrom(from, prefix, visit)
 }
 
 // Len returns the number of keys.
--- a/internal/store/transaction.go
+++ b/internal/store/transaction.go
@@ -15,7 +15,7 @@
 	Value []byte
 }
 
-// Condition requires a key to have a value at the time of the commit. A nil Value requires the key to be absent.
+// Condition requires a key to have the given value when Commit is called. A nil Value requires the key to be absent.
 type Condition struct {
 	Key   string
 	Value []byte
@@ -26,8 +26,8 @@
 
 // The write modes.
 const (
-	WriteNow  WriteMode = false // immediately, or once the append in flight has ended
-	WriteLazy WriteMode = true  // with the next transaction in mode WriteNow, by Flush, or above maxLazyBytes
+	WriteNow  WriteMode = false // immediately, or after the append in flight, if there is one
+	WriteLazy WriteMode = true  // with the next WriteNow record, by Flush, or if pending records exceed maxLazyBytes
 )
 
 // Commit submits a transaction: if all conditions are met, it makes all of its changes. Reads see the changes
--- a/internal/subscribe/backoff.go
+++ b/internal/subscribe/backoff.go
@@ -11,18 +11,18 @@
 // at the same time.
 type backoff struct {
 	minDelay, maxDelay eventloop.Micros
-	current            eventloop.Micros // the base delay; 0 before the first use
+	baseDelay          eventloop.Micros // 0 before the first use
 	random             *rand.Rand
 }
 
 // reset sets the base delay to its minimum.
-func (b *backoff) reset() { b.current = b.minDelay }
+func (b *backoff) reset() { b.baseDelay = b.minDelay }
 
 // grow doubles the base delay, up to its maximum.
-func (b *backoff) grow() { b.current = min(2*max(b.current, b.minDelay), b.maxDelay) }
+func (b *backoff) grow() { b.baseDelay = min(2*max(b.baseDelay, b.minDelay), b.maxDelay) }
 
 // nextDelay draws the next delay.
 func (b *backoff) nextDelay() eventloop.Micros {
-	b.current = max(b.current, b.minDelay)
-	return b.current/2 + eventloop.Micros(b.random.Int63n(int64(b.current)))
+	b.baseDelay = max(b.baseDelay, b.minDelay)
+	return b.baseDelay/2 + eventloop.Micros(b.random.Int63n(int64(b.baseDelay)))
 }
--- a/internal/subscribe/backoff_test.go
+++ b/internal/subscribe/backoff_test.go
@@ -32,7 +32,7 @@
 func TestBackoffThatWasNeverUsedGrowsFromTheShortest(t *testing.T) {
 	b := backoff{minDelay: 40, maxDelay: 400, random: rand.New(rand.NewSource(1))}
 	b.grow()
-	if b.current != 80 {
-		t.Errorf("base delay %d, want 80", b.current)
+	if b.baseDelay != 80 {
+		t.Errorf("base delay %d, want 80", b.baseDelay)
 	}
 }
--- a/internal/subscribe/client.go
+++ b/internal/subscribe/client.go
@@ -38,7 +38,7 @@
 	// Source names the source in logs.
 	Source string
 	// Target returns the request target. It is called for each connection, so that the target can contain the version
-	// known at that time.
+	// that is known at that time.
 	Target func() string
 	// Fields holds additional request header fields, as alternating names and values.
 	Fields []string
@@ -52,13 +52,13 @@
 	// SilenceTimeout is how long the source may send nothing. 0 means 15 s.
 	SilenceTimeout eventloop.Micros
 	// ResponseTimeout is how long the source may take to respond, including the time to connect. 0 means
-	// SilenceTimeout, measured from the time that the connection is open.
+	// SilenceTimeout, counted from when the connection has opened.
 	ResponseTimeout eventloop.Micros
 	// MinRetryDelay and MaxRetryDelay bound the backoff between two connections. 0 means 200 ms and 5 s.
 	MinRetryDelay, MaxRetryDelay eventloop.Micros
-	// Standby keeps a silent connection open while the client opens others, until one of them receives data. A source
-	// that was unreachable may continue on any of them, and the messages that it sends when it is reachable again would
-	// be lost if they arrived between two retries.
+	// Standby keeps silent connections open while the client opens others, until any of the connections receives data. A
+	// source that was unreachable may continue on any of them. Without Standby, messages that it sends when it is
+	// reachable again would be lost if they arrived between two retries.
 	Standby bool
 	// Log receives warnings about lost subscriptions and rejected messages.
 	Log zerolog.Logger
@@ -150,7 +150,7 @@
 	}
 	c.standby = append(c.standby, connection)
 	if len(c.standby) > maxStandby {
-		// The first connection is kept because the source has served it, and the last one because it is the newest.
+		// The oldest connection is kept because the source has served it, and the last one because it is the newest.
 		c.standby[1].drop()
 		c.standby = slices.Delete(c.standby, 1, 2)
 	}
--- a/internal/subscribe/connection.go
+++ b/internal/subscribe/connection.go
@@ -94,7 +94,7 @@
 		c.rejectMessage(err)
 		return
 	}
-	if since := c.messages.incompleteSince(); since > 0 { // the timeout covers a whole message, however slow its bytes
+	if since := c.messages.incompleteSince(); since > 0 { // the timeout covers a whole message, however slowly it arrives
 		remaining := max(since+client.options.SilenceTimeout-client.loop.Now(), 0)
 		c.silenceTimer.Set(client.loop, remaining, c.onSilence)
 	}
--- a/internal/subscribe/errors.go
+++ b/internal/subscribe/errors.go
@@ -11,10 +11,10 @@
 	errNotObject = errors.New("not a JSON object")
 )
 
-// GapError reports a change that does not start from the version known, so that changes are missing. The client has to
+// GapError reports a change that does not start from the known version, so that changes are missing. The client has to
 // request the complete state.
 type GapError struct {
-	Have  uint64 // version known
+	Have  uint64 // known version
 	Since uint64 // version that the change starts from
 }
 
--- a/internal/subscribe/post.go
+++ b/internal/subscribe/post.go
@@ -20,9 +20,9 @@
 // no complete response arrived within the timeout.
 func Post(loop eventloop.Loop, request PostRequest, done func(status int)) {
 	fields := slices.Concat(request.Fields, []string{"Content-Type", "application/json", "Connection", "close"})
-	message := http1.Request{Method: "POST", Target: request.Target, Host: request.Address, Body: request.Body}
+	httpRequest := http1.Request{Method: "POST", Target: request.Target, Host: request.Address, Body: request.Body}
 	p := &post{
-		request:  http1.AppendRequest(nil, message, fields...),
+		request:  http1.AppendRequest(nil, httpRequest, fields...),
 		response: http1.Parser{Response: true, Limits: http1.DefaultLimits},
 		done:     done,
 	}
