--- a/internal/cli/bench.go
+++ b/internal/cli/bench.go
@@ -103,7 +103,8 @@
 	onEnd  func(ok bool)
 }
 
-// runLoad runs a load until its last request has ended. It calls send on the clients' event loop for each request.
+// runLoad runs a load until its last request has ended. It calls send on the clients' event loop for each request. It
+// returns early if a poll finds no request in flight before the load's end, which can happen at a low rate.
 func (c *benchCommand) runLoad(ctx context.Context, target *benchTarget, send func(*benchLoad, *benchRequest)) (
 	*benchLoad, error) {
 	load := &benchLoad{target: target, rate: c.Rate, random: rand.New(rand.NewSource(c.Seed))}
--- a/internal/cli/discovery.go
+++ b/internal/cli/discovery.go
@@ -54,8 +54,8 @@
 	return nil
 }
 
-// follow calls update with the endpoint list each time that its file changes, until ctx ends. It ignores a missing or
-// invalid file, so that a bad write removes no endpoint.
+// follow calls update with the endpoint list at its first poll of the file and whenever the file has changed, until ctx
+// ends. It ignores a missing or invalid file, so that a bad write removes no endpoint.
 func (c *discoveryCommand) follow(ctx context.Context, env *environment, update func([]endpoints.Entry)) {
 	ticker := time.NewTicker(listPollInterval)
 	defer ticker.Stop()
--- a/internal/store/files.go
+++ b/internal/store/files.go
@@ -16,7 +16,8 @@
 )
 
 // Files is a Disk on a folder of the file system. A lock file keeps a second process from using the folder. A single
-// goroutine executes the operations in order and posts their results to the event loop; Close ends it.
+// goroutine executes Append, Write and Remove in order and posts their results to the event loop; Close ends it. The
+// caller's goroutine executes List, Read and Truncate.
 type Files struct {
 	dir  string
 	lock *os.File
--- a/internal/store/memorydisk_test.go
+++ b/internal/store/memorydisk_test.go
@@ -18,13 +18,13 @@
 
 var errNoSpace = errors.New("no space left on device")
 
-// memoryDisk is an in-memory Disk that records every operation, so that a test can simulate a crash at any byte of any
-// operation afterwards. It queues the done callbacks until the test calls answer.
+// memoryDisk is an in-memory Disk that records every successful append, write and removal, so that a test can simulate
+// a crash at any byte of any of them afterwards. It queues the done callbacks until the test calls answer.
 type memoryDisk struct {
 	files     map[string][]byte
 	history   []diskOperation
 	answers   []func() // queued done callbacks
-	fault     error    // error of all operations from now on
+	fault     error    // error of all appends, writes and removals from now on
 	tornBytes int      // how many bytes a failing append writes at most
 	succeeded int      // number of operations whose success was reported
 }
