--- a/internal/cli/serve.go
+++ b/internal/cli/serve.go
@@ -24,7 +24,7 @@
 )
 
 const (
-	maxDescriptors       = 1 << 20 // upper bound on the descriptor limit that a dispatcher is configured with
+	maxDescriptors       = 1 << 20 // a dispatcher's descriptor limit is the process's, but at most this number
 	randomNameCount      = 1 << 40 // number of different random dispatcher names
 	randomNameBase       = 36
 	localShutdownTimeout = 30 * time.Second // for a dispatcher that runs in one process with its endpoints
@@ -122,7 +122,7 @@
 	log         zerolog.Logger
 }
 
-// start starts a dispatcher and listens for clients. The secret is empty if no admin service is followed.
+// start starts a dispatcher and listens for clients. The secret is nil if none is configured.
 func (c *serveCommand) start(log zerolog.Logger, dep deployment.Deployment, secret []byte) (*dispatcherProcess, error) {
 	loop, err := sockets.Start()
 	if err != nil {
--- a/internal/store/files.go
+++ b/internal/store/files.go
@@ -16,7 +16,8 @@
 )
 
 // Files is a Disk on a folder of the file system. A lock file keeps a second process from using the folder. A single
-// goroutine executes the operations in order and posts their results to the event loop; Close ends it.
+// goroutine executes Append, Write and Remove in order and posts their results to the event loop; Close ends it. The
+// caller's goroutine executes List, Read and Truncate.
 type Files struct {
 	dir  string
 	lock *os.File
@@ -90,7 +91,7 @@
 	return operations
 }
 
-// enqueue queues an operation, whose result the goroutine posts to done on the event loop.
+// enqueue queues an operation for the goroutine. Once it has been executed, done gets its result on the event loop.
 func (f *Files) enqueue(operation func() error, done func(error)) {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
