--- a/internal/faultsearch/interleavings.go
+++ b/internal/faultsearch/interleavings.go
@@ -21,7 +21,7 @@
 	Failures []string // failures that the checks found, each with the choices that lead to it
 }
 
-// These are the choices for the delivery of one segment.
+// These are the choices for the delivery of one segment, or of one close of a connection.
 const (
 	onTime = 0
 	late   = 1
@@ -44,7 +44,7 @@
 	choices     []int // choices of the current run, in order
 	result      *Interleavings
 	choicesMade int // number of choices that the current run has made
-	runDepth    int // number of choices after which the current run delivers all segments on time
+	runDepth    int // number of choices after which the current run makes all deliveries on time
 }
 
 // smallScenario returns a deployment with three endpoints, and a script with two dispatchers and a few requests.
@@ -64,10 +64,10 @@
 }
 
 // Explore runs a small scenario, with the given faults, once for each combination of choices for its first depth
-// segments: each segment arrives on time or late by delay. If progress is not nil, Explore calls it after each run.
+// segments and closes: each arrives on time or late by delay. If progress is not nil, Explore calls it after each run.
 //
-// If a run comes to a state that another run has met at the same depth, it delivers this segment and all later ones on
-// time, and of the alternatives only a late delivery of this segment is searched further. Explore compares states only
+// If a run comes to a state that another run has met at the same depth, it makes this delivery and all later ones on
+// time, and of the alternatives only a late one of this delivery is searched further. Explore compares states only
 // by what dispatchers and endpoints have in flight, and takes two states that differ in anything else for the same.
 func Explore(depth int, delay eventloop.Micros, faults []*pb.Day_Trouble, progress func(*Interleavings)) (
 	*Interleavings, error) {
@@ -87,7 +87,7 @@
 	}
 }
 
-// run runs the scenario with the current choices; segments beyond them arrive on time.
+// run runs the scenario with the current choices; deliveries beyond them are on time.
 func (e *exploration) run() error {
 	e.choicesMade, e.runDepth = 0, e.depth
 	run := &scenarios.Run{Script: proto.CloneOf(e.script),
@@ -116,8 +116,8 @@
 	e.result.Failures = append(e.result.Failures, fmt.Sprintf("%s (choices %v)", text, e.choices))
 }
 
-// choose returns the delay of the next segment. At the first segment beyond the current choices it adds a choice, and
-// ends the choices of this run if the state is known.
+// choose returns the delay of the next delivery. At the first delivery beyond the current choices it adds a choice, and
+// makes it the last choice of this run if the state is known.
 func (e *exploration) choose(run *scenarios.Run) eventloop.Micros {
 	if e.choicesMade >= e.runDepth {
 		return 0
--- a/internal/testbed/modelserver/conn.go
+++ b/internal/testbed/modelserver/conn.go
@@ -82,7 +82,8 @@
 // Body collects the body of a request.
 func (c *endpointConn) Body(data []byte) error { c.body = append(c.body, data...); return nil }
 
-// End handles a complete request, or defers it while the endpoint is frozen or partitioned.
+// End handles a complete request. While the endpoint is frozen or partitioned, it defers all requests but the releases
+// of KV states.
 func (c *endpointConn) End() error {
 	endpoint := c.endpoint
 	if !endpoint.alive {
--- a/internal/testbed/modelserver/discovery.go
+++ b/internal/testbed/modelserver/discovery.go
@@ -112,7 +112,7 @@
 	head       *http1.Head
 }
 
-// Opened does nothing: the watcher sends its request first.
+// Opened does nothing: the dispatcher sends its request first.
 func (w *watcher) Opened() {}
 
 // Drained does nothing: updates are small, so no backpressure is needed.
--- a/internal/testbed/scenarios/delays.go
+++ b/internal/testbed/scenarios/delays.go
@@ -13,8 +13,10 @@
 )
 
 // recordDelays records when an event loop of the test bed is delayed, as happens on a busy machine: the events of
-// endpoints or clients are then recorded late. The audit makes no allowance for these delays; they are recorded to help
-// find the cause of a violation.
+// endpoints or clients are then recorded late. The audit subtracts delays of the endpoints' loop from the time for
+// which a prompt state stays pinned. It subtracts delays of the clients' loop from the time by which an answer is late,
+// and excuses the dispatcher if a client gave up around such a delay. All other checks ignore these delays, but the
+// audit prints them with the events of a violation.
 func recordDelays(loop eventloop.Loop, recorder *record.Recorder, name string) {
 	due := loop.Now() + delayCheckInterval
 	loop.AfterFunc(delayCheckInterval, func() {
--- a/internal/testbed/scenarios/run.go
+++ b/internal/testbed/scenarios/run.go
@@ -3,8 +3,9 @@
 //
 // A scenario runs over sockets, with dispatchers as real processes that are killed with SIGKILL, or in virtual time
 // within this process, where the same seed gives the same run. The package owns the processes, event loops and files of
-// a run, and injects the faults. It uses the packages modelserver, load, record and audit of the test bed. The internal
-// state of a dispatcher is inspected only by the invariant checks that fault searches request, never by the audit.
+// a run, and injects the faults. It uses the packages modelserver, load, record and audit of the test bed. The audit
+// never inspects the internal state of a dispatcher. A run in virtual time does: it reads which requests are still open
+// at the end, the usage and the lifecycle transitions, and checks the invariants for fault searches.
 package scenarios
 
 import (
@@ -40,8 +41,8 @@
 	quotaShare = 0.4 // quota of each of the three tenants, as a share of the total rate
 )
 
-// Run is one run of a scenario. Its exported fields up to Delay may be set before the run; BatchClients and the fields
-// after it are its results.
+// Run is one run of a scenario. Its exported fields up to ExtraLatency may be set before the run; BatchClients and the
+// exported fields after it are its results.
 type Run struct {
 	Script      *pb.Day
 	Deployment  deployment.Deployment
@@ -58,7 +59,7 @@
 	// In virtual time only.
 	Mutant       *Mutant
 	AfterStep    func()                  // called after each step of the network
-	ExtraLatency func() eventloop.Micros // extra latency of each segment, once the load has started
+	ExtraLatency func() eventloop.Micros // extra latency of each segment or close, once the load has started
 
 	BatchClients []*load.BatchClients
 	// In virtual time only.
--- a/internal/testbed/scenarios/scenarios_test.go
+++ b/internal/testbed/scenarios/scenarios_test.go
@@ -60,7 +60,7 @@
 	}
 }
 
-// Two runs with the same seed must have the same trace hash, which covers every event of the network.
+// Two runs with the same seed must have the same trace hash, which covers the arrival of every segment.
 func TestSameSeedIsTheSameRun(t *testing.T) {
 	first, second := runBuiltin(t, combinedFaultsScenario, 5, 300), runBuiltin(t, combinedFaultsScenario, 5, 300)
 	if first != second {
--- a/internal/testbed/scenarios/virtual.go
+++ b/internal/testbed/scenarios/virtual.go
@@ -29,7 +29,7 @@
 type VirtualOutcome struct {
 	Verdict      *audit.Verdict
 	OpenRequests int    // open in the dispatchers at the end; 0 if none was leaked
-	Trace        uint64 // hash of all events of the network, in their order
+	Trace        uint64 // hash of the times and receivers of all segments that arrived, in their order
 }
 
 // Passed reports whether the audit found no violation and no request was left open.
--- a/internal/testbed/soak/process.go
+++ b/internal/testbed/soak/process.go
@@ -71,7 +71,7 @@
 	_, _ = fmt.Fprintf(p.stdin, format+"\n", arguments...)
 }
 
-// shutDown makes a stand-in write its record and exit; one that does not is killed.
+// shutDown makes a stand-in close its record and exit. It kills one that does not exit in time.
 func (p *process) shutDown() {
 	p.send(commandEnd)
 	_ = p.stdin.Close()
--- a/internal/testbed/soak/role.go
+++ b/internal/testbed/soak/role.go
@@ -35,7 +35,7 @@
 
 // Commands that stand-ins read from standard input, one per line, followed by their arguments.
 const (
-	commandEnd      = "end"     // all: write the record and exit
+	commandEnd      = "end"     // all: close the record and exit
 	commandSilent   = "silent"  // endpoint, proxy, discovery: answer or forward nothing, for a duration
 	commandDecline  = "decline" // endpoint: decline all requests, for a duration
 	commandDelay    = "late"    // proxy: delay new connections, for a duration
--- a/internal/virtual/disk.go
+++ b/internal/virtual/disk.go
@@ -116,8 +116,9 @@
 }
 
 // perform carries out an operation after the operations before it and its own sync time. It calls apply with the part
-// of the size that takes effect: all of it if the operation succeeds, and a random part if the process was killed in
-// the meantime.
+// of the size that takes effect: all of it if the operation succeeds, a random part if the process was killed in the
+// meantime or the disk fails with PartialWrites, and as much as fits if the disk is full. It doesn't call apply if the
+// operation fails without PartialWrites, or if the disk was attached to another process after a kill.
 func (d *Disk) perform(size int, apply func(n int), done func(error)) {
 	l, failure, partial := d.loop, d.Failure, d.PartialWrites
 	d.busyUntil = max(d.busyUntil, d.network.now) + d.SyncTime
