--- a/internal/faultsearch/faultsearch_test.go
+++ b/internal/faultsearch/faultsearch_test.go
@@ -167,8 +167,9 @@
 	// Output: true
 }
 
-// TestKillAtEveryStepRunsNothingTwice kills a dispatcher after every third of 360 steps of the simulation, while it has
-// requests with idempotency keys prefilled, records them and sends them. No request that must not run twice may do so.
+// TestKillAtEveryStepRunsNothingTwice kills a dispatcher after every third of 360 steps of the simulation. In these
+// steps the dispatcher handles requests with idempotency keys: it sends their prefills, records them and sends their
+// decodes. No request that must not run twice may do so.
 func TestKillAtEveryStepRunsNothingTwice(t *testing.T) {
 	const stepsBetweenKills = 3
 	forEach(0, 119, func(number int64) {
--- a/internal/faultsearch/interceptors.go
+++ b/internal/faultsearch/interceptors.go
@@ -21,9 +21,9 @@
 	setTimer func(after scheduler.Micros, timer scheduler.TimerID)
 }
 
-func newInterceptingExecutor(real scheduler.Executor) *interceptingExecutor {
-	return &interceptingExecutor{Executor: real, send: real.Send, reject: real.Reject, fail: real.Fail,
-		cancel: real.Cancel, release: real.Release, setTimer: real.SetTimer}
+func newInterceptingExecutor(original scheduler.Executor) *interceptingExecutor {
+	return &interceptingExecutor{Executor: original, send: original.Send, reject: original.Reject, fail: original.Fail,
+		cancel: original.Cancel, release: original.Release, setTimer: original.SetTimer}
 }
 
 // Send implements scheduler.Executor.
@@ -90,8 +90,8 @@
 
 // executorMutant returns a mutant that changes how a dispatcher carries out the scheduler's orders.
 func executorMutant(name string, change func(*interceptingExecutor)) *scenarios.Mutant {
-	return dispatcherMutant(name, dispatch.Mutation{Executor: func(real scheduler.Executor) scheduler.Executor {
-		executor := newInterceptingExecutor(real)
+	return dispatcherMutant(name, dispatch.Mutation{Executor: func(original scheduler.Executor) scheduler.Executor {
+		executor := newInterceptingExecutor(original)
 		change(executor)
 		return executor
 	}})
@@ -113,8 +113,8 @@
 
 // loopMutant returns a mutant that changes a dispatcher's event loop.
 func loopMutant(name string, change func(*interceptingLoop)) *scenarios.Mutant {
-	return &scenarios.Mutant{Name: name, Loop: func(real *virtual.Loop) eventloop.Loop {
-		loop := &interceptingLoop{Loop: real}
+	return &scenarios.Mutant{Name: name, Loop: func(original *virtual.Loop) eventloop.Loop {
+		loop := &interceptingLoop{Loop: original}
 		change(loop)
 		return loop
 	}}
--- a/internal/faultsearch/mutants.go
+++ b/internal/faultsearch/mutants.go
@@ -11,7 +11,7 @@
 	"plumspindle/scheduler"
 )
 
-// Mutants returns the faults that can be injected into the program itself. The audit's rules, the dispatchers'
+// Mutants returns the defects that can be injected into the program itself. The audit's rules, the dispatchers'
 // invariants or the other checks of Run have to detect each of them. Mutants count the calls that they intercept, so
 // each run needs a set of its own.
 //
--- a/internal/faultsearch/rules_test.go
+++ b/internal/faultsearch/rules_test.go
@@ -30,7 +30,7 @@
 
 // TestMutantsAreRejectedForTheirRuleAlone checks that the audit can reject a run for each of the rules alone: some
 // scenario with a mutant breaks that rule and nothing else, passes without the mutant, and has the rule checked in both
-// runs. A change of the program can change which seeds do, so the test tries others after the known one.
+// runs. A change of the program can change which seeds do that, so the test tries others after the known one.
 func TestMutantsAreRejectedForTheirRuleAlone(t *testing.T) {
 	const maxSeeds = 25
 	tests := []struct {
--- a/internal/testbed/audit/audit.go
+++ b/internal/testbed/audit/audit.go
@@ -2,8 +2,8 @@
 // against five rules.
 //
 // It owns the rules and the exemptions from them: a dispatcher that was killed, frozen or partitioned is only held to
-// what it was able to do. It relies on the record and on the deployment's rules, and on nothing of the dispatcher: it
-// never queries one, and shares no code with it.
+// what it was able to do. It uses only the record and the deployment's rules. It never queries a dispatcher, and shares
+// no code with one.
 package audit
 
 import (
@@ -97,10 +97,10 @@
 
 // attempt is a dispatcher's attempt of a request at an endpoint.
 type attempt struct {
-	line    int
-	event   record.Event // its arrival
-	takenAt int64        // when the endpoint's process accepted it; never while it has not
-	end     int64        // 0: it is in flight
+	line       int
+	event      record.Event // its arrival
+	acceptedAt int64        // when the endpoint's process accepted it; the constant never until then
+	end        int64        // 0: it is in flight
 }
 
 // never is later than any time in a record.
@@ -122,7 +122,7 @@
 	clientAttemptKeys []clientAttemptKey
 	attempts          map[string][]*attempt // by the dispatcher's request id
 	attemptsByID      map[string]*attempt
-	runLines          map[string][]int // lines of the events of runs, by the client's request id
+	runLines          map[string][]int // lines of the AttemptRan events, by the client's request id
 }
 
 // Judge checks a record against all rules and sums up the service that clients got.
@@ -158,11 +158,11 @@
 	return c.verdict
 }
 
-// checked counts a case that a rule was checked for.
-func (c *checker) checked(rule int) { c.verdict.Rules[rule].Checked++ }
+// countChecked counts a case in which a rule was checked.
+func (c *checker) countChecked(rule int) { c.verdict.Rules[rule].Checked++ }
 
-// violation adds a violation of a rule to the verdict.
-func (c *checker) violation(rule, line int, request, format string, args ...any) {
+// addViolation adds a violation of a rule to the verdict.
+func (c *checker) addViolation(rule, line int, request, format string, args ...any) {
 	r := &c.verdict.Rules[rule]
 	r.Violations = append(r.Violations, Violation{Line: line, Request: request, Text: fmt.Sprintf(format, args...)})
 }
@@ -178,8 +178,8 @@
 // refusals are the error codes with which an endpoint reports that it has not run an attempt.
 var refusals = []string{"full", "draining", "state_lost", "invalid_input"}
 
-// gather collects attempts with their ends, runs, refusals, the times at which dispatchers were unavailable or killed,
-// and the delays of the test bed.
+// gather collects the attempts and when they ended, ran or were refused, the times at which dispatchers were
+// unavailable or killed, and the delays of the test bed.
 func (c *checker) gather(events []record.Event) {
 	inFlight := map[uint32][]*attempt{} // by endpoint
 	for i, event := range events {
@@ -202,9 +202,9 @@
 				inFlight[event.Endpoint] = append(inFlight[event.Endpoint], a)
 			}
 		case record.AttemptDeferred:
-			c.attemptsByID[event.Attempt].takenAt = never
+			c.attemptsByID[event.Attempt].acceptedAt = never
 		case record.DeferredAttemptAccepted:
-			c.attemptsByID[event.Attempt].takenAt = event.At
+			c.attemptsByID[event.Attempt].acceptedAt = event.At
 		case record.ConnectionLost, record.AttemptAnswered, record.AttemptFinished:
 			c.attemptsByID[event.Attempt].finish(event.At)
 		case record.EndpointDown:
@@ -221,11 +221,11 @@
 // gatherAttempt adds an attempt; it returns nil if one with the same id was sent before.
 func (c *checker) gatherAttempt(line int, event record.Event) *attempt {
 	if before := c.attemptsByID[event.Attempt]; before != nil {
-		c.violation(ruleRepeatedEffect, line, event.Request, "attempt %s was sent twice (first on line %d)",
+		c.addViolation(ruleRepeatedEffect, line, event.Request, "attempt %s was sent twice (first on line %d)",
 			event.Attempt, before.line)
 		return nil
 	}
-	a := &attempt{line: line, event: event, takenAt: event.At}
+	a := &attempt{line: line, event: event, acceptedAt: event.At}
 	request := requestOf(event.Attempt)
 	c.attemptsByID[event.Attempt] = a
 	c.attempts[request] = append(c.attempts[request], a)
--- a/internal/testbed/audit/drains.go
+++ b/internal/testbed/audit/drains.go
@@ -5,14 +5,14 @@
 // checkDrains checks rule 3: a dispatcher sends nothing to an endpoint that drains or is gone, from a grace time after
 // it was notified of that.
 func (c *checker) checkDrains(events []record.Event) {
-	type watch struct {
+	type pair struct {
 		dispatcher string
 		endpoint   uint32
 	}
-	notReady := map[watch]record.Event{} // the update that first reported it
+	notReady := map[pair]record.Event{} // the update that first reported the endpoint as not ready
 	grace := int64(c.deployment.Rules.DrainGraceMs)*millisecond + c.slack
 	for i, event := range events {
-		key := watch{dispatcher: event.Dispatcher, endpoint: event.Endpoint}
+		key := pair{dispatcher: event.Dispatcher, endpoint: event.Endpoint}
 		switch event.Type {
 		case record.UpdateDelivered:
 			if event.Detail == "ready" {
@@ -21,7 +21,7 @@
 				notReady[key] = event
 			}
 		case record.AttemptArrived:
-			c.checked(ruleDrains)
+			c.countChecked(ruleDrains)
 			update, known := notReady[key]
 			if !known {
 				continue
@@ -29,7 +29,7 @@
 			due := c.availableFrom(event.Dispatcher, update.At) + grace
 			// An attempt that was sent in time may arrive late if the dispatcher was partitioned from its endpoints.
 			if event.At > due && !c.wasPartitioned(event.Dispatcher, due, event.At) {
-				c.violation(ruleDrains, i+1, event.Request, "sent to endpoint %d, %d ms after %s was notified that it is %s",
+				c.addViolation(ruleDrains, i+1, event.Request, "sent to endpoint %d, %d ms after %s was notified that it is %s",
 					event.Endpoint, (event.At-update.At)/millisecond, event.Dispatcher, update.Detail)
 			}
 		}
--- a/internal/testbed/audit/excuses_test.go
+++ b/internal/testbed/audit/excuses_test.go
@@ -37,7 +37,8 @@
 	return slices.Insert(events, decodeArrived, unavailable(91, 2000, reason))
 }
 
-// rejectedAfterItsTime returns a record of a request whose client waits for 200 ms, and that is rejected later.
+// rejectedAfterItsTime returns a record of a request that is rejected 399 ms after it was sent, although its client
+// waits for 200 ms only.
 func rejectedAfterItsTime() []record.Event {
 	events := rejectedAt(400, released(300))
 	events[1].Value = 200 * ms
--- a/internal/testbed/audit/finalanswers.go
+++ b/internal/testbed/audit/finalanswers.go
@@ -40,15 +40,15 @@
 		case record.FinalAnswer:
 			c.checkFinalAnswer(line, event)
 		case record.BytesAfterFinal:
-			c.violation(ruleFinalAnswer, line, event.Request, "data after the final answer (%s)", event.Detail)
+			c.addViolation(ruleFinalAnswer, line, event.Request, "data after the final answer (%s)", event.Detail)
 		case record.MalformedAnswer:
-			c.violation(ruleFinalAnswer, line, event.Request, "malformed answer: %s", event.Detail)
+			c.addViolation(ruleFinalAnswer, line, event.Request, "malformed answer: %s", event.Detail)
 		}
 	}
 	for _, key := range c.clientAttemptKeys {
-		c.checked(ruleFinalAnswer)
+		c.countChecked(ruleFinalAnswer)
 		if a := c.clientAttempts[key]; a.finalAnswers == 0 {
-			c.violation(ruleFinalAnswer, a.line, key.request, "sent, but never answered")
+			c.addViolation(ruleFinalAnswer, a.line, key.request, "sent, but never answered")
 		}
 	}
 }
@@ -56,25 +56,25 @@
 func (c *checker) checkFinalAnswer(line int, event record.Event) {
 	attempt := c.clientAttempts[keyOf(event)]
 	if attempt == nil {
-		c.violation(ruleFinalAnswer, line, event.Request, "an answer to an attempt that was never sent")
+		c.addViolation(ruleFinalAnswer, line, event.Request, "an answer to an attempt that was never sent")
 		return
 	}
 	if attempt.finalAnswers++; attempt.finalAnswers > 1 {
-		c.violation(ruleFinalAnswer, line, event.Request, "a second final answer (%s after %s) to client attempt %d",
+		c.addViolation(ruleFinalAnswer, line, event.Request, "a second final answer (%s after %s) to client attempt %d",
 			event.Detail, attempt.outcome, event.ClientAttempt)
 		return
 	}
 	attempt.outcome, attempt.finalAt = event.Detail, event.At
 	switch {
 	case event.Detail == record.Completed && !event.Exact:
-		c.violation(ruleFinalAnswer, line, event.Request, "completed, but not byte for byte what the decode endpoint sent")
+		c.addViolation(ruleFinalAnswer, line, event.Request, "completed, but not byte for byte what the decode endpoint sent")
 	case event.Detail != record.Completed && event.Count == 0 && c.isLate(attempt, event):
-		c.violation(ruleFinalAnswer, line, event.Request,
+		c.addViolation(ruleFinalAnswer, line, event.Request,
 			"answered %d ms after the client's time limit (%s, client attempt %d)",
 			(event.At-attempt.sentAt-attempt.timeLimit)/millisecond, event.Detail, event.ClientAttempt)
 	case event.Detail == record.Completed, event.Detail == record.Rejected, event.Detail == record.Failed:
 	case !c.isExcused(attempt, event):
-		c.violation(ruleFinalAnswer, line, event.Request, "no final answer to client attempt %d: %s",
+		c.addViolation(ruleFinalAnswer, line, event.Request, "no final answer to client attempt %d: %s",
 			event.ClientAttempt, event.Detail)
 	}
 }
@@ -98,7 +98,8 @@
 		if a.timeLimit > 0 && c.delayWithin(record.ClientsLoop, due-c.slack, event.At) > 0 {
 			return true
 		}
-		// A dispatcher that was frozen when the request arrived counts the client's time limit from when it read it.
+		// A dispatcher that was frozen when the request arrived counts the client's time limit from the time at which it
+		// read the request.
 		return c.wasKilled(withoutIncarnation(event.Dispatcher), a.sentAt, event.At) ||
 			c.wasFrozen(event.Dispatcher, a.sentAt) || c.wasFrozen(event.Dispatcher, event.At)
 	}
--- a/internal/testbed/audit/pinnedstate.go
+++ b/internal/testbed/audit/pinnedstate.go
@@ -45,7 +45,7 @@
 // the request was in flight. An attempt is in flight once the endpoint's process has accepted it; its arrival at the
 // endpoint's socket is not enough.
 func (c *checker) checkReleased(state pinnedState, until int64) {
-	c.checked(rulePinnedState)
+	c.countChecked(rulePinnedState)
 	dispatcher := state.event.Dispatcher
 	if c.wasKilled(dispatcher, state.event.At, until) {
 		return
@@ -56,14 +56,14 @@
 		if end == 0 {
 			end = until
 		}
-		if a.takenAt < until && end > idleFrom {
-			longest = max(longest, c.waitTime(dispatcher, idleFrom, a.takenAt))
+		if a.acceptedAt < until && end > idleFrom {
+			longest = max(longest, c.waitTime(dispatcher, idleFrom, a.acceptedAt))
 			idleFrom = end
 		}
 	}
 	longest = max(longest, c.waitTime(dispatcher, idleFrom, until))
 	if longest > int64(c.deployment.Rules.LetGoMs)*millisecond+c.slack {
-		c.violation(rulePinnedState, state.line, state.event.Request,
+		c.addViolation(rulePinnedState, state.line, state.event.Request,
 			"the state of attempt %s was pinned for %d ms with no attempt in flight", state.event.Attempt, longest/millisecond)
 	}
 }
--- a/internal/testbed/audit/secondruns.go
+++ b/internal/testbed/audit/secondruns.go
@@ -5,7 +5,7 @@
 	"plumspindle/internal/testbed/record"
 )
 
-// maxClientAttempts is the highest number of an attempt that is looked for; no client makes more.
+// maxClientAttempts is the highest number of a client attempt that is looked for; no client makes more attempts.
 const maxClientAttempts = 9
 
 // mayRunAgain reports whether a product's requests may run any number of times, at any endpoint.
@@ -18,7 +18,7 @@
 // retry, and no request has two attempts in flight.
 func (c *checker) checkSecondRuns(events []record.Event) {
 	for _, request := range sortedKeys(c.runLines) {
-		c.checked(ruleRepeatedEffect)
+		c.countChecked(ruleRepeatedEffect)
 		lines := c.runLines[request]
 		first := events[lines[0]-1]
 		for _, line := range lines[1:] {
@@ -30,7 +30,7 @@
 		for number := 1; number <= maxClientAttempts; number++ {
 			a := c.clientAttempts[clientAttemptKey{request: request, number: number}]
 			if a != nil && a.outcome == record.Rejected && a.finalAt+c.slack > first.At && a.sentAt < first.At {
-				c.violation(ruleRepeatedEffect, lines[0], request, "rejected (client attempt %d), though it ran", number)
+				c.addViolation(ruleRepeatedEffect, lines[0], request, "rejected (client attempt %d), though it ran", number)
 			}
 		}
 	}
@@ -39,7 +39,7 @@
 		attempts := c.attempts[request]
 		for i, a := range attempts[1:] {
 			if before := attempts[i]; before.end == 0 || a.event.At < before.end-c.slack {
-				c.violation(ruleRepeatedEffect, a.line, a.event.Request, "attempt %s while %s was in flight",
+				c.addViolation(ruleRepeatedEffect, a.line, a.event.Request, "attempt %s while %s was in flight",
 					a.event.Attempt, before.event.Attempt)
 			}
 		}
@@ -52,19 +52,19 @@
 	switch {
 	case product == nil || product.Effect == pb.Product_IDEMPOTENT:
 	case product.Effect == pb.Product_SIDE_EFFECTING:
-		c.violation(ruleRepeatedEffect, line, request, "a side-effecting request ran again (first on line %d)", firstLine)
+		c.addViolation(ruleRepeatedEffect, line, request, "a side-effecting request ran again (first on line %d)", firstLine)
 	case again.At-first.At > int64(product.WindowMs)*millisecond+socketSlack:
-		c.violation(ruleRepeatedEffect, line, request, "a deduplicated request ran again %d ms after its first run",
+		c.addViolation(ruleRepeatedEffect, line, request, "a deduplicated request ran again %d ms after its first run",
 			(again.At-first.At)/millisecond)
 	case product.Group == pb.Product_SAME_ZONE && again.Zone != first.Zone,
 		product.Group == pb.Product_SAME_CELL && again.Cell != first.Cell:
-		c.violation(ruleRepeatedEffect, line, request, "a deduplicated request ran again outside its group")
+		c.addViolation(ruleRepeatedEffect, line, request, "a deduplicated request ran again outside its group")
 	}
 }
 
-// checkRejections checks that a request that may not run twice is not rejected, as a rejection invites a retry, after
-// one of its decodes reached an endpoint that has not refused it. It does not matter whether the decode has begun by
-// then.
+// checkRejections checks the rejections of requests that may not run twice. Once a decode of such a request has reached
+// an endpoint and was not refused there, the dispatcher must not reject the request, whether or not the decode has
+// begun: a rejection invites the client to retry.
 func (c *checker) checkRejections(events []record.Event) {
 	decodes := map[string][]*attempt{} // by the client's request id
 	for _, request := range sortedKeys(c.attempts) {
@@ -82,13 +82,13 @@
 		if client == nil || mayRunAgain(c.products[client.product]) {
 			continue
 		}
-		c.checked(ruleRepeatedEffect)
+		c.countChecked(ruleRepeatedEffect)
 		for _, a := range decodes[event.Request] {
 			if a.event.Dispatcher != event.Dispatcher || a.event.At < client.sentAt || a.event.At > event.At {
 				continue
 			}
 			if refusedAt, refused := c.refusedAt[a.event.Attempt]; !refused || refusedAt > event.At+c.slack {
-				c.violation(ruleRepeatedEffect, a.line, event.Request,
+				c.addViolation(ruleRepeatedEffect, a.line, event.Request,
 					"rejected (client attempt %d) with attempt %s at an endpoint that had not refused it",
 					event.ClientAttempt, a.event.Attempt)
 			}
--- a/internal/testbed/audit/slowstart.go
+++ b/internal/testbed/audit/slowstart.go
@@ -34,23 +34,23 @@
 				c.checkSlowStartArrival(line, event, start)
 			}
 		case record.SlowStartLoad:
-			c.checked(ruleSlowStart)
+			c.countChecked(ruleSlowStart)
 			c.verdict.PeakSlowStartUse = max(c.verdict.PeakSlowStartUse, event.Value)
 			if event.Value > 1 {
-				c.violation(ruleSlowStart, line, "", "endpoint %d was sent %.2f of its slow-start budget, in %d attempts",
+				c.addViolation(ruleSlowStart, line, "", "endpoint %d was sent %.2f of its slow-start budget, in %d attempts",
 					event.Endpoint, event.Value, event.Count)
 			}
 		case record.ChatAtEmbeddingEndpoint:
-			c.violation(ruleDrains, line, event.Request,
+			c.addViolation(ruleDrains, line, event.Request,
 				"a chat request was sent to endpoint %d, which serves embeddings only", event.Endpoint)
 		case record.EndpointOverloaded:
-			c.violation(ruleSlowStart, line, "", "endpoint %d was overloaded during slow start", event.Endpoint)
+			c.addViolation(ruleSlowStart, line, "", "endpoint %d was overloaded during slow start", event.Endpoint)
 		}
 	}
 }
 
-// checkSlowStartArrival checks the work that arrived at an endpoint within the span that ends with an arrival. A single
-// attempt never breaks the rule.
+// checkSlowStartArrival checks the work that arrived at an endpoint within the last FallMs, the attempt that has just
+// arrived included. A single attempt never breaks the rule.
 func (c *checker) checkSlowStartArrival(line int, event record.Event, start *slowStart) {
 	age := event.At - start.startedAt
 	capacity := c.slowStartCapacity(event.Kind, age)
@@ -66,9 +66,9 @@
 	}
 	start.arrivals = append(start.arrivals, arrival{at: event.At, work: event.Value})
 	used := sum / (rules.FallMultiple * capacity * float64(span) / second)
-	c.checked(ruleSlowStart)
+	c.countChecked(ruleSlowStart)
 	if count := len(start.arrivals); used > 1 && count > 1 {
-		c.violation(ruleSlowStart, line, event.Request,
+		c.addViolation(ruleSlowStart, line, event.Request,
 			"endpoint %d was sent %.2f of the deployment's slow-start budget %d ms after its start, in %d attempts",
 			event.Endpoint, used, age/millisecond, count)
 	}
--- a/internal/testbed/audit/unavailability.go
+++ b/internal/testbed/audit/unavailability.go
@@ -74,8 +74,8 @@
 	return end
 }
 
-// longestAvailable returns the longest time within a span for which a dispatcher was available without a break. Its
-// obligations from before a break are timed anew from its return.
+// longestAvailable returns the longest time within a span for which a dispatcher was available without a break. After a
+// break, the time limits of its earlier obligations start anew.
 func (c *checker) longestAvailable(dispatcher string, from, to int64) (longest int64) {
 	for from < to {
 		if available := c.availableFrom(dispatcher, from); available > from {
--- a/internal/testbed/load/batches.go
+++ b/internal/testbed/load/batches.go
@@ -88,8 +88,8 @@
 	call *batchCall
 }
 
-// startAttempt starts the next attempt. The call ends as unserved if too little time is left, no dispatcher is alive or
-// the attempts are used up.
+// startAttempt starts the next attempt. If too little time is left, no dispatcher is alive or the attempts are used up,
+// the call ends with the outcome NotAttempted.
 func (c *batchCall) startAttempt() {
 	clients := c.clients
 	generator := clients.Generator
@@ -190,7 +190,7 @@
 
 // checkScores checks that each document occurs once, with its expected score, in descending order of the scores.
 func (c *batchCall) checkScores(body []byte) (wrong string) {
-	previous, seen := 2.0, map[int]bool{} // every score is below 2
+	previous, seen := 2.0, map[int]bool{} // above every score
 	gjson.GetBytes(body, "results").ForEach(func(_, result gjson.Result) bool {
 		i, score := int(result.Get("index").Int()), result.Get("relevance_score").Num
 		if i < 0 || i >= len(c.inputs) || seen[i] || score > previous ||
--- a/internal/testbed/load/chat.go
+++ b/internal/testbed/load/chat.go
@@ -58,8 +58,8 @@
 	lastTokenAt  eventloop.Micros
 }
 
-// startAttempt starts the next attempt. The request ends as unserved if too little time is left or no dispatcher is
-// alive.
+// startAttempt starts the next attempt. If too little time is left or no dispatcher is alive, the request ends with the
+// outcome NotAttempted.
 func (r *chatRequest) startAttempt() {
 	generator, product := r.generator, r.session.product
 	timeLeft := r.startedAt + r.timeLimit - generator.loop.Now()
@@ -72,11 +72,11 @@
 	limitShare := generator.MinTimeLimitShare + (1-generator.MinTimeLimitShare)*generator.random.Float64()
 	limit := eventloop.Micros(float64(timeLeft) * limitShare)
 	target := targets[generator.random.Intn(len(targets))]
-	c := postRequest{path: modelserver.ChatPath, body: r.body()}
+	request := postRequest{path: modelserver.ChatPath, body: r.body()}
 	if generator.UseIdempotencyKeys && product.Effect != pb.Product_IDEMPOTENT {
 		// All attempts go to the same dispatcher, as dispatchers do not share their idempotency keys.
 		target = generator.Targets[int(xxhash.Sum64String(r.id)%uint64(len(generator.Targets)))]
-		c.idempotencyKey = r.id
+		request.idempotencyKey = r.id
 	}
 	next := &chatAttempt{chat: r, events: sse.Parser{MaxEventBytes: maxEventSize}}
 	next.attempt = attempt{
@@ -89,7 +89,7 @@
 		onTimeout:  next.handleTimeout,
 		onFinished: next.handleOutcome,
 	}
-	next.send(target, c, next)
+	next.send(target, request, next)
 }
 
 // body returns the JSON body of the request.
@@ -105,8 +105,9 @@
 	return text
 }
 
-// finish records the request's outcome, and makes its session available for the next turn if one is left. firstToken is
-// the time to the first token, tokenInterval the mean time between tokens.
+// finish records the request's outcome. If the request was completed and its session has a turn left, the session
+// becomes available for that turn. firstToken is the time to the first token, tokenInterval the mean time between
+// tokens.
 func (r *chatRequest) finish(outcome string, firstToken, tokenInterval eventloop.Micros) {
 	generator, session := r.generator, r.session
 	generator.OpenRequests--
--- a/internal/testbed/modelserver/conn.go
+++ b/internal/testbed/modelserver/conn.go
@@ -134,8 +134,8 @@
 	c.endpoint.serveState(c, attemptID, uint16(cell))
 }
 
-// loadReport returns the value of the load report header, which each response carries. With the fault of old load
-// reports it repeats the last value until that is reportAge old.
+// loadReport returns the value of the load report header, which each response carries. While the fault of
+// DelayLoadReports is active, it repeats the last value until that value is reportAge old.
 func (c *endpointConn) loadReport() string {
 	e := c.endpoint
 	now := e.fleet.loop.Now()
@@ -168,8 +168,8 @@
 	}
 }
 
-// respond sends a response. Its attempt stays in flight until the response is on the network, which during a partition
-// is at its end.
+// respond sends a response. Its attempt stays in flight until the response is on the network; a response that is sent
+// during a partition gets there only when the partition ends.
 func (c *endpointConn) respond(status int, body []byte) {
 	endpoint := c.endpoint
 	if c.closed || !endpoint.alive {
@@ -197,7 +197,7 @@
 	c.respond(status, []byte(`{"error":{"message":"`+code+`","type":"server_error","param":null,"code":"`+code+`"}}`))
 }
 
-// writeEvents writes server-sent events of a streamed answer, before the first ones the head of the response.
+// writeEvents writes server-sent events of a streamed answer. It writes the head of the response before the first ones.
 func (c *endpointConn) writeEvents(events []byte, last bool) {
 	if c.closed || !c.endpoint.alive {
 		return
--- a/internal/testbed/modelserver/content.go
+++ b/internal/testbed/modelserver/content.go
@@ -8,7 +8,8 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Words in a batch input at which every endpoint fails, or refuses the call as invalid.
+// Words in the inputs of a batch call: every endpoint fails a call with FailingInputWord, and refuses a call with
+// InvalidInputWord as invalid.
 const (
 	FailingInputWord = "poison"
 	InvalidInputWord = "unreadable"
--- a/internal/testbed/modelserver/kvstate.go
+++ b/internal/testbed/modelserver/kvstate.go
@@ -69,8 +69,8 @@
 }
 
 // requestRelease handles a dispatcher's request to release the KV state of an attempt. A state that is being
-// transferred is in use: it is released once the transfers have ended, unless one of them completes. A release that
-// arrives before the state is remembered.
+// transferred is in use: it is released once the transfers have ended, unless one of them completes. If the state is
+// not pinned yet, the endpoint remembers the release and doesn't pin the state when the prefill ends.
 func (e *Endpoint) requestRelease(attemptID string) {
 	state := e.states[attemptID]
 	switch {
@@ -83,8 +83,8 @@
 	}
 }
 
-// endUnfetchedTransfer ends a transfer whose receiver disconnected, and carries out a pending release after the last
-// one.
+// endUnfetchedTransfer ends a transfer whose receiver disconnected. After the last transfer of the state it carries out
+// a pending release.
 func (e *Endpoint) endUnfetchedTransfer(attemptID string, state *pinnedState) {
 	if state.transfers--; state.transfers == 0 && state.releaseRequested && e.states[attemptID] == state {
 		e.release(attemptID, record.StateReleased)
--- a/internal/testbed/modelserver/summary.go
+++ b/internal/testbed/modelserver/summary.go
@@ -2,7 +2,8 @@
 
 import "fmt"
 
-// Summary returns one line for each endpoint, with its condition, its queue length, its pinned states and its batch.
+// Summary returns one line for each endpoint, with its id, its condition, the numbers of queued attempts and of pinned
+// states, and the attempts in its batch.
 func (f *Fleet) Summary() (lines []string) {
 	for _, e := range f.Endpoints {
 		line := fmt.Sprint(e.ID, e.alive, e.draining, e.frozen, e.hung, len(e.queued), len(e.states))
--- a/internal/testbed/record/record.go
+++ b/internal/testbed/record/record.go
@@ -2,7 +2,8 @@
 // the audit.
 //
 // It owns the record of a run, in memory and as a file with one JSON object per line. It relies on its callers to take
-// the times of all events from one clock. A dispatcher never writes to a record: it holds what others observed of it.
+// the times of all events from one clock. A dispatcher never writes to a record, which holds only what others observed
+// of it.
 package record
 
 import (
@@ -25,15 +26,16 @@
 	FinalAnswer     EventType = "final"
 	BytesAfterFinal EventType = "after"     // Detail is "bytes" or "event"
 	MalformedAnswer EventType = "malformed" // Detail is the error
-	// RequestFinished ends a client's request. Detail is the last attempt's outcome, Count the time in µs, of a chat
-	// request to its first token, and Exact whether a chat request met its SLO or another one was completed.
+	// RequestFinished ends a client's request. Detail is its outcome. Count is a time in µs since the request began: to
+	// the first token of a completed chat request, to the end of a batch call. Exact is whether a chat request met its
+	// SLO, or whether a batch call was completed.
 	RequestFinished EventType = "over"
 )
 
 // Events that endpoints observe.
 const (
 	AttemptArrived          EventType = "leg"      // on the socket; Value is its work in tokens
-	AttemptDeferred         EventType = "deferred" // it arrived while the endpoint does not run or is partitioned
+	AttemptDeferred         EventType = "deferred" // it arrived while the endpoint did not run or was partitioned
 	DeferredAttemptAccepted EventType = "taken"    // the endpoint that had deferred it has accepted it
 	AttemptRefused          EventType = "refuse"   // Detail is the error code
 	AttemptAnswered         EventType = "answered"
--- a/internal/testbed/scenarios/delays.go
+++ b/internal/testbed/scenarios/delays.go
@@ -7,8 +7,8 @@
 
 const (
 	delayCheckInterval = 10 * eventloop.Millisecond
-	// minRecordedDelay is the shortest delay that is recorded. It is below the 50 ms by which the audit lets the events
-	// of two sockets be apart.
+	// minRecordedDelay is the shortest delay that is recorded. It is below the audit's tolerance of 50 ms between the
+	// times of events on two sockets.
 	minRecordedDelay = 40 * eventloop.Millisecond
 )
 
--- a/internal/testbed/scenarios/process.go
+++ b/internal/testbed/scenarios/process.go
@@ -40,8 +40,8 @@
 	exited       chan struct{} // closed once the current process has exited
 }
 
-// start starts the next incarnation and waits until it serves. It listens on the address of the incarnation before, if
-// there was one.
+// start starts the next incarnation and waits until it serves. The incarnation listens on the address of the previous
+// one, if there was one.
 func (d *process) start(ctx context.Context) error {
 	d.incarnations++
 	name := fmt.Sprintf("d%d.%d", d.number, d.incarnations)
@@ -86,7 +86,7 @@
 	return args
 }
 
-// waitReady waits for the ready file. It fails if the process exits before, or writes none in time.
+// waitReady waits for the ready file. It fails if the process exits without writing one, or writes none in time.
 func (d *process) waitReady(readyPath, logPath string) (ready Ready, err error) {
 	ticker := time.NewTicker(startPollInterval)
 	defer ticker.Stop()
--- a/internal/testbed/scenarios/virtualdispatcher.go
+++ b/internal/testbed/scenarios/virtualdispatcher.go
@@ -27,10 +27,10 @@
 	clockSkew        eventloop.Micros
 	disk             *virtual.Disk
 	down             bool
-	unavailableUntil eventloop.Micros // until then a fault freezes it or cuts it off from its endpoints
+	unavailableUntil eventloop.Micros // until then a fault freezes it or partitions it from its endpoints
 }
 
-// start starts the next incarnation, on the address of the incarnation before if there was one.
+// start starts the next incarnation. It listens on the address of the previous one, if there was one.
 func (d *virtualDispatcher) start() (err error) {
 	run := d.run
 	d.incarnations++
@@ -77,10 +77,11 @@
 	}
 	d.down = true
 	d.kill()
-	run := d.run.virtual
+	virtualState := d.run.virtual
 	d.run.fleetLoop.AfterFunc(downtime, func() {
 		if err := d.start(); err != nil {
-			run.restartFailure = errors.Join(run.restartFailure, fmt.Errorf("dispatcher %d did not restart: %w", d.number, err))
+			virtualState.restartFailure = errors.Join(virtualState.restartFailure,
+				fmt.Errorf("dispatcher %d did not restart: %w", d.number, err))
 		}
 	})
 }
--- a/internal/testbed/scenarios/virtualfaults.go
+++ b/internal/testbed/scenarios/virtualfaults.go
@@ -12,8 +12,8 @@
 const (
 	minDowntime             = eventloop.Millisecond
 	slowSyncTime            = 150 * eventloop.Millisecond // of a slow disk if the fault states none
-	defaultSyncTime         = 2 * eventloop.Millisecond
-	pickOne         float64 = 0
+	defaultSyncTime         = 2 * eventloop.Millisecond   // of a disk without that fault
+	pickOne         float64 = 0                           // a share of which pickShare draws a single element
 )
 
 // errDisk is the error that a failing disk returns.
@@ -94,7 +94,7 @@
 		func(disk *virtual.Disk) { disk.Capacity = 0 })
 }
 
-// slowDownDisks sets the time that each sync takes, in seconds by the fault's factor.
+// slowDownDisks sets the time that each sync takes. The fault's factor states it in seconds.
 func slowDownDisks(i injection) {
 	syncTime := slowSyncTime
 	if i.fault.Factor > 0 {
--- a/internal/testbed/soak/audit_test.go
+++ b/internal/testbed/soak/audit_test.go
@@ -106,7 +106,7 @@
 	answeredLate := Event{At: 5000 * ms, Kind: Answered, ID: "r", Status: 500}
 	answeredTwice := Event{At: 1300 * ms, Kind: Answered, ID: "r", Status: 200}
 	rejected := Event{At: 1100 * ms, Kind: Answered, ID: "r", Status: 503}
-	left := Event{At: 1025 * ms, Kind: Disconnected, ID: "r"}
+	disconnected := Event{At: 1025 * ms, Kind: Disconnected, ID: "r"}
 	passedOnLate := Event{At: 900 * ms, Kind: FaultBegan, Text: delayedText, Dispatcher: "1", Value: 300 * ms}
 	arrivedByProxy := Event{At: 1430 * ms, Kind: Arrived, ID: "r", Endpoint: "g", Dispatcher: "1", Text: decodeKind}
 	arrivedAfterLeft := Event{At: 1500 * ms, Kind: Arrived, ID: "r", Endpoint: "g", Text: decodeKind}
@@ -126,9 +126,11 @@
 		{"run twice in its window", deduplicatedClass, add(ranInWindow), ""},
 		{"run twice, past its window", deduplicatedClass, add(ranPastWindow), ruleRepeatedEffect},
 		{"rejected after it ran", nonIdempotentClass, unanswered(rejected), ruleRepeatedEffect},
-		{"an attempt after its client left", nonIdempotentClass, unanswered(left, arrivedAfterLeft), ruleClientDisconnected},
-		{"an attempt that a proxy passed on late", nonIdempotentClass, unanswered(left, passedOnLate, arrivedByProxy), ""},
-		{"an attempt as its client left", nonIdempotentClass, unanswered(left), ""},
+		{"an attempt after its client left", nonIdempotentClass, unanswered(disconnected, arrivedAfterLeft),
+			ruleClientDisconnected},
+		{"an attempt that a proxy passed on late", nonIdempotentClass,
+			unanswered(disconnected, passedOnLate, arrivedByProxy), ""},
+		{"an attempt as its client left", nonIdempotentClass, unanswered(disconnected), ""},
 		{"an endpoint is given too much time", nonIdempotentClass, add(tooMuchTime), ruleDeadline},
 		{"sent to an endpoint that drains", nonIdempotentClass, add(drained, notified("1")), ruleEndpointNotReady},
 		{"another dispatcher was notified", nonIdempotentClass, add(drained, notified("2")), ""},
--- a/internal/testbed/soak/clients.go
+++ b/internal/testbed/soak/clients.go
@@ -52,7 +52,7 @@
 // Ways in which a client misbehaves with a request; any other number that is drawn is the usual behaviour.
 const (
 	sendHalf = iota
-	sendNonsense
+	sendMalformed
 	sendSlowly
 	giveUp
 	giveUpToo // a second number, so that clients give up twice as often
@@ -74,97 +74,97 @@
 }
 
 func startClients(s *standIn) handler {
-	k := &clients{standIn: s, endsAt: now() + s.Duration.Microseconds()}
+	c := &clients{standIn: s, endsAt: now() + s.Duration.Microseconds()}
 	for range workers {
 		go func() {
-			for now() < k.endsAt {
-				k.useConnection(k.Targets[k.draw(len(k.Targets))])
+			for now() < c.endsAt {
+				c.useConnection(c.Targets[c.draw(len(c.Targets))])
 			}
 		}()
 	}
 	return func(command string, arguments []string) {
 		if command == commandFlood {
-			go k.flood(arguments[0], durationArgument(arguments, 1))
+			go c.flood(arguments[0], durationArgument(arguments, 1))
 		}
 	}
 }
 
 // flood opens connections on which it sends nothing, for a while.
-func (k *clients) flood(target string, duration time.Duration) {
+func (c *clients) flood(target string, duration time.Duration) {
 	for end := now() + duration.Microseconds(); now() < end; {
 		conn, err := net.DialTimeout("tcp", target, dialTimeout)
 		if err == nil {
-			time.AfterFunc(k.drawDuration(maxFloodIdle), func() { closeConn(conn) })
+			time.AfterFunc(c.drawDuration(maxFloodIdle), func() { closeConn(conn) })
 		}
 		time.Sleep(floodInterval)
 	}
 }
 
 // useConnection sends some requests to a dispatcher on one connection.
-func (k *clients) useConnection(target string) {
-	conn, err := net.DialTimeout("tcp", target, dialTimeout)
+func (c *clients) useConnection(target string) {
+	dialled, err := net.DialTimeout("tcp", target, dialTimeout)
 	if err != nil {
 		time.Sleep(50 * time.Millisecond)
 		return
 	}
-	defer closeConn(conn)
-	c := &clientConn{Conn: conn, reader: bufio.NewReader(conn), target: target}
-	persistent := k.draw(persistentOneIn) == 0
-	for count := 1 + k.draw(maxRequestsPerConnection); count > 0 || persistent && now() < k.endsAt; count-- {
-		if k.draw(idleOneIn) == 0 {
-			time.Sleep(k.drawDuration(maxIdle))
-			c.reused = true
+	defer closeConn(dialled)
+	conn := &clientConn{Conn: dialled, reader: bufio.NewReader(dialled), target: target}
+	persistent := c.draw(persistentOneIn) == 0
+	for count := 1 + c.draw(maxRequestsPerConnection); count > 0 || persistent && now() < c.endsAt; count-- {
+		if c.draw(idleOneIn) == 0 {
+			time.Sleep(c.drawDuration(maxIdle))
+			conn.reused = true
 		}
-		if !k.sendRequest(c) {
+		if !c.sendRequest(conn) {
 			return
 		}
-		c.reused = true
+		conn.reused = true
 	}
 }
 
 // sendRequest sends one request and reads its answer. It returns false if the connection must not be used again.
-func (k *clients) sendRequest(conn *clientConn) bool {
-	class := classes[k.draw(len(classes))]
-	id := fmt.Sprintf("%s-%d", k.Name, k.sent.Add(1))
-	body := fmt.Sprintf(`{"stream":true,"messages":["%s"]}`, strings.Repeat("x", 1<<k.draw(maxBodyBits)))
-	text := fmt.Sprintf(requestFormat, id, class, k.Name, k.Deadline.Milliseconds(), 100+len(body)/4, len(body), body)
-	behaviour := k.draw(misbehaviourOneIn)
+func (c *clients) sendRequest(conn *clientConn) bool {
+	class := classes[c.draw(len(classes))]
+	id := fmt.Sprintf("%s-%d", c.Name, c.sent.Add(1))
+	body := fmt.Sprintf(`{"stream":true,"messages":["%s"]}`, strings.Repeat("x", 1<<c.draw(maxBodyBits)))
+	text := fmt.Sprintf(requestFormat, id, class, c.Name, c.Deadline.Milliseconds(), 100+len(body)/4, len(body), body)
+	behaviour := c.draw(misbehaviourOneIn)
 	began := now()
-	if !k.writeRequest(conn, text, behaviour) {
+	if !c.writeRequest(conn, text, behaviour) {
 		return false
 	}
 	sent := Event{Kind: Sent, ID: id, Class: class, Dispatcher: conn.target, Value: began}
 	if conn.reused {
 		sent.Text = reusedConnection
 	}
-	k.record.add(sent)
+	c.record.add(sent)
 	if behaviour == giveUp || behaviour == giveUpToo {
-		k.disconnect(conn, sent)
+		c.disconnect(conn, sent)
 		return false
 	}
-	return k.readAnswer(conn, sent)
+	return c.readAnswer(conn, sent)
 }
 
 // writeRequest writes a request. It returns false if the request was not written completely.
-func (k *clients) writeRequest(conn *clientConn, text string, behaviour int) bool {
+func (c *clients) writeRequest(conn *clientConn, text string, behaviour int) bool {
 	switch behaviour {
 	case sendHalf: // and then stay idle before closing
 		_, _ = io.WriteString(conn, text[:len(text)/2])
-		time.Sleep(k.drawDuration(maxIdle))
+		time.Sleep(c.drawDuration(maxIdle))
 		return false
-	case sendNonsense:
+	case sendMalformed:
 		_, _ = io.WriteString(conn, "nonsense\r\n\r\n")
 		_ = conn.SetReadDeadline(time.Now().Add(3 * time.Second))
 		_, _ = io.Copy(io.Discard, conn.reader)
 		return false
 	case sendSlowly:
 		for len(text) > 0 {
-			size := min(1+k.draw(len(text)), len(text))
+			size := min(1+c.draw(len(text)), len(text))
 			if _, err := io.WriteString(conn, text[:size]); err != nil {
 				return false
 			}
 			text = text[size:]
-			time.Sleep(k.drawDuration(20 * time.Millisecond))
+			time.Sleep(c.drawDuration(20 * time.Millisecond))
 		}
 		return true
 	}
@@ -173,12 +173,12 @@
 }
 
 // disconnect closes a connection before the answer.
-func (k *clients) disconnect(conn *clientConn, sent Event) {
-	if k.draw(2) == 0 {
-		time.Sleep(k.drawDuration(60 * time.Millisecond))
+func (c *clients) disconnect(conn *clientConn, sent Event) {
+	if c.draw(2) == 0 {
+		time.Sleep(c.drawDuration(60 * time.Millisecond))
 	}
-	k.record.add(Event{Kind: Disconnected, ID: sent.ID, Class: sent.Class, Dispatcher: sent.Dispatcher})
-	if k.draw(2) == 0 {
+	c.record.add(Event{Kind: Disconnected, ID: sent.ID, Class: sent.Class, Dispatcher: sent.Dispatcher})
+	if c.draw(2) == 0 {
 		resetConn(conn.Conn)
 	} else {
 		closeConn(conn.Conn)
@@ -186,12 +186,12 @@
 }
 
 // readAnswer reads the answer and records it. It returns false if the connection must not be used again.
-func (k *clients) readAnswer(conn *clientConn, sent Event) bool {
+func (c *clients) readAnswer(conn *clientConn, sent Event) bool {
 	record := func(kind EventKind, status int, text string) {
-		k.record.add(Event{Kind: kind, ID: sent.ID, Class: sent.Class, Dispatcher: sent.Dispatcher, Status: status,
+		c.record.add(Event{Kind: kind, ID: sent.ID, Class: sent.Class, Dispatcher: sent.Dispatcher, Status: status,
 			Value: sent.At, Text: text})
 	}
-	_ = conn.SetReadDeadline(time.Now().Add(k.Deadline + answerGrace + headTimeout))
+	_ = conn.SetReadDeadline(time.Now().Add(c.Deadline + answerGrace + headTimeout))
 	answer, err := http.ReadResponse(conn.reader, nil)
 	if err != nil {
 		text := err.Error()
@@ -215,7 +215,7 @@
 		record(Answered, answer.StatusCode, "")
 	}
 	if answer.StatusCode == http.StatusServiceUnavailable {
-		time.Sleep(k.drawDuration(100 * time.Millisecond))
+		time.Sleep(c.drawDuration(100 * time.Millisecond))
 	}
 	return err == nil && !answer.Close
 }
--- a/internal/testbed/soak/dispatcher.go
+++ b/internal/testbed/soak/dispatcher.go
@@ -19,7 +19,7 @@
 const (
 	// stopGrace is the time after SIGTERM within which a request may arrive that need not be answered before SIGKILL.
 	stopGrace = 700 * time.Millisecond
-	// maxDeadlineBeforeKill is the longest deadline that SIGKILL allows for.
+	// maxDeadlineBeforeKill is the longest time for which SIGKILL waits for the deadlines of requests.
 	maxDeadlineBeforeKill = 3 * time.Second
 )
 
@@ -114,26 +114,26 @@
 }
 
 // drawFollowUpSignals draws up to maxFollowUpSignals signals that are sent after a SIGTERM.
-func (r *run) drawFollowUpSignals() (later []followUpSignal) {
+func (r *run) drawFollowUpSignals() (followUps []followUpSignal) {
 	for range r.random.Intn(maxFollowUpSignals + 1) {
-		later = append(later, followUpSignal{
+		followUps = append(followUps, followUpSignal{
 			after:  time.Duration(r.random.Int63n(int64(maxSignalPause))),
 			signal: pick(r.random, []syscall.Signal{syscall.SIGTERM, syscall.SIGHUP}),
 		})
 	}
-	return later
+	return followUps
 }
 
 // stopAndRestart sends SIGTERM to a dispatcher, kills it at the earliest time at which that is allowed unless it has
 // exited by then, and starts it again.
-func (r *run) stopAndRestart(stopping *dispatcher, later []followUpSignal) {
+func (r *run) stopAndRestart(stopping *dispatcher, followUps []followUpSignal) {
 	stopping.mu.Lock()
 	defer stopping.mu.Unlock()
 	stoppedAt := now()
 	r.record.add(Event{Kind: Stopped, Dispatcher: stopping.address})
 	kill := time.After(r.killAfter())
 	stopping.signal(syscall.SIGTERM)
-	for _, next := range later {
+	for _, next := range followUps {
 		time.Sleep(next.after)
 		stopping.signal(next.signal)
 	}
--- a/internal/testbed/soak/endpoint.go
+++ b/internal/testbed/soak/endpoint.go
@@ -117,9 +117,9 @@
 		return false
 	}
 	call.id, call.arrivedAt = request.Header.Get("Req-Id"), now()
-	left, _ := time.ParseDuration(strings.Replace(request.Header.Get("Req-Deadline"), "u", "us", 1))
+	remaining, _ := time.ParseDuration(strings.Replace(request.Header.Get("Req-Deadline"), "u", "us", 1))
 	e.record.add(Event{At: call.arrivedAt, Kind: Arrived, ID: call.id, Endpoint: e.Name, Dispatcher: call.dispatcher,
-		Value: left.Microseconds(), Text: e.Kind})
+		Value: remaining.Microseconds(), Text: e.Kind})
 	if now() < e.declineUntil.Load() || e.draw(declineOneIn) == 0 {
 		e.recordRefused(call)
 		return call.write(declinedAnswer)
--- a/internal/testbed/soak/excuses.go
+++ b/internal/testbed/soak/excuses.go
@@ -5,22 +5,22 @@
 	"time"
 )
 
-// dispatcherKilled reports whether a dispatcher was killed in a span. The end of one that was only asked to stop
-// doesn't count.
+// dispatcherKilled reports whether a dispatcher was killed in a span. An exit after SIGTERM alone doesn't count.
 func (a *Audit) dispatcherKilled(address string, from, to int64) bool {
 	return slices.ContainsFunc(a.events, func(event Event) bool {
 		return event.Kind == Killed && event.Dispatcher == address && event.At >= from-slack.Microseconds() && event.At <= to
 	})
 }
 
-// lateAtKill returns how long after SIGTERM a request was sent that was unanswered at SIGKILL, if that was longer than
-// stopGrace: the dispatcher should have answered it or closed its connection earlier. Otherwise it returns 0.
-func (a *Audit) lateAtKill(t *requestHistory) time.Duration {
+// lateAtKill returns the time from SIGTERM until a request was sent, if the request was unanswered at SIGKILL and that
+// time is longer than stopGrace: the dispatcher should have answered the request or closed its connection earlier.
+// Otherwise it returns 0.
+func (a *Audit) lateAtKill(h *requestHistory) time.Duration {
 	for _, event := range a.events {
-		endedIt := event.Kind == Killed && event.Dispatcher == t.sent.Dispatcher && event.Value > 0 &&
-			event.At >= t.sent.At && event.At <= t.final.At && event.At+slack.Microseconds() > t.final.At
-		if endedIt && t.sent.Value > event.Value+stopGrace.Microseconds() {
-			return time.Duration(t.sent.Value-event.Value) * time.Microsecond
+		endedIt := event.Kind == Killed && event.Dispatcher == h.sent.Dispatcher && event.Value > 0 &&
+			event.At >= h.sent.At && event.At <= h.final.At && event.At+slack.Microseconds() > h.final.At
+		if endedIt && h.sent.Value > event.Value+stopGrace.Microseconds() {
+			return time.Duration(h.sent.Value-event.Value) * time.Microsecond
 		}
 	}
 	return 0
@@ -33,8 +33,8 @@
 	})
 }
 
-// wasPartitioned reports whether a dispatcher could reach no endpoint during any part of a span. It can't release
-// states then.
+// wasPartitioned reports whether a dispatcher was partitioned from all endpoints for at least a part of a span. It
+// can't release states then.
 func (a *Audit) wasPartitioned(dispatcher string, from, to int64) bool {
 	return slices.ContainsFunc(a.events, func(event Event) bool {
 		return event.Kind == FaultBegan && event.Text == partitionedText && event.Dispatcher == dispatcher &&
@@ -45,15 +45,15 @@
 // earliestWrite returns the earliest time at which a dispatcher may have written a request that an endpoint recorded at
 // a given time. The endpoint's process may not have run in between, once or several times in a row, and the proxy may
 // have delayed the connection.
-func (a *Audit) earliestWrite(taken Event, at int64) int64 {
+func (a *Audit) earliestWrite(recorded Event, at int64) int64 {
 	earliest := at
 	for _, event := range slices.Backward(a.events) { // sorted by time, so that earlier spans are added to later ones
-		if event.Kind == FaultBegan && event.Text == notRunningText && event.Endpoint == taken.Endpoint &&
+		if event.Kind == FaultBegan && event.Text == notRunningText && event.Endpoint == recorded.Endpoint &&
 			event.At <= earliest && event.At+event.Value+slack.Microseconds() >= earliest {
 			earliest = event.At
 		}
 	}
-	return earliest - a.proxyDelay(taken.Dispatcher, earliest)
+	return earliest - a.proxyDelay(recorded.Dispatcher, earliest)
 }
 
 // proxyDelay returns how long a proxy may have delayed a request after the dispatcher had written it: a proxy accepts a
--- a/internal/testbed/soak/faults.go
+++ b/internal/testbed/soak/faults.go
@@ -20,8 +20,8 @@
 const (
 	maxFreeze       = 140 * time.Millisecond // of a dispatcher
 	minFaultTime    = 200 * time.Millisecond
-	faultTimeSpread = 1800        // ms
-	maxReloads      = 4           // in a series
+	faultTimeSpread = 1800        // in ms; limit of the random part of a fault's duration
+	maxReloads      = 4           // of a dispatcher's configuration, one directly after the other
 	minUptime       = time.Second // of a dispatcher before it gets a new configuration
 	drainOneIn      = 3           // at most one endpoint in so many of a kind is drained
 )
@@ -168,8 +168,8 @@
 	if r.FloodOnStop {
 		pick(r.random, r.clients).send("%s %s %s", commandFlood, d.address, r.killAfter())
 	}
-	later := r.drawFollowUpSignals()
-	r.pendingStops.Go(func() { r.stopAndRestart(d, later) })
+	followUps := r.drawFollowUpSignals()
+	r.pendingStops.Go(func() { r.stopAndRestart(d, followUps) })
 	return true
 }
 
--- a/internal/testbed/soak/judge.go
+++ b/internal/testbed/soak/judge.go
@@ -35,7 +35,7 @@
 	return nil
 }
 
-// readLog collects the violations that a dispatcher's own guard reported, and crashes.
+// readLog adds to the report what a dispatcher's log tells of violations and blocked sends, and of its crashes.
 func (r *run) readLog(from *dispatcher, audit *Audit) error {
 	file, err := os.Open(from.logs.file.Name())
 	if err != nil {
@@ -50,7 +50,7 @@
 		if err != nil {
 			return fmt.Errorf("a line does not begin with its time: %w", err)
 		}
-		if isExcusedOverrun(from, audit, at, text) {
+		if isExcusedLeaseOverrun(from, audit, at, text) {
 			continue
 		}
 		if strings.Contains(text, guard.ViolationMessage) || strings.Contains(text, schedulerhost.SendBlockedMessage) {
@@ -63,9 +63,9 @@
 	return lines.Err()
 }
 
-// isExcusedOverrun reports whether a log line is about a KV state that the dispatcher could not release in time because
-// it was partitioned from its endpoints.
-func isExcusedOverrun(d *dispatcher, audit *Audit, at int64, text string) bool {
+// isExcusedLeaseOverrun reports whether a log line is about a KV state that the dispatcher could not release in time
+// because it was partitioned from its endpoints.
+func isExcusedLeaseOverrun(d *dispatcher, audit *Audit, at int64, text string) bool {
 	return strings.Contains(text, strconv.Quote(guard.StateLease.String())) &&
 		audit.wasPartitioned(strconv.Itoa(d.number+1), at-maxStateTime.Microseconds(), at)
 }
--- a/internal/testbed/soak/process.go
+++ b/internal/testbed/soak/process.go
@@ -23,24 +23,24 @@
 }
 
 // startStandInProcess starts the process of a stand-in and waits until it is ready.
-func startStandInProcess(name string, setup Setup) (*process, error) {
+func startStandInProcess(role string, setup Setup) (*process, error) {
 	setupText, err := json.Marshal(setup)
 	if err != nil {
 		return nil, fmt.Errorf("setup of %s: %w", setup.Name, err)
 	}
 	cmd := exec.Command(os.Args[0])
-	cmd.Env = append(os.Environ(), roleVariable+"="+name, setupVariable+"="+string(setupText))
+	cmd.Env = append(os.Environ(), roleVariable+"="+role, setupVariable+"="+string(setupText))
 	cmd.Stderr = os.Stderr
 	started := &process{cmd: cmd, exited: make(chan struct{})}
 	if started.stdin, err = cmd.StdinPipe(); err != nil {
-		return nil, fmt.Errorf("start %s %s: %w", name, setup.Name, err)
+		return nil, fmt.Errorf("start %s %s: %w", role, setup.Name, err)
 	}
 	out, err := cmd.StdoutPipe()
 	if err != nil {
-		return nil, fmt.Errorf("start %s %s: %w", name, setup.Name, err)
+		return nil, fmt.Errorf("start %s %s: %w", role, setup.Name, err)
 	}
 	if err := cmd.Start(); err != nil {
-		return nil, fmt.Errorf("start %s %s: %w", name, setup.Name, err)
+		return nil, fmt.Errorf("start %s %s: %w", role, setup.Name, err)
 	}
 	line, err := bufio.NewReader(out).ReadString('\n')
 	go started.wait()
@@ -49,7 +49,7 @@
 	}
 	if err != nil {
 		started.kill()
-		return nil, fmt.Errorf("start %s %s: %w", name, setup.Name, err)
+		return nil, fmt.Errorf("start %s %s: %w", role, setup.Name, err)
 	}
 	return started, nil
 }
--- a/internal/testbed/soak/proxy.go
+++ b/internal/testbed/soak/proxy.go
@@ -19,9 +19,11 @@
 // delays new ones or forwards bytes in small fragments.
 type proxy struct {
 	*standIn
-	mu            sync.Mutex
-	open          map[net.Conn]bool
-	silentUntil   atomic.Int64 // nothing is forwarded; new connections, and open ones with data, are reset afterwards
+	mu   sync.Mutex
+	open map[net.Conn]bool
+	// Until silentUntil nothing is forwarded. Afterwards, the connections that were opened in that time are reset, and so
+	// are older ones on which data arrived.
+	silentUntil   atomic.Int64
 	delayUntil    atomic.Int64
 	fragmentUntil atomic.Int64
 }
@@ -109,7 +111,7 @@
 	return wasSilent
 }
 
-// copy forwards bytes in one direction until that ends.
+// copy forwards bytes in one direction until the sender closes or a connection breaks.
 func (p *proxy) copy(from, to net.Conn) {
 	buffer := make([]byte, proxyBufferSize)
 	for {
--- a/internal/testbed/soak/record.go
+++ b/internal/testbed/soak/record.go
@@ -20,7 +20,7 @@
 	Refused  EventKind = "refused"  // a decode was declined or was found to be abandoned
 	Ran      EventKind = "ran"      // its effects took place; Value is its arrival, where the deduplication window begins
 	Reserved EventKind = "held"     // a prefill left a state
-	Released EventKind = "released" // a state, at a dispatcher's request
+	Released EventKind = "released" // a state was released at a dispatcher's request
 )
 
 // Events that clients record.
@@ -37,7 +37,7 @@
 	Notified   EventKind = "told"     // discovery wrote an endpoint's drain to a dispatcher's watch
 	Drained    EventKind = "drained"  // an endpoint's drain was published
 	Stopped    EventKind = "stopped"  // a dispatcher was sent SIGTERM
-	Killed     EventKind = "killed"   // a dispatcher or an endpoint was; Value is when it was sent SIGTERM, if it was
+	Killed     EventKind = "killed"   // a dispatcher or an endpoint was killed; Value is when it was sent SIGTERM, or 0
 	Ended      EventKind = "ended"    // a dispatcher's process ended
 	FaultBegan EventKind = "troubled" // Text names the fault; Value is its duration
 )
--- a/internal/testbed/soak/role.go
+++ b/internal/testbed/soak/role.go
@@ -83,11 +83,11 @@
 
 // Main runs a stand-in until it ends if the environment names its role. It returns whether it did.
 func Main() bool {
-	name := os.Getenv(roleVariable)
-	if name == "" {
+	role := os.Getenv(roleVariable)
+	if role == "" {
 		return false
 	}
-	if err := runStandIn(name, os.Getenv(setupVariable), os.Stdin); err != nil {
+	if err := runStandIn(role, os.Getenv(setupVariable), os.Stdin); err != nil {
 		fmt.Println(err)
 		os.Exit(exitSetupFailed)
 	}
@@ -95,7 +95,7 @@
 }
 
 // runStandIn runs a stand-in until it gets the command to end.
-func runStandIn(name, setup string, commands io.Reader) error {
+func runStandIn(role, setup string, commands io.Reader) error {
 	s := &standIn{}
 	if err := json.Unmarshal([]byte(setup), &s.Setup); err != nil {
 		return fmt.Errorf("setup: %w", err)
@@ -105,7 +105,7 @@
 	if s.record, err = newRecord(s.Record); err != nil {
 		return err
 	}
-	handle, err := s.start(name)
+	handle, err := s.start(role)
 	if err != nil {
 		return err
 	}
@@ -124,8 +124,8 @@
 }
 
 // start starts the stand-in of a role.
-func (s *standIn) start(name string) (handler, error) {
-	switch name {
+func (s *standIn) start(role string) (handler, error) {
+	switch role {
 	case endpointRole:
 		return startEndpoint(s)
 	case discoveryRole:
@@ -135,7 +135,7 @@
 	case clientsRole:
 		return startClients(s), nil
 	}
-	return nil, fmt.Errorf("unknown role %q", name)
+	return nil, fmt.Errorf("unknown role %q", role)
 }
 
 // listen serves each connection to an address, in the background, until the process ends.
--- a/internal/testbed/soak/run.go
+++ b/internal/testbed/soak/run.go
@@ -44,12 +44,12 @@
 	Violations []string       // log lines of the dispatchers' own guards
 }
 
-// Kinds of addresses; each is a part of the IP addresses of a run.
+// Kinds of addresses. The kind is the third number of each IP address of a run.
 const (
 	endpointAddress = iota
 	proxyAddress
 	agentAddress
-	sourceAddress
+	sourceAddress // from which a proxy connects to the endpoints
 	dispatcherAddress
 )
 
@@ -61,7 +61,7 @@
 	dispatcherPort = 7070
 )
 
-const agents = 2 // number of discovery agents
+const agentCount = 2 // number of discovery agents
 
 // run is the state of a run in progress.
 type run struct {
@@ -156,15 +156,15 @@
 	return r.record.close()
 }
 
-// killAll kills all processes that are still running after a failed run.
+// killAll kills all processes that are still running, as after a failed run.
 func (r *run) killAll() {
 	for _, d := range r.dispatchers {
 		if d.process != nil {
 			d.process.kill()
 		}
 	}
-	for _, left := range r.standIns() {
-		left.kill()
+	for _, remaining := range r.standIns() {
+		remaining.kill()
 	}
 }
 
--- a/internal/testbed/soak/start.go
+++ b/internal/testbed/soak/start.go
@@ -75,7 +75,7 @@
 	for number := range r.Dispatchers {
 		proxies = append(proxies, r.ip(proxyAddress, number))
 	}
-	for agent := range agents {
+	for agent := range agentCount {
 		var listen []string
 		for number := range r.Dispatchers {
 			listen = append(listen, r.address(agentAddress, number, agentPort+agent))
--- a/internal/virtual/connect.go
+++ b/internal/virtual/connect.go
@@ -15,7 +15,7 @@
 	errConnectionRefused = errors.New("connection refused")
 )
 
-// listener implements eventloop.Listener for one process, which is that of loop.
+// listener is an address on which the process of loop accepts connections. It implements eventloop.Listener.
 type listener struct {
 	loop   *Loop
 	addr   string
@@ -63,10 +63,12 @@
 	return l.dial(addr, timeout, handler, l.outOfReservedDescriptors())
 }
 
-// dial begins to open a connection. If full is set it fails for lack of a descriptor.
-func (l *Loop) dial(addr string, timeout eventloop.Micros, handler eventloop.Handler, full bool) eventloop.Conn {
+// dial begins to open a connection. If noDescriptor is set, it fails for lack of one.
+func (l *Loop) dial(
+	addr string, timeout eventloop.Micros, handler eventloop.Handler, noDescriptor bool,
+) eventloop.Conn {
 	c := &conn{loop: l, handler: handler}
-	if full {
+	if noDescriptor {
 		c.finishAfter(0, eventloop.ErrNoDescriptors)
 		return c
 	}
--- a/internal/virtual/disk.go
+++ b/internal/virtual/disk.go
@@ -35,11 +35,11 @@
 	// PartialWrites makes an append that fails with Failure write a random part, as a short write or a failed sync does.
 	// Writes and removals are atomic.
 	PartialWrites bool
-	// Capacity, if above 0, is how many bytes all files may have. An append that exceeds it writes what fits and fails; a
-	// write that exceeds it together with all existing files, also that which it replaces, changes nothing and fails.
+	// Capacity, if above 0, is how many bytes all files may have. An append that exceeds it writes what fits and fails. A
+	// write that exceeds it together with all existing files, the replaced one included, changes nothing and fails.
 	Capacity int
 	// AcknowledgesEarly makes operations succeed at once and become durable later. If the process is killed in between,
-	// they are lost, or may take effect in part if no other process has got the disk by then.
+	// they are lost, or take effect in part if the disk is not attached to another process before they become due.
 	AcknowledgesEarly bool
 
 	network   *Network
@@ -53,8 +53,8 @@
 	return &Disk{network: n, files: map[string][]byte{}, SyncTime: defaultSyncTime}
 }
 
-// AttachTo makes the disk that of a process. The operations that an earlier, killed process left pending are dropped;
-// only those that became due before AttachTo have taken effect in part.
+// AttachTo attaches the disk to a process. If an earlier process was killed, its operations that became due between the
+// kill and AttachTo have taken effect in part, and those that are still pending are dropped.
 func (d *Disk) AttachTo(l *Loop) *Disk {
 	d.loop, d.busyUntil = l, 0
 	return d
--- a/internal/virtual/disk_test.go
+++ b/internal/virtual/disk_test.go
@@ -7,7 +7,8 @@
 	"plumspindle/internal/eventloop"
 )
 
-// appendResult is the result of one Append: the content of the file afterwards, and whether and how done was called.
+// appendResult is the result of one Append: the content of the file afterwards, whether done was called, and with which
+// error.
 type appendResult struct {
 	content string
 	done    bool
--- a/internal/virtual/network.go
+++ b/internal/virtual/network.go
@@ -158,10 +158,10 @@
 	return n.timers.Set(n.now+duration, f)
 }
 
-// trace adds an event and the current virtual time to the trace hash.
-func (n *Network) trace(event string) {
-	for i := range len(event) {
-		n.TraceHash = (n.TraceHash ^ uint64(event[i])) * traceHashPrime
+// trace adds the name of the process that receives a segment and the current virtual time to the trace hash.
+func (n *Network) trace(receiver string) {
+	for i := range len(receiver) {
+		n.TraceHash = (n.TraceHash ^ uint64(receiver[i])) * traceHashPrime
 	}
 	n.TraceHash = (n.TraceHash ^ uint64(n.now)) * traceHashPrime
 }
