--- a/internal/testbed/scenarios/virtual.go
+++ b/internal/testbed/scenarios/virtual.go
@@ -29,7 +29,7 @@
 type VirtualOutcome struct {
 	Verdict      *audit.Verdict
 	OpenRequests int    // open in the dispatchers at the end; 0 if none was leaked
-	Trace        uint64 // hash of all events of the network, in their order
+	Trace        uint64 // hash of the times and receivers of all segments that arrived, in their order
 }
 
 // Passed reports whether the audit found no violation and no request was left open.
@@ -37,7 +37,7 @@
 
 // RunVirtual runs the scenario in virtual time, within this process, with the code of the dispatchers, simulated
 // endpoints and clients that also runs over sockets. The network splits data into segments of at most the given number
-// of bytes, 0 for no limit; a script that defines a world overrides it.
+// of bytes, 0 for no limit. If the script defines a world, that sets the limit in place of the parameter.
 func (r *Run) RunVirtual(segment int) (*VirtualOutcome, error) {
 	if _, err := r.prepare(); err != nil {
 		return nil, err
