--- a/internal/platform/attempt.go
+++ b/internal/platform/attempt.go
@@ -58,7 +58,7 @@
 	d.Attempts++
 	// A prefill attempt doesn't fetch the KV state of an earlier prefill. That state is released before the attempt,
 	// because a release drops all states of the request and would later also drop the one that this attempt leaves. A
-	// state that an unanswered prefill may have left is released before any attempt.
+	// state that a prefill may have left without reporting success is released before any attempt.
 	if req.lease.active && !req.lease.releasing && (a.prefill || req.lease.unconfirmed) {
 		d.release(req)
 	}
--- a/internal/platform/launch/process.go
+++ b/internal/platform/launch/process.go
@@ -56,8 +56,8 @@
 	}
 }
 
-// start starts the dispatcher, and listens once the dispatcher reports that discovery is ready: the list has arrived,
-// or the wait for it is over.
+// start starts the dispatcher, and listens once the dispatcher reports that discovery is ready: discovery has
+// responded, or the wait for its response is over.
 func (p *process) start(config *Config) {
 	dispatcherConfig := config.Config
 	dispatcherConfig.Log = p.log
--- a/internal/platform/lease.go
+++ b/internal/platform/lease.go
@@ -11,7 +11,7 @@
 // because the network, a proxy or the machine of a stopped process may acknowledge bytes that no endpoint has read.
 type lease struct {
 	active      bool
-	unconfirmed bool                 // the prefill that may have left the state was not answered
+	unconfirmed bool                 // the prefill that may have left the state did not end with the outcome PrefillDone
 	endpoint    scheduler.EndpointID // the endpoint that most likely holds the state
 	startedAt   eventloop.Micros
 	expiry      eventloop.Timeout // the end of the lease; during a release, the time by which the release must be done
