--- a/internal/platform/attempt.go
+++ b/internal/platform/attempt.go
@@ -9,8 +9,9 @@
 )
 
 // cancelDeliveryTime is how long an attempt still counts as in flight after the dispatcher has reset its connection.
-// The reset reaches the endpoint after one network latency, which is highest between two zones. Until then the
-// attempt's end is not reported to the scheduler, which therefore starts no other attempt of the request.
+// The reset reaches the endpoint after one network latency, which is highest between two zones. Until
+// cancelDeliveryTime is over, the end of the attempt is not reported to the scheduler, so the scheduler starts no other
+// attempt of the request.
 const cancelDeliveryTime = 20 * eventloop.Millisecond
 
 // The reasons why the dispatcher itself ended an attempt, for logs. Package upstream defines the reasons that come from
@@ -31,7 +32,7 @@
 	endpoint   scheduler.EndpointID
 	orderedAt  eventloop.Micros
 	prefill    bool
-	cancelling bool // the connection was reset, and the endpoint may not have seen that yet
+	cancelling bool // the dispatcher reset the connection, and the endpoint may not have seen the reset yet
 	started    bool // the first event of its stream has arrived, so the client's response has begun
 }
 
@@ -56,9 +57,9 @@
 	a.prefill = d.roleOf(endpoint) == scheduler.Prefill
 	number := a.number()
 	d.Attempts++
-	// A prefill attempt doesn't fetch the KV state of an earlier prefill. That state is released before the attempt,
-	// because a release drops all states of the request and would later also drop the one that this attempt leaves. A
-	// state that a prefill may have left without reporting success is released before any attempt.
+	// A prefill attempt leaves a new KV state, and doesn't fetch the state of an earlier prefill. The earlier state is
+	// released before the attempt, because a release drops all states of the request. A later release would also drop the
+	// new state. A state that a prefill may have left without reporting success is released before any attempt.
 	if req.lease.active && !req.lease.releasing && (a.prefill || req.lease.unconfirmed) {
 		d.release(req)
 	}
@@ -69,8 +70,9 @@
 	d.startAttempt(req, number, timeout)
 }
 
-// startAttempt hands the attempt to the network. Its timeouts count from the time at which the scheduler ordered it,
-// because the scheduler checked at that time whether the attempt may be sent, for example as a retry within its window.
+// startAttempt hands the attempt to the network. The timeouts of the attempt count from the time of the scheduler's
+// order, because the scheduler checked at that time whether the attempt may be sent, for example as a retry within the
+// retry window.
 func (d *Dispatcher) startAttempt(req *request, number scheduler.AttemptNumber, timeout eventloop.Micros) {
 	// The client may have disconnected without OnDisconnect having been called yet, for example if the process was
 	// suspended.
@@ -108,9 +110,9 @@
 	}
 }
 
-// startAfterRelease starts an attempt that waited for a release. It doesn't start the attempt if its endpoint has begun
-// to drain meanwhile, nor if it has waited for longer than the connect timeout: the scheduler checked the retry window
-// when it ordered the attempt, and the window may be over by now.
+// startAfterRelease starts an attempt that waited for a release. It reports the attempt as not sent if the endpoint has
+// begun to drain meanwhile. It does the same if the attempt has waited for longer than the connect timeout, because the
+// scheduler checked the retry window when it ordered the attempt, and the window may be over by now.
 func (d *Dispatcher) startAfterRelease(req *request, number scheduler.AttemptNumber, timeout eventloop.Micros) {
 	switch {
 	case !d.isReady(req.attempt.endpoint):
@@ -139,8 +141,8 @@
 	}
 }
 
-// streamStarted handles the first event of a stream. The event proves that the endpoint has fetched the KV state, so it
-// ends the state's lease.
+// streamStarted handles the first event of a stream. The event proves that the endpoint has fetched the KV state, so
+// the lease of the state ends.
 func (d *Dispatcher) streamStarted(req *request) {
 	req.attempt.started = true
 	req.lease.active, req.lease.releasedDuringAttempt = false, false
@@ -154,9 +156,9 @@
 	d.scheduler.AttemptStarted(now, req.id, req.attempt.number())
 }
 
-// attemptEnded handles the result of an attempt, unless the scheduler has ordered another one since. The result is
-// handled only after cancelDeliveryTime if the dispatcher has reset the connection before a stream started and the
-// endpoint may have received the attempt.
+// attemptEnded handles the result of an attempt, unless the scheduler has ordered another one since. If the dispatcher
+// reset the connection before a stream started, and the endpoint may have received the attempt, the result is handled
+// only after cancelDeliveryTime.
 func (d *Dispatcher) attemptEnded(req *request, number scheduler.AttemptNumber, result engine.Result) {
 	a := &req.attempt
 	if number != a.number() {
--- a/internal/platform/attempt_test.go
+++ b/internal/platform/attempt_test.go
@@ -113,8 +113,8 @@
 	}
 }
 
-// runWithFirstAttempt runs a request whose first decode attempt is served by first, and returns how many decode
-// attempts were made.
+// runWithFirstAttempt runs a request whose first decode attempt is served by the function first and whose expected
+// final status is want. It returns how many decode attempts were made.
 func runWithFirstAttempt(t *testing.T, first func(*endpointConn), class string, want int) (*testEnv, int) {
 	t.Helper()
 	env := newTestEnv(t, 256, defaultEndpointKinds...)
@@ -243,7 +243,7 @@
 			if answered {
 				return
 			}
-			answered = true // the first connection reads nothing but answers; part of the request is in its window
+			answered = true // the first connection reads nothing but answers; part of the request is in its receive window
 			conn.socket.SetPaused(true)
 			endpoint.loop.AfterFunc(10*eventloop.Millisecond, func() {
 				conn.stream(`{"choices":[]}`)
@@ -259,8 +259,9 @@
 	env.requireIdle()
 }
 
-// TestEndpointThatDoesNotRead checks that an attempt is given up if it can't be written within the connect timeout. It
-// is retried at another endpoint, even for a request with side effects. A retry thus can't arrive after its window.
+// TestEndpointThatDoesNotRead checks that an attempt is given up if it can't be written within the connect timeout. The
+// request is then retried at another endpoint, even if it has side effects. Because of this timeout, a retry can't
+// arrive after the retry window.
 func TestEndpointThatDoesNotRead(t *testing.T) {
 	env := newTestEnv(t, 256, defaultEndpointKinds...)
 	env.network.ReceiveWindow = 16 << 10
--- a/internal/platform/attempt_timing_test.go
+++ b/internal/platform/attempt_timing_test.go
@@ -11,7 +11,7 @@
 )
 
 // TestLateSecondAnswer checks an endpoint that sends a second response to the same request some time after the first.
-// By then the connection may be reused, and the response must not be taken for that of the next request.
+// By then the connection may be reused, and the second response must not be taken for the response to the next request.
 func TestLateSecondAnswer(t *testing.T) {
 	for span := eventloop.Micros(500); span <= 10*eventloop.Millisecond; span += 500 {
 		env := newTestEnv(t, 256, "prefill", "decode")
@@ -91,7 +91,7 @@
 // client has left after the release.
 func TestRemainingTimeAfterRelease(t *testing.T) {
 	env := newTestEnv(t, 256, defaultEndpointKinds...)
-	const limit = 480 * eventloop.Millisecond // short enough for an endpoint to be told all of it
+	const limit = 480 * eventloop.Millisecond // short enough for an endpoint to be told all of the remaining time
 	began := env.network.Now()
 	check := func(then func(*endpointConn)) func(*endpointConn) {
 		return func(conn *endpointConn) {
@@ -115,8 +115,8 @@
 }
 
 // TestNeverTwoAttemptsInFlight checks that no attempt starts while a cancelled one is still in flight. A cancelled
-// attempt is in flight until its endpoint sees the connection close, and network latencies vary: neither another
-// attempt nor a rejection may overtake the close.
+// attempt is in flight until its endpoint sees the connection close. Neither another attempt nor a rejection may
+// overtake the close, although network latencies vary.
 func TestNeverTwoAttemptsInFlight(t *testing.T) {
 	for _, mayCancel := range []bool{true, false} {
 		env := newTestEnvWith(t, settingsWithCancel(mayCancel), 256, "prefill", "prefill", "prefill", "decode", "decode")
@@ -162,8 +162,8 @@
 }
 
 // TestCancelledTwice checks events during the moment in which a cancelled attempt still counts as in flight: another
-// cancellation, a drain of its endpoint, the expiry of its state's lease. They must not end the attempt earlier, nor
-// have it count as one that was never sent.
+// cancellation, a drain of its endpoint, the expiry of its state's lease. None of these events may end the attempt
+// earlier, or make it count as an attempt that was never sent.
 func TestCancelledTwice(t *testing.T) {
 	for name, meanwhile := range map[string]func(d *Dispatcher, request *request){
 		"cancel": func(d *Dispatcher, request *request) { d.Cancel(request.id, request.attempt.number()) },
@@ -228,7 +228,7 @@
 		case 1: // this attempt may have run
 			first = env.network.Now()
 			conn.socket.Abort()
-		case 2: // declined with the state missing: the state is released, and the next attempt waits for that
+		case 2: // declined with the state missing: the state is released, and the next attempt waits for the release
 			// While both prefill endpoints drain, a decode endpoint prefills too.
 			env.agent.update(false, env.endpoints[0].entry("DRAINING"), env.endpoints[1].entry("DRAINING"))
 			conn.endpoint.loop.AfterFunc(2*env.network.Latency, func() {
--- a/internal/platform/auditor_test.go
+++ b/internal/platform/auditor_test.go
@@ -8,7 +8,7 @@
 	"plumspindle/internal/eventloop"
 )
 
-// auditor checks the attempts that reach the endpoints: that no request runs again if it must not, that no two attempts
+// auditor checks the attempts that reach the endpoints: that a request runs again only if it may, that no two attempts
 // of a request are in flight, and that no attempt arrives after its client's disconnect or its endpoint's drain.
 type auditor struct {
 	t              *testing.T
@@ -21,7 +21,7 @@
 }
 
 // These constants limit how late an attempt may arrive after its client's disconnect or its endpoint's drain. The
-// dispatcher learns of either only after the network's latency and after pauses of its event loop.
+// dispatcher learns of a disconnect or a drain only after the network's latency and after pauses of its event loop.
 const (
 	disconnectLatency = 220 * eventloop.Millisecond
 	drainLatency      = 250 * eventloop.Millisecond
@@ -44,7 +44,7 @@
 func (a *auditor) wrapEndpoint(endpoint *fakeEndpoint, random *rand.Rand) {
 	serveNormally := endpoint.serve
 	faults := []func(*endpointConn){respond(500), decline(503), reset, sendRaw("noise"), hang}
-	const declines, hangs = 1, 4 // indices of faults
+	const declines, hangs = 1, 4 // indices into faults
 	endpoint.serve = func(conn *endpointConn) {
 		id := conn.head.Get("Req-Id")
 		a.checkArrival(id, endpoint)
--- a/internal/platform/disconnect_test.go
+++ b/internal/platform/disconnect_test.go
@@ -27,9 +27,9 @@
 	}
 }
 
-// TestNoAttemptAfterDisconnect checks that no attempt begins more than 0.1 s after the client has disconnected: neither
-// if pipelined requests follow on the client's connection, nor if the attempt waits for its connection. Both hold even
-// if the settings forbid cancelling attempts.
+// TestNoAttemptAfterDisconnect checks that no attempt begins more than 0.1 s after the client has disconnected. It
+// covers two cases: pipelined requests follow on the client's connection, and the attempt waits for its connection to
+// the endpoint. In both cases this must hold even if the settings forbid cancelling attempts.
 func TestNoAttemptAfterDisconnect(t *testing.T) {
 	for _, mayCancel := range []bool{true, false} {
 		rawSettings := settingsWithCancel(mayCancel)
@@ -50,7 +50,8 @@
 		if env.network.Run(10 * eventloop.Second); env.attempts() != 1 {
 			t.Errorf("%d attempts", env.attempts())
 		}
-		// The attempt waits for its connection, which takes twice as long as the disconnect.
+		// The attempt waits for its connection to the endpoint. The connection takes twice as long to open as the disconnect
+		// takes to arrive.
 		env = newTestEnvWith(t, rawSettings, 256, defaultEndpointKinds...)
 		env.network.Latency = 60 * eventloop.Millisecond
 		client = env.sendRequest("explain")
@@ -112,7 +113,7 @@
 }
 
 // TestRequestAndCloseInOnePollRound checks a request and its client's close that the event loop reports in the same
-// round. The attempt that begins then is cancelled at once, and no other follows.
+// round. The attempt that begins for the request is cancelled at once, and no other attempt follows.
 func TestRequestAndCloseInOnePollRound(t *testing.T) {
 	env := newTestEnv(t, 256, defaultEndpointKinds...)
 	serveAll(env.endpoints, hang)
--- a/internal/platform/discovery/discovery.go
+++ b/internal/platform/discovery/discovery.go
@@ -18,8 +18,8 @@
 )
 
 const (
-	// silenceTimeout is 1.5 times the agent's heartbeat interval. Within 6 s after a subscription falls silent, the
-	// watcher must know the changes that it missed. If two retries are lost after this timeout, one of the 6 s is left.
+	// silenceTimeout is 1.5 times the agent's heartbeat interval. The watcher must know all changes 6 s after its
+	// subscription falls silent. If the first two retries after silenceTimeout get no response, 1 s of these 6 s is left.
 	silenceTimeout = 3 * eventloop.Second
 	// responseTimeout is short because the agent runs on the same machine: it responds at once, or is down.
 	responseTimeout = 500 * eventloop.Millisecond
@@ -50,7 +50,7 @@
 	onUpdate func(entries []Entry, complete bool)
 	log      zerolog.Logger
 
-	version       uint64 // of the current list; 0: the next subscription requests the complete list
+	version       uint64 // version of the current list; 0 if the next subscription requests the complete list
 	newestVersion uint64 // the highest version that was ever received
 	listReceived  bool   // discovery has sent a list since this process started
 	records       map[scheduler.EndpointID]*record
--- a/internal/platform/discovery/entry.go
+++ b/internal/platform/discovery/entry.go
@@ -11,7 +11,8 @@
 	"plumspindle/scheduler"
 )
 
-// maxStartedMillis bounds a timestamp so that neither its conversion to microseconds nor the sum of two overflows.
+// maxStartedMillis bounds a timestamp so that neither its conversion to microseconds nor the sum of two timestamps
+// overflows.
 const maxStartedMillis = math.MaxInt64 / 2000
 
 // Entry is an endpoint as discovery lists it.
@@ -22,8 +23,8 @@
 	Zone, Kind string
 	Cell       scheduler.CellID
 	State      scheduler.EndpointState
-	StartedAt  scheduler.Micros // on this process's clock; 0: long ago
-	start      starttimes.Start // StartedAt with the timestamp that was listed
+	StartedAt  scheduler.Micros // on this process's clock; 0 for a start long ago
+	start      starttimes.Start // StartedAt together with the listed timestamp
 }
 
 // statesByName maps the names of states in the platform's protocol to the scheduler's states.
@@ -69,7 +70,7 @@
 }
 
 // parseEntry decodes an entry, except for ID and start time, which depend on earlier lists. It treats an unknown state
-// as draining, because the endpoint may not accept new requests, and returns false as stateKnown.
+// as draining, because the endpoint may not accept new requests. In this case stateKnown is false.
 func parseEntry(server gjson.Result) (entry Entry, stateKnown bool, err error) {
 	name := server.Get("id").String()
 	if name == "" {
--- a/internal/platform/discovery/record.go
+++ b/internal/platform/discovery/record.go
@@ -22,12 +22,12 @@
 // record is the state of an endpoint that the watcher keeps from one list to the next.
 type record struct {
 	name      string
-	removedAt eventloop.Micros // 0: the endpoint is listed
+	removedAt eventloop.Micros // 0 if the endpoint is listed
 
 	// These fields come from the newest list.
 	start    starttimes.Start
 	notReady bool             // the endpoint accepts no new requests
-	listedAt eventloop.Micros // when that list was received
+	listedAt eventloop.Micros // when the newest list was received
 }
 
 // EndpointID returns the ID of an endpoint. The ID is a hash of the name alone, so that all dispatchers choose the same
@@ -50,8 +50,9 @@
 }
 
 // reconcile updates an endpoint's record from an entry. If the entry's list is older than that of the record, reconcile
-// changes the entry instead. Otherwise the endpoint would count as ready or as not restarted again, although a newer
-// list has said that it accepts no new requests or has restarted.
+// corrects the entry from the record instead. Without this correction, the endpoint would again count as ready although
+// a newer list has said that it accepts no new requests, or as not restarted although a newer list has said that it has
+// restarted.
 func (w *Watcher) reconcile(stored *record, entry *Entry, version uint64, now eventloop.Micros) {
 	if version < w.newestVersion && now-stored.listedAt < newestPrecedence {
 		if stored.notReady && entry.start.Timestamp <= stored.start.Timestamp {
@@ -78,8 +79,8 @@
 	}
 }
 
-// removeExpired deletes the records of endpoints that were removed long ago. Without it the records would grow without
-// bound, because over months many endpoints are replaced by others with new names.
+// removeExpired deletes the records of endpoints that were removed long ago. Without this removal the number of records
+// would grow without bound, because over months many endpoints are replaced by others with new names.
 func (w *Watcher) removeExpired(now eventloop.Micros) {
 	if now-w.lastCleanup < cleanupInterval {
 		return
--- a/internal/platform/discovery_test.go
+++ b/internal/platform/discovery_test.go
@@ -66,7 +66,7 @@
 			}
 			began := env.network.Now()
 			env.network.Run(100 * eventloop.Millisecond)
-			if !firstRetryLost { // a lost retry has already used a part of the time
+			if !firstRetryLost { // a lost first retry would already have used a part of the 6 s
 				env.waitFor(5900*eventloop.Millisecond, "another watch", func() bool { return len(env.agent.watches) == 2 })
 			} else {
 				env.waitFor(2*eventloop.Second, "a third watch", func() bool { return len(env.agent.watches) == 3 })
@@ -87,8 +87,8 @@
 }
 
 // TestDiscoveryReturns checks that a list that the agent sends as soon as it is back after an outage takes effect at
-// once. The agent may send it on the watch from before the outage or on the last one opened meanwhile, so the
-// dispatcher has to keep both open.
+// once. The agent may send it on the watch from before the outage or on the last watch that was opened meanwhile, so
+// the dispatcher has to keep both open.
 func TestDiscoveryReturns(t *testing.T) {
 	for _, onOldWatch := range []bool{false, true} {
 		for _, outage := range []eventloop.Micros{3700, 5100, 8000, 12300} {
--- a/internal/platform/dispatcher.go
+++ b/internal/platform/dispatcher.go
@@ -38,7 +38,7 @@
 	// that a client is left waiting for less than 5 s.
 	streamIdleTimeout = 4200 * eventloop.Millisecond
 	// discoveryTimeout is how long a new dispatcher waits for the discovery agent before it uses the cached list. The
-	// agent runs on the same machine and sends the list that it has at once.
+	// agent runs on the same machine and sends its current list at once.
 	discoveryTimeout      = eventloop.Second
 	discoveryPollInterval = 10 * eventloop.Millisecond
 	// readyWithoutEndpointsDelay is the time after which a dispatcher reports ready even if it knows no endpoint that
@@ -49,8 +49,8 @@
 
 // Bounds of the limits that are derived from the resources in Config.
 const (
-	minConnections = 8        // to clients; also the minimum for endpoints
-	minConnecting  = 4        // connections to endpoints that are being opened
+	minConnections = 8        // connections to clients; also the minimum number of connections to endpoints
+	minConnecting  = 4        // connections to endpoints, counting only those that are being opened
 	minUnsentBytes = 8 << 10  // buffered for one client
 	maxUnsentBytes = 64 << 10 // buffered for one client
 )
@@ -103,8 +103,8 @@
 	}
 	schedulerConfig := d.settings.Scheduler
 	d.topology = schedulerhost.NewTopology(d.settings.Zones, d.settings.Kinds, schedulerConfig.Kinds)
-	// The dispatcher closes idle connections well before the endpoints do, because a request that is written to a
-	// connection that its endpoint has closed counts as lost.
+	// The dispatcher closes idle connections well before the endpoints do, because a request counts as lost if it is
+	// written to a connection after the endpoint has closed the connection.
 	schedulerConfig.IdleTimeout /= 2
 	d.guard = d.newGuard()
 	limits := upstreamLimits(d.settings, config.Sockets, schedulerConfig.IdleTimeout)
@@ -175,7 +175,7 @@
 }
 
 // WhenDiscoveryReady calls do once discovery has responded or discoveryTimeout has passed. The caller should accept no
-// request before that.
+// request before the call of do.
 func (d *Dispatcher) WhenDiscoveryReady(do func()) {
 	if d.discoveryReady() {
 		do()
--- a/internal/platform/drain_test.go
+++ b/internal/platform/drain_test.go
@@ -77,7 +77,8 @@
 	env.network.Latency = 40 * eventloop.Millisecond
 	client := env.sendRequest("post")
 	env.waitFor(eventloop.Second, "the decode attempt's connection", func() bool { return slow.opened > 0 })
-	// The endpoint has accepted the connection. The dispatcher learns of that one latency later, and of the drain first.
+	// The endpoint has accepted the connection. The dispatcher learns of the open connection one latency later. It learns
+	// of the drain first, because the latency becomes shorter now.
 	env.network.Latency = 10 * eventloop.Millisecond
 	env.agent.update(false, slow.entry("DRAINING"), other.entry("SERVING"))
 	if got := env.finalStatus(client); got != 200 || slow.count("POST") != 0 || other.count("POST") != 1 {
--- a/internal/platform/endpoints.go
+++ b/internal/platform/endpoints.go
@@ -10,7 +10,7 @@
 
 // updateEndpoints applies a complete endpoint list, or changes to the list, from discovery.
 func (d *Dispatcher) updateEndpoints(entries []discovery.Entry, complete bool) {
-	// discoveryReady records here that discovery has responded, in case the connection is lost before its next call.
+	// This call records that discovery has responded. The connection may be lost before discoveryReady is called again.
 	d.discoveryReady()
 	listed := map[scheduler.EndpointID]bool{}
 	for _, e := range entries {
--- a/internal/platform/fake_client_test.go
+++ b/internal/platform/fake_client_test.go
@@ -36,7 +36,7 @@
 	return client
 }
 
-// sendRequest opens a client connection and sends a request of a class; for change see requestText.
+// sendRequest opens a client connection and sends a request of a class; requestText explains the parameter change.
 func (env *testEnv) sendRequest(class string, change ...string) *testClient {
 	return env.connect(env.requestText(class, change...))
 }
@@ -46,8 +46,8 @@
 
 const defaultBody = `{"model":"chat","stream":true,"messages":[]}`
 
-// requestText returns a valid request with some changes, given as alternating names and values. Each value replaces
-// that of the header field with this name, or the body if the name is "body". The value "-" omits the field.
+// requestText returns a valid request with some changes, given as alternating names and values. Each value replaces the
+// value of the header field with this name, or the body if the name is "body". The value "-" omits the field.
 func (env *testEnv) requestText(class string, change ...string) string {
 	env.sent++
 	fields := []string{
--- a/internal/platform/fake_endpoint_test.go
+++ b/internal/platform/fake_endpoint_test.go
@@ -62,7 +62,7 @@
 	endpoint.address = endpoint.listener.Addr()
 }
 
-// relisten listens at the same address again and has accepted called with each new connection.
+// relisten listens at the same address again and calls the function accepted with each new connection.
 func (endpoint *fakeEndpoint) relisten(accepted func(*endpointConn)) {
 	endpoint.listener.Close()
 	endpoint.listen(endpoint.address, accepted)
--- a/internal/platform/guard/guard.go
+++ b/internal/platform/guard/guard.go
@@ -55,7 +55,7 @@
 type Violation struct {
 	Rule      Rule
 	RequestID string // as the client sent it
-	Endpoint  string // its name; empty if the violation concerns no endpoint
+	Endpoint  string // name of the endpoint; empty if the violation concerns none
 	Detail    string
 	Prevented bool // the event did not happen
 }
--- a/internal/platform/guard/request.go
+++ b/internal/platform/guard/request.go
@@ -45,8 +45,8 @@
 	inFlight       *sentAttempt
 	mayHaveRun     *sentAttempt // the first attempt that may have had effects; nil if there is none
 	answered       bool
-	disconnectedAt eventloop.Micros // when the client disconnected; 0: it has not
-	leasedAt       eventloop.Micros // since when an endpoint may hold a KV state; 0: none holds one
+	disconnectedAt eventloop.Micros // when the client disconnected; 0 if it has not disconnected
+	leasedAt       eventloop.Micros // since when an endpoint may hold a KV state; 0 if no endpoint holds one
 }
 
 // Begin returns a new record for a request.
@@ -68,8 +68,8 @@
 	return nil
 }
 
-// Written checks an attempt again when it is written to the connection, and the remaining time that it states to the
-// endpoint.
+// Written checks an attempt again when it is written to the connection. It also checks the remaining time that the
+// attempt states to the endpoint.
 func (r *Request) Written(now eventloop.Micros, endpoint Endpoint, remaining eventloop.Micros) {
 	if b := r.checkSend(now, endpoint); b != nil {
 		r.reportViolation(b.rule, &endpoint, "%s", b.detail)
@@ -209,7 +209,7 @@
 	return r.report(Violation{Rule: rule, Detail: fmt.Sprintf(format, args...), Prevented: true}, endpoint)
 }
 
-// report adds the request ID and the endpoint's name to a violation, counts and reports it.
+// report adds the request ID and the endpoint's name to a violation, then counts and reports the violation.
 func (r *Request) report(v Violation, endpoint *Endpoint) *Violation {
 	v.RequestID = r.properties.RequestID
 	if endpoint != nil {
--- a/internal/platform/launch/config.go
+++ b/internal/platform/launch/config.go
@@ -29,7 +29,7 @@
 type Config struct {
 	platform.Config
 	Listen string  // address for clients
-	Cores  float64 // CPU limit; 0: the configuration sets none
+	Cores  float64 // CPU limit; 0 if the configuration sets none
 }
 
 // Load reads the configuration file that the environment names. Its error is ErrNoConfigVariable, or a *ConfigError
--- a/internal/platform/launch/config_test.go
+++ b/internal/platform/launch/config_test.go
@@ -60,7 +60,7 @@
 	replace := func(old, new string) string { return strings.Replace(good, old, new, 1) }
 	for name, test := range map[string]struct {
 		text, want string
-		cause      error // nil: not checked, because another package does not export it
+		cause      error // nil if it is not checked, because another package does not export it
 	}{
 		"not JSON": {good[:len(good)-1], "not a JSON object", ErrNotObject},
 		"no listen": {
--- a/internal/platform/launch/descriptors_test.go
+++ b/internal/platform/launch/descriptors_test.go
@@ -116,7 +116,7 @@
 	file := newConfigFile(t, configText(listen, before.address, ""))
 	process := startDispatcher(t, file)
 	before.await(t, "the first subscription")
-	// Once it accepts a connection it listens, and has opened all descriptors that it needs.
+	// Once the dispatcher accepts a connection, it listens and has opened all descriptors that it needs.
 	eventually(t, "a connection", func() bool { return connect(t, listen) == nil })
 	if err := syscallfaults.PreventNewDescriptors(process.Pid); err != nil {
 		t.Fatal(err)
--- a/internal/platform/launch/launch.go
+++ b/internal/platform/launch/launch.go
@@ -21,8 +21,9 @@
 const (
 	// signalBacklog is the number of signals that are queued while one is handled.
 	signalBacklog = 16
-	// heapPercent is the percentage of the memory limit that the Go runtime may use. The limit applies to the whole
-	// process: the rest is for code, stacks, the buffers of sockets, and the garbage collector's work in progress.
+	// heapPercent is the percentage of the memory limit that the Go runtime may use. The memory limit applies to the whole
+	// process. The rest of the limit is for code, stacks, the buffers of sockets, and the garbage collector's work in
+	// progress.
 	heapPercent = 60
 	// minReadBuffer and maxReadBuffer bound the read buffer of one connection, in bytes. Between these bounds, a quarter
 	// of the memory limit is divided equally among all connections.
--- a/internal/platform/launch/process.go
+++ b/internal/platform/launch/process.go
@@ -24,7 +24,7 @@
 
 	// Only the loop's goroutine uses the following fields.
 	dispatcher   *platform.Dispatcher
-	listener     eventloop.Listener // nil until it listens
+	listener     eventloop.Listener // nil until the process listens
 	shuttingDown bool
 }
 
@@ -84,7 +84,8 @@
 	}
 }
 
-// shutDown waits until the accepted requests are answered, then ends the process. Further calls have no effect.
+// shutDown begins the shutdown, which ends the process once the accepted requests are answered. Further calls have no
+// effect.
 func (p *process) shutDown() {
 	if p.shuttingDown {
 		return
--- a/internal/platform/launch/retry.go
+++ b/internal/platform/launch/retry.go
@@ -9,14 +9,16 @@
 	"plumspindle/internal/eventloop"
 )
 
-// A call during the start that fails with a transient error is retried at this interval until the timeout.
+// During the start, a call that fails with a transient error is retried every startRetryInterval until
+// startRetryTimeout has passed.
 const (
 	startRetryTimeout  = 3 * eventloop.Second
 	startRetryInterval = 20 * eventloop.Millisecond
 )
 
 // transientErrors are the errors that Linux documents for an interrupted call, a temporary shortage of resources and an
-// I/O error. The last two are for an address that can't be used: a previous process may hold it for a moment.
+// I/O error. The last two are for an address that can't be used yet because a previous process may hold it for a
+// moment.
 var transientErrors = []syscall.Errno{
 	syscall.EINTR,
 	syscall.EAGAIN,
--- a/internal/platform/launch/support_test.go
+++ b/internal/platform/launch/support_test.go
@@ -117,7 +117,8 @@
 	return zerolog.New(io.Discard).Hook(zerolog.HookFunc(hook))
 }
 
-// post sends a request to the dispatcher, and returns status and body; on an error status 0 and its text.
+// post sends a request to the dispatcher, and returns the response's status and body. On an error it returns status 0
+// and the error's text.
 func post(address, id string) (status int, body string) {
 	request, err := http.NewRequest("POST", "http://"+address+"/v1/chat/completions", strings.NewReader(`{"stream":true}`))
 	if err != nil {
--- a/internal/platform/lease.go
+++ b/internal/platform/lease.go
@@ -17,11 +17,11 @@
 	expiry      eventloop.Timeout // the end of the lease; during a release, the time by which the release must be done
 	releasing   bool              // a release of the state is under way
 	// releasedDuringAttempt is set if the state was released while an attempt to fetch it was in flight. Endpoints keep
-	// the state for an attempt that they have accepted, even if it is released.
+	// the state for an attempt that they have accepted, even if the state is released.
 	releasedDuringAttempt bool
 	releaseAgain          bool // another release has to follow the one under way
-	// startWaiting starts the attempt that waits for the release; nil if none waits. If the attempt started before, the
-	// release would drop the state that it leaves.
+	// startWaiting starts the attempt that waits for the release; nil if no attempt waits. If the attempt started before
+	// the end of the release, the release would drop the state that the attempt leaves.
 	startWaiting func()
 }
 
@@ -75,9 +75,9 @@
 }
 
 // leaseExpired handles a lease that expires while an attempt is in flight and unanswered. It releases the state. If the
-// attempt has not been sent, it is cancelled, and the state is reported as missing. Otherwise the attempt goes on,
-// because the dispatcher can't know whether a running endpoint has received it. An endpoint that has accepted the
-// attempt keeps the state for it in spite of the release.
+// attempt has not been sent, leaseExpired cancels it and reports to the scheduler that the state is missing. Otherwise
+// the attempt goes on, because the dispatcher can't know whether a running endpoint has received the attempt. An
+// endpoint that has accepted the attempt keeps the state for it in spite of the release.
 func (d *Dispatcher) leaseExpired(req *request) {
 	inFlight, number := req.attempt.inFlight, req.attempt.number()
 	if !req.lease.active || req.lease.releasing || inFlight == nil {
@@ -96,8 +96,8 @@
 	d.attemptEnded(req, number, result)
 }
 
-// release releases all states that endpoints hold for the request. When it is done, released starts the attempt that
-// waits for it, if there is one.
+// release releases all states that endpoints hold for the request. When the release is over, the method released starts
+// the attempt that waits for the release, if there is one.
 func (d *Dispatcher) release(req *request) {
 	req.lease.active, req.lease.releasing = false, true
 	age := d.loop.Now() - req.lease.startedAt
--- a/internal/platform/lease_test.go
+++ b/internal/platform/lease_test.go
@@ -70,8 +70,8 @@
 	env.requireIdle()
 }
 
-// TestUnsentPrefillHasNoState checks that nothing is released after a prefill that was cancelled before it was sent: it
-// can't have left a state.
+// TestUnsentPrefillHasNoState checks that nothing is released after a prefill that was cancelled before it was sent,
+// because such a prefill can't have left a state.
 func TestUnsentPrefillHasNoState(t *testing.T) {
 	env := newTestEnv(t, 256, defaultEndpointKinds...)
 	env.network.Latency = 40 * eventloop.Millisecond
@@ -198,8 +198,8 @@
 }
 
 // TestAttemptEndsDuringItsStatesRelease checks an attempt that ends while its state is being released. Endpoints that
-// this release reached before the end may have kept the state for the attempt, so another release follows before the
-// next prefill.
+// this release reached before the attempt's end may have kept the state for the attempt, so another release follows
+// before the next prefill.
 func TestAttemptEndsDuringItsStatesRelease(t *testing.T) {
 	env := newTestEnv(t, 256, defaultEndpointKinds...)
 	for _, endpoint := range env.endpoints {
@@ -253,8 +253,8 @@
 }
 
 // TestStateBehindASilentConnection checks a decode attempt that has left this machine but doesn't reach its endpoint.
-// The state that it was meant to fetch is released in time. The request may still run, so one with side effects is not
-// retried before the endpoint has answered that the state is missing.
+// The state that it was meant to fetch is released in time. The attempt may still run, so a request with side effects
+// is not retried before the endpoint has answered that the state is missing.
 func TestStateBehindASilentConnection(t *testing.T) {
 	for _, class := range []string{"explain", "post"} {
 		t.Run(class, func(t *testing.T) {
@@ -263,7 +263,7 @@
 				env.sendRequest("explain")
 			}
 			env.network.Run(eventloop.Second)
-			for _, endpoint := range env.decodeEndpoints()[1:] { // they are listed again once the attempt has been sent
+			for _, endpoint := range env.decodeEndpoints()[1:] { // these are listed again once the attempt has been sent
 				env.agent.update(false, endpoint.entry("DELETED"))
 			}
 			silent := env.decodeEndpoints()[0]
--- a/internal/platform/ledger.go
+++ b/internal/platform/ledger.go
@@ -13,8 +13,8 @@
 const (
 	answerSlack     = 500 * eventloop.Millisecond
 	disconnectSlack = 100 * eventloop.Millisecond
-	// deadlineSlack is the tolerance for the remaining time that an endpoint is told. The platform allows 150 ms; most
-	// of that is reserved for suspensions of the process.
+	// deadlineSlack is the tolerance for the remaining time that an endpoint is told. The platform allows 150 ms; most of
+	// these 150 ms are reserved for suspensions of the process.
 	deadlineSlack = 10 * eventloop.Millisecond
 	leaseSlack    = 300 * eventloop.Millisecond
 )
@@ -42,7 +42,7 @@
 	})
 }
 
-// stateLimit returns how long after its lease has started a KV state must have been fetched or released at the latest.
+// stateLimit returns the time from the start of a lease within which the KV state must be fetched or released.
 func (d *Dispatcher) stateLimit() eventloop.Micros { return d.settings.StateTimeout + leaseSlack }
 
 var retryPolicies = map[scheduler.Effect]guard.RetryPolicy{
@@ -73,7 +73,7 @@
 	d.guard.ReportViolation(guard.Violation{Rule: guard.NotServing, RequestID: requestID, Detail: detail})
 }
 
-// endpointForGuard describes the endpoint of the last attempt to the guard, as it is listed now.
+// endpointForGuard describes the endpoint of the last attempt for the guard, as discovery lists the endpoint now.
 func (d *Dispatcher) endpointForGuard(req *request) guard.Endpoint {
 	listed := d.endpoints[req.attempt.endpoint]
 	endpoint := guard.Endpoint{
@@ -90,16 +90,16 @@
 	return endpoint
 }
 
-// checkWrittenAttempt has the guard check an attempt as it is written, along with the remaining time that its endpoint
-// is told.
+// checkWrittenAttempt has the guard check an attempt when it is written, and the remaining time that the attempt states
+// to its endpoint.
 func (d *Dispatcher) checkWrittenAttempt(req *request, number scheduler.AttemptNumber, remaining eventloop.Micros) {
 	if number == req.attempt.number() {
 		req.ledger.Written(d.loop.Now(), d.endpointForGuard(req), remaining)
 	}
 }
 
-// reportUnansweredClose reports a violation: the server closes a connection although it has read a request on it that
-// is not answered.
+// reportUnansweredClose reports a violation: the server closes a connection although a request that was read from the
+// connection has no response.
 func (d *Dispatcher) reportUnansweredClose(requestID, reason string) {
 	d.guard.ReportViolation(guard.Violation{Rule: guard.UnansweredClose, RequestID: requestID, Detail: reason})
 }
--- a/internal/platform/loopback_test.go
+++ b/internal/platform/loopback_test.go
@@ -129,9 +129,9 @@
 }
 
 // TestLoopbackEndpointDeclinesEarly checks a full decode endpoint that declines a large request once it has read the
-// head, and closes the connection, so that the rest of the request is answered with a reset. The response decides: the
-// request is retried at another endpoint, even with side effects, and the endpoint counts neither as broken nor as
-// unreachable. The test guards against losing the response when a write fails, and against ignoring it.
+// head, and closes the connection. The rest of the request is therefore answered with a reset. The response decides:
+// the request is retried at another endpoint, even with side effects, and the endpoint counts neither as broken nor as
+// unreachable. The test guards against losing the response when a write fails, and against ignoring the response.
 func TestLoopbackEndpointDeclinesEarly(t *testing.T) {
 	for _, size := range []int{4 << 10, 250 << 10} {
 		var declines atomic.Int64
@@ -170,7 +170,7 @@
 	changes := listText(9, false, []string{drains.entry("DRAINING")})
 	older := []string{prefill.entry("SERVING"), drains.entry("SERVING"), stays.entry("SERVING")}
 	env.update(changes + "\n" + listText(8, true, older))
-	const updates = 3 // the cached list and both of the above
+	const updates = 3 // the cached list and the two updates above
 	env.waitFor("the lists are applied", func() bool { return env.dispatcher.discovery.Updates == updates })
 	for i := range 20 {
 		c, in := env.dial()
--- a/internal/platform/random_test.go
+++ b/internal/platform/random_test.go
@@ -64,7 +64,7 @@
 type randomClient struct {
 	*testClient
 	id           string
-	disconnected bool // it has closed its connection
+	disconnected bool // the client has closed its connection
 	requests     int  // number of requests that it sent on its connection
 }
 
--- a/internal/platform/request.go
+++ b/internal/platform/request.go
@@ -16,8 +16,8 @@
 )
 
 const (
-	// recentIDRetention is how long, at least, the id of a request that has ended is rejected. A duplicate that was sent
-	// while the request was open may arrive after the request has ended.
+	// recentIDRetention is the minimum time for which the id of a request is rejected after the request has ended. A
+	// duplicate that was sent while the request was open may arrive after the request has ended.
 	recentIDRetention = 10 * eventloop.Second
 	// bytesPerToken estimates a prompt's length in tokens from the size of the request's body, for clients that don't
 	// give the length.
@@ -129,7 +129,7 @@
 }
 
 // cancelUnsent cancels an attempt of a closed request if the attempt has not been written. It does so even if the
-// settings forbid cancelling attempts, since the endpoint has not seen this one.
+// settings forbid cancelling attempts, since no endpoint has seen an attempt that has not been written.
 func (d *Dispatcher) cancelUnsent(req *request) {
 	unsent := req.attempt.inFlight != nil && req.attempt.inFlight.Unsent()
 	if unsent || req.lease.startWaiting != nil {
@@ -139,7 +139,7 @@
 
 // finishIfIdle cleans up a request that has no attempt in flight: it releases the request's KV state. When no release
 // is left and the request is closed, it drops the request's record. It is called after each call to the scheduler about
-// a request, since the scheduler gives no order for this.
+// a request, since the scheduler gives no order to clean up.
 func (d *Dispatcher) finishIfIdle(req *request) {
 	if req.attempt.inFlight != nil || req.lease.startWaiting != nil || req.lease.releasing || d.requests[req.id] != req {
 		return
@@ -161,8 +161,8 @@
 	return d.activeIDs[id] || d.recentIDs[0][id] || d.recentIDs[1][id]
 }
 
-// expireIDs rotates the two sets of recent ids every recentIDRetention, so an id is remembered for one to two times
-// that long.
+// expireIDs rotates the two sets of recent ids every recentIDRetention, so an id is remembered for at least one and at
+// most two of these periods.
 func (d *Dispatcher) expireIDs() {
 	d.recentIDs[1], d.recentIDs[0] = d.recentIDs[0], map[string]bool{}
 	d.loop.AfterFunc(recentIDRetention, d.expireIDs)
--- a/internal/platform/server/connection.go
+++ b/internal/platform/server/connection.go
@@ -27,7 +27,7 @@
 	conn        eventloop.Conn
 	state       connectionState
 	timer       eventloop.Timeout // the timeout of the current state
-	idleElement *list.Element     // the connection's element in Server.idleConnections; nil: not idle
+	idleElement *list.Element     // the connection's element in Server.idleConnections; nil if it is not idle
 	hadRequest  bool              // a request has begun on the connection
 
 	parser   http1.Parser
@@ -43,8 +43,8 @@
 type incoming struct {
 	head       *http1.Head
 	isProbe    bool       // the request is a readiness probe
-	request    *Request   // nil: the request is rejected or a readiness probe
-	rejection  *Rejection // nil: no error has been found so far
+	request    *Request   // nil if the request is rejected or a readiness probe
+	rejection  *Rejection // nil if no error has been found so far
 	body       []byte
 	receivedAt eventloop.Micros // when the first byte arrived
 	keepAlive  bool             // the connection may stay open after the response
@@ -77,8 +77,8 @@
 	}
 }
 
-// closeIdle closes an idle connection, unless something has arrived that the loop has not passed to it yet: that may be
-// a request, which must be answered. It reports whether the connection is being closed.
+// closeIdle closes an idle connection, unless bytes have arrived that the loop has not passed to the connection yet.
+// These bytes may be a request, which must be answered. It reports whether the connection is being closed.
 func (c *connection) closeIdle(reason CloseReason) bool {
 	if !c.conn.CloseIfIdle() {
 		return false
@@ -141,7 +141,8 @@
 	if c.response != nil && !c.response.started {
 		report(c.response.id, reason.String())
 	}
-	// Pipelined requests are reported only after an overflow. After a broken stream, for example, they can't be answered.
+	// Pipelined requests are reported only if their overflow is the reason. After a broken stream, for example, they can't
+	// be answered.
 	if len(c.pipeline.buffered) > 0 && reason == PipelineOverflow {
 		report("", reason.String()+", with pipelined requests")
 	}
@@ -243,7 +244,7 @@
 }
 
 // staysOpen reports whether the connection stays open after the response that is written now. While the server drains,
-// it stays open only for requests that are already pipelined.
+// the connection stays open only for requests that are already pipelined.
 func (c *connection) staysOpen() bool {
 	return c.incoming.keepAlive && (!c.server.draining || c.pipeline.pending() || c.parser.Pipelined() > 0)
 }
--- a/internal/platform/server/pipeline.go
+++ b/internal/platform/server/pipeline.go
@@ -8,11 +8,12 @@
 )
 
 const (
-	// maxPipelinedBodies times Limits.BodyBytes is how much of one connection's pipelined requests is buffered while a
-	// request is being answered. Requests beyond it are read, not left in the socket, so that the server notices if the
-	// client disconnects; each is rejected when its turn to be answered comes.
+	// maxPipelinedBodies times Limits.BodyBytes is the maximum number of bytes of one connection's pipelined requests that
+	// are buffered while a request is being answered. Requests beyond this maximum are read and not left in the socket,
+	// because the server would otherwise not notice if the client disconnects. Each of them is rejected when its turn to
+	// be answered comes.
 	maxPipelinedBodies = 4
-	// minPipelinedBytes is how much of one connection's pipelined requests is buffered even if half of
+	// minPipelinedBytes is the number of bytes of one connection's pipelined requests that are buffered even if half of
 	// Limits.BufferedBytes is in use. More is buffered only if the total stays within that half. The other half is kept
 	// free for requests that are being read.
 	minPipelinedBytes = 16 << 10
@@ -25,11 +26,11 @@
 type pipeline struct {
 	buffered         []byte
 	receivedAt       eventloop.Micros // when the first of the buffered bytes arrived
-	overflow         *overflow        // the requests that were not buffered; nil: all were
+	overflow         *overflow        // the requests that were not buffered; nil if all were buffered
 	overflowTimerSet bool             // the timeout for the rest of the overflow's partial request is set
 }
 
-// pending reports whether pipelined requests may wait for their turn.
+// pending reports whether there may be pipelined requests that wait for their turn.
 func (p *pipeline) pending() bool { return len(p.buffered) > 0 || p.overflow != nil }
 
 // readPipelined buffers what arrives while a request is being answered, or passes it to the overflow.
@@ -81,7 +82,7 @@
 	p := &c.pipeline
 	before := p.overflow.pending
 	p.overflow.feed(data)
-	if p.overflow.pending > before { // the partial request is complete
+	if p.overflow.pending > before { // the request that was partial is now complete
 		p.overflowTimerSet = false
 		c.timer.Clear()
 	}
--- a/internal/platform/server/pipeline_test.go
+++ b/internal/platform/server/pipeline_test.go
@@ -46,7 +46,7 @@
 	limits := testLimits()
 	limits.BufferedBytes = 2 << 20
 	loop, s, address := serve(t, limits, handler)
-	const clients, size = 20, 300 << 10 // size is each client's, within the limit for one connection
+	const clients, size = 20, 300 << 10 // each client pipelines size bytes, within the limit for one connection
 	var floodingClients []net.Conn
 	for range clients {
 		c := dial(t, address)
--- a/internal/platform/server/request.go
+++ b/internal/platform/server/request.go
@@ -26,7 +26,7 @@
 	Target          string   // path and query
 	Fields          []string // head fields to forward to an endpoint, as alternating names and values
 	PromptTokens    float64
-	PrefixTokens    float64 // part of PromptTokens
+	PrefixTokens    float64 // the part of PromptTokens that belongs to the prefix
 	MaxOutputTokens float64
 	ReceivedAt      eventloop.Micros // when the first byte arrived
 	Timeout         eventloop.Micros // as the client sent it, at most maxTimeout; counted from ReceivedAt
@@ -50,8 +50,8 @@
 	extraField    = "Req-Extra"
 )
 
-// singleFields are the fields that may occur at most once. Of two fields with the same name, an endpoint could read
-// another one than this server does.
+// singleFields are the fields that may occur at most once. If a field occurred twice, this server and an endpoint could
+// each read a different one of the two.
 var singleFields = []string{
 	idField, classField, sessionField, tenantField, deadlineField, extraField,
 	"Content-Length", "Transfer-Encoding", "Host",
--- a/internal/platform/server/response.go
+++ b/internal/platform/server/response.go
@@ -78,8 +78,8 @@
 	}
 }
 
-// Reject answers that nothing was run, so that the client may retry the request. A retryAfter above 0 tells the client
-// how long to wait.
+// Reject answers that nothing was run. The client may therefore retry the request. A retryAfter above 0 tells the
+// client how long to wait.
 func (r *Response) Reject(retryAfter eventloop.Micros) {
 	response := textResponse{status: http.StatusServiceUnavailable, text: "nothing was run; please try again"}
 	if retryAfter > 0 {
--- a/internal/platform/server/server.go
+++ b/internal/platform/server/server.go
@@ -19,11 +19,11 @@
 	BodyBytes     int // size of a request's body
 	Connections   int // open connections, without those that are being closed
 	BufferedBytes int // total size of the buffered bodies and pipelined requests of all connections
-	UnsentBytes   int // size of the unsent part of a client's stream; beyond it, the endpoint's stream is paused
+	UnsentBytes   int // unsent bytes of a client's stream; if there are more, the endpoint's stream is paused
 
-	RequestTimeout eventloop.Micros // from the opening to the first byte, and from a request's first byte to its last
-	IdleTimeout    eventloop.Micros // until the next request on a connection begins
-	StallTimeout   eventloop.Micros // while a client reads nothing of what it is sent
+	RequestTimeout eventloop.Micros // from the opening to the first byte; also from a request's first to its last byte
+	IdleTimeout    eventloop.Micros // from a response to the first byte of the next request on the connection
+	StallTimeout   eventloop.Micros // for which a client may read nothing although bytes wait for it
 }
 
 // DefaultLimits are the limits that do not depend on the dispatcher's size. The platform requires that a connection on
@@ -40,8 +40,8 @@
 	// throttleDelay is how long a connection is not served after a rejected request. Otherwise a client that repeats such
 	// a request in a loop would use up the time of all others.
 	throttleDelay = 100 * eventloop.Millisecond
-	// idleCloseRetryDelay is the time until the next attempt to close an idle connection, if something had just arrived on
-	// it.
+	// idleCloseRetryDelay is the time after which the server tries again to close an idle connection on which something
+	// had just arrived.
 	idleCloseRetryDelay = 50 * eventloop.Millisecond
 	// maxFields is the maximum number of fields in a request's head.
 	maxFields = 100
@@ -84,7 +84,7 @@
 	handler         Handler
 	limits          Limits
 	connections     map[*connection]bool // all that are not closed yet
-	openCount       int                  // the number of these that are not being closed
+	openCount       int                  // number of connections that are not being closed
 	idleConnections list.List            // elements are *connection, the one that has been idle longest first
 	bufferedBytes   int
 	draining        bool // connections are closed after their next response
@@ -104,7 +104,7 @@
 func (s *Server) Accept(conn eventloop.Conn) eventloop.Handler {
 	c := &connection{server: s, conn: conn}
 	c.parser.Limits = http1.Limits{HeadBytes: s.limits.HeadBytes, FieldCount: maxFields, BodyBytes: s.limits.BodyBytes}
-	s.connections[c] = true // already before Opened is called, so that a shutdown waits for it
+	s.connections[c] = true // before Opened is called, because a shutdown must wait for the connection
 	s.openCount++
 	return c
 }
@@ -113,8 +113,8 @@
 func (s *Server) Drain() { s.draining = true }
 
 // Shutdown stops the server from passing requests to the handler. A request whose last byte has not been read yet is
-// rejected, because a retry on another dispatcher is safe. Shutdown closes idle connections, except those that have had
-// no request yet, because their first request may be on its way; these are closed after it.
+// rejected, because a retry on another dispatcher is safe. Shutdown closes idle connections. An idle connection that
+// has had no request yet stays open, because its first request may be on its way, and is closed after this request.
 func (s *Server) Shutdown() {
 	s.draining, s.stopped = true, true
 	s.closeIdle(func(c *connection) bool { return c.hadRequest })
@@ -129,7 +129,7 @@
 func (s *Server) closeIdle(selected func(*connection) bool) {
 	for e := s.idleConnections.Front(); e != nil; {
 		c := e.Value.(*connection)
-		e = e.Next() // before closing removes c from the list
+		e = e.Next() // read before idleTimedOut removes c from the list
 		if selected(c) {
 			c.idleTimedOut()
 		}
--- a/internal/platform/shutdown.go
+++ b/internal/platform/shutdown.go
@@ -27,9 +27,9 @@
 	})
 }
 
-// awaitIdle polls until nothing is pending, then closes the dispatcher's connections and calls done. These count as
-// pending: unanswered requests, releases, bytes of a response that a slow client has not read yet, and open connections
-// on which a request may be on its way.
+// awaitIdle polls until nothing is pending, then closes the connections to discovery and to endpoints, and calls done.
+// These count as pending: unanswered requests, releases, bytes of a response that a slow client has not read yet, and
+// open connections on which a request may be on its way.
 func (d *Dispatcher) awaitIdle(done func()) {
 	d.loop.AfterFunc(shutdownPollInterval, func() {
 		now := d.loop.Now()
--- a/internal/platform/shutdown_test.go
+++ b/internal/platform/shutdown_test.go
@@ -193,7 +193,7 @@
 	}
 	env.loop.Do(func() { env.dispatcher.Shutdown(closeListener, func() { done = true }) })
 	env.network.Run(300 * eventloop.Millisecond)
-	second := env.sendRequest("post") // the load balancer in front has not noticed yet
+	second := env.sendRequest("post") // the load balancer in front has not noticed the shutdown yet
 	env.network.Run(300 * eventloop.Millisecond)
 	if !listenerClosed || done || !idle.closed {
 		t.Errorf("after 0.6 s: listener closed %v, done %v, idle connection closed %v", listenerClosed, done, idle.closed)
--- a/internal/platform/summary.go
+++ b/internal/platform/summary.go
@@ -34,7 +34,7 @@
 	ClientConnections   int
 	EndpointConnections int
 	UnsentBytes         int // bytes buffered for the slowest client
-	BufferedBytes       int // bytes buffered of incoming requests
+	BufferedBytes       int // buffered bytes of incoming requests
 	ReadyEndpoints      int
 	ListUpdates         uint64
 	Counts              Counts
--- a/internal/platform/testenv_test.go
+++ b/internal/platform/testenv_test.go
@@ -71,8 +71,8 @@
 type testEnv struct {
 	t          *testing.T
 	network    *virtual.Network
-	loop       *virtual.Loop // the dispatcher's
-	remote     *virtual.Loop // clients and discovery
+	loop       *virtual.Loop // the dispatcher's event loop
+	remote     *virtual.Loop // the event loop of the clients and of discovery
 	dispatcher *Dispatcher
 	address    string
 	listener   eventloop.Listener
--- a/internal/platform/upstream/release.go
+++ b/internal/platform/upstream/release.go
@@ -13,11 +13,11 @@
 
 const (
 	// attemptsPerStateTimeout is the number of attempts that a release starts within one state timeout while none is
-	// answered, so that an endpoint that can't be reached leaves time for others. It is also the maximum number of
-	// attempts in flight for one release.
+	// answered. An attempt to an endpoint that can't be reached thus leaves time to try other endpoints. The same number
+	// is the maximum number of attempts in flight for one release.
 	attemptsPerStateTimeout = 6
 	// releaseTimeoutFactor is how many state timeouts a release is retried for. A KV state that could not be released
-	// within one is still worth freeing.
+	// within one state timeout is still worth freeing.
 	releaseTimeoutFactor = 10
 	minAttemptInterval   = eventloop.Millisecond
 )
@@ -28,11 +28,11 @@
 // earlier ones go on, because connections may be slow to open everywhere. The first confirmation ends all attempts.
 type release struct {
 	client     *Client
-	id         string // the request's
+	id         string // id of the request
 	startedAt  eventloop.Micros
 	lastTried  scheduler.EndpointID          // the endpoint of the latest attempt
-	tried      map[scheduler.EndpointID]bool // in this round, which ends once all candidates had an attempt
-	useAll     bool                          // also try endpoints that accept no new requests, as no other confirmed
+	tried      map[scheduler.EndpointID]bool // in this round; a round ends once all candidates had an attempt
+	useAll     bool                          // also try endpoints that aren't ready, because no ready one confirmed
 	attempts   []*engine.Attempt             // in flight, oldest first
 	retryTimer eventloop.Timeout             // until the next attempt
 	ended      bool
@@ -88,7 +88,7 @@
 }
 
 // triedAll reports whether every candidate had an attempt in this round. Once all endpoints that accept new requests
-// had one, it makes the other endpoints candidates.
+// had an attempt, triedAll makes the other endpoints candidates too.
 func (r *release) triedAll() bool {
 	untried := func(id scheduler.EndpointID) bool { return !r.tried[id] }
 	if !r.useAll && !slices.ContainsFunc(r.candidates(), untried) {
@@ -152,7 +152,7 @@
 }
 
 // attemptEnded handles the end of one attempt. After a failure it starts the next attempt at once, except at the end of
-// a round, when it waits first: otherwise endpoints that all refuse at once would be called in a busy loop.
+// a round. There it waits first, because endpoints that all refuse at once would otherwise be called in a busy loop.
 func (r *release) attemptEnded(attempt *engine.Attempt, result engine.Result) {
 	if r.ended {
 		return
@@ -169,7 +169,8 @@
 	}
 }
 
-// end cancels the attempts in flight and reports the result: nil if the release was confirmed.
+// end cancels the attempts in flight and reports the result of the release. A nil error means that the release was
+// confirmed.
 func (r *release) end(err error) {
 	c := r.client
 	r.ended = true
--- a/internal/platform/upstream/response.go
+++ b/internal/platform/upstream/response.go
@@ -95,7 +95,7 @@
 func (s *responseStream) Complete() bool { return s.complete }
 
 // Broken implements engine.Stream. A chunked stream without its last chunk counts as incomplete even if its last event
-// was received, so that the client is not told that the response is complete.
+// was received, because the client must not be told that the response is complete.
 func (s *responseStream) Broken(outcome scheduler.Outcome, reason string) engine.Result {
 	return engine.Result{Outcome: outcome, Reason: reason}
 }
--- a/internal/platform/upstream/upstream.go
+++ b/internal/platform/upstream/upstream.go
@@ -25,7 +25,7 @@
 	Target string
 	Fields []string // header fields to forward unchanged, as alternating names and values
 	Body   []byte
-	// SendTimeout is the time within which the request has to be sent; 0: the connect timeout.
+	// SendTimeout is the time within which the request has to be sent; 0 stands for the connect timeout.
 	SendTimeout eventloop.Micros
 	// OnSend is called when the request is written, with the remaining time that it states to the endpoint.
 	OnSend func(remaining eventloop.Micros)
@@ -33,7 +33,7 @@
 
 // Options configure the releases of a Client.
 type Options struct {
-	// StateTimeout is how long an endpoint keeps the KV state of a request that nothing uses.
+	// StateTimeout is how long an endpoint keeps the KV state of a request while no attempt uses the state.
 	StateTimeout eventloop.Micros
 	// ReadyEndpoints returns the endpoints that accept new requests. Releases are sent to these first.
 	ReadyEndpoints func() []scheduler.EndpointID
@@ -47,7 +47,7 @@
 type Counts struct {
 	Releases        uint64
 	ReleaseAttempts uint64
-	LateReleases    uint64 // failed, or confirmed only after the state timeout
+	LateReleases    uint64 // releases that failed, or were confirmed only after the state timeout
 }
 
 // Client sends the attempts and releases of one dispatcher.
@@ -60,7 +60,7 @@
 }
 
 // New returns a client that sends over an engine's connections. The caller sets the endpoints' addresses in the engine,
-// and closes it.
+// and closes the engine.
 func New(loop eventloop.Loop, connections *engine.Engine, options Options) *Client {
 	return &Client{loop: loop, connections: connections, options: options}
 }
--- a/internal/platform/upstream/upstream_test.go
+++ b/internal/platform/upstream/upstream_test.go
@@ -111,7 +111,8 @@
 }
 
 // TestRefusedReleasePausesBetweenRounds checks that a release which every endpoint refuses at once waits between two
-// rounds of attempts, also with a very short state timeout. Without the wait it would call them in a busy loop.
+// rounds of attempts, also with a very short state timeout. Without the wait the release would call the endpoints in a
+// busy loop.
 func TestRefusedReleasePausesBetweenRounds(t *testing.T) {
 	for timeout, mostAttempts := range map[eventloop.Micros]uint64{
 		attemptsPerStateTimeout - 1: 10,
