--- a/scheduler/attempt.go
+++ b/scheduler/attempt.go
@@ -21,8 +21,9 @@
 	onResult      func(AttemptResult)
 }
 
-// send sends a request to an endpoint and calls onResult when that attempt has ended. If the request has no attempt or
-// time left, or the guard blocks the attempt, send ends the request with a final answer instead.
+// send sends a request to an endpoint. It calls onResult when the attempt ends, unless the answer has begun by then or
+// the request is closed. If the request has no attempt or time left, or the guard blocks the attempt, send ends the
+// request with a final answer instead.
 func (s *Scheduler) send(req *request, ep *endpoint, prefillTokens float64, onResult func(AttemptResult)) {
 	switch {
 	case req.attemptsSent >= s.MaxAttempts:
--- a/scheduler/quotas.go
+++ b/scheduler/quotas.go
@@ -39,8 +39,8 @@
 	q.tokens[tenant] = min(q.tokens[tenant], q.burst(tenant))
 }
 
-// take takes a token for a request and reports whether the request exceeds its tenant's quota. A request of a tenant
-// without a quota never does.
+// take takes a token for a request and reports whether the request exceeds its tenant's quota. A request of an unknown
+// tenant, which has no entry in rates, never exceeds a quota.
 func (q *quotas) take(tenant int) (over bool) {
 	if tenant >= len(q.rates) {
 		return false
