--- a/internal/engine/attempt.go
+++ b/internal/engine/attempt.go
@@ -10,7 +10,7 @@
 	"plumspindle/scheduler"
 )
 
-// Attempt is one request to an endpoint. Callbacks.Ended reports its result, unless Cancel ends it.
+// Attempt is one request to an endpoint. Callbacks.Ended reports the attempt's result, unless Cancel ends the attempt.
 type Attempt struct {
 	engine       *Engine
 	endpoint     *endpoint
@@ -18,13 +18,13 @@
 	callbacks    Callbacks
 	connection   *connection      // nil: the attempt has no connection
 	writtenAt    eventloop.Micros // when the request was written to the connection
-	deadline     eventloop.Micros // of the first event, or of a response that is not streamed
-	sendDeadline eventloop.Micros // by which the network must have taken the request's last byte
+	deadline     eventloop.Micros // for the first event, or for the end of a response that is not streamed
+	sendDeadline eventloop.Micros // time by which the network must have taken the request's last byte
 	timer        eventloop.Timer  // for the deadlines and, after MarkStarted, for the stream's idle timeout
 	evictions    int              // idle connections closed because no file descriptor was free for this attempt
 
 	ended bool
-	sent  bool // valid once ended: the network had taken the request's last byte
+	sent  bool // the network had taken the request's last byte; valid once ended is set
 
 	readingPaused   bool
 	streamIdleSince eventloop.Micros // start of the current idle period of a started stream
@@ -37,8 +37,9 @@
 }
 
 // timeout ends an attempt whose deadline has passed. If the request has not been sent completely by its send deadline,
-// because there was no free connection or the endpoint does not read, the attempt ends as Unreachable: it cannot have
-// run. The request is not sent later, because the decision to send it assumed that it is sent by the send deadline.
+// because there was no free connection or the endpoint does not read, the attempt cannot have run and ends as
+// Unreachable. The request is not sent later, because the decision to send it assumed that it is sent by the send
+// deadline.
 func (a *Attempt) timeout() {
 	now := a.engine.loop.Now()
 	switch {
@@ -51,8 +52,8 @@
 	}
 }
 
-// Unsent reports whether the network has not taken the request's last byte yet. No endpoint can have run the attempt
-// then.
+// Unsent reports whether the network has not taken the request's last byte yet. No endpoint can have run an unsent
+// attempt.
 func (a *Attempt) Unsent() bool {
 	if a.ended {
 		return !a.sent
@@ -65,10 +66,10 @@
 const maxRoundTrip = 20 * eventloop.Millisecond
 
 // EndpointSeenRunning reports whether the endpoint's process is known to have been running after the request reached
-// it. Two things prove that together: the process has answered an earlier attempt on this connection, and it has sent
-// data on any connection since the request must have arrived. An open connection alone is no proof, as a kernel accepts
-// connections for a stopped process. TCP acknowledgements are none either: a kernel or a proxy sends them without the
-// process.
+// it. Two facts together prove that the process was running. The process has answered an earlier attempt on this
+// connection, and it has sent data, on any connection, after the time by which the request must have arrived. An open
+// connection alone is no proof, because a kernel accepts connections for a stopped process. TCP acknowledgements are no
+// proof either, because a kernel or a proxy sends them without the process.
 func (a *Attempt) EndpointSeenRunning() bool {
 	if a.connection == nil || a.connection.attempts == 0 || a.Unsent() || a.connection.conn.Undelivered() {
 		return false
@@ -86,9 +87,9 @@
 	}
 }
 
-// MarkStarted tells the attempt that the first token has arrived. It replaces the deadline, which applies until then,
-// by an idle timeout: the attempt ends if the stream delivers no event for Limits.StreamIdleTimeout. Without this
-// timeout, an attempt to an endpoint that vanished without closing its connection would never end.
+// MarkStarted tells the attempt that the first token has arrived. From then on, an idle timeout replaces the deadline.
+// The attempt ends if the stream delivers no event for Limits.StreamIdleTimeout. Without the idle timeout, an attempt
+// to an endpoint that vanished without closing its connection would never end.
 func (a *Attempt) MarkStarted() { a.restartStreamIdleTimer() }
 
 func (a *Attempt) restartStreamIdleTimer() {
@@ -112,7 +113,7 @@
 	}
 }
 
-// SetReadingPaused pauses or resumes reading from the endpoint, so that a stream does not outrun a slow client.
+// SetReadingPaused pauses or resumes reading from the endpoint, to keep a stream from outrunning a slow client.
 func (a *Attempt) SetReadingPaused(on bool) {
 	if a.connection != nil && !a.ended && a.readingPaused != on {
 		a.readingPaused = on
@@ -133,7 +134,7 @@
 // finish ends the attempt and reports its result, unless it has ended already.
 func (a *Attempt) finish(result Result) { a.end(result, false) }
 
-// abort is finish for a connection that can't be used any more: it resets the connection as well.
+// abort ends the attempt as finish does, and resets its connection, which can't be used any more.
 func (a *Attempt) abort(result Result) { a.end(result, true) }
 
 func (a *Attempt) end(result Result, reset bool) {
@@ -185,7 +186,7 @@
 	return nil
 }
 
-// streamed reports whether the response is an event stream. Its head must have arrived.
+// streamed reports whether the response is an event stream. The response's head must have arrived.
 func (a *Attempt) streamed() bool {
 	return a.call.Stream != nil && a.head.Status == http.StatusOK &&
 		strings.HasPrefix(a.head.Get("Content-Type"), "text/event-stream")
--- a/internal/engine/call.go
+++ b/internal/engine/call.go
@@ -12,8 +12,8 @@
 	maxEvent        = 256 << 10 // bytes of one streamed event
 )
 
-// Callbacks report the progress of an attempt: Event is called for each event that its Stream passes on, then Ended
-// once with the result.
+// Callbacks report the progress of an attempt. Event is called for each event that Call.Stream passes on. Ended is
+// called once, after the last event, with the result.
 type Callbacks struct {
 	Event func(data []byte)
 	Ended func(Result)
@@ -26,10 +26,10 @@
 	BuildRequest func(addr string, remaining eventloop.Micros) []byte
 	// ReadResponse reads a response that is not streamed.
 	ReadResponse func(head *http1.Head, body []byte) Result
-	// MaxResponseBody bounds the body of a response that is not streamed, in bytes. A longer one ends the attempt.
+	// MaxResponseBody bounds the body of a response that is not streamed, in bytes. A longer body ends the attempt.
 	MaxResponseBody int
 	Stream          Stream // nil: the response is never streamed
-	// IsRelease marks a call that releases KV state: it may use the spare connections and does not queue.
+	// IsRelease marks a call that releases KV state. Such a call may use the spare connections and is never queued.
 	IsRelease bool
 	// SendTimeout bounds the time until the request has been sent completely. Limits.ConnectTimeout applies if it is
 	// shorter or if SendTimeout is 0.
@@ -45,8 +45,8 @@
 	// Complete reports whether the protocol's last event has been read. For a body that is delimited by the end of the
 	// connection, nothing else tells a complete stream from a truncated one.
 	Complete() bool
-	// Broken returns the result of a stream that ended early. It is given the outcome and reason that follow from how
-	// the stream ended.
+	// Broken returns the result of a stream that ended early. The caller passes the outcome and the reason that it would
+	// report without knowing the protocol.
 	Broken(outcome scheduler.Outcome, reason string) Result
 }
 
--- a/internal/engine/connection.go
+++ b/internal/engine/connection.go
@@ -11,8 +11,8 @@
 	"plumspindle/scheduler"
 )
 
-// reuseDelay is how long a connection is not reused after a response. An endpoint may send a second response some
-// milliseconds late, which would be taken for the response to the next attempt.
+// reuseDelay is the time after a response for which a connection is not reused. An endpoint may send a second response
+// some milliseconds later, which would be taken for the response to the next attempt.
 const reuseDelay = 15 * eventloop.Millisecond
 
 var (
@@ -43,8 +43,8 @@
 	idleTimer    eventloop.Timer
 	idleOrder    uint64 // lower for a connection that has been idle for longer
 	idleSince    eventloop.Micros
-	idleDuration eventloop.Micros // how long the connection was idle before this attempt
-	attempts     int              // completed on this connection before this one
+	idleDuration eventloop.Micros // how long the connection was idle before the current attempt
+	attempts     int              // number of attempts completed on this connection before the current one
 }
 
 // send sends an attempt on an idle connection.
@@ -54,7 +54,8 @@
 	c.write()
 }
 
-// write writes the attempt's request to the network. The request is built only now, as it may state the remaining time.
+// write writes the attempt's request to the network. The request is built only now, because it may state the remaining
+// time.
 func (c *connection) write() {
 	c.written = true
 	c.attempt.writtenAt = c.engine.loop.Now()
@@ -217,7 +218,8 @@
 // outdated reports whether the endpoint has another address by now or has been removed.
 func (c *connection) outdated() bool { return c.addr != c.endpoint.addr || c.endpoint.removed }
 
-// becomeIdle adds the connection to the endpoint's idle ones, for use by another attempt. It closes an outdated one.
+// becomeIdle adds the connection to the endpoint's idle ones, for use by another attempt. If the connection is
+// outdated, becomeIdle closes it instead.
 func (c *connection) becomeIdle() {
 	engine := c.engine
 	if c.closed {
--- a/internal/engine/endpoint.go
+++ b/internal/engine/endpoint.go
@@ -5,8 +5,8 @@
 	"plumspindle/scheduler"
 )
 
-// removedRetention is the minimum time for which the engine keeps a removed endpoint: an endpoint may be missing from a
-// list by mistake while it runs, and the engine may still have to release KV state that it holds.
+// removedRetention is the minimum time for which the engine keeps a removed endpoint. An endpoint may be missing from a
+// list by mistake while it runs, and the engine may still have to release KV state that the endpoint holds.
 const removedRetention = 60 * eventloop.Second
 
 // endpoint is the engine's state for one endpoint: its connections, queued attempts and pending releases.
@@ -17,7 +17,7 @@
 	open         int              // connections, including idle ones and those being opened
 	opening      int              // connections being opened
 	queued       []*queuedAttempt // attempts that wait for a connection, in FIFO order
-	lastReceived eventloop.Micros // when data last arrived, on any connection; 0: never
+	lastReceived eventloop.Micros // when data last arrived, on any connection; 0 if none ever did
 	releases     releaseQueue
 }
 
--- a/internal/engine/engine.go
+++ b/internal/engine/engine.go
@@ -6,8 +6,8 @@
 // the public chat completions API, the caller supplies a Call.
 //
 // It uses package eventloop for time and sockets and runs on a single event loop: its methods may be called on that
-// loop only, and no callback runs before the method that started the attempt has returned. It never chooses an
-// endpoint and never retries an attempt: the scheduler does both.
+// loop only, and no callback runs before the method that started the attempt has returned. It never chooses an endpoint
+// and never retries an attempt, because the scheduler does both.
 package engine
 
 import (
@@ -20,11 +20,12 @@
 	// ConnectTimeout bounds the time until a connection is open and the request has been sent completely. An attempt that
 	// takes longer ends as Unreachable.
 	ConnectTimeout eventloop.Micros
-	// IdleTimeout is the time after which an unused connection is closed. Endpoints must keep theirs open for longer.
+	// IdleTimeout is the time after which an unused connection is closed. Endpoints must keep unused connections open for
+	// longer.
 	IdleTimeout eventloop.Micros
 	// StreamIdleTimeout is the time after which a started stream without an event is treated as broken.
 	StreamIdleTimeout eventloop.Micros
-	MaxPerEndpoint    int // connections to one endpoint
+	MaxPerEndpoint    int // maximum number of connections to one endpoint
 	// MaxOpening bounds the connections to one endpoint that are being opened. Further attempts queue, for
 	// ConnectTimeout at most.
 	MaxOpening int
@@ -36,12 +37,12 @@
 // Engine holds the connections to all endpoints.
 type Engine struct {
 	loop         eventloop.Loop
-	name         string // of this dispatcher, sent with each request
-	zone         string // of this dispatcher, sent with each request
+	name         string // name of this dispatcher, sent with each request
+	zone         string // zone of this dispatcher, sent with each request
 	limits       Limits
 	endpoints    map[scheduler.EndpointID]*endpoint
-	open         int    // connections to all endpoints
-	idleSequence uint64 // number of times that a connection has become idle; sets connection.idleOrder
+	open         int    // number of connections to all endpoints
+	idleSequence uint64 // number of times that any connection has become idle; the source of connection.idleOrder
 }
 
 // New returns an engine without endpoints.
@@ -94,7 +95,7 @@
 	return 0
 }
 
-// LastReceived returns when data last arrived from an endpoint, or 0 if none has.
+// LastReceived returns when data last arrived from an endpoint, or 0 if no data has arrived.
 func (e *Engine) LastReceived(id scheduler.EndpointID) eventloop.Micros {
 	if ep := e.endpoints[id]; ep != nil {
 		return ep.lastReceived
--- a/internal/engine/openai.go
+++ b/internal/engine/openai.go
@@ -26,7 +26,7 @@
 // Target is the destination of one attempt, the request ids that it is sent with, and its timeout.
 type Target struct {
 	Endpoint  scheduler.EndpointID
-	RequestID string // of the attempt, as returned by AttemptRequestID; sent as x-request-id
+	RequestID string // the attempt's request id, from AttemptRequestID; sent as x-request-id
 	ClientID  string // the client's request id; sent as x-client-request-id
 	Timeout   eventloop.Micros
 }
@@ -34,8 +34,8 @@
 // DecodeRequest is the request of a decode attempt.
 type DecodeRequest struct {
 	Chat      *chat.Request
-	KVParams  string // kv_transfer_params of the prefill's response, as JSON; empty: the endpoint does the prefill too
-	MaxTokens int    // of the answer
+	KVParams  string // kv_transfer_params of the prefill's response, as JSON; empty if the endpoint does the prefill too
+	MaxTokens int    // maximum number of tokens of the answer
 }
 
 // PrefillOnlyRequest is a request that needs no decode, such as one for embeddings.
@@ -192,8 +192,8 @@
 // Complete implements Stream.
 func (s *completionStream) Complete() bool { return s.done }
 
-// Broken implements Stream. A chunk with a finish reason is the last one with content, so that the answer is complete
-// once it has been read.
+// Broken implements Stream. A chunk with a finish reason is the last one with content, so the answer is complete once
+// that chunk has been read.
 func (s *completionStream) Broken(outcome scheduler.Outcome, reason string) Result {
 	if s.finished {
 		return Result{Outcome: scheduler.Completed, Reason: "decode had finished before: " + reason}
--- a/internal/engine/pool.go
+++ b/internal/engine/pool.go
@@ -21,7 +21,7 @@
 type dialFunc func(addr string, timeout eventloop.Micros, handler eventloop.Handler) eventloop.Conn
 
 // queuedAttempt is an attempt that waits until a connection may be opened. The queue protects the accept backlogs of
-// endpoints: after a restart all waiting requests arrive at once, and an endpoint whose backlog overflows would refuse
+// endpoints. After a restart all waiting requests arrive at once, and an endpoint whose backlog overflows would refuse
 // many connections that it could serve a moment later.
 type queuedAttempt struct {
 	attempt *Attempt
@@ -52,8 +52,8 @@
 }
 
 // startOnIdle sends an attempt on the most recently used idle connection and reports whether there was one. It discards
-// connections that the endpoint has closed, on which the request would be lost, and those on which the endpoint has
-// sent data, which would be taken for the response.
+// connections that the endpoint has closed, because the request would be lost. It also discards connections on which
+// the endpoint has sent data, because that data would be taken for the response.
 func (e *Engine) startOnIdle(attempt *Attempt) bool {
 	ep := attempt.endpoint
 	for count := len(ep.idle); count > 0; count = len(ep.idle) {
@@ -134,7 +134,7 @@
 }
 
 // startAfterEviction closes an idle connection and then restarts an attempt that found no free file descriptor. It
-// returns false if no connection is idle, or after maxEvictions for the same attempt.
+// returns false if no connection is idle, or if maxEvictions connections have been closed for this attempt already.
 func (e *Engine) startAfterEviction(attempt *Attempt) bool {
 	if attempt.evictions >= maxEvictions || !e.evictOldestIdle() {
 		return false
--- a/internal/engine/release.go
+++ b/internal/engine/release.go
@@ -13,13 +13,13 @@
 const (
 	releasePath = "/v1/kv/release"
 
-	releaseTimeout    = 200 * eventloop.Millisecond // of a release request; retries add twice their backoff
-	minReleaseBackoff = 60 * eventloop.Millisecond  // before a retry, doubled from the second failed retry on
+	releaseTimeout    = 200 * eventloop.Millisecond // for the first request of a release; a retry adds twice its backoff
+	minReleaseBackoff = 60 * eventloop.Millisecond  // before a retry; doubles with each failed retry after the first
 	maxReleaseBackoff = 240 * eventloop.Millisecond
-	// releaseRetryPeriod is how long a release is retried. An endpoint that is unreachable for longer frees the state
-	// when its own lease on it expires.
+	// releaseRetryPeriod is how long a release is retried. An endpoint that is unreachable for longer frees the state when
+	// the lease of that state expires at the endpoint.
 	releaseRetryPeriod = 10 * eventloop.Second
-	maxReleaseBatch    = 256 // attempts in one retry; the first request for a release is not split
+	maxReleaseBatch    = 256 // maximum number of attempts in one retry; the first request of a release is not split
 )
 
 // pendingRelease is an attempt whose KV state has to be released and whose endpoint has not confirmed the release.
@@ -32,12 +32,12 @@
 type releaseQueue struct {
 	pending   []pendingRelease
 	scheduled bool             // a retry is scheduled or in progress
-	backoff   eventloop.Micros // before the next retry, minReleaseBackoff at least; 0: the last retry did not fail
+	backoff   eventloop.Micros // before the next retry, at least minReleaseBackoff; 0 if the last retry did not fail
 }
 
 // Release asks an endpoint to free the KV state of some attempts, given by their request ids. Releases may use spare
-// connections and reserved file descriptors, as state must not stay allocated for lack of either. A release that the
-// endpoint does not confirm is retried, in batches with all its other unconfirmed ones.
+// connections and reserved file descriptors, because state must not stay allocated for lack of a connection or
+// descriptor. Releases that the endpoint does not confirm are retried together, in batches.
 func (e *Engine) Release(id scheduler.EndpointID, requestIDs []string) {
 	ep := e.endpoints[id]
 	if ep == nil || len(requestIDs) == 0 {
@@ -73,7 +73,7 @@
 		releases.scheduled, releases.backoff = false, 0
 		return
 	}
-	// Opening a connection may be slow: the timeout grows with the backoff.
+	// The timeout grows with the backoff, because opening a connection may be slow.
 	timeout := releaseTimeout + 2*releases.backoff
 	e.sendRelease(ep, batch, timeout, func(confirmed bool) {
 		releases.scheduled = false
@@ -95,7 +95,8 @@
 	return requestIDs
 }
 
-// sendRelease sends one release request and calls done with whether the endpoint confirmed it.
+// sendRelease sends one release request. It calls done when the request has ended, and tells done whether the endpoint
+// confirmed the release.
 func (e *Engine) sendRelease(ep *endpoint, requestIDs []string, timeout eventloop.Micros, done func(confirmed bool)) {
 	body := []byte(`{"request_ids":["` + strings.Join(requestIDs, `","`) + `"]}`)
 	call := Call{
--- a/internal/engine/result.go
+++ b/internal/engine/result.go
@@ -17,9 +17,9 @@
 	CachedTokens   int     // prompt tokens whose KV state the endpoint had cached
 	StateMissing   bool    // with NoCapacity: the decode endpoint found no KV state to fetch
 	MemoryUsage    float64 // fraction of the endpoint's KV memory in use, from 0 to 1, or scheduler.NoLoadReport
-	KVParams       string  // with PrefillDone: the response's kv_transfer_params, which locate the KV state, as JSON
+	KVParams       string  // with PrefillDone: the response's kv_transfer_params as JSON, which locate the KV state
 	ClosedLocally  bool    // the engine reset the connection during the attempt
-	InvalidRequest bool    // the endpoint rejected the request as invalid; every other endpoint would, too
+	InvalidRequest bool    // the endpoint rejected the request as invalid; every other endpoint would reject it too
 	Reason         string  // for logs
 }
 
@@ -83,7 +83,7 @@
 )
 
 // memoryUsage returns the fraction of KV memory in use from the ORCA load report in a response's head, in text or JSON
-// format. It returns scheduler.NoLoadReport if there is no valid one.
+// format. It returns scheduler.NoLoadReport if there is no valid report.
 func memoryUsage(head *http1.Head) float64 {
 	report := head.Get(loadReportField)
 	if report == "" {
--- a/internal/engine/wire_test.go
+++ b/internal/engine/wire_test.go
@@ -106,7 +106,8 @@
 
 func release(e *Engine, _ Callbacks) { e.Release(1, []string{"a", "b"}) }
 
-// attemptCase is one way in which an endpoint may respond. If closes is set, it closes the connection afterwards.
+// attemptCase is one way in which an endpoint may respond. If closes is set, the endpoint closes the connection after
+// the response.
 type attemptCase struct {
 	name     string
 	response string
--- a/internal/idempotency/idempotency.go
+++ b/internal/idempotency/idempotency.go
@@ -1,8 +1,8 @@
 // Package idempotency decides how to answer a request that repeats an earlier one with the same Idempotency-Key.
 //
 // It has a cache of keys and of the answers that can be replayed, and bounds both. The caller supplies the time and the
-// order of events. The package does no I/O, and it never evicts a key to make space for another: if a key were
-// forgotten before its window has passed, its request could run twice.
+// order of events. The package does no I/O. It never evicts a key to make space for another, because a request whose
+// key is forgotten before its window has passed could run twice.
 package idempotency
 
 import "plumspindle/scheduler/timerqueue"
@@ -18,26 +18,26 @@
 
 // The decisions that Begin can return.
 const (
-	New        Decision = iota // the key is not remembered: run the request
-	Join                       // the first request is running and its events are buffered: replay them, then follow it
-	Replay                     // the first request completed and its events are buffered: replay them
+	New        Decision = iota // the key is not remembered, so run the request
+	Join                       // the first request is running and its events are buffered, so replay and then follow them
+	Replay                     // the first request completed and its events are buffered, so replay these
 	AlreadyRan                 // the first request ran or may have run, and its answer is not buffered
 	Conflict                   // the key was used for a different request
-	Full                       // the limit on keys is reached: a request with a new key may not run
+	Full                       // the limit on keys is reached, so a request with a new key must not run
 )
 
 // Limits bounds the size of a cache.
 type Limits struct {
-	Entries     int // number of keys
-	Bytes       int // of all buffered answers together
-	AnswerBytes int // of one buffered answer
+	Entries     int // maximum number of keys
+	Bytes       int // maximum size of all buffered answers together
+	AnswerBytes int // maximum size of one buffered answer
 }
 
 // Outcome says how a request ended.
 type Outcome struct {
 	Completed  bool
 	MayHaveRun bool
-	Window     Micros // how long the key is remembered after the end
+	Window     Micros // how long the key is remembered after the request's end
 }
 
 // Record is a key as it is stored for a restart of the dispatcher.
@@ -59,7 +59,7 @@
 	buffered  bool   // Events has every event that was streamed
 	ended     bool
 	completed bool
-	removed   bool // from the cache
+	removed   bool // the entry is no longer in the cache
 }
 
 // Key returns the entry's key.
@@ -73,14 +73,14 @@
 
 // Cache holds keys and answers within its limits.
 type Cache struct {
-	// OnExpire, if set, is called with each key that is removed: when it expires, or at the end of a request that did
-	// not run.
+	// OnExpire, if set, is called with each key that is removed. A key is removed when it expires, or when its request
+	// ends without having run.
 	OnExpire func(Key)
 
 	limits    Limits
 	entries   map[Key]*Entry
 	expiries  []*expiryQueue
-	completed []*Entry // entries with a buffered answer, the one that ended first in front; dropped in this order
+	completed []*Entry // entries with a buffered answer, in the order in which they ended and in which answers are dropped
 	bytes     int
 }
 
@@ -101,8 +101,9 @@
 // Bytes returns the total size of all buffered answers.
 func (c *Cache) Bytes() int { return c.bytes }
 
-// Begin decides how to answer a request with a key. For New the caller reports the request's events and its end on the
-// entry; for Join and Replay the entry has the events that were streamed; otherwise the entry is nil.
+// Begin decides how to answer a request with a key. For New, the caller passes the entry to AddEvent with each event of
+// the answer, and to End when the request has ended. For Join and Replay, the entry has the events that were streamed.
+// For all other decisions the entry is nil.
 func (c *Cache) Begin(now Micros, key Key, request uint64) (Decision, *Entry) {
 	c.expire(now)
 	e := c.entries[key]
@@ -147,7 +148,7 @@
 	c.bytes += len(data)
 }
 
-// End records how a request ended. If nothing ran, the key can be used again at once.
+// End records how a request ended. If the request did not run, the key can be used again at once.
 func (c *Cache) End(now Micros, e *Entry, outcome Outcome) {
 	if e.ended || e.removed {
 		return
@@ -166,9 +167,9 @@
 	c.scheduleExpiry(e, outcome.Window)
 }
 
-// Restore adds a key that an earlier process recorded: its request ran or may have run, and its answer is lost. The
-// caller must restore into a new cache, in the order of ExpiresAt. Restore adds records beyond the limit on entries
-// too: the limit decides which requests may run, and these requests may already have run.
+// Restore adds a key that an earlier process recorded. The key's request ran or may have run, and the answer is lost.
+// The caller must restore into a new cache, in the order of ExpiresAt. Restore adds records even beyond the limit on
+// entries, because that limit decides which requests may run, and the restored requests may already have run.
 func (c *Cache) Restore(record Record) {
 	e := &Entry{key: record.Key, request: record.Request, expiresAt: record.ExpiresAt, ended: true}
 	c.entries[record.Key] = e
--- a/internal/lifecycle/lifecycle.go
+++ b/internal/lifecycle/lifecycle.go
@@ -1,9 +1,10 @@
 // Package lifecycle defines the state machine of one request in a dispatcher as a transition table: for each state and
 // event, the actions to perform and the next state.
 //
-// The package has the table (Transitions), the Machine that applies it, and the Coverage that counts how often each
-// cell was used. It depends on no other package. It performs no action, does no I/O and makes no scheduling decision:
-// the scheduler's orders reach it as events. docs/streams.md documents the table, and a test compares the two.
+// The package has the table (Transitions), the Machine that applies the table, and the Coverage that counts how often
+// each cell of the table was used. It depends on no other package. It performs no action, does no I/O and makes no
+// scheduling decision. The scheduler's orders reach it as events. docs/streams.md documents the table, and a test
+// compares that page with the table.
 package lifecycle
 
 // State is a stage in the life cycle of a request.
@@ -56,7 +57,7 @@
 	ClientCaughtUp                    // the client has caught up with its answer
 	Admitted                          // the tenant's limits admit the queued request
 	TenantStopped                     // the tenant was removed, and its requests have to stop
-	PrefillOnlyCompleted              // the prefill attempt completed and is the whole answer
+	PrefillOnlyCompleted              // the prefill attempt completed, and its response is the whole answer
 
 	EventCount = int(PrefillOnlyCompleted) + 1
 )
@@ -95,7 +96,7 @@
 	ReportCancelled                  // report the closed attempt as failed, once the scheduler's current call has returned
 	ReleaseAttempt                   // release the state that the last attempt may have left at its prefill endpoint
 	ReleaseState                     // release all prefill state of the request
-	StateFetched                     // record that the prefill state has been fetched, so that none is left to release
+	StateFetched                     // record that the prefill state has been fetched and need not be released
 	NotifyStarted                    // report that the attempt has sent its first event
 	NotifyEnded                      // report that the attempt has ended
 	NotifyDisconnected               // report that the client has disconnected
@@ -145,8 +146,8 @@
 }
 
 // Fire moves the machine to its next state and returns the actions to perform, in order. The state changes before the
-// first action, since an action can cause the next event before it returns. Fire ignores an event that the table does
-// not define for the state.
+// first action, because an action can cause the next event before the action returns. Fire ignores an event that the
+// table does not define for the state.
 func (m *Machine) Fire(e Event, coverage *Coverage) []Action {
 	transition := Transitions[m.State][e]
 	if !transition.Defined {
--- a/internal/lifecycle/table.go
+++ b/internal/lifecycle/table.go
@@ -68,7 +68,8 @@
 		AttemptRejected:      to(Done, NotifyEnded, Forget),
 		AttemptFailed:        to(Done, ReleaseAttempt, NotifyEnded, Forget),
 		ReleaseOrdered:       to(Closing, ReleaseState),
-		// The decode started after the client got its final answer or disconnected: it was not cancelled in time.
+		// The answer began after the client got its final answer or disconnected, because the decode attempt was not
+		// cancelled in time.
 		EventReceived: to(Done, CloseAttempt, NotifyEnded, Forget),
 	},
 	Done: {
--- a/internal/schedulerhost/topology.go
+++ b/internal/schedulerhost/topology.go
@@ -19,11 +19,11 @@
 type Topology struct {
 	zones []string
 	kinds []string
-	roles []scheduler.Role // by kind
+	roles []scheduler.Role // by index in kinds
 }
 
-// NewTopology returns a topology. The index of a name in zones or kindNames is its id in the scheduler. Names of kinds
-// beyond the length of kinds count as unknown.
+// NewTopology returns a topology. The index of a name in zones or kindNames is the id of that zone or kind in the
+// scheduler. If kindNames is longer than kinds, the excess names count as unknown.
 func NewTopology(zones, kindNames []string, kinds []scheduler.Kind) Topology {
 	t := Topology{zones: zones, kinds: kindNames[:min(len(kindNames), len(kinds))]}
 	for i := range t.kinds {
--- a/scheduler/api.go
+++ b/scheduler/api.go
@@ -5,8 +5,8 @@
 // Micros is a time or a duration in whole microseconds. Times are on the caller's clock.
 type Micros = timerqueue.Micros
 
-// Each kind of id has its own type, so that the compiler rejects a mix-up. TenantID, ClassID and KindID are indexes
-// into Config. The values of the other ids have no meaning: the scheduler compares, sorts and hashes them.
+// Each kind of id has its own type, to let the compiler reject a mix-up. TenantID, ClassID and KindID are indexes into
+// Config. The values of the other ids have no meaning: the scheduler compares, sorts and hashes them.
 type (
 	// RequestID names a client's request.
 	RequestID uint64
@@ -32,7 +32,7 @@
 
 // Executor carries out a scheduler's actions, in the order of the calls.
 type Executor interface {
-	// Send sends the request to an endpoint as its next attempt. The timeout starts now.
+	// Send sends the request's next attempt to an endpoint. The timeout starts now.
 	Send(request RequestID, endpoint EndpointID, timeout Micros)
 	// Reject gives the client a final answer that lets it send the request again after retryAfter.
 	Reject(request RequestID, retryAfter Micros)
@@ -44,7 +44,7 @@
 	Release(request RequestID)
 	// WatchEndpoints asks for the endpoint list.
 	WatchEndpoints()
-	// SetTimer has TimerFired called once after the given duration. Timers that are already set stay set.
+	// SetTimer asks for one call of TimerFired after the given duration. Timers that are already set stay set.
 	SetTimer(after Micros, timer TimerID)
 	// Log writes an event to the log.
 	Log(event Event)
@@ -82,15 +82,15 @@
 	NonIdempotent               // a repeat would repeat the request's effect
 )
 
-// Group is the set of endpoints that recognise a repeat of a deduplicated request, relative to the first attempt that
-// may have run.
+// Group is the set of endpoints that recognise a repeat of a deduplicated request. The set depends on the endpoint of
+// the request's first attempt that may have run.
 type Group uint8
 
 // The groups.
 const (
 	AllEndpoints Group = iota
-	SameZone           // endpoints in the zone of that attempt
-	SameCell           // endpoints in the cell of that attempt
+	SameZone           // endpoints in the same zone as the endpoint of that attempt
+	SameCell           // endpoints in the same cell as the endpoint of that attempt
 )
 
 // EndpointState is the state of an endpoint as given by the endpoint list.
@@ -137,7 +137,7 @@
 	LateRevenueShare float64 // share of the revenue that a late answer still earns
 	Effect           Effect
 	Group            Group
-	PrefillOnly      bool // a request is complete with its prefill; it must be idempotent
+	PrefillOnly      bool // the prefill completes a request; Effect must be Idempotent
 }
 
 // Kind is one kind of endpoint.
@@ -160,8 +160,8 @@
 	MaxRetryAfter   Micros
 	WatchOnDemand   bool    // the endpoint list is sent only after WatchEndpoints
 	TickInterval    Micros  // period of the caller's ticks; the caller reports events only at its ticks
-	IdleTimeout     Micros  // after which an unused connection is closed
-	ConnectTimeout  Micros  // after which an attempt that got no connection is never sent
+	IdleTimeout     Micros  // time after which an unused connection is closed
+	ConnectTimeout  Micros  // time after which an attempt that got no connection is never sent
 	WarmUp          Micros  // time from the start of an endpoint's process until its full throughput is reached
 	SlowStartFactor float64 // share of its warm throughput that an endpoint has when its process starts
 
@@ -175,13 +175,13 @@
 type Arrival struct {
 	ID              RequestID
 	Session         SessionID
-	Prefix          PrefixID // prefix that the prompt shares with other requests; 0 if none is named
+	Prefix          PrefixID // prefix that the prompt shares with other requests; 0 if the request names none
 	Class           ClassID
 	Tenant          TenantID
 	PromptTokens    float64
 	PrefixTokens    float64 // tokens of the prompt that belong to its shared prefix
 	MaxOutputTokens float64
-	DecodeTime      Micros // expected time for decoding; 0 if it is not known
+	DecodeTime      Micros // expected time for decoding; 0 if no estimate is known
 	Deadline        Micros // time by which the client needs its final answer
 }
 
@@ -192,7 +192,7 @@
 	Kind      KindID
 	Cell      CellID
 	State     EndpointState
-	StartedAt Micros // when its process started, on the caller's clock; 0 if it is not known
+	StartedAt Micros // when the endpoint's process started, on the caller's clock; 0 if that time is not known
 }
 
 // AttemptResult is the result of an attempt that has ended.
@@ -210,5 +210,5 @@
 	Requests      int
 	Attempts      int
 	Queued        int     // requests that wait for capacity
-	PrefillTokens float64 // prompt and expected answer tokens of the requests that are prefilled now for a decode
+	PrefillTokens float64 // tokens of the prompts and expected answers of requests in prefill, except prefill-only ones
 }
--- a/scheduler/attempt.go
+++ b/scheduler/attempt.go
@@ -9,15 +9,15 @@
 	endpoint      *endpoint
 	sentAt        Micros
 	prefillTokens float64 // tokens of the prompt that the endpoint still has to prefill
-	tokensAhead   float64 // tokens of other requests that the endpoint had to prefill first when the attempt was sent
+	tokensAhead   float64 // tokens of earlier requests that the endpoint had still to prefill when the attempt was sent
 	memoryTokens  float64 // memory that the request is expected to take at its decode endpoint
 	decodes       bool
 	started       bool   // the answer has begun to stream
 	lateAt        Micros // time after which the start of the answer is late
 	crossesCells  bool   // the state is fetched from another cell than the endpoint's
 	stateCell     CellID // cell of the endpoint that stores the state
-	cancelled     bool   // the scheduler has cancelled it
-	newConnection bool   // there was probably no open connection to the endpoint
+	cancelled     bool   // the scheduler has cancelled the attempt
+	newConnection bool   // there was probably no open connection to the endpoint when the attempt was sent
 	onResult      func(AttemptResult)
 }
 
@@ -57,8 +57,8 @@
 	s.executor.Send(req.id, ep.id, s.attemptTimeout(att))
 }
 
-// currentAttempt returns the request's attempt in flight if it has this number. Otherwise it returns nil: the event is
-// late, or its request is unknown.
+// currentAttempt returns the request's attempt in flight if that attempt has the given number. Otherwise the caller's
+// event is late or its request is unknown, and currentAttempt returns nil.
 func (s *Scheduler) currentAttempt(id RequestID, number AttemptNumber) *attempt {
 	if req := s.requests[id]; req != nil && req.attempt != nil && req.attempt.number == number {
 		return req.attempt
@@ -66,8 +66,8 @@
 	return nil
 }
 
-// prefillFinished stops counting the attempt's prompt as prefill work of its endpoint, and stops waiting for its first
-// token.
+// prefillFinished subtracts the attempt's prompt from the prefill work of its endpoint. It also removes the attempt
+// from the endpoint's attempts that have no first token yet.
 func (att *attempt) prefillFinished() {
 	ep := att.endpoint
 	ep.load.unprefilledTokens = max(ep.load.unprefilledTokens-att.prefillTokens, 0)
@@ -138,7 +138,7 @@
 	case res.RequestClosed || req.answered:
 		req.answered = true
 		if !att.decodes && !s.Classes[req.class].PrefillOnly {
-			req.stateAt = att.endpoint // a cancelled prefill may have completed, and a needless release is harmless
+			req.stateAt = att.endpoint // a cancelled prefill may have left a state, and a needless release is harmless
 		}
 		s.finish(req)
 	case att.started:
--- a/scheduler/candidates.go
+++ b/scheduler/candidates.go
@@ -13,7 +13,7 @@
 	connectFailureLimit = 0.3
 )
 
-// scratch holds buffers that decisions reuse, so that they do not allocate.
+// scratch holds buffers that decisions reuse, to avoid allocations.
 type scratch struct {
 	endpoints []*endpoint // a stack of lists; release pops the lists that were pushed since mark
 	numbers   []float64
@@ -49,9 +49,9 @@
 	return s.preferConnected(found)
 }
 
-// replaceableCandidates returns the candidates of roles whose work endpoints of other roles can do. Outlier ejection is
-// ignored only if it would exclude the candidates of all roles: a dead endpoint must not be accepted because it is the
-// only one of its role.
+// replaceableCandidates returns the candidates of the given roles. It is for work that endpoints of other roles can do
+// instead. Outlier ejection is therefore ignored only if it would exclude all candidates of the roles Prefill, Decode
+// and Mixed. Otherwise a dead endpoint would be accepted because it is the only one of its role.
 func (s *Scheduler) replaceableCandidates(req *request, roles ...Role) []*endpoint {
 	all := s.candidates(req, Prefill, Decode, Mixed)
 	return slices.DeleteFunc(all, func(ep *endpoint) bool { return !slices.Contains(roles, ep.role) })
@@ -71,8 +71,8 @@
 	return slices.DeleteFunc(endpoints, func(ep *endpoint) bool { return connected[ep.role] && !s.hasConnection(ep) })
 }
 
-// hasConnection estimates whether a connection to the endpoint is open, by whether the endpoint has replied within the
-// idle timeout.
+// hasConnection estimates whether a connection to the endpoint is open. It assumes so if the endpoint has replied
+// within the idle timeout.
 func (s *Scheduler) hasConnection(ep *endpoint) bool {
 	return ep.outlier.lastReplyAt > 0 && s.now-ep.outlier.lastReplyAt < s.IdleTimeout
 }
--- a/scheduler/cell_links.go
+++ b/scheduler/cell_links.go
@@ -6,12 +6,12 @@
 // are fetched from.
 type linkHealth struct {
 	lastLateAt    map[CellID]Micros       // when a state last arrived late because of the cell's link
-	handoverDelay map[CellID]decayingMean // seconds from sending a decode attempt that fetches a state to its first token
+	handoverDelay map[CellID]decayingMean // recent mean delay in seconds; see the method handoverDelay
 }
 
-// handoverDelay is the recent mean of the seconds from sending a decode attempt that fetches a state from the cell to
-// its first token. pickPrefill adds the excess over half the late-start limit to the wait of the cell's prefill
-// endpoints, so that cells whose link or decode endpoints are overloaded get fewer prefills.
+// handoverDelay is the recent mean time, in seconds, from the send of a decode attempt that fetches a state from the
+// cell to the attempt's first token. pickPrefill adds the excess over half the late-start limit to the wait of the
+// cell's prefill endpoints, because cells whose link or decode endpoints are overloaded should get fewer prefills.
 func (s *Scheduler) handoverDelay(cell CellID) float64 {
 	return s.links.handoverDelay[cell].valueAt(s.now, s.typicalHandoverDelay())
 }
@@ -21,9 +21,9 @@
 }
 
 // recordHandover adds the delay of an attempt that fetches a state. It is called when the attempt's answer begins, and
-// when the attempt times out or is cancelled without one. In the latter case, an attempt that did not fetch a state but
-// was to prefill its prompt itself counts too, for cell 0: AttemptEnded calls untrack first, which sets prefillTokens
-// to 0.
+// when the attempt times out or is cancelled without an answer. An attempt that has to prefill its prompt itself does
+// not count when its answer begins. It does count, for cell 0, when it times out or is cancelled, because AttemptEnded
+// calls untrack first, which sets prefillTokens to 0.
 func (s *Scheduler) recordHandover(att *attempt) {
 	if att.decodes && att.prefillTokens == 0 {
 		delay := s.links.handoverDelay[att.stateCell]
@@ -32,15 +32,16 @@
 	}
 }
 
-// delayedByLink reports whether the link between cells is the cause of an attempt's late start. That is so if the state
-// is fetched from another cell and the decode endpoint has meanwhile begun another answer in time.
+// delayedByLink reports whether the link between cells is taken to be the cause of an attempt's late start. That is
+// assumed if the state is fetched from another cell and the decode endpoint has begun another answer in time since the
+// attempt was sent.
 func delayedByLink(att *attempt) bool {
 	return att.crossesCells && att.endpoint.memory.lastTimelyStartAt > att.sentAt
 }
 
-// linkCongested reports whether the link out of a cell is overloaded or failing: states from the cell arrive late
-// although their decode endpoints are healthy. While a link is congested, states of the cell are decoded inside the
-// cell, and a prompt is prefilled in the cell only if a decode endpoint there has capacity for it.
+// linkCongested reports whether the link out of a cell seems overloaded or failing, because states from the cell arrive
+// late although their decode endpoints are healthy. While a link is congested, states of the cell are decoded inside
+// the cell, and a prompt is prefilled in the cell only if a decode endpoint of the cell has capacity for its request.
 func (s *Scheduler) linkCongested(cell CellID, req *request, congested []CellID) bool {
 	if at, seen := s.links.lastLateAt[cell]; seen && s.now-at < req.sloTimeShare(lateStartShare) {
 		return true
@@ -49,7 +50,7 @@
 }
 
 // congestedCells returns the cells from which a state that is being fetched now is late because of the link. A decision
-// calls it once: a search for each prefill endpoint would take time quadratic in the size of the fleet.
+// calls it only once, because a call for each prefill endpoint would take time quadratic in the size of the fleet.
 func (s *Scheduler) congestedCells() (cells []CellID) {
 	s.examined += uint64(len(s.endpoints.all))
 	for _, ep := range s.endpoints.all {
--- a/scheduler/cost_test.go
+++ b/scheduler/cost_test.go
@@ -105,7 +105,7 @@
 	fleet.scheduler.EndpointUpdateEnded(fleet.now, true)
 }
 
-// blockDecode makes no decode endpoint fit, so that arriving requests are queued.
+// blockDecode makes all decode endpoints not fit, so arriving requests are queued.
 func (fleet *costFleet) blockDecode() { fleet.setNoCapacityUntil(fleet.now + 3600*sec) }
 
 // unblockDecode makes the decode endpoints fit again.
@@ -249,7 +249,7 @@
 }
 
 // The cost of a decision must grow at most in proportion to the fleet, and its number of allocations must hardly grow.
-// The cost is measured by the endpoints that are examined and the bytes allocated, not by time, so that the result does
+// The cost is measured by the endpoints that are examined and the bytes allocated, not by time, because the result must
 // not depend on the machine.
 func TestCostGrowsWithTheFleet(t *testing.T) {
 	small, smallState := measureCosts(1, 4)
--- a/scheduler/decode_memory.go
+++ b/scheduler/decode_memory.go
@@ -10,7 +10,7 @@
 	reportMaxAge    = 5 * sec  // age from which a load report is ignored
 
 	// A first token is late if the time since its attempt was sent exceeds this share of the time from the request's
-	// arrival to its SLO time. That shows that the endpoint, or the link to it, is overloaded.
+	// arrival to its SLO time. A late first token shows that the endpoint, or the link to it, is overloaded.
 	lateStartShare = 0.25
 
 	// When an answer begins late, the limit on this dispatcher's reservations at the endpoint is cut to limitCutFactor
@@ -28,8 +28,8 @@
 type memoryState struct {
 	noCapacityUntil   Micros  // end of the pause after an attempt for which the endpoint had no capacity
 	lastTimelyStartAt Micros  // when an answer last began in time
-	limit             float64 // on this dispatcher's reservations, in tokens, as set by the last cut
-	limitCutAt        Micros  // when the limit was last cut; 0 if never, and then there is no limit
+	limit             float64 // limit on this dispatcher's reservations, in tokens, as set by the last cut
+	limitCutAt        Micros  // when the limit was last cut; 0 if it was never cut, in which case there is no limit
 
 	reportedUsage    float64 // share of the memory that was in use by the last load report, or NoLoadReport
 	reservedAtReport float64
@@ -50,9 +50,10 @@
 	return ep.memory.reportedUsage >= 0 && s.now-ep.memory.reportedAt < reportMaxAge
 }
 
-// memoryUsage estimates the share of an endpoint's memory that is in use. With a recent load report, it is the reported
-// usage plus what this dispatcher has reserved since, and at least this dispatcher's reservations. Without one, it
-// assumes that each other dispatcher reserves as much as this one does on average.
+// memoryUsage estimates the share of an endpoint's memory that is in use. With a recent load report, the estimate is
+// the reported usage plus what this dispatcher has reserved since the report, and at least all that this dispatcher has
+// reserved. Without a recent report, it assumes that each other dispatcher reserves as much as this one does on
+// average.
 func (s *Scheduler) memoryUsage(ep *endpoint) float64 {
 	size := s.memoryTokens(ep)
 	if s.usageReported(ep) {
@@ -65,8 +66,8 @@
 
 // reservationLimit returns the tokens that this dispatcher may reserve at a decode endpoint, regardless of load
 // reports. How much the other dispatchers reserve there is not known, and changes when a zone is cut off or a
-// dispatcher dies. So the limit adapts: it is cut when answers begin late, which shows that the memory is exhausted and
-// that the endpoint preempts answers and prefills them again, and it grows with time.
+// dispatcher dies. So the limit adapts: it grows with time, and it is cut when answers begin late. Late answers show
+// that the memory is exhausted, and that the endpoint therefore preempts answers and prefills them again.
 func (s *Scheduler) reservationLimit(ep *endpoint) float64 {
 	if ep.memory.limitCutAt == 0 {
 		return math.Inf(1)
@@ -84,9 +85,10 @@
 }
 
 // startOverdue reports whether the start of an answer is overdue at this endpoint for a reason other than a congested
-// link. That shows that this dispatcher or others have exhausted the endpoint's memory, slots or decode rate. The check
-// applies whether or not the endpoint's usage is reported; memoryCeiling applies only if it is. In overload the check
-// keeps requests in this dispatcher's queue: in the endpoints' queues they would all be late.
+// link. An overdue start shows that this dispatcher or others have exhausted the endpoint's memory, slots or decode
+// rate. This check applies whether or not the endpoint's usage is reported; memoryCeiling applies only to reported
+// usage. In overload this check keeps requests in this dispatcher's queue, because in the endpoints' queues they would
+// all be late.
 func (s *Scheduler) startOverdue(ep *endpoint) bool {
 	return slices.ContainsFunc(ep.pending, func(att *attempt) bool {
 		return att.decodes && s.now > att.lateAt && !delayedByLink(att)
--- a/scheduler/decode_placement.go
+++ b/scheduler/decode_placement.go
@@ -16,7 +16,8 @@
 	minNearUsageLimit = 0.6
 )
 
-// placementTier ranks the decode endpoints for one decision. The endpoint is chosen from the lowest tier that has any.
+// placementTier ranks the decode endpoints for one decision. The endpoint is chosen from the lowest tier that has any
+// endpoint.
 type placementTier int
 
 const (
@@ -24,7 +25,7 @@
 	tierSameZone                        // in the prefill endpoint's zone
 	tierAnywhere                        // fits, but is in another zone or fuller than nearUsageLimit
 	tierOverLimits                      // does not fit
-	tierNone                            // higher than all tiers of endpoints
+	tierNone                            // above all others; no endpoint is in this tier
 )
 
 // sendToDecode sends a request to the endpoint that decodes it. The endpoint fetches the prefilled state if
@@ -118,8 +119,8 @@
 }
 
 // nearUsageLimit returns the memory usage up to which decode endpoints near the prefill endpoint are preferred. The
-// load margin alone does not limit their load: if most endpoints are in one cell, the median load is the load of that
-// cell.
+// check of loadMargin alone does not protect these endpoints from overload. If most endpoints are in the prefill
+// endpoint's cell, the median load is the load of that cell, and no endpoint of the cell exceeds it by much.
 func (s *Scheduler) nearUsageLimit(endpoints []*endpoint, prefill *endpoint) float64 {
 	outside := s.scratch.numbers[:0]
 	for _, ep := range endpoints {
--- a/scheduler/decode_placement_test.go
+++ b/scheduler/decode_placement_test.go
@@ -104,8 +104,9 @@
 	}
 }
 
-// Many dispatchers must not decode all that is prefilled in a cell at the cell's few decode endpoints, because none of
-// them sees that the others fill these. Few dispatchers prefer the cell.
+// Many dispatchers must not decode everything that is prefilled in a cell at the cell's few decode endpoints, because
+// no dispatcher sees that the others fill these endpoints. If there are only a few dispatchers, they do prefer the
+// cell.
 func TestManyDispatchersSpreadDecodesOverTheZone(t *testing.T) {
 	fill := func(sim *fleetSim) {
 		sim.updateEndpoints(&simEndpoint{id: 1}, &simEndpoint{id: 11, kind: decodeKind},
--- a/scheduler/endpoint_list.go
+++ b/scheduler/endpoint_list.go
@@ -17,8 +17,8 @@
 	role             Role
 	ready            bool
 	listed           bool   // named by the list that is being received
-	unavailableSince Micros // when a list first showed it as not ready; 0 if it is ready
-	startedAt        Micros // when its process started; 0 if it is not known
+	unavailableSince Micros // when a list first showed the endpoint as not ready; 0 if the endpoint is ready
+	startedAt        Micros // when the endpoint's process started; 0 if that time is not known
 
 	pending        []*attempt // attempts in flight that have no first token yet, in the order in which they were sent
 	cachedPrefixes map[PrefixID]bool
@@ -31,8 +31,8 @@
 	tier placementTier // valid during one decision only
 }
 
-// endpointList holds the endpoints in the order of their ids, so that no decision depends on the iteration order of a
-// map.
+// endpointList holds the endpoints in the order of their ids, because no decision may depend on the iteration order of
+// a map.
 type endpointList struct {
 	all  []*endpoint
 	byID map[EndpointID]*endpoint
@@ -66,8 +66,8 @@
 	}
 }
 
-// processRestarted drops what was learned about the endpoint's previous process: the cache of that process is gone, and
-// its failures say nothing about the new process.
+// processRestarted drops what was learned about the endpoint's previous process, because the cache of that process is
+// gone and its failures say nothing about the new process.
 func (ep *endpoint) processRestarted() {
 	ep.outlier = outlierState{}
 	ep.slowStart = slowStart{}
@@ -77,8 +77,8 @@
 }
 
 // EndpointUpdateEnded ends a list. An endpoint that a complete list does not name is no longer ready. An endpoint that
-// has been unavailable for unavailableRetention and has no attempt in flight is forgotten: over months, endpoints are
-// replaced under new ids, and decisions must not examine all that ever existed.
+// has been unavailable for unavailableRetention and has no attempt in flight is forgotten. Over months, endpoints are
+// replaced under new ids, and decisions must not examine all endpoints that ever existed.
 func (s *Scheduler) EndpointUpdateEnded(now Micros, complete bool) {
 	s.now = now
 	s.endpoints.all = slices.DeleteFunc(s.endpoints.all, func(ep *endpoint) bool {
@@ -101,8 +101,8 @@
 	s.armDeadlineTimer()
 }
 
-// EndpointWatchFailed asks for the endpoint list again if Config.WatchOnDemand is set. It does so after a random delay,
-// so that dispatchers that lost their watch at the same time do not all ask at once.
+// EndpointWatchFailed asks for the endpoint list again if Config.WatchOnDemand is set. It asks after a random delay,
+// because dispatchers that lost their watch at the same time must not all ask at once.
 func (s *Scheduler) EndpointWatchFailed(now Micros) {
 	s.now = now
 	if s.WatchOnDemand {
--- a/scheduler/endpoint_list_test.go
+++ b/scheduler/endpoint_list_test.go
@@ -2,8 +2,8 @@
 
 import "testing"
 
-// Over months, endpoints are replaced under new ids. Endpoints that are gone must be forgotten, so that the number of
-// endpoints that a decision examines does not grow.
+// Over months, endpoints are replaced under new ids. Endpoints that are gone must be forgotten, because the number of
+// endpoints that a decision examines must not grow.
 func TestReplacedEndpointsAreForgotten(t *testing.T) {
 	sim := newFleetSim(t, testConfig(Idempotent), 1)
 	sim.addEndpoints(3, prefillKind, decodeKind)
--- a/scheduler/endpoint_load.go
+++ b/scheduler/endpoint_load.go
@@ -2,15 +2,15 @@
 
 import "math"
 
-// loadMeanTime, multiplied by the number of other dispatchers, is the time constant, in seconds, of the moving averages
-// of this dispatcher's load at an endpoint.
+// loadMeanTime is the time constant of the moving averages of this dispatcher's load at an endpoint, in seconds for
+// each other dispatcher.
 const loadMeanTime = 0.25
 
 // endpointLoad is the load that this dispatcher has in flight at an endpoint.
 type endpointLoad struct {
 	unprefilledTokens float64 // prompt tokens that the endpoint still has to prefill
-	reservedTokens    float64 // memory that the requests decoded there are expected to take
-	streams           int     // number of attempts that decode there
+	reservedTokens    float64 // memory that the requests decoded at the endpoint are expected to take
+	streams           int     // number of attempts that decode at the endpoint
 
 	meanReservedTokens, meanStreams float64
 	meansUpdatedAt                  Micros
--- a/scheduler/estimates.go
+++ b/scheduler/estimates.go
@@ -8,7 +8,7 @@
 	initialPrefillLatency    = 150 * ms
 	initialFirstTokenLatency = 100 * ms
 
-	assumedPrefillRate = 15000.0 // assumed prefill rate, tokens per second; weighs as much as one observed second of work
+	assumedPrefillRate = 15000.0 // assumed tokens per second; weighs as much as one second of observed prefill work
 	prefillRateWindow  = 40000.0 // tokens over which an endpoint's prefill rate is averaged
 
 	decayingMeanTime   = 10.0 // time constant of a decayingMean's decay to the typical value, in seconds
@@ -81,7 +81,8 @@
 }
 
 // decayingMean is an exponentially weighted mean of recent observations. Without observations it decays to a typical
-// value: a single dispatcher makes few observations of new connections and of the cells, and they are soon out of date.
+// value, because a single dispatcher makes few observations of new connections and of the cells, and these observations
+// are soon out of date.
 type decayingMean struct {
 	value float64
 	at    Micros // time of the last observation; 0 if there is none
--- a/scheduler/event.go
+++ b/scheduler/event.go
@@ -45,7 +45,7 @@
 	NotAnswered                 // a request that has its final answer is not sent again
 	EndpointReady               // an endpoint that is draining or removed gets no new attempts
 	SafeRetry                   // a retry must not repeat a request's effect
-	WarmUpProtected             // an endpoint that is warming up gets no more than slow start allows
+	WarmUpProtected             // an endpoint that is warming up gets no more attempts than slow start allows
 )
 
 var ruleNames = [...]string{
--- a/scheduler/final_answer.go
+++ b/scheduler/final_answer.go
@@ -52,8 +52,9 @@
 	delete(s.requests, req.id)
 }
 
-// releaseState tells the prefill endpoint to drop the request's state. It does so even after a decode endpoint found no
-// state: the prefill endpoint may still store it and only be unreachable from that decode endpoint.
+// releaseState tells the prefill endpoint to drop the request's state. The call is needed even after a decode endpoint
+// found no state, because the prefill endpoint may still store the state and only be unreachable from that decode
+// endpoint.
 func (s *Scheduler) releaseState(req *request) {
 	if req.stateAt != nil {
 		s.executor.Release(req.id)
--- a/scheduler/fleet_sim_test.go
+++ b/scheduler/fleet_sim_test.go
@@ -62,8 +62,8 @@
 	cell      CellID
 	state     EndpointState
 	startedAt Micros
-	sentAt    []Micros // when attempts were sent to it, since its last start in changeEndpoint
-	doneAt    []Micros // when it completed attempts
+	sentAt    []Micros // when attempts were sent to the endpoint since its last start in changeEndpoint
+	doneAt    []Micros // when the endpoint completed attempts
 }
 
 type simRequest struct {
@@ -72,7 +72,7 @@
 	deadline          Micros
 	attempts          []*simAttempt
 	finalAnswers      []finalAnswer
-	stateWaitingSince Micros // when its state began to wait without an attempt in flight; 0 if there is no state
+	stateWaitingSince Micros // when the request's state began to wait without an attempt in flight; 0 if there is no state
 	disconnected      bool
 	closed            bool
 }
@@ -128,8 +128,8 @@
 	}
 }
 
-// arrive sends a request. Its prefix is half of its prompt and one of two that requests share. Each third request has
-// no prefix.
+// arrive sends a request. Its prefix is one of two shared prefixes and makes up half of the prompt. Each third request
+// has no prefix.
 func (sim *fleetSim) arrive(id RequestID, class ClassID, prompt float64, timeLeft Micros) *simRequest {
 	return sim.arriveAs(Arrival{
 		ID: id, Class: class, Prefix: PrefixID(id % 3), PromptTokens: prompt, PrefixTokens: prompt / 2,
@@ -204,7 +204,7 @@
 	sim.scheduler.AttemptEnded(sim.now, req.id, AttemptNumber(len(req.attempts)-1), result)
 }
 
-// arriveAndPrefill sends a request and completes its prefill, so that it has an attempt at a decode endpoint.
+// arriveAndPrefill sends a request and completes its prefill, so the request then has an attempt at a decode endpoint.
 func (sim *fleetSim) arriveAndPrefill(id RequestID, prompt float64) *simRequest {
 	sim.t.Helper()
 	req := sim.arrive(id, 0, prompt, 6*sec)
--- a/scheduler/guard.go
+++ b/scheduler/guard.go
@@ -4,8 +4,8 @@
 // above 0 shows a bug in the scheduler.
 func (s *Scheduler) Violations() int { return s.violations }
 
-// blocked reports whether an attempt would break a rule. The check is repeated immediately before each send, so that
-// the rules hold whichever code path chose the endpoint.
+// blocked reports whether an attempt would break a rule. The check is repeated immediately before each send, because
+// the rules must hold whichever code path chose the endpoint.
 func (s *Scheduler) blocked(req *request, ep *endpoint) bool {
 	var rule Rule
 	switch {
--- a/scheduler/outlier_ejection.go
+++ b/scheduler/outlier_ejection.go
@@ -25,12 +25,12 @@
 type outlierState struct {
 	failureScore float64 // increased by one by each failure, halved by each success
 	ejectedUntil Micros
-	lastReplyAt  Micros // when the endpoint last replied; 0 if it has not replied since its last connection failure
+	lastReplyAt  Micros // when the endpoint last replied; 0 if there was no reply since its last connection failure
 }
 
-// acceptable reports whether an endpoint is healthy enough for the request: it is not ejected and has no recent
-// failures. After an ejection, the endpoint gets one attempt at a time, of idempotent requests only, until it has
-// recovered.
+// acceptable reports whether an endpoint is healthy enough for the request. The endpoint must not be ejected and must
+// have no recent failures. As an exception, after an ejection the endpoint gets one attempt at a time, of idempotent
+// requests only, until it has recovered.
 func (s *Scheduler) acceptable(ep *endpoint, req *request) bool {
 	mayTry := len(ep.pending) == 0 && s.Classes[req.class].Effect == Idempotent
 	return s.now >= ep.outlier.ejectedUntil && (ep.outlier.failureScore == 0 || mayTry)
@@ -45,7 +45,7 @@
 		ep.outlier.recordSuccess()
 		ep.slowStart.recordCompleted(s.now, s.estimates.requestTokens[att.request.class])
 	case NoCapacity:
-		if !res.StateMissing { // that a state is missing may be known without a reply from the endpoint
+		if !res.StateMissing { // a missing state may be noticed without a reply from the endpoint
 			ep.outlier.lastReplyAt = s.now
 			ep.memory.noCapacityUntil = s.now + noCapacityPause
 		}
@@ -81,10 +81,10 @@
 	s.executor.Log(EndpointEjected{Endpoint: ep.id, Reason: reason, For: o.ejectedUntil - s.now})
 }
 
-// detectSilentEndpoints finds endpoints that hang or are gone, long before their attempts time out: replies are pending
-// and none arrives. Such an endpoint is ejected first. If it stays silent, its attempts that can be retried elsewhere
-// are cancelled. An endpoint that is only overloaded must not lose its attempts, so the limit depends on the typical
-// latency.
+// detectSilentEndpoints finds endpoints that hang or are gone, long before their attempts time out. It finds them by
+// pending replies of which none arrives. Such an endpoint is ejected first. If it stays silent, its attempts that can
+// be retried elsewhere are cancelled. An endpoint that is only overloaded must not lose its attempts, so the limit
+// depends on the typical latency.
 func (s *Scheduler) detectSilentEndpoints() {
 	for _, ep := range s.endpoints.all {
 		i := slices.IndexFunc(ep.pending, func(att *attempt) bool { return !att.cancelled })
--- a/scheduler/prefill_placement.go
+++ b/scheduler/prefill_placement.go
@@ -16,7 +16,8 @@
 	affinityWaitFactor = 2.0
 	affinityWaitMargin = 0.05
 
-	// Share of the time to the SLO that the wait for a prefill may take; with a longer wait, the request is queued.
+	// Share of the time from a request's arrival to its SLO time that the wait for its prefill may take. With a longer
+	// wait, the request is queued.
 	maxPrefillWaitShare = 0.3
 
 	// A prefill-only request is queued if its endpoint has more than this many seconds of other work to do first.
@@ -49,7 +50,7 @@
 		wait = s.prefillWait(ep, req)
 	}
 	// If the prefill endpoints are busy, only prompts of up to the mean request size are prefilled elsewhere. If there is
-	// no prefill endpoint at all, for example because all are drained at once, longer prompts are too.
+	// no prefill endpoint at all, for example because all are drained at once, longer prompts are prefilled elsewhere too.
 	if wait > busyPrefillWait && (ep == nil || req.promptTokens <= s.estimates.requestTokens[req.class]) {
 		if other := s.pickFallbackPrefill(req); other != nil {
 			s.sendToDecode(req, other, req.promptTokens)
@@ -63,16 +64,16 @@
 	s.queue.add(req)
 }
 
-// mayPrefill reports whether a request may be sent to its prefill endpoint now. It may not if the wait there is long:
-// waiting there would only make all requests late. Another endpoint would not help, because without the prefix that the
-// affinity endpoint has cached, it would have to prefill the whole prompt. While a request waits in this dispatcher's
-// queue, it can still be reordered, and rejected when it is too late.
+// mayPrefill reports whether a request may be sent to its prefill endpoint now. A request may not be sent if the wait
+// at the endpoint is long, because a long queue at the endpoint would make all its requests late. Another endpoint
+// would not help: it lacks the prefix that the affinity endpoint has cached, and would have to prefill the whole
+// prompt. In this dispatcher's queue, a request can still be reordered, or rejected when it is too late.
 func (s *Scheduler) mayPrefill(req *request, ep *endpoint, wait float64) bool {
 	prefillOnly := s.Classes[req.class].PrefillOnly
 	longest := maxPrefillWaitShare * seconds(req.sloAt-req.arrivedAt)
 	if prefillOnly {
-		// Prefill-only requests have a lower priority than chat: a chat request that had to wait for one would move to
-		// another endpoint, which would have to prefill its whole prompt.
+		// Prefill-only requests have a lower priority than chat requests. A chat request that had to wait for a prefill-only
+		// request would move to another endpoint, which would have to prefill its whole prompt.
 		longest = maxPrefillOnlyWait + req.promptTokens/ep.prefillRate.tokensPerSecond()
 	}
 	if len(ep.pending) > 0 && wait > longest {
@@ -132,9 +133,9 @@
 	})
 }
 
-// cellsAcceptingState returns the cells, sorted, that have a decode endpoint with capacity for the request. Only there
-// can a prompt be prefilled while the cell's link is congested, because its state has to stay in the cell. One search
-// serves all prefill endpoints.
+// cellsAcceptingState returns the cells, sorted, that have a decode endpoint with capacity for the request. A cell
+// whose link is congested may prefill a prompt only if it is one of them, because the state has to stay in the cell.
+// One search serves all prefill endpoints.
 func (s *Scheduler) cellsAcceptingState(req *request) []CellID {
 	defer s.scratch.release(s.scratch.mark())
 	endpoints, accepting := s.decodeCandidates(req), s.scratch.cells[:0]
@@ -161,8 +162,8 @@
 }
 
 // pickMixed returns the least loaded mixed endpoint if mixed endpoints should get another complete request. It compares
-// the loads of mixed and decode endpoints and not their memory usage: mixed endpoints have the most memory, and would
-// get more requests than they can prefill in time.
+// the loads of mixed and decode endpoints and not their memory usage. Mixed endpoints have the most memory, so if
+// compared by memory usage they would get more requests than they can prefill in time.
 func (s *Scheduler) pickMixed(req *request) *endpoint {
 	defer s.scratch.release(s.scratch.mark())
 	mixed := s.replaceableCandidates(req, Mixed)
--- a/scheduler/prefix_affinity.go
+++ b/scheduler/prefix_affinity.go
@@ -23,8 +23,8 @@
 	requests      float64
 	pairs         float64 // number of pairs of requests with the same prefix
 
-	// Mean share of a prefix that was found cached at an affinity endpoint where this dispatcher was not known to have
-	// prefilled it.
+	// Mean share of a prefix that an affinity endpoint turned out to have cached although this dispatcher did not know of
+	// any prefill of the prefix there.
 	cachedShare float64
 }
 
@@ -32,7 +32,7 @@
 	return prefixStats{requestCounts: map[PrefixID]float64{}, cachedShare: 1}
 }
 
-// count counts a request. It halves all counts from time to time, so that old requests have little weight.
+// count counts a request. It halves all counts from time to time, to give old requests little weight.
 func (p *prefixStats) count(prefix PrefixID) {
 	p.requests++
 	p.pairs += p.requestCounts[prefix]
@@ -53,8 +53,8 @@
 // share estimates a prefix's share of the traffic. A dispatcher that has seen few requests must not overestimate the
 // share, because dispatchers would then disagree on the affinity endpoints. So the first request of a prefix does not
 // count, and the others are averaged with a prior of priorRequests requests. The prior's share of the prefix is the
-// observed probability that two requests have the same prefix. It decays with the number of requests seen, because a
-// frequent prefix would have occurred more often by then.
+// observed probability that two requests have the same prefix. This probability is lowered as more requests are seen,
+// because a frequent prefix would have occurred more often by then.
 func (p *prefixStats) share(prefix PrefixID) float64 {
 	others := max(p.requests-1, 0)
 	samePrefix := p.pairs / (p.requests*others/2 + priorRequests)
@@ -64,8 +64,8 @@
 
 // affinityEndpoints returns the endpoints that should prefill the request's prefix, or its session if it has no prefix:
 // one in the dispatcher's own zone and one among all endpoints. The one in the own zone is preferred, because links
-// between zones are slow and charged for. If it is busy, the one among all is preferred to the least loaded endpoint,
-// which may not have cached the prefix.
+// between zones are slow and charged for. If that endpoint is busy, the one among all endpoints is preferred to the
+// least loaded endpoint, which may not have cached the prefix.
 func (s *Scheduler) affinityEndpoints(req *request, endpoints []*endpoint) [2]*endpoint {
 	key := cmp.Or(uint64(req.prefix), uint64(req.session))
 	req.affinity = [2]*endpoint{}
@@ -85,7 +85,7 @@
 	return req.affinity
 }
 
-// affinityEndpoint chooses the endpoint for a prefix by rendezvous hashing, so that all dispatchers choose the same. A
+// affinityEndpoint chooses the endpoint for a prefix by rendezvous hashing, so all dispatchers choose the same one. A
 // prefix with a large share of the traffic has several endpoints, among which its sessions are hashed. Loads alone
 // would not spread such a prefix: dispatchers that each see few requests would learn too late that one endpoint can't
 // prefill all of it.
--- a/scheduler/prefix_affinity_test.go
+++ b/scheduler/prefix_affinity_test.go
@@ -63,8 +63,8 @@
 	}
 }
 
-// An affinity endpoint may not have cached a prefix that only other dispatchers could have prefilled there. That is no
-// sign that it has evicted the prefixes that this dispatcher prefilled there.
+// An affinity endpoint may lack a prefix that only other dispatchers could have prefilled there. Such a cache miss is
+// no sign that the endpoint has evicted the prefixes that this dispatcher prefilled there.
 func TestUnexpectedCacheMissForgetsNothing(t *testing.T) {
 	sim := newFleetSim(t, testConfig(Idempotent), 1)
 	sim.updateEndpoints(&simEndpoint{id: 1}, &simEndpoint{id: 11, kind: decodeKind})
--- a/scheduler/quotas.go
+++ b/scheduler/quotas.go
@@ -8,7 +8,7 @@
 // quotas holds a token bucket for each tenant. Requests that exceed the quota are served too, at a lower priority.
 type quotas struct {
 	rates       []float64 // quotas in requests per second, over all dispatchers
-	tokens      []float64 // requests within the quota that may still arrive at this dispatcher
+	tokens      []float64 // requests that may still arrive here before the tenant exceeds its quota
 	refilledAt  Micros
 	dispatchers int
 }
--- a/scheduler/quotas_test.go
+++ b/scheduler/quotas_test.go
@@ -4,7 +4,7 @@
 
 func TestQuotaIsThisDispatchersPartWithABurst(t *testing.T) {
 	const tenant, unknown = 0, 5
-	quotas := newQuotas(0, []float64{10}, 2) // 5 requests a second here, 10 at once
+	quotas := newQuotas(0, []float64{10}, 2) // this dispatcher's half: 5 requests a second, 10 at once
 	for i := range 10 {
 		if quotas.take(tenant) {
 			t.Fatalf("request %d of the burst exceeds the quota", i+1)
--- a/scheduler/request.go
+++ b/scheduler/request.go
@@ -23,7 +23,7 @@
 	queued        bool
 	attemptsSent  int
 	attempt       *attempt     // the attempt in flight; nil if there is none
-	affinity      [2]*endpoint // endpoints where its prefix should be prefilled: in the dispatcher's zone, and in any
+	affinity      [2]*endpoint // endpoints to prefill the prefix: the one in the dispatcher's zone, and the one among all
 	stateAt       *endpoint    // endpoint that stores its prefilled state; nil if there is none
 	tried         []*endpoint  // endpoints that were tried without success in the current stage (prefill or decode)
 	mayHaveRun    *attempt     // first attempt that may have taken effect
@@ -66,8 +66,8 @@
 	s.prefixes.count(req.prefix)
 	updateRunningMean(&s.estimates.requestTokens[req.class], req.memoryTokens())
 	req.overQuota = s.quotas.take(int(arrival.Tenant))
-	// The final answer is given two ticks and one millisecond before the deadline. Given at the deadline, it would reach
-	// the client after the client has disconnected.
+	// The final answer is given two ticks and one millisecond before the deadline. An answer given at the deadline would
+	// reach the client after the client has disconnected.
 	answerBy := req.deadline - 2*s.TickInterval - ms
 	req.deadlineTimer = s.timers.due.Set(answerBy, func() { s.rejectOrFail(req, DeadlineReached) })
 	s.place(req)
--- a/scheduler/request_queue.go
+++ b/scheduler/request_queue.go
@@ -6,7 +6,7 @@
 )
 
 const (
-	maxPlacementFailures = 6  // number of queued requests that find no capacity after which no more are tried
+	maxPlacementFailures = 6  // placement stops after this many queued requests have found no capacity
 	eagerSortLimit       = 64 // queue length from which the queue is sorted only when the periodic timer fires
 )
 
@@ -79,7 +79,8 @@
 	copy(q.requests, q.unplaced)
 }
 
-// rejectLate ends the queued requests that can no longer meet their SLO time, if any other queued request still can.
+// rejectLate ends the queued requests that can no longer meet their SLO time, if another queued request can still meet
+// its SLO time.
 func (s *Scheduler) rejectLate() {
 	if !slices.ContainsFunc(s.queue.requests, s.canMeetSLO) {
 		return
@@ -97,7 +98,8 @@
 	return s.now+Micros(s.estimates.prefillLatency+s.estimates.firstTokenLatency) <= req.sloAt
 }
 
-// value is the revenue that a request placed now would still earn, weighted down if it exceeds its tenant's quota.
+// value is the revenue that a request placed now would still earn. It is lower if the request exceeds its tenant's
+// quota.
 func (s *Scheduler) value(req *request) float64 {
 	class := s.Classes[req.class]
 	value := class.Revenue
--- a/scheduler/retries.go
+++ b/scheduler/retries.go
@@ -1,8 +1,8 @@
 package scheduler
 
 // An attempt's timeout is timeoutLatencyFactor times the typical latency, plus timeoutPrefillFactor times the prefill
-// time at its endpoint, plus timeoutMargin. It is at least the remaining time divided by timeoutDivisor, and at most
-// the remaining time.
+// time at its endpoint, plus timeoutMargin. The timeout is at least the time until the request's deadline divided by
+// timeoutDivisor, and at most the time until that deadline.
 const (
 	timeoutLatencyFactor = 6
 	timeoutPrefillFactor = 3
@@ -33,7 +33,7 @@
 }
 
 // attemptTimeout returns a timeout that is long enough for a typical attempt. If the request can be retried at another
-// endpoint, the timeout may be shorter than the remaining time, so that a stalled endpoint leaves time for a retry.
+// endpoint, the timeout may end before the request's deadline, to leave time for a retry if the endpoint stalls.
 func (s *Scheduler) attemptTimeout(att *attempt) Micros {
 	left := att.request.deadline - s.now
 	if att.decodes && s.Classes[att.request.class].Effect != Idempotent {
--- a/scheduler/scheduler.go
+++ b/scheduler/scheduler.go
@@ -1,5 +1,5 @@
 // Package scheduler decides where the requests of one dispatcher go: which endpoint prefills a prompt, which endpoint
-// decodes the answer, which requests are queued or retried, and which final answer the scheduler gives itself.
+// decodes the answer, which requests are queued or retried, and which requests are rejected or failed.
 //
 // The caller reports each event by one method call with the current time (RequestArrived, AttemptStarted, AttemptEnded,
 // ClientDisconnected, RequestWithdrawn, QuotaChanged, EndpointUpdated and EndpointUpdateEnded, EndpointWatchFailed,
--- a/scheduler/slow_start.go
+++ b/scheduler/slow_start.go
@@ -4,16 +4,17 @@
 
 const (
 	// Factor on the rate that the overload rule allows. That rate is computed from the observed throughput of warm
-	// endpoints, which is much less than they could do.
+	// endpoints, which is much less than the throughput that these endpoints could reach.
 	slowStartHeadroom = 1.2
 
-	// An endpoint that has recently completed more than minCompletedRequests mean requests may be sent ownThroughputShare
-	// of the rate that the overload rule allows for the endpoint's own observed throughput.
+	// The overload rule allows an endpoint a rate that follows from the endpoint's own observed throughput. An endpoint
+	// that has recently completed more than minCompletedRequests requests of mean size may be sent ownThroughputShare of
+	// that rate.
 	ownThroughputShare   = 0.9
 	minCompletedRequests = 2.0
 
-	// If an endpoint's throughput is not known, all dispatchers together may send it this many mean requests in each
-	// window of the overload rule.
+	// If an endpoint's throughput is not known, all dispatchers together may send it this many requests of mean size in
+	// each window of the overload rule.
 	unknownThroughputRequests = 4.0
 
 	// Time constant, in seconds, of the decay of completedTokens.
@@ -24,8 +25,8 @@
 type slowStart struct {
 	completedTokens  float64 // tokens of completed requests, decaying exponentially
 	decayedAt        Micros  // when completedTokens was last decayed
-	credit           float64 // at most 0, in tokens; the next attempt may be sent when it has reached 0
-	creditRefilledAt Micros  // when credit was last refilled; 0 if it was never set
+	credit           float64 // at most 0, in tokens; the next attempt may be sent when the credit has reached 0
+	creditRefilledAt Micros  // when credit was last refilled; 0 if credit was never set
 }
 
 func (w *slowStart) decay(now Micros) {
@@ -44,9 +45,9 @@
 }
 
 // measureWarmThroughput updates the recent throughput of warm endpoints of each role. It runs each time the periodic
-// timer fires, not only while endpoints are warming up, and keeps the last value: when all endpoints of a role restart
-// together, there is no warm one to measure. Endpoints that look faulty do not count, because dead ones that are still
-// listed would lower the mean.
+// timer fires, not only while endpoints are warming up, and keeps the last value, because when all endpoints of a role
+// restart together, there is no warm one to measure. Endpoints that look faulty do not count, because dead ones that
+// are still listed would lower the mean.
 func (s *Scheduler) measureWarmThroughput() {
 	var sum, count [roleCount]float64
 	s.examined += uint64(len(s.endpoints.all))
@@ -64,9 +65,10 @@
 	}
 }
 
-// slowStartAllows reports whether an endpoint may be sent one more attempt. Only an endpoint that is warming up may be
-// refused. Each dispatcher assumes that all dispatchers send at similar rates. It therefore limits its own sends by the
-// throughput that it has observed itself, both of warm endpoints of the same role and of the endpoint that warms up.
+// slowStartAllows reports whether an endpoint may be sent one more attempt. An endpoint that is not warming up may
+// always be sent one. Each dispatcher assumes that all dispatchers send at similar rates. It therefore limits its own
+// sends by the throughput that it has observed itself, both of warm endpoints of the same role and of the endpoint that
+// warms up.
 func (s *Scheduler) slowStartAllows(ep *endpoint) bool {
 	if !s.warmingUp(ep) {
 		return true
@@ -88,12 +90,12 @@
 // slowStartRate returns the tokens per second that this dispatcher may send to an endpoint that is warming up.
 func (s *Scheduler) slowStartRate(ep *endpoint, requestTokens float64) float64 {
 	rate := s.OverloadFactor * slowStartHeadroom * s.SlowStartFactor * s.warmThroughput[ep.role]
-	// A single completed request must not count: each dispatcher that saw one would overestimate the rate.
+	// A single completed request must not count, because each dispatcher that saw one would overestimate the rate.
 	if ep.slowStart.completedTokens > minCompletedRequests*requestTokens {
 		rate = max(rate, s.OverloadFactor*ownThroughputShare*ep.slowStart.completedTokens/throughputDecayTime)
 	}
-	// If no throughput is known, as after a restart of this dispatcher, it may send one mean request in each window of the
-	// overload rule, but all dispatchers together at most unknownThroughputRequests.
+	// If this dispatcher knows no throughput, as after its restart, it may send one request of mean size in each window of
+	// the overload rule. All dispatchers together may send at most unknownThroughputRequests of them.
 	window := max(seconds(s.OverloadWindow), 1)
 	return max(rate, requestTokens/window*min(1, unknownThroughputRequests/float64(max(s.Dispatchers, 1))))
 }
--- a/scheduler/slow_start_test.go
+++ b/scheduler/slow_start_test.go
@@ -13,7 +13,7 @@
 	sim := newFleetSim(t, testConfig(Idempotent), 1)
 	sim.addEndpoints(2, prefillKind, decodeKind)
 	sim.scheduler.warmThroughput[Prefill] = 20000
-	before := slices.Repeat([]Micros{sim.now}, 16) // attempts that they completed while warm
+	before := slices.Repeat([]Micros{sim.now}, 16) // attempts that the endpoints completed while warm
 	sim.updateEndpoints(&simEndpoint{id: 1, startedAt: sim.now, doneAt: before},
 		&simEndpoint{id: 2, startedAt: sim.now, doneAt: before})
 	prefills := 0
@@ -159,7 +159,7 @@
 			break
 		}
 		if sim.now >= start && sim.endpoints[restarted] == nil {
-			// All other decode endpoints drain, so that only slow start limits what the restarted one is sent.
+			// All other decode endpoints drain, to leave slow start as the only limit on what the restarted one is sent.
 			sim.updateEndpoints(&simEndpoint{id: restarted, kind: decodeKind, startedAt: start})
 			for i := range traffic.warmEndpoints {
 				sim.endpoints[11+i].state = Draining
@@ -177,8 +177,9 @@
 }
 
 // An endpoint that has just started must not be overloaded, whatever the number of dispatchers and however unevenly the
-// traffic is divided among them. With N attempts in a window allowed by the overload rule, the users tolerate random
-// variation up to N + 2*sqrt(N) + 2. A minimum of one request for each dispatcher would let 300 attempts through.
+// traffic is divided among them. If the overload rule allows N attempts in a window, its users tolerate up to
+// N+2*sqrt(N)+2 attempts, to allow for random variation. A minimum of one request for each dispatcher would let 300
+// attempts through.
 func TestSlowStartHoldsForAnyNumberOfDispatchers(t *testing.T) {
 	for _, dispatchers := range []int{3, 30, 300} {
 		config := testConfig(Idempotent)
@@ -194,8 +195,8 @@
 		warmRate := traffic.perSecond / float64(traffic.warmEndpoints)
 		for from := start; from+config.OverloadWindow <= start+config.WarmUp; from += 50 * ms {
 			got := countWithin(sentAt, from, config.OverloadWindow)
-			// The rule's limit by the throughput that the endpoint has reached at the end of the window. It assumes that the
-			// warm endpoints were fully loaded.
+			// This is the rule's limit for the throughput that the endpoint has reached at the end of the window. The limit
+			// assumes that the warm endpoints were fully loaded.
 			warmedUp := float64(from+config.OverloadWindow-start) / float64(config.WarmUp)
 			factor := config.SlowStartFactor + (1-config.SlowStartFactor)*warmedUp
 			allowed := config.OverloadFactor * min(factor, 1) * warmRate * seconds(config.OverloadWindow)
