--- a/scheduler/quotas.go
+++ b/scheduler/quotas.go
@@ -8,7 +8,7 @@
 // quotas holds a token bucket for each tenant. Requests that exceed the quota are served too, at a lower priority.
 type quotas struct {
 	rates       []float64 // quotas in requests per second, over all dispatchers
-	tokens      []float64 // requests within the quota that may still arrive at this dispatcher
+	tokens      []float64 // requests that may still arrive here before the tenant exceeds its quota
 	refilledAt  Micros
 	dispatchers int
 }
@@ -39,8 +39,8 @@
 	q.tokens[tenant] = min(q.tokens[tenant], q.burst(tenant))
 }
 
-// take takes a token for a request and reports whether the request exceeds its tenant's quota. A request of a tenant
-// without a quota never does.
+// take takes a token for a request and reports whether the request exceeds its tenant's quota. A request of an unknown
+// tenant, which has no entry in rates, never exceeds a quota.
 func (q *quotas) take(tenant int) (over bool) {
 	if tenant >= len(q.rates) {
 		return false
