--- a/internal/batch/call.go
+++ b/internal/batch/call.go
@@ -63,7 +63,7 @@
 // part is a group of inputs that one request sends to an endpoint.
 type part struct {
 	inputs           []int // empty once the part has results or was split
-	sends            int   // except those that were rejected with a requested delay
+	sends            int   // except sends that were rejected with a requested delay
 	endpointFailures int
 }
 
@@ -138,8 +138,8 @@
 // NextRetryAt returns when the next delayed retry is due, and whether there is one.
 func (c *Call) NextRetryAt() (Micros, bool) { return c.delayed.Next() }
 
-// SendNext returns the next part to send and its inputs, and counts it as in flight. It may only be called after Ready
-// has returned true.
+// SendNext returns the next part to send and its inputs, and counts the part as in flight. SendNext may only be called
+// after Ready has returned true.
 func (c *Call) SendNext() (PartID, []int) {
 	id := c.ready[0]
 	c.ready = c.ready[1:]
--- a/internal/batch/limiter.go
+++ b/internal/batch/limiter.go
@@ -77,7 +77,7 @@
 func (l *Limiter) Cancelled() { l.inFlight-- }
 
 // Completed records that a part came back, and adjusts the limit to how long the part took for its tokens and whether
-// it succeeded.
+// the part succeeded.
 func (l *Limiter) Completed(now Micros, tokens int, duration Micros, succeeded bool) {
 	atLimit := l.inFlight >= int(l.limit)
 	l.inFlight--
--- a/internal/chat/answer.go
+++ b/internal/chat/answer.go
@@ -176,7 +176,8 @@
 	return m
 }
 
-// Usage returns the usage as JSON: as stated by the endpoint or, if the stream ended before that, an estimate.
+// Usage returns the usage as JSON: as stated by the endpoint or, if the endpoint stated none before the stream ended,
+// an estimate.
 func (a *Answer) Usage() string {
 	if a.usage != "" {
 		return a.usage
--- a/internal/chat/conversation.go
+++ b/internal/chat/conversation.go
@@ -20,9 +20,10 @@
 // roles are the message roles of the OpenAI specification.
 var roles = []string{"system", "developer", "user", "assistant", "tool", "function"}
 
-// conversation checks a request's messages, estimates their size and hashes the texts that identify them. The shared
-// prefix is the text of the leading system and developer messages; it identifies prompts that endpoints can cache
-// together. The beginning is the shared prefix and the first message after it; it identifies the session.
+// conversation checks a request's messages, estimates their size, and hashes their shared prefix and their beginning.
+// The shared prefix is the text of the leading system and developer messages. Its hash identifies prompts that
+// endpoints can cache together. The beginning is the shared prefix and the first message after it. Its hash identifies
+// the session.
 type conversation struct {
 	namespace         string
 	prefix            hash.Hash
@@ -40,7 +41,7 @@
 	return c
 }
 
-// read reads all messages. It returns a problem if one is invalid or there is none.
+// read reads all messages. It returns a problem if a message is invalid or there is no message.
 func (c *conversation) read(messages gjson.Result) (problem *frontend.Problem) {
 	messages.ForEach(func(_, message gjson.Result) bool {
 		problem = c.readMessage(message)
@@ -106,8 +107,8 @@
 	return size, nil
 }
 
-// addText adds text of the current message to the hashes of the shared prefix and the beginning, if it belongs to them.
-// It returns the text's size in bytes.
+// addText adds text of the current message to the hashes of the shared prefix and the beginning, as far as the text
+// belongs to them. It returns the text's size in bytes.
 func (c *conversation) addText(text string) (size int) {
 	if c.inPrefix {
 		_, _ = c.prefix.Write([]byte(text))
--- a/internal/chat/members.go
+++ b/internal/chat/members.go
@@ -88,8 +88,8 @@
 	return nil
 }
 
-// readMaxTokens reads the token limit under either of its names. If both are given, max_completion_tokens applies, as
-// it is the newer one.
+// readMaxTokens reads the token limit under either of its names. If both are given, max_completion_tokens applies,
+// because it is the newer name.
 func readMaxTokens(p *parser, name string, value gjson.Result) *frontend.Problem {
 	if value.Type != gjson.Number || value.Num != float64(int(value.Num)) {
 		return wrongType(name, "an integer", value)
--- a/internal/chat/request.go
+++ b/internal/chat/request.go
@@ -31,8 +31,9 @@
 	"stream", "stream_options", "max_tokens", "max_completion_tokens", "kv_transfer_params", "cache_salt",
 }
 
-// ParseRequest parses a request's body. The hashes of sessions and prefixes include the namespace, so that those of two
-// tenants differ even for equal texts. Tenants share the prefixes for which isPublic returns true; isPublic may be nil.
+// ParseRequest parses a request's body. The hashes of sessions and prefixes include the namespace, so that the hashes
+// of two tenants differ even for equal texts. Tenants share the prefixes for which isPublic returns true; isPublic may
+// be nil.
 func ParseRequest(body []byte, namespace string, isPublic IsPublic) (*Request, *frontend.Problem) {
 	root, problem := parseObject(body)
 	if problem != nil {
@@ -76,7 +77,8 @@
 	cacheKey string
 }
 
-// readMembers reads each member and copies the text of those that are passed on to Request.Passthrough unchanged.
+// readMembers reads each member. It appends to Request.Passthrough the unchanged text of the members that are passed on
+// to endpoints.
 func (p *parser) readMembers(root gjson.Result) (problem *frontend.Problem) {
 	root.ForEach(func(key, value gjson.Result) bool {
 		name := key.String()
@@ -106,7 +108,8 @@
 	r.Passthrough = append(r.Passthrough, value.Raw...)
 }
 
-// checkRequired returns a problem if a required member is missing or a member lacks the one that it depends on.
+// checkRequired returns a problem if a required member is missing or a member is given without another one that it
+// depends on.
 func (p *parser) checkRequired() *frontend.Problem {
 	switch {
 	case p.request.Model == "":
--- a/internal/chat/route.go
+++ b/internal/chat/route.go
@@ -11,7 +11,7 @@
 	"plumspindle/internal/http1"
 )
 
-// Path is the API's only URL path. Clients and endpoints use the same.
+// Path is the API's only URL path. Clients and endpoints use the same path.
 const Path = "/v1/chat/completions"
 
 // IsPublic reports whether the operator allows all tenants to share a prompt, given the SHA-256 digest of its text in
@@ -24,7 +24,7 @@
 	request *Request, identity frontend.Identity, head *http1.Head, response *frontend.Response,
 ) *frontend.Problem
 
-// Route returns the API's route, which parses each request and passes it to handle.
+// Route returns the API's route, which parses each request and passes it to the Handler.
 func Route(isPublic IsPublic, handle Handler) frontend.Route {
 	begin := func(
 		head *http1.Head, identity frontend.Identity, response *frontend.Response,
--- a/internal/dispatch/attempts.go
+++ b/internal/dispatch/attempts.go
@@ -55,7 +55,8 @@
 	r.attempt = d.engine.Prefill(spec.target, r.chat, spec.callbacks)
 }
 
-// startDecode starts a decode attempt. If the product requires an intent, the attempt is sent once that is recorded.
+// startDecode starts a decode attempt. If the product requires an intent, the attempt is sent once the intent is
+// recorded.
 func (d *Dispatcher) startDecode(r *request, details eventDetails) {
 	spec := d.newAttempt(r, details)
 	if r.part != nil {
@@ -104,7 +105,7 @@
 func (d *Dispatcher) attemptEnded(r *request, result engine.Result) {
 	event := r.endEvent(result)
 	if r.part != nil && r.part.recordAttemptEnd(result) {
-		// A retry at another endpoint would not help: the request is withdrawn, and its call handles the failure.
+		// A retry at another endpoint would not help, so the request is withdrawn. Its call handles the failure.
 		d.fire(r, lifecycle.ClientDisconnected)
 	}
 	if result.Outcome != scheduler.Completed && result.Outcome != scheduler.PrefillDone {
@@ -118,13 +119,13 @@
 	}
 	d.fireWith(r, event, eventDetails{result: result})
 	if len(r.responses) == 0 && r.part == nil && (r.State == lifecycle.Pending || r.State == lifecycle.Prefilling) {
-		// The client disconnected during a decode that did not run, so that the request need not go on.
+		// The client disconnected during a decode that did not run, so the request need not go on.
 		d.fire(r, lifecycle.ClientDisconnected)
 	}
 }
 
-// endEvent returns the lifecycle event for the end of an attempt, and updates the request: where its prefill state is,
-// and whether it may have run.
+// endEvent returns the lifecycle event for the end of an attempt, and updates what the request knows about where its
+// prefill state is and whether the request may have run.
 func (r *request) endEvent(result engine.Result) lifecycle.Event {
 	switch result.Outcome {
 	case scheduler.PrefillDone:
--- a/internal/dispatch/attempts_test.go
+++ b/internal/dispatch/attempts_test.go
@@ -75,7 +75,7 @@
 	}, "streamed", "streamed"},
 }
 
-// provesNotRun reports whether the endpoint's answer proves that it did not run the attempt.
+// provesNotRun reports whether the endpoint's answer proves that the endpoint did not run the attempt.
 func (f decodeFailure) provesNotRun() bool {
 	return f.name == "full" || f.name == "draining" || f.name == "state lost"
 }
@@ -88,7 +88,8 @@
 }
 
 // However a decode endpoint fails, the client gets exactly one final answer with nothing after it, a streamed text is
-// complete, and a side-effecting request is decoded again only if the first endpoint reported that it did not run it.
+// complete, and a side-effecting request is decoded again only if the first endpoint reported that it did not run the
+// request.
 func TestDecodeEndpointFailures(t *testing.T) {
 	endpoints := []string{"prefill west", "decode west", "decode west"}
 	for _, failure := range decodeFailures {
@@ -139,8 +140,8 @@
 	})
 }
 
-// A failed prefill has no side effects: a request of any product is prefilled again at another endpoint, and the state
-// that the failed prefill may have left is released.
+// A failed prefill has no side effects, so a request of any product is prefilled again at another endpoint, and the
+// state that the failed prefill may have left is released.
 func TestPrefillEndpointFailureIsRetried(t *testing.T) {
 	for name, serve := range map[string]func(*fakeConn){
 		"closed":   closeConn,
@@ -172,7 +173,7 @@
 	}
 }
 
-// A prefill endpoint fails before its state was fetched: the decode endpoint reports that the state is lost, and the
+// If a prefill endpoint fails before its state was fetched, the decode endpoint reports that the state is lost, and the
 // prompt is prefilled again at another endpoint.
 func TestPrefillIsRepeatedWhenItsStateIsLost(t *testing.T) {
 	r := newHarness(t, nil, "prefill west", "prefill west", "decode west", "decode west")
@@ -212,8 +213,8 @@
 	}
 }
 
-// A client disconnects while the last bytes of its endpoint wait to be read, so that the dispatcher handles both in one
-// turn of the event loop: the request gets one final answer at most, and nothing of it is left.
+// A client disconnects while the last bytes of its endpoint wait to be read. The dispatcher handles both in one turn of
+// its event loop. The request gets one final answer at most, and nothing of the request is left.
 func TestClientAndEndpointEndInOneTurn(t *testing.T) {
 	for _, frozen := range []bool{false, true} {
 		r := newHarness(t, nil, "prefill west", "decode west")
@@ -272,7 +273,7 @@
 }
 
 // The client of a request with an idempotency key disconnects during the decode, and the decode endpoint then reports
-// that it did not run the request: the request ends, its state is released, and its key is free again.
+// that it did not run the request. The request ends, its prefill state is released, and its key is free again.
 func TestRejectedDecodeAfterClientDisconnect(t *testing.T) {
 	r := newHarness(t, nil, "prefill west", "decode west")
 	r.endpoints[1].serve = func(c *fakeConn) {
--- a/internal/dispatch/batch_answer.go
+++ b/internal/dispatch/batch_answer.go
@@ -97,8 +97,8 @@
 	c.response.SendProblem(frontend.OverloadedAfterPartialRun())
 }
 
-// rejectOverQuota answers a call that its tenant's limits reject: before any part was sent, or later if no retry of the
-// rejected part can succeed.
+// rejectOverQuota answers a call that its tenant's limits reject. That happens before any part was sent, or later if no
+// retry of the rejected part can succeed.
 func (c *batchCall) rejectOverQuota(decision tenancy.Decision) {
 	if c.closed {
 		return
--- a/internal/dispatch/batch_api_test.go
+++ b/internal/dispatch/batch_api_test.go
@@ -68,7 +68,8 @@
 	c.answer(200, string(b))
 }
 
-// Documents are returned with their index and text, sorted by falling score; those with equal scores keep their order.
+// Documents are returned with their index and text, sorted by falling score; documents with equal scores keep their
+// order.
 func TestRerankSortsDocuments(t *testing.T) {
 	r := newBatchHarness(t, withBatches(&pb.Batches{PartInputs: 3}), "prefill west", "prefill west", "decode west")
 	r.serveAll(answerRerank)
@@ -108,8 +109,8 @@
 	}
 }
 
-// A cached vector frees space for more of a compressed body while the inputs are still being split into parts. No input
-// may be skipped because of that.
+// A cached vector frees space for more of a compressed body while the inputs are still being split into parts. None of
+// the inputs that are read meanwhile may be skipped.
 func TestCachedVectorsInACompressedBody(t *testing.T) {
 	r := newBatchHarness(t, withBatches(&pb.Batches{Cache: 4 << 20, Window: 16 << 10}), "prefill west", "decode west")
 	inputs := inputTexts(900, 40)
--- a/internal/dispatch/batch_call.go
+++ b/internal/dispatch/batch_call.go
@@ -88,7 +88,7 @@
 	}
 }
 
-// Begin starts the call. The request calls it once it has read enough of its body to send parts.
+// Begin starts the call. The embeddings.Request calls Begin once it has read enough of the body to send parts.
 func (c *batchCall) Begin() *frontend.Problem {
 	d := c.dispatcher
 	class, problem := d.classFor(c.request.Model, c.form)
@@ -150,8 +150,8 @@
 	return nil
 }
 
-// growAnswer makes space in the answer for all inputs that have arrived. It returns false if that would exceed the
-// limit on the answers of all calls.
+// growAnswer makes space in the answer for all inputs that have arrived. It returns false if the answers of all calls
+// would then exceed their limit.
 func (c *batchCall) growAnswer() bool {
 	inputs, known := len(c.request.Inputs), len(c.answer.Vectors)
 	b := &c.dispatcher.batches
@@ -185,7 +185,7 @@
 	}
 }
 
-// useCachedVector copies an input's vector from the cache into the answer, and reports whether it was cached.
+// useCachedVector copies an input's vector from the cache into the answer, and reports whether the vector was cached.
 func (c *batchCall) useCachedVector(input int) bool {
 	if c.cache == nil {
 		return false
@@ -203,7 +203,7 @@
 }
 
 // discardInputs frees the memory of inputs whose results are known. That can make space for further inputs from the
-// body. If one of those is invalid, discardInputs fails the call and returns false.
+// body. If one of these further inputs is invalid, discardInputs fails the call and returns false.
 func (c *batchCall) discardInputs(inputs ...int) bool {
 	for _, input := range inputs {
 		if problem := c.request.DiscardInput(input); problem != nil {
--- a/internal/dispatch/batch_manager.go
+++ b/internal/dispatch/batch_manager.go
@@ -35,7 +35,7 @@
 	queued int // number of parts that wait for admission
 }
 
-// vectorCacheKey identifies a cache. No two tenants have the same namespace, so that they never share a cache.
+// vectorCacheKey identifies a cache. No two tenants have the same namespace, so two tenants never share a cache.
 type vectorCacheKey struct {
 	namespace  string
 	dimensions int
@@ -63,7 +63,7 @@
 	return cache.Cache
 }
 
-// callsOf returns a tenant's calls. It adds the tenant if that has no calls yet.
+// callsOf returns a tenant's calls. It adds the tenant if the tenant has no calls yet.
 func (b *batchManager) callsOf(slot *tenantSlot) *tenantBatches {
 	for _, calls := range b.tenants {
 		if calls.tenant == slot {
@@ -81,7 +81,7 @@
 	c.tenantCalls.calls = append(c.tenantCalls.calls, c)
 }
 
-// remove removes a call, and its tenant if that was its last call.
+// remove removes a call. It also removes the call's tenant if the tenant has no other call.
 func (b *batchManager) remove(c *batchCall) {
 	tenant := c.tenantCalls
 	tenant.calls = slices.DeleteFunc(tenant.calls, func(other *batchCall) bool { return other == c })
@@ -92,7 +92,7 @@
 	b.answerBytes -= c.answerBytes
 }
 
-// next returns the tenant's next call that has a part to send, or nil if no call has one.
+// next returns the tenant's next call that has a part to send, or nil if no call has a part to send.
 func (t *tenantBatches) next(now eventloop.Micros) *batchCall {
 	for range t.calls {
 		call := t.calls[0]
--- a/internal/dispatch/batch_parts.go
+++ b/internal/dispatch/batch_parts.go
@@ -26,7 +26,7 @@
 	result   embeddings.PartResult
 	sentAt   eventloop.Micros // when the part was reported to the scheduler
 	queued   bool             // waits for admission
-	failures int              // attempts that an endpoint failed, or whose connection broke
+	failures int              // attempts that failed at their endpoint, or whose connection broke
 	invalid  bool             // an endpoint reported that an input is invalid
 }
 
@@ -72,8 +72,8 @@
 }
 
 // partOverQuota handles a part that the tenant's limits reject. If the call has sent any part before, this part is
-// retried later; otherwise the call is rejected, as a chat request would be. A call also ends if no retry can succeed:
-// the part is larger than the limit, or the tenant is not served.
+// retried later; otherwise the call is rejected, as a chat request would be. A call also ends if no retry can succeed,
+// because the part is larger than the limit or the tenant is not served.
 func (c *batchCall) partOverQuota(now eventloop.Micros, id batch.PartID, decision tenancy.Decision) {
 	c.dispatcher.OverQuota++
 	retryAfter := decision.RetryAfter
@@ -195,7 +195,7 @@
 	})
 }
 
-// partFailed handles a part that ended without a result: it is retried, or the call is given up.
+// partFailed retries a part that ended without a result, or gives up the call.
 func (c *batchCall) partFailed(id batch.PartID, failure batch.Failure, retryAfter eventloop.Micros) {
 	d := c.dispatcher
 	if c.parts.PartFailed(d.loop.Now(), id, failure, retryAfter) == batch.Failed {
--- a/internal/dispatch/batch_test.go
+++ b/internal/dispatch/batch_test.go
@@ -49,8 +49,8 @@
 	r.expectEmbeddings(c, inputs, 256)
 }
 
-// One endpoint crashes while it has parts, another sends invalid vectors, and a third does not answer its first parts:
-// the dispatcher retries single parts, avoids these endpoints, and completes the call.
+// One endpoint crashes while it has parts, another sends invalid vectors, and a third does not answer its first parts.
+// The dispatcher retries single parts, avoids these endpoints, and completes the call.
 func TestBatchCompletesDespiteBadEndpoints(t *testing.T) {
 	r := newBatchHarness(t, withBatches(&pb.Batches{PartInputs: 4}),
 		"prefill west", "prefill west", "prefill east", "prefill east", "decode west")
@@ -83,8 +83,8 @@
 	}
 }
 
-// If one input always fails, the call fails with an error that names this input, and at once if an endpoint reports the
-// input as invalid.
+// If one input always fails, the call fails with an error that names this input. The call fails at once if an endpoint
+// reports the input as invalid.
 func TestFailingInputIsNamed(t *testing.T) {
 	for name, serve := range map[string]func(*fakeConn){
 		"fails":      func(c *fakeConn) { c.answer(500, `{"error":{"message":"x"}}`) },
@@ -137,7 +137,7 @@
 	r.expectFinal(c, "terminated")
 }
 
-// A thousand small calls that arrive during a huge one complete before it.
+// A thousand small calls that arrive during a huge call complete before the huge call.
 func TestHugeBatchDoesNotDelaySmallOnes(t *testing.T) {
 	r := newBatchHarness(t, nil, "prefill west", "prefill west", "prefill east", "decode west")
 	r.serveAll(answerEmbeddingsAfter(4 * eventloop.Millisecond))
--- a/internal/dispatch/chat.go
+++ b/internal/dispatch/chat.go
@@ -20,8 +20,8 @@
 // Header fields of a request that the dispatcher reads.
 const (
 	timeLimitField = "x-time-limit-ms" // the client's time limit, if it is shorter than the product's
-	// heartbeatField is the interval of comments on a stream before its first event. Once a comment was sent, a rejection
-	// can't have the status 429 any more.
+	// heartbeatField is the interval of comments on a stream before the stream's first event. A rejection after a comment
+	// can't have the status 429, because the head with the status 200 was sent before the comment.
 	heartbeatField       = "x-heartbeat-ms"
 	idempotencyKeyField  = "Idempotency-Key"
 	clientRequestIDField = "x-client-request-id"
@@ -95,8 +95,8 @@
 	return nil
 }
 
-// classFor returns the class of the product with the given name. It returns a problem if there is none, or if the API
-// of the given form does not serve it.
+// classFor returns the class of the product with the given name. It returns a problem if there is no such product, or
+// if the API of the given form does not serve the product.
 func (d *Dispatcher) classFor(model string, form pb.Product_Form) (scheduler.ClassID, *frontend.Problem) {
 	class, known := d.classes[model]
 	if !known {
@@ -169,7 +169,8 @@
 	response.OnDrained = func() { d.fire(r, lifecycle.ClientCaughtUp) }
 }
 
-// scheduleHeartbeat sends comments on a stream until its first event, so that intermediaries don't time it out.
+// scheduleHeartbeat sends comments on a stream until its first event, so that intermediaries don't time out the
+// connection.
 func (d *Dispatcher) scheduleHeartbeat(r *request, response *frontend.Response, interval eventloop.Micros) {
 	r.heartbeatTimer = d.loop.AfterFunc(interval, func() {
 		if response.Heartbeat() {
@@ -189,8 +190,8 @@
 }
 
 // clientDisconnected removes a client from the ones that wait for a request's answer. If no client is left, the request
-// is cancelled, unless it has an idempotency key and may be running. Such a request goes on: it must not run a second
-// time, and a client that repeats it gets its answer.
+// is cancelled, unless the request has an idempotency key and may be running. Such a request goes on, because it must
+// not run a second time, and a client that repeats it gets the answer of this run.
 func (d *Dispatcher) clientDisconnected(r *request, response *frontend.Response) {
 	i := slices.Index(r.responses, response)
 	if i < 0 {
--- a/internal/dispatch/clients_test.go
+++ b/internal/dispatch/clients_test.go
@@ -104,11 +104,11 @@
 	r.expectFinal(c, "terminated")
 }
 
-// The time limit of a request starts when its first byte arrives, as the client counts from the moment it sends that
-// byte. The request may arrive slowly or wait behind another one on its connection. When the dispatcher counted from
-// the last byte, or from when it handled the request, it answered after the client had given up: 18 answers were late
-// in the seeds of faultsearch/testdata/small-segments-*, whose requests take 0.6 to 22 ms to arrive. The fault showed
-// in measurements of the time from a request's first byte to its handling.
+// The time limit of a request starts when its first byte arrives, because the client counts from the moment when it
+// sends that byte. The request may arrive slowly or wait behind another one on its connection. When the dispatcher
+// counted from the last byte, or from when it handled the request, it answered after the client had given up. In the
+// seeds of faultsearch/testdata/small-segments-*, whose requests take 0.6 to 22 ms to arrive, 18 answers were late. The
+// fault showed in measurements of the time from a request's first byte to its handling.
 func TestTimeLimitCountsFromTheFirstByte(t *testing.T) {
 	const limit = 900 * eventloop.Millisecond
 	body := `{"model":"explain","messages":[{"role":"user","content":"why?"}]}`
@@ -140,7 +140,7 @@
 	}
 }
 
-// A pending stream gets comments as heartbeats, and then the answer, or the rejection as an error event.
+// A pending stream gets comments as heartbeats, and then either the answer or, as an error event, the rejection.
 func TestHeartbeatsPrecedeTheAnswer(t *testing.T) {
 	r := newHarness(t, nil, "prefill west", "decode west")
 	r.updateEndpoints(r.endpoints[1].entry("gone"))
--- a/internal/dispatch/config.go
+++ b/internal/dispatch/config.go
@@ -11,7 +11,7 @@
 
 // Config holds the settings of one dispatcher that are not part of its deployment.
 type Config struct {
-	Name string // unique among all dispatchers, including one that this one replaces after a restart
+	Name string // unique among all dispatchers, also different from the name of the one that this one replaces
 	Zone string
 	Seed int64
 	Log  zerolog.Logger
@@ -21,7 +21,7 @@
 	CacheEndpoints  func(list []byte)
 
 	// IntentStore stores which requests with an idempotency key may have run, so that a restart does not run them again.
-	// If it is nil, they are lost in a restart.
+	// If IntentStore is nil, a restart loses this record.
 	IntentStore *store.Store
 
 	AdminAddr     string // address of the administration; empty: only the deployment's and the cached tenants are served
@@ -29,8 +29,8 @@
 	CachedTenants []byte // the tenants that CacheTenants stored last
 	CacheTenants  func([]byte)
 
-	// MaxDescriptors is the limit on this process's open file descriptors; 0: not known, and client connections are not
-	// limited.
+	// MaxDescriptors is the limit on this process's open file descriptors; 0 if the limit is not known. Client connections
+	// are not limited then.
 	MaxDescriptors int
 
 	Mutation *Mutation // set by the test bed only
@@ -44,16 +44,16 @@
 }
 
 const (
-	// maxBufferedBodies bounds the bodies of all clients that are buffered at once, as a number of bodies of the largest
-	// size. Each attempt sends its request's body again, so that the memory in use is a few times as much.
+	// maxBufferedBodies times the size of the largest allowed body is the limit on the bytes of all clients' bodies that
+	// are buffered at once. Each attempt sends its request's body again, so the memory in use is a few times as much.
 	maxBufferedBodies = 64
 	// maxReplayBytes is the limit on one answer that is buffered for repeats with the same idempotency key.
 	maxReplayBytes = 256 << 10
 	// endpointCacheInterval is the shortest time between two writes of the cached endpoint list.
 	endpointCacheInterval = eventloop.Second
-	// reservedDescriptors is the number of file descriptors kept free of clients and attempts: for discovery, the
-	// administration, files and the poller. Clients may use half of the rest, since each request needs a connection to
-	// its client and one to an endpoint.
+	// reservedDescriptors is the number of file descriptors that clients and attempts must leave free for discovery, the
+	// administration, files and the poller. Clients may use half of the rest, since each request needs a connection to its
+	// client and one to an endpoint.
 	reservedDescriptors = 64
 )
 
--- a/internal/dispatch/dispatcher.go
+++ b/internal/dispatch/dispatcher.go
@@ -3,14 +3,14 @@
 //
 // A Dispatcher owns the clients' requests from admission to the final answer, their attempts, the record of their
 // idempotency keys, and the state of tenants and endpoints that it reports to the scheduler. Package frontend handles
-// the connections to clients, package engine those to endpoints, and package lifecycle defines how each event changes a
-// request. A dispatcher never decides where an attempt goes, whether it is retried, or which requests are rejected for
-// lack of capacity: the scheduler does.
+// the connections to clients, package engine handles the connections to endpoints, and package lifecycle defines how
+// each event changes a request. A dispatcher never decides where an attempt goes, whether it is retried, or which
+// requests are rejected for lack of capacity: the scheduler does.
 //
-// A dispatcher runs on one event loop, and all of its methods must be called there. A request passes through these
-// steps: the frontend passes it to handleChat; the dispatcher reports its arrival to the scheduler; for each Send of
-// the scheduler, the engine starts an attempt, whose start and end are reported back; and a Reject, a Fail or the end
-// of the stream becomes the one final answer.
+// A dispatcher runs on one event loop, and all of its methods must be called on that loop. A request passes through
+// these steps: the frontend passes the request to handleChat; the dispatcher reports its arrival to the scheduler; for
+// each Send of the scheduler, the engine starts an attempt, whose start and end are reported back; and a Reject, a Fail
+// or the end of the stream becomes the one final answer.
 package dispatch
 
 import (
@@ -41,7 +41,7 @@
 type Counters struct {
 	Accepted, Completed, Rejected, Failed, Disconnected uint64
 
-	Shed      uint64 // rejected on arrival: too many open requests, open batch calls or remembered idempotency keys
+	Shed      uint64 // rejected on arrival due to too many open requests, open batch calls or remembered idempotency keys
 	OverQuota uint64 // requests or parts that were rejected or delayed by their tenants' limits
 	Attempts  uint64
 	Events    uint64 // stream events received from endpoints
--- a/internal/dispatch/dispatcher_test.go
+++ b/internal/dispatch/dispatcher_test.go
@@ -6,7 +6,7 @@
 	"plumspindle/internal/eventloop"
 )
 
-// Without any endpoint, a request of any product is rejected in time, as it has not run.
+// Without any endpoint, a request of any product is rejected in time, because it has not run.
 func TestRejectsInTimeWithoutEndpoints(t *testing.T) {
 	for _, product := range []string{"explain", "build-note", "review-post"} {
 		r := newHarness(t, nil)
@@ -60,7 +60,8 @@
 	}
 }
 
-// During a shutdown, a running stream completes and a new client is not accepted; only then is the shutdown done.
+// During a shutdown, a running stream completes and a new client is not accepted. The shutdown is done only after the
+// stream's end.
 func TestShutdownCompletesRunningStreams(t *testing.T) {
 	r := newHarness(t, nil, "prefill west", "decode west")
 	var decode *fakeConn
--- a/internal/dispatch/endpoint_cache.go
+++ b/internal/dispatch/endpoint_cache.go
@@ -7,7 +7,7 @@
 	"plumspindle/scheduler"
 )
 
-// restoreEndpoints applies the newest readable cached list. Its age decides how far the list is trusted.
+// restoreEndpoints applies the newest readable cached list. The list's age decides how far the list is trusted.
 func (d *Dispatcher) restoreEndpoints() {
 	for i, cached := range d.config.CachedEndpoints {
 		if len(cached) == 0 {
@@ -61,8 +61,8 @@
 }
 
 // confirmRemovals applies an update from discovery. If a complete list leaves out most endpoints at once, discovery may
-// have just restarted, so that confirmRemovals delays their removal. What an update says about a listed endpoint is
-// applied at once in any case.
+// have just restarted, so confirmRemovals delays the removal of these endpoints. What an update says about a listed
+// endpoint is applied at once in any case.
 func (d *Dispatcher) confirmRemovals(entries []endpoints.Entry, complete bool) {
 	if !complete {
 		d.applyChanges(entries)
--- a/internal/dispatch/endpoints.go
+++ b/internal/dispatch/endpoints.go
@@ -90,7 +90,7 @@
 	})
 }
 
-// countPrefillEndpoints reports the number of endpoints that can prefill to the admission control.
+// countPrefillEndpoints tells the admission control how many ready endpoints can prefill.
 func (d *Dispatcher) countPrefillEndpoints() {
 	n := 0
 	for id, entry := range d.endpoints {
--- a/internal/dispatch/endpoints_test.go
+++ b/internal/dispatch/endpoints_test.go
@@ -48,7 +48,7 @@
 }
 
 // Without discovery, a dispatcher uses a fresh cached list as it is, a stale one as if each endpoint had just started,
-// and an old one step by step. If the newest list is truncated, it uses the one before.
+// and an old one step by step. If the newest cached list is truncated, the dispatcher uses the list before.
 func TestStartWithoutDiscovery(t *testing.T) {
 	const hour = 3600 * eventloop.Second
 	for _, test := range []struct {
@@ -136,9 +136,9 @@
 	r.expectFinal(r.ask("explain"), "streamed")
 }
 
-// If a complete list from discovery leaves out most endpoints, and lists them again within the grace period, nothing
-// changes. If it does not list them again, they are removed at the end of the grace period. An endpoint that is listed
-// as draining gets no attempts from then on in either case.
+// If a complete list from discovery leaves out most endpoints, and a later list has them again within the grace period,
+// nothing changes. If no later list has them, they are removed at the end of the grace period. An endpoint that is
+// listed as draining gets no attempts from then on in either case.
 func TestMassRemovalIsConfirmedBeforeItCounts(t *testing.T) {
 	for _, back := range []bool{true, false} {
 		r := newHarness(t, nil, "prefill west", "decode west", "decode west")
@@ -167,8 +167,8 @@
 	}
 }
 
-// After endpoints were replaced thousands of times, the dispatcher has no data left of those that are gone. Prefill
-// state at an endpoint that is listed as gone is released.
+// After endpoints were replaced thousands of times, the dispatcher has no data left of the endpoints that are gone.
+// Prefill state at an endpoint that is listed as gone is released.
 func TestReplacedEndpointsLeaveNothing(t *testing.T) {
 	r := newHarness(t, nil, "prefill west", "decode west")
 	for i := range 3000 {
--- a/internal/dispatch/harness_test.go
+++ b/internal/dispatch/harness_test.go
@@ -33,7 +33,7 @@
 	addr       string
 	endpoints  []*fakeEndpoint
 	list       endpoints.Update
-	cachedList []byte // list, encoded as a cached list
+	cachedList []byte // the field list in the form in which a dispatcher caches it
 }
 
 // testLoop is an event loop in virtual time or over sockets.
@@ -107,8 +107,8 @@
 	r.startDispatcher(r.loop, func(*Config) error { return nil })
 }
 
-// startDispatcher starts a dispatcher on a loop, which replaces the one before in the harness. It calls configure on
-// the loop.
+// startDispatcher starts a dispatcher on a loop. The dispatcher replaces the earlier one in the harness. The function
+// configure is called on the loop.
 func (r *harness) startDispatcher(loop testLoop, configure func(*Config) error) {
 	r.t.Helper()
 	r.loop = loop
@@ -146,7 +146,8 @@
 	})
 }
 
-// runUntil lets time pass until a condition on the endpoints and clients holds, and reports whether it does.
+// runUntil lets time pass until a condition on the endpoints and clients holds, or the timeout is over. It reports
+// whether the condition holds.
 func (r *harness) runUntil(timeout eventloop.Micros, condition func() bool) bool {
 	if r.network != nil {
 		return r.network.RunUntil(timeout, condition)
@@ -203,7 +204,8 @@
 	})
 }
 
-// decodes counts the attempts at all endpoints but the first, which is a prefill endpoint in the tests that call it.
+// decodes counts the attempts at all endpoints but the first, which is a prefill endpoint in the tests that use this
+// count.
 func (r *harness) decodes() (n int) {
 	for _, endpoint := range r.endpoints[1:] {
 		n += endpoint.attempts()
--- a/internal/dispatch/idempotency.go
+++ b/internal/dispatch/idempotency.go
@@ -47,15 +47,15 @@
 	return false, idempotencyKeyAlreadyRan()
 }
 
-// requestDigest returns a digest that distinguishes requests with the same key. Digests are stored, so that the way to
+// requestDigest returns a digest that distinguishes requests with the same key. Digests are stored, so the way to
 // compute them must not change.
 func requestDigest(r *request) uint64 {
 	options := fmt.Sprint(r.chat.Stream, r.chat.IncludeUsage, r.chat.MaxTokens, " ")
 	return xxhash.Sum64String(options + string(r.chat.Passthrough))
 }
 
-// replay sends the events that were streamed for the key. If its request still runs, the response gets the following
-// events too.
+// replay sends the events that were streamed for the key so far. If the key's first request still runs, the response
+// also gets the later events of that request.
 func (d *Dispatcher) replay(r *request, entry *idempotency.Entry, response *frontend.Response) {
 	running := d.runningByKey[entry]
 	if running == nil {
--- a/internal/dispatch/idempotency_test.go
+++ b/internal/dispatch/idempotency_test.go
@@ -15,9 +15,9 @@
 	product string
 }
 
-// A repeat with the key of a running request gets its answer from the first token on. A repeat of a completed request
-// gets the same answer again. A repeat of a request that may have run, and whose answer is lost, is rejected without a
-// retry. No request runs twice.
+// A repeat with the key of a running request gets the answer of the running request from the first token on. A repeat
+// of a completed request gets the same answer again. A repeat of a request that may have run, and whose answer is lost,
+// is rejected without a retry. No request runs twice.
 func TestIdempotencyKeyJoinsAndReplays(t *testing.T) {
 	for _, product := range []string{"build-note", "review-post"} {
 		r := &repeatHarness{newHarness(t, nil, "prefill west", "decode west", "decode west"), product}
@@ -96,8 +96,8 @@
 	r.expectFinal(r.ask("review-post", "Idempotency-Key", strings.Repeat("k", 300)), "400")
 }
 
-// The body of a request that goes on without its client, as it has an idempotency key, counts as buffered until the
-// request ends.
+// The body of a request that goes on without its client, because it has an idempotency key, counts as buffered until
+// the request ends.
 func TestOrphanedBodyCountsUntilItsRequestEnds(t *testing.T) {
 	r := newHarness(t, nil, "prefill west", "decode west")
 	r.endpoints[1].serve = func(c *fakeConn) { c.after(eventloop.Second, func() { answerDecode(c) }) }
@@ -115,7 +115,7 @@
 	r.expectFinal(r.ask("review-post", "Idempotency-Key", "k"), "streamed") // the answer is replayed
 }
 
-// Client libraries evaluate these error bodies, so that every byte of them is part of the API.
+// Client libraries evaluate these error bodies, so every byte of the bodies is part of the API.
 func TestIdempotencyKeyProblemsKeepTheirWireForm(t *testing.T) {
 	for _, test := range []struct {
 		problem *frontend.Problem
--- a/internal/dispatch/intents.go
+++ b/internal/dispatch/intents.go
@@ -11,8 +11,9 @@
 )
 
 // An intent is the durable record that a request with an idempotency key may run. It is written before the first decode
-// attempt is sent, so that a repeat of the request after a crash of this dispatcher does not run a second time. Its
-// value is the request's digest, the time when the key expires (0: the request was running) and the key's window.
+// attempt is sent, so that the request does not run a second time if the client repeats it after a crash of this
+// dispatcher. The record's value consists of the request's digest, the time when the key expires (0 if the request was
+// running) and the key's window.
 const (
 	intentPrefix      = "intent/"
 	intentValueLength = 3 * 8
@@ -23,9 +24,9 @@
 const intentRetryInterval = 500 * eventloop.Millisecond
 
 // intentRecord is the state of one request's intent. Depending on the product, the intent is written when the prefill
-// starts or when the decode starts. A write at the start of the prefill costs no time, as the disk syncs during the
-// prefill, but if the dispatcher crashes before the decode, the request counts as run although it did not run. A write
-// at the start of the decode delays the request by a disk sync.
+// starts or when the decode starts. A write at the start of the prefill costs no time, because the disk syncs during
+// the prefill. But if the dispatcher crashes before the decode, the request counts as run although it did not run. A
+// write at the start of the decode delays the request by a disk sync.
 type intentRecord struct {
 	requested bool
 	durable   bool
@@ -83,8 +84,8 @@
 	d.config.Log.Info().Int("keys", len(records)).Msg("idempotency keys restored")
 }
 
-// hasIntentTiming reports whether the request can have an intent, and its product's intents are recorded at the given
-// time.
+// hasIntentTiming reports whether the request can have an intent and its product requires intents to be recorded at the
+// given time.
 func (d *Dispatcher) hasIntentTiming(r *request, timing pb.Product_Intent) bool {
 	return r.keyEntry != nil && d.config.IntentStore != nil && d.Deployment.Products[r.class].Intent == timing
 }
@@ -96,8 +97,8 @@
 	}
 }
 
-// awaitIntent calls then once the request's intent is durable or can't be recorded, or at once if the request needs
-// none.
+// awaitIntent waits until the request's intent is durable or can't be recorded, and calls the function then. If the
+// request needs no intent, awaitIntent calls the function at once.
 func (d *Dispatcher) awaitIntent(r *request, then func(recorded bool)) {
 	notNeeded := r.keyEntry == nil || d.config.IntentStore == nil || d.hasIntentTiming(r, pb.Product_NO_RECORD)
 	if notNeeded || r.intent.durable {
@@ -159,13 +160,13 @@
 	})
 }
 
-// recordKeyEnd records when a key expires. The record is written together with the next intent; if it is lost, the key
-// is remembered for longer.
+// recordKeyEnd records when a key expires. The record is written together with the next intent; if the record is lost,
+// the key is remembered for longer.
 func (d *Dispatcher) recordKeyEnd(entry *idempotency.Entry, window eventloop.Micros) {
 	if d.config.IntentStore == nil {
 		return
 	}
-	if entry.ExpiresAt() == 0 { // nothing ran and the key is free: a restart after a crash must not restore it
+	if entry.ExpiresAt() == 0 { // nothing ran, so the key is free and a restart after a crash must not restore it
 		d.config.IntentStore.Flush()
 		return
 	}
--- a/internal/dispatch/intents_test.go
+++ b/internal/dispatch/intents_test.go
@@ -148,8 +148,8 @@
 	}
 }
 
-// A dispatcher is killed during the decode of a side-effecting request with an idempotency key. Its successor does not
-// run the client's repeat if it has the store of intents, and does if there is none.
+// A dispatcher is killed during the decode of a side-effecting request with an idempotency key. If the next dispatcher
+// has the intent store, it does not run the client's repeat. If there is no intent store, it runs the repeat.
 func TestIntentSurvivesAKill(t *testing.T) {
 	for _, durable := range []bool{false, true} {
 		r := newHarness(t, nil, "prefill west", "decode west", "decode west")
--- a/internal/dispatch/limits_test.go
+++ b/internal/dispatch/limits_test.go
@@ -46,7 +46,7 @@
 }
 
 // takeDescriptors leaves the dispatcher no file descriptors but the two reserved ones, and connects silent clients one
-// after another, which take each descriptor that becomes free. The returned slice grows as they connect.
+// after another, which take each descriptor that becomes free. The returned slice grows as the clients connect.
 func (r *harness) takeDescriptors(clients int, interval eventloop.Micros) *[]*silentClient {
 	var connected []*silentClient
 	r.virtual().DescriptorLimit = r.virtual().OpenConnections() + 2
@@ -172,8 +172,9 @@
 	r.expectFinal(r.ask("explain"), "streamed")
 }
 
-// The bodies of pending requests, and bodies that never end, are buffered up to a limit on all of them. Beyond it,
-// requests are rejected and their bodies are not buffered. Afterwards the memory is free again and requests are served.
+// The bodies of pending requests, and bodies that never end, are buffered up to a limit on the bytes of all bodies
+// together. Beyond the limit, requests are rejected and their bodies are not buffered. Afterwards the memory is free
+// again and requests are served.
 func TestBufferedBodiesAreBounded(t *testing.T) {
 	const maxBody, bodySize, clients = 20000, 19000, 120
 	text := strings.Repeat("a", bodySize-200)
--- a/internal/dispatch/official_client_test.go
+++ b/internal/dispatch/official_client_test.go
@@ -10,8 +10,9 @@
 	"github.com/openai/openai-go/option"
 )
 
-// The official client library retries some errors by itself. Whatever the failure, with its default settings a
-// side-effecting request is only decoded a second time if the first endpoint reported that it did not run it.
+// The official client library retries some errors by itself. Whatever the failure, a side-effecting request from the
+// library in its default settings is decoded a second time only if the first endpoint reported that it did not run the
+// request.
 func TestOfficialClientNeverRepeatsADecode(t *testing.T) {
 	for _, failure := range decodeFailures {
 		for _, stream := range []bool{false, true} {
--- a/internal/dispatch/orders.go
+++ b/internal/dispatch/orders.go
@@ -40,7 +40,7 @@
 	}
 }
 
-// Release tells each prefill endpoint that may hold state of the request to drop it.
+// Release tells each prefill endpoint that may hold state of the request to drop that state.
 func (d *Dispatcher) Release(id scheduler.RequestID) {
 	if r := d.requests[id]; r != nil {
 		d.fire(r, lifecycle.ReleaseOrdered)
--- a/internal/dispatch/request.go
+++ b/internal/dispatch/request.go
@@ -23,13 +23,13 @@
 	deadline        eventloop.Micros
 
 	responseID     string
-	responses      []*frontend.Response // to its client, and to the clients that repeated it with the same key
+	responses      []*frontend.Response // to the request's client, and to clients that repeated the request with its key
 	deadlineTimer  eventloop.Timer      // fires shortly before the deadline; nil while the scheduler watches the deadline
 	heartbeatTimer eventloop.Timer
 	outputTokens   int              // number of forwarded events, or the endpoint's own token count
 	promptTokens   int              // as counted by the endpoint; 0: not known
 	finalAction    lifecycle.Action // the Answer action that was performed; 0: none
-	orphanedBytes  int              // size of its body, while it goes on without a client
+	orphanedBytes  int              // size of the body while the request goes on without a client; 0 otherwise
 
 	tenant *tenantSlot
 	ticket *tenancy.Ticket
@@ -99,7 +99,7 @@
 	r.orphanedBytes = 0
 	d.endIdempotencyKey(r, false) // has no effect if respond has ended the key
 	d.releaseAdmission(r)
-	d.loop.Defer(func() { // within one call, the scheduler first orders the answer and then the release of state
+	d.loop.Defer(func() { // the scheduler orders the release of state after the answer, in the same call
 		delete(d.requests, r.id)
 		d.finishShutdown()
 	})
--- a/internal/dispatch/stage_harness_test.go
+++ b/internal/dispatch/stage_harness_test.go
@@ -150,7 +150,7 @@
 	case effect == pb.Product_IDEMPOTENT || s.seen == "":
 		return []string{"throttled"}
 	}
-	return []string{"terminated"} // an attempt is in flight, even if it is a prefill
+	return []string{"terminated"} // an attempt is in flight, which counts even if it is a prefill
 }
 
 func wantAfterCrash(s stage, effect pb.Product_Effect) []string {
--- a/internal/dispatch/stages_test.go
+++ b/internal/dispatch/stages_test.go
@@ -57,13 +57,13 @@
 type endRace struct {
 	request  fleetRequest
 	outcome  string
-	at       eventloop.Micros // when the outcome happens, after the request was sent
+	at       eventloop.Micros // when the outcome happens, counted from the request's sending
 	ending   ending
 	endFirst bool
 }
 
 // An outcome and an early end of the same request reach the dispatcher in one turn of its event loop, in either order.
-// The test freezes the dispatcher for a moment, so that it finds both when it continues.
+// The test freezes the dispatcher for a moment, so that the dispatcher finds both when it continues.
 func TestOutcomeAndEndInOneTurn(t *testing.T) {
 	cases := 0
 	for _, product := range chatProducts {
@@ -134,8 +134,8 @@
 }
 
 // The subscription to discovery breaks while clients take each file descriptor that becomes free. The dispatcher
-// subscribes again with a reserved descriptor. If no reserved descriptor is free either, it goes on with the known
-// endpoint list, and once descriptors are free it gets the missed updates without a restart.
+// subscribes again with a reserved descriptor. If no reserved descriptor is free either, the dispatcher goes on with
+// the known endpoint list. Once descriptors are free, it gets the missed updates without a restart.
 func TestEndpointWatchReconnectsOnceDescriptorsAreFree(t *testing.T) {
 	for _, reserved := range []bool{true, false} {
 		t.Run(fmt.Sprintf("reserved %v", reserved), func(t *testing.T) {
--- a/internal/dispatch/statelease.go
+++ b/internal/dispatch/statelease.go
@@ -8,9 +8,9 @@
 )
 
 // stateLease limits how long a request's prefill state may wait for a decode endpoint. The lease ends early only if the
-// state is fetched or released. If the lease expires and the endpoint's process is known to have been running after the
-// attempt reached it, the state is kept. A decode attempt that was only sent, or that still waits for its connection or
-// its intent, does not keep the state.
+// state is fetched or released. If the lease expires during a decode attempt, the state is kept only if the process of
+// the attempt's endpoint is known to have been running after the attempt reached the endpoint. A decode attempt that
+// was only sent, or that still waits for its connection or its intent, does not keep the state.
 type stateLease struct {
 	expiry   eventloop.Timeout
 	inUse    bool // the attempt's endpoint was known to be running when the lease expired
@@ -26,8 +26,8 @@
 }
 
 // stateLeaseExpired releases the state, unless an endpoint that is known to be running may use it. An attempt that was
-// sent goes on: it may still be answered, or the endpoint reports that the state is missing if the attempt arrives
-// late. An attempt that was not sent fails.
+// sent goes on, because it may still be answered. If it arrives late, the endpoint reports that the state is missing.
+// An attempt that was not sent fails.
 func (d *Dispatcher) stateLeaseExpired(r *request) {
 	if len(r.stateLocations) == 0 || r.State != lifecycle.Decoding && r.State != lifecycle.Closing {
 		return
@@ -50,7 +50,7 @@
 	d.fire(r, lifecycle.ReleaseOrdered)
 }
 
-// isUnsent reports whether the last attempt was not sent yet, since its connection is not open or its intent is not
+// isUnsent reports whether the last attempt was not sent yet because its connection is not open or its intent is not
 // recorded.
 func (r *request) isUnsent() bool { return r.attempt == nil || r.attempt.Unsent() }
 
--- a/internal/dispatch/statelease_test.go
+++ b/internal/dispatch/statelease_test.go
@@ -34,9 +34,10 @@
 	}
 }
 
-// If an endpoint sends events of another request, and has answered before on the attempt's connection, it is known to
-// be running with the attempt: the prefill state is kept until the endpoint has fetched it. A new connection is no such
-// sign, since the endpoint's machine may have accepted it without the endpoint's process.
+// If a decode endpoint sends events of another request, and has answered before on the attempt's connection, the
+// endpoint's process is known to have run since the attempt arrived. The prefill state is then kept until the endpoint
+// has fetched it. A new connection does not show this, since the endpoint's machine may have accepted the connection
+// without the endpoint's process.
 func TestStateAtAnEndpointThatIsSeenRunning(t *testing.T) {
 	const (
 		interval = 20 * eventloop.Millisecond
--- a/internal/dispatch/stored_intents_test.go
+++ b/internal/dispatch/stored_intents_test.go
@@ -11,7 +11,7 @@
 )
 
 // intentsKilledAt is when the dispatcher that wrote the folder in testdata was killed, in microseconds since 1970. The
-// windows are those of the products in the standard deployment.
+// two windows are those of the products review-post and build-note in the standard deployment.
 const (
 	intentsKilledAt  eventloop.Micros = 1796217380651553
 	reviewPostWindow                  = 600 * eventloop.Second
@@ -36,7 +36,8 @@
 	{"build-note", "cut off in its window", 190, intentsKilledAt + buildNoteWindow},
 }
 
-// body returns the request's body as it was sent when the folder was written; the intent has its digest.
+// body returns the request's body as it was sent when the folder was written. The stored intent has the digest of this
+// request.
 func (s storedRequest) body(tokens int) string {
 	return fmt.Sprintf(`{"model": %q, "stream": true, "max_tokens": %d, "messages": [{"role": "user", "content": %q}]}`,
 		s.product, tokens, "why "+s.key+"?")
@@ -80,10 +81,10 @@
 }
 
 // Each intent that an earlier version recorded is restored with its key, the digest of its request and its expiry.
-// Until it expires, a repeat is rejected because the request ran, and another request with the key because the key was
-// reused. Afterwards the key is free.
+// Until the intent expires, a repeat is rejected because the request ran, and another request with the key is rejected
+// because the key was reused. Afterwards the key is free.
 func TestRecallsIntentsOfEarlierVersion(t *testing.T) {
-	const margin = 100 * eventloop.Millisecond // a request needs less time to arrive
+	const margin = 100 * eventloop.Millisecond // a request takes less time than this to arrive
 	for _, s := range storedRequests {
 		t.Run(s.key, func(t *testing.T) {
 			for _, ask := range []struct {
--- a/internal/dispatch/storm_test.go
+++ b/internal/dispatch/storm_test.go
@@ -20,7 +20,7 @@
 	*harness
 	random   *rand.Rand
 	outcomes map[string]*requestOutcome // by the client's request id
-	hung     *fakeEndpoint              // accepts requests and answers none, for some seconds
+	hung     *fakeEndpoint              // accepts requests and answers none, for some seconds; nil if no endpoint hangs
 }
 
 // requestOutcome is the outcome of one client's request.
@@ -156,7 +156,7 @@
 	}
 }
 
-// injectFault sometimes stops a request as the removal of its tenant does, hangs an endpoint, or drains one.
+// injectFault sometimes stops a request as the removal of its tenant does, hangs an endpoint, or drains an endpoint.
 func (s *randomFaultTest) injectFault() {
 	if s.random.Intn(40) == 0 {
 		id := scheduler.RequestID(int(s.dispatcher.lastRequestID) - s.random.Intn(12))
--- a/internal/dispatch/tenants.go
+++ b/internal/dispatch/tenants.go
@@ -18,7 +18,7 @@
 )
 
 // firstStaticID is the id of the first tenant that the deployment itself lists. All ids from firstStaticID on are
-// reserved for the tenants that it lists.
+// reserved for the tenants that the deployment lists.
 const firstStaticID tenancy.ID = 1 << 31
 
 // queueGrace is how long before its client's deadline a request that is still queued for admission is rejected.
@@ -35,8 +35,8 @@
 	limits      tenancy.Limits
 }
 
-// FeedToken returns the token by which a dispatcher authenticates to the administration. It is derived from the secret
-// that both share.
+// FeedToken returns the token by which a dispatcher authenticates to the administration. The token is derived from the
+// secret that the dispatcher and the administration share.
 func FeedToken(secret []byte) string {
 	mac := hmac.New(sha256.New, secret)
 	mac.Write([]byte("dispatcher"))
@@ -65,7 +65,7 @@
 		if err := d.applyTenants(d.config.CachedTenants); err != nil {
 			d.config.Log.Error().Err(err).Msg("cached tenants unreadable")
 		}
-		d.resetDirectory() // the administration's first message has to list all tenants
+		d.resetDirectory() // so that the administration's first message lists all tenants
 	}
 	if d.config.AdminAddr != "" {
 		d.subscribeTenants()
@@ -173,8 +173,8 @@
 	})
 }
 
-// removeTenant stops serving a tenant. Its running requests go on, or stop if stopRunning is true; the slot is freed
-// once none is left.
+// removeTenant stops serving a tenant. Its running requests go on, or stop if stopRunning is true. The slot is freed
+// once the tenant has no request left.
 func (d *Dispatcher) removeTenant(slot *tenantSlot, stopRunning bool) {
 	slot.removing, slot.active = true, false
 	if d.tenantSlots[slot.name] == slot {
--- a/internal/dispatch/transitions.go
+++ b/internal/dispatch/transitions.go
@@ -104,7 +104,7 @@
 	d.batches.limiter.ChatStarted(now, now-r.arrivedAt, slo)
 	r.attempt.MarkStarted()
 	if !r.chat.Stream {
-		// The client of an answer without streaming has received nothing yet, so that its deadline still applies.
+		// The client of an answer without streaming has received nothing yet, so the deadline still applies.
 		r.deadlineTimer = d.loop.AfterFunc(r.deadline-unstreamedGrace-now, func() {
 			d.fireWith(r, lifecycle.DeadlineExceeded,
 				eventDetails{reason: "The answer was not whole within the client's time."})
@@ -173,7 +173,7 @@
 	}
 }
 
-// failure returns the reason that the client of a failed request is told, and whether it may retry.
+// failure returns the reason that the client of a failed request is told, and whether the client may retry.
 func (d *Dispatcher) failure(r *request, details eventDetails) (reason string, retryable bool) {
 	reason = details.reason
 	if r.outputTokens > 0 && details.result.Reason != "" {
--- a/internal/dispatch/usage.go
+++ b/internal/dispatch/usage.go
@@ -15,7 +15,7 @@
 	usageReportTimeout  = 3 * eventloop.Second
 )
 
-// releaseAdmission ends a request's admission, and adds its usage to its tenant's.
+// releaseAdmission ends a request's admission, and adds the request's usage to that of the tenant.
 func (d *Dispatcher) releaseAdmission(r *request) {
 	if r.ticket == nil {
 		return
--- a/internal/embeddings/answer.go
+++ b/internal/embeddings/answer.go
@@ -12,7 +12,7 @@
 // minPieceBytes is the minimum size of each piece of an answer but the last.
 const minPieceBytes = 32 << 10
 
-// Answer encodes the answer to a call whose inputs all have their results, in pieces.
+// Answer encodes, in pieces, the answer to a call whose inputs all have their results.
 type Answer struct {
 	Request *Request
 	ID      string
@@ -20,7 +20,7 @@
 	Scores  []float64 // indexed like the request's Inputs
 	Tokens  int       // as counted by the endpoints
 
-	ranked []int32 // indices in the request's Order of the documents to return, highest score first
+	ranked []int32 // the documents to return, highest score first, as indices in the request's Order
 	next   int     // index of the next embedding or document to encode
 	piece  []byte  // buffer of the last piece, reused for the next
 }
--- a/internal/embeddings/decoder.go
+++ b/internal/embeddings/decoder.go
@@ -59,8 +59,8 @@
 	return nil
 }
 
-// openEncoding returns a reader that decodes a source. It takes any encoding but gzip as zstd; NewRequest's caller has
-// rejected all others.
+// openEncoding returns a reader that decodes a source. It decodes any encoding but gzip as zstd, because NewRequest's
+// caller has rejected all other encodings.
 func openEncoding(encoding string, source io.Reader) (io.Reader, error) {
 	if encoding == "gzip" {
 		return gzip.NewReader(source)
--- a/internal/embeddings/golden_test.go
+++ b/internal/embeddings/golden_test.go
@@ -14,7 +14,7 @@
 	"plumspindle/internal/testbed/golden"
 )
 
-// recordingHandler writes each call of a Request to its handler to out.
+// recordingHandler is the Handler of a Request, and writes to out which of its methods are called.
 type recordingHandler struct{ out *bytes.Buffer }
 
 func (h recordingHandler) Begin() *frontend.Problem {
@@ -29,13 +29,13 @@
 
 var testLimits = Limits{MaxInputs: 4, MaxInputTokens: 10, MaxBody: 4 << 10, MaxBuffered: 1 << 10}
 
-// parse makes a request and passes it a body in pieces of size bytes.
+// parse makes a request and passes it a body in pieces of the given size.
 func parse(kind Kind, encoding, body string, size int, out *bytes.Buffer) (*Request, *frontend.Problem) {
 	req := NewRequest(kind, encoding, testLimits, recordingHandler{out}, nil)
 	return req, feed(req, body, size)
 }
 
-// feed passes a request its body in pieces of size bytes, and the end of the body.
+// feed passes a request its body in pieces of the given size, and then ends the body.
 func feed(req *Request, body string, size int) *frontend.Problem {
 	defer req.Close()
 	for b := []byte(body); len(b) > 0; b = b[min(size, len(b)):] {
@@ -176,7 +176,8 @@
 	golden.Compare(t, out.Bytes())
 }
 
-// TestEncodedBodies compares with a golden file how bodies with a content encoding are parsed, valid ones and others.
+// TestEncodedBodies compares with a golden file how bodies with a content encoding are parsed, both valid and invalid
+// bodies.
 func TestEncodedBodies(t *testing.T) {
 	plain := `{"model":"m","input":["a","b"]}`
 	var zipped bytes.Buffer
--- a/internal/embeddings/inputs.go
+++ b/internal/embeddings/inputs.go
@@ -136,8 +136,8 @@
 		path, tokens, r.limits.MaxInputTokens)
 }
 
-// storeText stores a document's text if it may have to be returned. Until Handler.Begin is called, that is any text,
-// because return_documents may come after the documents.
+// storeText stores a document's text if it may have to be returned. Until Handler.Begin is called, every text may have
+// to be returned, because return_documents may come after the documents.
 func (r *Request) storeText(text string) {
 	if len(r.Texts) == len(r.Inputs) && (!r.begun || r.ReturnDocuments) {
 		r.Texts = append(r.Texts, text)
--- a/internal/embeddings/members.go
+++ b/internal/embeddings/members.go
@@ -37,7 +37,7 @@
 	},
 }
 
-// readMember reads one member. Null stands for an absent member, except that required members reject it.
+// readMember reads one member. A member that is null counts as absent, but a required member must not be null.
 func (r *Request) readMember(name string, raw []byte) *frontend.Problem {
 	m := member{name: name, raw: raw, value: gjson.ParseBytes(raw)}
 	if m.value.Type == gjson.Null && !isRequired(name) {
@@ -62,8 +62,8 @@
 	return false
 }
 
-// allowedAfterBegin reports whether a member may come after Handler.Begin was called, because it does not change the
-// parts that are sent.
+// allowedAfterBegin reports whether a member may still come after Handler.Begin was called. Such a member does not
+// change the parts that are sent.
 func allowedAfterBegin(name string) bool {
 	switch name {
 	case "user", "top_n", "encoding_format":
--- a/internal/embeddings/request.go
+++ b/internal/embeddings/request.go
@@ -131,7 +131,8 @@
 }
 
 // DiscardInput frees the memory of an input that has its result. If at most half of the buffer is used afterwards, the
-// request continues to read the body. It returns a problem that it finds in the part of the body that it reads then.
+// request continues to read the body. DiscardInput returns the problem, if any, in what is read of the body during the
+// call.
 func (r *Request) DiscardInput(i int) *frontend.Problem {
 	input := &r.Inputs[i]
 	r.BufferedBytes -= len(input.Raw)
--- a/internal/embeddings/scanner.go
+++ b/internal/embeddings/scanner.go
@@ -32,7 +32,7 @@
 	escaped         bool // the next byte of the string follows a backslash
 }
 
-// scanState is what a scanner is reading or expects next.
+// scanState tells what a scanner is reading or expects next.
 type scanState uint8
 
 const (
@@ -51,7 +51,7 @@
 
 const (
 	noValue    valueKind = iota
-	arrayStart           // a streamed array has begun, but none of its elements has
+	arrayStart           // a streamed array has begun, but none of its elements has begun
 	stringValue
 	compositeValue // an object or an array
 	scalarValue    // a number, true, false or null
@@ -187,8 +187,8 @@
 	return nil
 }
 
-// scanValue parses the next bytes of a value and returns how many. It appends the bytes of a string up to the next
-// quote or escape at once, because nearly all of a large body consists of such bytes.
+// scanValue parses the next bytes of a value and returns how many bytes it has used. It appends the bytes of a string
+// up to the next quote or escape at once, because nearly all of a large body consists of such bytes.
 func (s *scanner) scanValue(data []byte) (used int, problem *frontend.Problem) {
 	if s.inString && !s.escaped {
 		used = unescapedLength(data)
--- a/internal/embeddings/scanner_test.go
+++ b/internal/embeddings/scanner_test.go
@@ -89,7 +89,7 @@
 }
 
 // TestScannerAgreesWithEncodingJSON checks that a body is scanned in the same way however it is cut into pieces, and
-// that the scanner rejects exactly those bodies that package encoding/json rejects, and those with duplicate members.
+// that the scanner rejects exactly those bodies that package encoding/json rejects, and bodies with duplicate members.
 func TestScannerAgreesWithEncodingJSON(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		body := drawBody(t)
--- a/internal/frontend/body.go
+++ b/internal/frontend/body.go
@@ -13,7 +13,7 @@
 	End() *Problem
 }
 
-// BufferedBody is a Sink that buffers the body and passes it to Handle once it is complete.
+// BufferedBody is a Sink that buffers the body and passes the complete body to Handle.
 type BufferedBody struct {
 	body   []byte
 	Handle func(body []byte) *Problem
@@ -28,7 +28,7 @@
 // End implements Sink.
 func (b *BufferedBody) End() *Problem { return b.Handle(b.body) }
 
-// discardingSink is a Sink that ignores the body and calls end after it.
+// discardingSink is a Sink that ignores the body and calls the function end after the body.
 type discardingSink struct{ end func() }
 
 func (d *discardingSink) Data([]byte) *Problem { return nil }
@@ -61,8 +61,8 @@
 	return unsupported("unsupported_content_encoding", message)
 }
 
-// reserve counts bytes of the body as buffered, up to maxBuffered for one request, and returns true. If that would
-// exceed the server's limit, it counts nothing and returns false.
+// reserve counts bytes of the body as buffered, up to maxBuffered for one request, and returns true. If the count would
+// then exceed the server's limit, reserve counts nothing and returns false.
 func (r *Response) reserve(size int) bool {
 	server := r.connection.server
 	if r.maxBuffered > 0 {
--- a/internal/frontend/connection.go
+++ b/internal/frontend/connection.go
@@ -23,8 +23,8 @@
 	scratch   []byte // buffer that is reused for chunks
 	closing   bool   // further data is ignored
 
-	// receivedAt is when the first byte of the current request arrived, pipelinedAt when the first byte of the data that
-	// waits behind it arrived.
+	// receivedAt is when the first byte of the current request arrived. pipelinedAt is when the first byte of the data
+	// that waits behind that request arrived.
 	receivedAt, pipelinedAt eventloop.Micros
 
 	order     uint64 // lower for a connection that was opened earlier
@@ -66,8 +66,8 @@
 		c.pipelinedAt = now
 	}
 	if c.response == nil && c.parser.Idle() {
-		// MessageTimeout starts with the first byte of a message. Only bytesPerTimeoutExtension of body data or the end
-		// of a pause restart it, so that a client that sends a few bytes at a time can't hold the connection.
+		// MessageTimeout starts with the first byte of a message. Only bytesPerTimeoutExtension of body data or the end of a
+		// pause restart the timeout, so that a client that sends a few bytes at a time can't hold the connection.
 		c.receivedAt = now
 		c.restartMessageTimeout()
 	}
@@ -99,7 +99,7 @@
 }
 
 // idleTimedOut closes a connection that has no request. If data has arrived that the event loop has not delivered yet,
-// it tries again later, as the data may be a request, which must be answered.
+// idleTimedOut tries again later, because the data may be a request, which must be answered.
 func (c *connection) idleTimedOut() {
 	if !c.conn.CloseIfIdle() {
 		c.timeout.Set(c.server.loop, idleRecheckDelay, c.idleTimedOut)
@@ -134,7 +134,7 @@
 	}
 	c.closing = true
 	if response := c.response; response != nil {
-		if response.received { // a second answer now could be taken for the one to the earlier request
+		if response.received { // a second answer now could be taken for the answer to the earlier request
 			response.disconnect()
 			c.conn.Abort()
 			return
--- a/internal/frontend/errors.go
+++ b/internal/frontend/errors.go
@@ -39,7 +39,7 @@
 // Error implements error.
 func (p *Problem) Error() string { return p.Message }
 
-// errorBody is the public API's error object. The fields of it and of errorObject are in alphabetical order.
+// errorBody is the public API's error object. The fields of errorBody and errorObject are in alphabetical order.
 type errorBody struct {
 	Error errorObject `json:"error"`
 }
@@ -215,8 +215,8 @@
 	return http1.AppendResponse(nil, problem.Status, problem.Body(), fields...)
 }
 
-// retryFields returns the header fields that tell when to retry, rounded up to whole units. A delay of 0 or less stands
-// for defaultRetryAfter.
+// retryFields returns the header fields that tell when to retry. The delay is rounded up to whole units. A delay of 0
+// or less stands for defaultRetryAfter.
 func retryFields(delay eventloop.Micros) []string {
 	if delay <= 0 {
 		delay = defaultRetryAfter
--- a/internal/frontend/errors_test.go
+++ b/internal/frontend/errors_test.go
@@ -5,7 +5,8 @@
 	"testing"
 )
 
-// TestProblemsKeepTheirWireForm checks error bodies byte for byte, as clients and their libraries depend on them.
+// TestProblemsKeepTheirWireForm checks error bodies byte for byte, because clients and their libraries depend on the
+// bodies.
 func TestProblemsKeepTheirWireForm(t *testing.T) {
 	for name, test := range map[string]struct {
 		problem *Problem
--- a/internal/frontend/models.go
+++ b/internal/frontend/models.go
@@ -13,7 +13,7 @@
 	modelOwner = "plumspindle"
 )
 
-// modelObject is a model in the public API. The fields of it and of modelList are in alphabetical order.
+// modelObject is a model in the public API. The fields of modelObject and modelList are in alphabetical order.
 type modelObject struct {
 	Created int64  `json:"created"`
 	ID      string `json:"id"`
--- a/internal/frontend/response.go
+++ b/internal/frontend/response.go
@@ -26,7 +26,7 @@
 	// OnDisconnect is called at most once: when the connection ends before the final answer, whether the client or the
 	// server ends it, or when the request is rejected because its body would exceed MaxBufferedBytes.
 	OnDisconnect func()
-	// OnDrained is called when the network has taken all written data, so that a slow client has caught up.
+	// OnDrained is called when the network has taken all written data, which means that a slow client has caught up.
 	OnDrained func()
 }
 
@@ -82,8 +82,8 @@
 	r.end(Overloaded(), retryFields(retryAfter)...)
 }
 
-// Fail sends the final answer to a request that failed. It states whether the client may retry, as common client
-// libraries retry after any 5xx status otherwise.
+// Fail sends the final answer to a request that failed. The answer states whether the client may retry, because common
+// client libraries otherwise retry after any 5xx status.
 func (r *Response) Fail(retryable bool, message string) {
 	r.end(failed(message), fieldShouldRetry, strconv.FormatBool(retryable))
 }
@@ -103,8 +103,8 @@
 	r.close()
 }
 
-// finishProblem sends a problem as the final answer to a request that has been received, before any other part of an
-// answer.
+// finishProblem sends a problem as the final answer to a request that has been received. No part of another answer may
+// have been sent before.
 func (r *Response) finishProblem(problem *Problem) {
 	var fields []string
 	if problem.Status == http.StatusUnauthorized {
--- a/internal/frontend/routes.go
+++ b/internal/frontend/routes.go
@@ -24,7 +24,7 @@
 // begin authenticates a request and passes it to its route. It returns the Sink for the body, or the problem that
 // rejects the request.
 func (s *Server) begin(head *http1.Head, response *Response) (Sink, *Problem) {
-	if s.shuttingDown || s.aboveLimit() { // no part of it has run: the client can retry at another dispatcher
+	if s.shuttingDown || s.aboveLimit() { // the request has not run, so the client can retry at another dispatcher
 		response.keepAlive = false
 		return &discardingSink{end: func() { response.Reject(0) }}, nil
 	}
--- a/internal/frontend/server.go
+++ b/internal/frontend/server.go
@@ -1,11 +1,11 @@
 // Package frontend is the HTTP server that all client APIs share. It handles client connections, API keys, limits of
 // request bodies and error objects, and ensures that each request gets exactly one final answer.
 //
-// It owns the client connections and counts their open requests and buffered bytes. Each URL of an API is a Route: it
-// reads requests and answers them through a Response. An Authenticator looks up the owner of an API key. The package
-// uses package eventloop for time and sockets and package http1 to parse and write messages. It runs on a single event
-// loop: its methods may be called on that loop only. It never decides where a request runs or whether a tenant's limits
-// admit it.
+// It owns the client connections and counts their open requests and buffered bytes. Each URL of an API is a Route,
+// which reads requests and answers them through a Response. An Authenticator looks up the owner of an API key. The
+// package uses package eventloop for time and sockets and package http1 to parse and write messages. It runs on a
+// single event loop: its methods may be called on that loop only. It never decides where a request runs or whether a
+// tenant's limits admit it.
 package frontend
 
 import (
@@ -50,13 +50,13 @@
 	// and its connection closed. Beyond a further MaxConnections/8 + 1, a new connection gets an overload response and is
 	// closed without being read.
 	MaxConnections int
-	// MaxBufferedBytes, if it is above 0, bounds BufferedBytes. A request that would exceed it is rejected and the rest
-	// of its body is discarded.
+	// MaxBufferedBytes, if it is above 0, bounds BufferedBytes. A request that would exceed this limit is rejected and the
+	// rest of its body is discarded.
 	MaxBufferedBytes int
 }
 
 // New returns a server, whose Accept the caller passes to a listener. The keys of routes are paths. A route whose path
-// ends in a slash takes the paths that add one segment to it.
+// ends in a slash serves the paths that add one segment to that path.
 func New(
 	loop eventloop.Loop, authenticator Authenticator, routes map[string]Route, messages http1.Limits, limits ClientLimits,
 ) *Server {
--- a/internal/frontend/stream.go
+++ b/internal/frontend/stream.go
@@ -9,7 +9,7 @@
 // heartbeatComment is a comment of an event stream, which clients ignore.
 const heartbeatComment = ": waiting\n\n"
 
-// Format is how an API presents an answer.
+// Format presents an answer in the form that an API defines.
 type Format interface {
 	// RequestID returns the request id that is sent to the client.
 	RequestID() string
@@ -44,8 +44,8 @@
 	return c.timeout.LimitUnsent(c.server.loop, c.conn, limits.MaxUnsentBytes, limits.StallTimeout, c.stalled)
 }
 
-// Heartbeat sends a comment, preceded by the stream's head if that has not been sent. It reports whether the client is
-// still waiting for the first content; if not, it sends nothing.
+// Heartbeat sends a comment, preceded by the stream's head if the head has not been sent. It returns true if the client
+// was still waiting for the first content. Otherwise Heartbeat sends nothing and returns false.
 func (r *Response) Heartbeat() bool {
 	if r.done || r.started && !r.format.Unstarted() {
 		return false
@@ -54,7 +54,7 @@
 	return true
 }
 
-// writeChunk sends one chunk of an event stream, preceded by the stream's head if that has not been sent.
+// writeChunk sends one chunk of an event stream, preceded by the stream's head if the head has not been sent.
 func (r *Response) writeChunk(data []byte) {
 	c := r.connection
 	out := c.scratch[:0]
@@ -73,8 +73,8 @@
 		"x-request-id", r.format.RequestID())
 }
 
-// Stream sends a long final answer. It calls next for the next piece whenever the client has read enough of the earlier
-// ones.
+// Stream sends a long final answer. It takes the pieces of the answer from the function next, and asks for another
+// piece whenever the client has read enough of the earlier pieces.
 func (r *Response) Stream(contentType string, next func() (piece []byte, more bool), fields ...string) {
 	if r.done {
 		return
--- a/internal/vectors/cache.go
+++ b/internal/vectors/cache.go
@@ -23,8 +23,8 @@
 )
 
 // Cache holds values of one size. To evict a value, SIEVE's hand moves from older to newer values, and from the newest
-// on to the oldest, and stops at the first value that was not read since the hand last passed it. A new value counts as
-// not read, so that values that are requested only once are evicted first.
+// value back to the oldest, and stops at the first value that was not read since the hand last passed it. A new value
+// counts as not read, so that values that are requested only once are evicted first.
 type Cache struct {
 	Hits, Misses uint64
 
