--- a/internal/dispatch/fake_endpoint_test.go
+++ b/internal/dispatch/fake_endpoint_test.go
@@ -61,7 +61,7 @@
 	}
 }
 
-// attempts counts the attempts that the endpoint has received.
+// attempts counts the chat completions that the endpoint has received. Parts of batch calls are not counted.
 func (e *fakeEndpoint) attempts() (n int) {
 	for _, c := range e.seen {
 		if c.target == "/v1/chat/completions" {
@@ -71,7 +71,8 @@
 	return n
 }
 
-// releases counts the release requests that the endpoint has received.
+// releases counts all other requests that the endpoint has received. In tests without batch calls these are release
+// requests.
 func (e *fakeEndpoint) releases() int { return len(e.seen) - e.attempts() }
 
 // fakeConn is a connection to a fake endpoint, with its last request.
--- a/internal/embeddings/scanner_test.go
+++ b/internal/embeddings/scanner_test.go
@@ -69,7 +69,7 @@
 	return text.Draw(t, "string")
 }
 
-// drawBody draws a JSON object, and corrupts one byte of it every fourth time.
+// drawBody draws a JSON object. It corrupts one byte of the object if a number drawn from 0 to 3 is 0.
 func drawBody(t *rapid.T) []byte {
 	var members []string
 	names := []string{"input", "model", "x"}
