--- a/internal/dispatch/batch_harness_test.go
+++ b/internal/dispatch/batch_harness_test.go
@@ -67,8 +67,8 @@
 	}
 }
 
-// embed sends an embeddings call. The text members is added to the JSON body, and each member in this text has to begin
-// with a comma.
+// embed sends an embeddings call. The parameter members is JSON text to insert into the body; each member in this text
+// has to begin with a comma.
 func (r *harness) embed(inputs []string, members string, fields ...string) *clientCall {
 	return r.post("/v1/embeddings", embeddingsBody(inputs, members), fields...)
 }
--- a/internal/dispatch/config.go
+++ b/internal/dispatch/config.go
@@ -11,7 +11,7 @@
 
 // Config holds the settings of one dispatcher that are not part of its deployment.
 type Config struct {
-	Name string // unique among all dispatchers, also different from the name of the one that this one replaces
+	Name string // unique among all dispatchers; differs from that of the one that this one replaces after a restart
 	Zone string
 	Seed int64
 	Log  zerolog.Logger
--- a/internal/dispatch/stage_harness_test.go
+++ b/internal/dispatch/stage_harness_test.go
@@ -187,8 +187,9 @@
 	disconnected bool
 }
 
-// expectCleanEnd checks at the end of a test that the client got the right final answer, or none if it disconnected,
-// that no rule of the audit was violated, and that nothing is left in the dispatcher, the scheduler or the endpoints.
+// expectCleanEnd checks at the end of a test that the client got the right final answer, or none if the client
+// disconnected, that no rule of the audit was violated, and that nothing is left in the dispatcher, the scheduler or
+// the endpoints.
 func (f *fleetHarness) expectCleanEnd(c *clientCall, want expectation) {
 	f.t.Helper()
 	f.recordFinal(c, want)
