--- a/internal/dispatch/stage_harness_test.go
+++ b/internal/dispatch/stage_harness_test.go
@@ -150,7 +150,7 @@
 	case effect == pb.Product_IDEMPOTENT || s.seen == "":
 		return []string{"throttled"}
 	}
-	return []string{"terminated"} // an attempt is in flight, even if it is a prefill
+	return []string{"terminated"} // an attempt is in flight, which counts even if it is a prefill
 }
 
 func wantAfterCrash(s stage, effect pb.Product_Effect) []string {
@@ -187,8 +187,9 @@
 	disconnected bool
 }
 
-// expectCleanEnd checks at the end of a test that the client got the right final answer, or none if it disconnected,
-// that no rule of the audit was violated, and that nothing is left in the dispatcher, the scheduler or the endpoints.
+// expectCleanEnd checks at the end of a test that the client got the right final answer, or none if the client
+// disconnected, that no rule of the audit was violated, and that nothing is left in the dispatcher, the scheduler or
+// the endpoints.
 func (f *fleetHarness) expectCleanEnd(c *clientCall, want expectation) {
 	f.t.Helper()
 	f.recordFinal(c, want)
--- a/internal/embeddings/scanner_test.go
+++ b/internal/embeddings/scanner_test.go
@@ -69,7 +69,7 @@
 	return text.Draw(t, "string")
 }
 
-// drawBody draws a JSON object, and corrupts one byte of it every fourth time.
+// drawBody draws a JSON object. It corrupts one byte of the object if a number drawn from 0 to 3 is 0.
 func drawBody(t *rapid.T) []byte {
 	var members []string
 	names := []string{"input", "model", "x"}
@@ -89,7 +89,7 @@
 }
 
 // TestScannerAgreesWithEncodingJSON checks that a body is scanned in the same way however it is cut into pieces, and
-// that the scanner rejects exactly those bodies that package encoding/json rejects, and those with duplicate members.
+// that the scanner rejects exactly those bodies that package encoding/json rejects, and bodies with duplicate members.
 func TestScannerAgreesWithEncodingJSON(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		body := drawBody(t)
