--- a/internal/admin/lifecycle_test.go
+++ b/internal/admin/lifecycle_test.go
@@ -46,9 +46,9 @@
 	}
 }
 
-// A tenant is removed while its requests are queued, in prefill and in decode. With the policy finish they complete;
-// with stop each of them gets exactly one final answer at once. Afterwards no dispatcher has requests of the tenant,
-// and the request of another tenant completes.
+// A tenant is removed while its requests are queued, in prefill and in decode. With the policy "finish" these requests
+// complete. With the policy "stop" each of them gets exactly one final answer at once. Afterwards no dispatcher has
+// requests of the tenant, and the request of another tenant completes.
 func TestRemovalWhileRequestsRun(t *testing.T) {
 	t.Run("finish", func(t *testing.T) {
 		r := startRemoval(t, "finish")
--- a/internal/admin/message.go
+++ b/internal/admin/message.go
@@ -24,7 +24,7 @@
 
 	// Server.route sets the tenant and the version.
 	tenant  string // tenant name in the path; may be empty
-	version uint64 // expected version from If-Match; 0 expects no particular one
+	version uint64 // expected version from If-Match, or 0 if any version is accepted
 
 	extraOps []store.Op // record changes to save together with the change of the registry
 }
--- a/internal/admin/records.go
+++ b/internal/admin/records.go
@@ -9,8 +9,8 @@
 	"plumspindle/internal/tenancy"
 )
 
-// Keys, or prefixes of keys, of the records. A zero byte separates the parts of a key. Names contain no zero byte, and
-// texts from clients are the last part.
+// Keys, or prefixes of keys, of the records. The comments tell what follows a prefix. A zero byte separates the parts
+// of a key. Names contain no zero byte, and texts from clients are the last part.
 const (
 	registryKey        = "registry"
 	tenantPrefix       = "tenant/" // tenant name
--- a/internal/admin/routes_test.go
+++ b/internal/admin/routes_test.go
@@ -10,7 +10,7 @@
 	"plumspindle/internal/tenancy"
 )
 
-// The OpenAPI document describes each route except metrics, each limit, and no other route.
+// The OpenAPI document describes each limit, and each route except metrics. It describes no route that does not exist.
 func TestOpenAPIDescribesRoutes(t *testing.T) {
 	e := newEnvironment(t, 1)
 	e.addTenant("a", `{}`)
--- a/internal/admin/stored_test.go
+++ b/internal/admin/stored_test.go
@@ -107,8 +107,8 @@
 	return response.StatusCode, decodeJSON(a.t, text)
 }
 
-// firstUpdate returns the first event that the server sends to a dispatcher with a version. It has the changes since
-// that version, including the MACs of keys.
+// firstUpdate returns the first event that the server sends to a dispatcher that has the given version of the registry.
+// The event has the changes since that version, including the MACs of keys.
 func (a api) firstUpdate(epoch string, since int) any {
 	a.t.Helper()
 	path := fmt.Sprintf("/internal/v1/tenants?epoch=%s&since=%d", epoch, since)
@@ -164,9 +164,9 @@
 	t.Errorf("%s: got:\n%s\nwant:\n%s", what, gotText, wantText)
 }
 
-// The server reads both forms of records, the store and the files of versions without a store, completely, also at a
-// second start: tenants with limits and keys, usage, the audit log, public texts and the update for dispatchers. A
-// report that was counted before does not count again; a new one does.
+// The server completely reads both forms of records: the store, and the files of versions without a store. The test
+// compares tenants with limits and keys, usage, the audit log, public texts and the update for dispatchers, also after
+// a second start. A report that was counted before does not count again; a new one does.
 func TestReadsRecordsOfEarlierVersion(t *testing.T) {
 	for _, fixture := range []string{"records-v1", "records-before-store"} {
 		t.Run(fixture, func(t *testing.T) {
--- a/internal/admin/tenants.go
+++ b/internal/admin/tenants.go
@@ -28,8 +28,8 @@
 	return errorResponse(http.StatusNotFound, tenancy.CodeNoTenant, "", "there is no such tenant")
 }
 
-// tenantList is the answer to a request for a page of tenants. The order of its members is part of the API, as is that
-// of all response bodies.
+// tenantList is the answer to a request for a page of tenants. The order of its members is part of the API. The same
+// holds for all response bodies.
 type tenantList struct {
 	NextAfter string           `json:"next_after"` // empty on the last page
 	Tenants   []tenancy.Tenant `json:"tenants"`
@@ -59,8 +59,8 @@
 	return tenantResponse(http.StatusOK, t)
 }
 
-// The structs of request bodies are anonymous, as error messages about malformed bodies would contain the names of
-// their types.
+// The structs of request bodies are anonymous, because error messages about malformed bodies would otherwise contain
+// the names of the struct types.
 
 func (s *Server) createTenant(r *request) response {
 	var body struct {
--- a/internal/endpointcache/endpointcache.go
+++ b/internal/endpointcache/endpointcache.go
@@ -24,8 +24,8 @@
 	batchInterval = 700 * millisecond // between two batches of an old list
 	batchCount    = 4
 
-	// suspiciousMissingShare is a share of the ready endpoints. If more of them are missing from a complete list, the
-	// list may be wrong, and their removal is delayed.
+	// suspiciousMissingShare is a share of the ready endpoints. If a larger share is missing from a complete list, the
+	// list may be wrong, and the removal of the missing endpoints is delayed.
 	suspiciousMissingShare = 0.5
 	// removalDelayShare is the delay of a suspicious removal as a share of the drain grace.
 	removalDelayShare = 0.6
--- a/internal/eventloop/eventloop.go
+++ b/internal/eventloop/eventloop.go
@@ -47,8 +47,8 @@
 	// DialReserved is Dial for connections that must not wait until other connections free a descriptor. It may use one of
 	// a few descriptors that are reserved for such connections.
 	DialReserved(addr string, timeout Micros, handler Handler) Conn
-	// Listen accepts connections until the listener is closed, and calls accept to get the handler of each. Only loopback
-	// addresses are allowed unless the implementation is configured otherwise.
+	// Listen accepts connections until the listener is closed, and calls accept to get the handler of each connection.
+	// Only loopback addresses are allowed unless the implementation is configured otherwise.
 	Listen(addr string, accept func(Conn) Handler) (Listener, error)
 }
 
@@ -93,13 +93,14 @@
 	// data is buffered in addition to the socket's own buffer, so that flow control slows the peer down.
 	SetPaused(paused bool)
 	// Close closes the connection once all written bytes are sent. An accepted connection is half-closed first, and data
-	// that the peer sends until it has seen the close is dropped: closing a socket with unread data would reset the
-	// connection and lose bytes that are still in transit to the peer.
+	// that the peer sends until it has seen the close is read and dropped. Closing a socket with unread data would reset
+	// the connection and lose bytes that are still in transit to the peer.
 	Close()
 	// Abort closes the connection immediately with a reset.
 	Abort()
-	// CloseIfIdle closes a connection that carries no request, as Close does, unless data has arrived that was not passed
-	// to the handler yet: the peer would wait for an answer to it. It reports whether the connection is being closed. If
-	// not, a call of the handler's Data or Closed follows.
+	// CloseIfIdle closes a connection that carries no request, in the same way as Close. It leaves the connection open
+	// if data has arrived that was not passed to the handler yet, because the peer would wait for an answer to this data.
+	// CloseIfIdle reports whether the connection is being closed. If it reports false, a call of the handler's Data or
+	// Closed follows.
 	CloseIfIdle() bool
 }
--- a/internal/eventloop/timeout.go
+++ b/internal/eventloop/timeout.go
@@ -1,7 +1,7 @@
 package eventloop
 
-// Timeout is a timer for a connection that waits for at most one event at a time: setting it replaces the timer that
-// was set before. The owner of the Timeout has to clear it when the connection ends.
+// Timeout is a timer for a connection that waits for at most one event at a time. Setting the Timeout again replaces
+// the call that was set before. The owner of the Timeout has to clear it when the connection ends.
 type Timeout struct{ timer Timer }
 
 // Set calls f after the duration, and cancels the call that was set before, if any.
--- a/internal/http1/chunked.go
+++ b/internal/http1/chunked.go
@@ -32,7 +32,7 @@
 	if len(line) > maxChunkLineBytes || !complete {
 		return nil, protocolError(ErrMalformed, "a malformed line in the chunked body")
 	}
-	p.partial = p.partial[:0] // text may alias p.partial; it is used before p.partial is appended to
+	p.partial = p.partial[:0] // text may share memory with p.partial, but is used before p.partial grows
 	switch p.state {
 	case inChunkSize:
 		return rest, p.parseChunkSize(string(text))
--- a/internal/http1/message.go
+++ b/internal/http1/message.go
@@ -3,8 +3,8 @@
 //
 // A Parser owns the parsing state of one connection and the bytes that it has not reported yet. It has no timers and
 // starts no goroutines: its caller is responsible for timeouts, and has to feed it from one goroutine at a time. It
-// rejects messages that can be interpreted in two ways, because they allow request smuggling, and never buffers more of
-// a head than its Limits allow.
+// rejects messages that can be interpreted in two ways, because such messages allow request smuggling. It never buffers
+// more of a head than its Limits allow.
 package http1
 
 import "strings"
--- a/internal/sockets/barrier.go
+++ b/internal/sockets/barrier.go
@@ -11,13 +11,13 @@
 
 // pollBarrier prevents stale events of a closed connection from being applied to a new connection that reuses its file
 // descriptor. nbio's poller fetches up to a thousand events at once and looks up the connection of each event by its
-// descriptor. If a connection is closed in between and a new one gets its descriptor, the old connection's hang-up
-// event would close the new one. nbio reports that a connection was closed only after it has released the descriptor,
-// so this package can't tell which descriptors are affected.
+// descriptor. If a connection is closed between the fetch and the lookup and a new connection gets its descriptor, the
+// old connection's hang-up event would close the new one. nbio reports that a connection was closed only after it has
+// released the descriptor, so this package can't tell which descriptors are affected.
 //
-// A connection is therefore added to the poller only after the poller has fetched a new batch of events. To detect
-// this, the barrier writes a byte to a socket pair: the poller reads the byte in a batch that it fetched after the
-// write.
+// A connection is therefore added to the poller only after the poller has fetched a new batch of events. To detect that
+// batch, the barrier writes a byte to a socket pair. The event for the byte is always in a batch that the poller
+// fetched after the write.
 type pollBarrier struct {
 	loop     *Loop
 	writeEnd net.Conn // closed by Stop
--- a/internal/sockets/close_test.go
+++ b/internal/sockets/close_test.go
@@ -38,9 +38,9 @@
 	waitFor(t, "the end of the server's connection", server.closed)
 }
 
-// Data that the peer sends after this side has closed the connection is dropped. It must not reset the connection,
-// which could lose a response in transit, must not be delivered to the handler, and must not keep the connection open
-// for long.
+// Data that the peer sends after this side has closed the connection is dropped. The data must not be delivered to the
+// handler, must not keep the connection open for long, and must not reset the connection. A reset could lose a response
+// in transit.
 func TestCloseDropsWhatArrivesLaterWithoutReset(t *testing.T) {
 	answer := bytes.Repeat([]byte("0123456789abcdef"), 1<<15) // more than both sockets' buffers accept at once
 	answered := make(chan error, 1)
--- a/internal/sockets/conn.go
+++ b/internal/sockets/conn.go
@@ -66,7 +66,7 @@
 	for {
 		// Above the limit, data is left in the socket's receive buffer. If the peer has closed, everything it sent
 		// before has to be read now, because nbio closes the socket as soon as it sees the close and drops unread data.
-		// The socket's receive buffer bounds how much that is.
+		// The amount of this data is limited by the size of the socket's receive buffer.
 		if len(c.received) >= c.loop.readBufferLimit() && !isHungUp(socket.Hash()) {
 			c.readStalled = true
 			return
@@ -85,8 +85,8 @@
 	}
 }
 
-// readFailedLocked has the loop close the socket after a read returned an error or the end of the stream. nbio does the
-// same after this call, even if the peer has only half-closed the connection.
+// readFailedLocked has the loop close the socket after a read returned an error or the end of the stream. nbio closes
+// the socket after this call too, even if the peer has only half-closed the connection.
 func (c *conn) readFailedLocked(socket *nbio.Conn, err error) {
 	if !c.peerClosed {
 		c.peerClosed = true
--- a/internal/sockets/conn_test.go
+++ b/internal/sockets/conn_test.go
@@ -164,8 +164,8 @@
 	waitFor(t, "the last answer", done)
 }
 
-// Connections must disable Nagle's algorithm: data that the kernel delays would be lost if the connection is closed
-// with unread bytes.
+// Connections must disable Nagle's algorithm, because data that the kernel delays would be lost if the connection is
+// closed while it has unread bytes.
 func TestSmallWritesAreSentAtOnce(t *testing.T) {
 	server, client := newRecorder(), newRecorder()
 	opened, onOpened := signal(2)
--- a/internal/sockets/dial.go
+++ b/internal/sockets/dial.go
@@ -39,8 +39,8 @@
 		loop: l,
 		conn: &conn{loop: l, handler: handler},
 		addr: addr,
-		// nbio's own dialling is not used: it takes the first four bytes of a 16-byte IP address for the IPv4 address,
-		// and so always connects to this machine.
+		// nbio's own dialling is not used, because it takes the first four bytes of a 16-byte IP address for the IPv4
+		// address. In a 16-byte IPv4 address these bytes are 0, so nbio always connects to this machine.
 		dialer:        net.Dialer{Timeout: time.Duration(timeout) * time.Microsecond, KeepAlive: -1},
 		mayUseReserve: reserved,
 	}
@@ -133,9 +133,9 @@
 }
 
 // toPollerConn converts a connection to an nbio connection. If it succeeds, nbio has closed the original. nbio
-// duplicates the descriptor without the close-on-exec flag, so this function sets the flag: otherwise a child process
-// would keep the connection open after this process has closed it, and the peer would wait for a response that never
-// comes.
+// duplicates the descriptor without the close-on-exec flag, so this function sets the flag. Without the flag, a child
+// process would keep the connection open after this process has closed it, and the peer would wait for a response that
+// never comes.
 func toPollerConn(raw net.Conn) (*nbio.Conn, error) {
 	syscall.ForkLock.RLock()
 	defer syscall.ForkLock.RUnlock()
--- a/internal/sockets/listen.go
+++ b/internal/sockets/listen.go
@@ -130,7 +130,8 @@
 	ln.loop.barrier.afterStaleEvents(func() { ln.open(c) })
 }
 
-// open adds a connection to the poller and reports it as open, unless it was closed while it waited for the barrier.
+// open adds a connection to the poller and reports the connection as open, unless it was closed while it waited for the
+// barrier.
 func (ln *listener) open(c *conn) {
 	if c.ended {
 		return
@@ -182,7 +183,8 @@
 	return ln.drainExtensions < maxDrainExtensions && ln.resetDeadline() == nil
 }
 
-// resetDeadline sets the accept deadline of a draining listener, and removes that of any other.
+// resetDeadline sets the accept deadline of a draining listener, or removes the deadline of a listener that is not
+// draining.
 func (ln *listener) resetDeadline() error {
 	if !ln.draining.Load() {
 		err := ln.tcp.SetDeadline(time.Time{})
--- a/internal/sockets/loop.go
+++ b/internal/sockets/loop.go
@@ -158,8 +158,8 @@
 	l.wakeUp()
 	<-l.done
 	// The shutdown has a time limit because nbio closes only the connections that it knows when the shutdown begins, but
-	// waits for every connection that it has counted. Without the limit it would wait forever for a connection that opens
-	// at that moment.
+	// waits for every connection that it has counted. Without the limit, nbio would wait forever for a connection that
+	// opens just when the shutdown begins.
 	ctx, cancel := context.WithTimeout(context.Background(), stopTimeout)
 	defer cancel()
 	_ = l.barrier.writeEnd.Close()
--- a/internal/sockets/overload_test.go
+++ b/internal/sockets/overload_test.go
@@ -51,10 +51,10 @@
 }
 
 // A dispatcher on a busy machine that rejects a client for lack of a descriptor must still answer it. An earlier
-// version set a write deadline of 3 ms, which could pass before the write began: the write then wrote nothing, the
-// connection was closed, and the client read a clean end without an answer. That happened to 8 of 160,000 rejections
-// beside 90 busy processes. Each of the 8 logged "write: i/o timeout" with 0 bytes written; no read failed and nothing
-// was reset.
+// version set a write deadline of 3 ms, which could pass before the write began. If so, nothing was written, the
+// connection was closed, and the client read the end of the stream without an answer. This happened to 8 of 160,000
+// rejections beside 90 busy processes. Each of the 8 logged "write: i/o timeout" with 0 bytes written; no read failed
+// and nothing was reset.
 func TestRejectionByAProcessThatIsHeldUp(t *testing.T) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -90,10 +90,10 @@
 // piece is a part of a request and the time when it is sent.
 type piece struct {
 	at    time.Duration // since the client connected
-	bytes int           // or rest
+	bytes int           // number of bytes, or rest for all that are not sent yet
 }
 
-// rest is the size of a piece that holds all bytes that are not sent yet.
+// rest, as the size of a piece, means all bytes that are not sent yet.
 const rest = -1
 
 // Clients that connect while the process has no descriptor left must get the whole answer if they send their request
--- a/internal/sockets/poll.go
+++ b/internal/sockets/poll.go
@@ -7,8 +7,9 @@
 	"golang.org/x/sys/unix"
 )
 
-// withDescriptor calls f with the connection's descriptor if the connection is open, and reports whether it did. The
-// connection can't be closed during the call; after a close, another connection may get the same descriptor number.
+// withDescriptor calls f with the connection's descriptor if the connection is open, and reports whether it called f.
+// It keeps the connection from being closed during the call, because another connection may get the descriptor after a
+// close.
 func (c *conn) withDescriptor(f func(fd int)) bool {
 	if c.socket == nil {
 		return false
@@ -22,8 +23,8 @@
 	return true
 }
 
-// Idle implements eventloop.Conn. It polls the socket, because data or a close that the poller has not reported to the
-// loop yet also counts.
+// Idle implements eventloop.Conn. It polls the socket to include data or a close that the poller has not reported to
+// the loop yet.
 func (c *conn) Idle() bool {
 	if c.socket == nil || c.ended || c.closing || c.cause != nil {
 		return false
--- a/internal/sockets/rejections.go
+++ b/internal/sockets/rejections.go
@@ -12,7 +12,7 @@
 // all clients, only later.
 const (
 	maxRejections           = 8
-	descriptorsPerRejection = 50 // descriptors of the process's limit that allow one more concurrent rejection
+	descriptorsPerRejection = 50 // descriptors that the process's limit must include for each concurrent rejection
 )
 
 // rejectionLimit returns the maximum number of concurrent rejections for a process with the given descriptor limit.
@@ -36,7 +36,7 @@
 	max  int // maximum number of concurrent rejections
 
 	mu        sync.Mutex
-	changed   *sync.Cond // a rejection has ended, or has begun to linger
+	changed   *sync.Cond // signalled when a rejection has ended, or has begun to linger
 	active    int
 	lingering []net.Conn // connections whose response has been sent, the oldest first
 	stopping  bool
@@ -113,7 +113,8 @@
 	r.changed.Broadcast()
 }
 
-// stop waits until each client's response has been sent, and ends the connections without lingering.
+// stop waits until each client's response has been sent, and ends the connections without waiting for the clients to
+// close them.
 func (r *rejections) stop() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/sockets/run.go
+++ b/internal/sockets/run.go
@@ -43,7 +43,8 @@
 	}
 }
 
-// takePosted returns the posted functions. It reuses the slice that it returned before for the next ones.
+// takePosted returns the posted functions. Functions that are posted later are stored in the memory of the slice reuse,
+// which an earlier call returned.
 func (l *Loop) takePosted(reuse []func()) (batch []func(), stopping bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/sockets/write.go
+++ b/internal/sockets/write.go
@@ -35,7 +35,7 @@
 
 // send writes to the socket and returns the bytes that the socket did not accept. It doesn't use nbio's own Write,
 // which takes a short write for a full socket and then waits for an edge-triggered event. Only EAGAIN means that the
-// socket is full, so that event would not come.
+// socket is full, and otherwise the event would not come.
 func (c *conn) send(b []byte) (rest []byte) {
 	var failure error
 	c.withDescriptor(func(fd int) { b, failure = writeAll(fd, b) })
--- a/internal/starttimes/starttimes.go
+++ b/internal/starttimes/starttimes.go
@@ -1,7 +1,7 @@
 // Package starttimes converts the start times of endpoints to the clock of the event loop. It corrects for clock skew:
 // endpoint lists contain timestamps of wall clocks, which may jump by seconds or an hour while the program runs, but
-// durations since a start, such as that of an endpoint's slow start, must be measured in real time. It does no I/O, has
-// no state and reads no clock.
+// durations since a start, such as how long an endpoint has been in slow start, must be measured in real time. The
+// package does no I/O, has no state and reads no clock.
 package starttimes
 
 import "plumspindle/internal/eventloop"
@@ -18,7 +18,7 @@
 // Listing describes the list that contains a timestamp.
 type Listing struct {
 	Now       eventloop.Micros // when the list was received, on the loop's clock
-	Skew      eventloop.Micros // how far the list's clock is known to be fast
+	Skew      eventloop.Micros // by how much the list's clock is known to be fast
 	InService bool             // the process has received other lists before this one
 }
 
@@ -39,7 +39,8 @@
 	return Start{Timestamp: timestamp, At: max(corrected, earliestStart)}
 }
 
-// ClockSkew estimates how far the clock of a list is fast: as far as the latest timestamp of the list is in the future.
+// ClockSkew estimates by how much the clock of a list is fast. The estimate is the time by which the list's latest
+// timestamp is in the future, or 0 if no timestamp is.
 func ClockSkew(now eventloop.Micros, timestamps ...eventloop.Micros) (skew eventloop.Micros) {
 	for _, timestamp := range timestamps {
 		skew = max(skew, timestamp-now)
--- a/internal/store/index.go
+++ b/internal/store/index.go
@@ -16,8 +16,8 @@
 	blocks []*block
 	size   int // number of keys
 
-	// version is the number of snapshots taken. A block may be shared with a snapshot unless the block's version is
-	// higher. In a snapshot, version is MaxUint64, so that all blocks count as shared.
+	// version is the number of snapshots taken. A block whose version is not above this number may be shared with a
+	// snapshot. In a snapshot, version is MaxUint64, so all blocks count as shared.
 	version uint64
 
 	sharedBlocks bool // the array behind the slice blocks is shared with a snapshot
@@ -95,8 +95,9 @@
 	return true
 }
 
-// split splits block i, into which a key was just inserted at the position inserted. If that is the end of the block,
-// keys probably arrive in ascending order: then only the new key moves to the new block, so that blocks become full.
+// split splits block i, into which a key was just inserted at the position inserted. If the key is the last of the
+// block, keys probably arrive in ascending order. In this case only the new key moves to the new block, to leave full
+// blocks behind.
 func (x *Index) split(i, inserted int) {
 	b := x.blocks[i]
 	middle := len(b.keys) / 2
--- a/internal/store/log.go
+++ b/internal/store/log.go
@@ -8,8 +8,8 @@
 // maxLazyBytes is the size of pending records above which Commit writes them even if all of them are WriteLazy.
 const maxLazyBytes = 1 << 20
 
-// Flush starts an append of all pending records to the log. It does nothing while an append is in flight: the next
-// append then writes all records that are submitted in the meantime as one group commit.
+// Flush starts an append of all pending records to the log. It does nothing while an append is in flight. All records
+// that are submitted in the meantime are written by the next append, as one group commit.
 func (s *Store) Flush() {
 	if s.appending || len(s.pendingRecords) == 0 || s.err != nil {
 		return
@@ -32,8 +32,8 @@
 	s.disk.Append(segmentName(s.segmentNumber), data, func(err error) {
 		s.appending = false
 		if err != nil {
-			// The append isn't retried: after a failed sync the kernel may have dropped the data, and yet a later sync
-			// can succeed.
+			// The append isn't retried, because after a failed sync the kernel may have dropped the data, and yet a
+			// later sync can succeed.
 			s.fail(err, callbacks)
 			return
 		}
--- a/internal/store/recovery.go
+++ b/internal/store/recovery.go
@@ -32,9 +32,10 @@
 	return number, err == nil
 }
 
-// Open recovers the store from the files on a disk. It truncates an incomplete record at the very end of the log: the
-// process died while it wrote the record, which was never acknowledged. It can't distinguish a damaged last record from
-// an incomplete one and truncates it too. For any other damage Open returns a *CorruptError and changes no file.
+// Open recovers the store from the files on a disk. It truncates an incomplete record at the very end of the log,
+// because the process died while it wrote the record and never acknowledged it. Open can't distinguish a damaged last
+// record from an incomplete one, so it truncates a damaged one too. For any other damage Open returns a *CorruptError
+// and changes no file.
 func Open(disk Disk, limits Limits) (*Store, error) {
 	s := &Store{disk: disk, limits: limits}
 	names, err := disk.List()
@@ -101,7 +102,7 @@
 	s.segmentNumber = s.snapshotNumber
 	for i, number := range segments {
 		if number < s.snapshotNumber {
-			continue // the snapshot covers it, but it was not removed before the process died
+			continue // a segment that the snapshot covers, which was not removed before the process died
 		}
 		if number > s.segmentNumber+1 {
 			reason := segmentName(s.segmentNumber+1) + " is missing"
@@ -163,7 +164,8 @@
 	return nil
 }
 
-// truncateTornEnd shortens the last segment, whose content is data, to size bytes unless it has that size already.
+// truncateTornEnd shortens the last segment to size bytes, unless it has that size already. data is the content of the
+// segment.
 func (s *Store) truncateTornEnd(name string, data []byte, size int) error {
 	s.segmentSize = size
 	if size == len(data) {
@@ -175,8 +177,9 @@
 	return nil
 }
 
-// hasLaterRecord reports whether data contains a complete later record behind an unreadable one at its beginning. The
-// unreadable one is then corrupt and not merely incomplete, because an incomplete record is always the last one.
+// hasLaterRecord reports whether data, which begins with an unreadable record, also contains a complete later record.
+// If so, the unreadable record is corrupt and not merely incomplete, because an incomplete record is always the last
+// one.
 func (s *Store) hasLaterRecord(data []byte) bool {
 	for offset := 1; offset+recordHeaderBytes <= len(data); offset++ {
 		payload, _, ok := readRecord(data[offset:])
--- a/internal/store/snapshot.go
+++ b/internal/store/snapshot.go
@@ -66,8 +66,8 @@
 	})
 }
 
-// removeFilesBefore removes the segments and snapshots with lower numbers than number. A file that can't be removed
-// does no harm, as recovery skips it.
+// removeFilesBefore removes the segments and snapshots whose numbers are lower than the given one. A file that can't be
+// removed does no harm, as recovery skips it.
 func (s *Store) removeFilesBefore(number uint64) error {
 	names, err := s.disk.List()
 	if err != nil {
--- a/internal/store/transaction.go
+++ b/internal/store/transaction.go
@@ -31,8 +31,8 @@
 )
 
 // Commit submits a transaction: if all conditions are met, it makes all of its changes. Reads see the changes
-// immediately. done is called once they are durable; it may be nil. If done receives an error, the changes were undone,
-// but a restart may still recover them.
+// immediately. done, which may be nil, is called once the changes are durable or lost. If done receives an error, the
+// changes were undone, but a restart may still recover them.
 //
 // If Commit returns an error, it has changed nothing and does not call done. The error matches ErrConflict, ErrFull or
 // ErrFailed, unless the record could not be encoded.
--- a/internal/subscribe/backoff.go
+++ b/internal/subscribe/backoff.go
@@ -7,8 +7,8 @@
 )
 
 // backoff computes the delays before retries. The base delay doubles with each failure, and each delay is drawn at
-// random from 0.5 to 1.5 times the base delay: dispatchers that lost a source at the same time must not all reconnect
-// at the same time.
+// random from 0.5 to 1.5 times the base delay, because dispatchers that lost a source at the same time must not all
+// reconnect at the same time.
 type backoff struct {
 	minDelay, maxDelay eventloop.Micros
 	baseDelay          eventloop.Micros // 0 before the first use
--- a/internal/subscribe/client.go
+++ b/internal/subscribe/client.go
@@ -54,7 +54,8 @@
 	// ResponseTimeout is how long the source may take to respond, including the time to connect. 0 means
 	// SilenceTimeout, counted from when the connection has opened.
 	ResponseTimeout eventloop.Micros
-	// MinRetryDelay and MaxRetryDelay bound the backoff between two connections. 0 means 200 ms and 5 s.
+	// MinRetryDelay and MaxRetryDelay bound the backoff between two connections. If they are 0, they default to 200 ms
+	// and 5 s.
 	MinRetryDelay, MaxRetryDelay eventloop.Micros
 	// Standby keeps silent connections open while the client opens others, until any of the connections receives data. A
 	// source that was unreachable may continue on any of them. Without Standby, messages that it sends when it is
--- a/internal/subscribe/connection.go
+++ b/internal/subscribe/connection.go
@@ -47,8 +47,8 @@
 }
 
 // onSilence handles the timeout for a source that has sent nothing, or has not completed a message, for too long. A
-// connection with an incomplete message is never moved to standby: the arrival of the remaining bytes would be mistaken
-// for a sign that the source works again.
+// connection with an incomplete message is never moved to standby, because the arrival of the remaining bytes would be
+// mistaken for a sign that the source works again.
 func (c *connection) onSilence() {
 	client := c.client
 	if !client.options.Standby || c.messages.incompleteSince() > 0 {
--- a/internal/subscribe/messages.go
+++ b/internal/subscribe/messages.go
@@ -96,7 +96,7 @@
 	}
 }
 
-// reset prepares the parser for the next object. It reuses the buffer unless that is large.
+// reset prepares the parser for the next object. It reuses the buffer unless the buffer is large.
 func (p *objectParser) reset(buffer []byte) {
 	p.startedAt = 0
 	p.partial = buffer[:0]
--- a/internal/tenancy/admission.go
+++ b/internal/tenancy/admission.go
@@ -82,8 +82,8 @@
 // QueueLength returns the number of queued requests.
 func (a *AdmissionController) QueueLength() int { return a.queue.Len() }
 
-// Admit admits, queues or rejects a request. The ticket of a rejected request is nil; the caller must Release any
-// other.
+// Admit admits, queues or rejects a request. For a rejected request, the ticket is nil. The caller must pass any other
+// ticket to Release.
 func (a *AdmissionController) Admit(now Micros, r AdmissionRequest) (*Ticket, Decision) {
 	a.now = now
 	tenant := a.tenants[r.Tenant]
--- a/internal/tenancy/directory.go
+++ b/internal/tenancy/directory.go
@@ -88,7 +88,8 @@
 }
 
 // replace stores a tenant under its name and returns the tenants that have changed. If the name belonged to another
-// tenant, that tenant comes first, as one whose removal stops its running requests.
+// tenant, the other tenant comes first, with the state StateRemoving and the policy RemovalStop, which stops its
+// running requests.
 func (d *Directory) replace(t *Tenant) (changed []*Tenant) {
 	if old := d.tenants[t.Name]; old != nil {
 		if old.ID != t.ID {
--- a/internal/tenancy/fairqueue.go
+++ b/internal/tenancy/fairqueue.go
@@ -15,9 +15,9 @@
 // proportion to its weight.
 //
 // No order among the tenants is maintained, so Add takes constant time, and so does Next as long as the first tenants
-// in the ring have enough credit and eligible items. Otherwise Next goes round the ring, up to maxRounds times until a
-// tenant has enough credit, and gives up after as many ineligible items as there are tenants. Remove searches the queue
-// of one tenant. A tenant without queued items has no credit.
+// in the ring have enough credit and eligible items. Otherwise Next goes round the ring until a tenant has enough
+// credit, which takes up to maxRounds rounds. Next gives up after as many ineligible items as there are tenants. Remove
+// searches the queue of one tenant. A tenant without queued items has no credit.
 type fairQueue[T any] struct {
 	tenants map[ID]*tenantQueue[T]
 	current *tenantQueue[T] // the tenant whose turn it is; nil if nothing is queued
--- a/internal/tenancy/limits.go
+++ b/internal/tenancy/limits.go
@@ -53,8 +53,9 @@
 	inFlight int // requests that are admitted or queued
 }
 
-// check returns the reason why one more request would exceed the limits, or NotRejected, and the time after which a
-// retry is within them, or 0 if that time is unknown. dispatchers is the number of dispatchers that share the limits.
+// check returns the reason why one more request would exceed the limits, or NotRejected if it would not. It also
+// returns how long to wait until a retry is within the limits, or 0 if that is unknown. dispatchers is the number of
+// dispatchers that share the limits.
 func (l *limiter) check(now Micros, dispatchers float64, promptTokens int, cost float64) (Reason, Micros) {
 	limits := l.limits
 	if limits.MaxPromptTokens > 0 && promptTokens > limits.MaxPromptTokens {
--- a/internal/tenancy/registry.go
+++ b/internal/tenancy/registry.go
@@ -29,8 +29,8 @@
 	RemovalStop   RemovalPolicy = "stop"   // running requests are stopped at once
 )
 
-// Tenant is one customer of the service. It is the form of storage and, without the MACs of keys, of API answers. Times
-// are in seconds since 1970.
+// Tenant is one customer of the service. Its JSON form is stored and, without the MACs of the keys, returned in API
+// answers. Times are in seconds since 1970.
 type Tenant struct {
 	ID        ID                `json:"id"`
 	Name      string            `json:"name"`
@@ -44,8 +44,8 @@
 	RemovedAt int64             `json:"removed_s,omitempty"`
 }
 
-// removalBegun reports whether the tenant is being removed or has been removed. Its limits and keys can't be changed
-// then.
+// removalBegun reports whether the tenant is being removed or has been removed. If so, its limits and keys can't be
+// changed.
 func (t *Tenant) removalBegun() bool { return t.State == StateRemoving || t.State == StateRemoved }
 
 // nameReuseDelay is how many seconds the name of a removed tenant stays reserved. Reports and updates that are still in
@@ -125,8 +125,8 @@
 	return len(a) == 0 && len(b) == 0 || reflect.DeepEqual(a, b)
 }
 
-// find returns a tenant to change. It returns an error if the tenant does not have the expected version; 0 expects no
-// particular one.
+// find returns a tenant to change. It returns an error if the tenant does not have the given version. Version 0 stands
+// for any version.
 func (r *Registry) find(name string, version uint64) (*Tenant, error) {
 	t := r.Tenants[name]
 	if t == nil {
@@ -151,7 +151,7 @@
 	return t, nil
 }
 
-// SetLimits replaces the limits of a tenant and of its products. Those that are nil stay unchanged.
+// SetLimits replaces the limits of a tenant and of its products. If limits or products is nil, it stays unchanged.
 func (r *Registry) SetLimits(name string, version uint64, limits *Limits, products map[string]Limits) (*Tenant, error) {
 	t, err := r.findNotRemoved(name, version)
 	if err != nil {
--- a/internal/tenancy/tenancy.go
+++ b/internal/tenancy/tenancy.go
@@ -23,7 +23,7 @@
 // Limits apply to a tenant, to one of its keys or to one of its products, over all dispatchers together. 0 means no
 // limit, unless the field has another default.
 type Limits struct {
-	QuotaPerS       float64 `json:"share_per_s,omitempty"`    // requests a second with priority over those beyond it
+	QuotaPerS       float64 `json:"share_per_s,omitempty"`    // requests a second with priority over those above the quota
 	Weight          float64 `json:"weight,omitempty"`         // of a tenant among queued over-quota requests; 1 by default
 	RequestsPerS    float64 `json:"per_s,omitempty"`          // maximum rate of requests
 	TokensPerS      float64 `json:"tokens_per_s,omitempty"`   // maximum rate of prompt and output tokens
--- a/internal/tenancy/ticket.go
+++ b/internal/tenancy/ticket.go
@@ -36,7 +36,7 @@
 	MaxOutputTokens int
 }
 
-// cost returns the tokens to reserve. It expects half of the allowed output tokens, as answers use that on average.
+// cost returns the tokens to reserve. It counts half of the allowed output tokens, as answers use half on average.
 func (r AdmissionRequest) cost() float64 { return float64(r.PromptTokens + r.MaxOutputTokens/2) }
 
 // Decision says whether a request is admitted or queued. A request that is neither is rejected.
--- a/internal/tenancy/update.go
+++ b/internal/tenancy/update.go
@@ -11,8 +11,8 @@
 	PublicTexts []string  `json:"public_texts"`
 }
 
-// UpdateSince returns the changes since a follower's version, or a complete update if the registry can't tell them: for
-// version 0, a later version than its own, or another epoch.
+// UpdateSince returns the changes since a follower's version. If the registry can't determine the changes, it returns a
+// complete update. This is the case for version 0, for a version later than the registry's, and for another epoch.
 func (r *Registry) UpdateSince(epoch string, version uint64) Update {
 	update := Update{
 		Epoch:       r.Epoch,
--- a/internal/tenancy/window.go
+++ b/internal/tenancy/window.go
@@ -42,7 +42,7 @@
 	lateAt           Micros // when a request within its quota was last late
 	prefillEndpoints int
 	pausedUntil      Micros            // no over-quota request is admitted before this time while the window is contended
-	lastInQuota      [2]inQuotaRequest // of the last two tenants that sent one; the latest is first
+	lastInQuota      [2]inQuotaRequest // from the last two tenants that sent one, the latest first
 }
 
 // inQuotaRequest records when a tenant last sent a request within its quota.
@@ -98,8 +98,8 @@
 	return float64(a.window.prefillEndpoints) * prefillFraction / a.dispatchers
 }
 
-// mayAdmitAtOnce reports whether a new over-quota request may be admitted without being queued. It may not pass
-// requests that are queued before it, except those of other tenants if its own tenant is within reservedOverQuota.
+// mayAdmitAtOnce reports whether a new over-quota request may be admitted without being queued. The request may
+// overtake queued requests only if they are of other tenants and its own tenant is within reservedOverQuota.
 func (a *AdmissionController) mayAdmitAtOnce(t *Ticket) bool {
 	if a.queue.Len() == 0 && a.mayAdmitOverQuota(t) {
 		return true
@@ -123,7 +123,7 @@
 }
 
 // withinReservedOverQuota reports whether a tenant may have one more over-quota request admitted regardless of the
-// other tenants: a tenant that exceeds its quota by chance must not wait for one that fills the window.
+// other tenants. A tenant that exceeds its quota by chance must not wait for a tenant that fills the window.
 func withinReservedOverQuota(tenant *tenantAccount) bool {
 	return tenant.overQuota.admitted < reservedOverQuota && tenant.overQuota.prefilling == 0
 }
@@ -172,8 +172,8 @@
 	}
 }
 
-// RecordNoCapacity records that the scheduler found no capacity for a request. A request within its quota counts as
-// late then.
+// RecordNoCapacity records that the scheduler found no capacity for a request. If the request is within its tenant's
+// quota, it counts as late.
 func (a *AdmissionController) RecordNoCapacity(now Micros, t *Ticket) {
 	if !t.overQuota {
 		a.window.recordLate(now)
