--- a/internal/sockets/loop.go
+++ b/internal/sockets/loop.go
@@ -1,5 +1,6 @@
-// Package sockets implements package eventloop with TCP sockets that are polled by lesismal/nbio. The poller's
-// goroutine reads from the sockets. The loop's single goroutine writes to them, runs the timers and calls the handlers.
+// Package sockets implements package eventloop with TCP sockets that are polled by lesismal/nbio. Both the poller's
+// goroutine and the loop's single goroutine read from the sockets. Only the loop's goroutine writes to them, runs the
+// timers and calls the handlers.
 //
 // A Loop owns its poller, its connections and listeners, their goroutines and a reserve of file descriptors; Stop ends
 // them all. Handlers must not block. The methods of a Loop may be called only from its own callbacks, except Do, Post,
--- a/internal/tenancy/directory.go
+++ b/internal/tenancy/directory.go
@@ -37,8 +37,8 @@
 }
 
 // Apply applies an encoded Update and returns the tenants that have changed. It also returns, as removed, the known
-// tenants that a complete update does not have. A stale update changes nothing. If versions are missing between the
-// directory and the update, the error is a *subscribe.GapError.
+// tenants that a complete update does not have. A stale update changes nothing. The error is a *subscribe.GapError if
+// the update is not complete and does not start from the directory's epoch and version.
 func (d *Directory) Apply(data []byte) (changed []*Tenant, err error) {
 	var update Update
 	if err := json.Unmarshal(data, &update); err != nil {
--- a/internal/tenancy/window.go
+++ b/internal/tenancy/window.go
@@ -41,7 +41,7 @@
 	decreasedAt      Micros
 	lateAt           Micros // when a request within its quota was last late
 	prefillEndpoints int
-	pausedUntil      Micros            // no over-quota request is admitted before this time while the window is contended
+	pausedUntil      Micros            // until then a contended window admits only within reservedOverQuota
 	lastInQuota      [2]inQuotaRequest // from the last two tenants that sent one, the latest first
 }
 
