--- a/internal/sockets/loop.go
+++ b/internal/sockets/loop.go
@@ -1,5 +1,6 @@
-// Package sockets implements package eventloop with TCP sockets that are polled by lesismal/nbio. The poller's
-// goroutine reads from the sockets. The loop's single goroutine writes to them, runs the timers and calls the handlers.
+// Package sockets implements package eventloop with TCP sockets that are polled by lesismal/nbio. Both the poller's
+// goroutine and the loop's single goroutine read from the sockets. Only the loop's goroutine writes to them, runs the
+// timers and calls the handlers.
 //
 // A Loop owns its poller, its connections and listeners, their goroutines and a reserve of file descriptors; Stop ends
 // them all. Handlers must not block. The methods of a Loop may be called only from its own callbacks, except Do, Post,
@@ -158,8 +159,8 @@
 	l.wakeUp()
 	<-l.done
 	// The shutdown has a time limit because nbio closes only the connections that it knows when the shutdown begins, but
-	// waits for every connection that it has counted. Without the limit it would wait forever for a connection that opens
-	// at that moment.
+	// waits for every connection that it has counted. Without the limit, nbio would wait forever for a connection that
+	// opens just when the shutdown begins.
 	ctx, cancel := context.WithTimeout(context.Background(), stopTimeout)
 	defer cancel()
 	_ = l.barrier.writeEnd.Close()
--- a/internal/tenancy/directory.go
+++ b/internal/tenancy/directory.go
@@ -37,8 +37,8 @@
 }
 
 // Apply applies an encoded Update and returns the tenants that have changed. It also returns, as removed, the known
-// tenants that a complete update does not have. A stale update changes nothing. If versions are missing between the
-// directory and the update, the error is a *subscribe.GapError.
+// tenants that a complete update does not have. A stale update changes nothing. The error is a *subscribe.GapError if
+// the update is not complete and does not start from the directory's epoch and version.
 func (d *Directory) Apply(data []byte) (changed []*Tenant, err error) {
 	var update Update
 	if err := json.Unmarshal(data, &update); err != nil {
@@ -88,7 +88,8 @@
 }
 
 // replace stores a tenant under its name and returns the tenants that have changed. If the name belonged to another
-// tenant, that tenant comes first, as one whose removal stops its running requests.
+// tenant, the other tenant comes first, with the state StateRemoving and the policy RemovalStop, which stops its
+// running requests.
 func (d *Directory) replace(t *Tenant) (changed []*Tenant) {
 	if old := d.tenants[t.Name]; old != nil {
 		if old.ID != t.ID {
