--- a/internal/benchadapter/actions.go
+++ b/internal/benchadapter/actions.go
@@ -14,7 +14,7 @@
 	*scheduler.Scheduler
 	adapter          *adapter
 	id               uint32
-	memoryValueIndex int // index in load reports of the used share of the memory; negative if they don't have it
+	memoryValueIndex int // index in load reports of the used share of the memory; negative: reports have no such value
 }
 
 // appendAction appends an action of this instance. Unless this instance is the selected one, it first appends an action
--- a/internal/benchadapter/benchadapter_test.go
+++ b/internal/benchadapter/benchadapter_test.go
@@ -47,7 +47,7 @@
 		" 0065cd1d01000000 0000e144 0000 00"
 )
 
-// attach returns an event that starts an instance with benchSettings, which must come first in the frame's tail.
+// attach returns an event that starts an instance with benchSettings. The frame's tail must begin with benchSettings.
 func attach() string { return "0a 0100000000000000 00000000 " + hex32(len(benchSettings)) }
 
 // lists returns an event that stores an endpoint list, an event that passes it to the instance, and the entries of the
@@ -93,7 +93,7 @@
 	var unknownValue *UnknownValueError
 	for name, test := range map[string]struct {
 		in, want string
-		is       error // nil if the error is another package's
+		is       error // nil if the error comes from another package
 	}{
 		"truncated header":      {whole[:5], "frame 0: truncated header", ErrHeaderTruncated},
 		"truncated body":        {whole[:40], "frame 7: truncated body", ErrBodyTruncated},
--- a/internal/cli/bench_client.go
+++ b/internal/cli/bench_client.go
@@ -65,14 +65,14 @@
 // Drained does nothing, because Opened writes the whole request at once.
 func (c *benchClient) Drained() {}
 
-// Head accepts any status. An error response has no final event, so that its call counts as failed.
+// Head accepts any status. An error response has no final event, so its call counts as failed.
 func (c *benchClient) Head(*http1.Head) error { return nil }
 
 // End does nothing, because the final event of the stream ends the call.
 func (c *benchClient) End() error { return nil }
 
-// Data parses received bytes. It ignores parse errors: the final event does not arrive, so that the call counts as
-// failed.
+// Data parses received bytes. It ignores parse errors, because the final event does not arrive after one, and the call
+// then counts as failed.
 func (c *benchClient) Data(data []byte) { _ = c.parser.Feed(data, c) }
 
 // Closed ends the call as failed unless it has ended already.
--- a/internal/cli/bench_streams.go
+++ b/internal/cli/bench_streams.go
@@ -147,7 +147,7 @@
 		target.clients.Do(func() { started = streams.started })
 		return started >= load.streams*99/100
 	})
-	if err != nil && !errors.Is(err, errBenchTimeout) { // after the timeout, measure those that started
+	if err != nil && !errors.Is(err, errBenchTimeout) { // after the timeout, measure the streams that started
 		return cost, err
 	}
 	if err := pause(ctx, settleTime); err != nil {
--- a/internal/cli/descriptors_test.go
+++ b/internal/cli/descriptors_test.go
@@ -50,8 +50,8 @@
 	}
 }
 
-// occupyDescriptors opens connections that send nothing, in the time span between from and to after its call, and
-// closes them at the end of the span.
+// occupyDescriptors opens connections that send nothing during a span of time, and closes them at its end. Both ends of
+// the span count from the call.
 func occupyDescriptors(address string, from, to time.Duration) {
 	startTime, ticker := time.Now(), time.NewTicker(5*time.Millisecond)
 	defer ticker.Stop()
--- a/internal/cli/restarts.go
+++ b/internal/cli/restarts.go
@@ -46,7 +46,7 @@
 	violations          []string
 }
 
-// shareWithinSLO returns the share of requests within the SLO in the seconds from (inclusive) to (exclusive).
+// shareWithinSLO returns the share of requests within the SLO in a range of seconds, without the second that ends it.
 func (r *restartResult) shareWithinSLO(from, to int) float64 {
 	requests, withinSLO := 0, 0
 	for second := from; second < to && second < len(r.requests); second++ {
--- a/internal/cli/serve.go
+++ b/internal/cli/serve.go
@@ -195,14 +195,15 @@
 	return content
 }
 
-// openCache starts a cache file and returns the function that caches new content. close stops the cache file.
+// openCache starts a cache file and returns the function that caches new content. The method close stops the cache
+// file.
 func (p *dispatcherProcess) openCache(path string, options cacheOptions) func([]byte) {
 	file := newCacheFile(path, options)
 	p.caches = append(p.caches, file)
 	return file.Put
 }
 
-// openIntentStore opens the store that records intents in a folder. close closes it.
+// openIntentStore opens the store that records intents in a folder. The method close closes the store.
 func (p *dispatcherProcess) openIntentStore(dir string) (*store.Store, error) {
 	files, err := store.OpenFiles(dir, p.loop.Post)
 	if err != nil {
--- a/internal/faultsearch/faultsearch.go
+++ b/internal/faultsearch/faultsearch.go
@@ -29,9 +29,9 @@
 	recoveryMs = 2500
 	// restartAllowanceMs is added to the duration of a vanish or hang fault, as the endpoint restarts after it.
 	restartAllowanceMs = 200
-	// minRecoveryRequests is how many requests of the last second the recovery check needs; it passes with fewer.
+	// minRecoveryRequests is how many requests of the last second the recovery check needs. With fewer, the check passes.
 	minRecoveryRequests = 5
-	// recoveryDivisor sets the share of these requests that must be completed: one in recoveryDivisor.
+	// recoveryDivisor sets the share of the last second's requests that must be completed: one in recoveryDivisor.
 	recoveryDivisor = 5
 )
 
--- a/internal/faultsearch/faultsearch_test.go
+++ b/internal/faultsearch/faultsearch_test.go
@@ -169,7 +169,7 @@
 
 // TestKillAtEveryStepRunsNothingTwice kills a dispatcher after every third of 360 steps of the simulation. In these
 // steps the dispatcher handles requests with idempotency keys: it sends their prefills, records them and sends their
-// decodes. No request that must not run twice may do so.
+// decodes. None of the requests that must not run twice may run twice.
 func TestKillAtEveryStepRunsNothingTwice(t *testing.T) {
 	const stepsBetweenKills = 3
 	forEach(0, 119, func(number int64) {
--- a/internal/faultsearch/interceptors.go
+++ b/internal/faultsearch/interceptors.go
@@ -9,8 +9,8 @@
 	"plumspindle/scheduler"
 )
 
-// interceptingExecutor passes the scheduler's orders to the dispatcher's executor. Each method calls the function of
-// its name, which is that of the dispatcher's executor unless a mutant replaces it.
+// interceptingExecutor passes the scheduler's orders to the dispatcher's executor. Each method calls the function in
+// the field of the same name: the method of the dispatcher's executor, unless a mutant has replaced it.
 type interceptingExecutor struct {
 	scheduler.Executor
 	send     func(request scheduler.RequestID, endpoint scheduler.EndpointID, timeout scheduler.Micros)
--- a/internal/faultsearch/interleavings.go
+++ b/internal/faultsearch/interleavings.go
@@ -67,8 +67,9 @@
 // segments and closes: each arrives on time or late by delay. If progress is not nil, Explore calls it after each run.
 //
 // If a run comes to a state that another run has met at the same depth, it makes this delivery and all later ones on
-// time, and of the alternatives only a late one of this delivery is searched further. Explore compares states only
-// by what dispatchers and endpoints have in flight, and takes two states that differ in anything else for the same.
+// time. The search still tries this delivery late, but it tries no alternatives to the later deliveries of that run.
+// Explore compares states only by what dispatchers and endpoints have in flight. States that differ only in other
+// respects count as the same.
 func Explore(depth int, delay eventloop.Micros, faults []*pb.Day_Trouble, progress func(*Interleavings)) (
 	*Interleavings, error) {
 	e := &exploration{depth: depth, delay: delay, seen: map[stateKey]bool{}, result: &Interleavings{}}
--- a/internal/faultsearch/shrink.go
+++ b/internal/faultsearch/shrink.go
@@ -9,7 +9,8 @@
 	"plumspindle/internal/testbed/scenarios"
 )
 
-// maxShrinkRuns limits the runs of one reduction approximately: the last pass over all changes is completed.
+// maxShrinkRuns limits the runs of one reduction. A reduction may exceed this limit, because it completes the last pass
+// over all changes.
 const maxShrinkRuns = 400
 
 // simplifications are the changes that Shrink tries in this order, in each pass, after it has dropped faults.
--- a/internal/testbed/audit/audit.go
+++ b/internal/testbed/audit/audit.go
@@ -90,7 +90,7 @@
 const (
 	// socketSlack is the tolerance between the times that one process records for events on two sockets.
 	socketSlack = 50 * millisecond
-	// virtualSlack is that tolerance in virtual time, on top of the network's latency over virtualHops hops.
+	// virtualSlack replaces socketSlack in virtual time. The network's latency over virtualHops hops is added to it.
 	virtualSlack = 2 * millisecond
 	virtualHops  = 4
 )
@@ -99,8 +99,8 @@
 type attempt struct {
 	line       int
 	event      record.Event // its arrival
-	acceptedAt int64        // when the endpoint's process accepted it; the constant never until then
-	end        int64        // 0: it is in flight
+	acceptedAt int64        // when the endpoint's process accepted the attempt; the constant never before that
+	end        int64        // 0: the attempt is in flight
 }
 
 // never is later than any time in a record.
@@ -111,8 +111,8 @@
 	deployment deployment.Deployment
 	verdict    *Verdict
 	products   map[string]*pb.Product
-	// slack is socketSlack, or less in virtual time: there all events share one clock, and differ by the network's
-	// latency only.
+	// slack is socketSlack, or less in virtual time. All events in virtual time share one clock, so their times differ
+	// only by the network's latency.
 	slack             int64
 	unavailable       map[string][]unavailability // by dispatcher
 	delays            map[string][]unavailability // by event loop of the test bed
--- a/internal/testbed/audit/audit_test.go
+++ b/internal/testbed/audit/audit_test.go
@@ -72,7 +72,8 @@
 	}
 }
 
-// fetchedLate defers the decode at its endpoint as it arrives, and has the state fetched at 950 ms only.
+// fetchedLate returns an edit after which the endpoint defers the decode on its arrival and fetches the state only at
+// 950 ms.
 func fetchedLate(before ...record.Event) edit {
 	return sequence(
 		change(stateFetched, func(event *record.Event) { event.At = 950 * ms }),
--- a/internal/testbed/audit/drains.go
+++ b/internal/testbed/audit/drains.go
@@ -2,8 +2,8 @@
 
 import "plumspindle/internal/testbed/record"
 
-// checkDrains checks rule 3: a dispatcher sends nothing to an endpoint that drains or is gone, from a grace time after
-// it was notified of that.
+// checkDrains checks rule 3: a dispatcher sends nothing to an endpoint that drains or is gone, once a grace time has
+// passed since the dispatcher was notified.
 func (c *checker) checkDrains(events []record.Event) {
 	type pair struct {
 		dispatcher string
--- a/internal/testbed/audit/evidence.go
+++ b/internal/testbed/audit/evidence.go
@@ -11,7 +11,7 @@
 const maxEvidenceRequests = 3
 
 // gatherEvidence prints the events of the requests in violation, together with the run's faults and the test bed's
-// delays, into the verdict: a violation that cannot be reproduced has to be explained from the printed text.
+// delays, into the verdict, because a violation that cannot be reproduced has to be explained from the printed text.
 func (c *checker) gatherEvidence(events []record.Event) {
 	requests := c.verdict.requestsInViolation()
 	if len(requests) == 0 || len(events) == 0 {
--- a/internal/testbed/audit/excuses_test.go
+++ b/internal/testbed/audit/excuses_test.go
@@ -76,8 +76,9 @@
 	return record.Event{At: until * ms, Type: record.TestBedDelayed, Detail: loop, Count: duration * ms}
 }
 
-// releasedLateBy returns a record of a request whose state was pinned at 90 ms and, as endpoints with delayed event
-// loops recorded it, released at 902 ms, 812 ms later. The decode was sent at once, but was recorded with the release.
+// releasedLateBy returns a record of a request whose state was pinned at 90 ms. The decode was sent at once, but the
+// endpoints' event loop was delayed: it recorded the decode and the release of the state only at 901 and 902 ms. The
+// release was thus recorded 812 ms after the state was pinned.
 func releasedLateBy(delays ...record.Event) []record.Event {
 	decode := attemptEvent(901, record.AttemptArrived, record.Decode, "d1-1-1", 2)
 	answered := record.Event{At: 903 * ms, Type: record.AttemptAnswered, Attempt: "d1-1-1", Endpoint: 2}
@@ -93,11 +94,12 @@
 }
 
 // A process of the test bed that is delayed, as on a busy machine, records events late that happened in time. Without
-// an exemption for that, the scenario of TestScenarioOverSocketsPassesAudit broke rule 5 when its process was suspended
-// for up to 700 ms now and then: in 1 of 64 runs of the build in which that test had failed once, and in 1 of 100 runs
-// of a later build. In the latter, a state was recorded at 2,118 ms, and the decode, the state's release and a delay of
-// the endpoints' loop by 546 ms were all recorded at 2,671 ms, although the dispatcher had not been delayed. A delay is
-// an exemption only for the span that it covers, and only for events that the delayed loop records.
+// an exemption for such delays, the scenario of TestScenarioOverSocketsPassesAudit broke rule 5 when its process was
+// suspended for up to 700 ms now and then: in 1 of 64 runs of the build in which that test had failed once, and in 1 of
+// 100 runs of a later build. In the failed run of the later build, a state was recorded at 2,118 ms, and the decode,
+// the state's release and a delay of the endpoints' loop by 546 ms were all recorded at 2,671 ms, although the
+// dispatcher had not been delayed. A delay is an exemption only for the span that it covers, and only for events that
+// the delayed loop records.
 func TestHoldUpsOfTheTestBedAreNotTheDispatchers(t *testing.T) {
 	for _, test := range []struct {
 		name   string
--- a/internal/testbed/audit/service.go
+++ b/internal/testbed/audit/service.go
@@ -62,7 +62,7 @@
 	switch event.Detail {
 	case record.Completed:
 		r.Completed++
-		_ = r.FirstToken.RecordValue(max(event.Count, 1)) // an error means that it is beyond the histogram's range
+		_ = r.FirstToken.RecordValue(max(event.Count, 1)) // an error means that the time is above the histogram's range
 		if event.Exact {
 			r.InSLO++
 		}
--- a/internal/testbed/audit/unavailability.go
+++ b/internal/testbed/audit/unavailability.go
@@ -14,8 +14,8 @@
 	partitioned bool
 }
 
-// withoutIncarnation returns a dispatcher's name without its incarnation: clients only know that name, as they can't
-// tell which incarnation they have reached.
+// withoutIncarnation returns a dispatcher's name without its incarnation. Clients know only this shorter name, because
+// they can't tell which incarnation they have reached.
 func withoutIncarnation(dispatcher string) string {
 	name, _, _ := strings.Cut(dispatcher, ".")
 	return name
@@ -59,8 +59,8 @@
 	return false
 }
 
-// availableFrom returns the time from which a dispatcher was available again that was unavailable at a given time, or
-// just before it. It returns the given time if the dispatcher was available. Spans that overlap count as one.
+// availableFrom returns when a dispatcher that was unavailable at a given time, or just before that time, became
+// available again. It returns the given time if the dispatcher was available. Spans that overlap count as one.
 func (c *checker) availableFrom(dispatcher string, at int64) int64 {
 	end := at
 	for extended := true; extended; {
@@ -75,7 +75,7 @@
 }
 
 // longestAvailable returns the longest time within a span for which a dispatcher was available without a break. After a
-// break, the time limits of its earlier obligations start anew.
+// break, the time limits of the dispatcher's earlier obligations start anew.
 func (c *checker) longestAvailable(dispatcher string, from, to int64) (longest int64) {
 	for from < to {
 		if available := c.availableFrom(dispatcher, from); available > from {
--- a/internal/testbed/load/attempt.go
+++ b/internal/testbed/load/attempt.go
@@ -26,7 +26,7 @@
 	generator  *Generator
 	request    string // request id that the client chose; all attempts share it
 	number     int    // counts from 1
-	dispatcher string // name of the dispatcher that it is sent to
+	dispatcher string // name of the dispatcher that the attempt is sent to
 	product    string
 	tenant     int
 	timeLimit  eventloop.Micros
@@ -159,7 +159,8 @@
 // errorCode returns the code in the response's error body, empty if it has none.
 func (a *attempt) errorCode() string { return gjson.GetBytes(a.body, "error.code").String() }
 
-// retryAfter returns the delay that the response's retry-after-ms header asks for, or the fallback without one.
+// retryAfter returns the delay that the response's retry-after-ms header asks for, or the fallback if the response has
+// no such header.
 func (a *attempt) retryAfter(fallback eventloop.Micros) eventloop.Micros {
 	if a.head == nil {
 		return fallback
--- a/internal/testbed/load/batches.go
+++ b/internal/testbed/load/batches.go
@@ -171,7 +171,7 @@
 	return nil
 }
 
-// handleOutcome finishes a completed call and retries any other: batch calls are idempotent.
+// handleOutcome finishes a completed call. It retries any other call, because batch calls are idempotent.
 func (a *batchAttempt) handleOutcome(outcome string) {
 	if outcome == record.Completed {
 		a.call.finish(outcome)
@@ -190,7 +190,7 @@
 
 // checkScores checks that each document occurs once, with its expected score, in descending order of the scores.
 func (c *batchCall) checkScores(body []byte) (wrong string) {
-	previous, seen := 2.0, map[int]bool{} // above every score
+	previous, seen := 2.0, map[int]bool{} // previous starts above every score
 	gjson.GetBytes(body, "results").ForEach(func(_, result gjson.Result) bool {
 		i, score := int(result.Get("index").Int()), result.Get("relevance_score").Num
 		if i < 0 || i >= len(c.inputs) || seen[i] || score > previous ||
--- a/internal/testbed/load/chat.go
+++ b/internal/testbed/load/chat.go
@@ -244,8 +244,8 @@
 	r := a.chat
 	firstToken = a.firstTokenAt - r.startedAt
 	if r.nonStreaming {
-		// The client can't see when the first token of such an answer was generated. It is estimated by subtracting the
-		// token SLO for each token.
+		// The client can't see when the first token of such an answer was generated. The time to the first token is
+		// estimated by subtracting the token SLO for each token.
 		tokenSLO := eventloop.Micros(r.session.product.TokenSloMs) * eventloop.Millisecond
 		return max(firstToken-eventloop.Micros(a.tokens)*tokenSLO, 1), 0
 	}
--- a/internal/testbed/load/generator.go
+++ b/internal/testbed/load/generator.go
@@ -51,7 +51,7 @@
 	Keys              []string  // API keys by tenant index
 	Rate              float64   // mean requests per second
 	TenantShares      []float64 // relative weights of the tenants in the traffic, by tenant index
-	MinTimeLimitShare float64   // least share of the time left that an attempt gets as its time limit, at most 1
+	MinTimeLimitShare float64   // from 0 to 1: an attempt's time limit is at least this share of the time left
 	NonStreamingShare float64   // probability that a request asks for an answer that is not streamed
 	// UseIdempotencyKeys adds an Idempotency-Key to each request for a product that is not idempotent, and sends all
 	// its attempts to the same dispatcher.
--- a/internal/testbed/modelserver/attempt.go
+++ b/internal/testbed/modelserver/attempt.go
@@ -153,7 +153,7 @@
 	case e.failShare > 0 && e.fleet.random.Float64() < e.failShare:
 		if !attempt.prefillOnly {
 			attempt.ran = true
-			e.fleet.record(e, record.AttemptRan, attempt) // it counts as run, as it may have had effects before it failed
+			e.fleet.record(e, record.AttemptRan, attempt) // its effects may have taken place before it failed
 		}
 		conn.respondError(http.StatusInternalServerError, errorInternal)
 	default:
--- a/internal/testbed/modelserver/conn.go
+++ b/internal/testbed/modelserver/conn.go
@@ -30,7 +30,7 @@
 	attempt    *endpointAttempt // the attempt in flight; nil: none
 	zone       string           // zone of the peer, as the last request stated it
 	deferred   []func()         // actions to run once the endpoint is neither frozen nor partitioned
-	heldOutput []byte           // bytes written during a partition; they are sent once it has ended
+	heldOutput []byte           // bytes written during a partition; they are sent once the partition has ended
 	closed     bool
 	streaming  bool
 }
@@ -168,8 +168,8 @@
 	}
 }
 
-// respond sends a response. Its attempt stays in flight until the response is on the network; a response that is sent
-// during a partition gets there only when the partition ends.
+// respond sends a response. The attempt that it answers stays in flight until the response is on the network. A
+// response that is sent during a partition reaches the network only when the partition ends.
 func (c *endpointConn) respond(status int, body []byte) {
 	endpoint := c.endpoint
 	if c.closed || !endpoint.alive {
--- a/internal/testbed/modelserver/content.go
+++ b/internal/testbed/modelserver/content.go
@@ -31,8 +31,8 @@
 	return hash
 }
 
-// TokenText returns the token at an index of the answer to a client's request. It is the same at every endpoint, so
-// that clients can check each byte. Some tokens contain non-ASCII characters.
+// TokenText returns the token at an index of the answer to a client's request. The token is the same at every endpoint,
+// so clients can check each byte. Some tokens contain non-ASCII characters.
 func TokenText(clientID string, index int) string {
 	hash := (hashText(fnvOffset, clientID) ^ uint32(index)) * fnvPrime
 	if hash%13 == 0 {
@@ -46,8 +46,8 @@
 	return 1 + int(hashText(answerLengthSeed, clientID)>>8)%max(maxTokens, 1)
 }
 
-// Vector returns the embedding of a JSON-encoded input as little-endian float32 values. It depends on the input only
-// and is the same at every endpoint, so that clients can check that each input got its own vector.
+// Vector returns the embedding of a JSON-encoded input as little-endian float32 values. The embedding depends on the
+// input only and is the same at every endpoint, so clients can check that each input got its own vector.
 func Vector(rawInput string, dimensions int) []byte {
 	vector := make([]byte, 0, 4*dimensions)
 	hash := xxhash.Sum64String(rawInput)
--- a/internal/testbed/modelserver/faults.go
+++ b/internal/testbed/modelserver/faults.go
@@ -20,8 +20,9 @@
 	reportAge       eventloop.Micros // minimum time between two updates of the load report
 }
 
-// Crash stops the endpoint at once. It restarts after the downtime and warms up, or never if that is 0. A crash cancels
-// a restart that is already scheduled: otherwise two overlapping faults could start an endpoint that already runs.
+// Crash stops the endpoint at once. The endpoint restarts after the downtime and warms up. If the downtime is 0, it
+// never restarts. A crash cancels a restart that is already scheduled, because otherwise two overlapping faults could
+// start an endpoint that already runs.
 func (e *Endpoint) Crash(downtime eventloop.Micros) {
 	e.stop()
 	e.fleet.announce(e, endpoints.Gone)
@@ -95,7 +96,7 @@
 func (e *Endpoint) ClearPrefixCache() { clear(e.cachedPrefixes) }
 
 // Drain makes the endpoint refuse new attempts and announces it as draining. After the duration it stops, and restarts
-// after the downtime, or never if that is 0.
+// after the downtime, or never if the downtime is 0.
 func (e *Endpoint) Drain(duration, downtime eventloop.Micros) {
 	e.draining = true
 	e.fleet.announce(e, endpoints.Draining)
--- a/internal/testbed/modelserver/fleet.go
+++ b/internal/testbed/modelserver/fleet.go
@@ -110,7 +110,7 @@
 		Condition: condition, StartedAt: int64(e.startedAt)}
 }
 
-// announce publishes an endpoint's new condition after a random delay, unless it is out of date by then.
+// announce publishes an endpoint's new condition after a random delay, unless the condition is out of date by then.
 func (f *Fleet) announce(endpoint *Endpoint, condition string) {
 	entry := endpoint.Entry(condition)
 	maxDelay := int64(f.deployment.Fleet.RosterLateMs) * int64(eventloop.Millisecond)
@@ -128,8 +128,8 @@
 	})
 }
 
-// Pick draws a share of the running endpoints of a kind, or of all kinds if the kind is empty. It draws at least one,
-// if there is one.
+// Pick draws a share of the running endpoints of a kind, or of all kinds if the kind is empty. It draws at least one
+// endpoint, if any such endpoint runs.
 func (f *Fleet) Pick(kind string, share float64) []*Endpoint {
 	var candidates []*Endpoint
 	for _, e := range f.Endpoints {
--- a/internal/testbed/modelserver/slowstart.go
+++ b/internal/testbed/modelserver/slowstart.go
@@ -40,8 +40,8 @@
 }
 
 // countSlowStartLoad counts the work that arrives during slow start. The endpoint crashes permanently if the work
-// within a sliding window of FallMs exceeds its budget. A single attempt never makes it crash: the limit is on the load
-// that all dispatchers send together.
+// within a sliding window of FallMs exceeds the slow-start budget. A single attempt never makes it crash, because the
+// limit is on the load that all dispatchers send together.
 func (e *Endpoint) countSlowStartLoad(work float64) {
 	rules := e.fleet.deployment.Rules
 	now := e.fleet.loop.Now()
--- a/internal/testbed/record/record.go
+++ b/internal/testbed/record/record.go
@@ -21,8 +21,8 @@
 // Events that clients observe.
 const (
 	RequestSent EventType = "ask" // Value is the client's time limit in µs
-	// FinalAnswer ends a client's attempt. Detail is its outcome, Count the number of tokens, and Exact whether they are
-	// the expected ones. Kind is why the connection ended, if that ended the attempt.
+	// FinalAnswer ends a client's attempt. Detail is the attempt's outcome, Count the number of tokens, and Exact whether
+	// the tokens are the expected ones. If the attempt ended because its connection did, Kind is why the connection ended.
 	FinalAnswer     EventType = "final"
 	BytesAfterFinal EventType = "after"     // Detail is "bytes" or "event"
 	MalformedAnswer EventType = "malformed" // Detail is the error
--- a/internal/testbed/scenarios/process.go
+++ b/internal/testbed/scenarios/process.go
@@ -120,7 +120,7 @@
 	_ = d.command.Process.Kill() // it may have exited already
 	run.sockets.restarts.Go(func() {
 		<-exited
-		recordKilled() // on a busy machine the exit follows the signal by more than the audit's slack
+		recordKilled() // again: on a busy machine the exit follows the signal by more than the audit's slack
 		select {
 		case <-ctx.Done():
 		case <-run.sockets.stopping:
@@ -130,7 +130,7 @@
 	})
 }
 
-// restart starts the next incarnation. Clients see its name only once it serves.
+// restart starts the next incarnation. Clients see the incarnation's name only once it serves.
 func (d *process) restart(ctx context.Context) {
 	run := d.run
 	target := *d.target
--- a/internal/testbed/scenarios/tenants_test.go
+++ b/internal/testbed/scenarios/tenants_test.go
@@ -127,8 +127,8 @@
 }
 
 // Dispatchers are killed every 900 ms, and clients retry broken requests with their idempotency keys. With stored
-// intents no request with side effects may be decoded twice. Without them some must be, which shows that the test can
-// fail.
+// intents no request with side effects may be decoded twice. Without stored intents some such requests must be decoded
+// twice, which shows that the test can fail.
 func TestIntentsPreventSecondRunsThroughKills(t *testing.T) {
 	text := `name: "kills" seconds: 16 rate: 22`
 	for at := 1500; at < 15000; at += 900 {
@@ -168,9 +168,9 @@
 	return secondRuns
 }
 
-// Each dispatcher enforces its part of a tenant's share. With four dispatchers, a tenant within its share exceeds its
-// part at one of them by chance and its requests are queued there as surplus. In a scenario without a flood this must
-// add little latency (readiness-review.md, F28).
+// Each dispatcher enforces its part of a tenant's share. With four dispatchers, a tenant that stays within its share
+// may by chance exceed the part of one dispatcher, which then queues the tenant's requests as surplus. In a scenario
+// without a flood this queueing must add little latency (readiness-review.md, F28).
 func TestShareSplitOverFourDispatchersAddsLittleLatency(t *testing.T) {
 	const maxLatencyFactor = 1.5
 	p99 := map[int]float64{}
--- a/internal/testbed/scenarios/virtualfaults.go
+++ b/internal/testbed/scenarios/virtualfaults.go
@@ -11,8 +11,8 @@
 
 const (
 	minDowntime             = eventloop.Millisecond
-	slowSyncTime            = 150 * eventloop.Millisecond // of a slow disk if the fault states none
-	defaultSyncTime         = 2 * eventloop.Millisecond   // of a disk without that fault
+	slowSyncTime            = 150 * eventloop.Millisecond // of a slow disk if the fault states no time
+	defaultSyncTime         = 2 * eventloop.Millisecond   // of a disk that is not slowed down
 	pickOne         float64 = 0                           // a share of which pickShare draws a single element
 )
 
@@ -35,7 +35,8 @@
 	return pickShare(i.run.random, i.run.virtual.dispatchers, share)
 }
 
-// killAtStep kills one dispatcher after the given number of further network steps, which may be between any two events.
+// killAtStep kills one dispatcher after the given number of further network steps. The kill may thus fall between any
+// two events.
 func killAtStep(i injection) {
 	dispatcher := i.dispatchers(pickOne)[0]
 	i.run.virtual.network.AtStep(int(i.fault.Step), func() {
@@ -94,7 +95,8 @@
 		func(disk *virtual.Disk) { disk.Capacity = 0 })
 }
 
-// slowDownDisks sets the time that each sync takes. The fault's factor states it in seconds.
+// slowDownDisks sets the time that each sync takes: the fault's factor in seconds, or slowSyncTime if the fault has no
+// factor.
 func slowDownDisks(i injection) {
 	syncTime := slowSyncTime
 	if i.fault.Factor > 0 {
--- a/internal/testbed/soak/audit.go
+++ b/internal/testbed/soak/audit.go
@@ -17,7 +17,7 @@
 	drainKnownAfter = 6 * time.Second        // after which a dispatcher must know of a drain even if it got no update
 	drainGrace      = 300 * time.Millisecond // for attempts that are in transit when a drain becomes known
 	disconnectGrace = 100 * time.Millisecond // for attempts that are in transit when a client disconnects
-	deadlineSlack   = 150 * time.Millisecond // by which an attempt may state more than the remaining time to its endpoint
+	deadlineSlack   = 150 * time.Millisecond // by which the time stated to an endpoint may exceed the remaining time
 )
 
 // Names of the rules.
@@ -224,8 +224,8 @@
 }
 
 // checkIdleState checks the length of a span in which a state was reserved while no decode of its request was at an
-// endpoint; to is 0 if nothing ended the span. A long span is excused if the dispatcher was killed or partitioned from
-// its endpoints, or if the endpoint that holds the state was killed.
+// endpoint. A span that nothing ended is passed with 0 as its end. A long span is excused if the dispatcher was killed
+// or partitioned from its endpoints, or if the endpoint that holds the state was killed.
 func (a *Audit) checkIdleState(h *requestHistory, reserved Event, from, to int64) {
 	latest := from + maxStateTime.Microseconds()
 	switch {
--- a/internal/testbed/soak/clients.go
+++ b/internal/testbed/soak/clients.go
@@ -49,13 +49,13 @@
 
 var classes = []string{idempotentClass, deduplicatedClass, nonIdempotentClass}
 
-// Ways in which a client misbehaves with a request; any other number that is drawn is the usual behaviour.
+// Ways in which a client misbehaves with a request; any other number that is drawn stands for the usual behaviour.
 const (
 	sendHalf = iota
 	sendMalformed
 	sendSlowly
 	giveUp
-	giveUpToo // a second number, so that clients give up twice as often
+	giveUpToo // means the same as giveUp; with two numbers, clients give up twice as often
 )
 
 // clients simulates clients that send requests to the dispatchers, and that misbehave at random.
@@ -70,7 +70,7 @@
 	net.Conn
 	reader *bufio.Reader
 	target string
-	reused bool // it has carried a request or was idle: the dispatcher may close it at any time
+	reused bool // it has carried a request or was idle, so the dispatcher may close it at any time
 }
 
 func startClients(s *standIn) handler {
--- a/internal/testbed/soak/discovery.go
+++ b/internal/testbed/soak/discovery.go
@@ -40,7 +40,7 @@
 type watch struct {
 	conn       net.Conn
 	dispatcher int  // from 0
-	mute       bool // nothing more is written to it
+	mute       bool // nothing more is written to the watch
 }
 
 func startDiscovery(s *standIn) (handler, error) {
@@ -91,7 +91,7 @@
 // writable reports whether updates are written to a watch.
 func (d *discovery) writable(w *watch) bool { return !w.mute && now() >= d.silentUntil }
 
-// recordNotified records that a watch was notified of an endpoint's drain, if that was written to it.
+// recordNotified records that a watch was notified of an endpoint's drain, if updates are written to that watch.
 func (d *discovery) recordNotified(w *watch, endpoint string) {
 	if d.writable(w) {
 		d.record.add(Event{Kind: Notified, Endpoint: endpoint, Dispatcher: strconv.Itoa(w.dispatcher + 1)})
@@ -118,7 +118,7 @@
 	return strings.Replace(d.entries[endpoint], addressVerb, d.Targets[dispatcher], 1)
 }
 
-// serve writes updates to a dispatcher's connection until it is closed.
+// serve registers a dispatcher's connection as a watch until the connection is closed.
 func (d *discovery) serve(conn net.Conn, dispatcher int) {
 	defer closeConn(conn)
 	if _, err := http.ReadRequest(bufio.NewReader(conn)); err != nil {
--- a/internal/testbed/soak/dispatcher.go
+++ b/internal/testbed/soak/dispatcher.go
@@ -17,7 +17,7 @@
 func (p Plan) stopTimeout() time.Duration { return p.Deadline + stopGrace + 5*time.Second }
 
 const (
-	// stopGrace is the time after SIGTERM within which a request may arrive that need not be answered before SIGKILL.
+	// stopGrace is a span that begins at SIGTERM. A request that arrives within it may still be unanswered at SIGKILL.
 	stopGrace = 700 * time.Millisecond
 	// maxDeadlineBeforeKill is the longest time for which SIGKILL waits for the deadlines of requests.
 	maxDeadlineBeforeKill = 3 * time.Second
@@ -165,8 +165,9 @@
 	r.record.add(Event{Kind: Ended, Dispatcher: stopping.address})
 }
 
-// checkExit checks that a dispatcher exited without an error after SIGTERM. If it had only just been started, SIGTERM
-// may terminate the process directly: its signal handler is not installed yet, and it does not listen yet either.
+// checkExit checks that a dispatcher exited without an error after SIGTERM. If the process had only just been started,
+// SIGTERM may terminate it directly, because its signal handler is not installed yet. Such a process does not listen
+// yet either.
 func (r *run) checkExit(stopped *dispatcher, stoppedAt int64) {
 	err := stopped.process.err
 	if err == nil {
--- a/internal/testbed/soak/endpoint.go
+++ b/internal/testbed/soak/endpoint.go
@@ -36,7 +36,7 @@
 	decodeFaultOneIn  = 80  // for each way to misbehave
 )
 
-// Ways in which an endpoint misbehaves in a decode; any other number that is drawn is the usual behaviour.
+// Ways in which an endpoint misbehaves in a decode; any other number that is drawn stands for the usual behaviour.
 const (
 	resetsAtOnce = iota
 	fails
@@ -61,7 +61,7 @@
 	}
 	return func(command string, arguments []string) {
 		switch command {
-		case commandSilent: // recorded here and not by the run, as an endpoint that is stopped executes it later
+		case commandSilent: // recorded here and not by the run, as an endpoint that is stopped executes the command later
 			e.record.add(Event{Kind: FaultBegan, Text: notRunningText, Endpoint: e.Name,
 				Value: durationArgument(arguments, 0).Microseconds()})
 			e.silentUntil.Store(endTime(arguments))
@@ -135,7 +135,8 @@
 	return e.decode(call)
 }
 
-// recordRefused records that a decode endpoint does not use the state that is reserved for the request.
+// recordRefused records that a decode endpoint does not use the state that is reserved for the request. It records
+// nothing at a prefill endpoint.
 func (e *endpoint) recordRefused(call exchange) {
 	if e.Kind == decodeKind {
 		e.record.add(Event{Kind: Refused, ID: call.id, Endpoint: e.Name, Dispatcher: call.dispatcher})
@@ -183,7 +184,7 @@
 func (e *endpoint) prefill(call exchange) bool {
 	e.record.add(Event{Kind: Reserved, ID: call.id, Endpoint: e.Name, Dispatcher: call.dispatcher})
 	switch e.draw(prefillFaultOneIn) {
-	case 0: // the prompt was prefilled, but the answer is lost
+	case 0: // the prompt was prefilled, but the answer gets lost
 		return call.reset()
 	case 1:
 		return call.write(failedAnswer)
--- a/internal/testbed/soak/excuses.go
+++ b/internal/testbed/soak/excuses.go
@@ -43,8 +43,8 @@
 }
 
 // earliestWrite returns the earliest time at which a dispatcher may have written a request that an endpoint recorded at
-// a given time. The endpoint's process may not have run in between, once or several times in a row, and the proxy may
-// have delayed the connection.
+// a given time. Between the two times the endpoint's process may have been stopped, once or several times in a row, and
+// the proxy may have delayed the connection.
 func (a *Audit) earliestWrite(recorded Event, at int64) int64 {
 	earliest := at
 	for _, event := range slices.Backward(a.events) { // sorted by time, so that earlier spans are added to later ones
@@ -56,8 +56,8 @@
 	return earliest - a.proxyDelay(recorded.Dispatcher, earliest)
 }
 
-// proxyDelay returns how long a proxy may have delayed a request after the dispatcher had written it: a proxy accepts a
-// connection at once even if it delays the connection to the endpoint.
+// proxyDelay returns how long a proxy may have delayed a request after the dispatcher had written it. Such a delay is
+// possible because a proxy accepts a connection at once even if it delays the connection to the endpoint.
 func (a *Audit) proxyDelay(dispatcher string, at int64) int64 {
 	delayed := slices.ContainsFunc(a.events, func(event Event) bool {
 		return event.Kind == FaultBegan && event.Text == delayedText && event.Dispatcher == dispatcher &&
@@ -69,8 +69,8 @@
 	return 0
 }
 
-// discoverySilence returns the time from a given time to the end of the last silence of discovery that began within
-// drainKnownAfter of it, or 0 if there was none.
+// discoverySilence returns how long after a given time the last silence of discovery ended, of those that began at most
+// drainKnownAfter after that time. It returns 0 if all of these had ended by that time.
 func (a *Audit) discoverySilence(at int64) (longest int64) {
 	for _, event := range a.events {
 		if event.Kind == FaultBegan && event.Text == discoverySilentText &&
--- a/internal/testbed/soak/faults.go
+++ b/internal/testbed/soak/faults.go
@@ -26,7 +26,7 @@
 	drainOneIn      = 3           // at most one endpoint in so many of a kind is drained
 )
 
-// fault is a kind of fault. Its inject function begins it, and returns whether it did.
+// fault is a kind of fault. Its inject function begins the fault, and returns whether the fault has begun.
 type fault struct {
 	name   string
 	inject func(r *run, duration time.Duration) bool
@@ -59,7 +59,7 @@
 func (r *run) stopEndpoint(endpoint int, duration time.Duration) {
 	r.recordFault(Event{Text: notRunningText, Endpoint: endpointName(endpoint)}, duration)
 	process := r.endpoints[endpoint].cmd.Process
-	_ = process.Signal(syscall.SIGSTOP) // fails if it has been killed
+	_ = process.Signal(syscall.SIGSTOP) // fails if the process has been killed
 	time.AfterFunc(duration, func() { _ = process.Signal(syscall.SIGCONT) })
 }
 
@@ -213,7 +213,7 @@
 	}
 	frozen := d.process.cmd.Process
 	d.mu.Unlock()
-	_ = frozen.Signal(syscall.SIGSTOP) // fails if it has ended already
+	_ = frozen.Signal(syscall.SIGSTOP) // fails if the process has ended already
 	time.Sleep(time.Duration(r.random.Int63n(int64(maxFreeze))))
 	_ = frozen.Signal(syscall.SIGCONT)
 	return true
--- a/internal/testbed/soak/record.go
+++ b/internal/testbed/soak/record.go
@@ -18,7 +18,7 @@
 const (
 	Arrived  EventKind = "arrived"  // a request was read completely
 	Refused  EventKind = "refused"  // a decode was declined or was found to be abandoned
-	Ran      EventKind = "ran"      // its effects took place; Value is its arrival, where the deduplication window begins
+	Ran      EventKind = "ran"      // its effects took place; Value is when it arrived and its deduplication window began
 	Reserved EventKind = "held"     // a prefill left a state
 	Released EventKind = "released" // a state was released at a dispatcher's request
 )
@@ -37,7 +37,7 @@
 	Notified   EventKind = "told"     // discovery wrote an endpoint's drain to a dispatcher's watch
 	Drained    EventKind = "drained"  // an endpoint's drain was published
 	Stopped    EventKind = "stopped"  // a dispatcher was sent SIGTERM
-	Killed     EventKind = "killed"   // a dispatcher or an endpoint was killed; Value is when it was sent SIGTERM, or 0
+	Killed     EventKind = "killed"   // a dispatcher or endpoint was killed; Value is when it got SIGTERM, 0: it did not
 	Ended      EventKind = "ended"    // a dispatcher's process ended
 	FaultBegan EventKind = "troubled" // Text names the fault; Value is its duration
 )
@@ -49,7 +49,8 @@
 	ID       string    `json:"id,omitempty"` // of the request
 	Class    string    `json:"class,omitempty"`
 	Endpoint string    `json:"host,omitempty"` // name
-	// Dispatcher is the address in clients' events, Stopped, Killed and Ended, and otherwise the number from 1.
+	// Dispatcher is the dispatcher's address in the clients' events and in Stopped, Killed and Ended. In all other events
+	// it is the dispatcher's number, which counts from 1.
 	Dispatcher string `json:"dispatcher,omitempty"`
 	Status     int    `json:"status,omitempty"`
 	Value      int64  `json:"value,omitempty"`
--- a/internal/testbed/soak/role.go
+++ b/internal/testbed/soak/role.go
@@ -81,7 +81,8 @@
 	return time.Duration(s.draw(int(limit)))
 }
 
-// Main runs a stand-in until it ends if the environment names its role. It returns whether it did.
+// Main runs the stand-in whose role the environment names, and returns true once the stand-in has ended. It returns
+// false at once if the environment names no role.
 func Main() bool {
 	role := os.Getenv(roleVariable)
 	if role == "" {
--- a/internal/virtual/conn.go
+++ b/internal/virtual/conn.go
@@ -104,7 +104,8 @@
 	}
 }
 
-// drained calls the handler's Drained unless more has been written or the connection was closed since it was scheduled.
+// drained calls the handler's Drained unless, since this call was scheduled, more has been written or the connection
+// was closed.
 func (c *conn) drained() {
 	if !c.closed && !c.closing && len(c.unsent) == 0 {
 		c.handler.Drained()
@@ -229,8 +230,8 @@
 	}
 }
 
-// reset closes the connection of a killed process without a call of its handler. The other side gets a reset, even if
-// it is paused, unless this side has already sent its close.
+// reset closes the connection of a killed process without a call of its handler. The other side gets a reset, even
+// while the connection is paused there, unless this side has already sent its close.
 func (c *conn) reset() {
 	c.closed = true
 	delete(c.loop.conns, c)
--- a/scripts/docscheck/docs_test.go
+++ b/scripts/docscheck/docs_test.go
@@ -37,7 +37,8 @@
 type codeIndex struct {
 	// files has the names and Type.Member names of each file, by its path.
 	files map[string]map[string]bool
-	// names has the names of all files, each with and without its package's name before it, and the packages' names.
+	// names has the names that any file declares, each with and without its package's name before it, and the packages'
+	// names.
 	names map[string]bool
 }
 
@@ -99,8 +100,8 @@
 	return missing
 }
 
-// findCodeColumn returns the column of code of the table that a line belongs to, and -1 if there is none. It is the
-// column with the heading "code"; previous is the result for the line before.
+// findCodeColumn returns the index of the column with the heading "code" in the table that a line belongs to, or -1 if
+// there is no such column. The parameter previous is the result for the line before.
 func findCodeColumn(line string, previous int) int {
 	if !strings.HasPrefix(line, "|") {
 		return -1
