--- a/internal/cli/cachefile.go
+++ b/internal/cli/cachefile.go
@@ -52,7 +52,8 @@
 	f.pending <- content
 }
 
-// run writes each pending content until Close is called, and then makes one attempt to write what is still pending.
+// run writes each pending content until Close is called, and then makes one attempt to write what is still pending. If
+// Close ends the retries of a failed write, run makes no further attempt.
 func (f *cacheFile) run() {
 	defer close(f.stopped)
 	for {
@@ -105,8 +106,8 @@
 	return replaceFile(f.path, content)
 }
 
-// Close stops the goroutine, which first makes one attempt to write pending content. Close waits for at most
-// cacheCloseTimeout.
+// Close stops the goroutine. Unless a failed write is being retried, the goroutine first makes one attempt to write
+// pending content. Close waits for at most cacheCloseTimeout.
 func (f *cacheFile) Close() {
 	close(f.stop)
 	select {
--- a/internal/testbed/modelserver/conn.go
+++ b/internal/testbed/modelserver/conn.go
@@ -190,7 +190,8 @@
 		"Content-Type", "application/json", loadReportHeader, c.loadReport()))
 }
 
-// respondError responds with an error and records that the attempt was refused.
+// respondError responds with an error and records an AttemptRefused event with the error's code, even if the attempt
+// ran before it failed.
 func (c *endpointConn) respondError(status int, code string) {
 	c.endpoint.lastError = code
 	c.endpoint.fleet.record(c.endpoint, record.AttemptRefused, c.attempt)
--- a/internal/testbed/scenarios/virtualfaults.go
+++ b/internal/testbed/scenarios/virtualfaults.go
@@ -83,7 +83,7 @@
 	}
 }
 
-// failDisks makes writes fail after a part of the data was written.
+// failDisks makes appends, writes and removals fail. An append that fails still writes a part of its data.
 func failDisks(i injection) {
 	changeDisks(i, func(disk *virtual.Disk) { disk.Failure, disk.PartialWrites = errDisk, true },
 		func(disk *virtual.Disk) { disk.Failure = nil })
