--- a/internal/faultsearch/draw.go
+++ b/internal/faultsearch/draw.go
@@ -27,7 +27,7 @@
 )
 
 // faultWeights are the relative frequencies of the kinds of fault. Their order decides which kind a random number
-// selects: a different order would change the scenario of every seed.
+// selects, so a different order would change the scenario of every seed.
 var faultWeights = []struct {
 	kind   string
 	weight int
--- a/internal/testbed/audit/secondruns.go
+++ b/internal/testbed/audit/secondruns.go
@@ -64,7 +64,7 @@
 
 // checkRejections checks the rejections of requests that may not run twice. Once a decode of such a request has reached
 // an endpoint and was not refused there, the dispatcher must not reject the request, whether or not the decode has
-// begun: a rejection invites the client to retry.
+// begun, because a rejection invites the client to retry.
 func (c *checker) checkRejections(events []record.Event) {
 	decodes := map[string][]*attempt{} // by the client's request id
 	for _, request := range sortedKeys(c.attempts) {
--- a/internal/testbed/record/record.go
+++ b/internal/testbed/record/record.go
@@ -34,13 +34,13 @@
 
 // Events that endpoints observe.
 const (
-	AttemptArrived          EventType = "leg"      // on the socket; Value is its work in tokens
-	AttemptDeferred         EventType = "deferred" // it arrived while the endpoint did not run or was partitioned
-	DeferredAttemptAccepted EventType = "taken"    // the endpoint that had deferred it has accepted it
+	AttemptArrived          EventType = "leg"      // on the socket; Value is the attempt's work in tokens
+	AttemptDeferred         EventType = "deferred" // the attempt arrived while the endpoint did not run or was partitioned
+	DeferredAttemptAccepted EventType = "taken"    // the endpoint accepted an attempt that it had deferred
 	AttemptRefused          EventType = "refuse"   // Detail is the error code
 	AttemptAnswered         EventType = "answered"
-	AttemptRan              EventType = "ran"  // its effects took place
-	AttemptFinished         EventType = "left" // it holds no resources at the endpoint any more
+	AttemptRan              EventType = "ran"  // the attempt's effects took place
+	AttemptFinished         EventType = "left" // the attempt holds no resources at the endpoint any more
 	ConnectionLost          EventType = "quit" // of an attempt in flight
 	StatePinned             EventType = "hold" // the state that a prefill left, until it is fetched, released or expires
 	StateFetched            EventType = "took"
--- a/internal/testbed/scenarios/delays.go
+++ b/internal/testbed/scenarios/delays.go
@@ -12,7 +12,7 @@
 	minRecordedDelay = 40 * eventloop.Millisecond
 )
 
-// recordDelays records when an event loop of the test bed is delayed, as happens on a busy machine: the events of
+// recordDelays records when an event loop of the test bed is delayed, as happens on a busy machine. The events of
 // endpoints or clients are then recorded late. The audit subtracts delays of the endpoints' loop from the time for
 // which a prompt state stays pinned. It subtracts delays of the clients' loop from the time by which an answer is late,
 // and excuses the dispatcher if a client gave up around such a delay. All other checks ignore these delays, but the
--- a/internal/testbed/scenarios/virtualdispatcher.go
+++ b/internal/testbed/scenarios/virtualdispatcher.go
@@ -27,7 +27,7 @@
 	clockSkew        eventloop.Micros
 	disk             *virtual.Disk
 	down             bool
-	unavailableUntil eventloop.Micros // until then a fault freezes it or partitions it from its endpoints
+	unavailableUntil eventloop.Micros // until this time a fault freezes the dispatcher or partitions it from its endpoints
 }
 
 // start starts the next incarnation. It listens on the address of the previous one, if there was one.
--- a/internal/testbed/soak/discovery.go
+++ b/internal/testbed/soak/discovery.go
@@ -33,7 +33,7 @@
 	version     int
 	entries     map[string]string // by endpoint, with addressVerb
 	watches     map[*watch]bool
-	silentUntil int64 // until then, nothing is written
+	silentUntil int64 // until this time, nothing is written
 }
 
 // watch is a dispatcher's connection for updates.
--- a/internal/testbed/soak/dispatcher.go
+++ b/internal/testbed/soak/dispatcher.go
@@ -12,8 +12,8 @@
 	"plumspindle/internal/testbed/syscallfaults"
 )
 
-// stopTimeout returns how long a dispatcher may take to exit after SIGTERM: the requests that it accepted are answered
-// by their deadlines, but a stream that has begun by then may stall, and is ended 4.2 s later.
+// stopTimeout returns how long a dispatcher may take to exit after SIGTERM. The requests that it accepted are answered
+// by their deadlines, but a stream that has begun by its deadline may stall, and is ended 4.2 s later.
 func (p Plan) stopTimeout() time.Duration { return p.Deadline + stopGrace + 5*time.Second }
 
 const (
--- a/internal/testbed/soak/endpoint.go
+++ b/internal/testbed/soak/endpoint.go
@@ -50,8 +50,8 @@
 // endpoint simulates a model server that prefills or decodes, and that misbehaves at random.
 type endpoint struct {
 	*standIn
-	silentUntil  atomic.Int64 // until then, it answers nothing
-	declineUntil atomic.Int64 // until then, it declines all requests
+	silentUntil  atomic.Int64 // until this time, the endpoint answers nothing
+	declineUntil atomic.Int64 // until this time, the endpoint declines all requests
 }
 
 func startEndpoint(s *standIn) (handler, error) {
--- a/internal/testbed/soak/excuses.go
+++ b/internal/testbed/soak/excuses.go
@@ -13,8 +13,8 @@
 }
 
 // lateAtKill returns the time from SIGTERM until a request was sent, if the request was unanswered at SIGKILL and that
-// time is longer than stopGrace: the dispatcher should have answered the request or closed its connection earlier.
-// Otherwise it returns 0.
+// time is longer than stopGrace. In this case the dispatcher should have answered the request or closed the connection
+// earlier. Otherwise lateAtKill returns 0.
 func (a *Audit) lateAtKill(h *requestHistory) time.Duration {
 	for _, event := range a.events {
 		endedIt := event.Kind == Killed && event.Dispatcher == h.sent.Dispatcher && event.Value > 0 &&
--- a/internal/testbed/soak/faults.go
+++ b/internal/testbed/soak/faults.go
@@ -39,7 +39,7 @@
 // runningOneIn is the share of a kind's endpoints that keep running while the others are stopped: one in so many.
 const runningOneIn = 5
 
-// stopEndpoints stops the processes of most endpoints of a kind for a while. Their kernel keeps running: it
+// stopEndpoints stops the processes of most endpoints of a kind for a while. Their kernel keeps running, so it still
 // acknowledges the data that is sent to them, and keeps their connections open.
 func (r *run) stopEndpoints(kind string, duration time.Duration) bool {
 	var ofKind []int
--- a/internal/testbed/soak/record.go
+++ b/internal/testbed/soak/record.go
@@ -18,7 +18,7 @@
 const (
 	Arrived  EventKind = "arrived"  // a request was read completely
 	Refused  EventKind = "refused"  // a decode was declined or was found to be abandoned
-	Ran      EventKind = "ran"      // its effects took place; Value is when it arrived and its deduplication window began
+	Ran      EventKind = "ran"      // a request took effect; Value is when it arrived and its deduplication window began
 	Reserved EventKind = "held"     // a prefill left a state
 	Released EventKind = "released" // a state was released at a dispatcher's request
 )
--- a/internal/testbed/soak/start.go
+++ b/internal/testbed/soak/start.go
@@ -115,7 +115,8 @@
 	return nil
 }
 
-// restartEndpoint kills an endpoint and starts it again: its connections are reset, and its reserved states are lost.
+// restartEndpoint kills an endpoint and starts it again. The endpoint's connections are reset, and its reserved states
+// are lost.
 func (r *run) restartEndpoint(endpoint int) error {
 	name := endpointName(endpoint)
 	r.record.add(Event{Kind: Killed, Endpoint: name})
--- a/internal/testbed/syscallfaults/shim/faults.c
+++ b/internal/testbed/syscallfaults/shim/faults.c
@@ -122,8 +122,8 @@
 }
 
 /*
- * Hides the vDSO from the program, so that it reads the clock through system calls: reads through the vDSO make none
- * and can't be intercepted.
+ * Hides the vDSO from the program, so that the program reads the clock through system calls. Reads through the vDSO
+ * make no system call and can't be intercepted.
  */
 static void hide_vdso(char **envp) {
     while (*envp) envp++;
@@ -152,9 +152,10 @@
     sigfillset(&handler.sa_mask);
     if (sigaction(SIGSYS, &handler, NULL) != 0) _exit(97);
 
-    uint32_t program_high = (uint32_t)(getauxval(AT_ENTRY) >> 32); /* of its addresses; libraries differ in these bits */
+    uint32_t program_high = (uint32_t)(getauxval(AT_ENTRY) >> 32); /* of the program's addresses, not the libraries' */
     struct sock_filter filter[] = {
-        /* The Go runtime installs handlers for all signals. For SIGSYS, pretend that it succeeded: ours must stay. */
+        /* The Go runtime installs handlers for all signals. For SIGSYS it is told that this succeeded, but the handler
+         * of this library stays. */
         BPF_STMT(BPF_LD | BPF_W | BPF_ABS, offsetof(struct seccomp_data, nr)),
         BPF_JUMP(BPF_JMP | BPF_JEQ | BPF_K, SYS_rt_sigaction, 0, 3),
         BPF_STMT(BPF_LD | BPF_W | BPF_ABS, offsetof(struct seccomp_data, args)),
--- a/internal/virtual/disk.go
+++ b/internal/virtual/disk.go
@@ -39,7 +39,8 @@
 	// write that exceeds it together with all existing files, the replaced one included, changes nothing and fails.
 	Capacity int
 	// AcknowledgesEarly makes operations succeed at once and become durable later. If the process is killed in between,
-	// they are lost, or take effect in part if the disk is not attached to another process before they become due.
+	// its operations are lost if the disk is attached to another process before they become due. Otherwise they take
+	// effect in part.
 	AcknowledgesEarly bool
 
 	network   *Network
--- a/scripts/check-behaviour.sh
+++ b/scripts/check-behaviour.sh
@@ -4,8 +4,8 @@
 #
 #   check-behaviour.sh sim      compares scenarios in virtual time by a hash of the times and receivers of all segments
 #                               that arrived; needs only Go
-#   check-behaviour.sh bench    compares decisions on the users' simulator by its trace hash; needs their kit beside the
-#                               repository
+#   check-behaviour.sh bench    compares decisions on the users' simulator by its trace hash; needs the users' kit
+#                               beside the repository
 #
 # With --record the script replaces the recorded results instead of comparing with them. Use this only when the
 # behaviour changes on purpose. The results hold for amd64; other processors may round floating-point numbers
