--- a/internal/engine/connection.go
+++ b/internal/engine/connection.go
@@ -115,7 +115,9 @@
 	}
 }
 
-// closedBeforeSent ends or retries an attempt whose connection failed before the request was sent completely.
+// closedBeforeSent ends an attempt whose connection failed before the request was sent completely. If no file
+// descriptor was free, it restarts the attempt instead after closing an idle connection, as far as startAfterEviction
+// allows.
 func (c *connection) closedBeforeSent(cause error) {
 	c.bodyEndedByClose = true
 	_ = c.parser.Close(c)
--- a/scheduler/prefix_affinity.go
+++ b/scheduler/prefix_affinity.go
@@ -65,7 +65,7 @@
 // affinityEndpoints returns the endpoints that should prefill the request's prefix, or its session if it has no prefix:
 // one in the dispatcher's own zone and one among all endpoints. The one in the own zone is preferred, because links
 // between zones are slow and charged for. If that endpoint is busy, the one among all endpoints is preferred to the
-// least loaded endpoint, which may not have cached the prefix.
+// endpoint with the shortest wait, which may not have cached the prefix.
 func (s *Scheduler) affinityEndpoints(req *request, endpoints []*endpoint) [2]*endpoint {
 	key := cmp.Or(uint64(req.prefix), uint64(req.session))
 	req.affinity = [2]*endpoint{}
