--- a/internal/engine/attempt.go
+++ b/internal/engine/attempt.go
@@ -24,7 +24,7 @@
 	evictions    int              // idle connections closed because no file descriptor was free for this attempt
 
 	ended bool
-	sent  bool // the network had taken the request's last byte; valid once ended is set
+	sent  bool // the network had taken the request's last byte when the attempt ended; valid once ended is set
 
 	readingPaused   bool
 	streamIdleSince eventloop.Micros // start of the current idle period of a started stream
--- a/internal/engine/openai.go
+++ b/internal/engine/openai.go
@@ -23,7 +23,7 @@
 	streamMembers = `"stream":true,"stream_options":{"include_usage":true},"max_tokens":`
 )
 
-// Target is the destination of one attempt, the request ids that it is sent with, and its timeout.
+// Target holds the destination, the request ids and the timeout of one attempt.
 type Target struct {
 	Endpoint  scheduler.EndpointID
 	RequestID string // the attempt's request id, from AttemptRequestID; sent as x-request-id
--- a/internal/lifecycle/lifecycle_test.go
+++ b/internal/lifecycle/lifecycle_test.go
@@ -93,7 +93,8 @@
 		oneOf(e, ClientLagging, ClientCaughtUp) && !m.begun:
 		return false
 	}
-	// The engine reports no such events, because it distinguishes prefill attempts from decode attempts.
+	// The events excluded below are never reported, because the engine distinguishes prefill attempts from decode
+	// attempts.
 	switch s {
 	case Prefilling:
 		return !oneOf(e, EventReceived, DecodeCompleted)
@@ -133,10 +134,9 @@
 	}
 }
 
-// TestRandomEventOrdersKeepInvariants fires random events, each of which is possible in the state that it finds, and
-// checks these invariants: a request gets at most one final answer and no event after that answer, it has at most one
-// attempt in flight, each attempt's end is notified once, and an answered request without an attempt in flight is
-// forgotten.
+// TestRandomEventOrdersKeepInvariants fires random events, each of which is possible in the current state, and checks
+// these invariants: a request gets at most one final answer and no event after that answer, it has at most one attempt
+// in flight, each attempt's end is notified once, and an answered request without an attempt in flight is forgotten.
 func TestRandomEventOrdersKeepInvariants(t *testing.T) {
 	// Two cells of the table may remain unreached in this test, because which of them are reached depends on which side
 	// closes first. The random faults in the tests of package dispatch reach all cells.
--- a/scheduler/api.go
+++ b/scheduler/api.go
@@ -6,7 +6,7 @@
 type Micros = timerqueue.Micros
 
 // Each kind of id has its own type, to let the compiler reject a mix-up. TenantID, ClassID and KindID are indexes into
-// Config. The values of the other ids have no meaning: the scheduler compares, sorts and hashes them.
+// Config. The values of the other ids have no meaning to the scheduler, which only compares, sorts and hashes them.
 type (
 	// RequestID names a client's request.
 	RequestID uint64
@@ -32,7 +32,7 @@
 
 // Executor carries out a scheduler's actions, in the order of the calls.
 type Executor interface {
-	// Send sends the request's next attempt to an endpoint. The timeout starts now.
+	// Send sends the request's next attempt to an endpoint. The timeout starts at this call.
 	Send(request RequestID, endpoint EndpointID, timeout Micros)
 	// Reject gives the client a final answer that lets it send the request again after retryAfter.
 	Reject(request RequestID, retryAfter Micros)
@@ -66,7 +66,7 @@
 const (
 	Prefill  Role = iota // prefills prompts and stores their state until it is fetched
 	Decode               // fetches a state and generates the answer
-	Mixed                // does both
+	Mixed                // prefills prompts and decodes their answers
 	Embedder             // serves only prefill-only requests
 
 	roleCount = iota
@@ -89,8 +89,8 @@
 // The groups.
 const (
 	AllEndpoints Group = iota
-	SameZone           // endpoints in the same zone as the endpoint of that attempt
-	SameCell           // endpoints in the same cell as the endpoint of that attempt
+	SameZone           // endpoints in the zone of that first attempt's endpoint
+	SameCell           // endpoints in the cell of that first attempt's endpoint
 )
 
 // EndpointState is the state of an endpoint as given by the endpoint list.
@@ -161,9 +161,9 @@
 	WatchOnDemand   bool    // the endpoint list is sent only after WatchEndpoints
 	TickInterval    Micros  // period of the caller's ticks; the caller reports events only at its ticks
 	IdleTimeout     Micros  // time after which an unused connection is closed
-	ConnectTimeout  Micros  // time after which an attempt that got no connection is never sent
+	ConnectTimeout  Micros  // an attempt that has no connection after this time is not sent
 	WarmUp          Micros  // time from the start of an endpoint's process until its full throughput is reached
-	SlowStartFactor float64 // share of its warm throughput that an endpoint has when its process starts
+	SlowStartFactor float64 // throughput of an endpoint when its process starts, as a share of its warm throughput
 
 	// The overload rule: an endpoint is overloaded if, within OverloadWindow, it gets more than OverloadFactor times the
 	// work that it can do in that time.
@@ -210,5 +210,5 @@
 	Requests      int
 	Attempts      int
 	Queued        int     // requests that wait for capacity
-	PrefillTokens float64 // tokens of the prompts and expected answers of requests in prefill, except prefill-only ones
+	PrefillTokens float64 // prompt and expected answer tokens of the requests in prefill, except prefill-only ones
 }
--- a/scheduler/attempt.go
+++ b/scheduler/attempt.go
@@ -9,21 +9,21 @@
 	endpoint      *endpoint
 	sentAt        Micros
 	prefillTokens float64 // tokens of the prompt that the endpoint still has to prefill
-	tokensAhead   float64 // tokens of earlier requests that the endpoint had still to prefill when the attempt was sent
+	tokensAhead   float64 // tokens of earlier requests that the endpoint still had to prefill when the attempt was sent
 	memoryTokens  float64 // memory that the request is expected to take at its decode endpoint
 	decodes       bool
 	started       bool   // the answer has begun to stream
 	lateAt        Micros // time after which the start of the answer is late
-	crossesCells  bool   // the state is fetched from another cell than the endpoint's
+	crossesCells  bool   // the state is fetched from a cell other than the endpoint's
 	stateCell     CellID // cell of the endpoint that stores the state
 	cancelled     bool   // the scheduler has cancelled the attempt
 	newConnection bool   // there was probably no open connection to the endpoint when the attempt was sent
 	onResult      func(AttemptResult)
 }
 
-// send sends a request to an endpoint. It calls onResult when the attempt ends, unless the answer has begun by then or
-// the request is closed. If the request has no attempt or time left, or the guard blocks the attempt, send ends the
-// request with a final answer instead.
+// send sends a request to an endpoint. When the attempt ends, onResult is called, unless the answer has begun or the
+// request is closed. If the request has used all its attempts or reached its deadline, or the guard blocks the attempt,
+// send ends the request with a final answer instead.
 func (s *Scheduler) send(req *request, ep *endpoint, prefillTokens float64, onResult func(AttemptResult)) {
 	switch {
 	case req.attemptsSent >= s.MaxAttempts:
@@ -75,7 +75,7 @@
 	ep.pending = slices.DeleteFunc(ep.pending, func(other *attempt) bool { return other == att })
 }
 
-// AttemptStarted records that the answer has begun to stream to the client, which ends the request's deadline timer.
+// AttemptStarted records that the answer has begun to stream to the client. It drops the request's deadline timer.
 func (s *Scheduler) AttemptStarted(now Micros, id RequestID, number AttemptNumber) {
 	s.now = now
 	att := s.currentAttempt(id, number)
--- a/scheduler/candidates.go
+++ b/scheduler/candidates.go
@@ -26,8 +26,8 @@
 func (s *scratch) release(mark int) { s.endpoints = s.endpoints[:mark] }
 
 // candidates returns the endpoints of the given roles that the request may be sent to now. If outlier ejection would
-// exclude all of them, it is ignored: when all endpoints look faulty, the cause is more likely the network or this
-// dispatcher. The other conditions, such as readiness, safe retries and slow start, always apply.
+// exclude all of them, it is ignored, because when all endpoints look faulty, the cause is more likely the network or
+// this dispatcher. The other conditions, such as readiness, safe retries and slow start, always apply.
 func (s *Scheduler) candidates(req *request, roles ...Role) []*endpoint {
 	from := s.scratch.mark()
 	s.examined += uint64(len(s.endpoints.all))
@@ -57,9 +57,9 @@
 	return slices.DeleteFunc(all, func(ep *endpoint) bool { return !slices.Contains(roles, ep.role) })
 }
 
-// preferConnected filters endpoints while new connections often fail, because they are slow to establish or because the
-// endpoints accept no more of them. It drops the endpoints without an open connection if another endpoint of the same
-// role has one.
+// preferConnected filters endpoints while new connections often fail. Connections fail because they are slow to
+// establish or because the endpoints accept no more of them. preferConnected drops the endpoints without an open
+// connection if another endpoint of the same role has one.
 func (s *Scheduler) preferConnected(endpoints []*endpoint) []*endpoint {
 	if s.connectFailures.valueAt(s.now, 0) < connectFailureLimit {
 		return endpoints
@@ -71,8 +71,8 @@
 	return slices.DeleteFunc(endpoints, func(ep *endpoint) bool { return connected[ep.role] && !s.hasConnection(ep) })
 }
 
-// hasConnection estimates whether a connection to the endpoint is open. It assumes so if the endpoint has replied
-// within the idle timeout.
+// hasConnection estimates whether a connection to the endpoint is open. It assumes an open one if the endpoint has
+// replied within the idle timeout.
 func (s *Scheduler) hasConnection(ep *endpoint) bool {
 	return ep.outlier.lastReplyAt > 0 && s.now-ep.outlier.lastReplyAt < s.IdleTimeout
 }
--- a/scheduler/cell_links.go
+++ b/scheduler/cell_links.go
@@ -21,9 +21,9 @@
 }
 
 // recordHandover adds the delay of an attempt that fetches a state. It is called when the attempt's answer begins, and
-// when the attempt times out or is cancelled without an answer. An attempt that has to prefill its prompt itself does
-// not count when its answer begins. It does count, for cell 0, when it times out or is cancelled, because AttemptEnded
-// calls untrack first, which sets prefillTokens to 0.
+// when the attempt times out or is cancelled without an answer. The delay of an attempt that has to prefill its prompt
+// itself is not added when its answer begins. That delay is added, for cell 0, when the attempt times out or is
+// cancelled, because AttemptEnded calls untrack first, which sets prefillTokens to 0.
 func (s *Scheduler) recordHandover(att *attempt) {
 	if att.decodes && att.prefillTokens == 0 {
 		delay := s.links.handoverDelay[att.stateCell]
@@ -32,9 +32,9 @@
 	}
 }
 
-// delayedByLink reports whether the link between cells is taken to be the cause of an attempt's late start. That is
-// assumed if the state is fetched from another cell and the decode endpoint has begun another answer in time since the
-// attempt was sent.
+// delayedByLink reports whether the link between cells is taken to be the cause of an attempt's late start. The link is
+// taken to be the cause if the state is fetched from another cell and the decode endpoint has begun another answer in
+// time since the attempt was sent.
 func delayedByLink(att *attempt) bool {
 	return att.crossesCells && att.endpoint.memory.lastTimelyStartAt > att.sentAt
 }
--- a/scheduler/cost_test.go
+++ b/scheduler/cost_test.go
@@ -105,10 +105,10 @@
 	fleet.scheduler.EndpointUpdateEnded(fleet.now, true)
 }
 
-// blockDecode makes all decode endpoints not fit, so arriving requests are queued.
+// blockDecode marks all decode endpoints as having no capacity. Arriving requests are then queued.
 func (fleet *costFleet) blockDecode() { fleet.setNoCapacityUntil(fleet.now + 3600*sec) }
 
-// unblockDecode makes the decode endpoints fit again.
+// unblockDecode removes the marks that blockDecode has set.
 func (fleet *costFleet) unblockDecode() { fleet.setNoCapacityUntil(0) }
 
 func (fleet *costFleet) setNoCapacityUntil(until Micros) {
--- a/scheduler/decode_memory.go
+++ b/scheduler/decode_memory.go
@@ -14,12 +14,12 @@
 	lateStartShare = 0.25
 
 	// When an answer begins late, the limit on this dispatcher's reservations at the endpoint is cut to limitCutFactor
-	// times the lesser of the old limit and the current reservations. It is cut at most once in limitCutInterval.
+	// times the lesser of the old limit and the current reservations. The limit is cut at most once in limitCutInterval.
 	limitCutFactor   = 0.8
 	limitCutInterval = sec
 
-	// Each second, the limit grows by limitGrowth times the dispatcher's even share of the endpoint's memory. It starts
-	// from at least the even share divided by minLimitDivisor.
+	// Each second, the limit grows by limitGrowth times the dispatcher's even share of the endpoint's memory. The growth
+	// starts at the value that the last cut set, or at the even share divided by minLimitDivisor if that is higher.
 	limitGrowth     = 0.1
 	minLimitDivisor = 8
 )
@@ -51,9 +51,9 @@
 }
 
 // memoryUsage estimates the share of an endpoint's memory that is in use. With a recent load report, the estimate is
-// the reported usage plus what this dispatcher has reserved since the report, and at least all that this dispatcher has
-// reserved. Without a recent report, it assumes that each other dispatcher reserves as much as this one does on
-// average.
+// the reported usage plus what this dispatcher has reserved since the report. It is never less than the share that this
+// dispatcher has reserved in total. Without a recent report, the estimate assumes that each other dispatcher reserves
+// as much as this one does on average.
 func (s *Scheduler) memoryUsage(ep *endpoint) float64 {
 	size := s.memoryTokens(ep)
 	if s.usageReported(ep) {
@@ -87,8 +87,8 @@
 // startOverdue reports whether the start of an answer is overdue at this endpoint for a reason other than a congested
 // link. An overdue start shows that this dispatcher or others have exhausted the endpoint's memory, slots or decode
 // rate. This check applies whether or not the endpoint's usage is reported; memoryCeiling applies only to reported
-// usage. In overload this check keeps requests in this dispatcher's queue, because in the endpoints' queues they would
-// all be late.
+// usage. In overload this check keeps requests in this dispatcher's queue, because in the endpoints' queues all these
+// requests would be late.
 func (s *Scheduler) startOverdue(ep *endpoint) bool {
 	return slices.ContainsFunc(ep.pending, func(att *attempt) bool {
 		return att.decodes && s.now > att.lateAt && !delayedByLink(att)
--- a/scheduler/decode_placement.go
+++ b/scheduler/decode_placement.go
@@ -109,7 +109,7 @@
 		case prefill == nil || ep.zone != prefill.zone || s.memoryUsage(ep) > nearLimit:
 			ep.tier = tierAnywhere
 		case ep.cell != prefill.cell && s.Dispatchers <= dispatchersPerChoice*len(endpoints):
-			// If there are more dispatchers than this, the endpoints of the zone stay in one tier with those of the cell,
+			// If there are more dispatchers than this limit, the zone's endpoints stay in one tier with those of the cell,
 			// because many dispatchers together would overfill the few endpoints of a cell.
 			ep.tier = tierSameZone
 		}
@@ -120,7 +120,7 @@
 
 // nearUsageLimit returns the memory usage up to which decode endpoints near the prefill endpoint are preferred. The
 // check of loadMargin alone does not protect these endpoints from overload. If most endpoints are in the prefill
-// endpoint's cell, the median load is the load of that cell, and no endpoint of the cell exceeds it by much.
+// endpoint's cell, the median load is the load of that cell, and no endpoint of the cell exceeds that median by much.
 func (s *Scheduler) nearUsageLimit(endpoints []*endpoint, prefill *endpoint) float64 {
 	outside := s.scratch.numbers[:0]
 	for _, ep := range endpoints {
--- a/scheduler/decode_placement_test.go
+++ b/scheduler/decode_placement_test.go
@@ -45,8 +45,8 @@
 func TestPrefillsInFlightCountAgainstDecodeCapacity(t *testing.T) {
 	for _, test := range []struct {
 		name       string
-		warm       bool // a warm decode endpoint with capacity for two requests
-		warmingUp  bool
+		warm       bool // add a warm decode endpoint with capacity for two requests
+		warmingUp  bool // add a decode endpoint that is warming up
 		wantQueued int
 	}{
 		{"warm endpoint", true, false, 2},
--- a/scheduler/endpoint_list.go
+++ b/scheduler/endpoint_list.go
@@ -77,8 +77,8 @@
 }
 
 // EndpointUpdateEnded ends a list. An endpoint that a complete list does not name is no longer ready. An endpoint that
-// has been unavailable for unavailableRetention and has no attempt in flight is forgotten. Over months, endpoints are
-// replaced under new ids, and decisions must not examine all endpoints that ever existed.
+// has been unavailable for unavailableRetention and has no attempt in flight is forgotten, because over months
+// endpoints are replaced under new ids, and decisions must not examine all endpoints that ever existed.
 func (s *Scheduler) EndpointUpdateEnded(now Micros, complete bool) {
 	s.now = now
 	s.endpoints.all = slices.DeleteFunc(s.endpoints.all, func(ep *endpoint) bool {
--- a/scheduler/endpoint_load.go
+++ b/scheduler/endpoint_load.go
@@ -2,8 +2,8 @@
 
 import "math"
 
-// loadMeanTime is the time constant of the moving averages of this dispatcher's load at an endpoint, in seconds for
-// each other dispatcher.
+// loadMeanTime times the number of other dispatchers is the time constant, in seconds, of the moving averages of this
+// dispatcher's load at an endpoint.
 const loadMeanTime = 0.25
 
 // endpointLoad is the load that this dispatcher has in flight at an endpoint.
@@ -64,7 +64,7 @@
 }
 
 // updateLoadMeans updates the moving averages of this dispatcher's load at an endpoint. The averaging time grows with
-// the number of dispatchers, because each of them then sends to the endpoint less often.
+// the number of dispatchers, because the more dispatchers there are, the less often each sends to the endpoint.
 func (s *Scheduler) updateLoadMeans(ep *endpoint) {
 	load := &ep.load
 	gap, others := s.now-load.meansUpdatedAt, s.otherDispatchers()
--- a/scheduler/estimates.go
+++ b/scheduler/estimates.go
@@ -31,8 +31,8 @@
 	}
 }
 
-// typicalLatency returns the mean latency, in Micros, of an attempt's stage, or of both stages if the attempt does
-// both.
+// typicalLatency returns the mean latency, in Micros, of the stages that an attempt runs: the prefill, the first token,
+// or both.
 func (e *estimates) typicalLatency(att *attempt) float64 {
 	switch {
 	case !att.decodes:
--- a/scheduler/final_answer.go
+++ b/scheduler/final_answer.go
@@ -39,8 +39,8 @@
 	}
 }
 
-// finish ends an answered request. If an attempt is in flight, finish cancels it and is called again at its end;
-// otherwise it releases the state and forgets the request.
+// finish ends an answered request. If an attempt is in flight, finish cancels that attempt and is called again when it
+// ends. Otherwise finish releases the state and forgets the request.
 func (s *Scheduler) finish(req *request) {
 	s.timers.due.Drop(req.deadlineTimer)
 	s.queue.remove(req)
--- a/scheduler/outlier_ejection.go
+++ b/scheduler/outlier_ejection.go
@@ -11,8 +11,8 @@
 	successFactor   = 0.5      // factor applied to the failure score at each success
 	recoveredBelow  = 0.4      // failure score below which the score is set to 0
 
-	// An endpoint with pending replies is ejected after a silence of silenceFactor times the typical latency, at least
-	// minSilence, plus silentPrefillFactor times the time that its prefills take.
+	// An endpoint with pending attempts is ejected when its silence reaches a limit. The limit is the larger of minSilence
+	// and silenceFactor times the typical latency, plus silentPrefillFactor times the time that its prefills take.
 	minSilence          = 400 * ms
 	silenceFactor       = 4
 	silentPrefillFactor = 2
@@ -81,10 +81,10 @@
 	s.executor.Log(EndpointEjected{Endpoint: ep.id, Reason: reason, For: o.ejectedUntil - s.now})
 }
 
-// detectSilentEndpoints finds endpoints that hang or are gone, long before their attempts time out. It finds them by
-// pending replies of which none arrives. Such an endpoint is ejected first. If it stays silent, its attempts that can
-// be retried elsewhere are cancelled. An endpoint that is only overloaded must not lose its attempts, so the limit
-// depends on the typical latency.
+// detectSilentEndpoints finds endpoints that hang or are gone, long before their attempts time out. Such an endpoint
+// has pending attempts and sends no reply. It is ejected first. If it stays silent, its attempts that can be retried
+// elsewhere are cancelled. The limit on the silence depends on the typical latency, because an endpoint that is only
+// overloaded must not lose its attempts.
 func (s *Scheduler) detectSilentEndpoints() {
 	for _, ep := range s.endpoints.all {
 		i := slices.IndexFunc(ep.pending, func(att *attempt) bool { return !att.cancelled })
--- a/scheduler/outlier_ejection_test.go
+++ b/scheduler/outlier_ejection_test.go
@@ -62,7 +62,8 @@
 	}
 }
 
-// A missing state may be noticed without a reply from the decode endpoint, so its report must not count as a reply.
+// A missing state may be noticed without a reply from the decode endpoint, so the report that the state is missing must
+// not count as a reply.
 func TestMissingStateIsNoReply(t *testing.T) {
 	sim := newFleetSim(t, testConfig(Idempotent), 1)
 	sim.addEndpoints(2, prefillKind, decodeKind)
--- a/scheduler/prefill_placement.go
+++ b/scheduler/prefill_placement.go
@@ -64,9 +64,9 @@
 	s.queue.add(req)
 }
 
-// mayPrefill reports whether a request may be sent to its prefill endpoint now. A request may not be sent if the wait
+// mayPrefill reports whether a request may be sent to its prefill endpoint now. A request must not be sent if the wait
 // at the endpoint is long, because a long queue at the endpoint would make all its requests late. Another endpoint
-// would not help: it lacks the prefix that the affinity endpoint has cached, and would have to prefill the whole
+// would not help, because it lacks the prefix that the affinity endpoint has cached and would have to prefill the whole
 // prompt. In this dispatcher's queue, a request can still be reordered, or rejected when it is too late.
 func (s *Scheduler) mayPrefill(req *request, ep *endpoint, wait float64) bool {
 	prefillOnly := s.Classes[req.class].PrefillOnly
@@ -134,8 +134,8 @@
 }
 
 // cellsAcceptingState returns the cells, sorted, that have a decode endpoint with capacity for the request. A cell
-// whose link is congested may prefill a prompt only if it is one of them, because the state has to stay in the cell.
-// One search serves all prefill endpoints.
+// whose link is congested may prefill a prompt only if the cell is in the result, because the state has to stay in the
+// cell. One search serves all prefill endpoints.
 func (s *Scheduler) cellsAcceptingState(req *request) []CellID {
 	defer s.scratch.release(s.scratch.mark())
 	endpoints, accepting := s.decodeCandidates(req), s.scratch.cells[:0]
--- a/scheduler/prefix_affinity.go
+++ b/scheduler/prefix_affinity.go
@@ -23,8 +23,8 @@
 	requests      float64
 	pairs         float64 // number of pairs of requests with the same prefix
 
-	// Mean share of a prefix that an affinity endpoint turned out to have cached although this dispatcher did not know of
-	// any prefill of the prefix there.
+	// Mean share of a prefix's tokens that an affinity endpoint turned out to have cached, over the prefills for which
+	// this dispatcher knew of no earlier prefill of the prefix there.
 	cachedShare float64
 }
 
@@ -88,7 +88,7 @@
 // affinityEndpoint chooses the endpoint for a prefix by rendezvous hashing, so all dispatchers choose the same one. A
 // prefix with a large share of the traffic has several endpoints, among which its sessions are hashed. Loads alone
 // would not spread such a prefix: dispatchers that each see few requests would learn too late that one endpoint can't
-// prefill all of it.
+// prefill all requests with the prefix.
 func (s *Scheduler) affinityEndpoint(req *request, key uint64, endpoints []*endpoint) *endpoint {
 	count := 1
 	if req.prefix != 0 {
--- a/scheduler/prefix_affinity_test.go
+++ b/scheduler/prefix_affinity_test.go
@@ -115,7 +115,7 @@
 // Dispatchers that have seen few requests must agree on where a prefix is prefilled. With three hundred dispatchers,
 // each of them has seen only few requests for most of a day. A dispatcher that took the few requests it saw for all of
 // the traffic would choose affinity endpoints of its own, and each of these would prefill the prefix again. Because an
-// affinity endpoint caches what other dispatchers prefill there, it is also better than an endpoint where this
+// affinity endpoint caches what other dispatchers prefill there, that endpoint is also better than one where this
 // dispatcher happened to prefill the prefix.
 func TestDispatchersThatSawLittleAgreeOnAffinityEndpoints(t *testing.T) {
 	choices := map[PrefixID]map[EndpointID]int{}
--- a/scheduler/reason.go
+++ b/scheduler/reason.go
@@ -7,7 +7,7 @@
 const (
 	DeadlineReached   Reason = iota // the request's deadline is due
 	AttemptsExhausted               // the request has too few attempts left
-	TooLate                         // the request can no longer meet its SLO, and another queued request can
+	TooLate                         // the request can no longer meet its SLO, and another queued request can meet its own
 	MayHaveRun                      // an attempt may have run, and a retry could repeat its effect
 	UnknownClass                    // the configuration has no such class
 	Withdrawn                       // the caller withdrew the request
--- a/scheduler/request.go
+++ b/scheduler/request.go
@@ -24,7 +24,7 @@
 	attemptsSent  int
 	attempt       *attempt     // the attempt in flight; nil if there is none
 	affinity      [2]*endpoint // endpoints to prefill the prefix: the one in the dispatcher's zone, and the one among all
-	stateAt       *endpoint    // endpoint that stores its prefilled state; nil if there is none
+	stateAt       *endpoint    // endpoint that stores the request's prefilled state; nil if there is none
 	tried         []*endpoint  // endpoints that were tried without success in the current stage (prefill or decode)
 	mayHaveRun    *attempt     // first attempt that may have taken effect
 	answered      bool         // the client has its final answer, or has disconnected
--- a/scheduler/request_queue_test.go
+++ b/scheduler/request_queue_test.go
@@ -5,8 +5,8 @@
 	"testing"
 )
 
-// In overload, queued requests that can no longer meet their SLO time are rejected at once if others still can, and the
-// newest request is placed first.
+// In overload, queued requests that can no longer meet their SLO time are rejected at once if other queued requests can
+// still meet theirs. The newest request is placed first.
 func TestLateRequestsYieldAndTheNewestGoesFirst(t *testing.T) {
 	sim := newFleetSim(t, testConfig(Idempotent), 1)
 	sim.addEndpoints(1, prefillKind)
--- a/scheduler/retries.go
+++ b/scheduler/retries.go
@@ -17,7 +17,7 @@
 	if req.mayHaveRun == nil || class.Effect == Idempotent {
 		return true
 	}
-	// The repeat must arrive at the endpoint within the window, and may first wait for a tick and for a connection.
+	// The repeat must arrive at the endpoint within DedupWindow. It may first wait for a tick and for a connection.
 	latestArrival := s.now + s.TickInterval + s.ConnectTimeout
 	if class.Effect == NonIdempotent || latestArrival >= req.mayHaveRun.sentAt+class.DedupWindow {
 		return false
--- a/scheduler/rule_model_test.go
+++ b/scheduler/rule_model_test.go
@@ -73,7 +73,7 @@
 		return countWithin(times, end-sim.config.OverloadWindow+1, sim.config.OverloadWindow)
 	}
 	best, own := 0.0, 0.0
-	for _, at := range ep.doneAt { // what the endpoint completed while warming up needs no scaling
+	for _, at := range ep.doneAt { // attempts completed while warming up are not scaled by SlowStartFactor
 		if at >= ep.startedAt {
 			own = max(own, upTo(ep.doneAt, at))
 		}
--- a/scheduler/rules_test.go
+++ b/scheduler/rules_test.go
@@ -49,7 +49,8 @@
 	return config
 }
 
-// A prefill in flight may have an effect, so a non-idempotent request that ends then must fail and not be rejected.
+// A prefill in flight may have an effect, so a non-idempotent request that ends during its prefill must fail and not be
+// rejected.
 func TestNonIdempotentFailsWhilePrefillInFlight(t *testing.T) {
 	sim := newFleetSim(t, testConfig(NonIdempotent), 1)
 	sim.addEndpoints(1, prefillKind, decodeKind)
--- a/scheduler/slow_start.go
+++ b/scheduler/slow_start.go
@@ -45,9 +45,9 @@
 }
 
 // measureWarmThroughput updates the recent throughput of warm endpoints of each role. It runs each time the periodic
-// timer fires, not only while endpoints are warming up, and keeps the last value, because when all endpoints of a role
-// restart together, there is no warm one to measure. Endpoints that look faulty do not count, because dead ones that
-// are still listed would lower the mean.
+// timer fires, not only while endpoints are warming up. It keeps the last value while a role has no warm endpoint. Both
+// are needed because when all endpoints of a role restart together, there is no warm one to measure. Endpoints that
+// look faulty do not count, because dead ones that are still listed would lower the mean.
 func (s *Scheduler) measureWarmThroughput() {
 	var sum, count [roleCount]float64
 	s.examined += uint64(len(s.endpoints.all))
@@ -94,8 +94,8 @@
 	if ep.slowStart.completedTokens > minCompletedRequests*requestTokens {
 		rate = max(rate, s.OverloadFactor*ownThroughputShare*ep.slowStart.completedTokens/throughputDecayTime)
 	}
-	// If this dispatcher knows no throughput, as after its restart, it may send one request of mean size in each window of
-	// the overload rule. All dispatchers together may send at most unknownThroughputRequests of them.
+	// If this dispatcher knows no throughput, for example after its restart, it may send one request of mean size in each
+	// window of the overload rule. All dispatchers together may send at most unknownThroughputRequests such requests.
 	window := max(seconds(s.OverloadWindow), 1)
 	return max(rate, requestTokens/window*min(1, unknownThroughputRequests/float64(max(s.Dispatchers, 1))))
 }
--- a/scheduler/slow_start_test.go
+++ b/scheduler/slow_start_test.go
@@ -59,8 +59,8 @@
 	}
 }
 
-// The throughput of warm endpoints must be measured before the endpoints of a role restart together: once they are
-// warming up, there is nothing to measure.
+// The throughput of warm endpoints must be measured before the endpoints of a role restart together, because once all
+// of them are warming up, there is no warm endpoint to measure.
 func TestWarmThroughputIsMeasuredBeforeAnyEndpointRestarts(t *testing.T) {
 	sim := newFleetSim(t, testConfig(Idempotent), 1)
 	sim.addEndpoints(2, prefillKind, decodeKind)
@@ -82,8 +82,8 @@
 	}
 }
 
-// A hundred dispatchers, each of which sees little traffic, learn of a new endpoint at the same time. What they send to
-// it together must stay within the overload rule, and the endpoint must get some work.
+// A hundred dispatchers, each of which sees little traffic, learn of a new endpoint at the same time. The attempts that
+// all dispatchers together send to this endpoint must stay within the overload rule, and it must get some work.
 func TestManyDispatchersTogetherKeepToTheOverloadRule(t *testing.T) {
 	sims := hundredDispatchers(t, func(sim *fleetSim) { sim.addEndpoints(2, prefillKind, decodeKind) })
 	config, start := sims[0].config, sims[0].now+15*sec
--- a/scheduler/timers.go
+++ b/scheduler/timers.go
@@ -29,7 +29,7 @@
 }
 
 // armDeadlineTimer sets the caller's deadline timer to the earliest due time, but at least one microsecond from now. It
-// does nothing if the timer already fires that early.
+// does nothing if the timer is already set for that time or an earlier one.
 func (s *Scheduler) armDeadlineTimer() {
 	t := &s.timers
 	if at, found := t.due.Next(); found && (t.armedAt == 0 || at < t.armedAt) {
