--- a/scheduler/prefix_affinity.go
+++ b/scheduler/prefix_affinity.go
@@ -23,8 +23,8 @@
 	requests      float64
 	pairs         float64 // number of pairs of requests with the same prefix
 
-	// Mean share of a prefix that an affinity endpoint turned out to have cached although this dispatcher did not know of
-	// any prefill of the prefix there.
+	// Mean share of a prefix's tokens that an affinity endpoint turned out to have cached, over the prefills for which
+	// this dispatcher knew of no earlier prefill of the prefix there.
 	cachedShare float64
 }
 
@@ -65,7 +65,7 @@
 // affinityEndpoints returns the endpoints that should prefill the request's prefix, or its session if it has no prefix:
 // one in the dispatcher's own zone and one among all endpoints. The one in the own zone is preferred, because links
 // between zones are slow and charged for. If that endpoint is busy, the one among all endpoints is preferred to the
-// least loaded endpoint, which may not have cached the prefix.
+// endpoint with the shortest wait, which may not have cached the prefix.
 func (s *Scheduler) affinityEndpoints(req *request, endpoints []*endpoint) [2]*endpoint {
 	key := cmp.Or(uint64(req.prefix), uint64(req.session))
 	req.affinity = [2]*endpoint{}
@@ -88,7 +88,7 @@
 // affinityEndpoint chooses the endpoint for a prefix by rendezvous hashing, so all dispatchers choose the same one. A
 // prefix with a large share of the traffic has several endpoints, among which its sessions are hashed. Loads alone
 // would not spread such a prefix: dispatchers that each see few requests would learn too late that one endpoint can't
-// prefill all of it.
+// prefill all requests with the prefix.
 func (s *Scheduler) affinityEndpoint(req *request, key uint64, endpoints []*endpoint) *endpoint {
 	count := 1
 	if req.prefix != 0 {
