--- a/internal/platform/attempt.go
+++ b/internal/platform/attempt.go
@@ -33,7 +33,7 @@
 	orderedAt  eventloop.Micros
 	prefill    bool
 	cancelling bool // the dispatcher reset the connection, and the endpoint may not have seen the reset yet
-	started    bool // the first event of its stream has arrived, so the client's response has begun
+	started    bool // the first event of the attempt's stream has arrived, so the client's response has begun
 }
 
 // number returns the number of the attempt that was ordered last.
@@ -57,9 +57,9 @@
 	a.prefill = d.roleOf(endpoint) == scheduler.Prefill
 	number := a.number()
 	d.Attempts++
-	// A prefill attempt leaves a new KV state, and doesn't fetch the state of an earlier prefill. The earlier state is
-	// released before the attempt, because a release drops all states of the request. A later release would also drop the
-	// new state. A state that a prefill may have left without reporting success is released before any attempt.
+	// A prefill attempt leaves a new KV state, and doesn't fetch the state of an earlier prefill. A release drops all
+	// states of the request, so the earlier state is released before the attempt. A release after the attempt would drop
+	// the new state too. A state that a prefill may have left without reporting success is released before any attempt.
 	if req.lease.active && !req.lease.releasing && (a.prefill || req.lease.unconfirmed) {
 		d.release(req)
 	}
--- a/internal/platform/attempt_test.go
+++ b/internal/platform/attempt_test.go
@@ -58,8 +58,8 @@
 type attemptTest struct {
 	name  string
 	first func(*endpointConn)
-	// explain and post are the final statuses of an idempotent request and of one with side effects. 0 means that the
-	// client's connection ends without the last chunk.
+	// The field explain is the final status of an idempotent request, and post is the final status of a request with side
+	// effects. 0 means that the client's connection ends without the last chunk.
 	explain, post int
 }
 
@@ -95,8 +95,8 @@
 	for _, test := range attemptTests {
 		t.Run(test.name+", explain", func(t *testing.T) {
 			env, _ := runWithFirstAttempt(t, test.first, "explain", test.explain)
-			// Bytes that follow a response must not be taken for the response to the next request on the connection.
-			// Requests with side effects show such an error, as they are not retried.
+			// Bytes that follow a response must not be taken for the response to the next request on the connection. Requests
+			// with side effects show such an error, because they are not retried.
 			env.network.Run(3 * eventloop.Second)
 			for range 6 {
 				if got := env.finalStatus(env.sendRequest("post")); got != 200 {
@@ -159,7 +159,7 @@
 
 // TestStreamWithoutFraming checks streams that have neither a length nor chunks and last until their connection ends.
 // Such a stream is complete only if its last event has arrived. A stream that broke must not be ended with the last
-// chunk, as the client would take it for complete.
+// chunk, because the client would take the stream for complete.
 func TestStreamWithoutFraming(t *testing.T) {
 	for name, test := range map[string]struct {
 		events   []string
@@ -195,8 +195,8 @@
 // bigBody doesn't fit into the receive window of an endpoint that reads nothing.
 var bigBody = `{"messages":["` + strings.Repeat("x", 100<<10) + `"]}`
 
-// TestBrokenBeforeLastByteHasNotRun checks that an attempt that was not written completely counts as not run: a request
-// with side effects is retried at another endpoint, and no state is released for such an attempt.
+// TestBrokenBeforeLastByteHasNotRun checks that an attempt that was not written completely counts as not run. So a
+// request with side effects is retried at another endpoint, and no state is released for such an attempt.
 func TestBrokenBeforeLastByteHasNotRun(t *testing.T) {
 	env := newTestEnv(t, 256, defaultEndpointKinds...)
 	env.network.ReceiveWindow = 16 << 10
@@ -214,7 +214,8 @@
 		t.Errorf("answered %d", got)
 	}
 	env.requireIdle()
-	// An attempt that times out or is cancelled before its last byte can't have run either: there is nothing to release.
+	// An attempt that times out or is cancelled before its last byte is written can't have run either, so there is nothing
+	// to release.
 	for _, endpoint := range env.prefillEndpoints() {
 		endpoint.relisten(func(conn *endpointConn) { conn.socket.SetPaused(true) })
 	}
--- a/internal/platform/attempt_timing_test.go
+++ b/internal/platform/attempt_timing_test.go
@@ -69,7 +69,7 @@
 }
 
 // TestRemainingTimeIsSent checks that an endpoint is told the time that the client has left when the attempt is
-// written, not when its connection was requested.
+// written, not the time that was left when the attempt's connection was requested.
 func TestRemainingTimeIsSent(t *testing.T) {
 	env := newTestEnv(t, 256, "prefill", "decode")
 	env.network.Latency = 80 * eventloop.Millisecond
@@ -162,8 +162,8 @@
 }
 
 // TestCancelledTwice checks events during the moment in which a cancelled attempt still counts as in flight: another
-// cancellation, a drain of its endpoint, the expiry of its state's lease. None of these events may end the attempt
-// earlier, or make it count as an attempt that was never sent.
+// cancellation, a drain of the attempt's endpoint, or the expiry of the lease of its state. None of these events may
+// end the attempt earlier, or make it count as an attempt that was never sent.
 func TestCancelledTwice(t *testing.T) {
 	for name, meanwhile := range map[string]func(d *Dispatcher, request *request){
 		"cancel": func(d *Dispatcher, request *request) { d.Cancel(request.id, request.attempt.number()) },
@@ -183,7 +183,7 @@
 			env.sendRequest("post")
 			env.waitFor(eventloop.Second, "the decode attempt", func() bool { return d.Attempts == 2 })
 			env.network.Run(100 * eventloop.Millisecond)
-			for _, request := range d.requests { // as the scheduler does when the request's time is over
+			for _, request := range d.requests { // cancels as the scheduler does when the request's time is over
 				env.loop.Do(func() { d.Cancel(request.id, request.attempt.number()) })
 			}
 			request := cancelledRequest(d)
@@ -228,14 +228,14 @@
 		case 1: // this attempt may have run
 			first = env.network.Now()
 			conn.socket.Abort()
-		case 2: // declined with the state missing: the state is released, and the next attempt waits for the release
+		case 2: // declined because the state is missing; the next attempt waits for the release of the state
 			// While both prefill endpoints drain, a decode endpoint prefills too.
 			env.agent.update(false, env.endpoints[0].entry("DRAINING"), env.endpoints[1].entry("DRAINING"))
 			conn.endpoint.loop.AfterFunc(2*env.network.Latency, func() {
 				conn.answer(410, "", "Srv-Declined", "1", "Connection", "close")
 			})
 		default:
-			if late := env.network.Now() - first; late > window+env.network.Latency { // it was sent after the window
+			if late := env.network.Now() - first; late > window+env.network.Latency { // the attempt was sent after the window
 				t.Errorf("a retry arrived %d ms after the first attempt", late/eventloop.Millisecond)
 			}
 			serveDecode(conn)
@@ -266,7 +266,7 @@
 	for latency := 95 * eventloop.Millisecond; latency < 101*eventloop.Millisecond; latency += 500 {
 		env := newTestEnvWith(t, settingsWithCancel(false), 256, defaultEndpointKinds...)
 		serveAll(env.prefillEndpoints(), func(conn *endpointConn) {
-			env.network.Latency = latency // with one of the latencies the connection opens just as the time is over
+			env.network.Latency = latency // at one of the latencies, the connection opens just as the request's time is over
 			servePrefill(conn)
 		})
 		client := env.sendRequest("explain", "Req-Deadline", "300m")
--- a/internal/platform/auditor_test.go
+++ b/internal/platform/auditor_test.go
@@ -8,8 +8,9 @@
 	"plumspindle/internal/eventloop"
 )
 
-// auditor checks the attempts that reach the endpoints: that a request runs again only if it may, that no two attempts
-// of a request are in flight, and that no attempt arrives after its client's disconnect or its endpoint's drain.
+// auditor checks the attempts that reach the endpoints: that a request runs again only if a repeat is allowed, that no
+// two attempts of a request are in flight, and that no attempt arrives after its client's disconnect or its endpoint's
+// drain.
 type auditor struct {
 	t              *testing.T
 	classes        map[string]testClass        // by request id
@@ -82,8 +83,8 @@
 	}
 }
 
-// checkRepeat checks that an attempt is allowed to run if an earlier one of the request may have run, and records the
-// first attempt that may run.
+// checkRepeat checks that an attempt may repeat the request if an earlier attempt may have run. It records the first
+// attempt that may have run.
 func (a *auditor) checkRepeat(id string, endpoint *fakeEndpoint, mayRun bool) {
 	a.t.Helper()
 	if endpoint.kind == a.prefillKind {
--- a/internal/platform/connections_test.go
+++ b/internal/platform/connections_test.go
@@ -35,9 +35,8 @@
 	env.requireIdle()
 }
 
-// TestConnectionClosedByEndpoint checks that no attempt is written to a connection that its endpoint closed while it
-// was idle. The event loop may not have reported the close yet, so the state of the socket itself is queried (package
-// sockets).
+// TestConnectionClosedByEndpoint checks that no attempt is written to an idle connection that the endpoint has closed.
+// The event loop may not have reported the close yet, so the state of the socket itself is queried (package sockets).
 func TestConnectionClosedByEndpoint(t *testing.T) {
 	env := newTestEnv(t, 256, "prefill", "decode")
 	var used []*endpointConn
@@ -60,8 +59,7 @@
 	if env.endpoints[0].opened != 5 || env.attempts() != 10 {
 		t.Errorf("%d connections, %d attempts", env.endpoints[0].opened, env.attempts())
 	}
-	// A request from the client is on its way, followed by the close of the endpoints' connections that would be used
-	// for it.
+	// A request is on its way to the dispatcher. The endpoints then close the connections that the request would use.
 	env.finalStatus(env.sendRequest("post"))
 	env.network.DeliveryDelay = 5 * eventloop.Millisecond
 	env.network.Run(20 * eventloop.Millisecond)
@@ -90,7 +88,7 @@
 		t.Errorf("%d connections after 10 s", env.dispatcher.engine.Connections())
 	}
 	env.network.Run(7 * eventloop.Second)
-	if env.dispatcher.engine.Connections() != 0 { // endpoints close them after 30 s
+	if env.dispatcher.engine.Connections() != 0 { // endpoints close idle connections after 30 s
 		t.Errorf("%d connections after 17 s", env.dispatcher.engine.Connections())
 	}
 }
--- a/internal/platform/deployments_test.go
+++ b/internal/platform/deployments_test.go
@@ -23,7 +23,7 @@
 // testClass is one of a deployment's request classes.
 type testClass struct {
 	name             string
-	effect           string // as the settings name it
+	effect           string // the effect's name in the settings
 	deadline, window eventloop.Micros
 }
 
@@ -92,8 +92,8 @@
 	}
 }
 
-// settings draws the remaining settings and returns all of them. The order of draws must stay: another order would give
-// another deployment for the same seed.
+// settings draws the remaining settings and returns all of them. The order of draws must stay, because another order
+// would give another deployment for the same seed.
 func (deployment *testDeployment) settings(random *rand.Rand, classes, tenants []settingsObject) settingsObject {
 	settings := settingsObject{
 		"group_size":       between(random, 1, 300),
@@ -159,7 +159,8 @@
 }
 
 // TestRandomDeployments sends requests to random deployments whose endpoints misbehave. Each request must get one final
-// answer in time, none may run again if it must not, and the dispatcher must follow the deployment's settings.
+// answer in time, none may run again unless a repeat is allowed, and the dispatcher must follow the deployment's
+// settings.
 func TestRandomDeployments(t *testing.T) {
 	for seed := range int64(60) {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) { runRandomDeployment(t, seed) })
--- a/internal/platform/disconnect_test.go
+++ b/internal/platform/disconnect_test.go
@@ -7,8 +7,8 @@
 	"plumspindle/internal/eventloop"
 )
 
-// TestSlowClient checks that only a bounded number of bytes is buffered for a client that doesn't read, by pausing the
-// endpoint's stream, and that the client gets the complete stream once it reads again.
+// TestSlowClient checks that only a bounded number of bytes is buffered for a client that doesn't read, because the
+// dispatcher pauses the endpoint's stream. The client must get the complete stream once it reads again.
 func TestSlowClient(t *testing.T) {
 	env := newTestEnv(t, 256, "prefill", "decode")
 	env.network.ReceiveWindow = 4 << 10
@@ -29,7 +29,7 @@
 
 // TestNoAttemptAfterDisconnect checks that no attempt begins more than 0.1 s after the client has disconnected. It
 // covers two cases: pipelined requests follow on the client's connection, and the attempt waits for its connection to
-// the endpoint. In both cases this must hold even if the settings forbid cancelling attempts.
+// the endpoint. In both cases the limit of 0.1 s must hold even if the settings forbid cancelling attempts.
 func TestNoAttemptAfterDisconnect(t *testing.T) {
 	for _, mayCancel := range []bool{true, false} {
 		rawSettings := settingsWithCancel(mayCancel)
@@ -132,8 +132,8 @@
 	env.requireIdle()
 }
 
-// TestSlowClientDisconnects checks that a client's disconnect is noticed while its stream is paused because it reads
-// too slowly.
+// TestSlowClientDisconnects checks that a client's disconnect is noticed while the client's stream is paused because
+// the client reads too slowly.
 func TestSlowClientDisconnects(t *testing.T) {
 	env := newTestEnv(t, 256, "prefill", "decode")
 	env.network.ReceiveWindow = 4 << 10
@@ -156,7 +156,7 @@
 }
 
 // TestDisconnectNotYetHandedOver checks a client's close that has reached the machine but has not been reported by the
-// event loop yet, as after the process was suspended. No attempt may begin for that client.
+// event loop yet, as can happen after the process was suspended. No attempt may begin for that client.
 func TestDisconnectNotYetHandedOver(t *testing.T) {
 	env := newTestEnv(t, 256, defaultEndpointKinds...)
 	declined := 0
@@ -166,7 +166,7 @@
 	})
 	first := env.sendRequest("post")
 	env.waitFor(eventloop.Second, "two refusals", func() bool { return declined == 2 })
-	// This request is queued: both prefill endpoints have just declined an attempt, and get none for a moment.
+	// This request is queued, because both prefill endpoints have just declined an attempt and get none for a moment.
 	client := env.sendRequest("post")
 	env.network.Run(5 * eventloop.Millisecond)
 	env.network.DeliveryDelay = 400 * eventloop.Millisecond
--- a/internal/platform/discovery/discovery.go
+++ b/internal/platform/discovery/discovery.go
@@ -21,7 +21,7 @@
 	// silenceTimeout is 1.5 times the agent's heartbeat interval. The watcher must know all changes 6 s after its
 	// subscription falls silent. If the first two retries after silenceTimeout get no response, 1 s of these 6 s is left.
 	silenceTimeout = 3 * eventloop.Second
-	// responseTimeout is short because the agent runs on the same machine: it responds at once, or is down.
+	// responseTimeout is short because the agent runs on the same machine, so it responds at once or is down.
 	responseTimeout = 500 * eventloop.Millisecond
 	minRetryDelay   = 40 * eventloop.Millisecond
 	maxRetryDelay   = 400 * eventloop.Millisecond
@@ -108,7 +108,7 @@
 	return err
 }
 
-// ApplyCached applies a list that discovery sent to an earlier process, from a cache.
+// ApplyCached applies a cached list, which discovery sent to an earlier process.
 func (w *Watcher) ApplyCached(data []byte) error { return w.apply(data) }
 
 func (w *Watcher) apply(data []byte) error {
--- a/internal/platform/discovery/discovery_test.go
+++ b/internal/platform/discovery/discovery_test.go
@@ -61,7 +61,7 @@
 }
 
 // TestUnusableMessageAsksForCompleteList checks that after a message that can't be applied the watcher requests the
-// complete list: its own list may have missed a change.
+// complete list, because its own list may have missed a change.
 func TestUnusableMessageAsksForCompleteList(t *testing.T) {
 	for name, test := range map[string]struct {
 		message string
@@ -105,8 +105,9 @@
 }
 
 // TestRestartCountsFromNowWhateverTheWallClock checks the start time of an endpoint that restarts while the watcher is
-// connected: it is the time at which the new start was first listed, however far the wall clocks have been stepped, and
-// it does not change when the start is listed again. In the first list the timestamp is all that is known, and is used.
+// connected. The start time is when the new start was first listed, however far the wall clocks have been stepped. It
+// does not change when the start is listed again. In the first list only the timestamp of a start is known, so the
+// timestamp is used.
 func TestRestartCountsFromNowWhateverTheWallClock(t *testing.T) {
 	loop := virtual.NewNetwork(1).NewLoop("d")
 	loop.StepClock(1700000000 * eventloop.Second)
--- a/internal/platform/discovery/record.go
+++ b/internal/platform/discovery/record.go
@@ -13,9 +13,9 @@
 	// state of a removed endpoint earlier.
 	recordRetention = 1800 * eventloop.Second
 	cleanupInterval = recordRetention / 10
-	// newestPrecedence is how long a list takes precedence over one with a lower version that arrives later, as from a
-	// replica of discovery that lags behind. After that time the lower version counts as newer, because discovery may
-	// have restarted its version count.
+	// newestPrecedence is how long a list takes precedence over one with a lower version that arrives later, for example
+	// from a replica of discovery that lags behind. After that time the lower version counts as newer, because discovery
+	// may have restarted its version count.
 	newestPrecedence = 60 * eventloop.Second
 )
 
@@ -50,9 +50,8 @@
 }
 
 // reconcile updates an endpoint's record from an entry. If the entry's list is older than that of the record, reconcile
-// corrects the entry from the record instead. Without this correction, the endpoint would again count as ready although
-// a newer list has said that it accepts no new requests, or as not restarted although a newer list has said that it has
-// restarted.
+// corrects the entry from the record instead. Without this correction, the older entry would undo what a newer list has
+// said: that the endpoint accepts no new requests, or that it has restarted.
 func (w *Watcher) reconcile(stored *record, entry *Entry, version uint64, now eventloop.Micros) {
 	if version < w.newestVersion && now-stored.listedAt < newestPrecedence {
 		if stored.notReady && entry.start.Timestamp <= stored.start.Timestamp {
--- a/internal/platform/discovery_test.go
+++ b/internal/platform/discovery_test.go
@@ -122,7 +122,7 @@
 	}
 }
 
-// TestResetWatchIsReopened checks that the dispatcher replaces a watch that is reset soon enough to learn of drains
+// TestResetWatchIsReopened checks that the dispatcher replaces a watch after a reset, soon enough to learn of drains
 // within the time that the platform allows for them.
 func TestResetWatchIsReopened(t *testing.T) {
 	env := newTestEnv(t, 256, defaultEndpointKinds...)
@@ -201,8 +201,8 @@
 	}
 }
 
-// TestOlderList checks that a list of an older version doesn't make an endpoint ready again that drains or was removed,
-// nor set back the start time of one that has been restarted.
+// TestOlderList checks that a list of an older version doesn't make a draining or removed endpoint ready again, and
+// doesn't set back the start time of an endpoint that has restarted.
 func TestOlderList(t *testing.T) {
 	env := newTestEnv(t, 256, defaultEndpointKinds...)
 	started := func(endpoint *fakeEndpoint, ms int64) string {
@@ -222,7 +222,8 @@
 	if restarted.StartedAt != eventloop.Micros(now)*eventloop.Millisecond {
 		t.Errorf("the restarted endpoint is listed as started at %d", restarted.StartedAt)
 	}
-	// An older list that names a new process of an endpoint does replace its state, and so does a list of a newer version.
+	// An older list that names a new process of an endpoint does replace the endpoint's state, and so does a list of a
+	// newer version.
 	env.agent.update(true, env.endpoints[0].entry("SERVING"), env.endpoints[1].entry("SERVING"),
 		started(env.endpoints[2], now+1), env.endpoints[3].entry("SERVING"))
 	env.network.Run(10 * eventloop.Millisecond)
--- a/internal/platform/fake_endpoint_test.go
+++ b/internal/platform/fake_endpoint_test.go
@@ -22,8 +22,8 @@
 	bodies       []string      // bodies of all requests, in the same order
 	opened       int           // number of connections accepted
 	connections  []*endpointConn
-	releaseDelay eventloop.Micros // how long it waits before it answers a release
-	onReleased   func()           // if set, runs after it has answered a release
+	releaseDelay eventloop.Micros // how long the endpoint waits before it answers a release
+	onReleased   func()           // if set, runs after the endpoint has answered a release
 }
 
 // addEndpoint starts a fake endpoint that serves its kind of attempts successfully. It is not in the endpoint list yet.
--- a/internal/platform/guard/guard.go
+++ b/internal/platform/guard/guard.go
@@ -3,8 +3,8 @@
 // It keeps a record of each request, independent of the scheduler's own records. The dispatcher calls it at each event
 // that a rule concerns: a request is accepted, an attempt is sent, is written or ends, the lease of a KV state starts
 // or ends, a final answer is given, a client disconnects, or a connection is closed without a response. The package
-// owns these records and the counts of violations. It counts each event that breaks a rule, reports it with its request
-// ID if that is known and, where possible, prevents it.
+// owns these records and the counts of violations. It counts and reports each event that breaks a rule, and prevents
+// the event where possible. The report contains the request's ID if the ID is known.
 //
 // The caller passes the time and calls the package in the order of events. The package never schedules anything, never
 // reads a clock, and decides nothing but whether an attempt may be sent.
@@ -24,7 +24,7 @@
 
 // The rules.
 const (
-	OneAnswer          Rule = iota // a request gets one final answer, in time unless streamed, and no attempt after it
+	OneAnswer          Rule = iota // a request gets one final answer, in time unless streamed, and no later attempt
 	RepeatedEffect                 // a request takes effect at most once, and is rejected only if a retry is safe
 	ConcurrentAttempts             // a request has at most one attempt in flight
 	EndpointNotReady               // no attempt is sent to an endpoint that drains or is no longer listed
@@ -51,7 +51,7 @@
 // String returns the rule's name in logs.
 func (r Rule) String() string { return ruleNames[r] }
 
-// Violation is an event that broke a rule, or would have if the guard had not prevented it.
+// Violation is an event that broke a rule, or would have broken one if the guard had not prevented the event.
 type Violation struct {
 	Rule      Rule
 	RequestID string // as the client sent it
--- a/internal/platform/guard/request.go
+++ b/internal/platform/guard/request.go
@@ -21,7 +21,7 @@
 	Name       string
 	Group      string // endpoints of one group drop each other's duplicates; "" if the request class has no groups
 	Ready      bool   // discovery lists it, and it accepts new requests
-	HasEffects bool   // an attempt there has the request's effects; a prefill has none
+	HasEffects bool   // an attempt at the endpoint has the request's effects; a prefill has none
 }
 
 // RequestProperties are the properties of a request that the rules depend on.
@@ -85,7 +85,7 @@
 	detail string
 }
 
-// checkSend returns the rule that an attempt would break if it began now, or nil.
+// checkSend returns the rule that an attempt would break if it began now, or nil if it would break none.
 func (r *Request) checkSend(now eventloop.Micros, endpoint Endpoint) *breach {
 	switch {
 	case r.answered:
@@ -99,7 +99,7 @@
 	return r.checkRetry(now, endpoint)
 }
 
-// checkRetry returns a breach if the attempt could repeat the effects of an earlier one, or nil.
+// checkRetry returns a breach if the attempt could repeat the effects of an earlier one, otherwise nil.
 func (r *Request) checkRetry(now eventloop.Micros, endpoint Endpoint) *breach {
 	earlier := r.mayHaveRun
 	if earlier == nil || !endpoint.HasEffects || r.properties.Retry == RetryAlways {
--- a/internal/platform/launch/config_test.go
+++ b/internal/platform/launch/config_test.go
@@ -20,8 +20,8 @@
 "request_classes": [{"name": "explain", "aim": 1000000000, "deadline": 4000000000, "repeat": "read_like",
 	"points": 2.0}]}`
 
-// configText returns a valid configuration; known are the entries of the list that discovery sent to an earlier
-// process.
+// configText returns a valid configuration. The parameter known holds the entries of the list that discovery sent to an
+// earlier process.
 func configText(listen, discovery, known string) string {
 	return fmt.Sprintf(`{"name":"n3","listen":%q,"discovery":%q,"seed":"8c1f30d27a5be964",
 "limits":{"cores":1.0,"memory_mb":64,"sockets":256},
@@ -60,7 +60,7 @@
 	replace := func(old, new string) string { return strings.Replace(good, old, new, 1) }
 	for name, test := range map[string]struct {
 		text, want string
-		cause      error // nil if it is not checked, because another package does not export it
+		cause      error // nil if the cause is not checked, because another package does not export it
 	}{
 		"not JSON": {good[:len(good)-1], "not a JSON object", ErrNotObject},
 		"no listen": {
--- a/internal/platform/launch/process_test.go
+++ b/internal/platform/launch/process_test.go
@@ -18,7 +18,7 @@
 type testPlatform struct {
 	agents        [2]string
 	subscriptions [2]atomic.Int32 // number opened at each agent
-	known         string          // the list's entries
+	known         string          // the entries of the endpoint list
 	slowArrived   atomic.Bool     // the request "slow" has arrived at its decode endpoint
 	finishSlow    chan struct{}   // closed to let the decode endpoint answer the request "slow"
 }
--- a/internal/platform/launch/reload.go
+++ b/internal/platform/launch/reload.go
@@ -9,9 +9,9 @@
 	maxReloadAttempts   = 30
 )
 
-// reload reads discovery's address from the configuration file again; attempts is the number of attempts that have
-// failed so far. It reads the file with a reserved file descriptor and retries after a transient error, because without
-// the new address the dispatcher would learn of no drain once the old address falls silent.
+// reload reads discovery's address from the configuration file again. The parameter attempts is the number of attempts
+// that have failed so far. reload reads the file with a reserved file descriptor and retries after a transient error,
+// because without the new address the dispatcher would learn of no drain once the old address falls silent.
 func (p *process) reload(attempts int) {
 	var config *Config
 	err := p.loop.WithReservedDescriptor(func() (err error) {
--- a/internal/platform/lease_test.go
+++ b/internal/platform/lease_test.go
@@ -28,8 +28,8 @@
 	}
 }
 
-// TestStateOfACancelledPrefill checks that a release follows a cancelled prefill: the prefill may have completed just
-// before its endpoint saw the cancellation.
+// TestStateOfACancelledPrefill checks that a release follows a cancelled prefill, because the prefill may have
+// completed just before its endpoint saw the cancellation.
 func TestStateOfACancelledPrefill(t *testing.T) {
 	env := newTestEnv(t, 256, defaultEndpointKinds...)
 	serveAll(env.prefillEndpoints(), hang)
@@ -241,8 +241,8 @@
 	}
 	env.network.Run(300 * eventloop.Millisecond)
 	received := env.endpoints[0].count("POST")
-	// Requests with different prefixes are sent until the affinity endpoint of one is the reachable endpoint, which then
-	// sends something.
+	// Requests with different prefixes are sent until the affinity endpoint of one prefix is the reachable endpoint. The
+	// reachable endpoint then sends something.
 	for i := 0; i < 20 && env.endpoints[0].count("POST") == received; i++ {
 		env.sendRequest("explain", "Req-Extra", "prefix="+strconv.Itoa(i)+",prompt_len=512,prefix_len=256,max_out=80")
 		env.network.Run(5 * eventloop.Millisecond)
--- a/internal/platform/loopback_env_test.go
+++ b/internal/platform/loopback_env_test.go
@@ -66,7 +66,7 @@
 	return server
 }
 
-// shrinkWindow sets a small receive buffer, so that the system buffers little of what a process doesn't read.
+// shrinkWindow sets a small receive buffer, to make the system buffer little of what a process doesn't read.
 func shrinkWindow(_, _ string, raw syscall.RawConn) error {
 	return raw.Control(func(fd uintptr) {
 		_ = syscall.SetsockoptInt(int(fd), syscall.SOL_SOCKET, syscall.SO_RCVBUF, 4<<10)
--- a/internal/platform/loopback_test.go
+++ b/internal/platform/loopback_test.go
@@ -32,7 +32,7 @@
 }
 
 // TestLoopbackPipelinedRequests checks that all pipelined requests are answered, each once, even if the process shuts
-// down: the first is served, those after it are rejected.
+// down: the first is served, and the later ones are rejected.
 func TestLoopbackPipelinedRequests(t *testing.T) {
 	hold := make(chan bool)
 	decode := newPeer(t, "s-1", "decode", func(server *peer, c net.Conn, in *bufio.Reader) {
@@ -121,7 +121,7 @@
 			}
 		}
 		env.loop.Do(func() {
-			if n := env.dispatcher.Outcomes[scheduler.Unreachable]; n != 1 { // not ended by the expiry of its state's lease
+			if n := env.dispatcher.Outcomes[scheduler.Unreachable]; n != 1 { // the lease's expiry must not end the attempt
 				t.Errorf("responds %v: outcomes %v", responds, env.dispatcher.Outcomes)
 			}
 		})
@@ -129,9 +129,10 @@
 }
 
 // TestLoopbackEndpointDeclinesEarly checks a full decode endpoint that declines a large request once it has read the
-// head, and closes the connection. The rest of the request is therefore answered with a reset. The response decides:
-// the request is retried at another endpoint, even with side effects, and the endpoint counts neither as broken nor as
-// unreachable. The test guards against losing the response when a write fails, and against ignoring the response.
+// head, and closes the connection. The rest of the request is therefore answered with a reset. The response decides the
+// outcome of the attempt: the request is retried at another endpoint, even with side effects, and the full endpoint
+// counts neither as broken nor as unreachable. The test guards against losing the response when a write fails, and
+// against ignoring the response.
 func TestLoopbackEndpointDeclinesEarly(t *testing.T) {
 	for _, size := range []int{4 << 10, 250 << 10} {
 		var declines atomic.Int64
--- a/internal/platform/random_test.go
+++ b/internal/platform/random_test.go
@@ -109,8 +109,8 @@
 	}
 }
 
-// check checks that a client has one answer for each of its requests. It may have fewer if it has disconnected, if its
-// connection never opened, or if a stream broke, which ends the connection.
+// check checks that a client has one answer for each of its requests. A client may have fewer answers if it has
+// disconnected, if its connection never opened, or if a stream broke, which ends the connection.
 func (client *randomClient) check(t *testing.T) {
 	t.Helper()
 	answers := len(client.statuses)
--- a/internal/platform/request_test.go
+++ b/internal/platform/request_test.go
@@ -171,8 +171,8 @@
 }
 
 // TestHeaderFieldsAreForwarded checks that an endpoint gets the header fields that the client sent, such as the
-// idempotency key, except those that concern the client's own connection. It gets each field once. The deadline field
-// holds the time that remains until the client's deadline.
+// idempotency key, except those that concern the client's own connection. The endpoint gets each field once. The
+// deadline field holds the time that remains until the client's deadline.
 func TestHeaderFieldsAreForwarded(t *testing.T) {
 	env := newTestEnv(t, 256, defaultEndpointKinds...)
 	text := strings.Replace(env.requestText("explain", "Req-Id", "77"), "Host: ", "Idempotency-Key: fc46\r\n"+
--- a/internal/platform/server/close_test.go
+++ b/internal/platform/server/close_test.go
@@ -11,9 +11,9 @@
 	"plumspindle/internal/eventloop"
 )
 
-// TestRequestCrossesClose checks requests that arrive around the close of an idle connection. One that arrives before
-// the close is answered, whether or not the poller has read it by then. One that arrives after the close is neither
-// read nor passed to the handler, and its client sees a clean end of the connection.
+// TestRequestCrossesClose checks requests that arrive around the close of an idle connection. A request that arrives
+// before the close is answered, whether or not the poller has read it when the close begins. A request that arrives
+// after the close is neither read nor passed to the handler, and its client sees a clean end of the connection.
 func TestRequestCrossesClose(t *testing.T) {
 	for _, before := range []bool{true, false} {
 		for _, read := range []bool{true, false} {
--- a/internal/platform/server/connection.go
+++ b/internal/platform/server/connection.go
@@ -96,8 +96,8 @@
 
 // --- Closing ---
 
-// enterClosing makes the connection ignore what arrives from now on. What has been written is still sent. If that takes
-// longer than the stall timeout, the connection is reset.
+// enterClosing makes the connection ignore what arrives from now on. What has been written is still sent. If sending
+// takes longer than the stall timeout, the connection is reset.
 func (c *connection) enterClosing(reason CloseReason) {
 	c.leaveIdle()
 	if c.state != closing {
@@ -141,8 +141,8 @@
 	if c.response != nil && !c.response.started {
 		report(c.response.id, reason.String())
 	}
-	// Pipelined requests are reported only if their overflow is the reason. After a broken stream, for example, they can't
-	// be answered.
+	// Pipelined requests are reported only if their overflow is the reason for the close. After other reasons, such as a
+	// broken stream, they can't be answered.
 	if len(c.pipeline.buffered) > 0 && reason == PipelineOverflow {
 		report("", reason.String()+", with pipelined requests")
 	}
@@ -209,7 +209,7 @@
 
 // --- Responses that are not streamed ---
 
-// rejectAndKeep rejects a request whose end is known, so that the connection can serve further requests.
+// rejectAndKeep rejects a request whose end is known, so the connection can serve further requests.
 func (c *connection) rejectAndKeep(r *Rejection) {
 	c.dropRequest()
 	c.server.Rejected++
--- a/internal/platform/server/harness_test.go
+++ b/internal/platform/server/harness_test.go
@@ -31,7 +31,7 @@
 	}
 	select {
 	case h.waiting <- response:
-	default: // no test needs this many
+	default: // the channel is full; no test needs this many responses
 	}
 	return nil
 }
--- a/internal/platform/server/pipeline_test.go
+++ b/internal/platform/server/pipeline_test.go
@@ -9,7 +9,8 @@
 )
 
 // TestDisconnectBehindPipelinedInput checks that a client's disconnect is noticed at once however much it has pipelined
-// after the request that is being answered, even if that is more than the sockets and the server buffer.
+// after the request that is being answered, even if the pipelined input is more than the sockets and the server can
+// buffer.
 func TestDisconnectBehindPipelinedInput(t *testing.T) {
 	for _, size := range []int{0, 40 << 10, 900 << 10, 12 << 20} {
 		handler := &silentHandler{}
@@ -112,8 +113,8 @@
 	}
 }
 
-// TestPipelineOverflowIsRejectedInTurn checks a client that pipelines more requests than are buffered: each request
-// gets a response, in order, those that are not buffered are rejected, and the connection can be used afterwards.
+// TestPipelineOverflowIsRejectedInTurn checks a client that pipelines more requests than are buffered. Each request
+// gets a response, in order. The requests that are not buffered are rejected. The connection can be used afterwards.
 func TestPipelineOverflowIsRejectedInTurn(t *testing.T) {
 	handler := &silentHandler{}
 	limits := testLimits()
--- a/internal/platform/server/receive.go
+++ b/internal/platform/server/receive.go
@@ -35,7 +35,7 @@
 	rest := c.parser.TakeBuffered()
 	switch {
 	case len(rest) == 0 || c.state == closing:
-	case c.pipeline.overflow != nil: // the rest was buffered before the overflow began
+	case c.pipeline.overflow != nil: // the rest was buffered before the overflow began, so it is buffered again
 		c.bufferPipelined(rest)
 	default:
 		c.readPipelined(rest)
@@ -158,7 +158,8 @@
 	in.head, in.request, in.body, in.rejection = nil, nil, nil, nil
 }
 
-// serveNext continues after a response: with the buffered pipelined requests, then with the overflow, then idle.
+// serveNext continues after a response. It serves the buffered pipelined requests first, then rejects the overflow, and
+// then makes the connection idle.
 func (c *connection) serveNext() {
 	if c.state == closing {
 		return
--- a/internal/platform/server/request.go
+++ b/internal/platform/server/request.go
@@ -128,7 +128,7 @@
 
 // endToEndFields returns the fields that are forwarded unchanged, as alternating names and values. They include
 // Idempotency-Key, by which endpoints drop duplicates. They always include Req-Id, even if the field Connection names
-// it.
+// Req-Id.
 func endToEndFields(head *http1.Head) (fields []string) {
 	connectionOptions := strings.Split(head.Get("Connection"), ",")
 	for _, f := range head.Fields {
--- a/internal/platform/server/server.go
+++ b/internal/platform/server/server.go
@@ -23,7 +23,7 @@
 
 	RequestTimeout eventloop.Micros // from the opening to the first byte; also from a request's first to its last byte
 	IdleTimeout    eventloop.Micros // from a response to the first byte of the next request on the connection
-	StallTimeout   eventloop.Micros // for which a client may read nothing although bytes wait for it
+	StallTimeout   eventloop.Micros // how long a client may read nothing although bytes wait to be sent to it
 }
 
 // DefaultLimits are the limits that do not depend on the dispatcher's size. The platform requires that a connection on
@@ -138,7 +138,7 @@
 
 // evict closes the connection that has been idle longest, except the newest connection, and reports whether it closed
 // one. Clients send a request soon after they connect, so the connection that has been idle longest is the least likely
-// to carry one soon.
+// to carry a request soon.
 func (s *Server) evict(newest *connection) bool {
 	for e := s.idleConnections.Front(); e != nil; e = e.Next() {
 		if c := e.Value.(*connection); c != newest && c.closeIdle(Evicted) {
--- a/internal/platform/upstream/release.go
+++ b/internal/platform/upstream/release.go
@@ -31,17 +31,17 @@
 	id         string // id of the request
 	startedAt  eventloop.Micros
 	lastTried  scheduler.EndpointID          // the endpoint of the latest attempt
-	tried      map[scheduler.EndpointID]bool // in this round; a round ends once all candidates had an attempt
+	tried      map[scheduler.EndpointID]bool // tried in this round; a round ends once all candidates had an attempt
 	useAll     bool                          // also try endpoints that aren't ready, because no ready one confirmed
 	attempts   []*engine.Attempt             // in flight, oldest first
-	retryTimer eventloop.Timeout             // until the next attempt
+	retryTimer eventloop.Timeout             // runs until the next attempt
 	ended      bool
 	done       func(confirmed bool)
 }
 
 // Release frees all KV state that is reserved for a request. Any endpoint accepts a release, whichever endpoints hold
-// the state. The parameter first is the endpoint to try first, if it has sent something within the state timeout and
-// has an idle connection. Release calls done once.
+// the state. The first attempt goes to the endpoint given by first if that endpoint has sent something within the state
+// timeout and has an idle connection. Release calls done once.
 func (c *Client) Release(id string, first scheduler.EndpointID, done func(confirmed bool)) {
 	c.Releases++
 	now := c.loop.Now()
@@ -152,7 +152,8 @@
 }
 
 // attemptEnded handles the end of one attempt. After a failure it starts the next attempt at once, except at the end of
-// a round. There it waits first, because endpoints that all refuse at once would otherwise be called in a busy loop.
+// a round. At the end of a round it waits first, because endpoints that all refuse at once would otherwise be called in
+// a busy loop.
 func (r *release) attemptEnded(attempt *engine.Attempt, result engine.Result) {
 	if r.ended {
 		return
--- a/internal/platform/upstream/upstream.go
+++ b/internal/platform/upstream/upstream.go
@@ -65,8 +65,8 @@
 	return &Client{loop: loop, connections: connections, options: options}
 }
 
-// Prefill sends a prompt to an endpoint that processes it and reserves its KV state. The timeout is for the response.
-// No callback runs before Prefill has returned.
+// Prefill sends a prompt to an endpoint that processes the prompt and reserves its KV state. The timeout is for the
+// response. No callback runs before Prefill has returned.
 func (c *Client) Prefill(
 	id scheduler.EndpointID, request Request, timeout eventloop.Micros, callbacks engine.Callbacks,
 ) *engine.Attempt {
