--- a/internal/chat/conversation.go
+++ b/internal/chat/conversation.go
@@ -31,7 +31,7 @@
 	count             int  // messages read so far
 	inPrefix          bool // only system and developer messages so far
 	beginningComplete bool // the first message after the shared prefix has been read
-	textBytes         int  // size of all messages, with bytesPerToken added for each
+	textBytes         int  // size of the text and tool calls of all messages, plus bytesPerToken for each message
 	prefixBytes       int  // the part of textBytes in the shared prefix
 }
 
@@ -120,7 +120,7 @@
 }
 
 // fillRequest sets the fields of a request that follow from its messages. If the client stated a cache key, the key
-// identifies the session instead of the beginning.
+// rather than the beginning identifies the session.
 func (c *conversation) fillRequest(request *Request, cacheKey string, isPublic IsPublic) {
 	request.PromptTokens = (c.textBytes + bytesPerToken - 1) / bytesPerToken
 	request.SharedPrefixTokens = c.prefixBytes / bytesPerToken
--- a/internal/dispatch/admission.go
+++ b/internal/dispatch/admission.go
@@ -6,9 +6,9 @@
 	"plumspindle/internal/tenancy"
 )
 
-// admit applies the limits of the tenant to a request, and reports whether the request is admitted now. If it is not
-// admitted but has a ticket, the caller has to queue it. If the request has no ticket, the returned problem is its
-// answer. If no problem is returned either, the request was already rejected on the response.
+// admit applies the limits of the tenant to a request, and reports whether the request is admitted now. If a
+// request is not admitted but has a ticket, the caller has to queue the request. If the request has no ticket, the
+// returned problem is its answer. If no problem is returned either, the request was already rejected on the response.
 func (d *Dispatcher) admit(
 	r *request, identity frontend.Identity, response *frontend.Response,
 ) (admitted bool, problem *frontend.Problem) {
--- a/internal/dispatch/attempts.go
+++ b/internal/dispatch/attempts.go
@@ -105,7 +105,7 @@
 func (d *Dispatcher) attemptEnded(r *request, result engine.Result) {
 	event := r.endEvent(result)
 	if r.part != nil && r.part.recordAttemptEnd(result) {
-		// A retry at another endpoint would not help, so the request is withdrawn. Its call handles the failure.
+		// A retry at another endpoint would not help, so the request is withdrawn. The batch call handles the failure.
 		d.fire(r, lifecycle.ClientDisconnected)
 	}
 	if result.Outcome != scheduler.Completed && result.Outcome != scheduler.PrefillDone {
@@ -124,8 +124,8 @@
 	}
 }
 
-// endEvent returns the lifecycle event for the end of an attempt, and updates what the request knows about where its
-// prefill state is and whether the request may have run.
+// endEvent returns the lifecycle event for the end of an attempt. It also updates the fields of the request that say
+// where its prefill state is and whether a decode attempt may have run.
 func (r *request) endEvent(result engine.Result) lifecycle.Event {
 	switch result.Outcome {
 	case scheduler.PrefillDone:
--- a/internal/dispatch/attempts_test.go
+++ b/internal/dispatch/attempts_test.go
@@ -238,8 +238,9 @@
 	}
 }
 
-// A hundred requests arrive at once while there is no connection to an endpoint: the number of connections being opened
-// at the same time stays within its limit, each connection carries one attempt at a time, and all requests complete.
+// A hundred requests arrive at once while there is no connection to an endpoint. The number of connections that are
+// being opened at the same time stays within its limit, each connection carries one attempt at a time, and all requests
+// complete.
 func TestLimitsOpeningConnections(t *testing.T) {
 	r := newHarness(t, func(dep deployment.Deployment) {
 		dep.Dispatching.Openings, dep.Dispatching.ConnectMs = 4, 1000
--- a/internal/dispatch/batch_answer.go
+++ b/internal/dispatch/batch_answer.go
@@ -81,7 +81,7 @@
 	c.response.SendProblem(problem)
 }
 
-// failRetryable answers the call with a failure after which the client may repeat it.
+// failRetryable answers the call with a failure after which the client may repeat the call.
 func (c *batchCall) failRetryable(reason string) {
 	c.dispatcher.Failed++
 	c.closeAs(lifecycle.AnswerFailed)
@@ -97,8 +97,8 @@
 	c.response.SendProblem(frontend.OverloadedAfterPartialRun())
 }
 
-// rejectOverQuota answers a call that its tenant's limits reject. That happens before any part was sent, or later if no
-// retry of the rejected part can succeed.
+// rejectOverQuota answers a call that its tenant's limits reject. The call is rejected before any part was sent,
+// or later if no retry of the rejected part can succeed.
 func (c *batchCall) rejectOverQuota(decision tenancy.Decision) {
 	if c.closed {
 		return
--- a/internal/dispatch/batch_api_test.go
+++ b/internal/dispatch/batch_api_test.go
@@ -57,7 +57,7 @@
 	Score float64 `json:"relevance_score"`
 }
 
-// answerRerank scores each document of a part by its length modulo 4.
+// answerRerank scores each document of a part by the document's length modulo 4.
 func answerRerank(c *fakeConn) {
 	items := []rerankItem{}
 	gjson.GetBytes(c.body, "documents").ForEach(func(_, document gjson.Result) bool {
@@ -99,7 +99,7 @@
 	if attempts > 8 {
 		t.Errorf("%d attempts for the same 50 inputs in three calls, want 8 at most", attempts)
 	}
-	for _, dimensions := range []int{64, 256} { // vectors are cached by their number of dimensions
+	for _, dimensions := range []int{64, 256} { // each number of dimensions has its own cache
 		c := r.embed(inputs[:2], fmt.Sprintf(`,"dimensions":%d`, dimensions))
 		r.expectEmbeddings(c, inputs[:2], dimensions)
 	}
@@ -114,7 +114,7 @@
 func TestCachedVectorsInACompressedBody(t *testing.T) {
 	r := newBatchHarness(t, withBatches(&pb.Batches{Cache: 4 << 20, Window: 16 << 10}), "prefill west", "decode west")
 	inputs := inputTexts(900, 40)
-	for _, n := range []int{600, 900} { // the first 600 are cached when all are asked for
+	for _, n := range []int{600, 900} { // the second call finds the first 600 vectors in the cache
 		c := r.post("/v1/embeddings", gzipped(t, embeddingsBody(inputs[:n], "")), "Content-Encoding", "gzip")
 		r.expectEmbeddings(c, inputs[:n], 256)
 	}
--- a/internal/dispatch/batch_call.go
+++ b/internal/dispatch/batch_call.go
@@ -14,7 +14,7 @@
 	"plumspindle/scheduler"
 )
 
-// batchGrace is how long before its client's deadline an incomplete call is given up.
+// batchGrace is the time before the client's deadline at which an incomplete call is given up.
 const batchGrace = 20 * eventloop.Millisecond
 
 // batchCall is one client's embeddings or rerank call. Its inputs are split into parts, which are sent as requests.
--- a/internal/dispatch/batch_harness_test.go
+++ b/internal/dispatch/batch_harness_test.go
@@ -109,7 +109,7 @@
 	c.expectVectors(r.t, inputs, dimensions)
 }
 
-// expectVectors compares the vectors of an answer with those that the model server returns for the inputs.
+// expectVectors compares the vectors of an answer with the vectors that the model server returns for the inputs.
 func (c *clientCall) expectVectors(t *testing.T, inputs []string, dimensions int) {
 	t.Helper()
 	body := c.dechunk(t)
@@ -142,7 +142,7 @@
 	return all
 }
 
-// sameBits reports whether two numbers have the same bits; it distinguishes zeros by their sign.
+// sameBits reports whether two numbers have the same bits. Zeros with different signs have different bits.
 func sameBits(a, b float32) bool { return math.Float32bits(a) == math.Float32bits(b) }
 
 func floatsOf(vector []byte) (all []float32) {
--- a/internal/dispatch/batch_parts.go
+++ b/internal/dispatch/batch_parts.go
@@ -127,7 +127,7 @@
 	return engine.Result{Outcome: scheduler.PrefillDone, Reason: "read"}
 }
 
-// finished handles the end of a part's request. The action is Forget if the request was withdrawn.
+// finished handles the end of a part's request. The parameter final is Forget if the request was withdrawn.
 func (p *batchPart) finished(r *request, final lifecycle.Action, retryAfter eventloop.Micros) {
 	call := p.call
 	d := call.dispatcher
--- a/internal/dispatch/batch_test.go
+++ b/internal/dispatch/batch_test.go
@@ -17,8 +17,8 @@
 )
 
 // A call is split into parts, which endpoints answer in any order, and its answer has the vectors in the order of the
-// inputs. Repeated inputs are prefilled once. Also covers both encoding formats, fewer dimensions, lists of tokens and
-// compressed bodies.
+// inputs. Repeated inputs are prefilled once. The test also covers both encoding formats, fewer dimensions, lists of
+// tokens and compressed bodies.
 func TestBatchIsJoinedInOrder(t *testing.T) {
 	r := newBatchHarness(t, nil, "prefill west", "prefill west", "prefill east", "decode west")
 	random := rand.New(rand.NewSource(4))
@@ -201,8 +201,8 @@
 	r.expectFinal(c, "400")
 }
 
-// If the scheduler may not cancel, a prefill completes after its client has disconnected. This covers the cells of the
-// lifecycle's table that chat requests never reach.
+// If the scheduler is not allowed to cancel attempts, a prefill completes after its client has disconnected. The test
+// reaches the cells of the lifecycle's table that chat requests never reach.
 func TestPrefillOnlyCompletesAfterClientDisconnect(t *testing.T) {
 	noCancel := func(dep deployment.Deployment) { dep.Dispatching.MayCancel = false }
 	r := newBatchHarness(t, noCancel, "prefill west", "decode west")
--- a/internal/dispatch/chat.go
+++ b/internal/dispatch/chat.go
@@ -20,8 +20,8 @@
 // Header fields of a request that the dispatcher reads.
 const (
 	timeLimitField = "x-time-limit-ms" // the client's time limit, if it is shorter than the product's
-	// heartbeatField is the interval of comments on a stream before the stream's first event. A rejection after a comment
-	// can't have the status 429, because the head with the status 200 was sent before the comment.
+	// heartbeatField is the interval of the comments that are sent on a stream before its first event. A rejection after a
+	// comment can't have the status 429, because the head with the status 200 was sent before the comment.
 	heartbeatField       = "x-heartbeat-ms"
 	idempotencyKeyField  = "Idempotency-Key"
 	clientRequestIDField = "x-client-request-id"
@@ -140,7 +140,7 @@
 	return eventloop.Micros(ms) * eventloop.Millisecond, nil
 }
 
-// acceptChat adds a request to the open ones. From then on, its response gets exactly one final answer.
+// acceptChat adds a request to the open requests. From then on, its response gets exactly one final answer.
 func (d *Dispatcher) acceptChat(r *request, response *frontend.Response, heartbeat eventloop.Micros) {
 	d.lastRequestID++
 	d.Accepted++
@@ -189,9 +189,9 @@
 	return "chatcmpl-" + hex.EncodeToString(digest[:responseIDBytes])
 }
 
-// clientDisconnected removes a client from the ones that wait for a request's answer. If no client is left, the request
-// is cancelled, unless the request has an idempotency key and may be running. Such a request goes on, because it must
-// not run a second time, and a client that repeats it gets the answer of this run.
+// clientDisconnected removes a client from the clients that wait for a request's answer. If no client is left, the
+// request is cancelled, unless the request has an idempotency key and may be running. Such a request goes on, because
+// it must not run a second time, and a client that repeats it gets the answer of this run.
 func (d *Dispatcher) clientDisconnected(r *request, response *frontend.Response) {
 	i := slices.Index(r.responses, response)
 	if i < 0 {
@@ -206,7 +206,7 @@
 	}
 	d.fire(r, lifecycle.ClientCaughtUp) // the client that left may have been the lagging one
 	if len(r.responses) == 0 && r.orphanedBytes == 0 {
-		r.orphanedBytes = len(r.chat.Passthrough) // the body is still in memory, but no connection counts it any more
+		r.orphanedBytes = len(r.chat.Passthrough) // no connection counts the body any more, but it is still in memory
 		d.frontend.BufferedBytes += r.orphanedBytes
 	}
 }
--- a/internal/dispatch/clients_test.go
+++ b/internal/dispatch/clients_test.go
@@ -156,7 +156,7 @@
 	}
 	r.updateEndpoints(r.endpoints[1].entry("gone"))
 	c = r.ask("explain", "x-heartbeat-ms", "250")
-	r.expectFinal(c, "terminated") // an error event
+	r.expectFinal(c, "terminated") // the rejection is an error event
 	if !strings.Contains(string(c.raw), `"code":"throttled"`) || strings.Contains(string(c.raw), "[DONE]") || !c.closed {
 		t.Errorf("raw %.300q", c.raw)
 	}
--- a/internal/dispatch/config.go
+++ b/internal/dispatch/config.go
@@ -11,7 +11,7 @@
 
 // Config holds the settings of one dispatcher that are not part of its deployment.
 type Config struct {
-	Name string // unique among all dispatchers; differs from that of the one that this one replaces after a restart
+	Name string // unique among all dispatchers; a restarted dispatcher needs a new name
 	Zone string
 	Seed int64
 	Log  zerolog.Logger
@@ -29,8 +29,8 @@
 	CachedTenants []byte // the tenants that CacheTenants stored last
 	CacheTenants  func([]byte)
 
-	// MaxDescriptors is the limit on this process's open file descriptors; 0 if the limit is not known. Client connections
-	// are not limited then.
+	// MaxDescriptors is the limit on this process's open file descriptors. If MaxDescriptors is 0, the limit is not known,
+	// and client connections are not limited.
 	MaxDescriptors int
 
 	Mutation *Mutation // set by the test bed only
@@ -44,8 +44,9 @@
 }
 
 const (
-	// maxBufferedBodies times the size of the largest allowed body is the limit on the bytes of all clients' bodies that
-	// are buffered at once. Each attempt sends its request's body again, so the memory in use is a few times as much.
+	// maxBufferedBodies sets the limit on the bytes of all clients' bodies that are buffered at once: maxBufferedBodies
+	// times the size of the largest allowed body. The memory in use is a few times this limit, because each attempt sends
+	// its request's body again.
 	maxBufferedBodies = 64
 	// maxReplayBytes is the limit on one answer that is buffered for repeats with the same idempotency key.
 	maxReplayBytes = 256 << 10
--- a/internal/dispatch/dispatcher.go
+++ b/internal/dispatch/dispatcher.go
@@ -82,7 +82,7 @@
 	startTimes      map[scheduler.EndpointID]starttimes.Start
 	endpointWatch   *endpoints.Watcher
 	endpointUpdates uint64 // number of updates received from discovery
-	cacheScheduled  bool   // a timer is running that caches the endpoint list
+	cacheScheduled  bool   // a timer that will cache the endpoint list is running
 
 	idempotencyCache  *idempotency.Cache
 	runningByKey      map[*idempotency.Entry]*request // requests with an idempotency key that are not answered yet
--- a/internal/dispatch/endpoints_test.go
+++ b/internal/dispatch/endpoints_test.go
@@ -48,14 +48,14 @@
 }
 
 // Without discovery, a dispatcher uses a fresh cached list as it is, a stale one as if each endpoint had just started,
-// and an old one step by step. If the newest cached list is truncated, the dispatcher uses the list before.
+// and an old one step by step. If the newest cached list is truncated, the dispatcher uses the second newest list.
 func TestStartWithoutDiscovery(t *testing.T) {
 	const hour = 3600 * eventloop.Second
 	for _, test := range []struct {
 		name string
 		age  eventloop.Micros
 		torn bool
-		// minCompleted is how many of the 60 requests in the first six seconds must complete, and maxAttempts how many
+		// minCompleted is how many of the 60 requests in the first six seconds must complete. maxAttempts is how many
 		// attempts one endpoint may get.
 		minCompleted, maxAttempts int
 	}{
@@ -96,7 +96,7 @@
 					t.Errorf("call %d: final answers %v", i, c.finals)
 				}
 			}
-			r.expectFinal(r.ask("explain"), "streamed") // slow start is over by then, also without discovery
+			r.expectFinal(r.ask("explain"), "streamed") // slow start has ended by now, even without discovery
 		})
 	}
 }
--- a/internal/dispatch/fake_client_test.go
+++ b/internal/dispatch/fake_client_test.go
@@ -73,7 +73,7 @@
 	return nil
 }
 
-// countFinals counts the calls with exactly one final answer, which is the given one.
+// countFinals counts the calls whose only final answer is the given one.
 func countFinals(calls []*clientCall, final string) (n int) {
 	for _, c := range calls {
 		if len(c.finals) == 1 && c.finals[0] == final {
--- a/internal/dispatch/fake_endpoint_test.go
+++ b/internal/dispatch/fake_endpoint_test.go
@@ -11,7 +11,7 @@
 	"plumspindle/scheduler"
 )
 
-// A decode endpoint streams this text, and ends with this event, if nothing fails.
+// If nothing fails, a decode endpoint streams completeText and ends the stream with doneEvent.
 const (
 	completeText = "Lamu é"
 	doneEvent    = "data: [DONE]\n\n"
@@ -135,7 +135,7 @@
 // writeChunk sends one more chunk of a stream.
 func (c *fakeConn) writeChunk(chunk string) { c.conn.Write(http1.AppendChunk(nil, []byte(chunk))) }
 
-// finishStream completes a stream of which streamFirstEvent sent the beginning.
+// finishStream completes a stream that streamFirstEvent began.
 func (c *fakeConn) finishStream() {
 	c.conn.Write(http1.AppendLastChunk(http1.AppendChunk(nil, []byte(lastEvent+doneEvent))))
 }
--- a/internal/dispatch/harness_test.go
+++ b/internal/dispatch/harness_test.go
@@ -63,8 +63,8 @@
 }
 
 // newSocketHarness starts a dispatcher over real sockets, with shorter timeouts. An attempt at a silent endpoint is
-// cancelled after 0.8 s. The time limit leaves as much time again for the retry, so that a test also passes on a busy
-// machine. Tests in virtual time check what must happen within the limit.
+// cancelled after 0.8 s. The time limit leaves as much time again for the retry, to let a test pass on a busy machine
+// too. Tests in virtual time check what must happen within the limit.
 func newSocketHarness(t *testing.T, kindsAndZones ...string) *harness {
 	t.Helper()
 	dep := deployment.Standard()
--- a/internal/dispatch/idempotency.go
+++ b/internal/dispatch/idempotency.go
@@ -14,8 +14,8 @@
 )
 
 // answerRepeat looks up a request's idempotency key, and answers the request if the key was used before or can't be
-// remembered. A returned problem is an answer that the caller has to send. A request that was not answered and has no
-// problem has to run.
+// remembered. A returned problem is an answer that the caller has to send. If the request was not answered and there
+// is no problem, the caller has to run the request.
 func (d *Dispatcher) answerRepeat(
 	r *request, namespace, key string, response *frontend.Response,
 ) (answered bool, problem *frontend.Problem) {
--- a/internal/dispatch/idempotency_test.go
+++ b/internal/dispatch/idempotency_test.go
@@ -38,7 +38,7 @@
 	r.network.Run(50 * eventloop.Millisecond)
 	r.remote.Do(first.conn.Abort) // the request goes on for the second client
 	r.network.Run(50 * eventloop.Millisecond)
-	r.remote.Do(second.conn.Abort) // the request goes on without a client, for a further repeat
+	r.remote.Do(second.conn.Abort) // the request goes on without a client, and a third one can join it
 	r.network.Run(50 * eventloop.Millisecond)
 	third := r.ask(r.product, "Idempotency-Key", "k")
 	r.network.Run(50 * eventloop.Millisecond)
--- a/internal/dispatch/intents.go
+++ b/internal/dispatch/intents.go
@@ -66,7 +66,8 @@
 		if !valid {
 			return true
 		}
-		// The request was running, or the clock was ahead when the record was written: a window from now is enough.
+		// The request was running, or the clock was ahead when the record was written. In both cases it is enough to
+		// remember the key for one window from now.
 		if record.ExpiresAt == 0 || record.ExpiresAt > now+record.Window {
 			record.ExpiresAt = now + record.Window
 		}
@@ -84,8 +85,8 @@
 	d.config.Log.Info().Int("keys", len(records)).Msg("idempotency keys restored")
 }
 
-// hasIntentTiming reports whether the request can have an intent and its product requires intents to be recorded at the
-// given time.
+// hasIntentTiming reports whether the request can have an intent and its product requires intents to be recorded with
+// the given timing.
 func (d *Dispatcher) hasIntentTiming(r *request, timing pb.Product_Intent) bool {
 	return r.keyEntry != nil && d.config.IntentStore != nil && d.Deployment.Products[r.class].Intent == timing
 }
@@ -108,7 +109,7 @@
 	if r.intent.waiting == nil && !r.intent.requested {
 		d.recordIntent(r)
 	}
-	r.intent.waiting = then // an attempt that is already waiting was cancelled, and this one replaces it
+	r.intent.waiting = then // if another attempt was waiting, it was cancelled, and this one replaces it
 }
 
 func (d *Dispatcher) recordIntent(r *request) {
--- a/internal/dispatch/limits_test.go
+++ b/internal/dispatch/limits_test.go
@@ -66,7 +66,7 @@
 // released.
 func TestReleaseIsRetriedAfterAPartition(t *testing.T) {
 	r := newHarness(t, func(dep deployment.Deployment) {
-		dep.Dispatching.IdleMs = 50 // so that a release needs a new connection
+		dep.Dispatching.IdleMs = 50 // idle connections close soon, so a release needs a new one
 	}, "prefill west", "decode west")
 	r.endpoints[1].serve = neverAnswer
 	var calls []*clientCall
--- a/internal/dispatch/request.go
+++ b/internal/dispatch/request.go
@@ -27,7 +27,7 @@
 	deadlineTimer  eventloop.Timer      // fires shortly before the deadline; nil while the scheduler watches the deadline
 	heartbeatTimer eventloop.Timer
 	outputTokens   int              // number of forwarded events, or the endpoint's own token count
-	promptTokens   int              // as counted by the endpoint; 0: not known
+	promptTokens   int              // number that the endpoint counted; 0: not known
 	finalAction    lifecycle.Action // the Answer action that was performed; 0: none
 	orphanedBytes  int              // size of the body while the request goes on without a client; 0 otherwise
 
@@ -99,7 +99,7 @@
 	r.orphanedBytes = 0
 	d.endIdempotencyKey(r, false) // has no effect if respond has ended the key
 	d.releaseAdmission(r)
-	d.loop.Defer(func() { // the scheduler orders the release of state after the answer, in the same call
+	d.loop.Defer(func() { // the scheduler's current call may still order the release of the request's state
 		delete(d.requests, r.id)
 		d.finishShutdown()
 	})
--- a/internal/dispatch/stage_harness_test.go
+++ b/internal/dispatch/stage_harness_test.go
@@ -104,7 +104,7 @@
 	tokens     int
 	after      eventloop.Micros // when the request is at the stage, counted from its sending
 	seen       string           // the stage that the endpoints report; empty: the request is at no endpoint
-	unstreamed bool             // a request in decode has a deadline only if its answer is not streamed
+	unstreamed bool             // the answer is not streamed; otherwise a request in decode has no deadline
 	before     func(f *fleetHarness)
 }
 
@@ -150,7 +150,7 @@
 	case effect == pb.Product_IDEMPOTENT || s.seen == "":
 		return []string{"throttled"}
 	}
-	return []string{"terminated"} // an attempt is in flight, which counts even if it is a prefill
+	return []string{"terminated"} // an attempt is in flight, and even a prefill counts as a possible run
 }
 
 func wantAfterCrash(s stage, effect pb.Product_Effect) []string {
--- a/internal/dispatch/stages_test.go
+++ b/internal/dispatch/stages_test.go
@@ -11,8 +11,8 @@
 var chatProducts = []string{"explain", "build-note", "review-post"}
 
 // A request ends early at each stage, in each way and for each product's effect, with endpoints that do or don't stop
-// cancelled attempts and a scheduler that may or may not cancel. In each case the rules of the audit hold and nothing
-// is left.
+// cancelled attempts and a scheduler that is or is not allowed to cancel. In each case the rules of the audit hold and
+// nothing is left.
 func TestEndAtEachStage(t *testing.T) {
 	cases := 0
 	for _, mode := range []fleetMode{{true, true}, {false, true}, {false, false}} {
@@ -88,8 +88,8 @@
 	t.Logf("%d cases", cases)
 }
 
-// outcomeTimes returns when the outcomes of a request happen if nothing ends it early: the prefill is answered, the
-// decode has run, and the answer is complete.
+// outcomeTimes returns when the outcomes of a request happen if nothing ends the request early. The outcomes are that
+// the prefill is answered, that the decode has run, and that the answer is complete.
 func outcomeTimes(f *fleetHarness, request fleetRequest) map[string]eventloop.Micros {
 	f.t.Helper()
 	began := f.network.Now()
--- a/internal/dispatch/statelease.go
+++ b/internal/dispatch/statelease.go
@@ -26,8 +26,8 @@
 }
 
 // stateLeaseExpired releases the state, unless an endpoint that is known to be running may use it. An attempt that was
-// sent goes on, because it may still be answered. If it arrives late, the endpoint reports that the state is missing.
-// An attempt that was not sent fails.
+// sent goes on, because it may still be answered. If the attempt reaches its endpoint after the release, the
+// endpoint reports that the state is missing. An attempt that was not sent fails.
 func (d *Dispatcher) stateLeaseExpired(r *request) {
 	if len(r.stateLocations) == 0 || r.State != lifecycle.Decoding && r.State != lifecycle.Closing {
 		return
@@ -54,8 +54,8 @@
 // recorded.
 func (r *request) isUnsent() bool { return r.attempt == nil || r.attempt.Unsent() }
 
-// failUnsentAttempt ends a decode attempt that was not sent, with the result that its state is missing. The scheduler
-// then repeats the prefill or gives up the request.
+// failUnsentAttempt ends a decode attempt that was not sent, and reports that its state is missing. The scheduler then
+// repeats the prefill or gives up the request.
 func (d *Dispatcher) failUnsentAttempt(r *request) {
 	r.intent.waiting = nil
 	if r.attempt != nil {
--- a/internal/dispatch/statelease_test.go
+++ b/internal/dispatch/statelease_test.go
@@ -6,14 +6,14 @@
 	"plumspindle/internal/eventloop"
 )
 
-// A decode attempt was sent, but nothing shows that its endpoint is running: the prefill state is released in time, and
-// the attempt goes on.
+// If a decode attempt was sent but nothing shows that its endpoint is running, the prefill state is released in time
+// and the attempt goes on.
 func TestStateOfAnUnansweredDecode(t *testing.T) {
 	for _, test := range []struct {
 		product string
 		final   string
 	}{
-		{"explain", "streamed"}, // the answer of another endpoint
+		{"explain", "streamed"}, // the other decode endpoint answers
 		{"review-post", "terminated"},
 	} {
 		r := newHarness(t, nil, "prefill west", "decode west", "decode west")
--- a/internal/dispatch/stored_intents_test.go
+++ b/internal/dispatch/stored_intents_test.go
@@ -23,7 +23,7 @@
 	product   string
 	key       string
 	tokens    int
-	expiresAt eventloop.Micros // when its key expires in a dispatcher that starts at intentsKilledAt
+	expiresAt eventloop.Micros // when the key expires in a dispatcher that starts at intentsKilledAt
 }
 
 var storedRequests = []storedRequest{
--- a/internal/dispatch/tenants.go
+++ b/internal/dispatch/tenants.go
@@ -21,7 +21,8 @@
 // reserved for the tenants that the deployment lists.
 const firstStaticID tenancy.ID = 1 << 31
 
-// queueGrace is how long before its client's deadline a request that is still queued for admission is rejected.
+// queueGrace is the time before the client's deadline at which a request that is still queued for admission is
+// rejected.
 const queueGrace = 30 * eventloop.Millisecond
 
 // tenantSlot is the dispatcher's state of one tenant, with the identifier that the scheduler knows the tenant by.
@@ -65,7 +66,7 @@
 		if err := d.applyTenants(d.config.CachedTenants); err != nil {
 			d.config.Log.Error().Err(err).Msg("cached tenants unreadable")
 		}
-		d.resetDirectory() // so that the administration's first message lists all tenants
+		d.resetDirectory() // makes the administration's first message list all tenants
 	}
 	if d.config.AdminAddr != "" {
 		d.subscribeTenants()
--- a/internal/dispatch/transitions.go
+++ b/internal/dispatch/transitions.go
@@ -14,7 +14,7 @@
 	"plumspindle/scheduler"
 )
 
-// unstreamedGrace is how long before the client's deadline an incomplete answer without streaming is given up.
+// unstreamedGrace is the time before the client's deadline at which an incomplete answer without streaming is given up.
 const unstreamedGrace = 20 * eventloop.Millisecond
 
 // eventDetails are the parameters of a lifecycle event; which of them are set depends on the event.
--- a/internal/dispatch/usage.go
+++ b/internal/dispatch/usage.go
@@ -15,7 +15,7 @@
 	usageReportTimeout  = 3 * eventloop.Second
 )
 
-// releaseAdmission ends a request's admission, and adds the request's usage to that of the tenant.
+// releaseAdmission ends a request's admission, and adds the request's usage to the tenant's usage.
 func (d *Dispatcher) releaseAdmission(r *request) {
 	if r.ticket == nil {
 		return
--- a/internal/frontend/body.go
+++ b/internal/frontend/body.go
@@ -61,8 +61,8 @@
 	return unsupported("unsupported_content_encoding", message)
 }
 
-// reserve counts bytes of the body as buffered, up to maxBuffered for one request, and returns true. If the count would
-// then exceed the server's limit, reserve counts nothing and returns false.
+// reserve counts bytes of the body as buffered, up to maxBuffered for one request, and returns true. If these
+// bytes would take the server's count above its limit, reserve counts nothing and returns false.
 func (r *Response) reserve(size int) bool {
 	server := r.connection.server
 	if r.maxBuffered > 0 {
--- a/internal/frontend/connection.go
+++ b/internal/frontend/connection.go
@@ -15,7 +15,7 @@
 	server    *Server
 	conn      eventloop.Conn
 	parser    http1.Parser
-	response  *Response // to the request that is being received or answered; nil: there is none
+	response  *Response // for the request that is being received or answered; nil: no request
 	sink      Sink      // receives the current request's body
 	problem   *Problem  // the answer to the current request, sent once the request has been received
 	bodyBytes int       // bytes of the body received since MessageTimeout was last restarted
@@ -66,8 +66,8 @@
 		c.pipelinedAt = now
 	}
 	if c.response == nil && c.parser.Idle() {
-		// MessageTimeout starts with the first byte of a message. Only bytesPerTimeoutExtension of body data or the end of a
-		// pause restart the timeout, so that a client that sends a few bytes at a time can't hold the connection.
+		// MessageTimeout starts with the first byte of a message. It is restarted only after bytesPerTimeoutExtension of
+		// body data or at the end of a pause, because a client that sends a few bytes at a time must not hold the connection.
 		c.receivedAt = now
 		c.restartMessageTimeout()
 	}
--- a/internal/frontend/limits.go
+++ b/internal/frontend/limits.go
@@ -7,7 +7,7 @@
 	MessageTimeout eventloop.Micros // for a request from its first byte on; restarted as a long body arrives
 	IdleTimeout    eventloop.Micros // for the next request on an idle connection
 	StallTimeout   eventloop.Micros // for a client that reads none of the data sent to it
-	MaxUnsentBytes int              // of an answer that its client has not read; above this, the source is slowed down
+	MaxUnsentBytes int              // of one answer, not yet read by the client; above this, the source is slowed down
 }
 
 // DefaultClientLimits suit clients with a short network delay.
--- a/internal/frontend/server.go
+++ b/internal/frontend/server.go
@@ -46,9 +46,9 @@
 	// wait for their answer.
 	BufferedBytes int
 	// MaxConnections, if it is above 0, limits the client connections, so that they do not use up the file descriptors
-	// that connections to endpoints and to the administration need. While there are more, every new request is rejected
-	// and its connection closed. Beyond a further MaxConnections/8 + 1, a new connection gets an overload response and is
-	// closed without being read.
+	// that connections to endpoints and to the administration need. While there are more connections, every new request
+	// is rejected and its connection closed. Beyond a further MaxConnections/8 + 1 connections, a new connection gets an
+	// overload response and is closed without being read.
 	MaxConnections int
 	// MaxBufferedBytes, if it is above 0, bounds BufferedBytes. A request that would exceed this limit is rejected and the
 	// rest of its body is discarded.
--- a/internal/idempotency/idempotency.go
+++ b/internal/idempotency/idempotency.go
@@ -80,7 +80,7 @@
 	limits    Limits
 	entries   map[Key]*Entry
 	expiries  []*expiryQueue
-	completed []*Entry // entries with a buffered answer, in the order in which they ended and in which answers are dropped
+	completed []*Entry // entries with a buffered answer, oldest end first; answers are dropped in this order
 	bytes     int
 }
 
