--- a/internal/admin/changes.go
+++ b/internal/admin/changes.go
@@ -98,7 +98,7 @@
 }
 
 func (s *Server) getAuditLog(r *request) response {
-	first, _ := strconv.ParseUint(r.query["after"], 10, 64) // 0, the first entry, if after is not a number
+	first, _ := strconv.ParseUint(r.query["after"], 10, 64) // 0 if after is not a number: begin with the first entry
 	size := r.pageSize()
 	page := auditPage{Changes: []json.RawMessage{}}
 	s.records.ScanFrom(auditRecordKey(first), auditPrefix, func(_ string, entry []byte) bool {
--- a/internal/admin/changes_test.go
+++ b/internal/admin/changes_test.go
@@ -97,8 +97,8 @@
 	})
 }
 
-// A path with an empty tenant name gives a tenant's key no access to the data of any tenant. The usage
-// of an empty name would otherwise be that of all tenants.
+// A path with an empty tenant name gives a tenant's key no access to the data of any tenant. The usage of an empty name
+// would otherwise be the usage of all tenants.
 func TestTenantKeySeesNothingUnderAnEmptyName(t *testing.T) {
 	e := newEnvironment(t, 1)
 	e.addTenant("a", `{}`)
--- a/internal/admin/environment_test.go
+++ b/internal/admin/environment_test.go
@@ -272,7 +272,7 @@
 	})
 }
 
-// expect waits for the outcome of a call, and checks that it is the only one and the expected one.
+// expect waits for the outcome of a call, and checks that the call has the wanted outcome and no other.
 func (e *environment) expect(c *clientCall, want string) {
 	e.t.Helper()
 	e.network.RunUntil(answerTimeout, c.answered)
--- a/internal/admin/feed.go
+++ b/internal/admin/feed.go
@@ -18,12 +18,12 @@
 // heartbeatChunk is a comment in the event stream, which shows followers that the connection is alive.
 const heartbeatChunk = ": here\n\n"
 
-// follow makes the client a follower, and sends it the changes since the version that it has.
+// follow makes the client a follower, and sends the client the changes since the version that the client has.
 func (c *connection) follow(r *request) {
 	c.following = true
 	c.timer.Stop()
 	c.conn.Write(http1.AppendStreamHead(nil, http.StatusOK, "Content-Type", "text/event-stream"))
-	since, _ := strconv.ParseUint(r.query["since"], 10, 64) // 0, for a complete update, if since is not a number
+	since, _ := strconv.ParseUint(r.query["since"], 10, 64) // 0 if since is not a number: the update is complete
 	c.notify(c.server.registry.UpdateSince(r.query["epoch"], since))
 	c.server.followers = append(c.server.followers, c)
 }
--- a/internal/admin/keys.go
+++ b/internal/admin/keys.go
@@ -88,7 +88,7 @@
 }
 
 func (s *Server) revokeKey(r *request) response {
-	at, err := strconv.ParseInt("0"+r.query["at_s"], 10, 64) // 0, which revokes at once, if at_s is missing
+	at, err := strconv.ParseInt("0"+r.query["at_s"], 10, 64) // 0 if at_s is missing: the key is revoked at once
 	if err != nil {
 		return responseForError(malformed("at_s", "must be a time in seconds since 1970"))
 	}
--- a/internal/admin/routes.go
+++ b/internal/admin/routes.go
@@ -10,7 +10,7 @@
 type route struct {
 	method string
 	// pattern is the path below apiPrefix. {name} and {id} match any segment that is not empty. No tenant has an empty
-	// name, and getTenantUsage would interpret one as all tenants.
+	// name, and for an empty name getTenantUsage would return the usage of all tenants.
 	pattern string
 	handle  func(*Server, *request) response
 	// forTenants allows a TenantAdmin to use the route for its own tenant.
--- a/internal/admin/routes_test.go
+++ b/internal/admin/routes_test.go
@@ -28,7 +28,7 @@
 		})
 		return true
 	})
-	const undescribed = 1 // metrics
+	const undescribed = 1 // the route of the metrics
 	if described != 16 || described != len(routes)-undescribed {
 		t.Errorf("%d of %d routes are described", described, len(routes)-undescribed)
 	}
--- a/internal/admin/stored.go
+++ b/internal/admin/stored.go
@@ -14,7 +14,8 @@
 )
 
 // StoredRecords are records in an embedded store, whose files are in one folder. Save blocks the event loop of the
-// server until the changes are durable. The server answers the request and begins the next change only after that.
+// server until the changes are durable. The server answers the request and begins the next change only after Save has
+// returned.
 type StoredRecords struct {
 	*store.Store
 
--- a/internal/eventloop/timeout.go
+++ b/internal/eventloop/timeout.go
@@ -19,8 +19,8 @@
 }
 
 // LimitUnsent reports whether more than limit bytes of a connection are unsent. If any bytes are unsent and no call is
-// set, it sets a call of stalled after the duration. It does not postpone a call that is already set. The owner cancels
-// the call with Clear, for example once all bytes are sent.
+// set, it sets the Timeout to call stalled after the duration. It does not postpone a call that is already set. The
+// owner cancels the call with Clear, for example once all bytes are sent.
 func (t *Timeout) LimitUnsent(loop Loop, c Conn, limit int, duration Micros, stalled func()) (exceeded bool) {
 	unsent := c.Unsent()
 	if unsent == 0 {
--- a/internal/http1/errors.go
+++ b/internal/http1/errors.go
@@ -18,7 +18,7 @@
 
 // ProtocolError is the error for a message that can't be parsed. Its text is written for the sender of the message.
 type ProtocolError struct {
-	Status int // the status code of a server's response to such a request
+	Status int // the status code of a server's response to a request with this error
 	Reason string
 	kind   error // one of the errors above
 }
--- a/internal/http1/head.go
+++ b/internal/http1/head.go
@@ -69,7 +69,7 @@
 	taken := data[:min(len(data), max(limit-collected, 0))]
 	p.partial = append(p.partial, taken...)
 	if n := min(len(p.partial), len(protocolPrefix)); p.Response && string(p.partial[:n]) != protocolPrefix[:n] {
-		// Bytes that are not HTTP may never contain the end of a head, so the error is reported without waiting for it.
+		// Bytes that are not HTTP may never contain the end of a head, so the error is reported without waiting for that end.
 		return "", nil, false, protocolError(ErrMalformed, "no status line but %.20q", p.partial)
 	}
 	searchStart := max(collected-len(headEnd)+1, 0)
--- a/internal/sockets/close_test.go
+++ b/internal/sockets/close_test.go
@@ -133,7 +133,8 @@
 	}
 }
 
-// deliveredBytes returns how many bytes were delivered to a recorder, and waits for some if they are expected.
+// deliveredBytes returns how many bytes were delivered to a recorder. If some are expected, it waits up to 10 seconds
+// for them.
 func deliveredBytes(r *recorder, expected bool) (n int) {
 	loop := r.conn.(*conn).loop
 	for end := time.Now().Add(10 * time.Second); ; runtime.Gosched() {
--- a/internal/sockets/conn.go
+++ b/internal/sockets/conn.go
@@ -128,7 +128,7 @@
 	}
 }
 
-// delivery is the data that is passed to the handler at once.
+// delivery is the data that is passed to the handler in one call.
 type delivery struct {
 	data          []byte
 	remaining     int  // received bytes that later deliveries pass on
--- a/internal/sockets/conn_test.go
+++ b/internal/sockets/conn_test.go
@@ -53,7 +53,8 @@
 	}
 }
 
-// A paused reader must slow its writer down, with bounded buffering. Once resumed, it must receive everything.
+// A paused reader must buffer only a bounded amount of data, and so slow its writer down. Once resumed, it must receive
+// everything.
 func TestPausedReaderSlowsItsWriter(t *testing.T) {
 	const size = 16 << 20
 	server, client := newRecorder(), newRecorder()
@@ -164,8 +165,8 @@
 	waitFor(t, "the last answer", done)
 }
 
-// Connections must disable Nagle's algorithm, because data that the kernel delays would be lost if the connection is
-// closed while it has unread bytes.
+// Connections must disable Nagle's algorithm, which lets the kernel hold small writes back. If a connection is closed
+// while it has unread bytes, it is reset, and data held back at that time would be lost.
 func TestSmallWritesAreSentAtOnce(t *testing.T) {
 	server, client := newRecorder(), newRecorder()
 	opened, onOpened := signal(2)
--- a/internal/sockets/earlyanswer_test.go
+++ b/internal/sockets/earlyanswer_test.go
@@ -39,7 +39,7 @@
 
 // An endpoint that declines a large request answers before it has read the whole request, then closes, which resets the
 // connection. The client's next write fails. After a failed write, the client used to close the connection with the
-// answer unread, although the answer had arrived before the reset and was still in the socket: on an idle machine, 285
+// answer unread, although the answer had arrived before the reset and was still in the socket. On an idle machine, 285
 // of 300 rounds with a request of 1 MB lost the answer.
 func TestAnswerBeforeTheRequestIsSentIsNotLost(t *testing.T) {
 	const rounds = 100
--- a/internal/sockets/helpers_test.go
+++ b/internal/sockets/helpers_test.go
@@ -101,7 +101,7 @@
 	return ln.Addr()
 }
 
-// connect starts two loops, one for each recorder, and connects them.
+// connect starts two loops, one for each recorder, and connects the recorders.
 func connect(t *testing.T, server, client *recorder) (serverLoop, clientLoop *Loop) {
 	t.Helper()
 	serverLoop, clientLoop = startLoop(t), startLoop(t)
--- a/internal/sockets/listen.go
+++ b/internal/sockets/listen.go
@@ -145,7 +145,7 @@
 		c.socketClosed(err)
 		return
 	}
-	c.handler.Opened() // after AddConn, because nbio can't write to a connection that it doesn't know
+	c.handler.Opened() // after AddConn, because nbio can't write to a connection that was not added
 	c.read(c.socket)
 }
 
@@ -159,7 +159,7 @@
 }
 
 // Drain implements eventloop.Listener: the listener goes on accepting until the drain timeout, and longer while
-// connections are waiting.
+// connections are in its backlog.
 func (ln *listener) Drain() {
 	ln.draining.Store(true)
 	if err := ln.resetDeadline(); err != nil {
--- a/internal/sockets/loop.go
+++ b/internal/sockets/loop.go
@@ -115,7 +115,7 @@
 	}
 }
 
-// register sets the owner of a socket, which receives the poller's events.
+// register sets the owner of a socket. The owner receives the poller's events for the socket.
 func (l *Loop) register(socket *nbio.Conn, owner any) {
 	l.registered.Add(1)
 	socket.SetSession(owner)
@@ -158,9 +158,9 @@
 	l.mu.Unlock()
 	l.wakeUp()
 	<-l.done
-	// The shutdown has a time limit because nbio closes only the connections that it knows when the shutdown begins, but
-	// waits for every connection that it has counted. Without the limit, nbio would wait forever for a connection that
-	// opens just when the shutdown begins.
+	// The shutdown has a time limit because nbio closes only the connections that it has in its table when the shutdown
+	// begins, but then waits until its count of connections is 0. A connection that opens just when the shutdown begins
+	// can be in the count without being closed. Without the limit, nbio would wait for it forever.
 	ctx, cancel := context.WithTimeout(context.Background(), stopTimeout)
 	defer cancel()
 	_ = l.barrier.writeEnd.Close()
--- a/internal/sockets/overload_test.go
+++ b/internal/sockets/overload_test.go
@@ -51,7 +51,7 @@
 }
 
 // A dispatcher on a busy machine that rejects a client for lack of a descriptor must still answer it. An earlier
-// version set a write deadline of 3 ms, which could pass before the write began. If so, nothing was written, the
+// version set a write deadline of 3 ms, which could pass before the write began. In that case nothing was written, the
 // connection was closed, and the client read the end of the stream without an answer. This happened to 8 of 160,000
 // rejections beside 90 busy processes. Each of the 8 logged "write: i/o timeout" with 0 bytes written; no read failed
 // and nothing was reset.
@@ -184,8 +184,8 @@
 	return readAnswer(c)
 }
 
-// connectSilentClients connects another client that sends nothing after each interval, until the returned function is
-// called.
+// connectSilentClients connects one more client after each interval, until the returned function is called. The clients
+// send nothing.
 func connectSilentClients(t *testing.T, address string, interval time.Duration) (stop func()) {
 	t.Helper()
 	stopped, done := make(chan struct{}), make(chan struct{})
--- a/internal/sockets/poll_test.go
+++ b/internal/sockets/poll_test.go
@@ -10,7 +10,7 @@
 )
 
 // Idle must notice at once that the peer has closed or sent data. The test keeps the loop busy, so that the poller
-// can't have reported it to the loop.
+// can't have reported the close or the data to the loop.
 func TestIdleAsksTheSocket(t *testing.T) {
 	for _, test := range []struct {
 		name string
--- a/internal/sockets/reserve.go
+++ b/internal/sockets/reserve.go
@@ -7,9 +7,9 @@
 	"syscall"
 )
 
-// loopDescriptors is the number of descriptors reserved for the loop: to read the endpoint list, and to connect to
-// endpoints to release the state that they hold for requests. Dialling takes two descriptors for a moment, because nbio
-// duplicates the connection's descriptor. Further descriptors are reserved for rejecting clients.
+// loopDescriptors is the number of descriptors reserved for the loop: to read the endpoint list, and for connections on
+// which endpoints are asked to release the state that they hold for requests. Dialling takes two descriptors for a
+// moment, because nbio duplicates the connection's descriptor. Further descriptors are reserved for rejecting clients.
 const loopDescriptors = 5
 
 // descriptorReserve keeps file descriptors open, to release them when the process has none left for an operation that
--- a/internal/sockets/reserve_test.go
+++ b/internal/sockets/reserve_test.go
@@ -183,10 +183,10 @@
 			t.Fatalf("unexpected answer %q", got)
 		}
 	}
-	if free == 0 && rejected < 20 { // a connection takes two; with one free, the reserve may provide the other
+	if free == 0 && rejected < 20 { // a connection takes two descriptors; with one free, the reserve may provide the other
 		t.Errorf("only %d of 40 were rejected", rejected)
 	}
-	time.Sleep(300 * time.Millisecond) // the CPU time must also include a time when the other process is idle
+	time.Sleep(300 * time.Millisecond) // the CPU time must also cover a period in which the server process is idle
 	if used := s.command("cpu") - cpuBefore; used > 200+int(time.Since(start).Milliseconds())/4 {
 		t.Errorf("the process used %d ms of CPU time in %v", used, time.Since(start))
 	}
--- a/internal/sockets/run.go
+++ b/internal/sockets/run.go
@@ -43,8 +43,8 @@
 	}
 }
 
-// takePosted returns the posted functions. Functions that are posted later are stored in the memory of the slice reuse,
-// which an earlier call returned.
+// takePosted returns the posted functions. reuse is a slice that an earlier call returned. Functions that are posted
+// from now on are stored in the memory of reuse.
 func (l *Loop) takePosted(reuse []func()) (batch []func(), stopping bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/sockets/syscallfaults_test.go
+++ b/internal/sockets/syscallfaults_test.go
@@ -35,7 +35,7 @@
 		}
 		fmt.Println(ln.Addr())
 	})
-	_, _ = io.Copy(io.Discard, os.Stdin) // until the test ends
+	_, _ = io.Copy(io.Discard, os.Stdin) // returns when the test ends
 }
 
 // startEcho starts the echo process with injected faults and returns its address.
--- a/internal/sockets/write.go
+++ b/internal/sockets/write.go
@@ -34,8 +34,8 @@
 func (c *conn) Unsent() int { return len(c.unsent) }
 
 // send writes to the socket and returns the bytes that the socket did not accept. It doesn't use nbio's own Write,
-// which takes a short write for a full socket and then waits for an edge-triggered event. Only EAGAIN means that the
-// socket is full, and otherwise the event would not come.
+// which takes a short write as the sign of a full socket and then waits for an edge-triggered event. Only EAGAIN means
+// that the socket is full. After a short write to a socket that is not full, the event would never come.
 func (c *conn) send(b []byte) (rest []byte) {
 	var failure error
 	c.withDescriptor(func(fd int) { b, failure = writeAll(fd, b) })
--- a/internal/store/history_test.go
+++ b/internal/store/history_test.go
@@ -204,7 +204,7 @@
 	err := s.store.Commit(ops, conditions, WriteMode(s.random.Intn(4) == 0), answered)
 	if errors.Is(err, ErrConflict) {
 		operation.Output = outcome{conflict: true}
-		// The value that caused the conflict may not be durable yet, so the client waits until it is.
+		// The value that caused the conflict may not be durable yet, so the client waits until the value is durable.
 		err = s.store.Commit(nil, nil, WriteNow, answered)
 	}
 	if err != nil && !errors.Is(err, ErrFailed) {
@@ -253,7 +253,8 @@
 
 // TestConcurrentHistories checks that the results that five concurrent clients see are linearizable, despite crashes at
 // any byte and a disk that is full or fails. No step that was answered may be lost. To prove that the check can fail,
-// the test also runs histories in which reads return values that are not durable yet, and expects it to reject one.
+// the test also runs histories in which reads return values that are not durable yet, and expects the check to reject
+// one of these histories.
 func TestConcurrentHistories(t *testing.T) {
 	const seeds = 400
 	steps, unanswered := 0, 0
--- a/internal/store/log.go
+++ b/internal/store/log.go
@@ -32,8 +32,8 @@
 	s.disk.Append(segmentName(s.segmentNumber), data, func(err error) {
 		s.appending = false
 		if err != nil {
-			// The append isn't retried, because after a failed sync the kernel may have dropped the data, and yet a
-			// later sync can succeed.
+			// The append isn't retried. After a failed sync the kernel may have dropped the data, and a later sync could succeed
+			// although the data is not durable.
 			s.fail(err, callbacks)
 			return
 		}
--- a/internal/store/memorydisk_test.go
+++ b/internal/store/memorydisk_test.go
@@ -156,7 +156,7 @@
 	return text.String()
 }
 
-// randomRun is what runRandomChanges observed.
+// randomRun holds what runRandomChanges has observed.
 type randomRun struct {
 	contents     []string // of the store after each record; the first element is that of the empty store
 	acknowledged []int    // for each operation of the disk, how many records had been acknowledged before it
--- a/internal/store/snapshot_test.go
+++ b/internal/store/snapshot_test.go
@@ -56,8 +56,8 @@
 	}, done)
 }
 
-// blockSnapshots returns a disk that blocks snapshots, and functions that let them be encoded and written. The end of
-// the test calls both functions.
+// blockSnapshots returns a disk that blocks snapshots, and functions that let them be encoded and written. Both
+// functions are also called at the end of the test.
 func blockSnapshots(t *testing.T, files *Files) (disk blockingDisk, encode, write func()) {
 	t.Helper()
 	disk = blockingDisk{Files: files, encode: make(chan struct{}), write: make(chan struct{})}
--- a/internal/store/store.go
+++ b/internal/store/store.go
@@ -22,7 +22,7 @@
 	MaxKeys           int // a write that would exceed it is rejected
 	MaxBytes          int // of keys and values together; a write that would exceed it is rejected
 	SegmentBytes      int // size of a log segment at which the next append begins a new one
-	CompactAfterBytes int // size of the log since the last snapshot below which the store starts none by itself
+	CompactAfterBytes int // least size of the log since the last snapshot at which the store starts another one by itself
 }
 
 // DefaultLimits are suitable for the records that a dispatcher or the admin service stores.
--- a/internal/tenancy/admission_test.go
+++ b/internal/tenancy/admission_test.go
@@ -6,7 +6,7 @@
 	"pgregory.net/rapid"
 )
 
-// testStart is the time at which the tests begin. It is not 0, which marks a token bucket that was never filled.
+// testStart is the time at which the tests begin. It is not 0, because 0 marks a token bucket that was never filled.
 const testStart = 1000 * second
 
 // BenchmarkAdmit measures the admission and release of one request, with 10,000 tenants that have limits of all kinds.
@@ -144,7 +144,7 @@
 		}
 		return
 	}
-	// The bucket had less than one request. RetryAfter is exactly the time until it has one.
+	// The bucket had less than one request. RetryAfter is exactly the time until it holds a whole request.
 	if ticket, _ := controller.Admit(r.now+decision.RetryAfter/2, request); ticket != nil {
 		r.t.Fatal("admitted after half of RetryAfter")
 	}
@@ -161,7 +161,7 @@
 		owner    ID = 2
 	)
 	fleet := newSharedFleet(borrower, owner)
-	const steps = 1000 // of 10 ms
+	const steps = 1000 // each step takes 10 ms
 	for range steps {
 		fleet.step(borrower)
 	}
--- a/internal/tenancy/directory.go
+++ b/internal/tenancy/directory.go
@@ -36,9 +36,10 @@
 	}
 }
 
-// Apply applies an encoded Update and returns the tenants that have changed. It also returns, as removed, the known
-// tenants that a complete update does not have. A stale update changes nothing. The error is a *subscribe.GapError if
-// the update is not complete and does not start from the directory's epoch and version.
+// Apply applies an encoded Update and returns the tenants that have changed. If the update is complete, it also returns
+// the known tenants that the update does not list, with the state StateRemoved. A stale update changes nothing. The
+// error is a *subscribe.GapError if the update is not complete and does not start from the directory's epoch and
+// version.
 func (d *Directory) Apply(data []byte) (changed []*Tenant, err error) {
 	var update Update
 	if err := json.Unmarshal(data, &update); err != nil {
--- a/internal/tenancy/directory_test.go
+++ b/internal/tenancy/directory_test.go
@@ -12,7 +12,7 @@
 )
 
 // A directory accepts exactly those keys that are neither expired nor revoked in the registry, and only their complete
-// texts. It stays equal to the registry also if it gets only some updates, or gets an update twice.
+// texts. The directory stays equal to the registry even if it gets only some updates, or gets an update twice.
 func TestDirectoryFollowsRegistry(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		secret := []byte("0123456789abcdef0123456789abcdef")
@@ -97,7 +97,7 @@
 	}
 }
 
-// checkKeys compares whether the directory accepts each key with the key's record in the registry.
+// checkKeys checks that the directory accepts exactly those keys that are valid by their records in the registry.
 func (f *follower) checkKeys() {
 	f.t.Helper()
 	for text, name := range f.keys {
--- a/internal/tenancy/fairqueue.go
+++ b/internal/tenancy/fairqueue.go
@@ -30,7 +30,7 @@
 	id         ID
 	weight     float64
 	credit     float64
-	credited   bool // whether it has gained credit on its current turn
+	credited   bool // whether the tenant has gained credit on its current turn
 	items      []queuedItem[T]
 	first      int // index of the first item that was not served
 	next, prev *tenantQueue[T]
--- a/internal/tenancy/fairqueue_test.go
+++ b/internal/tenancy/fairqueue_test.go
@@ -79,7 +79,8 @@
 	return first.id
 }
 
-// BenchmarkFairQueue measures one Next and one Add, and compares with a queue that is sorted for each item.
+// BenchmarkFairQueue measures one Next and one Add on a fairQueue and, for comparison, on a sortedQueue, which is
+// sorted for each item.
 func BenchmarkFairQueue(b *testing.B) {
 	const quantum, cost = 2000, 1500
 	for _, tenants := range []int{10, 1000, 100000} {
@@ -94,7 +95,7 @@
 			}
 		})
 		if tenants > 1000 {
-			continue // sorting 100,000 items takes tens of milliseconds, and 1,000 show the difference
+			continue // sorting 100,000 items takes tens of milliseconds, and 1,000 items already show the difference
 		}
 		b.Run(fmt.Sprintf("sorted/%d", tenants), func(b *testing.B) {
 			queue := &sortedQueue{served: map[ID]float64{}}
--- a/internal/tenancy/limits.go
+++ b/internal/tenancy/limits.go
@@ -66,7 +66,7 @@
 	}
 	burst := orDefault(limits.BurstS, defaultBurstS)
 
-	// The bucket may still be empty from a limit that was removed, so the limit itself is checked as well.
+	// The bucket may still be empty because of a limit that was removed, so the limit itself is checked as well.
 	requestRate := perDispatcher(limits.RequestsPerS, dispatchers)
 	l.requests.fill(now, requestRate, max(requestRate*burst, 1))
 	if limits.RequestsPerS > 0 && l.requests.level < 1 {
@@ -76,7 +76,7 @@
 	tokenRate := perDispatcher(limits.TokensPerS, dispatchers)
 	capacity := tokenRate * burst
 	l.tokens.fill(now, tokenRate, capacity)
-	// A request that costs more than the capacity is admitted when the bucket is full. It makes the level negative.
+	// A request that costs more than the capacity is admitted when the bucket is full, and then makes the level negative.
 	needed := min(cost, capacity)
 	if limits.TokensPerS > 0 && l.tokens.level < needed {
 		return TokenRateExceeded, l.tokens.timeUntil(needed, tokenRate)
--- a/internal/tenancy/registry.go
+++ b/internal/tenancy/registry.go
@@ -20,7 +20,7 @@
 	StateRemoved   State = "removed"   // keys and limits are deleted; name and usage are kept
 )
 
-// RemovalPolicy is what happens to the running requests of a tenant that is removed.
+// RemovalPolicy determines what happens to the running requests of a tenant that is removed.
 type RemovalPolicy string
 
 // Policies of removal.
@@ -87,7 +87,8 @@
 }
 
 // Create adds a tenant. If the tenant exists with equal limits, Create changes nothing, so that a client that has
-// missed the answer can repeat its request. Errors of this and of all other changes are *ChangeErrors.
+// missed the answer can repeat its request. Create and all other methods that change the registry return their errors
+// as *ChangeError.
 func (r *Registry) Create(now int64, name string, limits Limits, products map[string]Limits) (
 	t *Tenant, created bool, err error,
 ) {
@@ -151,7 +152,8 @@
 	return t, nil
 }
 
-// SetLimits replaces the limits of a tenant and of its products. If limits or products is nil, it stays unchanged.
+// SetLimits replaces the limits of a tenant and of its products. A nil argument leaves the limits that it stands for
+// unchanged.
 func (r *Registry) SetLimits(name string, version uint64, limits *Limits, products map[string]Limits) (*Tenant, error) {
 	t, err := r.findNotRemoved(name, version)
 	if err != nil {
--- a/internal/tenancy/ticket.go
+++ b/internal/tenancy/ticket.go
@@ -1,6 +1,6 @@
 package tenancy
 
-// Reason is why a request is rejected. The answer to the client contains its text.
+// Reason is why a request is rejected. The answer to the client contains the text of the reason.
 type Reason uint8
 
 // Reasons of a rejection. NotRejected means that there was none.
@@ -42,7 +42,7 @@
 // Decision says whether a request is admitted or queued. A request that is neither is rejected.
 type Decision struct {
 	Admitted   bool
-	Queued     bool // AdmitNext returns the ticket on its admission, unless it is released before
+	Queued     bool // AdmitNext returns the ticket once the request is admitted, unless the ticket was released before
 	Reason     Reason
 	RetryAfter Micros // for a rejected request; 0 if unknown
 }
--- a/internal/tenancy/window.go
+++ b/internal/tenancy/window.go
@@ -13,7 +13,7 @@
 	minDecreaseInterval  = second / 4
 	windowIncrease       = 1.0    // requests, for each over-quota request that ends while the window is small
 	fullIncreaseWindow   = 8.0    // requests; above this size the increase is inversely proportional to the size
-	increaseDelay        = second // since the last late request
+	increaseDelay        = second // how long the window does not grow after a late request
 	lateFraction         = 0.25   // of the latency objective; a first token that takes longer is late
 
 	// reservedOverQuota is the number of over-quota requests that each tenant may have admitted regardless of the window.
