--- a/internal/cli/batches.go
+++ b/internal/cli/batches.go
@@ -29,7 +29,7 @@
 	Plot            string  `type:"path" help:"File, .svg or .png, for a plot of batch throughput against the p99 time to first token of chat."`
 }
 
-// Values of batchVariant.limit that are not a fixed number of parts.
+// Special values of batchVariant.limit. Any other value is a fixed number of parts.
 const (
 	noBatches     = -1
 	adaptiveLimit = 0
@@ -52,7 +52,7 @@
 // batchVariant is a combination of scenario and limit that is compared with others.
 type batchVariant struct {
 	scenario batchScenario
-	limit    int // parts in flight for each dispatcher, noBatches or adaptiveLimit
+	limit    int // noBatches, adaptiveLimit, or else the number of parts in flight for each dispatcher
 }
 
 // batchResult combines the results of all runs of one variant.
--- a/internal/cli/bench_latency.go
+++ b/internal/cli/bench_latency.go
@@ -144,8 +144,9 @@
 	firstToken  *hdrhistogram.Histogram
 }
 
-// measureIntents compares the time to first token of requests whose intent is recorded, either during prefill or after
-// it and before decode, with that of requests without a record. All go through one dispatcher.
+// measureIntents compares the time to first token of requests whose intent is recorded, either during prefill or
+// between prefill and decode, with that of requests whose intent is not recorded. All requests go through one
+// dispatcher.
 func (c *benchCommand) measureIntents(ctx context.Context, env *environment) error {
 	const duringPrefillProduct, beforeDecodeProduct = "review-post", "late"
 	dep := benchDeployment(benchTokenIntervalMicros, 0)
--- a/internal/cli/bench_streams.go
+++ b/internal/cli/bench_streams.go
@@ -33,7 +33,7 @@
 type streamCost struct {
 	requested, started, ended int
 	tokensPerSecond           float64 // received by the clients
-	gapP50, gapP99            float64 // ms between two tokens of a stream, beyond the endpoints' token interval
+	gapP50, gapP99            float64 // ms by which the gap between two tokens exceeds the endpoints' token interval
 	cpuPerToken               float64 // µs of the dispatcher's CPU time
 	bytesPerStream            float64 // of the dispatcher's resident memory
 }
--- a/internal/cli/cachefile.go
+++ b/internal/cli/cachefile.go
@@ -13,9 +13,9 @@
 	previousSuffix     = ".1"            // suffix of the file with the previous content
 )
 
-// cacheFile stores the newest content that it was given in one small file. It replaces the file atomically, and from
-// its own goroutine, so that a stalled disk does not block the event loop. It retries a failed write until it succeeds
-// or Close is called.
+// cacheFile stores the newest content that it was given in one small file. It replaces the file atomically. It writes
+// from its own goroutine, so that a stalled disk does not block the event loop. It retries a failed write until it
+// succeeds or Close is called.
 type cacheFile struct {
 	cacheOptions
 	path    string
@@ -100,7 +100,7 @@
 // write makes one attempt to replace the content of the file.
 func (f *cacheFile) write(content []byte) error {
 	if f.keepPrevious {
-		// The rename fails if there is no file yet or the last write failed. The previous copy then stays.
+		// The rename fails if there is no file yet or the last write failed. In both cases the previous copy stays.
 		_ = os.Rename(f.path, f.path+previousSuffix)
 	}
 	return replaceFile(f.path, content)
--- a/internal/cli/descriptors_test.go
+++ b/internal/cli/descriptors_test.go
@@ -51,7 +51,7 @@
 }
 
 // occupyDescriptors opens connections that send nothing during a span of time, and closes them at its end. Both ends of
-// the span count from the call.
+// the span are measured from the call of the function.
 func occupyDescriptors(address string, from, to time.Duration) {
 	startTime, ticker := time.Now(), time.NewTicker(5*time.Millisecond)
 	defer ticker.Stop()
--- a/internal/cli/parallel.go
+++ b/internal/cli/parallel.go
@@ -7,7 +7,8 @@
 	"golang.org/x/sync/errgroup"
 )
 
-// defaultParallelRuns is the number of runs in virtual time that execute at once in commands without a flag for it.
+// defaultParallelRuns is the number of runs in virtual time that execute at once in commands without a flag for this
+// number.
 const defaultParallelRuns = 4
 
 // runParallel runs jobs, at most limit of them at once, and starts them in order. After an error it starts no further
--- a/internal/cli/program.go
+++ b/internal/cli/program.go
@@ -128,7 +128,7 @@
 func newLogger(logs logWriter, destination io.Writer, levelName string) zerolog.Logger {
 	level, err := zerolog.ParseLevel(levelName)
 	if err != nil {
-		level = zerolog.InfoLevel // kong has checked the name
+		level = zerolog.InfoLevel // can't happen: kong has checked the name
 	}
 	var out io.Writer = logs
 	if file, ok := destination.(*os.File); ok && isatty.IsTerminal(file.Fd()) {
--- a/internal/cli/program_test.go
+++ b/internal/cli/program_test.go
@@ -227,7 +227,7 @@
 	if err := conn.SetDeadline(time.Now().Add(30 * time.Second)); err != nil {
 		return "", err
 	}
-	// After a failed write the read below fails too.
+	// The error is ignored, because after a failed write the read below fails too.
 	_, _ = fmt.Fprintf(conn, "GET /v1/models HTTP/1.1\r\nHost: x\r\n"+
 		"Authorization: Bearer %s\r\nConnection: close\r\n\r\n", key)
 	const statusAt, statusEnd = len("HTTP/1.1 "), len("HTTP/1.1 200")
--- a/internal/faultsearch/interleavings.go
+++ b/internal/faultsearch/interleavings.go
@@ -117,8 +117,8 @@
 	e.result.Failures = append(e.result.Failures, fmt.Sprintf("%s (choices %v)", text, e.choices))
 }
 
-// choose returns the delay of the next delivery. At the first delivery beyond the current choices it adds a choice, and
-// makes it the last choice of this run if the state is known.
+// choose returns the delay of the next delivery. At the first delivery beyond the current choices it adds a choice. If
+// the state is known, the added choice is the last one of this run.
 func (e *exploration) choose(run *scenarios.Run) eventloop.Micros {
 	if e.choicesMade >= e.runDepth {
 		return 0
@@ -139,7 +139,7 @@
 }
 
 // advance sets up the choices of the next run: it drops the trailing choices that are late, and changes the last choice
-// that is on time to late. It returns false if no choice is on time, as the search is then complete.
+// that is on time to late. It returns false if no choice is on time, because in that case the search is complete.
 func (e *exploration) advance() bool {
 	last := len(e.choices)
 	for last > 0 && e.choices[last-1] == late {
--- a/internal/faultsearch/shrink.go
+++ b/internal/faultsearch/shrink.go
@@ -28,7 +28,7 @@
 
 // reduction is the state of one call of Shrink.
 type reduction struct {
-	smallest *pb.Day // so far, of the scripts that fail in the same way
+	smallest *pb.Day // the smallest script so far that fails in the same way
 	class    string  // failure class that a change must preserve
 	mutant   *scenarios.Mutant
 	runs     int
@@ -76,7 +76,7 @@
 	return smaller
 }
 
-// try applies a change and keeps it if the scenario still fails in the same way. It reports whether it did.
+// try applies a change and keeps it if the scenario still fails in the same way. It reports whether it kept the change.
 func (r *reduction) try(change func(*pb.Day)) bool {
 	next := proto.CloneOf(r.smallest)
 	change(next)
--- a/internal/testbed/audit/audit.go
+++ b/internal/testbed/audit/audit.go
@@ -99,7 +99,7 @@
 type attempt struct {
 	line       int
 	event      record.Event // its arrival
-	acceptedAt int64        // when the endpoint's process accepted the attempt; the constant never before that
+	acceptedAt int64        // when the endpoint's process accepted the attempt, or the constant never
 	end        int64        // 0: the attempt is in flight
 }
 
--- a/internal/testbed/audit/evidence.go
+++ b/internal/testbed/audit/evidence.go
@@ -7,7 +7,7 @@
 	"plumspindle/internal/testbed/record"
 )
 
-// maxEvidenceRequests is the number of requests whose events are printed at most.
+// maxEvidenceRequests is the largest number of requests whose events are printed.
 const maxEvidenceRequests = 3
 
 // gatherEvidence prints the events of the requests in violation, together with the run's faults and the test bed's
@@ -39,7 +39,7 @@
 	return requests
 }
 
-// concernsAllRequests reports whether an event may matter for any request.
+// concernsAllRequests reports whether an event may matter for every request, whichever request it names.
 func concernsAllRequests(event record.Event) bool {
 	switch event.Type {
 	case record.FaultInjected, record.DispatcherKilled, record.DispatcherUnavailable, record.TestBedDelayed:
--- a/internal/testbed/audit/excuses_test.go
+++ b/internal/testbed/audit/excuses_test.go
@@ -58,7 +58,8 @@
 	}
 }
 
-// overloadedBySocket returns a record in which an endpoint gets too much work during slow start without reporting it.
+// overloadedBySocket returns a record in which an endpoint gets too much work during slow start but does not report the
+// overload.
 func overloadedBySocket() []record.Event {
 	const work = 20000
 	arrival := func(at int64, request, id string) record.Event {
@@ -104,7 +105,7 @@
 	for _, test := range []struct {
 		name   string
 		events []record.Event
-		rule   int // the only one that is broken
+		rule   int // the only rule that is broken
 	}{
 		{"a state, the endpoints delayed", releasedLateBy(delayed(900, 780, record.EndpointsLoop)), noRule},
 		{"a state, the endpoints delayed too little", releasedLateBy(delayed(900, 100, record.EndpointsLoop)),
@@ -136,7 +137,7 @@
 	for _, test := range []struct {
 		name   string
 		events []record.Event
-		rule   int // the only one that is broken
+		rule   int // the only rule that is broken
 	}{
 		{"given up on while partitioned from endpoints", gaveUpWhile(record.Partitioned), ruleFinalAnswer},
 		{"given up on while frozen", gaveUpWhile(record.Frozen), noRule},
--- a/internal/testbed/audit/recorded_test.go
+++ b/internal/testbed/audit/recorded_test.go
@@ -39,8 +39,8 @@
 	return events
 }
 
-// The testdata holds records of runs of the real code. For each rule there is one with an injected fault, which breaks
-// that rule alone. The same runs without the fault pass, with each rule checked at least once.
+// The testdata holds records of runs of the real code. For each rule there is one record of a run with an injected
+// fault that breaks that rule alone. The same runs without the fault pass, with each rule checked at least once.
 func TestRecordedRunsBreakTheirRuleAlone(t *testing.T) {
 	const minFiles, wantFaults = 8, 5
 	files, err := filepath.Glob("testdata/*.ndjson.gz")
--- a/internal/testbed/load/chat.go
+++ b/internal/testbed/load/chat.go
@@ -124,8 +124,8 @@
 	}
 }
 
-// firstTokenSLO returns the latency objective for the first token, which grows linearly with the prompt. Milliseconds
-// per 1000 tokens are microseconds per token.
+// firstTokenSLO returns the latency objective for the first token, which grows linearly with the prompt. The growth
+// needs no conversion of units, because milliseconds per 1000 tokens are microseconds per token.
 func (r *chatRequest) firstTokenSLO() eventloop.Micros {
 	product, promptTokens := r.session.product, 0
 	for _, m := range r.session.messages {
@@ -244,8 +244,8 @@
 	r := a.chat
 	firstToken = a.firstTokenAt - r.startedAt
 	if r.nonStreaming {
-		// The client can't see when the first token of such an answer was generated. The time to the first token is
-		// estimated by subtracting the token SLO for each token.
+		// The client can't see when the first token of an answer that is not streamed was generated. The time to the first
+		// token is estimated by subtracting the token SLO for each token.
 		tokenSLO := eventloop.Micros(r.session.product.TokenSloMs) * eventloop.Millisecond
 		return max(firstToken-eventloop.Micros(a.tokens)*tokenSLO, 1), 0
 	}
--- a/internal/testbed/load/generator.go
+++ b/internal/testbed/load/generator.go
@@ -27,7 +27,7 @@
 	defaultNonStreamingShare = 0.15
 	defaultMinTimeLimitShare = 0.5
 	minRate                  = 0.01
-	maxNonStreamingTokens    = 60 // the whole of such an answer must arrive within the time limit
+	maxNonStreamingTokens    = 60 // low, because the whole of a non-streaming answer must arrive within the time limit
 	charactersPerToken       = 4
 	minPrefixTokens          = 800
 	prefixTokensSpread       = 1600
--- a/internal/testbed/modelserver/conn.go
+++ b/internal/testbed/modelserver/conn.go
@@ -135,7 +135,7 @@
 }
 
 // loadReport returns the value of the load report header, which each response carries. While the fault of
-// DelayLoadReports is active, it repeats the last value until that value is reportAge old.
+// DelayLoadReports is active, loadReport repeats the last value until that value is reportAge old.
 func (c *endpointConn) loadReport() string {
 	e := c.endpoint
 	now := e.fleet.loop.Now()
@@ -198,7 +198,8 @@
 	c.respond(status, []byte(`{"error":{"message":"`+code+`","type":"server_error","param":null,"code":"`+code+`"}}`))
 }
 
-// writeEvents writes server-sent events of a streamed answer. It writes the head of the response before the first ones.
+// writeEvents writes server-sent events of a streamed answer. It writes the head of the response before the first
+// events.
 func (c *endpointConn) writeEvents(events []byte, last bool) {
 	if c.closed || !c.endpoint.alive {
 		return
--- a/internal/testbed/modelserver/faults.go
+++ b/internal/testbed/modelserver/faults.go
@@ -8,7 +8,8 @@
 // restartDelay is the downtime of an endpoint that restarts at the end of a hang or a blackhole.
 const restartDelay = 100 * eventloop.Millisecond
 
-// faults are the faults that are active at an endpoint. Zero values, and a slowFactor of 1, are no fault.
+// faults are the faults that are active at an endpoint. A zero value, or a slowFactor of 1, means that there is no such
+// fault.
 type faults struct {
 	slowFactor      float64          // the factor by which all work is slower
 	failShare       float64          // probability that an attempt fails
--- a/internal/testbed/modelserver/fleet.go
+++ b/internal/testbed/modelserver/fleet.go
@@ -159,8 +159,8 @@
 }
 
 // Partition partitions a zone from all others for the duration. Until it ends, requests that cross the boundary are
-// deferred and responses are held back. Releases of KV states are the exception: they take effect at once, only their
-// responses wait.
+// deferred and responses are held back. Releases of KV states are the exception: they take effect at once, and only
+// their responses are held back.
 func (f *Fleet) Partition(zone string, duration eventloop.Micros) {
 	for _, e := range f.Endpoints {
 		e.partitionedZone = zone
--- a/internal/testbed/modelserver/kvstate.go
+++ b/internal/testbed/modelserver/kvstate.go
@@ -69,8 +69,9 @@
 }
 
 // requestRelease handles a dispatcher's request to release the KV state of an attempt. A state that is being
-// transferred is in use: it is released once the transfers have ended, unless one of them completes. If the state is
-// not pinned yet, the endpoint remembers the release and doesn't pin the state when the prefill ends.
+// transferred is in use, so it is released only once all its transfers have ended. If a transfer completes, the
+// endpoint frees the state as fetched, and no release follows. If the state is not pinned yet, the endpoint remembers
+// the release and doesn't pin the state when the prefill ends.
 func (e *Endpoint) requestRelease(attemptID string) {
 	state := e.states[attemptID]
 	switch {
@@ -91,7 +92,7 @@
 	}
 }
 
-// serveState sends a KV state to another endpoint. Transfers within the cell queue for this endpoint's port, transfers
+// serveState sends a KV state to another endpoint. Transfers within the cell queue for this endpoint's port. Transfers
 // to other cells queue for the one outgoing link of the cell instead.
 func (e *Endpoint) serveState(conn *endpointConn, attemptID string, cell uint16) {
 	state := e.states[attemptID]
--- a/internal/testbed/modelserver/slowstart.go
+++ b/internal/testbed/modelserver/slowstart.go
@@ -14,8 +14,8 @@
 	work float64
 }
 
-// capacityFactor returns the current share of the endpoint's full capacity. It is reduced by the slow-down fault and,
-// during slow start, rises linearly.
+// capacityFactor returns the current share of the endpoint's full capacity. The slow-down fault reduces this share.
+// During slow start the share rises linearly.
 func (e *Endpoint) capacityFactor() float64 {
 	factor := 1 / e.slowFactor
 	if e.startedAt == 0 {
--- a/internal/testbed/record/record.go
+++ b/internal/testbed/record/record.go
@@ -22,13 +22,14 @@
 const (
 	RequestSent EventType = "ask" // Value is the client's time limit in µs
 	// FinalAnswer ends a client's attempt. Detail is the attempt's outcome, Count the number of tokens, and Exact whether
-	// the tokens are the expected ones. If the attempt ended because its connection did, Kind is why the connection ended.
+	// the tokens are the expected ones. If the attempt ended because its connection ended, Kind is the reason for the end
+	// of the connection.
 	FinalAnswer     EventType = "final"
 	BytesAfterFinal EventType = "after"     // Detail is "bytes" or "event"
 	MalformedAnswer EventType = "malformed" // Detail is the error
-	// RequestFinished ends a client's request. Detail is its outcome. Count is a time in µs since the request began: to
-	// the first token of a completed chat request, to the end of a batch call. Exact is whether a chat request met its
-	// SLO, or whether a batch call was completed.
+	// RequestFinished ends a client's request. Detail is its outcome. Count is the time in µs from the start of the
+	// request to the first token of a completed chat request, or to the end of a batch call. Exact is whether a chat
+	// request met its SLO, or whether a batch call was completed.
 	RequestFinished EventType = "over"
 )
 
@@ -42,7 +43,7 @@
 	AttemptRan              EventType = "ran"  // the attempt's effects took place
 	AttemptFinished         EventType = "left" // the attempt holds no resources at the endpoint any more
 	ConnectionLost          EventType = "quit" // of an attempt in flight
-	StatePinned             EventType = "hold" // the state that a prefill left, until it is fetched, released or expires
+	StatePinned             EventType = "hold" // a prefill left a state, pinned until it is fetched, is released or expires
 	StateFetched            EventType = "took"
 	StateReleased           EventType = "released"
 	StateLeaseExpired       EventType = "lease"
@@ -58,8 +59,8 @@
 	UpdateDelivered       EventType = "told" // Detail is the endpoint's condition that discovery wrote to a dispatcher
 	DispatcherKilled      EventType = "killed"
 	DispatcherUnavailable EventType = "away"    // for Count µs; Detail is Frozen or Partitioned
-	FaultInjected         EventType = "trouble" // Kind and Detail are those in the scenario's script
-	NetworkLatency        EventType = "world"   // in virtual time; Count is in µs
+	FaultInjected         EventType = "trouble" // Kind is the kind of fault, Detail the whole fault as text
+	NetworkLatency        EventType = "world"   // only in virtual time; Count is the latency in µs
 	TestBedDelayed        EventType = "late"    // the test bed's event loop named by Detail was delayed for Count µs
 )
 
--- a/internal/testbed/scenarios/process.go
+++ b/internal/testbed/scenarios/process.go
@@ -120,7 +120,7 @@
 	_ = d.command.Process.Kill() // it may have exited already
 	run.sockets.restarts.Go(func() {
 		<-exited
-		recordKilled() // again: on a busy machine the exit follows the signal by more than the audit's slack
+		recordKilled() // once more, because on a busy machine the exit follows the signal by more than the audit's slack
 		select {
 		case <-ctx.Done():
 		case <-run.sockets.stopping:
--- a/internal/testbed/scenarios/run.go
+++ b/internal/testbed/scenarios/run.go
@@ -42,7 +42,7 @@
 )
 
 // Run is one run of a scenario. Its exported fields up to ExtraLatency may be set before the run; BatchClients and the
-// exported fields after it are its results.
+// exported fields after it are the results of the run.
 type Run struct {
 	Script      *pb.Day
 	Deployment  deployment.Deployment
--- a/internal/testbed/scenarios/tenants_test.go
+++ b/internal/testbed/scenarios/tenants_test.go
@@ -75,7 +75,8 @@
 	return reported
 }
 
-// observedUsage returns the usage that clients observed, by tenant and product, and for which of them requests failed.
+// observedUsage returns the usage that clients observed, by tenant and product. It also returns the pairs of tenant and
+// product that had a failed request.
 func observedUsage(run *Run) (observed map[string]usageSums, broken map[string]bool) {
 	observed, broken = map[string]usageSums{}, map[string]bool{}
 	for _, event := range run.events {
--- a/internal/testbed/scenarios/virtual.go
+++ b/internal/testbed/scenarios/virtual.go
@@ -37,7 +37,7 @@
 
 // RunVirtual runs the scenario in virtual time, within this process, with the code of the dispatchers, simulated
 // endpoints and clients that also runs over sockets. The network splits data into segments of at most the given number
-// of bytes, 0 for no limit. If the script defines a world, the world sets the limit in place of the parameter.
+// of bytes. With 0 bytes there is no limit. If the script defines a world, the limit of the world applies instead.
 func (r *Run) RunVirtual(segment int) (*VirtualOutcome, error) {
 	if _, err := r.prepare(); err != nil {
 		return nil, err
--- a/internal/testbed/scenarios/virtualfaults.go
+++ b/internal/testbed/scenarios/virtualfaults.go
@@ -13,7 +13,7 @@
 	minDowntime             = eventloop.Millisecond
 	slowSyncTime            = 150 * eventloop.Millisecond // of a slow disk if the fault states no time
 	defaultSyncTime         = 2 * eventloop.Millisecond   // of a disk that is not slowed down
-	pickOne         float64 = 0                           // a share of which pickShare draws a single element
+	pickOne         float64 = 0                           // a share for which pickShare draws a single element
 )
 
 // errDisk is the error that a failing disk returns.
--- a/internal/testbed/soak/audit.go
+++ b/internal/testbed/soak/audit.go
@@ -13,7 +13,7 @@
 	slack           = 300 * time.Millisecond
 	stateLease      = 500 * time.Millisecond // time limit for using or releasing the state that a prefill left
 	maxStateTime    = stateLease + 300*time.Millisecond + slack
-	repeatWindow    = time.Second            // within which a deduplicated request may run again
+	repeatWindow    = time.Second            // how long after its first run a deduplicated request may run again
 	drainKnownAfter = 6 * time.Second        // after which a dispatcher must know of a drain even if it got no update
 	drainGrace      = 300 * time.Millisecond // for attempts that are in transit when a drain becomes known
 	disconnectGrace = 100 * time.Millisecond // for attempts that are in transit when a client disconnects
--- a/internal/testbed/soak/clients.go
+++ b/internal/testbed/soak/clients.go
@@ -14,8 +14,8 @@
 
 // Timeouts and times of the clients.
 const (
-	answerGrace   = 500 * time.Millisecond // after a request's deadline, within which its answer must arrive
-	headTimeout   = 500 * time.Millisecond // after answerGrace, for which a client still waits for the answer's head
+	answerGrace   = 500 * time.Millisecond // how long after a request's deadline its answer may still arrive
+	headTimeout   = 500 * time.Millisecond // how long after answerGrace a client still waits for the answer's head
 	bodyTimeout   = 12 * time.Second
 	dialTimeout   = time.Second
 	maxIdle       = 2500 * time.Millisecond
--- a/internal/testbed/soak/discovery.go
+++ b/internal/testbed/soak/discovery.go
@@ -130,7 +130,8 @@
 	_, _ = io.Copy(io.Discard, conn) // returns once the dispatcher closes the connection or the watch is reset
 }
 
-// add writes the complete list to a new watch. A watch that is opened during a silence gets nothing, then or later.
+// add writes the complete list to a new watch. A watch that is opened during a silence gets nothing, not even after the
+// silence.
 func (d *discovery) add(added *watch) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
--- a/internal/testbed/soak/dispatcher.go
+++ b/internal/testbed/soak/dispatcher.go
@@ -19,7 +19,7 @@
 const (
 	// stopGrace is a span that begins at SIGTERM. A request that arrives within it may still be unanswered at SIGKILL.
 	stopGrace = 700 * time.Millisecond
-	// maxDeadlineBeforeKill is the longest time for which SIGKILL waits for the deadlines of requests.
+	// maxDeadlineBeforeKill is the longest time that requests get to reach their deadlines before SIGKILL.
 	maxDeadlineBeforeKill = 3 * time.Second
 )
 
@@ -34,7 +34,7 @@
 // Limits on the signals that follow a SIGTERM.
 const (
 	maxFollowUpSignals = 3
-	maxSignalPause     = 150 * time.Millisecond // between two of them
+	maxSignalPause     = 150 * time.Millisecond // between two signals
 )
 
 // Rates of system call faults per thousand calls, and the share of the dispatchers that get them.
--- a/internal/testbed/soak/endpoint.go
+++ b/internal/testbed/soak/endpoint.go
@@ -225,7 +225,7 @@
 	return call.write(streamEnd)
 }
 
-// breakStream breaks a stream if the misbehaviour is one that does so. It returns whether it did.
+// breakStream breaks or stalls a stream if the misbehaviour is one that does either. It reports whether it was one.
 func (e *endpoint) breakStream(call exchange, misbehaviour int) (broken bool) {
 	switch misbehaviour {
 	case resetsInStream:
--- a/internal/testbed/soak/excuses.go
+++ b/internal/testbed/soak/excuses.go
@@ -69,8 +69,8 @@
 	return 0
 }
 
-// discoverySilence returns how long after a given time the last silence of discovery ended, of those that began at most
-// drainKnownAfter after that time. It returns 0 if all of these had ended by that time.
+// discoverySilence looks at the silences of discovery that began at most drainKnownAfter after a given time. It returns
+// how long after the given time the last of these silences ended, or 0 if all of them had ended by the given time.
 func (a *Audit) discoverySilence(at int64) (longest int64) {
 	for _, event := range a.events {
 		if event.Kind == FaultBegan && event.Text == discoverySilentText &&
--- a/internal/testbed/soak/judge.go
+++ b/internal/testbed/soak/judge.go
@@ -35,7 +35,7 @@
 	return nil
 }
 
-// readLog adds to the report what a dispatcher's log tells of violations and blocked sends, and of its crashes.
+// readLog adds to the report the violations, blocked sends and crashes that a dispatcher's log shows.
 func (r *run) readLog(from *dispatcher, audit *Audit) error {
 	file, err := os.Open(from.logs.file.Name())
 	if err != nil {
--- a/internal/testbed/soak/proxy.go
+++ b/internal/testbed/soak/proxy.go
@@ -102,7 +102,7 @@
 	}
 }
 
-// waitWhileSilent waits for the end of a silence, if there is one, and reports whether there was.
+// waitWhileSilent waits for the end of a silence, if there is one, and reports whether there was one.
 func (p *proxy) waitWhileSilent() (wasSilent bool) {
 	for now() < p.silentUntil.Load() {
 		wasSilent = true
--- a/internal/testbed/soak/record.go
+++ b/internal/testbed/soak/record.go
@@ -37,7 +37,7 @@
 	Notified   EventKind = "told"     // discovery wrote an endpoint's drain to a dispatcher's watch
 	Drained    EventKind = "drained"  // an endpoint's drain was published
 	Stopped    EventKind = "stopped"  // a dispatcher was sent SIGTERM
-	Killed     EventKind = "killed"   // a dispatcher or endpoint was killed; Value is when it got SIGTERM, 0: it did not
+	Killed     EventKind = "killed"   // a dispatcher or endpoint was killed; Value is when it got SIGTERM, 0 if never
 	Ended      EventKind = "ended"    // a dispatcher's process ended
 	FaultBegan EventKind = "troubled" // Text names the fault; Value is its duration
 )
--- a/internal/testbed/soak/role.go
+++ b/internal/testbed/soak/role.go
@@ -55,7 +55,7 @@
 	Listen   []string      // addresses
 	Targets  []string      // of a proxy: endpoints; of discovery: IP addresses of proxies; of clients: dispatchers
 	Duration time.Duration // of clients: how long they send requests
-	Deadline time.Duration // of clients: the one that each request states
+	Deadline time.Duration // of clients: the deadline that each request states
 }
 
 // standIn is the part that all stand-ins have in common.
--- a/internal/testbed/soak/run.go
+++ b/internal/testbed/soak/run.go
@@ -74,7 +74,7 @@
 	reportMu         sync.Mutex // guards the report's findings
 	pendingStops     sync.WaitGroup
 	endpointRestarts int
-	startedMs        map[int]int64 // by endpoint; when it was last restarted, by the wall clock
+	startedMs        map[int]int64 // by endpoint; when the endpoint was last restarted, by the wall clock
 
 	dispatchers  []*dispatcher
 	agentOf      []int // by dispatcher; the agent that its configuration names
--- a/internal/virtual/conn.go
+++ b/internal/virtual/conn.go
@@ -138,7 +138,7 @@
 }
 
 // deliver passes the received bytes to the handler, lets the other side send more, and then passes on the other side's
-// close if that has arrived. It does nothing while the connection is paused.
+// close if that close has arrived. It does nothing while the connection is paused.
 func (c *conn) deliver() {
 	if c.paused || c.closed {
 		return
--- a/internal/virtual/connect.go
+++ b/internal/virtual/connect.go
@@ -63,7 +63,7 @@
 	return l.dial(addr, timeout, handler, l.outOfReservedDescriptors())
 }
 
-// dial begins to open a connection. If noDescriptor is set, it fails for lack of one.
+// dial begins to open a connection. If noDescriptor is set, the dial fails because no descriptor is free.
 func (l *Loop) dial(
 	addr string, timeout eventloop.Micros, handler eventloop.Handler, noDescriptor bool,
 ) eventloop.Conn {
--- a/internal/virtual/disk.go
+++ b/internal/virtual/disk.go
@@ -38,9 +38,9 @@
 	// Capacity, if above 0, is how many bytes all files may have. An append that exceeds it writes what fits and fails. A
 	// write that exceeds it together with all existing files, the replaced one included, changes nothing and fails.
 	Capacity int
-	// AcknowledgesEarly makes operations succeed at once and become durable later. If the process is killed in between,
-	// its operations are lost if the disk is attached to another process before they become due. Otherwise they take
-	// effect in part.
+	// AcknowledgesEarly makes operations succeed at once and become durable later. If the process is killed in between, an
+	// operation takes effect in part, or not at all if the disk is attached to another process before the operation is
+	// due.
 	AcknowledgesEarly bool
 
 	network   *Network
--- a/internal/virtual/loop.go
+++ b/internal/virtual/loop.go
@@ -19,7 +19,7 @@
 	name         string
 	dead         bool
 	frozen       bool
-	postponed    []func() // calls that became due while frozen
+	postponed    []func() // calls that became due while the process was frozen
 	running      bool     // the process is in a call
 	deferred     []func() // functions that Defer got during the current call
 	clockSkew    eventloop.Micros
--- a/internal/virtual/network.go
+++ b/internal/virtual/network.go
@@ -114,7 +114,7 @@
 	n.blocked[link{from, to}] = n.now + duration
 }
 
-// stepIfDue makes the next step if that is due no later than end. It reports whether it made a step.
+// stepIfDue makes the next step if that step is due no later than end. It reports whether it made a step.
 func (n *Network) stepIfDue(end eventloop.Micros) bool {
 	due, pending := n.timers.Next()
 	if !pending || due > end {
