--- a/internal/testbed/audit/pinnedstate.go
+++ b/internal/testbed/audit/pinnedstate.go
@@ -68,8 +68,9 @@
 	}
 }
 
-// waitTime returns how long a state waited within a span for a dispatcher that was available. It leaves out the time in
-// which the endpoints' event loop was delayed, because a delayed loop records arrivals late.
+// waitTime returns the longest time, within a span, for which a state waited while its dispatcher was available without
+// a break. It leaves out the time in which the endpoints' event loop was delayed, because a delayed loop records
+// arrivals late.
 func (c *checker) waitTime(dispatcher string, from, to int64) int64 {
 	return c.longestAvailable(dispatcher, from, to) - c.delayWithin(record.EndpointsLoop, from, to)
 }
--- a/internal/testbed/scenarios/virtualfaults.go
+++ b/internal/testbed/scenarios/virtualfaults.go
@@ -52,7 +52,8 @@
 	}
 }
 
-// partitionOneWay blocks one direction between each dispatcher drawn and all endpoints; the other direction stays open.
+// partitionOneWay blocks one direction between each dispatcher drawn and all endpoints. Data in the other direction
+// still arrives.
 func partitionOneWay(i injection) {
 	endpoints, _ := i.run.fleetLoop.(*virtual.Loop)
 	network := i.run.virtual.network
--- a/internal/virtual/network.go
+++ b/internal/virtual/network.go
@@ -108,8 +108,9 @@
 	n.stepCalls = append(n.stepCalls, stepCall{n.Steps + steps, f})
 }
 
-// Block stops the traffic from one process to another for a duration. What the process sends in that time arrives
-// afterwards. The other direction stays open.
+// Block stops the traffic from one process to another for a duration. Data and closes that the process sends in that
+// time arrive afterwards. Those in the other direction arrive as usual. A dial between the two processes, in either
+// direction, fails with ErrConnectTimeout if it arrives in that time.
 func (n *Network) Block(from, to *Loop, duration eventloop.Micros) {
 	n.blocked[link{from, to}] = n.now + duration
 }
