--- a/internal/cli/logs.go
+++ b/internal/cli/logs.go
@@ -12,7 +12,7 @@
 
 const (
 	maxBufferedLogLines = 4096        // if more lines wait to be written, the oldest are dropped
-	logFlushTimeout     = time.Second // for writing the buffered lines when the program ends
+	logFlushTimeout     = time.Second // limit for writing the buffered lines when the program ends
 )
 
 // logWriter buffers log lines and writes them from its own goroutine, so that a slow reader of the log does not block
--- a/internal/testbed/audit/secondruns.go
+++ b/internal/testbed/audit/secondruns.go
@@ -5,7 +5,8 @@
 	"plumspindle/internal/testbed/record"
 )
 
-// maxClientAttempts is the highest number of a client attempt that is looked for; no client makes more attempts.
+// maxClientAttempts is the highest client attempt number that the check looks for, because no client makes more
+// attempts.
 const maxClientAttempts = 9
 
 // mayRunAgain reports whether a product's requests may run any number of times, at any endpoint.
--- a/internal/testbed/audit/slowstart.go
+++ b/internal/testbed/audit/slowstart.go
@@ -49,8 +49,8 @@
 	}
 }
 
-// checkSlowStartArrival checks the work that arrived at an endpoint within the last FallMs, the attempt that has just
-// arrived included. A single attempt never breaks the rule.
+// checkSlowStartArrival checks the work that arrived at an endpoint within the last FallMs. This includes the attempt
+// that has just arrived. A single attempt never breaks the rule.
 func (c *checker) checkSlowStartArrival(line int, event record.Event, start *slowStart) {
 	age := event.At - start.startedAt
 	capacity := c.slowStartCapacity(event.Kind, age)
--- a/internal/testbed/load/generator.go
+++ b/internal/testbed/load/generator.go
@@ -213,7 +213,7 @@
 	return s
 }
 
-// aliveTargets returns the targets in a zone that are alive, or all that are alive if the zone has none.
+// aliveTargets returns the targets in a zone that are alive, or all alive targets if no target in the zone is alive.
 func (g *Generator) aliveTargets(zone string) []*Target {
 	var inZone, all []*Target
 	for _, target := range g.Targets {
--- a/internal/testbed/scenarios/virtualdispatcher.go
+++ b/internal/testbed/scenarios/virtualdispatcher.go
@@ -30,7 +30,7 @@
 	unavailableUntil eventloop.Micros // until this time a fault freezes the dispatcher or partitions it from its endpoints
 }
 
-// start starts the next incarnation. It listens on the address of the previous one, if there was one.
+// start starts the next incarnation. The incarnation listens on the address of the previous one, if there was one.
 func (d *virtualDispatcher) start() (err error) {
 	run := d.run
 	d.incarnations++
--- a/internal/testbed/soak/audit_test.go
+++ b/internal/testbed/soak/audit_test.go
@@ -99,7 +99,7 @@
 	}
 }
 
-// Each violation is found for its rule alone. Similar histories without a violation pass.
+// For each violation the audit reports only the rule that is broken. Similar histories without a violation pass.
 func TestAuditFindsEachViolationForItsRuleAlone(t *testing.T) {
 	ranInWindow := Event{At: 2500 * ms, Kind: Ran, ID: "r", Endpoint: "g", Value: 2020 * ms}
 	ranPastWindow := Event{At: 2100 * ms, Kind: Ran, ID: "r", Endpoint: "g", Value: 2040 * ms}
--- a/internal/testbed/soak/dispatcher.go
+++ b/internal/testbed/soak/dispatcher.go
@@ -124,8 +124,8 @@
 	return followUps
 }
 
-// stopAndRestart sends SIGTERM to a dispatcher, kills it at the earliest time at which that is allowed unless it has
-// exited by then, and starts it again.
+// stopAndRestart sends SIGTERM to a dispatcher and waits until it exits. If it has not exited after killAfter,
+// stopAndRestart kills it. In both cases stopAndRestart starts the dispatcher again.
 func (r *run) stopAndRestart(stopping *dispatcher, followUps []followUpSignal) {
 	stopping.mu.Lock()
 	defer stopping.mu.Unlock()
--- a/internal/testbed/soak/faults.go
+++ b/internal/testbed/soak/faults.go
@@ -22,7 +22,7 @@
 	minFaultTime    = 200 * time.Millisecond
 	faultTimeSpread = 1800        // in ms; limit of the random part of a fault's duration
 	maxReloads      = 4           // of a dispatcher's configuration, one directly after the other
-	minUptime       = time.Second // of a dispatcher before it gets a new configuration
+	minUptime       = time.Second // of a dispatcher before the dispatcher gets a new configuration
 	drainOneIn      = 3           // at most one endpoint in so many of a kind is drained
 )
 
--- a/internal/virtual/conn.go
+++ b/internal/virtual/conn.go
@@ -112,8 +112,8 @@
 	}
 }
 
-// segmentArrived adds a segment to what the other side has received. The network runs it even while the process on the
-// other side is frozen, as its kernel receives data without the process.
+// segmentArrived adds a segment to what the other side has received. The network calls it even while the process on the
+// other side is frozen, because that process's kernel receives data without the process.
 func (c *conn) segmentArrived(segment []byte) {
 	c.inFlight -= len(segment)
 	peer := c.peer
