--- a/internal/testbed/audit/audit.go
+++ b/internal/testbed/audit/audit.go
@@ -52,8 +52,8 @@
 	Rules            [5]RuleResult
 	Rows             []*Row
 	PeakSlowStartUse float64 // the largest share of its slow-start budget that any endpoint used
-	// RevenueShare is the share of the possible revenue that was earned: an answer within its SLO earns all of it, a late
-	// one the product's late share.
+	// RevenueShare is the share of the possible revenue that was earned: an answer within its SLO earns its full revenue,
+	// and a late answer earns the product's late share of that revenue.
 	RevenueShare float64
 	Evidence     string // the events of requests in violation, as text; empty if no rule was broken
 }
--- a/internal/testbed/load/batches.go
+++ b/internal/testbed/load/batches.go
@@ -115,7 +115,7 @@
 	next.send(target, c.postRequest(), next)
 }
 
-// postRequest returns the HTTP request of the call, the same for each attempt.
+// postRequest returns the HTTP request of the call. The request is the same for each attempt.
 func (c *batchCall) postRequest() postRequest {
 	model, inputs := c.clients.Product.Name, strings.Join(c.inputs, ",")
 	if c.isRerank() {
--- a/internal/testbed/modelserver/scheduling.go
+++ b/internal/testbed/modelserver/scheduling.go
@@ -60,7 +60,8 @@
 	}
 }
 
-// advanceAttempts advances each running attempt. At most prefillBudget prompt tokens are prefilled in all.
+// advanceAttempts advances each running attempt. At most prefillBudget prompt tokens are prefilled over all attempts
+// together.
 func (e *Endpoint) advanceAttempts(prefillBudget float64) {
 	for _, attempt := range slices.Clone(e.running) {
 		switch {
--- a/internal/testbed/record/record.go
+++ b/internal/testbed/record/record.go
@@ -2,8 +2,8 @@
 // the audit.
 //
 // It owns the record of a run, in memory and as a file with one JSON object per line. It relies on its callers to take
-// the times of all events from one clock. A dispatcher never writes to a record, which holds only what others observed
-// of it.
+// the times of all events from one clock. A dispatcher never writes to a record. The record holds only what others
+// observed of the dispatcher.
 package record
 
 import (
--- a/internal/testbed/scenarios/mutant.go
+++ b/internal/testbed/scenarios/mutant.go
@@ -24,7 +24,7 @@
 	return m.Dispatcher()
 }
 
-// loop returns the event loop that a dispatcher runs on, as the mutant changes it.
+// loop returns the event loop that a dispatcher runs on, with the mutant's change.
 func (m *Mutant) loop(unchanged *virtual.Loop) eventloop.Loop {
 	if m == nil || m.Loop == nil {
 		return unchanged
--- a/internal/testbed/scenarios/results.go
+++ b/internal/testbed/scenarios/results.go
@@ -20,8 +20,8 @@
 	return seconds
 }
 
-// CompletedInSecond returns how many requests were first sent in the given second of the load, and how many of those
-// were completed.
+// CompletedInSecond returns how many requests were first sent in the given second of the load, and how many of these
+// requests were completed.
 func (r *Run) CompletedInSecond(second int) (sent, completed int) {
 	seconds := r.firstAttemptSeconds()
 	for _, event := range r.events {
@@ -37,8 +37,8 @@
 	return sent, completed
 }
 
-// WithinSLOBySecond returns, for each second of the load, how many requests were first sent in it and how many of those
-// were answered within the SLO.
+// WithinSLOBySecond returns, for each second of the load, how many requests were first sent in it and how many of these
+// requests were answered within the SLO.
 func (r *Run) WithinSLOBySecond() (sent, inSLO []int) {
 	seconds := r.firstAttemptSeconds()
 	sent, inSLO = make([]int, r.Script.Seconds+1), make([]int, r.Script.Seconds+1)
--- a/internal/testbed/soak/discovery.go
+++ b/internal/testbed/soak/discovery.go
@@ -106,7 +106,7 @@
 	}
 }
 
-// write writes a chunk to a watch. It ignores errors, as serve notices that a watch is broken.
+// write writes a chunk to a watch. It ignores errors, because serve notices when a watch is broken.
 func (d *discovery) write(w *watch, text string) {
 	if d.writable(w) {
 		_, _ = fmt.Fprintf(w.conn, "%x\r\n%s\r\n", len(text), text)
--- a/internal/testbed/soak/excuses.go
+++ b/internal/testbed/soak/excuses.go
@@ -26,15 +26,15 @@
 	return 0
 }
 
-// endpointKilled reports whether an endpoint was killed in a span; its reserved states are gone then.
+// endpointKilled reports whether an endpoint was killed in a span. A killed endpoint loses its reserved states.
 func (a *Audit) endpointKilled(endpoint string, from, to int64) bool {
 	return slices.ContainsFunc(a.events, func(event Event) bool {
 		return event.Kind == Killed && event.Endpoint == endpoint && event.At >= from && event.At <= to
 	})
 }
 
-// wasPartitioned reports whether a dispatcher was partitioned from all endpoints for at least a part of a span. It
-// can't release states then.
+// wasPartitioned reports whether a dispatcher was partitioned from all endpoints for at least a part of a span. A
+// dispatcher can't release states while it is partitioned.
 func (a *Audit) wasPartitioned(dispatcher string, from, to int64) bool {
 	return slices.ContainsFunc(a.events, func(event Event) bool {
 		return event.Kind == FaultBegan && event.Text == partitionedText && event.Dispatcher == dispatcher &&
