--- a/internal/testbed/load/generator.go
+++ b/internal/testbed/load/generator.go
@@ -27,7 +27,7 @@
 	defaultNonStreamingShare = 0.15
 	defaultMinTimeLimitShare = 0.5
 	minRate                  = 0.01
-	maxNonStreamingTokens    = 60 // the whole of such an answer must arrive within the time limit
+	maxNonStreamingTokens    = 60 // low, because the whole of a non-streaming answer must arrive within the time limit
 	charactersPerToken       = 4
 	minPrefixTokens          = 800
 	prefixTokensSpread       = 1600
@@ -213,7 +213,7 @@
 	return s
 }
 
-// aliveTargets returns the targets in a zone that are alive, or all that are alive if the zone has none.
+// aliveTargets returns the targets in a zone that are alive, or all alive targets if no target in the zone is alive.
 func (g *Generator) aliveTargets(zone string) []*Target {
 	var inZone, all []*Target
 	for _, target := range g.Targets {
--- a/internal/testbed/soak/dispatcher.go
+++ b/internal/testbed/soak/dispatcher.go
@@ -19,7 +19,7 @@
 const (
 	// stopGrace is a span that begins at SIGTERM. A request that arrives within it may still be unanswered at SIGKILL.
 	stopGrace = 700 * time.Millisecond
-	// maxDeadlineBeforeKill is the longest time for which SIGKILL waits for the deadlines of requests.
+	// maxDeadlineBeforeKill is the longest time that requests get to reach their deadlines before SIGKILL.
 	maxDeadlineBeforeKill = 3 * time.Second
 )
 
@@ -34,7 +34,7 @@
 // Limits on the signals that follow a SIGTERM.
 const (
 	maxFollowUpSignals = 3
-	maxSignalPause     = 150 * time.Millisecond // between two of them
+	maxSignalPause     = 150 * time.Millisecond // between two signals
 )
 
 // Rates of system call faults per thousand calls, and the share of the dispatchers that get them.
@@ -124,8 +124,8 @@
 	return followUps
 }
 
-// stopAndRestart sends SIGTERM to a dispatcher, kills it at the earliest time at which that is allowed unless it has
-// exited by then, and starts it again.
+// stopAndRestart sends SIGTERM to a dispatcher and waits until it exits. If it has not exited after killAfter,
+// stopAndRestart kills it. In both cases stopAndRestart starts the dispatcher again.
 func (r *run) stopAndRestart(stopping *dispatcher, followUps []followUpSignal) {
 	stopping.mu.Lock()
 	defer stopping.mu.Unlock()
--- a/internal/testbed/soak/excuses.go
+++ b/internal/testbed/soak/excuses.go
@@ -26,15 +26,15 @@
 	return 0
 }
 
-// endpointKilled reports whether an endpoint was killed in a span; its reserved states are gone then.
+// endpointKilled reports whether an endpoint was killed in a span. A killed endpoint loses its reserved states.
 func (a *Audit) endpointKilled(endpoint string, from, to int64) bool {
 	return slices.ContainsFunc(a.events, func(event Event) bool {
 		return event.Kind == Killed && event.Endpoint == endpoint && event.At >= from && event.At <= to
 	})
 }
 
-// wasPartitioned reports whether a dispatcher was partitioned from all endpoints for at least a part of a span. It
-// can't release states then.
+// wasPartitioned reports whether a dispatcher was partitioned from all endpoints for at least a part of a span. A
+// dispatcher can't release states while it is partitioned.
 func (a *Audit) wasPartitioned(dispatcher string, from, to int64) bool {
 	return slices.ContainsFunc(a.events, func(event Event) bool {
 		return event.Kind == FaultBegan && event.Text == partitionedText && event.Dispatcher == dispatcher &&
@@ -69,8 +69,8 @@
 	return 0
 }
 
-// discoverySilence returns how long after a given time the last silence of discovery ended, of those that began at most
-// drainKnownAfter after that time. It returns 0 if all of these had ended by that time.
+// discoverySilence looks at the silences of discovery that began at most drainKnownAfter after a given time. It returns
+// how long after the given time the last of these silences ended, or 0 if all of them had ended by the given time.
 func (a *Audit) discoverySilence(at int64) (longest int64) {
 	for _, event := range a.events {
 		if event.Kind == FaultBegan && event.Text == discoverySilentText &&
--- a/internal/virtual/conn.go
+++ b/internal/virtual/conn.go
@@ -112,8 +112,8 @@
 	}
 }
 
-// segmentArrived adds a segment to what the other side has received. The network runs it even while the process on the
-// other side is frozen, as its kernel receives data without the process.
+// segmentArrived adds a segment to what the other side has received. The network calls it even while the process on the
+// other side is frozen, because that process's kernel receives data without the process.
 func (c *conn) segmentArrived(segment []byte) {
 	c.inFlight -= len(segment)
 	peer := c.peer
@@ -138,7 +138,7 @@
 }
 
 // deliver passes the received bytes to the handler, lets the other side send more, and then passes on the other side's
-// close if that has arrived. It does nothing while the connection is paused.
+// close if that close has arrived. It does nothing while the connection is paused.
 func (c *conn) deliver() {
 	if c.paused || c.closed {
 		return
--- a/internal/virtual/network.go
+++ b/internal/virtual/network.go
@@ -108,13 +108,14 @@
 	n.stepCalls = append(n.stepCalls, stepCall{n.Steps + steps, f})
 }
 
-// Block stops the traffic from one process to another for a duration. What the process sends in that time arrives
-// afterwards. The other direction stays open.
+// Block stops the traffic from one process to another for a duration. Data and closes that the process sends in that
+// time arrive afterwards. Those in the other direction arrive as usual. A dial between the two processes, in either
+// direction, fails with ErrConnectTimeout if it arrives in that time.
 func (n *Network) Block(from, to *Loop, duration eventloop.Micros) {
 	n.blocked[link{from, to}] = n.now + duration
 }
 
-// stepIfDue makes the next step if that is due no later than end. It reports whether it made a step.
+// stepIfDue makes the next step if that step is due no later than end. It reports whether it made a step.
 func (n *Network) stepIfDue(end eventloop.Micros) bool {
 	due, pending := n.timers.Next()
 	if !pending || due > end {
