--- a/internal/testbed/record/record.go
+++ b/internal/testbed/record/record.go
@@ -43,7 +43,7 @@
 	AttemptRan              EventType = "ran"  // the attempt's effects took place
 	AttemptFinished         EventType = "left" // the attempt holds no resources at the endpoint any more
 	ConnectionLost          EventType = "quit" // of an attempt in flight
-	StatePinned             EventType = "hold" // a prefill left a state, pinned until it is fetched, is released or expires
+	StatePinned             EventType = "hold" // a prefill left a state, pinned until it is fetched, released or expires
 	StateFetched            EventType = "took"
 	StateReleased           EventType = "released"
 	StateLeaseExpired       EventType = "lease"
